--- a/internal/fleet/rules/beyond.go
+++ b/internal/fleet/rules/beyond.go
@@ -40,9 +40,9 @@
 	}
 	c, d := a.Cold, b.Cold
 	note(c.From > d.From || c.Time < d.Time || c.Multiple > d.Multiple || c.Units > d.Units || c.Window != d.Window && (c.Multiple > 0 || c.Units > 0),
-		"cold nodes: %+v over %+v", c, d)
+		"cold nodes: %s over %s", c.text(), d.text())
 	f, g := a.Further, b.Further
-	note(f.Free > g.Free || f.Share > g.Share || f.Window != g.Window && (f.Free > 0 || f.Share > 0), "further executions: %+v over %+v", f, g)
+	note(f.Free > g.Free || f.Share > g.Share || f.Window != g.Window && (f.Free > 0 || f.Share > 0), "further executions: %s over %s", f.text(), g.text())
 	s, t := a.Sending, b.Sending
 	note(s.Most > t.Most, "executions of a job: %d over %d", s.Most, t.Most)
 	note(s.SecondCopies && !t.SecondCopies, "second copies")
@@ -70,6 +70,14 @@
 	return list
 }
 
+func (c Cold) text() string {
+	return fmt.Sprintf("{From:%v Time:%d Multiple:%v Window:%d Units:%v}", c.From, c.Time, c.Multiple, c.Window, c.Units)
+}
+
+func (f Further) text() string {
+	return fmt.Sprintf("{Window:%d Free:%v Share:%v}", f.Window, f.Free, f.Share)
+}
+
 func amount(n float64) string {
 	if math.IsInf(n, 1) {
 		return "none"
--- a/internal/fleet/rules/golden_test.go
+++ b/internal/fleet/rules/golden_test.go
@@ -56,6 +56,8 @@
 	other.Plans = map[string]Plan{"gold": {Weight: 1, Limit: 50}}
 	other.Nodes["10.0.0.2:7000"] = Node{Born: 9}
 	delete(other.Products, "a")
+	contrary := goldenRules()
+	contrary.Cold, contrary.Further = Cold{From: 0.5, Time: 4e9}, Further{Window: 1e9, Free: 1.5, Share: 0.25}
 	v := &Version{Number: 7, Parent: 6, Digest: r.Digest(), Author: "ann", Why: "more room", Time: "2026-01-02T03:04:05Z", Rules: r.Canonical()}
 	asJSON := func(value any) []byte {
 		b, err := json.Marshal(value)
@@ -78,6 +80,7 @@
 		"meet.json":            Meet(r, other).Canonical(),
 		"terms.json":           asJSON(r.Terms(map[string]string{"gateways": "7", "plans.9.name": "old"})),
 		"diff.txt":             lines(Diff(r, other)),
+		"conflicts.txt":        lines(Contradict(r, contrary)),
 	} {
 		golden(t, name, got)
 	}
