--- /dev/null
+++ b/internal/fleet/follow/golden_test.go
@@ -0,0 +1,170 @@
+package follow
+
+import (
+	"bytes"
+	"fmt"
+	"io"
+	"log/slog"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"irispost/internal/fleet/delta"
+)
+
+// spoolDigest names the content file under testdata/spool, as a gateway of 3aa21cb wrote it.
+const spoolDigest = "5b1cbe1664cde7a14c102c56924fb8d4f926097fc0fc30c6e5081fe52ad2c983"
+
+// goldenFile reads a file under testdata.
+func goldenFile(t *testing.T, name ...string) []byte {
+	t.Helper()
+	b, err := os.ReadFile(filepath.Join(append([]string{"testdata"}, name...)...))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return b
+}
+
+// TestGoldenContentFile: the folder with the last content, as an earlier build left it, is read, and the same file is written.
+func TestGoldenContentFile(t *testing.T) {
+	want := goldenFile(t, "spool", spoolDigest+".rules")
+	if !bytes.Equal(want, large(3, 1)) {
+		t.Errorf("the content itself is now\n%s\nnot\n%s", large(3, 1), want)
+	}
+	dir := t.TempDir()
+	if err := os.CopyFS(dir, os.DirFS(filepath.Join("testdata", "spool"))); err != nil {
+		t.Fatal(err)
+	}
+	s, got, err := openSpool(dir, "g", slog.New(slog.DiscardHandler))
+	if err != nil {
+		t.Fatal(err)
+	}
+	s.close()
+	if !bytes.Equal(got, want) {
+		t.Errorf("read %d bytes of %d", len(got), len(want))
+	}
+
+	dir = t.TempDir()
+	if s, got, err = openSpool(dir, "g", slog.New(slog.DiscardHandler)); err != nil || got != nil {
+		t.Fatalf("%d bytes in an empty folder, %v", len(got), err)
+	}
+	s.put(want)
+	s.close()
+	list, err := os.ReadDir(dir)
+	if err != nil || len(list) != 1 || list[0].Name() != spoolDigest+".rules" {
+		t.Fatalf("the folder has %v, %v", list, err)
+	}
+	info, err := list[0].Info()
+	if err != nil || info.Mode() != 0o600 {
+		t.Errorf("mode %v, %v", info.Mode(), err)
+	}
+	if got, err := os.ReadFile(filepath.Join(dir, list[0].Name())); err != nil || !bytes.Equal(got, want) {
+		t.Errorf("%d bytes of %d were written, %v", len(got), len(want), err)
+	}
+}
+
+// goldenReplica answers a gateway's calls with what testdata has, and notes the first calls of each path.
+type goldenReplica struct {
+	grant   []byte
+	content []byte // as a delta from the content on disk
+
+	lock     sync.Mutex
+	calls    []string
+	renewals int
+}
+
+func (g *goldenReplica) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	body, _ := io.ReadAll(r.Body)
+	call := r.Method + " " + r.URL.RequestURI() + "\n"
+	for _, name := range []string{"Accept-Encoding", "Available-Dictionary", "Dictionary-Id", "User-Agent", "Content-Type"} {
+		if v := r.Header.Values(name); len(v) > 0 {
+			call += fmt.Sprintf("%s: %q\n", name, v)
+		}
+	}
+	renewals := g.note(r.URL.Path, call+string(body))
+	switch {
+	case r.URL.Path == "/renew":
+		w.Write(bytes.Replace(g.grant, []byte(`"seq":1`), fmt.Appendf(nil, `"seq":%d`, renewals), 1))
+	case strings.HasPrefix(r.URL.Path, "/content/"):
+		w.Header().Set("Content-Encoding", "dcz")
+		w.Write(g.content)
+	case r.URL.Path == "/news":
+		<-r.Context().Done()
+	default:
+		http.NotFound(w, r)
+	}
+}
+
+// note keeps a call, and counts the renewals.
+func (g *goldenReplica) note(path, call string) (renewals int) {
+	g.lock.Lock()
+	defer g.lock.Unlock()
+	if !slices.Contains(g.calls, call) {
+		g.calls = append(g.calls, call)
+	}
+	if path == "/renew" {
+		g.renewals++
+	}
+	return g.renewals
+}
+
+// first are the calls that matter: two renewals, before and after the first lease, and one each of the others.
+func (g *goldenReplica) first() []string {
+	g.lock.Lock()
+	defer g.lock.Unlock()
+	counts := map[string]int{}
+	var list []string
+	for _, call := range g.calls {
+		path, _, _ := strings.Cut(call[strings.Index(call, "/"):], "?")
+		path, _, _ = strings.Cut(path, "\n")
+		if counts[path]++; counts[path] <= 1 || path == "/renew" && counts[path] <= 2 {
+			list = append(list, call)
+		}
+	}
+	slices.Sort(list)
+	return list
+}
+
+// TestGoldenCalls: what a gateway sends to a replica, route by route, and the record of what it acted on, are those of 3aa21cb.
+func TestGoldenCalls(t *testing.T) {
+	coded, err := delta.Encode(goldenFile(t, "spool", spoolDigest+".rules"), large(3, 2))
+	if err != nil {
+		t.Fatal(err)
+	}
+	replica := &goldenReplica{grant: goldenFile(t, "grant.json"), content: coded}
+	server := httptest.NewServer(replica)
+	t.Cleanup(server.Close)
+	dir, record := t.TempDir(), filepath.Join(t.TempDir(), "acts")
+	if err := os.CopyFS(dir, os.DirFS(filepath.Join("testdata", "spool"))); err != nil {
+		t.Fatal(err)
+	}
+	f, err := Start(Options{Gateway: "g", Who: "g/1.2", Peer: "10.0.0.5:7200", Keepers: []string{strings.TrimPrefix(server.URL, "http://")}, Dir: dir,
+		Record: record, Pause: 100 * time.Millisecond, Now: func() int64 { return time.Now().UnixNano() }, Wake: func() {}, Log: slog.New(slog.DiscardHandler)})
+	if err != nil {
+		t.Fatal(err)
+	}
+	for deadline := time.Now().Add(time.Minute); len(replica.first()) < 4 && time.Now().Before(deadline); time.Sleep(time.Millisecond) {
+		f.At(time.Now().UnixNano())
+	}
+	f.At(time.Now().UnixNano())
+	f.Close()
+	got, want := strings.Join(replica.first(), "\n\n")+"\n", string(goldenFile(t, "calls.txt"))
+	if got != want {
+		t.Errorf("calls are now\n%s\nnot\n%s", got, want)
+	}
+	b, err := os.ReadFile(record)
+	if line := regexp.MustCompile(`^\d+ (.*)\n$`).FindStringSubmatch(string(b)); err != nil || line == nil || line[1] != "false [7]" {
+		t.Errorf("the record is %q, %v", b, err)
+	}
+	list, err := filepath.Glob(filepath.Join(dir, "*"))
+	if err != nil || len(list) != 1 || filepath.Base(list[0]) == spoolDigest+".rules" {
+		t.Errorf("%q in the folder after a change, %v", list, err)
+	}
+}
