--- /dev/null
+++ b/internal/listing/testdata/read.nodes.hcl
@@ -0,0 +1,28 @@
+version = "7"
+node "127.0.0.1:7000" {
+  shard = 0
+}
+node "127.0.0.1:7001" {
+  shard    = 1
+  zone     = "a"
+  standing = "ready"
+  name     = "one"
+  weight   = 2.5
+  born     = "2026-01-02T15:04:05.123456789Z"
+  priority = 1
+}
+node "127.0.0.1:7002" {
+  shard    = 2
+  zone     = "b"
+  standing = "draining"
+  born     = "2026-01-02T16:04:05+01:00"
+}
+node "127.0.0.1:7003" {
+  shard    = 3
+  standing = "gone"
+}
+node "127.0.0.1:7004" {
+  shard    = 4
+  standing = "unwell"
+  weight   = 3
+}
--- /dev/null
+++ b/internal/roster/golden_test.go
@@ -0,0 +1,86 @@
+package roster
+
+import (
+	"context"
+	"io"
+	"log/slog"
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"irispost/internal/listing"
+	"irispost/internal/members"
+)
+
+const (
+	keptFile = "g0.plane.nodes.hcl" // the gateway's name and the source's
+	longEnd  = 30 * time.Second
+)
+
+// script is a source that hands out one list; nil: it is never reached.
+type script struct{ list *listing.List }
+
+func (s script) Run(ctx context.Context, to listing.Listener) error {
+	if s.list != nil {
+		to.Link(true, "")
+		to.List(*s.list)
+	}
+	<-ctx.Done()
+	return nil
+}
+
+// start runs a gateway's source plane over a folder, and returns where it is told.
+func start(t *testing.T, folder string, source listing.Source) <-chan listing.List {
+	t.Helper()
+	told := make(chan listing.List, 8)
+	begin := time.Now()
+	r := Start(Options{Gateway: "g0", Terms: members.DefaultTerms, Sources: []Named{{Name: "plane", Source: source}}, Folder: folder,
+		Now: func() int64 { return 1e18 + int64(time.Since(begin)) }, Tell: func(l listing.List) { told <- l },
+		Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
+	t.Cleanup(r.Close)
+	return told
+}
+
+// A list is kept in the folder under the file's name, in the form of testdata, and the file is what the next start is told of.
+func TestGoldenKeptList(t *testing.T) {
+	want, err := os.ReadFile(filepath.Join("testdata", keptFile))
+	if err != nil {
+		t.Fatal(err)
+	}
+	list := listing.List{Version: "c:3 e:9", Nodes: []listing.Node{
+		{Addr: "127.0.0.1:7000", Zone: "a"},
+		{Addr: "127.0.0.1:7001", Name: "one", Zone: "b", Shard: 1, Weight: 2.5, Born: 1_767_366_245_123_456_789, Priority: 1},
+		{Addr: "127.0.0.1:7002", Zone: "b", Shard: 2, Standing: listing.Draining},
+	}}
+	folder := t.TempDir()
+	start(t, folder, script{&list})
+	file, end := filepath.Join(folder, keptFile), time.Now().Add(longEnd)
+	for {
+		got, err := os.ReadFile(file)
+		if err == nil {
+			if string(got) != string(want) {
+				t.Errorf("%s is kept as\n%s\nwant\n%s", keptFile, got, want)
+			}
+			break
+		}
+		if time.Now().After(end) {
+			t.Fatal(err)
+		}
+		time.Sleep(time.Millisecond)
+	}
+
+	again := t.TempDir()
+	if err := os.WriteFile(filepath.Join(again, keptFile), want, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	select {
+	case l := <-start(t, again, script{}):
+		if l.Version != list.Version || !l.Stale || len(l.Nodes) != 3 || l.Nodes[1].Weight != 2.5 || l.Nodes[1].Born != list.Nodes[1].Born ||
+			l.Nodes[2].Standing != listing.Draining {
+			t.Errorf("the kept list is told as %+v", l)
+		}
+	case <-time.After(longEnd):
+		t.Fatal("the kept list is not told")
+	}
+}
