--- a/internal/capture/told.go
+++ b/internal/capture/told.go
@@ -72,7 +72,7 @@
 // State tells of the module's full state.
 func (r *Recorder) State(now decide.Time, g *decide.Gateway) {
 	r.blind.Store(false)
-	b, err := snapshot.Take(g)
+	b, err := snapshot.Take(g, decide.StoredNames)
 	if err != nil {
 		r.add(&Record{Kind: Gap, At: now}) // a replay cannot begin here
 		return
--- a/internal/replay/feed.go
+++ b/internal/replay/feed.go
@@ -98,7 +98,7 @@
 	if r.module != nil {
 		return nil // it is there already, and was compared so far
 	}
-	g, err := snapshot.Restore[decide.Gateway]([]byte(rec.State))
+	g, err := snapshot.Restore[decide.Gateway]([]byte(rec.State), decide.StoredNames)
 	if err != nil {
 		return fmt.Errorf("record %d, the module's state: %w", r.report.Records, err)
 	}
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -10,6 +10,7 @@
 	"math"
 	"reflect"
 	"slices"
+	"strings"
 	"unsafe"
 
 	"github.com/cespare/xxhash/v2"
@@ -18,13 +19,28 @@
 // ErrDamaged tells that a snapshot is not as it was written, or is of other types.
 var ErrDamaged = errors.New("the snapshot is damaged, or of another build")
 
+// Names gives the stored names of types ("Type") and of their fields ("Type.field") that are called otherwise in code. So
+// a rename in code changes no shape, and snapshots that were written before it are still read.
+type Names map[string]string
+
+// stored is the name that stands for one in code.
+func (n Names) stored(name, otherwise string) string {
+	if s, renamed := n[name]; renamed {
+		return s
+	}
+	return otherwise
+}
+
 // Shape is a digest of a type with all that it reaches: a snapshot is read only by a build with the same shape.
-func Shape(t reflect.Type) uint64 {
-	h := xxhash.New()
+func Shape(t reflect.Type, names Names) uint64 { return xxhash.Sum64String(shapeText(t, names)) }
+
+// shapeText lists the kinds and stored names of a type and of all types and fields that it reaches, in their order.
+func shapeText(t reflect.Type, names Names) string {
+	var text strings.Builder
 	seen := map[reflect.Type]bool{}
 	var walk func(reflect.Type)
 	walk = func(t reflect.Type) {
-		fmt.Fprintf(h, "%s %s;", t.Kind(), t.Name())
+		fmt.Fprintf(&text, "%s %s;", t.Kind(), names.stored(t.Name(), t.Name()))
 		if seen[t] {
 			return
 		}
@@ -32,8 +48,9 @@
 		switch t.Kind() {
 		case reflect.Struct:
 			for i := range t.NumField() {
-				fmt.Fprintf(h, "%s:", t.Field(i).Name)
-				walk(t.Field(i).Type)
+				field := t.Field(i)
+				fmt.Fprintf(&text, "%s:", names.stored(t.Name()+"."+field.Name, field.Name))
+				walk(field.Type)
 			}
 		case reflect.Map:
 			walk(t.Key())
@@ -43,17 +60,17 @@
 		}
 	}
 	walk(t)
-	return h.Sum64()
+	return text.String()
 }
 
 // Take writes down the object that root points to, and all that it reaches.
-func Take(root any) ([]byte, error) {
+func Take(root any, names Names) ([]byte, error) {
 	v := reflect.ValueOf(root)
 	if v.Kind() != reflect.Pointer || v.IsNil() {
 		return nil, errors.New("a snapshot begins with a pointer")
 	}
 	w := &taker{numbers: map[unsafe.Pointer]map[reflect.Type]uint64{}}
-	w.out = binary.BigEndian.AppendUint64(nil, Shape(v.Type()))
+	w.out = binary.BigEndian.AppendUint64(nil, Shape(v.Type(), names))
 	w.number(v)
 	for at := 0; at < len(w.objects); at++ { // objects are written in the order in which they are first met
 		w.value(w.objects[at].Elem())
@@ -159,9 +176,9 @@
 }
 
 // Restore makes the graph of a snapshot. T is what the root points to.
-func Restore[T any](b []byte) (*T, error) {
+func Restore[T any](b []byte, names Names) (*T, error) {
 	root := reflect.TypeFor[*T]()
-	if len(b) < 16 || xxhash.Sum64(b[:len(b)-8]) != binary.BigEndian.Uint64(b[len(b)-8:]) || binary.BigEndian.Uint64(b) != Shape(root) {
+	if len(b) < 16 || xxhash.Sum64(b[:len(b)-8]) != binary.BigEndian.Uint64(b[len(b)-8:]) || binary.BigEndian.Uint64(b) != Shape(root, names) {
 		return nil, ErrDamaged
 	}
 	r := &restorer{in: b[8 : len(b)-8]}
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -36,11 +36,11 @@
 }
 
 func TestGraphsComeBack(t *testing.T) {
-	b, err := Take(sample())
+	b, err := Take(sample(), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	g, err := Restore[tree](b)
+	g, err := Restore[tree](b, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -53,17 +53,17 @@
 	for i := range b {
 		bad := bytes.Clone(b)
 		bad[i] ^= 4
-		if _, err := Restore[tree](bad); err == nil {
+		if _, err := Restore[tree](bad, nil); err == nil {
 			t.Fatalf("byte %d flipped is believed", i)
 		}
-		if _, err := Restore[tree](b[:i]); err == nil {
+		if _, err := Restore[tree](b[:i], nil); err == nil {
 			t.Fatalf("a snapshot cut at %d is believed", i)
 		}
 	}
-	if _, err := Restore[leaf](b); err == nil {
+	if _, err := Restore[leaf](b, nil); err == nil {
 		t.Error("a snapshot of another type is read")
 	}
-	if _, err := Take(&struct{ f func() }{}); err == nil {
+	if _, err := Take(&struct{ f func() }{}, nil); err == nil {
 		t.Error("a function is taken")
 	}
 }
