--- /dev/null
+++ b/internal/admin/golden_test.go
@@ -0,0 +1,204 @@
+package admin_test
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"irispost/internal/admin"
+)
+
+// gateway is one whose every figure is set, so that each field shows.
+type gateway struct{ err error }
+
+var (
+	since = time.Date(2026, 1, 2, 3, 4, 5, 6000, time.UTC)
+	held  = admin.Held{Since: since, Nodes: 3, All: true}
+)
+
+func (g gateway) Status() (admin.Status, error) {
+	return admin.Status{
+		Gateway:  "g1",
+		Address:  "127.0.0.1:1",
+		Since:    since,
+		Held:     1,
+		Out:      2,
+		Late:     3,
+		Products: map[string]admin.Product{"read": {Taken: 4, Completed: 5, Dismissed: 6, WrittenOff: 7, Left: 8}},
+		Capture:  admin.Capture{On: true, File: "f", Written: 9, Dropped: 10, Error: "e"},
+		Nodes:    map[string]int{"serving": 11},
+		Lost:     &held,
+		Rules:    "acting on 1.ab",
+	}, g.err
+}
+
+func (g gateway) Members() (admin.Members, error) {
+	return admin.Members{
+		Gateway: "g1",
+		Told:    since,
+		Held:    &held,
+		Sources: []admin.Source{{
+			Name:      "own",
+			State:     "current",
+			Since:     since,
+			Trouble:   "t",
+			Version:   "v",
+			Heard:     since,
+			Nodes:     1,
+			Held:      "old",
+			Refused:   2,
+			Refusal:   "r",
+			RefusedAt: since,
+		}, {}},
+		Nodes: []admin.Member{{
+			Addr:   "a:1",
+			Name:   "n",
+			Shard:  1,
+			Zone:   "z",
+			State:  "serving",
+			Since:  since,
+			Why:    "w",
+			Source: "own",
+			Weight: 1.5,
+			Out:    2,
+		}, {}},
+	}, g.err
+}
+
+func (g gateway) Confirm() (admin.Confirmed, error) {
+	return admin.Confirmed{Nodes: 1, Lists: 2}, g.err
+}
+
+func (g gateway) StartCapture(folder string) (admin.Capture, error) {
+	return admin.Capture{On: true, File: folder + "/f"}, g.err
+}
+
+func (g gateway) StopCapture() (admin.Capture, error) { return admin.Capture{}, g.err }
+
+// transport connects to a socket, once for each request.
+func transport(socket string) *http.Transport {
+	return &http.Transport{DisableKeepAlives: true, DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
+		return (&net.Dialer{}).DialContext(ctx, "unix", socket)
+	}}
+}
+
+// serve serves a gateway at a socket, and writes down each request that comes there.
+func serve(t *testing.T, g gateway, record io.Writer) string {
+	t.Helper()
+	dir := t.TempDir()
+	s, err := admin.Listen(filepath.Join(dir, "inner"), g)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(s.Close)
+	l, err := net.Listen("unix", filepath.Join(dir, "outer"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	inner := transport(filepath.Join(dir, "inner"))
+	outer := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		asked, err := io.ReadAll(r.Body)
+		if err != nil {
+			t.Error(err)
+		}
+		q, err := http.NewRequest(r.Method, "http://gateway"+r.URL.Path, bytes.NewReader(asked))
+		if err != nil {
+			t.Error(err)
+			return
+		}
+		a, err := inner.RoundTrip(q)
+		if err != nil {
+			t.Error(err)
+			return
+		}
+		answer, err := io.ReadAll(a.Body)
+		if err != nil {
+			t.Error(err)
+		}
+		fmt.Fprintf(record, "%s %s\n%s\n", r.Method, r.URL.Path, asked)
+		fmt.Fprintf(record, "%d %s\n%s\n", a.StatusCode, a.Header.Get("Content-Type"), answer)
+		w.WriteHeader(a.StatusCode)
+		if _, err := w.Write(answer); err != nil {
+			t.Error(err)
+		}
+	})}
+	go func() {
+		if err := outer.Serve(l); !errors.Is(err, http.ErrServerClosed) {
+			t.Error(err)
+		}
+	}()
+	t.Cleanup(func() {
+		if err := outer.Close(); err != nil {
+			t.Error(err)
+		}
+	})
+	return filepath.Join(dir, "outer")
+}
+
+// golden compares a text with a file of testdata, which UPDATE_GOLDEN=1 writes.
+func golden(t *testing.T, file string, got []byte) {
+	t.Helper()
+	path := filepath.Join("testdata", file)
+	if os.Getenv("UPDATE_GOLDEN") == "1" {
+		if err := os.WriteFile(path, got, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(got, want) {
+		t.Errorf("%s differs:\n%s\nwanted:\n%s", path, got, want)
+	}
+}
+
+// TestGoldenSocket pins each request and answer of the socket, what the client makes of them, and the metrics with help and type.
+func TestGoldenSocket(t *testing.T) {
+	for _, c := range []struct {
+		file string
+		err  error
+	}{{"socket.txt", nil}, {"socket-ended.txt", errors.New("the gateway ends")}} {
+		t.Run(c.file, func(t *testing.T) {
+			var record bytes.Buffer
+			socket := serve(t, gateway{c.err}, &record)
+			client := admin.Dial(socket, time.Minute)
+			for _, call := range []func() (any, error){
+				func() (any, error) { return client.Status() },
+				func() (any, error) { return client.Members() },
+				func() (any, error) { return client.Confirm() },
+				func() (any, error) { return client.StartCapture("") },
+				func() (any, error) { return client.StartCapture("folder") },
+				func() (any, error) { return client.StopCapture() },
+			} {
+				_, err := call()
+				fmt.Fprintf(&record, "client: error %v\n\n", err)
+			}
+			raw := http.Client{Transport: transport(socket)}
+			for _, q := range []string{"GET /metrics", "POST /capture/start", "POST /status", "GET /nothing"} {
+				method, path, _ := strings.Cut(q, " ")
+				r, err := http.NewRequestWithContext(t.Context(), method, "http://gateway"+path, strings.NewReader("{"))
+				if err != nil {
+					t.Fatal(err)
+				}
+				answer, err := raw.Do(r)
+				if err != nil {
+					t.Fatal(err)
+				}
+				if err := answer.Body.Close(); err != nil {
+					t.Error(err)
+				}
+			}
+			golden(t, c.file, record.Bytes())
+		})
+	}
+}
--- /dev/null
+++ b/internal/serve/golden_test.go
@@ -0,0 +1,81 @@
+package serve_test
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"path/filepath"
+	"regexp"
+	"strings"
+	"testing"
+
+	"irispost/internal/testkit"
+)
+
+// TestGoldenAdmin pins what a gateway itself puts into the answers of its admin socket: names of states, reasons, products, and the texts
+// of errors. Times, addresses, folders and figures that differ from run to run are masked.
+func TestGoldenAdmin(t *testing.T) {
+	dir := t.TempDir()
+	socket := filepath.Join(dir, "admin.sock")
+	conf := strings.Replace(testkit.Conf, "gateways = 2\n", "gateways = 2\n  admin = \""+socket+"\"\n", 1)
+	testkit.Start(t, conf, 1, 1, nil)
+	dial := func(ctx context.Context, _, _ string) (net.Conn, error) {
+		return (&net.Dialer{}).DialContext(ctx, "unix", socket)
+	}
+	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: dial}}
+	var record bytes.Buffer
+	for _, q := range []string{
+		"GET /status",
+		"GET /members",
+		"POST /members/confirm",
+		"POST /capture/stop",
+		`POST /capture/start {"folder":""}`,
+		`POST /capture/start {"folder":"` + dir + `"}`,
+		`POST /capture/start {"folder":""}`,
+		"POST /capture/stop",
+		"GET /status",
+		"GET /metrics",
+	} {
+		words := append(strings.SplitN(q, " ", 3), "")
+		r, err := http.NewRequestWithContext(t.Context(), words[0], "http://gateway"+words[1], strings.NewReader(words[2]))
+		if err != nil {
+			t.Fatal(err)
+		}
+		a, err := client.Do(r)
+		if err != nil {
+			t.Fatal(err)
+		}
+		body, err := io.ReadAll(a.Body)
+		if err = errors.Join(err, a.Body.Close()); err != nil {
+			t.Fatal(err)
+		}
+		fmt.Fprintf(&record, "--- %s\n%d %s\n", q, a.StatusCode, body)
+	}
+	got := strings.ReplaceAll(record.String(), dir, "DIR")
+	for pattern, mask := range map[string]string{
+		`127\.0\.0\.1:\d+`:    "ADDR",
+		`20\d\d-[-0-9:.TZ+]+`: "TIME",
+		`g0-[^/" ]*\.iriscap`: "CAPTURE",
+		`"written":\d+`:       `"written":N`,
+	} {
+		got = regexp.MustCompile(pattern).ReplaceAllString(got, mask)
+	}
+	path := filepath.Join("testdata", "admin.txt")
+	if os.Getenv("UPDATE_GOLDEN") == "1" {
+		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got != string(want) {
+		t.Errorf("%s differs:\n%s\nwanted:\n%s", path, got, want)
+	}
+}
--- a/internal/web/export_test.go
+++ b/internal/web/export_test.go
@@ -63,3 +63,6 @@
 	}
 	return false
 }
+
+// Answer is the message of a job's result.
+var Answer = answer
--- /dev/null
+++ b/internal/web/golden_test.go
@@ -0,0 +1,154 @@
+package web_test
+
+import (
+	"bytes"
+	"context"
+	"fmt"
+	"io"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"irispost/decide"
+	"irispost/internal/gateway"
+	"irispost/internal/node"
+	"irispost/internal/web"
+)
+
+// golden compares a text with a file of testdata, which UPDATE_GOLDEN=1 writes. Its lines end with LF; a CR shows as \r.
+func golden(t *testing.T, file string, got []byte) {
+	t.Helper()
+	path := filepath.Join("testdata", file)
+	got = bytes.ReplaceAll(got, []byte("\r"), []byte(`\r`))
+	if os.Getenv("UPDATE_GOLDEN") == "1" {
+		if err := os.WriteFile(path, got, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(got, want) {
+		t.Errorf("%s differs:\n%s\nwanted:\n%s", path, got, want)
+	}
+}
+
+// changed is a request with one part replaced.
+func changed(old, now string) string { return strings.Replace(ask("r"), old, now, 1) }
+
+// chunked is a request whose chunked body is this text.
+func chunked(body string) string {
+	return strings.Replace(changed("Content-Length: 4", "Transfer-Encoding: chunked"), "body", body, 1)
+}
+
+var long = strings.Repeat("x", 5000)
+
+// goldenRequests are requests that a front answers by itself or on its node's behalf, each on a connection of its own.
+var goldenRequests = []struct{ name, text string }{
+	{"health", "GET /healthz HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"},
+	{"health by another method", "PUT /healthz HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n"},
+	{"served", changed("Host", "Connection: close\r\nHost")},
+	{"served after 100 Continue", changed("Host", "Connection: close\r\nExpect: 100-continue\r\nHost")},
+	{"method", changed("PUT", "POST")},
+	{"read with a body", changed("PUT", "GET")},
+	{"id", changed("X-Request-Id: r", "X-Request-Id: r s")},
+	{"class", changed("X-Class: read", "X-Class: gold")},
+	{"plan", changed("X-Plan: gold", "X-Plan: read")},
+	{"deadline", changed("X-Deadline-Ms: 120000", "X-Deadline-Ms: 0")},
+	{"no extent", changed("?extent=7f3a9c21e0b4d655", "")},
+	{"extent", changed("extent=7f3a9c21e0b4d655", "extent=7f3a")},
+	{"X-IO", changed("units=2", "units=9")},
+	{"request line", "GET  / HTTP/1.1\r\n\r\n"},
+	{"target", "GET /\x80 HTTP/1.1\r\n\r\n"},
+	{"version", "GET / HTTP/1.0\r\n\r\n"},
+	{"long request line", "GET /" + long + " HTTP/1.1\r\n\r\n"},
+	{"long field", "GET / HTTP/1.1\r\nA: " + long + "\r\n\r\n"},
+	{"many fields", "GET / HTTP/1.1\r\n" + strings.Repeat("A: b\r\n", 65) + "\r\n"},
+	{"line without CR", "GET / HTTP/1.1\nHost: a\r\n\r\n"},
+	{"control character", "GET / HTTP/1.1\r\nHost: \x01\r\n\r\n"},
+	{"no field", "GET / HTTP/1.1\r\nHost\r\n\r\n"},
+	{"host", "GET / HTTP/1.1\r\n\r\n"},
+	{"both framings", changed("Content-Length: 4", "Content-Length: 4\r\nTransfer-Encoding: chunked")},
+	{"coding", changed("Content-Length: 4", "Transfer-Encoding: gzip")},
+	{"length", changed("Content-Length: 4", "Content-Length: +4")},
+	{"long body", changed("Content-Length: 4", "Content-Length: 60000000")},
+	{"expectation", changed("Host", "Expect: more\r\nHost")},
+	{"chunk size", chunked("z\r\n")},
+	{"chunk end", chunked("1\r\nabc")},
+	{"long chunk", chunked("10001\r\n")},
+}
+
+// exchange sends a request on a connection of its own and reads all that comes back.
+func exchange(t *testing.T, w *town, request string) []byte {
+	t.Helper()
+	c := w.dial(t)
+	c.send(request)
+	answer, err := io.ReadAll(c.in)
+	if err != nil {
+		t.Errorf("%q: %v", request, err)
+	}
+	return answer
+}
+
+// TestGoldenAnswers pins, as bytes, each answer that the front makes by itself.
+func TestGoldenAnswers(t *testing.T) {
+	var record bytes.Buffer
+	write := func(name string, answer []byte) {
+		fmt.Fprintf(&record, "--- %s\n%s\n", name, answer)
+	}
+	w := start(t, limits())
+	for _, c := range goldenRequests {
+		write(c.name, exchange(t, w, c.text))
+	}
+
+	w.nodes.lock.Lock()
+	w.nodes.hold = true
+	w.nodes.lock.Unlock()
+	w.dial(t).send(ask("open"))
+	<-w.nodes.more
+	write("id of an open request", exchange(t, w, ask("open")))
+
+	few := limits()
+	few.Request, few.Bodies = 30*time.Millisecond, 2
+	write("bodies", exchange(t, start(t, few), ask("r")))
+	few.First = few.Request
+	write("late", exchange(t, start(t, few), "GET / HT"))
+	few.Connections = 0
+	write("connections", exchange(t, start(t, few), ""))
+
+	ctx, cancel := context.WithCancel(t.Context())
+	t.Cleanup(cancel)
+	go w.Stop(ctx, time.Hour, 0)
+	for status := 200; status == 200; {
+		c := w.dial(t)
+		c.send("GET /healthz HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n")
+		status, _, _ = c.read()
+	}
+	write("health while it ends", exchange(t, w, "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n"))
+	golden(t, "answers.txt", record.Bytes())
+}
+
+// TestGoldenResults pins, as bytes, the answer for each result of a job.
+func TestGoldenResults(t *testing.T) {
+	var record bytes.Buffer
+	for _, c := range []struct {
+		name   string
+		result gateway.Result
+	}{
+		{"dismissed, no wait", gateway.Result{State: decide.Dismissed}},
+		{"dismissed, wait of 1 ns", gateway.Result{State: decide.Dismissed, Wait: 1}},
+		{"dismissed, wait of 1 ms", gateway.Result{State: decide.Dismissed, Wait: time.Millisecond}},
+		{"dismissed, wait of 61.005 s", gateway.Result{State: decide.Dismissed, Wait: 61*time.Second + 5*time.Millisecond}},
+		{"written off", gateway.Result{State: decide.WrittenOff}},
+		{"completed", gateway.Result{State: decide.Completed, Answer: node.Answer{Data: []byte("data")}}},
+		{"completed without data", gateway.Result{State: decide.Completed}},
+	} {
+		for _, last := range []bool{false, true} {
+			fmt.Fprintf(&record, "--- %s, last %v\n%s\n", c.name, last, web.Answer(c.result, last))
+		}
+	}
+	golden(t, "results.txt", record.Bytes())
+}
