--- /dev/null
+++ b/cmd/irispost/golden_test.go
@@ -0,0 +1,49 @@
+package main
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+
+	"github.com/spf13/cobra"
+	"github.com/spf13/pflag"
+
+	"irispost/internal/testkit/golden"
+)
+
+// Commands with their aliases and flags: scripts of operators call them.
+func TestGoldenCommands(t *testing.T) {
+	t.Setenv("IRISPOST_AT", "")
+	var b strings.Builder
+	listCommand(&b, "", program())
+	golden.Check(t, "commands.txt", []byte(b.String()))
+}
+
+// listCommand writes a command and its sub-commands, which cobra has sorted by name.
+func listCommand(b *strings.Builder, parent string, c *cobra.Command) {
+	name := strings.TrimSpace(parent + " " + c.Use)
+	fmt.Fprintf(b, "%s\n", name)
+	if len(c.Aliases) > 0 {
+		fmt.Fprintf(b, "  aliases %s\n", strings.Join(c.Aliases, ", "))
+	}
+	if c.Hidden {
+		fmt.Fprintln(b, "  hidden")
+	}
+	c.LocalNonPersistentFlags().VisitAll(func(f *pflag.Flag) { listFlag(b, "flag", f) })
+	c.PersistentFlags().VisitAll(func(f *pflag.Flag) { listFlag(b, "persistent flag", f) })
+	for _, sub := range c.Commands() {
+		listCommand(b, strings.TrimSpace(parent+" "+c.Name()), sub)
+	}
+}
+
+func listFlag(b *strings.Builder, kind string, f *pflag.Flag) {
+	short := ""
+	if f.Shorthand != "" {
+		short = " -" + f.Shorthand
+	}
+	required := ""
+	if len(f.Annotations[cobra.BashCompOneRequiredFlag]) > 0 {
+		required = ", required"
+	}
+	fmt.Fprintf(b, "  %s --%s%s %s, default %q%s\n", kind, f.Name, short, f.Value.Type(), f.DefValue, required)
+}
--- /dev/null
+++ b/internal/audit/golden_test.go
@@ -0,0 +1,13 @@
+package audit
+
+import (
+	"testing"
+
+	"irispost/internal/testkit/golden"
+)
+
+func TestGoldenJSON(t *testing.T) {
+	for name, record := range map[string]any{"rule.json": &Rule{}, "summary.json": &Summary{}, "coldness.json": &Coldness{}} {
+		t.Run(name, func(t *testing.T) { golden.CheckJSON(t, name, record) })
+	}
+}
--- /dev/null
+++ b/internal/replay/golden_test.go
@@ -0,0 +1,11 @@
+package replay
+
+import (
+	"testing"
+
+	"irispost/internal/testkit/golden"
+)
+
+func TestGoldenJSON(t *testing.T) {
+	golden.CheckJSON(t, "report.json", &Report{})
+}
