--- a/internal/replay/golden_test.go
+++ b/internal/replay/golden_test.go
@@ -7,6 +7,7 @@
 	"testing"
 
 	"irispost/internal/capture"
+	"irispost/internal/testkit/golden"
 )
 
 // records reads a capture to its end. The digest of the module's text changes with each text, so it does not count.
@@ -63,3 +64,7 @@
 		})
 	}
 }
+
+func TestGoldenJSON(t *testing.T) {
+	golden.CheckJSON(t, "report.json", &Report{})
+}
