--- /dev/null
+++ b/internal/node/golden_test.go
@@ -0,0 +1,79 @@
+package node_test
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"irispost/internal/node"
+	"irispost/internal/sftp"
+)
+
+// compareGolden compares a text with a file of testdata. With UPDATE_GOLDEN set it writes the file instead.
+func compareGolden(t *testing.T, name, got string) {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if os.Getenv("UPDATE_GOLDEN") != "" {
+		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got != string(want) {
+		t.Errorf("%s differs; got:\n%s", path, got)
+	}
+}
+
+// packetHex writes out a packet as it goes to the connection, 32 bytes a line.
+func packetHex(t *testing.T, p *sftp.Packet) string {
+	t.Helper()
+	var packet, out strings.Builder
+	if err := p.WriteOut(&packet); err != nil {
+		t.Fatal(err)
+	}
+	for rest := packet.String(); rest != ""; {
+		n := min(len(rest), 32)
+		fmt.Fprintf(&out, "  % x\n", rest[:n])
+		rest = rest[n:]
+	}
+	return out.String()
+}
+
+// TestMessagesMatchGolden compares the bytes of each message to and from a node, and what they are read as.
+func TestMessagesMatchGolden(t *testing.T) {
+	var out strings.Builder
+	calls := []node.Call{
+		{},
+		{Gateway: "g", Job: "g/1:2#3", Number: 2, Volume: 9, Units: 1.25, Left: 70 * time.Millisecond, Within: time.Second, Kind: 1, Key: 77,
+			Shard: -1, Mark: "m", Head: []string{"a", "b"}, Op: node.Put, Name: "o", Owner: "/v/x", Offset: 5, Length: 6, Version: 7, Data: []byte("data")},
+		{Gateway: "gateway-2", Job: "j", Number: 1, Volume: -1, Units: 0.0005, Left: time.Microsecond, Kind: 2, Key: -1, Shard: 1 << 20,
+			Op: node.Swap, Name: "/v/x"},
+	}
+	for i, call := range calls {
+		fmt.Fprintf(&out, "call %d\n%s", i, packetHex(t, call.Packet(uint32(4+i))))
+		fmt.Fprintf(&out, "cancel %d\n%s", i, packetHex(t, node.Cancel(9, uint32(4+i), &call)))
+	}
+	answer := node.Answer{Outcome: node.Served, Code: node.Conflict, Version: 7, Shard: 3, Inflight: 5, Latency: 1500 * time.Microsecond, Others: 2.25,
+		Text: "why", Data: []byte("data")}
+	for _, orca := range []bool{false, true} {
+		answer.Orca = orca
+		fmt.Fprintf(&out, "answer, ORCA %t\n%s", orca, packetHex(t, answer.Packet(9)))
+	}
+	items := []node.Item{{Name: "/v/x", Version: 3, Data: []byte("record")}, {Name: "o", Owner: "/v/x", Age: 60}}
+	fmt.Fprintf(&out, "items\n  % x\n", node.PutItems(items))
+	for op := node.Get; op <= node.Objects; op++ {
+		fmt.Fprintf(&out, "operation %d writes %t\n", op, op.Writes())
+	}
+	fmt.Fprintf(&out, "operations %d\n", []node.Op{node.Get, node.Put, node.Drop, node.Look, node.Swap, node.List, node.Objects})
+	fmt.Fprintf(&out, "codes %d\n", []node.Code{node.Done, node.None, node.Conflict})
+	fmt.Fprintf(&out, "outcomes %d\n", []node.Outcome{node.Erred, node.Served, node.Full, node.Moot, node.Unconnected, node.Reset})
+	fmt.Fprintf(&out, "extensions %s %s\n", node.ExecExtension, node.CancelExtension)
+	fmt.Fprintf(&out, "metrics %s %s %s\n", node.InflightMetric, node.LatencyMetric, node.OthersMetric)
+	compareGolden(t, "messages.txt", out.String())
+}
--- /dev/null
+++ b/internal/wire/golden_test.go
@@ -0,0 +1,110 @@
+package wire
+
+import (
+	"bytes"
+	"fmt"
+	"maps"
+	"math"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+
+	"irispost/decide"
+)
+
+// compareGolden compares a text with a file of testdata. With UPDATE_GOLDEN set it writes the file instead.
+func compareGolden(t *testing.T, name, got string) {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if os.Getenv("UPDATE_GOLDEN") != "" {
+		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got != string(want) {
+		t.Errorf("%s differs; got:\n%s", path, got)
+	}
+}
+
+// TestNamesMatchGolden compares what each setting, word, completion code and availability of the wire is called by us.
+func TestNamesMatchGolden(t *testing.T) {
+	var out strings.Builder
+	rename := func(path, value string) {
+		settings := decide.Terms{}
+		Rename(settings, path, value)
+		fmt.Fprintf(&out, "%s=%s -> %v\n", path, value, settings)
+	}
+	for _, path := range slices.Sorted(maps.Keys(names)) {
+		rename(strings.Replace(path, "#", "12", 1), "1.5")
+	}
+	rename("lanes.#.name", "read")
+	rename("lanes.x.name", "read")
+	rename("unknown.key", "1")
+	for _, value := range []string{"read_like", "idempotency_key", "non_idempotent", "other"} {
+		rename("lanes.0.effect", value)
+		fmt.Fprintf(&out, "effect %s known: %t\n", value, Kind(value))
+	}
+	for _, value := range []string{"all", "zone", "cell", "other"} {
+		rename("lanes.0.group", value)
+		fmt.Fprintf(&out, "group %s known: %t\n", value, Group(value))
+	}
+	for code := -1; code <= 8; code++ {
+		f := Fields{rest: fmt.Append(nil, code), more: true}
+		outcome := f.Outcome("ending")
+		fmt.Fprintf(&out, "completion code %d -> %d, %v\n", code, outcome, f.Err)
+	}
+	for _, word := range []string{"ready", "draining", "gone", "other", "-"} {
+		f := Fields{rest: []byte(word), more: true}
+		standing := f.Standing("availability")
+		fmt.Fprintf(&out, "availability %s -> %d, %v\n", word, standing, f.Err)
+	}
+	compareGolden(t, "names.txt", out.String())
+}
+
+// TestValuesMatchGolden compares how each value is read from a line and written to one.
+func TestValuesMatchGolden(t *testing.T) {
+	var out bytes.Buffer
+	readers := []struct {
+		name string
+		read func(f *Fields) any
+	}{
+		{"bool", func(f *Fields) any { return f.Bool("v") }},
+		{"int", func(f *Fields) any { return f.Int("v") }},
+		{"key", func(f *Fields) any { v, ok := f.Key("v"); return fmt.Sprint(v, " ", ok) }},
+		{"number", func(f *Fields) any { return f.Number("v") }},
+		{"seed", func(f *Fields) any { return f.Seed("v") }},
+		{"text", func(f *Fields) any { return f.Text("v") }},
+		{"time", func(f *Fields) any { return f.Time("v") }},
+	}
+	values := []string{"-", "", "1", "-1", "007", "0.0000019", "-2.5", "5.", ".5", "1e3", "NaN", "9223372036854775807", "18446744073709551615"}
+	for _, reader := range readers {
+		for _, value := range values {
+			f := Fields{rest: []byte(value), more: true}
+			v := reader.read(&f)
+			fmt.Fprintf(&out, "%s %q -> %v, %v\n", reader.name, value, v, f.Err)
+		}
+		f := Fields{}
+		v := reader.read(&f)
+		fmt.Fprintf(&out, "%s absent -> %v, %v\n", reader.name, v, f.Err)
+	}
+	w := NewWriter(&out)
+	w.Start("ACTION", 3).Text("r-a").Int(-7).End()
+	w.Start("TIMES", math.MaxInt64)
+	for _, v := range []decide.Time{0, 1, 999, 1000, 1001, -1, -1001, 8412250000, math.MaxInt64, math.MinInt64 + 1} {
+		w.Time(v)
+	}
+	w.End()
+	if err := w.Flush(); err != nil {
+		t.Fatal(err)
+	}
+	if err := w.Flush(); err != nil {
+		t.Fatal(err)
+	}
+	compareGolden(t, "values.txt", out.String())
+}
