--- a/cmd/irispost/capture.go
+++ b/cmd/irispost/capture.go
@@ -257,7 +257,7 @@
 			return err
 		}
 		defer in.Close()
-		process, err := adapter.Process(in, *number)
+		process, err := adapter.FindProcess(in, *number)
 		if err != nil {
 			return err
 		}
@@ -265,7 +265,7 @@
 			return err
 		}
 		limits := capture.DefaultLimits
-		limits.Behind, limits.Most = 1<<16, 1<<40 // nothing is served meanwhile: the disk may be waited for
+		limits.QueuedBlocks, limits.FileBytes = 1<<16, 1<<40 // nothing is served meanwhile: the disk may be waited for
 		rec, err := capture.Create(args[1], fmt.Sprintf("bench-%d", *number), "tap", limits)
 		if err != nil {
 			return err
@@ -299,21 +299,21 @@
 		}
 		w := tabwriter.NewWriter(c.OutOrStdout(), 0, 4, 2, ' ', 0)
 		fmt.Fprintf(w, "gateway %s at %s, since %s: %d jobs held, %d executions out, %d late answers dropped\n", s.Gateway, s.Address,
-			s.Since.UTC().Format(time.RFC3339), s.Held, s.Out, s.Late)
+			s.Since.UTC().Format(time.RFC3339), s.Requests, s.AttemptsInFlight, s.LateAnswers)
 		fmt.Fprint(w, "nodes:")
 		for _, state := range slices.Sorted(maps.Keys(s.Nodes)) {
 			fmt.Fprintf(w, " %d %s", s.Nodes[state], state)
 		}
-		if s.Rules != "" {
-			fmt.Fprintf(w, "; rules: %s", s.Rules)
+		if s.Version != "" {
+			fmt.Fprintf(w, "; rules: %s", s.Version)
 		}
-		if s.Lost != nil {
-			fmt.Fprintf(w, "; the loss of %d is HELD, see irispost members", s.Lost.Nodes)
+		if s.HeldLoss != nil {
+			fmt.Fprintf(w, "; the loss of %d is HELD, see irispost members", s.HeldLoss.Nodes)
 		}
 		fmt.Fprintf(w, "\ncapture: on %v %s\n\nproduct\ttaken\tcompleted\tdismissed\twritten off\tleft\n", s.Capture.On, s.Capture.File)
-		for _, name := range slices.Sorted(maps.Keys(s.Products)) {
-			p := s.Products[name]
-			fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\n", name, p.Taken, p.Completed, p.Dismissed, p.WrittenOff, p.Left)
+		for _, name := range slices.Sorted(maps.Keys(s.RequestClasses)) {
+			p := s.RequestClasses[name]
+			fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\n", name, p.Accepted, p.Succeeded, p.Rejected, p.Failed, p.Cancelled)
 		}
 		return w.Flush()
 	}
--- a/cmd/irispost/fleet.go
+++ b/cmd/irispost/fleet.go
@@ -27,25 +27,25 @@
 	c := &cobra.Command{Use: "keeper", Short: "Keep the versions of settings and lists, together with other keepers", Args: cobra.NoArgs,
 		Long: `A keeper holds the log of versions that gateways act on, with two or four others. Each is started with its own number, the
 addresses of all, and a folder that nobody else uses. See docs/fleet.md.`}
-	o := keep.Options{Terms: accord.Terms{}}
-	c.Flags().Uint64Var(&o.Number, "number", 0, "this keeper's number, from 1")
+	o := keep.Options{LeaseSettings: accord.Settings{}}
+	c.Flags().Uint64Var(&o.ID, "number", 0, "this keeper's number, from 1")
 	c.Flags().StringVar(&o.Listen, "listen", "127.0.0.1:7100", "address to serve at")
 	c.Flags().StringVar(&o.Dir, "dir", "", "folder for what lasts")
 	lease := c.Flags().Duration("lease", 2*time.Second, "how long a gateway acts on what it was told; counts at the founding")
-	c.Flags().Float64Var(&o.Terms.Drift, "drift", 0.01, "part by which clocks run fast or slow at most; counts at the founding")
-	c.Flags().DurationVar(&o.Tick, "tick", 50*time.Millisecond, "a leader that is silent for ten to twenty ticks is replaced")
-	c.Flags().Uint64Var(&o.Compact, "compact", 2000, "entries of the log that are kept before it is compacted")
+	c.Flags().Float64Var(&o.LeaseSettings.MaxClockDrift, "drift", 0.01, "part by which clocks run fast or slow at most; counts at the founding")
+	c.Flags().DurationVar(&o.TickInterval, "tick", 50*time.Millisecond, "a leader that is silent for ten to twenty ticks is replaced")
+	c.Flags().Uint64Var(&o.CompactionEntries, "compact", 2000, "entries of the log that are kept before it is compacted")
 	peers := c.Flags().StringToString("peer", nil, "NUMBER=ADDRESS of each keeper, with this one")
-	c.Flags().BoolVar(&o.Joins, "join", false, "come to keepers that are there already: it votes once 'irispost fleet keepers --add' has taken it in")
+	c.Flags().BoolVar(&o.Joining, "join", false, "come to keepers that are there already: it votes once 'irispost fleet keepers --add' has taken it in")
 	log := logs(c)
 	c.RunE = func(c *cobra.Command, _ []string) error {
-		if o.Dir == "" || o.Number == 0 {
+		if o.Dir == "" || o.ID == 0 {
 			return fmt.Errorf("a keeper needs --number and --dir")
 		}
-		if *lease < 100*time.Millisecond || o.Terms.Drift < 0 || o.Terms.Drift > 0.2 {
-			return fmt.Errorf("a lease of %v with a drift of %v: at least 100ms and at most 0.2", *lease, o.Terms.Drift)
+		if *lease < 100*time.Millisecond || o.LeaseSettings.MaxClockDrift < 0 || o.LeaseSettings.MaxClockDrift > 0.2 {
+			return fmt.Errorf("a lease of %v with a drift of %v: at least 100ms and at most 0.2", *lease, o.LeaseSettings.MaxClockDrift)
 		}
-		o.Terms.Lease, o.Peers, o.Log = int64(*lease), map[uint64]string{}, log()
+		o.LeaseSettings.LeaseDuration, o.Peers, o.Logger = int64(*lease), map[uint64]string{}, log()
 		for _, name := range slices.Sorted(maps.Keys(*peers)) {
 			n, err := strconv.ParseUint(name, 10, 32)
 			if err != nil || n == 0 {
@@ -59,12 +59,12 @@
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(c.OutOrStdout(), "keeper %d serves at %s\n", o.Number, k.Addr())
+		fmt.Fprintf(c.OutOrStdout(), "keeper %d serves at %s\n", o.ID, k.Addr())
 		select {
 		case <-ctx.Done():
 			k.Close()
 			return nil
-		case <-k.Ended():
+		case <-k.Done():
 			return k.Err()
 		}
 	}
@@ -84,7 +84,7 @@
 		if len(*list) == 0 {
 			return nil, fmt.Errorf("name the keepers: --keepers 10.0.0.1:7100,10.0.0.2:7100,10.0.0.3:7100")
 		}
-		return &keep.Client{Keepers: *list, Within: *within}, nil
+		return &keep.Client{Replicas: *list, Timeout: *within}, nil
 	}
 }
 
@@ -103,7 +103,7 @@
 		if err != nil {
 			return err
 		}
-		r, err := config.Rules(args[0], src)
+		r, err := config.ParseRules(args[0], src)
 		if err != nil {
 			return err
 		}
@@ -111,8 +111,8 @@
 		if err != nil {
 			return err
 		}
-		p := &accord.Proposal{ID: fmt.Sprintf("%d.%d", os.Getpid(), time.Now().UnixNano()), Parent: uint64(max(*parent, 0)), Over: *over, Author: author(),
-			Why: *why, Time: time.Now().UTC().Format(time.RFC3339), Rules: r.Canonical()}
+		p := &accord.Proposal{ID: fmt.Sprintf("%d.%d", os.Getpid(), time.Now().UnixNano()), Parent: uint64(max(*parent, 0)), ReplacePending: *over, Author: author(),
+			Reason: *why, CreatedAt: time.Now().UTC().Format(time.RFC3339), Content: r.Canonical()}
 		if *parent < 0 {
 			s, err := client.Status()
 			if err != nil {
@@ -133,16 +133,16 @@
 			if err != nil {
 				return err
 			}
-			fmt.Fprintf(c.OutOrStdout(), "version %s of %d, by %s at %s: %s\n%s\n", v.Name(), v.Parent, v.Author, v.Time, v.Why, v.Rules)
+			fmt.Fprintf(c.OutOrStdout(), "version %s of %d, by %s at %s: %s\n%s\n", v.Name(), v.Parent, v.Author, v.CreatedAt, v.Reason, v.Content)
 			return nil
 		}}
 	diff := &cobra.Command{Use: "diff A B", Short: "Show what has changed from a version to another, and what contradicts", Args: cobra.ExactArgs(2),
 		RunE: func(c *cobra.Command, args []string) error {
-			var opened [2]*rules.Rules
+			var opened [2]*rules.Config
 			for i := range opened {
 				v, err := versionBy(dial, args[i])
 				if err == nil {
-					opened[i], err = v.Open()
+					opened[i], err = v.Config()
 				}
 				if err != nil {
 					return err
@@ -151,7 +151,7 @@
 			for _, line := range rules.Diff(opened[0], opened[1]) {
 				fmt.Fprintln(c.OutOrStdout(), line)
 			}
-			for _, line := range rules.Contradict(opened[0], opened[1]) {
+			for _, line := range rules.Conflicts(opened[0], opened[1]) {
 				fmt.Fprintln(c.OutOrStdout(), "contradicts:", line)
 			}
 			return nil
@@ -169,15 +169,15 @@
 			if len(all) > 0 && all[0].Number > 1 {
 				fmt.Fprintf(c.OutOrStdout(), "versions before %d are not known any more to the keeper that leads, or were made before it joined\n", all[0].Number)
 			}
-			var before *rules.Rules
+			var before *rules.Config
 			for _, v := range all {
-				fmt.Fprintf(c.OutOrStdout(), "%s  of %d  %s  %s: %s\n", v.Name(), v.Parent, v.Time, v.Author, v.Why)
-				if v.Rules == nil {
+				fmt.Fprintf(c.OutOrStdout(), "%s  of %d  %s  %s: %s\n", v.Name(), v.Parent, v.CreatedAt, v.Author, v.Reason)
+				if v.Content == nil {
 					fmt.Fprintln(c.OutOrStdout(), "    its content is not kept any more")
 					before = nil
 					continue
 				}
-				r, err := v.Open()
+				r, err := v.Config()
 				if err != nil {
 					fmt.Fprintln(c.OutOrStdout(), "   ", err)
 					continue
@@ -203,10 +203,10 @@
 	}
 	if len(args) == 0 {
 		s, err := client.Status()
-		if err == nil && s.Newest == nil {
+		if err == nil && s.Latest == nil {
 			err = fmt.Errorf("there is no version yet")
 		}
-		return s.Newest, err
+		return s.Latest, err
 	}
 	n, err := strconv.ParseUint(args[0], 10, 64)
 	if err != nil {
@@ -218,8 +218,8 @@
 		return nil, err
 	case v == nil:
 		return nil, fmt.Errorf("there is no version %d, or the keeper that leads knows it no more", n)
-	case v.Rules == nil:
-		return nil, fmt.Errorf("the content of version %s is not kept any more; it was made of %d by %s, %s: %s", v.Name(), v.Parent, v.Author, v.Time, v.Why)
+	case v.Content == nil:
+		return nil, fmt.Errorf("the content of version %s is not kept any more; it was made of %d by %s, %s: %s", v.Name(), v.Parent, v.Author, v.CreatedAt, v.Reason)
 	}
 	return v, nil
 }
@@ -246,18 +246,18 @@
 				return err
 			}
 			out := c.OutOrStdout()
-			fmt.Fprintf(out, "keeper %d leads in term %d; in force %d, announced %d; lease %d ms, stated time %d ms\n", s.Leader, s.Term, s.InForce, s.Announced, s.Lease, s.Stated)
-			for _, w := range s.Waits {
+			fmt.Fprintf(out, "keeper %d leads in term %d; in force %d, announced %d; lease %d ms, stated time %d ms\n", s.Leader, s.Term, s.InForce, s.Announced, s.LeaseMillis, s.ConvergenceBoundMillis)
+			for _, w := range s.WaitingFor {
 				fmt.Fprintln(out, "waits for", w)
 			}
 			w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 			fmt.Fprintln(w, "gateway\tstate\tholds\tlease ms\theard ms ago\t")
 			for _, g := range s.Gateways {
-				note := g.Trouble
-				if g.Hangs {
+				note := g.Fault
+				if g.Unresponsive {
 					note = "HANGS " + note
 				}
-				fmt.Fprintf(w, "%s\t%s\t%v\t%d\t%d\t%s\n", g.Who, g.State, g.Holds, g.Lease, g.Heard, note)
+				fmt.Fprintf(w, "%s\t%s\t%v\t%d\t%d\t%s\n", g.Holder, g.State, g.HeldVersions, g.LeaseLeftMillis, g.LastHeardMillis, note)
 			}
 			return w.Flush()
 		}}
@@ -270,7 +270,7 @@
 			return err
 		}
 		if len(*add)+len(*remove) > 0 {
-			v := &keep.Voters{Add: map[uint64]string{}}
+			v := &keep.MembershipChange{Add: map[uint64]string{}}
 			for name, addr := range *add {
 				n, err := strconv.ParseUint(name, 10, 32)
 				if err != nil || n == 0 {
@@ -281,7 +281,7 @@
 			for _, n := range *remove {
 				v.Remove = append(v.Remove, uint64(n))
 			}
-			if err := client.Voters(v); err != nil {
+			if err := client.ChangeMembership(v); err != nil {
 				return err
 			}
 		}
@@ -328,7 +328,7 @@
 }
 
 // demoKeepers starts keepers as processes, proposes the list as the first version and has a gateway follow. It returns what to try.
-func demoKeepers(count int, dir string, conf *config.Gateway, l listing.List) (text string, end func(), err error) {
+func demoKeepers(count int, dir string, conf *config.Config, l listing.List) (text string, end func(), err error) {
 	if count != 1 && count != 3 && count != 5 {
 		return "", nil, fmt.Errorf("--keepers %d: one, three or five", count)
 	}
@@ -344,14 +344,14 @@
 	for _, cmd := range started {
 		pids = append(pids, strconv.Itoa(cmd.Process.Pid))
 	}
-	r := &rules.Rules{Needs: rules.Form, Shards: conf.Shards, Mean: 1, Floor: rules.Floor{For: int64(time.Minute), Limits: 1, Writes: true}}
-	r.Agree(conf.Terms)
+	r := &rules.Config{RequiredFormat: rules.Format, Shards: conf.Shards, MeanRequestUnits: 1, FallbackPolicy: rules.FallbackPolicy{Duration: int64(time.Minute), LimitFraction: 1, AllowWrites: true}}
+	r.SetFromSettings(conf.Settings)
 	for _, n := range l.Nodes {
 		r.Nodes[n.Addr] = rules.Node{Shard: n.Shard}
 	}
-	client := &keep.Client{Keepers: addrs, Within: 20 * time.Second}
-	if _, err := client.Propose(&accord.Proposal{ID: "demo", Author: author(), Why: "the demo's first version", Time: time.Now().UTC().Format(time.RFC3339),
-		Rules: r.Canonical()}); err != nil {
+	client := &keep.Client{Replicas: addrs, Timeout: 20 * time.Second}
+	if _, err := client.Propose(&accord.Proposal{ID: "demo", Author: author(), Reason: "the demo's first version", CreatedAt: time.Now().UTC().Format(time.RFC3339),
+		Content: r.Canonical()}); err != nil {
 		end()
 		return "", nil, err
 	}
@@ -360,7 +360,7 @@
 		end()
 		return "", nil, err
 	}
-	conf.Sources, conf.Follow = nil, &config.Follow{Keepers: addrs, Pause: 400 * time.Millisecond}
+	conf.Sources, conf.Follow = nil, &config.FleetClient{Replicas: addrs, PollInterval: 400 * time.Millisecond}
 	return fmt.Sprintf(`
 The gateway follows %d keepers, processes %s. Try:
     export IRISPOST_KEEPERS=%s
@@ -372,21 +372,21 @@
 }
 
 // demoRules writes rules as a file that can be changed and proposed.
-func demoRules(r *rules.Rules) []byte {
-	out := fmt.Appendf(nil, "shards = %d\n\nfloor {\n  for    = %q\n  writes = true\n}\n", r.Shards, time.Duration(r.Floor.For))
-	for _, name := range slices.Sorted(maps.Keys(r.Plans)) {
-		p := r.Plans[name]
+func demoRules(r *rules.Config) []byte {
+	out := fmt.Appendf(nil, "shards = %d\n\nfloor {\n  for    = %q\n  writes = true\n}\n", r.Shards, time.Duration(r.FallbackPolicy.Duration))
+	for _, name := range slices.Sorted(maps.Keys(r.ServiceLevels)) {
+		p := r.ServiceLevels[name]
 		out = fmt.Appendf(out, "\nplan %q {\n  weight  = %v\n  rate    = %v\n  reserve = %v\n  limit   = %v # units a second; 0: none\n  burst   = %v\n  slack   = %v\n}\n", name,
-			p.Weight, p.Rate, p.Reserve, p.Limit, p.Burst, p.Slack)
+			p.Weight, p.NominalRate, p.Reserve, p.RateLimit, p.Burst, p.Slack)
 	}
-	for _, name := range slices.Sorted(maps.Keys(r.Products)) {
-		p := r.Products[name]
-		kind, group, found := strings.Cut(string(p.Kind), " ")
+	for _, name := range slices.Sorted(maps.Keys(r.RequestClasses)) {
+		p := r.RequestClasses[name]
+		kind, group, found := strings.Cut(string(p.Idempotency), " ")
 		if !found {
 			group = "all"
 		}
 		out = fmt.Appendf(out, "\nproduct %q {\n  kind     = %q\n  group    = %q\n  goal     = %q\n  patience = %q\n  window   = %q\n  in_turn  = %v\n}\n", name, kind, group,
-			time.Duration(p.Goal), time.Duration(p.Patience), time.Duration(p.Window), p.InTurn)
+			time.Duration(p.LatencyObjective), time.Duration(p.ClientTimeout), time.Duration(p.DedupWindow), p.Ordered)
 	}
-	return append(append(out, '\n'), listing.Write(r.List(""))...)
+	return append(append(out, '\n'), listing.FormatList(r.EndpointList(""))...)
 }
--- a/cmd/irispost/fleet_test.go
+++ b/cmd/irispost/fleet_test.go
@@ -68,7 +68,7 @@
 func TestWithoutLeasesTheAuditBreaks(t *testing.T) {
 	t.Setenv("IRISPOST_TEST_AS_PROGRAM", "1")
 	t.Setenv("IRISPOST_TEST_NO_LEASES", "1")
-	if r := playFleet(t, "agree-split", 7); r.Agreement.Broken == 0 || r.Agreement.Worst <= r.Agreement.Stated {
+	if r := playFleet(t, "agree-split", 7); r.Agreement.Violations == 0 || r.Agreement.WorstMillis <= r.Agreement.BoundMillis {
 		t.Errorf("%+v", r.Agreement)
 	}
 }
--- a/cmd/irispost/main_test.go
+++ b/cmd/irispost/main_test.go
@@ -40,7 +40,7 @@
 		{"rm /meals/week", "", false}, {"ls /meals/week", "not exist", true}, {"get /meals/week/menu " + to, "not exist", true},
 		{"rm /meals/menu", "", false}, {"ls", "meals", false}, {"put /nothing/here /meals/x", "no such file", true},
 	} {
-		out, err := run(append(strings.Fields(c.args), "--at", w.Gateways[0].Front.Addr())...)
+		out, err := run(append(strings.Fields(c.args), "--at", w.Gateways[0].Frontend.Addr())...)
 		if err != nil {
 			out += err.Error()
 		}
@@ -140,7 +140,7 @@
 	if err := os.WriteFile(from, data, 0o644); err != nil {
 		t.Fatal(err)
 	}
-	at := w.Gateways[0].Disks.Addr()
+	at := w.Gateways[0].ISCSI.Addr()
 	for _, c := range []struct {
 		args, out string
 		fails     bool
--- a/cmd/irispost/members.go
+++ b/cmd/irispost/members.go
@@ -54,17 +54,17 @@
 }
 
 // showMembers prints them for people.
-func showMembers(out io.Writer, m admin.Members, now time.Time) {
+func showMembers(out io.Writer, m admin.EndpointReport, now time.Time) {
 	age := func(t time.Time) string {
 		if t.IsZero() {
 			return "never"
 		}
 		return now.Sub(t).Round(time.Millisecond).String()
 	}
-	fmt.Fprintf(out, "gateway %s, told its decision module %s ago\n", m.Gateway, age(m.Told))
-	if h := m.Held; h != nil {
+	fmt.Fprintf(out, "gateway %s, told its decision module %s ago\n", m.Gateway, age(m.ScheduledAt))
+	if h := m.HeldLoss; h != nil {
 		fmt.Fprintf(out, "HELD for %s: %d nodes are gone or unwell by the sources and are kept.", age(h.Since), h.Nodes)
-		if h.All {
+		if h.LeavesNone {
 			fmt.Fprint(out, " Nothing would be left, so it waits for the source's next word or for --confirm.")
 		}
 		fmt.Fprintln(out)
@@ -72,14 +72,14 @@
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "\nsource\tstate\tfor\tversion\tsaid\tnodes\trefused\tlast refusal or trouble")
 	for _, s := range m.Sources {
-		last := s.Trouble
-		if s.Refusal != "" {
-			last = fmt.Sprintf("%s ago: %s", age(s.RefusedAt), s.Refusal)
+		last := s.LastError
+		if s.LastRejection != "" {
+			last = fmt.Sprintf("%s ago: %s", age(s.LastRejectionAt), s.LastRejection)
 		}
-		if s.Held != "" {
-			last = fmt.Sprintf("version %q was left already, and is held; %s", s.Held, last)
+		if s.HeldVersion != "" {
+			last = fmt.Sprintf("version %q was left already, and is held; %s", s.HeldVersion, last)
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%d\t%s\n", s.Name, s.State, age(s.Since), s.Version, age(s.Heard), s.Nodes, s.Refused, last)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%d\t%s\n", s.Name, s.State, age(s.Since), s.Version, age(s.ReceivedAt), s.Nodes, s.RejectedUpdates, last)
 	}
 	fmt.Fprintln(w, "\nnode\tshard\tzone\tstate\tfor\tout\tsource\twhy")
 	for _, n := range m.Nodes {
@@ -87,7 +87,7 @@
 		if n.Name != "" {
 			name += " (" + n.Name + ")"
 		}
-		fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\t%d\t%s\t%s\n", name, n.Shard, n.Zone, n.State, age(n.Since), n.Out, n.Source, n.Why)
+		fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\t%d\t%s\t%s\n", name, n.Shard, n.Zone, n.State, age(n.Since), n.AttemptsInFlight, n.Source, n.Reason)
 	}
 	w.Flush()
 }
@@ -106,7 +106,7 @@
 			if err != nil {
 				return err
 			}
-			if l, err = listing.Parse(*file, src); err != nil {
+			if l, err = listing.ParseList(*file, src); err != nil {
 				return err
 			}
 		}
--- a/cmd/irispost/run.go
+++ b/cmd/irispost/run.go
@@ -61,15 +61,15 @@
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(c.OutOrStdout(), "gateway %s serves at %s\n", conf.Name, g.Front.Addr())
-		if g.Disks != nil {
-			fmt.Fprintf(c.OutOrStdout(), "disks of %s at %s\n", conf.Name, g.Disks.Addr())
+		fmt.Fprintf(c.OutOrStdout(), "gateway %s serves at %s\n", conf.Name, g.Frontend.Addr())
+		if g.ISCSI != nil {
+			fmt.Fprintf(c.OutOrStdout(), "disks of %s at %s\n", conf.Name, g.ISCSI.Addr())
 		}
 		<-ctx.Done()
 		cancel() // a second signal ends the program at once
-		last, end := context.WithTimeout(context.Background(), conf.StopBy)
+		last, end := context.WithTimeout(context.Background(), conf.ShutdownTimeout)
 		defer end()
-		if err := g.Stop(last); err != nil {
+		if err := g.Shutdown(last); err != nil {
 			log().Warn("stopped", "gateway", conf.Name, "why", err)
 		}
 		return nil
@@ -139,7 +139,7 @@
 			defer n.Close()
 			l.Nodes = append(l.Nodes, listing.Node{Addr: n.Addr(), Shard: shard})
 		}
-		if err := renameio.WriteFile(filepath.Join(dir, conf.Sources[0].File), listing.Write(l), 0o644); err != nil {
+		if err := renameio.WriteFile(filepath.Join(dir, conf.Sources[0].File), listing.FormatList(l), 0o644); err != nil {
 			return err
 		}
 		conf.Listen = *listen
@@ -164,11 +164,11 @@
     go run ./cmd/irispost ls --at %[2]s /home
     go run ./cmd/irispost get --at %[2]s /home/readme -
 %[4]sCtrl-C ends it; the files are in memory and go with it.
-`, conf.Name, g.Front.Addr(), conf.Shards, more)
+`, conf.Name, g.Frontend.Addr(), conf.Shards, more)
 		<-ctx.Done()
-		last, end := context.WithTimeout(context.Background(), conf.StopBy)
+		last, end := context.WithTimeout(context.Background(), conf.ShutdownTimeout)
 		defer end()
-		return g.Stop(last)
+		return g.Shutdown(last)
 	}
 	return c
 }
@@ -233,8 +233,8 @@
 		r.Jobs, r.Completed, r.Dismissed, r.WrittenOff, r.Left, r.Lost, r.Twice, r.TornReads)
 	fmt.Fprintf(w, "service\t%.3f\tof %d requests, with their further tries folded into the first\n", r.Service, r.Requests)
 	if a := r.Agreement; a != nil {
-		fmt.Fprintf(w, "agreement\t%d\tpairs of gateways over %d versions, longest contradiction %.1f ms of %.0f stated, broken %d %s\n", a.Pairs, a.Versions, a.Worst,
-			a.Stated, a.Broken, a.First)
+		fmt.Fprintf(w, "agreement\t%d\tpairs of gateways over %d versions, longest contradiction %.1f ms of %.0f stated, broken %d %s\n", a.Pairs, a.Versions, a.WorstMillis,
+			a.BoundMillis, a.Violations, a.FirstViolation)
 	}
 	fmt.Fprintf(w, "\nproduct\tjobs\tin goal\tp50 ms\tp99 ms\n")
 	for _, p := range r.Products {
--- a/cmd/irispost/web.go
+++ b/cmd/irispost/web.go
@@ -25,13 +25,13 @@
 			return err
 		}
 		runtime.GOMAXPROCS(max(1, int(math.Ceil(conf.Cores))))
-		debug.SetMemoryLimit(conf.Memory / 2) // of the heap and the runtime; the program's text counts as well
+		debug.SetMemoryLimit(conf.MemoryBytes / 2) // of the heap and the runtime; the program's text counts as well
 		log := log()
-		g, err := serve.StartWeb(conf, log)
+		g, err := serve.StartWebGateway(conf, log)
 		if err != nil {
 			return err
 		}
-		log.Info("the gateway serves", "gateway", conf.Name, "address", g.Front.Addr(), "cores", conf.Cores, "mb", conf.Memory>>20, "sockets", conf.Sockets)
+		log.Info("the gateway serves", "gateway", conf.Name, "address", g.Frontend.Addr(), "cores", conf.Cores, "mb", conf.MemoryBytes>>20, "sockets", conf.MaxSockets)
 		for s := range signals {
 			if s != syscall.SIGHUP {
 				break
@@ -43,7 +43,7 @@
 			}
 		}
 		log.Info("the gateway ends", "gateway", conf.Name)
-		g.Stop()
+		g.Shutdown()
 		log.Info("the gateway has ended", "gateway", conf.Name)
 		return nil
 	}
--- a/decide/cold_test.go
+++ b/decide/cold_test.go
@@ -29,10 +29,10 @@
 		w.now, w.begins = now, now
 		w.g = New(now, seed+uint64(i), w.t)
 		w.hosts = float64(c.hosts)
-		w.list("a0", 0, born, Ready)
-		w.list("a1", 1, 0, Ready)
+		w.list("a0", 0, born, EndpointReady)
+		w.list("a1", 1, 0, EndpointReady)
 		warm := w.g.byAddr["a1"]
-		warm.Known, warm.Units, warm.Busy = true, 60, 1
+		warm.Measured, warm.AnsweredUnits, warm.BusySeconds = true, 60, 1
 		return w
 	}
 	var worlds []*world
@@ -40,13 +40,13 @@
 		worlds = append(worlds, gateway(i, Second))
 	}
 	var reached []Time
-	due, ends, busy, now := map[*Execution]Time{}, map[*Execution]Outcome{}, Time(0), Second
+	due, ends, busy, now := map[*Attempt]Time{}, map[*Attempt]Outcome{}, Time(0), Second
 	past = math.Inf(-1)
 	for step := -100; step < 400; step++ {
 		if step == 0 {
 			born = now
 			for _, w := range worlds {
-				w.list("a0", 0, born, Ready)
+				w.list("a0", 0, born, EndpointReady)
 			}
 		}
 		if c.restarts && step > 0 && step%50 == 0 {
@@ -78,10 +78,10 @@
 				if c.late > 0 {
 					at += c.late - (now-Second)%c.late
 				}
-				busy = max(busy, at) + Time(e.Job.Units/can*float64(Second))
-				due[e], ends[e] = busy, Served
+				busy = max(busy, at) + Time(e.Request.Units/can*float64(Second))
+				due[e], ends[e] = busy, OutcomeServed
 				if pick.part() < c.resets { // soon enough for another
-					due[e], ends[e] = at+10*Millisecond, Reset
+					due[e], ends[e] = at+10*Millisecond, OutcomeReset
 				}
 				if step >= 0 {
 					reached = append(reached, at)
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -49,21 +49,21 @@
 )
 
 // New starts a gateway from its seed and what it is told at start.
-func New(now Time, seed uint64, terms Terms) *Gateway {
-	g := &Gateway{now: now, began: now, terms: terms, chance: newChance(seed), plans: map[string]*Plan{},
-		products: map[string]*Product{}, volumes: map[int64]*Volume{}, jobs: map[string]*Job{},
-		lines: map[int64]*Line{}, byAddr: map[string]*Node{}, next: &Decision{},
+func New(now Time, seed uint64, terms Settings) *Scheduler {
+	g := &Scheduler{now: now, began: now, terms: terms, chance: newChance(seed), plans: map[string]*ServiceLevel{},
+		products: map[string]*RequestClass{}, volumes: map[int64]*Volume{}, jobs: map[string]*Request{},
+		lines: map[int64]*KeyQueue{}, byAddr: map[string]*Node{}, next: &Decision{},
 		last: &Decision{}, listWait: listWait, heardAt: now}
 	g.settle()
-	g.next.Watch = terms["discovery"] == "ask"
+	g.next.WatchEndpoints = terms["discovery"] == "ask"
 	return g
 }
 
 // Decide says what to do now.
-func (g *Gateway) Decide(now Time) *Decision {
+func (g *Scheduler) Decide(now Time) *Decision {
 	g.now = now
 	for j := g.due.take(now); j != nil; j = g.due.take(now) {
-		if j.State == Running {
+		if j.State == RequestInFlight {
 			g.overlook(j)
 		} else { // its last chance to make its goal has gone by
 			g.giveUp(j)
@@ -75,7 +75,7 @@
 	waiting := g.held
 	g.held = g.held[len(g.held):]
 	for _, j := range waiting {
-		if j.State == Held && !g.place(j) {
+		if j.State == RequestUnplaced && !g.place(j) {
 			g.held = append(g.held, j)
 		}
 	}
@@ -91,30 +91,30 @@
 		d.NextWake = min(d.NextWake, at)
 	}
 	g.next, g.last = g.last, d
-	*g.next = Decision{Ended: g.next.Ended[:0], CallOff: g.next.CallOff[:0], Start: g.next.Start[:0],
+	*g.next = Decision{Finished: g.next.Finished[:0], Cancel: g.next.Cancel[:0], Dispatch: g.next.Dispatch[:0],
 		Log: g.next.Log[:0]}
 	return d
 }
 
 // round is the periodic work.
-func (g *Gateway) round() {
+func (g *Scheduler) round() {
 	if g.listAt > 0 && g.now >= g.listAt {
-		g.listAt, g.next.Watch = 0, true
+		g.listAt, g.next.WatchEndpoints = 0, true
 	}
 	for key, l := range g.lines { // no order reaches an action here
-		if len(l.Jobs) == 0 && l.RestUntil <= g.now {
+		if len(l.Requests) == 0 && l.BlockedUntil <= g.now {
 			delete(g.lines, key)
 		}
 	}
 	for _, n := range g.nodes {
 		n.touched = true
-		if n.Execs > 0 && g.now-n.Heard-g.stall() > g.aim+Time(quietTimes*n.Latency) {
+		if n.AttemptsInFlight > 0 && g.now-n.LastAnswerAt-g.stall() > g.aim+Time(quietTimes*n.MeanLatency) {
 			g.suspect(n, "answers nothing")
 		}
-		g.mode(&n.Strained, n.Fair < 1, "%s is strained: %%t, fair rate %.0f%%%% of its start", n.Addr, 100*n.Fair)
-		g.mode(&n.Fails, n.Failing > failingShare, "%s fails some: %%t, %.0f%%%%", n.Addr, 100*n.Failing)
-		if n.Credits < creditsEach && g.now-n.CreditAt >= Time(creditDrip*float64(g.aim)) {
-			n.CreditAt = g.now
+		g.mode(&n.FairRateReduced, n.FairRate < 1, "%s is strained: %%t, fair rate %.0f%%%% of its start", n.Addr, 100*n.FairRate)
+		g.mode(&n.FailureRateHigh, n.FailureRate > failingShare, "%s fails some: %%t, %.0f%%%%", n.Addr, 100*n.FailureRate)
+		if n.PlacementCredits < creditsEach && g.now-n.CreditReturnedAt >= Time(creditDrip*float64(g.aim)) {
+			n.CreditReturnedAt = g.now
 			g.repay(n)
 		}
 	}
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -13,10 +13,10 @@
 	w := newWorld(seed, terms())
 	part := func(n uint32) int { return int(w.chance.next() % n) }
 	for shard, addr := range []string{"a0", "a1", "b2"} {
-		w.list(addr, shard, 0, Ready)
+		w.list(addr, shard, 0, EndpointReady)
 	}
 	products := []string{"read", "read", "once", "mark", "line", "line"}
-	outcomes := []Outcome{Served, Served, Served, Served, Served, Served, Erred, Full, Unconnected, Reset}
+	outcomes := []Outcome{OutcomeServed, OutcomeServed, OutcomeServed, OutcomeServed, OutcomeServed, OutcomeServed, OutcomeError, OutcomeOverloaded, OutcomeConnectFailed, OutcomeReset}
 	sick := part(3)
 	for step := 0; step < 600 && w.broken == ""; step++ {
 		for range part(4) {
@@ -32,16 +32,16 @@
 		switch part(40) {
 		case 0:
 			shard := part(3)
-			w.list([]string{"a0", "a1", "b2"}[shard], shard, 0, Standing(part(3)))
+			w.list([]string{"a0", "a1", "b2"}[shard], shard, 0, EndpointState(part(3)))
 		case 1:
 			shard := part(3)
-			w.list([]string{"a0", "a1", "b2"}[shard], shard, w.now, Ready)
+			w.list([]string{"a0", "a1", "b2"}[shard], shard, w.now, EndpointReady)
 		case 2:
-			w.g.ListFailed(w.now, false)
+			w.g.EndpointListFailed(w.now, false)
 		case 3:
-			if j := w.jobs; len(j) > 0 && !w.ended[j[len(j)-1]] && !j[len(j)-1].State.Over() {
+			if j := w.jobs; len(j) > 0 && !w.ended[j[len(j)-1]] && !j[len(j)-1].State.Terminal() {
 				w.ended[j[len(j)-1]] = true
-				w.g.Left(w.now, j[len(j)-1].ID)
+				w.g.ClientLeft(w.now, j[len(j)-1].ID)
 			}
 		}
 		w.pass(Time(1+part(25)) * Millisecond)
@@ -88,7 +88,7 @@
 
 func TestTurnAndBudget(t *testing.T) {
 	w := newWorld(1, terms("plans.1.reserve=0"))
-	w.list("a0", 0, 0, Ready)
+	w.list("a0", 0, 0, EndpointReady)
 	for range 40 {
 		w.take(1, "read", 0, 2) // weight 3
 		w.take(3, "read", 0, 2) // weight 3
@@ -99,47 +99,47 @@
 	for range 24 {
 		w.pass(Millisecond)
 		for _, e := range w.started {
-			served += map[*Volume]string{w.g.volumes[1]: "x", w.g.volumes[3]: "y"}[e.Job.Volume]
+			served += map[*Volume]string{w.g.volumes[1]: "x", w.g.volumes[3]: "y"}[e.Request.Volume]
 		}
 		if len(w.out) > 0 {
-			w.end(w.out[0], Served)
+			w.end(w.out[0], OutcomeServed)
 		}
 	}
 	// A turn is eight mean jobs; after exhaustion the next is half of that, as two volumes are active.
 	want(t, w, "order", served[:24], "xxxxxxxxyyyyyyyyxxxxyyyy")
-	n.Turn, n.TurnSince, n.Flows[0].Budget = n.Flows[0], w.now-turnExpiry, 0.4
+	n.InService, n.InServiceSince, n.Flows[0].Budget = n.Flows[0], w.now-turnExpiry, 0.4
 	w.g.choose(n)
 	want(t, w, "budget after expiry", n.Flows[0].Budget, 16.0)
 }
 
 func TestIdleVolumeKeepsItsTurnForItsOwnGap(t *testing.T) {
 	w := newWorld(1, terms())
-	w.list("a0", 0, 0, Ready)
+	w.list("a0", 0, 0, EndpointReady)
 	w.take(1, "read", 0, 2)
 	w.pass(Millisecond)
 	n, f := w.g.byAddr["a0"], w.g.byAddr["a0"].Flows[0]
-	f.Gap = 10 * Millisecond
-	w.end(w.out[0], Served)
+	f.AverageSendGap = 10 * Millisecond
+	w.end(w.out[0], OutcomeServed)
 	w.pass(9 * Millisecond)
 	w.g.choose(n)
-	want(t, w, "turn within the gap", n.Turn, f)
+	want(t, w, "turn within the gap", n.InService, f)
 	w.pass(Millisecond)
 	w.g.choose(n)
-	want(t, w, "turn after the gap", n.Turn, (*Flow)(nil))
+	want(t, w, "turn after the gap", n.InService, (*Flow)(nil))
 }
 
 // A volume that was silent for long comes back level with the others, not ahead of them.
 func TestIdleVolumeGathersNoCredit(t *testing.T) {
 	w := newWorld(1, terms())
-	w.list("a0", 0, 0, Ready)
+	w.list("a0", 0, 0, EndpointReady)
 	n := w.g.byAddr["a0"]
 	w.take(1, "read", 0, 2)
 	w.pass(Millisecond)
-	w.end(w.out[0], Served)
-	n.Virtual = 100
+	w.end(w.out[0], OutcomeServed)
+	n.VirtualTime = 100
 	w.take(1, "read", 0, 2)
 	w.pass(Millisecond)
-	if start := n.Flows[0].Start; start < 100 {
+	if start := n.Flows[0].VirtualStart; start < 100 {
 		t.Errorf("virtual start is %g, before the node's 100", start)
 	}
 }
@@ -147,7 +147,7 @@
 // A node that takes work and answers nothing is suspect; what waits for it is tried one job at a time.
 func TestSilentNodeIsTriedSparingly(t *testing.T) {
 	w := newWorld(1, terms())
-	w.list("a0", 0, 0, Ready)
+	w.list("a0", 0, 0, EndpointReady)
 	sent := 0
 	for i := 0; i < 300 || len(w.out) == 0; i++ {
 		w.take(1, "read", 0, 1)
@@ -156,119 +156,119 @@
 			sent += len(w.started)
 		}
 	}
-	want(t, w, "suspect", w.g.byAddr["a0"].Suspect, true)
+	want(t, w, "suspect", w.g.byAddr["a0"].Suspected, true)
 	if sent < 2 || sent > 10 {
 		t.Errorf("%d jobs sent to a silent node in 2700 ms", sent)
 	}
-	w.end(w.out[0], Served)
+	w.end(w.out[0], OutcomeServed)
 	n := w.g.byAddr["a0"]
-	want(t, w, "suspect after an answer", n.Suspect, false)
-	n.Latency, n.TryAt = 0, 0
+	want(t, w, "suspect after an answer", n.Suspected, false)
+	n.MeanLatency, n.EjectedUntil = 0, 0
 	w.take(1, "read", 0, 1)
 	w.pass(Millisecond)
-	w.end(w.out[0], Full) // a full queue, or a drain that the list does not tell of yet
-	want(t, w, "suspect after turning a job away", w.g.byAddr["a0"].Suspect, true)
+	w.end(w.out[0], OutcomeOverloaded) // a full queue, or a drain that the list does not tell of yet
+	want(t, w, "suspect after turning a job away", w.g.byAddr["a0"].Suspected, true)
 }
 
 // A job whose node is gone waits for a successor only while its goal can be made.
 func TestJobOfAGoneNode(t *testing.T) {
 	w := newWorld(1, terms())
-	w.list("a0", 0, 0, Ready)
-	w.g.byAddr["a0"].Suspect, w.g.byAddr["a0"].TryAt = true, 2*Second
+	w.list("a0", 0, 0, EndpointReady)
+	w.g.byAddr["a0"].Suspected, w.g.byAddr["a0"].EjectedUntil = true, 2*Second
 	queued := w.take(1, "read", 0, 1)
 	w.pass(Millisecond)
-	want(t, w, "before", queued.State, Queued)
-	w.list("a0", 0, 0, Draining)
-	w.list("a8", 0, 0, Ready)
+	want(t, w, "before", queued.State, RequestQueued)
+	w.list("a0", 0, 0, EndpointDraining)
+	w.list("a8", 0, 0, EndpointReady)
 	w.pass(Millisecond)
 	want(t, w, "what was queued goes to", queued.Node.Addr, "a8")
-	w.list("a8", 0, 0, Draining)
-	a, b := w.take(1, "read", 0, 1), (*Job)(nil)
+	w.list("a8", 0, 0, EndpointDraining)
+	a, b := w.take(1, "read", 0, 1), (*Request)(nil)
 	w.pass(150 * Millisecond)
 	b = w.take(1, "read", 0, 1)
 	w.pass(60 * Millisecond)
-	want(t, w, "first", a.State, Dismissed)
-	w.list("a9", 0, 0, Ready)
+	want(t, w, "first", a.State, RequestRejected)
+	w.list("a9", 0, 0, EndpointReady)
 	w.pass(Millisecond)
-	want(t, w, "second", b.State, Running)
+	want(t, w, "second", b.State, RequestInFlight)
 	want(t, w, "its node", b.Node.Addr, "a9")
 }
 
 func TestNewObjectsGoWhereCreditIsLeft(t *testing.T) {
 	w := newWorld(1, terms())
-	w.list("a0", 0, 0, Ready)
-	w.list("a1", 1, 0, Ready)
+	w.list("a0", 0, 0, EndpointReady)
+	w.list("a1", 1, 0, EndpointReady)
 	w.decide()
-	w.g.byAddr["a0"].Credits = 0
+	w.g.byAddr["a0"].PlacementCredits = 0
 	j := w.take(1, "read", -1, 1)
 	w.pass(Millisecond)
 	want(t, w, "node", j.Node.Addr, "a1")
-	want(t, w, "credits spent", w.g.byAddr["a1"].Credits, creditsEach-1)
-	w.end(w.out[0], Served)
-	want(t, w, "credits earned back", w.g.byAddr["a1"].Credits, creditsEach)
+	want(t, w, "credits spent", w.g.byAddr["a1"].PlacementCredits, creditsEach-1)
+	w.end(w.out[0], OutcomeServed)
+	want(t, w, "credits earned back", w.g.byAddr["a1"].PlacementCredits, creditsEach)
 }
 
 // Guard: a node that falls behind its learned rate, whatever slows it, gets less out until answers make their goal.
 func TestAnswersPastTheirGoalNarrowTheBound(t *testing.T) {
 	w := newWorld(1, terms())
-	w.list("a0", 0, 0, Ready)
+	w.list("a0", 0, 0, EndpointReady)
 	n := w.g.byAddr["a0"]
 	for _, took := range []Time{250, 10} {
 		w.take(1, "read", 0, 1)
 		w.pass(Millisecond)
 		w.wait(took * Millisecond)
-		w.end(w.out[0], Served)
-		if narrow := n.Part < boundAims; narrow != (took == 250) {
-			t.Errorf("part of the aim is %g after an answer of %d ms", n.Part, took)
+		w.end(w.out[0], OutcomeServed)
+		if narrow := n.InFlightShare < boundAims; narrow != (took == 250) {
+			t.Errorf("part of the aim is %g after an answer of %d ms", n.InFlightShare, took)
 		}
-		n.Part, n.Latency, n.TryAt = boundAims, 0, 0
+		n.InFlightShare, n.MeanLatency, n.EjectedUntil = boundAims, 0, 0
 	}
 }
 
 // Guard: of two jobs that wait, the one whose own work no longer fits its goal is given up first.
 func TestBigJobIsGivenUpInTime(t *testing.T) {
 	w := newWorld(1, terms())
-	w.list("a0", 0, 0, Ready)
+	w.list("a0", 0, 0, EndpointReady)
 	for i := range 24 {
 		units := float64(1 + i%2*7)
 		w.take(1, "read", 0, units)
 		w.pass(Millisecond)
 		w.wait(Time(units) * 10 * Millisecond)
-		w.end(w.out[0], Served)
+		w.end(w.out[0], OutcomeServed)
 	}
 	n := w.g.byAddr["a0"]
-	n.Suspect, n.TryAt = true, w.now+Second
+	n.Suspected, n.EjectedUntil = true, w.now+Second
 	small, big := w.take(1, "read", 0, 1), w.take(1, "read", 0, 8)
 	w.pass(150 * Millisecond)
-	want(t, w, "big job", big.State, Dismissed)
-	want(t, w, "small job", small.State, Queued)
+	want(t, w, "big job", big.State, RequestRejected)
+	want(t, w, "small job", small.State, RequestQueued)
 }
 
 // Guard: a job that a cold node's store has passed draws anew at the next cold node.
 func TestADrawHoldsAtOneNode(t *testing.T) {
 	w := newWorld(2, terms("plans.0.limit=0"))
-	w.list("a0", 0, w.now, Ready)
-	w.g.byAddr["a0"].TryAt = w.now + Second
+	w.list("a0", 0, w.now, EndpointReady)
+	w.g.byAddr["a0"].EjectedUntil = w.now + Second
 	j := w.take(1, "read", 0, 8)
 	w.pass(Millisecond)
-	j.Cold, j.Spare, j.Borne = Passed, Passed, Passed
-	w.list("a0", 0, 0, Draining)
-	w.list("a9", 0, w.now, Ready)
+	j.SlowStartDraw, j.ExcessDraw, j.SlowStartShareDraw = DrawAdmitted, DrawAdmitted, DrawAdmitted
+	w.list("a0", 0, 0, EndpointDraining)
+	w.list("a9", 0, w.now, EndpointReady)
 	w.pass(Millisecond)
 	want(t, w, "its node", j.Node.Addr, "a9")
-	want(t, w, "sent to a node that nothing opens in time", j.State, Dismissed)
-	w.g.byAddr["a9"].Answers = Tally{{w.now, 1}}
+	want(t, w, "sent to a node that nothing opens in time", j.State, RequestRejected)
+	w.g.byAddr["a9"].SlowStartAnswered = UnitWindow{{w.now, 1}}
 	j = w.take(1, "read", 0, 8)
 	w.pass(Millisecond)
-	want(t, w, "where answers may open it", j.State, Queued)
+	want(t, w, "where answers may open it", j.State, RequestQueued)
 }
 
 // Guard: a cold node gets more only as it answers, and a new start voids what it answered before.
 func TestColdNodeGetsMoreOnlyAsItAnswers(t *testing.T) {
 	w := newWorld(1, terms("plans.0.limit=0"))
-	w.list("a0", 0, w.now, Ready)
+	w.list("a0", 0, w.now, EndpointReady)
 	burst := func() (sent int) {
-		w.g.byAddr["a0"].Units = 1e3 // the bound is wide
+		w.g.byAddr["a0"].AnsweredUnits = 1e3 // the bound is wide
 		for range 20 {
 			w.take(1, "read", 0, 1)
 		}
@@ -279,20 +279,20 @@
 		t.Errorf("%d jobs at first", sent)
 	}
 	for len(w.out) > 0 {
-		w.end(w.out[0], Served)
+		w.end(w.out[0], OutcomeServed)
 	}
 	w.wait(1100 * Millisecond)
-	w.g.byAddr["a0"].Known, w.g.byAddr["a0"].Busy = true, 1
-	w.g.byAddr["a0"].Answers = Tally{{w.now, 10}}
+	w.g.byAddr["a0"].Measured, w.g.byAddr["a0"].BusySeconds = true, 1
+	w.g.byAddr["a0"].SlowStartAnswered = UnitWindow{{w.now, 10}}
 	if sent := burst(); sent < 10 || sent > 11 { // 10 answered, times 2, times the share used, and one by chance
 		t.Errorf("%d jobs after ten answers", sent)
 	}
 	for len(w.out) > 0 {
-		w.end(w.out[0], Served)
+		w.end(w.out[0], OutcomeServed)
 	}
 	w.wait(1100 * Millisecond)
-	w.g.byAddr["a0"].Answers = Tally{{w.now, 10}}
-	w.list("a0", 0, w.now, Ready)
+	w.g.byAddr["a0"].SlowStartAnswered = UnitWindow{{w.now, 10}}
+	w.list("a0", 0, w.now, EndpointReady)
 	if sent := burst(); sent > 1 {
 		t.Errorf("%d jobs after a new start", sent)
 	}
@@ -309,14 +309,14 @@
 			w := newWorld(uint64(i), terms("plans.0.limit=0", fmt.Sprintf("gateways=%g", c.gateways), "plans.0.rate=2",
 				"plans.0.reserve=1", "plans.1.rate=4", fmt.Sprintf("plans.1.reserve=%g", 20/c.volumes)))
 			w.hosts = c.hosts
-			w.list("a0", 0, 0, Ready)
-			w.list("a1", 1, 0, Ready)
+			w.list("a0", 0, 0, EndpointReady)
+			w.list("a1", 1, 0, EndpointReady)
 			warm := w.g.byAddr["a1"]
-			warm.Known, warm.Units, warm.Busy = true, 60, 1
+			warm.Measured, warm.AnsweredUnits, warm.BusySeconds = true, 60, 1
 			worlds = append(worlds, w)
 		}
-		var sends Tally
-		total, most, pick, due, busy := 0.0, 0.0, newChance(uint64(c.gateways)), map[*Execution]Time{}, Time(0)
+		var sends UnitWindow
+		total, most, pick, due, busy := 0.0, 0.0, newChance(uint64(c.gateways)), map[*Attempt]Time{}, Time(0)
 		for step := -100; step < 400; step++ { // the node starts anew after a second, and takes one job after the other
 			can := 60 * (0.2 + 0.8*float64(max(step, 0))/1000)
 			for n := c.asked / 200; n > 0; n-- { // jobs of two units, answered as writes that may be put off
@@ -327,17 +327,17 @@
 			for _, w := range worlds {
 				if step == 0 {
 					total, sends = 0, nil
-					w.list("a0", 0, w.now, Ready)
+					w.list("a0", 0, w.now, EndpointReady)
 				}
 				for _, e := range slices.Clone(w.out) {
 					if due[e] <= w.now {
-						w.end(e, Served)
+						w.end(e, OutcomeServed)
 					}
 				}
 				w.pass(10 * Millisecond)
 				for _, e := range w.started {
-					sends, total = append(sends, Spent{w.now, e.Job.Units}), total+e.Job.Units
-					busy = max(busy, w.now) + Time(e.Job.Units/can*float64(Second))
+					sends, total = append(sends, UnitSample{w.now, e.Request.Units}), total+e.Request.Units
+					busy = max(busy, w.now) + Time(e.Request.Units/can*float64(Second))
 					due[e] = busy
 				}
 			}
@@ -356,20 +356,20 @@
 func TestSmallJobPassesABigOneAtALightNode(t *testing.T) {
 	for _, took := range []Time{10, 100} {
 		w := newWorld(1, terms("plans.0.limit=0"))
-		w.list("a0", 0, 0, Ready)
+		w.list("a0", 0, 0, EndpointReady)
 		for range 8 {
 			w.take(2, "read", 0, 2)
 			w.pass(Millisecond)
 			w.wait(took * Millisecond)
-			w.end(w.out[0], Served)
+			w.end(w.out[0], OutcomeServed)
 		}
 		n := w.g.byAddr["a0"]
-		n.Units = n.Busy // a unit a second, so that the bound is under one
+		n.AnsweredUnits = n.BusySeconds // a unit a second, so that the bound is under one
 		w.take(2, "read", 0, 8)
 		w.take(2, "read", 0, 1)
 		w.take(2, "read", 0, 1)
 		w.pass(0)
-		want(t, w, "executions out", n.Execs, map[Time]int{10: 2, 100: 1}[took])
+		want(t, w, "executions out", n.AttemptsInFlight, map[Time]int{10: 2, 100: 1}[took])
 	}
 }
 
@@ -382,38 +382,38 @@
 
 func heavyNode(t *testing.T, w *world) {
 	t.Helper()
-	w.list("a0", 0, 0, Ready)
+	w.list("a0", 0, 0, EndpointReady)
 	for range 8 {
 		w.take(1, "read", 0, 2)
 		w.pass(Millisecond)
 		w.wait(120 * Millisecond)
-		w.end(w.out[0], Served)
+		w.end(w.out[0], OutcomeServed)
 	}
 	spare := w.take(2, "read", 0, 1)
 	w.pass(Millisecond)
-	want(t, w, "beyond any reserve", spare.State, Queued)
+	want(t, w, "beyond any reserve", spare.State, RequestQueued)
 	due := w.take(1, "read", 0, 1)
 	w.pass(Millisecond)
-	want(t, w, "inside a reserve", due.State, Running)
-	w.end(w.out[0], Served)
+	want(t, w, "inside a reserve", due.State, RequestInFlight)
+	w.end(w.out[0], OutcomeServed)
 	w.pass(150 * Millisecond) // the first is given up meanwhile
 	late := w.take(2, "read", 0, 1)
 	w.pass(60 * Millisecond)
-	want(t, w, "after an aim of silence", late.State, Running)
+	want(t, w, "after an aim of silence", late.State, RequestInFlight)
 }
 
 // Guard: a new object that sits at a silent node is sent to another while it can still make its goal.
 func TestNewObjectLeavesASilentNode(t *testing.T) {
 	w := newWorld(1, terms("plans.0.limit=0"))
-	w.list("a0", 0, 0, Ready)
-	w.list("a1", 1, 0, Ready)
+	w.list("a0", 0, 0, EndpointReady)
+	w.list("a1", 1, 0, EndpointReady)
 	j := w.take(2, "read", -1, 1)
 	w.pass(Millisecond)
-	j.Node.Suspect, j.Node.TryAt = true, w.now+Second
+	j.Node.Suspected, j.Node.EjectedUntil = true, w.now+Second
 	first := j.Node
 	w.pass(110 * Millisecond)
-	want(t, w, "executions", len(j.Execs), 2)
-	want(t, w, "at the same node", j.Execs[1].Node == first, false)
+	want(t, w, "executions", len(j.Attempts), 2)
+	want(t, w, "at the same node", j.Attempts[1].Node == first, false)
 }
 
 // Guard: at a node that loses some of what it takes, and where most that were overdue had no answer, a lost execution holds no room and
@@ -424,12 +424,12 @@
 		sent          int
 	}{{0, 0, 1}, {0.2, 0, 2}, {0, 0.6, 2}} {
 		w := newWorld(1, terms("plans.0.limit=0"))
-		w.list("a0", 0, 0, Ready)
+		w.list("a0", 0, 0, EndpointReady)
 		for range 8 {
 			w.take(2, "read", 0, 2)
 			w.pass(Millisecond)
 			w.wait(10 * Millisecond)
-			w.end(w.out[0], Served)
+			w.end(w.out[0], OutcomeServed)
 		}
 		n := w.g.byAddr["a0"]
 		w.g.vain = c.vain
@@ -437,13 +437,13 @@
 		w.pass(Millisecond)
 		w.take(2, "read", 0, 2)
 		w.pass(10 * Millisecond)
-		w.end(w.out[1], Served)
-		n.Failing = c.failing
+		w.end(w.out[1], OutcomeServed)
+		n.FailureRate = c.failing
 		w.pass(40 * Millisecond)
-		want(t, w, "executions", len(lost.Execs), c.sent)
-		want(t, w, "counted as out", n.Execs, 1)
+		want(t, w, "executions", len(lost.Attempts), c.sent)
+		want(t, w, "counted as out", n.AttemptsInFlight, 1)
 		vain := w.g.vain
-		w.end(lost.Execs[0], Served)
+		w.end(lost.Attempts[0], OutcomeServed)
 		want(t, w, "speaks against", w.g.vain < vain || vain == 0, true)
 	}
 }
@@ -457,23 +457,23 @@
 		givenUp bool
 	}{{50, 100, false}, {50, 1, true}, {1, 5, false}} {
 		w := newWorld(1, terms("plans.0.limit=0"))
-		w.list("a0", 0, 0, Ready)
+		w.list("a0", 0, 0, EndpointReady)
 		for i := range 60 {
 			j := w.take(2, "read", 0, 1)
 			w.pass(c.after * Millisecond)
 			if i%c.every == c.every-1 {
 				w.ended[j] = true
-				w.g.Left(w.now, j.ID)
+				w.g.ClientLeft(w.now, j.ID)
 			}
 			w.wait(10 * Millisecond)
 			for len(w.out) > 0 {
-				w.end(w.out[0], Served)
+				w.end(w.out[0], OutcomeServed)
 			}
 		}
-		w.g.byAddr["a0"].Suspect, w.g.byAddr["a0"].TryAt = true, w.now+10*Second
+		w.g.byAddr["a0"].Suspected, w.g.byAddr["a0"].EjectedUntil = true, w.now+10*Second
 		j := w.take(2, "read", 0, 1)
 		w.pass(60 * Millisecond)
-		want(t, w, "given up", j.State == Dismissed, c.givenUp)
+		want(t, w, "given up", j.State == RequestRejected, c.givenUp)
 	}
 }
 
@@ -484,9 +484,9 @@
 	w := newWorld(1, terms("discovery=ask"))
 	asked := func() Time {
 		from := w.now
-		w.g.ListFailed(w.now, false)
+		w.g.EndpointListFailed(w.now, false)
 		for ; w.now < from+60*Second; w.now += 10 * Millisecond {
-			if w.g.Decide(w.now).Watch {
+			if w.g.Decide(w.now).WatchEndpoints {
 				break
 			}
 		}
@@ -502,7 +502,7 @@
 	}
 	want(t, w, "seldom then", sum >= 40*listWaitMost*3/4, true)
 	want(t, w, "never too seldom", longest <= silenceMost/4, true)
-	w.list("a0", 0, 0, Ready)
+	w.list("a0", 0, 0, EndpointReady)
 	want(t, w, "soon again", asked() <= 500*Millisecond, true)
 }
 
@@ -510,17 +510,17 @@
 func TestRetryPastItsGoalNeedsALightNode(t *testing.T) {
 	for _, took := range []Time{10, 70} {
 		w := newWorld(1, terms("plans.0.limit=0"))
-		w.list("a0", 0, 0, Ready)
+		w.list("a0", 0, 0, EndpointReady)
 		for range 8 {
 			w.take(1, "read", 0, 2)
 			w.pass(Millisecond)
 			w.wait(took * Millisecond)
-			w.end(w.out[0], Served)
+			w.end(w.out[0], OutcomeServed)
 		}
-		retry := &Job{ID: "retry", Units: 1, StopBy: w.now + 350*Millisecond}
-		w.g.Take(w.now, retry, 1, "gold", "read", 2, false)
+		retry := &Request{ID: "retry", Units: 1, Deadline: w.now + 350*Millisecond}
+		w.g.Submit(w.now, retry, 1, "gold", "read", 2, false)
 		w.decide()
-		want(t, w, "sent", retry.State == Running, took == 10)
+		want(t, w, "sent", retry.State == RequestInFlight, took == 10)
 	}
 }
 
@@ -528,9 +528,9 @@
 // be put off, do not let it have more.
 func TestNewObjectsAndWritesAtColdNodes(t *testing.T) {
 	w := newWorld(1, terms("plans.0.limit=0"))
-	w.list("a0", 0, w.now, Ready)
-	w.list("a1", 1, 0, Ready)
-	w.g.byAddr["a1"].Out = 100 // busy, so that the cold node would be through first
+	w.list("a0", 0, w.now, EndpointReady)
+	w.list("a1", 1, 0, EndpointReady)
+	w.g.byAddr["a1"].UnitsInFlight = 100 // busy, so that the cold node would be through first
 	object := w.take(2, "read", -1, 1)
 	w.pass(Millisecond)
 	want(t, w, "a new object's node", object.Node.Addr, "a1")
@@ -539,28 +539,28 @@
 		j := w.take(1, "read", 0, 1)
 		j.Write = write
 		w.pass(Millisecond)
-		w.end(w.out[len(w.out)-1], Served)
-		want(t, w, "answers that count", len(w.g.byAddr["a0"].Answers) > 0, !write)
+		w.end(w.out[len(w.out)-1], OutcomeServed)
+		want(t, w, "answers that count", len(w.g.byAddr["a0"].SlowStartAnswered) > 0, !write)
 	}
 }
 
 // Guard: what other gateways were served counts in virtual time, and takes from this gateway's part of the reserve.
 func TestServiceThroughOthersIsCounted(t *testing.T) {
 	w := newWorld(1, terms("tells.others=true"))
-	w.list("a0", 0, 0, Ready)
+	w.list("a0", 0, 0, EndpointReady)
 	part := func(others float64) float64 {
 		j := w.take(1, "read", 0, 1)
 		w.pass(Millisecond)
-		w.g.Ended(w.now, j.ID, 0, Served, Millisecond, true, others)
-		return j.Volume.Part
+		w.g.AttemptFinished(w.now, j.ID, 0, OutcomeServed, Millisecond, true, others)
+		return j.Volume.Share
 	}
 	if first := part(0); first <= 0.5 || first >= 1 {
 		t.Errorf("with no others' service, the part of one in two gateways is %g", first)
 	}
 	f := w.g.byAddr["a0"].Flows[0]
-	want(t, w, "virtual start within the reserve", f.Start, 0.0)
+	want(t, w, "virtual start within the reserve", f.VirtualStart, 0.0)
 	want(t, w, "part when others are served more", part(60), 0.5)
-	want(t, w, "virtual start after 60 units through others", f.Start, 20.0)
+	want(t, w, "virtual start after 60 units through others", f.VirtualStart, 20.0)
 	want(t, w, "rate of the reserve", f.Volume.Reserve.Rate, 10.0)
 	for _, absurd := range []float64{-1e12, 1e12, 0} { // changes the part within its bounds, and no rule
 		if p := part(absurd); p < 0.5 || p > 1 {
@@ -576,16 +576,16 @@
 	for _, hosts := range []float64{1, 100} {
 		for _, fair := range []float64{0.25, 1} {
 			w := newWorld(1, terms("plans.0.limit=0", "plans.0.rate=16", "plans.1.rate=16"))
-			w.list("a0", 0, 0, Ready)
+			w.list("a0", 0, 0, EndpointReady)
 			w.take(2, "read", 0, 2)
 			w.pass(Millisecond)
 			n, v, passed := w.g.byAddr["a0"], w.g.volumes[2], 0.0
-			n.Fair, v.Hosts, v.Part = fair, hosts, 1/hosts
+			n.FairRate, v.GatewayCount, v.Share = fair, hosts, 1/hosts
 			for range 20000 { // two hundred seconds
 				w.now += 10 * Millisecond
 				w.g.now = w.now
-				if w.g.fair(n, &Job{Units: 2, Volume: v}) {
-					w.g.flow(n, v).Due.take(2)
+				if w.g.fair(n, &Request{Units: 2, Volume: v}) {
+					w.g.flow(n, v).Excess.take(2)
 					passed += 2
 				}
 			}
@@ -602,17 +602,17 @@
 // Guard: a node whose mean job takes over the aim rests, also for reserved jobs, and is tried again after.
 func TestNodePastTheAimRests(t *testing.T) {
 	w := newWorld(1, terms("plans.0.limit=0"))
-	w.list("a0", 0, 0, Ready)
+	w.list("a0", 0, 0, EndpointReady)
 	w.take(1, "read", 0, 2)
 	w.wait(300 * Millisecond)
-	w.end(w.out[0], Served)
+	w.end(w.out[0], OutcomeServed)
 	early := w.take(1, "read", 0, 2)
 	w.wait(100 * Millisecond)
-	want(t, w, "while it rests", early.State, Dismissed)
+	want(t, w, "while it rests", early.State, RequestRejected)
 	w.wait(100 * Millisecond)
 	late := w.take(1, "read", 0, 2)
 	w.pass(Millisecond)
-	want(t, w, "after its rest", late.State, Running)
+	want(t, w, "after its rest", late.State, RequestInFlight)
 }
 
 // Guard: silence strains a node before its answer comes, and a whole time-out of silence rests it; a failure after a
@@ -620,33 +620,33 @@
 func TestSilenceIsHeardOfASeldomMetNode(t *testing.T) {
 	for _, pause := range []Time{0, 10 * Second} {
 		w := newWorld(1, terms("plans.0.limit=0"))
-		w.list("a0", 0, 0, Ready)
+		w.list("a0", 0, 0, EndpointReady)
 		for range 20 {
 			w.take(2, "read", 0, 2)
 			w.wait(20 * Millisecond)
-			w.end(w.out[0], Served)
+			w.end(w.out[0], OutcomeServed)
 		}
 		n := w.g.byAddr["a0"]
 		w.wait(pause)
 		w.take(2, "read", 0, 2)
 		w.pass(Millisecond)
-		w.end(w.out[0], Erred)
-		want(t, w, "believed to fail by one error", n.Failing > 0.5, pause > 0)
-		if n.Failing == 0 {
+		w.end(w.out[0], OutcomeError)
+		want(t, w, "believed to fail by one error", n.FailureRate > 0.5, pause > 0)
+		if n.FailureRate == 0 {
 			t.Error("an error is not noted")
 		}
 		for len(w.out) > 0 {
-			w.end(w.out[0], Served)
+			w.end(w.out[0], OutcomeServed)
 		}
-		n.Fair = 1
+		n.FairRate = 1
 		w.take(2, "read", 0, 2)
 		w.wait(190 * Millisecond)
-		want(t, w, "strained within the aim", n.Fair < 1, false)
+		want(t, w, "strained within the aim", n.FairRate < 1, false)
 		w.wait(60 * Millisecond)
-		want(t, w, "strained by silence", n.Fair < 1, true)
-		want(t, w, "rests before the time-out", n.TryAt > w.now+300*Millisecond, false)
+		want(t, w, "strained by silence", n.FairRate < 1, true)
+		want(t, w, "rests before the time-out", n.EjectedUntil > w.now+300*Millisecond, false)
 		w.wait(360 * Millisecond)
-		want(t, w, "rests after it", n.TryAt > w.now+300*Millisecond, true)
+		want(t, w, "rests after it", n.EjectedUntil > w.now+300*Millisecond, true)
 	}
 }
 
@@ -654,10 +654,10 @@
 func TestOwnStallTeachesNothing(t *testing.T) {
 	for _, stalls := range []bool{false, true} {
 		w := newWorld(1, terms("plans.0.limit=0"))
-		w.list("a0", 0, 0, Ready)
+		w.list("a0", 0, 0, EndpointReady)
 		w.take(2, "read", 0, 2)
 		w.wait(10 * Millisecond)
-		w.end(w.out[0], Served)
+		w.end(w.out[0], OutcomeServed)
 		w.take(2, "read", 0, 2)
 		w.pass(Millisecond)
 		if stalls {
@@ -665,30 +665,30 @@
 		} else {
 			w.wait(300 * Millisecond)
 		}
-		w.end(w.out[0], Served)
+		w.end(w.out[0], OutcomeServed)
 		n := w.g.byAddr["a0"]
-		want(t, w, "fair rate cut", n.Fair < 1, !stalls)
-		want(t, w, "usual time raised", n.Latency > float64(30*Millisecond), !stalls)
-		want(t, w, "suspect", n.Suspect, false)
+		want(t, w, "fair rate cut", n.FairRate < 1, !stalls)
+		want(t, w, "usual time raised", n.MeanLatency > float64(30*Millisecond), !stalls)
+		want(t, w, "suspect", n.Suspected, false)
 	}
 }
 
 // Guard: a job inside its volume's reserve goes before the turn.
 func TestReserveGoesBeforeTheTurn(t *testing.T) {
 	w := newWorld(1, terms("plans.0.limit=0"))
-	w.list("a0", 0, 0, Ready)
+	w.list("a0", 0, 0, EndpointReady)
 	for range 20 {
 		w.take(2, "read", 0, 4)
 	}
 	w.pass(Millisecond)
 	n := w.g.byAddr["a0"]
 	due := w.take(1, "read", 0, 4)
-	n.Flows[0].Start = -100 // the turn's volume is first by virtual time as well
+	n.Flows[0].VirtualStart = -100 // the turn's volume is first by virtual time as well
 	w.pass(Millisecond)
-	w.end(w.out[0], Served)
+	w.end(w.out[0], OutcomeServed)
 	w.pass(Millisecond)
-	want(t, w, "holder of the turn", n.Turn, n.Flows[0])
-	want(t, w, "the reserved job", due.State, Running)
+	want(t, w, "holder of the turn", n.InService, n.Flows[0])
+	want(t, w, "the reserved job", due.State, RequestInFlight)
 }
 
 // Guard: once the list has been silent for so long that what it missed counts as told, a node that may have drained or started anew
@@ -696,9 +696,9 @@
 func TestSilentListIsNotActedOnForEver(t *testing.T) {
 	for _, silent := range []bool{false, true} {
 		w := newWorld(1, terms("plans.0.limit=0", "drain.grace=2000"))
-		w.list("a0", 0, 0, Ready)
-		w.list("a1", 1, 0, Ready)
-		w.g.ListFailed(w.now, silent)
+		w.list("a0", 0, 0, EndpointReady)
+		w.list("a1", 1, 0, EndpointReady)
+		w.g.EndpointListFailed(w.now, silent)
 		sent := map[string]int{}
 		for w.now < 30*Second {
 			met := []int{0, 0, 0, 1}[w.now/(40*Millisecond)%4] // the second node is met too, until the silence is long
@@ -712,21 +712,21 @@
 				}
 			}
 			for len(w.out) > 0 {
-				w.end(w.out[0], Served)
+				w.end(w.out[0], OutcomeServed)
 			}
 		}
 		late := w.take(1, "read", 1, 1)
 		w.pass(Millisecond)
-		want(t, w, "sent to a node that said nothing for as long", late.State == Running, !silent)
+		want(t, w, "sent to a node that said nothing for as long", late.State == RequestInFlight, !silent)
 		want(t, w, "sent on to one that answers", sent["a0"] > 100, true)
 		want(t, w, "cold for all that is known", w.g.cold(w.g.byAddr["a0"]), false) // its time has passed since the last word
-		w.list("a2", 2, 0, Ready)
+		w.list("a2", 2, 0, EndpointReady)
 		w.pass(Millisecond)
-		want(t, w, "once the list is heard", late.State, Running)
+		want(t, w, "once the list is heard", late.State, RequestInFlight)
 	}
 	w := newWorld(1, terms("drain.grace=2000"))
-	w.list("a0", 0, 0, Ready)
-	w.g.ListFailed(w.now, true)
+	w.list("a0", 0, 0, EndpointReady)
+	w.g.EndpointListFailed(w.now, true)
 	w.wait(5 * Second)
 	want(t, w, "cold before what it missed counts as told", w.g.cold(w.g.byAddr["a0"]), false)
 	w.wait(Second)
@@ -744,9 +744,9 @@
 		w, worst := newWorld(1, terms("list.every="+c.every)), Time(0)
 		w.decide()
 		for range 40 {
-			w.g.ListFailed(w.now, c.silent)
+			w.g.EndpointListFailed(w.now, c.silent)
 			at := w.now
-			for w.pass(10 * Millisecond); !w.g.last.Watch; w.pass(10 * Millisecond) {
+			for w.pass(10 * Millisecond); !w.g.last.WatchEndpoints; w.pass(10 * Millisecond) {
 			}
 			worst = max(worst, w.now-at)
 		}
--- a/decide/due.go
+++ b/decide/due.go
@@ -3,7 +3,7 @@
 import "container/heap"
 
 // dueJobs orders jobs by due time, ties by the order of their ids.
-type dueJobs []*Job
+type dueJobs []*Request
 
 func (d dueJobs) Len() int { return len(d) }
 func (d dueJobs) Less(a, b int) bool {
@@ -14,7 +14,7 @@
 	d[a].place, d[b].place = a+1, b+1
 }
 func (d *dueJobs) Push(x any) {
-	j := x.(*Job)
+	j := x.(*Request)
 	*d = append(*d, j)
 	j.place = len(*d)
 }
@@ -28,7 +28,7 @@
 }
 
 // set gives the job a due time, or takes it out when at is 0.
-func (d *dueJobs) set(j *Job, at Time) {
+func (d *dueJobs) set(j *Request, at Time) {
 	j.due = at
 	switch {
 	case at == 0 && j.place > 0:
@@ -42,11 +42,11 @@
 }
 
 // take returns a job that is due, or nil.
-func (d *dueJobs) take(now Time) *Job {
+func (d *dueJobs) take(now Time) *Request {
 	if len(*d) == 0 || (*d)[0].due > now {
 		return nil
 	}
-	return heap.Pop(d).(*Job)
+	return heap.Pop(d).(*Request)
 }
 
 // first returns the earliest due time, or 0.
--- a/decide/start.go
+++ b/decide/start.go
@@ -2,21 +2,21 @@
 
 import "strconv"
 
-// Terms is what a gateway is told at start: values by name. A value that is absent or unreadable reads as zero.
-type Terms map[string]string
+// Settings is what a gateway is told at start: values by name. A value that is absent or unreadable reads as zero.
+type Settings map[string]string
 
-func (t Terms) number(name string) float64 {
+func (t Settings) number(name string) float64 {
 	v, _ := strconv.ParseFloat(t[name], 64)
 	return v
 }
 
-func (t Terms) flag(name string) bool { return t[name] == "true" || t[name] == "1" }
+func (t Settings) flag(name string) bool { return t[name] == "true" || t[name] == "1" }
 
 // span reads a number of milliseconds.
-func (t Terms) span(name string) Time { return Time(t.number(name)*1000+0.5) * Microsecond }
+func (t Settings) span(name string) Time { return Time(t.number(name)*1000+0.5) * Microsecond }
 
 // count reads how many items a list has.
-func (t Terms) count(list string) int {
+func (t Settings) count(list string) int {
 	n, _ := strconv.Atoi(t[list+".count"])
 	return n
 }
@@ -25,18 +25,18 @@
 func item(list string, n int, name string) string { return list + "." + strconv.Itoa(n) + "." + name }
 
 // plan reads a plan.
-func (t Terms) plan(i int) *Plan {
+func (t Settings) plan(i int) *ServiceLevel {
 	number := func(name string) float64 { return t.number(item("plans", i, name)) }
-	return &Plan{Name: t[item("plans", i, "name")], Weight: number("weight"), Rate: number("rate"),
-		Reserve: number("reserve"), Limit: number("limit"), Burst: number("burst")}
+	return &ServiceLevel{Name: t[item("plans", i, "name")], Weight: number("weight"), NominalRate: number("rate"),
+		Reserve: number("reserve"), RateLimit: number("limit"), Burst: number("burst")}
 }
 
 // product reads a product.
-func (t Terms) product(i int) *Product {
+func (t Settings) product(i int) *RequestClass {
 	text := func(name string) string { return t[item("products", i, name)] }
 	span := func(name string) Time { return t.span(item("products", i, name)) }
-	return &Product{Name: text("name"), Goal: span("goal"), Patience: span("patience"), Window: span("window"),
-		InTurn: t.flag(item("products", i, "in_turn")),
-		Kind:   map[string]Kind{"referenced": Referenced, "single-use": SingleUse}[text("kind")],
-		Group:  map[string]Group{"zone": SameZone, "shard": SameShard}[text("group")]}
+	return &RequestClass{Name: text("name"), LatencyObjective: span("goal"), ClientTimeout: span("patience"), DedupWindow: span("window"),
+		Ordered:     t.flag(item("products", i, "in_turn")),
+		Idempotency: map[string]Idempotency{"referenced": IdempotencyKeyed, "single-use": NonIdempotent}[text("kind")],
+		DedupScope:  map[string]DedupScope{"zone": DedupSameZone, "shard": DedupSameShard}[text("group")]}
 }
--- a/decide/text.go
+++ b/decide/text.go
@@ -8,8 +8,8 @@
 //go:embed decide.go jobs.go turns.go outcomes.go nodes.go cold.go terms.go
 var texts embed.FS
 
-// Text is the module's source, by which a capture says what decided in it: its files in order of their names.
-var Text = text()
+// PolicySource is the module's source, by which a capture says what decided in it: its files in order of their names.
+var PolicySource = text()
 
 func text() (all []byte) {
 	files, err := fs.Glob(texts, "*.go") // sorted
--- a/decide/types.go
+++ b/decide/types.go
@@ -15,215 +15,217 @@
 	Second      Time = 1_000 * Millisecond
 )
 
-// JobState is where a job stands. Only Gateway.move changes it.
-type JobState uint8
+// RequestState is where a job stands. Only Gateway.move changes it.
+type RequestState uint8
 
 const (
-	Fresh      JobState = iota // just taken
-	Held                       // waits for a node, for credit or for its key
-	Queued                     // waits in its volume's queue at a node
-	Running                    // has an execution out
-	Streaming                  // its answer has begun to flow to the client
-	Completed                  // answered
-	Dismissed                  // given up; trying again is harmless
-	WrittenOff                 // given up; nothing is promised
-	Withdrawn                  // the client left
+	RequestReceived        RequestState = iota // just taken
+	RequestUnplaced                            // waits for a node, for credit or for its key
+	RequestQueued                              // waits in its volume's queue at a node
+	RequestInFlight                            // has an execution out
+	RequestStreaming                           // its answer has begun to flow to the client
+	RequestSucceeded                           // answered
+	RequestRejected                            // given up; trying again is harmless
+	RequestFailed                              // given up; nothing is promised
+	RequestClientCancelled                     // the client left
 )
 
-// Over tells whether the job has had its final answer or needs none.
-func (s JobState) Over() bool { return s >= Completed }
+// Terminal tells whether the job has had its final answer or needs none.
+func (s RequestState) Terminal() bool { return s >= RequestSucceeded }
 
 // Outcome is how an execution or a probe ended. Out means that it has not.
 type Outcome uint8
 
 const (
-	Out Outcome = iota
-	Served
-	Erred
-	Full
-	TimedOut
-	Unconnected
-	Reset
-	CalledOff
-	Moot
+	OutcomePending Outcome = iota
+	OutcomeServed
+	OutcomeError
+	OutcomeOverloaded
+	OutcomeTimeout
+	OutcomeConnectFailed
+	OutcomeReset
+	OutcomeCancelled
+	OutcomeMisdirected
 )
 
-// NeverRan tells whether the outcome proves that the work was not begun.
-func (o Outcome) NeverRan() bool { return o == Full || o == Unconnected || o == Moot }
+// NeverExecuted tells whether the outcome proves that the work was not begun.
+func (o Outcome) NeverExecuted() bool {
+	return o == OutcomeOverloaded || o == OutcomeConnectFailed || o == OutcomeMisdirected
+}
 
-// Kind says what a repeat of a product's job may do.
-type Kind uint8
+// Idempotency says what a repeat of a product's job may do.
+type Idempotency uint8
 
 const (
-	Replayable Kind = iota // may run again
-	Referenced             // a group of nodes drops its repeats for a while
-	SingleUse              // must never run twice
+	Idempotent       Idempotency = iota // may run again
+	IdempotencyKeyed                    // a group of nodes drops its repeats for a while
+	NonIdempotent                       // must never run twice
 )
 
-// Group is the set of nodes that knows a referenced job's repeats.
-type Group uint8
+// DedupScope is the set of nodes that knows a referenced job's repeats.
+type DedupScope uint8
 
 const (
-	AllNodes Group = iota
-	SameZone
-	SameShard
+	DedupAllNodes DedupScope = iota
+	DedupSameZone
+	DedupSameShard
 )
 
-// Standing is what the list says of a node.
-type Standing uint8
+// EndpointState is what the list says of a node.
+type EndpointState uint8
 
 const (
-	Ready Standing = iota
-	Draining
-	Gone
+	EndpointReady EndpointState = iota
+	EndpointDraining
+	EndpointRemoved
 )
 
-// Plan is a service level. Its rates are units a second for one volume, over all gateways and nodes.
-type Plan struct {
-	Name         string
-	Weight       float64
-	Rate         float64
-	Reserve      float64
-	Limit, Burst float64
-	Leaving      float64 // share of its clients that leave before the goal, lately
-	Leaves       float64 // and after what part of the goal time they do
-	Hurried      bool    // the mode last logged
-	Out          bool    // left out of the terms that count now
+// ServiceLevel is a service level. Its rates are units a second for one volume, over all gateways and nodes.
+type ServiceLevel struct {
+	Name              string
+	Weight            float64
+	NominalRate       float64
+	Reserve           float64
+	RateLimit, Burst  float64
+	EarlyLeaveShare   float64 // share of its clients that leave before the goal, lately
+	EarlyLeaveAfter   float64 // and after what part of the goal time they do
+	ClientsLeaveEarly bool    // the mode last logged
+	Removed           bool    // left out of the terms that count now
 }
 
-// Product is a kind of job.
-type Product struct {
-	Name     string
-	Kind     Kind
-	Group    Group
-	Goal     Time    // from the client's first try
-	Patience Time    // how long a client waits over all its tries
-	Window   Time    // how long repeats of a referenced job are known
-	InTurn   bool    // jobs of one key run one at a time
-	Share    float64 // longest time to the hard stop yet seen, as a part of Patience
-	Out      bool    // left out of the terms that count now
+// RequestClass is a kind of job.
+type RequestClass struct {
+	Name             string
+	Idempotency      Idempotency
+	DedupScope       DedupScope
+	LatencyObjective Time    // from the client's first try
+	ClientTimeout    Time    // how long a client waits over all its tries
+	DedupWindow      Time    // how long repeats of a referenced job are known
+	Ordered          bool    // jobs of one key run one at a time
+	LongestTimeLeft  float64 // longest time to the hard stop yet seen, as a part of Patience
+	Removed          bool    // left out of the terms that count now
 }
 
 // Volume is what a customer reads and writes. Its dues count over all gateways and nodes.
 type Volume struct {
-	Plan        *Plan
-	Hosts       float64 // gateways that its jobs come through
-	Reserve     Store   // this gateway's part of what is due to it in full
-	Part        float64 // this gateway's part of what is due to it
-	Own, Others float64 // units served through this gateway and through others, fading
-	ServedAt    Time    // when they were last counted
-	Limit       Store   // this gateway's part of its limit
+	ServiceLevel                *ServiceLevel
+	GatewayCount                float64     // gateways that its jobs come through
+	Reserve                     TokenBucket // this gateway's part of what is due to it in full
+	Share                       float64     // this gateway's part of what is due to it
+	ServedHere, ServedElsewhere float64     // units served through this gateway and through others, fading
+	ServedUpdatedAt             Time        // when they were last counted
+	RateLimit                   TokenBucket // this gateway's part of its limit
 }
 
-// Draw is what became of a job at a store that is too small for it.
-type Draw uint8
+// AdmissionDraw is what became of a job at a store that is too small for it.
+type AdmissionDraw uint8
 
 const (
-	Undrawn Draw = iota
-	Passed
-	Missed
+	NotDrawn AdmissionDraw = iota
+	DrawAdmitted
+	DrawDenied
 )
 
-// Store holds units: it fills at a rate up to a most, and may be overdrawn by who uses it.
-type Store struct {
-	Level, Rate, Most float64
-	At                Time
+// TokenBucket holds units: it fills at a rate up to a most, and may be overdrawn by who uses it.
+type TokenBucket struct {
+	Level, Rate, Capacity float64
+	UpdatedAt             Time
 }
 
-// Fill brings the level up to now.
-func (s *Store) Fill(now Time) float64 {
-	if now > s.At {
-		s.Level = min(s.Most, s.Level+s.Rate*float64(now-s.At)/float64(Second))
-		s.At = now
+// Refill brings the level up to now.
+func (s *TokenBucket) Refill(now Time) float64 {
+	if now > s.UpdatedAt {
+		s.Level = min(s.Capacity, s.Level+s.Rate*float64(now-s.UpdatedAt)/float64(Second))
+		s.UpdatedAt = now
 	}
 	return s.Level
 }
 
 // resize changes the rate and the most, and keeps what fits of the level.
-func (s *Store) resize(now Time, rate, most float64) {
-	s.Level = min(s.Fill(now), most)
-	s.Rate, s.Most = rate, most
+func (s *TokenBucket) resize(now Time, rate, most float64) {
+	s.Level = min(s.Refill(now), most)
+	s.Rate, s.Capacity = rate, most
 }
 
 // take takes units that fit into the store.
-func (s *Store) take(units float64) {
-	if s.Most >= units {
+func (s *TokenBucket) take(units float64) {
+	if s.Capacity >= units {
 		s.Level -= units
 	}
 }
 
-// Job is one thing asked by a client. It gets exactly one final answer.
-type Job struct {
-	ID                    string
-	Volume                *Volume
-	Product               *Product
-	Units                 float64
-	Shard                 int // the shard that holds its data; below 0 for a new object
-	Key                   int64
-	Write                 bool
-	Taken                 Time
-	GoalBy                Time
-	StopBy                Time
-	State                 JobState
-	Wait                  Time // how long the client is asked to wait, when dismissed
-	Execs                 []*Execution
-	Node                  *Node // where it is queued
-	NotTill               Time  // rests until then between executions
-	Credit                *Node // the node that lent it a credit for a new object
-	Paid                  bool  // its units were taken from its volume's limit
-	Line                  *Line // the jobs of its key, where the product keeps order
-	Reserved, Spare, Cold Draw  // at its volume's reserve, at the node's fair rate, at a cold node's store
-	Borne                 Draw  // at a cold node, by the share that it bears
-	Answered              bool  // covered by what a cold node has answered, with no draw
-	due                   Time
-	place                 int // in the due heap, counted from 1
+// Request is one thing asked by a client. It gets exactly one final answer.
+type Request struct {
+	ID                                     string
+	Volume                                 *Volume
+	Class                                  *RequestClass
+	Units                                  float64
+	Shard                                  int // the shard that holds its data; below 0 for a new object
+	Key                                    int64
+	Write                                  bool
+	ReceivedAt                             Time
+	ObjectiveDeadline                      Time
+	Deadline                               Time
+	State                                  RequestState
+	RetryAfter                             Time // how long the client is asked to wait, when dismissed
+	Attempts                               []*Attempt
+	Node                                   *Node         // where it is queued
+	NotBefore                              Time          // rests until then between executions
+	CreditNode                             *Node         // the node that lent it a credit for a new object
+	LimitCharged                           bool          // its units were taken from its volume's limit
+	KeyQueue                               *KeyQueue     // the jobs of its key, where the product keeps order
+	ReserveDraw, ExcessDraw, SlowStartDraw AdmissionDraw // at its volume's reserve, at the node's fair rate, at a cold node's store
+	SlowStartShareDraw                     AdmissionDraw // at a cold node, by the share that it bears
+	CoveredByAnswers                       bool          // covered by what a cold node has answered, with no draw
+	due                                    Time
+	place                                  int // in the due heap, counted from 1
 }
 
 // out counts the executions without an outcome.
-func (j *Job) out() (n int) {
-	for _, e := range j.Execs {
-		if e.Outcome == Out {
+func (j *Request) out() (n int) {
+	for _, e := range j.Attempts {
+		if e.Outcome == OutcomePending {
 			n++
 		}
 	}
 	return n
 }
 
-// Execution is one sending of a job to a node.
-type Execution struct {
-	Job       *Job
-	Number    int
-	Node      *Node
-	Sent      Time
-	Limit     Time // time-out; 0 for none before the client gives up
-	Till      Time // it is not to be sent after this; 0: no such time
-	Outcome   Outcome
-	CalledOff bool
-	Late      bool // out for over an aim, and noted
-	Overdue   bool // out for several times what it should take, while later ones were answered
-	Lost      bool // overdue, and not counted as out any more
+// Attempt is one sending of a job to a node.
+type Attempt struct {
+	Request        *Request
+	Number         int
+	Node           *Node
+	SentAt         Time
+	Timeout        Time // time-out; 0 for none before the client gives up
+	SendBefore     Time // it is not to be sent after this; 0: no such time
+	Outcome        Outcome
+	Cancelled      bool
+	SilenceCounted bool // out for over an aim, and noted
+	Overdue        bool // out for several times what it should take, while later ones were answered
+	PresumedLost   bool // overdue, and not counted as out any more
 }
 
-// Line is the jobs of one key, in the order in which they were taken.
-type Line struct {
-	Jobs      []*Job
-	RestUntil Time
+// KeyQueue is the jobs of one key, in the order in which they were taken.
+type KeyQueue struct {
+	Requests     []*Request
+	BlockedUntil Time
 }
 
 // Flow is a volume at a node: its queue, its virtual time and its budget.
 type Flow struct {
-	Volume         *Volume
-	Queue          []*Job
-	Start          float64 // virtual start of its next job
-	Budget         float64 // units left of its turn
-	Gap            Time    // its average send gap
-	Sent, Answered Time    // the last of each
-	Out            int
-	Due            Store // this gateway's part of the fair rate beyond the reserve
+	Volume                     *Volume
+	Queue                      []*Request
+	VirtualStart               float64 // virtual start of its next job
+	Budget                     float64 // units left of its turn
+	AverageSendGap             Time    // its average send gap
+	LastSentAt, LastAnsweredAt Time    // the last of each
+	InFlight                   int
+	Excess                     TokenBucket // this gateway's part of the fair rate beyond the reserve
 }
 
 // drop takes a job out of the queue.
-func (f *Flow) drop(j *Job) {
+func (f *Flow) drop(j *Request) {
 	if i := slices.Index(f.Queue, j); i >= 0 {
 		f.Queue = slices.Delete(f.Queue, i, i+1)
 	}
@@ -231,61 +233,61 @@
 
 // Node is a storage node as this gateway sees it.
 type Node struct {
-	Addr     string
-	Zone     string
-	Shard    int
-	Born     Time
-	Standing Standing
-
-	Flows     []*Flow
-	Virtual   float64 // virtual time
-	Turn      *Flow
-	TurnSince Time
-
-	Out       float64 // units out
-	Execs     int     // executions out
-	Credits   int
-	Units     float64 // units answered, fading with busy time
-	Busy      float64 // busy time that they took, in seconds, fading with itself
-	BusyAt    Time
-	Heard     Time    // last answer, or when the node last became busy
-	Part      float64 // part of the aim whose answers are the bound
-	Known     bool    // has answered since its start
-	HeardOf   Time    // when the latest of what it answered was sent
-	Latency   float64 // usual time of an execution; Size, Spread and Slope tell how it goes with units
-	Size      float64
-	Spread    float64
-	Slope     float64
-	Failing   float64 // share of executions that failed, lately
-	Warm      Store   // this gateway's part of what the node bears while cold
-	Fair      float64 // the rate beyond reserves, as a part of its start
-	Base      float64 // time of a mean job at its best
-	Judged    Time    // and when that was last seen
-	Suspect   bool
-	Strained  bool // the modes last logged
-	Fails     bool
-	TryAt     Time
-	CreditAt  Time
-	Sends     Tally   // what was sent to it while cold
-	Answers   Tally   // and what it answered
-	Lent      float64 // units that its dealer has lent this gateway
-	LentTill  Time    // and until when what is lent, be it nothing, is all that goes there while it is cold
-	touched   bool
-	seen      int // the listing that named it last
-	flowIndex map[*Volume]*Flow
+	Addr      string
+	Zone      string
+	Shard     int
+	StartedAt Time
+	State     EndpointState
+
+	Flows          []*Flow
+	VirtualTime    float64 // virtual time
+	InService      *Flow
+	InServiceSince Time
+
+	UnitsInFlight          float64 // units out
+	AttemptsInFlight       int     // executions out
+	PlacementCredits       int
+	AnsweredUnits          float64 // units answered, fading with busy time
+	BusySeconds            float64 // busy time that they took, in seconds, fading with itself
+	BusyUpdatedAt          Time
+	LastAnswerAt           Time    // last answer, or when the node last became busy
+	InFlightShare          float64 // part of the aim whose answers are the bound
+	Measured               bool    // has answered since its start
+	LatestAnsweredSend     Time    // when the latest of what it answered was sent
+	MeanLatency            float64 // usual time of an execution; Size, Spread and Slope tell how it goes with units
+	MeanUnits              float64
+	UnitsVariance          float64
+	UnitsLatencyCovariance float64
+	FailureRate            float64     // share of executions that failed, lately
+	SlowStart              TokenBucket // this gateway's part of what the node bears while cold
+	FairRate               float64     // the rate beyond reserves, as a part of its start
+	BaseLatency            float64     // time of a mean job at its best
+	LastOutcomeAt          Time        // and when that was last seen
+	Suspected              bool
+	FairRateReduced        bool // the modes last logged
+	FailureRateHigh        bool
+	EjectedUntil           Time
+	CreditReturnedAt       Time
+	SlowStartSent          UnitWindow // what was sent to it while cold
+	SlowStartAnswered      UnitWindow // and what it answered
+	AllocatedUnits         float64    // units that its dealer has lent this gateway
+	AllocationExpiresAt    Time       // and until when what is lent, be it nothing, is all that goes there while it is cold
+	touched                bool
+	seen                   int // the listing that named it last
+	flowIndex              map[*Volume]*Flow
 }
 
-// Spent is an amount of units at a time.
-type Spent struct {
+// UnitSample is an amount of units at a time.
+type UnitSample struct {
 	At    Time
 	Units float64
 }
 
-// Tally is amounts in order of time.
-type Tally []Spent
+// UnitWindow is amounts in order of time.
+type UnitWindow []UnitSample
 
 // since drops what is not later than a time and sums up the rest.
-func (t *Tally) since(at Time) (units float64) {
+func (t *UnitWindow) since(at Time) (units float64) {
 	for len(*t) > 0 && (*t)[0].At <= at {
 		*t = (*t)[1:]
 	}
@@ -297,30 +299,30 @@
 
 // Decision is what is to be done now. Its lists are good until the next call of Decide.
 type Decision struct {
-	Ended    []*Job // their State is the answer
-	CallOff  []*Execution
-	Start    []*Execution
-	Probe    []*Node
-	Watch    bool // ask the list for its changes
-	Log      []string
-	NextWake Time // call again at this time at the latest; 0 for no need
+	Finished       []*Request // their State is the answer
+	Cancel         []*Attempt
+	Dispatch       []*Attempt
+	HealthChecks   []*Node
+	WatchEndpoints bool // ask the list for its changes
+	Log            []string
+	NextWake       Time // call again at this time at the latest; 0 for no need
 }
 
-// Gateway decides for one gateway. It knows the clock, what it is told, and its seed.
-type Gateway struct {
+// Scheduler decides for one gateway. It knows the clock, what it is told, and its seed.
+type Scheduler struct {
 	now      Time
 	began    Time
-	terms    Terms
+	terms    Settings
 	agreed   bool // the terms are not those of the start
 	chance   chance
-	plans    map[string]*Plan
-	products map[string]*Product
+	plans    map[string]*ServiceLevel
+	products map[string]*RequestClass
 	volumes  map[int64]*Volume
-	jobs     map[string]*Job
-	lines    map[int64]*Line
+	jobs     map[string]*Request
+	lines    map[int64]*KeyQueue
 	byAddr   map[string]*Node
 	nodes    []*Node
-	held     []*Job
+	held     []*Request
 	due      dueJobs
 	takes    []Time // when jobs were taken, within the budget's window
 	further  []Time // when further executions were sent, within it
@@ -341,51 +343,51 @@
 	last     *Decision
 }
 
-// Probed tells how a probe ended.
-func (g *Gateway) Probed(now Time, addr string, o Outcome, took Time) { g.now = now }
+// HealthChecked tells how a probe ended.
+func (g *Scheduler) HealthChecked(now Time, addr string, o Outcome, took Time) { g.now = now }
 
 // barred tells whether a job's plan or product has been left out.
-func (j *Job) barred() bool { return j.Product.Out || j.Volume.Plan.Out }
-
-// Want is work that waits at a node that has started lately, for who deals out what it bears.
-type Want struct {
-	Addr  string
-	Born  Time
-	Units float64
-	Least float64 // units of the smallest job
-	Worth float64 // of the plan with the highest weight
+func (j *Request) barred() bool { return j.Class.Removed || j.Volume.ServiceLevel.Removed }
+
+// SlowStartDemand is work that waits at a node that has started lately, for who deals out what it bears.
+type SlowStartDemand struct {
+	Addr            string
+	StartedAt       Time
+	Units           float64
+	SmallestRequest float64 // units of the smallest job
+	PriorityWeight  float64 // of the plan with the highest weight
 }
 
-// Wants lists what waits at cold nodes that may be sent to, and the rate that is known of the others, in units a second.
-func (g *Gateway) Wants(now Time) (list []Want, rate float64) {
+// SlowStartDemands lists what waits at cold nodes that may be sent to, and the rate that is known of the others, in units a second.
+func (g *Scheduler) SlowStartDemands(now Time) (list []SlowStartDemand, rate float64) {
 	g.now = now
 	for _, n := range g.nodes {
-		w := Want{Addr: n.Addr, Born: n.Born, Least: math.Inf(1)}
-		if n.Standing != Ready || !g.cold(n) {
+		w := SlowStartDemand{Addr: n.Addr, StartedAt: n.StartedAt, SmallestRequest: math.Inf(1)}
+		if n.State != EndpointReady || !g.cold(n) {
 			continue
 		}
 		for _, f := range n.Flows {
 			for _, j := range f.Queue {
-				w.Units, w.Least, w.Worth = w.Units+j.Units, min(w.Least, j.Units), max(w.Worth, f.Volume.Plan.Weight)
+				w.Units, w.SmallestRequest, w.PriorityWeight = w.Units+j.Units, min(w.SmallestRequest, j.Units), max(w.PriorityWeight, f.Volume.ServiceLevel.Weight)
 			}
 		}
 		list = append(list, w)
 	}
 	rate = g.meanRate() // of busy time that others share; a node does one job at a time at least, in its best time
-	if base := g.over(func(n *Node) float64 { return n.Base }); base > 0 {
+	if base := g.over(func(n *Node) float64 { return n.BaseLatency }); base > 0 {
 		rate = max(rate, g.mean/base*float64(Second))
 	}
 	return list, rate
 }
 
 // mode logs a change of mode, with what caused it.
-func (g *Gateway) mode(was *bool, is bool, format string, args ...any) {
+func (g *Scheduler) mode(was *bool, is bool, format string, args ...any) {
 	if *was != is {
 		*was = is
 		g.log(fmt.Sprintf(format, args...), is)
 	}
 }
 
-func (g *Gateway) log(format string, args ...any) {
+func (g *Scheduler) log(format string, args ...any) {
 	g.next.Log = append(g.next.Log, fmt.Sprintf(format, args...))
 }
--- a/internal/adapter/adapter.go
+++ b/internal/adapter/adapter.go
@@ -13,16 +13,16 @@
 
 // Tap is told all that a gateway's module is told, and what it decides, in the same order.
 type Tap interface {
-	Start(now decide.Time, seed uint64, terms decide.Terms)
-	ListedPart(now decide.Time, l listing.List, whole bool)
-	ListFailed(now decide.Time, silent bool)
-	Agreed(now decide.Time, terms decide.Terms)
-	Lent(now decide.Time, addr string, born decide.Time, units float64, till decide.Time)
-	Take(now decide.Time, j *decide.Job, volume int64, plan, product string, hosts float64, keyed bool)
-	Begun(now decide.Time, job string, number int)
-	Ended(now decide.Time, job string, number int, o decide.Outcome, took decide.Time, final bool, others float64, inflight int,
+	Start(now decide.Time, seed uint64, terms decide.Settings)
+	EndpointUpdate(now decide.Time, l listing.List, whole bool)
+	EndpointListFailed(now decide.Time, silent bool)
+	SettingsChanged(now decide.Time, terms decide.Settings)
+	Allocated(now decide.Time, addr string, born decide.Time, units float64, till decide.Time)
+	Submitted(now decide.Time, j *decide.Request, volume int64, plan, product string, hosts float64, keyed bool)
+	StreamStarted(now decide.Time, job string, number int)
+	AttemptEnded(now decide.Time, job string, number int, o decide.Outcome, took decide.Time, final bool, others float64, inflight int,
 		latency decide.Time)
-	Left(now decide.Time, job string)
+	ClientCancelled(now decide.Time, job string)
 	Decided(now decide.Time, d *decide.Decision)
 }
 
@@ -44,7 +44,7 @@
 // instance is one gateway.
 type instance struct {
 	number  int64
-	gateway *decide.Gateway
+	gateway *decide.Scheduler
 	inBatch bool
 	wakeAt  decide.Time // of the earliest alarm set; 0 for none
 	failed  string
@@ -124,7 +124,7 @@
 	switch name {
 	case "INIT":
 		seed := f.Seed("entropy")
-		terms := wire.Terms(f)
+		terms := wire.ReadSettings(f)
 		if f.Err == nil {
 			if i.tap != nil {
 				i.tap.Start(now, seed, terms)
@@ -145,23 +145,23 @@
 	}
 	switch name {
 	case "REQ":
-		j := &decide.Job{ID: f.Text("tid")}
+		j := &decide.Request{ID: f.Text("tid")}
 		f.Skip() // repeat: the module tells by the time that is left
 		hosts := f.Number("n_hosts")
 		volume := f.Int("disk")
 		j.Units = f.Number("quota_units")
 		j.Write = f.Bool("update")
 		plan := f.Text("tier")
-		j.StopBy = f.Time("deadline_ms")
+		j.Deadline = f.Time("deadline_ms")
 		keyed := false
 		j.Key, keyed = f.Key("extent")
 		product := f.Text("profile")
 		j.Shard = int(f.Int("shard"))
 		if f.Err == nil {
 			if i.tap != nil {
-				i.tap.Take(now, j, volume, plan, product, hosts, keyed)
+				i.tap.Submitted(now, j, volume, plan, product, hosts, keyed)
 			}
-			g.Take(now, j, volume, plan, product, hosts, keyed)
+			g.Submit(now, j, volume, plan, product, hosts, keyed)
 		}
 	case "ACCEPTED":
 		id := f.Bytes("tid")
@@ -170,9 +170,9 @@
 		copied := f.Int("copy")
 		if f.Err == nil {
 			if i.tap != nil {
-				i.tap.Begun(now, string(id), int(copied))
+				i.tap.StreamStarted(now, string(id), int(copied))
 			}
-			g.Begun(now, string(id), int(copied))
+			g.ResponseStarted(now, string(id), int(copied))
 		}
 	case "ANSWER":
 		id := f.Bytes("tid")
@@ -185,16 +185,16 @@
 		others := f.Number("by_others")
 		if f.Err == nil {
 			if i.tap != nil {
-				i.tap.Ended(now, string(id), int(copied), outcome, took, final, others, 0, 0)
+				i.tap.AttemptEnded(now, string(id), int(copied), outcome, took, final, others, 0, 0)
 			}
-			g.Ended(now, string(id), int(copied), outcome, took, final, others)
+			g.AttemptFinished(now, string(id), int(copied), outcome, took, final, others)
 		}
 	case "WITHDRAWN":
 		if id := f.Bytes("tid"); f.Err == nil {
 			if i.tap != nil {
-				i.tap.Left(now, string(id))
+				i.tap.ClientCancelled(now, string(id))
 			}
-			g.Left(now, string(id))
+			g.ClientLeft(now, string(id))
 		}
 	case "RING":
 		if f.Int("ctx"); now >= i.wakeAt {
@@ -204,14 +204,14 @@
 		node := f.Text("node")
 		outcome := f.Outcome("ending")
 		if took := f.Time("rtt_ms"); f.Err == nil {
-			g.Probed(now, node, outcome, took)
+			g.HealthChecked(now, node, outcome, took)
 		}
 	case "AGREED": // ours, not the bench's: the terms have changed, as an installation that follows versions tells a gateway
-		terms := wire.Terms(f)
+		terms := wire.ReadSettings(f)
 		if i.tap != nil {
-			i.tap.Agreed(now, terms)
+			i.tap.SettingsChanged(now, terms)
 		}
-		g.Agree(now, terms)
+		g.ApplySettings(now, terms)
 	case "LENT": // likewise
 		addr := f.Text("node")
 		born := f.Time("born_ms")
@@ -219,9 +219,9 @@
 		till := f.Time("till_ms")
 		if f.Err == nil {
 			if i.tap != nil {
-				i.tap.Lent(now, addr, born, units, till)
+				i.tap.Allocated(now, addr, born, units, till)
 			}
-			g.Lend(now, addr, born, units, till)
+			g.AllocateSlowStart(now, addr, born, units, till)
 		}
 	case "PEER":
 		f.Int("author")
@@ -246,7 +246,7 @@
 		return
 	}
 	if g != nil && mode != "unavailable" {
-		g.Listing(now, mode != "update", mode == "restored")
+		g.BeginEndpointList(now, mode != "update", mode == "restored")
 	}
 	for range count {
 		e, err := a.in.Next()
@@ -264,29 +264,29 @@
 		node := e.Text("node")
 		born := e.Time("born_ms")
 		shard := int(e.Int("block"))
-		standing := e.Standing("availability")
+		standing := e.Availability("availability")
 		if e.Err != nil {
 			f.Err = fmt.Errorf("entry at line %d: %w", a.in.Line, e.Err)
 			return
 		}
 		if g != nil {
-			g.Listed(node, zone, shard, born, standing)
-			told.Nodes = append(told.Nodes, listing.Node{Addr: node, Zone: zone, Shard: shard, Born: born,
-				Standing: listing.Standing(standing)})
+			g.UpdateEndpoint(node, zone, shard, born, standing)
+			told.Nodes = append(told.Nodes, listing.Node{Addr: node, Zone: zone, Shard: shard, StartedAt: born,
+				Health: listing.Health(standing)})
 		}
 	}
 	switch {
 	case g == nil:
 	case mode == "unavailable":
 		if i.tap != nil {
-			i.tap.ListFailed(now, false)
+			i.tap.EndpointListFailed(now, false)
 		}
-		g.ListFailed(now, false)
+		g.EndpointListFailed(now, false)
 	default:
 		if told.Stale = mode == "restored"; i.tap != nil {
-			i.tap.ListedPart(now, told, mode != "update")
+			i.tap.EndpointUpdate(now, told, mode != "update")
 		}
-		g.ListDone()
+		g.FinishEndpointList()
 	}
 }
 
@@ -306,23 +306,23 @@
 		a.out.Start("INTERNAL_ERROR", i.number).Text(i.failed).End()
 		return
 	}
-	for _, j := range d.Ended {
-		if j.State == decide.Dismissed {
-			a.out.Start("BOUNCE", i.number).Text(j.ID).Time(j.Wait).End()
+	for _, j := range d.Finished {
+		if j.State == decide.RequestRejected {
+			a.out.Start("BOUNCE", i.number).Text(j.ID).Time(j.RetryAfter).End()
 		} else {
 			a.out.Start("FINISH_ERROR", i.number).Text(j.ID).End()
 		}
 	}
-	for _, e := range d.CallOff {
-		a.out.Start("CANCEL", i.number).Text(e.Job.ID).Int(int64(e.Number)).End()
+	for _, e := range d.Cancel {
+		a.out.Start("CANCEL", i.number).Text(e.Request.ID).Int(int64(e.Number)).End()
 	}
-	for _, e := range d.Start {
-		a.out.Start("ROUTE", i.number).Text(e.Job.ID).Time(e.Limit).Text(e.Node.Addr).End()
+	for _, e := range d.Dispatch {
+		a.out.Start("ROUTE", i.number).Text(e.Request.ID).Time(e.Timeout).Text(e.Node.Addr).End()
 	}
-	for _, n := range d.Probe {
+	for _, n := range d.HealthChecks {
 		a.out.Start("TEST", i.number).Text(n.Addr).End()
 	}
-	if d.Watch {
+	if d.WatchEndpoints {
 		a.out.Start("SUBSCRIBE", i.number).Int(1).End()
 	}
 	for _, line := range d.Log {
--- a/internal/adapter/story_test.go
+++ b/internal/adapter/story_test.go
@@ -29,56 +29,60 @@
 	t.lines = append(t.lines, fmt.Sprintf("%d ", now)+fmt.Sprintf(format, args...))
 }
 
-func (t *trace) Start(now decide.Time, seed uint64, terms decide.Terms) {
+func (t *trace) Start(now decide.Time, seed uint64, terms decide.Settings) {
 	t.add(now, "start %d %v", seed, terms)
 }
 
-func (t *trace) Listed(now decide.Time, l listing.List) { t.ListedPart(now, l, true) }
+func (t *trace) EndpointList(now decide.Time, l listing.List) { t.EndpointUpdate(now, l, true) }
 
-func (t *trace) ListedPart(now decide.Time, l listing.List, whole bool) {
+func (t *trace) EndpointUpdate(now decide.Time, l listing.List, whole bool) {
 	s := fmt.Sprintf("list whole=%t stale=%t", whole, l.Stale)
 	for _, n := range l.Nodes {
-		s += fmt.Sprintf(" %s/%s/%d/%d/%d", n.Addr, n.Zone, n.Shard, n.Born, n.Standing)
+		s += fmt.Sprintf(" %s/%s/%d/%d/%d", n.Addr, n.Zone, n.Shard, n.StartedAt, n.Health)
 	}
 	t.add(now, "%s", s)
 }
 
-func (t *trace) ListFailed(now decide.Time, silent bool) { t.add(now, "list failed %t", silent) }
+func (t *trace) EndpointListFailed(now decide.Time, silent bool) {
+	t.add(now, "list failed %t", silent)
+}
 
-func (t *trace) Agreed(now decide.Time, terms decide.Terms) { t.add(now, "agreed %v", terms) }
+func (t *trace) SettingsChanged(now decide.Time, terms decide.Settings) {
+	t.add(now, "agreed %v", terms)
+}
 
-func (t *trace) Lent(now decide.Time, addr string, born decide.Time, units float64, till decide.Time) {
+func (t *trace) Allocated(now decide.Time, addr string, born decide.Time, units float64, till decide.Time) {
 	t.add(now, "lent %s of %d %v till %d", addr, born, units, till)
 }
 
-func (t *trace) Take(now decide.Time, j *decide.Job, volume int64, plan, product string, hosts float64, keyed bool) {
-	t.add(now, "take %s units=%v shard=%d key=%d write=%t stop=%d volume=%d %s %s %v %t", j.ID, j.Units, j.Shard, j.Key, j.Write, j.StopBy,
+func (t *trace) Submitted(now decide.Time, j *decide.Request, volume int64, plan, product string, hosts float64, keyed bool) {
+	t.add(now, "take %s units=%v shard=%d key=%d write=%t stop=%d volume=%d %s %s %v %t", j.ID, j.Units, j.Shard, j.Key, j.Write, j.Deadline,
 		volume, plan, product, hosts, keyed)
 }
 
-func (t *trace) Begun(now decide.Time, job string, number int) {
+func (t *trace) StreamStarted(now decide.Time, job string, number int) {
 	t.add(now, "begun %s %d", job, number)
 }
 
-func (t *trace) Ended(now decide.Time, job string, number int, o decide.Outcome, took decide.Time, final bool, others float64, _ int,
+func (t *trace) AttemptEnded(now decide.Time, job string, number int, o decide.Outcome, took decide.Time, final bool, others float64, _ int,
 	_ decide.Time) {
 	t.add(now, "ended %s %d outcome=%d took=%d final=%t others=%v", job, number, o, took, final, others)
 }
 
-func (t *trace) Left(now decide.Time, job string) { t.add(now, "left %s", job) }
+func (t *trace) ClientCancelled(now decide.Time, job string) { t.add(now, "left %s", job) }
 
 // Decided leaves out decisions to do nothing: the gateway's loop looks more often than the bench asks.
 func (t *trace) Decided(now decide.Time, d *decide.Decision) {
-	for _, j := range d.Ended {
-		t.add(now, "end %s state=%d wait=%d", j.ID, j.State, j.Wait)
+	for _, j := range d.Finished {
+		t.add(now, "end %s state=%d wait=%d", j.ID, j.State, j.RetryAfter)
 	}
-	for _, e := range d.CallOff {
-		t.add(now, "call off %s %d", e.Job.ID, e.Number)
+	for _, e := range d.Cancel {
+		t.add(now, "call off %s %d", e.Request.ID, e.Number)
 	}
-	for _, e := range d.Start {
-		t.add(now, "send %s %d to %s limit=%d", e.Job.ID, e.Number, e.Node.Addr, e.Limit)
+	for _, e := range d.Dispatch {
+		t.add(now, "send %s %d to %s limit=%d", e.Request.ID, e.Number, e.Node.Addr, e.Timeout)
 	}
-	if d.Watch {
+	if d.WatchEndpoints {
 		t.add(now, "watch")
 	}
 	for _, line := range d.Log {
@@ -86,8 +90,8 @@
 	}
 }
 
-func (t *trace) State(decide.Time, *decide.Gateway) {}
-func (t *trace) Blind() bool                        { return false }
+func (t *trace) Snapshot(decide.Time, *decide.Scheduler) {}
+func (t *trace) NeedsSnapshot() bool                     { return false }
 
 // clock stands still until it is set.
 type clock struct{ now atomic.Int64 }
@@ -105,12 +109,12 @@
 	call   node.Call
 	addr   string
 	at     decide.Time
-	done   func(node.Answer)
+	done   func(node.Reply)
 	called bool
 	over   bool
 }
 
-func (n *nodes) Start(addr string, c *node.Call, done func(node.Answer)) node.Sending {
+func (n *nodes) Start(addr string, c *node.Call, done func(node.Reply)) node.Attempt {
 	n.lock.Lock()
 	defer n.lock.Unlock()
 	s := &sent{nodes: n, call: *c, addr: addr, done: done}
@@ -118,15 +122,15 @@
 	return s
 }
 
-func (s *sent) CallOff() {
+func (s *sent) Cancel() {
 	s.nodes.lock.Lock()
 	defer s.nodes.lock.Unlock()
 	s.called = true
 }
 
-func (n *nodes) Keep(map[string]bool)    {}
-func (n *nodes) Leave(func(string) bool) {}
-func (n *nodes) Late() int64             { return 0 }
+func (n *nodes) Retain(map[string]bool)        {}
+func (n *nodes) AbortQueued(func(string) bool) {}
+func (n *nodes) LateReplies() int64            { return 0 }
 
 // waiting lists the executions that are out.
 func (n *nodes) waiting() (list []*sent) {
@@ -172,9 +176,11 @@
 }
 
 // changes are what the loop is to act on next.
-type changes struct{ next atomic.Pointer[gateway.Acts] }
+type changes struct {
+	next atomic.Pointer[gateway.ActiveConfig]
+}
 
-func (c *changes) At(decide.Time) (*gateway.Acts, decide.Time) { return c.next.Swap(nil), 0 }
+func (c *changes) At(decide.Time) (*gateway.ActiveConfig, decide.Time) { return c.next.Swap(nil), 0 }
 
 // change has both act on other terms, and on a list with them.
 func (s *story) change() {
@@ -189,14 +195,14 @@
 		s.t.Fatal(err)
 	}
 	l, text := s.draw(true)
-	s.changes.next.Store(&gateway.Acts{List: l, Terms: conf.Terms})
+	s.changes.next.Store(&gateway.ActiveConfig{List: l, Settings: conf.Settings})
 	agreed := ""
 	if wires != s.acts { // what has not changed is not told
 		agreed, s.acts = "AGREED|3|"+wires+"\n", wires
 	}
 	s.loop.Wake()
 	for s.changes.next.Load() != nil {
-		s.loop.Figures() // a turn
+		s.loop.Stats() // a turn
 	}
 	s.say("%sBACKENDS_CHANGED|3|replace|2|%d%s", agreed, len(l.Nodes), text)
 }
@@ -206,7 +212,7 @@
 	addr := fmt.Sprintf("10.0.0.%d:5", rapid.IntRange(0, 4).Draw(s.t, "node"))
 	born := rapid.SampledFrom([]decide.Time{s.born[addr], s.clock.Now()}).Draw(s.t, "start")
 	units, till := float64(rapid.IntRange(0, 20).Draw(s.t, "units")), s.clock.Now()+1e6*decide.Time(rapid.IntRange(0, 400).Draw(s.t, "till"))
-	s.loop.Lend(addr, born, units, till)
+	s.loop.Allocate(addr, born, units, till)
 	s.say("LENT|3|%s|%s|%v|%s", addr, at(born), units, at(till))
 }
 
@@ -247,7 +253,7 @@
 	fmt.Fprintf(&s.wire, "MARK|%s\n%sEOF_BATCH\n", at(s.clock.Now()), line)
 	for range looks { // an answer comes after the turn in which the one before was given
 		fmt.Fprintf(&s.wire, "MARK|%s\nRING|3|1\nEOF_BATCH\n", at(s.clock.Now()))
-		if _, ok := s.loop.Figures(); !ok {
+		if _, ok := s.loop.Stats(); !ok {
 			s.t.Fatal("the loop has ended")
 		}
 	}
@@ -261,7 +267,7 @@
 	for _, e := range s.nodes.out { // the bench tells of what was called off; the loop knows
 		if e.called && !e.over {
 			e.over = true
-			fmt.Fprintf(&s.wire, "MARK|%s\nANSWER|3|%s|%d|%s|6|%s|1|-|-|-\nEOF_BATCH\n", at(s.clock.Now()), e.call.Job, e.call.Number, e.addr,
+			fmt.Fprintf(&s.wire, "MARK|%s\nANSWER|3|%s|%d|%s|6|%s|1|-|-|-\nEOF_BATCH\n", at(s.clock.Now()), e.call.RequestID, e.call.Attempt, e.addr,
 				at(s.clock.Now()-e.at))
 		}
 	}
@@ -273,18 +279,18 @@
 func (s *story) take() {
 	s.count++
 	session := gateway.NewSession(fmt.Sprintf("n1/%d", s.count))
-	w := &gateway.Work{Volume: &gateway.Volume{ID: int64(rapid.IntRange(1, 4).Draw(s.t, "volume")), Plan: rapid.SampledFrom([]string{"basic", "gold"}).Draw(s.t, "plan"),
-		Hosts: 2}, Product: rapid.SampledFrom([]string{"read", "write"}).Draw(s.t, "product"), Units: float64(rapid.IntRange(1, 8).Draw(s.t, "units")),
-		Key: int64(rapid.IntRange(1, 9).Draw(s.t, "key")), Keyed: true, StopBy: s.clock.Now() + 1e6*decide.Time(rapid.IntRange(1, 900).Draw(s.t, "left")),
-		Call: node.Call{Op: node.Get, Shard: rapid.IntRange(-1, 3).Draw(s.t, "shard")}}
+	w := &gateway.RequestSpec{Volume: &gateway.Volume{ID: int64(rapid.IntRange(1, 4).Draw(s.t, "volume")), ServiceLevel: rapid.SampledFrom([]string{"basic", "gold"}).Draw(s.t, "plan"),
+		Gateways: 2}, Class: rapid.SampledFrom([]string{"read", "write"}).Draw(s.t, "product"), Units: float64(rapid.IntRange(1, 8).Draw(s.t, "units")),
+		Key: int64(rapid.IntRange(1, 9).Draw(s.t, "key")), HasKey: true, Deadline: s.clock.Now() + 1e6*decide.Time(rapid.IntRange(1, 900).Draw(s.t, "left")),
+		Call: node.Call{Op: node.GetObject, Shard: rapid.IntRange(-1, 3).Draw(s.t, "shard")}}
 	write := 0
-	if w.Product == "write" {
-		w.Call.Op, write = node.Put, 1
+	if w.Class == "write" {
+		w.Call.Op, write = node.PutObject, 1
 	}
 	name := fmt.Sprintf("n1/%d:0#%d", s.count, s.count)
-	s.jobs[name] = &asked{session: session, stop: w.StopBy}
-	s.jobs[name].result = s.loop.Do(session, w)
-	s.say("REQ|3|%s|0|2|%d|%v|%d|%s|%s|%d|%s|%d", name, w.Volume.ID, w.Units, write, w.Volume.Plan, at(w.StopBy), w.Key, w.Product, w.Call.Shard)
+	s.jobs[name] = &asked{session: session, stop: w.Deadline}
+	s.jobs[name].result = s.loop.Submit(session, w)
+	s.say("REQ|3|%s|0|2|%d|%v|%d|%s|%s|%d|%s|%d", name, w.Volume.ID, w.Units, write, w.Volume.ServiceLevel, at(w.Deadline), w.Key, w.Class, w.Call.Shard)
 }
 
 // settle notes which jobs have had their result.
@@ -304,20 +310,20 @@
 		return
 	}
 	e := rapid.SampledFrom(list).Draw(s.t, "execution")
-	o := rapid.SampledFrom([]node.Outcome{node.Served, node.Served, node.Served, node.Erred, node.Full, node.Moot, node.Unconnected, node.Reset}).Draw(s.t, "outcome")
-	code := map[node.Outcome]int{node.Served: 1, node.Erred: 0, node.Full: 2, node.Unconnected: 4, node.Reset: 5, node.Moot: 7}[o]
+	o := rapid.SampledFrom([]node.Outcome{node.Executed, node.Executed, node.Executed, node.Failed, node.QueueFull, node.WrongShard, node.ConnectFailed, node.ConnectionReset}).Draw(s.t, "outcome")
+	code := map[node.Outcome]int{node.Executed: 1, node.Failed: 0, node.QueueFull: 2, node.ConnectFailed: 4, node.ConnectionReset: 5, node.WrongShard: 7}[o]
 	others := 0
-	if o == node.Served {
+	if o == node.Executed {
 		others = rapid.IntRange(0, 3).Draw(s.t, "others")
 	}
 	s.settle()
 	final := 0
-	if s.jobs[e.call.Job].over || o == node.Served {
+	if s.jobs[e.call.RequestID].over || o == node.Executed {
 		final = 1
 	}
 	e.over = true
-	e.done(node.Answer{Outcome: o, Others: float64(others)})
-	s.say("ANSWER|3|%s|%d|%s|%d|%s|%d|0|%d|-", e.call.Job, e.call.Number, e.addr, code, at(s.clock.Now()-e.at), final, others)
+	e.done(node.Reply{Outcome: o, UnitsElsewhere: float64(others)})
+	s.say("ANSWER|3|%s|%d|%s|%d|%s|%d|0|%d|-", e.call.RequestID, e.call.Attempt, e.addr, code, at(s.clock.Now()-e.at), final, others)
 }
 
 func (s *story) leave() {
@@ -334,28 +340,28 @@
 	slices.Sort(names)
 	name := rapid.SampledFrom(names).Draw(s.t, "job")
 	s.jobs[name].over = true
-	s.loop.Left(s.jobs[name].session)
+	s.loop.CloseSession(s.jobs[name].session)
 	s.say("WITHDRAWN|3|%s", name)
 }
 
 func (s *story) list() {
 	whole := rapid.Bool().Draw(s.t, "whole")
 	l, text := s.draw(whole)
-	s.loop.List(l)
+	s.loop.UpdateEndpoints(l)
 	s.say("BACKENDS_CHANGED|3|%s|2|%d%s", map[bool]string{true: "replace", false: "update"}[whole], len(l.Nodes), text)
 }
 
 // draw makes a list, and its entries on the wire.
 func (s *story) draw(whole bool) (l listing.List, text string) {
-	l.Part = !whole
+	l.Partial = !whole
 	for i := range rapid.IntRange(0, 4).Draw(s.t, "nodes") {
-		n := listing.Node{Addr: fmt.Sprintf("10.0.0.%d:5", i), Zone: "z", Shard: i, Standing: listing.Standing(rapid.IntRange(0, 2).Draw(s.t, "standing"))}
+		n := listing.Node{Addr: fmt.Sprintf("10.0.0.%d:5", i), Zone: "z", Shard: i, Health: listing.Health(rapid.IntRange(0, 2).Draw(s.t, "standing"))}
 		if rapid.Bool().Draw(s.t, "new") {
-			n.Born = s.clock.Now()
-			s.born[n.Addr] = n.Born
+			n.StartedAt = s.clock.Now()
+			s.born[n.Addr] = n.StartedAt
 		}
 		l.Nodes = append(l.Nodes, n)
-		text += fmt.Sprintf("\nENTRY|1|k|z|%s|%s|%d|%s", n.Addr, at(n.Born), i, []string{"ready", "draining", "gone"}[n.Standing])
+		text += fmt.Sprintf("\nENTRY|1|k|z|%s|%s|%d|%s", n.Addr, at(n.StartedAt), i, []string{"ready", "draining", "gone"}[n.Health])
 	}
 	return l, text
 }
@@ -366,17 +372,17 @@
 	s.settle()
 	now := s.clock.Now() + 1e3*decide.Time(rapid.IntRange(1, 200_000).Draw(s.t, "microseconds"))
 	for _, e := range s.nodes.waiting() {
-		now = min(now, s.jobs[e.call.Job].stop)
+		now = min(now, s.jobs[e.call.RequestID].stop)
 	}
 	s.clock.now.Store(now)
 	text := []string{}
 	for _, e := range s.nodes.waiting() {
-		if s.jobs[e.call.Job].stop == now {
+		if s.jobs[e.call.RequestID].stop == now {
 			final := 0
-			if s.jobs[e.call.Job].over {
+			if s.jobs[e.call.RequestID].over {
 				final = 1
 			}
-			text = append(text, fmt.Sprintf("ANSWER|3|%s|%d|%s|3|%s|%d|-|-|-", e.call.Job, e.call.Number, e.addr, at(now-e.at), final))
+			text = append(text, fmt.Sprintf("ANSWER|3|%s|%d|%s|3|%s|%d|-|-|-", e.call.RequestID, e.call.Attempt, e.addr, at(now-e.at), final))
 			e.over = true
 		}
 	}
@@ -405,8 +411,8 @@
 		}
 		s.wire.WriteString("EOF_BATCH\n")
 		live := &trace{}
-		s.loop = gateway.Start(gateway.Options{Name: "n1", Seed: conf.Seed, Terms: conf.Terms, Queue: 16, Clock: s.clock, Nodes: s.nodes, Known: &known,
-			Watch: func() {}, Rules: &s.changes, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Tap: live})
+		s.loop = gateway.Start(gateway.Options{Name: "n1", Seed: conf.Seed, Settings: conf.Settings, QueueSize: 16, Clock: s.clock, Nodes: s.nodes, CachedList: &known,
+			Watch: func() {}, Config: &s.changes, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Tap: live})
 		defer s.loop.Stop()
 		s.say("")
 		for range rapid.IntRange(5, 60).Draw(t, "steps") {
@@ -420,7 +426,7 @@
 			case 7:
 				s.list()
 			case 8:
-				s.loop.ListFailed(false) // the bench always says a word
+				s.loop.EndpointListFailed(false) // the bench always says a word
 				s.say("BACKENDS_CHANGED|3|unavailable|0|0")
 			case 10:
 				s.change()
--- a/internal/adapter/tap.go
+++ b/internal/adapter/tap.go
@@ -12,8 +12,8 @@
 // A tap of the bench is sections: a line ">> process N, B bytes" and B bytes of what the bench sent to process N, or "<<"
 // and what that answered.
 
-// Process finds the process that hosts an instance.
-func Process(tap io.Reader, number int64) (int, error) {
+// FindProcess finds the process that hosts an instance.
+func FindProcess(tap io.Reader, number int64) (int, error) {
 	start := fmt.Appendf(nil, "\nINIT\t%d\t", number)
 	in := bufio.NewReaderSize(tap, 1<<20)
 	for {
@@ -86,8 +86,8 @@
 
 func (r *replies) Write(b []byte) (int, error) { return r.got.Write(b) }
 
-// ErrOther tells that this build answers a tap otherwise than the build that it was made with.
-var ErrOther = errors.New("this build answers otherwise than the tap")
+// ErrRepliesDiffer tells that this build answers a tap otherwise than the build that it was made with.
+var ErrRepliesDiffer = errors.New("this build answers otherwise than the tap")
 
 // Import plays a tap's process to this build's modules, with a listener to one instance. It returns how many batches there
 // were. ErrOther tells that the answers differ; what was told to the listener is then this build's.
@@ -100,7 +100,7 @@
 		return nil
 	})
 	if err == nil && r.other > 0 {
-		err = fmt.Errorf("%w in %d of %d batches, first in batch %d", ErrOther, r.other, r.batches, r.first)
+		err = fmt.Errorf("%w in %d of %d batches, first in batch %d", ErrRepliesDiffer, r.other, r.batches, r.first)
 	}
 	return r.batches, err
 }
--- a/internal/adapter/tap_test.go
+++ b/internal/adapter/tap_test.go
@@ -41,7 +41,7 @@
 		[]string{"MARK|112", "BACKENDS_CHANGED|3|unavailable|2|0", "ACCEPTED|3|r-a|1.0|10.0.0.1:5|0", "EOF_BATCH"},
 		[]string{"MARK|120.125", "ANSWER|3|r-a|0|10.0.0.1:5|1|9.625|1|-|-|-", "WITHDRAWN|3|r-c", "EOF_BATCH"},
 		[]string{"MARK|300", "RING|3|1", "EOF_BATCH"})
-	process, err := Process(strings.NewReader(tap), 3)
+	process, err := FindProcess(strings.NewReader(tap), 3)
 	if err != nil || process != 1 {
 		t.Fatal(process, err)
 	}
@@ -72,11 +72,11 @@
 		}
 	}
 	other := strings.Replace(tap, "ROUTE\t3\tr-a", "ROUTE\t3\tr-z", 1)
-	if _, err := Import(strings.NewReader(other), 1, 3, rec2(t)); !errors.Is(err, ErrOther) || !strings.Contains(err.Error(), "1 of 6") {
+	if _, err := Import(strings.NewReader(other), 1, 3, rec2(t)); !errors.Is(err, ErrRepliesDiffer) || !strings.Contains(err.Error(), "1 of 6") {
 		t.Errorf("another build's tap: %v", err)
 	}
 	for text, want := range map[string]string{"hello\n": "no tap", tap[:len(tap)-3]: "cut off", tap: "no instance 9"} {
-		if _, err := Process(strings.NewReader(text), 9); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := FindProcess(strings.NewReader(text), 9); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v", want, err)
 		}
 	}
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -17,26 +17,26 @@
 
 // Status is how a gateway stands.
 type Status struct {
-	Gateway  string             `json:"gateway"`
-	Address  string             `json:"address"`
-	Since    time.Time          `json:"since"`
-	Held     int                `json:"held"` // jobs without their final answer
-	Out      int                `json:"out"`  // executions out
-	Late     int64              `json:"late"` // answers of nodes that came after their execution was given up
-	Products map[string]Product `json:"products"`
-	Capture  Capture            `json:"capture"`
-	Nodes    map[string]int     `json:"nodes"` // by their state; see Members
-	Lost     *Held              `json:"lost,omitempty"`
-	Rules    string             `json:"rules,omitempty"` // of a gateway that follows keepers: its state, and what it acts on
-}
-
-// Product counts a product's jobs since the gateway's start.
-type Product struct {
-	Taken      int64 `json:"taken"`
-	Completed  int64 `json:"completed"`
-	Dismissed  int64 `json:"dismissed"`
-	WrittenOff int64 `json:"written_off"`
-	Left       int64 `json:"left"`
+	Gateway          string                   `json:"gateway"`
+	Address          string                   `json:"address"`
+	Since            time.Time                `json:"since"`
+	Requests         int                      `json:"held"` // jobs without their final answer
+	AttemptsInFlight int                      `json:"out"`  // executions out
+	LateAnswers      int64                    `json:"late"` // answers of nodes that came after their execution was given up
+	RequestClasses   map[string]RequestCounts `json:"products"`
+	Capture          Capture                  `json:"capture"`
+	Nodes            map[string]int           `json:"nodes"` // by their state; see Members
+	HeldLoss         *HeldLoss                `json:"lost,omitempty"`
+	Version          string                   `json:"rules,omitempty"` // of a gateway that follows keepers: its state, and what it acts on
+}
+
+// RequestCounts counts a product's jobs since the gateway's start.
+type RequestCounts struct {
+	Accepted  int64 `json:"taken"`
+	Succeeded int64 `json:"completed"`
+	Rejected  int64 `json:"dismissed"`
+	Failed    int64 `json:"written_off"`
+	Cancelled int64 `json:"left"`
 }
 
 // Capture is how a gateway's capture stands.
@@ -48,53 +48,53 @@
 	Error   string `json:"error,omitempty"`
 }
 
-// Members are the nodes as a gateway has them, and where it has them from.
-type Members struct {
-	Gateway string    `json:"gateway"`
-	Told    time.Time `json:"told"` // when the decision module was told last; zero: never
-	Held    *Held     `json:"held,omitempty"`
-	Sources []Source  `json:"sources"`
-	Nodes   []Member  `json:"nodes"`
+// EndpointReport are the nodes as a gateway has them, and where it has them from.
+type EndpointReport struct {
+	Gateway     string     `json:"gateway"`
+	ScheduledAt time.Time  `json:"told"` // when the decision module was told last; zero: never
+	HeldLoss    *HeldLoss  `json:"held,omitempty"`
+	Sources     []Source   `json:"sources"`
+	Nodes       []Endpoint `json:"nodes"`
 }
 
-// Held is a loss of nodes that is not believed yet.
-type Held struct {
-	Since time.Time `json:"since"`
-	Nodes int       `json:"nodes"`
-	All   bool      `json:"all"` // nothing would be left: it waits for a confirmation or for the source's next word
+// HeldLoss is a loss of nodes that is not believed yet.
+type HeldLoss struct {
+	Since      time.Time `json:"since"`
+	Nodes      int       `json:"nodes"`
+	LeavesNone bool      `json:"all"` // nothing would be left: it waits for a confirmation or for the source's next word
 }
 
 // Source is a source of lists.
 type Source struct {
-	Name      string    `json:"name"`
-	State     string    `json:"state"`
-	Since     time.Time `json:"since"`
-	Trouble   string    `json:"trouble,omitempty"`
-	Version   string    `json:"version"` // in force
-	Heard     time.Time `json:"heard"`   // when that was said; zero: nothing was
-	Nodes     int       `json:"nodes"`
-	Held      string    `json:"held,omitempty"` // a version that is held as old
-	Refused   int       `json:"refused"`        // updates
-	Refusal   string    `json:"refusal,omitempty"`
-	RefusedAt time.Time `json:"refused_at,omitzero"`
-}
-
-// Member is a node.
-type Member struct {
-	Addr   string    `json:"addr"`
-	Name   string    `json:"name,omitempty"`
-	Shard  int       `json:"shard"`
-	Zone   string    `json:"zone,omitempty"`
-	State  string    `json:"state"`
-	Since  time.Time `json:"since"`
-	Why    string    `json:"why"`
-	Source string    `json:"source"`
-	Weight float64   `json:"weight,omitempty"`
-	Out    int       `json:"out"` // executions
-}
-
-// Confirmed is what a confirmation has released.
-type Confirmed struct {
+	Name            string    `json:"name"`
+	State           string    `json:"state"`
+	Since           time.Time `json:"since"`
+	LastError       string    `json:"trouble,omitempty"`
+	Version         string    `json:"version"` // in force
+	ReceivedAt      time.Time `json:"heard"`   // when that was said; zero: nothing was
+	Nodes           int       `json:"nodes"`
+	HeldVersion     string    `json:"held,omitempty"` // a version that is held as old
+	RejectedUpdates int       `json:"refused"`        // updates
+	LastRejection   string    `json:"refusal,omitempty"`
+	LastRejectionAt time.Time `json:"refused_at,omitzero"`
+}
+
+// Endpoint is a node.
+type Endpoint struct {
+	Addr             string    `json:"addr"`
+	Name             string    `json:"name,omitempty"`
+	Shard            int       `json:"shard"`
+	Zone             string    `json:"zone,omitempty"`
+	State            string    `json:"state"`
+	Since            time.Time `json:"since"`
+	Reason           string    `json:"why"`
+	Source           string    `json:"source"`
+	Weight           float64   `json:"weight,omitempty"`
+	AttemptsInFlight int       `json:"out"` // executions
+}
+
+// Confirmation is what a confirmation has released.
+type Confirmation struct {
 	Nodes int `json:"nodes"`
 	Lists int `json:"lists"`
 }
@@ -102,8 +102,8 @@
 // Gateway is what can be asked of a gateway.
 type Gateway interface {
 	Status() (Status, error)
-	Members() (Members, error)
-	Confirm() (Confirmed, error)                 // takes what is held at its word
+	Members() (EndpointReport, error)
+	Confirm() (Confirmation, error)              // takes what is held at its word
 	StartCapture(folder string) (Capture, error) // folder: empty for the configured one
 	StopCapture() (Capture, error)
 }
@@ -233,11 +233,11 @@
 }
 
 // Members asks for the nodes.
-func (c *Client) Members() (m Members, err error) {
+func (c *Client) Members() (m EndpointReport, err error) {
 	return m, c.ask(http.MethodGet, "/members", nil, &m)
 }
 
 // Confirm has what is held taken at its word.
-func (c *Client) Confirm() (f Confirmed, err error) {
+func (c *Client) Confirm() (f Confirmation, err error) {
 	return f, c.ask(http.MethodPost, "/members/confirm", nil, &f)
 }
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -22,60 +22,60 @@
 
 var (
 	since = time.Date(2026, 1, 2, 3, 4, 5, 6000, time.UTC)
-	held  = admin.Held{Since: since, Nodes: 3, All: true}
+	held  = admin.HeldLoss{Since: since, Nodes: 3, LeavesNone: true}
 )
 
 func (g gateway) Status() (admin.Status, error) {
 	return admin.Status{
-		Gateway:  "g1",
-		Address:  "127.0.0.1:1",
-		Since:    since,
-		Held:     1,
-		Out:      2,
-		Late:     3,
-		Products: map[string]admin.Product{"read": {Taken: 4, Completed: 5, Dismissed: 6, WrittenOff: 7, Left: 8}},
-		Capture:  admin.Capture{On: true, File: "f", Written: 9, Dropped: 10, Error: "e"},
-		Nodes:    map[string]int{"serving": 11},
-		Lost:     &held,
-		Rules:    "acting on 1.ab",
+		Gateway:          "g1",
+		Address:          "127.0.0.1:1",
+		Since:            since,
+		Requests:         1,
+		AttemptsInFlight: 2,
+		LateAnswers:      3,
+		RequestClasses:   map[string]admin.RequestCounts{"read": {Accepted: 4, Succeeded: 5, Rejected: 6, Failed: 7, Cancelled: 8}},
+		Capture:          admin.Capture{On: true, File: "f", Written: 9, Dropped: 10, Error: "e"},
+		Nodes:            map[string]int{"serving": 11},
+		HeldLoss:         &held,
+		Version:          "acting on 1.ab",
 	}, g.err
 }
 
-func (g gateway) Members() (admin.Members, error) {
-	return admin.Members{
-		Gateway: "g1",
-		Told:    since,
-		Held:    &held,
+func (g gateway) Members() (admin.EndpointReport, error) {
+	return admin.EndpointReport{
+		Gateway:     "g1",
+		ScheduledAt: since,
+		HeldLoss:    &held,
 		Sources: []admin.Source{{
-			Name:      "own",
-			State:     "current",
-			Since:     since,
-			Trouble:   "t",
-			Version:   "v",
-			Heard:     since,
-			Nodes:     1,
-			Held:      "old",
-			Refused:   2,
-			Refusal:   "r",
-			RefusedAt: since,
+			Name:            "own",
+			State:           "current",
+			Since:           since,
+			LastError:       "t",
+			Version:         "v",
+			ReceivedAt:      since,
+			Nodes:           1,
+			HeldVersion:     "old",
+			RejectedUpdates: 2,
+			LastRejection:   "r",
+			LastRejectionAt: since,
 		}, {}},
-		Nodes: []admin.Member{{
-			Addr:   "a:1",
-			Name:   "n",
-			Shard:  1,
-			Zone:   "z",
-			State:  "serving",
-			Since:  since,
-			Why:    "w",
-			Source: "own",
-			Weight: 1.5,
-			Out:    2,
+		Nodes: []admin.Endpoint{{
+			Addr:             "a:1",
+			Name:             "n",
+			Shard:            1,
+			Zone:             "z",
+			State:            "serving",
+			Since:            since,
+			Reason:           "w",
+			Source:           "own",
+			Weight:           1.5,
+			AttemptsInFlight: 2,
 		}, {}},
 	}, g.err
 }
 
-func (g gateway) Confirm() (admin.Confirmed, error) {
-	return admin.Confirmed{Nodes: 1, Lists: 2}, g.err
+func (g gateway) Confirm() (admin.Confirmation, error) {
+	return admin.Confirmation{Nodes: 1, Lists: 2}, g.err
 }
 
 func (g gateway) StartCapture(folder string) (admin.Capture, error) {
--- a/internal/admin/metrics.go
+++ b/internal/admin/metrics.go
@@ -39,11 +39,11 @@
 		return
 	}
 	gauge(descUp, 1)
-	gauge(descHeld, float64(s.Held))
-	gauge(descOut, float64(s.Out))
-	to <- prometheus.MustNewConstMetric(descLate, prometheus.CounterValue, float64(s.Late))
-	for name, p := range s.Products {
-		for outcome, n := range map[string]int64{"taken": p.Taken, "completed": p.Completed, "dismissed": p.Dismissed, "written_off": p.WrittenOff, "left": p.Left} {
+	gauge(descHeld, float64(s.Requests))
+	gauge(descOut, float64(s.AttemptsInFlight))
+	to <- prometheus.MustNewConstMetric(descLate, prometheus.CounterValue, float64(s.LateAnswers))
+	for name, p := range s.RequestClasses {
+		for outcome, n := range map[string]int64{"taken": p.Accepted, "completed": p.Succeeded, "dismissed": p.Rejected, "written_off": p.Failed, "left": p.Cancelled} {
 			to <- prometheus.MustNewConstMetric(descJobs, prometheus.CounterValue, float64(n), name, outcome)
 		}
 	}
@@ -51,8 +51,8 @@
 		gauge(descNodes, float64(n), state)
 	}
 	gauge(descDropped, float64(s.Capture.Dropped))
-	if s.Rules != "" {
-		gauge(descActs, 1, s.Rules)
+	if s.Version != "" {
+		gauge(descActs, 1, s.Version)
 	}
 }
 
--- a/internal/bench/bench.go
+++ b/internal/bench/bench.go
@@ -33,7 +33,7 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	list := listing.Write(listing.List{Nodes: []listing.Node{{Addr: n.Addr()}}})
+	list := listing.FormatList(listing.List{Nodes: []listing.Node{{Addr: n.Addr()}}})
 	if err := os.WriteFile(filepath.Join(dir, "nodes.hcl"), list, 0o644); err != nil {
 		return err
 	}
--- a/internal/bench/client.go
+++ b/internal/bench/client.go
@@ -45,7 +45,7 @@
 
 func dial(addr string) (*client, error) {
 	c := &client{ready: make(chan struct{}), out: map[uint32]chan sftp.Frame{}}
-	conn, err := sftp.Dial(addr, sftp.DefaultBounds, time.Second, func(s *sftp.Conn) sftp.Peer { c.conn = s; return c })
+	conn, err := sftp.Dial(addr, sftp.DefaultLimits, time.Second, func(s *sftp.Conn) sftp.Peer { c.conn = s; return c })
 	if err != nil {
 		return nil, err
 	}
@@ -76,8 +76,8 @@
 			}
 		}
 		return f, nil
-	case <-c.conn.Gone():
-		return sftp.Frame{}, c.conn.Why()
+	case <-c.conn.Done():
+		return sftp.Frame{}, c.conn.Err()
 	}
 }
 
--- a/internal/bench/process.go
+++ b/internal/bench/process.go
@@ -131,11 +131,11 @@
 		k.stop()
 		return nil, err
 	}
-	r := &rules.Rules{Needs: rules.Form, Shards: 1, Mean: 1}
-	r.Agree(c.Terms)
+	r := &rules.Config{RequiredFormat: rules.Format, Shards: 1, MeanRequestUnits: 1}
+	r.SetFromSettings(c.Settings)
 	r.Nodes[node] = rules.Node{}
-	client := &keep.Client{Keepers: k.addrs, Within: 20 * time.Second}
-	if _, err := client.Propose(&accord.Proposal{ID: "bench", Why: "what is measured", Rules: r.Canonical()}); err != nil {
+	client := &keep.Client{Replicas: k.addrs, Timeout: 20 * time.Second}
+	if _, err := client.Propose(&accord.Proposal{ID: "bench", Reason: "what is measured", Content: r.Canonical()}); err != nil {
 		k.stop()
 		return nil, err
 	}
--- a/internal/capacity/measure_list_test.go
+++ b/internal/capacity/measure_list_test.go
@@ -36,13 +36,13 @@
 	server *http.Server
 	lock   sync.Mutex
 	news   chan struct{}
-	form   discovery.Form
+	form   discovery.Response
 	calls  []time.Time
 	bytes  atomic.Int64
 }
 
 func openDesk(t *testing.T, nodes int) *desk {
-	d := &desk{form: discovery.Form{Rev: 1, All: true}, news: make(chan struct{})}
+	d := &desk{form: discovery.Response{Revision: 1, Full: true}, news: make(chan struct{})}
 	for i := range nodes {
 		d.form.Targets = append(d.form.Targets, target(i, fmt.Sprintf("10.0.%d.%d:7000", i/250, i%250)))
 	}
@@ -75,7 +75,7 @@
 	ms, _ := strconv.Atoi(q.FormValue("hold_ms"))
 	d.lock.Lock()
 	d.calls = append(d.calls, time.Now())
-	rev, news := d.form.Rev, d.news
+	rev, news := d.form.Revision, d.news
 	d.lock.Unlock()
 	if from == rev {
 		select {
@@ -89,7 +89,7 @@
 	form := d.form
 	d.lock.Unlock()
 	if from > 0 {
-		form.All, form.Targets = false, form.Targets[:min(1, int(form.Rev-from))]
+		form.Full, form.Targets = false, form.Targets[:min(1, int(form.Revision-from))]
 	}
 	b, _ := json.Marshal(form)
 	w.Write(b)
@@ -99,7 +99,7 @@
 func (d *desk) change() {
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	d.form.Rev++
+	d.form.Revision++
 	close(d.news)
 	d.news = make(chan struct{})
 }
@@ -115,19 +115,19 @@
 		s.add(capacity.Measured, "list_make_ms_by_nodes", "ms", "nodes", size, each(50, func(int) { json.Marshal(d.form) })/1e3)
 		var table discovery.Table
 		read := func(b []byte) {
-			var f discovery.Form
+			var f discovery.Response
 			if err := json.Unmarshal(b, &f); err != nil {
 				t.Fatal(err)
 			}
-			if _, err := table.Take(&f, false); err != nil {
+			if _, err := table.Apply(&f, false); err != nil {
 				t.Fatal(err)
 			}
 		}
 		s.add(capacity.Measured, "list_whole_take_ms_by_nodes", "ms", "nodes", size, each(50, func(int) { read(whole) })/1e3)
-		part, _ := json.Marshal(discovery.Form{Rev: 2, Targets: d.form.Targets[:1]})
+		part, _ := json.Marshal(discovery.Response{Revision: 2, Targets: d.form.Targets[:1]})
 		s.add(capacity.Measured, "list_take_us_by_nodes", "us", "nodes", size, each(300, func(int) { read(part) }))
 		heard := make(chan listing.List)
-		c, _, err := discovery.New(discovery.Options{Gateway: "g", Address: d.Addr().String(), Hold: 2 * time.Millisecond, Slack: time.Minute, Log: quiet()})
+		c, _, err := discovery.New(discovery.Options{Gateway: "g", Address: d.Addr().String(), LongPoll: 2 * time.Millisecond, Timeout: time.Minute, Log: quiet()})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -177,10 +177,10 @@
 // nowhere are nodes that nothing is sent to.
 type nowhere struct{}
 
-func (nowhere) Start(string, *node.Call, func(node.Answer)) node.Sending { return nil }
-func (nowhere) Keep(map[string]bool)                                     {}
-func (nowhere) Leave(func(string) bool)                                  {}
-func (nowhere) Late() int64                                              { return 0 }
+func (nowhere) Start(string, *node.Call, func(node.Reply)) node.Attempt { return nil }
+func (nowhere) Retain(map[string]bool)                                  {}
+func (nowhere) AbortQueued(func(string) bool)                           {}
+func (nowhere) LateReplies() int64                                      { return 0 }
 
 // TestMeasureListReturns has the list service be away for 4 s, and measures when the last gateway has its list again, and the calls of the first
 // second. The list has 16 nodes: what a large one costs is in TestMeasureList.
@@ -198,23 +198,23 @@
 		expect := func(rev string) { there.Store(0); back.Store(&rev) }
 		expect("1")
 		for i := range gateways {
-			c, _, err := discovery.New(discovery.Options{Gateway: "g", Address: addr, Hold: 3 * time.Second, Slack: time.Second, Log: quiet()})
+			c, _, err := discovery.New(discovery.Options{Gateway: "g", Address: addr, LongPoll: 3 * time.Second, Timeout: time.Second, Log: quiet()})
 			if err != nil {
 				t.Fatal(err)
 			}
-			loop := gateway.Start(gateway.Options{Name: "g", Seed: uint64(i), Queue: 64, Clock: gateway.NewClock(), Nodes: nowhere{}, Watch: c.Watch, Log: quiet(),
-				Terms: decide.Terms{"discovery": "ask", "units.mean": "1", "products.count": "1", "products.0.name": "r", "products.0.goal": "300"}})
+			loop := gateway.Start(gateway.Options{Name: "g", Seed: uint64(i), QueueSize: 64, Clock: gateway.NewClock(), Nodes: nowhere{}, Watch: c.Watch, Log: quiet(),
+				Settings: decide.Settings{"discovery": "ask", "units.mean": "1", "products.count": "1", "products.0.name": "r", "products.0.goal": "300"}})
 			loops = append(loops, loop)
 			last := ""
 			running.Go(func() {
 				c.Run(ctx, func(l listing.List) {
-					loop.List(l)
+					loop.UpdateEndpoints(l)
 					if want := *back.Load(); l.Version == want && last != want {
 						if last = want; there.Add(1) == int64(gateways) {
 							all <- struct{}{}
 						}
 					}
-				}, loop.ListFailed)
+				}, loop.EndpointListFailed)
 			})
 		}
 		<-all
@@ -222,7 +222,7 @@
 		time.Sleep(4 * time.Second)
 		expect("2")
 		d.lock.Lock()
-		d.form.Rev, d.calls = 2, nil
+		d.form.Revision, d.calls = 2, nil
 		d.lock.Unlock()
 		at := time.Now()
 		d.open(t, addr)
@@ -259,11 +259,11 @@
 		s.add(capacity.Measured, "version_bytes_by_nodes", "bytes", "nodes", size, float64(len(text)))
 		s.add(capacity.Measured, "version_make_ms_by_nodes", "ms", "nodes", size, each(30, func(int) { a.Digest() })/1e3)
 		s.add(capacity.Measured, "version_read_ms_by_nodes", "ms", "nodes", size, each(30, func(int) {
-			if _, err := rules.Read(text); err != nil {
+			if _, err := rules.Parse(text); err != nil {
 				t.Fatal(err)
 			}
 		})/1e3)
-		s.add(capacity.Measured, "version_compare_ms_by_nodes", "ms", "nodes", size, each(30, func(int) { rules.Contradict(a, b) })/1e3)
+		s.add(capacity.Measured, "version_compare_ms_by_nodes", "ms", "nodes", size, each(30, func(int) { rules.Conflicts(a, b) })/1e3)
 	}
 	s.keep()
 }
@@ -273,10 +273,10 @@
 	s := begin(t)
 	for _, nodes := range []int{200, 900, 1800} {
 		text := content(nodes, 10).Canonical()
-		list := make([]*rules.Rules, 50)
+		list := make([]*rules.Config, 50)
 		before := heap()
 		for i := range list {
-			list[i], _ = rules.Read(text)
+			list[i], _ = rules.Parse(text)
 		}
 		s.add(capacity.Measured, "version_kb_by_nodes", "KB", "nodes", float64(nodes), (heap()-before)/float64(len(list)))
 		for _, r := range list { // held until here
@@ -289,12 +289,12 @@
 }
 
 // content is a version's, with names, zones and ages.
-func content(nodes int, limit float64) *rules.Rules {
-	r := &rules.Rules{Needs: rules.Form, Shards: nodes, Mean: 1, Plans: map[string]rules.Plan{"gold": {Weight: 1, Limit: limit}}, Products: map[string]rules.Product{},
-		Sending: rules.Sending{Most: 1}, Nodes: map[string]rules.Node{}}
+func content(nodes int, limit float64) *rules.Config {
+	r := &rules.Config{RequiredFormat: rules.Format, Shards: nodes, MeanRequestUnits: 1, ServiceLevels: map[string]rules.ServiceLevel{"gold": {Weight: 1, RateLimit: limit}}, RequestClasses: map[string]rules.RequestClass{},
+		Dispatch: rules.DispatchPolicy{MaxAttempts: 1}, Nodes: map[string]rules.Node{}}
 	for i := range nodes {
 		r.Nodes[fmt.Sprintf("10.0.%d.%d:7000", i/250, i%250)] = rules.Node{Name: fmt.Sprintf("store-%04d.zone%d.example.net", i, i%7), Zone: fmt.Sprint("zone", i%7), Shard: i,
-			Born: 1_700_000_000_000_000_000 + int64(i)*1_000_003, Weight: 1}
+			StartedAt: 1_700_000_000_000_000_000 + int64(i)*1_000_003, Weight: 1}
 	}
 	return r
 }
@@ -303,7 +303,7 @@
 func TestMeasureNodeConnections(t *testing.T) {
 	s := begin(t)
 	for _, nodes := range []int{200, 900, 1800} {
-		c := webnode.NewClient(webnode.Options{Host: "origin.svc", Connect: time.Minute, Idle: time.Minute, Most: 4000, Bounds: http1.DefaultBounds, Long: 1, LongAll: 1})
+		c := webnode.NewClient(webnode.Options{Host: "origin.svc", ConnectTimeout: time.Minute, IdleTimeout: time.Minute, MaxConnections: 4000, Bounds: http1.DefaultLimits, MaxLongBody: 1, LongBodyBudget: 1})
 		var addrs []string
 		for range nodes {
 			l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -326,12 +326,12 @@
 				}
 			}()
 		}
-		done := make(chan node.Answer, 1)
+		done := make(chan node.Reply, 1)
 		pass := func() float64 {
 			at := used(t)
 			for i, addr := range addrs {
-				c.Start(addr, &node.Call{Op: node.Get, Name: "/api", Mark: strconv.Itoa(i), Left: time.Minute}, func(a node.Answer) { done <- a })
-				if a := <-done; a.Outcome != node.Served {
+				c.Start(addr, &node.Call{Op: node.GetObject, Name: "/api", IdempotencyKey: strconv.Itoa(i), Timeout: time.Minute}, func(a node.Reply) { done <- a })
+				if a := <-done; a.Outcome != node.Executed {
 					t.Fatalf("%+v", a)
 				}
 			}
--- a/internal/capacity/measure_module_test.go
+++ b/internal/capacity/measure_module_test.go
@@ -15,7 +15,7 @@
 
 // module is a decision module with a list, driven in virtual time as the loop drives it: a decision after what was taken, and one after what ended.
 type module struct {
-	g     *decide.Gateway
+	g     *decide.Scheduler
 	now   decide.Time
 	nodes int
 	count int
@@ -26,7 +26,7 @@
 
 func newModule(nodes int) *module {
 	m := &module{now: decide.Second, nodes: nodes, rand: rand.New(rand.NewPCG(1, 2))}
-	m.g = decide.New(m.now, 1, decide.Terms{"units.mean": "1", "plans.count": "1", "plans.0.name": "p", "plans.0.rate": "100000", "products.count": "1",
+	m.g = decide.New(m.now, 1, decide.Settings{"units.mean": "1", "plans.count": "1", "plans.0.name": "p", "plans.0.rate": "100000", "products.count": "1",
 		"products.0.name": "r", "products.0.goal": "300", "products.0.patience": "2500", "executions.most": "3", "tells.others": "true"})
 	m.list(-1)
 	return m
@@ -34,15 +34,15 @@
 
 // list tells a whole list, in which one node has started anew.
 func (m *module) list(anew int) {
-	m.g.Listing(m.now, true, false)
+	m.g.BeginEndpointList(m.now, true, false)
 	for i := range m.nodes {
 		born := decide.Time(1)
 		if i == anew {
 			born = m.now
 		}
-		m.g.Listed("10.0.0."+strconv.Itoa(i)+":7000", "zone-"+strconv.Itoa(i%7), i, born, decide.Ready)
+		m.g.UpdateEndpoint("10.0.0."+strconv.Itoa(i)+":7000", "zone-"+strconv.Itoa(i%7), i, born, decide.EndpointReady)
 	}
-	m.g.ListDone()
+	m.g.FinishEndpointList()
 	m.g.Decide(m.now)
 }
 
@@ -53,16 +53,16 @@
 			m.now += pace
 			volume, shard := pick()
 			m.count++
-			j := &decide.Job{ID: strconv.Itoa(m.count), Units: 1, Shard: shard, StopBy: m.now + 2500*decide.Millisecond}
-			m.g.Take(m.now, j, int64(volume), "p", "r", 1, false)
+			j := &decide.Request{ID: strconv.Itoa(m.count), Units: 1, Shard: shard, Deadline: m.now + 2500*decide.Millisecond}
+			m.g.Submit(m.now, j, int64(volume), "p", "r", 1, false)
 		}
 		d := m.g.Decide(m.now)
-		if len(d.Start) != gathered || len(d.Ended) != 0 {
-			t.Fatalf("%d of %d requests were sent, %d given up", len(d.Start), gathered, len(d.Ended))
+		if len(d.Dispatch) != gathered || len(d.Finished) != 0 {
+			t.Fatalf("%d of %d requests were sent, %d given up", len(d.Dispatch), gathered, len(d.Finished))
 		}
-		start := slices.Clone(d.Start)
+		start := slices.Clone(d.Dispatch)
 		for _, e := range start {
-			m.g.Ended(m.now+pace/2, e.Job.ID, e.Number, decide.Served, pace/2, true, 0)
+			m.g.AttemptFinished(m.now+pace/2, e.Request.ID, e.Number, decide.OutcomeServed, pace/2, true, 0)
 		}
 		m.g.Decide(m.now + pace/2)
 		done += gathered
--- a/internal/capacity/measure_web_test.go
+++ b/internal/capacity/measure_web_test.go
@@ -42,7 +42,7 @@
 		t.Fatal("IRISPOST_BIN names no program: go build -o FILE ./cmd/irispost")
 	}
 	p := &plant{t: t, nodes: nodes}
-	form := discovery.Form{Rev: 1, All: true}
+	form := discovery.Response{Revision: 1, Full: true}
 	for i := range nodes {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -53,7 +53,7 @@
 		form.Targets = append(form.Targets, target(i, l.Addr().String()))
 	}
 	whole, _ := json.Marshal(form)
-	none, _ := json.Marshal(discovery.Form{Rev: 1})
+	none, _ := json.Marshal(discovery.Response{Revision: 1})
 	service, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -101,8 +101,8 @@
 }
 
 func target(i int, addr string) discovery.Target {
-	return discovery.Target{UID: fmt.Sprintf("store-%06d", i), Endpoint: addr, Zone: fmt.Sprint("zone-", i%7), Model: "m", Group: i, State: "ready", Weight: 1,
-		Boot: 1_700_000_000_000 + int64(i)}
+	return discovery.Target{UID: fmt.Sprintf("store-%06d", i), Endpoint: addr, Zone: fmt.Sprint("zone-", i%7), Model: "m", Shard: i, State: "ready", Weight: 1,
+		StartedMillis: 1_700_000_000_000 + int64(i)}
 }
 
 // counted counts what passes a connection.
--- a/internal/capture/file.go
+++ b/internal/capture/file.go
@@ -28,16 +28,16 @@
 
 // Limits bound a recorder.
 type Limits struct {
-	Block  int           // raw bytes of a block, about
-	Flush  time.Duration // a block is closed after this time at the latest; so much is lost when a gateway is killed
-	Behind int           // blocks that may wait for the disk; one more is dropped and counted
-	Most   int64         // bytes of a file; then the next begins, or the capture ends where there is none
-	Age    time.Duration // of a file, likewise; 0: any
-	Keep   int           // files that are kept of a capture in a folder; the oldest go
+	BlockBytes    int           // raw bytes of a block, about
+	FlushInterval time.Duration // a block is closed after this time at the latest; so much is lost when a gateway is killed
+	QueuedBlocks  int           // blocks that may wait for the disk; one more is dropped and counted
+	FileBytes     int64         // bytes of a file; then the next begins, or the capture ends where there is none
+	FileAge       time.Duration // of a file, likewise; 0: any
+	KeptFiles     int           // files that are kept of a capture in a folder; the oldest go
 }
 
 // DefaultLimits are used where nothing else is said.
-var DefaultLimits = Limits{Block: 256 << 10, Flush: 200 * time.Millisecond, Behind: 16, Most: 256 << 20, Age: time.Hour, Keep: 16}
+var DefaultLimits = Limits{BlockBytes: 256 << 10, FlushInterval: 200 * time.Millisecond, QueuedBlocks: 16, FileBytes: 256 << 20, FileAge: time.Hour, KeptFiles: 16}
 
 // Recorder writes a capture. Its calls come from one goroutine, the loop's, and never wait for the disk.
 type Recorder struct {
@@ -74,23 +74,23 @@
 }
 
 func newRecorder(out io.WriteCloser, next func() (io.WriteCloser, error), name, build string, l Limits) *Recorder {
-	r := &Recorder{limits: l, next: next, blocks: make(chan block, max(l.Behind, 1)), done: make(chan struct{}), stop: make(chan struct{}),
+	r := &Recorder{limits: l, next: next, blocks: make(chan block, max(l.QueuedBlocks, 1)), done: make(chan struct{}), stop: make(chan struct{}),
 		spare: make(chan []byte, 2)}
-	r.head = Record{Kind: Header, Name: name, Build: build, Digest: xxhash.Sum64(decide.Text)}
+	r.head = Record{Kind: Header, Name: name, Build: build, Digest: xxhash.Sum64(decide.PolicySource)}
 	go r.writer(out)
 	go r.flusher()
 	r.add(&r.head)
 	return r
 }
 
-// InFolder writes a capture to files NAME-TIME.N.iriscap in a folder. When one is full, or old, the next begins with the
+// CreateInDir writes a capture to files NAME-TIME.N.iriscap in a folder. When one is full, or old, the next begins with the
 // module's full state, so that each can be replayed by itself; so many are kept. It returns the first file.
-func InFolder(folder, name, build string, l Limits) (r *Recorder, first string, err error) {
+func CreateInDir(folder, name, build string, l Limits) (r *Recorder, first string, err error) {
 	stem := filepath.Join(folder, name+"-"+time.Now().UTC().Format("20060102T150405.000000"))
 	number := 0
 	next := func() (io.WriteCloser, error) {
 		number++
-		if old := number - l.Keep; l.Keep > 0 && old > 0 {
+		if old := number - l.KeptFiles; l.KeptFiles > 0 && old > 0 {
 			os.Remove(fmt.Sprintf("%s.%d.iriscap", stem, old)) // one that is gone already is no trouble
 		}
 		first = fmt.Sprintf("%s.%d.iriscap", stem, number)
@@ -121,7 +121,7 @@
 	}
 	r.buf = appendRecord(r.buf, rec)
 	r.count++
-	if len(r.buf) >= r.limits.Block {
+	if len(r.buf) >= r.limits.BlockBytes {
 		r.hand()
 	}
 	r.lock.Unlock()
@@ -152,12 +152,12 @@
 	select {
 	case r.buf = <-r.spare:
 	default:
-		r.buf = make([]byte, 0, r.limits.Block+r.limits.Block/4)
+		r.buf = make([]byte, 0, r.limits.BlockBytes+r.limits.BlockBytes/4)
 	}
 }
 
 func (r *Recorder) flusher() {
-	tick := time.NewTicker(r.limits.Flush)
+	tick := time.NewTicker(r.limits.FlushInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -189,11 +189,11 @@
 			continue
 		}
 		frame = packBlock(pack, b, frame)
-		full := r.size+int64(len(frame)) > r.limits.Most
-		if full || r.limits.Age > 0 && r.next != nil && time.Since(opened) > r.limits.Age {
+		full := r.size+int64(len(frame)) > r.limits.FileBytes
+		if full || r.limits.FileAge > 0 && r.next != nil && time.Since(opened) > r.limits.FileAge {
 			why := "this file is full or old, the capture goes on in the next"
 			if r.next == nil {
-				why = fmt.Sprintf("it has reached %d bytes, the most that it may have", r.limits.Most)
+				why = fmt.Sprintf("it has reached %d bytes, the most that it may have", r.limits.FileBytes)
 				err = errors.New(why)
 			}
 			out.Write(packBlock(pack, block{appendRecord(nil, &Record{Kind: End, At: b.first, Name: why}), b.first, 1}, nil))
--- a/internal/capture/format.go
+++ b/internal/capture/format.go
@@ -55,7 +55,7 @@
 	Digest uint64 // Header: of the module's text
 
 	Seed  uint64 // Start
-	Terms decide.Terms
+	Terms decide.Settings
 
 	Stale bool // Listed
 	Nodes []listing.Node
@@ -104,7 +104,7 @@
 // Answer is a job that ended.
 type Answer struct {
 	Job   string
-	State decide.JobState
+	State decide.RequestState
 	Wait  decide.Time
 }
 
@@ -126,16 +126,16 @@
 // name fills in what the module decided. The log lines are the module's own until its next decision.
 func (out *Decision) name(d *decide.Decision) {
 	out.Ended, out.CallOff, out.Sent = out.Ended[:0], out.CallOff[:0], out.Sent[:0]
-	for _, j := range d.Ended {
-		out.Ended = append(out.Ended, Answer{j.ID, j.State, j.Wait})
+	for _, j := range d.Finished {
+		out.Ended = append(out.Ended, Answer{j.ID, j.State, j.RetryAfter})
 	}
-	for _, e := range d.CallOff {
-		out.CallOff = append(out.CallOff, Execution{Job: e.Job.ID, Number: e.Number})
+	for _, e := range d.Cancel {
+		out.CallOff = append(out.CallOff, Execution{Job: e.Request.ID, Number: e.Number})
 	}
-	for _, e := range d.Start {
-		out.Sent = append(out.Sent, Execution{e.Job.ID, e.Number, e.Node.Addr, e.Limit})
+	for _, e := range d.Dispatch {
+		out.Sent = append(out.Sent, Execution{e.Request.ID, e.Number, e.Node.Addr, e.Timeout})
 	}
-	out.Log, out.Watch, out.NextWake = d.Log, d.Watch, d.NextWake
+	out.Log, out.Watch, out.NextWake = d.Log, d.WatchEndpoints, d.NextWake
 }
 
 // Equal tells whether two decisions are the same.
@@ -248,10 +248,10 @@
 			c.text(&n.Zone)
 			c.count(&n.Shard)
 			c.float(&n.Weight)
-			c.signed(&n.Born)
-			s := int(n.Standing)
+			c.signed(&n.StartedAt)
+			s := int(n.Health)
 			c.count(&s)
-			n.Standing = listing.Standing(s)
+			n.Health = listing.Health(s)
 		})
 	case Take:
 		c.text(&r.Job)
@@ -300,7 +300,7 @@
 		c.text(&a.Job)
 		s := int(a.State)
 		c.count(&s)
-		a.State = decide.JobState(s)
+		a.State = decide.RequestState(s)
 		c.signed(&a.Wait)
 	})
 	for _, l := range []*[]Execution{&d.CallOff, &d.Sent} {
@@ -317,13 +317,13 @@
 }
 
 // terms are written in order of their names, so that equal captures are equal files.
-func (c *coder) terms(t *decide.Terms) {
+func (c *coder) terms(t *decide.Settings) {
 	var names []string
 	for name := range *t {
 		names = append(names, name)
 	}
 	slices.Sort(names)
-	values := decide.Terms{}
+	values := decide.Settings{}
 	list(c, &names, func(name *string) {
 		c.text(name)
 		v := (*t)[*name]
--- a/internal/capture/redact.go
+++ b/internal/capture/redact.go
@@ -67,7 +67,7 @@
 		r.gateway = rec.Name
 		r.name(&rec.Name)
 	case Start, Agreed:
-		t := decide.Terms{}
+		t := decide.Settings{}
 		for key, v := range rec.Terms {
 			if strings.HasSuffix(key, ".name") {
 				r.name(&v)
@@ -159,7 +159,7 @@
 	}
 	w.open.raw = appendRecord(w.open.raw, rec)
 	w.open.count++
-	if len(w.open.raw) < DefaultLimits.Block {
+	if len(w.open.raw) < DefaultLimits.BlockBytes {
 		return nil
 	}
 	return w.flush()
--- a/internal/capture/told.go
+++ b/internal/capture/told.go
@@ -7,17 +7,17 @@
 )
 
 // Start tells of the module's start.
-func (r *Recorder) Start(now decide.Time, seed uint64, t decide.Terms) {
+func (r *Recorder) Start(now decide.Time, seed uint64, t decide.Settings) {
 	r.add(&Record{Kind: Start, At: now, Seed: seed, Terms: t})
 }
 
-// Listed tells of a list.
-func (r *Recorder) Listed(now decide.Time, l listing.List) {
+// EndpointList tells of a list.
+func (r *Recorder) EndpointList(now decide.Time, l listing.List) {
 	r.add(&Record{Kind: Listed, At: now, Stale: l.Stale, Nodes: l.Nodes})
 }
 
-// ListedPart tells of a list that may leave out what has not changed.
-func (r *Recorder) ListedPart(now decide.Time, l listing.List, whole bool) {
+// EndpointUpdate tells of a list that may leave out what has not changed.
+func (r *Recorder) EndpointUpdate(now decide.Time, l listing.List, whole bool) {
 	kind := ListedPart
 	if whole {
 		kind = Listed
@@ -25,8 +25,8 @@
 	r.add(&Record{Kind: kind, At: now, Stale: l.Stale, Nodes: l.Nodes})
 }
 
-// ListFailed tells that a list could not be had, silent that nothing at all was heard.
-func (r *Recorder) ListFailed(now decide.Time, silent bool) {
+// EndpointListFailed tells that a list could not be had, silent that nothing at all was heard.
+func (r *Recorder) EndpointListFailed(now decide.Time, silent bool) {
 	kind := ListFailed
 	if silent {
 		kind = ListSilent
@@ -34,31 +34,31 @@
 	r.add(&Record{Kind: kind, At: now})
 }
 
-// Agreed tells of other terms.
-func (r *Recorder) Agreed(now decide.Time, t decide.Terms) {
+// SettingsChanged tells of other terms.
+func (r *Recorder) SettingsChanged(now decide.Time, t decide.Settings) {
 	r.add(&Record{Kind: Agreed, At: now, Terms: t})
 }
 
-// Lent tells of a loan for a cold node.
-func (r *Recorder) Lent(now decide.Time, addr string, born decide.Time, units float64, till decide.Time) {
+// Allocated tells of a loan for a cold node.
+func (r *Recorder) Allocated(now decide.Time, addr string, born decide.Time, units float64, till decide.Time) {
 	r.add(&Record{Kind: Lent, At: now, Node: addr, Born: born, Units: units, Till: till})
 }
 
-// Begun tells that an execution's answer has begun to flow.
-func (r *Recorder) Begun(now decide.Time, job string, number int) {
+// StreamStarted tells that an execution's answer has begun to flow.
+func (r *Recorder) StreamStarted(now decide.Time, job string, number int) {
 	r.add(&Record{Kind: Begun, At: now, Job: job, Number: number})
 }
 
-// Take tells of a job.
-func (r *Recorder) Take(now decide.Time, j *decide.Job, volume int64, plan, product string, hosts float64, keyed bool) {
+// Submitted tells of a job.
+func (r *Recorder) Submitted(now decide.Time, j *decide.Request, volume int64, plan, product string, hosts float64, keyed bool) {
 	rec := &r.scratch
 	rec.Kind, rec.At, rec.Job, rec.Volume, rec.Plan, rec.Product, rec.Hosts, rec.Keyed = Take, now, j.ID, volume, plan, product, hosts, keyed
-	rec.Units, rec.Shard, rec.Key, rec.Write, rec.StopBy = j.Units, j.Shard, j.Key, j.Write, j.StopBy
+	rec.Units, rec.Shard, rec.Key, rec.Write, rec.StopBy = j.Units, j.Shard, j.Key, j.Write, j.Deadline
 	r.add(rec)
 }
 
-// Ended tells of an execution's outcome, with the node's load report.
-func (r *Recorder) Ended(now decide.Time, job string, number int, o decide.Outcome, took decide.Time, final bool, others float64,
+// AttemptEnded tells of an execution's outcome, with the node's load report.
+func (r *Recorder) AttemptEnded(now decide.Time, job string, number int, o decide.Outcome, took decide.Time, final bool, others float64,
 	inflight int, latency decide.Time) {
 	rec := &r.scratch
 	rec.Kind, rec.At, rec.Job, rec.Number, rec.Outcome, rec.Took, rec.Final = Ended, now, job, number, o, took, final
@@ -66,11 +66,11 @@
 	r.add(rec)
 }
 
-// Blind tells whether records were dropped, so that a replay needs the module's state to go on.
-func (r *Recorder) Blind() bool { return r.blind.Load() }
+// NeedsSnapshot tells whether records were dropped, so that a replay needs the module's state to go on.
+func (r *Recorder) NeedsSnapshot() bool { return r.blind.Load() }
 
-// State tells of the module's full state.
-func (r *Recorder) State(now decide.Time, g *decide.Gateway) {
+// Snapshot tells of the module's full state.
+func (r *Recorder) Snapshot(now decide.Time, g *decide.Scheduler) {
 	r.blind.Store(false)
 	b, err := snapshot.Take(g, decide.StoredNames)
 	if err != nil {
@@ -80,8 +80,10 @@
 	r.add(&Record{Kind: State, At: now, State: string(b)})
 }
 
-// Left tells that a client has gone.
-func (r *Recorder) Left(now decide.Time, job string) { r.add(&Record{Kind: Left, At: now, Job: job}) }
+// ClientCancelled tells that a client has gone.
+func (r *Recorder) ClientCancelled(now decide.Time, job string) {
+	r.add(&Record{Kind: Left, At: now, Job: job})
+}
 
 // Decided tells what the module decided.
 func (r *Recorder) Decided(now decide.Time, d *decide.Decision) {
--- a/internal/config/blocks.go
+++ b/internal/config/blocks.go
@@ -12,7 +12,7 @@
 )
 
 // rules reads the figures of the rules.
-func (r *reader) rules(f *fileForm, t decide.Terms) {
+func (r *reader) rules(f *fileForm, t decide.Settings) {
 	if c := f.Cold; c != nil {
 		t["cold.from"] = plain(r.number(c.From, 0.001, 1, 1))
 		t["cold.time"] = milliseconds(r.span(c.Time, 0, time.Hour, 0))
@@ -42,14 +42,14 @@
 	t["key.rest"] = milliseconds(r.span(f.Order.Rest, 0, time.Minute, 50*time.Millisecond))
 }
 
-func (r *reader) plans(f *fileForm, g *Gateway) {
+func (r *reader) plans(f *fileForm, g *Config) {
 	names := map[string]bool{}
 	for i, p := range f.Plans {
 		if names[p.Name] {
 			r.refuse(p.Range, "Plan twice", "There is a plan %q already.", p.Name)
 		}
 		names[p.Name] = true
-		item := func(name, value string) { g.Terms["plans."+strconv.Itoa(i)+"."+name] = value }
+		item := func(name, value string) { g.Settings["plans."+strconv.Itoa(i)+"."+name] = value }
 		item("name", p.Name)
 		item("weight", plain(r.number(p.Weight, 1e-3, 1e6, 1)))
 		item("rate", plain(r.number(p.Rate, 0, huge, 0)))
@@ -59,16 +59,16 @@
 		item("burst", plain(r.number(p.Burst, 0, huge, limit)))
 		item("slack", plain(r.number(p.Slack, 0, huge, 0)))
 	}
-	g.Terms["plans.count"] = strconv.Itoa(len(f.Plans))
+	g.Settings["plans.count"] = strconv.Itoa(len(f.Plans))
 	if len(f.Plans) == 0 {
 		r.refuse(f.Gateway.Range, "No plan", "At least one plan block is needed.")
 	}
 }
 
-func (r *reader) products(f *fileForm, g *Gateway) {
+func (r *reader) products(f *fileForm, g *Config) {
 	kinds := map[string]uint8{"replayable": 0, "referenced": 1, "single-use": 2}
 	for i, p := range f.Products {
-		if g.Products[p.Name] != nil {
+		if g.RequestClasses[p.Name] != nil {
 			r.refuse(p.Range, "Product twice", "There is a product %q already.", p.Name)
 		}
 		kind := r.text(p.Kind, "replayable")
@@ -79,30 +79,30 @@
 		if group != "all" && group != "zone" && group != "shard" {
 			r.refuse(p.Group.Range(), "No such group", "The nodes that know a repeat are \"all\", those of a \"zone\" or of a \"shard\", not %q.", group)
 		}
-		out := &Product{Goal: r.span(p.Goal, time.Millisecond, time.Hour, second)}
+		out := &RequestClass{LatencyObjective: r.span(p.Goal, time.Millisecond, time.Hour, second)}
 		out.Name, out.Kind, out.InTurn = p.Name, kinds[kind], p.InTurn
 		out.Patience = r.span(p.Patience, time.Millisecond, time.Hour, second)
-		if out.Patience < out.Goal {
-			r.refuse(p.Patience.Range(), "Patience under the goal", "A client that waits %v cannot have its answer after %v.", out.Patience, out.Goal)
+		if out.Patience < out.LatencyObjective {
+			r.refuse(p.Patience.Range(), "Patience under the goal", "A client that waits %v cannot have its answer after %v.", out.Patience, out.LatencyObjective)
 		}
-		out.Window = r.span(p.Window, 0, time.Hour, 0)
-		if kind == "referenced" && out.Window == 0 {
+		out.DedupWindow = r.span(p.Window, 0, time.Hour, 0)
+		if kind == "referenced" && out.DedupWindow == 0 {
 			r.refuse(p.Range, "No window", "A referenced product needs a window: how long the nodes know a repeat.")
 		}
-		g.Products[p.Name] = out
-		item := func(name, value string) { g.Terms["products."+strconv.Itoa(i)+"."+name] = value }
+		g.RequestClasses[p.Name] = out
+		item := func(name, value string) { g.Settings["products."+strconv.Itoa(i)+"."+name] = value }
 		item("name", p.Name)
 		item("kind", kind)
 		item("group", group)
-		item("goal", milliseconds(out.Goal))
+		item("goal", milliseconds(out.LatencyObjective))
 		item("patience", milliseconds(out.Patience))
-		item("window", milliseconds(out.Window))
+		item("window", milliseconds(out.DedupWindow))
 		item("in_turn", strconv.FormatBool(p.InTurn))
 	}
-	g.Terms["products.count"] = strconv.Itoa(len(f.Products))
+	g.Settings["products.count"] = strconv.Itoa(len(f.Products))
 }
 
-func (r *reader) volumes(f *fileForm, g *Gateway) {
+func (r *reader) volumes(f *fileForm, g *Config) {
 	plans := map[string]int{}
 	for i, p := range f.Plans {
 		plans[p.Name] = i
@@ -116,19 +116,19 @@
 			r.refuse(v.Range, "Bad name", "A volume's name is a folder's name: not empty, without slash, at most 255 bytes.")
 		}
 		out := &front.Volume{Name: v.Name, Volume: gateway.Volume{ID: int64(r.count(v.ID, 0, 1<<31, 0)),
-			Plan: r.text(v.Plan, ""), Hosts: r.number(v.Hosts, 1, 1e6, 1)}}
+			ServiceLevel: r.text(v.Plan, ""), Gateways: r.number(v.Hosts, 1, 1e6, 1)}}
 		if other, twice := ids[out.ID]; twice {
 			r.refuse(v.ID.Range(), "Id twice", "Volume %q has the id %d already.", other, out.ID)
 		}
 		ids[out.ID] = v.Name
-		i, known := plans[out.Plan]
+		i, known := plans[out.ServiceLevel]
 		if !known {
-			r.refuse(v.Plan.Range(), "No such plan", "There is no plan %q.", out.Plan)
-		} else if n, _ := strconv.ParseFloat(g.Terms["plans."+strconv.Itoa(i)+".limit"], 64); n > 0 {
+			r.refuse(v.Plan.Range(), "No such plan", "There is no plan %q.", out.ServiceLevel)
+		} else if n, _ := strconv.ParseFloat(g.Settings["plans."+strconv.Itoa(i)+".limit"], 64); n > 0 {
 			c := Limit{Rate: n}
-			c.Burst, _ = strconv.ParseFloat(g.Terms["plans."+strconv.Itoa(i)+".burst"], 64)
-			c.Slack, _ = strconv.ParseFloat(g.Terms["plans."+strconv.Itoa(i)+".slack"], 64)
-			g.Caps[out.ID] = c
+			c.Burst, _ = strconv.ParseFloat(g.Settings["plans."+strconv.Itoa(i)+".burst"], 64)
+			c.Slack, _ = strconv.ParseFloat(g.Settings["plans."+strconv.Itoa(i)+".slack"], 64)
+			g.VolumeLimits[out.ID] = c
 		}
 		fits := map[front.Sort]bool{}
 		for _, rule := range v.Rules {
@@ -147,8 +147,8 @@
 }
 
 // rule reads which operations are of a product. What a repeat may do is the operation's, so the kind has to fit.
-func (r *reader) rule(g *Gateway, v *front.Volume, b ruleForm, fits map[front.Sort]bool) {
-	p := g.Products[b.Product]
+func (r *reader) rule(g *Config, v *front.Volume, b ruleForm, fits map[front.Sort]bool) {
+	p := g.RequestClasses[b.Product]
 	if p == nil {
 		r.refuse(b.Range, "No such product", "There is no product %q.", b.Product)
 		return
@@ -185,10 +185,10 @@
 	v.Rules = append(v.Rules, out)
 }
 
-func (r *reader) group(g *Gateway, product string) string {
-	for i := range len(g.Products) {
-		if n := "products." + strconv.Itoa(i); g.Terms[n+".name"] == product {
-			return g.Terms[n+".group"]
+func (r *reader) group(g *Config, product string) string {
+	for i := range len(g.RequestClasses) {
+		if n := "products." + strconv.Itoa(i); g.Settings[n+".name"] == product {
+			return g.Settings[n+".group"]
 		}
 	}
 	return ""
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -23,11 +23,11 @@
 	"irispost/internal/xds"
 )
 
-// Product is a kind of job, as its clients know it.
-type Product struct {
+// RequestClass is a kind of job, as its clients know it.
+type RequestClass struct {
 	front.Product
-	Goal   time.Duration
-	Window time.Duration
+	LatencyObjective time.Duration
+	DedupWindow      time.Duration
 }
 
 // Limit is a volume's limit, in units a second and units.
@@ -41,14 +41,14 @@
 	XDS                       xds.Options // of kind xds; whoever runs it adds seed and log
 }
 
-// Follow is where a gateway has its list of nodes from that follows versions.
-type Follow struct {
-	Keepers []string
-	Pause   time.Duration     // between asks for a lease
-	Record  string            // file for what was acted on from when; empty: none
-	Dir     string            // folder for the last content, its own; empty: none
-	Peer    string            // where other gateways reach it, to deal out what cold nodes bear; empty: they do not
-	Reach   map[string]string // where it reaches others, by the addresses that they give
+// FleetClient is where a gateway has its list of nodes from that follows versions.
+type FleetClient struct {
+	Replicas     []string
+	PollInterval time.Duration     // between asks for a lease
+	VersionLog   string            // file for what was acted on from when; empty: none
+	CacheDir     string            // folder for the last content, its own; empty: none
+	PeerAddress  string            // where other gateways reach it, to deal out what cold nodes bear; empty: they do not
+	PeerRoutes   map[string]string // where it reaches others, by the addresses that they give
 }
 
 // Disks are a gateway's iSCSI targets.
@@ -62,50 +62,50 @@
 type Target struct {
 	Name    string
 	Account negotiate.Account
-	Luns    map[uint16]Lun
+	LUNs    map[uint16]LUN
 }
 
-// Lun is a file that is shown as a disk.
-type Lun struct {
-	File  string
-	Size  uint64 // bytes
-	Block uint32
-	Fixed bool
+// LUN is a file that is shown as a disk.
+type LUN struct {
+	File       string
+	Size       uint64 // bytes
+	BlockBytes uint32
+	ReadOnly   bool
 }
 
-// Gateway is a configuration that was read and checked.
-type Gateway struct {
-	Name     string
-	Listen   string
-	Sources  []Source // of the list of nodes, by precedence
-	Members  members.Terms
-	Follow   *Follow       // nil: it follows nobody
-	Folder   string        // for the last lists; empty: they are not kept
-	First    time.Duration // the longest wait for all sources' first words before clients are served
-	Shards   int
-	Extent   uint32
-	Seed     uint64
-	Connect  time.Duration
-	Each     int
-	StopBy   time.Duration
-	Queue    int
-	Limits   front.Limits
-	Units    front.Units
-	Sweep    time.Duration // 0: no sweeps
-	Idle     time.Duration // objects that nobody wrote for so long are swept, where nothing refers to them
-	Admin    string        // the socket for the command-line tool; empty: none
-	Captures string        // the folder for captures; empty: none unless one is asked for
-	AtStart  bool          // a capture begins with the gateway
-	Capture  capture.Limits
-	Disks    *Disks // nil: none
-	Products map[string]*Product
-	Volumes  map[string]*front.Volume
-	Caps     map[int64]Limit // by volume, where its plan has a limit
-	Terms    decide.Terms
+// Config is a configuration that was read and checked.
+type Config struct {
+	Name               string
+	Listen             string
+	Sources            []Source // of the list of nodes, by precedence
+	Membership         members.Settings
+	Follow             *FleetClient  // nil: it follows nobody
+	EndpointCacheDir   string        // for the last lists; empty: they are not kept
+	FirstListTimeout   time.Duration // the longest wait for all sources' first words before clients are served
+	Shards             int
+	ExtentBytes        uint32
+	Seed               uint64
+	ConnectTimeout     time.Duration
+	ConnectionsPerNode int
+	ShutdownTimeout    time.Duration
+	EventQueueLength   int
+	Limits             front.Limits
+	Units              front.Units
+	SweepInterval      time.Duration // 0: no sweeps
+	SweepMinAge        time.Duration // objects that nobody wrote for so long are swept, where nothing refers to them
+	AdminSocket        string        // the socket for the command-line tool; empty: none
+	CaptureDir         string        // the folder for captures; empty: none unless one is asked for
+	CaptureAtStart     bool          // a capture begins with the gateway
+	CaptureLimits      capture.Limits
+	Disks              *Disks // nil: none
+	RequestClasses     map[string]*RequestClass
+	Volumes            map[string]*front.Volume
+	VolumeLimits       map[int64]Limit // by volume, where its plan has a limit
+	Settings           decide.Settings
 }
 
 // Load reads a file.
-func Load(file string) (*Gateway, error) {
+func Load(file string) (*Config, error) {
 	src, err := os.ReadFile(file)
 	if err != nil {
 		return nil, err
@@ -114,7 +114,7 @@
 }
 
 // Parse reads a configuration.
-func Parse(file string, src []byte) (*Gateway, error) {
+func Parse(file string, src []byte) (*Config, error) {
 	f, diags := hclparse.NewParser().ParseHCL(src, file)
 	if diags.HasErrors() {
 		return nil, problems(diags)
@@ -145,7 +145,7 @@
 }
 
 // gateway reads everything.
-func (r *reader) gateway(f *fileForm) *Gateway {
+func (r *reader) gateway(f *fileForm) *Config {
 	b := &f.Gateway
 	if b.Limits == nil {
 		b.Limits = &limitsForm{}
@@ -153,46 +153,46 @@
 	if f.Units == nil {
 		f.Units = &unitsForm{}
 	}
-	g := &Gateway{Name: b.Name, Listen: b.Listen,
-		Shards: r.count(b.Shards, 1, 1<<16, 1), Extent: uint32(r.size(b.Extent, 4<<10, 16<<20, 256<<10)),
-		Seed: uint64(r.count(b.Seed, 0, math.MaxInt32, 1)), Connect: r.span(b.Connect, time.Millisecond, 60*second, 250*time.Millisecond),
-		Each: r.count(b.Each, 1, 64, 2), StopBy: r.span(b.StopBy, 0, time.Hour, 10*second),
-		Queue:    r.count(b.Limits.Queue, 16, 1<<20, 4096),
-		Products: map[string]*Product{}, Volumes: map[string]*front.Volume{}, Caps: map[int64]Limit{}}
+	g := &Config{Name: b.Name, Listen: b.Listen,
+		Shards: r.count(b.Shards, 1, 1<<16, 1), ExtentBytes: uint32(r.size(b.Extent, 4<<10, 16<<20, 256<<10)),
+		Seed: uint64(r.count(b.Seed, 0, math.MaxInt32, 1)), ConnectTimeout: r.span(b.Connect, time.Millisecond, 60*second, 250*time.Millisecond),
+		ConnectionsPerNode: r.count(b.Each, 1, 64, 2), ShutdownTimeout: r.span(b.StopBy, 0, time.Hour, 10*second),
+		EventQueueLength: r.count(b.Limits.Queue, 16, 1<<20, 4096),
+		RequestClasses:   map[string]*RequestClass{}, Volumes: map[string]*front.Volume{}, VolumeLimits: map[int64]Limit{}}
 	if b.Name == "" || strings.ContainsAny(b.Name, "/:# ") {
 		r.refuse(b.Range, "Bad name", "A gateway's name is not empty and has no space, slash, colon or number sign.")
 	}
-	wire := sftp.DefaultBounds
-	wire.Packet = int(r.size(b.Limits.Packet, 34<<10, 16<<20, int64(wire.Packet)))
-	wire.Buffered = int(r.size(b.Limits.Ahead, int64(wire.Packet), 1<<30, int64(max(wire.Buffered, wire.Packet))))
-	wire.Unsent = int(r.size(b.Limits.Unread, int64(wire.Packet), 1<<30, int64(max(wire.Unsent, wire.Packet))))
+	wire := sftp.DefaultLimits
+	wire.MaxPacket = int(r.size(b.Limits.Packet, 34<<10, 16<<20, int64(wire.MaxPacket)))
+	wire.MaxReadAhead = int(r.size(b.Limits.Ahead, int64(wire.MaxPacket), 1<<30, int64(max(wire.MaxReadAhead, wire.MaxPacket))))
+	wire.MaxUnsent = int(r.size(b.Limits.Unread, int64(wire.MaxPacket), 1<<30, int64(max(wire.MaxUnsent, wire.MaxPacket))))
 	g.Limits = front.Limits{Connections: r.count(b.Limits.Connections, 1, 1<<20, 1024),
 		Outstanding: r.count(b.Limits.Outstanding, 1, 1<<16, 256), Handles: r.count(b.Limits.Handles, 1, 1<<20, 1024),
 		Entries: r.count(b.Limits.Entries, 1, 1<<24, 100_000), Wire: wire}
 	if b.Sweep != nil {
-		g.Sweep = r.span(b.Sweep.Every, second, 24*time.Hour, 10*time.Minute)
-		g.Idle = r.span(b.Sweep.Idle, second, 30*24*time.Hour, time.Hour)
+		g.SweepInterval = r.span(b.Sweep.Every, second, 24*time.Hour, 10*time.Minute)
+		g.SweepMinAge = r.span(b.Sweep.Idle, second, 30*24*time.Hour, time.Hour)
 	}
 	l := capture.DefaultLimits
 	if c := b.Capture; c != nil {
-		g.AtStart = c.First == nil || *c.First
-		g.Captures = r.text(c.Folder, "")
-		if g.Captures == "" {
+		g.CaptureAtStart = c.First == nil || *c.First
+		g.CaptureDir = r.text(c.Folder, "")
+		if g.CaptureDir == "" {
 			r.refuse(c.Folder.Range(), "No folder", "A capture needs a folder to lie in.")
 		}
-		l.Most = r.size(c.Most, 1<<20, 1<<40, l.Most)
-		l.Age = r.span(c.Age, time.Second, 30*24*time.Hour, l.Age)
-		l.Keep = r.count(c.Keep, 1, 1<<20, l.Keep)
-		l.Flush = r.span(c.Flush, 10*time.Millisecond, time.Minute, l.Flush)
-		l.Behind = r.count(c.Behind, 1, 4096, l.Behind)
+		l.FileBytes = r.size(c.Most, 1<<20, 1<<40, l.FileBytes)
+		l.FileAge = r.span(c.Age, time.Second, 30*24*time.Hour, l.FileAge)
+		l.KeptFiles = r.count(c.Keep, 1, 1<<20, l.KeptFiles)
+		l.FlushInterval = r.span(c.Flush, 10*time.Millisecond, time.Minute, l.FlushInterval)
+		l.QueuedBlocks = r.count(c.Behind, 1, 4096, l.QueuedBlocks)
 	}
-	g.Capture, g.Admin = l, b.Admin
+	g.CaptureLimits, g.AdminSocket = l, b.Admin
 	g.Units = front.Units{Bytes: float64(r.size(f.Units.Bytes, 1, 1<<30, 16<<10)), Least: r.number(f.Units.Least, 1e-3, 1e6, 0.25)}
-	t := decide.Terms{"number": "0", "discovery": "told", "tells.others": "true"}
+	t := decide.Settings{"number": "0", "discovery": "told", "tells.others": "true"}
 	t["gateways"] = strconv.Itoa(r.count(b.Gateways, 1, 1<<20, 1))
 	t["units.mean"] = plain(r.number(f.Units.Mean, 1e-3, 1e6, 1))
-	t["units.largest"] = plain(r.number(f.Units.Largest, 1e-3, 1e6, max(g.Units.Of(int(g.Extent)), 1)))
-	g.Terms = t
+	t["units.largest"] = plain(r.number(f.Units.Largest, 1e-3, 1e6, max(g.Units.Of(int(g.ExtentBytes)), 1)))
+	g.Settings = t
 	r.sources(f, g)
 	r.members(f.Members, g)
 	r.rules(f, t)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -28,11 +28,11 @@
 	for name, want := range map[string]string{"gateways": "2", "cold.time": "5000", "further.share": "0.2", "key.rest": "100",
 		"plans.count": "3", "plans.2.limit": "60", "products.count": "4", "products.2.kind": "referenced", "products.2.group": "shard",
 		"products.0.goal": "300", "units.mean": "1", "retry_after.most": "1000", "second_copies": "true"} {
-		if g.Terms[name] != want {
-			t.Errorf("%s is %q, not %q", name, g.Terms[name], want)
+		if g.Settings[name] != want {
+			t.Errorf("%s is %q, not %q", name, g.Settings[name], want)
 		}
 	}
-	if g.Caps[3] != (Limit{60, 60, 2}) || len(g.Caps) != 1 || g.StopBy != 10*time.Second || g.Extent != 256<<10 {
+	if g.VolumeLimits[3] != (Limit{60, 60, 2}) || len(g.VolumeLimits) != 1 || g.ShutdownTimeout != 10*time.Second || g.ExtentBytes != 256<<10 {
 		t.Errorf("%+v", g)
 	}
 	if u := g.Units.Of(32 << 10); u != 2 {
@@ -150,14 +150,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(g.Sources) != 3 || g.Sources[0].File != "hand.hcl" || g.Sources[2].Endpoints != "endpoints.json" || g.Folder != "kept" || g.First != 5*time.Second {
+	if len(g.Sources) != 3 || g.Sources[0].File != "hand.hcl" || g.Sources[2].Endpoints != "endpoints.json" || g.EndpointCacheDir != "kept" || g.FirstListTimeout != 5*time.Second {
 		t.Errorf("%+v", g.Sources)
 	}
 	x := g.Sources[1].XDS
-	if x.Address != "127.0.0.1:18000" || x.Incremental || len(x.Clusters) != 2 || x.Node != "canteen" || x.Fetch != 3*time.Second || x.Most != 5*time.Second {
+	if x.Address != "127.0.0.1:18000" || x.Incremental || len(x.Clusters) != 2 || x.NodeID != "canteen" || x.InitialFetchTimeout != 3*time.Second || x.MaxBackoff != 5*time.Second {
 		t.Errorf("%+v", x)
 	}
-	if m := g.Members; m.Shrink != 0.3 || m.Hold != 20e9 || m.Grace != 1e9 || m.Flaps != 2 || m.Silent != 60e9 {
+	if m := g.Membership; m.MaxLossRatio != 0.3 || m.HoldDown != 20e9 || m.RemovalGrace != 1e9 || m.MaxFlaps != 2 || m.StaleAfter != 60e9 {
 		t.Errorf("%+v", m)
 	}
 	for more, want := range map[string]string{
@@ -215,7 +215,7 @@
 	}
 	d := g.Disks
 	if d.Limits.Pace.Most != 64 || len(d.Targets) != 1 || d.Targets[0].Account.Name != "host" ||
-		d.Targets[0].Luns[0] != (Lun{File: "/orders/disk", Size: 10 << 30, Block: 4096}) || !d.Targets[0].Luns[7].Fixed {
+		d.Targets[0].LUNs[0] != (LUN{File: "/orders/disk", Size: 10 << 30, BlockBytes: 4096}) || !d.Targets[0].LUNs[7].ReadOnly {
 		t.Errorf("%+v", d)
 	}
 	for _, c := range []struct{ old, new, want string }{
--- a/internal/config/rules.go
+++ b/internal/config/rules.go
@@ -36,8 +36,8 @@
 	Writes bool           `hcl:"writes,optional"`
 }
 
-// Rules reads a file of rules. What it refuses it names with file, line and column.
-func Rules(file string, src []byte) (*rules.Rules, error) {
+// ParseRules reads a file of rules. What it refuses it names with file, line and column.
+func ParseRules(file string, src []byte) (*rules.Config, error) {
 	f, diags := hclparse.NewParser().ParseHCL(src, file)
 	if diags.HasErrors() {
 		return nil, problems(diags)
@@ -50,38 +50,38 @@
 		form.Units = &unitsForm{}
 	}
 	r := &reader{}
-	g := &Gateway{Products: map[string]*Product{}, Terms: decide.Terms{}}
+	g := &Config{RequestClasses: map[string]*RequestClass{}, Settings: decide.Settings{}}
 	whole := &fileForm{Cold: form.Cold, Further: form.Further, Executions: form.Executions, Dismissals: form.Dismissals, Order: form.Order,
 		Plans: form.Plans, Products: form.Products}
 	whole.Gateway.Range = f.Body.MissingItemRange()
-	r.rules(whole, g.Terms)
+	r.rules(whole, g.Settings)
 	r.plans(whole, g)
 	r.products(whole, g)
-	out := &rules.Rules{Needs: rules.Form, Shards: r.count(form.Shards, 1, 1<<16, 1), Mean: r.number(form.Units.Mean, 1e-3, 1e6, 1)}
+	out := &rules.Config{RequiredFormat: rules.Format, Shards: r.count(form.Shards, 1, 1<<16, 1), MeanRequestUnits: r.number(form.Units.Mean, 1e-3, 1e6, 1)}
 	if b := form.Floor; b != nil {
-		out.Floor = rules.Floor{For: int64(r.span(b.For, 0, 30*24*time.Hour, 0)), Limits: r.number(b.Limits, 0, 1, 1), Writes: b.Writes}
+		out.FallbackPolicy = rules.FallbackPolicy{Duration: int64(r.span(b.For, 0, 30*24*time.Hour, 0)), LimitFraction: r.number(b.Limits, 0, 1, 1), AllowWrites: b.Writes}
 	}
 	if r.diags.HasErrors() {
 		return nil, problems(r.diags)
 	}
-	list, err := listing.Decode(form.Nodes)
+	list, err := listing.DecodeList(form.Nodes)
 	if err != nil {
 		return nil, err
 	}
-	out.Agree(g.Terms)
+	out.SetFromSettings(g.Settings)
 	for _, n := range list.Nodes {
-		out.Nodes[n.Addr] = rules.Node{Name: n.Name, Zone: n.Zone, Shard: n.Shard, Born: n.Born, Standing: n.Standing, Weight: n.Weight}
+		out.Nodes[n.Addr] = rules.Node{Name: n.Name, Zone: n.Zone, Shard: n.Shard, StartedAt: n.StartedAt, Health: n.Health, Weight: n.Weight}
 	}
-	if err := out.Check(); err != nil {
+	if err := out.Validate(); err != nil {
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
 	return out, nil
 }
 
-// Agreed tells in what a gateway's own configuration parts from rules, in words.
-func (g *Gateway) Agreed(r *rules.Rules) []string {
-	own := &rules.Rules{Needs: r.Needs, Shards: g.Shards, Nodes: r.Nodes, Floor: r.Floor}
-	own.Mean, _ = strconv.ParseFloat(g.Terms["units.mean"], 64)
-	own.Agree(g.Terms)
-	return rules.Contradict(own, r)
+// Contradictions tells in what a gateway's own configuration parts from rules, in words.
+func (g *Config) Contradictions(r *rules.Config) []string {
+	own := &rules.Config{RequiredFormat: r.RequiredFormat, Shards: g.Shards, Nodes: r.Nodes, FallbackPolicy: r.FallbackPolicy}
+	own.MeanRequestUnits, _ = strconv.ParseFloat(g.Settings["units.mean"], 64)
+	own.SetFromSettings(g.Settings)
+	return rules.Conflicts(own, r)
 }
--- a/internal/config/sources.go
+++ b/internal/config/sources.go
@@ -17,13 +17,13 @@
 )
 
 // sources reads where the list comes from: the one file of the gateway block, or the source blocks in their order.
-func (r *reader) sources(f *fileForm, g *Gateway) {
+func (r *reader) sources(f *fileForm, g *Config) {
 	nodes := r.text(f.Gateway.Nodes, "")
 	switch {
 	case f.Follow != nil:
 		b := f.Follow
-		g.Follow = &Follow{Keepers: b.Keepers, Pause: r.span(b.Pause, 10*time.Millisecond, time.Minute, 500*time.Millisecond), Record: r.text(b.Record, ""),
-			Dir: r.text(b.Dir, ""), Peer: r.text(b.Peer, ""), Reach: r.texts(b.Reach)}
+		g.Follow = &FleetClient{Replicas: b.Keepers, PollInterval: r.span(b.Pause, 10*time.Millisecond, time.Minute, 500*time.Millisecond), VersionLog: r.text(b.Record, ""),
+			CacheDir: r.text(b.Dir, ""), PeerAddress: r.text(b.Peer, ""), PeerRoutes: r.texts(b.Reach)}
 		if nodes != "" || len(f.Sources) > 0 {
 			r.refuse(b.Range, "Two lists of nodes", "A gateway that follows has its list from the version in force, so it has no source and no nodes.")
 		}
@@ -53,7 +53,7 @@
 }
 
 // source reads a source block. What its kind does not have is refused.
-func (r *reader) source(b *sourceForm, g *Gateway) Source {
+func (r *reader) source(b *sourceForm, g *Config) Source {
 	s := Source{Name: b.Name, Kind: b.Kind}
 	parts := []struct {
 		name  string
@@ -87,12 +87,12 @@
 	if form != "delta" && form != "whole" {
 		r.refuse(b.Form.Range(), "No such form", "The protocol has the forms \"delta\" and \"whole\" (state of the world), not %q.", form)
 	}
-	s.XDS = xds.Options{Address: r.text(b.Address, ""), Incremental: form == "delta", Node: r.text(b.Node, g.Name), Fleet: r.text(b.Fleet, "irispost"),
-		Zone: r.text(b.Zone, ""), Fetch: r.span(b.Fetch, time.Millisecond, time.Hour, xds.DefaultFetch),
-		Least: r.span(b.Least, time.Millisecond, time.Hour, xds.DefaultLeast), Most: r.span(b.Most, time.Millisecond, time.Hour, xds.DefaultMost),
-		Message: int(r.size(b.Message, 64<<10, 1<<30, xds.DefaultMessage))}
-	if s.XDS.Most < s.XDS.Least {
-		r.refuse(b.Range, "Pauses the wrong way round", "pause_most %v is under pause %v.", s.XDS.Most, s.XDS.Least)
+	s.XDS = xds.Options{Address: r.text(b.Address, ""), Incremental: form == "delta", NodeID: r.text(b.Node, g.Name), NodeCluster: r.text(b.Fleet, "irispost"),
+		Zone: r.text(b.Zone, ""), InitialFetchTimeout: r.span(b.Fetch, time.Millisecond, time.Hour, xds.DefaultInitialFetchTimeout),
+		MinBackoff: r.span(b.Least, time.Millisecond, time.Hour, xds.DefaultMinBackoff), MaxBackoff: r.span(b.Most, time.Millisecond, time.Hour, xds.DefaultMaxBackoff),
+		MaxMessageBytes: int(r.size(b.Message, 64<<10, 1<<30, xds.DefaultMaxMessageBytes))}
+	if s.XDS.MaxBackoff < s.XDS.MinBackoff {
+		r.refuse(b.Range, "Pauses the wrong way round", "pause_most %v is under pause %v.", s.XDS.MaxBackoff, s.XDS.MinBackoff)
 	}
 	if _, _, err := net.SplitHostPort(s.XDS.Address); err != nil && s.XDS.Address != "" {
 		r.refuse(b.Address.Range(), "Not an address", "%q is no host with a port.", s.XDS.Address)
@@ -113,23 +113,23 @@
 	return s
 }
 
-func (r *reader) members(b *membersForm, g *Gateway) {
+func (r *reader) members(b *membersForm, g *Config) {
 	if b == nil {
 		b = &membersForm{}
 	}
-	d := members.DefaultTerms
+	d := members.DefaultSettings
 	span := func(e hcl.Expression, otherwise members.Time) members.Time {
 		return int64(r.span(e, 0, 24*time.Hour, time.Duration(otherwise)))
 	}
-	g.Members = members.Terms{Shrink: r.number(b.Shrink, 0, 1, d.Shrink), Hold: span(b.Hold, d.Hold), Grace: span(b.Grace, d.Grace),
-		Flaps: r.count(b.Flaps, 0, 1000, d.Flaps), FlapWindow: span(b.FlapWindow, d.FlapWindow), Rest: span(b.Rest, d.Rest),
-		Silent: span(b.Silent, d.Silent), Forget: span(b.Forget, d.Forget)}
-	g.Folder = r.text(b.Folder, "")
-	g.First = r.span(b.First, 0, time.Hour, 5*time.Second)
+	g.Membership = members.Settings{MaxLossRatio: r.number(b.Shrink, 0, 1, d.MaxLossRatio), HoldDown: span(b.Hold, d.HoldDown), RemovalGrace: span(b.Grace, d.RemovalGrace),
+		MaxFlaps: r.count(b.Flaps, 0, 1000, d.MaxFlaps), FlapWindow: span(b.FlapWindow, d.FlapWindow), DampingTime: span(b.Rest, d.DampingTime),
+		StaleAfter: span(b.Silent, d.StaleAfter), ForgetAfter: span(b.Forget, d.ForgetAfter)}
+	g.EndpointCacheDir = r.text(b.Folder, "")
+	g.FirstListTimeout = r.span(b.First, 0, time.Hour, 5*time.Second)
 }
 
 // disks reads targets and their units.
-func (r *reader) disks(b *disksForm, g *Gateway) {
+func (r *reader) disks(b *disksForm, g *Config) {
 	if b == nil {
 		return
 	}
@@ -141,10 +141,10 @@
 	l.Pace.Inside = r.count(b.Inside, 1, 1<<16, l.Pace.Inside)
 	l.Pace.Start = min(l.Pace.Start, l.Pace.Inside)
 	l.Unread = int(r.size(b.Unread, 64<<10, 1<<30, int64(l.Unread)))
-	l.Wire.Unsent = max(l.Wire.Unsent, l.Unread+2*l.Pace.Bytes)
+	l.Wire.MaxUnsent = max(l.Wire.MaxUnsent, l.Unread+2*l.Pace.Bytes)
 	files := map[string]string{}
 	for _, f := range b.Targets {
-		t := Target{Name: f.Name, Luns: map[uint16]Lun{}}
+		t := Target{Name: f.Name, LUNs: map[uint16]LUN{}}
 		if !strings.HasPrefix(f.Name, "iqn.") && !strings.HasPrefix(f.Name, "eui.") && !strings.HasPrefix(f.Name, "naa.") || len(f.Name) > 223 {
 			r.refuse(f.Range, "Bad name", "A target's name begins with iqn., eui. or naa. and has up to 223 bytes (RFC 7143, 4.2.7): \"iqn.2026-01.example:disk\".")
 		}
@@ -156,14 +156,14 @@
 		}
 		for _, u := range f.Luns {
 			n, err := strconv.ParseUint(u.Number, 10, 14)
-			if _, twice := t.Luns[uint16(n)]; err != nil || twice {
+			if _, twice := t.LUNs[uint16(n)]; err != nil || twice {
 				r.refuse(u.Range, "Bad number", "A unit's number is its own, from 0 to 16383, not %q.", u.Number)
 			}
-			lun := Lun{File: u.File, Size: uint64(r.size(u.Size, 512, 1<<50, 0)), Block: uint32(r.size(u.Block, 512, 4096, 4096)), Fixed: u.Fixed}
-			if lun.Block != 512 && lun.Block != 4096 {
-				r.refuse(u.Range, "Bad block", "A block has 512 or 4096 bytes, not %d.", lun.Block)
-			} else if lun.Size%uint64(lun.Block) != 0 || lun.Size == 0 {
-				r.refuse(u.Range, "Bad size", "%d bytes are not whole blocks of %d.", lun.Size, lun.Block)
+			lun := LUN{File: u.File, Size: uint64(r.size(u.Size, 512, 1<<50, 0)), BlockBytes: uint32(r.size(u.Block, 512, 4096, 4096)), ReadOnly: u.Fixed}
+			if lun.BlockBytes != 512 && lun.BlockBytes != 4096 {
+				r.refuse(u.Range, "Bad block", "A block has 512 or 4096 bytes, not %d.", lun.BlockBytes)
+			} else if lun.Size%uint64(lun.BlockBytes) != 0 || lun.Size == 0 {
+				r.refuse(u.Range, "Bad size", "%d bytes are not whole blocks of %d.", lun.Size, lun.BlockBytes)
 			}
 			p, err := layout.Parse(u.File)
 			if err != nil || p.Rel == "" || g.Volumes[p.Volume] == nil {
@@ -173,9 +173,9 @@
 				r.refuse(u.Range, "File twice", "%s is shown by %s already.", u.File, other)
 			}
 			files[p.String()] = f.Name + " lun " + u.Number
-			t.Luns[uint16(n)] = lun
+			t.LUNs[uint16(n)] = lun
 		}
-		if len(t.Luns) == 0 {
+		if len(t.LUNs) == 0 {
 			r.refuse(f.Range, "No unit", "A target has at least one lun block.")
 		}
 		d.Targets = append(d.Targets, t)
--- a/internal/day/client.go
+++ b/internal/day/client.go
@@ -72,7 +72,7 @@
 // connect connects and waits for the gateway's greeting.
 func connect(addr string, record *audit.Record) (*link, error) {
 	l := &link{record: record, ready: make(chan struct{}), out: map[uint32]chan reply{}}
-	conn, err := sftp.Dial(addr, sftp.DefaultBounds, time.Second, func(c *sftp.Conn) sftp.Peer { l.conn = c; return l })
+	conn, err := sftp.Dial(addr, sftp.DefaultLimits, time.Second, func(c *sftp.Conn) sftp.Peer { l.conn = c; return l })
 	if err != nil {
 		return nil, err
 	}
@@ -80,7 +80,7 @@
 	select {
 	case <-l.ready:
 		return l, nil
-	case <-conn.Gone():
+	case <-conn.Done():
 		return nil, errBroken
 	case <-time.After(5 * time.Second):
 		conn.Close(nil)
@@ -198,7 +198,7 @@
 	name   string
 	addr   func() string // of its gateway, which may change
 	volume *front.Volume
-	conf   *config.Gateway
+	conf   *config.Config
 	record *audit.Record
 	totals *totals
 	rand   *rand.Rand
@@ -222,7 +222,7 @@
 		if i == 0 {
 			name = p.Name
 		}
-		goal, limit = max(goal, c.conf.Products[p.Name].Goal), max(limit, p.Patience)
+		goal, limit = max(goal, c.conf.RequestClasses[p.Name].LatencyObjective), max(limit, p.Patience)
 	}
 	return name, goal, limit
 }
--- a/internal/day/fleet.go
+++ b/internal/day/fleet.go
@@ -59,12 +59,12 @@
 	addrs   map[string]string
 	lock    sync.Mutex
 	keepers map[string]*exec.Cmd
-	base    *rules.Rules
+	base    *rules.Config
 	limits  map[string]float64
-	wanted  *rules.Rules // to be proposed next; nil: nothing
-	listed  listing.List // of it
+	wanted  *rules.Config // to be proposed next; nil: nothing
+	listed  listing.List  // of it
 	news    chan struct{}
-	gone    map[string][]rig.Acts // records of gateways that have ended, by name and start
+	gone    map[string][]rig.Activation // records of gateways that have ended, by name and start
 	count   int
 	stop    context.CancelFunc
 	done    sync.WaitGroup
@@ -81,16 +81,16 @@
 
 func (t *town) openFleet() error {
 	f := &fleet{town: t, plan: t.script.Fleet, links: map[[2]string]*rig.Link{}, addrs: map[string]string{}, keepers: map[string]*exec.Cmd{},
-		limits: map[string]float64{}, news: make(chan struct{}, 1), gone: map[string][]rig.Acts{}}
+		limits: map[string]float64{}, news: make(chan struct{}, 1), gone: map[string][]rig.Activation{}}
 	t.fleet = f
 	if t.opt.Program == "" {
 		return errors.New("a day with keepers needs gateways as processes of their own")
 	}
-	f.base = &rules.Rules{Needs: rules.Form, Shards: t.conf.Shards, Floor: rules.Floor{For: int64(f.plan.Floor), Limits: 1, Writes: true}}
+	f.base = &rules.Config{RequiredFormat: rules.Format, Shards: t.conf.Shards, FallbackPolicy: rules.FallbackPolicy{Duration: int64(f.plan.Floor), LimitFraction: 1, AllowWrites: true}}
 	if t.script.Shards > 0 {
 		f.base.Shards = t.script.Shards
 	}
-	f.base.Agree(t.conf.Terms)
+	f.base.SetFromSettings(t.conf.Settings)
 	var names []string
 	held := map[string]net.Listener{}
 	for i := range f.plan.Keepers {
@@ -249,14 +249,14 @@
 	}
 	defer file.Close()
 	defer os.Remove(f.record(h))
-	list, err := rig.ReadActs(file)
+	list, err := rig.ReadActivations(file)
 	if err != nil {
 		f.town.opt.Note("%s: %v", h.name, err)
 		return
 	}
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	f.gone[h.name] = append(append(f.gone[h.name], list...), rig.Acts{At: monotonic()})
+	f.gone[h.name] = append(append(f.gone[h.name], list...), rig.Activation{At: monotonic()})
 }
 
 // agreement audits what all gateways acted on.
@@ -270,7 +270,7 @@
 		h.stop()
 		f.ended(h)
 	}
-	a, err := rig.Agree(f.gone, versions, f.stated(), end)
+	a, err := rig.AuditPairs(f.gone, versions, f.stated(), end)
 	f.lock.Lock()
 	f.town.opt.Note("%d versions were announced, %d proposals refused", f.changes, f.refused)
 	f.lock.Unlock()
@@ -279,13 +279,13 @@
 
 // stated is the time that docs/fleet.md states for this day's lease and drift.
 func (f *fleet) stated() int64 {
-	return keep.Stated(accord.Terms{Lease: int64(f.plan.Lease), Drift: f.plan.Drift})
+	return keep.ConvergenceBound(accord.Settings{LeaseDuration: int64(f.plan.Lease), MaxClockDrift: f.plan.Drift})
 }
 
 // announce notes that a list is announced.
 func (t *town) announce(l listing.List) {
-	words := map[listing.Standing]string{listing.Ready: "ready", listing.Draining: "draining", listing.Gone: "gone"}
+	words := map[listing.Health]string{listing.Ready: "ready", listing.Draining: "draining", listing.Removed: "gone"}
 	for _, n := range l.Nodes {
-		t.record.Add(audit.Event{What: audit.Listed, Node: n.Addr, Word: words[n.Standing]})
+		t.record.Add(audit.Event{What: audit.Listed, Node: n.Addr, Word: words[n.Health]})
 	}
 }
--- a/internal/day/fleetacts.go
+++ b/internal/day/fleetacts.go
@@ -20,7 +20,7 @@
 				note("%s: %s", strings.Join(tr.Between, " - "), word)
 				for pair, l := range f.links {
 					if f.within(pair, tr.Between) {
-						l.Set(to)
+						l.SetFault(to)
 					}
 				}
 			}
--- a/internal/day/operator.go
+++ b/internal/day/operator.go
@@ -14,10 +14,10 @@
 
 // client speaks to the keepers as an operator: no link is between, as the operators' machine is not part of the day's faults.
 func (f *fleet) client(within time.Duration) *keep.Client {
-	c := &keep.Client{Within: within}
+	c := &keep.Client{Timeout: within}
 	for name, addr := range f.addrs {
 		if name[0] == 'k' {
-			c.Keepers = append(c.Keepers, addr)
+			c.Replicas = append(c.Replicas, addr)
 		}
 	}
 	return c
@@ -25,15 +25,15 @@
 
 // want has the list as it is now, with the limits in force, be proposed. One that was not proposed yet is out of date.
 func (f *fleet) want(l listing.List) {
-	r := rules.Meet(f.base, f.base)
+	r := rules.Intersect(f.base, f.base)
 	for _, n := range l.Nodes {
-		r.Nodes[n.Addr] = rules.Node{Name: n.Name, Zone: n.Zone, Shard: n.Shard, Born: n.Born, Standing: n.Standing, Weight: n.Weight}
+		r.Nodes[n.Addr] = rules.Node{Name: n.Name, Zone: n.Zone, Shard: n.Shard, StartedAt: n.StartedAt, Health: n.Health, Weight: n.Weight}
 	}
 	f.lock.Lock()
 	for name, limit := range f.limits {
-		p := r.Plans[name]
-		p.Limit = limit
-		r.Plans[name] = p
+		p := r.ServiceLevels[name]
+		p.RateLimit = limit
+		r.ServiceLevels[name] = p
 	}
 	f.wanted, f.listed = r, l
 	f.lock.Unlock()
@@ -64,7 +64,7 @@
 }
 
 // propose proposes rules against the newest version; false: they are not in the log.
-func (f *fleet) propose(ctx context.Context, r *rules.Rules, author string, parent uint64) bool {
+func (f *fleet) propose(ctx context.Context, r *rules.Config, author string, parent uint64) bool {
 	c := f.client(5 * time.Second)
 	if parent == 0 {
 		s, err := c.Status()
@@ -78,8 +78,8 @@
 	id := fmt.Sprint("day ", f.count)
 	f.lock.Unlock()
 	for ctx.Err() == nil {
-		v, err := c.Propose(&accord.Proposal{ID: id, Parent: parent, Over: true, Author: author, Why: "the day's script", Rules: r.Canonical()})
-		var refused *keep.RefusedError
+		v, err := c.Propose(&accord.Proposal{ID: id, Parent: parent, ReplacePending: true, Author: author, Reason: "the day's script", Content: r.Canonical()})
+		var refused *keep.RejectedError
 		f.lock.Lock()
 		if err == nil {
 			f.changes++
@@ -109,18 +109,18 @@
 		return
 	}
 	s, err := f.client(5 * time.Second).Status()
-	if err != nil || s.Newest == nil {
+	if err != nil || s.Latest == nil {
 		return
 	}
-	r, err := s.Newest.Open()
+	r, err := s.Latest.Config()
 	if err != nil {
 		return
 	}
 	for i := range c.Race {
-		own := rules.Meet(r, r)
-		p := own.Plans[c.Plan]
-		p.Limit = c.Limit + float64(i)
-		own.Plans[c.Plan] = p
+		own := rules.Intersect(r, r)
+		p := own.ServiceLevels[c.Plan]
+		p.RateLimit = c.Limit + float64(i)
+		own.ServiceLevels[c.Plan] = p
 		f.done.Add(1)
 		go func() {
 			defer f.done.Done()
--- a/internal/day/play.go
+++ b/internal/day/play.go
@@ -44,7 +44,7 @@
 		}
 		checked = checked || rule.Checked > 0
 	}
-	if a := r.Agreement; a != nil && (a.Broken > 0 || a.Pairs == 0 || a.Versions == 0) {
+	if a := r.Agreement; a != nil && (a.Violations > 0 || a.Pairs == 0 || a.Versions == 0) {
 		return false
 	}
 	return checked && r.Lost == 0 && r.Twice == 0 && r.TornReads == 0
@@ -70,7 +70,7 @@
 type town struct {
 	script *Script
 	opt    Options
-	conf   *config.Gateway
+	conf   *config.Config
 	source string // the configuration as it stands in the file
 	dir    string
 	record *audit.Record
@@ -160,7 +160,7 @@
 
 // terms are the figures of the rules, for the check.
 func (t *town) terms() audit.Terms {
-	terms := audit.TermsOf(t.conf.Terms)
+	terms := audit.TermsOf(t.conf.Settings)
 	terms.Slack, terms.Transit = int64(t.script.Slack), int64(t.script.Transit)
 	terms.Grace, terms.ListDelay = int64(t.script.Grace), int64(listDelay)
 	if f := t.fleet; f != nil { // a gateway that is cut off learns of a drain by its lease's end, or its floor's
@@ -168,9 +168,9 @@
 	}
 	plans := map[int64]string{}
 	for _, v := range t.conf.Volumes {
-		plans[v.ID] = v.Plan
+		plans[v.ID] = v.ServiceLevel
 	}
-	for id, c := range t.conf.Caps {
+	for id, c := range t.conf.VolumeLimits {
 		limit := audit.Limit(c)
 		for _, change := range t.script.Fleet.Changes { // gateways act on limits by versions: the highest that there ever was is what is sure
 			if change.Plan == plans[id] {
--- a/internal/day/town.go
+++ b/internal/day/town.go
@@ -104,7 +104,7 @@
 	p.node = n
 	entry := listing.Node{Addr: n.Addr(), Zone: p.plan.Zone, Shard: p.plan.Shard}
 	if cold {
-		entry.Born = n.Born().UnixNano()
+		entry.StartedAt = n.Born().UnixNano()
 	}
 	p.listed = append(p.listed, entry)
 	return nil
@@ -124,7 +124,7 @@
 	}
 	if t.plane != nil {
 		t.plane.Set(func([]listing.Node) []listing.Node { return slices.Clone(l.Nodes) })
-	} else if err := renameio.WriteFile(filepath.Join(t.dir, "nodes.hcl"), listing.Write(l), 0o644); err != nil {
+	} else if err := renameio.WriteFile(filepath.Join(t.dir, "nodes.hcl"), listing.FormatList(l), 0o644); err != nil {
 		return err
 	}
 	t.announce(l)
@@ -132,11 +132,11 @@
 }
 
 // stand changes what the list says of a node.
-func (t *town) stand(p *place, addr string, s listing.Standing) {
+func (t *town) stand(p *place, addr string, s listing.Health) {
 	t.lock.Lock()
 	for i := range p.listed {
 		if p.listed[i].Addr == addr {
-			p.listed[i].Standing = s
+			p.listed[i].Health = s
 		}
 	}
 	t.lock.Unlock()
@@ -188,8 +188,8 @@
 			return err
 		}
 		h.lock.Lock()
-		if h.in, h.addr = g, g.Front.Addr(); g.Disks != nil {
-			h.disk = g.Disks.Addr()
+		if h.in, h.addr = g, g.Frontend.Addr(); g.ISCSI != nil {
+			h.disk = g.ISCSI.Addr()
 		}
 		h.lock.Unlock()
 		return nil
--- a/internal/day/troubles.go
+++ b/internal/day/troubles.go
@@ -78,7 +78,7 @@
 				t.opt.Note("%s dies", tr.Node)
 				old.Close()
 			}},
-			{tr.At + noticed, func() { t.stand(p, old.Addr(), listing.Gone) }},
+			{tr.At + noticed, func() { t.stand(p, old.Addr(), listing.Removed) }},
 			{end, func() { t.fresh(tr.Node, p) }},
 		}
 	case "replace": // the old one is listed as draining when its successor stands
@@ -92,7 +92,7 @@
 				}
 				t.stand(p, old.Addr(), listing.Draining) // the list has both at once
 			}},
-			{tr.At + farewell, func() { t.stand(p, old.Addr(), listing.Gone) }},
+			{tr.At + farewell, func() { t.stand(p, old.Addr(), listing.Removed) }},
 			{tr.At + farewell + noticed, func() { old.Close() }},
 		}
 	}
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -20,23 +20,23 @@
 	"irispost/internal/listing"
 )
 
-// Form is a list as the service writes it.
-type Form struct {
-	Rev     int64    `json:"rev"`
-	All     bool     `json:"all"`
-	Targets []Target `json:"targets"`
+// Response is a list as the service writes it.
+type Response struct {
+	Revision int64    `json:"rev"`
+	Full     bool     `json:"all"`
+	Targets  []Target `json:"targets"`
 }
 
 // Target is one entry.
 type Target struct {
-	UID      string  `json:"uid"`
-	Endpoint string  `json:"endpoint"`
-	Zone     string  `json:"az"`
-	Model    string  `json:"model"`
-	Group    int     `json:"pod_group"`
-	State    string  `json:"state"`
-	Weight   float64 `json:"capacity_hint"`
-	Boot     int64   `json:"boot_ms"`
+	UID           string  `json:"uid"`
+	Endpoint      string  `json:"endpoint"`
+	Zone          string  `json:"az"`
+	Model         string  `json:"model"`
+	Shard         int     `json:"pod_group"`
+	State         string  `json:"state"`
+	Weight        float64 `json:"capacity_hint"`
+	StartedMillis int64   `json:"boot_ms"`
 }
 
 // Table holds what was told last, by the service's ids, and turns what it says into lists by address. It is pure.
@@ -45,36 +45,36 @@
 	last map[string]listing.Node
 }
 
-var standings = map[string]listing.Standing{"ready": listing.Ready, "draining": listing.Draining, "gone": listing.Gone}
+var standings = map[string]listing.Health{"ready": listing.Ready, "draining": listing.Draining, "gone": listing.Removed}
 
-// Take takes in what the service says. Where several ids have one address, the one that started last counts; a node that has
+// Apply takes in what the service says. Where several ids have one address, the one that started last counts; a node that has
 // another address now leaves none behind.
-func (t *Table) Take(f *Form, stale bool) (listing.List, error) {
-	l := listing.List{Version: strconv.FormatInt(f.Rev, 10), Stale: stale, Part: !f.All}
+func (t *Table) Apply(f *Response, stale bool) (listing.List, error) {
+	l := listing.List{Version: strconv.FormatInt(f.Revision, 10), Stale: stale, Partial: !f.Full}
 	said := make([]listing.Node, 0, len(f.Targets))
 	for _, e := range f.Targets {
 		s, ok := standings[e.State]
-		if !ok || e.UID == "" || s != listing.Gone && e.Endpoint == "" {
+		if !ok || e.UID == "" || s != listing.Removed && e.Endpoint == "" {
 			return l, fmt.Errorf("an entry that can't be read: uid %q, endpoint %q, state %q", e.UID, e.Endpoint, e.State)
 		}
-		said = append(said, listing.Node{Addr: e.Endpoint, Name: e.UID, Zone: e.Zone, Shard: e.Group, Weight: e.Weight,
-			Born: e.Boot * int64(time.Millisecond), Standing: s})
+		said = append(said, listing.Node{Addr: e.Endpoint, Name: e.UID, Zone: e.Zone, Shard: e.Shard, Weight: e.Weight,
+			StartedAt: e.StartedMillis * int64(time.Millisecond), Health: s})
 	}
 	before := t.last
-	if f.All || before == nil {
+	if f.Full || before == nil {
 		t.last = map[string]listing.Node{}
 	}
-	t.rev = f.Rev
+	t.rev = f.Revision
 	touched := []listing.Node{} // whose address is told of anew
 	for _, n := range said {
 		old, known := before[n.Name]
-		if n.Standing == listing.Gone {
+		if n.Health == listing.Removed {
 			delete(t.last, n.Name)
 		} else {
 			t.last[n.Name] = n
 		}
 		if known && old.Addr != n.Addr {
-			old.Standing = listing.Gone
+			old.Health = listing.Removed
 			touched = append(touched, old)
 		}
 		if n.Addr != "" {
@@ -83,7 +83,7 @@
 	}
 	held := map[string]listing.Node{} // by address, the one that started last counts
 	for _, n := range t.last {
-		if o, ok := held[n.Addr]; !ok || n.Born > o.Born || n.Born == o.Born && n.Name > o.Name {
+		if o, ok := held[n.Addr]; !ok || n.StartedAt > o.StartedAt || n.StartedAt == o.StartedAt && n.Name > o.Name {
 			held[n.Addr] = n
 		}
 	}
@@ -97,8 +97,8 @@
 		switch {
 		case ok:
 			l.Nodes = append(l.Nodes, o)
-		case l.Part:
-			n.Standing = listing.Gone
+		case l.Partial:
+			n.Health = listing.Removed
 			l.Nodes = append(l.Nodes, n)
 		}
 	}
@@ -107,12 +107,12 @@
 
 // Options are what a client is started with.
 type Options struct {
-	Gateway string
-	Address string
-	Known   *Form         // the list as this gateway last held it; nil: none
-	Hold    time.Duration // how long the service may hold a watch open
-	Slack   time.Duration // how much longer an answer may take
-	Log     *slog.Logger
+	Gateway  string
+	Address  string
+	Cached   *Response     // the list as this gateway last held it; nil: none
+	LongPoll time.Duration // how long the service may hold a watch open
+	Timeout  time.Duration // how much longer an answer may take
+	Log      *slog.Logger
 }
 
 // Client watches one service.
@@ -134,12 +134,12 @@
 // New makes a client, and returns the list as it was last held; nil: there is none.
 func New(opt Options) (*Client, *listing.List, error) {
 	c := &Client{opt: opt, addr: opt.Address, wake: make(chan struct{}, 1), undo: func() {}, dial: (&net.Dialer{}).DialContext}
-	if opt.Known == nil {
+	if opt.Cached == nil {
 		return c, nil, nil
 	}
-	known := *opt.Known
-	known.All = true
-	l, err := c.table.Take(&known, true)
+	known := *opt.Cached
+	known.Full = true
+	l, err := c.table.Apply(&known, true)
 	return c, &l, err
 }
 
@@ -151,9 +151,9 @@
 	}
 }
 
-// Move changes the service's address. What is under way at the old one is let go and asked anew at once: a failure there
+// SetAddress changes the service's address. What is under way at the old one is let go and asked anew at once: a failure there
 // says nothing of the new one.
-func (c *Client) Move(addr string) {
+func (c *Client) SetAddress(addr string) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	if addr == c.addr {
@@ -215,7 +215,7 @@
 }
 
 // bounds of an answer: lists of many thousands of nodes.
-var bounds = http1.Bounds{Head: 8 << 10, Fields: 64, Body: 4 << 20, Extra: 8}
+var bounds = http1.Limits{MaxHeadBytes: 8 << 10, MaxFields: 64, MaxBodyBytes: 4 << 20, MaxInformational: 8}
 
 // errSilent tells that a call was taken and nothing came of it.
 var errSilent = errors.New("the service is silent")
@@ -233,7 +233,7 @@
 		}
 	}
 	conn, in := c.conn, c.in
-	dialling, undo := context.WithTimeout(ctx, c.opt.Slack)
+	dialling, undo := context.WithTimeout(ctx, c.opt.Timeout)
 	c.undo = undo
 	c.lock.Unlock()
 	defer undo()
@@ -242,7 +242,7 @@
 		if conn, err = c.dial(dialling, "tcp", addr); err != nil {
 			return err
 		}
-		in = bufio.NewReaderSize(conn, http1.LineBytes)
+		in = bufio.NewReaderSize(conn, http1.MaxLineBytes)
 		c.lock.Lock()
 		c.conn, c.in = conn, in
 		moved := c.moved
@@ -251,9 +251,9 @@
 			return net.ErrClosed
 		}
 	}
-	hold, limit := c.opt.Hold, c.opt.Hold+c.opt.Slack
+	hold, limit := c.opt.LongPoll, c.opt.LongPoll+c.opt.Timeout
 	if c.quick { // the service may be busy with all who come back with us
-		hold, limit = min(hold, time.Millisecond), 2*c.opt.Slack
+		hold, limit = min(hold, time.Millisecond), 2*c.opt.Timeout
 	}
 	target := "/v1/servers"
 	if c.table.last != nil {
@@ -263,7 +263,7 @@
 	if _, err := conn.Write(http1.NewRequest("GET", target).Field("Host", addr).Body(nil, false)); err != nil {
 		return err
 	}
-	a, err := http1.ReadAnswer(in, bounds)
+	a, err := http1.ReadResponse(in, bounds)
 	if n := net.Error(nil); errors.As(err, &n) && n.Timeout() {
 		return fmt.Errorf("%w: %w", errSilent, err)
 	}
@@ -273,11 +273,11 @@
 	if a.Status != 200 {
 		return fmt.Errorf("status %d", a.Status)
 	}
-	var f Form
+	var f Response
 	if err := json.Unmarshal(a.Body, &f); err != nil {
 		return err
 	}
-	l, err := c.table.Take(&f, false)
+	l, err := c.table.Apply(&f, false)
 	if err != nil {
 		return err
 	}
