--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -29,11 +29,11 @@
 		var parts, wholes discovery.Table
 		truth := map[string]discovery.Target{}
 		apply := func(held map[string]listing.Node, l listing.List) {
-			if !l.Part {
+			if !l.Partial {
 				clear(held)
 			}
 			for _, n := range l.Nodes {
-				if n.Standing == listing.Gone {
+				if n.Health == listing.Removed {
 					delete(held, n.Addr)
 				} else {
 					held[n.Addr] = n
@@ -45,30 +45,30 @@
 			changes := map[string]discovery.Target{}
 			for range rapid.IntRange(1, 3).Draw(t, "changes") {
 				e := discovery.Target{UID: fmt.Sprint("s", rapid.IntRange(0, 5).Draw(t, "uid")), Endpoint: fmt.Sprint("e", rapid.IntRange(0, 5).Draw(t, "address")),
-					State: rapid.SampledFrom([]string{"ready", "draining", "gone"}).Draw(t, "state"), Boot: int64(rev)}
+					State: rapid.SampledFrom([]string{"ready", "draining", "gone"}).Draw(t, "state"), StartedMillis: int64(rev)}
 				changes[e.UID] = e
 			}
-			form := discovery.Form{Rev: int64(rev), All: rev == 0}
+			form := discovery.Response{Revision: int64(rev), Full: rev == 0}
 			for _, e := range changes {
 				if e.State == "gone" {
 					delete(truth, e.UID)
 				} else {
 					truth[e.UID] = e
 				}
-				if !form.All || e.State != "gone" {
+				if !form.Full || e.State != "gone" {
 					form.Targets = append(form.Targets, e)
 				}
 			}
-			l, err := parts.Take(&form, false)
+			l, err := parts.Apply(&form, false)
 			if err != nil {
 				t.Fatal(err)
 			}
 			apply(a, l)
-			whole := discovery.Form{Rev: int64(rev), All: true}
+			whole := discovery.Response{Revision: int64(rev), Full: true}
 			for _, e := range truth {
 				whole.Targets = append(whole.Targets, e)
 			}
-			if l, err = wholes.Take(&whole, false); err != nil {
+			if l, err = wholes.Apply(&whole, false); err != nil {
 				t.Fatal(err)
 			}
 			apply(b, l)
@@ -82,7 +82,7 @@
 func TestEntriesThatCannotBeRead(t *testing.T) {
 	for _, e := range []discovery.Target{{UID: "a", Endpoint: "b", State: "asleep"}, {Endpoint: "b", State: "ready"}, {UID: "a", State: "ready"}} {
 		var table discovery.Table
-		if l, err := table.Take(&discovery.Form{All: true, Targets: []discovery.Target{e}}, false); err == nil {
+		if l, err := table.Apply(&discovery.Response{Full: true, Targets: []discovery.Target{e}}, false); err == nil {
 			t.Errorf("%+v is read as %+v", e, l)
 		}
 	}
@@ -132,19 +132,19 @@
 }
 
 func form(rev int, all bool, state string) string {
-	b, _ := json.Marshal(discovery.Form{Rev: int64(rev), All: all, Targets: []discovery.Target{{UID: "s", Endpoint: "e:1", Group: 3, State: state, Boot: 7}}})
+	b, _ := json.Marshal(discovery.Response{Revision: int64(rev), Full: all, Targets: []discovery.Target{{UID: "s", Endpoint: "e:1", Shard: 3, State: state, StartedMillis: 7}}})
 	return string(b)
 }
 
 func TestWatch(t *testing.T) {
 	one, two := serve(t), serve(t)
-	var known discovery.Form
+	var known discovery.Response
 	if err := json.Unmarshal([]byte(form(41, false, "ready")), &known); err != nil {
 		t.Fatal(err)
 	}
-	c, held, err := discovery.New(discovery.Options{Gateway: "n1", Address: one.addr, Known: &known, Hold: time.Second, Slack: time.Minute,
+	c, held, err := discovery.New(discovery.Options{Gateway: "n1", Address: one.addr, Cached: &known, LongPoll: time.Second, Timeout: time.Minute,
 		Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
-	if err != nil || !held.Stale || held.Part || len(held.Nodes) != 1 || held.Nodes[0].Born != 7e6 || held.Nodes[0].Shard != 3 {
+	if err != nil || !held.Stale || held.Partial || len(held.Nodes) != 1 || held.Nodes[0].StartedAt != 7e6 || held.Nodes[0].Shard != 3 {
 		t.Fatalf("%+v, %v", held, err)
 	}
 	lists, failed := make(chan listing.List), make(chan bool)
@@ -162,10 +162,10 @@
 		}
 		a.answer <- answer
 	}
-	told := func(version string, part bool, s listing.Standing) {
+	told := func(version string, part bool, s listing.Health) {
 		t.Helper()
 		l := <-lists
-		if l.Version != version || l.Part != part || l.Stale || !slices.ContainsFunc(l.Nodes, func(n listing.Node) bool { return n.Standing == s }) {
+		if l.Version != version || l.Partial != part || l.Stale || !slices.ContainsFunc(l.Nodes, func(n listing.Node) bool { return n.Health == s }) {
 			t.Fatalf("%+v", l)
 		}
 	}
@@ -192,11 +192,11 @@
 	c.Watch()
 	next(one, "/v1/servers?from=44&hold_ms=1000", `{"rev":"x"}`)
 	loud()
-	c.Move(two.addr) // asked at once
+	c.SetAddress(two.addr) // asked at once
 	next(two, "/v1/servers?from=44&hold_ms=1000", form(45, false, "gone"))
-	told("45", true, listing.Gone)
+	told("45", true, listing.Removed)
 	a := <-two.calls
-	c.Move(one.addr) // while a call is out: that is no failure
+	c.SetAddress(one.addr) // while a call is out: that is no failure
 	next(one, "/v1/servers?from=45&hold_ms=1000", form(46, true, "ready"))
 	told("46", false, listing.Ready)
 	if _ = a; c.Pending() != 0 {
@@ -211,7 +211,7 @@
 // one that fails; the next call is not to wait, so that its answer shows at once whether the service is there again.
 func TestSilentService(t *testing.T) {
 	s := serve(t)
-	c, _, err := discovery.New(discovery.Options{Gateway: "n1", Address: s.addr, Hold: 50 * time.Millisecond, Slack: 50 * time.Millisecond,
+	c, _, err := discovery.New(discovery.Options{Gateway: "n1", Address: s.addr, LongPoll: 50 * time.Millisecond, Timeout: 50 * time.Millisecond,
 		Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -70,7 +70,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = l.Close() })
-	c, _, err := discovery.New(discovery.Options{Gateway: "g", Address: l.Addr().String(), Hold: 500 * time.Millisecond, Slack: 1500 * time.Millisecond,
+	c, _, err := discovery.New(discovery.Options{Gateway: "g", Address: l.Addr().String(), LongPoll: 500 * time.Millisecond, Timeout: 1500 * time.Millisecond,
 		Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
 	if err != nil {
 		t.Fatal(err)
@@ -94,9 +94,9 @@
 		nodes := []map[string]any{}
 		for _, n := range l.Nodes {
 			nodes = append(nodes, map[string]any{"addr": n.Addr, "name": n.Name, "zone": n.Zone, "shard": n.Shard, "weight": n.Weight,
-				"born": n.Born, "standing": int(n.Standing)})
+				"born": n.StartedAt, "standing": int(n.Health)})
 		}
-		read = append(read, map[string]any{"version": l.Version, "stale": l.Stale, "part": l.Part, "nodes": nodes})
+		read = append(read, map[string]any{"version": l.Version, "stale": l.Stale, "part": l.Partial, "nodes": nodes})
 	}
 	requests.WriteString(head(t, in)) // left without an answer
 	if silent := <-failed; !silent {
@@ -111,7 +111,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var forms []discovery.Form
+	var forms []discovery.Response
 	if err := json.Unmarshal(src, &forms); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/discovery/reach_test.go
+++ b/internal/discovery/reach_test.go
@@ -26,10 +26,10 @@
 // nowhere is nodes that nothing is sent to.
 type nowhere struct{}
 
-func (nowhere) Start(string, *node.Call, func(node.Answer)) node.Sending { return nil }
-func (nowhere) Leave(func(string) bool)                                  {}
-func (nowhere) Keep(map[string]bool)                                     {}
-func (nowhere) Late() int64                                              { return 0 }
+func (nowhere) Start(string, *node.Call, func(node.Reply)) node.Attempt { return nil }
+func (nowhere) AbortQueued(func(string) bool)                           {}
+func (nowhere) Retain(map[string]bool)                                  {}
+func (nowhere) LateReplies() int64                                      { return 0 }
 
 // ills are what becomes of a call while the service is ill.
 var ills = []string{"refused", "no connection", "busy", "busy late", "reset", "reset late", "silent", "cut off", "trickle", "spoilt"}
@@ -117,21 +117,21 @@
 	play := func(t *testing.T, seed uint64, only, every, goal string) (took time.Duration) {
 		synctest.Test(t, func(t *testing.T) {
 			draw := rand.New(rand.NewPCG(seed, 1))
-			terms := decide.Terms{"discovery": "ask", "products.count": "1", "products.0.name": "read", "products.0.goal": goal}
+			terms := decide.Settings{"discovery": "ask", "products.count": "1", "products.0.name": "read", "products.0.goal": goal}
 			if every != "" {
 				terms["list.every"] = every
 			}
-			c, _, err := discovery.New(discovery.Options{Gateway: "n", Address: "a", Hold: (&platform.Config{Terms: terms}).Hold(), Slack: time.Second, Log: log})
+			c, _, err := discovery.New(discovery.Options{Gateway: "n", Address: "a", LongPoll: (&platform.Config{Settings: terms}).LongPoll(), Timeout: time.Second, Log: log})
 			if err != nil {
 				t.Fatal(err)
 			}
 			s := &illService{draw: draw, only: only, well: time.Now().Add(time.Duration(draw.Int64N(int64(30 * time.Second))))}
 			discovery.Dialled(c, s.dial)
-			loop := gateway.Start(gateway.Options{Name: "n", Seed: seed, Terms: terms, Queue: 10, Clock: gateway.NewClock(), Nodes: nowhere{}, Watch: c.Watch, Log: log})
+			loop := gateway.Start(gateway.Options{Name: "n", Seed: seed, Settings: terms, QueueSize: 10, Clock: gateway.NewClock(), Nodes: nowhere{}, Watch: c.Watch, Log: log})
 			ctx, cancel := context.WithCancel(t.Context())
 			heard, ended := make(chan bool, 100), make(chan bool)
 			go func() {
-				c.Run(ctx, func(l listing.List) { loop.List(l); heard <- true }, loop.ListFailed)
+				c.Run(ctx, func(l listing.List) { loop.UpdateEndpoints(l); heard <- true }, loop.EndpointListFailed)
 				close(ended)
 			}()
 			<-heard
--- a/internal/fleet/accord/contents_test.go
+++ b/internal/fleet/accord/contents_test.go
@@ -13,25 +13,25 @@
 
 // begin is a start with what is on the disk.
 func (h *host) begin(w *world) {
-	var flaws content.Flaws
+	var flaws content.InjectedFaults
 	if w.flaws.Has(noDigest) {
-		flaws = content.NoDigest
+		flaws = content.FaultNoDigestCheck
 	}
 	if w.flaws.Has(oldSpool) {
-		flaws |= content.OldSpool
+		flaws |= content.FaultStaleCacheFile
 	}
 	var spool []byte
 	if n := len(h.spool); n > 0 && w.chance(0.8) {
 		spool = h.spool[max(n-1-w.rand.IntN(3), 0)]
 	}
-	h.hold = content.Hold(spool, flaws)
+	h.hold = content.NewCache(spool, flaws)
 }
 
 // coded is what was coded already, in all runs: the pool is small.
 var coded sync.Map
 
 func encode(base, bytes []byte) []byte {
-	key := content.Pair{Base: string(base), Digest: string(bytes)}
+	key := content.DeltaKey{Base: string(base), Digest: string(bytes)}
 	if c, there := coded.Load(key); there {
 		return c.([]byte)
 	}
@@ -44,13 +44,13 @@
 }
 
 // fetch gets the contents that a grant names and has it heard with what was had in time.
-func (w *world) fetch(h *host, f *Follower, g *Grant) {
+func (w *world) fetch(h *host, f *Client, g *RenewResponse) {
 	var digests []string
-	for _, v := range f.Named(g) {
+	for _, v := range f.VersionsOf(g) {
 		digests = append(digests, v.Digest)
 	}
 	if !h.before {
-		h.hold.Named(digests...)
+		h.hold.Retain(digests...)
 	}
 	till := w.now + lease/4
 	var next func(left []*rules.Version, at *content.Fetch)
@@ -64,10 +64,10 @@
 		case h.stopped:
 			again(lease/10, left, at)
 			return
-		case at != nil && at.State() == content.Asking && w.now < till:
+		case at != nil && at.State() == content.StateInProgress && w.now < till:
 			w.content(h, f, at, func() { next(left, at) })
 			return
-		case len(left) > 0 && len(left[0].Rules) > 0:
+		case len(left) > 0 && len(left[0].Content) > 0:
 			next(left[1:], nil)
 			return
 		case len(left) > 0 && at == nil && w.now < till:
@@ -76,50 +76,50 @@
 		}
 		if len(left) > 0 {
 			if c := h.hold.Content(left[0].Digest); c != nil {
-				left[0].Rules = c
+				left[0].Content = c
 				if w.flaws.Has(noDigest) || w.flaws.Has(oldSpool) {
-					left[0].Digest = rules.Sum(c)
+					left[0].Digest = rules.DigestOf(c)
 				}
 				h.spool = append(h.spool, c)
 			}
 			next(left[1:], nil)
 			return
 		}
-		f.Heard(h.at(w.now), g)
+		f.HandleResponse(h.at(w.now), g)
 	}
 	next(g.Versions, nil)
 }
 
 // content asks a keeper for a content, whichever, as any may answer.
-func (w *world) content(h *host, f *Follower, at *content.Fetch, then func()) {
-	r := at.Next()
+func (w *world) content(h *host, f *Client, at *content.Fetch, then func()) {
+	r := at.NextRequest()
 	k := w.keepers[w.rand.IntN(len(w.keepers))]
 	there, back := w.delay(), w.delay()
 	if there < 0 || back < 0 || h.cut {
-		w.post(lease/8, func() { at.Failed(); then() })
+		w.post(lease/8, func() { at.HandleFailure(); then() })
 		return
 	}
 	w.post(there/2, func() {
-		v := k.ledger.Content(r.Digest)
+		v := k.ledger.VersionByDigest(r.Digest)
 		if v != nil && !w.calm && w.chance(0.1) { // another's answer
 			v = w.truth.Versions[w.rand.IntN(len(w.truth.Versions))]
 		}
 		w.post(back/2, func() {
 			defer then()
 			if v == nil {
-				at.Failed()
+				at.HandleFailure()
 				return
 			}
-			coding, base := content.Whole, []byte(nil)
-			if b := k.ledger.Content(r.Base); b != nil {
-				coding, base = content.Delta, b.Rules
+			coding, base := content.EncodingZstd, []byte(nil)
+			if b := k.ledger.VersionByDigest(r.Base); b != nil {
+				coding, base = content.EncodingDelta, b.Content
 			}
-			c := encode(base, v.Rules)
+			c := encode(base, v.Content)
 			if !w.calm && w.chance(0.1) {
 				c = append([]byte(nil), c...)
 				c[w.rand.IntN(len(c))] ^= 1 << w.rand.IntN(8)
 			}
-			at.Answered(r, coding, c) // what is wrong with it is seen in what is done next
+			at.HandleResponse(r, coding, c) // what is wrong with it is seen in what is done next
 		})
 	})
 }
--- a/internal/fleet/accord/entry.go
+++ b/internal/fleet/accord/entry.go
@@ -14,8 +14,8 @@
 // byte that no JSON begins with, so that a keeper that does not know it stops there: then the length of the JSON that follows (uvarint),
 // the JSON without the content, and the content as package delta codes it, from that of the version before or whole.
 
-// Form is the newest form of entries and snapshots that this program knows.
-const Form = 2
+// Format is the newest form of entries and snapshots that this program knows.
+const Format = 2
 
 // mark is the first byte of what is in the second form.
 const mark = 0x02
@@ -27,15 +27,15 @@
 	mostWhy = 2048
 )
 
-// ErrEntry tells of an entry of the log that cannot be taken: who goes on without it parts from the others.
-var ErrEntry = errors.New("an entry of the log cannot be taken")
+// ErrInvalidEntry tells of an entry of the log that cannot be taken: who goes on without it parts from the others.
+var ErrInvalidEntry = errors.New("an entry of the log cannot be taken")
 
-// Check refuses a proposal that is too large to be put into the log.
-func (p *Proposal) Check() error {
+// Validate refuses a proposal that is too large to be put into the log.
+func (p *Proposal) Validate() error {
 	for _, part := range []struct {
 		what       string
 		have, most int
-	}{{"content", len(p.Rules), rules.Most}, {"ID", len(p.ID), mostID}, {"author", len(p.Author), mostWho}, {"time", len(p.Time), mostWho}, {"reason", len(p.Why), mostWhy}} {
+	}{{"content", len(p.Content), rules.MaxContentBytes}, {"ID", len(p.ID), mostID}, {"author", len(p.Author), mostWho}, {"time", len(p.CreatedAt), mostWho}, {"reason", len(p.Reason), mostWhy}} {
 		if part.have > part.most {
 			return fmt.Errorf("the proposal's %s has %d bytes, %d at most are taken", part.what, part.have, part.most)
 		}
@@ -43,9 +43,9 @@
 	return nil
 }
 
-// Entry writes a command for the log, in a form that all keepers read. In form 2 the content is a delta from that of its parent, as the
+// EncodeEntry writes a command for the log, in a form that all keepers read. In form 2 the content is a delta from that of its parent, as the
 // ledger has it; whoever applies it has the same, or refuses the proposal before it looks at the content.
-func (c *Command) Entry(form int, l *Ledger) ([]byte, error) {
+func (c *Command) EncodeEntry(form int, l *StateMachine) ([]byte, error) {
 	if form < 2 {
 		if len(c.Forget) > 0 {
 			return nil, errors.New("an entry of form 1 cannot tell what to forget")
@@ -62,7 +62,7 @@
 		if err := p.code(l); err != nil {
 			return nil, err
 		}
-		short.Propose, coded = &p, p.Coded
+		short.Propose, coded = &p, p.Delta
 	}
 	head, err := json.Marshal(&short)
 	if err != nil {
@@ -73,24 +73,24 @@
 }
 
 // code puts the coded content in place of the whole.
-func (p *Proposal) code(l *Ledger) (err error) {
+func (p *Proposal) code(l *StateMachine) (err error) {
 	var base []byte
-	p.Digest, p.Base = rules.Sum(p.Rules), 0
+	p.Digest, p.DeltaBase = rules.DigestOf(p.Content), 0
 	if v := l.Version(p.Parent); v != nil && p.Parent == l.Announced {
-		p.Base, base = v.Number, v.Rules
+		p.DeltaBase, base = v.Number, v.Content
 	}
-	if p.Coded, err = delta.Encode(base, p.Rules); err != nil {
+	if p.Delta, err = delta.Encode(base, p.Content); err != nil {
 		return err
 	}
-	if b, err := delta.Decode(base, p.Coded, rules.Most); err != nil || rules.Sum(b) != p.Digest { // each keeper would end by it
-		return fmt.Errorf("the content of %d bytes is not the same once it is coded and decoded: %v", len(p.Rules), err)
+	if b, err := delta.Decode(base, p.Delta, rules.MaxContentBytes); err != nil || rules.DigestOf(b) != p.Digest { // each keeper would end by it
+		return fmt.Errorf("the content of %d bytes is not the same once it is coded and decoded: %v", len(p.Content), err)
 	}
-	p.Rules = nil
+	p.Content = nil
 	return nil
 }
 
-// ReadEntry reads what Entry wrote.
-func ReadEntry(b []byte) (*Command, error) {
+// DecodeEntry reads what Entry wrote.
+func DecodeEntry(b []byte) (*Command, error) {
 	c := &Command{}
 	if len(b) == 0 || b[0] != mark {
 		return c, json.Unmarshal(b, c)
@@ -105,7 +105,7 @@
 	}
 	switch {
 	case c.Propose != nil:
-		c.Propose.Rules, c.Propose.Coded = nil, coded
+		c.Propose.Content, c.Propose.Delta = nil, coded
 	case len(c.Forget) == 0:
 		return nil, errors.New("it is of form 2 and has nothing that this program knows of it")
 	}
@@ -113,25 +113,25 @@
 }
 
 // content is what is proposed, decoded and checked. Its parent is the announced version.
-func (p *Proposal) content(l *Ledger) ([]byte, error) {
-	if p.Coded == nil {
-		return p.Rules, nil
+func (p *Proposal) content(l *StateMachine) ([]byte, error) {
+	if p.Delta == nil {
+		return p.Content, nil
 	}
 	var base []byte
-	if p.Base != 0 {
-		v := l.Version(p.Base)
-		if p.Base != p.Parent || v == nil {
-			return nil, fmt.Errorf("%w: proposal %q is a delta from version %d, and %d is announced", ErrEntry, p.ID, p.Base, l.Announced)
+	if p.DeltaBase != 0 {
+		v := l.Version(p.DeltaBase)
+		if p.DeltaBase != p.Parent || v == nil {
+			return nil, fmt.Errorf("%w: proposal %q is a delta from version %d, and %d is announced", ErrInvalidEntry, p.ID, p.DeltaBase, l.Announced)
 		}
-		base = v.Rules
+		base = v.Content
 	}
-	b, err := delta.Decode(base, p.Coded, rules.Most)
+	b, err := delta.Decode(base, p.Delta, rules.MaxContentBytes)
 	if err != nil {
-		return nil, fmt.Errorf("%w: proposal %q, a delta of %d bytes from version %d: %w", ErrEntry, p.ID, len(p.Coded), p.Base, err)
+		return nil, fmt.Errorf("%w: proposal %q, a delta of %d bytes from version %d: %w", ErrInvalidEntry, p.ID, len(p.Delta), p.DeltaBase, err)
 	}
-	if sum := rules.Sum(b); sum != p.Digest {
-		return nil, fmt.Errorf("%w: proposal %q, a delta of %d bytes from version %d, comes to a content of digest %.12s, and it says %.12s", ErrEntry, p.ID,
-			len(p.Coded), p.Base, sum, p.Digest)
+	if sum := rules.DigestOf(b); sum != p.Digest {
+		return nil, fmt.Errorf("%w: proposal %q, a delta of %d bytes from version %d, comes to a content of digest %.12s, and it says %.12s", ErrInvalidEntry, p.ID,
+			len(p.Delta), p.DeltaBase, sum, p.Digest)
 	}
 	return b, nil
 }
--- a/internal/fleet/accord/follower.go
+++ b/internal/fleet/accord/follower.go
@@ -13,28 +13,28 @@
 type State uint8
 
 const (
-	Following State = iota // in touch, or about to be; holds nothing yet
-	Acting                 // on one version, under a lease
-	Prepared               // on the meet of two, under a lease
-	Lapsed                 // on the floor of what it held: the lease has run out
-	Ended                  // on nothing: the floor has run out as well
-	Returning              // as Lapsed or Ended, and the keepers were heard again, without a lease on what they said
+	StateFollowing State = iota // in touch, or about to be; holds nothing yet
+	StateActing                 // on one version, under a lease
+	StatePrepared               // on the meet of two, under a lease
+	StateExpired                // on the floor of what it held: the lease has run out
+	StateEnded                  // on nothing: the floor has run out as well
+	StateReturning              // as Lapsed or Ended, and the keepers were heard again, without a lease on what they said
 )
 
 var states = [...]string{"following", "acting", "prepared", "lapsed", "ended", "returning"}
 
 func (s State) String() string { return states[s] }
 
-// States are the names of all.
-func States() []string { return slices.Clone(states[:]) }
+// StateNames are the names of all.
+func StateNames() []string { return slices.Clone(states[:]) }
 
-// Follower is a gateway's side. All its times are the gateway's own clock.
-type Follower struct {
+// Client is a gateway's side. All its times are the gateway's own clock.
+type Client struct {
 	who     string
 	state   State
 	held    []*rules.Version // one, or two whose meet counts
-	opened  []*rules.Rules   // the same
-	effect  *rules.Rules     // what it acts on; nil: nothing
+	opened  []*rules.Config  // the same
+	effect  *rules.Config    // what it acts on; nil: nothing
 	name    string           // of that, for people and records
 	seq     uint64           // of the last ask
 	taken   uint64           // of the grant that was taken last
@@ -51,12 +51,12 @@
 	length  Time // of the lease that was granted last
 	peer    string
 	set     uint64 // the members that are known
-	newSet  *Members
+	newSet  *MembershipUpdate
 	next    Time // or then
 	pause   Time
 	trouble string
 	log     []string
-	flaws   Flaws
+	flaws   InjectedFaults
 }
 
 // asked is an ask that is out.
@@ -65,13 +65,13 @@
 	at  Time
 }
 
-// Follow makes a follower that knows nothing.
-func Follow(who string, pause Time, flaws Flaws) *Follower {
-	return &Follower{who: who, pause: pause, flaws: flaws, name: "none", form: Apart}
+// NewClient makes a follower that knows nothing.
+func NewClient(who string, pause Time, flaws InjectedFaults) *Client {
+	return &Client{who: who, pause: pause, flaws: flaws, name: "none", form: ByDigest}
 }
 
 // move is the one place where the state changes.
-func (f *Follower) move(to State, why string) {
+func (f *Client) move(to State, why string) {
 	if f.state == to {
 		return
 	}
@@ -79,66 +79,66 @@
 	f.state = to
 }
 
-// Members are those that a lease came with.
-type Members struct {
-	Asked Time // when the lease was asked for
-	Set   tenure.Set
-	Peers map[string]string
+// MembershipUpdate are those that a lease came with.
+type MembershipUpdate struct {
+	RequestedAt Time // when the lease was asked for
+	Membership  tenure.Membership
+	PeerAddrs   map[string]string
 }
 
-// Reached tells where other gateways reach this one. Who is reached is told of the others.
-func (f *Follower) Reached(addr string) { f.peer = addr }
+// SetPeerAddr tells where other gateways reach this one. Who is reached is told of the others.
+func (f *Client) SetPeerAddr(addr string) { f.peer = addr }
 
-// TakesWhole has it ask in the form of the build before, which takes versions with their contents.
-func (f *Follower) TakesWhole() { f.form = 0 }
+// RequestFullVersions has it ask in the form of the build before, which takes versions with their contents.
+func (f *Client) RequestFullVersions() { f.form = 0 }
 
-// Members takes what the last lease came with of members; nil: nothing has come since.
-func (f *Follower) Members() *Members {
+// TakeMembership takes what the last lease came with of members; nil: nothing has come since.
+func (f *Client) TakeMembership() *MembershipUpdate {
 	m := f.newSet
 	f.newSet = nil
 	return m
 }
 
-// Due tells when to ask next. Where news is told of as it comes and nothing lacks, that is when half of the lease has passed.
-func (f *Follower) Due(now Time) Time {
+// NextRequestAt tells when to ask next. Where news is told of as it comes and nothing lacks, that is when half of the lease has passed.
+func (f *Client) NextRequestAt(now Time) Time {
 	if f.again {
 		return now
 	}
-	if f.watched && !f.lacks && (f.state == Acting || f.state == Prepared) {
+	if f.watched && !f.lacks && (f.state == StateActing || f.state == StatePrepared) {
 		return f.next + max(f.length/2-f.pause, 0)
 	}
 	return f.next
 }
 
-// Known is what of the log's state is known here, for who waits for news of it.
-func (f *Follower) Known() (term, inForce, announced uint64) { return f.term, f.inForce, f.newest }
+// KnownState is what of the log's state is known here, for who waits for news of it.
+func (f *Client) KnownState() (term, inForce, announced uint64) { return f.term, f.inForce, f.newest }
 
-// Watched tells that from now on news is told of as it comes, or that it is not. Nothing that is acted on hangs on it, only when it
+// SetWatching tells that from now on news is told of as it comes, or that it is not. Nothing that is acted on hangs on it, only when it
 // is asked again.
-func (f *Follower) Watched(is bool) { f.watched = is }
+func (f *Client) SetWatching(is bool) { f.watched = is }
 
-// News tells that there is something that is not known here: it is asked for at once.
-func (f *Follower) News() { f.again = true }
+// RequestNow tells that there is something that is not known here: it is asked for at once.
+func (f *Client) RequestNow() { f.again = true }
 
-// Ask is what to ask now. A lease that comes of it counts from now.
-func (f *Follower) Ask(now Time) *Ask {
-	f.At(now)
+// NextRequest is what to ask now. A lease that comes of it counts from now.
+func (f *Client) NextRequest(now Time) *RenewRequest {
+	f.Effective(now)
 	f.seq++
 	f.again, f.next = false, now+f.pause
 	f.asked = append(f.asked, asked{f.seq, now})
 	if len(f.asked) > 16 {
 		f.asked = f.asked[1:]
 	}
-	a := &Ask{Who: f.who, Seq: f.seq, Term: f.term, Taken: f.taken, State: f.state.String(), Trouble: f.trouble, Set: f.set, Peer: f.peer, Form: f.form}
+	a := &RenewRequest{Holder: f.who, Seq: f.seq, Term: f.term, AcceptedSeq: f.taken, State: f.state.String(), Fault: f.trouble, MembershipEpoch: f.set, PeerAddr: f.peer, Format: f.form}
 	for _, v := range f.held {
-		a.Holds = append(a.Holds, v.Number)
+		a.HeldVersions = append(a.HeldVersions, v.Number)
 	}
 	return a
 }
 
-// Heard takes a grant, with the contents that could be had of the versions in it. One that is older than what was taken already is left.
-func (f *Follower) Heard(now Time, g *Grant) {
-	f.At(now)
+// HandleResponse takes a grant, with the contents that could be had of the versions in it. One that is older than what was taken already is left.
+func (f *Client) HandleResponse(now Time, g *RenewResponse) {
+	f.Effective(now)
 	at, known := Time(0), false
 	for _, a := range f.asked {
 		if a.seq == g.Seq {
@@ -146,7 +146,7 @@
 		}
 	}
 	old := g.Seq <= f.taken || g.Term < f.term || g.InForce < f.inForce || g.Announced < f.newest
-	if !known || old && !f.flaws.Has(TakesOld) {
+	if !known || old && !f.flaws.Has(FaultAcceptReordered) {
 		return
 	}
 	f.again = f.again || f.term != g.Term // so that the keeper that leads now hears what is held here
@@ -157,26 +157,26 @@
 			f.log = append(f.log, "rules: "+trouble)
 		}
 	}
-	lease := at + g.Lease
-	if f.flaws.Has(FromReceipt) {
-		lease = now + g.Lease
+	lease := at + g.LeaseDuration
+	if f.flaws.Has(FaultLeaseFromReceipt) {
+		lease = now + g.LeaseDuration
 	}
-	if f.flaws.Has(NoLease) && g.Lease > 0 {
+	if f.flaws.Has(FaultNoLeaseExpiry) && g.LeaseDuration > 0 {
 		lease = 1 << 62
 	}
-	if g.Lease == 0 || now >= lease || len(held) == 0 {
+	if g.LeaseDuration == 0 || now >= lease || len(held) == 0 {
 		f.term = g.Term
-		if f.state == Lapsed || f.state == Ended {
-			f.move(Returning, "the keepers are heard again")
+		if f.state == StateExpired || f.state == StateEnded {
+			f.move(StateReturning, "the keepers are heard again")
 		}
 		return
 	}
 	f.taken, f.term, f.inForce, f.newest = g.Seq, g.Term, g.InForce, g.Announced
-	f.lease, f.length = max(f.lease, lease), g.Lease
-	if g.Set != nil {
-		f.set, f.newSet = g.Set.Number, &Members{Asked: at, Set: *g.Set, Peers: g.Peers}
+	f.lease, f.length = max(f.lease, lease), g.LeaseDuration
+	if g.Membership != nil {
+		f.set, f.newSet = g.Membership.Epoch, &MembershipUpdate{RequestedAt: at, Membership: *g.Membership, PeerAddrs: g.PeerAddrs}
 	}
-	if !slices.Equal(held, f.held) || f.state != Acting && f.state != Prepared {
+	if !slices.Equal(held, f.held) || f.state != StateActing && f.state != StatePrepared {
 		f.held, f.opened = held, opened
 		f.again = true // whoever waits for this hears of it at once
 		f.settle()
@@ -185,18 +185,18 @@
 	switch {
 	case !acts: // what was only announced is not acted on, but it is acknowledged
 		f.effect, f.name = nil, "none"
-		f.move(Following, "what is in force is not here")
+		f.move(StateFollowing, "what is in force is not here")
 	case len(held) == 2:
-		f.move(Prepared, "a version is announced")
+		f.move(StatePrepared, "a version is announced")
 	default:
-		f.move(Acting, "under a lease")
+		f.move(StateActing, "under a lease")
 	}
 }
 
 // gather finds the versions that a grant names: the one in force, and the announced one beside it where it can be read. acts
 // tells whether the one in force is among them: if not, nothing is acted on. A version whose content has not come yet is not there; it is
 // asked for again.
-func (f *Follower) gather(g *Grant) (held []*rules.Version, opened []*rules.Rules, acts bool, trouble string) {
+func (f *Client) gather(g *RenewResponse) (held []*rules.Version, opened []*rules.Config, acts bool, trouble string) {
 	f.lacks = false
 	for i, n := range []uint64{g.InForce, g.Announced} {
 		if n == 0 || i == 1 && n == g.InForce {
@@ -206,11 +206,11 @@
 			if v.Number != n {
 				continue
 			}
-			if len(v.Rules) == 0 {
+			if len(v.Content) == 0 {
 				f.lacks = true
 				break
 			}
-			if r, err := v.Open(); err != nil {
+			if r, err := v.Config(); err != nil {
 				trouble = "version " + v.Name() + " is not acted on: " + err.Error()
 			} else {
 				held, opened, acts = append(held, v), append(opened, r), acts || i == 0
@@ -221,9 +221,9 @@
 	return held, opened, acts, trouble
 }
 
-// Named are the versions that a grant names, the one in force first, as far as they are held or in the grant; their contents need not be
+// VersionsOf are the versions that a grant names, the one in force first, as far as they are held or in the grant; their contents need not be
 // there.
-func (f *Follower) Named(g *Grant) (list []*rules.Version) {
+func (f *Client) VersionsOf(g *RenewResponse) (list []*rules.Version) {
 	for i, n := range []uint64{g.InForce, g.Announced} {
 		of := slices.Concat(f.held, g.Versions)
 		if at := slices.IndexFunc(of, func(v *rules.Version) bool { return v.Number == n }); at >= 0 && (i == 0 || n != g.InForce) {
@@ -234,75 +234,75 @@
 }
 
 // settle works out what is acted on under a lease.
-func (f *Follower) settle() {
+func (f *Client) settle() {
 	var list []string
 	for _, v := range f.held {
 		list = append(list, v.Name())
 	}
 	f.name = strings.Join(list, "&")
 	f.effect = f.opened[0]
-	if len(f.opened) == 2 && !f.flaws.Has(NoMeet) {
-		f.effect = rules.Meet(f.opened[0], f.opened[1])
+	if len(f.opened) == 2 && !f.flaws.Has(FaultNoIntersection) {
+		f.effect = rules.Intersect(f.opened[0], f.opened[1])
 	}
 }
 
 // floorFor is how long the floor of what is held counts.
-func (f *Follower) floorFor() Time {
+func (f *Client) floorFor() Time {
 	least := Time(0)
 	for i, r := range f.opened {
-		if i == 0 || r.Floor.For < least {
-			least = r.Floor.For
+		if i == 0 || r.FallbackPolicy.Duration < least {
+			least = r.FallbackPolicy.Duration
 		}
 	}
 	return least
 }
 
-// At is what the gateway acts on at a time; nil: on nothing. Whoever sends has read the clock once, and sends by this.
-func (f *Follower) At(now Time) *rules.Rules {
-	if (f.state == Acting || f.state == Prepared) && now >= f.lease {
-		floor, _ := f.held[0].Floor() // what is held could be read
+// Effective is what the gateway acts on at a time; nil: on nothing. Whoever sends has read the clock once, and sends by this.
+func (f *Client) Effective(now Time) *rules.Config {
+	if (f.state == StateActing || f.state == StatePrepared) && now >= f.lease {
+		floor, _ := f.held[0].Fallback() // what is held could be read
 		if len(f.held) == 2 {
-			other, _ := f.held[1].Floor()
-			floor = rules.Meet(floor, other)
+			other, _ := f.held[1].Fallback()
+			floor = rules.Intersect(floor, other)
 		}
 		f.effect, f.name = floor, "floor of "+f.name
-		f.move(Lapsed, "no word from the keepers for a lease")
+		f.move(StateExpired, "no word from the keepers for a lease")
 	}
-	if f.state == Lapsed || f.state == Returning {
+	if f.state == StateExpired || f.state == StateReturning {
 		if now >= f.floor && f.effect != nil {
 			f.effect, f.name = nil, "none"
-			f.move(Ended, "no word from the keepers for the floor's time")
+			f.move(StateEnded, "no word from the keepers for the floor's time")
 		}
 	}
 	return f.effect
 }
 
 // State is how the gateway stands.
-func (f *Follower) State() State { return f.state }
+func (f *Client) State() State { return f.state }
 
-// Name names what is acted on: a version, two with & between, or a floor.
-func (f *Follower) Name() string { return f.name }
+// EffectiveName names what is acted on: a version, two with & between, or a floor.
+func (f *Client) EffectiveName() string { return f.name }
 
-// Holds are the numbers of the versions that count, with whether only their floor does.
-func (f *Follower) Holds() (list []uint64, floor bool) {
+// HeldVersions are the numbers of the versions that count, with whether only their floor does.
+func (f *Client) HeldVersions() (list []uint64, floor bool) {
 	for _, v := range f.held {
 		list = append(list, v.Number)
 	}
-	return list, f.state == Lapsed || f.state == Returning && f.effect != nil
+	return list, f.state == StateExpired || f.state == StateReturning && f.effect != nil
 }
 
-// Newest is the newest version that counts, as it was read; nil: none.
-func (f *Follower) Newest() (*rules.Version, *rules.Rules) {
+// LatestVersion is the newest version that counts, as it was read; nil: none.
+func (f *Client) LatestVersion() (*rules.Version, *rules.Config) {
 	if len(f.held) == 0 {
 		return nil, nil
 	}
 	return f.held[len(f.held)-1], f.opened[len(f.opened)-1]
 }
 
-// Until is when what is acted on changes at the latest if nothing is heard; 0: it does not.
-func (f *Follower) Until() Time {
+// ValidUntil is when what is acted on changes at the latest if nothing is heard; 0: it does not.
+func (f *Client) ValidUntil() Time {
 	switch {
-	case f.state == Acting || f.state == Prepared:
+	case f.state == StateActing || f.state == StatePrepared:
 		return f.lease
 	case f.effect != nil:
 		return f.floor
@@ -310,8 +310,8 @@
 	return 0
 }
 
-// Log takes the lines to be logged.
-func (f *Follower) Log() []string {
+// TakeLogLines takes the lines to be logged.
+func (f *Client) TakeLogLines() []string {
 	l := f.log
 	f.log = nil
 	return l
--- a/internal/fleet/accord/golden_test.go
+++ b/internal/fleet/accord/golden_test.go
@@ -37,39 +37,39 @@
 
 // goldenRules is a content that differs from others by its limit alone.
 func goldenRules(limit float64) []byte {
-	r := &rules.Rules{Needs: 1, Shards: 2, Mean: 1, Plans: map[string]rules.Plan{"gold": {Weight: 1, Limit: limit}}, Sending: rules.Sending{Most: 1},
-		Nodes: map[string]rules.Node{"10.0.0.1:7000": {Name: "one", Zone: "z1", Born: 5}, "10.0.0.2:7000": {Shard: 1}}}
+	r := &rules.Config{RequiredFormat: 1, Shards: 2, MeanRequestUnits: 1, ServiceLevels: map[string]rules.ServiceLevel{"gold": {Weight: 1, RateLimit: limit}}, Dispatch: rules.DispatchPolicy{MaxAttempts: 1},
+		Nodes: map[string]rules.Node{"10.0.0.1:7000": {Name: "one", Zone: "z1", StartedAt: 5}, "10.0.0.2:7000": {Shard: 1}}}
 	return r.Canonical()
 }
 
 func goldenProposal() *Proposal {
-	return &Proposal{ID: "id-2", Parent: 1, Over: true, Author: "ann", Why: "more room", Time: "2026-01-02T03:04:05Z", Rules: goldenRules(2)}
+	return &Proposal{ID: "id-2", Parent: 1, ReplacePending: true, Author: "ann", Reason: "more room", CreatedAt: "2026-01-02T03:04:05Z", Content: goldenRules(2)}
 }
 
 // goldenLedger has an announced version beside the one in force. In form 2 a version before them was forgotten.
-func goldenLedger(t *testing.T, form int) *Ledger {
+func goldenLedger(t *testing.T, form int) *StateMachine {
 	t.Helper()
-	l := NewLedger()
+	l := NewStateMachine()
 	commands := []*Command{
-		{Found: &Terms{Lease: 2e9, Drift: 0.01}},
-		{Propose: &Proposal{ID: "id-1", Author: "ann", Why: "first", Time: "2026-01-01T00:00:00Z", Rules: goldenRules(1)}},
-		{Force: 1},
+		{Bootstrap: &Settings{LeaseDuration: 2e9, MaxClockDrift: 0.01}},
+		{Propose: &Proposal{ID: "id-1", Author: "ann", Reason: "first", CreatedAt: "2026-01-01T00:00:00Z", Content: goldenRules(1)}},
+		{Activate: 1},
 		{Join: []string{"g1/1", "g2/1", "g3/1"}},
-		{Away: []string{"g2/1"}},
-		{Part: []string{"g3/1"}},
+		{LeaseExpired: []string{"g2/1"}},
+		{Remove: []string{"g3/1"}},
 		{Propose: goldenProposal()},
 	}
 	if form >= 2 {
-		commands = append(commands, &Command{Force: 2},
-			&Command{Propose: &Proposal{ID: "id-3", Parent: 2, Author: "bob", Why: "less", Time: "2026-01-03T00:00:00Z", Rules: goldenRules(3)}},
+		commands = append(commands, &Command{Activate: 2},
+			&Command{Propose: &Proposal{ID: "id-3", Parent: 2, Author: "bob", Reason: "less", CreatedAt: "2026-01-03T00:00:00Z", Content: goldenRules(3)}},
 			&Command{Forget: []uint64{1}})
 	}
 	for i, c := range commands {
-		entry, err := c.Entry(form, l)
+		entry, err := c.EncodeEntry(form, l)
 		if err != nil {
 			t.Fatal(i, err)
 		}
-		read, err := ReadEntry(entry)
+		read, err := DecodeEntry(entry)
 		if err != nil {
 			t.Fatal(i, err)
 		}
@@ -81,26 +81,26 @@
 }
 
 func TestGoldenJSON(t *testing.T) {
-	version := rules.Version{Number: 7, Parent: 6, Digest: "abcd", Author: "ann", Why: "more room", Time: "2026-01-02T03:04:05Z", Rules: []byte("{}")}
+	version := rules.Version{Number: 7, Parent: 6, Digest: "abcd", Author: "ann", Reason: "more room", CreatedAt: "2026-01-02T03:04:05Z", Content: []byte("{}")}
 	for name, value := range map[string]any{
-		"ask.json": &Ask{Who: "g1/1", Seq: 9, Term: 3, Taken: 8, Holds: []uint64{6, 7}, Trouble: "version 7 is not acted on", State: Prepared.String(), Set: 4,
-			Peer: "10.0.0.9:7200", Form: Apart},
-		"ask-first.json": &Ask{Who: "g1/1", Seq: 1, State: Following.String()},
-		"grant.json": &Grant{Seq: 9, Term: 3, InForce: 6, Announced: 7, Lease: 2e9, Versions: []*rules.Version{&version},
-			Set:   &tenure.Set{Number: 4, Parts: 1, Age: 5e8, Members: []string{"g1/1", "g2/1"}, Lease: 2e9, Drift: 0.01},
-			Peers: map[string]string{"g1/1": "10.0.0.9:7200"}},
-		"grant-none.json":      &Grant{Seq: 9, Term: 3},
-		"seen.json":            &Seen{Who: "g1/1", State: Acting.String(), Holds: []uint64{7}, Heard: 120, Lease: 1880, Hangs: true, Trouble: "late"},
-		"seen-unheard.json":    &Seen{Who: "g1/1", State: "unheard", Lease: -5},
-		"terms.json":           &Terms{Lease: 2e9, Drift: 0.01},
+		"ask.json": &RenewRequest{Holder: "g1/1", Seq: 9, Term: 3, AcceptedSeq: 8, HeldVersions: []uint64{6, 7}, Fault: "version 7 is not acted on", State: StatePrepared.String(), MembershipEpoch: 4,
+			PeerAddr: "10.0.0.9:7200", Format: ByDigest},
+		"ask-first.json": &RenewRequest{Holder: "g1/1", Seq: 1, State: StateFollowing.String()},
+		"grant.json": &RenewResponse{Seq: 9, Term: 3, InForce: 6, Announced: 7, LeaseDuration: 2e9, Versions: []*rules.Version{&version},
+			Membership: &tenure.Membership{Epoch: 4, Departures: 1, Age: 5e8, Members: []string{"g1/1", "g2/1"}, LeaseDuration: 2e9, MaxClockDrift: 0.01},
+			PeerAddrs:  map[string]string{"g1/1": "10.0.0.9:7200"}},
+		"grant-none.json":      &RenewResponse{Seq: 9, Term: 3},
+		"seen.json":            &GatewayStatus{Holder: "g1/1", State: StateActing.String(), HeldVersions: []uint64{7}, LastHeardMillis: 120, LeaseLeftMillis: 1880, Unresponsive: true, Fault: "late"},
+		"seen-unheard.json":    &GatewayStatus{Holder: "g1/1", State: "unheard", LeaseLeftMillis: -5},
+		"terms.json":           &Settings{LeaseDuration: 2e9, MaxClockDrift: 0.01},
 		"proposal.json":        goldenProposal(),
-		"proposal-coded.json":  &Proposal{ID: "id-2", Parent: 1, Digest: "abcd", Base: 1},
-		"command-found.json":   &Command{Found: &Terms{Lease: 2e9, Drift: 0.01}},
+		"proposal-coded.json":  &Proposal{ID: "id-2", Parent: 1, Digest: "abcd", DeltaBase: 1},
+		"command-found.json":   &Command{Bootstrap: &Settings{LeaseDuration: 2e9, MaxClockDrift: 0.01}},
 		"command-propose.json": &Command{Propose: goldenProposal()},
-		"command-force.json":   &Command{Force: 7},
+		"command-force.json":   &Command{Activate: 7},
 		"command-join.json":    &Command{Join: []string{"g1/1", "g2/1"}},
-		"command-part.json":    &Command{Part: []string{"g1/1"}},
-		"command-away.json":    &Command{Away: []string{"g1/1"}},
+		"command-part.json":    &Command{Remove: []string{"g1/1"}},
+		"command-away.json":    &Command{LeaseExpired: []string{"g1/1"}},
 		"command-forget.json":  &Command{Forget: []uint64{1, 2}},
 		"states.json":          &[]string{"following", "acting", "prepared", "lapsed", "ended", "returning"},
 	} {
@@ -120,8 +120,8 @@
 		})
 	}
 	var names []string
-	if err := json.Unmarshal(golden(t, "states.json", nil), &names); err != nil || !reflect.DeepEqual(States(), names) {
-		t.Errorf("states %v, %v in the file: %v", States(), names, err)
+	if err := json.Unmarshal(golden(t, "states.json", nil), &names); err != nil || !reflect.DeepEqual(StateNames(), names) {
+		t.Errorf("states %v, %v in the file: %v", StateNames(), names, err)
 	}
 }
 
@@ -139,11 +139,11 @@
 		{"entry-join-2.bin", 2, &Command{Join: []string{"g1/1"}}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			l := NewLedger()
-			if _, err := l.Apply(&Command{Propose: &Proposal{ID: "id-1", Rules: goldenRules(1)}}); err != nil {
+			l := NewStateMachine()
+			if _, err := l.Apply(&Command{Propose: &Proposal{ID: "id-1", Content: goldenRules(1)}}); err != nil {
 				t.Fatal(err)
 			}
-			got, err := c.command.Entry(c.form, l)
+			got, err := c.command.EncodeEntry(c.form, l)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -156,7 +156,7 @@
 			if len(got) < fixed || !bytes.Equal(got[:fixed], want[:fixed]) {
 				t.Errorf("written:\n%q\nthe file has:\n%q", got, want)
 			}
-			read, err := ReadEntry(want)
+			read, err := DecodeEntry(want)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -167,7 +167,7 @@
 				return
 			}
 			v, err := l.Apply(read)
-			if err != nil || v.Number != 2 || v.Author != "ann" || v.Why != "more room" || !bytes.Equal(v.Rules, goldenRules(2)) {
+			if err != nil || v.Number != 2 || v.Author != "ann" || v.Reason != "more room" || !bytes.Equal(v.Content, goldenRules(2)) {
 				t.Errorf("applied: %+v, %v", v, err)
 			}
 		})
@@ -179,16 +179,16 @@
 	for name, form := range map[string]int{"snapshot-1.bin": 1, "snapshot-2.bin": 2} {
 		t.Run(name, func(t *testing.T) {
 			l := goldenLedger(t, form)
-			want := golden(t, name, l.Save())
+			want := golden(t, name, l.Snapshot())
 			back, err := Restore(want)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if got := back.Save(); !bytes.Equal(got, want) {
+			if got := back.Snapshot(); !bytes.Equal(got, want) {
 				t.Errorf("written:\n%q\nthe file has:\n%q", got, want)
 			}
-			l.Form, back.Form = 0, 0 // contents are compared as they are and not as they are compressed
-			if got, want := string(l.Save()), string(back.Save()); got != want || !strings.Contains(got, `"in_force"`) {
+			l.Format, back.Format = 0, 0 // contents are compared as they are and not as they are compressed
+			if got, want := string(l.Snapshot()), string(back.Snapshot()); got != want || !strings.Contains(got, `"in_force"`) {
 				t.Errorf("the same commands come to:\n%s\nthe file has:\n%s", got, want)
 			}
 		})
--- a/internal/fleet/accord/granted_test.go
+++ b/internal/fleet/accord/granted_test.go
@@ -6,26 +6,26 @@
 // that names is not forgotten.
 func TestGrantsOfAsksOutOfOrder(t *testing.T) {
 	for _, order := range [][]uint64{{1, 2}, {2, 1}} {
-		l := NewLedger()
-		for i, c := range []*Command{{Found: &testTerms}, {Propose: &Proposal{ID: "a", Rules: pool[0]}}, {Force: 1}, {Join: []string{"g"}},
-			{Propose: &Proposal{ID: "b", Parent: 1, Rules: pool[1]}}} {
+		l := NewStateMachine()
+		for i, c := range []*Command{{Bootstrap: &testTerms}, {Propose: &Proposal{ID: "a", Content: pool[0]}}, {Activate: 1}, {Join: []string{"g"}},
+			{Propose: &Proposal{ID: "b", Parent: 1, Content: pool[1]}}} {
 			if _, err := l.Apply(c); err != nil {
 				t.Fatal(i, err)
 			}
 		}
-		w := Lead(0, 1, l, 0)
+		w := NewManager(0, 1, l, 0)
 		w.retain = retention{on: true, batch: 1}
 		for _, seq := range order {
-			w.Renew(1, &Ask{Who: "g", Seq: seq, Term: 1})
+			w.Renew(1, &RenewRequest{Holder: "g", Seq: seq, Term: 1})
 		}
-		if _, err := l.Apply(&Command{Propose: &Proposal{ID: "c", Parent: 2, Over: true, Rules: pool[2]}}); err != nil {
+		if _, err := l.Apply(&Command{Propose: &Proposal{ID: "c", Parent: 2, ReplacePending: true, Content: pool[2]}}); err != nil {
 			t.Fatal(err)
 		}
-		w.Renew(2, &Ask{Who: "g", Seq: 3, Term: 1, Taken: 1, Holds: []uint64{1}})
+		w.Renew(2, &RenewRequest{Holder: "g", Seq: 3, Term: 1, AcceptedSeq: 1, HeldVersions: []uint64{1}})
 		if list := w.forgettable(3); list != nil {
 			t.Errorf("asks %v: %v is to be forgotten, and the second grant names 2", order, list)
 		}
-		w.Renew(lease, &Ask{Who: "g", Seq: 4, Term: 1, Taken: 3, Holds: []uint64{1, 3}})
+		w.Renew(lease, &RenewRequest{Holder: "g", Seq: 4, Term: 1, AcceptedSeq: 3, HeldVersions: []uint64{1, 3}})
 		if list := w.forgettable(2 * lease); len(list) != 1 || list[0] != 2 {
 			t.Errorf("asks %v: %v is to be forgotten, and nobody can take 2 any more", order, list)
 		}
--- a/internal/fleet/accord/model_test.go
+++ b/internal/fleet/accord/model_test.go
@@ -28,27 +28,27 @@
 	mild                        bool // the second version does not contradict the first
 }
 
-var modelTerms = Terms{Lease: 2}
+var modelTerms = Settings{LeaseDuration: 2}
 
 // letter is a message under way: an ask to a keeper, or a grant back.
 type letter struct {
 	host, keeper int
 	term         uint64 // of the keeper, when the ask was sent
-	ask          *Ask
-	grant        *Grant
+	ask          *RenewRequest
+	grant        *RenewResponse
 }
 
 type state struct {
 	now       Time
 	log       []*Command
-	truth     *Ledger
-	ledgers   [3]*Ledger
+	truth     *StateMachine
+	ledgers   [3]*StateMachine
 	applied   [3]int
-	wardens   [3]*Warden
+	wardens   [3]*Manager
 	terms     [3]uint64
 	leader    int
 	term      uint64
-	hosts     [2]*Follower
+	hosts     [2]*Client
 	stopped   [2]bool
 	asks      [2]int
 	letters   []letter
@@ -59,10 +59,10 @@
 	span      Time                      // of their floors
 }
 
-func cloneLedger(l *Ledger) *Ledger {
+func cloneLedger(l *StateMachine) *StateMachine {
 	c := *l
-	c.Versions, c.IDs, c.Holders = slices.Clone(l.Versions), maps.Clone(l.IDs), maps.Clone(l.Holders)
-	c.Present, c.spans, c.codes = maps.Clone(l.Present), maps.Clone(l.spans), maps.Clone(l.codes)
+	c.Versions, c.ProposalIDs, c.Holders = slices.Clone(l.Versions), maps.Clone(l.ProposalIDs), maps.Clone(l.Holders)
+	c.Members, c.spans, c.codes = maps.Clone(l.Members), maps.Clone(l.spans), maps.Clone(l.codes)
 	return &c
 }
 
@@ -151,10 +151,10 @@
 		b = nil
 		put(uint64(l.host), uint64(l.keeper), l.term)
 		if l.grant != nil {
-			put(1, l.grant.Seq, l.grant.Term, l.grant.InForce, l.grant.Announced, uint64(l.grant.Lease), uint64(len(l.grant.Versions)))
+			put(1, l.grant.Seq, l.grant.Term, l.grant.InForce, l.grant.Announced, uint64(l.grant.LeaseDuration), uint64(len(l.grant.Versions)))
 		} else {
-			put(2, l.ask.Seq, l.ask.Term, l.ask.Taken)
-			put(l.ask.Holds...)
+			put(2, l.ask.Seq, l.ask.Term, l.ask.AcceptedSeq)
+			put(l.ask.HeldVersions...)
 		}
 		list = append(list, string(b))
 	}
@@ -163,7 +163,7 @@
 }
 
 // applyTo applies a command. The versions of proposals are shared by all states, so that they are read once.
-func (s *state) applyTo(l *Ledger, c *Command) {
+func (s *state) applyTo(l *StateMachine, c *Command) {
 	if c.Propose == nil {
 		l.Apply(c)
 		return
@@ -171,7 +171,7 @@
 	v := s.versions[c.Propose.ID]
 	l.Versions, l.Announced = append(l.Versions, v), v.Number
 	l.spans[v.Number] = s.span
-	l.IDs[c.Propose.ID] = v.Number
+	l.ProposalIDs[c.Propose.ID] = v.Number
 }
 
 func (s *state) commit(c *Command) {
@@ -192,7 +192,7 @@
 func (s *state) settle() {
 	for {
 		s.apply(s.leader)
-		c := s.wardens[s.leader].Decide(s.now)
+		c := s.wardens[s.leader].NextCommand(s.now)
 		if c == nil {
 			return
 		}
@@ -200,46 +200,46 @@
 	}
 }
 
-func (s *state) elect(k int, flaws Flaws) {
+func (s *state) elect(k int, flaws InjectedFaults) {
 	s.term++
 	s.leader, s.terms[k] = k, s.term
 	s.wardens[k] = nil
 	s.apply(k)
-	s.wardens[k] = Lead(s.now, s.term, s.ledgers[k], flaws)
+	s.wardens[k] = NewManager(s.now, s.term, s.ledgers[k], flaws)
 	s.wardens[k].retain = retention{on: true, batch: 1}
 }
 
 // explore goes through all that can happen. It returns how many states there are, and how one breaks, if one does.
-func explore(b bounds, flaws Flaws) (states int, broken string) {
+func explore(b bounds, flaws InjectedFaults) (states int, broken string) {
 	version := func(owner string) []byte {
-		r := &rules.Rules{Needs: 1, Shards: 1, Mean: 1, Plans: map[string]rules.Plan{"p": {Weight: 1}}, Sending: rules.Sending{Most: 1},
-			Nodes: map[string]rules.Node{"a": {Standing: listing.Draining}, "b": {Standing: listing.Draining}}, Floor: rules.Floor{For: b.floor, Limits: 1}}
+		r := &rules.Config{RequiredFormat: 1, Shards: 1, MeanRequestUnits: 1, ServiceLevels: map[string]rules.ServiceLevel{"p": {Weight: 1}}, Dispatch: rules.DispatchPolicy{MaxAttempts: 1},
+			Nodes: map[string]rules.Node{"a": {Health: listing.Draining}, "b": {Health: listing.Draining}}, FallbackPolicy: rules.FallbackPolicy{Duration: b.floor, LimitFraction: 1}}
 		r.Nodes[owner] = rules.Node{}
 		if b.mild {
 			r.Nodes = map[string]rules.Node{"a": {Name: owner}}
 		}
 		return r.Canonical()
 	}
-	first := &state{truth: NewLedger(), hosts: [2]*Follower{Follow("g", 1, flaws), Follow("h", 1, flaws)}, versions: map[string]*rules.Version{}, span: b.floor}
-	l := NewLedger()
+	first := &state{truth: NewStateMachine(), hosts: [2]*Client{NewClient("g", 1, flaws), NewClient("h", 1, flaws)}, versions: map[string]*rules.Version{}, span: b.floor}
+	l := NewStateMachine()
 	for i, owner := range []string{"a", "b"} {
 		id := []string{"one", "two"}[i]
-		v, err := l.Apply(&Command{Propose: &Proposal{ID: id, Parent: uint64(i), Over: true, Rules: version(owner)}})
+		v, err := l.Apply(&Command{Propose: &Proposal{ID: id, Parent: uint64(i), ReplacePending: true, Content: version(owner)}})
 		if err != nil {
 			panic(err)
 		}
-		v.Floor()
+		v.Fallback()
 		first.versions[id] = v
 	}
 	for id, other := range map[string]string{"one": "two", "two": "one"} { // the content of the other, which a gateway takes that checks no digest
-		v := &rules.Version{Number: first.versions[id].Number, Digest: first.versions[other].Digest, Rules: first.versions[other].Rules}
-		v.Floor()
+		v := &rules.Version{Number: first.versions[id].Number, Digest: first.versions[other].Digest, Content: first.versions[other].Content}
+		v.Fallback()
 		first.versions["not "+id] = v
 	}
 	for i := range first.ledgers {
-		first.ledgers[i] = NewLedger()
+		first.ledgers[i] = NewStateMachine()
 	}
-	for _, c := range []*Command{{Found: &modelTerms}, {Propose: &Proposal{ID: "one"}}, {Force: 1}, {Join: []string{"g", "h"}}} {
+	for _, c := range []*Command{{Bootstrap: &modelTerms}, {Propose: &Proposal{ID: "one"}}, {Activate: 1}, {Join: []string{"g", "h"}}} {
 		first.commit(c)
 	}
 	first.elect(0, flaws)
@@ -261,7 +261,7 @@
 // search is one that goes on, by several at a time.
 type search struct {
 	bounds
-	flaws  Flaws
+	flaws  InjectedFaults
 	two    *Command
 	lock   sync.Mutex
 	more   sync.Cond
@@ -332,20 +332,20 @@
 		if s.stopped[i] {
 			continue
 		}
-		effect := f.At(s.now)
+		effect := f.Effective(s.now)
 		if effect == nil {
 			continue
 		}
-		if numbers, _ := f.Holds(); m.flaws&^DropsHeld == 0 && slices.ContainsFunc(numbers, func(n uint64) bool { return s.truth.Version(n) == nil }) {
-			return fmt.Sprintf("gateway %d acts on %s, of which something is forgotten: %s", i, f.Name(), s.path)
+		if numbers, _ := f.HeldVersions(); m.flaws&^FaultForgetHeldVersions == 0 && slices.ContainsFunc(numbers, func(n uint64) bool { return s.truth.Version(n) == nil }) {
+			return fmt.Sprintf("gateway %d acts on %s, of which something is forgotten: %s", i, f.EffectiveName(), s.path)
 		}
-		key := f.Name() + fmt.Sprint(s.truth.InForce)
+		key := f.EffectiveName() + fmt.Sprint(s.truth.InForce)
 		if fits[key] {
 			continue
 		}
-		inForce, _ := s.truth.Version(s.truth.InForce).Open()
-		if len(rules.Beyond(effect, inForce)) > 0 {
-			return fmt.Sprintf("gateway %d acts on %s, in force is %d: %s", i, f.Name(), s.truth.InForce, s.path)
+		inForce, _ := s.truth.Version(s.truth.InForce).Config()
+		if len(rules.Exceeds(effect, inForce)) > 0 {
+			return fmt.Sprintf("gateway %d acts on %s, in force is %d: %s", i, f.EffectiveName(), s.truth.InForce, s.path)
 		}
 		fits[key] = true
 	}
@@ -354,7 +354,7 @@
 
 // fetched are the ways in which a gateway may have the contents that a grant names by the time that it takes it: each of them, or not. That
 // they come late is that the grant does.
-func (s *state) fetched(g *Grant, flaws Flaws) (ways [][]*rules.Version) {
+func (s *state) fetched(g *RenewResponse, flaws InjectedFaults) (ways [][]*rules.Version) {
 	ways = [][]*rules.Version{nil}
 	for _, v := range g.Versions {
 		id := []string{"one", "two"}[v.Number-1]
@@ -406,7 +406,7 @@
 			if w != nil {
 				next(func(n *state) {
 					n.asks[i]++
-					n.letters = append(n.letters, letter{host: i, keeper: k, term: n.terms[k], ask: n.hosts[i].Ask(n.now)})
+					n.letters = append(n.letters, letter{host: i, keeper: k, term: n.terms[k], ask: n.hosts[i].NextRequest(n.now)})
 				}, "%d asks %d", i, k)
 			}
 		}
@@ -420,7 +420,7 @@
 						n.letters = slices.Delete(n.letters, at, at+1)
 						g := *l.grant
 						g.Versions = had
-						n.hosts[l.host].Heard(n.now, &g)
+						n.hosts[l.host].HandleResponse(n.now, &g)
 					}, "%d hears %d of %d, with %d contents", l.host, l.grant.Seq, l.grant.InForce, len(had))
 				}
 			}
@@ -460,14 +460,14 @@
 // What the model finds of the defects, with how many states it needs.
 func TestModelFindsDefects(t *testing.T) {
 	for name, c := range map[string]struct {
-		flaw   Flaws
+		flaw   InjectedFaults
 		bounds bounds
-	}{"lease from receipt": {FromReceipt, bounds{ticks: 4, asks: 1, elections: 1, out: 1}}, "no wait": {NoWait, bounds{ticks: 3, asks: 1, out: 1}},
-		"no meet": {NoMeet, bounds{ticks: 3, asks: 2, out: 1}}, "a new leader knows nobody": {FreshLeader, bounds{ticks: 3, asks: 1, elections: 1, out: 1}},
-		"floors not waited for": {NoFloor, bounds{ticks: 5, asks: 1, out: 1, floor: 6}}, "no leases": {NoLease, bounds{ticks: 4, asks: 1, elections: 1, out: 1}},
+	}{"lease from receipt": {FaultLeaseFromReceipt, bounds{ticks: 4, asks: 1, elections: 1, out: 1}}, "no wait": {FaultNoWait, bounds{ticks: 3, asks: 1, out: 1}},
+		"no meet": {FaultNoIntersection, bounds{ticks: 3, asks: 2, out: 1}}, "a new leader knows nobody": {FaultNewLeaderAssumesNoLeases, bounds{ticks: 3, asks: 1, elections: 1, out: 1}},
+		"floors not waited for": {FaultIgnoreFallbacks, bounds{ticks: 5, asks: 1, out: 1, floor: 6}}, "no leases": {FaultNoLeaseExpiry, bounds{ticks: 4, asks: 1, elections: 1, out: 1}},
 		"no confirmation":                          {noConfirm, bounds{ticks: 4, asks: 1, elections: 1, out: 1}},
 		"digest not checked":                       {noDigest, bounds{ticks: 3, asks: 1, out: 1}},
-		"a base dropped while a floor rests on it": {DropsHeld, bounds{ticks: 7, asks: 1, out: 1, floor: 5, mild: true}}} {
+		"a base dropped while a floor rests on it": {FaultForgetHeldVersions, bounds{ticks: 7, asks: 1, out: 1, floor: 5, mild: true}}} {
 		states, broken := explore(c.bounds, c.flaw)
 		if broken == "" {
 			t.Errorf("%s: not found in %d states", name, states)
--- a/internal/fleet/accord/retain.go
+++ b/internal/fleet/accord/retain.go
@@ -13,22 +13,22 @@
 	next         Time // not looked at before
 }
 
-// Forgets tells whether all keepers read entries that have them forget versions; none is forgotten before.
-func (w *Warden) Forgets(may bool) { w.retain.on = may }
+// AllowForget tells whether all keepers read entries that have them forget versions; none is forgotten before.
+func (w *Manager) AllowForget(may bool) { w.retain.on = may }
 
 // forgettable lists the versions that nobody acts on or can come to act on any more, and that no delta needs; nil: none, or too few to be
 // worth an entry. A version is acted on, or its floor is, by a gateway that said so or may have taken a grant with it, until its lease
 // and floor have run out. What gateways that were not heard in this term act on is not known, so nothing is forgotten before their time is over.
-func (w *Warden) forgettable(now Time) (list []uint64) {
+func (w *Manager) forgettable(now Time) (list []uint64) {
 	l, r := w.ledger, &w.retain
-	if !r.on || now < r.next || len(l.Versions) < r.bases+r.batch || w.flaws.Has(KeepsAll) {
+	if !r.on || now < r.next || len(l.Versions) < r.bases+r.batch || w.flaws.Has(FaultForgetNothing) {
 		return nil
 	}
-	r.next = now + l.Terms.Lease/4
+	r.next = now + l.Settings.LeaseDuration/4
 	acted := map[uint64]bool{l.InForce: true, l.Announced: true}
 	for name := range l.Holders {
 		h := w.holders[name]
-		if w.flaws.Has(DropsHeld) {
+		if w.flaws.Has(FaultForgetHeldVersions) {
 			break
 		}
 		if h == nil || h.unknown > 0 && now <= max(h.lease, h.unknown) {
--- a/internal/fleet/accord/snapshot.go
+++ b/internal/fleet/accord/snapshot.go
@@ -23,17 +23,17 @@
 	bytes []byte
 }
 
-// Coded is a version's content as a delta from that of the version before, where it came so; nil: it did not.
-func (l *Ledger) Coded(n uint64) []byte {
+// Delta is a version's content as a delta from that of the version before, where it came so; nil: it did not.
+func (l *StateMachine) Delta(n uint64) []byte {
 	if c := l.codes[n]; c.base > 0 && c.base+1 == n {
 		return c.bytes
 	}
 	return nil
 }
 
-// Save writes the ledger down, in the form that its log has come to.
-func (l *Ledger) Save() []byte {
-	if l.Form < 2 {
+// Snapshot writes the ledger down, in the form that its log has come to.
+func (l *StateMachine) Snapshot() []byte {
+	if l.Format < 2 {
 		b, err := json.Marshal(l)
 		if err != nil {
 			panic("a ledger cannot be written: " + err.Error()) // it holds texts and whole numbers only
@@ -43,7 +43,7 @@
 	head := *l
 	head.Versions = make([]*rules.Version, len(l.Versions))
 	for i, v := range l.Versions {
-		bare := rules.Version{Number: v.Number, Parent: v.Parent, Digest: v.Digest, Author: v.Author, Why: v.Why, Time: v.Time}
+		bare := rules.Version{Number: v.Number, Parent: v.Parent, Digest: v.Digest, Author: v.Author, Reason: v.Reason, CreatedAt: v.CreatedAt}
 		head.Versions[i] = &bare
 	}
 	b, err := json.Marshal(&head)
@@ -56,21 +56,21 @@
 		c, known := l.codes[v.Number]
 		if !known || c.base != from {
 			c.base = from
-			if c.bytes, err = delta.Encode(base, v.Rules); err != nil {
+			if c.bytes, err = delta.Encode(base, v.Content); err != nil {
 				panic("a ledger cannot be written: " + err.Error()) // the encoder has no settings that could fail
 			}
 			l.codes[v.Number] = c
 		}
 		out = append(binary.AppendUvarint(out, uint64(len(c.bytes))), c.bytes...)
-		base, from = v.Rules, v.Number
+		base, from = v.Content, v.Number
 	}
 	sum := blake3.Sum256(out)
 	return append(out, sum[:]...)
 }
 
 // Restore reads what Save wrote, in either form.
-func Restore(b []byte) (*Ledger, error) {
-	l := NewLedger()
+func Restore(b []byte) (*StateMachine, error) {
+	l := NewStateMachine()
 	if len(b) > 0 && b[0] == mark {
 		if err := l.restore(b); err != nil {
 			return nil, fmt.Errorf("a ledger of %d bytes cannot be read: %w", len(b), err)
@@ -96,7 +96,7 @@
 	return l, nil
 }
 
-func (l *Ledger) restore(b []byte) error {
+func (l *StateMachine) restore(b []byte) error {
 	if len(b) < 1+32 {
 		return errors.New("it is cut off")
 	}
@@ -121,8 +121,8 @@
 	if err := json.Unmarshal(head, l); err != nil {
 		return fmt.Errorf("the head: %w", err)
 	}
-	if l.Form > Form {
-		return fmt.Errorf("it is of form %d, this program knows form %d: a newer program is needed", l.Form, Form)
+	if l.Format > Format {
+		return fmt.Errorf("it is of form %d, this program knows form %d: a newer program is needed", l.Format, Format)
 	}
 	base, from := []byte(nil), uint64(0)
 	for i, v := range l.Versions {
@@ -133,14 +133,14 @@
 		if err != nil {
 			return err
 		}
-		if v.Rules, err = delta.Decode(base, coded, rules.Most); err != nil {
+		if v.Content, err = delta.Decode(base, coded, rules.MaxContentBytes); err != nil {
 			return fmt.Errorf("version %d, coded from %d: %w", v.Number, from, err)
 		}
-		if sum := rules.Sum(v.Rules); sum != v.Digest {
+		if sum := rules.DigestOf(v.Content); sum != v.Digest {
 			return fmt.Errorf("version %d has a content of digest %.12s, and it says %.12s", v.Number, sum, v.Digest)
 		}
 		l.codes[v.Number] = code{from, bytes.Clone(coded)}
-		base, from = v.Rules, v.Number
+		base, from = v.Content, v.Number
 	}
 	if len(rest) > 0 {
 		return fmt.Errorf("%d bytes follow after it", len(rest))
--- a/internal/fleet/accord/snapshot_test.go
+++ b/internal/fleet/accord/snapshot_test.go
@@ -16,10 +16,10 @@
 
 // plan is rules of so many nodes with a limit.
 func plan(nodes int, limit float64) []byte {
-	r := &rules.Rules{Needs: 1, Shards: nodes + 1, Mean: 1, Plans: map[string]rules.Plan{"gold": {Weight: 1, Limit: limit}}, Sending: rules.Sending{Most: 1},
+	r := &rules.Config{RequiredFormat: 1, Shards: nodes + 1, MeanRequestUnits: 1, ServiceLevels: map[string]rules.ServiceLevel{"gold": {Weight: 1, RateLimit: limit}}, Dispatch: rules.DispatchPolicy{MaxAttempts: 1},
 		Nodes: map[string]rules.Node{}}
 	for i := range nodes {
-		r.Nodes[fmt.Sprintf("10.0.%d.%d:7000", i/250, i%250)] = rules.Node{Shard: i, Name: fmt.Sprint("node-", i), Zone: "a", Born: int64(i) * 1e9}
+		r.Nodes[fmt.Sprintf("10.0.%d.%d:7000", i/250, i%250)] = rules.Node{Shard: i, Name: fmt.Sprint("node-", i), Zone: "a", StartedAt: int64(i) * 1e9}
 	}
 	return r.Canonical()
 }
@@ -28,20 +28,20 @@
 // and nothing only of what was forgotten.
 func TestLedgersAgainstWholeVersions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		ledgers := []*Ledger{NewLedger(), NewLedger(), NewLedger()}
+		ledgers := []*StateMachine{NewStateMachine(), NewStateMachine(), NewStateMachine()}
 		all, gone := map[uint64][]byte{}, map[uint64]bool{}
 		put := func(c *Command, form int) (taken *rules.Version) {
-			e, err := c.Entry(form, ledgers[0])
+			e, err := c.EncodeEntry(form, ledgers[0])
 			if err != nil {
 				t.Fatal(err)
 			}
 			for i, l := range ledgers {
-				read, err := ReadEntry(e)
+				read, err := DecodeEntry(e)
 				if err != nil {
 					t.Fatal(err)
 				}
 				v, err := l.Apply(read)
-				if errors.Is(err, ErrEntry) || i > 0 && (v == nil) != (taken == nil) {
+				if errors.Is(err, ErrInvalidEntry) || i > 0 && (v == nil) != (taken == nil) {
 					t.Fatalf("keeper %d: %v, %v", i, v, err)
 				}
 				taken = v
@@ -50,17 +50,17 @@
 		}
 		for n := range rapid.IntRange(1, 40).Draw(t, "steps") {
 			l := ledgers[0]
-			form := max(l.Form, rapid.SampledFrom([]int{1, 2}).Draw(t, "form"))
+			form := max(l.Format, rapid.SampledFrom([]int{1, 2}).Draw(t, "form"))
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0: // a restart
 				i := rapid.IntRange(0, 2).Draw(t, "keeper")
-				back, err := Restore(ledgers[i].Save())
+				back, err := Restore(ledgers[i].Snapshot())
 				if err != nil {
 					t.Fatal(err)
 				}
 				ledgers[i] = back
 			case 1:
-				put(&Command{Force: l.Announced}, form)
+				put(&Command{Activate: l.Announced}, form)
 			case 2:
 				c := &Command{}
 				for _, v := range l.Versions {
@@ -74,7 +74,7 @@
 			default:
 				content := plan(rapid.IntRange(0, 30).Draw(t, "nodes"), float64(n))
 				parent := l.Announced - min(l.Announced, uint64(rapid.IntRange(0, 1).Draw(t, "late")))
-				if v := put(&Command{Propose: &Proposal{ID: fmt.Sprint(n), Parent: parent, Over: true, Rules: content}}, form); (v != nil) != (parent == l.Announced-1 && v != nil) {
+				if v := put(&Command{Propose: &Proposal{ID: fmt.Sprint(n), Parent: parent, ReplacePending: true, Content: content}}, form); (v != nil) != (parent == l.Announced-1 && v != nil) {
 					t.Fatalf("%v of parent %d", v, parent)
 				} else if v != nil {
 					all[v.Number] = content
@@ -83,7 +83,7 @@
 		}
 		for i, l := range ledgers {
 			for n, content := range all {
-				if v := l.Version(n); v == nil != gone[n] || v != nil && !bytes.Equal(v.Rules, content) {
+				if v := l.Version(n); v == nil != gone[n] || v != nil && !bytes.Equal(v.Content, content) {
 					t.Fatalf("keeper %d has version %d as %v, forgotten %t", i, n, v, gone[n])
 				}
 			}
@@ -93,14 +93,14 @@
 
 // What is spoilt anywhere is refused in one line.
 func TestSpoiltSnapshots(t *testing.T) {
-	l := NewLedger()
+	l := NewStateMachine()
 	for n := range 12 {
-		c := &Command{Propose: &Proposal{ID: fmt.Sprint(n), Parent: uint64(n), Over: true, Rules: plan(20, float64(n+1))}}
-		e, err := c.Entry(2, l)
+		c := &Command{Propose: &Proposal{ID: fmt.Sprint(n), Parent: uint64(n), ReplacePending: true, Content: plan(20, float64(n+1))}}
+		e, err := c.EncodeEntry(2, l)
 		if err != nil {
 			t.Fatal(err)
 		}
-		read, _ := ReadEntry(e)
+		read, _ := DecodeEntry(e)
 		if _, err := l.Apply(read); err != nil {
 			t.Fatal(err)
 		}
@@ -109,8 +109,8 @@
 		t.Errorf("the announced version is forgotten: %v", err)
 	}
 	l.forget([]uint64{1, 2, 3, 5})
-	good := l.Save()
-	if back, err := Restore(good); err != nil || !bytes.Equal(back.Save(), good) || len(back.Versions) != 8 {
+	good := l.Snapshot()
+	if back, err := Restore(good); err != nil || !bytes.Equal(back.Snapshot(), good) || len(back.Versions) != 8 {
 		t.Fatalf("%v", err)
 	}
 	for i := range good {
@@ -120,11 +120,11 @@
 			}
 		}
 	}
-	old := NewLedger()
-	if _, err := old.Apply(&Command{Propose: &Proposal{ID: "a", Rules: plan(1, 1)}}); err != nil {
+	old := NewStateMachine()
+	if _, err := old.Apply(&Command{Propose: &Proposal{ID: "a", Content: plan(1, 1)}}); err != nil {
 		t.Fatal(err)
 	}
-	text := old.Save()
+	text := old.Snapshot()
 	if back, err := Restore(text); err != nil || back.Version(1) == nil || text[0] != '{' {
 		t.Errorf("of the form before: %v", err)
 	}
@@ -137,76 +137,76 @@
 
 // An entry that is spoilt ends the keeper, and changes nothing.
 func TestSpoiltEntries(t *testing.T) {
-	fresh := func() *Ledger {
-		l := NewLedger()
-		l.Apply(&Command{Propose: &Proposal{ID: "a", Rules: plan(50, 1)}})
+	fresh := func() *StateMachine {
+		l := NewStateMachine()
+		l.Apply(&Command{Propose: &Proposal{ID: "a", Content: plan(50, 1)}})
 		return l
 	}
 	l := fresh()
-	e, err := (&Command{Propose: &Proposal{ID: "b", Parent: 1, Over: true, Rules: plan(50, 2)}}).Entry(2, l)
+	e, err := (&Command{Propose: &Proposal{ID: "b", Parent: 1, ReplacePending: true, Content: plan(50, 2)}}).EncodeEntry(2, l)
 	if err != nil || len(e) > 1000 {
 		t.Fatalf("%d bytes: %v", len(e), err)
 	}
-	if _, err := (&Command{Forget: []uint64{1}}).Entry(1, l); err == nil {
+	if _, err := (&Command{Forget: []uint64{1}}).EncodeEntry(1, l); err == nil {
 		t.Error("an entry of form 1 tells what to forget")
 	}
 	whole := plan(50, 2)
 	for i := range e {
 		for _, bad := range [][]byte{e[:i], slices.Concat(e[:i], []byte{e[i] ^ 1<<(i%8)}, e[i+1:])} {
-			c, err := ReadEntry(bad)
+			c, err := DecodeEntry(bad)
 			if err != nil || c.Propose == nil {
 				continue // the keeper ends by it
 			}
 			l := fresh()
-			if v, err := l.Apply(c); err == nil && !bytes.Equal(v.Rules, whole) || err != nil && len(l.Versions) != 1 {
+			if v, err := l.Apply(c); err == nil && !bytes.Equal(v.Content, whole) || err != nil && len(l.Versions) != 1 {
 				t.Fatalf("at byte %d of %d: %v, %v", i, len(e), v, err)
 			}
 		}
 	}
-	other := NewLedger() // whose first version is another
-	other.Apply(&Command{Propose: &Proposal{ID: "a", Rules: plan(50, 3)}})
-	c, _ := ReadEntry(e)
-	if _, err := other.Apply(c); !errors.Is(err, ErrEntry) {
+	other := NewStateMachine() // whose first version is another
+	other.Apply(&Command{Propose: &Proposal{ID: "a", Content: plan(50, 3)}})
+	c, _ := DecodeEntry(e)
+	if _, err := other.Apply(c); !errors.Is(err, ErrInvalidEntry) {
 		t.Errorf("against another base: %v", err)
 	}
 }
 
 // A proposal that is asked for again is told its number as long as its ID is known, and is refused after that, as its parent is not the newest.
 func TestRepeatsOfProposals(t *testing.T) {
-	l := NewLedger()
+	l := NewStateMachine()
 	ask := func(n int) (*rules.Version, error) {
-		c := &Command{Propose: &Proposal{ID: fmt.Sprint(n), Parent: uint64(n), Over: true, Rules: plan(0, float64(n+1))}}
-		e, err := c.Entry([]int{2, 1}[min(n%16, 1)], l)
+		c := &Command{Propose: &Proposal{ID: fmt.Sprint(n), Parent: uint64(n), ReplacePending: true, Content: plan(0, float64(n+1))}}
+		e, err := c.EncodeEntry([]int{2, 1}[min(n%16, 1)], l)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if c, err = ReadEntry(e); err != nil {
+		if c, err = DecodeEntry(e); err != nil {
 			t.Fatal(err)
 		}
 		return l.Apply(c)
 	}
-	const all = Repeat + 100
+	const all = RetainedProposalIDs + 100
 	for n := range all {
 		if _, err := ask(n); err != nil {
 			t.Fatal(err)
 		}
 		l.forget([]uint64{l.Announced - 1})
 	}
-	if len(l.IDs) != Repeat || len(l.Versions) != 1 {
-		t.Errorf("%d IDs and %d versions are kept", len(l.IDs), len(l.Versions))
+	if len(l.ProposalIDs) != RetainedProposalIDs || len(l.Versions) != 1 {
+		t.Errorf("%d IDs and %d versions are kept", len(l.ProposalIDs), len(l.Versions))
 	}
-	oldest := slices.Min(slices.Collect(maps.Values(l.IDs)))
+	oldest := slices.Min(slices.Collect(maps.Values(l.ProposalIDs)))
 	for n := range all {
 		v, err := ask(n)
-		if known := uint64(n+1) >= oldest; known != (err == nil) || known && v.Number != uint64(n+1) || !known && !errors.Is(err, ErrParent) {
+		if known := uint64(n+1) >= oldest; known != (err == nil) || known && v.Number != uint64(n+1) || !known && !errors.Is(err, ErrStaleParent) {
 			t.Fatalf("proposal %d: %v, %v", n, v, err)
 		}
 	}
 	if _, err := ask(0); err == nil || !strings.Contains(err.Error(), "kept for 1024 versions") || l.Announced != all {
 		t.Errorf("%v", err)
 	}
-	for _, p := range []*Proposal{{Rules: make([]byte, rules.Most+1)}, {Why: strings.Repeat("w", 3000)}, {ID: strings.Repeat("w", 129)}} {
-		if err := p.Check(); err == nil {
+	for _, p := range []*Proposal{{Content: make([]byte, rules.MaxContentBytes+1)}, {Reason: strings.Repeat("w", 3000)}, {ID: strings.Repeat("w", 129)}} {
+		if err := p.Validate(); err == nil {
 			t.Error("a proposal that is too large is taken")
 		}
 	}
@@ -214,23 +214,23 @@
 
 // A gateway that is on its floor for an hour has its version kept, whoever leads, while a thousand others come and go; then it goes, too.
 func TestFloorOfAnHour(t *testing.T) {
-	l, now, seq := NewLedger(), Time(0), uint64(0)
-	l.Apply(&Command{Found: &testTerms})
+	l, now, seq := NewStateMachine(), Time(0), uint64(0)
+	l.Apply(&Command{Bootstrap: &testTerms})
 	l.Apply(&Command{Join: []string{"far", "near"}})
-	r, _ := rules.Read(plan(0, 1))
-	r.Floor = rules.Floor{For: 3600 * 1e9, Limits: 1}
-	w := Lead(now, 1, l, 0)
+	r, _ := rules.Parse(plan(0, 1))
+	r.FallbackPolicy = rules.FallbackPolicy{Duration: 3600 * 1e9, LimitFraction: 1}
+	w := NewManager(now, 1, l, 0)
 	step := func(content []byte) {
-		if _, err := l.Apply(&Command{Propose: &Proposal{ID: fmt.Sprint(now), Parent: l.Announced, Over: true, Rules: content}}); err != nil {
+		if _, err := l.Apply(&Command{Propose: &Proposal{ID: fmt.Sprint(now), Parent: l.Announced, ReplacePending: true, Content: content}}); err != nil {
 			t.Fatal(err)
 		}
 		for _, who := range []string{"near", "far"} {
 			if seq++; who == "near" || now < 3*lease {
-				w.Renew(now, &Ask{Who: who, Seq: seq, Term: w.term, Taken: seq, Holds: []uint64{l.Announced}})
+				w.Renew(now, &RenewRequest{Holder: who, Seq: seq, Term: w.term, AcceptedSeq: seq, HeldVersions: []uint64{l.Announced}})
 			}
 		}
-		w.Forgets(true)
-		for c := w.Decide(now); c != nil; c = w.Decide(now) {
+		w.AllowForget(true)
+		for c := w.NextCommand(now); c != nil; c = w.NextCommand(now) {
 			l.Apply(c)
 			w.Applied(c)
 		}
@@ -242,7 +242,7 @@
 	for n := range 1400 {
 		step(plan(0, float64(n+2)))
 		if most = max(most, len(l.Versions)); n == 100 {
-			w = Lead(now, 2, l, 0)
+			w = NewManager(now, 2, l, 0)
 		}
 		if l.Version(held) == nil && now < 3600*lease {
 			t.Fatalf("forgotten after %d s", now/1e9)
@@ -251,7 +251,7 @@
 	if l.Version(held) != nil || len(l.Holders) != 1 {
 		t.Errorf("after %d s it is still there, holders %v", now/1e9, l.Holders)
 	}
-	if len(l.Versions) > Bases+batch+2 {
+	if len(l.Versions) > RetainedBaseVersions+batch+2 {
 		t.Errorf("%d versions at the end, %d at most", len(l.Versions), most)
 	}
 }
--- a/internal/fleet/accord/warden.go
+++ b/internal/fleet/accord/warden.go
@@ -8,33 +8,33 @@
 	"irispost/internal/fleet/rules"
 )
 
-// Ask is what a gateway asks a keeper for: to go on acting.
-type Ask struct {
-	Who     string   `json:"who"` // its name and its start: one that starts anew is another
-	Seq     uint64   `json:"seq"`
-	Term    uint64   `json:"term,omitempty"`  // of the grant that it took last
-	Taken   uint64   `json:"taken,omitempty"` // the ask that this grant answered
-	Holds   []uint64 `json:"holds,omitempty"` // the versions that it acts on: on the meet, where there are two
-	Trouble string   `json:"trouble,omitempty"`
-	State   string   `json:"state"`
-	Set     uint64   `json:"set,omitempty"`  // the members that it knows
-	Peer    string   `json:"peer,omitempty"` // where other gateways reach it
-	Form    int      `json:"form,omitempty"` // Apart: it fetches contents by their digest; 0: it takes versions whole
+// RenewRequest is what a gateway asks a keeper for: to go on acting.
+type RenewRequest struct {
+	Holder          string   `json:"who"` // its name and its start: one that starts anew is another
+	Seq             uint64   `json:"seq"`
+	Term            uint64   `json:"term,omitempty"`  // of the grant that it took last
+	AcceptedSeq     uint64   `json:"taken,omitempty"` // the ask that this grant answered
+	HeldVersions    []uint64 `json:"holds,omitempty"` // the versions that it acts on: on the meet, where there are two
+	Fault           string   `json:"trouble,omitempty"`
+	State           string   `json:"state"`
+	MembershipEpoch uint64   `json:"set,omitempty"`  // the members that it knows
+	PeerAddr        string   `json:"peer,omitempty"` // where other gateways reach it
+	Format          int      `json:"form,omitempty"` // Apart: it fetches contents by their digest; 0: it takes versions whole
 }
 
-// Apart is the form of asks of a gateway that takes versions without their contents, which it fetches.
-const Apart = 1
+// ByDigest is the form of asks of a gateway that takes versions without their contents, which it fetches.
+const ByDigest = 1
 
-// Grant is the leading keeper's answer.
-type Grant struct {
-	Seq       uint64            `json:"seq"`
-	Term      uint64            `json:"term"`
-	InForce   uint64            `json:"in_force"`
-	Announced uint64            `json:"announced"`
-	Lease     Time              `json:"lease"`              // from when it was asked for; 0: none yet, ask again
-	Versions  []*rules.Version  `json:"versions,omitempty"` // that the ask does not hold; without contents to who asks in the form Apart
-	Set       *tenure.Set       `json:"set,omitempty"`      // who is present; its members only where the gateway knows others
-	Peers     map[string]string `json:"peers,omitempty"`    // with them, where they are reached, as far as is known
+// RenewResponse is the leading keeper's answer.
+type RenewResponse struct {
+	Seq           uint64             `json:"seq"`
+	Term          uint64             `json:"term"`
+	InForce       uint64             `json:"in_force"`
+	Announced     uint64             `json:"announced"`
+	LeaseDuration Time               `json:"lease"`              // from when it was asked for; 0: none yet, ask again
+	Versions      []*rules.Version   `json:"versions,omitempty"` // that the ask does not hold; without contents to who asks in the form Apart
+	Membership    *tenure.Membership `json:"set,omitempty"`      // who is present; its members only where the gateway knows others
+	PeerAddrs     map[string]string  `json:"peers,omitempty"`    // with them, where they are reached, as far as is known
 }
 
 // holder is a gateway that may act on something, as the leading keeper knows it.
@@ -60,9 +60,9 @@
 	until                   Time
 }
 
-// Warden is the leading keeper's knowledge of the gateways. It is made anew with each term.
-type Warden struct {
-	ledger  *Ledger
+// Manager is the leading keeper's knowledge of the gateways. It is made anew with each term.
+type Manager struct {
+	ledger  *StateMachine
 	term    uint64
 	holders map[string]*holder
 	joining map[string]bool
@@ -74,17 +74,17 @@
 	setAt   Time
 	peered  bool // some gateway is reached by others, so that it counts who is present
 	retain  retention
-	flaws   Flaws
+	flaws   InjectedFaults
 }
 
-// Lead makes a warden for a term. Whoever the log knows may have got a lease a moment ago.
-func Lead(now Time, term uint64, l *Ledger, flaws Flaws) *Warden {
-	w := &Warden{ledger: l, term: term, holders: map[string]*holder{}, joining: map[string]bool{}, parting: map[string]Time{}, leaving: map[string]Time{}, flaws: flaws,
-		set: l.Sets, setAt: now, retain: retention{bases: Bases, batch: batch}}
+// NewManager makes a warden for a term. Whoever the log knows may have got a lease a moment ago.
+func NewManager(now Time, term uint64, l *StateMachine, flaws InjectedFaults) *Manager {
+	w := &Manager{ledger: l, term: term, holders: map[string]*holder{}, joining: map[string]bool{}, parting: map[string]Time{}, leaving: map[string]Time{}, flaws: flaws,
+		set: l.MembershipEpoch, setAt: now, retain: retention{bases: RetainedBaseVersions, batch: batch}}
 	for _, name := range names(l.Holders) {
-		h := &holder{name: name, lease: now + l.Terms.longer(l.Terms.Lease), unknown: now + l.Terms.longer(l.longest()), heard: now,
+		h := &holder{name: name, lease: now + l.Settings.longer(l.Settings.LeaseDuration), unknown: now + l.Settings.longer(l.longest()), heard: now,
 			state: "unheard"}
-		if flaws.Has(FreshLeader) {
+		if flaws.Has(FaultNewLeaderAssumesNoLeases) {
 			h.lease, h.unknown = now, now
 		}
 		w.holders[name] = h
@@ -94,32 +94,32 @@
 
 // Renew answers a gateway. It is called once it is confirmed that this keeper still led after the ask had come in, with a
 // ledger that is as new as the log was then.
-func (w *Warden) Renew(now Time, a *Ask) *Grant {
-	g := &Grant{Seq: a.Seq, Term: w.term, InForce: w.ledger.InForce, Announced: w.ledger.Announced}
-	h := w.holders[a.Who]
-	_, parting := w.parting[a.Who]
-	if (!w.ledger.Holders[a.Who] || parting) && !w.flaws.Has(NoJoin) {
-		w.joining[a.Who] = true // a lease that the log does not know would be forgotten with this term
+func (w *Manager) Renew(now Time, a *RenewRequest) *RenewResponse {
+	g := &RenewResponse{Seq: a.Seq, Term: w.term, InForce: w.ledger.InForce, Announced: w.ledger.Announced}
+	h := w.holders[a.Holder]
+	_, parting := w.parting[a.Holder]
+	if (!w.ledger.Holders[a.Holder] || parting) && !w.flaws.Has(FaultLeaseWithoutJoin) {
+		w.joining[a.Holder] = true // a lease that the log does not know would be forgotten with this term
 		return g
 	}
-	if n := w.ledger.Announced; n != w.ledger.InForce && w.forcing == n && !slices.Contains(a.Holds, n) {
+	if n := w.ledger.Announced; n != w.ledger.InForce && w.forcing == n && !slices.Contains(a.HeldVersions, n) {
 		return g // it is decided, with what was known then: nobody may begin to act on the one before
 	}
 	if h == nil {
-		h = &holder{name: a.Who}
-		w.holders[a.Who] = h
+		h = &holder{name: a.Holder}
+		w.holders[a.Holder] = h
 	}
-	if a.Peer != "" && !w.ledger.Present[a.Who] { // it is here again, and the others have to know before it counts as one of them
-		w.joining[a.Who] = true
+	if a.PeerAddr != "" && !w.ledger.Members[a.Holder] { // it is here again, and the others have to know before it counts as one of them
+		w.joining[a.Holder] = true
 	}
-	if a.Term == w.term && a.Seq > h.seq || w.flaws.Has(NoEcho) { // it was sent in this term, and after all that was heard before
-		h.seq, h.holds, h.unknown = a.Seq, slices.Clone(a.Holds), 0
-		h.granted = slices.DeleteFunc(h.granted, func(g granted) bool { return g.seq <= a.Taken })
+	if a.Term == w.term && a.Seq > h.seq || w.flaws.Has(FaultTrustEarlierTerms) { // it was sent in this term, and after all that was heard before
+		h.seq, h.holds, h.unknown = a.Seq, slices.Clone(a.HeldVersions), 0
+		h.granted = slices.DeleteFunc(h.granted, func(g granted) bool { return g.seq <= a.AcceptedSeq })
 	}
-	t := w.ledger.Terms
+	t := w.ledger.Settings
 	if n := w.ledger.Announced; h.offered != n {
 		h.offered, h.since = n, now
-	} else if n != w.ledger.InForce && !slices.Contains(a.Holds, n) && a.Trouble == "" && now > h.since+t.longer(t.Lease) {
+	} else if n != w.ledger.InForce && !slices.Contains(a.HeldVersions, n) && a.Fault == "" && now > h.since+t.longer(t.LeaseDuration) {
 		return g // it is heard and does not hear: what it holds has to run out
 	}
 	span := t.longer(w.floorOf([]uint64{g.InForce, g.Announced}))
@@ -131,22 +131,22 @@
 		}
 		return same || now > o.until
 	})
-	h.granted = append(h.granted, granted{last, g.InForce, g.Announced, now + max(t.longer(t.Lease), span)})
-	h.heard, h.state, h.trouble, h.peer = now, a.State, a.Trouble, a.Peer
-	h.lease = max(h.lease, now+t.longer(t.Lease))
-	if w.flaws.Has(NoDrift) {
-		h.lease = now + t.Lease
+	h.granted = append(h.granted, granted{last, g.InForce, g.Announced, now + max(t.longer(t.LeaseDuration), span)})
+	h.heard, h.state, h.trouble, h.peer = now, a.State, a.Fault, a.PeerAddr
+	h.lease = max(h.lease, now+t.longer(t.LeaseDuration))
+	if w.flaws.Has(FaultIgnoreClockDrift) {
+		h.lease = now + t.LeaseDuration
 	}
 	h.floor = max(h.floor, now+t.longer(w.floorOf(h.holds)), now+span)
-	g.Lease = t.Lease
+	g.LeaseDuration = t.LeaseDuration
 	w.present(now, a, g)
 	for i, n := range []uint64{g.InForce, g.Announced} {
 		v := w.ledger.Version(n)
-		if v == nil || slices.Contains(a.Holds, n) || i == 1 && n == g.InForce {
+		if v == nil || slices.Contains(a.HeldVersions, n) || i == 1 && n == g.InForce {
 			continue
 		}
-		if a.Form >= Apart {
-			v = v.Head()
+		if a.Format >= ByDigest {
+			v = v.Header()
 		}
 		g.Versions = append(g.Versions, v)
 	}
@@ -154,45 +154,45 @@
 }
 
 // present tells a gateway that is reached by others who is present.
-func (w *Warden) present(now Time, a *Ask, g *Grant) {
-	if a.Peer == "" {
+func (w *Manager) present(now Time, a *RenewRequest, g *RenewResponse) {
+	if a.PeerAddr == "" {
 		return
 	}
 	w.peered = true
-	if w.set != w.ledger.Sets {
-		w.set, w.setAt = w.ledger.Sets, now // seen late, it counts as later than it is
+	if w.set != w.ledger.MembershipEpoch {
+		w.set, w.setAt = w.ledger.MembershipEpoch, now // seen late, it counts as later than it is
 	}
-	g.Set = &tenure.Set{Number: w.set, Parts: w.ledger.Parts, Age: now - w.setAt, Lease: w.ledger.Terms.Lease, Drift: w.ledger.Terms.Drift}
-	if a.Set == w.set {
+	g.Membership = &tenure.Membership{Epoch: w.set, Departures: w.ledger.Departures, Age: now - w.setAt, LeaseDuration: w.ledger.Settings.LeaseDuration, MaxClockDrift: w.ledger.Settings.MaxClockDrift}
+	if a.MembershipEpoch == w.set {
 		return
 	}
-	g.Set.Members, g.Peers = names(w.ledger.Present), map[string]string{}
-	for _, name := range g.Set.Members {
+	g.Membership.Members, g.PeerAddrs = names(w.ledger.Members), map[string]string{}
+	for _, name := range g.Membership.Members {
 		if h := w.holders[name]; h != nil && h.peer != "" {
-			g.Peers[name] = h.peer
+			g.PeerAddrs[name] = h.peer
 		}
 	}
 }
 
 // floorOf is the longest floor of versions.
-func (w *Warden) floorOf(numbers []uint64) (most Time) {
+func (w *Manager) floorOf(numbers []uint64) (most Time) {
 	for _, n := range numbers {
 		most = max(most, w.ledger.span(n))
 	}
 	return most
 }
 
-// Decide tells which command is to be put into the log now; nil: none.
-func (w *Warden) Decide(now Time) *Command {
+// NextCommand tells which command is to be put into the log now; nil: none.
+func (w *Manager) NextCommand(now Time) *Command {
 	if len(w.joining) > 0 {
 		c := &Command{Join: names(w.joining)}
 		clear(w.joining)
 		return c
 	}
-	again := w.ledger.Terms.Lease // a command that did not get into the log is asked for again after so long
-	if n := w.ledger.Announced; n != w.ledger.InForce && (w.forcing != n || now > w.forced+again) && len(w.Waits(now)) == 0 {
+	again := w.ledger.Settings.LeaseDuration // a command that did not get into the log is asked for again after so long
+	if n := w.ledger.Announced; n != w.ledger.InForce && (w.forcing != n || now > w.forced+again) && len(w.WaitingFor(now)) == 0 {
 		w.forcing, w.forced = n, now
-		return &Command{Force: n}
+		return &Command{Activate: n}
 	}
 	var gone []string
 	for _, name := range names(w.ledger.Holders) {
@@ -201,13 +201,13 @@
 			w.holders[name] = &holder{name: name, heard: now, state: "joined"}
 			continue
 		}
-		if at, asked := w.parting[name]; now > max(h.lease, h.floor, h.unknown, h.heard+w.ledger.Terms.longer(again)) && (!asked || now > at+again) {
+		if at, asked := w.parting[name]; now > max(h.lease, h.floor, h.unknown, h.heard+w.ledger.Settings.longer(again)) && (!asked || now > at+again) {
 			gone = append(gone, name)
 			w.parting[name] = now
 		}
 	}
 	if len(gone) > 0 {
-		return &Command{Part: gone}
+		return &Command{Remove: gone}
 	}
 	if list := w.forgettable(now); list != nil {
 		return &Command{Forget: list}
@@ -215,7 +215,7 @@
 	if !w.peered {
 		return nil
 	}
-	for _, name := range names(w.ledger.Present) {
+	for _, name := range names(w.ledger.Members) {
 		h := w.holders[name]
 		if at, asked := w.leaving[name]; h != nil && now > h.lease && (!asked || now > at+again) {
 			gone = append(gone, name)
@@ -223,25 +223,25 @@
 		}
 	}
 	if len(gone) > 0 {
-		return &Command{Away: gone}
+		return &Command{LeaseExpired: gone}
 	}
 	return nil
 }
 
 // Applied tells that commands of the log were applied: who has joined may be given a lease.
-func (w *Warden) Applied(c *Command) {
-	for _, name := range c.Part {
+func (w *Manager) Applied(c *Command) {
+	for _, name := range c.Remove {
 		delete(w.holders, name)
 		delete(w.parting, name)
 	}
-	for _, name := range slices.Concat(c.Part, c.Away) {
+	for _, name := range slices.Concat(c.Remove, c.LeaseExpired) {
 		delete(w.leaving, name)
 	}
 }
 
-// Waits names the gateways that an announced version waits for, each with what for.
-func (w *Warden) Waits(now Time) (list []string) {
-	if w.flaws.Has(NoWait) {
+// WaitingFor names the gateways that an announced version waits for, each with what for.
+func (w *Manager) WaitingFor(now Time) (list []string) {
+	if w.flaws.Has(FaultNoWait) {
 		return nil
 	}
 	n := w.ledger.Announced
@@ -255,7 +255,7 @@
 		case slices.Contains(h.holds, n):
 		case now <= h.lease:
 			list = append(list, fmt.Sprintf("%s: has not acknowledged it, and its lease runs on for %d ms; %s", name, (h.lease-now)/1e6+1, h.trouble))
-		case w.flaws.Has(NoFloor):
+		case w.flaws.Has(FaultIgnoreFallbacks):
 		case now <= h.unknown:
 			list = append(list, fmt.Sprintf("%s: was not heard in this term, and may act on a floor for %d ms", name, (h.unknown-now)/1e6+1))
 		case now <= h.floor && !w.floorFits(h, next):
@@ -265,16 +265,16 @@
 	return list
 }
 
-func (w *Warden) open(n uint64) (*rules.Rules, error) {
+func (w *Manager) open(n uint64) (*rules.Config, error) {
 	if v := w.ledger.Version(n); v != nil {
-		return v.Open()
+		return v.Config()
 	}
 	return nil, nil
 }
 
 // floorFits tells whether the floor that a gateway may act on is within rules. It acts on the floors of all that it holds,
 // so one of them within is enough; what it holds is what it said last, or what it took of the grants since.
-func (w *Warden) floorFits(h *holder, next *rules.Rules) bool {
+func (w *Manager) floorFits(h *holder, next *rules.Config) bool {
 	if next == nil {
 		return false
 	}
@@ -286,8 +286,8 @@
 		if v == nil { // it is forgotten, or never was: nothing is known of its floor
 			return false
 		}
-		floor, err := v.Floor()
-		return err == nil && len(rules.Beyond(floor, next)) == 0
+		floor, err := v.Fallback()
+		return err == nil && len(rules.Exceeds(floor, next)) == 0
 	}
 	for _, g := range h.granted {
 		if !fits(g.inForce) { // it may be without the announced one, where it cannot read that
@@ -297,26 +297,26 @@
 	return len(h.holds) == 0 || slices.ContainsFunc(h.holds, fits)
 }
 
-// Seen is a gateway as the leading keeper knows it.
-type Seen struct {
-	Who     string   `json:"who"`
-	State   string   `json:"state"`
-	Holds   []uint64 `json:"holds"`
-	Heard   Time     `json:"heard_ms_ago"`
-	Lease   Time     `json:"lease_ms"` // left of it, as the keeper counts; below 0: run out
-	Hangs   bool     `json:"hangs"`    // no word for three quarters of its lease
-	Trouble string   `json:"trouble,omitempty"`
+// GatewayStatus is a gateway as the leading keeper knows it.
+type GatewayStatus struct {
+	Holder          string   `json:"who"`
+	State           string   `json:"state"`
+	HeldVersions    []uint64 `json:"holds"`
+	LastHeardMillis Time     `json:"heard_ms_ago"`
+	LeaseLeftMillis Time     `json:"lease_ms"` // left of it, as the keeper counts; below 0: run out
+	Unresponsive    bool     `json:"hangs"`    // no word for three quarters of its lease
+	Fault           string   `json:"trouble,omitempty"`
 }
 
-// Look lists the gateways, by name.
-func (w *Warden) Look(now Time) (list []Seen) {
+// Gateways lists the gateways, by name.
+func (w *Manager) Gateways(now Time) (list []GatewayStatus) {
 	for _, name := range names(w.ledger.Holders) {
 		h := w.holders[name]
 		if h == nil {
 			continue
 		}
-		list = append(list, Seen{Who: name, State: h.state, Holds: h.holds, Heard: (now - h.heard) / 1e6, Lease: (h.lease - now) / 1e6,
-			Hangs: now-h.heard > w.ledger.Terms.Lease*3/4, Trouble: h.trouble})
+		list = append(list, GatewayStatus{Holder: name, State: h.state, HeldVersions: h.holds, LastHeardMillis: (now - h.heard) / 1e6, LeaseLeftMillis: (h.lease - now) / 1e6,
+			Unresponsive: now-h.heard > w.ledger.Settings.LeaseDuration*3/4, Fault: h.trouble})
 	}
 	return list
 }
--- a/internal/fleet/accord/world_test.go
+++ b/internal/fleet/accord/world_test.go
@@ -23,32 +23,32 @@
 
 // Flaws of the world itself, beside those of the code.
 const (
-	noConfirm  Flaws = 1 << (iota + 20) // a keeper answers without having made sure that it still leads
-	wallClock                           // gateways read a clock that is set back at times
-	lostLog                             // a new leader lacks what an older one had acknowledged
-	noSnapshot                          // a keeper that lags over a compaction goes on with the entries that are left
-	noDigest                            // what has come of contents, and what was on a disk, is taken as it is
-	oldSpool                            // what was on a disk counts as any content
+	noConfirm  InjectedFaults = 1 << (iota + 20) // a keeper answers without having made sure that it still leads
+	wallClock                                    // gateways read a clock that is set back at times
+	lostLog                                      // a new leader lacks what an older one had acknowledged
+	noSnapshot                                   // a keeper that lags over a compaction goes on with the entries that are left
+	noDigest                                     // what has come of contents, and what was on a disk, is taken as it is
+	oldSpool                                     // what was on a disk counts as any content
 )
 
 const lease = Time(1e9)
 
-var testTerms = Terms{Lease: lease, Drift: 0.1}
+var testTerms = Settings{LeaseDuration: lease, MaxClockDrift: 0.1}
 
 // pool is rules that agree and contradict in different ways.
 var pool = func() (list [][]byte) {
 	for n := range 24 {
-		r := &rules.Rules{Needs: 1, Shards: 2, Mean: 1, Plans: map[string]rules.Plan{"gold": {Weight: 1, Limit: float64(1 + n%3)}},
-			Products: map[string]rules.Product{"read": {Kind: rules.Anywhere, Goal: 1, Patience: 2}},
-			Nodes:    map[string]rules.Node{"a": {}, "b": {Shard: 1}, "c": {Standing: listing.Draining}}, Sending: rules.Sending{Most: 3},
-			Floor: rules.Floor{For: Time(n%4) * 2 * lease, Limits: []float64{0.3, 1}[n%2]}}
+		r := &rules.Config{RequiredFormat: 1, Shards: 2, MeanRequestUnits: 1, ServiceLevels: map[string]rules.ServiceLevel{"gold": {Weight: 1, RateLimit: float64(1 + n%3)}},
+			RequestClasses: map[string]rules.RequestClass{"read": {Idempotency: rules.Idempotent, LatencyObjective: 1, ClientTimeout: 2}},
+			Nodes:          map[string]rules.Node{"a": {}, "b": {Shard: 1}, "c": {Health: listing.Draining}}, Dispatch: rules.DispatchPolicy{MaxAttempts: 3},
+			FallbackPolicy: rules.FallbackPolicy{Duration: Time(n%4) * 2 * lease, LimitFraction: []float64{0.3, 1}[n%2]}}
 		switch n % 5 {
 		case 1:
-			r.Nodes["a"], r.Nodes["c"] = rules.Node{Standing: listing.Draining}, rules.Node{}
+			r.Nodes["a"], r.Nodes["c"] = rules.Node{Health: listing.Draining}, rules.Node{}
 		case 2:
 			delete(r.Nodes, "b")
 		case 3:
-			r.Products["read"] = rules.Product{Kind: rules.Once, Goal: 1, Patience: 2}
+			r.RequestClasses["read"] = rules.RequestClass{Idempotency: rules.NonIdempotent, LatencyObjective: 1, ClientTimeout: 2}
 		}
 		list = append(list, r.Canonical())
 	}
@@ -58,8 +58,8 @@
 // bare is the same without floors.
 var bare = func() (list [][]byte) {
 	for _, b := range pool[:24] {
-		r, _ := rules.Read(b)
-		r.Floor.For = 0
+		r, _ := rules.Parse(b)
+		r.FallbackPolicy.Duration = 0
 		list = append(list, r.Canonical())
 	}
 	return list
@@ -79,9 +79,9 @@
 
 type keeper struct {
 	clock
-	ledger  *Ledger
+	ledger  *StateMachine
 	applied int
-	warden  *Warden // nil: it does not believe that it leads
+	warden  *Manager // nil: it does not believe that it leads
 	term    uint64
 	out     []*entry // on their way into the log
 }
@@ -97,7 +97,7 @@
 	if e.coded == nil {
 		return e.c
 	}
-	c, err := ReadEntry(e.coded)
+	c, err := DecodeEntry(e.coded)
 	if err != nil {
 		panic(err)
 	}
@@ -106,18 +106,18 @@
 
 type host struct {
 	clock
-	f       *Follower
+	f       *Client
 	stopped bool
 	cut     bool    // its messages are lost
 	only    *keeper // the one that it reaches; nil: all
 	before  bool    // it asks in the form before: versions come whole
-	hold    *content.Holding
+	hold    *content.Cache
 	spool   [][]byte // what has been on its disk
 }
 
 type world struct {
 	rand    *rand.Rand
-	flaws   Flaws
+	flaws   InjectedFaults
 	mood    mood
 	now     Time
 	count   int
@@ -128,7 +128,7 @@
 	retain  retention
 	coded   bool              // entries and snapshots are written and read
 	history map[uint64]string // digests of versions that were forgotten
-	truth   *Ledger
+	truth   *StateMachine
 	acked   []*rules.Version // proposals that were answered
 	keepers []*keeper
 	leader  *keeper
@@ -158,25 +158,25 @@
 func (w *world) draw(list ...float64) float64 { return list[w.rand.IntN(len(list))] }
 
 type fit struct {
-	effect  *rules.Rules
+	effect  *rules.Config
 	inForce uint64
 }
 
-func newWorld(seed uint64, flaws Flaws) *world {
-	w := &world{rand: rand.New(rand.NewPCG(seed, 1)), flaws: flaws, truth: NewLedger(), fits: map[fit]bool{}, history: map[uint64]string{}, coded: seed%16 == 1,
+func newWorld(seed uint64, flaws InjectedFaults) *world {
+	w := &world{rand: rand.New(rand.NewPCG(seed, 1)), flaws: flaws, truth: NewStateMachine(), fits: map[fit]bool{}, history: map[uint64]string{}, coded: seed%16 == 1,
 		retain: retention{on: seed%5 != 4, bases: int(seed % 3), batch: 1 + int(seed/3%2)}}
 	w.mood = mood{loss: w.draw(0, 0.1, 0.4), slow: w.draw(0, 0.1, 0.5), slowest: Time(w.draw(0.1, 0.5, 2, 6) * float64(lease)),
 		elections: w.draw(0.002, 0.02, 0.05), cuts: w.draw(0, 0.02, 0.08), restarts: w.draw(0, 0.01, 0.03), firm: w.draw(0.2, 0.9),
 		floors: w.chance(0.5), extremes: w.chance(0.5), pace: Time(w.draw(0.05, 0.1, 0.3) * float64(lease))}
 	for range 3 {
-		w.keepers = append(w.keepers, &keeper{clock: w.clock(), ledger: NewLedger()})
+		w.keepers = append(w.keepers, &keeper{clock: w.clock(), ledger: NewStateMachine()})
 	}
 	for range 2 + w.rand.IntN(3) {
 		h := &host{clock: w.clock(), before: w.chance(0.3)}
 		w.hosts = append(w.hosts, h)
 		w.start(h)
 	}
-	w.log = append(w.log, &entry{c: &Command{Found: &testTerms}})
+	w.log = append(w.log, &entry{c: &Command{Bootstrap: &testTerms}})
 	w.truth.Apply(w.log[0].c)
 	w.elect()
 	return w
@@ -187,12 +187,12 @@
 	if w.mood.extremes {
 		drift = w.draw(-1, 1)
 	}
-	return clock{rate: 1 + testTerms.Drift*drift, off: w.rand.Int64N(int64(lease) * 100)}
+	return clock{rate: 1 + testTerms.MaxClockDrift*drift, off: w.rand.Int64N(int64(lease) * 100)}
 }
 
 func (w *world) start(h *host) {
 	w.starts++
-	h.f = Follow("g"+strconv.Itoa(w.starts), lease/4, w.flaws)
+	h.f = NewClient("g"+strconv.Itoa(w.starts), lease/4, w.flaws)
 	h.begin(w)
 }
 
@@ -222,7 +222,7 @@
 	e := &entry{c: c}
 	if w.coded {
 		var err error
-		if e.coded, err = c.Entry(Form, k.ledger); err != nil {
+		if e.coded, err = c.EncodeEntry(Format, k.ledger); err != nil {
 			panic(err)
 		}
 	}
@@ -247,11 +247,11 @@
 	if err == nil && v != nil {
 		w.acked = append(w.acked, v)
 	}
-	if errors.Is(err, ErrEntry) {
+	if errors.Is(err, ErrInvalidEntry) {
 		w.broken = err.Error()
 	}
 	if w.coded && k.applied > w.first+8 {
-		w.first, w.snap = k.applied, k.ledger.Save()
+		w.first, w.snap = k.applied, k.ledger.Snapshot()
 	}
 }
 
@@ -268,7 +268,7 @@
 	}
 	for ; k.applied < to; k.applied++ {
 		c := w.log[k.applied].read()
-		if _, err := k.ledger.Apply(c); errors.Is(err, ErrEntry) {
+		if _, err := k.ledger.Apply(c); errors.Is(err, ErrInvalidEntry) {
 			w.broken = err.Error()
 		}
 		if k.warden != nil {
@@ -279,10 +279,10 @@
 
 // same holds each keeper's ledger against what the log comes to.
 func (w *world) same() {
-	view := func(l *Ledger) string {
+	view := func(l *StateMachine) string {
 		c := *l
-		c.Form = 0 // so that contents are in it
-		return string(c.Save())
+		c.Format = 0 // so that contents are in it
+		return string(c.Snapshot())
 	}
 	for i, k := range w.keepers {
 		if w.apply(k, len(w.log)); w.broken == "" && view(k.ledger) != view(w.truth) {
@@ -313,12 +313,12 @@
 	}
 	if w.flaws.Has(lostLog) && len(w.log) > w.first+1 && w.rand.IntN(4) == 0 {
 		w.log = w.log[:len(w.log)-1]
-		w.truth = NewLedger()
+		w.truth = NewStateMachine()
 		for _, e := range w.log {
 			w.truth.Apply(e.read())
 		}
 		for _, k := range w.keepers {
-			k.ledger, k.applied, k.warden = NewLedger(), 0, nil
+			k.ledger, k.applied, k.warden = NewStateMachine(), 0, nil
 		}
 	}
 	w.term++
@@ -326,7 +326,7 @@
 	w.leader = k
 	k.warden, k.term = nil, w.term
 	w.apply(k, len(w.log))
-	k.warden = Lead(k.at(w.now), w.term, k.ledger, w.flaws)
+	k.warden = NewManager(k.at(w.now), w.term, k.ledger, w.flaws)
 	k.warden.retain = w.retain
 }
 
@@ -338,7 +338,7 @@
 	if k == w.leader {
 		w.apply(k, len(w.log))
 	}
-	if c := k.warden.Decide(k.at(w.now)); c != nil && k == w.leader {
+	if c := k.warden.NextCommand(k.at(w.now)); c != nil && k == w.leader {
 		e := w.put(k, c)
 		w.post(max(w.delay(), 0)/4, func() { w.commit(k, e) })
 	}
@@ -346,9 +346,9 @@
 
 func (w *world) propose() {
 	k := w.leader
-	p := &Proposal{ID: strconv.Itoa(w.count), Parent: k.ledger.Announced, Over: w.rand.IntN(2) == 0, Rules: pool[w.rand.IntN(len(pool))]}
-	if !w.mood.floors && len(p.Rules) > 20 {
-		p.Rules = bare[w.rand.IntN(len(bare))]
+	p := &Proposal{ID: strconv.Itoa(w.count), Parent: k.ledger.Announced, ReplacePending: w.rand.IntN(2) == 0, Content: pool[w.rand.IntN(len(pool))]}
+	if !w.mood.floors && len(p.Content) > 20 {
+		p.Content = bare[w.rand.IntN(len(bare))]
 	}
 	w.count++
 	e := w.put(k, &Command{Propose: p})
@@ -367,9 +367,9 @@
 	if h.only != nil && h.only.warden != nil {
 		k = h.only
 	}
-	f, a := h.f, h.f.Ask(h.at(w.now))
+	f, a := h.f, h.f.NextRequest(h.at(w.now))
 	if h.before {
-		a.Form = 0
+		a.Format = 0
 	}
 	d := w.delay()
 	if d < 0 || h.cut {
@@ -395,7 +395,7 @@
 	})
 }
 
-func (w *world) hear(h *host, f *Follower, g *Grant) {
+func (w *world) hear(h *host, f *Client, g *RenewResponse) {
 	switch {
 	case h.f != f: // that start of it is over
 	case h.stopped:
@@ -446,7 +446,7 @@
 		w.decide(k)
 	}
 	for _, h := range w.hosts {
-		if !h.stopped && h.f.Due(h.at(w.now)) <= h.at(w.now) {
+		if !h.stopped && h.f.NextRequestAt(h.at(w.now)) <= h.at(w.now) {
 			w.ask(h)
 		}
 	}
@@ -467,20 +467,20 @@
 
 // check holds each gateway's rules against those in force by the log.
 func (w *world) check() {
-	var inForce *rules.Rules
+	var inForce *rules.Config
 	if v := w.truth.Version(w.truth.InForce); v != nil {
-		inForce, _ = v.Open()
+		inForce, _ = v.Config()
 	}
 	for i, h := range w.hosts {
 		if h.stopped {
 			continue
 		}
-		effect := h.f.At(h.at(w.now))
+		effect := h.f.Effective(h.at(w.now))
 		if effect == nil {
 			continue
 		}
-		if numbers, _ := h.f.Holds(); w.flaws&^DropsHeld == 0 && slices.ContainsFunc(numbers, func(n uint64) bool { return w.truth.Version(n) == nil }) {
-			w.broken = fmt.Sprintf("at step %d gateway %d acts on %s, and of %v some are forgotten", w.steps, i, h.f.Name(), numbers)
+		if numbers, _ := h.f.HeldVersions(); w.flaws&^FaultForgetHeldVersions == 0 && slices.ContainsFunc(numbers, func(n uint64) bool { return w.truth.Version(n) == nil }) {
+			w.broken = fmt.Sprintf("at step %d gateway %d acts on %s, and of %v some are forgotten", w.steps, i, h.f.EffectiveName(), numbers)
 			return
 		}
 		key := fit{effect, w.truth.InForce}
@@ -488,11 +488,11 @@
 			continue
 		}
 		if inForce == nil {
-			w.broken = fmt.Sprintf("gateway %d acts on %s, and nothing is in force", i, h.f.Name())
+			w.broken = fmt.Sprintf("gateway %d acts on %s, and nothing is in force", i, h.f.EffectiveName())
 			return
 		}
-		if list := rules.Beyond(effect, inForce); len(list) > 0 {
-			w.broken = fmt.Sprintf("at step %d gateway %d acts on %s, in force is %d: %v", w.steps, i, h.f.Name(), w.truth.InForce, list)
+		if list := rules.Exceeds(effect, inForce); len(list) > 0 {
+			w.broken = fmt.Sprintf("at step %d gateway %d acts on %s, in force is %d: %v", w.steps, i, h.f.EffectiveName(), w.truth.InForce, list)
 			return
 		}
 		w.fits[key] = true
@@ -509,7 +509,7 @@
 }
 
 // run plays a run of so many steps, then heals all and sees that the newest version comes into force within the stated time.
-func run(seed uint64, flaws Flaws, steps int) (w *world) {
+func run(seed uint64, flaws InjectedFaults, steps int) (w *world) {
 	w = newWorld(seed, flaws)
 	for w.steps < steps && w.broken == "" {
 		w.step()
@@ -517,7 +517,7 @@
 	if w.broken == "" {
 		w.same()
 	}
-	if w.broken != "" || flaws&^KeepsAll != 0 || seed%8 != 0 { // healing takes most of the time
+	if w.broken != "" || flaws&^FaultForgetNothing != 0 || seed%8 != 0 { // healing takes most of the time
 		return w
 	}
 	w.calm = true
@@ -530,7 +530,7 @@
 		}
 	}
 	w.apply(w.leader, len(w.log))
-	w.commit(w.leader, w.put(w.leader, &Command{Propose: &Proposal{ID: "last", Parent: w.truth.Announced, Over: true, Rules: pool[0]}}))
+	w.commit(w.leader, w.put(w.leader, &Command{Propose: &Proposal{ID: "last", Parent: w.truth.Announced, ReplacePending: true, Content: pool[0]}}))
 	last, began := w.truth.Announced, w.now
 	floors := testTerms.longer(testTerms.longer(w.truth.longest()))
 	stated := testTerms.longer(testTerms.longer(lease)) + 10*lease // and the messages that were under way before
@@ -539,7 +539,7 @@
 	}
 	if w.broken == "" && w.truth.InForce != last {
 		w.broken = fmt.Sprintf("version %d is not in force %d ms after all has healed: %v", last, (w.now-began)/1e6,
-			w.leader.warden.Waits(w.leader.at(w.now)))
+			w.leader.warden.WaitingFor(w.leader.at(w.now)))
 	}
 	most := w.retain.bases + w.retain.batch + 1 // as only the newest is acted on now, and it and fewer than a batch stay beside the bases
 	for began = w.now; w.retain.on && len(w.truth.Versions) > most && w.broken == ""; w.step() {
@@ -554,7 +554,7 @@
 }
 
 // runs plays many and returns the first seed that breaks, with what; 0: none.
-func runs(from, count uint64, flaws Flaws, steps int) (seed uint64, why string, total int64) {
+func runs(from, count uint64, flaws InjectedFaults, steps int) (seed uint64, why string, total int64) {
 	var next, all atomic.Int64
 	var lock sync.Mutex
 	var done sync.WaitGroup
@@ -605,12 +605,12 @@
 
 // Each defect has to be found, or nothing would be shown by finding none.
 func TestDefectsAreFound(t *testing.T) {
-	for name, flaw := range map[string]Flaws{ // that an ask is from before the term has a test of its own
-		"lease from receipt": FromReceipt, "no wait": NoWait, "no meet": NoMeet, "a new leader knows nobody": FreshLeader,
-		"floors not waited for": NoFloor, "no drift": NoDrift, "grants in any order": TakesOld, "leases beside the log": NoJoin,
-		"no leases": NoLease, "no confirmation": noConfirm, "wall clock": wallClock, "log lost": lostLog,
+	for name, flaw := range map[string]InjectedFaults{ // that an ask is from before the term has a test of its own
+		"lease from receipt": FaultLeaseFromReceipt, "no wait": FaultNoWait, "no meet": FaultNoIntersection, "a new leader knows nobody": FaultNewLeaderAssumesNoLeases,
+		"floors not waited for": FaultIgnoreFallbacks, "no drift": FaultIgnoreClockDrift, "grants in any order": FaultAcceptReordered, "leases beside the log": FaultLeaseWithoutJoin,
+		"no leases": FaultNoLeaseExpiry, "no confirmation": noConfirm, "wall clock": wallClock, "log lost": lostLog,
 		"digest not checked": noDigest, "an old spool acted on": oldSpool,
-		"a base dropped while a floor rests on it": DropsHeld, "none forgotten": KeepsAll, "no snapshot after a compaction": noSnapshot} {
+		"a base dropped while a floor rests on it": FaultForgetHeldVersions, "none forgotten": FaultForgetNothing, "no snapshot after a compaction": noSnapshot} {
 		seed, why, _ := runs(0, 20000, flaw, 200)
 		if seed == 0 {
 			t.Errorf("%s: not found", name)
@@ -623,41 +623,41 @@
 // What a leading keeper makes of asks that do not say what they seem to.
 func TestAsksThatMislead(t *testing.T) {
 	at := func(owner string, floor Time) []byte {
-		r, _ := rules.Read(pool[0])
-		r.Floor = rules.Floor{For: floor, Limits: 1}
+		r, _ := rules.Parse(pool[0])
+		r.FallbackPolicy = rules.FallbackPolicy{Duration: floor, LimitFraction: 1}
 		r.Nodes = map[string]rules.Node{owner: {}, "z": {Shard: 1}}
 		return r.Canonical()
 	}
-	lead := func(flaw Flaws, versions ...[]byte) *Warden {
-		l := NewLedger()
-		l.Apply(&Command{Found: &testTerms})
+	lead := func(flaw InjectedFaults, versions ...[]byte) *Manager {
+		l := NewStateMachine()
+		l.Apply(&Command{Bootstrap: &testTerms})
 		l.Apply(&Command{Join: []string{"g"}})
 		for i, r := range versions {
-			l.Apply(&Command{Force: l.Announced})
-			if _, err := l.Apply(&Command{Propose: &Proposal{ID: strconv.Itoa(i), Parent: l.Announced, Over: true, Rules: r}}); err != nil {
+			l.Apply(&Command{Activate: l.Announced})
+			if _, err := l.Apply(&Command{Propose: &Proposal{ID: strconv.Itoa(i), Parent: l.Announced, ReplacePending: true, Content: r}}); err != nil {
 				t.Fatal(err)
 			}
 		}
-		return Lead(0, 7, l, flaw)
+		return NewManager(0, 7, l, flaw)
 	}
 	// One that was long under way tells of what the gateway held once: taken for news, a version would come into force that contradicts
 	// the floor that it is on since.
-	for _, flaw := range []Flaws{0, NoEcho} {
+	for _, flaw := range []InjectedFaults{0, FaultTrustEarlierTerms} {
 		w := lead(flaw, at("a", 100*lease), at("b", 100*lease), at("a", 100*lease), at("a", 100*lease))
 		w.ledger.Announced = 3
-		w.Renew(0, &Ask{Who: "g", Seq: 3, Term: 2, Holds: []uint64{1}}) // by now it is on the floor of the second
+		w.Renew(0, &RenewRequest{Holder: "g", Seq: 3, Term: 2, HeldVersions: []uint64{1}}) // by now it is on the floor of the second
 		w.ledger.Announced = 4
-		c := w.Decide(10 * lease)
-		if forced := c != nil && c.Force == 4; forced != (flaw == NoEcho) {
-			t.Errorf("flaws %b: %+v, %v", flaw, c, w.Waits(10*lease))
+		c := w.NextCommand(10 * lease)
+		if forced := c != nil && c.Activate == 4; forced != (flaw == FaultTrustEarlierTerms) {
+			t.Errorf("flaws %b: %+v, %v", flaw, c, w.WaitingFor(10*lease))
 		}
 	}
 	// A gateway that is heard and does not hear asks on for ever; one that cannot read the version says so, and is waited for.
 	for _, trouble := range []string{"", "it cannot be read"} {
 		w, forced := lead(0, at("a", 0), at("b", 0)), Time(0)
 		for now := Time(0); now < 10*lease && forced == 0; now += lease / 5 {
-			w.Renew(now, &Ask{Who: "g", Seq: 1 + uint64(now), Term: 7, Holds: []uint64{1}, Trouble: trouble})
-			if c := w.Decide(now); c != nil && c.Force == 2 {
+			w.Renew(now, &RenewRequest{Holder: "g", Seq: 1 + uint64(now), Term: 7, HeldVersions: []uint64{1}, Fault: trouble})
+			if c := w.NextCommand(now); c != nil && c.Activate == 2 {
 				forced = now
 			}
 		}
--- a/internal/fleet/cold/agent/acting.go
+++ b/internal/fleet/cold/agent/acting.go
@@ -5,17 +5,17 @@
 	"irispost/internal/gateway"
 )
 
-// Acting has what a gateway acts on count for the budgets of cold nodes too. Without an agent (nil) it is the rules alone.
-type Acting struct {
-	gateway.Rules
+// SettingsForwarder has what a gateway acts on count for the budgets of cold nodes too. Without an agent (nil) it is the rules alone.
+type SettingsForwarder struct {
+	gateway.ConfigSource
 	Agent *Agent
 }
 
 // At is the rules'.
-func (a Acting) At(now decide.Time) (*gateway.Acts, decide.Time) {
-	acts, until := a.Rules.At(now)
-	if a.Agent != nil && acts != nil && acts.Terms != nil {
-		a.Agent.Agree(acts.Terms)
+func (a SettingsForwarder) At(now decide.Time) (*gateway.ActiveConfig, decide.Time) {
+	acts, until := a.ConfigSource.At(now)
+	if a.Agent != nil && acts != nil && acts.Settings != nil {
+		a.Agent.UpdateSettings(acts.Settings)
 	}
 	return acts, until
 }
--- a/internal/fleet/cold/agent/agent.go
+++ b/internal/fleet/cold/agent/agent.go
@@ -21,19 +21,19 @@
 
 // Loop is what an agent needs of its gateway's loop.
 type Loop interface {
-	Waiting() (gateway.Waiting, bool)
-	Lend(addr string, born decide.Time, units float64, till decide.Time) (left float64, ok bool)
+	SlowStartDemand() (gateway.SlowStartDemand, bool)
+	Allocate(addr string, born decide.Time, units float64, till decide.Time) (left float64, ok bool)
 }
 
 // Options are what an agent is started with.
 type Options struct {
-	Gateway string
-	Who     string            // its name as the keepers have it: with its start
-	Listen  string            // where other gateways reach it
-	Reach   map[string]string // where this gateway reaches another, by the address that it gives; what is not there is reached as given
-	Terms   budget.Terms
-	Now     func() decide.Time // the loop's clock
-	Log     *slog.Logger
+	Gateway       string
+	Holder        string            // its name as the keepers have it: with its start
+	ListenAddr    string            // where other gateways reach it
+	AddrOverrides map[string]string // where this gateway reaches another, by the address that it gives; what is not there is reached as given
+	Settings      budget.Settings
+	Now           func() decide.Time // the loop's clock
+	Logger        *slog.Logger
 }
 
 // Paces, as parts of a loan's time.
@@ -54,9 +54,9 @@
 	client   *http.Client
 	each     decide.Time // how long a loan counts: it stays as it was at the start, so that who asks and who deals mean the same
 	lock     sync.Mutex
-	tenure   *tenure.Tenure
+	tenure   *tenure.Ownership
 	peers    map[string]string // addresses of members
-	seen     map[string]decide.Want
+	seen     map[string]decide.SlowStartDemand
 	rate     float64
 	desks    map[string]*desk // by node, of budgets that are its own
 	debts    map[string]*debt // by node
@@ -68,13 +68,13 @@
 
 // Listen opens an agent's socket. It serves once it is begun.
 func Listen(opt Options) (*Agent, error) {
-	l, err := net.Listen("tcp", opt.Listen)
+	l, err := net.Listen("tcp", opt.ListenAddr)
 	if err != nil {
 		return nil, err
 	}
-	a := &Agent{opt: opt, listener: l, tenure: tenure.New(opt.Who, 0), peers: map[string]string{}, seen: map[string]decide.Want{},
+	a := &Agent{opt: opt, listener: l, tenure: tenure.NewOwnership(opt.Holder, 0), peers: map[string]string{}, seen: map[string]decide.SlowStartDemand{},
 		desks: map[string]*desk{}, debts: map[string]*debt{}, free: make(chan struct{}, asksAtOnce)}
-	a.each = opt.Terms.For
+	a.each = opt.Settings.AllocationTime
 	each := time.Duration(a.each)
 	a.client = &http.Client{Timeout: each, Transport: &http.Transport{DialContext: (&net.Dialer{Timeout: each / 2}).DialContext, MaxIdleConnsPerHost: 4,
 		IdleConnTimeout: 30 * time.Second}}
@@ -87,8 +87,8 @@
 // Addr is where other gateways reach it.
 func (a *Agent) Addr() string { return a.listener.Addr().String() }
 
-// Begin starts the duties.
-func (a *Agent) Begin(loop Loop) {
+// Start starts the duties.
+func (a *Agent) Start(loop Loop) {
 	a.loop = loop
 	var ctx context.Context
 	ctx, a.cancel = context.WithCancel(context.Background())
@@ -109,34 +109,34 @@
 	a.client.CloseIdleConnections()
 }
 
-// Granted takes in who is present, as a lease from the keepers told.
-func (a *Agent) Granted(m *accord.Members) {
+// HandleMembership takes in who is present, as a lease from the keepers told.
+func (a *Agent) HandleMembership(m *accord.MembershipUpdate) {
 	a.lock.Lock()
 	defer a.lock.Unlock()
-	before := a.tenure.Number()
-	a.tenure.Granted(m.Asked, a.opt.Now(), m.Set)
-	if a.tenure.Number() != before {
-		a.peers = m.Peers
+	before := a.tenure.Epoch()
+	a.tenure.HandleMembership(m.RequestedAt, a.opt.Now(), m.Membership)
+	if a.tenure.Epoch() != before {
+		a.peers = m.PeerAddrs
 	}
 }
 
-// Agree has other terms count, which the module acts on from now on. What was dealt out goes on; new desks begin with nothing ready.
-func (a *Agent) Agree(t decide.Terms) {
-	terms := Terms(t, a.opt.Terms.Drift)
+// UpdateSettings has other terms count, which the module acts on from now on. What was dealt out goes on; new desks begin with nothing ready.
+func (a *Agent) UpdateSettings(t decide.Settings) {
+	terms := SettingsFrom(t, a.opt.Settings.MaxClockDrift)
 	a.lock.Lock()
 	defer a.lock.Unlock()
-	if terms.For = a.each; terms != a.opt.Terms {
-		a.opt.Terms = terms
+	if terms.AllocationTime = a.each; terms != a.opt.Settings {
+		a.opt.Settings = terms
 		clear(a.desks)
 	}
 }
 
-// Terms are a budget's, from what the module acts on.
-func Terms(t decide.Terms, drift float64) budget.Terms {
+// SettingsFrom are a budget's, from what the module acts on.
+func SettingsFrom(t decide.Settings, drift float64) budget.Settings {
 	number, span := reader(t)
 	window := span("cold.window")
-	return budget.Terms{From: number("cold.from"), Warm: span("cold.time"), Multiple: number("cold.multiple"), Window: window, Units: number("cold.units"),
-		Share: share, For: min(cmp.Or(window/6, longestLoan), longestLoan), Drift: drift}
+	return budget.Settings{InitialFraction: number("cold.from"), WarmupTime: span("cold.time"), OverloadMultiple: number("cold.multiple"), Window: window, MinUnits: number("cold.units"),
+		AllocatedShare: share, AllocationTime: min(cmp.Or(window/6, longestLoan), longestLoan), MaxClockDrift: drift}
 }
 
 // What is dealt out of what a node bears. The rest is for gateways that reach no dealer: by the module's own ways they send half of it at
--- a/internal/fleet/cold/agent/agent_test.go
+++ b/internal/fleet/cold/agent/agent_test.go
@@ -28,17 +28,17 @@
 
 const cold = "10.0.0.9:7000"
 
-func (l *thirsty) Waiting() (gateway.Waiting, bool) {
+func (l *thirsty) SlowStartDemand() (gateway.SlowStartDemand, bool) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	if l.now() < l.till {
 		l.sent += l.units
 	}
 	l.units = 0
-	return gateway.Waiting{List: []decide.Want{{Addr: cold, Born: l.born, Units: 8, Least: 1, Worth: 1}}, Rate: 1000}, true
+	return gateway.SlowStartDemand{Demands: []decide.SlowStartDemand{{Addr: cold, StartedAt: l.born, Units: 8, SmallestRequest: 1, PriorityWeight: 1}}, Rate: 1000}, true
 }
 
-func (l *thirsty) Lend(_ string, born decide.Time, units float64, till decide.Time) (left float64, ok bool) {
+func (l *thirsty) Allocate(_ string, born decide.Time, units float64, till decide.Time) (left float64, ok bool) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	if l.now() < l.till {
@@ -56,13 +56,13 @@
 func TestBudgetIsDealtOut(t *testing.T) {
 	clock := gateway.NewClock()
 	born := clock.Now()
-	terms := budget.Terms{From: 1, Warm: int64(time.Hour), Multiple: 2, Window: 3e8, Units: 5, Share: 0.5, For: 1e8, Drift: 0.01}
+	terms := budget.Settings{InitialFraction: 1, WarmupTime: int64(time.Hour), OverloadMultiple: 2, Window: 3e8, MinUnits: 5, AllocatedShare: 0.5, AllocationTime: 1e8, MaxClockDrift: 0.01}
 	agents, loops := map[string]*Agent{}, map[string]*thirsty{}
 	var names []string
 	peers := map[string]string{}
 	for i := range 3 {
 		name := fmt.Sprint("g", i)
-		a, err := Listen(Options{Gateway: name, Who: name, Listen: "127.0.0.1:0", Terms: terms, Now: clock.Now, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
+		a, err := Listen(Options{Gateway: name, Holder: name, ListenAddr: "127.0.0.1:0", Settings: terms, Now: clock.Now, Logger: slog.New(slog.NewTextHandler(io.Discard, nil))})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -70,13 +70,13 @@
 	}
 	grant := func(number, parts uint64, members []string) {
 		for _, name := range members {
-			agents[name].Granted(&accord.Members{Asked: clock.Now(), Peers: peers,
-				Set: tenure.Set{Number: number, Parts: parts, Age: int64(2 * time.Hour), Members: members, Lease: int64(time.Hour), Drift: 0.01}})
+			agents[name].HandleMembership(&accord.MembershipUpdate{RequestedAt: clock.Now(), PeerAddrs: peers,
+				Membership: tenure.Membership{Epoch: number, Departures: parts, Age: int64(2 * time.Hour), Members: members, LeaseDuration: int64(time.Hour), MaxClockDrift: 0.01}})
 		}
 	}
 	grant(1, 0, names)
 	for _, name := range names {
-		agents[name].Begin(loops[name])
+		agents[name].Start(loops[name])
 	}
 	fed := func(members []string) {
 		t.Helper()
@@ -136,7 +136,7 @@
 
 // Guard: where no window is stated a loan's time still is one, or the duty's clock could not run.
 func TestTermsWithoutAWindow(t *testing.T) {
-	if terms := Terms(decide.Terms{}, 0.01); terms.For <= 0 {
+	if terms := SettingsFrom(decide.Settings{}, 0.01); terms.AllocationTime <= 0 {
 		t.Errorf("%+v", terms)
 	}
 }
--- a/internal/fleet/cold/agent/borrow.go
+++ b/internal/fleet/cold/agent/borrow.go
@@ -53,14 +53,14 @@
 			return
 		case <-tick.C:
 		}
-		w, ok := a.loop.Waiting()
+		w, ok := a.loop.SlowStartDemand()
 		if !ok {
 			return
 		}
 		a.lock.Lock()
 		a.rate = w.Rate
 		clear(a.seen)
-		for _, want := range w.List {
+		for _, want := range w.Demands {
 			a.seen[want.Addr] = want
 			a.consider(ctx, want)
 		}
@@ -74,30 +74,30 @@
 		a.empty = nil
 		a.lock.Unlock()
 		for _, e := range empty { // no ask is out for these
-			a.loop.Lend(e.node, e.born, 0, e.till)
+			a.loop.Allocate(e.node, e.born, 0, e.till)
 		}
 	}
 }
 
 // consider asks a node's dealer, if it is time to; the lock is held.
-func (a *Agent) consider(ctx context.Context, w decide.Want) {
+func (a *Agent) consider(ctx context.Context, w decide.SlowStartDemand) {
 	now := a.opt.Now()
 	d := a.debts[w.Addr]
-	if d == nil || d.born != w.Born {
+	if d == nil || d.born != w.StartedAt {
 		seq := uint64(now) // over all that it asked before of this node
-		d = &debt{born: w.Born, seq: seq}
+		d = &debt{born: w.StartedAt, seq: seq}
 		a.debts[w.Addr] = d
 	}
 	if w.Units <= 0 && now < d.sure {
 		if d.state == dealt && now >= d.ends { // nothing is lent, and the dealer is there: what comes waits for a loan
 			d.ends = now + a.each
-			a.empty = append(a.empty, debtOf{w.Addr, w.Born, d.ends})
+			a.empty = append(a.empty, debtOf{w.Addr, w.StartedAt, d.ends})
 		}
 		return
 	}
 	owner := a.tenure.Owner(w.Addr)
 	addr := a.peers[owner]
-	if d.state == asking || d.state == renewing || now < d.next || owner == "" || addr == "" && owner != a.opt.Who {
+	if d.state == asking || d.state == renewing || now < d.next || owner == "" || addr == "" && owner != a.opt.Holder {
 		return
 	}
 	select {
@@ -111,13 +111,13 @@
 		d.move(asking)
 	}
 	d.seq++
-	if via := a.opt.Reach[addr]; via != "" {
+	if via := a.opt.AddrOverrides[addr]; via != "" {
 		addr = via
 	}
 	if w.Units <= 0 { // it only asks whether there is a dealer
-		w.Least = 0
+		w.SmallestRequest = 0
 	}
-	ask := &request{Node: w.Addr, Born: w.Born, Rate: a.rate, Ask: budget.Ask{Who: a.opt.Who, Seq: d.seq, Want: w.Units, Least: w.Least, Worth: w.Worth}}
+	ask := &request{Node: w.Addr, Born: w.StartedAt, Rate: a.rate, Request: budget.Request{Holder: a.opt.Holder, Seq: d.seq, Demand: w.Units, SmallestRequest: w.SmallestRequest, PriorityWeight: w.PriorityWeight}}
 	a.done.Add(1)
 	go func() {
 		defer a.done.Done()
@@ -134,11 +134,11 @@
 	held := d.state == renewing
 	a.lock.Unlock()
 	if held { // what is left goes back with the ask, and nothing is sent there until the answer
-		q.Back, _ = a.loop.Lend(q.Node, q.Born, 0, till)
+		q.Returned, _ = a.loop.Allocate(q.Node, q.Born, 0, till)
 	}
-	var loan *budget.Loan
+	var loan *budget.Allocation
 	var err error
-	if owner == a.opt.Who {
+	if owner == a.opt.Holder {
 		loan, err = a.deal(ctx, q)
 	} else {
 		loan, err = a.post(ctx, addr, q)
@@ -148,15 +148,15 @@
 		err = errors.New("an answer out of time")
 	}
 	if err == nil {
-		a.loop.Lend(q.Node, q.Born, loan.Units, till)
+		a.loop.Allocate(q.Node, q.Born, loan.Units, till)
 	} else if held {
-		a.loop.Lend(q.Node, q.Born, 0, 0) // back to the module's own ways
+		a.loop.Allocate(q.Node, q.Born, 0, 0) // back to the module's own ways
 	}
 	a.lock.Lock()
 	defer a.lock.Unlock()
 	if err != nil {
 		if held {
-			a.opt.Log.Info("cold node: no dealer is reached", "gateway", a.opt.Gateway, "node", q.Node, "why", err)
+			a.opt.Logger.Info("cold node: no dealer is reached", "gateway", a.opt.Gateway, "node", q.Node, "why", err)
 		}
 		d.move(alone)
 		d.rest = min(max(2*d.rest, a.each/2), restMost*a.each)
@@ -172,11 +172,11 @@
 	Node string      `json:"node"`
 	Born decide.Time `json:"born"`
 	Rate float64     `json:"rate"` // of warm nodes, as its gateway knows it
-	budget.Ask
+	budget.Request
 }
 
 // post asks another gateway.
-func (a *Agent) post(ctx context.Context, addr string, q *request) (*budget.Loan, error) {
+func (a *Agent) post(ctx context.Context, addr string, q *request) (*budget.Allocation, error) {
 	b, err := json.Marshal(q)
 	if err != nil {
 		return nil, err
@@ -197,6 +197,6 @@
 	if r.StatusCode != http.StatusOK {
 		return nil, fmt.Errorf("%s: %s", r.Status, bytes.TrimSpace(text))
 	}
-	l := &budget.Loan{}
+	l := &budget.Allocation{}
 	return l, json.Unmarshal(text, l)
 }
--- a/internal/fleet/cold/agent/deal.go
+++ b/internal/fleet/cold/agent/deal.go
@@ -14,9 +14,9 @@
 
 // desk is where one node's budget is dealt out.
 type desk struct {
-	dealer *budget.Dealer
+	dealer *budget.Allocator
 	born   decide.Time
-	wait   map[string]chan budget.Loan // who asked, until there is something or their time is over
+	wait   map[string]chan budget.Allocation // who asked, until there is something or their time is over
 }
 
 var (
@@ -42,18 +42,18 @@
 }
 
 // deal takes an ask in, and waits for a while until something is lent; a loan of nothing says that the dealer is there.
-func (a *Agent) deal(ctx context.Context, q *request) (*budget.Loan, error) {
-	answer := make(chan budget.Loan, 1)
+func (a *Agent) deal(ctx context.Context, q *request) (*budget.Allocation, error) {
+	answer := make(chan budget.Allocation, 1)
 	a.lock.Lock()
 	k, err := a.desk(q)
-	if err == nil && !k.dealer.Asked(a.opt.Now(), &q.Ask) {
+	if err == nil && !k.dealer.HandleRequest(a.opt.Now(), &q.Request) {
 		err = errors.New("an older ask, or none that can be")
 	}
 	if err != nil {
 		a.lock.Unlock()
 		return nil, err
 	}
-	k.wait[q.Who] = answer
+	k.wait[q.Holder] = answer
 	a.lend(k)
 	a.lock.Unlock()
 	hold := time.NewTimer(time.Duration(a.each) / holdParts)
@@ -66,15 +66,15 @@
 	}
 	a.lock.Lock()
 	defer a.lock.Unlock()
-	if k.wait[q.Who] == answer {
-		delete(k.wait, q.Who)
-		k.dealer.Gone(q.Who)
+	if k.wait[q.Holder] == answer {
+		delete(k.wait, q.Holder)
+		k.dealer.CancelRequest(q.Holder)
 	}
 	select {
 	case l := <-answer: // it came at this moment
 		return &l, nil
 	default:
-		return &budget.Loan{Who: q.Who, Seq: q.Seq}, nil
+		return &budget.Allocation{Holder: q.Holder, Seq: q.Seq}, nil
 	}
 }
 
@@ -82,11 +82,11 @@
 func (a *Agent) desk(q *request) (*desk, error) {
 	now := a.opt.Now()
 	k := a.desks[q.Node]
-	if !a.tenure.Mine(now, q.Node) {
+	if !a.tenure.Owns(now, q.Node) {
 		delete(a.desks, q.Node)
 		return nil, errNotMine
 	}
-	born, rate := a.seen[q.Node].Born, a.rate
+	born, rate := a.seen[q.Node].StartedAt, a.rate
 	if rate <= 0 {
 		rate = q.Rate
 	}
@@ -96,25 +96,25 @@
 	case rate <= 0:
 		return nil, errRate
 	case k == nil:
-		k = &desk{born: q.Born, dealer: budget.NewDealer(now, a.opt.Terms, now-q.Born, rate, 0), wait: map[string]chan budget.Loan{}}
+		k = &desk{born: q.Born, dealer: budget.NewAllocator(now, a.opt.Settings, now-q.Born, rate, 0), wait: map[string]chan budget.Allocation{}}
 		a.desks[q.Node] = k
-		a.opt.Log.Info("cold node: its budget is dealt out here", "gateway", a.opt.Gateway, "node", q.Node, "age_ms", (now-q.Born)/decide.Millisecond, "rate", rate)
+		a.opt.Logger.Info("cold node: its budget is dealt out here", "gateway", a.opt.Gateway, "node", q.Node, "age_ms", (now-q.Born)/decide.Millisecond, "rate", rate)
 	case q.Born > k.born:
 		k.born = q.Born
-		k.dealer.Restarted(now, now-q.Born)
+		k.dealer.NodeRestarted(now, now-q.Born)
 	case q.Born < k.born:
 		return nil, errStart
 	}
-	k.dealer.Rate(now, rate)
+	k.dealer.SetRate(now, rate)
 	return k, nil
 }
 
 // lend deals out what is ready to those who wait; the lock is held.
 func (a *Agent) lend(k *desk) {
-	for _, l := range k.dealer.Deal(a.opt.Now()) {
-		if to := k.wait[l.Who]; to != nil {
+	for _, l := range k.dealer.Allocate(a.opt.Now()) {
+		if to := k.wait[l.Holder]; to != nil {
 			to <- l
-			delete(k.wait, l.Who)
+			delete(k.wait, l.Holder)
 		}
 	}
 }
@@ -123,11 +123,11 @@
 func (a *Agent) tend() {
 	now := a.opt.Now()
 	for node, k := range a.desks {
-		if !a.tenure.Mine(now, node) || k.dealer.Warm(now) {
+		if !a.tenure.Owns(now, node) || k.dealer.WarmedUp(now) {
 			delete(a.desks, node) // who waits is told that nothing is lent
 			continue
 		}
-		k.dealer.Forget(now, a.opt.Terms.Warm)
+		k.dealer.RemoveIdle(now, a.opt.Settings.WarmupTime)
 		a.lend(k)
 	}
 }
--- a/internal/fleet/cold/agent/golden_test.go
+++ b/internal/fleet/cold/agent/golden_test.go
@@ -34,7 +34,7 @@
 func TestGoldenRequest(t *testing.T) {
 	want := goldenFile(t, "request.json")
 	q := request{Node: "10.0.0.9:7000", Born: 1764650723000000000, Rate: 187.5,
-		Ask: budget.Ask{Who: "g/1.2", Seq: 41, Want: 12.5, Least: 2, Worth: 4, Back: 0.25}}
+		Request: budget.Request{Holder: "g/1.2", Seq: 41, Demand: 12.5, SmallestRequest: 2, PriorityWeight: 4, Returned: 0.25}}
 	got, err := json.Marshal(&q)
 	if err != nil || string(got)+"\n" != want {
 		t.Errorf("written as %s, not %s: %v", got, want, err)
@@ -48,17 +48,17 @@
 // TestGoldenRoutes: each route of a gateway's peer address answers as that of 3aa21cb does.
 func TestGoldenRoutes(t *testing.T) {
 	now := decide.Time(time.Hour)
-	terms := budget.Terms{From: 1, Warm: int64(2 * time.Hour), Multiple: 2, Window: 3e8, Units: 5, Share: 0.5, For: 3e7, Drift: 0.01}
-	a, err := Listen(Options{Gateway: "g", Who: "g/1.2", Listen: "127.0.0.1:0", Terms: terms, Now: func() decide.Time { return now }, Log: slog.New(slog.DiscardHandler)})
+	terms := budget.Settings{InitialFraction: 1, WarmupTime: int64(2 * time.Hour), OverloadMultiple: 2, Window: 3e8, MinUnits: 5, AllocatedShare: 0.5, AllocationTime: 3e7, MaxClockDrift: 0.01}
+	a, err := Listen(Options{Gateway: "g", Holder: "g/1.2", ListenAddr: "127.0.0.1:0", Settings: terms, Now: func() decide.Time { return now }, Logger: slog.New(slog.DiscardHandler)})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(a.Close)
 	granted := func(number uint64, member string) {
-		a.Granted(&accord.Members{Asked: now, Set: tenure.Set{Number: number, Age: int64(3 * time.Hour), Members: []string{member}, Lease: int64(time.Hour), Drift: 0.01}})
+		a.HandleMembership(&accord.MembershipUpdate{RequestedAt: now, Membership: tenure.Membership{Epoch: number, Age: int64(3 * time.Hour), Members: []string{member}, LeaseDuration: int64(time.Hour), MaxClockDrift: 0.01}})
 	}
 	granted(1, "g/1.2")
-	a.seen["known:1"] = decide.Want{Addr: "known:1", Born: now - 5}
+	a.seen["known:1"] = decide.SlowStartDemand{Addr: "known:1", StartedAt: now - 5}
 	body := func(node string, born decide.Time, rate float64, seq uint64, want float64) string {
 		return fmt.Sprintf(`{"node":%q,"born":%d,"rate":%v,"who":"h/1.2","seq":%d,"want":%v,"least":0,"worth":1,"back":0}`, node, born, rate, seq, want)
 	}
@@ -106,7 +106,7 @@
 		t.Fatal(err)
 	}
 	l, err := a.post(context.Background(), strings.TrimPrefix(server.URL, "http://"), q)
-	if want := (budget.Loan{Who: "g/1.2", Seq: 41, Units: 7.5}); err != nil || *l != want {
+	if want := (budget.Allocation{Holder: "g/1.2", Seq: 41, Units: 7.5}); err != nil || *l != want {
 		t.Errorf("read as %+v, not %+v: %v", l, want, err)
 	}
 	if want := "POST /cold/ask " + goldenFile(t, "request.json"); call != want {
--- a/internal/fleet/cold/agent/terms.go
+++ b/internal/fleet/cold/agent/terms.go
@@ -7,7 +7,7 @@
 )
 
 // reader reads values of the module's terms; spans are milliseconds there.
-func reader(t decide.Terms) (number func(string) float64, span func(string) decide.Time) {
+func reader(t decide.Settings) (number func(string) float64, span func(string) decide.Time) {
 	number = func(name string) float64 {
 		v, _ := strconv.ParseFloat(t[name], 64)
 		return v
--- a/internal/fleet/cold/budget/golden_test.go
+++ b/internal/fleet/cold/budget/golden_test.go
@@ -12,8 +12,8 @@
 // TestGoldenMessages: the messages between gateways are those of 3aa21cb, as written and as read.
 func TestGoldenMessages(t *testing.T) {
 	for file, message := range map[string]any{
-		"ask.json":  Ask{Who: "g/1.2", Seq: 41, Want: 12.5, Least: 2, Worth: 4, Back: 0.25},
-		"loan.json": Loan{Who: "g/1.2", Seq: 41, Units: 7.5},
+		"ask.json":  Request{Holder: "g/1.2", Seq: 41, Demand: 12.5, SmallestRequest: 2, PriorityWeight: 4, Returned: 0.25},
+		"loan.json": Allocation{Holder: "g/1.2", Seq: 41, Units: 7.5},
 	} {
 		want, err := os.ReadFile(filepath.Join("testdata", file))
 		if err != nil {
--- a/internal/fleet/cold/budget/model_test.go
+++ b/internal/fleet/cold/budget/model_test.go
@@ -12,15 +12,15 @@
 
 const modelTick = Time(1e6)
 
-var modelTerms = Terms{From: 1, Warm: 1e15, Multiple: 1, Window: 4 * modelTick, Units: 16, Share: 1, For: 3 * modelTick}
+var modelTerms = Settings{InitialFraction: 1, WarmupTime: 1e15, OverloadMultiple: 1, Window: 4 * modelTick, MinUnits: 16, AllocatedShare: 1, AllocationTime: 3 * modelTick}
 
 type modelAsk struct {
-	Ask
+	Request
 	copied bool
 }
 
 type modelLoan struct {
-	Loan
+	Allocation
 	asked Time
 }
 
@@ -34,7 +34,7 @@
 
 type modelState struct {
 	now     Time
-	dealer  *Dealer
+	dealer  *Allocator
 	moved   Time // when another took the dealer's place; -1: none has
 	holders [2]modelHolder
 	asks    []modelAsk
@@ -74,7 +74,7 @@
 
 // broken holds what can be sent at once, and what was sent in a window, against what is dealt out.
 func (s *modelState) broken() string {
-	ready, _ := s.dealer.Stock(s.now)
+	ready, _ := s.dealer.Usage(s.now)
 	could := ready
 	for _, h := range s.holders {
 		if s.now < h.until {
@@ -82,7 +82,7 @@
 		}
 	}
 	for _, l := range s.loans {
-		if h := s.holders[int(l.Who[0]-'0')]; l.Seq == h.seq && h.waits && s.now < l.asked+modelTerms.For {
+		if h := s.holders[int(l.Holder[0]-'0')]; l.Seq == h.seq && h.waits && s.now < l.asked+modelTerms.AllocationTime {
 			could += l.Units
 		}
 	}
@@ -90,7 +90,7 @@
 	if s.moved >= 0 && s.now-s.moved <= modelTerms.longer() {
 		moved = s.now - s.moved
 	}
-	if most := modelTerms.Most(s.now, 1, moved); could > most+1e-6 {
+	if most := modelTerms.MaxOutstanding(s.now, 1, moved); could > most+1e-6 {
 		return fmt.Sprintf("%.2f units can be sent at once, %.2f may be", could, most)
 	}
 	sum := 0.0
@@ -99,14 +99,14 @@
 			sum += e.units
 		}
 	}
-	if most := modelTerms.Share * modelTerms.Bears(s.now, 1); sum > most+1e-6 {
+	if most := modelTerms.AllocatedShare * modelTerms.Capacity(s.now, 1); sum > most+1e-6 {
 		return fmt.Sprintf("%.2f units in a window, %.2f are dealt out", sum, most)
 	}
 	return ""
 }
 
 // next are the states that can follow.
-func (s *modelState) next(f Flaws) (list []*modelState) {
+func (s *modelState) next(f InjectedFaults) (list []*modelState) {
 	if s.now < s.ends {
 		c := s.clone("tick")
 		c.now += modelTick
@@ -118,15 +118,15 @@
 			c := s.clone(fmt.Sprint("ask", i))
 			o := &c.holders[i]
 			o.seq++
-			a := Ask{Who: fmt.Sprint(i), Seq: o.seq, Want: 8, Least: 1, Worth: 1}
+			a := Request{Holder: fmt.Sprint(i), Seq: o.seq, Demand: 8, SmallestRequest: 1, PriorityWeight: 1}
 			if s.now < h.until {
-				a.Back = h.purse
+				a.Returned = h.purse
 			}
-			if o.asked, o.waits = s.now, true; !f.Has(KeepsUnits) {
+			if o.asked, o.waits = s.now, true; !f.Has(FaultUseReturned) {
 				o.purse = 0
 			}
 			c.left--
-			c.asks = append(c.asks, modelAsk{Ask: a})
+			c.asks = append(c.asks, modelAsk{Request: a})
 			list = append(list, c)
 		}
 		if h.purse > 0 && s.now < h.until {
@@ -144,16 +144,16 @@
 			if again && a.copied {
 				continue
 			}
-			c := s.clone(fmt.Sprintf("asked%s(%t)", a.Who, again))
+			c := s.clone(fmt.Sprintf("asked%s(%t)", a.Holder, again))
 			if again {
 				c.asks[i].copied = true
 			} else {
 				c.asks = slices.Delete(c.asks, i, i+1)
 			}
-			ask := a.Ask
-			if c.dealer.Asked(c.now, &ask) {
-				for _, l := range c.dealer.Deal(c.now) {
-					c.loans = append(c.loans, modelLoan{l, s.holders[int(a.Who[0]-'0')].asked})
+			ask := a.Request
+			if c.dealer.HandleRequest(c.now, &ask) {
+				for _, l := range c.dealer.Allocate(c.now) {
+					c.loans = append(c.loans, modelLoan{l, s.holders[int(a.Holder[0]-'0')].asked})
 				}
 			}
 			list = append(list, c)
@@ -163,25 +163,25 @@
 		list = append(list, c)
 	}
 	for i, l := range s.loans {
-		c := s.clone("loan" + l.Who)
+		c := s.clone("loan" + l.Holder)
 		c.loans = slices.Delete(c.loans, i, i+1)
-		if h := &c.holders[int(l.Who[0]-'0')]; l.Seq == h.seq && h.waits && c.now < h.asked+modelTerms.For {
-			h.purse, h.until, h.waits = l.Units, h.asked+modelTerms.For, false
+		if h := &c.holders[int(l.Holder[0]-'0')]; l.Seq == h.seq && h.waits && c.now < h.asked+modelTerms.AllocationTime {
+			h.purse, h.until, h.waits = l.Units, h.asked+modelTerms.AllocationTime, false
 		}
 		list = append(list, c)
 	}
 	if s.moved < 0 && s.now > 0 {
 		c := s.clone("moved")
 		c.moved = s.now
-		c.dealer = NewDealer(s.now, modelTerms, s.now, 1, f)
+		c.dealer = NewAllocator(s.now, modelTerms, s.now, 1, f)
 		list = append(list, c)
 	}
 	return list
 }
 
 // search goes through all states, and returns how one breaks.
-func search(f Flaws, ticks Time, most int) (states int, how string) {
-	first := &modelState{moved: -1, left: 2, ends: ticks * modelTick, dealer: NewDealer(0, modelTerms, 0, 1, f)}
+func search(f InjectedFaults, ticks Time, most int) (states int, how string) {
+	first := &modelState{moved: -1, left: 2, ends: ticks * modelTick, dealer: NewAllocator(0, modelTerms, 0, 1, f)}
 	first.dealer.ready, _ = modelTerms.dealt(0, 1) // it has had the budget for long
 	seen := map[string]bool{first.key(): true}
 	for queue := []*modelState{first}; len(queue) > 0 && len(seen) < most; queue = queue[1:] {
@@ -214,8 +214,8 @@
 }
 
 func TestModelFindsDefects(t *testing.T) {
-	for name, f := range map[string]Flaws{"all ready at the start": FullStart, "what is out takes no room": IgnoresOut, "an ask counts twice": TakesOld | BelievesBack,
-		"a loan over too soon": NoDrift, "units used after they were given back": KeepsUnits} {
+	for name, f := range map[string]InjectedFaults{"all ready at the start": FaultFullStart, "what is out takes no room": FaultIgnoreOutstanding, "an ask counts twice": FaultAcceptDuplicates | FaultTrustReturned,
+		"a loan over too soon": FaultEarlyExpiry, "units used after they were given back": FaultUseReturned} {
 		states, how := search(f, 6, 1<<20)
 		if how == "" {
 			t.Errorf("%s: not found in %d states", name, states)
--- a/internal/fleet/cold/size_test.go
+++ b/internal/fleet/cold/size_test.go
@@ -60,8 +60,8 @@
 	cold     = 18 * decide.Second
 )
 
-func fleetTerms(gateways int) decide.Terms {
-	t := decide.Terms{"gateways": strconv.Itoa(gateways), "cold.from": "0.16", "cold.time": "18000", "cold.multiple": "2", "cold.window": "1500",
+func fleetTerms(gateways int) decide.Settings {
+	t := decide.Settings{"gateways": strconv.Itoa(gateways), "cold.from": "0.16", "cold.time": "18000", "cold.multiple": "2", "cold.window": "1500",
 		"cold.units": "5", "units.mean": "2", "units.largest": "8", "executions.most": "3", "calling_off": "true", "retry_after": "true",
 		"retry_after.most": "1000", "plans.count": "2", "products.count": "1", "products.0.name": "read", "products.0.kind": "replayable", "products.0.goal": "300",
 		"products.0.patience": "2500", "tells.others": "true"}
@@ -78,21 +78,21 @@
 	now := 100 * decide.Second
 	born := now + decide.Second
 	terms := fleetTerms(gateways)
-	modules := make([]*decide.Gateway, gateways)
+	modules := make([]*decide.Scheduler, gateways)
 	purse := make([]decide.Time, gateways) // until when a loan counts
 	seq := make([]uint64, gateways)
 	for i := range modules {
 		modules[i] = decide.New(now, seed*1000+uint64(i), terms)
-		modules[i].Listing(now, true, false)
-		modules[i].Listed("cold", "z", 0, 0, decide.Ready)
-		modules[i].Listed("warm", "z", 1, 0, decide.Ready)
-		modules[i].ListDone()
+		modules[i].BeginEndpointList(now, true, false)
+		modules[i].UpdateEndpoint("cold", "z", 0, 0, decide.EndpointReady)
+		modules[i].UpdateEndpoint("warm", "z", 1, 0, decide.EndpointReady)
+		modules[i].FinishEndpointList()
 	}
-	var dealer *budget.Dealer
-	bt := agent.Terms(terms, 0.01)
+	var dealer *budget.Allocator
+	bt := agent.SettingsFrom(terms, 0.01)
 	type out struct {
 		g   int
-		e   *decide.Execution
+		e   *decide.Attempt
 		due decide.Time
 	}
 	var outs []out
@@ -113,11 +113,11 @@
 	for ; now < end+decide.Second; now += tick {
 		if now == born {
 			for _, m := range modules {
-				m.Listing(now, false, false)
-				m.Listed("cold", "z", 0, born, decide.Ready)
-				m.ListDone()
+				m.BeginEndpointList(now, false, false)
+				m.UpdateEndpoint("cold", "z", 0, born, decide.EndpointReady)
+				m.FinishEndpointList()
 			}
-			dealer = budget.NewDealer(now, bt, 0, capacity, 0)
+			dealer = budget.NewAllocator(now, bt, 0, capacity, 0)
 		}
 		for n := load * capacity / 2 * float64(tick) / 1e9; n > 0 && now < end; n-- { // jobs of two units
 			if chance.Float64() >= n {
@@ -136,8 +136,8 @@
 				continue
 			}
 			g := (int(volume)*7 + chance.IntN(8)) % gateways // eight hosts of each volume
-			j := &decide.Job{ID: strconv.Itoa(jobs), Units: 2, Shard: 0, StopBy: now + 2500*decide.Millisecond}
-			modules[g].Take(now, j, volume, fmt.Sprintf("p%.0f", weight), "read", 8, false)
+			j := &decide.Request{ID: strconv.Itoa(jobs), Units: 2, Shard: 0, Deadline: now + 2500*decide.Millisecond}
+			modules[g].Submit(now, j, volume, fmt.Sprintf("p%.0f", weight), "read", 8, false)
 		}
 		if how == byPacer {
 			busy = max(busy, now)
@@ -153,7 +153,7 @@
 			if chance.Float64() < 0.02 {
 				jobs++
 				g := chance.IntN(gateways)
-				modules[g].Take(now, &decide.Job{ID: strconv.Itoa(jobs), Units: 2, Shard: 1, StopBy: now + 2500*decide.Millisecond}, int64(100+g%10), "p1", "read", 8, false)
+				modules[g].Submit(now, &decide.Request{ID: strconv.Itoa(jobs), Units: 2, Shard: 1, Deadline: now + 2500*decide.Millisecond}, int64(100+g%10), "p1", "read", 8, false)
 			}
 		}
 		if how == byDealer && now >= born {
@@ -161,25 +161,25 @@
 				if now%(25*decide.Millisecond) != decide.Time(g%5)*tick {
 					continue
 				}
-				list, _ := m.Wants(now)
+				list, _ := m.SlowStartDemands(now)
 				if len(list) == 0 || list[0].Units <= 0 {
-					dealer.Gone(strconv.Itoa(g)) // it waits no longer
-					if now >= purse[g] {         // the dealer is there: what comes waits for a loan
-						purse[g] = now + bt.For
-						m.Lend(now, "cold", born, 0, purse[g])
+					dealer.CancelRequest(strconv.Itoa(g)) // it waits no longer
+					if now >= purse[g] {                  // the dealer is there: what comes waits for a loan
+						purse[g] = now + bt.AllocationTime
+						m.AllocateSlowStart(now, "cold", born, 0, purse[g])
 					}
 					continue
 				}
-				back := m.Lend(now, "cold", born, 0, now+bt.For)
+				back := m.AllocateSlowStart(now, "cold", born, 0, now+bt.AllocationTime)
 				seq[g]++
 				s.asks++
 				s.back += back
-				dealer.Asked(now, &budget.Ask{Who: strconv.Itoa(g), Seq: seq[g], Want: list[0].Units, Least: list[0].Least, Worth: list[0].Worth, Back: back})
-				purse[g] = now + bt.For
+				dealer.HandleRequest(now, &budget.Request{Holder: strconv.Itoa(g), Seq: seq[g], Demand: list[0].Units, SmallestRequest: list[0].SmallestRequest, PriorityWeight: list[0].PriorityWeight, Returned: back})
+				purse[g] = now + bt.AllocationTime
 			}
-			for _, l := range dealer.Deal(now) {
-				g, _ := strconv.Atoi(l.Who)
-				modules[g].Lend(now, "cold", born, l.Units, purse[g])
+			for _, l := range dealer.Allocate(now) {
+				g, _ := strconv.Atoi(l.Holder)
+				modules[g].AllocateSlowStart(now, "cold", born, l.Units, purse[g])
 				s.lent += l.Units
 			}
 		}
@@ -189,27 +189,27 @@
 				kept = append(kept, o)
 				continue
 			}
-			modules[o.g].Ended(now, o.e.Job.ID, o.e.Number, decide.Served, now-o.e.Sent, true, 0)
-			if o.e.Job.Shard == 0 && o.e.Job.Taken >= born && now <= o.e.Job.Taken+goal {
-				s.served += o.e.Job.Volume.Plan.Weight
+			modules[o.g].AttemptFinished(now, o.e.Request.ID, o.e.Number, decide.OutcomeServed, now-o.e.SentAt, true, 0)
+			if o.e.Request.Shard == 0 && o.e.Request.ReceivedAt >= born && now <= o.e.Request.ReceivedAt+goal {
+				s.served += o.e.Request.Volume.ServiceLevel.Weight
 			}
 		}
 		outs = kept
 		for g, m := range modules {
-			for _, e := range m.Decide(now).Start {
+			for _, e := range m.Decide(now).Dispatch {
 				if e.Node.Addr == "warm" {
-					warmBusy = max(warmBusy, now) + decide.Time(e.Job.Units/(20*capacity)*1e9)
-					outs = append(outs, out{g, e, max(warmBusy, now+decide.Time(e.Job.Units/capacity*1e9))})
+					warmBusy = max(warmBusy, now) + decide.Time(e.Request.Units/(20*capacity)*1e9)
+					outs = append(outs, out{g, e, max(warmBusy, now+decide.Time(e.Request.Units/capacity*1e9))})
 					continue
 				}
-				busy = max(busy, now) + decide.Time(e.Job.Units/can(max(busy, now))*1e9)
+				busy = max(busy, now) + decide.Time(e.Request.Units/can(max(busy, now))*1e9)
 				outs = append(outs, out{g, e, busy})
 				if now >= born {
-					s.sent += e.Job.Units
+					s.sent += e.Request.Units
 					window = append(window, struct {
 						at    decide.Time
 						units float64
-					}{now, e.Job.Units})
+					}{now, e.Request.Units})
 				}
 			}
 		}
--- a/internal/fleet/cold/tenure/golden_test.go
+++ b/internal/fleet/cold/tenure/golden_test.go
@@ -10,9 +10,9 @@
 
 // TestGoldenSet: the members that come with a lease are written and read as 3aa21cb does.
 func TestGoldenSet(t *testing.T) {
-	for file, set := range map[string]Set{
-		"testdata/set.json":                 {Number: 9, Parts: 3, Age: 5e9, Members: []string{"g/1.2", "h/3.4"}, Lease: 2e9, Drift: 0.01},
-		"testdata/set-without-members.json": {Number: 9, Parts: 3, Age: 5e9, Lease: 2e9, Drift: 0.01},
+	for file, set := range map[string]Membership{
+		"testdata/set.json":                 {Epoch: 9, Departures: 3, Age: 5e9, Members: []string{"g/1.2", "h/3.4"}, LeaseDuration: 2e9, MaxClockDrift: 0.01},
+		"testdata/set-without-members.json": {Epoch: 9, Departures: 3, Age: 5e9, LeaseDuration: 2e9, MaxClockDrift: 0.01},
 	} {
 		want, err := os.ReadFile(file)
 		if err != nil {
@@ -22,7 +22,7 @@
 		if err != nil || !bytes.Equal(append(got, '\n'), want) {
 			t.Errorf("%s: written as %s, not %s: %v", file, got, want, err)
 		}
-		var read Set
+		var read Membership
 		if err := json.Unmarshal(want, &read); err != nil || !reflect.DeepEqual(read, set) {
 			t.Errorf("%s: read as %+v, not %+v: %v", file, read, set, err)
 		}
--- a/internal/fleet/cold/tenure/tenure.go
+++ b/internal/fleet/cold/tenure/tenure.go
@@ -5,56 +5,58 @@
 // Time is nanoseconds on one process's clock.
 type Time = int64
 
-// Set is the members as the leading keeper has them, and for how long, by its clock, it has known of no others: since the log's last
+// Membership is the members as the leading keeper has them, and for how long, by its clock, it has known of no others: since the log's last
 // change of them, or since it leads, if that is later.
-type Set struct {
-	Number  uint64   `json:"number"` // of changes so far
-	Parts   uint64   `json:"parts"`  // how often one has parted so far
-	Age     Time     `json:"age"`
-	Members []string `json:"members,omitempty"`
-	Lease   Time     `json:"lease"` // the keepers' terms
-	Drift   float64  `json:"drift"`
+type Membership struct {
+	Epoch         uint64   `json:"number"` // of changes so far
+	Departures    uint64   `json:"parts"`  // how often one has parted so far
+	Age           Time     `json:"age"`
+	Members       []string `json:"members,omitempty"`
+	LeaseDuration Time     `json:"lease"` // the keepers' terms
+	MaxClockDrift float64  `json:"drift"`
 }
 
 // longer is a span as another clock may count it.
-func (s *Set) longer(span Time) Time { return Time(float64(span)*(1+s.Drift)/(1-s.Drift)) + 1 }
+func (s *Membership) longer(span Time) Time {
+	return Time(float64(span)*(1+s.MaxClockDrift)/(1-s.MaxClockDrift)) + 1
+}
 
-// Tenure is what one gateway knows of its budgets. It is told of each grant of a lease.
-type Tenure struct {
+// Ownership is what one gateway knows of its budgets. It is told of each grant of a lease.
+type Ownership struct {
 	self  string
-	flaws Flaws
-	set   Set
+	flaws InjectedFaults
+	set   Membership
 	until Time            // the lease that the set came with
 	sure  map[string]Time // from when on a node is its own; by the nodes that it has been asked for
 	from  Time            // and for all others
 }
 
-// Flaws are defects that tests put in.
-type Flaws uint
+// InjectedFaults are defects that tests put in.
+type InjectedFaults uint
 
 // The defects.
 const (
-	NoWait  Flaws = 1 << iota // who comes to have a budget deals at once
-	NoLease                   // who is cut off goes on dealing
-	NoParts                   // who has had it before and after is believed to have had it throughout
+	FaultNoWait           InjectedFaults = 1 << iota // who comes to have a budget deals at once
+	FaultIgnoreLease                                 // who is cut off goes on dealing
+	FaultIgnoreDepartures                            // who has had it before and after is believed to have had it throughout
 )
 
-// New knows of no set.
-func New(self string, f Flaws) *Tenure {
-	return &Tenure{self: self, flaws: f, sure: map[string]Time{}}
+// NewOwnership knows of no set.
+func NewOwnership(self string, f InjectedFaults) *Ownership {
+	return &Ownership{self: self, flaws: f, sure: map[string]Time{}}
 }
 
-// Granted takes in what a lease came with: asked is when it was asked for, now when it came.
-func (t *Tenure) Granted(asked, now Time, s Set) {
-	if s.Number < t.set.Number {
+// HandleMembership takes in what a lease came with: asked is when it was asked for, now when it came.
+func (t *Ownership) HandleMembership(asked, now Time, s Membership) {
+	if s.Epoch < t.set.Epoch {
 		return
 	}
-	t.until = max(t.until, asked+s.Lease)
-	if s.Number == t.set.Number {
+	t.until = max(t.until, asked+s.LeaseDuration)
+	if s.Epoch == t.set.Epoch {
 		return
 	}
-	wait := max(s.longer(s.longer(s.Lease)-s.Age), 0) // until all leases given under the sets before have run out
-	if t.flaws&NoWait != 0 {
+	wait := max(s.longer(s.longer(s.LeaseDuration)-s.Age), 0) // until all leases given under the sets before have run out
+	if t.flaws&FaultNoWait != 0 {
 		wait = 0
 	}
 	before, kept := t.set, map[string]Time{}
@@ -65,7 +67,7 @@
 		}
 	}
 	// Where nobody has come and gone between the two sets, who has a node in both has had it throughout.
-	if before.Number > 0 && s.Parts-before.Parts == parted || t.flaws&NoParts != 0 {
+	if before.Epoch > 0 && s.Departures-before.Departures == parted || t.flaws&FaultIgnoreDepartures != 0 {
 		for node, at := range t.sure {
 			if Owner(node, before.Members) == t.self && Owner(node, s.Members) == t.self {
 				kept[node] = at
@@ -75,9 +77,9 @@
 	t.set, t.sure, t.from = s, kept, now+wait
 }
 
-// Mine tells whether a node's budget is this gateway's to deal out now.
-func (t *Tenure) Mine(now Time, node string) bool {
-	if now >= t.until && t.flaws&NoLease == 0 || Owner(node, t.set.Members) != t.self {
+// Owns tells whether a node's budget is this gateway's to deal out now.
+func (t *Ownership) Owns(now Time, node string) bool {
+	if now >= t.until && t.flaws&FaultIgnoreLease == 0 || Owner(node, t.set.Members) != t.self {
 		return false
 	}
 	at, known := t.sure[node]
@@ -89,10 +91,10 @@
 }
 
 // Owner is who has a node's budget, as far as is known here.
-func (t *Tenure) Owner(node string) string { return Owner(node, t.set.Members) }
+func (t *Ownership) Owner(node string) string { return Owner(node, t.set.Members) }
 
-// Number is that of the set.
-func (t *Tenure) Number() uint64 { return t.set.Number }
+// Epoch is that of the set.
+func (t *Ownership) Epoch() uint64 { return t.set.Epoch }
 
 // Members are those of the set.
-func (t *Tenure) Members() []string { return slices.Clone(t.set.Members) }
+func (t *Ownership) Members() []string { return slices.Clone(t.set.Members) }
--- a/internal/fleet/cold/world_test.go
+++ b/internal/fleet/cold/world_test.go
@@ -24,16 +24,16 @@
 	warmup = 12000 * ms
 )
 
-var terms = budget.Terms{From: 0.2, Warm: warmup, Multiple: 2, Window: 1500 * ms, Units: 5, Share: 0.5, For: 1000 * ms, Drift: 0.05}
+var terms = budget.Settings{InitialFraction: 0.2, WarmupTime: warmup, OverloadMultiple: 2, Window: 1500 * ms, MinUnits: 5, AllocatedShare: 0.5, AllocationTime: 1000 * ms, MaxClockDrift: 0.05}
 
 type flaws struct {
-	budget budget.Flaws
-	tenure tenure.Flaws
+	budget budget.InjectedFaults
+	tenure tenure.InjectedFaults
 }
 
 // loan is one that may still come to be used.
 type loan struct {
-	budget.Loan
+	budget.Allocation
 	until int64 // on its holder's clock
 }
 
@@ -47,8 +47,8 @@
 type host struct {
 	clock
 	name    string
-	tenure  *tenure.Tenure
-	dealer  *budget.Dealer // nil: the budget is not its own
+	tenure  *tenure.Ownership
+	dealer  *budget.Allocator // nil: the budget is not its own
 	seq     uint64
 	purse   float64
 	until   int64 // on its clock
@@ -71,7 +71,7 @@
 	hosts   []*host
 	count   int
 	keeper  clock
-	set     tenure.Set
+	set     tenure.Membership
 	setAt   int64 // on the keeper's clock
 	heard   map[string]int64
 	sends   []send
@@ -99,13 +99,13 @@
 func (w *world) chance(p float64) bool { return w.rand.Float64() < p }
 
 func (w *world) clock() clock {
-	return clock{1 - terms.Drift + 2*terms.Drift*float64(w.rand.IntN(3))/2, int64(w.rand.IntN(1000)) * ms}
+	return clock{1 - terms.MaxClockDrift + 2*terms.MaxClockDrift*float64(w.rand.IntN(3))/2, int64(w.rand.IntN(1000)) * ms}
 }
 
 func (w *world) host() *host {
 	w.count++
 	h := &host{clock: w.clock(), name: "g" + strconv.Itoa(w.count), thirst: []float64{20, 200}[w.rand.IntN(2)]}
-	h.tenure = tenure.New(h.name, w.flaws.tenure)
+	h.tenure = tenure.NewOwnership(h.name, w.flaws.tenure)
 	return h
 }
 
@@ -139,9 +139,9 @@
 
 // change has the set of members be another.
 func (w *world) change(parted bool) {
-	w.set.Number++
+	w.set.Epoch++
 	if parted {
-		w.set.Parts++
+		w.set.Departures++
 	}
 	w.setAt = w.keeper.at(w.now)
 }
@@ -157,39 +157,39 @@
 			w.change(false)
 		}
 		s := w.set
-		s.Age, s.Lease, s.Drift = now-w.setAt, lease, terms.Drift
-		w.post(nil, h, func() { h.tenure.Granted(asked, h.at(w.now), s) })
+		s.Age, s.LeaseDuration, s.MaxClockDrift = now-w.setAt, lease, terms.MaxClockDrift
+		w.post(nil, h, func() { h.tenure.HandleMembership(asked, h.at(w.now), s) })
 	})
 }
 
 // serve has a gateway answer another's ask as the node's dealer, if it is.
-func (w *world) serve(h *host, a *budget.Ask, from *host) {
+func (w *world) serve(h *host, a *budget.Request, from *host) {
 	now := h.at(w.now)
-	if !h.tenure.Mine(now, node) {
+	if !h.tenure.Owns(now, node) {
 		h.dealer = nil
 		return
 	}
 	if h.dealer == nil {
-		h.dealer = budget.NewDealer(now, terms, w.now, 60, w.flaws.budget) // the node started at 0
-		w.moved = append(w.moved, w.now)                                   // its own loans of before may still count
+		h.dealer = budget.NewAllocator(now, terms, w.now, 60, w.flaws.budget) // the node started at 0
+		w.moved = append(w.moved, w.now)                                      // its own loans of before may still count
 		if w.owner != h.name {
 			w.owner = h.name
 			w.moves++
 		}
 	}
-	if !h.dealer.Asked(now, a) {
+	if !h.dealer.HandleRequest(now, a) {
 		return
 	}
-	for _, l := range h.dealer.Deal(now) {
+	for _, l := range h.dealer.Allocate(now) {
 		w.lent += l.Units
 		for _, to := range w.hosts {
-			if to.name == l.Who {
+			if to.name == l.Holder {
 				if l.Seq == to.seq {
-					to.out = append(to.out, &loan{l, to.asked + terms.For})
+					to.out = append(to.out, &loan{l, to.asked + terms.AllocationTime})
 				}
 				w.post(h, to, func() {
-					if t := to.at(w.now); l.Seq == to.seq && t < to.asked+terms.For {
-						to.purse, to.until, to.waits = l.Units, to.asked+terms.For, false
+					if t := to.at(w.now); l.Seq == to.seq && t < to.asked+terms.AllocationTime {
+						to.purse, to.until, to.waits = l.Units, to.asked+terms.AllocationTime, false
 					}
 				})
 			}
@@ -200,14 +200,14 @@
 func (w *world) ask(h *host) {
 	h.seq++
 	h.asked, h.waits = h.at(w.now), true
-	if !w.flaws.budget.Has(budget.KeepsUnits) {
+	if !w.flaws.budget.Has(budget.FaultUseReturned) {
 		h.out = nil // what comes of earlier asks is not used
 	}
-	a := &budget.Ask{Who: h.name, Seq: h.seq, Want: 4 + h.thirst/4, Least: 1, Worth: h.thirst, Back: h.purse}
+	a := &budget.Request{Holder: h.name, Seq: h.seq, Demand: 4 + h.thirst/4, SmallestRequest: 1, PriorityWeight: h.thirst, Returned: h.purse}
 	if h.asked >= h.until {
-		a.Back = 0 // gone
+		a.Returned = 0 // gone
 	}
-	if !w.flaws.budget.Has(budget.KeepsUnits) {
+	if !w.flaws.budget.Has(budget.FaultUseReturned) {
 		h.purse = 0
 	}
 	for _, to := range w.hosts {
@@ -229,7 +229,7 @@
 	}
 	now := w.keeper.at(w.now)
 	left := slices.DeleteFunc(slices.Clone(w.set.Members), func(name string) bool {
-		return now > w.heard[name]+int64(float64(lease)*(1+terms.Drift)/(1-terms.Drift))+1
+		return now > w.heard[name]+int64(float64(lease)*(1+terms.MaxClockDrift)/(1-terms.MaxClockDrift))+1
 	})
 	if len(left) < len(w.set.Members) {
 		w.set.Members = left
@@ -261,10 +261,10 @@
 			h.renewed = t
 			w.renew(h)
 		}
-		if t >= h.next && (!h.waits || t >= h.asked+terms.For) {
+		if t >= h.next && (!h.waits || t >= h.asked+terms.AllocationTime) {
 			h.next = t + 20*ms + w.rand.Int64N(200*ms)
 			if w.hoards {
-				h.next = t + terms.For*9/10 + w.rand.Int64N(terms.For/5)
+				h.next = t + terms.AllocationTime*9/10 + w.rand.Int64N(terms.AllocationTime/5)
 			}
 			w.ask(h)
 		}
@@ -276,11 +276,11 @@
 	}
 	moved := int64(0) // since the first of the moves whose loans may still count
 	for _, at := range w.moved {
-		if w.now-at < 2*terms.For {
+		if w.now-at < 2*terms.AllocationTime {
 			moved = max(moved, w.now-at)
 		}
 	}
-	if could, most := w.could(), terms.Most(w.now, 60, moved); could > most+1e-6 {
+	if could, most := w.could(), terms.MaxOutstanding(w.now, 60, moved); could > most+1e-6 {
 		return fmt.Sprintf("%.1f units can be sent at once, %.1f may be", could, most)
 	}
 	sum := 0.0
@@ -290,8 +290,8 @@
 	for _, s := range w.sends {
 		sum += s.units
 	}
-	if most := terms.Share * terms.Bears(w.now-terms.Window, 60); sum > most+1e-6 {
-		return fmt.Sprintf("%.1f units in a window, %.1f are dealt out of %.1f", sum, most, most/terms.Share)
+	if most := terms.AllocatedShare * terms.Capacity(w.now-terms.Window, 60); sum > most+1e-6 {
+		return fmt.Sprintf("%.1f units in a window, %.1f are dealt out of %.1f", sum, most, most/terms.AllocatedShare)
 	}
 	return ""
 }
@@ -306,8 +306,8 @@
 				units += l.Units
 			}
 		}
-		if h.dealer != nil && h.tenure.Mine(t, node) {
-			ready, _ := h.dealer.Stock(t)
+		if h.dealer != nil && h.tenure.Owns(t, node) {
+			ready, _ := h.dealer.Usage(t)
 			units += ready
 		}
 	}
@@ -348,15 +348,15 @@
 // TestDefectsAreFound: each defect breaks the rule in some run.
 func TestDefectsAreFound(t *testing.T) {
 	for name, f := range map[string]flaws{
-		"a dealer begins with all ready":           {budget: budget.FullStart},
-		"what is out takes no room":                {budget: budget.IgnoresOut},
-		"an ask counts twice":                      {budget: budget.TakesOld | budget.BelievesBack},
-		"more is taken back than was lent":         {budget: budget.BelievesBack},
-		"a loan is over for its dealer too soon":   {budget: budget.NoDrift},
-		"a holder uses what it gives back":         {budget: budget.KeepsUnits},
-		"who comes to have a budget deals at once": {tenure: tenure.NoWait},
-		"who is cut off deals on":                  {tenure: tenure.NoLease},
-		"parted members are forgotten":             {tenure: tenure.NoParts},
+		"a dealer begins with all ready":           {budget: budget.FaultFullStart},
+		"what is out takes no room":                {budget: budget.FaultIgnoreOutstanding},
+		"an ask counts twice":                      {budget: budget.FaultAcceptDuplicates | budget.FaultTrustReturned},
+		"more is taken back than was lent":         {budget: budget.FaultTrustReturned},
+		"a loan is over for its dealer too soon":   {budget: budget.FaultEarlyExpiry},
+		"a holder uses what it gives back":         {budget: budget.FaultUseReturned},
+		"who comes to have a budget deals at once": {tenure: tenure.FaultNoWait},
+		"who is cut off deals on":                  {tenure: tenure.FaultIgnoreLease},
+		"parted members are forgotten":             {tenure: tenure.FaultIgnoreDepartures},
 	} {
 		found := ""
 		seed := uint64(0)
--- a/internal/fleet/content/content_test.go
+++ b/internal/fleet/content/content_test.go
@@ -31,14 +31,14 @@
 
 var digests = func() (list []string) {
 	for _, b := range plain {
-		list = append(list, rules.Sum(b))
+		list = append(list, rules.DigestOf(b))
 	}
 	return list
 }()
 
 // keeper answers as one does that has some of the contents.
 type keeper struct {
-	shelf *Shelf
+	shelf *DeltaCache
 	has   map[string][]byte
 	made  int
 }
@@ -48,7 +48,7 @@
 		return c, true
 	}
 	if b := k.has[digest]; b != nil {
-		return k.shelf.Add(digest, b), true
+		return k.shelf.AddContent(digest, b), true
 	}
 	return Content{}, false
 }
@@ -59,30 +59,30 @@
 		return "", nil, false
 	}
 	base, _ := k.content(r.Base)
-	p := k.shelf.Pair(r.Digest, r.Base, r.Sum())
-	coded, there = k.shelf.Coded(p)
+	p := k.shelf.KeyFor(r.Digest, r.Base, r.BaseHash())
+	coded, there = k.shelf.Encoded(p)
 	if !there {
 		if p.Base == "" {
 			base.Bytes = nil
 		}
 		coded, _ = delta.Encode(base.Bytes, c.Bytes)
-		k.shelf.Put(p, coded)
+		k.shelf.AddEncoded(p, coded)
 		k.made++
 	}
 	if p.Base == "" {
-		return Whole, coded, true
+		return EncodingZstd, coded, true
 	}
-	return Delta, coded, true
+	return EncodingDelta, coded, true
 }
 
 // play draws any order of changes, losses, spoilt and mixed up answers, and starts with what the disk had then, or something else. Whatever
 // is held of a version has to be the version, byte for byte; what was fetched without a fault has to come as a delta where a base was there.
-func play(t *rapid.T, flaws Flaws) error {
+func play(t *rapid.T, flaws InjectedFaults) error {
 	keepers := []*keeper{}
 	for range 2 {
-		keepers = append(keepers, &keeper{shelf: NewShelf(), has: map[string][]byte{}})
+		keepers = append(keepers, &keeper{shelf: NewDeltaCache(), has: map[string][]byte{}})
 	}
-	hold := Hold(nil, flaws)
+	hold := NewCache(nil, flaws)
 	var spool []byte
 	var earlier []struct {
 		coding string
@@ -99,29 +99,29 @@
 			inForce = newest
 		case 3: // a keeper joins, forgets, or has a later version
 			k := keepers[rapid.IntRange(0, 1).Draw(t, "keeper")]
-			k.has, k.shelf = map[string][]byte{}, NewShelf()
+			k.has, k.shelf = map[string][]byte{}, NewDeltaCache()
 			for n := rapid.IntRange(0, newest).Draw(t, "from"); n <= newest; n++ {
 				k.has[digests[n]] = plain[n]
 			}
 		case 4: // a start, with what is on the disk: nothing, the last content, an older one, another fleet's
-			hold = Hold(rapid.SampledFrom([][]byte{nil, spool, plain[0], []byte("of another fleet")}).Draw(t, "spool"), flaws)
+			hold = NewCache(rapid.SampledFrom([][]byte{nil, spool, plain[0], []byte("of another fleet")}).Draw(t, "spool"), flaws)
 		default:
 			names := []string{digests[inForce]}
 			if newest != inForce {
 				names = append(names, digests[newest])
 			}
-			hold.Named(names...)
+			hold.Retain(names...)
 			for _, d := range names {
 				f := hold.Fetch(d, len(keepers))
-				for asked := 0; f.State() == Asking; asked++ {
+				for asked := 0; f.State() == StateInProgress; asked++ {
 					if asked > 2*len(keepers) {
 						return fmt.Errorf("asked %d times for one content", asked)
 					}
-					r := f.Next()
-					coding, coded, there := keepers[r.Keeper].answer(r)
+					r := f.NextRequest()
+					coding, coded, there := keepers[r.Replica].answer(r)
 					fault := rapid.IntRange(0, 9).Draw(t, "fault")
 					if !there || fault == 0 {
-						f.Failed()
+						f.HandleFailure()
 						continue
 					}
 					earlier = append(earlier, struct {
@@ -141,20 +141,20 @@
 						o := rapid.SampledFrom(earlier).Draw(t, "late")
 						coding, coded = o.coding, o.coded
 					}
-					_, known := keepers[r.Keeper].content(r.Base)
-					if err := f.Answered(r, coding, coded); clean && err != nil {
+					_, known := keepers[r.Replica].content(r.Base)
+					if err := f.HandleResponse(r, coding, coded); clean && err != nil {
 						return fmt.Errorf("refused without a fault: %w", err)
 					}
-					if clean && known && r.Base != r.Digest && coding != Delta {
+					if clean && known && r.Base != r.Digest && coding != EncodingDelta {
 						return fmt.Errorf("whole, where base %.8s was there", r.Base)
 					}
 				}
-				if f.State() == Had {
+				if f.State() == StateDone {
 					spool = hold.Content(d)
 				}
 			}
 		}
-		if held := hold.Held(); len(held) > 3 {
+		if held := hold.Digests(); len(held) > 3 {
 			return fmt.Errorf("%d contents are held", len(held))
 		}
 		for n, d := range digests {
@@ -178,7 +178,7 @@
 
 // Each defect has to be found by the same play.
 func TestDefectsAreFound(t *testing.T) {
-	for name, flaw := range map[string]Flaws{"digest not checked": NoDigest, "another base than was named": OtherBase, "an old spool acted on": OldSpool} {
+	for name, flaw := range map[string]InjectedFaults{"digest not checked": FaultNoDigestCheck, "another base than was named": FaultWrongBase, "an old spool acted on": FaultStaleCacheFile} {
 		found := 0
 		for seed := range 4000 {
 			rapid.Custom(func(t *rapid.T) bool {
@@ -202,22 +202,22 @@
 
 // What is asked for and what of, and what follows from each failure.
 func TestWhatIsAskedFor(t *testing.T) {
-	k := &keeper{shelf: NewShelf(), has: map[string][]byte{}}
+	k := &keeper{shelf: NewDeltaCache(), has: map[string][]byte{}}
 	for n, d := range digests {
 		k.has[d] = plain[n]
 	}
-	hold := Hold(plain[0], 0)
+	hold := NewCache(plain[0], 0)
 	get := func(n int, names ...int) Request {
 		t.Helper()
 		var list []string
 		for _, n := range names {
 			list = append(list, digests[n])
 		}
-		hold.Named(list...)
+		hold.Retain(list...)
 		f := hold.Fetch(digests[n], 1)
-		r := f.Next()
+		r := f.NextRequest()
 		coding, coded, _ := k.answer(r)
-		if err := f.Answered(r, coding, coded); err != nil || f.State() != Had {
+		if err := f.HandleResponse(r, coding, coded); err != nil || f.State() != StateDone {
 			t.Fatal(err)
 		}
 		return r
@@ -231,39 +231,39 @@
 			t.Errorf("version %d is asked for from %.8s, not %.8s", c.n, r.Base, digests[c.base])
 		}
 	}
-	hold.Named(digests[6], digests[7])
+	hold.Retain(digests[6], digests[7])
 	f := hold.Fetch(digests[7], 2)
-	bomb, _ := delta.Encode(plain[6], make([]byte, rules.Most+1))
+	bomb, _ := delta.Encode(plain[6], make([]byte, rules.MaxContentBytes+1))
 	for i, want := range []struct {
 		base   string
 		keeper int
 		coding string
 		coded  []byte
-	}{{digests[6], 0, Delta, bomb}, {"", 0, Whole, bomb}, {"", 1, "gzip", nil}} {
-		r := f.Next()
-		if f.State() != Asking || r.Base != want.base || r.Keeper != want.keeper {
+	}{{digests[6], 0, EncodingDelta, bomb}, {"", 0, EncodingZstd, bomb}, {"", 1, "gzip", nil}} {
+		r := f.NextRequest()
+		if f.State() != StateInProgress || r.Base != want.base || r.Replica != want.keeper {
 			t.Fatalf("ask %d: %+v, %d", i, r, f.State())
 		}
-		if err := f.Answered(r, want.coding, want.coded); err == nil {
+		if err := f.HandleResponse(r, want.coding, want.coded); err == nil {
 			t.Errorf("ask %d: taken", i)
 		} else {
 			t.Log(err)
 		}
 	}
-	if f.State() != Over || hold.Content(digests[7]) != nil || hold.Content(digests[6]) == nil {
-		t.Errorf("state %d, held %v", f.State(), hold.Held())
+	if f.State() != StateFailed || hold.Content(digests[7]) != nil || hold.Content(digests[6]) == nil {
+		t.Errorf("state %d, held %v", f.State(), hold.Digests())
 	}
 }
 
 // A shelf stays within its bounds, and has what was asked for last.
 func TestShelfIsBounded(t *testing.T) {
-	s := NewShelf()
+	s := NewDeltaCache()
 	for n := range 1000 {
 		b := bytes.Repeat([]byte{byte(n)}, 1<<20+n)
 		d := fmt.Sprint(n)
-		s.Add(d, b)
-		s.Put(Pair{d, "x"}, b)
-		s.Add("used", []byte("x"))
+		s.AddContent(d, b)
+		s.AddEncoded(DeltaKey{d, "x"}, b)
+		s.AddContent("used", []byte("x"))
 	}
 	if len(s.contents.items) > mostContents || s.contents.bytes > mostContentBytes || len(s.coded.items) > mostCoded || s.coded.bytes > mostCodedBytes {
 		t.Errorf("%d contents of %d bytes, %d coded of %d", len(s.contents.items), s.contents.bytes, len(s.coded.items), s.coded.bytes)
@@ -271,10 +271,10 @@
 	if _, there := s.Content("used"); !there {
 		t.Error("what was used last is gone")
 	}
-	if p := s.Pair("y", "used", sha256.Sum256([]byte("x"))); p.Base != "used" {
+	if p := s.KeyFor("y", "used", sha256.Sum256([]byte("x"))); p.Base != "used" {
 		t.Errorf("%+v", p)
 	}
-	if p := s.Pair("y", "used", sha256.Sum256([]byte("z"))); p.Base != "" {
+	if p := s.KeyFor("y", "used", sha256.Sum256([]byte("z"))); p.Base != "" {
 		t.Errorf("another content under that name: %+v", p)
 	}
 }
--- a/internal/fleet/content/shelf.go
+++ b/internal/fleet/content/shelf.go
@@ -16,47 +16,47 @@
 type Content struct {
 	Digest string
 	Bytes  []byte
-	Sum    [32]byte // its SHA-256, as gateways name it for a base
+	Hash   [32]byte // its SHA-256, as gateways name it for a base
 }
 
-// Pair is a content and the base that it is coded from; "": whole.
-type Pair struct{ Base, Digest string }
+// DeltaKey is a content and the base that it is coded from; "": whole.
+type DeltaKey struct{ Base, Digest string }
 
-// Shelf is what a keeper keeps ready: contents, and what was coded of them, for all who ask for the same. It is bounded; what was least
+// DeltaCache is what a keeper keeps ready: contents, and what was coded of them, for all who ask for the same. It is bounded; what was least
 // recently asked for goes first, and is made again if it is asked for again.
-type Shelf struct {
+type DeltaCache struct {
 	contents cache[string, Content]
-	coded    cache[Pair, []byte]
+	coded    cache[DeltaKey, []byte]
 }
 
-// NewShelf is an empty one.
-func NewShelf() *Shelf {
-	return &Shelf{contents: newCache[string, Content](mostContents, mostContentBytes), coded: newCache[Pair, []byte](mostCoded, mostCodedBytes)}
+// NewDeltaCache is an empty one.
+func NewDeltaCache() *DeltaCache {
+	return &DeltaCache{contents: newCache[string, Content](mostContents, mostContentBytes), coded: newCache[DeltaKey, []byte](mostCoded, mostCodedBytes)}
 }
 
 // Content is one that is there.
-func (s *Shelf) Content(digest string) (Content, bool) { return s.contents.get(digest) }
+func (s *DeltaCache) Content(digest string) (Content, bool) { return s.contents.get(digest) }
 
-// Add puts a content there.
-func (s *Shelf) Add(digest string, bytes []byte) Content {
-	c := Content{Digest: digest, Bytes: bytes, Sum: delta.Base(bytes)}
+// AddContent puts a content there.
+func (s *DeltaCache) AddContent(digest string, bytes []byte) Content {
+	c := Content{Digest: digest, Bytes: bytes, Hash: delta.BaseHash(bytes)}
 	s.contents.put(digest, c, len(bytes))
 	return c
 }
 
-// Pair tells what to send to who asks for a content and offers a base: a delta where that base is there and the same, else the whole.
-func (s *Shelf) Pair(digest, base string, sum [32]byte) Pair {
-	if c, there := s.contents.get(base); there && base != digest && c.Sum == sum && len(c.Bytes) > 0 {
-		return Pair{base, digest}
+// KeyFor tells what to send to who asks for a content and offers a base: a delta where that base is there and the same, else the whole.
+func (s *DeltaCache) KeyFor(digest, base string, sum [32]byte) DeltaKey {
+	if c, there := s.contents.get(base); there && base != digest && c.Hash == sum && len(c.Bytes) > 0 {
+		return DeltaKey{base, digest}
 	}
-	return Pair{Digest: digest}
+	return DeltaKey{Digest: digest}
 }
 
-// Coded is what was coded before.
-func (s *Shelf) Coded(p Pair) ([]byte, bool) { return s.coded.get(p) }
+// Encoded is what was coded before.
+func (s *DeltaCache) Encoded(p DeltaKey) ([]byte, bool) { return s.coded.get(p) }
 
-// Put keeps what was coded.
-func (s *Shelf) Put(p Pair, coded []byte) { s.coded.put(p, coded, len(coded)) }
+// AddEncoded keeps what was coded.
+func (s *DeltaCache) AddEncoded(p DeltaKey, coded []byte) { s.coded.put(p, coded, len(coded)) }
 
 // cache is a bounded map.
 type cache[K comparable, V any] struct {
--- a/internal/fleet/delta/delta_test.go
+++ b/internal/fleet/delta/delta_test.go
@@ -59,14 +59,14 @@
 		if _, err := Decode(base, coded[:cut], most); err == nil {
 			t.Fatalf("cut off after %d of %d", cut, len(coded))
 		}
-		if _, err := Decode(base, slices.Concat(coded, coded), most); !errors.Is(err, ErrTrailing) {
+		if _, err := Decode(base, slices.Concat(coded, coded), most); !errors.Is(err, ErrTrailingData) {
 			t.Fatalf("doubled: %v", err)
 		}
 		if other := append([]byte{1}, base...); len(base) > 0 {
-			if _, err := Decode(other, coded, most); !errors.Is(err, ErrBase) {
+			if _, err := Decode(other, coded, most); !errors.Is(err, ErrWrongBase) {
 				t.Fatalf("another base: %v", err)
 			}
-			if _, err := Decode(nil, coded, most); !errors.Is(err, ErrBase) {
+			if _, err := Decode(nil, coded, most); !errors.Is(err, ErrWrongBase) {
 				t.Fatalf("no base: %v", err)
 			}
 		}
@@ -92,19 +92,19 @@
 		base, coded []byte
 		want        error
 	}{
-		"nothing":              {nil, nil, ErrCut},
-		"nothing, of a delta":  {base, nil, ErrCut},
-		"a delta's head alone": {base, delta[:head], ErrCut},
-		"half a head":          {base, delta[:20], ErrCut},
-		"half a delta":         {base, delta[:len(delta)-1], ErrCut},
-		"half a frame":         {nil, whole[:len(whole)/2], ErrCut},
-		"text":                 {nil, []byte("no keeper leads, ask again later"), ErrForm},
-		"text, of a delta":     {base, []byte("no keeper leads, ask again later, and again, and again"), ErrForm},
-		"whole, of a delta":    {base, whole, ErrForm},
-		"a delta, of a whole":  {nil, delta, ErrBase},
-		"from another base":    {content, delta, ErrBase},
-		"doubled":              {base, slices.Concat(delta, delta), ErrTrailing},
-		"whole, doubled":       {nil, slices.Concat(whole, whole), ErrTrailing},
+		"nothing":              {nil, nil, ErrTruncated},
+		"nothing, of a delta":  {base, nil, ErrTruncated},
+		"a delta's head alone": {base, delta[:head], ErrTruncated},
+		"half a head":          {base, delta[:20], ErrTruncated},
+		"half a delta":         {base, delta[:len(delta)-1], ErrTruncated},
+		"half a frame":         {nil, whole[:len(whole)/2], ErrTruncated},
+		"text":                 {nil, []byte("no keeper leads, ask again later"), ErrFormat},
+		"text, of a delta":     {base, []byte("no keeper leads, ask again later, and again, and again"), ErrFormat},
+		"whole, of a delta":    {base, whole, ErrFormat},
+		"a delta, of a whole":  {nil, delta, ErrWrongBase},
+		"from another base":    {content, delta, ErrWrongBase},
+		"doubled":              {base, slices.Concat(delta, delta), ErrTrailingData},
+		"whole, doubled":       {nil, slices.Concat(whole, whole), ErrTrailingData},
 		"more than it says":    {nil, endless, ErrTooLarge},
 		"more, and says so":    {nil, said.EncodeAll(make([]byte, 2*most), nil), ErrTooLarge},
 	} {
--- a/internal/fleet/follow/bytes_test.go
+++ b/internal/fleet/follow/bytes_test.go
@@ -37,14 +37,14 @@
 
 // large is a version of so many nodes, the n-th of which has been replaced.
 func large(nodes, n int) []byte {
-	r := &rules.Rules{Needs: 1, Shards: nodes, Mean: 1, Plans: map[string]rules.Plan{"gold": {Weight: 1}}, Sending: rules.Sending{Most: 1},
-		Products: map[string]rules.Product{}, Nodes: map[string]rules.Node{}}
+	r := &rules.Config{RequiredFormat: 1, Shards: nodes, MeanRequestUnits: 1, ServiceLevels: map[string]rules.ServiceLevel{"gold": {Weight: 1}}, Dispatch: rules.DispatchPolicy{MaxAttempts: 1},
+		RequestClasses: map[string]rules.RequestClass{}, Nodes: map[string]rules.Node{}}
 	for i := range nodes {
 		addr := fmt.Sprintf("10.%d.%d.%d:7000", i%7, i/250, i%250)
 		if i == n {
 			addr = "10.9.9.9:7000"
 		}
-		r.Nodes[addr] = rules.Node{Name: fmt.Sprint("node-", i), Zone: fmt.Sprint("z", i%7), Shard: i, Born: 1764650723000000000 + int64(i)*7919}
+		r.Nodes[addr] = rules.Node{Name: fmt.Sprint("node-", i), Zone: fmt.Sprint("z", i%7), Shard: i, StartedAt: 1764650723000000000 + int64(i)*7919}
 	}
 	return r.Canonical()
 }
@@ -52,14 +52,14 @@
 // group is followers over real sockets, of which all bytes are counted.
 type group struct {
 	t     *testing.T
-	list  []*Following
+	list  []*Client
 	bytes atomic.Int64
 }
 
 func (g *group) start(count int, addrs []string, change func(i int, o *Options)) {
 	for i := range count {
-		o := Options{Gateway: fmt.Sprint("g", i), Keepers: addrs, Pause: 400 * time.Millisecond, Now: func() int64 { return time.Now().UnixNano() }, Seed: uint64(i),
-			Wake: func() {}, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Dial: func(ctx context.Context, network, addr string) (net.Conn, error) {
+		o := Options{Gateway: fmt.Sprint("g", i), Replicas: addrs, RenewInterval: 400 * time.Millisecond, Now: func() int64 { return time.Now().UnixNano() }, Seed: uint64(i),
+			OnChange: func() {}, Logger: slog.New(slog.NewTextHandler(io.Discard, nil)), Dial: func(ctx context.Context, network, addr string) (net.Conn, error) {
 				c, err := (&net.Dialer{Timeout: time.Second}).DialContext(ctx, network, addr)
 				return counted{c, &g.bytes}, err
 			}}
@@ -105,9 +105,9 @@
 		count, changes, rest = 50, 20, 30*time.Second
 	}
 	addrs, _ := processes(t)
-	c := &keep.Client{Keepers: addrs, Within: 30 * time.Second}
+	c := &keep.Client{Replicas: addrs, Timeout: 30 * time.Second}
 	propose := func(n int) {
-		if _, err := c.Propose(&accord.Proposal{ID: fmt.Sprint(n), Parent: uint64(n - 1), Over: true, Rules: large(nodes, n)}); err != nil {
+		if _, err := c.Propose(&accord.Proposal{ID: fmt.Sprint(n), Parent: uint64(n - 1), ReplacePending: true, Content: large(nodes, n)}); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/fleet/follow/contents_test.go
+++ b/internal/fleet/follow/contents_test.go
@@ -36,19 +36,19 @@
 	last   uint64
 }
 
-func alone(t *testing.T, lease time.Duration) *single {
-	k, err := keep.Start(keep.Options{Number: 1, Listen: "127.0.0.1:0", Peers: map[uint64]string{1: "-"}, Dir: t.TempDir(), Terms: accord.Terms{Lease: int64(lease), Drift: 0.01},
-		Tick: 10 * time.Millisecond, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
+func alone(t *testing.T, leaseDuration time.Duration) *single {
+	k, err := keep.Start(keep.Options{ID: 1, Listen: "127.0.0.1:0", Peers: map[uint64]string{1: "-"}, Dir: t.TempDir(), LeaseSettings: accord.Settings{LeaseDuration: int64(leaseDuration), MaxClockDrift: 0.01},
+		TickInterval: 10 * time.Millisecond, Logger: slog.New(slog.NewTextHandler(io.Discard, nil))})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(k.Close)
-	return &single{t: t, addr: k.Addr(), client: &keep.Client{Keepers: []string{k.Addr()}, Within: 30 * time.Second}}
+	return &single{t: t, addr: k.Addr(), client: &keep.Client{Replicas: []string{k.Addr()}, Timeout: 30 * time.Second}}
 }
 
 func (s *single) propose(b []byte) {
 	s.t.Helper()
-	if _, err := s.client.Propose(&accord.Proposal{ID: fmt.Sprint(s.last), Parent: s.last, Over: true, Rules: b}); err != nil {
+	if _, err := s.client.Propose(&accord.Proposal{ID: fmt.Sprint(s.last), Parent: s.last, ReplacePending: true, Content: b}); err != nil {
 		s.t.Fatal(err)
 	}
 	s.last++
@@ -86,7 +86,7 @@
 }
 
 func (n *notes) options(o *Options) {
-	o.Log, o.Pause = slog.New(slog.NewTextHandler(n, nil)), 100*time.Millisecond
+	o.Logger, o.RenewInterval = slog.New(slog.NewTextHandler(n, nil)), 100*time.Millisecond
 }
 
 // codings are those of the contents that have passed.
@@ -125,7 +125,7 @@
 // it is asked for at the next keeper.
 func TestAnswersThatAreNone(t *testing.T) {
 	one, two := large(200, 1), large(200, 2)
-	bomb, _ := delta.Encode(one, make([]byte, rules.Most+1))
+	bomb, _ := delta.Encode(one, make([]byte, rules.MaxContentBytes+1))
 	otherBase, _ := delta.Encode(large(200, 9), two)
 	late, _ := delta.Encode(one, one)
 	if len(bomb) > 1<<20 {
@@ -140,19 +140,19 @@
 		"of another base":  func([]byte) []byte { return otherBase },
 		"an earlier one's": func([]byte) []byte { return late },
 	} {
-		for _, coding := range []string{content.Delta, content.Whole} {
+		for _, coding := range []string{content.EncodingDelta, content.EncodingZstd} {
 			t.Run(name+", "+coding, func(t *testing.T) {
 				t.Parallel()
 				s := alone(t, 20*time.Second)
 				s.propose(one)
 				bad := s.way(nil, func(r *http.Response) error {
-					if r.Header.Get("Content-Encoding") == content.Delta || coding == content.Whole && r.Header.Get("Content-Encoding") != "" {
+					if r.Header.Get("Content-Encoding") == content.EncodingDelta || coding == content.EncodingZstd && r.Header.Get("Content-Encoding") != "" {
 						return body(r, change)
 					}
 					return nil
 				})
 				addrs := []string{bad}
-				if coding == content.Whole { // of the contents that it gives, none is good
+				if coding == content.EncodingZstd { // of the contents that it gives, none is good
 					addrs = append(addrs, s.addr)
 				}
 				n, g := &notes{}, &group{t: t}
@@ -160,7 +160,7 @@
 				g.act(1)
 				s.propose(two)
 				g.act(2)
-				if warned := strings.Count(n.String(), "is not taken"); coding == content.Delta && warned != 1 {
+				if warned := strings.Count(n.String(), "is not taken"); coding == content.EncodingDelta && warned != 1 {
 					t.Errorf("%d lines: %s", warned, n)
 				}
 				if strings.Contains(n.String(), "lapsed") {
@@ -183,8 +183,8 @@
 			r.StatusCode = http.StatusNotFound
 		case gone.Load() && r.Request.URL.Path == "/renew":
 			return body(r, func(b []byte) []byte {
-				g := &accord.Grant{}
-				if json.Unmarshal(b, g) == nil && g.Lease > 0 && g.Announced == 2 && g.InForce == 1 {
+				g := &accord.RenewResponse{}
+				if json.Unmarshal(b, g) == nil && g.LeaseDuration > 0 && g.Announced == 2 && g.InForce == 1 {
 					renewed.Add(1)
 				}
 				return b
@@ -205,7 +205,7 @@
 	if state, acts := g.list[0].Status(); state != "acting" || !strings.HasPrefix(acts, "1.") || strings.Contains(acts, "&") {
 		t.Errorf("%s on %s: %s", state, acts, n)
 	}
-	if st, err := s.client.Status(); err != nil || len(st.Gateways) != 1 || st.Gateways[0].Trouble != "" {
+	if st, err := s.client.Status(); err != nil || len(st.Gateways) != 1 || st.Gateways[0].Fault != "" {
 		t.Errorf("%+v, %v", st.Gateways, err)
 	}
 	gone.Store(false)
@@ -234,8 +234,8 @@
 	after := s.way(nil, passed.note)
 	g := &group{t: t}
 	g.start(4, nil, func(i int, o *Options) {
-		o.Pause = 100 * time.Millisecond
-		o.Keepers = [][]string{{before}, {after}, {before, after}, {after, before}}[i]
+		o.RenewInterval = 100 * time.Millisecond
+		o.Replicas = [][]string{{before}, {after}, {before, after}, {after, before}}[i]
 	})
 	for n := 1; n <= 4; n++ {
 		if n > 1 {
@@ -243,18 +243,18 @@
 		}
 		g.act(n)
 	}
-	if list := passed.seen(); !slices.Contains(list, content.Delta) {
+	if list := passed.seen(); !slices.Contains(list, content.EncodingDelta) {
 		t.Errorf("no delta has passed: %q", list)
 	}
 	for form := range 2 { // as the other side sees it
-		ask := &accord.Ask{Who: fmt.Sprint("asks/", form), Seq: 1, Form: form}
-		grant := &accord.Grant{}
-		for deadline := time.Now().Add(time.Minute); grant.Lease == 0 && time.Now().Before(deadline); ask.Seq++ {
-			if err := s.client.One(context.Background(), s.addr, http.MethodPost, "/renew", ask, grant); err != nil {
+		ask := &accord.RenewRequest{Holder: fmt.Sprint("asks/", form), Seq: 1, Format: form}
+		grant := &accord.RenewResponse{}
+		for deadline := time.Now().Add(time.Minute); grant.LeaseDuration == 0 && time.Now().Before(deadline); ask.Seq++ {
+			if err := s.client.Call(context.Background(), s.addr, http.MethodPost, "/renew", ask, grant); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if len(grant.Versions) != 1 || (len(grant.Versions[0].Rules) == 0) != (form == accord.Apart) {
+		if len(grant.Versions) != 1 || (len(grant.Versions[0].Content) == 0) != (form == accord.ByDigest) {
 			t.Errorf("form %d: %+v", form, grant)
 		}
 	}
@@ -264,12 +264,12 @@
 func TestContentOnDisk(t *testing.T) {
 	s := alone(t, time.Second)
 	one, two := large(200, 1), large(200, 2)
-	file := func(b []byte) string { return rules.Sum(b) + ".rules" }
+	file := func(b []byte) string { return rules.DigestOf(b) + ".rules" }
 	s.propose(one)
 	s.propose(two)
 	stray := filepath.Join(t.TempDir(), "a file")
 	os.WriteFile(stray, nil, 0o600)
-	if _, err := Start(Options{Gateway: "g", Keepers: []string{s.addr}, Pause: time.Second, Now: time.Now().UnixNano, Dir: filepath.Join(stray, "x"), Log: slog.New(slog.DiscardHandler)}); err == nil || !strings.Contains(err.Error(), "a file") {
+	if _, err := Start(Options{Gateway: "g", Replicas: []string{s.addr}, RenewInterval: time.Second, Now: time.Now().UnixNano, CacheDir: filepath.Join(stray, "x"), Logger: slog.New(slog.DiscardHandler)}); err == nil || !strings.Contains(err.Error(), "a file") {
 		t.Errorf("a folder that cannot be: %v", err)
 	}
 	for name, c := range map[string]struct {
@@ -277,15 +277,15 @@
 		says  string // of the log
 		first string // the coding of the first content
 	}{
-		"nothing":                     {nil, "", content.Whole},
-		"the one before":              {map[string][]byte{file(one): one}, "", content.Delta},
+		"nothing":                     {nil, "", content.EncodingZstd},
+		"the one before":              {map[string][]byte{file(one): one}, "", content.EncodingDelta},
 		"the one in force":            {map[string][]byte{file(two): two}, "", ""},
-		"of another fleet":            {map[string][]byte{file(large(200, 9)): large(200, 9)}, "does not have the base", content.Whole},
-		"cut off":                     {map[string][]byte{file(one): one[:100]}, "its digest is", content.Whole},
-		"empty":                       {map[string][]byte{file(one): nil}, "0 bytes", content.Whole},
-		"killed before it had a name": {map[string][]byte{"." + file(two) + "123": two[:9], file(one): one}, "", content.Delta},
-		"killed before it was alone":  {map[string][]byte{file(large(200, 9)): large(200, 9), file(one): one}, "", content.Delta},
-		"somebody else's":             {map[string][]byte{"notes.txt": []byte("x")}, "", content.Whole},
+		"of another fleet":            {map[string][]byte{file(large(200, 9)): large(200, 9)}, "does not have the base", content.EncodingZstd},
+		"cut off":                     {map[string][]byte{file(one): one[:100]}, "its digest is", content.EncodingZstd},
+		"empty":                       {map[string][]byte{file(one): nil}, "0 bytes", content.EncodingZstd},
+		"killed before it had a name": {map[string][]byte{"." + file(two) + "123": two[:9], file(one): one}, "", content.EncodingDelta},
+		"killed before it was alone":  {map[string][]byte{file(large(200, 9)): large(200, 9), file(one): one}, "", content.EncodingDelta},
+		"somebody else's":             {map[string][]byte{"notes.txt": []byte("x")}, "", content.EncodingZstd},
 	} {
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
@@ -300,7 +300,7 @@
 			}
 			passed, n, g := &codings{}, &notes{}, &group{t: t}
 			addr := s.way(nil, passed.note)
-			g.start(1, []string{addr}, func(_ int, o *Options) { n.options(o); o.Dir = dir })
+			g.start(1, []string{addr}, func(_ int, o *Options) { n.options(o); o.CacheDir = dir })
 			if _, acts := g.list[0].Status(); acts != "none" {
 				t.Errorf("acts on %s at once", acts)
 			}
