--- a/internal/fleet/follow/follow.go
+++ b/internal/fleet/follow/follow.go
@@ -26,33 +26,33 @@
 
 // Options are what following starts with.
 type Options struct {
-	Gateway string
-	Keepers []string      // addresses, as this gateway reaches them
-	Pause   time.Duration // between asks; a fraction of the lease
-	Now     func() int64  // the gateway's own clock: it never goes back
-	Wake    func()        // what is acted on may have changed; it must not wait
-	Seed    uint64
-	Who     string                        // its name with its start; empty: made here
-	Peer    string                        // where other gateways reach it; empty: they do not
-	Members func(*accord.Members)         // who is present, with each lease of one that is reached; it must not wait
-	Own     decide.Terms                  // the gateway's own: what no version has counts from there
-	Differs func(r *rules.Rules) []string // in what the gateway's own configuration contradicts a version; nil: not asked
-	Dial    Dial                          // opens connections to keepers; nil: a net.Dialer that gives up after Pause
-	Record  string                        // file for what was acted on from when; empty: none
-	Dir     string                        // folder for the last content, its own; empty: none, all is fetched after a start
-	Whole   bool                          // it asks in the form of the build before, which takes versions whole: for what plays both beside each other
-	Flaws   accord.Flaws
-	Log     *slog.Logger
+	Gateway        string
+	Replicas       []string      // addresses, as this gateway reaches them
+	RenewInterval  time.Duration // between asks; a fraction of the lease
+	Now            func() int64  // the gateway's own clock: it never goes back
+	OnChange       func()        // what is acted on may have changed; it must not wait
+	Seed           uint64
+	Holder         string                         // its name with its start; empty: made here
+	PeerAddr       string                         // where other gateways reach it; empty: they do not
+	OnMembership   func(*accord.MembershipUpdate) // who is present, with each lease of one that is reached; it must not wait
+	LocalSettings  decide.Settings                // the gateway's own: what no version has counts from there
+	LocalConflicts func(r *rules.Config) []string // in what the gateway's own configuration contradicts a version; nil: not asked
+	Dial           Dial                           // opens connections to keepers; nil: a net.Dialer that gives up after Pause
+	RecordFile     string                         // file for what was acted on from when; empty: none
+	CacheDir       string                         // folder for the last content, its own; empty: none, all is fetched after a start
+	FullVersions   bool                           // it asks in the form of the build before, which takes versions whole: for what plays both beside each other
+	InjectedFaults accord.InjectedFaults
+	Logger         *slog.Logger
 }
 
 // Dial opens a connection, as net.Dialer.DialContext does.
 type Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// Following is a gateway that follows.
-type Following struct {
+// Client is a gateway that follows.
+type Client struct {
 	opt    Options
 	lock   sync.Mutex
-	f      *accord.Follower
+	f      *accord.Client
 	told   string         // what the loop was told last
 	nodes  []listing.Node // and the list; nil: none
 	made   atomic.Pointer[listed]
@@ -69,43 +69,43 @@
 	done   sync.WaitGroup
 }
 
-// Boot names a start of a gateway, and is told from all others of its name.
-func Boot(gateway string) string {
+// NewHolderID names a start of a gateway, and is told from all others of its name.
+func NewHolderID(gateway string) string {
 	return fmt.Sprintf("%s/%d.%d", gateway, os.Getpid(), time.Now().UnixNano())
 }
 
 // Start begins to follow.
-func Start(opt Options) (*Following, error) {
+func Start(opt Options) (*Client, error) {
 	if opt.Dial == nil {
-		opt.Dial = (&net.Dialer{Timeout: opt.Pause}).DialContext
+		opt.Dial = (&net.Dialer{Timeout: opt.RenewInterval}).DialContext
 	}
-	boot := opt.Who
+	boot := opt.Holder
 	if boot == "" {
-		boot = Boot(opt.Gateway)
+		boot = NewHolderID(opt.Gateway)
 	}
-	f := &Following{opt: opt, f: accord.Follow(boot, int64(opt.Pause), opt.Flaws), told: "none", first: make(chan struct{}), stir: make(chan struct{}, 1), heard: make(chan struct{}, 1), leave: func() {}}
-	f.f.Reached(opt.Peer)
-	if opt.Whole {
-		f.f.TakesWhole()
+	f := &Client{opt: opt, f: accord.NewClient(boot, int64(opt.RenewInterval), opt.InjectedFaults), told: "none", first: make(chan struct{}), stir: make(chan struct{}, 1), heard: make(chan struct{}, 1), leave: func() {}}
+	f.f.SetPeerAddr(opt.PeerAddr)
+	if opt.FullVersions {
+		f.f.RequestFullVersions()
 	}
-	if opt.Record != "" {
+	if opt.RecordFile != "" {
 		var err error
-		if f.record, err = os.OpenFile(opt.Record, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600); err != nil {
+		if f.record, err = os.OpenFile(opt.RecordFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600); err != nil {
 			return nil, err
 		}
 	}
 	f.fetch = &fetcher{following: f, client: f.caller()}
 	var last []byte
-	if opt.Dir != "" {
+	if opt.CacheDir != "" {
 		var err error
-		if f.fetch.spool, last, err = openSpool(opt.Dir, opt.Gateway, opt.Log); err != nil {
+		if f.fetch.spool, last, err = openSpool(opt.CacheDir, opt.Gateway, opt.Logger); err != nil {
 			if f.record != nil {
 				f.record.Close()
 			}
 			return nil, err
 		}
 	}
-	f.fetch.hold = content.Hold(last, 0)
+	f.fetch.hold = content.NewCache(last, 0)
 	var ctx context.Context
 	ctx, f.cancel = context.WithCancel(context.Background())
 	f.done.Add(2)
@@ -115,7 +115,7 @@
 }
 
 // Close ends it.
-func (f *Following) Close() {
+func (f *Client) Close() {
 	f.cancel()
 	f.done.Wait()
 	f.fetch.spool.close()
@@ -124,77 +124,77 @@
 	}
 }
 
-// First is closed when the gateway has something to act on.
-func (f *Following) First() <-chan struct{} { return f.first }
+// Ready is closed when the gateway has something to act on.
+func (f *Client) Ready() <-chan struct{} { return f.first }
 
 // run asks as often as is due. One keeper is asked as long as it answers; who does not lead or answer is left for the next,
 // after a wait that grows and is spread, so that keepers that come back are not met by all at once.
-func (f *Following) run(ctx context.Context) {
+func (f *Client) run(ctx context.Context) {
 	chance := rand.New(rand.NewPCG(f.opt.Seed, 7))
-	within := f.opt.Pause
+	within := f.opt.RenewInterval
 	client := f.fetch.client
-	least := f.opt.Pause / 16
+	least := f.opt.RenewInterval / 16
 	wait := least
-	f.which.Store(int64(chance.IntN(len(f.opt.Keepers))))
+	f.which.Store(int64(chance.IntN(len(f.opt.Replicas))))
 	var seen *rules.Version
 	for ctx.Err() == nil {
 		f.lock.Lock()
-		at := f.f.Due(f.opt.Now())
+		at := f.f.NextRequestAt(f.opt.Now())
 		f.lock.Unlock()
 		if !f.rest(ctx, time.Duration(at-f.opt.Now())) {
 			return
 		}
 		f.lock.Lock()
-		a := f.f.Ask(f.opt.Now())
+		a := f.f.NextRequest(f.opt.Now())
 		f.lock.Unlock()
-		g := &accord.Grant{}
+		g := &accord.RenewResponse{}
 		each, end := context.WithTimeout(ctx, within)
-		err := client.One(each, f.keeper(), http.MethodPost, "/renew", a, g)
+		err := client.Call(each, f.keeper(), http.MethodPost, "/renew", a, g)
 		end()
 		if err == nil {
 			f.fetch.complete(ctx, g)
 			f.lock.Lock()
-			f.f.Heard(f.opt.Now(), g)
+			f.f.HandleResponse(f.opt.Now(), g)
 			f.calm.Store(0)
-			effect := f.f.At(f.opt.Now())
-			lines, members := f.f.Log(), f.f.Members()
-			newest, content := f.f.Newest()
+			effect := f.f.Effective(f.opt.Now())
+			lines, members := f.f.TakeLogLines(), f.f.TakeMembership()
+			newest, content := f.f.LatestVersion()
 			f.lock.Unlock()
 			f.prepare(effect)
 			stirred(f.heard)
-			if members != nil && f.opt.Members != nil {
-				f.opt.Members(members)
+			if members != nil && f.opt.OnMembership != nil {
+				f.opt.OnMembership(members)
 			}
 			f.say(lines)
-			f.opt.Wake()
-			if newest != seen && f.opt.Differs != nil {
+			f.opt.OnChange()
+			if newest != seen && f.opt.LocalConflicts != nil {
 				seen = newest
-				for _, line := range f.opt.Differs(content) {
-					f.opt.Log.Warn("version "+newest.Name()+" counts, and the gateway's own configuration contradicts it", "gateway", f.opt.Gateway, "in", line)
+				for _, line := range f.opt.LocalConflicts(content) {
+					f.opt.Logger.Warn("version "+newest.Name()+" counts, and the gateway's own configuration contradicts it", "gateway", f.opt.Gateway, "in", line)
 				}
 			}
-			if g.Lease > 0 {
+			if g.LeaseDuration > 0 {
 				wait = least
 				continue
 			}
 		} else {
-			client.HTTP.CloseIdleConnections()
+			client.HTTPClient.CloseIdleConnections()
 			f.which.Add(1)
 			f.lock.Lock()
 			f.leave() // news is waited for at the next one too
 			f.lock.Unlock()
-			f.opt.Log.Debug("a keeper gives no lease", "gateway", f.opt.Gateway, "why", err)
+			f.opt.Logger.Debug("a keeper gives no lease", "gateway", f.opt.Gateway, "why", err)
 		}
 		if !f.sleep(ctx, time.Duration((0.5+chance.Float64())*float64(wait))) {
 			return
 		}
-		wait = min(2*wait, f.opt.Pause)
+		wait = min(2*wait, f.opt.RenewInterval)
 	}
 }
 
 // keeper is the one that is asked.
-func (f *Following) keeper() string {
-	return f.opt.Keepers[f.which.Load()%int64(len(f.opt.Keepers))]
+func (f *Client) keeper() string {
+	return f.opt.Replicas[f.which.Load()%int64(len(f.opt.Replicas))]
 }
 
 // newsHold is for how long a keeper may have this gateway wait for news. Nothing hangs on hearing of it in time.
@@ -202,30 +202,30 @@
 
 // watch waits at the keeper that is asked for news, so that leases alone have to be asked for. A call that breaks, falls silent or is
 // refused has the gateway ask as often as without.
-func (f *Following) watch(ctx context.Context) {
+func (f *Client) watch(ctx context.Context) {
 	client := f.caller()
 	chance := rand.New(rand.NewPCG(f.opt.Seed, 11))
 	for ctx.Err() == nil {
 		f.lock.Lock()
-		term, inForce, announced := f.f.Known()
+		term, inForce, announced := f.f.KnownState()
 		f.lock.Unlock()
 		news := false
 		if term > 0 {
-			each, end := context.WithTimeout(ctx, newsHold+f.opt.Pause)
+			each, end := context.WithTimeout(ctx, newsHold+f.opt.RenewInterval)
 			f.lock.Lock()
 			f.leave = end
-			f.f.Watched(true)
+			f.f.SetWatching(true)
 			f.lock.Unlock()
-			err := client.One(each, f.keeper(), http.MethodGet, fmt.Sprintf("/news?term=%d&in_force=%d&announced=%d&hold_ms=%d", term, inForce, announced,
+			err := client.Call(each, f.keeper(), http.MethodGet, fmt.Sprintf("/news?term=%d&in_force=%d&announced=%d&hold_ms=%d", term, inForce, announced,
 				newsHold.Milliseconds()), nil, &news)
 			end()
 			if err != nil {
-				client.HTTP.CloseIdleConnections()
+				client.HTTPClient.CloseIdleConnections()
 			}
 			f.lock.Lock()
-			f.f.Watched(err == nil)
+			f.f.SetWatching(err == nil)
 			if err != nil || news {
-				f.f.News()
+				f.f.RequestNow()
 			}
 			f.lock.Unlock()
 			if news || err != nil {
@@ -242,7 +242,7 @@
 		select { // what is news has to be asked for before it is known
 		case <-ctx.Done():
 		case <-f.heard:
-		case <-time.After(time.Duration((0.5 + chance.Float64()) * float64(f.opt.Pause))):
+		case <-time.After(time.Duration((0.5 + chance.Float64()) * float64(f.opt.RenewInterval))):
 		}
 	}
 }
@@ -256,7 +256,7 @@
 }
 
 // rest sleeps until something is due, or news comes.
-func (f *Following) rest(ctx context.Context, d time.Duration) bool {
+func (f *Client) rest(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
 	}
@@ -271,7 +271,7 @@
 	return true
 }
 
-func (f *Following) sleep(ctx context.Context, d time.Duration) bool {
+func (f *Client) sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
 	}
@@ -285,23 +285,23 @@
 	}
 }
 
-func (f *Following) say(lines []string) {
+func (f *Client) say(lines []string) {
 	for _, line := range lines {
-		f.opt.Log.Info(line, "gateway", f.opt.Gateway)
+		f.opt.Logger.Info(line, "gateway", f.opt.Gateway)
 	}
 }
 
 // At is called by the loop with the time that it has read, before it decides: the list and the terms to tell the module where
 // they have changed, nil where not, and when to ask again at the latest, 0 for no need.
-func (f *Following) At(now int64) (*gateway.Acts, int64) {
+func (f *Client) At(now int64) (*gateway.ActiveConfig, int64) {
 	if until := f.calm.Load(); now < until {
 		return nil, until
 	}
 	f.lock.Lock()
 	ends := f.until
-	effect := f.f.At(now)
-	name, until, lines := f.f.Name(), f.f.Until(), f.f.Log()
-	holds, floor := f.f.Holds()
+	effect := f.f.Effective(now)
+	name, until, lines := f.f.EffectiveName(), f.f.ValidUntil(), f.f.TakeLogLines()
+	holds, floor := f.f.HeldVersions()
 	changed := name != f.told
 	f.told, f.until = name, until
 	f.calm.Store(until)
@@ -324,10 +324,10 @@
 		}
 		fmt.Fprintf(f.record, "%d %v %v\n", t.Nano()-since, floor, holds)
 	}
-	acts, nodes := &gateway.Acts{}, []listing.Node(nil)
+	acts, nodes := &gateway.ActiveConfig{}, []listing.Node(nil)
 	if effect != nil {
 		nodes = f.list(effect)
-		acts.List, acts.Terms = change(f.nodes, nodes), effect.Terms(f.opt.Own)
+		acts.List, acts.Settings = change(f.nodes, nodes), effect.Settings(f.opt.LocalSettings)
 		select {
 		case <-f.first:
 		default:
@@ -339,8 +339,8 @@
 }
 
 // Status is how the gateway stands with the keepers: its state, and what it acts on.
-func (f *Following) Status() (state, acts string) {
+func (f *Client) Status() (state, acts string) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	return f.f.State().String(), f.f.Name()
+	return f.f.State().String(), f.f.EffectiveName()
 }
--- a/internal/fleet/follow/golden_test.go
+++ b/internal/fleet/follow/golden_test.go
@@ -145,8 +145,8 @@
 	if err := os.CopyFS(dir, os.DirFS(filepath.Join("testdata", "spool"))); err != nil {
 		t.Fatal(err)
 	}
-	f, err := Start(Options{Gateway: "g", Who: "g/1.2", Peer: "10.0.0.5:7200", Keepers: []string{strings.TrimPrefix(server.URL, "http://")}, Dir: dir,
-		Record: record, Pause: 100 * time.Millisecond, Now: func() int64 { return time.Now().UnixNano() }, Wake: func() {}, Log: slog.New(slog.DiscardHandler)})
+	f, err := Start(Options{Gateway: "g", Holder: "g/1.2", PeerAddr: "10.0.0.5:7200", Replicas: []string{strings.TrimPrefix(server.URL, "http://")}, CacheDir: dir,
+		RecordFile: record, RenewInterval: 100 * time.Millisecond, Now: func() int64 { return time.Now().UnixNano() }, OnChange: func() {}, Logger: slog.New(slog.DiscardHandler)})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleet/follow/killed_test.go
+++ b/internal/fleet/follow/killed_test.go
@@ -116,22 +116,22 @@
 					return
 				default:
 				}
-				c := &keep.Client{Keepers: addrs, Within: 2 * time.Second}
+				c := &keep.Client{Replicas: addrs, Timeout: 2 * time.Second}
 				call := time.Since(began)
 				s, err := c.Status()
 				if err != nil {
 					continue
 				}
 				look := operation{reads: true, number: s.Announced}
-				if s.Newest != nil {
-					look.digest = s.Newest.Digest
+				if s.Latest != nil {
+					look.digest = s.Latest.Digest
 				}
 				note(call, look)
 				b := numbered(10*n + who)
 				call = time.Since(began)
-				v, err := c.Propose(&accord.Proposal{ID: fmt.Sprint(who, " ", n), Parent: s.Announced, Over: true, Rules: b})
-				o := operation{parent: s.Announced, digest: rules.Sum(b), known: err == nil}
-				var refused *keep.RefusedError
+				v, err := c.Propose(&accord.Proposal{ID: fmt.Sprint(who, " ", n), Parent: s.Announced, ReplacePending: true, Content: b})
+				o := operation{parent: s.Announced, digest: rules.DigestOf(b), known: err == nil}
+				var refused *keep.RejectedError
 				if errors.As(err, &refused) {
 					o.known, o.refused = true, true
 				}
@@ -185,13 +185,13 @@
 // with room again it has all that was acknowledged.
 func TestKeeperWithAFullDisk(t *testing.T) {
 	addrs, list := processes(t, "IRISPOST_TEST_DISK=200000")
-	c := &keep.Client{Keepers: addrs, Within: 30 * time.Second}
+	c := &keep.Client{Replicas: addrs, Timeout: 30 * time.Second}
 	ended := make(chan struct{})
 	go func() { list[0].Wait(); close(ended) }()
 	var digests []string
 	propose := func() {
 		n := len(digests)
-		v, err := c.Propose(&accord.Proposal{ID: fmt.Sprint(n), Parent: uint64(n), Over: true, Rules: numbered(n + 1)})
+		v, err := c.Propose(&accord.Proposal{ID: fmt.Sprint(n), Parent: uint64(n), ReplacePending: true, Content: numbered(n + 1)})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/fleet/follow/size_test.go
+++ b/internal/fleet/follow/size_test.go
@@ -25,12 +25,12 @@
 // TestMain has the test's own binary be a keeper where it is started as one.
 func TestMain(m *testing.M) {
 	if args := strings.Fields(os.Getenv("IRISPOST_TEST_KEEPER")); len(args) > 0 {
-		o := keep.Options{Peers: map[uint64]string{}, Dir: args[1], Terms: accord.Terms{Lease: 2e9, Drift: 0.01}, Log: slog.New(slog.NewTextHandler(io.Discard, nil))}
-		o.Number, _ = strconv.ParseUint(args[0], 10, 64)
+		o := keep.Options{Peers: map[uint64]string{}, Dir: args[1], LeaseSettings: accord.Settings{LeaseDuration: 2e9, MaxClockDrift: 0.01}, Logger: slog.New(slog.NewTextHandler(io.Discard, nil))}
+		o.ID, _ = strconv.ParseUint(args[0], 10, 64)
 		for i, addr := range args[2:] {
 			o.Peers[uint64(i+1)] = addr
 		}
-		o.Listen = o.Peers[o.Number]
+		o.Listen = o.Peers[o.ID]
 		if limit, err := strconv.ParseUint(os.Getenv("IRISPOST_TEST_DISK"), 10, 64); err == nil { // no file grows past it, as on a full disk
 			signal.Ignore(unix.SIGXFSZ)
 			if err := unix.Setrlimit(unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: limit, Max: limit}); err != nil {
@@ -47,7 +47,7 @@
 			os.Exit(1)
 		}
 		fmt.Println("serves")
-		<-k.Ended()
+		<-k.Done()
 		fmt.Println(k.Err())
 		os.Exit(3)
 	}
@@ -88,8 +88,8 @@
 }
 
 func numbered(n int) []byte {
-	r := &rules.Rules{Needs: 1, Shards: 100, Mean: 1, Plans: map[string]rules.Plan{"gold": {Weight: 1, Limit: float64(n)}}, Sending: rules.Sending{Most: 1},
-		Products: map[string]rules.Product{}, Nodes: map[string]rules.Node{}}
+	r := &rules.Config{RequiredFormat: 1, Shards: 100, MeanRequestUnits: 1, ServiceLevels: map[string]rules.ServiceLevel{"gold": {Weight: 1, RateLimit: float64(n)}}, Dispatch: rules.DispatchPolicy{MaxAttempts: 1},
+		RequestClasses: map[string]rules.RequestClass{}, Nodes: map[string]rules.Node{}}
 	for i := range 100 {
 		r.Nodes[fmt.Sprintf("10.0.0.%d:7000", i)] = rules.Node{Shard: i, Zone: "a"}
 	}
--- a/internal/fleet/follow/told.go
+++ b/internal/fleet/follow/told.go
@@ -7,20 +7,20 @@
 
 // listed is rules with the list of nodes that they come to, by address.
 type listed struct {
-	of    *rules.Rules
+	of    *rules.Config
 	nodes []listing.Node
 }
 
 // list is the list of what is acted on. It has been made before the loop asks for it, unless only a floor counts since.
-func (f *Following) list(effect *rules.Rules) []listing.Node {
+func (f *Client) list(effect *rules.Config) []listing.Node {
 	if l := f.made.Load(); l != nil && l.of == effect {
 		return l.nodes
 	}
-	return effect.List("").Nodes
+	return effect.EndpointList("").Nodes
 }
 
 // prepare makes the list of what is acted on, outside of the loop.
-func (f *Following) prepare(effect *rules.Rules) {
+func (f *Client) prepare(effect *rules.Config) {
 	if effect != nil {
 		f.made.Store(&listed{effect, f.list(effect)})
 	}
@@ -33,7 +33,7 @@
 	if before == nil {
 		return whole
 	}
-	part := listing.List{Part: true}
+	part := listing.List{Partial: true}
 	for len(now) > 0 {
 		switch {
 		case len(before) == 0 || now[0].Addr < before[0].Addr:
@@ -42,7 +42,7 @@
 			return whole
 		default:
 			if now[0] != before[0] {
-				if now[0].Standing == listing.Gone {
+				if now[0].Health == listing.Removed {
 					return whole
 				}
 				part.Nodes = append(part.Nodes, now[0])
--- a/internal/fleet/follow/told_test.go
+++ b/internal/fleet/follow/told_test.go
@@ -22,15 +22,15 @@
 			now := []listing.Node{}
 			for _, addr := range []string{"a", "b", "c", "d", "e"} {
 				if rapid.IntRange(0, 3).Draw(t, addr) > 0 {
-					now = append(now, listing.Node{Addr: addr, Born: rapid.Int64Range(0, 1).Draw(t, "born"), Standing: listing.Standing(rapid.IntRange(0, 2).Draw(t, "standing"))})
+					now = append(now, listing.Node{Addr: addr, StartedAt: rapid.Int64Range(0, 1).Draw(t, "born"), Health: listing.Health(rapid.IntRange(0, 2).Draw(t, "standing"))})
 				}
 			}
 			l := change(told, now)
-			if told = now; !l.Part {
+			if told = now; !l.Partial {
 				clear(known)
 			} else if slices.ContainsFunc(now, func(n listing.Node) bool {
 				was, there := known[n.Addr]
-				return n.Standing == listing.Gone && there && was.Standing != listing.Gone
+				return n.Health == listing.Removed && there && was.Health != listing.Removed
 			}) {
 				t.Fatalf("a node is gone, and its connections stay: %+v", l)
 			}
@@ -40,7 +40,7 @@
 			if got := slices.SortedFunc(maps.Values(known), func(a, b listing.Node) int { return int(a.Addr[0]) - int(b.Addr[0]) }); !slices.Equal(got, now) {
 				t.Fatalf("known is %v, not %v", got, now)
 			}
-			if again := change(now, now); !again.Part || len(again.Nodes) > 0 {
+			if again := change(now, now); !again.Partial || len(again.Nodes) > 0 {
 				t.Fatalf("nothing has changed: %+v", again)
 			}
 		}
--- a/internal/fleet/keep/client.go
+++ b/internal/fleet/keep/client.go
@@ -18,18 +18,18 @@
 
 // Client speaks to keepers, whichever leads.
 type Client struct {
-	Keepers []string // addresses
-	Within  time.Duration
-	HTTP    *http.Client // nil: the default
+	Replicas   []string // addresses
+	Timeout    time.Duration
+	HTTPClient *http.Client // nil: the default
 }
 
-// RefusedError is a keeper's answer that stands: asking another helps nothing.
-type RefusedError struct{ Text string }
+// RejectedError is a keeper's answer that stands: asking another helps nothing.
+type RejectedError struct{ Message string }
 
-func (e *RefusedError) Error() string { return e.Text }
+func (e *RejectedError) Error() string { return e.Message }
 
-// One asks one keeper once.
-func (c *Client) One(ctx context.Context, keeper, method, path string, body, into any) error {
+// Call asks one keeper once.
+func (c *Client) Call(ctx context.Context, keeper, method, path string, body, into any) error {
 	var sent io.Reader
 	if body != nil {
 		b, err := json.Marshal(body)
@@ -56,29 +56,29 @@
 	case http.StatusOK:
 		return json.Unmarshal(text, into)
 	case http.StatusConflict, http.StatusBadRequest:
-		return &RefusedError{strings.TrimSpace(string(text))}
+		return &RejectedError{strings.TrimSpace(string(text))}
 	}
 	return fmt.Errorf("keeper %s: %s", keeper, strings.TrimSpace(string(text)))
 }
 
 func (c *Client) http() *http.Client {
-	if c.HTTP == nil {
+	if c.HTTPClient == nil {
 		return http.DefaultClient
 	}
-	return c.HTTP
+	return c.HTTPClient
 }
 
 // ask asks all in turn until one that leads answers.
 func (c *Client) ask(method, path string, body, into any) error {
-	ctx, cancel := context.WithTimeout(context.Background(), c.Within)
+	ctx, cancel := context.WithTimeout(context.Background(), c.Timeout)
 	defer cancel()
 	var last error
 	for ctx.Err() == nil {
-		for _, k := range c.Keepers {
-			each, end := context.WithTimeout(ctx, max(c.Within/4, time.Second))
-			err := c.One(each, k, method, path, body, into)
+		for _, k := range c.Replicas {
+			each, end := context.WithTimeout(ctx, max(c.Timeout/4, time.Second))
+			err := c.Call(each, k, method, path, body, into)
 			end()
-			var refused *RefusedError
+			var refused *RejectedError
 			if err == nil || errors.As(err, &refused) {
 				return err
 			}
@@ -91,7 +91,7 @@
 		case <-time.After(50 * time.Millisecond):
 		}
 	}
-	return fmt.Errorf("no keeper answers as the leading one within %v, the last word: %w", c.Within, last)
+	return fmt.Errorf("no keeper answers as the leading one within %v, the last word: %w", c.Timeout, last)
 }
 
 // Status asks how the fleet stands.
--- a/internal/fleet/keep/content.go
+++ b/internal/fleet/keep/content.go
@@ -36,17 +36,17 @@
 // contents hands out versions' contents by digest. Any keeper does, whether it leads or not: what has a digest is never another. None of it
 // is the keeper's goroutine's, but for the first look at a digest.
 type contents struct {
-	keeper *Keeper
+	keeper *Replica
 	lock   sync.Mutex
-	shelf  *content.Shelf
+	shelf  *content.DeltaCache
 	flight singleflight.Group
 	making chan struct{}
 	places chan struct{}
 	made   int // codings, so far
 }
 
-func newContents(k *Keeper) *contents {
-	return &contents{keeper: k, shelf: content.NewShelf(), making: make(chan struct{}, madeAtOnce), places: make(chan struct{}, writtenAtOnce)}
+func newContents(k *Replica) *contents {
+	return &contents{keeper: k, shelf: content.NewDeltaCache(), making: make(chan struct{}, madeAtOnce), places: make(chan struct{}, writtenAtOnce)}
 }
 
 // find is a content by its digest; false: this keeper does not have it, or no more, or not yet.
@@ -66,19 +66,19 @@
 		ctx, cancel := context.WithTimeout(context.Background(), patience)
 		defer cancel()
 		to := make(chan *rules.Version, 1)
-		c.keeper.do(ctx, func() { to <- c.keeper.ledger.Content(digest) })
+		c.keeper.do(ctx, func() { to <- c.keeper.ledger.VersionByDigest(digest) })
 		select {
 		case v := <-to:
-			if v == nil || len(v.Rules) == 0 {
-				return nil, ErrNoContent
+			if v == nil || len(v.Content) == 0 {
+				return nil, ErrContentNotFound
 			}
 			c.lock.Lock()
 			defer c.lock.Unlock()
-			return c.shelf.Add(digest, v.Rules), nil
+			return c.shelf.AddContent(digest, v.Content), nil
 		case <-ctx.Done():
 		case <-c.keeper.ended:
 		}
-		return nil, ErrNoContent
+		return nil, ErrContentNotFound
 	})
 	if err != nil {
 		return content.Content{}, false
@@ -87,11 +87,11 @@
 }
 
 // coded is a content as a delta, or whole, made once for all who ask.
-func (c *contents) coded(p content.Pair, base, bytes []byte) ([]byte, error) {
+func (c *contents) coded(p content.DeltaKey, base, bytes []byte) ([]byte, error) {
 	look := func() ([]byte, bool) {
 		c.lock.Lock()
 		defer c.lock.Unlock()
-		return c.shelf.Coded(p)
+		return c.shelf.Encoded(p)
 	}
 	if b, there := look(); there {
 		return b, nil
@@ -106,7 +106,7 @@
 		if err == nil {
 			c.lock.Lock()
 			defer c.lock.Unlock()
-			c.shelf.Put(p, b)
+			c.shelf.AddEncoded(p, b)
 			c.made++
 		}
 		return b, err
@@ -126,22 +126,22 @@
 		return
 	}
 	accepts := func(coding string) bool { return strings.Contains(r.Header.Get("Accept-Encoding"), coding) }
-	if !accepts(content.Whole) {
+	if !accepts(content.EncodingZstd) {
 		c.write(w, r, "", found.Bytes)
 		return
 	}
-	p := content.Pair{Digest: found.Digest}
+	p := content.DeltaKey{Digest: found.Digest}
 	var base content.Content
-	if sum, err := baseSum(r.Header.Get(headBase)); err == nil && accepts(content.Delta) {
+	if sum, err := baseSum(r.Header.Get(headBase)); err == nil && accepts(content.EncodingDelta) {
 		if base, there = c.find(strings.Trim(r.Header.Get(headID), `"`)); there {
 			c.lock.Lock()
-			p = c.shelf.Pair(found.Digest, base.Digest, sum)
+			p = c.shelf.KeyFor(found.Digest, base.Digest, sum)
 			c.lock.Unlock()
 		}
 	}
-	coding := content.Delta
+	coding := content.EncodingDelta
 	if p.Base == "" {
-		coding, base.Bytes = content.Whole, nil
+		coding, base.Bytes = content.EncodingZstd, nil
 	}
 	b, err := c.coded(p, base.Bytes, found.Bytes)
 	if err != nil {
@@ -192,20 +192,20 @@
 	w.Header()["Date"], w.Header()["Content-Type"] = nil, nil
 }
 
-// ErrNoContent tells that a keeper does not have a content.
-var ErrNoContent = errors.New("this keeper does not have the content")
+// ErrContentNotFound tells that a keeper does not have a content.
+var ErrContentNotFound = errors.New("this keeper does not have the content")
 
-// Content asks one keeper for a content, or a delta from the base that the request names. It is not checked.
-func (c *Client) Content(ctx context.Context, keeper string, r content.Request) (coding string, coded []byte, err error) {
+// FetchContent asks one keeper for a content, or a delta from the base that the request names. It is not checked.
+func (c *Client) FetchContent(ctx context.Context, keeper string, r content.Request) (coding string, coded []byte, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, (&url.URL{Scheme: "http", Host: keeper}).String()+"/content/"+r.Digest, nil)
 	if err != nil {
 		return "", nil, err
 	}
 	req.Header.Set("User-Agent", "")
-	req.Header.Set("Accept-Encoding", content.Whole)
+	req.Header.Set("Accept-Encoding", content.EncodingZstd)
 	if r.Base != "" {
-		sum := r.Sum()
-		req.Header.Set("Accept-Encoding", content.Delta+", "+content.Whole)
+		sum := r.BaseHash()
+		req.Header.Set("Accept-Encoding", content.EncodingDelta+", "+content.EncodingZstd)
 		req.Header.Set(headBase, ":"+base64.StdEncoding.EncodeToString(sum[:])+":")
 		req.Header.Set(headID, `"`+r.Base+`"`)
 	}
@@ -214,13 +214,13 @@
 		return "", nil, err
 	}
 	defer a.Body.Close()
-	const most = rules.Most + rules.Most/64 // what cannot be made smaller grows by a little
+	const most = rules.MaxContentBytes + rules.MaxContentBytes/64 // what cannot be made smaller grows by a little
 	coded, err = io.ReadAll(io.LimitReader(a.Body, most+1))
 	switch {
 	case err != nil:
 		return "", nil, err
 	case a.StatusCode == http.StatusNotFound:
-		return "", nil, ErrNoContent
+		return "", nil, ErrContentNotFound
 	case a.StatusCode != http.StatusOK:
 		return "", nil, fmt.Errorf("keeper %s: %s", keeper, a.Status)
 	case len(coded) > most:
--- a/internal/fleet/keep/content_test.go
+++ b/internal/fleet/keep/content_test.go
@@ -22,10 +22,10 @@
 
 // wide is a version of so many nodes; the n-th differs.
 func wide(nodes, n int) []byte {
-	r, _ := rules.Read(some(1))
+	r, _ := rules.Parse(some(1))
 	r.Shards = nodes
 	for i := range nodes {
-		r.Nodes[fmt.Sprintf("10.0.%d.%d:7000", i/250, i%250)] = rules.Node{Shard: i, Zone: "a", Born: int64(i)*7919 + int64(i/(n+1))}
+		r.Nodes[fmt.Sprintf("10.0.%d.%d:7000", i/250, i%250)] = rules.Node{Shard: i, Zone: "a", StartedAt: int64(i)*7919 + int64(i/(n+1))}
 	}
 	return r.Canonical()
 }
@@ -33,7 +33,7 @@
 // propose has a version announced; over whatever is.
 func propose(t *testing.T, c *Client, n uint64, b []byte) *rules.Version {
 	t.Helper()
-	v, err := c.Propose(&accord.Proposal{ID: fmt.Sprint(n), Parent: n - 1, Over: true, Rules: b})
+	v, err := c.Propose(&accord.Proposal{ID: fmt.Sprint(n), Parent: n - 1, ReplacePending: true, Content: b})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -41,16 +41,16 @@
 }
 
 // get fetches until a keeper has a content: it may lag.
-func get(t *testing.T, addr string, h *content.Holding, digest string) (r content.Request, coding string, coded []byte) {
+func get(t *testing.T, addr string, h *content.Cache, digest string) (r content.Request, coding string, coded []byte) {
 	t.Helper()
 	c := &Client{}
 	for deadline := time.Now().Add(time.Minute); ; time.Sleep(5 * time.Millisecond) {
-		r = h.Fetch(digest, 1).Next()
-		coding, coded, err := c.Content(context.Background(), addr, r)
+		r = h.Fetch(digest, 1).NextRequest()
+		coding, coded, err := c.FetchContent(context.Background(), addr, r)
 		if err == nil {
 			return r, coding, coded
 		}
-		if !errors.Is(err, ErrNoContent) || time.Now().After(deadline) {
+		if !errors.Is(err, ErrContentNotFound) || time.Now().After(deadline) {
 			t.Fatal(err)
 		}
 	}
@@ -70,11 +70,11 @@
 		for name, o := range map[string]struct {
 			base []byte
 			want string
-		}{"the one before": {two, content.Delta}, "one taken back": {one, content.Delta}, "of another fleet": {wide(300, 9), content.Whole}, "none": {nil, content.Whole}} {
-			hold := content.Hold(o.base, 0)
+		}{"the one before": {two, content.EncodingDelta}, "one taken back": {one, content.EncodingDelta}, "of another fleet": {wide(300, 9), content.EncodingZstd}, "none": {nil, content.EncodingZstd}} {
+			hold := content.NewCache(o.base, 0)
 			r, coding, coded := get(t, addr, hold, last.Digest)
 			f := hold.Fetch(last.Digest, 1)
-			if err := f.Answered(r, coding, coded); err != nil || coding != o.want || !bytes.Equal(hold.Content(last.Digest), three) {
+			if err := f.HandleResponse(r, coding, coded); err != nil || coding != o.want || !bytes.Equal(hold.Content(last.Digest), three) {
 				t.Errorf("keeper %d, base %s: %q of %d bytes, %v", id, name, coding, len(coded), err)
 			}
 		}
@@ -95,7 +95,7 @@
 			t.Errorf("for who takes no coding: %d, %q, %d bytes", code, coding, len(b))
 		}
 		for _, sum := range []string{"", "x", ":eA==:", ":" + strings.Repeat("A", 43) + "=:"} { // the base's name, and not its sum
-			if code, coding, _ := ask(last.Digest, map[string]string{"Accept-Encoding": "dcz, zstd", headBase: sum, headID: `"` + first.Digest + `"`}); code != 200 || coding != content.Whole {
+			if code, coding, _ := ask(last.Digest, map[string]string{"Accept-Encoding": "dcz, zstd", headBase: sum, headID: `"` + first.Digest + `"`}); code != 200 || coding != content.EncodingZstd {
 				t.Errorf("base %q: %d, %q", sum, code, coding)
 			}
 		}
@@ -114,7 +114,7 @@
 	one, two := wide(300, 1), wide(300, 2)
 	propose(t, h.client(), 1, one)
 	last := propose(t, h.client(), 2, two)
-	hold := content.Hold(one, 0)
+	hold := content.NewCache(one, 0)
 	get(t, h.peers[1], hold, last.Digest)
 	k := h.up[1]
 	done := make(chan struct{})
@@ -130,15 +130,15 @@
 	defer again.Close()
 	req, _ := http.NewRequest(http.MethodGet, again.URL+"/again/"+last.Digest, nil)
 	req.Header.Set("Accept-Encoding", "dcz, zstd")
-	req.Header.Set(headID, `"`+rules.Sum(one)+`"`)
+	req.Header.Set(headID, `"`+rules.DigestOf(one)+`"`)
 	a, err := http.DefaultClient.Do(req)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer a.Body.Close()
 	coded, _ := io.ReadAll(a.Body)
-	b, err := delta.Decode(nil, coded, rules.Most)
-	if a.Header.Get("Content-Encoding") != content.Whole || err != nil || !bytes.Equal(b, two) {
+	b, err := delta.Decode(nil, coded, rules.MaxContentBytes)
+	if a.Header.Get("Content-Encoding") != content.EncodingZstd || err != nil || !bytes.Equal(b, two) {
 		t.Errorf("%q, %v", a.Header.Get("Content-Encoding"), err)
 	}
 }
@@ -150,9 +150,9 @@
 	h.must(1, 2, 3)
 	v := propose(t, h.client(), 1, wide(1800, 1))
 	k := h.up[1]
-	get(t, h.peers[1], content.Hold(nil, 0), v.Digest)
+	get(t, h.peers[1], content.NewCache(nil, 0), v.Digest)
 	contents := newContents(k) // its own, so that what it has coded is counted
-	contents.shelf.Add("large", make([]byte, 12<<20))
+	contents.shelf.AddContent("large", make([]byte, 12<<20))
 	mux := http.NewServeMux()
 	mux.Handle("GET /content/{digest}", contents)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -181,12 +181,12 @@
 		done.Add(1)
 		go func() {
 			defer done.Done()
-			h := content.Hold(nil, 0)
+			h := content.NewCache(nil, 0)
 			f := h.Fetch(v.Digest, 1)
-			r := f.Next()
-			coding, coded, err := (&Client{}).Content(context.Background(), l.Addr().String(), r)
+			r := f.NextRequest()
+			coding, coded, err := (&Client{}).FetchContent(context.Background(), l.Addr().String(), r)
 			if err == nil {
-				err = f.Answered(r, coding, coded)
+				err = f.HandleResponse(r, coding, coded)
 			}
 			if err != nil {
 				errs <- err
@@ -211,14 +211,14 @@
 	h := newHome(t)
 	h.must(1, 2, 3)
 	c := h.client()
-	c.Within = 4 * time.Minute
-	_, err := c.Propose(&accord.Proposal{ID: "a", Rules: make([]byte, rules.Most+1)})
-	var refused *RefusedError
-	if !errors.As(err, &refused) || refused.Text != "the rules are 16777217 bytes, and a version has 16777216 at most" {
+	c.Timeout = 4 * time.Minute
+	_, err := c.Propose(&accord.Proposal{ID: "a", Content: make([]byte, rules.MaxContentBytes+1)})
+	var refused *RejectedError
+	if !errors.As(err, &refused) || refused.Message != "the rules are 16777217 bytes, and a version has 16777216 at most" {
 		t.Errorf("%v", err)
 	}
 	short := []byte(`{"needs":1,"shards":1,"plans":{"p":{"weight":1}},"sending":{"most":1},"nodes":{"a":{}}}`)
-	r, err := rules.Read(short)
+	r, err := rules.Parse(short)
 	if err != nil || proposedSize(short) != len(r.Canonical()) || proposedSize(short) <= len(short) {
 		t.Errorf("%d bytes of %d, %v", proposedSize(short), len(short), err)
 	}
--- a/internal/fleet/keep/form.go
+++ b/internal/fleet/keep/form.go
@@ -19,7 +19,7 @@
 const formHeader = "Irispost-Form"
 
 // formed has all answers say the form.
-func (k *Keeper) formed(h http.Handler) http.Handler {
+func (k *Replica) formed(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if k.opt.form > 1 {
 			w.Header().Set(formHeader, strconv.Itoa(k.opt.form))
@@ -40,7 +40,7 @@
 }
 
 // reads notes which form another keeper reads.
-func (k *Keeper) reads(id uint64, form int) {
+func (k *Replica) reads(id uint64, form int) {
 	if k.forms[id] != form {
 		k.forms[id] = form
 		k.log.Info("a keeper reads entries", "of", id, "form", max(form, 1))
@@ -48,12 +48,12 @@
 }
 
 // form is the one in which entries are written now.
-func (k *Keeper) form() int {
-	if k.ledger.Form >= 2 {
-		return k.ledger.Form
+func (k *Replica) form() int {
+	if k.ledger.Format >= 2 {
+		return k.ledger.Format
 	}
 	for _, id := range slices.Concat(k.conf.GetVoters(), k.conf.GetVotersOutgoing()) {
-		if id != k.opt.Number && k.forms[id] < 2 {
+		if id != k.opt.ID && k.forms[id] < 2 {
 			return 1
 		}
 	}
@@ -61,12 +61,12 @@
 }
 
 // propose puts a proposal into the log; to hears what became of it.
-func (k *Keeper) propose(p *accord.Proposal, to chan result) {
-	if k.warden == nil || k.ledger.Terms.Lease == 0 {
-		to <- result{err: ErrNotLeading}
+func (k *Replica) propose(p *accord.Proposal, to chan result) {
+	if k.warden == nil || k.ledger.Settings.LeaseDuration == 0 {
+		to <- result{err: ErrNotLeader}
 		return
 	}
-	if err := p.Check(); err != nil {
+	if err := p.Validate(); err != nil {
 		to <- result{err: err}
 		return
 	}
@@ -75,8 +75,8 @@
 }
 
 // put hands a command to the log. Whether it gets there shows later.
-func (k *Keeper) put(c *accord.Command) {
-	b, err := c.Entry(k.form(), k.ledger)
+func (k *Replica) put(c *accord.Command) {
+	b, err := c.EncodeEntry(k.form(), k.ledger)
 	if err != nil {
 		k.log.Error("a command cannot be written", "why", err)
 		return
@@ -87,11 +87,11 @@
 }
 
 // readEntry reads an entry of the log.
-func (k *Keeper) readEntry(index uint64, b []byte) (c *accord.Command, err error) {
+func (k *Replica) readEntry(index uint64, b []byte) (c *accord.Command, err error) {
 	if k.opt.form < 2 && b[0] != '{' {
 		err = errors.New("it is no JSON")
 	} else {
-		c, err = accord.ReadEntry(b)
+		c, err = accord.DecodeEntry(b)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("entry %d of the log cannot be read, a newer keeper may have written it: %w", index, err)
--- a/internal/fleet/keep/golden_test.go
+++ b/internal/fleet/keep/golden_test.go
@@ -59,10 +59,10 @@
 }
 
 // goldenReplica starts a replica under number 1 whose folder is dir.
-func goldenReplica(t *testing.T, dir string, peers map[uint64]string) *Keeper {
+func goldenReplica(t *testing.T, dir string, peers map[uint64]string) *Replica {
 	t.Helper()
-	k, err := Start(Options{Number: 1, Listen: loopback.Own() + ":0", Peers: peers, Dir: dir, Terms: accord.Terms{Lease: 6e10, Drift: 0.01}, Tick: 10 * time.Millisecond,
-		Compact: 20, Log: slog.New(slog.DiscardHandler)})
+	k, err := Start(Options{ID: 1, Listen: loopback.Own() + ":0", Peers: peers, Dir: dir, LeaseSettings: accord.Settings{LeaseDuration: 6e10, MaxClockDrift: 0.01}, TickInterval: 10 * time.Millisecond,
+		CompactionEntries: 20, Logger: slog.New(slog.DiscardHandler)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -128,19 +128,19 @@
 // Each route answers with the recorded status, headers and body, at a replica that leads and at one that does not.
 func TestRoutesMatchGolden(t *testing.T) {
 	first, second := some(1), some(2)
-	digest, next := rules.Sum(first), rules.Sum(second)
-	sum := content.Hold(first, 0).Fetch(next, 1).Next().Sum()
+	digest, next := rules.DigestOf(first), rules.DigestOf(second)
+	sum := content.NewCache(first, 0).Fetch(next, 1).NextRequest().BaseHash()
 	delta := map[string]string{"Accept-Encoding": "dcz, zstd", "Available-Dictionary": fmt.Sprintf(":%s:", base64.StdEncoding.EncodeToString(sum[:])), "Dictionary-ID": `"` + digest + `"`}
 	propose := func(p accord.Proposal) string { return jsonOf(t, p) }
 	leading := []goldenRequest{
-		{method: "POST", path: "/propose", body: propose(accord.Proposal{ID: "a", Author: "ann", Why: "first", Time: "2026-12-02T04:00:00Z", Rules: first}), until: "number"},
+		{method: "POST", path: "/propose", body: propose(accord.Proposal{ID: "a", Author: "ann", Reason: "first", CreatedAt: "2026-12-02T04:00:00Z", Content: first}), until: "number"},
 		{method: "GET", path: "/status", until: `"in_force":1`},
 		{method: "GET", path: "/metrics"},
 		{method: "POST", path: "/renew", body: `{"who":"g1/1","seq":1,"state":"following","form":1}`, until: `"lease":60000000000`},
 		{method: "POST", path: "/renew", body: `{"who":"g1/1","seq":2,"term":2,"taken":1,"holds":[1],"trouble":"cannot read it","state":"following"}`},
-		{method: "POST", path: "/propose", body: propose(accord.Proposal{ID: "b", Parent: 1, Author: "ann", Why: "second", Rules: second})},
-		{method: "POST", path: "/propose", body: propose(accord.Proposal{ID: "c", Parent: 2, Author: "ben", Rules: second})},
-		{method: "POST", path: "/propose", body: propose(accord.Proposal{ID: "d", Parent: 1, Author: "ben", Rules: second})},
+		{method: "POST", path: "/propose", body: propose(accord.Proposal{ID: "b", Parent: 1, Author: "ann", Reason: "second", Content: second})},
+		{method: "POST", path: "/propose", body: propose(accord.Proposal{ID: "c", Parent: 2, Author: "ben", Content: second})},
+		{method: "POST", path: "/propose", body: propose(accord.Proposal{ID: "d", Parent: 1, Author: "ben", Content: second})},
 		{method: "POST", path: "/propose", body: "{"},
 		{method: "GET", path: "/status"},
 		{method: "GET", path: "/metrics"},
@@ -174,7 +174,7 @@
 		{method: "GET", path: "/versions?from=1"},
 		{method: "GET", path: "/news?hold_ms=60000"},
 		{method: "POST", path: "/renew", body: `{"who":"g1/1","seq":1,"state":"following"}`},
-		{method: "POST", path: "/propose", body: propose(accord.Proposal{ID: "a", Rules: first})},
+		{method: "POST", path: "/propose", body: propose(accord.Proposal{ID: "a", Content: first})},
 		{method: "POST", path: "/voters", body: `{"remove":[2]}`},
 		{method: "GET", path: "/content/" + digest},
 		{method: "POST", path: "/raft"},
@@ -202,25 +202,25 @@
 	}{
 		{"greeting", greeting{From: 1}},
 		{"greeting", greeting{From: 1, Starts: 2, Incarnation: 3, Form: 2}},
-		{"change of voters", Voters{}},
-		{"change of voters", Voters{Add: map[uint64]string{4: "d:7000"}, Remove: []uint64{2}}},
+		{"change of voters", MembershipChange{}},
+		{"change of voters", MembershipChange{Add: map[uint64]string{4: "d:7000"}, Remove: []uint64{2}}},
 		{"identity", identity{Number: 1, Voters: []uint64{1, 2, 3}, Starts: 4}},
 		{"identity", identity{Number: 4}},
 		{"status", Status{}},
-		{"status", Status{Keeper: 1, Leader: 2, Term: 3, InForce: 4, Announced: 5, Lease: 6, Stated: 7, Voters: []uint64{1, 2, 3}, Waits: []string{"g1/1: why"},
-			Gateways: []accord.Seen{{Who: "g1/1", State: "following", Holds: []uint64{4}, Heard: 8, Lease: 9, Hangs: true, Trouble: "why"}},
-			Newest:   &rules.Version{Number: 5, Parent: 4, Digest: "abc", Author: "ann", Why: "because", Time: "now", Rules: []byte("{}")}}},
+		{"status", Status{Replica: 1, Leader: 2, Term: 3, InForce: 4, Announced: 5, LeaseMillis: 6, ConvergenceBoundMillis: 7, Voters: []uint64{1, 2, 3}, WaitingFor: []string{"g1/1: why"},
+			Gateways: []accord.GatewayStatus{{Holder: "g1/1", State: "following", HeldVersions: []uint64{4}, LastHeardMillis: 8, LeaseLeftMillis: 9, Unresponsive: true, Fault: "why"}},
+			Latest:   &rules.Version{Number: 5, Parent: 4, Digest: "abc", Author: "ann", Reason: "because", CreatedAt: "now", Content: []byte("{}")}}},
 	} {
 		fmt.Fprintf(out, "%s %s\n", message.name, jsonOf(t, message.value))
 	}
-	change := (&Voters{Add: map[uint64]string{5: "e:1", 4: "d:1"}, Remove: []uint64{2, 1}}).change()
+	change := (&MembershipChange{Add: map[uint64]string{5: "e:1", 4: "d:1"}, Remove: []uint64{2, 1}}).change()
 	fmt.Fprintf(out, "entry of a change of voters %v %s\n", changesOf(change), change.GetContext())
 	framed, err := frames([]*raftpb.Message{{To: proto.Uint64(2), From: proto.Uint64(1), Term: proto.Uint64(3), Type: raftpb.MsgHeartbeat.Enum()}, {To: proto.Uint64(2)}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	fmt.Fprintf(out, "frames %x\n", framed)
-	fmt.Fprintf(out, "stated %d\n", Stated(accord.Terms{Lease: 1e9, Drift: 0.01}))
+	fmt.Fprintf(out, "stated %d\n", ConvergenceBound(accord.Settings{LeaseDuration: 1e9, MaxClockDrift: 0.01}))
 
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
@@ -232,22 +232,25 @@
 	}))
 	defer server.Close()
 	addr := strings.TrimPrefix(server.URL, "http://")
-	c := &Client{Keepers: []string{addr}, Within: time.Minute}
-	base := content.Hold(some(1), 0)
+	c := &Client{Replicas: []string{addr}, Timeout: time.Minute}
+	base := content.NewCache(some(1), 0)
 	for _, call := range []func() error{
 		func() error { _, err := c.Status(); return err },
 		func() error {
-			_, err := c.Propose(&accord.Proposal{ID: "a", Parent: 1, Over: true, Author: "ann", Why: "because", Time: "now", Rules: []byte("{}")})
+			_, err := c.Propose(&accord.Proposal{ID: "a", Parent: 1, ReplacePending: true, Author: "ann", Reason: "because", CreatedAt: "now", Content: []byte("{}")})
 			return err
 		},
 		func() error { _, err := c.Versions(3); return err },
 		func() error { _, err := c.Version(4); return err },
-		func() error { return c.Voters(&Voters{Remove: []uint64{2}}) },
+		func() error { return c.ChangeMembership(&MembershipChange{Remove: []uint64{2}}) },
 		func() error {
-			_, _, err := c.Content(t.Context(), addr, content.Hold(nil, 0).Fetch("abc", 1).Next())
+			_, _, err := c.FetchContent(t.Context(), addr, content.NewCache(nil, 0).Fetch("abc", 1).NextRequest())
+			return err
+		},
+		func() error {
+			_, _, err := c.FetchContent(t.Context(), addr, base.Fetch("abc", 1).NextRequest())
 			return err
 		},
-		func() error { _, _, err := c.Content(t.Context(), addr, base.Fetch("abc", 1).Next()); return err },
 	} {
 		if err := call(); err != nil {
 			t.Error(err)
@@ -279,8 +282,8 @@
 		t.Fatal(err)
 	}
 	for n := uint64(1); n <= 70; n++ {
-		v := &rules.Version{Number: n, Parent: n - 1, Author: "ann", Why: fmt.Sprint("change ", n), Time: "now", Rules: some(float64(n))}
-		v.Digest = rules.Sum(v.Rules)
+		v := &rules.Version{Number: n, Parent: n - 1, Author: "ann", Reason: fmt.Sprint("change ", n), CreatedAt: "now", Content: some(float64(n))}
+		v.Digest = rules.DigestOf(v.Content)
 		s.history.pending = append(s.history.pending, forgotten{version: v})
 	}
 	if err := s.compact(3, &raftpb.ConfState{Voters: []uint64{1, 2, 3}}, []byte("the state"), 1); err != nil {
@@ -329,18 +332,18 @@
 		t.Fatal(err)
 	}
 	k := goldenReplica(t, dir, map[uint64]string{1: "first:7000"})
-	c := &Client{Keepers: []string{k.Addr()}, Within: time.Minute}
+	c := &Client{Replicas: []string{k.Addr()}, Timeout: time.Minute}
 	s, err := c.Status()
 	if err != nil {
 		t.Fatal(err)
 	}
 	out := &strings.Builder{}
-	fmt.Fprintf(out, "in force %d, announced %d, lease %d ms, stated %d ms, voters %v\n", s.InForce, s.Announced, s.Lease, s.Stated, s.Voters)
+	fmt.Fprintf(out, "in force %d, announced %d, lease %d ms, stated %d ms, voters %v\n", s.InForce, s.Announced, s.LeaseMillis, s.ConvergenceBoundMillis, s.Voters)
 	done := make(chan struct{})
 	k.do(context.Background(), func() {
 		defer close(done)
 		first, _ := k.store.memory.FirstIndex()
-		fmt.Fprintf(out, "start %d, addresses %v, starts of others %v, form %d, kept versions from %d, log from %d\n", k.store.starts, k.addrs, k.store.known, k.ledger.Form,
+		fmt.Fprintf(out, "start %d, addresses %v, starts of others %v, form %d, kept versions from %d, log from %d\n", k.store.starts, k.addrs, k.store.known, k.ledger.Format,
 			k.ledger.Versions[0].Number, first)
 	})
 	<-done
@@ -349,13 +352,13 @@
 		t.Fatal(err)
 	}
 	for _, v := range list {
-		if v.Rules != nil && rules.Sum(v.Rules) != v.Digest {
-			t.Errorf("version %d has a content of digest %s", v.Number, rules.Sum(v.Rules))
+		if v.Content != nil && rules.DigestOf(v.Content) != v.Digest {
+			t.Errorf("version %d has a content of digest %s", v.Number, rules.DigestOf(v.Content))
 		}
-		fmt.Fprintf(out, "%d of %d, %s, %s: %s, %s, %d bytes\n", v.Number, v.Parent, v.Digest, v.Author, v.Why, v.Time, len(v.Rules))
+		fmt.Fprintf(out, "%d of %d, %s, %s: %s, %s, %d bytes\n", v.Number, v.Parent, v.Digest, v.Author, v.Reason, v.CreatedAt, len(v.Content))
 	}
 	golden(t, "folder.golden", out.String())
-	if v, err := c.Propose(&accord.Proposal{ID: "next", Parent: s.Announced, Over: true, Rules: some(1)}); err != nil || v.Number != s.Announced+1 {
+	if v, err := c.Propose(&accord.Proposal{ID: "next", Parent: s.Announced, ReplacePending: true, Content: some(1)}); err != nil || v.Number != s.Announced+1 {
 		t.Errorf("the next version: %+v, %v", v, err)
 	}
 }
--- a/internal/fleet/keep/hello_test.go
+++ b/internal/fleet/keep/hello_test.go
@@ -61,7 +61,7 @@
 		t.Errorf("greeted %d times", lost.Load())
 	}
 	select {
-	case <-h.up[1].Ended():
+	case <-h.up[1].Done():
 		t.Errorf("keeper 1 has ended: %v", h.up[1].Err())
 	default:
 	}
--- a/internal/fleet/keep/history.go
+++ b/internal/fleet/keep/history.go
@@ -60,7 +60,7 @@
 		return nil
 	}
 	trail, contents := tx.Bucket(bucketTrail), tx.Bucket(bucketContents)
-	if h.last.Rules == nil {
+	if h.last.Content == nil {
 		h.last = h.newest(contents)
 	}
 	newest, leaves := uint64(0), map[uint64][]*rules.Version{}
@@ -107,17 +107,17 @@
 	if err != nil {
 		return err
 	}
-	coded, whole := f.coded, h.last.Rules == nil || seq%segment == 0
+	coded, whole := f.coded, h.last.Content == nil || seq%segment == 0
 	if whole || coded == nil || h.last.Number+1 != f.version.Number {
-		base := h.last.Rules
+		base := h.last.Content
 		if whole {
 			base = nil
 		}
-		if coded, err = delta.Encode(base, f.version.Rules); err != nil {
+		if coded, err = delta.Encode(base, f.version.Content); err != nil {
 			return err
 		}
 	}
-	h.last = rules.Version{Number: f.version.Number, Rules: f.version.Rules}
+	h.last = rules.Version{Number: f.version.Number, Content: f.version.Content}
 	head := binary.AppendUvarint(nil, f.version.Number<<1)
 	if whole {
 		head = binary.AppendUvarint(nil, f.version.Number<<1|1)
@@ -173,7 +173,7 @@
 		} else if base == nil {
 			continue // what it is a delta from was told of
 		}
-		content, err := delta.Decode(base, v[size:], rules.Most)
+		content, err := delta.Decode(base, v[size:], rules.MaxContentBytes)
 		if err != nil {
 			h.spoilt(fmt.Sprintf("content of version %d at place %d", head>>1, binary.BigEndian.Uint64(k)), err)
 		} else {
@@ -192,7 +192,7 @@
 	head, _ := binary.Uvarint(v)
 	h.walk(b, func(n uint64) bool { return n == binary.BigEndian.Uint64(k)/segment }, func(n uint64, content []byte) {
 		if n == head>>1 {
-			last = rules.Version{Number: n, Rules: content}
+			last = rules.Version{Number: n, Content: content}
 		}
 	})
 	return last
@@ -221,10 +221,10 @@
 		i, is := slices.BinarySearchFunc(list, n, byNumber)
 		switch {
 		case !is:
-		case rules.Sum(content) != list[i].Digest:
-			h.spoilt(fmt.Sprintf("content of version %d", n), fmt.Errorf("it has the digest %.12s, and %.12s is said", rules.Sum(content), list[i].Digest))
+		case rules.DigestOf(content) != list[i].Digest:
+			h.spoilt(fmt.Sprintf("content of version %d", n), fmt.Errorf("it has the digest %.12s, and %.12s is said", rules.DigestOf(content), list[i].Digest))
 		default:
-			list[i].Rules = content
+			list[i].Content = content
 		}
 	})
 	return list
@@ -240,20 +240,20 @@
 
 // plainly is a version without its content.
 func plainly(v *rules.Version) *rules.Version {
-	return &rules.Version{Number: v.Number, Parent: v.Parent, Digest: v.Digest, Author: v.Author, Why: v.Why, Time: v.Time}
+	return &rules.Version{Number: v.Number, Parent: v.Parent, Digest: v.Digest, Author: v.Author, Reason: v.Reason, CreatedAt: v.CreatedAt}
 }
 
 // forget notes what a command has the ledger forget, before it does.
-func (k *Keeper) forget(numbers []uint64) {
+func (k *Replica) forget(numbers []uint64) {
 	for _, n := range numbers {
 		if v := k.ledger.Version(n); v != nil && n != k.ledger.InForce && n != k.ledger.Announced {
-			k.store.history.pending = append(k.store.history.pending, forgotten{v, k.ledger.Coded(n)})
+			k.store.history.pending = append(k.store.history.pending, forgotten{v, k.ledger.Delta(n)})
 		}
 	}
 }
 
 // past lists versions that the ledger has forgotten.
-func (k *Keeper) past(from, to uint64) (list []*rules.Version, err error) {
+func (k *Replica) past(from, to uint64) (list []*rules.Version, err error) {
 	if len(k.store.history.pending) > 0 {
 		if err := k.store.update(func(*bbolt.Tx) error { return nil }); err != nil {
 			return nil, err
@@ -273,7 +273,7 @@
 )
 
 // between lists versions by number, up to what an answer holds: empty once there are none.
-func (k *Keeper) between(from uint64) ([]*rules.Version, error) {
+func (k *Replica) between(from uint64) ([]*rules.Version, error) {
 	first := max(from, 1)
 	var list []*rules.Version
 	for len(list) == 0 && first < k.ledger.Announced { // the next that there are
@@ -298,7 +298,7 @@
 	list = slices.CompactFunc(list, func(a, b *rules.Version) bool { return a.Number == b.Number }) // after a start, the log has yet to have it forgotten again
 	bytes := 0
 	for i, v := range list {
-		if bytes += len(v.Rules); bytes > mostContent && i > 0 {
+		if bytes += len(v.Content); bytes > mostContent && i > 0 {
 			return list[:i], nil
 		}
 	}
@@ -306,9 +306,9 @@
 }
 
 // versions answers with versions from a number on, and then with none.
-func (k *Keeper) versions(w http.ResponseWriter, r *http.Request) {
+func (k *Replica) versions(w http.ResponseWriter, r *http.Request) {
 	from, _ := strconv.ParseUint(r.URL.Query().Get("from"), 10, 64)
-	k.answer(w, r, func(*accord.Warden) any {
+	k.answer(w, r, func(*accord.Manager) any {
 		list, err := k.between(from)
 		if err != nil {
 			k.log.Error("the history cannot be read", "why", err)
--- a/internal/fleet/keep/keep_test.go
+++ b/internal/fleet/keep/keep_test.go
@@ -25,7 +25,7 @@
 	t       *testing.T
 	dir     string
 	peers   map[uint64]string
-	up      map[uint64]*Keeper
+	up      map[uint64]*Replica
 	joins   uint64         // the one that did not found the fleet
 	forms   map[uint64]int // of keepers that know an older form of entries
 	compact uint64         // 20 where it is not set
@@ -34,7 +34,7 @@
 }
 
 func newHome(t *testing.T) *home {
-	h := &home{t: t, dir: t.TempDir(), peers: map[uint64]string{}, up: map[uint64]*Keeper{}, compact: 20, tick: 10 * time.Millisecond}
+	h := &home{t: t, dir: t.TempDir(), peers: map[uint64]string{}, up: map[uint64]*Replica{}, compact: 20, tick: 10 * time.Millisecond}
 	for id := uint64(1); id <= 3; id++ {
 		l, err := net.Listen("tcp", loopback.Own()+":0")
 		if err != nil {
@@ -54,15 +54,15 @@
 func (h *home) folder(id uint64) string { return filepath.Join(h.dir, fmt.Sprint(id)) }
 
 func (h *home) start(id uint64) error {
-	var k *Keeper
+	var k *Replica
 	var err error
 	to := io.Writer(os.Stderr)
 	if h.quiet {
 		to = io.Discard
 	}
 	for range 200 { // the address of a keeper that has just ended may be taken for a moment
-		k, err = Start(Options{Number: id, Listen: h.peers[id], Peers: maps.Clone(h.peers), Joins: id == h.joins, Dir: h.folder(id), Terms: accord.Terms{Lease: 3e8, Drift: 0.01},
-			Tick: h.tick, Compact: h.compact, Log: slog.New(slog.NewTextHandler(to, nil)), form: h.forms[id]})
+		k, err = Start(Options{ID: id, Listen: h.peers[id], Peers: maps.Clone(h.peers), Joining: id == h.joins, Dir: h.folder(id), LeaseSettings: accord.Settings{LeaseDuration: 3e8, MaxClockDrift: 0.01},
+			TickInterval: h.tick, CompactionEntries: h.compact, Logger: slog.New(slog.NewTextHandler(to, nil)), form: h.forms[id]})
 		if err == nil || !strings.Contains(err.Error(), "in use") {
 			break
 		}
@@ -91,16 +91,16 @@
 }
 
 func (h *home) client() *Client {
-	c := &Client{Within: 30 * time.Second}
+	c := &Client{Timeout: 30 * time.Second}
 	for _, addr := range h.peers {
-		c.Keepers = append(c.Keepers, addr)
+		c.Replicas = append(c.Replicas, addr)
 	}
 	return c
 }
 
 func some(limit float64) []byte {
-	r := &rules.Rules{Needs: 1, Shards: 1, Mean: 1, Plans: map[string]rules.Plan{"gold": {Weight: 1, Limit: limit}}, Sending: rules.Sending{Most: 1},
-		Products: map[string]rules.Product{}, Nodes: map[string]rules.Node{}}
+	r := &rules.Config{RequiredFormat: 1, Shards: 1, MeanRequestUnits: 1, ServiceLevels: map[string]rules.ServiceLevel{"gold": {Weight: 1, RateLimit: limit}}, Dispatch: rules.DispatchPolicy{MaxAttempts: 1},
+		RequestClasses: map[string]rules.RequestClass{}, Nodes: map[string]rules.Node{}}
 	return r.Canonical()
 }
 
@@ -109,7 +109,7 @@
 	h := newHome(t)
 	h.must(1, 2, 3)
 	c := h.client()
-	if _, err := c.Propose(&accord.Proposal{ID: "a", Rules: some(1)}); err != nil {
+	if _, err := c.Propose(&accord.Proposal{ID: "a", Content: some(1)}); err != nil {
 		t.Fatal(err)
 	}
 	h.stop(3)
@@ -118,15 +118,15 @@
 		t.Fatal(err)
 	}
 	h.must(3)
-	if _, err := c.Propose(&accord.Proposal{ID: "b", Parent: 1, Over: true, Rules: some(2)}); err != nil {
+	if _, err := c.Propose(&accord.Proposal{ID: "b", Parent: 1, ReplacePending: true, Content: some(2)}); err != nil {
 		t.Fatal(err)
 	}
 	h.stop(3)
 	now, _ := os.ReadFile(filepath.Join(h.folder(3), "keeper.db"))
 	os.WriteFile(filepath.Join(h.folder(3), "keeper.db"), old, 0o600)
 	h.must(3)
-	<-h.up[3].Ended()
-	if err := h.up[3].Err(); !errors.Is(err, ErrOlder) {
+	<-h.up[3].Done()
+	if err := h.up[3].Err(); !errors.Is(err, ErrStaleIncarnation) {
 		t.Errorf("an older copy: %v", err)
 	}
 	delete(h.up, 3)
--- a/internal/fleet/keep/keeper.go
+++ b/internal/fleet/keep/keeper.go
@@ -31,8 +31,8 @@
 }
 
 // tell has those who wait for news know of what has changed.
-func (k *Keeper) tell() {
-	now := standing{term: k.term, inForce: k.ledger.InForce, announced: k.ledger.Announced, leads: k.warden != nil && k.ledger.Terms.Lease > 0}
+func (k *Replica) tell() {
+	now := standing{term: k.term, inForce: k.ledger.InForce, announced: k.ledger.Announced, leads: k.warden != nil && k.ledger.Settings.LeaseDuration > 0}
 	was := k.stand.Load()
 	if now.changed = was.changed; now == *was {
 		return
@@ -44,29 +44,29 @@
 
 // Options are what a keeper is started with.
 type Options struct {
-	Number  uint64
-	Listen  string
-	Peers   map[uint64]string // all keepers' addresses as this one reaches them, by number; its own is not used
-	Joins   bool              // it does not found the fleet with them, and votes once they have taken it in
-	Dir     string
-	Terms   accord.Terms // for the founding; a fleet that is founded keeps its own
-	Tick    time.Duration
-	Compact uint64 // entries after which the log is compacted
-	Log     *slog.Logger
-	form    int // newest of entries that it reads and writes; 0: the newest there is
+	ID                uint64
+	Listen            string
+	Peers             map[uint64]string // all keepers' addresses as this one reaches them, by number; its own is not used
+	Joining           bool              // it does not found the fleet with them, and votes once they have taken it in
+	Dir               string
+	LeaseSettings     accord.Settings // for the founding; a fleet that is founded keeps its own
+	TickInterval      time.Duration
+	CompactionEntries uint64 // entries after which the log is compacted
+	Logger            *slog.Logger
+	form              int // newest of entries that it reads and writes; 0: the newest there is
 }
 
-// Keeper is a running one.
-type Keeper struct {
+// Replica is a running one.
+type Replica struct {
 	opt       Options
 	log       *slog.Logger
 	store     *store
 	node      *raft.RawNode
-	ledger    *accord.Ledger
+	ledger    *accord.StateMachine
 	applied   uint64
 	conf      *raftpb.ConfState
-	warden    *accord.Warden // nil: this one does not lead, or not for sure yet
-	term      uint64         // of it
+	warden    *accord.Manager // nil: this one does not lead, or not for sure yet
+	term      uint64          // of it
 	leads     bool
 	takesPart bool // it has introduced itself
 	leader    uint64
@@ -99,7 +99,7 @@
 
 // call is an ask of a gateway or an operator that is answered once it is sure that this keeper leads.
 type call struct {
-	then func(w *accord.Warden) // nil: this keeper does not lead
+	then func(w *accord.Manager) // nil: this keeper does not lead
 }
 
 type batch struct {
@@ -109,37 +109,37 @@
 	calls []*call
 }
 
-// ErrNotLeading tells that another keeper leads, or none.
-var ErrNotLeading = errors.New("this keeper does not lead")
+// ErrNotLeader tells that another keeper leads, or none.
+var ErrNotLeader = errors.New("this keeper does not lead")
 
-// ErrOlder tells that a keeper's folder is an older copy.
-var ErrOlder = errors.New("another keeper knows a later start of this one: its folder is an older copy, or two run under one number; " +
+// ErrStaleIncarnation tells that a keeper's folder is an older copy.
+var ErrStaleIncarnation = errors.New("another keeper knows a later start of this one: its folder is an older copy, or two run under one number; " +
 	"it would vote twice and is not started")
 
 // Start starts a keeper. It takes part once enough others have heard of this start of it.
-func Start(opt Options) (*Keeper, error) {
+func Start(opt Options) (*Replica, error) {
 	voters := slices.Sorted(maps.Keys(opt.Peers))
-	if !slices.Contains(voters, opt.Number) || opt.Number == 0 {
-		return nil, fmt.Errorf("keeper %d is not among %v", opt.Number, voters)
+	if !slices.Contains(voters, opt.ID) || opt.ID == 0 {
+		return nil, fmt.Errorf("keeper %d is not among %v", opt.ID, voters)
 	}
-	if opt.Tick == 0 {
-		opt.Tick = 50 * time.Millisecond
+	if opt.TickInterval == 0 {
+		opt.TickInterval = 50 * time.Millisecond
 	}
-	if opt.Compact == 0 {
-		opt.Compact = 1000
+	if opt.CompactionEntries == 0 {
+		opt.CompactionEntries = 1000
 	}
 	if opt.form == 0 {
-		opt.form = accord.Form
+		opt.form = accord.Format
 	}
 	founders := voters
-	if opt.Joins {
+	if opt.Joining {
 		founders = nil
 	}
-	s, err := openStore(opt.Dir, opt.Number, founders)
+	s, err := openStore(opt.Dir, opt.ID, founders)
 	if err != nil {
 		return nil, err
 	}
-	k := &Keeper{opt: opt, log: opt.Log.With("keeper", opt.Number), store: s, waiting: map[string]chan result{}, calls: make(chan func(), 1024),
+	k := &Replica{opt: opt, log: opt.Logger.With("keeper", opt.ID), store: s, waiting: map[string]chan result{}, calls: make(chan func(), 1024),
 		peers: map[uint64]*peer{}, forms: map[uint64]int{}, start: time.Now(), ended: make(chan struct{}), gather: time.NewTimer(0)}
 	s.history.bad = func(what string, why error) {
 		k.log.Warn("the history cannot be read here, the rest is", "what", what, "why", why)
@@ -148,7 +148,7 @@
 	snap, err := s.memory.Snapshot()
 	if err == nil {
 		k.applied, k.conf = snap.GetMetadata().GetIndex(), snap.GetMetadata().GetConfState()
-		k.ledger = accord.NewLedger()
+		k.ledger = accord.NewStateMachine()
 		if !raft.IsEmptySnap(snap) {
 			if k.ledger, err = accord.Restore(snap.GetData()); err != nil {
 				err = fmt.Errorf("%s: snapshot: %w", filepath.Join(opt.Dir, "keeper.db"), err)
@@ -163,7 +163,7 @@
 		s.db.Close()
 		return nil, err
 	}
-	k.node, err = raft.NewRawNode(&raft.Config{ID: opt.Number, ElectionTick: 10, HeartbeatTick: 2, Storage: s.memory, Applied: k.applied,
+	k.node, err = raft.NewRawNode(&raft.Config{ID: opt.ID, ElectionTick: 10, HeartbeatTick: 2, Storage: s.memory, Applied: k.applied,
 		MaxSizePerMsg: 1 << 20, MaxInflightMsgs: 64, MaxInflightBytes: 8 << 20, MaxUncommittedEntriesSize: 64 << 20, CheckQuorum: true, PreVote: true, StepDownOnRemoval: true,
 		DisableProposalForwarding: true, Logger: &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)}})
 	if err != nil {
@@ -182,25 +182,25 @@
 }
 
 // Addr is where it serves.
-func (k *Keeper) Addr() string { return k.listener.Addr().String() }
+func (k *Replica) Addr() string { return k.listener.Addr().String() }
 
-// Ended is closed when the keeper has ended; then Err tells why.
-func (k *Keeper) Ended() <-chan struct{} { return k.ended }
+// Done is closed when the keeper has ended; then Err tells why.
+func (k *Replica) Done() <-chan struct{} { return k.ended }
 
 // Err is why it ended by itself; nil: it was closed.
-func (k *Keeper) Err() error { return k.err }
+func (k *Replica) Err() error { return k.err }
 
 // Close ends it.
-func (k *Keeper) Close() {
+func (k *Replica) Close() {
 	k.cancel()
 	<-k.ended
 }
 
 // now is the keeper's own clock: it never goes back, and tells no time of day.
-func (k *Keeper) now() accord.Time { return int64(time.Since(k.start)) }
+func (k *Replica) now() accord.Time { return int64(time.Since(k.start)) }
 
 // run is the one goroutine that Raft, the ledger and the warden belong to.
-func (k *Keeper) run(ctx context.Context) {
+func (k *Replica) run(ctx context.Context) {
 	defer func() {
 		if k.err != nil {
 			k.log.Error("keeper ends", "why", k.err)
@@ -214,7 +214,7 @@
 	if !k.introduce(ctx) {
 		return
 	}
-	tick := time.NewTicker(k.opt.Tick)
+	tick := time.NewTicker(k.opt.TickInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -236,8 +236,8 @@
 }
 
 // introduce tells the others of this start and waits until a majority with itself has heard of it.
-func (k *Keeper) introduce(ctx context.Context) bool {
-	heard := map[uint64]bool{k.opt.Number: true}
+func (k *Replica) introduce(ctx context.Context) bool {
+	heard := map[uint64]bool{k.opt.ID: true}
 	news := make(chan uint64, len(k.peers))
 	refused := make(chan error, len(k.peers))
 	for id, p := range k.peers {
@@ -245,17 +245,17 @@
 		go func() {
 			defer k.done.Done()
 			for ctx.Err() == nil {
-				switch err := p.hello(ctx, greeting{k.opt.Number, k.store.starts, k.store.incarnation, k.opt.form}); {
+				switch err := p.hello(ctx, greeting{k.opt.ID, k.store.starts, k.store.incarnation, k.opt.form}); {
 				case err == nil:
 					news <- id
 					return
-				case errors.Is(err, ErrOlder):
+				case errors.Is(err, ErrStaleIncarnation):
 					refused <- err
 					return
 				}
 				select {
 				case <-ctx.Done():
-				case <-time.After(2 * k.opt.Tick):
+				case <-time.After(2 * k.opt.TickInterval):
 				}
 			}
 		}()
@@ -287,7 +287,7 @@
 }
 
 // do has something done by the keeper's goroutine.
-func (k *Keeper) do(ctx context.Context, f func()) bool {
+func (k *Replica) do(ctx context.Context, f func()) bool {
 	select {
 	case k.calls <- f:
 		return true
@@ -298,7 +298,7 @@
 }
 
 // work does all that follows from what has happened.
-func (k *Keeper) work() error {
+func (k *Replica) work() error {
 	if k.err != nil {
 		return k.err
 	}
@@ -328,7 +328,7 @@
 			}
 			for _, v := range k.ledger.Versions { // those between it and the new one are not known here
 				if l.Version(v.Number) == nil {
-					k.store.history.pending = append(k.store.history.pending, forgotten{v, k.ledger.Coded(v.Number)})
+					k.store.history.pending = append(k.store.history.pending, forgotten{v, k.ledger.Delta(v.Number)})
 				}
 			}
 			k.ledger, k.applied, k.conf = l, rd.Snapshot.GetMetadata().GetIndex(), rd.Snapshot.GetMetadata().GetConfState()
@@ -344,7 +344,7 @@
 			}
 		}
 		k.node.Advance(rd)
-		if k.store.full(k.applied, k.opt.Compact) {
+		if k.store.full(k.applied, k.opt.CompactionEntries) {
 			if err := k.compact(); err != nil {
 				return err
 			}
@@ -353,8 +353,8 @@
 }
 
 // compact keeps a snapshot of the ledger in place of the log so far, but for the last tenth.
-func (k *Keeper) compact() error {
-	if err := k.store.compact(k.applied, k.conf, k.ledger.Save(), k.opt.Compact/10); err != nil {
+func (k *Replica) compact() error {
+	if err := k.store.compact(k.applied, k.conf, k.ledger.Snapshot(), k.opt.CompactionEntries/10); err != nil {
 		return fmt.Errorf("the log cannot be compacted: %w", err)
 	}
 	return nil
--- a/internal/fleet/keep/log.go
+++ b/internal/fleet/keep/log.go
@@ -14,7 +14,7 @@
 )
 
 // lead notes who leads.
-func (k *Keeper) lead(s *raft.SoftState) {
+func (k *Replica) lead(s *raft.SoftState) {
 	k.leader = s.Lead
 	leads := s.RaftState == raft.StateLeader
 	if k.leads && !leads {
@@ -28,7 +28,7 @@
 }
 
 // refuse tells all that wait that this keeper does not lead. A proposal may still come into the log.
-func (k *Keeper) refuse() {
+func (k *Replica) refuse() {
 	calls := k.asks
 	if k.sure != nil {
 		calls = append(calls, k.sure.calls...)
@@ -38,25 +38,25 @@
 		c.then(nil)
 	}
 	if k.voting != nil {
-		k.voting.to <- ErrNotLeading
+		k.voting.to <- ErrNotLeader
 		k.voting = nil
 	}
 	for id, to := range k.waiting {
 		delete(k.waiting, id)
-		to <- result{err: ErrNotLeading}
+		to <- result{err: ErrNotLeader}
 	}
 }
 
 // apply takes an entry of the log.
-func (k *Keeper) apply(e *raftpb.Entry) error {
+func (k *Replica) apply(e *raftpb.Entry) error {
 	k.applied = e.GetIndex()
 	term := k.node.BasicStatus().HardState.GetTerm()
 	if k.leads && (k.warden == nil || k.term != term) && e.GetTerm() == term { // from here on no earlier leader's entry can follow
 		k.term = term
-		k.warden = accord.Lead(k.now(), term, k.ledger, 0)
+		k.warden = accord.NewManager(k.now(), term, k.ledger, 0)
 		k.log.Info("leads", "term", term, "gateways", len(k.ledger.Holders), "in_force", k.ledger.InForce, "announced", k.ledger.Announced)
-		if k.ledger.Terms.Lease == 0 {
-			k.put(&accord.Command{Found: &k.opt.Terms})
+		if k.ledger.Settings.LeaseDuration == 0 {
+			k.put(&accord.Command{Bootstrap: &k.opt.LeaseSettings})
 		}
 	}
 	if e.GetType() == raftpb.EntryConfChangeV2 {
@@ -71,25 +71,25 @@
 	}
 	k.forget(c.Forget)
 	v, err := k.ledger.Apply(c)
-	if errors.Is(err, accord.ErrEntry) {
+	if errors.Is(err, accord.ErrInvalidEntry) {
 		return fmt.Errorf("entry %d of the log: %w", e.GetIndex(), err)
 	}
 	if c.Propose != nil {
-		if err == nil && v.Rules == nil { // asked for again, and it is forgotten
+		if err == nil && v.Content == nil { // asked for again, and it is forgotten
 			if list, _ := k.past(v.Number, v.Number); len(list) > 0 {
 				v = list[0]
 			}
 		} else if err == nil {
-			k.log.Info("version announced", "version", v.Name(), "author", v.Author, "reason", v.Why)
+			k.log.Info("version announced", "version", v.Name(), "author", v.Author, "reason", v.Reason)
 		}
 		if to := k.waiting[c.Propose.ID]; to != nil {
 			delete(k.waiting, c.Propose.ID)
 			to <- result{v, err}
 		}
 	}
-	if c.Force > 0 && c.Force == k.ledger.InForce {
-		k.log.Info("version in force", "version", k.ledger.Version(c.Force).Name())
-		k.ledger.Shed()
+	if c.Activate > 0 && c.Activate == k.ledger.InForce {
+		k.log.Info("version in force", "version", k.ledger.Version(c.Activate).Name())
+		k.ledger.ReleaseParsed()
 	}
 	if k.warden != nil {
 		k.warden.Applied(c)
@@ -98,7 +98,7 @@
 }
 
 // confirm asks Raft whether this keeper still leads, for all asks that have come in, and answers those that it is sure for.
-func (k *Keeper) confirm() {
+func (k *Replica) confirm() {
 	if k.warden == nil {
 		return
 	}
@@ -108,12 +108,12 @@
 			c.then(k.warden)
 		}
 	}
-	if b := k.sure; b != nil && time.Since(b.at) > 20*k.opt.Tick { // its heartbeats were lost
+	if b := k.sure; b != nil && time.Since(b.at) > 20*k.opt.TickInterval { // its heartbeats were lost
 		k.asks, k.sure = append(b.calls, k.asks...), nil
 	}
 	if k.sure == nil && len(k.asks) > 0 {
 		// Each confirmation costs a round to all keepers, so asks are gathered for half a tick, unless a version waits for them.
-		if rest := k.opt.Tick/2 - time.Since(k.gathered); rest > 0 && k.ledger.InForce == k.ledger.Announced {
+		if rest := k.opt.TickInterval/2 - time.Since(k.gathered); rest > 0 && k.ledger.InForce == k.ledger.Announced {
 			k.gather.Reset(rest)
 			return
 		}
@@ -126,19 +126,19 @@
 }
 
 // decide puts what is due into the log.
-func (k *Keeper) decide() {
-	if k.warden == nil || k.ledger.Terms.Lease == 0 {
+func (k *Replica) decide() {
+	if k.warden == nil || k.ledger.Settings.LeaseDuration == 0 {
 		return
 	}
-	k.warden.Forgets(k.form() >= 2)
-	if c := k.warden.Decide(k.now()); c != nil {
+	k.warden.AllowForget(k.form() >= 2)
+	if c := k.warden.NextCommand(k.now()); c != nil {
 		k.put(c)
 	}
 }
 
 // whenSure has something done once it is sure that this keeper leads.
-func (k *Keeper) whenSure(then func(w *accord.Warden)) {
-	if k.warden == nil || k.ledger.Terms.Lease == 0 {
+func (k *Replica) whenSure(then func(w *accord.Manager)) {
+	if k.warden == nil || k.ledger.Settings.LeaseDuration == 0 {
 		then(nil)
 		return
 	}
@@ -146,13 +146,13 @@
 }
 
 // step takes messages of other keepers.
-func (k *Keeper) step(messages []*raftpb.Message) {
+func (k *Replica) step(messages []*raftpb.Message) {
 	if !k.takesPart { // a vote or an acknowledgement could contradict what an earlier start of it has said
 		return
 	}
 	defer func() { // Raft ends the process where its log is behind what it has acknowledged
 		if why := recover(); why != nil {
-			k.err = fmt.Errorf("%w (%v)", ErrOlder, why)
+			k.err = fmt.Errorf("%w (%v)", ErrStaleIncarnation, why)
 		}
 	}()
 	for _, m := range messages {
--- a/internal/fleet/keep/metrics.go
+++ b/internal/fleet/keep/metrics.go
@@ -19,7 +19,7 @@
 )
 
 // collector tells how a keeper stands. Nothing is confirmed: it is what this keeper believes.
-type collector struct{ keeper *Keeper }
+type collector struct{ keeper *Replica }
 
 // Describe is empty: what there is hangs on whether it leads.
 func (c collector) Describe(chan<- *prometheus.Desc) {}
@@ -45,15 +45,15 @@
 		}
 		gauge(descLeads, 1)
 		states := map[string]int{}
-		for _, s := range k.warden.Look(k.now()) {
+		for _, s := range k.warden.Gateways(k.now()) {
 			states[s.State]++
 		}
-		for _, s := range append(accord.States(), "unheard") {
+		for _, s := range append(accord.StateNames(), "unheard") {
 			gauge(descSeen, float64(states[s]), s)
 		}
 		waits := 0
 		if k.ledger.InForce != k.ledger.Announced {
-			waits = len(k.warden.Waits(k.now()))
+			waits = len(k.warden.WaitingFor(k.now()))
 		}
 		gauge(descWaits, float64(waits))
 		done <- list
@@ -69,7 +69,7 @@
 }
 
 // metrics serves them.
-func (k *Keeper) metrics() http.Handler {
+func (k *Replica) metrics() http.Handler {
 	r := prometheus.NewRegistry()
 	r.MustRegister(collector{k})
 	return promhttp.HandlerFor(r, promhttp.HandlerOpts{})
--- a/internal/fleet/keep/peer.go
+++ b/internal/fleet/keep/peer.go
@@ -18,7 +18,7 @@
 
 // peer is the way to another keeper. What cannot be sent is dropped: Raft says it again.
 type peer struct {
-	keeper *Keeper
+	keeper *Replica
 	id     uint64
 	url    string
 	queue  chan *raftpb.Message
@@ -26,8 +26,8 @@
 	form   atomic.Int64 // that it said last
 }
 
-func newPeer(k *Keeper, id uint64, addr string) *peer {
-	within := 6 * k.opt.Tick // under an election's time, so that one lost connection costs no leader
+func newPeer(k *Replica, id uint64, addr string) *peer {
+	within := 6 * k.opt.TickInterval // under an election's time, so that one lost connection costs no leader
 	return &peer{keeper: k, id: id, url: "http://" + addr, queue: make(chan *raftpb.Message, 256), client: &http.Client{Timeout: within,
 		Transport: &http.Transport{DialContext: (&net.Dialer{Timeout: within}).DialContext, MaxIdleConnsPerHost: 2}}}
 }
@@ -120,7 +120,7 @@
 	case http.StatusNoContent:
 		return nil
 	case http.StatusConflict:
-		return fmt.Errorf("keeper %d: %w", p.id, ErrOlder)
+		return fmt.Errorf("keeper %d: %w", p.id, ErrStaleIncarnation)
 	}
 	return errors.New(r.Status)
 }
--- a/internal/fleet/keep/rest_test.go
+++ b/internal/fleet/keep/rest_test.go
@@ -25,12 +25,12 @@
 
 // fleetOf is rules of so many nodes with names, zones and ages; each change replaces one node or sets one limit.
 func fleetOf(nodes, change int) []byte {
-	r := &rules.Rules{Needs: 1, Shards: nodes, Mean: 1, Plans: map[string]rules.Plan{"gold": {Weight: 1, Limit: float64(1 + change)}}, Sending: rules.Sending{Most: 1},
-		Products: map[string]rules.Product{}, Nodes: map[string]rules.Node{}}
+	r := &rules.Config{RequiredFormat: 1, Shards: nodes, MeanRequestUnits: 1, ServiceLevels: map[string]rules.ServiceLevel{"gold": {Weight: 1, RateLimit: float64(1 + change)}}, Dispatch: rules.DispatchPolicy{MaxAttempts: 1},
+		RequestClasses: map[string]rules.RequestClass{}, Nodes: map[string]rules.Node{}}
 	for i := range nodes {
 		turn := (change + nodes - i) / (2 * nodes) // how often it was replaced
 		r.Nodes[fmt.Sprintf("10.%d.%d.%d:7000", turn%250, i/250, i%250)] = rules.Node{Shard: i, Name: fmt.Sprintf("node-%d-%d", i, turn), Zone: fmt.Sprint("zone-", i%7),
-			Born: 1.7e18 + int64(i)*1e12 + int64(turn)}
+			StartedAt: 1.7e18 + int64(i)*1e12 + int64(turn)}
 	}
 	return r.Canonical()
 }
@@ -105,7 +105,7 @@
 	change := 0
 	propose := func(to int) {
 		for ; change < to; change++ {
-			p := &accord.Proposal{ID: fmt.Sprint(change), Parent: uint64(change), Over: true, Rules: fleetOf(nodes, change), Author: "somebody", Why: fmt.Sprint("change ", change), Time: "2026-12-02T04:00:00Z"}
+			p := &accord.Proposal{ID: fmt.Sprint(change), Parent: uint64(change), ReplacePending: true, Content: fleetOf(nodes, change), Author: "somebody", Reason: fmt.Sprint("change ", change), CreatedAt: "2026-12-02T04:00:00Z"}
 			if _, err := c.Propose(p); err != nil {
 				t.Fatal(err)
 			}
@@ -124,7 +124,7 @@
 		t.Errorf("heap %d and %d, file %d and %d", heap, heapMany, file, fileMany)
 	}
 	for id := range h.up {
-		if n := len(h.up[id].ledger.Versions); n > accord.Bases+2*32 {
+		if n := len(h.up[id].ledger.Versions); n > accord.RetainedBaseVersions+2*32 {
 			t.Errorf("keeper %d has %d versions", id, n)
 		}
 	}
@@ -145,7 +145,7 @@
 	through, bytes := carry(t, own)
 	h.peers[4], h.joins = own, 4
 	h.must(4)
-	if err := c.Voters(&Voters{Add: map[uint64]string{4: through}}); err != nil {
+	if err := c.ChangeMembership(&MembershipChange{Add: map[uint64]string{4: through}}); err != nil {
 		t.Fatal(err)
 	}
 	for there := false; !there; {
@@ -160,14 +160,14 @@
 	all, err := c.Versions(1)
 	with := 0
 	for i, v := range all {
-		if v.Rules != nil {
+		if v.Content != nil {
 			with++
-			if r, err := v.Open(); err != nil || string(r.Canonical()) != string(fleetOf(nodes, int(v.Number)-1)) {
+			if r, err := v.Config(); err != nil || string(r.Canonical()) != string(fleetOf(nodes, int(v.Number)-1)) {
 				t.Fatalf("version %d: %v", v.Number, err)
 			}
 		}
-		if v.Why != fmt.Sprint("change ", v.Number-1) || i > 0 && v.Number != all[i-1].Number+1 {
-			t.Fatalf("version %d: %q", v.Number, v.Why)
+		if v.Reason != fmt.Sprint("change ", v.Number-1) || i > 0 && v.Number != all[i-1].Number+1 {
+			t.Fatalf("version %d: %q", v.Number, v.Reason)
 		}
 	}
 	if err != nil || len(all) < min(many, 4096) || with < 256 || with > 512 {
@@ -183,7 +183,7 @@
 	c := h.client()
 	propose := func(from, to int) {
 		for n := from; n < to; n++ {
-			if _, err := c.Propose(&accord.Proposal{ID: fmt.Sprint(n), Parent: uint64(n), Over: true, Rules: fleetOf(20, n)}); err != nil {
+			if _, err := c.Propose(&accord.Proposal{ID: fmt.Sprint(n), Parent: uint64(n), ReplacePending: true, Content: fleetOf(20, n)}); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -199,18 +199,18 @@
 	propose(150, 160) // 3 is needed
 	h.must(1)
 	for id := range h.up {
-		if l := h.ledger(id, 160); string(l.Versions[len(l.Versions)-1].Rules) != string(fleetOf(20, 159)) || l.Form != 2 {
-			t.Errorf("keeper %d: %d versions, form %d", id, len(l.Versions), l.Form)
+		if l := h.ledger(id, 160); string(l.Versions[len(l.Versions)-1].Content) != string(fleetOf(20, 159)) || l.Format != 2 {
+			t.Errorf("keeper %d: %d versions, form %d", id, len(l.Versions), l.Format)
 		}
 	}
 }
 
 // ledger is a keeper's, once so many versions are announced.
-func (h *home) ledger(id, announced uint64) *accord.Ledger {
+func (h *home) ledger(id, announced uint64) *accord.StateMachine {
 	for {
-		got := make(chan *accord.Ledger, 1)
+		got := make(chan *accord.StateMachine, 1)
 		h.up[id].do(context.Background(), func() {
-			l, err := accord.Restore(h.up[id].ledger.Save())
+			l, err := accord.Restore(h.up[id].ledger.Snapshot())
 			if err != nil {
 				panic(err)
 			}
@@ -233,7 +233,7 @@
 	n := 0
 	propose := func(times int) {
 		for range times {
-			if _, err := c.Propose(&accord.Proposal{ID: fmt.Sprint(n), Parent: uint64(n), Over: true, Rules: fleetOf(20, n)}); err != nil {
+			if _, err := c.Propose(&accord.Proposal{ID: fmt.Sprint(n), Parent: uint64(n), ReplacePending: true, Content: fleetOf(20, n)}); err != nil {
 				t.Fatal(err)
 			}
 			n++
@@ -241,8 +241,8 @@
 	}
 	propose(60)
 	for id := range h.up {
-		if l := h.ledger(id, 60); l.Form != 0 || len(l.Versions) != 60 {
-			t.Errorf("keeper %d: form %d, %d versions", id, l.Form, len(l.Versions))
+		if l := h.ledger(id, 60); l.Format != 0 || len(l.Versions) != 60 {
+			t.Errorf("keeper %d: form %d, %d versions", id, l.Format, len(l.Versions))
 		}
 	}
 	h.stop(1, 2, 3)
@@ -250,11 +250,11 @@
 	h.must(1, 2, 3)
 	for form := 0; form < 2; {
 		propose(1)
-		form = h.ledger(1, uint64(n)).Form
+		form = h.ledger(1, uint64(n)).Format
 	}
 	propose(40)
 	for id := range h.up {
-		if l := h.ledger(id, uint64(n)); len(l.Versions) > accord.Bases+64 {
+		if l := h.ledger(id, uint64(n)); len(l.Versions) > accord.RetainedBaseVersions+64 {
 			t.Errorf("keeper %d: %d versions of %d", id, len(l.Versions), n)
 		}
 	}
@@ -264,7 +264,7 @@
 	h.stop(3)
 	h.forms = map[uint64]int{3: 1}
 	h.must(3)
-	<-h.up[3].Ended()
+	<-h.up[3].Done()
 	if err := h.up[3].Err(); err == nil || !strings.Contains(err.Error(), "a newer keeper may have written it") {
 		t.Errorf("one of the form before: %v", err)
 	}
@@ -278,7 +278,7 @@
 	c := h.client()
 	const last = 200
 	for n := range last {
-		if _, err := c.Propose(&accord.Proposal{ID: fmt.Sprint(n), Parent: uint64(n), Over: true, Rules: fleetOf(20, n)}); err != nil {
+		if _, err := c.Propose(&accord.Proposal{ID: fmt.Sprint(n), Parent: uint64(n), ReplacePending: true, Content: fleetOf(20, n)}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -318,8 +318,8 @@
 		t.Errorf("%d versions, %s", len(all), log)
 	}
 	for _, v := range all {
-		if none := v.Number >= victim && v.Number < victim+segment-3; none != (v.Rules == nil) {
-			t.Errorf("version %d has a content of %d bytes, %d is spoilt", v.Number, len(v.Rules), victim)
+		if none := v.Number >= victim && v.Number < victim+segment-3; none != (v.Content == nil) {
+			t.Errorf("version %d has a content of %d bytes, %d is spoilt", v.Number, len(v.Content), victim)
 		}
 	}
 	k.do(context.Background(), func() {
@@ -336,7 +336,7 @@
 	h.must(1, 2, 3)
 	c := h.client()
 	for n := range 40 {
-		if _, err := c.Propose(&accord.Proposal{ID: fmt.Sprint(n), Parent: uint64(n), Over: true, Rules: fleetOf(20, n)}); err != nil {
+		if _, err := c.Propose(&accord.Proposal{ID: fmt.Sprint(n), Parent: uint64(n), ReplacePending: true, Content: fleetOf(20, n)}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -365,11 +365,11 @@
 	h := newHome(t)
 	h.must(1, 2, 3)
 	c := h.client()
-	_, err := c.Propose(&accord.Proposal{ID: "a", Rules: make([]byte, rules.Most+1)})
+	_, err := c.Propose(&accord.Proposal{ID: "a", Content: make([]byte, rules.MaxContentBytes+1)})
 	if err == nil || !strings.Contains(err.Error(), "16777217 bytes") {
 		t.Errorf("%v", err)
 	}
-	if _, err := c.Propose(&accord.Proposal{ID: "b", Rules: some(1)}); err != nil {
+	if _, err := c.Propose(&accord.Proposal{ID: "b", Content: some(1)}); err != nil {
 		t.Error(err)
 	}
 	r, err := http.Get("http://" + h.peers[1] + "/metrics")
--- a/internal/fleet/keep/server.go
+++ b/internal/fleet/keep/server.go
@@ -16,27 +16,27 @@
 
 // Status is how a fleet stands, as the leading keeper knows it.
 type Status struct {
-	Keeper    uint64         `json:"keeper"`
-	Leader    uint64         `json:"leader"`
-	Term      uint64         `json:"term"`
-	InForce   uint64         `json:"in_force"`
-	Announced uint64         `json:"announced"`
-	Lease     int64          `json:"lease_ms"`
-	Stated    int64          `json:"stated_ms"` // T of docs/fleet.md
-	Voters    []uint64       `json:"voters"`
-	Waits     []string       `json:"waits,omitempty"` // what an announced version waits for
-	Gateways  []accord.Seen  `json:"gateways"`
-	Newest    *rules.Version `json:"newest,omitempty"`
+	Replica                uint64                 `json:"keeper"`
+	Leader                 uint64                 `json:"leader"`
+	Term                   uint64                 `json:"term"`
+	InForce                uint64                 `json:"in_force"`
+	Announced              uint64                 `json:"announced"`
+	LeaseMillis            int64                  `json:"lease_ms"`
+	ConvergenceBoundMillis int64                  `json:"stated_ms"` // T of docs/fleet.md
+	Voters                 []uint64               `json:"voters"`
+	WaitingFor             []string               `json:"waits,omitempty"` // what an announced version waits for
+	Gateways               []accord.GatewayStatus `json:"gateways"`
+	Latest                 *rules.Version         `json:"newest,omitempty"`
 }
 
-// Stated is the longest time from a version's announcement until no gateway acts on the one before alone, in
+// ConvergenceBound is the longest time from a version's announcement until no gateway acts on the one before alone, in
 // nanoseconds; docs/fleet.md has the reasons.
-func Stated(t accord.Terms) int64 {
-	span := float64(t.Lease) * (1 + t.Drift) / (1 - t.Drift)
+func ConvergenceBound(t accord.Settings) int64 {
+	span := float64(t.LeaseDuration) * (1 + t.MaxClockDrift) / (1 - t.MaxClockDrift)
 	return int64(span)
 }
 
-func (k *Keeper) handler() http.Handler {
+func (k *Replica) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /raft", func(w http.ResponseWriter, r *http.Request) {
 		b, err := io.ReadAll(io.LimitReader(r.Body, 256<<20))
@@ -79,10 +79,10 @@
 		}
 	})
 	mux.HandleFunc("POST /renew", func(w http.ResponseWriter, r *http.Request) {
-		a := &accord.Ask{}
+		a := &accord.RenewRequest{}
 		if read(w, r, a) {
 			terse(w)
-			k.answer(w, r, func(warden *accord.Warden) any { return warden.Renew(k.now(), a) })
+			k.answer(w, r, func(warden *accord.Manager) any { return warden.Renew(k.now(), a) })
 		}
 	})
 	mux.HandleFunc("GET /news", k.news)
@@ -90,12 +90,12 @@
 	mux.Handle("GET /metrics", k.metrics())
 	mux.HandleFunc("POST /voters", k.votersHandler)
 	mux.HandleFunc("GET /status", func(w http.ResponseWriter, r *http.Request) {
-		k.answer(w, r, func(warden *accord.Warden) any {
+		k.answer(w, r, func(warden *accord.Manager) any {
 			l := k.ledger
-			s := Status{Keeper: k.opt.Number, Leader: k.leader, Term: k.term, InForce: l.InForce, Announced: l.Announced, Voters: k.conf.GetVoters(), Lease: l.Terms.Lease / 1e6, Stated: Stated(l.Terms) / 1e6,
-				Gateways: warden.Look(k.now()), Newest: l.Version(l.Announced)}
+			s := Status{Replica: k.opt.ID, Leader: k.leader, Term: k.term, InForce: l.InForce, Announced: l.Announced, Voters: k.conf.GetVoters(), LeaseMillis: l.Settings.LeaseDuration / 1e6, ConvergenceBoundMillis: ConvergenceBound(l.Settings) / 1e6,
+				Gateways: warden.Gateways(k.now()), Latest: l.Version(l.Announced)}
 			if l.InForce != l.Announced {
-				s.Waits = warden.Waits(k.now())
+				s.WaitingFor = warden.WaitingFor(k.now())
 			}
 			return s
 		})
@@ -106,8 +106,8 @@
 		if !read(w, r, p) {
 			return
 		}
-		if size := proposedSize(p.Rules); size > rules.Most {
-			http.Error(w, fmt.Sprintf("the rules are %d bytes, and a version has %d at most", size, rules.Most), http.StatusBadRequest)
+		if size := proposedSize(p.Content); size > rules.MaxContentBytes {
+			http.Error(w, fmt.Sprintf("the rules are %d bytes, and a version has %d at most", size, rules.MaxContentBytes), http.StatusBadRequest)
 			return
 		}
 		to := make(chan result, 1)
@@ -117,7 +117,7 @@
 		select {
 		case got := <-to:
 			switch {
-			case errors.Is(got.err, ErrNotLeading):
+			case errors.Is(got.err, ErrNotLeader):
 				k.elsewhere(w)
 			case got.err != nil:
 				http.Error(w, got.err.Error(), http.StatusConflict)
@@ -136,7 +136,7 @@
 
 // news answers once the log's state is another than who asks knows, or after a while. It gives no lease and confirms nothing: who
 // hears of news asks for it. What it says may be wrong where this keeper wrongly believes that it leads.
-func (k *Keeper) news(w http.ResponseWriter, r *http.Request) {
+func (k *Replica) news(w http.ResponseWriter, r *http.Request) {
 	number := func(name string) uint64 {
 		n, _ := strconv.ParseUint(r.URL.Query().Get(name), 10, 64)
 		return n
@@ -172,10 +172,10 @@
 // proposedSize is the size of rules as they came, or if that is not too much as a version would have them. Those that cannot be read are
 // refused, or kept as they are, in the log.
 func proposedSize(b []byte) int {
-	if len(b) > rules.Most {
+	if len(b) > rules.MaxContentBytes {
 		return len(b)
 	}
-	if r, err := rules.Read(b); err == nil {
+	if r, err := rules.Parse(b); err == nil {
 		return len(r.Canonical())
 	}
 	return len(b)
@@ -191,15 +191,15 @@
 }
 
 // elsewhere tells that this keeper does not lead.
-func (k *Keeper) elsewhere(w http.ResponseWriter) {
-	http.Error(w, ErrNotLeading.Error(), http.StatusMisdirectedRequest)
+func (k *Replica) elsewhere(w http.ResponseWriter) {
+	http.Error(w, ErrNotLeader.Error(), http.StatusMisdirectedRequest)
 }
 
 // answer answers once it is sure that this keeper leads.
-func (k *Keeper) answer(w http.ResponseWriter, r *http.Request, content func(*accord.Warden) any) {
+func (k *Replica) answer(w http.ResponseWriter, r *http.Request, content func(*accord.Manager) any) {
 	to := make(chan []byte, 1)
 	k.do(r.Context(), func() {
-		k.whenSure(func(warden *accord.Warden) {
+		k.whenSure(func(warden *accord.Manager) {
 			if warden == nil {
 				to <- nil
 				return
--- a/internal/fleet/keep/store.go
+++ b/internal/fleet/keep/store.go
@@ -126,7 +126,7 @@
 		if err := tx.Bucket(bucketSelf).Put([]byte("identity"), b); err != nil {
 			return err
 		}
-		snap := &raftpb.Snapshot{Data: accord.NewLedger().Save(), Metadata: &raftpb.SnapshotMetadata{Index: proto.Uint64(1), Term: proto.Uint64(1),
+		snap := &raftpb.Snapshot{Data: accord.NewStateMachine().Snapshot(), Metadata: &raftpb.SnapshotMetadata{Index: proto.Uint64(1), Term: proto.Uint64(1),
 			ConfState: &raftpb.ConfState{Voters: voters}}}
 		if b := tx.Bucket(bucketRaft).Get([]byte("snapshot")); b != nil {
 			snap = &raftpb.Snapshot{}
--- a/internal/fleet/keep/voters.go
+++ b/internal/fleet/keep/voters.go
@@ -17,14 +17,14 @@
 // majorities can speak for different sets. A keeper that has lost its folder is replaced by one with another number: under its own it
 // would vote twice.
 
-// Voters is a change of the keepers that vote.
-type Voters struct {
+// MembershipChange is a change of the keepers that vote.
+type MembershipChange struct {
 	Add    map[uint64]string `json:"add,omitempty"` // addresses, as the other keepers reach them, by numbers that were never used
 	Remove []uint64          `json:"remove,omitempty"`
 }
 
-// ErrVoters tells why a change of voters is refused.
-var ErrVoters = errors.New("this change of keepers cannot be")
+// ErrMembershipChange tells why a change of voters is refused.
+var ErrMembershipChange = errors.New("this change of keepers cannot be")
 
 // votersCall is a change that waits for its place in the log.
 type votersCall struct {
@@ -32,26 +32,26 @@
 }
 
 // check refuses a change that cannot be, given who votes.
-func (v *Voters) check(now []uint64, used map[uint64]string) error {
+func (v *MembershipChange) check(now []uint64, used map[uint64]string) error {
 	left := len(now) + len(v.Add) - len(v.Remove)
 	for _, n := range v.Remove {
 		if !slices.Contains(now, n) {
-			return fmt.Errorf("%w: keeper %d does not vote, %v do", ErrVoters, n, now)
+			return fmt.Errorf("%w: keeper %d does not vote, %v do", ErrMembershipChange, n, now)
 		}
 	}
 	for _, n := range slices.Sorted(maps.Keys(v.Add)) {
 		if _, known := used[n]; known || n == 0 || v.Add[n] == "" {
-			return fmt.Errorf("%w: the number %d has been used, or is none, or has no address", ErrVoters, n)
+			return fmt.Errorf("%w: the number %d has been used, or is none, or has no address", ErrMembershipChange, n)
 		}
 	}
 	if left < 1 || left > 7 || len(v.Add)+len(v.Remove) == 0 {
-		return fmt.Errorf("%w: %d would vote", ErrVoters, left)
+		return fmt.Errorf("%w: %d would vote", ErrMembershipChange, left)
 	}
 	return nil
 }
 
 // made tells that the change has been made already: who asks again has not heard the answer.
-func (v *Voters) made(now []uint64, used map[uint64]string) bool {
+func (v *MembershipChange) made(now []uint64, used map[uint64]string) bool {
 	for _, n := range v.Remove {
 		if _, known := used[n]; !known || slices.Contains(now, n) {
 			return false
@@ -66,7 +66,7 @@
 }
 
 // change makes it an entry of the log.
-func (v *Voters) change() *raftpb.ConfChangeV2 {
+func (v *MembershipChange) change() *raftpb.ConfChangeV2 {
 	c := &raftpb.ConfChangeV2{}
 	c.Context, _ = json.Marshal(v) // texts and whole numbers only
 	add := func(t raftpb.ConfChangeType, n uint64) {
@@ -82,13 +82,13 @@
 }
 
 // propose puts a change of voters into the log; to hears once it counts, or why it does not.
-func (k *Keeper) proposeVoters(v *Voters, to chan error) {
+func (k *Replica) proposeVoters(v *MembershipChange, to chan error) {
 	if k.warden == nil {
-		to <- ErrNotLeading
+		to <- ErrNotLeader
 		return
 	}
 	if k.voting != nil || len(k.conf.GetVotersOutgoing()) > 0 {
-		to <- fmt.Errorf("%w: another change is under way", ErrVoters)
+		to <- fmt.Errorf("%w: another change is under way", ErrMembershipChange)
 		return
 	}
 	if v.made(k.conf.GetVoters(), k.addrs) {
@@ -107,7 +107,7 @@
 }
 
 // applyVoters takes a change of voters from the log.
-func (k *Keeper) applyVoters(e *raftpb.Entry) error {
+func (k *Replica) applyVoters(e *raftpb.Entry) error {
 	c := &raftpb.ConfChangeV2{}
 	if err := proto.Unmarshal(e.GetData(), c); err != nil {
 		return fmt.Errorf("entry %d of the log cannot be read: %w", e.GetIndex(), err)
@@ -117,7 +117,7 @@
 		return err
 	}
 	if len(c.GetContext()) > 0 {
-		v := &Voters{}
+		v := &MembershipChange{}
 		if err := json.Unmarshal(c.GetContext(), v); err != nil {
 			return fmt.Errorf("entry %d of the log cannot be read: %w", e.GetIndex(), err)
 		}
@@ -136,9 +136,9 @@
 }
 
 // meet has a way to each keeper whose address is known, but for this one.
-func (k *Keeper) meet() {
+func (k *Replica) meet() {
 	for id, addr := range k.addrs {
-		if id == k.opt.Number || k.peers[id] != nil {
+		if id == k.opt.ID || k.peers[id] != nil {
 			continue
 		}
 		p := newPeer(k, id, addr)
@@ -148,8 +148,8 @@
 	}
 }
 
-func (k *Keeper) votersHandler(w http.ResponseWriter, r *http.Request) {
-	v := &Voters{}
+func (k *Replica) votersHandler(w http.ResponseWriter, r *http.Request) {
+	v := &MembershipChange{}
 	if !read(w, r, v) {
 		return
 	}
@@ -160,7 +160,7 @@
 	select {
 	case err := <-to:
 		switch {
-		case errors.Is(err, ErrNotLeading):
+		case errors.Is(err, ErrNotLeader):
 			k.elsewhere(w)
 		case err != nil:
 			http.Error(w, err.Error(), http.StatusConflict)
@@ -172,8 +172,8 @@
 	}
 }
 
-// Voters changes who keeps the versions. It may be asked for again after it is done, which changes nothing.
-func (c *Client) Voters(v *Voters) error {
+// ChangeMembership changes who keeps the versions. It may be asked for again after it is done, which changes nothing.
+func (c *Client) ChangeMembership(v *MembershipChange) error {
 	done := false
 	return c.ask(http.MethodPost, "/voters", v, &done)
 }
--- a/internal/fleet/keep/voters_test.go
+++ b/internal/fleet/keep/voters_test.go
@@ -23,7 +23,7 @@
 	c := h.client()
 	propose := func(n int) {
 		t.Helper()
-		if _, err := c.Propose(&accord.Proposal{ID: fmt.Sprint(n), Parent: uint64(n - 1), Over: true, Rules: some(float64(n))}); err != nil {
+		if _, err := c.Propose(&accord.Proposal{ID: fmt.Sprint(n), Parent: uint64(n - 1), ReplacePending: true, Content: some(float64(n))}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -37,17 +37,17 @@
 	}
 	h.peers[4] = l.Addr().String()
 	l.Close()
-	c.Keepers = append(c.Keepers, h.peers[4])
+	c.Replicas = append(c.Replicas, h.peers[4])
 	h.joins = 4
 	h.must(4)
-	for _, v := range []*Voters{{Remove: []uint64{7}}, {Add: map[uint64]string{2: "a:1"}}, {}, {Add: map[uint64]string{5: ""}}} {
-		var refused *RefusedError
-		if err := c.Voters(v); !errors.As(err, &refused) {
+	for _, v := range []*MembershipChange{{Remove: []uint64{7}}, {Add: map[uint64]string{2: "a:1"}}, {}, {Add: map[uint64]string{5: ""}}} {
+		var refused *RejectedError
+		if err := c.ChangeMembership(v); !errors.As(err, &refused) {
 			t.Errorf("%+v: %v", v, err)
 		}
 	}
 	for range 2 { // who does not hear the answer asks again
-		if err := c.Voters(&Voters{Add: map[uint64]string{4: h.peers[4]}, Remove: []uint64{2}}); err != nil {
+		if err := c.ChangeMembership(&MembershipChange{Add: map[uint64]string{4: h.peers[4]}, Remove: []uint64{2}}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -72,7 +72,7 @@
 	h := newHome(t)
 	h.must(1, 2, 3)
 	c := h.client()
-	if _, err := c.Propose(&accord.Proposal{ID: "a", Rules: some(1)}); err != nil {
+	if _, err := c.Propose(&accord.Proposal{ID: "a", Content: some(1)}); err != nil {
 		t.Fatal(err)
 	}
 	var s Status
@@ -83,7 +83,7 @@
 		}
 	}
 	ask := func(keeper uint64, hold time.Duration, term, version uint64) (news bool, err error) {
-		err = c.One(context.Background(), h.peers[keeper], http.MethodGet, fmt.Sprintf("/news?term=%d&in_force=%d&announced=%d&hold_ms=%d", term, version, version,
+		err = c.Call(context.Background(), h.peers[keeper], http.MethodGet, fmt.Sprintf("/news?term=%d&in_force=%d&announced=%d&hold_ms=%d", term, version, version,
 			hold.Milliseconds()), nil, &news)
 		return news, err
 	}
@@ -113,7 +113,7 @@
 		heard <- err
 	}()
 	time.Sleep(50 * time.Millisecond)
-	if _, err := c.Propose(&accord.Proposal{ID: "b", Parent: 1, Rules: some(2)}); err != nil {
+	if _, err := c.Propose(&accord.Proposal{ID: "b", Parent: 1, Content: some(2)}); err != nil {
 		t.Fatal(err)
 	}
 	if err := <-heard; err != nil {
--- a/internal/fleet/rig/agree.go
+++ b/internal/fleet/rig/agree.go
@@ -12,22 +12,22 @@
 	"irispost/internal/fleet/rules"
 )
 
-// Acts is what a gateway acted on from a time on: versions, or their floors. No versions: nothing.
-type Acts struct {
-	At    int64 // nanoseconds, on one clock for all
-	Holds []uint64
-	Floor bool
+// Activation is what a gateway acted on from a time on: versions, or their floors. No versions: nothing.
+type Activation struct {
+	At       int64 // nanoseconds, on one clock for all
+	Versions []uint64
+	Fallback bool
 }
 
-// ReadActs reads a gateway's record.
-func ReadActs(r io.Reader) (list []Acts, err error) {
+// ReadActivations reads a gateway's record.
+func ReadActivations(r io.Reader) (list []Activation, err error) {
 	s := bufio.NewScanner(r)
 	for s.Scan() {
 		f := strings.Fields(strings.NewReplacer("[", "", "]", "").Replace(s.Text()))
 		if len(f) < 2 {
 			return nil, fmt.Errorf("%q is no line of a record", s.Text())
 		}
-		a := Acts{Floor: f[1] == "true"}
+		a := Activation{Fallback: f[1] == "true"}
 		if a.At, err = strconv.ParseInt(f[0], 10, 64); err != nil {
 			return nil, err
 		}
@@ -36,7 +36,7 @@
 			if err != nil {
 				return nil, err
 			}
-			a.Holds = append(a.Holds, n)
+			a.Versions = append(a.Versions, n)
 		}
 		list = append(list, a)
 	}
@@ -45,25 +45,25 @@
 
 // Agreement is what an audit of all gateways' records came to.
 type Agreement struct {
-	Stated   float64 `json:"stated_ms"`     // the longest time that a pair may contradict
-	Worst    float64 `json:"worst_ms"`      // the longest that one did
-	Pairs    int     `json:"pairs_checked"` // pairs of gateways
-	Spans    int     `json:"spans_checked"` // spans of time in which neither of a pair changed
-	Versions int     `json:"versions"`
-	Broken   int     `json:"broken"` // pairs that contradicted for longer than stated
-	First    string  `json:"first,omitempty"`
+	BoundMillis    float64 `json:"stated_ms"`     // the longest time that a pair may contradict
+	WorstMillis    float64 `json:"worst_ms"`      // the longest that one did
+	Pairs          int     `json:"pairs_checked"` // pairs of gateways
+	Intervals      int     `json:"spans_checked"` // spans of time in which neither of a pair changed
+	Versions       int     `json:"versions"`
+	Violations     int     `json:"broken"` // pairs that contradicted for longer than stated
+	FirstViolation string  `json:"first,omitempty"`
 }
 
-// Agree audits records: each gateway's, in order of time, ending with what it acts on at the end. Whether two contradict is
+// AuditPairs audits records: each gateway's, in order of time, ending with what it acts on at the end. Whether two contradict is
 // worked out from the versions' content alone.
-func Agree(records map[string][]Acts, versions []*rules.Version, stated, end int64) (a Agreement, err error) {
-	opened := map[uint64]*rules.Rules{}
+func AuditPairs(records map[string][]Activation, versions []*rules.Version, stated, end int64) (a Agreement, err error) {
+	opened := map[uint64]*rules.Config{}
 	for _, v := range versions {
-		if opened[v.Number], err = v.Open(); err != nil {
+		if opened[v.Number], err = v.Config(); err != nil {
 			return a, err
 		}
 	}
-	a.Versions, a.Stated = len(versions), float64(stated)/1e6
+	a.Versions, a.BoundMillis = len(versions), float64(stated)/1e6
 	judge := &judge{opened: opened, known: map[string]string{}}
 	var names []string
 	for name := range records {
@@ -74,12 +74,12 @@
 		for _, other := range names[i+1:] {
 			a.Pairs++
 			worst, why, spans := judge.pair(records[one], records[other], end)
-			a.Spans += spans
-			a.Worst = max(a.Worst, float64(worst)/1e6)
+			a.Intervals += spans
+			a.WorstMillis = max(a.WorstMillis, float64(worst)/1e6)
 			if worst > stated {
-				a.Broken++
-				if a.First == "" {
-					a.First = fmt.Sprintf("%s and %s for %d ms: %s", one, other, worst/1e6, why)
+				a.Violations++
+				if a.FirstViolation == "" {
+					a.FirstViolation = fmt.Sprintf("%s and %s for %d ms: %s", one, other, worst/1e6, why)
 				}
 			}
 		}
@@ -88,12 +88,12 @@
 }
 
 type judge struct {
-	opened map[uint64]*rules.Rules
+	opened map[uint64]*rules.Config
 	known  map[string]string
 }
 
 // pair finds the longest time for which two gateways contradicted, and in what.
-func (j *judge) pair(a, b []Acts, end int64) (worst int64, why string, spans int) {
+func (j *judge) pair(a, b []Activation, end int64) (worst int64, why string, spans int) {
 	var times []int64
 	for _, x := range slices.Concat(a, b) {
 		times = append(times, x.At)
@@ -118,7 +118,7 @@
 	return worst, why, spans
 }
 
-func during(list []Acts, at int64) (found Acts) {
+func during(list []Activation, at int64) (found Activation) {
 	for _, x := range list {
 		if x.At <= at {
 			found = x
@@ -129,11 +129,11 @@
 
 // contradict tells in what two gateways contradict; "": in nothing. Who honours a version that the other honours too does not,
 // nor does who is on a floor that is within a version of the other.
-func (j *judge) contradict(a, b Acts) string {
-	if len(a.Holds) == 0 || len(b.Holds) == 0 {
+func (j *judge) contradict(a, b Activation) string {
+	if len(a.Versions) == 0 || len(b.Versions) == 0 {
 		return ""
 	}
-	key := fmt.Sprint(a.Holds, a.Floor, b.Holds, b.Floor)
+	key := fmt.Sprint(a.Versions, a.Fallback, b.Versions, b.Fallback)
 	if text, known := j.known[key]; known {
 		return text
 	}
@@ -142,33 +142,33 @@
 	return text
 }
 
-func (j *judge) judged(a, b Acts) []string {
+func (j *judge) judged(a, b Activation) []string {
 	x, y := j.effect(a), j.effect(b)
-	for _, n := range slices.Concat(a.Holds, b.Holds) {
-		if v := j.opened[n]; v != nil && len(rules.Beyond(x, v)) == 0 && len(rules.Beyond(y, v)) == 0 {
+	for _, n := range slices.Concat(a.Versions, b.Versions) {
+		if v := j.opened[n]; v != nil && len(rules.Exceeds(x, v)) == 0 && len(rules.Exceeds(y, v)) == 0 {
 			return nil // both are within that version
 		}
 	}
-	return rules.Contradict(x, y)
+	return rules.Conflicts(x, y)
 }
 
-func (j *judge) effect(a Acts) (r *rules.Rules) {
-	for _, n := range a.Holds {
+func (j *judge) effect(a Activation) (r *rules.Config) {
+	for _, n := range a.Versions {
 		next := j.opened[n]
 		if next == nil {
 			continue
 		}
-		if a.Floor {
-			next = next.Lapsed()
+		if a.Fallback {
+			next = next.Fallback()
 		}
 		if r == nil {
 			r = next
 		} else {
-			r = rules.Meet(r, next)
+			r = rules.Intersect(r, next)
 		}
 	}
 	if r == nil {
-		return (&rules.Rules{}).Nothing()
+		return (&rules.Config{}).DenyAll()
 	}
 	return r
 }
--- a/internal/fleet/rig/agree_test.go
+++ b/internal/fleet/rig/agree_test.go
@@ -12,11 +12,11 @@
 
 // owned is a version by which a node serves the only shard.
 func owned(n uint64, owner string, floor int64) *rules.Version {
-	r := &rules.Rules{Needs: 1, Shards: 1, Mean: 1, Plans: map[string]rules.Plan{"p": {Weight: 1}}, Products: map[string]rules.Product{},
-		Sending: rules.Sending{Most: 1}, Nodes: map[string]rules.Node{"a": {Standing: listing.Draining}, "b": {Standing: listing.Draining}},
-		Floor: rules.Floor{For: floor, Limits: 1}}
+	r := &rules.Config{RequiredFormat: 1, Shards: 1, MeanRequestUnits: 1, ServiceLevels: map[string]rules.ServiceLevel{"p": {Weight: 1}}, RequestClasses: map[string]rules.RequestClass{},
+		Dispatch: rules.DispatchPolicy{MaxAttempts: 1}, Nodes: map[string]rules.Node{"a": {Health: listing.Draining}, "b": {Health: listing.Draining}},
+		FallbackPolicy: rules.FallbackPolicy{Duration: floor, LimitFraction: 1}}
 	r.Nodes[owner] = rules.Node{}
-	return &rules.Version{Number: n, Digest: r.Digest(), Rules: r.Canonical()}
+	return &rules.Version{Number: n, Digest: r.Digest(), Content: r.Canonical()}
 }
 
 // The audit's own checks, on records made by hand: what it has to find, and what only looks like it.
@@ -38,19 +38,19 @@
 		{"one on nothing", "0 false [1]\n20000000 false []", "0 false [1]\n20000000 false [2]", 0, 0},
 		{"two short times are not one long", "0 false [1]\n5000000 false []\n20000000 false [1]\n25000000 false []", "0 false [2]", 5, 0},
 	} {
-		records := map[string][]Acts{}
+		records := map[string][]Activation{}
 		for name, text := range map[string]string{"one": c.one, "other": c.other} {
-			list, err := ReadActs(strings.NewReader(text))
+			list, err := ReadActivations(strings.NewReader(text))
 			if err != nil {
 				t.Fatal(err)
 			}
 			records[name] = list
 		}
-		if a, err := Sweep(records, versions, 10e6, 100e6); err != nil || a.Worst != c.worst || a.Broken != c.broken || a.Pairs != 1 {
+		if a, err := AuditSweep(records, versions, 10e6, 100e6); err != nil || a.WorstMillis != c.worst || a.Violations != c.broken || a.Pairs != 1 {
 			t.Errorf("%s, in one walk: %+v, %v", c.name, a, err)
 		}
-		a, err := Agree(records, versions, 10e6, 100e6)
-		if err != nil || a.Worst != c.worst || a.Broken != c.broken || a.Pairs != 1 {
+		a, err := AuditPairs(records, versions, 10e6, 100e6)
+		if err != nil || a.WorstMillis != c.worst || a.Violations != c.broken || a.Pairs != 1 {
 			t.Errorf("%s: %+v, %v", c.name, a, err)
 		}
 	}
@@ -60,18 +60,18 @@
 func TestSweepIsNeverUnderAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		versions := []*rules.Version{owned(1, "a", 50), owned(2, "b", 50), owned(3, "b", 0)}
-		records := map[string][]Acts{}
+		records := map[string][]Activation{}
 		for _, who := range []string{"x", "y", "z"} {
 			at := int64(0)
 			for range rapid.IntRange(1, 6).Draw(t, "changes") {
-				records[who] = append(records[who], Acts{At: at, Floor: rapid.Bool().Draw(t, "floor"),
-					Holds: rapid.SliceOfNDistinct(rapid.Uint64Range(1, 3), 0, 2, rapid.ID).Draw(t, "holds")})
+				records[who] = append(records[who], Activation{At: at, Fallback: rapid.Bool().Draw(t, "floor"),
+					Versions: rapid.SliceOfNDistinct(rapid.Uint64Range(1, 3), 0, 2, rapid.ID).Draw(t, "holds")})
 				at += rapid.Int64Range(1, 30).Draw(t, "later") * 1e6
 			}
 		}
-		pairs, err := Agree(records, versions, 10e6, 200e6)
-		walk, err2 := Sweep(records, versions, 10e6, 200e6)
-		if err != nil || err2 != nil || walk.Worst < pairs.Worst || (walk.Worst == 0) != (pairs.Worst == 0) {
+		pairs, err := AuditPairs(records, versions, 10e6, 200e6)
+		walk, err2 := AuditSweep(records, versions, 10e6, 200e6)
+		if err != nil || err2 != nil || walk.WorstMillis < pairs.WorstMillis || (walk.WorstMillis == 0) != (pairs.WorstMillis == 0) {
 			t.Fatalf("pairs %+v %v, walk %+v %v", pairs, err, walk, err2)
 		}
 	})
--- a/internal/fleet/rig/golden_test.go
+++ b/internal/fleet/rig/golden_test.go
@@ -18,16 +18,16 @@
 func TestFormsMatchGolden(t *testing.T) {
 	out := &strings.Builder{}
 	versions := []*rules.Version{owned(1, "a", 50), owned(2, "b", 50)}
-	records := map[string][]Acts{}
+	records := map[string][]Activation{}
 	for name, text := range map[string]string{"g1": "0 false [1]\n9000000 true [1 2]", "g2": "0 false [2]\n5 false []\n10000000 false [2]"} {
-		list, err := ReadActs(strings.NewReader(text))
+		list, err := ReadActivations(strings.NewReader(text))
 		if err != nil {
 			t.Fatal(err)
 		}
 		records[name] = list
 	}
 	fmt.Fprintln(out, records["g1"], records["g2"])
-	for _, audit := range []func(map[string][]Acts, []*rules.Version, int64, int64) (Agreement, error){Agree, Sweep} {
+	for _, audit := range []func(map[string][]Activation, []*rules.Version, int64, int64) (Agreement, error){AuditPairs, AuditSweep} {
 		for _, stated := range []int64{1, 1e9} {
 			a, err := audit(records, versions, stated, 20e6)
 			if err != nil {
--- a/internal/fleet/rig/link.go
+++ b/internal/fleet/rig/link.go
@@ -25,10 +25,10 @@
 
 // Fault is what a link does to what passes.
 type Fault struct {
-	There, Back bool          // bytes in that direction are lost, and nobody is told
-	Delay       time.Duration // each piece waits so long
-	Trickle     bool          // a byte at a time
-	Reset       bool          // connections are reset, new ones too
+	DropForward, DropReturn bool          // bytes in that direction are lost, and nobody is told
+	Delay                   time.Duration // each piece waits so long
+	Trickle                 bool          // a byte at a time
+	Reset                   bool          // connections are reset, new ones too
 }
 
 // ParseFault reads a fault: "cut", "deaf" (answers are lost), "mute" (what is asked is lost), "slow SPAN", "trickle", "reset".
@@ -36,11 +36,11 @@
 	word, rest, _ := strings.Cut(text, " ")
 	switch word {
 	case "cut":
-		f.There, f.Back = true, true
+		f.DropForward, f.DropReturn = true, true
 	case "mute":
-		f.There = true
+		f.DropForward = true
 	case "deaf":
-		f.Back = true
+		f.DropReturn = true
 	case "trickle":
 		f.Trickle = true
 	case "reset":
@@ -59,11 +59,11 @@
 }
 
 // NewLink starts a link to an address.
-func NewLink(to string) (*Link, error) { return NewLongLink(to, 0) }
+func NewLink(to string) (*Link, error) { return NewLinkWithLatency(to, 0) }
 
-// NewLongLink starts a link on which each byte is under way for so long, in either direction. What follows it does not wait for it, but
+// NewLinkWithLatency starts a link on which each byte is under way for so long, in either direction. What follows it does not wait for it, but
 // for what is under way at once: longMost pieces.
-func NewLongLink(to string, latency time.Duration) (*Link, error) {
+func NewLinkWithLatency(to string, latency time.Duration) (*Link, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -77,8 +77,8 @@
 // Addr is where the link is entered.
 func (l *Link) Addr() string { return l.listener.Addr().String() }
 
-// Set has the link be faulty from now on; the zero Fault: well again.
-func (l *Link) Set(f Fault) {
+// SetFault has the link be faulty from now on; the zero Fault: well again.
+func (l *Link) SetFault(f Fault) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	l.fault = f
@@ -155,8 +155,8 @@
 	}()
 	var both sync.WaitGroup
 	both.Add(2)
-	go func() { defer both.Done(); l.pass(p, p.out, p.in, func(f Fault) bool { return f.There }) }()
-	go func() { defer both.Done(); l.pass(p, p.in, p.out, func(f Fault) bool { return f.Back }) }()
+	go func() { defer both.Done(); l.pass(p, p.out, p.in, func(f Fault) bool { return f.DropForward }) }()
+	go func() { defer both.Done(); l.pass(p, p.in, p.out, func(f Fault) bool { return f.DropReturn }) }()
 	both.Wait()
 }
 
--- a/internal/fleet/rig/link_test.go
+++ b/internal/fleet/rig/link_test.go
@@ -25,7 +25,7 @@
 		defer c.Close()
 		io.Copy(c, c) // back again
 	}()
-	link, err := NewLongLink(l.Addr().String(), latency)
+	link, err := NewLinkWithLatency(l.Addr().String(), latency)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleet/rig/sweep.go
+++ b/internal/fleet/rig/sweep.go
@@ -8,21 +8,21 @@
 	"irispost/internal/fleet/rules"
 )
 
-// Sweep audits records of many gateways as Agree does, in one walk over time in place of one over each pair: Worst is the longest time
+// AuditSweep audits records of many gateways as Agree does, in one walk over time in place of one over each pair: Worst is the longest time
 // for which some two gateways contradicted without a break, whoever they were, so that no pair did for longer than that. Broken is 1 where
 // it is over what is stated. Where nobody contradicted it is 0, as Agree's is.
-func Sweep(records map[string][]Acts, versions []*rules.Version, stated, end int64) (a Agreement, err error) {
-	opened := map[uint64]*rules.Rules{}
+func AuditSweep(records map[string][]Activation, versions []*rules.Version, stated, end int64) (a Agreement, err error) {
+	opened := map[uint64]*rules.Config{}
 	for _, v := range versions {
-		if opened[v.Number], err = v.Open(); err != nil {
+		if opened[v.Number], err = v.Config(); err != nil {
 			return a, err
 		}
 	}
-	a.Versions, a.Stated, a.Pairs = len(versions), float64(stated)/1e6, len(records)*(len(records)-1)/2
+	a.Versions, a.BoundMillis, a.Pairs = len(versions), float64(stated)/1e6, len(records)*(len(records)-1)/2
 	type change struct {
 		at   int64
 		who  string
-		acts Acts
+		acts Activation
 	}
 	var list []change
 	for who, acts := range records {
@@ -31,14 +31,14 @@
 		}
 	}
 	slices.SortFunc(list, func(a, b change) int { return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.who, b.who)) })
-	s := sweep{judge: &judge{opened: opened, known: map[string]string{}}, acts: map[string]string{}, count: map[string]int{}, as: map[string]Acts{}}
+	s := sweep{judge: &judge{opened: opened, known: map[string]string{}}, acts: map[string]string{}, count: map[string]int{}, as: map[string]Activation{}}
 	since, why := int64(-1), ""
 	for i, c := range list {
 		s.turn(c.who, c.acts)
 		if i+1 < len(list) && list[i+1].at == c.at {
 			continue
 		}
-		a.Spans++
+		a.Intervals++
 		text := s.contradict()
 		until := end
 		if i+1 < len(list) {
@@ -51,10 +51,10 @@
 		if since < 0 {
 			since, why = c.at, text
 		}
-		if long := float64(until-since) / 1e6; long > a.Worst {
-			a.Worst = long
+		if long := float64(until-since) / 1e6; long > a.WorstMillis {
+			a.WorstMillis = long
 			if until-since > stated {
-				a.Broken, a.First = 1, fmt.Sprintf("for %d ms: %s", (until-since)/1e6, why)
+				a.Violations, a.FirstViolation = 1, fmt.Sprintf("for %d ms: %s", (until-since)/1e6, why)
 			}
 		}
 	}
@@ -66,18 +66,18 @@
 	judge *judge
 	acts  map[string]string // by gateway
 	count map[string]int    // gateways that act so
-	as    map[string]Acts
+	as    map[string]Activation
 }
 
 // turn has a gateway act on something from now on.
-func (s *sweep) turn(who string, acts Acts) {
+func (s *sweep) turn(who string, acts Activation) {
 	if before, known := s.acts[who]; known {
 		if s.count[before]--; s.count[before] == 0 {
 			delete(s.count, before)
 			delete(s.as, before)
 		}
 	}
-	now := fmt.Sprint(acts.Holds, acts.Floor)
+	now := fmt.Sprint(acts.Versions, acts.Fallback)
 	s.acts[who], s.as[now] = now, acts
 	s.count[now]++
 }
--- a/internal/fleet/rules/beyond.go
+++ b/internal/fleet/rules/beyond.go
@@ -9,18 +9,18 @@
 	"irispost/internal/listing"
 )
 
-// Beyond tells what a allows that b does not, in words; nothing: a is within b, so whoever acts on a does not contradict b.
+// Exceeds tells what a allows that b does not, in words; nothing: a is within b, so whoever acts on a does not contradict b.
 // What may differ without harm (weights, rates, reserves, goals, patience, names) is left out.
-func Beyond(a, b *Rules) (list []string) {
+func Exceeds(a, b *Config) (list []string) {
 	note := func(is bool, format string, args ...any) {
 		if is {
 			list = append(list, fmt.Sprintf(format, args...))
 		}
 	}
-	note(a.Needs < b.Needs, "form: %d knows less than %d", a.Needs, b.Needs)
-	for _, name := range sorted(a.Plans) {
-		p := a.Plans[name]
-		q, there := b.Plans[name]
+	note(a.RequiredFormat < b.RequiredFormat, "form: %d knows less than %d", a.RequiredFormat, b.RequiredFormat)
+	for _, name := range sorted(a.ServiceLevels) {
+		p := a.ServiceLevels[name]
+		q, there := b.ServiceLevels[name]
 		note(!there, "plan %s: not in the other", name)
 		if there {
 			note(p.limit() > q.limit(), "plan %s: limit %s over %s", name, amount(p.limit()), amount(q.limit()))
@@ -28,30 +28,30 @@
 			note(p.Slack > q.Slack, "plan %s: slack %v over %v", name, p.Slack, q.Slack)
 		}
 	}
-	for _, name := range sorted(a.Products) {
-		p := a.Products[name]
-		q, there := b.Products[name]
+	for _, name := range sorted(a.RequestClasses) {
+		p := a.RequestClasses[name]
+		q, there := b.RequestClasses[name]
 		note(!there, "product %s: not in the other", name)
 		if there {
-			note(meetKind(p.Kind, q.Kind) != p.Kind, "product %s: %s, where it is %s", name, p.Kind, q.Kind)
-			note(p.Window > q.Window, "product %s: repeats for %d, known for %d", name, p.Window, q.Window)
-			note(q.InTurn && !p.InTurn, "product %s: out of turn", name)
+			note(meetKind(p.Idempotency, q.Idempotency) != p.Idempotency, "product %s: %s, where it is %s", name, p.Idempotency, q.Idempotency)
+			note(p.DedupWindow > q.DedupWindow, "product %s: repeats for %d, known for %d", name, p.DedupWindow, q.DedupWindow)
+			note(q.Ordered && !p.Ordered, "product %s: out of turn", name)
 		}
 	}
-	c, d := a.Cold, b.Cold
-	note(c.From > d.From || c.Time < d.Time || c.Multiple > d.Multiple || c.Units > d.Units || c.Window != d.Window && (c.Multiple > 0 || c.Units > 0),
+	c, d := a.SlowStart, b.SlowStart
+	note(c.InitialShare > d.InitialShare || c.Duration < d.Duration || c.FairShareMultiple > d.FairShareMultiple || c.MinimumUnits > d.MinimumUnits || c.Window != d.Window && (c.FairShareMultiple > 0 || c.MinimumUnits > 0),
 		"cold nodes: %s over %s", c.text(), d.text())
-	f, g := a.Further, b.Further
-	note(f.Free > g.Free || f.Share > g.Share || f.Window != g.Window && (f.Free > 0 || f.Share > 0), "further executions: %s over %s", f.text(), g.text())
-	s, t := a.Sending, b.Sending
-	note(s.Most > t.Most, "executions of a job: %d over %d", s.Most, t.Most)
-	note(s.SecondCopies && !t.SecondCopies, "second copies")
-	note(s.CallingOff && !t.CallingOff, "calling off")
-	note(s.Advice && !t.Advice || s.AdviceMost > t.AdviceMost, "advice in dismissals")
-	note(s.KeyRest < t.KeyRest, "rest of a key: %d under %d", s.KeyRest, t.KeyRest)
+	f, g := a.RetryBudget, b.RetryBudget
+	note(f.FreeRetries > g.FreeRetries || f.RequestShare > g.RequestShare || f.Window != g.Window && (f.FreeRetries > 0 || f.RequestShare > 0), "further executions: %s over %s", f.text(), g.text())
+	s, t := a.Dispatch, b.Dispatch
+	note(s.MaxAttempts > t.MaxAttempts, "executions of a job: %d over %d", s.MaxAttempts, t.MaxAttempts)
+	note(s.Hedging && !t.Hedging, "second copies")
+	note(s.Cancellation && !t.Cancellation, "calling off")
+	note(s.RetryAfter && !t.RetryAfter || s.MaxRetryAfter > t.MaxRetryAfter, "advice in dismissals")
+	note(s.KeyCooldown < t.KeyCooldown, "rest of a key: %d under %d", s.KeyCooldown, t.KeyCooldown)
 	for _, addr := range sorted(a.Nodes) {
 		n := a.Nodes[addr]
-		if n.Standing != listing.Ready {
+		if n.Health != listing.Ready {
 			continue
 		}
 		note(a.Shards != b.Shards, "node %s: one of %d shards, where there are %d", addr, a.Shards, b.Shards)
@@ -61,21 +61,21 @@
 			note(true, "node %s: not in the other", addr)
 		case n.Shard != o.Shard:
 			note(true, "node %s: shard %d, where it is %d", addr, n.Shard, o.Shard)
-		case o.Standing != listing.Ready:
+		case o.Health != listing.Ready:
 			note(true, "node %s: served, where it drains or is gone", addr)
 		default:
-			note(n.Born < o.Born, "node %s: started anew since", addr)
+			note(n.StartedAt < o.StartedAt, "node %s: started anew since", addr)
 		}
 	}
 	return list
 }
 
-func (c Cold) text() string {
-	return fmt.Sprintf("{From:%v Time:%d Multiple:%v Window:%d Units:%v}", c.From, c.Time, c.Multiple, c.Window, c.Units)
+func (c SlowStart) text() string {
+	return fmt.Sprintf("{From:%v Time:%d Multiple:%v Window:%d Units:%v}", c.InitialShare, c.Duration, c.FairShareMultiple, c.Window, c.MinimumUnits)
 }
 
-func (f Further) text() string {
-	return fmt.Sprintf("{Window:%d Free:%v Share:%v}", f.Window, f.Free, f.Share)
+func (f RetryBudget) text() string {
+	return fmt.Sprintf("{Window:%d Free:%v Share:%v}", f.Window, f.FreeRetries, f.RequestShare)
 }
 
 func amount(n float64) string {
@@ -85,10 +85,10 @@
 	return strconv.FormatFloat(n, 'g', -1, 64)
 }
 
-// Contradict tells what two gateways that act on the one and on the other may do against each other: what either has beyond
+// Conflicts tells what two gateways that act on the one and on the other may do against each other: what either has beyond
 // the other.
-func Contradict(a, b *Rules) []string {
-	list := append(Beyond(a, b), Beyond(b, a)...)
+func Conflicts(a, b *Config) []string {
+	list := append(Exceeds(a, b), Exceeds(b, a)...)
 	slices.Sort(list)
 	return slices.Compact(list)
 }
--- a/internal/fleet/rules/diff.go
+++ b/internal/fleet/rules/diff.go
@@ -9,13 +9,13 @@
 )
 
 // Diff tells what has changed from a to b, one line each.
-func Diff(a, b *Rules) (list []string) {
+func Diff(a, b *Config) (list []string) {
 	walk("", a.tree(), b.tree(), &list)
 	return list
 }
 
 // tree is the rules as plain maps.
-func (r *Rules) tree() (t map[string]any) {
+func (r *Config) tree() (t map[string]any) {
 	json.Unmarshal(r.Canonical(), &t)
 	return t
 }
--- a/internal/fleet/rules/floor.go
+++ b/internal/fleet/rules/floor.go
@@ -2,44 +2,44 @@
 
 import "math"
 
-// Lapsed is the floor of a version: what a gateway may act on whose lease has run out. Nothing that spends a common budget
+// Fallback is the floor of a version: what a gateway may act on whose lease has run out. Nothing that spends a common budget
 // goes on, and cold nodes are left alone, as what the others send them is unknown. A floor without a time is nothing.
-func (r *Rules) Lapsed() *Rules {
-	if r.Floor.For == 0 {
-		return r.Nothing()
+func (r *Config) Fallback() *Config {
+	if r.FallbackPolicy.Duration == 0 {
+		return r.DenyAll()
 	}
-	f := Meet(r, r)
-	f.Further.Free, f.Further.Share = 0, 0
-	f.Cold.Multiple, f.Cold.Units = 0, 0
-	f.Sending.Most, f.Sending.SecondCopies = 1, false
-	for name, p := range f.Plans {
-		p.Limit, p.Burst, p.Slack = p.Limit*r.Floor.Limits, p.Burst*r.Floor.Limits, p.Slack*r.Floor.Limits
-		if r.Plans[name].Limit > 0 && p.Limit == 0 { // a limit of 0 would be none
-			delete(f.Plans, name)
+	f := Intersect(r, r)
+	f.RetryBudget.FreeRetries, f.RetryBudget.RequestShare = 0, 0
+	f.SlowStart.FairShareMultiple, f.SlowStart.MinimumUnits = 0, 0
+	f.Dispatch.MaxAttempts, f.Dispatch.Hedging = 1, false
+	for name, p := range f.ServiceLevels {
+		p.RateLimit, p.Burst, p.Slack = p.RateLimit*r.FallbackPolicy.LimitFraction, p.Burst*r.FallbackPolicy.LimitFraction, p.Slack*r.FallbackPolicy.LimitFraction
+		if r.ServiceLevels[name].RateLimit > 0 && p.RateLimit == 0 { // a limit of 0 would be none
+			delete(f.ServiceLevels, name)
 			continue
 		}
-		f.Plans[name] = p
+		f.ServiceLevels[name] = p
 	}
-	for name, p := range f.Products {
-		if !r.Floor.Writes && p.Kind != Anywhere {
-			delete(f.Products, name)
+	for name, p := range f.RequestClasses {
+		if !r.FallbackPolicy.AllowWrites && p.Idempotency != Idempotent {
+			delete(f.RequestClasses, name)
 			continue
 		}
-		p.InTurn = true
-		f.Products[name] = p
+		p.Ordered = true
+		f.RequestClasses[name] = p
 	}
 	return f
 }
 
-// Nothing is what a gateway may act on that knows nothing any more: no node is served.
-func (r *Rules) Nothing() *Rules {
-	f := Meet(r, r)
-	clear(f.Plans)
-	clear(f.Products)
+// DenyAll is what a gateway may act on that knows nothing any more: no node is served.
+func (r *Config) DenyAll() *Config {
+	f := Intersect(r, r)
+	clear(f.ServiceLevels)
+	clear(f.RequestClasses)
 	clear(f.Nodes)
-	f.Further.Free, f.Further.Share, f.Cold.Multiple, f.Cold.Units = 0, 0, 0, 0
-	f.Sending = Sending{Most: 1, KeyRest: math.MaxInt64}
-	f.Cold.From, f.Cold.Time = 0, math.MaxInt64
-	f.Needs = math.MaxInt32 // within any
+	f.RetryBudget.FreeRetries, f.RetryBudget.RequestShare, f.SlowStart.FairShareMultiple, f.SlowStart.MinimumUnits = 0, 0, 0, 0
+	f.Dispatch = DispatchPolicy{MaxAttempts: 1, KeyCooldown: math.MaxInt64}
+	f.SlowStart.InitialShare, f.SlowStart.Duration = 0, math.MaxInt64
+	f.RequiredFormat = math.MaxInt32 // within any
 	return f
 }
--- a/internal/fleet/rules/golden_test.go
+++ b/internal/fleet/rules/golden_test.go
@@ -36,29 +36,29 @@
 }
 
 // goldenRules has no member at its zero value, and each kind and standing.
-func goldenRules() *Rules {
-	return &Rules{Needs: 1, Shards: 3, Mean: 1.5,
-		Plans: map[string]Plan{"gold": {Weight: 2, Rate: 10, Reserve: 3, Limit: 100, Burst: 20, Slack: 4}, "iron": {Weight: 1}},
-		Products: map[string]Product{"a": {Kind: Anywhere, Goal: 1e6, Patience: 2e6, Window: 3e6, InTurn: true}, "b": {Kind: AtAll, Goal: 1e6, Patience: 2e6, Window: 4e9},
-			"c": {Kind: AtZone, Goal: 1e6, Patience: 2e6}, "d": {Kind: AtShard, Goal: 1e6, Patience: 2e6}, "e": {Kind: Once, Goal: 1e6, Patience: 2e6}},
-		Cold:    Cold{From: 0.25, Time: 5e9, Multiple: 1.5, Window: 1e9, Units: 7},
-		Further: Further{Window: 2e9, Free: 3, Share: 0.1},
-		Sending: Sending{Most: 3, SecondCopies: true, CallingOff: true, Advice: true, AdviceMost: 6e9, KeyRest: 7e6},
-		Floor:   Floor{For: 8e9, Limits: 0.5, Writes: true},
-		Nodes: map[string]Node{"10.0.0.1:7000": {Name: "one", Zone: "z1", Shard: 1, Born: 1764650723000000000, Weight: 2, Standing: listing.Draining},
-			"10.0.0.2:7000": {}, "10.0.0.3:7000": {Shard: 2, Standing: listing.Gone}, "10.0.0.4:7000": {Shard: 1, Standing: listing.Unwell}}}
+func goldenRules() *Config {
+	return &Config{RequiredFormat: 1, Shards: 3, MeanRequestUnits: 1.5,
+		ServiceLevels: map[string]ServiceLevel{"gold": {Weight: 2, NominalRate: 10, Reserve: 3, RateLimit: 100, Burst: 20, Slack: 4}, "iron": {Weight: 1}},
+		RequestClasses: map[string]RequestClass{"a": {Idempotency: Idempotent, LatencyObjective: 1e6, ClientTimeout: 2e6, DedupWindow: 3e6, Ordered: true}, "b": {Idempotency: KeyedAllNodes, LatencyObjective: 1e6, ClientTimeout: 2e6, DedupWindow: 4e9},
+			"c": {Idempotency: KeyedSameZone, LatencyObjective: 1e6, ClientTimeout: 2e6}, "d": {Idempotency: KeyedSameShard, LatencyObjective: 1e6, ClientTimeout: 2e6}, "e": {Idempotency: NonIdempotent, LatencyObjective: 1e6, ClientTimeout: 2e6}},
+		SlowStart:      SlowStart{InitialShare: 0.25, Duration: 5e9, FairShareMultiple: 1.5, Window: 1e9, MinimumUnits: 7},
+		RetryBudget:    RetryBudget{Window: 2e9, FreeRetries: 3, RequestShare: 0.1},
+		Dispatch:       DispatchPolicy{MaxAttempts: 3, Hedging: true, Cancellation: true, RetryAfter: true, MaxRetryAfter: 6e9, KeyCooldown: 7e6},
+		FallbackPolicy: FallbackPolicy{Duration: 8e9, LimitFraction: 0.5, AllowWrites: true},
+		Nodes: map[string]Node{"10.0.0.1:7000": {Name: "one", Zone: "z1", Shard: 1, StartedAt: 1764650723000000000, Weight: 2, Health: listing.Draining},
+			"10.0.0.2:7000": {}, "10.0.0.3:7000": {Shard: 2, Health: listing.Removed}, "10.0.0.4:7000": {Shard: 1, Health: listing.Unhealthy}}}
 }
 
 func TestGoldenForms(t *testing.T) {
 	r := goldenRules()
 	other := goldenRules()
-	other.Floor, other.Further.Free, other.Sending.SecondCopies = Floor{For: 1e9, Limits: 0.25}, 1, false
-	other.Plans = map[string]Plan{"gold": {Weight: 1, Limit: 50}}
-	other.Nodes["10.0.0.2:7000"] = Node{Born: 9}
-	delete(other.Products, "a")
+	other.FallbackPolicy, other.RetryBudget.FreeRetries, other.Dispatch.Hedging = FallbackPolicy{Duration: 1e9, LimitFraction: 0.25}, 1, false
+	other.ServiceLevels = map[string]ServiceLevel{"gold": {Weight: 1, RateLimit: 50}}
+	other.Nodes["10.0.0.2:7000"] = Node{StartedAt: 9}
+	delete(other.RequestClasses, "a")
 	contrary := goldenRules()
-	contrary.Cold, contrary.Further = Cold{From: 0.5, Time: 4e9}, Further{Window: 1e9, Free: 1.5, Share: 0.25}
-	v := &Version{Number: 7, Parent: 6, Digest: r.Digest(), Author: "ann", Why: "more room", Time: "2026-01-02T03:04:05Z", Rules: r.Canonical()}
+	contrary.SlowStart, contrary.RetryBudget = SlowStart{InitialShare: 0.5, Duration: 4e9}, RetryBudget{Window: 1e9, FreeRetries: 1.5, RequestShare: 0.25}
+	v := &Version{Number: 7, Parent: 6, Digest: r.Digest(), Author: "ann", Reason: "more room", CreatedAt: "2026-01-02T03:04:05Z", Content: r.Canonical()}
 	asJSON := func(value any) []byte {
 		b, err := json.Marshal(value)
 		if err != nil {
@@ -69,22 +69,22 @@
 	lines := func(list []string) []byte { return []byte(strings.Join(list, "\n") + "\n") }
 	for name, got := range map[string][]byte{
 		"canonical.json":       r.Canonical(),
-		"canonical-empty.json": (&Rules{}).Canonical(),
-		"digest.txt":           lines([]string{r.Digest(), (&Rules{}).Digest(), Sum(nil)}),
+		"canonical-empty.json": (&Config{}).Canonical(),
+		"digest.txt":           lines([]string{r.Digest(), (&Config{}).Digest(), DigestOf(nil)}),
 		"version.json":         asJSON(v),
-		"version-head.json":    asJSON(v.Head()),
+		"version-head.json":    asJSON(v.Header()),
 		"version-name.txt":     lines([]string{v.Name(), (*Version)(nil).Name()}),
-		"floor.json":           r.Lapsed().Canonical(),
-		"floor-none.json":      (&Rules{}).Lapsed().Canonical(),
-		"nothing.json":         r.Nothing().Canonical(),
-		"meet.json":            Meet(r, other).Canonical(),
-		"terms.json":           asJSON(r.Terms(map[string]string{"gateways": "7", "plans.9.name": "old"})),
+		"floor.json":           r.Fallback().Canonical(),
+		"floor-none.json":      (&Config{}).Fallback().Canonical(),
+		"nothing.json":         r.DenyAll().Canonical(),
+		"meet.json":            Intersect(r, other).Canonical(),
+		"terms.json":           asJSON(r.Settings(map[string]string{"gateways": "7", "plans.9.name": "old"})),
 		"diff.txt":             lines(Diff(r, other)),
-		"conflicts.txt":        lines(Contradict(r, contrary)),
+		"conflicts.txt":        lines(Conflicts(r, contrary)),
 	} {
 		golden(t, name, got)
 	}
-	back, err := Read(r.Canonical())
+	back, err := Parse(r.Canonical())
 	if err != nil || !reflect.DeepEqual(back, r) {
 		t.Errorf("read: %+v, %v", back, err)
 	}
--- a/internal/fleet/rules/rules.go
+++ b/internal/fleet/rules/rules.go
@@ -19,107 +19,107 @@
 	"irispost/internal/listing"
 )
 
-// Kind is what a repeat of a product's job may do, and at which nodes: each allows what the later ones do, but for
+// Idempotency is what a repeat of a product's job may do, and at which nodes: each allows what the later ones do, but for
 // AtZone and AtShard, of which neither allows all of the other.
-type Kind string
+type Idempotency string
 
 const (
-	Anywhere Kind = "replayable"       // may run again
-	AtAll    Kind = "referenced"       // may be sent again, all nodes drop repeats
-	AtZone   Kind = "referenced zone"  // the nodes of a zone do
-	AtShard  Kind = "referenced shard" // the nodes of a shard do
-	Once     Kind = "single-use"       // is never sent again once it may have run
+	Idempotent     Idempotency = "replayable"       // may run again
+	KeyedAllNodes  Idempotency = "referenced"       // may be sent again, all nodes drop repeats
+	KeyedSameZone  Idempotency = "referenced zone"  // the nodes of a zone do
+	KeyedSameShard Idempotency = "referenced shard" // the nodes of a shard do
+	NonIdempotent  Idempotency = "single-use"       // is never sent again once it may have run
 )
 
-var ranks = map[Kind]int{Anywhere: 0, AtAll: 1, AtZone: 2, AtShard: 2, Once: 3}
+var ranks = map[Idempotency]int{Idempotent: 0, KeyedAllNodes: 1, KeyedSameZone: 2, KeyedSameShard: 2, NonIdempotent: 3}
 
-// Plan is a service level. Rates are units a second for a volume, over all gateways and nodes; Burst and Slack are units.
-type Plan struct {
-	Weight  float64 `json:"weight"`
-	Rate    float64 `json:"rate"`
-	Reserve float64 `json:"reserve"`
-	Limit   float64 `json:"limit"` // 0: none
-	Burst   float64 `json:"burst"`
-	Slack   float64 `json:"slack"`
+// ServiceLevel is a service level. Rates are units a second for a volume, over all gateways and nodes; Burst and Slack are units.
+type ServiceLevel struct {
+	Weight      float64 `json:"weight"`
+	NominalRate float64 `json:"rate"`
+	Reserve     float64 `json:"reserve"`
+	RateLimit   float64 `json:"limit"` // 0: none
+	Burst       float64 `json:"burst"`
+	Slack       float64 `json:"slack"`
 }
 
-// Product is a kind of job. Spans are nanoseconds.
-type Product struct {
-	Kind     Kind  `json:"kind"`
-	Goal     int64 `json:"goal"`
-	Patience int64 `json:"patience"`
-	Window   int64 `json:"window"` // how long nodes know repeats
-	InTurn   bool  `json:"in_turn"`
+// RequestClass is a kind of job. Spans are nanoseconds.
+type RequestClass struct {
+	Idempotency      Idempotency `json:"kind"`
+	LatencyObjective int64       `json:"goal"`
+	ClientTimeout    int64       `json:"patience"`
+	DedupWindow      int64       `json:"window"` // how long nodes know repeats
+	Ordered          bool        `json:"in_turn"`
 }
 
-// Cold is what all gateways together may send to a node that has started lately. Spans are nanoseconds.
-type Cold struct {
-	From     float64 `json:"from"`
-	Time     int64   `json:"time"`
-	Multiple float64 `json:"multiple"`
-	Window   int64   `json:"window"`
-	Units    float64 `json:"units"`
+// SlowStart is what all gateways together may send to a node that has started lately. Spans are nanoseconds.
+type SlowStart struct {
+	InitialShare      float64 `json:"from"`
+	Duration          int64   `json:"time"`
+	FairShareMultiple float64 `json:"multiple"`
+	Window            int64   `json:"window"`
+	MinimumUnits      float64 `json:"units"`
 }
 
-// Further is the budget of further executions: so many free in a window, and a share of the jobs taken in it.
-type Further struct {
-	Window int64   `json:"window"`
-	Free   float64 `json:"free"`
-	Share  float64 `json:"share"`
+// RetryBudget is the budget of further executions: so many free in a window, and a share of the jobs taken in it.
+type RetryBudget struct {
+	Window       int64   `json:"window"`
+	FreeRetries  float64 `json:"free"`
+	RequestShare float64 `json:"share"`
 }
 
-// Sending is what a gateway may do with executions and answers. Spans are nanoseconds.
-type Sending struct {
-	Most         int   `json:"most"` // executions of a job
-	SecondCopies bool  `json:"second_copies"`
-	CallingOff   bool  `json:"calling_off"`
-	Advice       bool  `json:"advice"`      // dismissals carry a time to come back
-	AdviceMost   int64 `json:"advice_most"` // the longest
-	KeyRest      int64 `json:"key_rest"`    // between jobs of one key
+// DispatchPolicy is what a gateway may do with executions and answers. Spans are nanoseconds.
+type DispatchPolicy struct {
+	MaxAttempts   int   `json:"most"` // executions of a job
+	Hedging       bool  `json:"second_copies"`
+	Cancellation  bool  `json:"calling_off"`
+	RetryAfter    bool  `json:"advice"`      // dismissals carry a time to come back
+	MaxRetryAfter int64 `json:"advice_most"` // the longest
+	KeyCooldown   int64 `json:"key_rest"`    // between jobs of one key
 }
 
 // Node is a storage node. Born is nanoseconds since 1970, 0 for long ago.
 type Node struct {
-	Name     string           `json:"name,omitempty"`
-	Zone     string           `json:"zone,omitempty"`
-	Shard    int              `json:"shard"`
-	Born     int64            `json:"born,omitempty"`
-	Standing listing.Standing `json:"standing"`
-	Weight   float64          `json:"weight,omitempty"`
+	Name      string         `json:"name,omitempty"`
+	Zone      string         `json:"zone,omitempty"`
+	Shard     int            `json:"shard"`
+	StartedAt int64          `json:"born,omitempty"`
+	Health    listing.Health `json:"standing"`
+	Weight    float64        `json:"weight,omitempty"`
 }
 
-// Floor is what a gateway whose lease has run out may still do for a while: its version with these bounds.
-type Floor struct {
-	For    int64   `json:"for"`    // nanoseconds from its last word with the keepers; 0: nothing at all
-	Limits float64 `json:"limits"` // part of each limit, 0 to 1
-	Writes bool    `json:"writes"` // products that are not replayable, too
+// FallbackPolicy is what a gateway whose lease has run out may still do for a while: its version with these bounds.
+type FallbackPolicy struct {
+	Duration      int64   `json:"for"`    // nanoseconds from its last word with the keepers; 0: nothing at all
+	LimitFraction float64 `json:"limits"` // part of each limit, 0 to 1
+	AllowWrites   bool    `json:"writes"` // products that are not replayable, too
 }
 
-// Rules are the content of a version.
-type Rules struct {
-	Needs    int                `json:"needs"` // the form that a program has to know to act on it
-	Shards   int                `json:"shards"`
-	Mean     float64            `json:"mean"` // units of a mean job
-	Plans    map[string]Plan    `json:"plans"`
-	Products map[string]Product `json:"products"`
-	Cold     Cold               `json:"cold"`
-	Further  Further            `json:"further"`
-	Sending  Sending            `json:"sending"`
-	Floor    Floor              `json:"floor"`
-	Nodes    map[string]Node    `json:"nodes"` // by address
+// Config are the content of a version.
+type Config struct {
+	RequiredFormat   int                     `json:"needs"` // the form that a program has to know to act on it
+	Shards           int                     `json:"shards"`
+	MeanRequestUnits float64                 `json:"mean"` // units of a mean job
+	ServiceLevels    map[string]ServiceLevel `json:"plans"`
+	RequestClasses   map[string]RequestClass `json:"products"`
+	SlowStart        SlowStart               `json:"cold"`
+	RetryBudget      RetryBudget             `json:"further"`
+	Dispatch         DispatchPolicy          `json:"sending"`
+	FallbackPolicy   FallbackPolicy          `json:"floor"`
+	Nodes            map[string]Node         `json:"nodes"` // by address
 }
 
-// Form is the newest form of rules that this program knows. A version that needs a newer one is not acted on.
-const Form = 1
+// Format is the newest form of rules that this program knows. A version that needs a newer one is not acted on.
+const Format = 1
 
 // Canonical is the one way in which rules are written: JSON with members in a fixed order and names sorted.
-func (r *Rules) Canonical() []byte {
+func (r *Config) Canonical() []byte {
 	c := *r
-	if c.Plans == nil {
-		c.Plans = map[string]Plan{}
+	if c.ServiceLevels == nil {
+		c.ServiceLevels = map[string]ServiceLevel{}
 	}
-	if c.Products == nil {
-		c.Products = map[string]Product{}
+	if c.RequestClasses == nil {
+		c.RequestClasses = map[string]RequestClass{}
 	}
 	if c.Nodes == nil {
 		c.Nodes = map[string]Node{}
@@ -132,62 +132,62 @@
 }
 
 // Digest is the BLAKE3 sum of the canonical form, in hexadecimal.
-func (r *Rules) Digest() string { return Sum(r.Canonical()) }
+func (r *Config) Digest() string { return DigestOf(r.Canonical()) }
 
-// Read reads the canonical form. What is not in it is refused, so that nothing is agreed on that this program would not see.
-func Read(b []byte) (*Rules, error) {
+// Parse reads the canonical form. What is not in it is refused, so that nothing is agreed on that this program would not see.
+func Parse(b []byte) (*Config, error) {
 	d := json.NewDecoder(bytes.NewReader(b))
 	d.DisallowUnknownFields()
-	r := &Rules{}
+	r := &Config{}
 	err := d.Decode(r)
 	if err == nil {
 		if _, more := d.Token(); more != io.EOF {
 			err = errors.New("something follows after them")
 		}
 	}
-	if err != nil || r.Needs > Form {
+	if err != nil || r.RequiredFormat > Format {
 		var form struct{ Needs int } // a newer form may have what this one does not know
-		if json.Unmarshal(b, &form) == nil && form.Needs > Form {
-			return nil, &NewerError{Needs: form.Needs}
+		if json.Unmarshal(b, &form) == nil && form.Needs > Format {
+			return nil, &UnsupportedFormatError{RequiredFormat: form.Needs}
 		}
 	}
 	if err != nil {
 		return nil, fmt.Errorf("rules cannot be read: %w", err)
 	}
-	return r, r.Check()
+	return r, r.Validate()
 }
 
-// NewerError tells of rules in a form that this program does not know.
-type NewerError struct{ Needs int }
+// UnsupportedFormatError tells of rules in a form that this program does not know.
+type UnsupportedFormatError struct{ RequiredFormat int }
 
-func (e *NewerError) Error() string {
-	return fmt.Sprintf("these rules need form %d, this program knows form %d: a newer program is needed", e.Needs, Form)
+func (e *UnsupportedFormatError) Error() string {
+	return fmt.Sprintf("these rules need form %d, this program knows form %d: a newer program is needed", e.RequiredFormat, Format)
 }
 
-// Check refuses rules that cannot be acted on.
-func (r *Rules) Check() error {
+// Validate refuses rules that cannot be acted on.
+func (r *Config) Validate() error {
 	bad := func(format string, args ...any) error { return fmt.Errorf(format, args...) }
-	if r.Needs < 1 || r.Shards < 1 {
-		return bad("form %d and %d shards: both are at least 1", r.Needs, r.Shards)
+	if r.RequiredFormat < 1 || r.Shards < 1 {
+		return bad("form %d and %d shards: both are at least 1", r.RequiredFormat, r.Shards)
 	}
-	if len(r.Plans) == 0 {
+	if len(r.ServiceLevels) == 0 {
 		return bad("there is no plan")
 	}
-	numbers := []float64{r.Mean, r.Cold.From, r.Cold.Multiple, r.Cold.Units, r.Further.Free, r.Further.Share, r.Floor.Limits}
-	for _, name := range sorted(r.Plans) {
-		p := r.Plans[name]
-		numbers = append(numbers, p.Weight, p.Rate, p.Reserve, p.Limit, p.Burst, p.Slack)
+	numbers := []float64{r.MeanRequestUnits, r.SlowStart.InitialShare, r.SlowStart.FairShareMultiple, r.SlowStart.MinimumUnits, r.RetryBudget.FreeRetries, r.RetryBudget.RequestShare, r.FallbackPolicy.LimitFraction}
+	for _, name := range sorted(r.ServiceLevels) {
+		p := r.ServiceLevels[name]
+		numbers = append(numbers, p.Weight, p.NominalRate, p.Reserve, p.RateLimit, p.Burst, p.Slack)
 		if p.Weight <= 0 {
 			return bad("plan %q: weight %v is not above 0", name, p.Weight)
 		}
 	}
-	for _, name := range sorted(r.Products) {
-		p := r.Products[name]
-		if _, known := ranks[p.Kind]; !known {
-			return bad("product %q: there is no kind %q", name, p.Kind)
+	for _, name := range sorted(r.RequestClasses) {
+		p := r.RequestClasses[name]
+		if _, known := ranks[p.Idempotency]; !known {
+			return bad("product %q: there is no kind %q", name, p.Idempotency)
 		}
-		if p.Goal <= 0 || p.Patience < p.Goal || p.Window < 0 {
-			return bad("product %q: goal %d, patience %d, window %d", name, p.Goal, p.Patience, p.Window)
+		if p.LatencyObjective <= 0 || p.ClientTimeout < p.LatencyObjective || p.DedupWindow < 0 {
+			return bad("product %q: goal %d, patience %d, window %d", name, p.LatencyObjective, p.ClientTimeout, p.DedupWindow)
 		}
 	}
 	for _, n := range numbers {
@@ -195,8 +195,8 @@
 			return bad("%v is no amount", n)
 		}
 	}
-	if r.Floor.Limits > 1 || r.Floor.For < 0 || r.Sending.Most < 1 {
-		return bad("floor for %d with %v of the limits, executions %d", r.Floor.For, r.Floor.Limits, r.Sending.Most)
+	if r.FallbackPolicy.LimitFraction > 1 || r.FallbackPolicy.Duration < 0 || r.Dispatch.MaxAttempts < 1 {
+		return bad("floor for %d with %v of the limits, executions %d", r.FallbackPolicy.Duration, r.FallbackPolicy.LimitFraction, r.Dispatch.MaxAttempts)
 	}
 	owners := map[int]string{}
 	for _, addr := range sorted(r.Nodes) {
@@ -204,10 +204,10 @@
 		if n.Shard < 0 || n.Shard >= r.Shards {
 			return bad("node %q: there is no shard %d of %d", addr, n.Shard, r.Shards)
 		}
-		if n.Standing > listing.Unwell {
-			return bad("node %q: there is no standing %d", addr, n.Standing)
+		if n.Health > listing.Unhealthy {
+			return bad("node %q: there is no standing %d", addr, n.Health)
 		}
-		if n.Standing != listing.Ready {
+		if n.Health != listing.Ready {
 			continue
 		}
 		if other := owners[n.Shard]; other != "" {
@@ -220,29 +220,29 @@
 
 func sorted[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
 
-// Owner is the node that serves a shard: its address, "" for none.
-func (r *Rules) Owner(shard int) string {
+// ShardOwner is the node that serves a shard: its address, "" for none.
+func (r *Config) ShardOwner(shard int) string {
 	for _, addr := range sorted(r.Nodes) {
-		if n := r.Nodes[addr]; n.Shard == shard && n.Standing == listing.Ready {
+		if n := r.Nodes[addr]; n.Shard == shard && n.Health == listing.Ready {
 			return addr
 		}
 	}
 	return ""
 }
 
-// List is the list of nodes, by address.
-func (r *Rules) List(version string) listing.List {
+// EndpointList is the list of nodes, by address.
+func (r *Config) EndpointList(version string) listing.List {
 	l := listing.List{Version: version}
 	for _, addr := range sorted(r.Nodes) {
 		n := r.Nodes[addr]
-		l.Nodes = append(l.Nodes, listing.Node{Addr: addr, Name: n.Name, Zone: n.Zone, Shard: n.Shard, Born: n.Born, Standing: n.Standing,
+		l.Nodes = append(l.Nodes, listing.Node{Addr: addr, Name: n.Name, Zone: n.Zone, Shard: n.Shard, StartedAt: n.StartedAt, Health: n.Health,
 			Weight: n.Weight})
 	}
 	return l
 }
 
-// Sum is the digest of rules as they are written.
-func Sum(canonical []byte) string {
+// DigestOf is the digest of rules as they are written.
+func DigestOf(canonical []byte) string {
 	sum := blake3.Sum256(canonical)
 	return hex.EncodeToString(sum[:])
 }
--- a/internal/fleet/rules/rules_test.go
+++ b/internal/fleet/rules/rules_test.go
@@ -24,38 +24,38 @@
 }
 
 // some draws rules of few values, so that two of them often agree on some and differ on others.
-func some(t *rapid.T) *Rules {
+func some(t *rapid.T) *Config {
 	amount := func(name string) float64 { return rapid.SampledFrom([]float64{0, 1, 2, 10}).Draw(t, name) }
 	span := func(name string) int64 { return rapid.SampledFrom([]int64{0, 5, 9}).Draw(t, name) }
 	yes := func(name string) bool { return rapid.Bool().Draw(t, name) }
-	r := &Rules{Needs: 1, Shards: rapid.SampledFrom([]int{2, 2, 2, 3}).Draw(t, "shards"), Mean: amount("mean"), Plans: map[string]Plan{},
-		Products: map[string]Product{}, Nodes: map[string]Node{},
-		Cold:    Cold{From: amount("from"), Time: span("time"), Multiple: amount("multiple"), Window: span("window"), Units: amount("units")},
-		Further: Further{Window: span("window"), Free: amount("free"), Share: amount("share")},
-		Sending: Sending{Most: rapid.IntRange(1, 3).Draw(t, "most"), SecondCopies: yes("copies"), CallingOff: yes("off"),
-			Advice: yes("advice"), AdviceMost: span("advice"), KeyRest: span("rest")},
-		Floor: Floor{For: span("for"), Limits: rapid.SampledFrom([]float64{0, 0.5, 1}).Draw(t, "part"), Writes: yes("writes")}}
-	r.Plans["gold"] = Plan{Weight: 1, Limit: amount("limit"), Burst: amount("burst"), Slack: amount("slack")}
+	r := &Config{RequiredFormat: 1, Shards: rapid.SampledFrom([]int{2, 2, 2, 3}).Draw(t, "shards"), MeanRequestUnits: amount("mean"), ServiceLevels: map[string]ServiceLevel{},
+		RequestClasses: map[string]RequestClass{}, Nodes: map[string]Node{},
+		SlowStart:   SlowStart{InitialShare: amount("from"), Duration: span("time"), FairShareMultiple: amount("multiple"), Window: span("window"), MinimumUnits: amount("units")},
+		RetryBudget: RetryBudget{Window: span("window"), FreeRetries: amount("free"), RequestShare: amount("share")},
+		Dispatch: DispatchPolicy{MaxAttempts: rapid.IntRange(1, 3).Draw(t, "most"), Hedging: yes("copies"), Cancellation: yes("off"),
+			RetryAfter: yes("advice"), MaxRetryAfter: span("advice"), KeyCooldown: span("rest")},
+		FallbackPolicy: FallbackPolicy{Duration: span("for"), LimitFraction: rapid.SampledFrom([]float64{0, 0.5, 1}).Draw(t, "part"), AllowWrites: yes("writes")}}
+	r.ServiceLevels["gold"] = ServiceLevel{Weight: 1, RateLimit: amount("limit"), Burst: amount("burst"), Slack: amount("slack")}
 	for _, name := range []string{"silver", "iron"} {
 		if yes(name) {
-			r.Plans[name] = Plan{Weight: 2, Rate: amount("rate"), Reserve: amount("reserve"), Limit: amount("limit"), Burst: amount("burst")}
+			r.ServiceLevels[name] = ServiceLevel{Weight: 2, NominalRate: amount("rate"), Reserve: amount("reserve"), RateLimit: amount("limit"), Burst: amount("burst")}
 		}
 	}
 	for _, name := range []string{"read", "write"} {
 		if rapid.IntRange(0, 4).Draw(t, name) > 0 {
-			r.Products[name] = Product{Kind: rapid.SampledFrom([]Kind{Anywhere, AtAll, AtZone, AtShard, Once}).Draw(t, "kind"), Goal: 1 + span("goal"),
-				Patience: 20, Window: span("window"), InTurn: yes("turn")}
+			r.RequestClasses[name] = RequestClass{Idempotency: rapid.SampledFrom([]Idempotency{Idempotent, KeyedAllNodes, KeyedSameZone, KeyedSameShard, NonIdempotent}).Draw(t, "kind"), LatencyObjective: 1 + span("goal"),
+				ClientTimeout: 20, DedupWindow: span("window"), Ordered: yes("turn")}
 		}
 	}
 	owned := map[int]bool{}
 	for _, addr := range []string{"a", "b", "c", "d"} {
 		if yes(addr) {
-			n := Node{Shard: rapid.IntRange(0, 1).Draw(t, "shard"), Born: span("born"), Zone: rapid.SampledFrom([]string{"", "z"}).Draw(t, "zone"),
-				Standing: rapid.SampledFrom([]listing.Standing{0, 0, 0, listing.Draining, listing.Gone, listing.Unwell}).Draw(t, "standing")}
-			if owned[n.Shard] && n.Standing == listing.Ready {
-				n.Standing = listing.Draining
+			n := Node{Shard: rapid.IntRange(0, 1).Draw(t, "shard"), StartedAt: span("born"), Zone: rapid.SampledFrom([]string{"", "z"}).Draw(t, "zone"),
+				Health: rapid.SampledFrom([]listing.Health{0, 0, 0, listing.Draining, listing.Removed, listing.Unhealthy}).Draw(t, "standing")}
+			if owned[n.Shard] && n.Health == listing.Ready {
+				n.Health = listing.Draining
 			}
-			owned[n.Shard] = owned[n.Shard] || n.Standing == listing.Ready
+			owned[n.Shard] = owned[n.Shard] || n.Health == listing.Ready
 			r.Nodes[addr] = n
 		}
 	}
@@ -74,17 +74,17 @@
 	number              int
 }
 
-func (r *Rules) may(a act) bool {
-	p, plan := r.Plans[a.plan]
-	q, product := r.Products[a.product]
+func (r *Config) may(a act) bool {
+	p, plan := r.ServiceLevels[a.plan]
+	q, product := r.RequestClasses[a.product]
 	n, node := r.Nodes[a.node]
-	if !plan || !product || !node || n.Standing != listing.Ready || n.Shard != a.shard || n.Born > a.born {
+	if !plan || !product || !node || n.Health != listing.Ready || n.Shard != a.shard || n.StartedAt > a.born {
 		return false
 	}
-	if p.Limit > 0 && a.rate > p.Limit || a.number >= r.Sending.Most {
+	if p.RateLimit > 0 && a.rate > p.RateLimit || a.number >= r.Dispatch.MaxAttempts {
 		return false
 	}
-	if a.again && (q.Kind == Once || q.Kind == AtZone && !a.zone || q.Kind == AtShard && !a.same) {
+	if a.again && (q.Idempotency == NonIdempotent || q.Idempotency == KeyedSameZone && !a.zone || q.Idempotency == KeyedSameShard && !a.same) {
 		return false
 	}
 	return true
@@ -94,34 +94,34 @@
 	sameSeeds(t)
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := some(t), some(t), some(t)
-		m := Meet(a, b)
-		same := func(law string, x, y *Rules) {
+		m := Intersect(a, b)
+		same := func(law string, x, y *Config) {
 			if x.Digest() != y.Digest() {
 				t.Fatalf("%s:\n%s\n%s", law, x.Canonical(), y.Canonical())
 			}
 		}
-		same("commutative", m, Meet(b, a))
-		same("idempotent", Meet(m, m), m)
-		same("associative", Meet(m, c), Meet(a, Meet(b, c)))
-		same("absorbs what it is made of", Meet(m, a), m)
-		for name, r := range map[string]*Rules{"a": a, "b": b} {
-			if list := Beyond(m, r); len(list) > 0 {
+		same("commutative", m, Intersect(b, a))
+		same("idempotent", Intersect(m, m), m)
+		same("associative", Intersect(m, c), Intersect(a, Intersect(b, c)))
+		same("absorbs what it is made of", Intersect(m, a), m)
+		for name, r := range map[string]*Config{"a": a, "b": b} {
+			if list := Exceeds(m, r); len(list) > 0 {
 				t.Fatalf("the meet is looser than %s: %v", name, list)
 			}
-			if list := Beyond(r.Lapsed(), r); len(list) > 0 {
+			if list := Exceeds(r.Fallback(), r); len(list) > 0 {
 				t.Fatalf("the floor of %s is looser: %v", name, list)
 			}
-			if list := Beyond(r.Nothing(), r); len(list) > 0 {
+			if list := Exceeds(r.DenyAll(), r); len(list) > 0 {
 				t.Fatalf("nothing is looser than %s: %v", name, list)
 			}
 		}
-		if floors, of := Meet(a.Lapsed(), b.Lapsed()), m; len(Beyond(floors, of)) > 0 {
-			t.Fatalf("both floors allow what both versions do not: %v", Beyond(floors, of))
+		if floors, of := Intersect(a.Fallback(), b.Fallback()), m; len(Exceeds(floors, of)) > 0 {
+			t.Fatalf("both floors allow what both versions do not: %v", Exceeds(floors, of))
 		}
-		if len(Beyond(a, b)) == 0 && len(Beyond(b, c)) == 0 && len(Beyond(a, c)) > 0 {
-			t.Fatalf("a is within b and b within c, and a not within c: %v", Beyond(a, c))
+		if len(Exceeds(a, b)) == 0 && len(Exceeds(b, c)) == 0 && len(Exceeds(a, c)) > 0 {
+			t.Fatalf("a is within b and b within c, and a not within c: %v", Exceeds(a, c))
 		}
-		if !slices.Equal(Contradict(a, b), Contradict(b, a)) || len(Contradict(a, a)) > 0 {
+		if !slices.Equal(Conflicts(a, b), Conflicts(b, a)) || len(Conflicts(a, a)) > 0 {
 			t.Fatal("what contradicts depends on who asks")
 		}
 		for range 40 {
@@ -132,13 +132,13 @@
 			if m.may(x) && !(a.may(x) && b.may(x)) {
 				t.Fatalf("the meet allows %+v, which one does not", x)
 			}
-			if a.may(x) && !b.may(x) && len(Beyond(a, b)) == 0 && a.Shards == b.Shards {
+			if a.may(x) && !b.may(x) && len(Exceeds(a, b)) == 0 && a.Shards == b.Shards {
 				t.Fatalf("a allows %+v, b does not, and nothing is beyond", x)
 			}
 		}
 		for shard := range 2 {
-			if p, q := a.Owner(shard), b.Owner(shard); p != q && m.Owner(shard) != "" {
-				t.Fatalf("shard %d is served by %q, of %q and %q", shard, m.Owner(shard), p, q)
+			if p, q := a.ShardOwner(shard), b.ShardOwner(shard); p != q && m.ShardOwner(shard) != "" {
+				t.Fatalf("shard %d is served by %q, of %q and %q", shard, m.ShardOwner(shard), p, q)
 			}
 		}
 	})
@@ -148,17 +148,17 @@
 	sameSeeds(t)
 	rapid.Check(t, func(t *rapid.T) {
 		r := some(t)
-		back, err := Read(r.Canonical())
+		back, err := Parse(r.Canonical())
 		if err != nil || !reflect.DeepEqual(back, r) || back.Digest() != r.Digest() {
 			t.Fatalf("%v: %s", err, r.Canonical())
 		}
-		v := &Version{Number: 3, Digest: r.Digest(), Rules: r.Canonical()}
-		if _, err := v.Open(); err != nil {
+		v := &Version{Number: 3, Digest: r.Digest(), Content: r.Canonical()}
+		if _, err := v.Config(); err != nil {
 			t.Fatal(err)
 		}
 		other := some(t)
 		if other.Digest() != r.Digest() {
-			if _, err := (&Version{Digest: other.Digest(), Rules: r.Canonical()}).Open(); err == nil {
+			if _, err := (&Version{Digest: other.Digest(), Content: r.Canonical()}).Config(); err == nil {
 				t.Fatal("rules under another digest were opened")
 			}
 			if len(Diff(r, other)) == 0 {
@@ -171,35 +171,39 @@
 }
 
 func TestRefusedRules(t *testing.T) {
-	good := func() *Rules {
-		return &Rules{Needs: 1, Shards: 2, Mean: 1, Plans: map[string]Plan{"gold": {Weight: 1}}, Products: map[string]Product{"read": {Kind: Anywhere, Goal: 1,
-			Patience: 2}}, Nodes: map[string]Node{"a": {}, "b": {Shard: 1}}, Sending: Sending{Most: 3}}
+	good := func() *Config {
+		return &Config{RequiredFormat: 1, Shards: 2, MeanRequestUnits: 1, ServiceLevels: map[string]ServiceLevel{"gold": {Weight: 1}}, RequestClasses: map[string]RequestClass{"read": {Idempotency: Idempotent, LatencyObjective: 1,
+			ClientTimeout: 2}}, Nodes: map[string]Node{"a": {}, "b": {Shard: 1}}, Dispatch: DispatchPolicy{MaxAttempts: 3}}
 	}
-	if err := good().Check(); err != nil {
+	if err := good().Validate(); err != nil {
 		t.Fatal(err)
 	}
-	for word, spoil := range map[string]func(*Rules){
-		"both ready":   func(r *Rules) { r.Nodes["b"] = Node{} },
-		"no shard":     func(r *Rules) { r.Nodes["b"] = Node{Shard: 2} },
-		"no kind":      func(r *Rules) { r.Products["read"] = Product{Kind: "sometimes", Goal: 1, Patience: 2} },
-		"patience":     func(r *Rules) { r.Products["read"] = Product{Kind: Anywhere, Goal: 3, Patience: 2} },
-		"no plan":      func(r *Rules) { r.Plans = nil },
-		"no amount":    func(r *Rules) { r.Plans["gold"] = Plan{Weight: 1, Limit: -1} },
-		"not above 0":  func(r *Rules) { r.Plans["gold"] = Plan{} },
-		"at least 1":   func(r *Rules) { r.Shards = 0 },
-		"of the limit": func(r *Rules) { r.Floor.Limits = 1.5 },
+	for word, spoil := range map[string]func(*Config){
+		"both ready": func(r *Config) { r.Nodes["b"] = Node{} },
+		"no shard":   func(r *Config) { r.Nodes["b"] = Node{Shard: 2} },
+		"no kind": func(r *Config) {
+			r.RequestClasses["read"] = RequestClass{Idempotency: "sometimes", LatencyObjective: 1, ClientTimeout: 2}
+		},
+		"patience": func(r *Config) {
+			r.RequestClasses["read"] = RequestClass{Idempotency: Idempotent, LatencyObjective: 3, ClientTimeout: 2}
+		},
+		"no plan":      func(r *Config) { r.ServiceLevels = nil },
+		"no amount":    func(r *Config) { r.ServiceLevels["gold"] = ServiceLevel{Weight: 1, RateLimit: -1} },
+		"not above 0":  func(r *Config) { r.ServiceLevels["gold"] = ServiceLevel{} },
+		"at least 1":   func(r *Config) { r.Shards = 0 },
+		"of the limit": func(r *Config) { r.FallbackPolicy.LimitFraction = 1.5 },
 	} {
 		r := good()
 		spoil(r)
-		if err := r.Check(); err == nil || !strings.Contains(err.Error(), word) {
+		if err := r.Validate(); err == nil || !strings.Contains(err.Error(), word) {
 			t.Errorf("%s: %v", word, err)
 		}
 	}
-	var newer *NewerError
-	if _, err := Read([]byte(`{"needs": 2, "moons": 4}`)); !errors.As(err, &newer) || newer.Needs != 2 {
+	var newer *UnsupportedFormatError
+	if _, err := Parse([]byte(`{"needs": 2, "moons": 4}`)); !errors.As(err, &newer) || newer.RequiredFormat != 2 {
 		t.Errorf("rules for a newer program: %v", err)
 	}
-	if _, err := Read([]byte(`{"needs": 1, "moons": 4}`)); err == nil || !strings.Contains(err.Error(), "moons") {
+	if _, err := Parse([]byte(`{"needs": 1, "moons": 4}`)); err == nil || !strings.Contains(err.Error(), "moons") {
 		t.Errorf("a part that is not known: %v", err)
 	}
 }
@@ -214,22 +218,22 @@
 				*ns *= 1000
 			}
 		}
-		micro(&r.Cold.Time, &r.Cold.Window, &r.Further.Window, &r.Sending.AdviceMost, &r.Sending.KeyRest)
-		for name, p := range r.Products {
-			micro(&p.Goal, &p.Patience, &p.Window)
-			r.Products[name] = p
+		micro(&r.SlowStart.Duration, &r.SlowStart.Window, &r.RetryBudget.Window, &r.Dispatch.MaxRetryAfter, &r.Dispatch.KeyCooldown)
+		for name, p := range r.RequestClasses {
+			micro(&p.LatencyObjective, &p.ClientTimeout, &p.DedupWindow)
+			r.RequestClasses[name] = p
 		}
-		terms := r.Terms(other.Terms(map[string]string{"gateways": "7", "plans.9.name": "old"}))
+		terms := r.Settings(other.Settings(map[string]string{"gateways": "7", "plans.9.name": "old"}))
 		if terms["gateways"] != "7" || terms["plans.9.name"] != "" {
 			t.Fatalf("%v", terms)
 		}
-		again := &Rules{Needs: r.Needs, Shards: r.Shards, Mean: r.Mean, Floor: r.Floor, Nodes: r.Nodes}
-		again.Agree(terms)
+		again := &Config{RequiredFormat: r.RequiredFormat, Shards: r.Shards, MeanRequestUnits: r.MeanRequestUnits, FallbackPolicy: r.FallbackPolicy, Nodes: r.Nodes}
+		again.SetFromSettings(terms)
 		if again.Digest() != r.Digest() {
 			t.Fatalf("%s\n%s", r.Canonical(), again.Canonical())
 		}
 	})
-	for name, v := range (&Rules{Shards: 1}).Nothing().Terms(nil) {
+	for name, v := range (&Config{Shards: 1}).DenyAll().Settings(nil) {
 		if strings.HasPrefix(v, "-") || strings.Contains(v, "Inf") {
 			t.Errorf("%s is %s", name, v)
 		}
@@ -239,13 +243,13 @@
 // A version whose bytes are others than its digest names is not opened, canonical or not.
 func TestOpenChecksTheBytes(t *testing.T) {
 	b := sized(3)
-	v := &Version{Number: 1, Digest: Sum(b), Rules: b}
-	if _, err := v.Open(); err != nil {
+	v := &Version{Number: 1, Digest: DigestOf(b), Content: b}
+	if _, err := v.Config(); err != nil {
 		t.Fatal(err)
 	}
-	for name, o := range map[string]*Version{"spoilt": {Digest: v.Digest, Rules: bytes.Replace(b, []byte("7000"), []byte("7001"), 1)}, "another writing": {Digest: v.Digest, Rules: append([]byte(" "), b...)},
-		"head alone": v.Head()} {
-		if _, err := o.Open(); err == nil || !strings.Contains(err.Error(), "have the digest") {
+	for name, o := range map[string]*Version{"spoilt": {Digest: v.Digest, Content: bytes.Replace(b, []byte("7000"), []byte("7001"), 1)}, "another writing": {Digest: v.Digest, Content: append([]byte(" "), b...)},
+		"head alone": v.Header()} {
+		if _, err := o.Config(); err == nil || !strings.Contains(err.Error(), "have the digest") {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
@@ -253,19 +257,19 @@
 
 // sized is the canonical form with so many nodes.
 func sized(nodes int) []byte {
-	r := &Rules{Needs: 1, Shards: nodes, Mean: 1, Plans: map[string]Plan{"gold": {Weight: 1}}, Sending: Sending{Most: 1}, Nodes: map[string]Node{}}
+	r := &Config{RequiredFormat: 1, Shards: nodes, MeanRequestUnits: 1, ServiceLevels: map[string]ServiceLevel{"gold": {Weight: 1}}, Dispatch: DispatchPolicy{MaxAttempts: 1}, Nodes: map[string]Node{}}
 	for i := range nodes {
-		r.Nodes[fmt.Sprintf("10.0.%d.%d:7000", i/250, i%250)] = Node{Name: fmt.Sprintf("node-%d", i), Zone: fmt.Sprint("z", i%7), Shard: i, Born: 1764650723000000000 + int64(i)}
+		r.Nodes[fmt.Sprintf("10.0.%d.%d:7000", i/250, i%250)] = Node{Name: fmt.Sprintf("node-%d", i), Zone: fmt.Sprint("z", i%7), Shard: i, StartedAt: 1764650723000000000 + int64(i)}
 	}
 	return r.Canonical()
 }
 
 func BenchmarkOpen(b *testing.B) {
 	rules := sized(1800)
-	digest := Sum(rules)
+	digest := DigestOf(rules)
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := (&Version{Digest: digest, Rules: rules}).Open(); err != nil {
+		if _, err := (&Version{Digest: digest, Content: rules}).Config(); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/front/disk.go
+++ b/internal/front/disk.go
@@ -62,7 +62,7 @@
 func (c *Client) Name() string { return c.loop.Name }
 
 // Leave leaves what is still out.
-func (c *Client) Leave() { c.front.opt.Loop.Left(c.loop) }
+func (c *Client) Leave() { c.front.opt.Loop.CloseSession(c.loop) }
 
 // Begin and End count a request that is under way, so that a drain waits for it.
 func (f *Front) Begin() { f.busy.begin() }
--- a/internal/front/file.go
+++ b/internal/front/file.go
@@ -161,17 +161,17 @@
 	for i, p := range pieces {
 		if e := extents[i]; e.Object != "" {
 			waits[i] = t.start(f.volume, product, t.front.opt.Units.Of(p.Length), 0,
-				node.Call{Op: node.Get, Name: e.Object, Offset: p.Offset, Length: uint32(p.Length), Shard: e.Shard})
+				node.Call{Op: node.GetObject, Name: e.Object, Offset: p.Offset, Length: uint32(p.Length), Shard: e.Shard})
 		}
 	}
 	for i, p := range pieces {
 		var part []byte
 		if waits[i] != nil { // all are waited for, whatever the first says
-			a, failure := t.finish(<-waits[i], node.Get)
+			a, failure := t.finish(<-waits[i], node.GetObject)
 			if err == nil {
 				err = failure
 			}
-			gone = gone || a.Code == node.None
+			gone = gone || a.Status == node.NotFound
 			part = a.Data
 		}
 		if len(part) == length && len(pieces) == 1 {
@@ -262,8 +262,8 @@
 
 func (t *task) put(f *file, product *Product, e layout.Extent, p layout.Piece, data []byte) *failure {
 	a, err := t.do(f.volume, product, t.front.opt.Units.Of(len(data)), keyOf(e.Object),
-		node.Call{Op: node.Put, Name: e.Object, Owner: f.path.String(), Offset: p.Offset, Shard: e.Shard, Version: 1, Data: data})
-	if err == nil && a.Code == node.None {
+		node.Call{Op: node.PutObject, Name: e.Object, Owner: f.path.String(), Offset: p.Offset, Shard: e.Shard, Version: 1, Data: data})
+	if err == nil && a.Status == node.NotFound {
 		return failed(sftp.Failure, "written off: another has written or removed the file")
 	}
 	return err
@@ -273,7 +273,7 @@
 func (t *task) place(f *file, product *Product, p layout.Piece, data []byte) *failure {
 	e := layout.Extent{Object: t.front.mark()}
 	a, err := t.do(f.volume, product, t.front.opt.Units.Of(len(data)), keyOf(e.Object),
-		node.Call{Op: node.Put, Name: e.Object, Owner: f.path.String(), Offset: p.Offset, Shard: -1, Data: data})
+		node.Call{Op: node.PutObject, Name: e.Object, Owner: f.path.String(), Offset: p.Offset, Shard: -1, Data: data})
 	e.Shard = a.Shard
 	f.lock.Lock()
 	defer f.lock.Unlock()
@@ -402,11 +402,11 @@
 	for {
 		t := f.duty()
 		a, fail := t.do(any, any.Product(Look, layout.Path{Volume: any.Name}, 0), f.opt.Units.Of(0), 0,
-			node.Call{Op: node.Objects, Shard: shard, Owner: after, Length: 256})
+			node.Call{Op: node.ListObjects, Shard: shard, Owner: after, Length: 256})
 		if fail != nil {
 			return seen, removed, fail
 		}
-		items, err := node.GetItems(a.Data)
+		items, err := node.DecodeItems(a.Data)
 		if err != nil || len(items) == 0 {
 			return seen, removed, err
 		}
@@ -424,7 +424,7 @@
 			}
 			if orphan {
 				_, fail := t.do(v, v.Product(Write, p, 0), f.opt.Units.Of(0), keyOf(it.Name),
-					node.Call{Op: node.Drop, Name: it.Name, Shard: shard})
+					node.Call{Op: node.DeleteObject, Name: it.Name, Shard: shard})
 				if fail != nil {
 					return seen, removed, fail
 				}
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -85,7 +85,7 @@
 	Outstanding int // requests without an answer; more wait at the socket
 	Handles     int
 	Entries     int // of one folder's listing
-	Wire        sftp.Bounds
+	Wire        sftp.Limits
 }
 
 // Options are what a front is started with.
@@ -135,7 +135,7 @@
 	select {
 	case <-f.busy.none():
 		for _, c := range f.server.Conns() {
-			c.Drained(time.Second)
+			c.WaitSent(time.Second)
 		}
 		return nil
 	case <-ctx.Done():
@@ -186,11 +186,11 @@
 	if !p.InTurn {
 		key = 0
 	}
-	if call.Op == node.Swap && call.Mark == "" {
-		call.Mark = t.front.mark()
+	if call.Op == node.CompareAndSwapRecord && call.IdempotencyKey == "" {
+		call.IdempotencyKey = t.front.mark()
 	}
-	return t.front.opt.Loop.Do(t.session, &gateway.Work{Volume: &v.Volume, Product: p.Name, Units: units,
-		Key: int64(key >> 1), Keyed: key != 0, StopBy: from + int64(p.Patience), Kind: p.Kind, Request: t.number, Call: call})
+	return t.front.opt.Loop.Submit(t.session, &gateway.RequestSpec{Volume: &v.Volume, Class: p.Name, Units: units,
+		Key: int64(key >> 1), HasKey: key != 0, Deadline: from + int64(p.Patience), Idempotency: p.Kind, ClientRequest: t.number, Call: call})
 }
 
 // await waits for another task's step, as long as the client of a product's job waits.
@@ -215,36 +215,36 @@
 }
 
 // do runs a job to its end.
-func (t *task) do(v *Volume, p *Product, units float64, key uint64, call node.Call) (node.Answer, *failure) {
+func (t *task) do(v *Volume, p *Product, units float64, key uint64, call node.Call) (node.Reply, *failure) {
 	return t.finish(<-t.start(v, p, units, key, call), call.Op)
 }
 
 // finish turns a job's final answer into an answer or a failure. What each says to the client is in
 // docs/operators.md.
-func (t *task) finish(r gateway.Result, op node.Op) (node.Answer, *failure) {
+func (t *task) finish(r gateway.Result, op node.Operation) (node.Reply, *failure) {
 	switch r.State {
-	case decide.Completed:
-		if op == node.Swap && r.Answer.Code == node.Done {
+	case decide.RequestSucceeded:
+		if op == node.CompareAndSwapRecord && r.Reply.Status == node.OK {
 			t.affected = true
 		}
-		return r.Answer, nil
-	case decide.Withdrawn:
-		return node.Answer{}, &failure{left: true}
-	case decide.Dismissed:
+		return r.Reply, nil
+	case decide.RequestClientCancelled:
+		return node.Reply{}, &failure{left: true}
+	case decide.RequestRejected:
 		if !t.affected {
-			d := dismissal(r.Wait, r.Why)
-			d.ran = r.Ran
-			return node.Answer{}, d
+			d := dismissal(r.RetryAfter, r.Reason)
+			d.ran = r.MayHaveRun
+			return node.Reply{}, d
 		}
 	}
-	if op == node.Swap {
+	if op == node.CompareAndSwapRecord {
 		t.affected = true
 	}
 	text := "written off: it may have been done in part or not at all"
-	if r.Why != "" {
-		text += "; " + r.Why
+	if r.Reason != "" {
+		text += "; " + r.Reason
 	}
-	return node.Answer{}, failed(sftp.Failure, "%s", text)
+	return node.Reply{}, failed(sftp.Failure, "%s", text)
 }
 
 func dismissal(wait time.Duration, why string) *failure {
--- a/internal/front/record.go
+++ b/internal/front/record.go
@@ -38,14 +38,14 @@
 // glance reads a record as it stands.
 func (t *task) glance(v *Volume, p layout.Path) (*layout.Record, *failure) {
 	a, err := t.do(v, v.Product(Look, p, 0), t.front.opt.Units.Of(0), 0,
-		node.Call{Op: node.Look, Name: p.String(), Shard: p.Home(t.front.opt.Shards)})
+		node.Call{Op: node.GetRecord, Name: p.String(), Shard: p.Home(t.front.opt.Shards)})
 	if err != nil {
 		return nil, err
 	}
 	return decode(p, a)
 }
 
-func decode(p layout.Path, a node.Answer) (*layout.Record, *failure) {
+func decode(p layout.Path, a node.Reply) (*layout.Record, *failure) {
 	if len(a.Data) == 0 {
 		return &layout.Record{Kind: layout.Absent, Version: a.Version}, nil
 	}
@@ -59,7 +59,7 @@
 // swap changes a record from the version that was seen to another, or removes it (to is nil). It returns the record
 // as it stands afterwards, and whether it is ours.
 func (t *task) swap(v *Volume, p layout.Path, seen uint64, to *layout.Record, mark string) (*layout.Record, bool, *failure) {
-	call := node.Call{Op: node.Swap, Name: p.String(), Shard: p.Home(t.front.opt.Shards), Version: seen, Mark: mark}
+	call := node.Call{Op: node.CompareAndSwapRecord, Name: p.String(), Shard: p.Home(t.front.opt.Shards), Version: seen, IdempotencyKey: mark}
 	if to != nil {
 		to.Mark = mark
 		call.Data = to.Encode()
@@ -68,7 +68,7 @@
 	if err != nil {
 		return nil, false, err
 	}
-	if a.Code == node.Conflict {
+	if a.Status == node.VersionConflict {
 		now, err := decode(p, a)
 		return now, err == nil && to != nil && now.Kind != layout.Absent && now.Mark == mark, err
 	}
@@ -166,7 +166,7 @@
 		t := f.duty()
 		for _, e := range extents {
 			t.do(v, v.Product(Write, p, 0), f.opt.Units.Of(0), keyOf(e.Object),
-				node.Call{Op: node.Drop, Name: e.Object, Shard: e.Shard})
+				node.Call{Op: node.DeleteObject, Name: e.Object, Shard: e.Shard})
 		}
 	}()
 }
@@ -233,7 +233,7 @@
 // fails the whole, as a listing with names missing would be believed.
 func (t *task) list(v *Volume, p layout.Path, most int) ([]item, *failure) {
 	type page struct {
-		answer node.Answer
+		answer node.Reply
 		err    *failure
 	}
 	var items []item
@@ -249,18 +249,18 @@
 			if open[shard] {
 				shards = append(shards, shard)
 				waits = append(waits, t.start(v, v.Product(Look, p, 0), t.front.opt.Units.Of(0), 0,
-					node.Call{Op: node.List, Name: p.String(), Owner: after[shard], Shard: shard, Length: uint32(min(most, 512))}))
+					node.Call{Op: node.ListRecords, Name: p.String(), Owner: after[shard], Shard: shard, Length: uint32(min(most, 512))}))
 			}
 		}
 		pages := make([]page, len(waits))
 		for i, w := range waits {
-			pages[i].answer, pages[i].err = t.finish(<-w, node.List)
+			pages[i].answer, pages[i].err = t.finish(<-w, node.ListRecords)
 		}
 		for i, pg := range pages {
 			if pg.err != nil {
 				return nil, pg.err
 			}
-			list, err := node.GetItems(pg.answer.Data)
+			list, err := node.DecodeItems(pg.answer.Data)
 			if err != nil {
 				return nil, failed(sftp.Failure, "listing of shard %d: %v", shards[i], err)
 			}
--- a/internal/front/session.go
+++ b/internal/front/session.go
@@ -128,10 +128,10 @@
 		select {
 		case s.slots <- struct{}{}:
 			return nil
-		case <-s.conn.Gone():
-			return s.conn.Why()
+		case <-s.conn.Done():
+			return s.conn.Err()
 		case <-look.C:
-			if s.conn.Crowded() {
+			if s.conn.ReadAheadExceeded() {
 				return fmt.Errorf("the client sends on while %d requests wait for their answers", cap(s.slots))
 			}
 		}
@@ -140,7 +140,7 @@
 
 // Closed ends the session: its jobs are left, and what it wrote is committed.
 func (s *session) Closed(why error) {
-	s.front.opt.Loop.Left(s.loop)
+	s.front.opt.Loop.CloseSession(s.loop)
 	s.front.opt.Log.Debug("session ended", "session", s.loop.Name, "why", why)
 	s.lock.Lock()
 	var open []*handle
@@ -288,7 +288,7 @@
 		if h.file == nil || h.flags&sftp.FlagRead == 0 {
 			return nil, failed(sftp.Denied, "the handle is not open for reading")
 		}
-		n := int(min(length, uint32(s.front.opt.Limits.Wire.Packet-1024)))
+		n := int(min(length, uint32(s.front.opt.Limits.Wire.MaxPacket-1024)))
 		r.turn(h.path, offset, offset+uint64(n), false, Read)
 		return func() (*sftp.Packet, *failure) {
 			data, err := r.task.read(h.file, offset, n)
@@ -423,7 +423,7 @@
 		r.whole(h.path, true)
 		return func() (*sftp.Packet, *failure) { return nil, r.task.commit(h.file) }, nil
 	case limits:
-		packet := s.front.opt.Limits.Wire.Packet
+		packet := s.front.opt.Limits.Wire.MaxPacket
 		r.answer(sftp.New(sftp.ExtendedReply, r.id).Uint64(uint64(packet)).Uint64(uint64(packet-1024)).
 			Uint64(uint64(packet-1024)).Uint64(uint64(s.front.opt.Limits.Handles)), nil)
 		return nil, nil
--- a/internal/gateway/execution.go
+++ b/internal/gateway/execution.go
@@ -10,34 +10,34 @@
 )
 
 // start sends an execution to its node.
-func (l *Loop) start(now decide.Time, de *decide.Execution) {
-	j := l.jobs[de.Job]
-	e := &exec{job: j, decided: de, due: j.work.StopBy}
-	if de.Limit > 0 {
-		e.due = min(e.due, now+de.Limit)
+func (l *Loop) start(now decide.Time, de *decide.Attempt) {
+	j := l.jobs[de.Request]
+	e := &exec{job: j, decided: de, due: j.work.Deadline}
+	if de.Timeout > 0 {
+		e.due = min(e.due, now+de.Timeout)
 	}
 	j.execs = append(j.execs, e)
 	c := j.work.Call
-	c.Gateway, c.Job, c.Number, c.Volume, c.Units = l.opt.Name, de.Job.ID, de.Number, j.work.Volume.ID, j.work.Units
-	c.Left, c.Kind = time.Duration(e.due-now), j.work.Kind
-	if de.Till > 0 {
-		c.Within = time.Duration(max(de.Till-now, 1))
+	c.Gateway, c.RequestID, c.Attempt, c.Volume, c.Units = l.opt.Name, de.Request.ID, de.Number, j.work.Volume.ID, j.work.Units
+	c.Timeout, c.Idempotency = time.Duration(e.due-now), j.work.Idempotency
+	if de.SendBefore > 0 {
+		c.StartWithin = time.Duration(max(de.SendBefore-now, 1))
 	}
-	if j.work.Keyed {
-		c.Key = j.work.Key
+	if j.work.HasKey {
+		c.OrderingKey = j.work.Key
 	}
-	if c.Mark == "" {
-		c.Mark = de.Job.ID
+	if c.IdempotencyKey == "" {
+		c.IdempotencyKey = de.Request.ID
 	}
 	heap.Push(&l.due, e)
-	if t := l.opt.Clock.Now(); l.until > 0 && t >= l.until || de.Till > 0 && t >= de.Till { // the process stood still since the loop has read the clock
+	if t := l.opt.Clock.Now(); l.until > 0 && t >= l.until || de.SendBefore > 0 && t >= de.SendBefore { // the process stood still since the loop has read the clock
 		e.sent, l.outdated = unsent{}, true
 		l.again = append(l.again, func(now decide.Time) {
-			l.outcome(now, e, decide.Unconnected, node.Answer{Text: "what was decided is out of date"})
+			l.outcome(now, e, decide.OutcomeConnectFailed, node.Reply{Message: "what was decided is out of date"})
 		})
 		return
 	}
-	e.sent = l.opt.Nodes.Start(de.Node.Addr, &c, func(a node.Answer) {
+	e.sent = l.opt.Nodes.Start(de.Node.Addr, &c, func(a node.Reply) {
 		l.post(func(now decide.Time) { l.outcome(now, e, outcomes[a.Outcome], a) })
 	})
 }
@@ -45,23 +45,23 @@
 // unsent is an execution that went to no connection.
 type unsent struct{}
 
-func (unsent) CallOff() {}
+func (unsent) Cancel() {}
 
 // outcome tells the module how an execution ended. One that is over already is let be.
-func (l *Loop) outcome(now decide.Time, e *exec, o decide.Outcome, a node.Answer) {
+func (l *Loop) outcome(now decide.Time, e *exec, o decide.Outcome, a node.Reply) {
 	if e.place == 0 {
 		return
 	}
 	heap.Remove(&l.due, e.place-1)
 	j := e.job
-	e.never = o == decide.Full || o == decide.Moot || o == decide.Unconnected
-	if o != decide.Served && o != decide.CalledOff {
-		j.why = a.Text
+	e.never = o == decide.OutcomeOverloaded || o == decide.OutcomeMisdirected || o == decide.OutcomeConnectFailed
+	if o != decide.OutcomeServed && o != decide.OutcomeCancelled {
+		j.why = a.Message
 	}
-	served := o == decide.Served && !j.over
+	served := o == decide.OutcomeServed && !j.over
 	l.module.ended(now, e.decided, o, served || j.over, a)
 	if served {
-		l.finish(j, Result{State: decide.Completed, Answer: a})
+		l.finish(j, Result{State: decide.RequestSucceeded, Reply: a})
 	}
 	l.forget(j)
 }
@@ -72,7 +72,7 @@
 		return
 	}
 	j.over = true
-	l.figures.of(j.work.Product).count(r.State)
+	l.figures.of(j.work.Class).count(r.State)
 	if j.session != nil {
 		delete(j.session.jobs, j)
 	}
@@ -94,11 +94,11 @@
 }
 
 // ending is the state of a job whose gateway has ended: what can never have run may be tried again without harm.
-func ending(j *job) decide.JobState {
+func ending(j *job) decide.RequestState {
 	if j.ran() {
-		return decide.WrittenOff
+		return decide.RequestFailed
 	}
-	return decide.Dismissed
+	return decide.RequestRejected
 }
 
 // end gives what is held its answer.
@@ -115,7 +115,7 @@
 		break
 	}
 	for _, j := range l.jobs {
-		l.finish(j, Result{State: ending(j), Why: "the gateway ends"})
+		l.finish(j, Result{State: ending(j), Reason: "the gateway ends"})
 	}
 }
 
@@ -128,7 +128,7 @@
 		return d[a].due < d[b].due
 	}
 	x, y := d[a].decided, d[b].decided
-	return x.Job.ID < y.Job.ID || x.Job.ID == y.Job.ID && x.Number < y.Number
+	return x.Request.ID < y.Request.ID || x.Request.ID == y.Request.ID && x.Number < y.Number
 }
 func (d dueExecs) Swap(a, b int) {
 	d[a], d[b] = d[b], d[a]
@@ -150,5 +150,5 @@
 
 // String names a result for people.
 func (r Result) String() string {
-	return fmt.Sprintf("%s after %q, wait %v", StateName(r.State), r.Why, r.Wait)
+	return fmt.Sprintf("%s after %q, wait %v", StateName(r.State), r.Reason, r.RetryAfter)
 }
--- a/internal/gateway/figures.go
+++ b/internal/gateway/figures.go
@@ -9,82 +9,82 @@
 
 // Counts are the jobs of a product by what became of them.
 type Counts struct {
-	Taken, Completed, Dismissed, WrittenOff, Left int64
+	Accepted, Succeeded, Rejected, Failed, Cancelled int64
 }
 
-// Figures are what a gateway has done since its start.
-type Figures struct {
-	Products map[string]*Counts
-	Held     int            // jobs without their final answer
-	Out      int            // executions out
-	Nodes    map[string]int // executions out, by node
-	Late     int64          // answers of nodes that came after their execution was given up
+// Stats are what a gateway has done since its start.
+type Stats struct {
+	Classes        map[string]*Counts
+	InFlight       int            // jobs without their final answer
+	Attempts       int            // executions out
+	AttemptsByNode map[string]int // executions out, by node
+	LateReplies    int64          // answers of nodes that came after their execution was given up
 }
 
-func (f *Figures) of(product string) *Counts {
-	c := f.Products[product]
+func (f *Stats) of(product string) *Counts {
+	c := f.Classes[product]
 	if c == nil {
 		c = &Counts{}
-		f.Products[product] = c
+		f.Classes[product] = c
 	}
 	return c
 }
 
-func (c *Counts) count(s decide.JobState) {
+func (c *Counts) count(s decide.RequestState) {
 	switch s {
-	case decide.Completed:
-		c.Completed++
-	case decide.Dismissed:
-		c.Dismissed++
-	case decide.WrittenOff:
-		c.WrittenOff++
-	case decide.Withdrawn:
-		c.Left++
+	case decide.RequestSucceeded:
+		c.Succeeded++
+	case decide.RequestRejected:
+		c.Rejected++
+	case decide.RequestFailed:
+		c.Failed++
+	case decide.RequestClientCancelled:
+		c.Cancelled++
 	}
 }
 
 // StateName is the word for a job's final state.
-func StateName(s decide.JobState) string {
+func StateName(s decide.RequestState) string {
 	switch s {
-	case decide.Completed:
+	case decide.RequestSucceeded:
 		return "completed"
-	case decide.Dismissed:
+	case decide.RequestRejected:
 		return "dismissed"
-	case decide.WrittenOff:
+	case decide.RequestFailed:
 		return "written off"
-	case decide.Withdrawn:
+	case decide.RequestClientCancelled:
 		return "left"
 	}
 	return "held"
 }
 
-// Figures tells what the gateway has done; false when it has ended.
-func (l *Loop) Figures() (Figures, bool) {
-	answer := make(chan Figures, 1)
+// Stats tells what the gateway has done; false when it has ended.
+func (l *Loop) Stats() (Stats, bool) {
+	answer := make(chan Stats, 1)
 	ok := l.post(func(decide.Time) {
-		f := Figures{Products: map[string]*Counts{}, Nodes: map[string]int{}, Out: len(l.due), Late: l.opt.Nodes.Late()}
-		for name, c := range l.figures.Products {
+		f := Stats{Classes: map[string]*Counts{}, AttemptsByNode: map[string]int{}, Attempts: len(l.due), LateReplies: l.opt.Nodes.LateReplies()}
+		for name, c := range l.figures.Classes {
 			copied := *c
-			f.Products[name] = &copied
+			f.Classes[name] = &copied
 		}
 		for _, j := range l.jobs {
 			if !j.over {
-				f.Held++
+				f.InFlight++
 			}
 		}
 		for _, e := range l.due {
-			f.Nodes[e.decided.Node.Addr]++
+			f.AttemptsByNode[e.decided.Node.Addr]++
 		}
 		answer <- f
 	})
 	if !ok {
-		return Figures{}, false
+		return Stats{}, false
 	}
 	select {
 	case f := <-answer:
 		return f, true
 	case <-l.ended:
-		return Figures{}, false
+		return Stats{}, false
 	}
 }
 
--- a/internal/gateway/golden_test.go
+++ b/internal/gateway/golden_test.go
@@ -37,14 +37,14 @@
 // states of a job are counted.
 func TestNamesMatchGolden(t *testing.T) {
 	var out strings.Builder
-	for outcome := node.Erred; outcome <= node.Reset; outcome++ {
+	for outcome := node.Failed; outcome <= node.ConnectionReset; outcome++ {
 		fmt.Fprintf(&out, "outcome %d is %d\n", outcome, outcomes[outcome])
 	}
-	for standing := listing.Standing(0); standing < 5; standing++ {
+	for standing := listing.Health(0); standing < 5; standing++ {
 		module, known := standings[standing]
 		fmt.Fprintf(&out, "standing %d is %d, %t\n", standing, module, known)
 	}
-	for state := decide.JobState(0); state < 12; state++ {
+	for state := decide.RequestState(0); state < 12; state++ {
 		counts := Counts{}
 		counts.count(state)
 		fmt.Fprintf(&out, "state %d counts %d\n", state, counts)
@@ -60,13 +60,13 @@
 // recordingNodes hands on what is sent.
 type recordingNodes chan string
 
-func (n recordingNodes) Start(addr string, call *node.Call, _ func(node.Answer)) node.Sending {
-	n <- fmt.Sprintf("%s %q within %d\n", addr, call.Packet(1).Body(), call.Within)
+func (n recordingNodes) Start(addr string, call *node.Call, _ func(node.Reply)) node.Attempt {
+	n <- fmt.Sprintf("%s %q within %d\n", addr, call.Packet(1).Body(), call.StartWithin)
 	return unsent{}
 }
-func (recordingNodes) Leave(func(string) bool) {}
-func (recordingNodes) Keep(map[string]bool)    {}
-func (recordingNodes) Late() int64             { return 7 }
+func (recordingNodes) AbortQueued(func(string) bool) {}
+func (recordingNodes) Retain(map[string]bool)        {}
+func (recordingNodes) LateReplies() int64            { return 7 }
 
 // TestCallsMatchGolden compares what the loop fills in of calls to nodes: whose they are, their name, mark, key and the time
 // that is left.
@@ -74,22 +74,22 @@
 	const now = fixedClock(1_790_000_000_000_000_000)
 	nodes, log := make(recordingNodes, 1), slog.New(slog.NewTextHandler(io.Discard, nil))
 	list := &listing.List{Nodes: []listing.Node{{Addr: "10.0.0.1:5"}, {Addr: "10.0.0.2:5", Shard: 1}, {Addr: "10.0.0.3:5", Shard: 2}}}
-	l := Start(Options{Name: "gateway-1", Seed: 1, Queue: 4, Clock: now, Nodes: nodes, Log: log, Known: list})
+	l := Start(Options{Name: "gateway-1", Seed: 1, QueueSize: 4, Clock: now, Nodes: nodes, Log: log, CachedList: list})
 	t.Cleanup(l.Stop)
 	works := []struct {
 		session *Session
-		work    Work
+		work    RequestSpec
 	}{
-		{nil, Work{Units: 1, Call: node.Call{Op: node.Get, Name: "a"}}},
-		{NewSession("gateway-1/2"), Work{Units: 1.5, Key: 9, Request: 3, Call: node.Call{Op: node.Get, Name: "b"}}},
-		{NewSession("gateway-1/3"), Work{Units: 2, Key: 9, Keyed: true, Kind: 2, Call: node.Call{Op: node.Put, Name: "c", Mark: "mark"}}},
+		{nil, RequestSpec{Units: 1, Call: node.Call{Op: node.GetObject, Name: "a"}}},
+		{NewSession("gateway-1/2"), RequestSpec{Units: 1.5, Key: 9, ClientRequest: 3, Call: node.Call{Op: node.GetObject, Name: "b"}}},
+		{NewSession("gateway-1/3"), RequestSpec{Units: 2, Key: 9, HasKey: true, Idempotency: 2, Call: node.Call{Op: node.PutObject, Name: "c", IdempotencyKey: "mark"}}},
 	}
 	var out strings.Builder
 	for i := range works {
 		w := &works[i].work
 		w.Call.Shard = i // a node for each, since nodes that nothing is known of are sent one request at a time
-		w.Volume, w.Product, w.StopBy = &Volume{ID: int64(i), Plan: "basic", Hosts: 1}, "read", l.Now()+int64(time.Second)
-		l.Do(works[i].session, w)
+		w.Volume, w.Class, w.Deadline = &Volume{ID: int64(i), ServiceLevel: "basic", Gateways: 1}, "read", l.Now()+int64(time.Second)
+		l.Submit(works[i].session, w)
 		select {
 		case call := <-nodes:
 			out.WriteString(call)
@@ -97,7 +97,7 @@
 			t.Fatalf("work %d is not sent", i)
 		}
 	}
-	f, ok := l.Figures()
-	fmt.Fprintf(&out, "figures %t: counts %d, held %d, out %d, by node %v, late %d\n", ok, *f.Products["read"], f.Held, f.Out, f.Nodes, f.Late)
+	f, ok := l.Stats()
+	fmt.Fprintf(&out, "figures %t: counts %d, held %d, out %d, by node %v, late %d\n", ok, *f.Classes["read"], f.InFlight, f.Attempts, f.AttemptsByNode, f.LateReplies)
 	compareGolden(t, "calls.txt", out.String())
 }
--- a/internal/gateway/lend.go
+++ b/internal/gateway/lend.go
@@ -2,22 +2,22 @@
 
 import "irispost/decide"
 
-// Lend tells the module what has been lent to it for a node that started then, to be sent until a time, and returns what was left of the
+// Allocate tells the module what has been lent to it for a node that started then, to be sent until a time, and returns what was left of the
 // last loan; false when the loop has ended.
-func (l *Loop) Lend(addr string, born decide.Time, units float64, till decide.Time) (left float64, ok bool) {
+func (l *Loop) Allocate(addr string, born decide.Time, units float64, till decide.Time) (left float64, ok bool) {
 	return ask(l, func(now decide.Time) float64 { return l.module.lend(now, addr, born, units, till) })
 }
 
-// Waiting is the work that waits at cold nodes, and the rate that the module knows of the others, in units a second.
-type Waiting struct {
-	List []decide.Want
-	Rate float64
+// SlowStartDemand is the work that waits at cold nodes, and the rate that the module knows of the others, in units a second.
+type SlowStartDemand struct {
+	Demands []decide.SlowStartDemand
+	Rate    float64
 }
 
-// Waiting asks the module what waits at cold nodes; false when the loop has ended.
-func (l *Loop) Waiting() (Waiting, bool) {
-	return ask(l, func(now decide.Time) (w Waiting) {
-		w.List, w.Rate = l.module.gateway.Wants(now)
+// SlowStartDemand asks the module what waits at cold nodes; false when the loop has ended.
+func (l *Loop) SlowStartDemand() (SlowStartDemand, bool) {
+	return ask(l, func(now decide.Time) (w SlowStartDemand) {
+		w.Demands, w.Rate = l.module.gateway.SlowStartDemands(now)
 		return w
 	})
 }
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -17,9 +17,9 @@
 
 // job is a job of the module's, with what the loop holds for it.
 type job struct {
-	work    *Work
+	work    *RequestSpec
 	session *Session // nil for the gateway's own duties
-	decided *decide.Job
+	decided *decide.Request
 	done    chan Result
 	over    bool // its final answer has been given
 	why     string
@@ -30,8 +30,8 @@
 //
 // Guard: Told comes before the result can be had, lest it wake a wait of whoever has gone on with that.
 func (j *job) tell(r Result) {
-	if j.work.Told != nil {
-		j.work.Told()
+	if j.work.OnResult != nil {
+		j.work.OnResult()
 	}
 	j.done <- r
 }
@@ -39,8 +39,8 @@
 // exec is an execution with its connection.
 type exec struct {
 	job     *job
-	decided *decide.Execution
-	sent    node.Sending
+	decided *decide.Attempt
+	sent    node.Attempt
 	due     decide.Time // it has timed out then
 	never   bool        // it is proven that it never ran
 	place   int         // in the heap of due times, counted from 1; 0: over
@@ -60,13 +60,13 @@
 	module   module
 	events   chan event
 	again    []event // that follow from what was just carried out
-	jobs     map[*decide.Job]*job
+	jobs     map[*decide.Request]*job
 	count    int64
 	due      dueExecs
-	outdated bool         // that time has passed within a turn
-	terms    decide.Terms // that the module acts on
-	until    decide.Time  // nothing is sent after it by what was decided before; 0: no such time
-	figures  Figures
+	outdated bool            // that time has passed within a turn
+	terms    decide.Settings // that the module acts on
+	until    decide.Time     // nothing is sent after it by what was decided before; 0: no such time
+	figures  Stats
 	quit     chan struct{}
 	gate     sync.RWMutex // held for reading while an event is handed in, so that the end misses none
 	ended    chan struct{}
@@ -75,13 +75,13 @@
 
 // Start starts a loop.
 func Start(opt Options) *Loop {
-	l := &Loop{opt: opt, events: make(chan event, max(opt.Queue, 1)), jobs: map[*decide.Job]*job{},
-		terms: opt.Terms, quit: make(chan struct{}), ended: make(chan struct{}), figures: Figures{Products: map[string]*Counts{}}}
+	l := &Loop{opt: opt, events: make(chan event, max(opt.QueueSize, 1)), jobs: map[*decide.Request]*job{},
+		terms: opt.Settings, quit: make(chan struct{}), ended: make(chan struct{}), figures: Stats{Classes: map[string]*Counts{}}}
 	l.module.tap = opt.Tap
 	now := opt.Clock.Now()
-	l.module.start(now, opt.Seed, opt.Terms)
-	if opt.Known != nil {
-		l.module.listed(now, *opt.Known)
+	l.module.start(now, opt.Seed, opt.Settings)
+	if opt.CachedList != nil {
+		l.module.listed(now, *opt.CachedList)
 	}
 	go l.run()
 	return l
@@ -108,17 +108,17 @@
 	}
 }
 
-// Do hands in a job. Its result comes on the channel, exactly once.
-func (l *Loop) Do(s *Session, w *Work) <-chan Result {
+// Submit hands in a job. Its result comes on the channel, exactly once.
+func (l *Loop) Submit(s *Session, w *RequestSpec) <-chan Result {
 	j := &job{work: w, session: s, done: make(chan Result, 1)}
 	if !l.post(func(now decide.Time) { l.take(now, j) }) {
-		j.tell(Result{State: ending(j), Why: "the gateway has ended"})
+		j.tell(Result{State: ending(j), Reason: "the gateway has ended"})
 	}
 	return j.done
 }
 
-// Left tells that a session's client has gone.
-func (l *Loop) Left(s *Session) {
+// CloseSession tells that a session's client has gone.
+func (l *Loop) CloseSession(s *Session) {
 	l.post(func(now decide.Time) {
 		s.gone = true
 		left := make([]*job, 0, len(s.jobs))
@@ -128,14 +128,14 @@
 		sortJobs(left)
 		for _, j := range left {
 			l.module.left(now, j.decided)
-			l.finish(j, Result{State: decide.Withdrawn})
+			l.finish(j, Result{State: decide.RequestClientCancelled})
 		}
 	})
 }
 
-// Listen has a tap told of all that passes the module from now on, in place of another; nil: nobody. It returns when that
+// SetTap has a tap told of all that passes the module from now on, in place of another; nil: nobody. It returns when that
 // is so.
-func (l *Loop) Listen(t Tap) bool {
+func (l *Loop) SetTap(t Tap) bool {
 	done := make(chan struct{})
 	if !l.post(func(now decide.Time) { l.module.listen(now, t); close(done) }) {
 		return false
@@ -148,8 +148,8 @@
 	}
 }
 
-// List tells of a list of nodes, or of what has changed in it.
-func (l *Loop) List(list listing.List) {
+// UpdateEndpoints tells of a list of nodes, or of what has changed in it.
+func (l *Loop) UpdateEndpoints(list listing.List) {
 	l.post(func(now decide.Time) {
 		l.listed(now, list)
 	})
@@ -164,17 +164,17 @@
 	l.module.listed(now, list)
 	keep, open := map[string]bool{}, map[string]bool{}
 	for _, n := range list.Nodes {
-		keep[n.Addr], open[n.Addr] = n.Standing != listing.Gone, standings[n.Standing] == decide.Ready
+		keep[n.Addr], open[n.Addr] = n.Health != listing.Removed, standings[n.Health] == decide.EndpointReady
 	}
 	// Guard: what was decided before may still wait for its connection; sent once that is up, it could come after the grace of a drain.
-	l.opt.Nodes.Leave(func(addr string) bool { ready, named := open[addr]; return !ready && (named || !list.Part) })
-	if !list.Part {
-		go l.opt.Nodes.Keep(keep)
+	l.opt.Nodes.AbortQueued(func(addr string) bool { ready, named := open[addr]; return !ready && (named || !list.Partial) })
+	if !list.Partial {
+		go l.opt.Nodes.Retain(keep)
 	}
 }
 
-// ListFailed tells that the list could not be had; silent that its service said nothing at all.
-func (l *Loop) ListFailed(silent bool) {
+// EndpointListFailed tells that the list could not be had; silent that its service said nothing at all.
+func (l *Loop) EndpointListFailed(silent bool) {
 	l.post(func(now decide.Time) { l.module.listFailed(now, silent) })
 }
 
@@ -220,14 +220,14 @@
 // follow brings the module what is acted on now, where versions are followed.
 func (l *Loop) follow(now decide.Time) {
 	l.outdated = false
-	if l.opt.Rules == nil {
+	if l.opt.Config == nil {
 		return
 	}
-	var acts *Acts
-	if acts, l.until = l.opt.Rules.At(now); acts != nil {
-		if acts.Terms != nil && !maps.Equal(acts.Terms, l.terms) {
-			l.terms = acts.Terms
-			l.module.agree(now, acts.Terms)
+	var acts *ActiveConfig
+	if acts, l.until = l.opt.Config.At(now); acts != nil {
+		if acts.Settings != nil && !maps.Equal(acts.Settings, l.terms) {
+			l.terms = acts.Settings
+			l.module.agree(now, acts.Settings)
 		}
 		l.listed(now, acts.List)
 	}
@@ -244,8 +244,8 @@
 		}
 		for len(l.due) > 0 && l.due[0].due <= now {
 			e := l.due[0]
-			e.sent.CallOff()
-			l.outcome(now, e, decide.TimedOut, node.Answer{Text: "no answer in time"})
+			e.sent.Cancel()
+			l.outcome(now, e, decide.OutcomeTimeout, node.Reply{Message: "no answer in time"})
 		}
 		for len(l.again) > 0 {
 			list := l.again
@@ -272,11 +272,11 @@
 // take tells the module of a job.
 func (l *Loop) take(now decide.Time, j *job) {
 	w := j.work
-	l.figures.of(w.Product).Taken++
+	l.figures.of(w.Class).Accepted++
 	if j.session != nil {
 		if j.session.gone {
-			l.figures.of(w.Product).count(decide.Withdrawn)
-			j.tell(Result{State: decide.Withdrawn})
+			l.figures.of(w.Class).count(decide.RequestClientCancelled)
+			j.tell(Result{State: decide.RequestClientCancelled})
 			return
 		}
 		j.session.jobs[j] = true
@@ -284,10 +284,10 @@
 	l.count++
 	name := l.opt.Name
 	if j.session != nil {
-		name = j.session.Name + ":" + strconv.FormatUint(uint64(w.Request), 10)
+		name = j.session.Name + ":" + strconv.FormatUint(uint64(w.ClientRequest), 10)
 	}
-	j.decided = &decide.Job{ID: name + "#" + strconv.FormatInt(l.count, 10), Units: w.Units, Shard: w.Call.Shard,
-		Key: w.Key, Write: w.Call.Op.Writes(), StopBy: w.StopBy}
+	j.decided = &decide.Request{ID: name + "#" + strconv.FormatInt(l.count, 10), Units: w.Units, Shard: w.Call.Shard,
+		Key: w.Key, Write: w.Call.Op.Writes(), Deadline: w.Deadline}
 	l.jobs[j.decided] = j
 	l.module.take(now, j.decided, w)
 }
@@ -297,27 +297,27 @@
 	for _, line := range d.Log {
 		l.opt.Log.Info(line, "gateway", l.opt.Name)
 	}
-	for _, dj := range d.Ended {
+	for _, dj := range d.Finished {
 		if j := l.jobs[dj]; j != nil {
-			l.finish(j, Result{State: dj.State, Wait: time.Duration(dj.Wait), Why: j.why, Ran: j.ran()})
+			l.finish(j, Result{State: dj.State, RetryAfter: time.Duration(dj.RetryAfter), Reason: j.why, MayHaveRun: j.ran()})
 		}
 	}
-	for _, de := range d.CallOff {
+	for _, de := range d.Cancel {
 		if e := l.execOf(de); e != nil && e.place > 0 {
-			e.sent.CallOff()
-			l.again = append(l.again, func(now decide.Time) { l.outcome(now, e, decide.CalledOff, node.Answer{}) })
+			e.sent.Cancel()
+			l.again = append(l.again, func(now decide.Time) { l.outcome(now, e, decide.OutcomeCancelled, node.Reply{}) })
 		}
 	}
-	for _, de := range d.Start {
+	for _, de := range d.Dispatch {
 		l.start(now, de)
 	}
-	if d.Watch && l.opt.Watch != nil {
+	if d.WatchEndpoints && l.opt.Watch != nil {
 		l.opt.Watch()
 	}
 }
 
-func (l *Loop) execOf(de *decide.Execution) *exec {
-	if j := l.jobs[de.Job]; j != nil && de.Number < len(j.execs) {
+func (l *Loop) execOf(de *decide.Attempt) *exec {
+	if j := l.jobs[de.Request]; j != nil && de.Number < len(j.execs) {
 		return j.execs[de.Number]
 	}
 	return nil
