--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -29,16 +29,16 @@
 
 // Gateway is a running gateway.
 type Gateway struct {
-	Config   *config.Gateway
+	Config   *config.Config
 	Loop     *gateway.Loop
-	Front    *front.Front
-	Disks    *target.Server // nil: none
+	Frontend *front.Front
+	ISCSI    *target.Server // nil: none
 	since    time.Time
 	admin    *admin.Server // nil: none
 	captures captures
-	roster   *roster.Roster
-	cold     *agent.Agent      // nil: other gateways do not reach it
-	follow   *follow.Following // nil: it follows no keepers
+	roster   *roster.Manager
+	cold     *agent.Agent   // nil: other gateways do not reach it
+	follow   *follow.Client // nil: it follows no keepers
 	nodes    *node.Client
 	log      *slog.Logger
 	cancel   context.CancelFunc
@@ -46,21 +46,21 @@
 }
 
 // Start starts a gateway. Relative names of files count from base.
-func Start(c *config.Gateway, base string, log *slog.Logger) (*Gateway, error) {
+func Start(c *config.Config, base string, log *slog.Logger) (*Gateway, error) {
 	from := func(file string) string {
 		if filepath.IsAbs(file) {
 			return file
 		}
 		return filepath.Join(base, file)
 	}
-	var sources []roster.Named
+	var sources []roster.NamedSource
 	for _, s := range c.Sources {
-		n := roster.Named{Name: s.Name}
+		n := roster.NamedSource{Name: s.Name}
 		switch s.Kind {
 		case "own":
-			n.Source = listing.File{Path: from(s.File)}
+			n.Source = listing.FileSource{Path: from(s.File)}
 		case "xds-file":
-			n.Source = xds.File{Clusters: from(s.Clusters), Endpoints: from(s.Endpoints), Log: log}
+			n.Source = xds.FileSource{Clusters: from(s.Clusters), Endpoints: from(s.Endpoints), Log: log}
 		case "xds":
 			opt := s.XDS
 			opt.Seed, opt.Log = c.Seed, log
@@ -68,25 +68,25 @@
 		}
 		sources = append(sources, n)
 	}
-	if c.Folder != "" {
-		c.Folder = from(c.Folder)
+	if c.EndpointCacheDir != "" {
+		c.EndpointCacheDir = from(c.EndpointCacheDir)
 	}
-	return StartWith(c, sources, log)
+	return StartWithSources(c, sources, log)
 }
 
-// StartWith starts a gateway with other sources of lists.
-func StartWith(c *config.Gateway, sources []roster.Named, log *slog.Logger) (*Gateway, error) {
-	bounds := sftp.DefaultBounds
-	bounds.Packet = max(2*c.Limits.Wire.Packet, 4<<20) // a node's listing may be longer than a client's packet
-	g := &Gateway{Config: c, log: log, since: time.Now(), nodes: node.NewClient(c.Connect, c.Each, bounds, log)}
+// StartWithSources starts a gateway with other sources of lists.
+func StartWithSources(c *config.Config, sources []roster.NamedSource, log *slog.Logger) (*Gateway, error) {
+	bounds := sftp.DefaultLimits
+	bounds.MaxPacket = max(2*c.Limits.Wire.MaxPacket, 4<<20) // a node's listing may be longer than a client's packet
+	g := &Gateway{Config: c, log: log, since: time.Now(), nodes: node.NewClient(c.ConnectTimeout, c.ConnectionsPerNode, bounds, log)}
 	var tap gateway.Tap
-	if c.Captures != "" && c.AtStart {
+	if c.CaptureDir != "" && c.CaptureAtStart {
 		if err := g.captures.begin(g, ""); err != nil {
 			return nil, err
 		}
 		tap = g.captures.record
 	}
-	opt := gateway.Options{Name: c.Name, Seed: c.Seed, Terms: c.Terms, Queue: c.Queue, Clock: gateway.NewClock(), Nodes: g.nodes, Log: log, Tap: tap}
+	opt := gateway.Options{Name: c.Name, Seed: c.Seed, Settings: c.Settings, QueueSize: c.EventQueueLength, Clock: gateway.NewClock(), Nodes: g.nodes, Log: log, Tap: tap}
 	first := (<-chan struct{})(nil)
 	if c.Follow != nil {
 		var err error
@@ -98,36 +98,36 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	g.cancel = cancel
-	g.roster = roster.Start(roster.Options{Gateway: c.Name, Terms: c.Members, Sources: sources, Folder: c.Folder, Now: g.Loop.Now,
-		Tell: g.Loop.List, Log: log})
+	g.roster = roster.Start(roster.Options{Gateway: c.Name, Settings: c.Membership, Sources: sources, Dir: c.EndpointCacheDir, Now: g.Loop.Now,
+		OnChange: g.Loop.UpdateEndpoints, Log: log})
 	select { // so that the first client meets a gateway that knows its nodes
 	case <-g.first(first):
-	case <-time.After(c.First):
-		log.Warn("not all sources of the list of nodes have spoken, clients are served with what is known", "gateway", c.Name, "after", c.First)
+	case <-time.After(c.FirstListTimeout):
+		log.Warn("not all sources of the list of nodes have spoken, clients are served with what is known", "gateway", c.Name, "after", c.FirstListTimeout)
 	}
 	f, err := front.Start(c.Listen, front.Options{Name: c.Name, Loop: g.Loop, Volumes: c.Volumes, Shards: c.Shards,
-		Extent: c.Extent, Units: c.Units, Limits: c.Limits, Log: log})
+		Extent: c.ExtentBytes, Units: c.Units, Limits: c.Limits, Log: log})
 	if err != nil {
 		g.stopAll()
 		return nil, err
 	}
-	g.Front = f
+	g.Frontend = f
 	if c.Disks != nil {
-		if g.Disks, err = g.disks(ctx); err != nil {
-			g.Front.Close()
+		if g.ISCSI, err = g.disks(ctx); err != nil {
+			g.Frontend.Close()
 			g.stopAll()
 			return nil, err
 		}
 	}
-	if c.Admin != "" {
-		if g.admin, err = admin.Listen(c.Admin, g); err != nil {
+	if c.AdminSocket != "" {
+		if g.admin, err = admin.Listen(c.AdminSocket, g); err != nil {
 			g.closeDisks()
-			g.Front.Close()
+			g.Frontend.Close()
 			g.stopAll()
 			return nil, err
 		}
 	}
-	if c.Sweep > 0 {
+	if c.SweepInterval > 0 {
 		g.spawn(func() { g.sweep(ctx) })
 	}
 	return g, nil
@@ -138,7 +138,7 @@
 	if followed != nil {
 		return followed
 	}
-	return g.roster.First()
+	return g.roster.Synced()
 }
 
 func (g *Gateway) spawn(f func()) {
@@ -148,7 +148,7 @@
 
 // sweep looks for orphans, shard after shard.
 func (g *Gateway) sweep(ctx context.Context) {
-	tick := time.NewTicker(g.Config.Sweep)
+	tick := time.NewTicker(g.Config.SweepInterval)
 	defer tick.Stop()
 	for shard := 0; ; shard = (shard + 1) % g.Config.Shards {
 		select {
@@ -156,7 +156,7 @@
 			return
 		case <-tick.C:
 		}
-		switch seen, removed, err := g.Front.Sweep(shard, g.Config.Idle); {
+		switch seen, removed, err := g.Frontend.Sweep(shard, g.Config.SweepMinAge); {
 		case err != nil:
 			g.log.Warn("sweep broken off", "gateway", g.Config.Name, "shard", shard, "seen", seen, "removed", removed, "why", err)
 		case removed > 0:
@@ -165,37 +165,37 @@
 	}
 }
 
-// ErrHeld tells that requests were still out at the deadline of a stop. They were written off.
-var ErrHeld = errors.New("requests were still out at the deadline")
+// ErrRequestsInFlight tells that requests were still out at the deadline of a stop. They were written off.
+var ErrRequestsInFlight = errors.New("requests were still out at the deadline")
 
-// Stop takes no new requests, lets what is out end until the context does, writes off the rest and stops.
-func (g *Gateway) Stop(ctx context.Context) error {
+// Shutdown takes no new requests, lets what is out end until the context does, writes off the rest and stops.
+func (g *Gateway) Shutdown(ctx context.Context) error {
 	var held error
-	if g.Disks != nil {
-		g.Disks.Drain()
+	if g.ISCSI != nil {
+		g.ISCSI.Drain()
 	}
-	if err := g.Front.Drain(ctx); err != nil {
-		held = ErrHeld
+	if err := g.Frontend.Drain(ctx); err != nil {
+		held = ErrRequestsInFlight
 		g.Loop.Stop() // each job that is left gets its answer now
 		last, cancel := context.WithTimeout(context.Background(), time.Second)
-		g.Front.Drain(last)
+		g.Frontend.Drain(last)
 		cancel()
 	}
 	g.closeDisks()
-	g.Front.Close()
+	g.Frontend.Close()
 	g.stopAll()
 	return held
 }
 
 // disks starts the targets.
 func (g *Gateway) disks(ctx context.Context) (*target.Server, error) {
-	opt := target.Options{Front: g.Front, Limits: g.Config.Disks.Limits, Log: g.log}
+	opt := target.Options{Front: g.Frontend, Limits: g.Config.Disks.Limits, Log: g.log}
 	for _, c := range g.Config.Disks.Targets {
 		t := &target.Target{Name: c.Name, Account: c.Account, Units: map[uint16]*target.Unit{}}
 		opt.Targets = append(opt.Targets, t)
-		for number, l := range c.Luns {
-			u := &target.Unit{Unit: scsi.Unit{Serial: l.File, Block: l.Block, Count: l.Size / uint64(l.Block), Fixed: l.Fixed,
-				Longest: (4 << 20) / l.Block, Extent: g.Config.Extent}}
+		for number, l := range c.LUNs {
+			u := &target.Unit{Unit: scsi.Unit{Serial: l.File, Block: l.BlockBytes, Count: l.Size / uint64(l.BlockBytes), Fixed: l.ReadOnly,
+				Longest: (4 << 20) / l.BlockBytes, Extent: g.Config.ExtentBytes}}
 			t.Units[number] = u
 			g.spawn(func() { g.openDisk(ctx, u, fmt.Sprintf("%s, unit %d", c.Name, number), l) })
 		}
@@ -204,9 +204,9 @@
 }
 
 // openDisk opens a unit's file, as often as it takes: a gateway may start before its nodes do.
-func (g *Gateway) openDisk(ctx context.Context, u *target.Unit, name string, l config.Lun) {
+func (g *Gateway) openDisk(ctx context.Context, u *target.Unit, name string, l config.LUN) {
 	for wait := 100 * time.Millisecond; ; wait = min(2*wait, 5*time.Second) {
-		d, err := g.Front.Disk(l.File, l.Size)
+		d, err := g.Frontend.Disk(l.File, l.Size)
 		if err == nil {
 			u.Set(d)
 			return
@@ -222,20 +222,20 @@
 
 // closeDisks ends the targets, and puts on record what was written.
 func (g *Gateway) closeDisks() {
-	if g.Disks == nil {
+	if g.ISCSI == nil {
 		return
 	}
-	if err := g.Disks.Close(); err != nil {
+	if err := g.ISCSI.Close(); err != nil {
 		g.log.Warn("what was written to a disk is not on record", "gateway", g.Config.Name, "why", err)
 	}
 }
 
 // Kill ends the gateway as a crash does: sockets close, and nothing is answered.
 func (g *Gateway) Kill() {
-	if g.Disks != nil {
-		g.Disks.Break()
+	if g.ISCSI != nil {
+		g.ISCSI.Break()
 	}
-	g.Front.Close()
+	g.Frontend.Close()
 	g.stopAll()
 }
 
--- a/internal/serve/web.go
+++ b/internal/serve/web.go
@@ -13,15 +13,15 @@
 	"irispost/internal/webnode"
 )
 
-// Web is a running gateway behind HTTP.
-type Web struct {
-	Config *platform.Config
-	Loop   *gateway.Loop
-	Front  *web.Front
-	Nodes  *webnode.Client
-	list   *discovery.Client
-	cancel context.CancelFunc
-	log    *slog.Logger
+// WebGateway is a running gateway behind HTTP.
+type WebGateway struct {
+	Config   *platform.Config
+	Loop     *gateway.Loop
+	Frontend *web.Server
+	Nodes    *webnode.Client
+	list     *discovery.Client
+	cancel   context.CancelFunc
+	log      *slog.Logger
 }
 
 // Shares of the platform's limits. Clients hold at most a third of the sockets for their requests; others hold more.
@@ -33,28 +33,28 @@
 	longMemory   = 1.0 / 8 // for answers over the bound
 )
 
-// StartWeb starts a gateway as the platform tells.
-func StartWeb(c *platform.Config, log *slog.Logger) (*Web, error) {
-	g := &Web{Config: c, log: log}
-	g.Nodes = webnode.NewClient(webnode.Options{Host: "origin.svc", Connect: c.Connect, Idle: c.Idle * 4 / 5, Rest: 10 * time.Millisecond,
-		Most: int(nodeSockets * float64(c.Sockets)), Bounds: http1.DefaultBounds, Long: c.Memory / 64,
-		LongAll: int64(longMemory * float64(c.Memory))})
-	list, known, err := discovery.New(discovery.Options{Gateway: c.Name, Address: c.Discovery, Known: c.Known, Hold: c.Hold(),
-		Slack: time.Second, Log: log})
+// StartWebGateway starts a gateway as the platform tells.
+func StartWebGateway(c *platform.Config, log *slog.Logger) (*WebGateway, error) {
+	g := &WebGateway{Config: c, log: log}
+	g.Nodes = webnode.NewClient(webnode.Options{Host: "origin.svc", ConnectTimeout: c.DialTimeout, IdleTimeout: c.IdleTimeout * 4 / 5, ReuseDelay: 10 * time.Millisecond,
+		MaxConnections: int(nodeSockets * float64(c.MaxSockets)), Bounds: http1.DefaultLimits, MaxLongBody: c.MemoryBytes / 64,
+		LongBodyBudget: int64(longMemory * float64(c.MemoryBytes))})
+	list, known, err := discovery.New(discovery.Options{Gateway: c.Name, Address: c.Discovery, Cached: c.CachedEndpoints, LongPoll: c.LongPoll(),
+		Timeout: time.Second, Log: log})
 	if err != nil {
 		g.Nodes.Close()
 		return nil, err
 	}
 	g.list = list
-	g.Loop = gateway.Start(gateway.Options{Name: c.Name, Seed: c.Seed, Terms: c.Terms, Queue: 1024, Clock: gateway.NewClock(),
-		Nodes: g.Nodes, Known: known, Watch: list.Watch, Log: log})
+	g.Loop = gateway.Start(gateway.Options{Name: c.Name, Seed: c.Seed, Settings: c.Settings, QueueSize: 1024, Clock: gateway.NewClock(),
+		Nodes: g.Nodes, CachedList: known, Watch: list.Watch, Log: log})
 	ctx, cancel := context.WithCancel(context.Background())
 	g.cancel = cancel
-	go list.Run(ctx, g.Loop.List, g.Loop.ListFailed)
-	g.Front, err = web.Start(c.Listen, web.Options{Name: c.Name, Loop: g.Loop, Terms: c.Terms, Log: log, Limits: web.Limits{
-		Connections: int(frontSockets * float64(c.Sockets)), Crowd: int(frontCrowd * float64(c.Sockets)), Bodies: int64(bodyMemory * float64(c.Memory)),
-		First: 2500 * time.Millisecond, Request: 2500 * time.Millisecond, Idle: 20 * time.Second, Spare: 500 * time.Millisecond,
-		Write: 5 * time.Second, Message: http1.DefaultBounds}})
+	go list.Run(ctx, g.Loop.UpdateEndpoints, g.Loop.EndpointListFailed)
+	g.Frontend, err = web.Start(c.Listen, web.Options{GatewayName: c.Name, Loop: g.Loop, Settings: c.Settings, Logger: log, Limits: web.Limits{
+		MaxConnections: int(frontSockets * float64(c.MaxSockets)), CrowdedConnections: int(frontCrowd * float64(c.MaxSockets)), MaxBodyBytes: int64(bodyMemory * float64(c.MemoryBytes)),
+		FirstRequestTimeout: 2500 * time.Millisecond, RequestTimeout: 2500 * time.Millisecond, IdleTimeout: 20 * time.Second, CrowdedIdleTimeout: 500 * time.Millisecond,
+		WriteTimeout: 5 * time.Second, Message: http1.DefaultLimits}})
 	if err != nil {
 		g.cancel()
 		g.Loop.Stop()
@@ -65,9 +65,9 @@
 }
 
 // Reload takes over what can change while a gateway runs: where the list is asked.
-func (g *Web) Reload(c *platform.Config) {
+func (g *WebGateway) Reload(c *platform.Config) {
 	g.log.Info("the configuration is read anew", "gateway", g.Config.Name, "discovery", c.Discovery)
-	g.list.Move(c.Discovery)
+	g.list.SetAddress(c.Discovery)
 }
 
 // Parts of the time that the platform leaves a gateway that it ends.
@@ -77,12 +77,12 @@
 	lastWord   = 150 * time.Millisecond // before the end, what is left is written off
 )
 
-// Stop ends the gateway within the time that the platform leaves it.
-func (g *Web) Stop() {
-	grace := g.Config.Grace()
+// Shutdown ends the gateway within the time that the platform leaves it.
+func (g *WebGateway) Shutdown() {
+	grace := g.Config.ShutdownGrace()
 	ctx, cancel := context.WithTimeout(context.Background(), grace-lastWord)
 	defer cancel()
-	g.Front.Stop(ctx, takenStill, grace-lastWork)
+	g.Frontend.Shutdown(ctx, takenStill, grace-lastWork)
 	g.cancel()
 	g.Loop.Stop()
 	g.Nodes.Close()
--- a/internal/serve/web_test.go
+++ b/internal/serve/web_test.go
@@ -23,11 +23,11 @@
 	*httptest.Server
 	lock  sync.Mutex
 	cond  sync.Cond
-	form  discovery.Form
+	form  discovery.Response
 	asked int
 }
 
-func startLists(t *testing.T, form discovery.Form) *lists {
+func startLists(t *testing.T, form discovery.Response) *lists {
 	l := &lists{form: form}
 	l.cond.L = &l.lock
 	l.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
@@ -35,19 +35,19 @@
 		defer l.lock.Unlock()
 		l.asked++
 		l.cond.Broadcast()
-		for q.FormValue("from") == fmt.Sprint(l.form.Rev) && q.Context().Err() == nil {
+		for q.FormValue("from") == fmt.Sprint(l.form.Revision) && q.Context().Err() == nil {
 			l.cond.Wait()
 		}
 		json.NewEncoder(w).Encode(l.form)
 	}))
-	t.Cleanup(func() { l.say(func(f *discovery.Form) {}); l.CloseClientConnections(); l.Close() })
+	t.Cleanup(func() { l.say(func(f *discovery.Response) {}); l.CloseClientConnections(); l.Close() })
 	return l
 }
 
-func (l *lists) say(change func(*discovery.Form)) {
+func (l *lists) say(change func(*discovery.Response)) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
-	l.form.Rev++
+	l.form.Revision++
 	change(&l.form)
 	l.cond.Broadcast()
 }
@@ -63,9 +63,9 @@
 // their sockets, under load and after; then the list's service moves, a node is taken away, and the gateway ends.
 func TestWebGateway(t *testing.T) {
 	stores := []*webstandin.Node{webstandin.Start(t), webstandin.Start(t), webstandin.Start(t)}
-	form := discovery.Form{Rev: 1, All: true}
+	form := discovery.Response{Revision: 1, Full: true}
 	for i, s := range stores {
-		form.Targets = append(form.Targets, discovery.Target{UID: fmt.Sprint("s", i), Endpoint: s.Listener.Addr().String(), Group: i, State: "ready"})
+		form.Targets = append(form.Targets, discovery.Target{UID: fmt.Sprint("s", i), Endpoint: s.Listener.Addr().String(), Shard: i, State: "ready"})
 	}
 	list, other := startLists(t, form), startLists(t, form)
 	conf, err := platform.Parse([]byte(fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:0","discovery":%q,"seed":"1","limits":{"cores":1,"memory_mb":64,"sockets":256},
@@ -76,7 +76,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g, err := serve.StartWeb(conf, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	g, err := serve.StartWebGateway(conf, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -86,7 +86,7 @@
 	ask := func(kind string, shard int) (id string, done chan string) {
 		count++
 		id, done = fmt.Sprintf("%s-%d", kind, count), make(chan string, 1)
-		q, _ := http.NewRequest("PUT", "http://"+g.Front.Addr()+"/api?extent=7f3a9c21e0b4d655", bytes.NewReader([]byte("body")))
+		q, _ := http.NewRequest("PUT", "http://"+g.Frontend.Addr()+"/api?extent=7f3a9c21e0b4d655", bytes.NewReader([]byte("body")))
 		for name, v := range map[string]string{"X-Request-Id": id, "X-Class": "read", "X-Plan": "gold", "X-Deadline-Ms": "120000",
 			"X-IO": fmt.Sprintf("volume=00000003b4d60021,units=2,shard=%d,hosts=1", shard)} {
 			q.Header.Set(name, v)
@@ -110,18 +110,18 @@
 		waits[id] = done
 	}
 	agree := func() bool {
-		f, ok := g.Loop.Figures()
-		open, idle := g.Nodes.Open()
+		f, ok := g.Loop.Stats()
+		open, idle := g.Nodes.ConnectionCounts()
 		sum, conns := 0, 0
 		for _, s := range stores {
 			held, c := s.Counts()
 			sum, conns = sum+held, conns+c
-			if f.Nodes[s.Listener.Addr().String()] != held {
+			if f.AttemptsByNode[s.Listener.Addr().String()] != held {
 				return false
 			}
 		}
-		_, requests := g.Front.Figures()
-		return ok && f.Out == sum && open-idle == sum && open == conns && f.Held == requests
+		_, requests := g.Frontend.Counts()
+		return ok && f.Attempts == sum && open-idle == sum && open == conns && f.InFlight == requests
 	}
 	until(func() bool { held, _ := stores[0].Counts(); return held > 0 && agree() })
 	for _, s := range stores {
@@ -132,7 +132,7 @@
 			t.Errorf("%s: %q", id, got)
 		}
 	}
-	until(func() bool { f, _ := g.Loop.Figures(); return f.Out == 0 && f.Held == 0 && agree() })
+	until(func() bool { f, _ := g.Loop.Stats(); return f.Attempts == 0 && f.InFlight == 0 && agree() })
 	for _, s := range stores {
 		for id, n := range s.Seen {
 			if n != 1 {
@@ -145,16 +145,16 @@
 	moved.Discovery = other.Listener.Addr().String()
 	g.Reload(&moved)
 	until(func() bool { other.lock.Lock(); defer other.lock.Unlock(); return other.asked >= 1 })
-	other.say(func(f *discovery.Form) { f.Targets = f.Targets[:2] })
+	other.say(func(f *discovery.Response) { f.Targets = f.Targets[:2] })
 	until(func() bool { other.lock.Lock(); defer other.lock.Unlock(); return other.asked >= 2 })
 	until(func() bool { _, conns := stores[2].Counts(); return conns == 0 }) // its idle connections are closed
 	if _, done := ask("served", 1); (<-done)[:3] != "200" {
 		t.Error("a node that is left does not serve")
 	}
 	client.CloseIdleConnections()
-	g.Stop()
-	if conns, requests := g.Front.Figures(); conns != 0 || requests != 0 {
+	g.Shutdown()
+	if conns, requests := g.Frontend.Counts(); conns != 0 || requests != 0 {
 		t.Errorf("%d connections and %d requests are left", conns, requests)
 	}
-	until(func() bool { open, _ := g.Nodes.Open(); return open == 0 })
+	until(func() bool { open, _ := g.Nodes.ConnectionCounts(); return open == 0 })
 }
--- a/internal/sftp/conn.go
+++ b/internal/sftp/conn.go
@@ -10,14 +10,14 @@
 	"irispost/internal/link"
 )
 
-// Bounds are a connection's limits.
-type Bounds = link.Bounds
+// Limits are a connection's limits.
+type Limits = link.Limits
 
-// DefaultBounds are used where nothing else is said.
-var DefaultBounds = link.DefaultBounds
+// DefaultLimits are used where nothing else is said.
+var DefaultLimits = link.DefaultLimits
 
-// ErrPeer tells that the peer has closed the connection.
-var ErrPeer = link.ErrPeer
+// ErrPeerClosed tells that the peer has closed the connection.
+var ErrPeerClosed = link.ErrPeerClosed
 
 // Conn is a connection that carries packets.
 type Conn = link.Conn
@@ -49,13 +49,13 @@
 	conn *Conn
 }
 
-// Next takes the next packet. A length out of bounds is ErrLength: what follows cannot be read.
-func (f framed) Next(r netpoll.Reader) error {
+// ReadPacket takes the next packet. A length out of bounds is ErrLength: what follows cannot be read.
+func (f framed) ReadPacket(r netpoll.Reader) error {
 	head, err := r.Peek(4)
 	if err != nil {
 		return err
 	}
-	n, most := binary.BigEndian.Uint32(head), f.conn.Bounds().Packet
+	n, most := binary.BigEndian.Uint32(head), f.conn.Limits().MaxPacket
 	if n < 5 || uint64(n) > uint64(most) {
 		return fmt.Errorf("%w: %d bytes, from 5 to %d are taken", ErrLength, n, most)
 	}
@@ -73,11 +73,11 @@
 }
 
 // Listen serves connections at an address with a peer made for each, at most so many at a time (0: no limit).
-func Listen(addr string, b Bounds, most int, peer func(*Conn) Peer) (*Server, error) {
-	return link.Listen(addr, b, most, func(c *Conn) link.Peer { return framed{peer(c), c} })
+func Listen(addr string, b Limits, most int, peer func(*Conn) Peer) (*Server, error) {
+	return link.Listen(addr, b, most, func(c *Conn) link.Handler { return framed{peer(c), c} })
 }
 
 // Dial connects to an address, with a peer made for the connection.
-func Dial(addr string, b Bounds, within time.Duration, peer func(*Conn) Peer) (*Conn, error) {
-	return link.Dial(addr, b, within, func(c *Conn) link.Peer { return framed{peer(c), c} })
+func Dial(addr string, b Limits, within time.Duration, peer func(*Conn) Peer) (*Conn, error) {
+	return link.Dial(addr, b, within, func(c *Conn) link.Handler { return framed{peer(c), c} })
 }
--- a/internal/sftp/sftp_test.go
+++ b/internal/sftp/sftp_test.go
@@ -75,8 +75,8 @@
 // reason, and one connection more than is taken is closed.
 func TestConnections(t *testing.T) {
 	closed := make(chan error, 8)
-	b := DefaultBounds
-	b.Packet = 70_000
+	b := DefaultLimits
+	b.MaxPacket = 70_000
 	s, err := Listen("127.0.0.1:0", b, 2, func(c *Conn) Peer { return &echo{c, closed} })
 	if err != nil {
 		t.Fatal(err)
@@ -155,14 +155,14 @@
 // written to a connection's buffers after they are gone (which ends the process).
 func TestConnectionsEndAtAnyMoment(t *testing.T) {
 	ended := make(chan error, 4000)
-	s, err := Listen("127.0.0.1:0", DefaultBounds, 0, func(c *Conn) Peer { return &flood{c} })
+	s, err := Listen("127.0.0.1:0", DefaultLimits, 0, func(c *Conn) Peer { return &flood{c} })
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
 	all := 0
 	for i := range 300 {
-		c, err := Dial(s.Addr(), DefaultBounds, time.Minute, func(c *Conn) Peer { return &echo{c, ended} })
+		c, err := Dial(s.Addr(), DefaultLimits, time.Minute, func(c *Conn) Peer { return &echo{c, ended} })
 		if err != nil { // closed before it stood
 			continue
 		}
--- a/internal/standin/node.go
+++ b/internal/standin/node.go
@@ -97,8 +97,8 @@
 	n := &Node{opt: opt, born: time.Now(), served: map[int64]*served{}, rand: rand.New(rand.NewPCG(opt.Seed, 7))}
 	n.cond.L = &n.lock
 	n.fault.slow = 1
-	bounds := sftp.DefaultBounds
-	bounds.Packet = 4 << 20
+	bounds := sftp.DefaultLimits
+	bounds.MaxPacket = 4 << 20
 	s, err := sftp.Listen(opt.Addr, bounds, 0, func(c *sftp.Conn) sftp.Peer {
 		n.lock.Lock()
 		refuse := n.fault.refuse
@@ -205,8 +205,8 @@
 	}
 	n.count++
 	n.opt.Record.Add(audit.Event{What: audit.Got, Node: n.addr, Zone: n.opt.Zone, Shard: n.opt.Shard, Gateway: c.Gateway,
-		Job: c.Job, Number: c.Number, Volume: c.Volume, Units: c.Units, Kind: c.Kind, Key: c.Key, Mark: c.Mark,
-		Left: int64(c.Left), Conn: w.peer.number, Change: c.Op.Writes()})
+		Job: c.RequestID, Number: c.Attempt, Volume: c.Volume, Units: c.Units, Kind: c.Idempotency, Key: c.OrderingKey, Mark: c.IdempotencyKey,
+		Left: int64(c.Timeout), Conn: w.peer.number, Change: c.Op.Writes()})
 	if n.opt.Cold && n.part(now) < 1 && n.opt.Multiple > 0 && n.opt.Unit > 0 {
 		n.got = append(n.got, spent{now, c.Units})
 		sum := 0.0
@@ -224,14 +224,14 @@
 			return
 		}
 	}
-	turnedAway := node.Answer{Outcome: node.Served}
+	turnedAway := node.Reply{Outcome: node.Executed}
 	switch {
 	case c.Shard >= 0 && c.Shard != n.opt.Shard:
-		turnedAway = node.Answer{Outcome: node.Moot, Text: fmt.Sprintf("shard %d is not here", c.Shard)}
+		turnedAway = node.Reply{Outcome: node.WrongShard, Message: fmt.Sprintf("shard %d is not here", c.Shard)}
 	case n.opt.Unit > 0 && len(n.queue) >= n.opt.Queue:
-		turnedAway = node.Answer{Outcome: node.Full, Text: "the node's queue is full"}
+		turnedAway = node.Reply{Outcome: node.QueueFull, Message: "the node's queue is full"}
 	}
-	if turnedAway.Outcome != node.Served {
+	if turnedAway.Outcome != node.Executed {
 		n.lock.Unlock()
 		n.answer(w, turnedAway)
 		return
@@ -307,19 +307,19 @@
 	n.held--
 	n.spent += (took - n.spent) / 8
 	n.lock.Unlock()
-	a := node.Answer{Outcome: node.Erred, Text: "the node failed it"}
+	a := node.Reply{Outcome: node.Failed, Message: "the node failed it"}
 	if !fails || effect {
 		done, ran := n.opt.Store.do(c, time.Now(), n.opt.Marks)
 		if ran {
-			n.opt.Record.Add(audit.Event{What: audit.Ran, Node: n.addr, Shard: n.opt.Shard, Job: c.Job, Number: c.Number,
-				Kind: c.Kind, Mark: c.Mark, Change: c.Op.Writes()})
+			n.opt.Record.Add(audit.Event{What: audit.Ran, Node: n.addr, Shard: n.opt.Shard, Job: c.RequestID, Number: c.Attempt,
+				Kind: c.Idempotency, Mark: c.IdempotencyKey, Change: c.Op.Writes()})
 		}
 		if !fails {
 			a = done
 		}
 	}
-	if a.Outcome == node.Served {
-		a.Others = n.others(c)
+	if a.Outcome == node.Executed {
+		a.UnitsElsewhere = n.others(c)
 	}
 	if !lost {
 		n.answer(w, a)
@@ -344,12 +344,12 @@
 }
 
 // answer sends an answer with the load report.
-func (n *Node) answer(w *work, a node.Answer) {
+func (n *Node) answer(w *work, a node.Reply) {
 	n.lock.Lock()
-	a.Inflight, a.Latency, a.Shard, a.Orca = n.held, n.spent, n.opt.Shard, n.opt.Orca
+	a.InFlight, a.Latency, a.Shard, a.ORCA = n.held, n.spent, n.opt.Shard, n.opt.Orca
 	n.lock.Unlock()
-	n.opt.Record.Add(audit.Event{What: audit.Gave, Node: n.addr, Gateway: w.call.Gateway, Job: w.call.Job,
-		Number: w.call.Number, Never: a.Outcome == node.Full || a.Outcome == node.Moot})
+	n.opt.Record.Add(audit.Event{What: audit.Gave, Node: n.addr, Gateway: w.call.Gateway, Job: w.call.RequestID,
+		Number: w.call.Attempt, Never: a.Outcome == node.QueueFull || a.Outcome == node.WrongShard})
 	w.conn.Send(a.Packet(w.id))
 }
 
@@ -377,12 +377,12 @@
 	}
 	switch name := r.Text(); name {
 	case node.ExecExtension:
-		c, err := node.ReadCall(r)
+		c, err := node.DecodeCall(r)
 		if err != nil {
 			p.conn.Send(sftp.StatusOf(id, sftp.BadMessage, err.Error()))
 			return nil
 		}
-		p.node.take(&work{call: c, conn: p.conn, peer: p, id: id, by: time.Now().Add(c.Left)})
+		p.node.take(&work{call: c, conn: p.conn, peer: p, id: id, by: time.Now().Add(c.Timeout)})
 	case node.CancelExtension:
 		exec := r.Uint32()
 		p.node.lock.Lock()
@@ -417,7 +417,7 @@
 func (p *peer) plain(t sftp.Type, id uint32, r *sftp.Fields) {
 	s := p.node.opt.Store
 	status := func(c sftp.Code) { p.conn.Send(sftp.StatusOf(id, c, c.String())) }
-	do := func(c node.Call) node.Answer {
+	do := func(c node.Call) node.Reply {
 		a, _ := s.do(&c, time.Now(), 0)
 		return a
 	}
@@ -438,10 +438,10 @@
 			return
 		}
 		if flags&sftp.FlagTrunc != 0 {
-			do(node.Call{Op: node.Drop, Name: name})
+			do(node.Call{Op: node.DeleteObject, Name: name})
 		}
 		if flags&sftp.FlagCreate != 0 {
-			do(node.Call{Op: node.Put, Name: name, Owner: "plain"})
+			do(node.Call{Op: node.PutObject, Name: name, Owner: "plain"})
 		}
 		p.handles[name] = name
 		p.conn.Send(sftp.New(sftp.Handle, id).Text(name))
@@ -449,14 +449,14 @@
 		delete(p.handles, r.Text())
 		status(sftp.OK)
 	case sftp.Read:
-		a := do(node.Call{Op: node.Get, Name: r.Text(), Offset: r.Uint64(), Length: r.Uint32()})
+		a := do(node.Call{Op: node.GetObject, Name: r.Text(), Offset: r.Uint64(), Length: r.Uint32()})
 		if len(a.Data) == 0 {
 			status(sftp.EOF)
 			return
 		}
 		p.conn.Send(sftp.New(sftp.Data, id).Tail(a.Data))
 	case sftp.Write:
-		do(node.Call{Op: node.Put, Name: r.Text(), Owner: "plain", Offset: r.Uint64(), Data: r.Bytes()})
+		do(node.Call{Op: node.PutObject, Name: r.Text(), Owner: "plain", Offset: r.Uint64(), Data: r.Bytes()})
 		status(sftp.OK)
 	case sftp.Stat, sftp.Lstat, sftp.Fstat:
 		n, there := size(r.Text())
@@ -466,7 +466,7 @@
 		}
 		p.conn.Send(sftp.New(sftp.Attributes, id).Attrs(sftp.Attrs{HasSize: true, Size: n, HasMode: true, Mode: sftp.ModeFile | 0o644}))
 	case sftp.Remove:
-		do(node.Call{Op: node.Drop, Name: r.Text()})
+		do(node.Call{Op: node.DeleteObject, Name: r.Text()})
 		status(sftp.OK)
 	default:
 		status(sftp.OpUnsupported)
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -42,7 +42,7 @@
 // mark is an effect that was done, and its answer.
 type mark struct {
 	at     time.Time
-	answer node.Answer
+	answer node.Reply
 }
 
 // NewStore makes a store, in memory or in a folder (dir is not empty).
@@ -124,18 +124,18 @@
 }
 
 // do carries a call out, once for each mark that is known. ran tells whether its effect came now.
-func (s *Store) do(c *node.Call, now time.Time, remember time.Duration) (a node.Answer, ran bool) {
+func (s *Store) do(c *node.Call, now time.Time, remember time.Duration) (a node.Reply, ran bool) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	keyed := c.Kind == 1 && c.Op.Writes() && c.Mark != ""
+	keyed := c.Idempotency == 1 && c.Op.Writes() && c.IdempotencyKey != ""
 	if keyed {
-		if m, known := s.marks[c.Mark]; known && now.Sub(m.at) < remember {
+		if m, known := s.marks[c.IdempotencyKey]; known && now.Sub(m.at) < remember {
 			return m.answer, false
 		}
 	}
 	a = s.apply(c, now)
 	if keyed {
-		s.marks[c.Mark] = mark{now, a}
+		s.marks[c.IdempotencyKey] = mark{now, a}
 		if s.version%1024 == 1 { // marks and removals are forgotten together
 			for name, m := range s.marks {
 				if now.Sub(m.at) >= remember {
@@ -149,29 +149,29 @@
 			}
 		}
 	}
-	return a, a.Outcome == node.Served && a.Code == node.Done
+	return a, a.Outcome == node.Executed && a.Status == node.OK
 }
 
-func (s *Store) apply(c *node.Call, now time.Time) node.Answer {
-	done := node.Answer{Outcome: node.Served}
-	fail := func(err error) node.Answer { return node.Answer{Outcome: node.Erred, Text: err.Error()} }
+func (s *Store) apply(c *node.Call, now time.Time) node.Reply {
+	done := node.Reply{Outcome: node.Executed}
+	fail := func(err error) node.Reply { return node.Reply{Outcome: node.Failed, Message: err.Error()} }
 	switch c.Op {
-	case node.Get:
+	case node.GetObject:
 		o := s.objects[c.Name]
 		if o == nil {
-			return node.Answer{Outcome: node.Served, Code: node.None}
+			return node.Reply{Outcome: node.Executed, Status: node.NotFound}
 		}
 		if from := min(c.Offset, uint64(len(o.data))); true {
 			done.Data = slices.Clone(o.data[from:min(from+uint64(c.Length), uint64(len(o.data)))])
 		}
-	case node.Put:
+	case node.PutObject:
 		if c.Offset > 1<<30 {
 			return fail(errors.New("an object ends at 2^30 bytes at most"))
 		}
 		o := s.objects[c.Name]
 		if o == nil {
 			if c.Version > 0 { // it has to be there
-				return node.Answer{Outcome: node.Served, Code: node.None}
+				return node.Reply{Outcome: node.Executed, Status: node.NotFound}
 			}
 			o = &object{owner: c.Owner}
 			s.objects[c.Name] = o
@@ -184,24 +184,24 @@
 		if err := s.keep('o', c.Name, 0, now, o.owner, o.data, true); err != nil {
 			return fail(err)
 		}
-	case node.Drop:
+	case node.DeleteObject:
 		if s.objects[c.Name] != nil {
 			delete(s.objects, c.Name)
 			if err := s.keep('o', c.Name, 0, now, "", nil, false); err != nil {
 				return fail(err)
 			}
 		}
-	case node.Look:
+	case node.GetRecord:
 		if r := s.records[c.Name]; r != nil {
 			done.Version, done.Data = r.version, r.data
 		}
-	case node.Swap:
+	case node.CompareAndSwapRecord:
 		r := s.records[c.Name]
 		if r == nil {
 			r = &record{}
 		}
 		if r.version != c.Version {
-			return node.Answer{Outcome: node.Served, Code: node.Conflict, Version: r.version, Data: r.data}
+			return node.Reply{Outcome: node.Executed, Status: node.VersionConflict, Version: r.version, Data: r.data}
 		}
 		s.version++
 		s.records[c.Name] = &record{s.version, slices.Clone(c.Data), now}
@@ -209,22 +209,22 @@
 		if err := s.keep('r', c.Name, s.version, now, "", c.Data, len(c.Data) > 0); err != nil {
 			return fail(err)
 		}
-	case node.List:
+	case node.ListRecords:
 		prefix := strings.TrimSuffix(c.Name, "/") + "/"
-		done.Data = node.PutItems(page(s.records, c.Owner, int(c.Length), func(name string, r *record) (node.Item, bool) {
+		done.Data = node.EncodeItems(page(s.records, c.Owner, int(c.Length), func(name string, r *record) (node.ListItem, bool) {
 			rest, in := strings.CutPrefix(name, prefix)
-			return node.Item{Name: name, Version: r.version, Data: r.data}, in && len(r.data) > 0 && !strings.Contains(rest, "/")
+			return node.ListItem{Name: name, Version: r.version, Data: r.data}, in && len(r.data) > 0 && !strings.Contains(rest, "/")
 		}))
-	case node.Objects:
-		done.Data = node.PutItems(page(s.objects, c.Owner, int(c.Length), func(name string, o *object) (node.Item, bool) {
-			return node.Item{Name: name, Owner: o.owner, Age: uint32(now.Sub(o.written) / time.Second)}, true
+	case node.ListObjects:
+		done.Data = node.EncodeItems(page(s.objects, c.Owner, int(c.Length), func(name string, o *object) (node.ListItem, bool) {
+			return node.ListItem{Name: name, Owner: o.owner, Age: uint32(now.Sub(o.written) / time.Second)}, true
 		}))
 	}
 	return done
 }
 
 // page lists what fits, in order of names, from after a name on.
-func page[T any](all map[string]T, after string, most int, item func(string, T) (node.Item, bool)) (list []node.Item) {
+func page[T any](all map[string]T, after string, most int, item func(string, T) (node.ListItem, bool)) (list []node.ListItem) {
 	var names []string
 	for name := range all {
 		if name > after {
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -39,18 +39,18 @@
 }
 
 // Run hands out the lists that are set.
-func (l *Lists) Run(ctx context.Context, to listing.Listener) error {
+func (l *Lists) Run(ctx context.Context, to listing.Subscriber) error {
 	l.lock.Lock()
 	last := *l.last
 	l.lock.Unlock()
-	to.Link(true, "")
-	to.List(last)
+	to.OnLink(true, "")
+	to.OnUpdate(last)
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case n := <-l.news:
-			to.List(n)
+			to.OnUpdate(n)
 		}
 	}
 }
@@ -61,7 +61,7 @@
 	Conf     string
 	Stores   []*standin.Store
 	Nodes    []*standin.Node
-	Feed     func(gateway string) []roster.Named // of the gateways that are started from now on; nil: lists by Tell
+	Feed     func(gateway string) []roster.NamedSource // of the gateways that are started from now on; nil: lists by Tell
 	Sources  []*Lists
 	Gateways []*serve.Gateway
 }
@@ -166,19 +166,19 @@
 		w.T.Fatal(err)
 	}
 	list := w.List()
-	var sources []roster.Named
+	var sources []roster.NamedSource
 	if w.Feed != nil {
 		sources = w.Feed(name)
 	} else {
 		s := &Lists{last: &list, news: make(chan listing.List)}
 		w.Sources = append(w.Sources, s)
-		sources = []roster.Named{{Name: "test", Source: s}}
+		sources = []roster.NamedSource{{Name: "test", Source: s}}
 	}
 	out := io.Discard
 	if os.Getenv("IRISPOST_TEST_LOG") != "" {
 		out = os.Stderr
 	}
-	g, err := serve.StartWith(c, sources, slog.New(slog.NewTextHandler(out, nil)))
+	g, err := serve.StartWithSources(c, sources, slog.New(slog.NewTextHandler(out, nil)))
 	if err != nil {
 		w.T.Fatal(err)
 	}
@@ -196,7 +196,7 @@
 // Client connects pkg/sftp's client, which this project did not write, to a gateway.
 func (w *Town) Client(gateway int) *pkgsftp.Client {
 	w.T.Helper()
-	c, err := Dial(w.Gateways[gateway].Front.Addr())
+	c, err := Dial(w.Gateways[gateway].Frontend.Addr())
 	if err != nil {
 		w.T.Fatal(err)
 	}
--- a/internal/web/conn.go
+++ b/internal/web/conn.go
@@ -65,12 +65,12 @@
 		var wrong *http1.Error
 		switch {
 		case errors.As(err, &wrong):
-			c.write(http1.NewAnswer(wrong.Status).Field("Connection", "close").Body([]byte(wrong.Why+"\n"), true))
+			c.write(http1.NewResponse(wrong.Status).Field("Connection", "close").Body([]byte(wrong.Reason+"\n"), true))
 		case err != nil && gone:
 			c.to(ended)
 			return
 		case err == nil:
-			c.raw.SetReadDeadline(time.Now().Add(c.front.opt.Limits.Idle)) // before it is idle: who dismisses it sets another
+			c.raw.SetReadDeadline(time.Now().Add(c.front.opt.Limits.IdleTimeout)) // before it is idle: who dismisses it sets another
 			if c.to(idle) {
 				continue
 			}
@@ -103,7 +103,7 @@
 }
 
 func (c *conn) write(b []byte) error {
-	c.raw.SetWriteDeadline(time.Now().Add(c.front.opt.Limits.Write))
+	c.raw.SetWriteDeadline(time.Now().Add(c.front.opt.Limits.WriteTimeout))
 	_, err := c.raw.Write(b)
 	return err
 }
@@ -111,7 +111,7 @@
 // request takes one request and answers it. gone tells that there is nobody any more to be told of the error.
 func (c *conn) request() (gone bool, err error) {
 	f := c.front
-	limit := time.Now().Add(f.opt.Limits.Request)
+	limit := time.Now().Add(f.opt.Limits.RequestTimeout)
 	if !c.until.IsZero() {
 		limit, c.until = c.until, time.Time{}
 		if least := time.Now().Add(lastBytes); limit.Before(least) { // it came at the last moment
@@ -135,38 +135,38 @@
 	if err != nil {
 		return false, err
 	}
-	id := w.Call.Mark
-	size := q.Length.Bytes
-	if q.Length.Chunked {
-		size = f.opt.Limits.Message.Body
+	id := w.Call.IdempotencyKey
+	size := q.Framing.Bytes
+	if q.Framing.Chunked {
+		size = f.opt.Limits.Message.MaxBodyBytes
 	}
 	if err := f.enter(id, size); err != nil {
 		return false, err
 	}
 	leave := sync.OnceFunc(func() { f.leave(id, size) })
 	defer leave()
-	if q.Waits {
+	if q.ExpectContinue {
 		if err := c.write([]byte("HTTP/1.1 100 Continue\r\n\r\n")); err != nil {
 			return true, err
 		}
 	}
-	if w.Call.Data, err = http1.ReadBody(c.in, q.Length, f.opt.Limits.Message); err != nil {
+	if w.Call.Data, err = http1.ReadBody(c.in, q.Framing, f.opt.Limits.Message); err != nil {
 		return true, late(err)
 	}
 	c.raw.SetReadDeadline(time.Time{})
 	if !c.to(waiting) {
 		return true, net.ErrClosed
 	}
-	w.StopBy = f.opt.Loop.Now() + w.StopBy
-	w.Told = func() { c.raw.SetReadDeadline(time.Unix(1, 0)) } // wakes the look for the client's end below
-	done := f.opt.Loop.Do(c.session, w)
+	w.Deadline = f.opt.Loop.Now() + w.Deadline
+	w.OnResult = func() { c.raw.SetReadDeadline(time.Unix(1, 0)) } // wakes the look for the client's end below
+	done := f.opt.Loop.Submit(c.session, w)
 	if err := c.ahead.until(); err != nil {
-		f.opt.Loop.Left(c.session)
+		f.opt.Loop.CloseSession(c.session)
 		<-done
 		return true, err
 	}
 	r := <-done
-	if r.State == decide.Withdrawn || !c.to(writing) {
+	if r.State == decide.RequestClientCancelled || !c.to(writing) {
 		return true, net.ErrClosed
 	}
 	leave() // before the client can know, who may ask again at once
@@ -195,26 +195,26 @@
 // late gives a request that does not come to its end in time its answer.
 func late(err error) error {
 	if isTimeout(err) {
-		return &http1.Error{Status: 408, Why: "the request did not come to its end in time"}
+		return &http1.Error{Status: 408, Reason: "the request did not come to its end in time"}
 	}
 	return err
 }
 
 // answer puts a job's result into a message.
 func answer(r gateway.Result, last bool) []byte {
-	var w *http1.Writer
-	body := r.Answer.Data
+	var w *http1.MessageBuilder
+	body := r.Reply.Data
 	switch r.State {
-	case decide.Completed:
-		w = http1.NewAnswer(200)
-	case decide.Dismissed:
-		w, body = http1.NewAnswer(503), []byte("dismissed: trying again is harmless\n")
-		if r.Wait > 0 {
-			ms := (r.Wait + time.Millisecond - 1) / time.Millisecond
+	case decide.RequestSucceeded:
+		w = http1.NewResponse(200)
+	case decide.RequestRejected:
+		w, body = http1.NewResponse(503), []byte("dismissed: trying again is harmless\n")
+		if r.RetryAfter > 0 {
+			ms := (r.RetryAfter + time.Millisecond - 1) / time.Millisecond
 			w.Field("Retry-After", fmt.Sprintf("%d.%03d", ms/1000, ms%1000))
 		}
 	default:
-		w, body = http1.NewAnswer(502), []byte("written off: it may have been done or not\n")
+		w, body = http1.NewResponse(502), []byte("written off: it may have been done or not\n")
 	}
 	if last {
 		w.Field("Connection", "close")
@@ -224,16 +224,16 @@
 
 // health answers whether the gateway can be used.
 func (c *conn) health(q *http1.Request) (bool, error) {
-	if q.Method != "GET" || q.Length.Bytes > 0 || q.Length.Chunked {
-		return false, &http1.Error{Status: 405, Why: "GET alone"}
+	if q.Method != "GET" || q.Framing.Bytes > 0 || q.Framing.Chunked {
+		return false, &http1.Error{Status: 405, Reason: "GET alone"}
 	}
 	c.front.lock.Lock()
 	leaves := c.front.phase > open
 	c.front.lock.Unlock()
 	if leaves {
-		return false, &http1.Error{Status: 503, Why: "the gateway ends"}
+		return false, &http1.Error{Status: 503, Reason: "the gateway ends"}
 	}
-	w := http1.NewAnswer(200)
+	w := http1.NewResponse(200)
 	if q.Close {
 		w.Field("Connection", "close")
 	}
--- a/internal/web/export_test.go
+++ b/internal/web/export_test.go
@@ -10,7 +10,7 @@
 
 // Spared has a front that holds these connections, the first idle for longest, end one for room: its place, -1 for none.
 func Spared(raws ...net.Conn) int {
-	f := &Front{conns: map[*conn]bool{}, none: make(chan struct{})}
+	f := &Server{conns: map[*conn]bool{}, none: make(chan struct{})}
 	now := time.Now()
 	var all []*conn
 	for i, raw := range raws {
@@ -31,7 +31,7 @@
 var StartOn = startOn
 
 // Dismissed tells how many connections are to go, and how many linger.
-func Dismissed(f *Front) (dismissed, lingering int) {
+func Dismissed(f *Server) (dismissed, lingering int) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	return f.dismissed, len(f.lingers)
@@ -41,7 +41,7 @@
 func Lingering(l Limits) int { return l.lingering() }
 
 // Idle tells how many connections are idle.
-func Idle(f *Front) (n int) {
+func Idle(f *Server) (n int) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	for c := range f.conns {
@@ -53,7 +53,7 @@
 }
 
 // Reading tells whether a request is coming in.
-func Reading(f *Front) bool {
+func Reading(f *Server) bool {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	for c := range f.conns {
--- a/internal/web/front.go
+++ b/internal/web/front.go
@@ -23,28 +23,28 @@
 
 // Limits bound what clients can make the gateway hold.
 type Limits struct {
-	Connections int
-	Crowd       int           // past so many connections, those that are idle for longer than Spare go
-	Bodies      int64         // bytes of all bodies held
-	First       time.Duration // from connecting to the end of the first request
-	Request     time.Duration // from a later request's first byte to its last
-	Idle        time.Duration // between requests
-	Spare       time.Duration
-	Write       time.Duration // an answer that is not taken by then ends the connection
-	Message     http1.Bounds
+	MaxConnections      int
+	CrowdedConnections  int           // past so many connections, those that are idle for longer than Spare go
+	MaxBodyBytes        int64         // bytes of all bodies held
+	FirstRequestTimeout time.Duration // from connecting to the end of the first request
+	RequestTimeout      time.Duration // from a later request's first byte to its last
+	IdleTimeout         time.Duration // between requests
+	CrowdedIdleTimeout  time.Duration
+	WriteTimeout        time.Duration // an answer that is not taken by then ends the connection
+	Message             http1.Limits
 }
 
 // Options are what a front is started with.
 type Options struct {
-	Name   string
-	Loop   *gateway.Loop
-	Terms  decide.Terms
-	Limits Limits
-	Log    *slog.Logger
+	GatewayName string
+	Loop        *gateway.Loop
+	Settings    decide.Settings
+	Limits      Limits
+	Logger      *slog.Logger
 }
 
-// Front is a running front.
-type Front struct {
+// Server is a running front.
+type Server struct {
 	opt       Options
 	known     known
 	listener  net.Listener
@@ -90,7 +90,7 @@
 
 // conn is a client's connection. The front's lock guards state and since.
 type conn struct {
-	front   *Front
+	front   *Server
 	raw     net.Conn
 	ahead   ahead
 	in      *bufio.Reader
@@ -101,7 +101,7 @@
 }
 
 // Start listens at an address.
-func Start(addr string, opt Options) (*Front, error) {
+func Start(addr string, opt Options) (*Server, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
@@ -109,8 +109,8 @@
 	return startOn(l, opt), nil
 }
 
-func startOn(l net.Listener, opt Options) *Front {
-	f := &Front{opt: opt, known: knownBy(opt.Terms), listener: l, conns: map[*conn]bool{}, asked: map[string]bool{},
+func startOn(l net.Listener, opt Options) *Server {
+	f := &Server{opt: opt, known: knownBy(opt.Settings), listener: l, conns: map[*conn]bool{}, asked: map[string]bool{},
 		none: make(chan struct{}), heard: make(chan struct{})}
 	go f.accept()
 	go f.tend()
@@ -118,9 +118,9 @@
 }
 
 // Addr is the address that clients connect to.
-func (f *Front) Addr() string { return f.listener.Addr().String() }
+func (f *Server) Addr() string { return f.listener.Addr().String() }
 
-func (f *Front) accept() {
+func (f *Server) accept() {
 	defer close(f.heard)
 	for short := false; ; {
 		raw, err := f.listener.Accept()
@@ -129,7 +129,7 @@
 		}
 		if short != (err != nil) {
 			short = err != nil
-			f.opt.Log.Warn(fmt.Sprintf("no connection can be taken: %t", short), "gateway", f.opt.Name, "why", err)
+			f.opt.Logger.Warn(fmt.Sprintf("no connection can be taken: %t", short), "gateway", f.opt.GatewayName, "why", err)
 		}
 		if err != nil { // out of descriptors: those that are open have to end first
 			time.Sleep(10 * time.Millisecond)
@@ -144,34 +144,34 @@
 }
 
 // admit takes a connection in, if there is room or one that can go. One for which there is none is told so, and lingers.
-func (f *Front) admit(raw net.Conn) (c *conn, taken bool) {
+func (f *Server) admit(raw net.Conn) (c *conn, taken bool) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	now := time.Now()
 	f.count++
-	taken = f.phase < deaf && (f.serving() < f.opt.Limits.Connections || f.spare(now, f.opt.Limits.Spare/8))
-	c = &conn{front: f, raw: raw, since: now, session: gateway.NewSession(f.opt.Name + "/" + strconv.FormatInt(f.count, 10)),
-		until: now.Add(f.opt.Limits.First)}
-	c.ahead = ahead{raw: raw, most: f.opt.Limits.Message.Body + int64(f.opt.Limits.Message.Head), book: f.book}
+	taken = f.phase < deaf && (f.serving() < f.opt.Limits.MaxConnections || f.spare(now, f.opt.Limits.CrowdedIdleTimeout/8))
+	c = &conn{front: f, raw: raw, since: now, session: gateway.NewSession(f.opt.GatewayName + "/" + strconv.FormatInt(f.count, 10)),
+		until: now.Add(f.opt.Limits.FirstRequestTimeout)}
+	c.ahead = ahead{raw: raw, most: f.opt.Limits.Message.MaxBodyBytes + int64(f.opt.Limits.Message.MaxHeadBytes), book: f.book}
 	raw.SetReadDeadline(c.until) // before anybody can dismiss it
-	c.in = bufio.NewReaderSize(&c.ahead, http1.LineBytes)
+	c.in = bufio.NewReaderSize(&c.ahead, http1.MaxLineBytes)
 	f.conns[c] = true
 	if !taken {
 		f.refused++
 		raw.SetWriteDeadline(now.Add(lastBytes)) // nothing is in the socket yet, so it does not wait
-		raw.Write(http1.NewAnswer(503).Field("Connection", "close").Body([]byte("too many connections\n"), true))
+		raw.Write(http1.NewResponse(503).Field("Connection", "close").Body([]byte("too many connections\n"), true))
 		c.move(lingering)
 	}
 	return c, taken
 }
 
 // serving is the number of connections that are not on their way out; the lock is held.
-func (f *Front) serving() int { return len(f.conns) - len(f.lingers) - f.dismissed }
+func (f *Server) serving() int { return len(f.conns) - len(f.lingers) - f.dismissed }
 
 // tend is the periodic work: past the crowd, it ends what has been idle for longest. Clients hold only so many connections,
 // and those who asked once and stay would keep the others out.
-func (f *Front) tend() {
-	tick := time.NewTicker(max(f.opt.Limits.Spare/8, 10*time.Millisecond))
+func (f *Server) tend() {
+	tick := time.NewTicker(max(f.opt.Limits.CrowdedIdleTimeout/8, 10*time.Millisecond))
 	defer tick.Stop()
 	refused := 0
 	for {
@@ -180,7 +180,7 @@
 			return
 		case now := <-tick.C:
 			f.lock.Lock()
-			for f.serving() > f.opt.Limits.Crowd && f.spare(now, f.opt.Limits.Spare) {
+			for f.serving() > f.opt.Limits.CrowdedConnections && f.spare(now, f.opt.Limits.CrowdedIdleTimeout) {
 			}
 			f.tell(refused)
 			refused = f.refused
@@ -191,7 +191,7 @@
 
 // spare dismisses the connection that can go best: one that has not said anything, else the one that has been idle for longest; but
 // none that is younger than this. false tells that none can go now, or that too many are just going.
-func (f *Front) spare(now time.Time, least time.Duration) bool {
+func (f *Server) spare(now time.Time, least time.Duration) bool {
 	if f.dismissed+len(f.lingers) >= f.opt.Limits.lingering() && (len(f.lingers) == 0 || now.Sub(f.lingers[0].since) < lastBytes/8) {
 		return false
 	}
@@ -212,27 +212,27 @@
 }
 
 // tell logs when connections begin or cease to run short; the lock is held.
-func (f *Front) tell(refused int) {
+func (f *Server) tell(refused int) {
 	if short := f.refused > refused; short != f.short {
 		f.short = short
 		states := map[connState]int{}
 		for c := range f.conns {
 			states[c.state]++
 		}
-		f.opt.Log.Info(fmt.Sprintf("connections run short: %t, %d open, %d silent, %d idle; %d turned away, %d ended for others",
-			short, len(f.conns), states[fresh], states[idle], f.refused, f.spared), "gateway", f.opt.Name)
+		f.opt.Logger.Info(fmt.Sprintf("connections run short: %t, %d open, %d silent, %d idle; %d turned away, %d ended for others",
+			short, len(f.conns), states[fresh], states[idle], f.refused, f.spared), "gateway", f.opt.GatewayName)
 	}
 }
 
 // enter counts a request in, unless its id is open or the memory for bodies is used up.
-func (f *Front) enter(id string, size int64) error {
+func (f *Server) enter(id string, size int64) error {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	if f.asked[id] {
-		return &http1.Error{Status: 409, Why: "a request of this id is open"}
+		return &http1.Error{Status: 409, Reason: "a request of this id is open"}
 	}
-	if f.bodies+size > f.opt.Limits.Bodies {
-		return &http1.Error{Status: 503, Why: "too many bytes are held"}
+	if f.bodies+size > f.opt.Limits.MaxBodyBytes {
+		return &http1.Error{Status: 503, Reason: "too many bytes are held"}
 	}
 	f.asked[id] = true
 	f.bodies += size
@@ -240,34 +240,34 @@
 }
 
 // book takes room for bytes, or gives it back. false tells that there is none.
-func (f *Front) book(bytes int64) bool {
+func (f *Server) book(bytes int64) bool {
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	if bytes > 0 && f.bodies+bytes > f.opt.Limits.Bodies {
+	if bytes > 0 && f.bodies+bytes > f.opt.Limits.MaxBodyBytes {
 		return false
 	}
 	f.bodies += bytes
 	return true
 }
 
-func (f *Front) leave(id string, size int64) {
+func (f *Server) leave(id string, size int64) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	delete(f.asked, id)
 	f.bodies -= size
 }
 
-// Figures tells how many connections are open, and how many requests without an answer.
-func (f *Front) Figures() (conns, requests int) {
+// Counts tells how many connections are open, and how many requests without an answer.
+func (f *Server) Counts() (conns, requests int) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	return len(f.conns), len(f.asked)
 }
 
-// Stop ends the front: for so long connections are still taken, and those that are open are served for so long, since their
+// Shutdown ends the front: for so long connections are still taken, and those that are open are served for so long, since their
 // clients have nowhere else to go; then each is closed with its answer, and what is idle at once. At the context's end the
 // gateway's loop is stopped, which writes off what it holds.
-func (f *Front) Stop(ctx context.Context, taken, served time.Duration) {
+func (f *Server) Shutdown(ctx context.Context, taken, served time.Duration) {
 	began := time.Now()
 	f.lock.Lock()
 	again := f.phase > open
--- a/internal/web/front_test.go
+++ b/internal/web/front_test.go
@@ -44,12 +44,12 @@
 	nodes *nodes
 	id    string
 	call  node.Call
-	done  func(node.Answer)
+	done  func(node.Reply)
 	off   chan struct{}
 }
 
-func (n *nodes) Start(_ string, c *node.Call, done func(node.Answer)) node.Sending {
-	s := &sent{n, c.Mark, *c, done, make(chan struct{})}
+func (n *nodes) Start(_ string, c *node.Call, done func(node.Reply)) node.Attempt {
+	s := &sent{n, c.IdempotencyKey, *c, done, make(chan struct{})}
 	n.lock.Lock()
 	n.seen[s.id]++
 	hold := n.hold
@@ -66,22 +66,22 @@
 }
 
 func (s *sent) serve() {
-	s.done(node.Answer{Outcome: node.Served, Data: []byte(s.id + " " + s.call.Name + " " + string(s.call.Data))})
+	s.done(node.Reply{Outcome: node.Executed, Data: []byte(s.id + " " + s.call.Name + " " + string(s.call.Data))})
 }
-func (s *sent) CallOff()                 { close(s.off) }
-func (n *nodes) Keep(map[string]bool)    {}
-func (n *nodes) Leave(func(string) bool) {}
-func (n *nodes) Late() int64             { return 0 }
+func (s *sent) Cancel()                        { close(s.off) }
+func (n *nodes) Retain(map[string]bool)        {}
+func (n *nodes) AbortQueued(func(string) bool) {}
+func (n *nodes) LateReplies() int64            { return 0 }
 
 type town struct {
-	*web.Front
+	*web.Server
 	nodes *nodes
 	loop  *gateway.Loop
 }
 
 func limits() web.Limits {
-	return web.Limits{Connections: 100, Crowd: 100, Bodies: 1 << 20, First: time.Minute, Request: time.Minute, Idle: time.Minute, Spare: time.Minute,
-		Write: time.Minute, Message: http1.DefaultBounds}
+	return web.Limits{MaxConnections: 100, CrowdedConnections: 100, MaxBodyBytes: 1 << 20, FirstRequestTimeout: time.Minute, RequestTimeout: time.Minute, IdleTimeout: time.Minute, CrowdedIdleTimeout: time.Minute,
+		WriteTimeout: time.Minute, Message: http1.DefaultLimits}
 }
 
 func start(t testing.TB, l web.Limits) *town {
@@ -99,13 +99,13 @@
 	}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	n := &nodes{out: map[string]*sent{}, seen: map[string]int{}, more: make(chan string, 1000)}
-	loop := gateway.Start(gateway.Options{Name: "n1", Seed: 1, Terms: c.Terms, Queue: 64, Clock: gateway.NewClock(), Nodes: n, Log: log,
-		Known: &listing.List{Nodes: []listing.Node{{Addr: "a:1", Zone: "z", Shard: 0}}}})
-	f := web.StartOn(on, web.Options{Name: "n1", Loop: loop, Terms: c.Terms, Limits: l, Log: log})
+	loop := gateway.Start(gateway.Options{Name: "n1", Seed: 1, Settings: c.Settings, QueueSize: 64, Clock: gateway.NewClock(), Nodes: n, Log: log,
+		CachedList: &listing.List{Nodes: []listing.Node{{Addr: "a:1", Zone: "z", Shard: 0}}}})
+	f := web.StartOn(on, web.Options{GatewayName: "n1", Loop: loop, Settings: c.Settings, Limits: l, Logger: log})
 	t.Cleanup(func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
-		f.Stop(ctx, 0, 0)
+		f.Shutdown(ctx, 0, 0)
 		loop.Stop()
 	})
 	return &town{f, n, loop}
@@ -179,18 +179,18 @@
 			w.nodes.out[verb].serve()
 			continue
 		case "flood": // a long answer, of which the client reads nothing
-			w.nodes.out[verb].done(node.Answer{Outcome: node.Served, Data: make([]byte, 64<<20)})
+			w.nodes.out[verb].done(node.Reply{Outcome: node.Executed, Data: make([]byte, 64<<20)})
 			continue
 		case "off":
 			<-w.nodes.out[verb].off
 			continue
 		case "rests":
-			for n, _ := strconv.Atoi(verb); web.Idle(w.Front) < n; time.Sleep(time.Millisecond) {
+			for n, _ := strconv.Atoi(verb); web.Idle(w.Server) < n; time.Sleep(time.Millisecond) {
 			}
 			continue
 		case "conns":
 			for n, _ := strconv.Atoi(verb); ; time.Sleep(time.Millisecond) {
-				if conns, requests := w.Figures(); conns <= n && (requests == 0 || n > 0) {
+				if conns, requests := w.Counts(); conns <= n && (requests == 0 || n > 0) {
 					break
 				}
 			}
@@ -246,7 +246,7 @@
 
 func TestScripts(t *testing.T) {
 	short := func(l *web.Limits) {
-		l.First, l.Request, l.Idle = 30*time.Millisecond, 30*time.Millisecond, 30*time.Millisecond
+		l.FirstRequestTimeout, l.RequestTimeout, l.IdleTimeout = 30*time.Millisecond, 30*time.Millisecond, 30*time.Millisecond
 	}
 	for name, c := range map[string]struct {
 		limits func(*web.Limits)
@@ -263,12 +263,12 @@
 		"half a head":                      {short, "a send 40 x; a 408"},
 		"half a body":                      {short, "a send -2 x; a 408; b ask y; b 200; b send 40 z; b 408"},
 		"idle for too long":                {short, "a ask x; a 200; a 0"},
-		"no connection free": {func(l *web.Limits) { l.Connections, l.Spare = 3, 0 },
+		"no connection free": {func(l *web.Limits) { l.MaxConnections, l.CrowdedIdleTimeout = 3, 0 },
 			"hold; a ask a; held; b ask b; held; s dial; c ask c; s 0; held; d dial; d 503; serve a; a 200; serve b; b 200; serve c; c 200"},
-		"a crowd": {func(l *web.Limits) { l.Crowd, l.Spare = 2, 200*time.Millisecond },
+		"a crowd": {func(l *web.Limits) { l.CrowdedConnections, l.CrowdedIdleTimeout = 2, 200*time.Millisecond },
 			"a ask 1; a 200; rests 1; b ask 2; b 200; rests 2; c ask 3; c 200; hold; d ask d; held; conns 2; a 0; b 0; serve d; d 200"},
-		"no bytes free":               {func(l *web.Limits) { l.Bodies = 6 }, "hold; a ask a; held; b ask b; b 503; serve a; a 200"},
-		"an answer that is not taken": {func(l *web.Limits) { l.Write = 30 * time.Millisecond }, "hold; a ask a; held; flood a; conns 0"},
+		"no bytes free":               {func(l *web.Limits) { l.MaxBodyBytes = 6 }, "hold; a ask a; held; b ask b; b 503; serve a; a 200"},
+		"an answer that is not taken": {func(l *web.Limits) { l.WriteTimeout = 30 * time.Millisecond }, "hold; a ask a; held; flood a; conns 0"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := limits()
@@ -326,7 +326,7 @@
 	c.send(strings.Replace(ask("x"), "Host: origin.svc\r\n", "Host: origin.svc\r\nIdempotency-Key: \tk=1; a \r\nX-Other: b\r\nConnection: keep-alive, X-Hop\r\nX-Hop: 1\r\nTE: a\r\n", 1))
 	<-w.nodes.more
 	want := "[idempotency-key k=1; a x-other b x-class read x-plan gold x-io volume=00000003b4d60021,units=2,shard=0,hosts=3]"
-	if got := fmt.Sprint(w.nodes.out["x"].call.Head); got != want {
+	if got := fmt.Sprint(w.nodes.out["x"].call.Headers); got != want {
 		t.Errorf("%s", got)
 	}
 }
@@ -337,12 +337,12 @@
 	c, late, never, waits, half := w.dial(t), w.dial(t), w.dial(t), w.dial(t), w.dial(t)
 	c.send(ask("1"))
 	c.expect(200, "before")
-	for conns := 0; conns < 5; conns, _ = w.Figures() { // all are taken
+	for conns := 0; conns < 5; conns, _ = w.Counts() { // all are taken
 		time.Sleep(time.Millisecond)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	stopped := make(chan struct{})
-	go func() { w.Stop(ctx, 0, time.Hour); close(stopped) }()
+	go func() { w.Shutdown(ctx, 0, time.Hour); close(stopped) }()
 	for { // until none are taken
 		conn, err := net.Dial("tcp", w.Addr())
 		if err != nil {
@@ -359,12 +359,12 @@
 	<-w.nodes.more
 	waits.send(strings.Replace(ask("waits"), "shard=0", "shard=7", 1)) // no node has that shard
 	for requests := 0; requests < 2; {
-		_, requests = w.Figures()
+		_, requests = w.Counts()
 	}
 	never.send("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n")
 	never.expect(503, "health while it ends")
 	half.send(ask("half")[:len(ask("half"))-1])
-	for !web.Reading(w.Front) {
+	for !web.Reading(w.Server) {
 		time.Sleep(time.Millisecond)
 	}
 	cancel()
@@ -377,7 +377,7 @@
 	waits.expect(503, "what was never sent on")
 	c.expect(0, "an idle connection")
 	<-stopped
-	if conns, requests := w.Figures(); conns != 0 || requests != 0 {
+	if conns, requests := w.Counts(); conns != 0 || requests != 0 {
 		t.Errorf("%d connections and %d requests are left", conns, requests)
 	}
 }
@@ -428,7 +428,7 @@
 		wait.Wait()
 	})
 	for {
-		if conns, requests := w.Figures(); conns == 0 && requests == 0 {
+		if conns, requests := w.Counts(); conns == 0 && requests == 0 {
 			break
 		}
 		time.Sleep(time.Millisecond)
--- a/internal/web/golden_test.go
+++ b/internal/web/golden_test.go
@@ -112,16 +112,16 @@
 	write("id of an open request", exchange(t, w, ask("open")))
 
 	few := limits()
-	few.Request, few.Bodies = 30*time.Millisecond, 2
+	few.RequestTimeout, few.MaxBodyBytes = 30*time.Millisecond, 2
 	write("bodies", exchange(t, start(t, few), ask("r")))
-	few.First = few.Request
+	few.FirstRequestTimeout = few.RequestTimeout
 	write("late", exchange(t, start(t, few), "GET / HT"))
-	few.Connections = 0
+	few.MaxConnections = 0
 	write("connections", exchange(t, start(t, few), ""))
 
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(cancel)
-	go w.Stop(ctx, time.Hour, 0)
+	go w.Shutdown(ctx, time.Hour, 0)
 	for status := 200; status == 200; {
 		c := w.dial(t)
 		c.send("GET /healthz HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n")
@@ -138,13 +138,13 @@
 		name   string
 		result gateway.Result
 	}{
-		{"dismissed, no wait", gateway.Result{State: decide.Dismissed}},
-		{"dismissed, wait of 1 ns", gateway.Result{State: decide.Dismissed, Wait: 1}},
-		{"dismissed, wait of 1 ms", gateway.Result{State: decide.Dismissed, Wait: time.Millisecond}},
-		{"dismissed, wait of 61.005 s", gateway.Result{State: decide.Dismissed, Wait: 61*time.Second + 5*time.Millisecond}},
-		{"written off", gateway.Result{State: decide.WrittenOff}},
-		{"completed", gateway.Result{State: decide.Completed, Answer: node.Answer{Data: []byte("data")}}},
-		{"completed without data", gateway.Result{State: decide.Completed}},
+		{"dismissed, no wait", gateway.Result{State: decide.RequestRejected}},
+		{"dismissed, wait of 1 ns", gateway.Result{State: decide.RequestRejected, RetryAfter: 1}},
+		{"dismissed, wait of 1 ms", gateway.Result{State: decide.RequestRejected, RetryAfter: time.Millisecond}},
+		{"dismissed, wait of 61.005 s", gateway.Result{State: decide.RequestRejected, RetryAfter: 61*time.Second + 5*time.Millisecond}},
+		{"written off", gateway.Result{State: decide.RequestFailed}},
+		{"completed", gateway.Result{State: decide.RequestSucceeded, Reply: node.Reply{Data: []byte("data")}}},
+		{"completed without data", gateway.Result{State: decide.RequestSucceeded}},
 	} {
 		for _, last := range []bool{false, true} {
 			fmt.Fprintf(&record, "--- %s, last %v\n%s\n", c.name, last, web.Answer(c.result, last))
--- a/internal/web/linger.go
+++ b/internal/web/linger.go
@@ -11,7 +11,7 @@
 const lastBytes = 200 * time.Millisecond
 
 // lingering is how many connections may linger at a time while others come; they come on top of Connections.
-func (l Limits) lingering() int { return max(l.Connections/8, 1) }
+func (l Limits) lingering() int { return max(l.MaxConnections/8, 1) }
 
 // linger is the one way in which the front closes a connection whose client is still there: it stops sending, lets what still comes go
 // by for a bounded time and size, and closes. A close on bytes that nobody has read would reset the connection and take the answer along.
@@ -23,7 +23,7 @@
 		t.CloseWrite()
 	}
 	c.raw.SetReadDeadline(time.Now().Add(lastBytes))
-	io.CopyN(io.Discard, onlyReader{c.raw}, 4*c.front.opt.Limits.Message.Body)
+	io.CopyN(io.Discard, onlyReader{c.raw}, 4*c.front.opt.Limits.Message.MaxBodyBytes)
 }
 
 // onlyReader hides what else a connection can do, so that nothing is spliced.
--- a/internal/web/linger_test.go
+++ b/internal/web/linger_test.go
@@ -109,8 +109,8 @@
 			rests.send(ask("1"))
 			rests.expect(200, "before")
 			stop := func() {
-				go w.Stop(context.Background(), 0, 0)
-				for d, l := 0, 0; d+l == 0; d, l = web.Dismissed(w.Front) {
+				go w.Shutdown(context.Background(), 0, 0)
+				for d, l := 0, 0; d+l == 0; d, l = web.Dismissed(w.Server) {
 					time.Sleep(time.Millisecond)
 				}
 			}
@@ -132,7 +132,7 @@
 			if err := rests.end(); err != io.EOF {
 				t.Errorf("the connection ends with %v", err)
 			}
-			for conns := 1; conns > 0; conns, _ = w.Figures() {
+			for conns := 1; conns > 0; conns, _ = w.Counts() {
 				time.Sleep(time.Millisecond)
 			}
 			if w.nodes.lock.Lock(); (w.nodes.seen["2"] == 1) != c.served {
@@ -145,7 +145,7 @@
 
 // TestFirstRequestAtTheLastMoment: one that comes as its connection has said nothing for too long is served.
 func TestFirstRequestAtTheLastMoment(t *testing.T) {
-	w, on := staged(t, func(l *web.Limits) { l.First = 30 * time.Millisecond })
+	w, on := staged(t, func(l *web.Limits) { l.FirstRequestTimeout = 30 * time.Millisecond })
 	ready := make(chan *client, 1)
 	on.at("late", func() {
 		c := <-ready
@@ -181,13 +181,13 @@
 // TestLingeringIsBounded: however many are turned away, only so many connections are held for them; each has its answer.
 func TestLingeringIsBounded(t *testing.T) {
 	l := limits()
-	l.Connections = 8
+	l.MaxConnections = 8
 	w := start(t, l)
 	w.nodes.hold = true
 	for i := range 8 {
 		w.dial(t).send(ask(string(rune('a' + i))))
 	}
-	for requests := 0; requests < 8; _, requests = w.Figures() {
+	for requests := 0; requests < 8; _, requests = w.Counts() {
 		time.Sleep(time.Millisecond)
 	}
 	for range 100 {
@@ -197,7 +197,7 @@
 		}
 		defer c.Close()
 		(&client{c, bufio.NewReader(c), t}).expect(503, "one too many")
-		if conns, _ := w.Figures(); conns > 8+web.Lingering(l) {
+		if conns, _ := w.Counts(); conns > 8+web.Lingering(l) {
 			t.Fatalf("%d connections are held", conns)
 		}
 	}
@@ -206,7 +206,7 @@
 // TestNoRoomAhead: what a client sends before its turn is held only while there is room; past that the connection ends with the answer that is due, in order,
 // and what was dropped is not sent on.
 func TestNoRoomAhead(t *testing.T) {
-	w, on := staged(t, func(l *web.Limits) { l.Bodies = 6 })
+	w, on := staged(t, func(l *web.Limits) { l.MaxBodyBytes = 6 })
 	w.nodes.hold = true
 	c := w.dial(t)
 	c.send(ask("x"))
--- a/internal/web/told_test.go
+++ b/internal/web/told_test.go
@@ -15,13 +15,13 @@
 	for range 100 {
 		var done <-chan gateway.Result
 		given, early := make(chan bool), make(chan bool, 1)
-		work := &gateway.Work{Volume: &gateway.Volume{Plan: "gold", Hosts: 1}, Product: "read", Units: 1, StopBy: w.loop.Now() + 1e11,
-			Call: node.Call{Op: node.Get, Mark: "t", Name: "/"}}
-		work.Told = func() {
+		work := &gateway.RequestSpec{Volume: &gateway.Volume{ServiceLevel: "gold", Gateways: 1}, Class: "read", Units: 1, Deadline: w.loop.Now() + 1e11,
+			Call: node.Call{Op: node.GetObject, IdempotencyKey: "t", Name: "/"}}
+		work.OnResult = func() {
 			<-given
 			early <- len(done) > 0
 		}
-		done = w.loop.Do(s, work)
+		done = w.loop.Submit(s, work)
 		close(given)
 		if <-early {
 			t.Fatal("the result could be had before it was told")
--- a/internal/web/work.go
+++ b/internal/web/work.go
@@ -19,7 +19,7 @@
 	largest         float64 // units of one request; 0: not stated
 }
 
-func knownBy(t decide.Terms) known {
+func knownBy(t decide.Settings) known {
 	names := func(list string) map[string]bool {
 		m := map[string]bool{}
 		n, _ := strconv.Atoi(t[list+".count"])
@@ -37,18 +37,18 @@
 const longest = 24 * time.Hour
 
 // work reads what a request asks for. Its StopBy is the time left.
-func (k known) work(q *http1.Request) (*gateway.Work, error) {
-	bad := func(why string) error { return &http1.Error{Status: 400, Why: why} }
-	op := node.Get
+func (k known) work(q *http1.Request) (*gateway.RequestSpec, error) {
+	bad := func(why string) error { return &http1.Error{Status: 400, Reason: why} }
+	op := node.GetObject
 	switch q.Method {
 	case "GET":
-		if q.Length.Bytes > 0 || q.Length.Chunked {
+		if q.Framing.Bytes > 0 || q.Framing.Chunked {
 			return nil, bad("a read with a body")
 		}
 	case "PUT":
-		op = node.Put
+		op = node.PutObject
 	default:
-		return nil, &http1.Error{Status: 405, Why: "GET and PUT alone"}
+		return nil, &http1.Error{Status: 405, Reason: "GET and PUT alone"}
 	}
 	id, _ := q.Fields.Get("x-request-id")
 	if !isID(id) {
@@ -76,9 +76,9 @@
 	if !ok {
 		return nil, bad("an extent that is not 16 hex digits")
 	}
-	w := &gateway.Work{Volume: &gateway.Volume{Plan: plan, Hosts: 1}, Product: product, Key: int64(extent), Keyed: true,
-		StopBy: decide.Time(ms) * decide.Millisecond, Call: node.Call{Op: op, Name: q.Target, Mark: id, Shard: -1}}
-	w.Call.Head = passedOn(q.Fields)
+	w := &gateway.RequestSpec{Volume: &gateway.Volume{ServiceLevel: plan, Gateways: 1}, Class: product, Key: int64(extent), HasKey: true,
+		Deadline: decide.Time(ms) * decide.Millisecond, Call: node.Call{Op: op, Name: q.Target, IdempotencyKey: id, Shard: -1}}
+	w.Call.Headers = passedOn(q.Fields)
 	told, _ := q.Fields.Get("x-io")
 	if !k.told(w, told) {
 		return nil, bad("an X-IO that can't be read")
@@ -93,7 +93,7 @@
 // passedOn are the fields that go on to a node as they came, above all a key by which it knows a repeat (Idempotency-Key).
 func passedOn(fields http1.Fields) (head []string) {
 	for _, f := range fields {
-		if !hop[f.Name] && !fields.Names("connection", f.Name) {
+		if !hop[f.Name] && !fields.HasToken("connection", f.Name) {
 			head = append(head, f.Name, f.Value)
 		}
 	}
@@ -101,7 +101,7 @@
 }
 
 // told reads volume, units, shard and hosts.
-func (k known) told(w *gateway.Work, text string) bool {
+func (k known) told(w *gateway.RequestSpec, text string) bool {
 	seen := map[string]bool{}
 	for part := range strings.SplitSeq(text, ",") {
 		name, value, ok := strings.Cut(strings.TrimSpace(part), "=")
@@ -133,7 +133,7 @@
 			if err != nil || n == 0 {
 				return false
 			}
-			w.Volume.Hosts = float64(n)
+			w.Volume.Gateways = float64(n)
 		}
 	}
 	return seen["volume"] && seen["units"] && seen["shard"] && seen["hosts"]
--- a/internal/webnode/client.go
+++ b/internal/webnode/client.go
@@ -18,14 +18,14 @@
 
 // Options are what a client is started with.
 type Options struct {
-	Host    string        // named in requests
-	Connect time.Duration // a connection that is not up by then has failed
-	Idle    time.Duration // a connection that nobody has used for so long is closed
-	Rest    time.Duration // one that has brought an answer is not used again sooner
-	Most    int           // connections open at a time, to all nodes
-	Bounds  http1.Bounds
-	Long    int64 // the longest body that is taken past the bound, which some nodes send
-	LongAll int64 // bytes of such bodies in memory at a time
+	Host           string        // named in requests
+	ConnectTimeout time.Duration // a connection that is not up by then has failed
+	IdleTimeout    time.Duration // a connection that nobody has used for so long is closed
+	ReuseDelay     time.Duration // one that has brought an answer is not used again sooner
+	MaxConnections int           // connections open at a time, to all nodes
+	Bounds         http1.Limits
+	MaxLongBody    int64 // the longest body that is taken past the bound, which some nodes send
+	LongBodyBudget int64 // bytes of such bodies in memory at a time
 }
 
 // Client holds a gateway's connections to its nodes.
@@ -35,7 +35,7 @@
 	free   map[string][]*link // idle, the last used at the end
 	open   int                // links that hold a socket
 	coming map[*link]bool     // those that are dialling
-	wait   []*Sent            // that have no socket yet
+	wait   []*Attempt         // that have no socket yet
 	late   atomic.Int64
 	long   atomic.Int64 // bytes of long bodies in memory
 	closed chan struct{}
@@ -58,8 +58,8 @@
 )
 
 // Start sends an execution. done is called at most once, from elsewhere, and not after CallOff.
-func (c *Client) Start(addr string, call *node.Call, done func(node.Answer)) node.Sending {
-	s := &Sent{client: c, addr: addr, call: call, done: done, began: time.Now()}
+func (c *Client) Start(addr string, call *node.Call, done func(node.Reply)) node.Attempt {
+	s := &Attempt{client: c, addr: addr, call: call, done: done, began: time.Now()}
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	c.start(s)
@@ -67,25 +67,25 @@
 }
 
 // start begins an execution, or has it wait for a socket; the lock is held.
-func (c *Client) start(s *Sent) {
+func (c *Client) start(s *Attempt) {
 	if !c.begin(s) {
-		s.until = time.Now().Add(c.opt.Connect)
+		s.until = time.Now().Add(c.opt.ConnectTimeout)
 		c.wait = append(c.wait, s)
 	}
 }
 
 // begin gives an execution a link, if there is one to be had; the lock is held.
-func (c *Client) begin(s *Sent) bool {
+func (c *Client) begin(s *Attempt) bool {
 	if l := c.rested(s.addr); l != nil {
 		l.move(writing)
 		l.out, l.wrote, s.link = s, make(chan struct{}), l
 		go l.reuse(s)
 		return true
 	}
-	if c.open >= c.opt.Most && !c.spare() {
+	if c.open >= c.opt.MaxConnections && !c.spare() {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), c.opt.Connect)
+	ctx, cancel := context.WithTimeout(context.Background(), c.opt.ConnectTimeout)
 	l := &link{client: c, addr: s.addr, out: s, cancel: cancel, wrote: make(chan struct{})}
 	s.link = l
 	c.open++
@@ -101,11 +101,11 @@
 	}
 }
 
-// Late counts the answers that came after their execution was given up, and were dropped.
-func (c *Client) Late() int64 { return c.late.Load() }
+// LateReplies counts the answers that came after their execution was given up, and were dropped.
+func (c *Client) LateReplies() int64 { return c.late.Load() }
 
-// Open tells how many connections are open or come up, and how many of them are idle.
-func (c *Client) Open() (open, idle int) {
+// ConnectionCounts tells how many connections are open or come up, and how many of them are idle.
+func (c *Client) ConnectionCounts() (open, idle int) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	for _, list := range c.free {
@@ -117,5 +117,5 @@
 // Close closes what is idle and stops the periodic work; executions that are out go on.
 func (c *Client) Close() {
 	close(c.closed)
-	c.Keep(nil)
+	c.Retain(nil)
 }
--- a/internal/webnode/client_test.go
+++ b/internal/webnode/client_test.go
@@ -17,8 +17,8 @@
 
 // client is one with so many sockets; change its options before it starts.
 func client(t testing.TB, most int, change func(*webnode.Options)) *webnode.Client {
-	opt := webnode.Options{Host: "origin.svc", Connect: time.Minute, Idle: time.Minute, Most: most, Bounds: http1.DefaultBounds,
-		Long: 250_000, LongAll: 300_000}
+	opt := webnode.Options{Host: "origin.svc", ConnectTimeout: time.Minute, IdleTimeout: time.Minute, MaxConnections: most, Bounds: http1.DefaultLimits,
+		MaxLongBody: 250_000, LongBodyBudget: 300_000}
 	if change != nil {
 		change(&opt)
 	}
@@ -27,10 +27,10 @@
 	return c
 }
 
-func ask(c *webnode.Client, s *webstandin.Node, id string) (node.Sending, chan node.Answer) {
-	done := make(chan node.Answer, 2)
-	call := &node.Call{Op: node.Put, Name: "/api?extent=00", Mark: id, Left: time.Second, Data: []byte("+body")}
-	return c.Start(s.Addr().String(), call, func(a node.Answer) { done <- a }), done
+func ask(c *webnode.Client, s *webstandin.Node, id string) (node.Attempt, chan node.Reply) {
+	done := make(chan node.Reply, 2)
+	call := &node.Call{Op: node.PutObject, Name: "/api?extent=00", IdempotencyKey: id, Timeout: time.Second, Data: []byte("+body")}
+	return c.Start(s.Addr().String(), call, func(a node.Reply) { done <- a }), done
 }
 
 // TestAnyMix has random executions, some called off, over few sockets: each has one outcome, the right one, and is sent once at most, and
@@ -47,8 +47,8 @@
 		c := client(t, most, nil)
 		type one struct {
 			what, id string
-			sent     node.Sending
-			done     chan node.Answer
+			sent     node.Attempt
+			done     chan node.Reply
 			off      bool
 		}
 		var all []*one
@@ -59,10 +59,10 @@
 			all = append(all, o)
 			if rapid.IntRange(0, 3).Draw(r, "off") == 0 {
 				off := all[rapid.IntRange(0, len(all)-1).Draw(r, "which")]
-				off.sent.CallOff()
+				off.sent.Cancel()
 				off.off = true
 			}
-			if open, _ := c.Open(); open > most {
+			if open, _ := c.ConnectionCounts(); open > most {
 				r.Fatalf("%d connections are open", open)
 			}
 		}
@@ -72,7 +72,7 @@
 				continue
 			}
 			a, others := <-o.done, map[bool]float64{true: 3}[o.what == "elsewhere"]
-			if k := webstandin.Kinds[o.what]; a.Outcome != k.Outcome || k.Outcome == node.Served && (string(a.Data) != o.id+"+body" || a.Others != others) {
+			if k := webstandin.Kinds[o.what]; a.Outcome != k.Outcome || k.Outcome == node.Executed && (string(a.Data) != o.id+"+body" || a.UnitsElsewhere != others) {
 				r.Fatalf("%s: %+v", o.id, a)
 			}
 		}
@@ -91,10 +91,10 @@
 	s, c := webstandin.Start(t), client(t, 10, nil)
 	sent, done := ask(c, s, "held-1")
 	<-s.Held
-	sent.CallOff()
+	sent.Cancel()
 	close(s.Hold)
 	<-s.Gone
-	if open, _ := c.Open(); open != 0 || len(done) != 0 {
+	if open, _ := c.ConnectionCounts(); open != 0 || len(done) != 0 {
 		t.Errorf("%d connections are open, %d answers", open, len(done))
 	}
 }
@@ -102,20 +102,20 @@
 // TestLimits: a socket that does not come free, a node that refuses, a connection that nobody uses.
 func TestLimits(t *testing.T) {
 	s := webstandin.Start(t)
-	c := client(t, 1, func(o *webnode.Options) { o.Connect = 40 * time.Millisecond })
+	c := client(t, 1, func(o *webnode.Options) { o.ConnectTimeout = 40 * time.Millisecond })
 	_, first := ask(c, s, "held-1")
 	<-s.Held
-	if _, done := ask(c, s, "served-2"); (<-done).Outcome != node.Unconnected {
+	if _, done := ask(c, s, "served-2"); (<-done).Outcome != node.ConnectFailed {
 		t.Error("no socket came free, and the outcome is another")
 	}
 	close(s.Hold)
 	<-first
-	idle := client(t, 1, func(o *webnode.Options) { o.Idle = 20 * time.Millisecond })
+	idle := client(t, 1, func(o *webnode.Options) { o.IdleTimeout = 20 * time.Millisecond })
 	_, done := ask(idle, s, "served-3")
 	<-done
 	<-s.Gone // it is closed though the node keeps it
 	s.Close()
-	if _, done := ask(idle, s, "served-4"); (<-done).Outcome != node.Unconnected {
+	if _, done := ask(idle, s, "served-4"); (<-done).Outcome != node.ConnectFailed {
 		t.Error("a node that refuses, and the outcome is another")
 	}
 }
@@ -124,17 +124,17 @@
 // of memory.
 func TestLongAnswers(t *testing.T) {
 	s, c := webstandin.Start(t), client(t, 10, nil)
-	get := func(id string) node.Answer { _, done := ask(c, s, id); return <-done }
+	get := func(id string) node.Reply { _, done := ask(c, s, id); return <-done }
 	first := get("long-1")
-	if first.Outcome != node.Served || len(first.Data) != 200_000 {
+	if first.Outcome != node.Executed || len(first.Data) != 200_000 {
 		t.Fatalf("outcome %d, %d bytes", first.Outcome, len(first.Data))
 	}
-	if a := get("long-2"); a.Outcome != node.Erred {
+	if a := get("long-2"); a.Outcome != node.Failed {
 		t.Errorf("while there is no room: outcome %d", a.Outcome)
 	}
 	runtime.KeepAlive(first.Data)
-	first = node.Answer{}
-	for i := 3; get(fmt.Sprint("long-", i)).Outcome != node.Served; i++ {
+	first = node.Reply{}
+	for i := 3; get(fmt.Sprint("long-", i)).Outcome != node.Executed; i++ {
 		runtime.GC()
 	}
 }
--- a/internal/webnode/exchange.go
+++ b/internal/webnode/exchange.go
@@ -13,19 +13,19 @@
 )
 
 // write sends an execution, unless its time to begin has gone by while the connection came up or was waited for.
-func (l *link) write(s *Sent) {
+func (l *link) write(s *Attempt) {
 	c, call := l.client, s.call
 	gone := time.Since(s.began)
-	left := call.Left - gone
-	if left <= 0 || call.Within > 0 && gone >= call.Within {
+	left := call.Timeout - gone
+	if left <= 0 || call.StartWithin > 0 && gone >= call.StartWithin {
 		l.unused()
-		s.finish(node.Answer{Outcome: node.Unconnected, Text: "its time to begin has gone by"})
+		s.finish(node.Reply{Outcome: node.ConnectFailed, Message: "its time to begin has gone by"})
 		return
 	}
-	w := http1.NewRequest(method(call.Op), call.Name).Field("Host", c.opt.Host).Field("X-Request-Id", call.Mark).
+	w := http1.NewRequest(method(call.Op), call.Name).Field("Host", c.opt.Host).Field("X-Request-Id", call.IdempotencyKey).
 		Field("X-Deadline-Ms", strconv.FormatInt(max(left.Milliseconds(), 1), 10))
-	for i := 0; i+1 < len(call.Head); i += 2 {
-		w.Field(call.Head[i], call.Head[i+1])
+	for i := 0; i+1 < len(call.Headers); i += 2 {
+		w.Field(call.Headers[i], call.Headers[i+1])
 	}
 	b := w.Body(call.Data, call.Op.Writes())
 	n, err := l.conn.Write(b)
@@ -41,13 +41,13 @@
 	c.lock.Unlock()
 	switch {
 	case err == nil && ended:
-		s.finish(node.Answer{Outcome: node.Reset, Text: "the connection ended while it was written to"})
+		s.finish(node.Reply{Outcome: node.ConnectionReset, Message: "the connection ended while it was written to"})
 	case err != nil: // its last byte is not written, so it never ran
-		s.finish(node.Answer{Outcome: node.Unconnected, Text: fmt.Sprintf("%d of %d bytes written: %v", n, len(b), err)})
+		s.finish(node.Reply{Outcome: node.ConnectFailed, Message: fmt.Sprintf("%d of %d bytes written: %v", n, len(b), err)})
 	}
 }
 
-func method(o node.Op) string {
+func method(o node.Operation) string {
 	if o.Writes() {
 		return "PUT"
 	}
@@ -56,10 +56,10 @@
 
 // allow takes a long body in, where there is room.
 func (c *Client) allow(bytes int64) bool {
-	if bytes > c.opt.Long {
+	if bytes > c.opt.MaxLongBody {
 		return false
 	}
-	if c.long.Add(bytes) > c.opt.LongAll {
+	if c.long.Add(bytes) > c.opt.LongBodyBudget {
 		c.long.Add(-bytes)
 		return false
 	}
@@ -74,7 +74,7 @@
 // read takes in what the node sends, for as long as the connection lasts.
 func (l *link) read() {
 	c := l.client
-	r := bufio.NewReaderSize(l.conn, http1.LineBytes)
+	r := bufio.NewReaderSize(l.conn, http1.MaxLineBytes)
 	for {
 		_, err := r.Peek(1)
 		c.lock.Lock()
@@ -89,22 +89,22 @@
 			l.end()
 			c.lock.Unlock()
 			if state == waiting { // else who writes finds the link ended
-				s.finish(node.Answer{Outcome: node.Reset, Text: err.Error()})
+				s.finish(node.Reply{Outcome: node.ConnectionReset, Message: err.Error()})
 			}
 			return
 		}
 		c.lock.Unlock()
 		asked := int64(0)
 		bounds := c.opt.Bounds
-		bounds.Most = c.opt.Long
-		bounds.Long = func(bytes int64) bool {
+		bounds.MaxLongBody = c.opt.MaxLongBody
+		bounds.AdmitLongBody = func(bytes int64) bool {
 			ok := c.allow(bytes)
 			if ok {
 				asked = bytes
 			}
 			return ok
 		}
-		a, err := http1.ReadAnswer(r, bounds)
+		a, err := http1.ReadResponse(r, bounds)
 		switch {
 		case asked > 0 && err == nil:
 			c.long.Add(int64(len(a.Body)) - asked) // where its length was not stated, the most was asked for
@@ -132,27 +132,27 @@
 }
 
 // outcome reads what an execution came to.
-func outcome(a *http1.Answer, err error) node.Answer {
+func outcome(a *http1.Response, err error) node.Reply {
 	if err != nil {
 		var wrong *http1.Error
 		if errors.As(err, &wrong) {
-			return node.Answer{Outcome: node.Erred, Text: "a spoilt answer: " + err.Error()}
+			return node.Reply{Outcome: node.Failed, Message: "a spoilt answer: " + err.Error()}
 		}
-		return node.Answer{Outcome: node.Reset, Text: err.Error()}
+		return node.Reply{Outcome: node.ConnectionReset, Message: err.Error()}
 	}
 	never, _ := a.Fields.Get("x-not-run")
-	n := node.Answer{Outcome: node.Erred, Text: fmt.Sprintf("status %d", a.Status)}
+	n := node.Reply{Outcome: node.Failed, Message: fmt.Sprintf("status %d", a.Status)}
 	switch {
 	case a.Status == 200:
-		n = node.Answer{Outcome: node.Served, Data: a.Body}
+		n = node.Reply{Outcome: node.Executed, Data: a.Body}
 	case a.Status == 503 && never == "1":
-		n.Outcome = node.Full
+		n.Outcome = node.QueueFull
 	case a.Status == 504 && never == "1":
-		n.Outcome = node.Moot
+		n.Outcome = node.WrongShard
 	}
 	if v, ok := a.Fields.Get("x-served-elsewhere"); ok {
 		if f, err := strconv.ParseFloat(v, 64); err == nil && f > 0 && f < 1e12 { // one that can't be read changes nothing
-			n.Others = f
+			n.UnitsElsewhere = f
 		}
 	}
 	return n
--- a/internal/webnode/golden_test.go
+++ b/internal/webnode/golden_test.go
@@ -38,15 +38,15 @@
 func TestGoldenRequests(t *testing.T) {
 	var record bytes.Buffer
 	for _, call := range []node.Call{
-		{Op: node.Get, Name: "/api?extent=7f3a9c21e0b4d655", Mark: "r"},
-		{Op: node.Put, Name: "/api?extent=7f3a9c21e0b4d655", Mark: "w", Data: []byte("body")},
-		{Op: node.Put, Name: "/api?extent=7f3a9c21e0b4d655", Mark: "empty"},
-		{Op: node.Put, Name: "/api", Mark: "k", Head: []string{"idempotency-key", "k=1; a", "x-class", "read", "x-plan", "gold",
+		{Op: node.GetObject, Name: "/api?extent=7f3a9c21e0b4d655", IdempotencyKey: "r"},
+		{Op: node.PutObject, Name: "/api?extent=7f3a9c21e0b4d655", IdempotencyKey: "w", Data: []byte("body")},
+		{Op: node.PutObject, Name: "/api?extent=7f3a9c21e0b4d655", IdempotencyKey: "empty"},
+		{Op: node.PutObject, Name: "/api", IdempotencyKey: "k", Headers: []string{"idempotency-key", "k=1; a", "x-class", "read", "x-plan", "gold",
 			"x-io", "volume=1", "x-retry", ""}, Data: []byte("data")},
 	} {
 		p, c := newPeer(t), client(t, 1, nil)
-		call.Left = time.Hour
-		c.Start(p.Addr().String(), &call, func(node.Answer) {})
+		call.Timeout = time.Hour
+		c.Start(p.Addr().String(), &call, func(node.Reply) {})
 		l := p.accept()
 		if err := l.SetReadDeadline(time.Now().Add(farOff)); err != nil {
 			t.Fatal(err)
@@ -66,7 +66,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		fmt.Fprintf(&record, "--- %s\n%s\n", call.Mark, append(got, rest...))
+		fmt.Fprintf(&record, "--- %s\n%s\n", call.IdempotencyKey, append(got, rest...))
 	}
 	left := regexp.MustCompile(`(X-Deadline-Ms: )3[56]\d{5}\r`)
 	golden(t, "requests.txt", left.ReplaceAll(record.Bytes(), []byte("${1}LEFT\r")))
--- a/internal/webnode/idle.go
+++ b/internal/webnode/idle.go
@@ -13,7 +13,7 @@
 func (c *Client) rested(addr string) *link {
 	list := c.free[addr]
 	for i := len(list) - 1; i >= 0; i-- {
-		if time.Since(list[i].since) >= c.opt.Rest {
+		if time.Since(list[i].since) >= c.opt.ReuseDelay {
 			return list[i]
 		}
 	}
@@ -36,7 +36,7 @@
 
 // sweep is the periodic work: it closes what has been idle for too long and fails what has waited too long for a socket.
 func (c *Client) sweep() {
-	tick := time.NewTicker(max(min(c.opt.Idle, c.opt.Connect)/4, 10*time.Millisecond))
+	tick := time.NewTicker(max(min(c.opt.IdleTimeout, c.opt.ConnectTimeout)/4, 10*time.Millisecond))
 	defer tick.Stop()
 	for {
 		select {
@@ -45,10 +45,10 @@
 		case <-tick.C:
 		}
 		now := time.Now()
-		var failed []*Sent
+		var failed []*Attempt
 		c.lock.Lock()
 		for addr := range c.free {
-			for list := c.free[addr]; len(list) > 0 && now.Sub(list[0].since) > c.opt.Idle; list = c.free[addr] {
+			for list := c.free[addr]; len(list) > 0 && now.Sub(list[0].since) > c.opt.IdleTimeout; list = c.free[addr] {
 				list[0].end()
 			}
 		}
@@ -58,20 +58,20 @@
 		}
 		c.lock.Unlock()
 		for _, s := range failed {
-			s.finish(node.Answer{Outcome: node.Unconnected, Text: "no socket was free"})
+			s.finish(node.Reply{Outcome: node.ConnectFailed, Message: "no socket was free"})
 		}
 	}
 }
 
-// Leave ends what waits for a connection to a node that is left, or for a socket to go there.
-func (c *Client) Leave(left func(addr string) bool) {
+// AbortQueued ends what waits for a connection to a node that is left, or for a socket to go there.
+func (c *Client) AbortQueued(left func(addr string) bool) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	wait := c.wait
 	c.wait = nil
 	for _, s := range wait {
 		if left(s.addr) {
-			go s.finish(node.Answer{Outcome: node.Unconnected, Text: "the node is left"})
+			go s.finish(node.Reply{Outcome: node.ConnectFailed, Message: "the node is left"})
 		} else {
 			c.wait = append(c.wait, s)
 		}
@@ -83,8 +83,8 @@
 	}
 }
 
-// Keep closes the idle connections to nodes that are not named.
-func (c *Client) Keep(addrs map[string]bool) {
+// Retain closes the idle connections to nodes that are not named.
+func (c *Client) Retain(addrs map[string]bool) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	for addr, list := range c.free {
--- a/internal/webnode/link.go
+++ b/internal/webnode/link.go
@@ -19,7 +19,7 @@
 	addr   string
 	state  linkState
 	conn   net.Conn
-	out    *Sent
+	out    *Attempt
 	since  time.Time // it has been idle
 	cancel context.CancelFunc
 	wrote  chan struct{} // closed when the execution's bytes are with the socket, or won't be
@@ -74,7 +74,7 @@
 		if conn != nil {
 			conn.Close()
 		}
-		s.finish(node.Answer{Outcome: node.Unconnected, Text: fmt.Sprint("no connection: ", err)})
+		s.finish(node.Reply{Outcome: node.ConnectFailed, Message: fmt.Sprint("no connection: ", err)})
 		return
 	}
 	l.conn = conn
@@ -86,7 +86,7 @@
 
 // reuse sends an execution on a connection that was idle, unless something has come on it meanwhile: its end, or bytes that
 // nobody asked for, which would be taken for the answer. Nothing is written then, and the execution takes another.
-func (l *link) reuse(s *Sent) {
+func (l *link) reuse(s *Attempt) {
 	if l.clean() {
 		l.write(s)
 		return
--- a/internal/webnode/order_test.go
+++ b/internal/webnode/order_test.go
@@ -57,24 +57,24 @@
 	io.WriteString(l, "HTTP/1.1 200 OK\r\nContent-Length: "+strconv.Itoa(len(text))+"\r\n\r\n"+text)
 }
 
-func send(c *webnode.Client, p *peer, call node.Call) (node.Sending, chan node.Answer) {
-	done := make(chan node.Answer, 2)
-	call.Op, call.Name = node.Get, "/api?extent=00"
-	return c.Start(p.Addr().String(), &call, func(a node.Answer) { done <- a }), done
+func send(c *webnode.Client, p *peer, call node.Call) (node.Attempt, chan node.Reply) {
+	done := make(chan node.Reply, 2)
+	call.Op, call.Name = node.GetObject, "/api?extent=00"
+	return c.Start(p.Addr().String(), &call, func(a node.Reply) { done <- a }), done
 }
 
 // TestLateSecondAnswer: a second answer that comes after the first was taken is not the next execution's. Guard: join days, "a second answer may
 // come some milliseconds late".
 func TestLateSecondAnswer(t *testing.T) {
-	p, c := newPeer(t), client(t, 10, func(o *webnode.Options) { o.Rest = time.Hour })
-	_, first := send(c, p, node.Call{Mark: "a", Left: time.Minute})
+	p, c := newPeer(t), client(t, 10, func(o *webnode.Options) { o.ReuseDelay = time.Hour })
+	_, first := send(c, p, node.Call{IdempotencyKey: "a", Timeout: time.Minute})
 	one := p.accept()
 	one.take()
 	one.answer("a's")
 	if a := <-first; string(a.Data) != "a's" {
 		t.Fatalf("%+v", a)
 	}
-	_, second := send(c, p, node.Call{Mark: "b", Left: time.Minute})
+	_, second := send(c, p, node.Call{IdempotencyKey: "b", Timeout: time.Minute})
 	two := p.accept() // not on the one that has just brought an answer
 	two.take()
 	one.answer("a's again")
@@ -90,7 +90,7 @@
 // TestFieldsPassOn: what the call has of further fields reaches the node as it is.
 func TestFieldsPassOn(t *testing.T) {
 	p, c := newPeer(t), client(t, 10, nil)
-	send(c, p, node.Call{Mark: "a", Left: time.Minute, Head: []string{"idempotency-key", "k 1", "x-other", ""}})
+	send(c, p, node.Call{IdempotencyKey: "a", Timeout: time.Minute, Headers: []string{"idempotency-key", "k 1", "x-other", ""}})
 	if q := p.accept().take(); q.Header.Get("Idempotency-Key") != "k 1" || len(q.Header["X-Other"]) != 1 || q.Header.Get("X-Request-Id") != "a" {
 		t.Errorf("%v", q.Header)
 	}
@@ -100,7 +100,7 @@
 func TestConnectionsThatHaveRested(t *testing.T) {
 	p, c := newPeer(t), client(t, 10, nil)
 	for i := range 3 {
-		_, done := send(c, p, node.Call{Mark: "a", Left: time.Minute})
+		_, done := send(c, p, node.Call{IdempotencyKey: "a", Timeout: time.Minute})
 		var l *line
 		if i == 0 {
 			l = p.accept()
@@ -113,7 +113,7 @@
 		}
 		<-done
 	}
-	if open, idle := c.Open(); open != 1 || idle != 1 {
+	if open, idle := c.ConnectionCounts(); open != 1 || idle != 1 {
 		t.Errorf("%d open, %d idle", open, idle)
 	}
 }
@@ -126,19 +126,19 @@
 		time.Sleep(late) // at least
 		return net.Dial(network, addr)
 	})
-	send(c, p, node.Call{Mark: "a", Left: time.Hour, Within: time.Minute})
+	send(c, p, node.Call{IdempotencyKey: "a", Timeout: time.Hour, StartWithin: time.Minute})
 	q := p.accept().take()
 	if ms, err := strconv.ParseInt(q.Header.Get("X-Deadline-Ms"), 10, 64); err != nil || ms > (time.Hour-late).Milliseconds() || ms < time.Minute.Milliseconds() {
 		t.Errorf("the node is told %d ms, %v", ms, err)
 	}
-	for what, call := range map[string]node.Call{"to begin": {Left: time.Hour, Within: late}, "of the client": {Left: late}} {
-		call.Mark = "b"
+	for what, call := range map[string]node.Call{"to begin": {Timeout: time.Hour, StartWithin: late}, "of the client": {Timeout: late}} {
+		call.IdempotencyKey = "b"
 		_, done := send(c, p, call)
 		l := p.accept()
-		if a := <-done; a.Outcome != node.Unconnected {
+		if a := <-done; a.Outcome != node.ConnectFailed {
 			t.Errorf("past the time %s: %+v", what, a)
 		}
-		c.Keep(nil) // closes what is idle
+		c.Retain(nil) // closes what is idle
 		if l.take() != nil {
 			t.Errorf("past the time %s: it was sent", what)
 		}
@@ -148,7 +148,7 @@
 // TestNodeThatIsLeft: what waits for a connection or a socket does not begin once its node is left, and is told at once; what is out goes on.
 func TestNodeThatIsLeft(t *testing.T) {
 	p, c := newPeer(t), client(t, 2, nil)
-	_, out := send(c, p, node.Call{Mark: "a", Left: time.Minute})
+	_, out := send(c, p, node.Call{IdempotencyKey: "a", Timeout: time.Minute})
 	first := p.accept()
 	first.take()
 	up := make(chan bool)
@@ -156,21 +156,21 @@
 		<-up // it comes up in the end, whatever the context says
 		return net.Dial(network, addr)
 	})
-	_, dials := send(c, p, node.Call{Mark: "b", Left: time.Minute})
-	_, waits := send(c, p, node.Call{Mark: "c", Left: time.Minute})
-	c.Leave(func(addr string) bool { return addr != p.Addr().String() })
+	_, dials := send(c, p, node.Call{IdempotencyKey: "b", Timeout: time.Minute})
+	_, waits := send(c, p, node.Call{IdempotencyKey: "c", Timeout: time.Minute})
+	c.AbortQueued(func(addr string) bool { return addr != p.Addr().String() })
 	if len(dials)+len(waits) > 0 {
 		t.Error("what goes to a node that stays has ended")
 	}
-	c.Leave(func(addr string) bool { return addr == p.Addr().String() })
-	if a := <-waits; a.Outcome != node.Unconnected {
+	c.AbortQueued(func(addr string) bool { return addr == p.Addr().String() })
+	if a := <-waits; a.Outcome != node.ConnectFailed {
 		t.Errorf("what waited for a socket: %+v", a)
 	}
 	close(up)
 	if p.accept().take() != nil {
 		t.Error("it was sent on a connection that came up late")
 	}
-	if a := <-dials; a.Outcome != node.Unconnected {
+	if a := <-dials; a.Outcome != node.ConnectFailed {
 		t.Errorf("what waited for its connection: %+v", a)
 	}
 	first.answer("a's")
@@ -182,13 +182,13 @@
 // TestCallOffAgainstWrite calls an execution off at each step before its bytes go out: nothing is written, and nothing is told.
 func TestCallOffAgainstWrite(t *testing.T) {
 	p, c := newPeer(t), client(t, 10, nil)
-	off := make(chan node.Sending)
+	off := make(chan node.Attempt)
 	webnode.Dialled(c, func(ctx context.Context, network, addr string) (net.Conn, error) {
 		conn, err := net.Dial(network, addr)
-		(<-off).CallOff() // between the connection and the write
+		(<-off).Cancel() // between the connection and the write
 		return conn, err
 	})
-	sent, done := send(c, p, node.Call{Mark: "a", Left: time.Minute})
+	sent, done := send(c, p, node.Call{IdempotencyKey: "a", Timeout: time.Minute})
 	off <- sent
 	if p.accept().take() != nil {
 		t.Error("called off before the write, it was sent")
@@ -197,9 +197,9 @@
 		<-ctx.Done()
 		return nil, ctx.Err()
 	})
-	sent, late := send(c, p, node.Call{Mark: "b", Left: time.Minute})
-	sent.CallOff() // its dial ends with it
-	for open := 1; open > 0; open, _ = c.Open() {
+	sent, late := send(c, p, node.Call{IdempotencyKey: "b", Timeout: time.Minute})
+	sent.Cancel() // its dial ends with it
+	for open := 1; open > 0; open, _ = c.ConnectionCounts() {
 		time.Sleep(time.Millisecond)
 	}
 	if len(done)+len(late) > 0 {
--- a/internal/webnode/reuse_test.go
+++ b/internal/webnode/reuse_test.go
@@ -15,7 +15,7 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	c := NewClient(Options{Connect: time.Minute, Idle: time.Minute, Most: 1})
+	c := NewClient(Options{ConnectTimeout: time.Minute, IdleTimeout: time.Minute, MaxConnections: 1})
 	defer c.Close()
 	conn, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
@@ -34,7 +34,7 @@
 	for kept.clean() {
 		time.Sleep(time.Millisecond)
 	}
-	c.Start(l.Addr().String(), &node.Call{Op: node.Get, Name: "/"}, func(node.Answer) {})
+	c.Start(l.Addr().String(), &node.Call{Op: node.GetObject, Name: "/"}, func(node.Reply) {})
 	if fresh, err := l.Accept(); err != nil { // it takes another
 		t.Error(err)
 	} else {
--- a/internal/webnode/sent.go
+++ b/internal/webnode/sent.go
@@ -6,20 +6,20 @@
 	"irispost/internal/node"
 )
 
-// Sent is an execution that is out, or waits for a socket.
-type Sent struct {
+// Attempt is an execution that is out, or waits for a socket.
+type Attempt struct {
 	client *Client
 	addr   string
 	call   *node.Call
 	link   *link
 	began  time.Time // the call's times count from then
 	until  time.Time // it waits for a socket no longer
-	done   func(node.Answer)
+	done   func(node.Reply)
 	over   bool
 }
 
-// CallOff ends the wait for an execution and closes its connection, by which the node is told.
-func (s *Sent) CallOff() {
+// Cancel ends the wait for an execution and closes its connection, by which the node is told.
+func (s *Attempt) Cancel() {
 	s.client.lock.Lock()
 	defer s.client.lock.Unlock()
 	if s.over {
@@ -32,7 +32,7 @@
 }
 
 // finish ends an execution with what it came to, once.
-func (s *Sent) finish(a node.Answer) {
+func (s *Attempt) finish(a node.Reply) {
 	s.client.lock.Lock()
 	over := s.over
 	s.over = true
@@ -40,7 +40,7 @@
 	switch {
 	case !over:
 		s.done(a)
-	case a.Outcome == node.Served:
+	case a.Outcome == node.Executed:
 		s.client.late.Add(1)
 	}
 }
--- a/internal/webstandin/node.go
+++ b/internal/webstandin/node.go
@@ -31,19 +31,19 @@
 	then    int
 	Outcome node.Outcome
 }{
-	"served": {whole(""), keep, node.Served}, "held": {whole(""), keep, node.Served}, "close": {whole("Connection: close\r\n"), end, node.Served},
-	"elsewhere": {whole("X-Served-Elsewhere: 3\r\nX-Load: inflight=7,latency_ms=2\r\n"), keep, node.Served},
-	"oddreport": {whole("X-Served-Elsewhere: many\r\nX-Load: ???\r\nX-Volume-Use: NaN\r\n"), keep, node.Served},
-	"hints":     {"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nLink: x\r\n\r\n" + whole(""), keep, node.Served},
-	"twice":     {whole("") + whole(""), keep, node.Served}, "error": {"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", keep, node.Erred},
-	"full": {"HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", keep, node.Full},
-	"over": {"HTTP/1.1 504 Over\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", keep, node.Moot},
-	"busy": {"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", keep, node.Erred}, "reset": {"", end, node.Reset},
-	"half": {"HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\nabc", end, node.Reset}, "noise": {"\x00\x01\x02\x03\r\n\r\n", stay, node.Erred},
-	"huge": {"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nxxx", stay, node.Erred},
-	"open": {"HTTP/1.1 200 OK\r\n\r\nBODY", end, node.Served}, "opencut": {"HTTP/1.1 200 OK\r\n\r\nBODY", cut, node.Reset},
-	"halfline": {"HTTP/1.1 200 O", cut, node.Reset}, "halfhead": {"HTTP/1.1 200 OK\r\nContent-Le", end, node.Reset},
-	"long": {"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + strings.Repeat("l", 200_000), keep, node.Served},
+	"served": {whole(""), keep, node.Executed}, "held": {whole(""), keep, node.Executed}, "close": {whole("Connection: close\r\n"), end, node.Executed},
+	"elsewhere": {whole("X-Served-Elsewhere: 3\r\nX-Load: inflight=7,latency_ms=2\r\n"), keep, node.Executed},
+	"oddreport": {whole("X-Served-Elsewhere: many\r\nX-Load: ???\r\nX-Volume-Use: NaN\r\n"), keep, node.Executed},
+	"hints":     {"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nLink: x\r\n\r\n" + whole(""), keep, node.Executed},
+	"twice":     {whole("") + whole(""), keep, node.Executed}, "error": {"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", keep, node.Failed},
+	"full": {"HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", keep, node.QueueFull},
+	"over": {"HTTP/1.1 504 Over\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", keep, node.WrongShard},
+	"busy": {"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", keep, node.Failed}, "reset": {"", end, node.ConnectionReset},
+	"half": {"HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\nabc", end, node.ConnectionReset}, "noise": {"\x00\x01\x02\x03\r\n\r\n", stay, node.Failed},
+	"huge": {"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nxxx", stay, node.Failed},
+	"open": {"HTTP/1.1 200 OK\r\n\r\nBODY", end, node.Executed}, "opencut": {"HTTP/1.1 200 OK\r\n\r\nBODY", cut, node.ConnectionReset},
+	"halfline": {"HTTP/1.1 200 O", cut, node.ConnectionReset}, "halfhead": {"HTTP/1.1 200 OK\r\nContent-Le", end, node.ConnectionReset},
+	"long": {"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + strings.Repeat("l", 200_000), keep, node.Executed},
 }
 
 // Node is a stand-in storage node.
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -36,8 +36,8 @@
 func TestNamesMatchGolden(t *testing.T) {
 	var out strings.Builder
 	rename := func(path, value string) {
-		settings := decide.Terms{}
-		Rename(settings, path, value)
+		settings := decide.Settings{}
+		TranslateSetting(settings, path, value)
 		fmt.Fprintf(&out, "%s=%s -> %v\n", path, value, settings)
 	}
 	for _, path := range slices.Sorted(maps.Keys(names)) {
@@ -48,11 +48,11 @@
 	rename("unknown.key", "1")
 	for _, value := range []string{"read_like", "idempotency_key", "non_idempotent", "other"} {
 		rename("lanes.0.effect", value)
-		fmt.Fprintf(&out, "effect %s known: %t\n", value, Kind(value))
+		fmt.Fprintf(&out, "effect %s known: %t\n", value, KnownEffect(value))
 	}
 	for _, value := range []string{"all", "zone", "cell", "other"} {
 		rename("lanes.0.group", value)
-		fmt.Fprintf(&out, "group %s known: %t\n", value, Group(value))
+		fmt.Fprintf(&out, "group %s known: %t\n", value, KnownGroup(value))
 	}
 	for code := -1; code <= 8; code++ {
 		f := Fields{rest: fmt.Append(nil, code), more: true}
@@ -61,7 +61,7 @@
 	}
 	for _, word := range []string{"ready", "draining", "gone", "other", "-"} {
 		f := Fields{rest: []byte(word), more: true}
-		standing := f.Standing("availability")
+		standing := f.Availability("availability")
 		fmt.Fprintf(&out, "availability %s -> %d, %v\n", word, standing, f.Err)
 	}
 	compareGolden(t, "names.txt", out.String())
--- a/internal/wire/names.go
+++ b/internal/wire/names.go
@@ -64,25 +64,27 @@
 	"group": {"cell": "shard"},
 }
 
-// Kind tells whether the wire has such a word for what a repeat of a product's job may do, Group whether it has one for the nodes that know it.
-func Kind(word string) bool { return words["kind"][word] != "" }
+// KnownEffect tells whether the wire has such a word for what a repeat of a product's job may do, Group whether it has one for the nodes that know it.
+func KnownEffect(word string) bool { return words["kind"][word] != "" }
 
-// Group is told of with Kind.
-func Group(word string) bool { return word == "all" || word == "zone" || words["group"][word] != "" }
+// KnownGroup is told of with Kind.
+func KnownGroup(word string) bool {
+	return word == "all" || word == "zone" || words["group"][word] != ""
+}
 
-// Terms reads the start values that are left on the line.
-func Terms(f *Fields) decide.Terms {
-	terms := decide.Terms{}
+// ReadSettings reads the start values that are left on the line.
+func ReadSettings(f *Fields) decide.Settings {
+	terms := decide.Settings{}
 	for f.More() {
 		if path, value, ok := strings.Cut(string(f.optional()), "="); ok {
-			Rename(terms, path, value)
+			TranslateSetting(terms, path, value)
 		}
 	}
 	return terms
 }
 
-// Rename adds a start value to the terms by the name that the module knows it by. One that it does not know is left out.
-func Rename(terms decide.Terms, path, value string) {
+// TranslateSetting adds a start value to the terms by the name that the module knows it by. One that it does not know is left out.
+func TranslateSetting(terms decide.Settings, path, value string) {
 	list, rest, _ := strings.Cut(path, ".")
 	number, field, isItem := strings.Cut(rest, ".")
 	isItem = isItem && number != "" && strings.Trim(number, "0123456789") == ""
@@ -103,29 +105,29 @@
 }
 
 // outcomes by completion code.
-var outcomes = [...]decide.Outcome{decide.Erred, decide.Served, decide.Full, decide.TimedOut, decide.Unconnected,
-	decide.Reset, decide.CalledOff, decide.Moot}
+var outcomes = [...]decide.Outcome{decide.OutcomeError, decide.OutcomeServed, decide.OutcomeOverloaded, decide.OutcomeTimeout, decide.OutcomeConnectFailed,
+	decide.OutcomeReset, decide.OutcomeCancelled, decide.OutcomeMisdirected}
 
 // Outcome reads a completion code.
 func (f *Fields) Outcome(name string) decide.Outcome {
 	code := f.Int(name)
 	if code < 0 || code >= int64(len(outcomes)) {
 		f.fail(name, "no such completion code")
-		return decide.Out
+		return decide.OutcomePending
 	}
 	return outcomes[code]
 }
 
-// Standing reads what the list says of a node.
-func (f *Fields) Standing(name string) decide.Standing {
+// Availability reads what the list says of a node.
+func (f *Fields) Availability(name string) decide.EndpointState {
 	switch s := f.Text(name); s {
 	case "ready":
-		return decide.Ready
+		return decide.EndpointReady
 	case "draining":
-		return decide.Draining
+		return decide.EndpointDraining
 	case "gone":
 	default:
 		f.fail(name, "no such availability: "+s)
 	}
-	return decide.Gone
+	return decide.EndpointRemoved
 }
--- a/internal/xds/bench_test.go
+++ b/internal/xds/bench_test.go
@@ -17,8 +17,8 @@
 	for _, size := range []int{50, 500, 5000} {
 		for _, delta := range []bool{false, true} {
 			b.Run(fmt.Sprintf("%d/%s", size, map[bool]string{false: "whole", true: "delta"}[delta]), func(b *testing.B) {
-				s, f := xds.NewSession(delta, nil, time.Minute), members.New(members.DefaultTerms, "plane")
-				s.Open(sec)
+				s, f := xds.NewSession(delta, nil, time.Minute), members.New(members.DefaultSettings, "plane")
+				s.OpenStream(sec)
 				var names []string
 				var lists [][]listing.Node
 				for i := range size / 50 {
@@ -30,9 +30,9 @@
 					lists = append(lists, list)
 				}
 				now := sec
-				s.Update(now, clusters(b, delta, "1", "n", names...))
-				make1 := func(only int, version string) xds.Update {
-					u := xds.Update{Type: xds.EndpointType, Version: version, Nonce: version}
+				s.HandleResponse(now, clusters(b, delta, "1", "n", names...))
+				make1 := func(only int, version string) xds.Response {
+					u := xds.Response{Type: xds.EndpointType, Version: version, Nonce: version}
 					for i, name := range names {
 						if only < 0 || !delta || i == only {
 							add(b, &u, delta, name, pack(b, xdsstandin.Assignment(name, lists[i])))
@@ -41,10 +41,10 @@
 					return u
 				}
 				src := f.Sources()[0]
-				src.Up(now)
-				src.Said(now, *s.Update(now, make1(-1, "1")).List)
-				f.Decide(now)
-				var updates [2]xds.Update
+				src.LinkUp(now)
+				src.Receive(now, *s.HandleResponse(now, make1(-1, "1")).List)
+				f.Reconcile(now)
+				var updates [2]xds.Response
 				for k := range updates {
 					lists[0][0].Zone = fmt.Sprint("zone", k)
 					updates[k] = make1(0, fmt.Sprint(k+2))
@@ -60,9 +60,9 @@
 				b.ResetTimer()
 				for i := range b.N {
 					now += sec
-					out := s.Update(now, updates[i%2])
-					src.Said(now, *out.List)
-					if told := f.Decide(now); !told.Changed || len(told.List.Nodes) != size {
+					out := s.HandleResponse(now, updates[i%2])
+					src.Receive(now, *out.List)
+					if told := f.Reconcile(now); !told.Changed || len(told.List.Nodes) != size {
 						b.Fatalf("changed %v, %d nodes", told.Changed, len(told.List.Nodes))
 					}
 				}
@@ -85,19 +85,19 @@
 				b.Fatal(err)
 			}
 			b.Cleanup(s.Close)
-			var ears []*ear
+			var ears []*recorder
 			for i := range 200 {
 				ears = append(ears, listen(b, s, delta, fmt.Sprint("g", i)))
 			}
 			for _, e := range ears {
-				e.until(b, "50 nodes", func(e *ear) bool { return len(e.list.Nodes) == 50 })
+				e.until(b, "50 nodes", func(e *recorder) bool { return len(e.list.Nodes) == 50 })
 			}
 			b.ResetTimer()
 			for i := range b.N {
 				weight := float64(i + 1)
 				s.Set(func(list []listing.Node) []listing.Node { list[0].Weight = weight; return list })
 				for _, e := range ears {
-					e.until(b, "a change", func(e *ear) bool {
+					e.until(b, "a change", func(e *recorder) bool {
 						for _, n := range e.list.Nodes {
 							if n.Addr == "127.0.0.1:1000" {
 								return n.Weight == weight
--- a/internal/xds/client.go
+++ b/internal/xds/client.go
@@ -24,27 +24,27 @@
 
 // Options are what a client is started with.
 type Options struct {
-	Address     string
-	Incremental bool     // the incremental form of the protocol, or the whole one
-	Node        string   // Node.id; unique among all clients of the server
-	Fleet       string   // Node.cluster
-	Zone        string   // Node.locality.zone
-	Clusters    []string // that are wanted; empty: all
-	Fetch       time.Duration
-	Least, Most time.Duration // pauses between tries to reach the server
-	Message     int           // longest message in bytes
-	Seed        uint64
-	Log         *slog.Logger
+	Address                string
+	Incremental            bool     // the incremental form of the protocol, or the whole one
+	NodeID                 string   // Node.id; unique among all clients of the server
+	NodeCluster            string   // Node.cluster
+	Zone                   string   // Node.locality.zone
+	Clusters               []string // that are wanted; empty: all
+	InitialFetchTimeout    time.Duration
+	MinBackoff, MaxBackoff time.Duration // pauses between tries to reach the server
+	MaxMessageBytes        int           // longest message in bytes
+	Seed                   uint64
+	Log                    *slog.Logger
 }
 
 // Defaults of what options leave open.
 const (
-	DefaultFetch   = 15 * time.Second // as the protocol's initial_fetch_timeout
-	DefaultLeast   = 250 * time.Millisecond
-	DefaultMost    = 15 * time.Second
-	DefaultMessage = 64 << 20
-	settled        = time.Second // a stream that lives so long counts as reached, also when the server has no news
-	alive          = 20 * time.Second
+	DefaultInitialFetchTimeout = 15 * time.Second // as the protocol's initial_fetch_timeout
+	DefaultMinBackoff          = 250 * time.Millisecond
+	DefaultMaxBackoff          = 15 * time.Second
+	DefaultMaxMessageBytes     = 64 << 20
+	settled                    = time.Second // a stream that lives so long counts as reached, also when the server has no news
+	alive                      = 20 * time.Second
 )
 
 // Client is a source of lists: an aggregated stream (ADS) to a management server.
@@ -57,31 +57,31 @@
 			*d = otherwise
 		}
 	}
-	set(&opt.Fetch, DefaultFetch)
-	set(&opt.Least, DefaultLeast)
-	set(&opt.Most, DefaultMost)
-	if opt.Message == 0 {
-		opt.Message = DefaultMessage
+	set(&opt.InitialFetchTimeout, DefaultInitialFetchTimeout)
+	set(&opt.MinBackoff, DefaultMinBackoff)
+	set(&opt.MaxBackoff, DefaultMaxBackoff)
+	if opt.MaxMessageBytes == 0 {
+		opt.MaxMessageBytes = DefaultMaxMessageBytes
 	}
 	return &Client{opt}
 }
 
 // Run keeps a stream until the context ends.
-func (c *Client) Run(ctx context.Context, to listing.Listener) error {
+func (c *Client) Run(ctx context.Context, to listing.Subscriber) error {
 	conn, err := grpc.NewClient(c.opt.Address, grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithConnectParams(grpc.ConnectParams{Backoff: backoff.DefaultConfig, MinConnectTimeout: alive / 4}),
 		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: alive, Timeout: alive / 2}),
-		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(c.opt.Message)), grpc.WithDisableServiceConfig())
+		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(c.opt.MaxMessageBytes)), grpc.WithDisableServiceConfig())
 	if err != nil {
 		return err
 	}
 	defer conn.Close()
 	// Spread by name as well, so that a fleet that is started alike does not knock alike.
-	pauses := &Pauses{Least: c.opt.Least, Most: c.opt.Most, Chance: rand.New(rand.NewPCG(c.opt.Seed, xxhash.Sum64String(c.opt.Node)))}
-	session := NewSession(c.opt.Incremental, c.opt.Clusters, c.opt.Fetch)
+	pauses := &Backoff{Min: c.opt.MinBackoff, Max: c.opt.MaxBackoff, Rand: rand.New(rand.NewPCG(c.opt.Seed, xxhash.Sum64String(c.opt.NodeID)))}
+	session := NewSession(c.opt.Incremental, c.opt.Clusters, c.opt.InitialFetchTimeout)
 	start := time.Now()
 	s := &stream{opt: &c.opt, session: session, to: to, now: func() int64 { return start.UnixNano() + int64(time.Since(start)) }}
-	session.Open(s.now()) // so that the first answer is late also where no stream comes up
+	session.OpenStream(s.now()) // so that the first answer is late also where no stream comes up
 	for {
 		s.reached, s.good = false, false
 		err := s.run(ctx, conn)
@@ -92,9 +92,9 @@
 			pauses.Reset()
 		}
 		if errors.Is(err, errFull) {
-			to.Refused(err)
+			to.OnRejected(err)
 		}
-		to.Link(false, err.Error())
+		to.OnLink(false, err.Error())
 		wait := pauses.Next()
 		c.opt.Log.Info("the stream is lost", "server", c.opt.Address, "again in", wait, "why", err)
 		conn.ResetConnectBackoff() // our own pauses count
@@ -120,7 +120,7 @@
 type stream struct {
 	opt     *Options
 	session *Session
-	to      listing.Listener
+	to      listing.Subscriber
 	now     func() int64
 	reached bool // told so
 	good    bool // an update was accepted
@@ -129,7 +129,7 @@
 // wire is one of the protocol's two forms.
 type wire interface {
 	send(*Request, *corev3.Node) error
-	receive() (Update, error)
+	receive() (Response, error)
 }
 
 func (s *stream) open(ctx context.Context, conn *grpc.ClientConn) (wire, error) {
@@ -150,7 +150,7 @@
 	if err != nil {
 		return err
 	}
-	node := &corev3.Node{Id: s.opt.Node, Cluster: s.opt.Fleet, UserAgentName: "irispost"}
+	node := &corev3.Node{Id: s.opt.NodeID, Cluster: s.opt.NodeCluster, UserAgentName: "irispost"}
 	if s.opt.Zone != "" {
 		node.Locality = &corev3.Locality{Zone: s.opt.Zone}
 	}
@@ -163,10 +163,10 @@
 		}
 		return nil
 	}
-	if err := send(s.session.Open(s.now())); err != nil {
+	if err := send(s.session.OpenStream(s.now())); err != nil {
 		return err
 	}
-	updates, broken := make(chan Update), make(chan error, 1)
+	updates, broken := make(chan Response), make(chan error, 1)
 	go func() {
 		for {
 			u, err := w.receive()
@@ -201,8 +201,8 @@
 			return err
 		case u := <-updates:
 			s.up()
-			out = s.session.Update(s.now(), u)
-			s.good = s.good || out.Refused == nil
+			out = s.session.HandleResponse(s.now(), u)
+			s.good = s.good || out.Rejected == nil
 		case <-timer.C:
 			if time.Since(opened) >= settled {
 				s.up()
@@ -220,7 +220,7 @@
 func (s *stream) up() {
 	if !s.reached {
 		s.reached = true
-		s.to.Link(true, "")
+		s.to.OnLink(true, "")
 	}
 }
 
@@ -231,17 +231,17 @@
 	for _, n := range out.Notes {
 		s.opt.Log.Info("xds: "+n, "server", s.opt.Address)
 	}
-	if out.Refused != nil {
-		s.to.Refused(out.Refused)
+	if out.Rejected != nil {
+		s.to.OnRejected(out.Rejected)
 	}
 	if out.List != nil {
-		s.to.List(*out.List)
+		s.to.OnUpdate(*out.List)
 	}
 }
 
 // sleep is how long nothing is due, at most so long.
 func (s *stream) sleep(most time.Duration) time.Duration {
-	if at := s.session.Wake(); at > 0 {
+	if at := s.session.NextDeadline(); at > 0 {
 		return min(most, max(time.Duration(at-s.now()), 0)+time.Microsecond)
 	}
 	return most
@@ -264,16 +264,16 @@
 }
 
 func (w whole) send(r *Request, node *corev3.Node) error {
-	return w.s.Send(&discoveryv3.DiscoveryRequest{VersionInfo: r.Version, Node: node, ResourceNames: r.Names, TypeUrl: r.Type,
-		ResponseNonce: r.Nonce, ErrorDetail: refusal(r.Refusal)})
+	return w.s.Send(&discoveryv3.DiscoveryRequest{VersionInfo: r.Version, Node: node, ResourceNames: r.ResourceNames, TypeUrl: r.Type,
+		ResponseNonce: r.Nonce, ErrorDetail: refusal(r.RejectReason)})
 }
 
-func (w whole) receive() (Update, error) {
+func (w whole) receive() (Response, error) {
 	m, err := w.s.Recv()
 	if err != nil {
-		return Update{}, err
+		return Response{}, err
 	}
-	return Update{Type: m.GetTypeUrl(), Version: m.GetVersionInfo(), Nonce: m.GetNonce(), Resources: m.GetResources()}, nil
+	return Response{Type: m.GetTypeUrl(), Version: m.GetVersionInfo(), Nonce: m.GetNonce(), Resources: m.GetResources()}, nil
 }
 
 // incremental is the form that tells of changes.
@@ -283,18 +283,18 @@
 
 func (w incremental) send(r *Request, node *corev3.Node) error {
 	known := map[string]string{} // without versions, so that each is sent anew or told as removed
-	for _, name := range r.Known {
+	for _, name := range r.KnownNames {
 		known[name] = ""
 	}
-	return w.s.Send(&discoveryv3.DeltaDiscoveryRequest{Node: node, TypeUrl: r.Type, ResourceNamesSubscribe: r.Add,
-		ResourceNamesUnsubscribe: r.Drop, InitialResourceVersions: known, ResponseNonce: r.Nonce, ErrorDetail: refusal(r.Refusal)})
+	return w.s.Send(&discoveryv3.DeltaDiscoveryRequest{Node: node, TypeUrl: r.Type, ResourceNamesSubscribe: r.Subscribe,
+		ResourceNamesUnsubscribe: r.Unsubscribe, InitialResourceVersions: known, ResponseNonce: r.Nonce, ErrorDetail: refusal(r.RejectReason)})
 }
 
-func (w incremental) receive() (Update, error) {
+func (w incremental) receive() (Response, error) {
 	m, err := w.s.Recv()
 	if err != nil {
-		return Update{}, err
+		return Response{}, err
 	}
-	return Update{Type: m.GetTypeUrl(), Version: m.GetSystemVersionInfo(), Nonce: m.GetNonce(), Changed: m.GetResources(),
+	return Response{Type: m.GetTypeUrl(), Version: m.GetSystemVersionInfo(), Nonce: m.GetNonce(), Changed: m.GetResources(),
 		Removed: m.GetRemovedResources()}, nil
 }
--- a/internal/xds/client_test.go
+++ b/internal/xds/client_test.go
@@ -23,8 +23,8 @@
 	"irispost/internal/xdsstandin"
 )
 
-// ear notes what a source says. What is waited for is waited for as an event, with a limit far off.
-type ear struct {
+// recorder notes what a source says. What is waited for is waited for as an event, with a limit far off.
+type recorder struct {
 	lock    sync.Mutex
 	cond    *sync.Cond
 	list    listing.List
@@ -35,24 +35,26 @@
 
 const farOff = 20 * time.Second
 
-func newEar() *ear {
-	e := &ear{}
+func newEar() *recorder {
+	e := &recorder{}
 	e.cond = sync.NewCond(&e.lock)
 	return e
 }
 
-func (e *ear) note(f func()) {
+func (e *recorder) note(f func()) {
 	e.lock.Lock()
 	f()
 	e.cond.Broadcast()
 	e.lock.Unlock()
 }
 
-func (e *ear) List(l listing.List)    { e.note(func() { e.list = l; e.lists++ }) }
-func (e *ear) Refused(why error)      { e.note(func() { e.refused = append(e.refused, why.Error()) }) }
-func (e *ear) Link(up bool, _ string) { e.note(func() { e.links = append(e.links, up) }) }
+func (e *recorder) OnUpdate(l listing.List) { e.note(func() { e.list = l; e.lists++ }) }
+func (e *recorder) OnRejected(why error) {
+	e.note(func() { e.refused = append(e.refused, why.Error()) })
+}
+func (e *recorder) OnLink(up bool, _ string) { e.note(func() { e.links = append(e.links, up) }) }
 
-func (e *ear) until(t testing.TB, what string, holds func(*ear) bool) {
+func (e *recorder) until(t testing.TB, what string, holds func(*recorder) bool) {
 	t.Helper()
 	late := time.AfterFunc(farOff, func() { e.note(func() {}) })
 	defer late.Stop()
@@ -68,16 +70,16 @@
 }
 
 // has waits for a list of these: "1000 1001/draining".
-func (e *ear) has(t testing.TB, want string) {
+func (e *recorder) has(t testing.TB, want string) {
 	t.Helper()
-	e.until(t, want, func(e *ear) bool { return words(e.list) == want })
+	e.until(t, want, func(e *recorder) bool { return words(e.list) == want })
 }
 
 func words(l listing.List) string {
 	var out []string
 	for _, n := range l.Nodes {
 		word := strings.TrimPrefix(n.Addr, "127.0.0.1:")
-		out = append(out, word+map[listing.Standing]string{listing.Draining: "/draining", listing.Unwell: "/unwell"}[n.Standing])
+		out = append(out, word+map[listing.Health]string{listing.Draining: "/draining", listing.Unhealthy: "/unwell"}[n.Health])
 	}
 	slices.Sort(out)
 	return strings.Join(out, " ")
@@ -85,11 +87,11 @@
 
 var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
 
-func listen(t testing.TB, s *xdsstandin.Server, delta bool, name string) *ear {
+func listen(t testing.TB, s *xdsstandin.Server, delta bool, name string) *recorder {
 	e := newEar()
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
-	c := xds.NewClient(xds.Options{Address: s.Addr(), Incremental: delta, Node: name, Fetch: farOff, Least: time.Millisecond, Most: 20 * time.Millisecond, Log: quiet})
+	c := xds.NewClient(xds.Options{Address: s.Addr(), Incremental: delta, NodeID: name, InitialFetchTimeout: farOff, MinBackoff: time.Millisecond, MaxBackoff: 20 * time.Millisecond, Log: quiet})
 	go func() { done <- c.Run(ctx, e) }()
 	t.Cleanup(func() {
 		cancel()
@@ -109,7 +111,7 @@
 	}
 }
 
-func bothForms(t *testing.T, parts int, f func(*testing.T, *xdsstandin.Server, *ear)) {
+func bothForms(t *testing.T, parts int, f func(*testing.T, *xdsstandin.Server, *recorder)) {
 	for _, delta := range []bool{false, true} {
 		t.Run(map[bool]string{false: "whole", true: "delta"}[delta], func(t *testing.T) {
 			s, err := xdsstandin.Start("127.0.0.1:0", parts, nodes("1000", "1001", "2000", "3000")...)
@@ -127,7 +129,7 @@
 // Adds, drains, drains undone and removes come through, in one cluster and in several.
 func TestScriptedChanges(t *testing.T) {
 	for _, parts := range []int{1, 3} {
-		bothForms(t, parts, func(t *testing.T, s *xdsstandin.Server, e *ear) {
+		bothForms(t, parts, func(t *testing.T, s *xdsstandin.Server, e *recorder) {
 			do(t, s, "add 127.0.0.1:4000 4 z")
 			e.has(t, "1000 1001 2000 3000 4000")
 			do(t, s, "drain 127.0.0.1:1000")
@@ -148,10 +150,10 @@
 // also when the stream was cut between the two.
 func TestBrokenThenGood(t *testing.T) {
 	for _, cut := range []bool{false, true} {
-		bothForms(t, 1, func(t *testing.T, s *xdsstandin.Server, e *ear) {
+		bothForms(t, 1, func(t *testing.T, s *xdsstandin.Server, e *recorder) {
 			for i, kind := range []string{"endpoints", "clusters"} {
 				do(t, s, "broken "+kind)
-				e.until(t, "a refusal", func(e *ear) bool { return len(e.refused) > i })
+				e.until(t, "a refusal", func(e *recorder) bool { return len(e.refused) > i })
 				if err := s.Until(farOff, func(list []xdsstandin.Answer) bool {
 					last := list[len(list)-1]
 					return last.Refusal != "" && strings.Contains(last.Refusal, map[string]string{"endpoints": "which shard", "clusters": "eds_cluster_config"}[kind])
@@ -165,7 +167,7 @@
 					do(t, s, "cut")
 				}
 				do(t, s, "mend", fmt.Sprintf("add 127.0.0.1:%d 5", 5000+i))
-				e.until(t, "the good one", func(e *ear) bool { return strings.Contains(words(e.list), fmt.Sprint(5000+i)) })
+				e.until(t, "the good one", func(e *recorder) bool { return strings.Contains(words(e.list), fmt.Sprint(5000+i)) })
 				do(t, s, fmt.Sprintf("remove 127.0.0.1:%d", 5000+i))
 				e.has(t, "1000 1001 2000 3000")
 			}
@@ -176,7 +178,7 @@
 // Streams that are cut, refused, slow, mute, with one nonce for all or with endpoints that nobody asked for; a server that
 // starts anew with its versions: in the end the client has what the server has.
 func TestTroubledStreams(t *testing.T) {
-	bothForms(t, 2, func(t *testing.T, s *xdsstandin.Server, e *ear) {
+	bothForms(t, 2, func(t *testing.T, s *xdsstandin.Server, e *recorder) {
 		want := "1000 1001 2000 3000"
 		for i, trouble := range [][]string{{"cut"}, {"refuse on", "cut", "refuse off"}, {"slow 20ms", "cut"}, {"slow 0s"}, {"mute on", "cut", "mute off"},
 			{"nonces on"}, {"nonces off", "cut"}, {"blurt"}, {"restart"}, {"cut", "cut", "restart", "cut"}} {
@@ -201,7 +203,7 @@
 
 // A server that goes back to an older state after a cut gives its old list; package members holds it.
 func TestOldState(t *testing.T) {
-	bothForms(t, 1, func(t *testing.T, s *xdsstandin.Server, e *ear) {
+	bothForms(t, 1, func(t *testing.T, s *xdsstandin.Server, e *recorder) {
 		do(t, s, "drain 127.0.0.1:1000")
 		e.has(t, "1000/draining 1001 2000 3000")
 		do(t, s, "old")
@@ -213,11 +215,11 @@
 
 // Signs of life keep resources; without them they go.
 func TestSignsOfLife(t *testing.T) {
-	bothForms(t, 1, func(t *testing.T, s *xdsstandin.Server, e *ear) {
+	bothForms(t, 1, func(t *testing.T, s *xdsstandin.Server, e *recorder) {
 		s.Live(xds.EndpointType, time.Hour)
 		before := e.lists
 		s.Beat(xds.EndpointType)
-		e.until(t, "a beat", func(e *ear) bool { return e.lists > before })
+		e.until(t, "a beat", func(e *recorder) bool { return e.lists > before })
 		e.has(t, "1000 1001 2000 3000")
 		s.Live(xds.EndpointType, 50*time.Millisecond)
 		e.has(t, "")
@@ -234,7 +236,7 @@
 	e := newEar()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	c := xds.NewClient(xds.Options{Address: s.Addr(), Node: "g", Least: time.Millisecond, Most: time.Millisecond, Message: 2000, Log: quiet})
+	c := xds.NewClient(xds.Options{Address: s.Addr(), NodeID: "g", MinBackoff: time.Millisecond, MaxBackoff: time.Millisecond, MaxMessageBytes: 2000, Log: quiet})
 	go c.Run(ctx, e)
 	e.has(t, "1000")
 	s.Set(func([]listing.Node) []listing.Node { return nodes(strings.Fields(strings.Repeat("2000 ", 1))...) })
@@ -245,7 +247,9 @@
 		}
 		return list
 	})
-	e.until(t, "a refusal", func(e *ear) bool { return len(e.refused) > 0 && strings.Contains(e.refused[0], "longer than may be") })
+	e.until(t, "a refusal", func(e *recorder) bool {
+		return len(e.refused) > 0 && strings.Contains(e.refused[0], "longer than may be")
+	})
 	if got := words(e.list); got != "2000" {
 		t.Errorf("in force is %q", got)
 	}
@@ -262,20 +266,20 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(s.Close)
-	var ears []*ear
+	var ears []*recorder
 	for i := range 200 {
 		ears = append(ears, listen(t, s, i%2 == 0, fmt.Sprint("g", i)))
 	}
-	all := func(what string, holds func(*ear) bool) {
+	all := func(what string, holds func(*recorder) bool) {
 		for _, e := range ears {
 			e.until(t, what, holds)
 		}
 	}
-	all("50 nodes", func(e *ear) bool { return len(e.list.Nodes) == 50 })
+	all("50 nodes", func(e *recorder) bool { return len(e.list.Nodes) == 50 })
 	do(t, s, "drain 127.0.0.1:1000")
-	all("a drain", func(e *ear) bool { return strings.Contains(words(e.list), "1000/draining") })
+	all("a drain", func(e *recorder) bool { return strings.Contains(words(e.list), "1000/draining") })
 	do(t, s, "cut", "add 127.0.0.1:2000 2")
-	all("51 nodes after a cut", func(e *ear) bool { return len(e.list.Nodes) == 51 })
+	all("51 nodes after a cut", func(e *recorder) bool { return len(e.list.Nodes) == 51 })
 }
 
 // The file form: JSON and binary, watched; wrong files are refused with their name, and the last good state stays.
@@ -302,8 +306,8 @@
 		e := newEar()
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan error, 1)
-		go func() { done <- xds.File{Clusters: cds, Endpoints: eds, Log: quiet}.Run(ctx, e) }()
-		e.until(t, "no clusters", func(e *ear) bool { return len(e.refused) > 0 && strings.Contains(e.refused[0], "clusters"+ext) })
+		go func() { done <- xds.FileSource{Clusters: cds, Endpoints: eds, Log: quiet}.Run(ctx, e) }()
+		e.until(t, "no clusters", func(e *recorder) bool { return len(e.refused) > 0 && strings.Contains(e.refused[0], "clusters"+ext) })
 		write(cds, "1", xdsstandin.Cluster("a"))
 		e.has(t, "1000")
 		write(eds, "2", xdsstandin.Assignment("a", nodes("1000", "1001")))
@@ -313,26 +317,26 @@
 		}
 		before := len(e.refused)
 		put(t, eds, []byte("{"))
-		e.until(t, "a refusal", func(e *ear) bool {
+		e.until(t, "a refusal", func(e *recorder) bool {
 			return len(e.refused) > before && strings.Contains(e.refused[before], "endpoints"+ext)
 		})
 		write(eds, "3", xdsstandin.Assignment("a", nodes("0")))
-		e.until(t, "another", func(e *ear) bool {
+		e.until(t, "another", func(e *recorder) bool {
 			return len(e.refused) > before+1 && strings.Contains(e.refused[before+1], "port_value 0")
 		})
 		if got := words(e.list); got != "1000 1001" {
 			t.Errorf("in force is %q", got)
 		}
-		if _, _, err := xds.Check(cds, eds); err == nil || !strings.Contains(err.Error(), "port_value 0") {
+		if _, _, err := xds.CheckFiles(cds, eds); err == nil || !strings.Contains(err.Error(), "port_value 0") {
 			t.Errorf("checked: %v", err)
 		}
 		write(eds, "4", xdsstandin.Assignment("a", nodes("1002")))
 		e.has(t, "1002")
-		if n, notes, err := xds.Check(cds, eds); n != 1 || len(notes) > 0 || err != nil {
+		if n, notes, err := xds.CheckFiles(cds, eds); n != 1 || len(notes) > 0 || err != nil {
 			t.Errorf("checked: %d, %q, %v", n, notes, err)
 		}
 		write(cds, "2", xdsstandin.Cluster("a"), xdsstandin.Cluster("b"))
-		if n, _, err := xds.Check(cds, eds); n != 1 || err == nil || !strings.Contains(err.Error(), "no endpoints of cluster \"b\"") {
+		if n, _, err := xds.CheckFiles(cds, eds); n != 1 || err == nil || !strings.Contains(err.Error(), "no endpoints of cluster \"b\"") {
 			t.Errorf("checked: %d, %v", n, err)
 		}
 		cancel()
@@ -340,7 +344,7 @@
 			t.Error(err)
 		}
 	}
-	if _, err := xds.Decode("clusters.yaml", nil); err == nil || !strings.Contains(err.Error(), ".json or .pb") {
+	if _, err := xds.DecodeResponse("clusters.yaml", nil); err == nil || !strings.Contains(err.Error(), ".json or .pb") {
 		t.Error(err)
 	}
 }
--- a/internal/xds/file.go
+++ b/internal/xds/file.go
@@ -18,25 +18,25 @@
 	"irispost/internal/listing"
 )
 
-// File is a source of lists: files that each hold a DiscoveryResponse, as JSON (.json) or in its binary form (.pb), read
+// FileSource is a source of lists: files that each hold a DiscoveryResponse, as JSON (.json) or in its binary form (.pb), read
 // again when they change.
-type File struct {
+type FileSource struct {
 	Clusters  string
 	Endpoints string
 	Log       *slog.Logger
 }
 
-// ReadFile reads a DiscoveryResponse.
-func ReadFile(file string) (*discoveryv3.DiscoveryResponse, error) {
+// ReadResponse reads a DiscoveryResponse.
+func ReadResponse(file string) (*discoveryv3.DiscoveryResponse, error) {
 	src, err := os.ReadFile(file)
 	if err != nil {
 		return nil, err
 	}
-	return Decode(file, src)
+	return DecodeResponse(file, src)
 }
 
-// Decode reads a DiscoveryResponse by its file's ending.
-func Decode(file string, src []byte) (*discoveryv3.DiscoveryResponse, error) {
+// DecodeResponse reads a DiscoveryResponse by its file's ending.
+func DecodeResponse(file string, src []byte) (*discoveryv3.DiscoveryResponse, error) {
 	m := &discoveryv3.DiscoveryResponse{}
 	var err error
 	switch ext := filepath.Ext(file); ext {
@@ -56,19 +56,19 @@
 	return m, nil
 }
 
-// Check checks two files as a gateway would take them, and tells what has no effect.
-func Check(clusters, endpoints string) (nodes int, notes []string, err error) {
+// CheckFiles checks two files as a gateway would take them, and tells what has no effect.
+func CheckFiles(clusters, endpoints string) (nodes int, notes []string, err error) {
 	s := NewSession(false, nil, time.Nanosecond)
-	s.Open(1)
+	s.OpenStream(1)
 	for _, f := range []struct{ file, kind string }{{clusters, ClusterType}, {endpoints, EndpointType}} {
-		m, err := ReadFile(f.file)
+		m, err := ReadResponse(f.file)
 		if err != nil {
 			return 0, nil, err
 		}
-		out := s.Update(1, Update{Type: f.kind, Version: m.VersionInfo, Resources: m.Resources})
+		out := s.HandleResponse(1, Response{Type: f.kind, Version: m.VersionInfo, Resources: m.Resources})
 		notes = append(notes, out.Notes...)
-		if out.Refused != nil {
-			return 0, notes, fmt.Errorf("%s: %w", f.file, out.Refused)
+		if out.Rejected != nil {
+			return 0, notes, fmt.Errorf("%s: %w", f.file, out.Rejected)
 		}
 		if out.List != nil {
 			nodes = len(out.List.Nodes)
@@ -78,11 +78,11 @@
 	if out.List != nil {
 		nodes = len(out.List.Nodes)
 	}
-	return nodes, append(notes, out.Notes...), out.Refused
+	return nodes, append(notes, out.Notes...), out.Rejected
 }
 
 // Run reads the files, clusters before endpoints, and watches their folders.
-func (f File) Run(ctx context.Context, to listing.Listener) error {
+func (f FileSource) Run(ctx context.Context, to listing.Subscriber) error {
 	watcher, err := fsnotify.NewWatcher()
 	if err != nil {
 		return err
@@ -93,18 +93,18 @@
 			return err
 		}
 	}
-	to.Link(true, "")
+	to.OnLink(true, "")
 	start := time.Now()
 	now := func() int64 { return start.UnixNano() + int64(time.Since(start)) }
 	session := NewSession(false, nil, time.Nanosecond) // a file that is not there now is not waited for
-	session.Open(now())
+	session.OpenStream(now())
 	last := map[string]uint64{}
 	tell := func(out Outcome) {
 		for _, n := range out.Notes {
 			f.Log.Info("xds: "+n, "file", f.Endpoints)
 		}
-		if out.Refused != nil {
-			to.Refused(out.Refused)
+		if out.Rejected != nil {
+			to.OnRejected(out.Rejected)
 		}
 	}
 	read := func() {
@@ -113,7 +113,7 @@
 		for _, part := range []struct{ file, kind string }{{f.Clusters, ClusterType}, {f.Endpoints, EndpointType}} {
 			src, err := os.ReadFile(part.file)
 			if err != nil {
-				to.Refused(err)
+				to.OnRejected(err)
 				return
 			}
 			sum := xxhash.Sum64(src)
@@ -121,18 +121,18 @@
 				continue
 			}
 			last[part.kind], changed = sum, true // endpoints are read again with their clusters
-			m, err := Decode(part.file, src)
+			m, err := DecodeResponse(part.file, src)
 			if err != nil {
-				to.Refused(err)
+				to.OnRejected(err)
 				continue
 			}
-			out := session.Update(now(), Update{Type: part.kind, Version: m.VersionInfo, Resources: m.Resources})
+			out := session.HandleResponse(now(), Response{Type: part.kind, Version: m.VersionInfo, Resources: m.Resources})
 			if tell(out); out.List != nil {
 				list = out.List
 			}
 		}
 		if list != nil {
-			to.List(*list)
+			to.OnUpdate(*list)
 		}
 	}
 	read()
@@ -140,7 +140,7 @@
 	defer timer.Stop()
 	for {
 		wait := time.Hour
-		if at := session.Wake(); at > 0 {
+		if at := session.NextDeadline(); at > 0 {
 			wait = min(wait, max(time.Duration(at-now()), 0)+time.Microsecond)
 		}
 		timer.Reset(wait)
@@ -150,7 +150,7 @@
 		case <-timer.C:
 			out := session.Tick(now())
 			if tell(out); out.List != nil {
-				to.List(*out.List)
+				to.OnUpdate(*out.List)
 			}
 		case e, ok := <-watcher.Events:
 			if !ok {
@@ -163,7 +163,7 @@
 			if !ok {
 				return nil
 			}
-			to.Refused(err) // events may have been lost
+			to.OnRejected(err) // events may have been lost
 			read()
 		}
 	}
--- a/internal/xds/golden_test.go
+++ b/internal/xds/golden_test.go
@@ -52,9 +52,9 @@
 	s := &sent{t: t}
 	for _, form := range []wire{whole{wholeStream{sent: s}}, incremental{deltaStream{sent: s}}} {
 		for i, r := range []Request{
-			{Type: ClusterType, Names: []string{"storage"}, Add: []string{"storage"}, Known: []string{"storage"}},
-			{Type: EndpointType, Version: "3", Nonce: "n3", Names: []string{"a", "b"}, Add: []string{"b"}, Drop: []string{"c"}},
-			{Type: EndpointType, Version: "3", Nonce: "n4", Names: []string{"a", "b"}, Refusal: "endpoints, version \"4\": it is wrong"},
+			{Type: ClusterType, ResourceNames: []string{"storage"}, Subscribe: []string{"storage"}, KnownNames: []string{"storage"}},
+			{Type: EndpointType, Version: "3", Nonce: "n3", ResourceNames: []string{"a", "b"}, Subscribe: []string{"b"}, Unsubscribe: []string{"c"}},
+			{Type: EndpointType, Version: "3", Nonce: "n4", ResourceNames: []string{"a", "b"}, RejectReason: "endpoints, version \"4\": it is wrong"},
 		} {
 			first := node
 			if i > 0 {
--- a/internal/xds/mapping.go
+++ b/internal/xds/mapping.go
@@ -25,17 +25,17 @@
 
 // Bounds of what is taken in.
 const (
-	MostClusters  = 4096
-	MostEndpoints = 1 << 16
-	mostProblems  = 10 // named in one refusal
+	MaxClusters  = 4096
+	MaxEndpoints = 1 << 16
+	mostProblems = 10 // named in one refusal
 )
 
 // Cluster is a cluster that was read.
 type Cluster struct {
-	Name    string
-	Service string      // the name of its assignment; empty where it has its own
-	Own     *Assignment // of a static one
-	Notes   []string    // what it says that has no effect here
+	Name        string
+	ServiceName string      // the name of its assignment; empty where it has its own
+	Inline      *Assignment // of a static one
+	Notes       []string    // what it says that has no effect here
 }
 
 // Assignment is a cluster's nodes.
@@ -46,10 +46,10 @@
 	Notes      []string
 }
 
-// Problems are what is wrong with a resource.
-type Problems []string
+// ValidationErrors are what is wrong with a resource.
+type ValidationErrors []string
 
-func (p Problems) Error() string {
+func (p ValidationErrors) Error() string {
 	if len(p) > mostProblems {
 		return strings.Join(p[:mostProblems], "; ") + fmt.Sprintf("; and %d more", len(p)-mostProblems)
 	}
@@ -67,7 +67,7 @@
 
 // reading collects problems and notes of one resource.
 type reading struct {
-	problems Problems
+	problems ValidationErrors
 	notes    []string
 }
 
@@ -148,8 +148,8 @@
 				r.refuse(at, "resource_api_version %v: only V3 is spoken here", v)
 			}
 		}
-		if out.Service = e.GetServiceName(); out.Service == "" {
-			out.Service = c.GetName()
+		if out.ServiceName = e.GetServiceName(); out.ServiceName == "" {
+			out.ServiceName = c.GetName()
 		}
 		if c.GetLoadAssignment() != nil {
 			r.refuse(at, "load_assignment with type EDS")
@@ -164,7 +164,7 @@
 			r.refuse(at, "%v", err)
 			break
 		}
-		out.Own, r.notes = a, append(r.notes, a.Notes...)
+		out.Inline, r.notes = a, append(r.notes, a.Notes...)
 		if c.GetEdsClusterConfig() != nil {
 			r.refuse(at, "eds_cluster_config with type STATIC")
 		}
@@ -254,9 +254,9 @@
 
 // health by the protocol's statuses (envoy.config.core.v3.HealthStatus). A degraded node serves: the module finds out
 // how slow it is.
-var health = map[corev3.HealthStatus]listing.Standing{corev3.HealthStatus_UNKNOWN: listing.Ready, corev3.HealthStatus_HEALTHY: listing.Ready,
-	corev3.HealthStatus_DEGRADED: listing.Ready, corev3.HealthStatus_DRAINING: listing.Draining, corev3.HealthStatus_UNHEALTHY: listing.Unwell,
-	corev3.HealthStatus_TIMEOUT: listing.Unwell}
+var health = map[corev3.HealthStatus]listing.Health{corev3.HealthStatus_UNKNOWN: listing.Ready, corev3.HealthStatus_HEALTHY: listing.Ready,
+	corev3.HealthStatus_DEGRADED: listing.Ready, corev3.HealthStatus_DRAINING: listing.Draining, corev3.HealthStatus_UNHEALTHY: listing.Unhealthy,
+	corev3.HealthStatus_TIMEOUT: listing.Unhealthy}
 
 func (r *reading) endpoint(at string, e *endpointv3.LbEndpoint) (n listing.Node, ok bool) {
 	before := len(r.problems)
@@ -275,7 +275,7 @@
 	r.fields(at, host, hostUses)
 	n.Name = host.GetHostname()
 	var known bool
-	if n.Standing, known = health[e.GetHealthStatus()]; !known {
+	if n.Health, known = health[e.GetHealthStatus()]; !known {
 		r.refuse(at, "health_status %v is not known", e.GetHealthStatus())
 	}
 	if w := e.GetLoadBalancingWeight(); w != nil {
@@ -344,6 +344,6 @@
 			r.refuse(at, "metadata %s.born is no time such as \"2026-01-02T15:04:05Z\"", MetadataKey)
 			return
 		}
-		n.Born = t.UnixNano()
+		n.StartedAt = t.UnixNano()
 	}
 }
--- a/internal/xds/mapping_test.go
+++ b/internal/xds/mapping_test.go
@@ -20,8 +20,8 @@
 	"irispost/internal/xdsstandin"
 )
 
-var two = []listing.Node{{Addr: "127.0.0.1:7000", Name: "first", Zone: "a", Shard: 0, Weight: 3, Born: 1_700_000_000_123_456_789},
-	{Addr: "[::1]:7001", Zone: "b", Shard: 1, Standing: listing.Draining, Priority: 1}}
+var two = []listing.Node{{Addr: "127.0.0.1:7000", Name: "first", Zone: "a", Shard: 0, Weight: 3, StartedAt: 1_700_000_000_123_456_789},
+	{Addr: "[::1]:7001", Zone: "b", Shard: 1, Health: listing.Draining, Priority: 1}}
 
 // What an assignment says comes out as nodes.
 func TestMapping(t *testing.T) {
@@ -30,15 +30,15 @@
 		t.Errorf("%+v, %v", a, err)
 	}
 	c, err := xds.ReadCluster(xdsstandin.Cluster("storage"))
-	if err != nil || c.Service != "storage" || c.Own != nil {
+	if err != nil || c.ServiceName != "storage" || c.Inline != nil {
 		t.Errorf("%+v, %v", c, err)
 	}
-	for status, want := range map[corev3.HealthStatus]listing.Standing{corev3.HealthStatus_UNKNOWN: listing.Ready, corev3.HealthStatus_HEALTHY: listing.Ready,
-		corev3.HealthStatus_DEGRADED: listing.Ready, corev3.HealthStatus_DRAINING: listing.Draining, corev3.HealthStatus_UNHEALTHY: listing.Unwell,
-		corev3.HealthStatus_TIMEOUT: listing.Unwell} {
+	for status, want := range map[corev3.HealthStatus]listing.Health{corev3.HealthStatus_UNKNOWN: listing.Ready, corev3.HealthStatus_HEALTHY: listing.Ready,
+		corev3.HealthStatus_DEGRADED: listing.Ready, corev3.HealthStatus_DRAINING: listing.Draining, corev3.HealthStatus_UNHEALTHY: listing.Unhealthy,
+		corev3.HealthStatus_TIMEOUT: listing.Unhealthy} {
 		m := xdsstandin.Assignment("storage", two)
 		m.Endpoints[0].LbEndpoints[0].HealthStatus = status
-		if a, err := xds.ReadAssignment(m); err != nil || a.Nodes[0].Standing != want {
+		if a, err := xds.ReadAssignment(m); err != nil || a.Nodes[0].Health != want {
 			t.Errorf("%v: %+v, %v", status, a, err)
 		}
 	}
@@ -51,7 +51,7 @@
 		t.Errorf("%+v, %v", a, err)
 	}
 	static := &clusterv3.Cluster{Name: "s", LoadAssignment: xdsstandin.Assignment("s", two), ConnectTimeout: durationpb.New(time.Second)}
-	if c, err := xds.ReadCluster(static); err != nil || len(c.Own.Nodes) != 2 || len(c.Notes) != 1 || !strings.Contains(c.Notes[0], "connect_timeout") {
+	if c, err := xds.ReadCluster(static); err != nil || len(c.Inline.Nodes) != 2 || len(c.Notes) != 1 || !strings.Contains(c.Notes[0], "connect_timeout") {
 		t.Errorf("%+v, %v", c, err)
 	}
 }
@@ -185,7 +185,7 @@
 		}
 		seen := map[string]bool{}
 		for _, n := range a.Nodes {
-			if n.Addr == "" || seen[n.Addr] || n.Shard < 0 || n.Shard >= 1<<16 || n.Born < 0 || n.Priority < 0 || n.Standing > listing.Unwell {
+			if n.Addr == "" || seen[n.Addr] || n.Shard < 0 || n.Shard >= 1<<16 || n.StartedAt < 0 || n.Priority < 0 || n.Health > listing.Unhealthy {
 				t.Errorf("%+v", n)
 			}
 			seen[n.Addr] = true
--- a/internal/xds/session.go
+++ b/internal/xds/session.go
@@ -28,14 +28,14 @@
 type State uint8
 
 const (
-	Idle     State = iota // nothing is asked for
-	Asked                 // asked, and not answered
-	Accepted              // the last answer is in force
-	Refused               // the last answer was refused, the one before is in force
+	Idle      State = iota // nothing is asked for
+	Requested              // asked, and not answered
+	Accepted               // the last answer is in force
+	Rejected               // the last answer was refused, the one before is in force
 )
 
-// Update is an answer of the server, whole or incremental.
-type Update struct {
+// Response is an answer of the server, whole or incremental.
+type Response struct {
 	Type      string
 	Version   string
 	Nonce     string
@@ -46,20 +46,20 @@
 
 // Request is what goes to the server. It stands for both forms; docs/xds.md tells what is sent of it in which.
 type Request struct {
-	Type      string
-	Version   string   // whole: that is in force; empty, first on a stream, so that all is sent anew
-	Nonce     string   // that it answers; empty: none
-	Names     []string // whole: all that are wanted, empty for all clusters
-	Add, Drop []string // incremental: wanted from now on, no longer wanted
-	Known     []string // incremental, first on a stream: names that are there, of which all is wanted anew
-	Refusal   string   // why the update with the nonce is refused; empty: it is accepted, or there was none
+	Type                   string
+	Version                string   // whole: that is in force; empty, first on a stream, so that all is sent anew
+	Nonce                  string   // that it answers; empty: none
+	ResourceNames          []string // whole: all that are wanted, empty for all clusters
+	Subscribe, Unsubscribe []string // incremental: wanted from now on, no longer wanted
+	KnownNames             []string // incremental, first on a stream: names that are there, of which all is wanted anew
+	RejectReason           string   // why the update with the nonce is refused; empty: it is accepted, or there was none
 }
 
 // Outcome is what follows from an event.
 type Outcome struct {
 	Requests []Request
 	List     *listing.List // nil: nothing new
-	Refused  error         // an update that cannot be used
+	Rejected error         // an update that cannot be used
 	Notes    []string      // for the log
 }
 
@@ -114,8 +114,8 @@
 // move is the one place where a subscription's state changes.
 func (s *subscription) move(now int64, to State) { s.state, s.since = to, now }
 
-// Open begins a stream.
-func (s *Session) Open(now int64) []Request {
+// OpenStream begins a stream.
+func (s *Session) OpenStream(now int64) []Request {
 	s.clusters.move(now, Idle)
 	s.endpoints.move(now, Idle)
 	s.clusters.nonce, s.endpoints.nonce, s.clusters.late = "", "", false
@@ -129,27 +129,27 @@
 
 // ask makes the request that wants these names, or that answers an update, or both.
 func (s *Session) ask(now int64, sub *subscription, names []string, refusal string) Request {
-	r := Request{Type: sub.kind, Nonce: sub.nonce, Refusal: refusal}
+	r := Request{Type: sub.kind, Nonce: sub.nonce, RejectReason: refusal}
 	first := sub.state == Idle
 	if s.incremental {
 		for _, name := range names {
 			if !slices.Contains(sub.names, name) {
-				r.Add = append(r.Add, name)
+				r.Subscribe = append(r.Subscribe, name)
 			}
 		}
 		for _, name := range sub.names {
 			if !slices.Contains(names, name) {
-				r.Drop = append(r.Drop, name)
+				r.Unsubscribe = append(r.Unsubscribe, name)
 			}
 		}
 		if first {
-			r.Known = slices.Sorted(maps.Keys(s.of(sub)))
+			r.KnownNames = slices.Sorted(maps.Keys(s.of(sub)))
 		}
-	} else if r.Names = names; !first {
+	} else if r.ResourceNames = names; !first {
 		r.Version = sub.version
 	}
 	if first { // with no version: a server that began anew may have given the same one to something else
-		sub.move(now, Asked)
+		sub.move(now, Requested)
 	}
 	sub.names = names
 	return r
@@ -166,8 +166,8 @@
 func (s *Session) services() (names []string) {
 	for _, t := range []table{s.have, s.leaving} {
 		for _, r := range t {
-			if c := r.cluster; c.Service != "" && !slices.Contains(names, c.Service) {
-				names = append(names, c.Service)
+			if c := r.cluster; c.ServiceName != "" && !slices.Contains(names, c.ServiceName) {
+				names = append(names, c.ServiceName)
 			}
 		}
 	}
@@ -175,8 +175,8 @@
 	return names
 }
 
-// Update takes in an answer of the server.
-func (s *Session) Update(now int64, u Update) (out Outcome) {
+// HandleResponse takes in an answer of the server.
+func (s *Session) HandleResponse(now int64, u Response) (out Outcome) {
 	var sub *subscription
 	switch u.Type {
 	case ClusterType:
@@ -194,8 +194,8 @@
 		err = s.fits(sub, next)
 	}
 	if err != nil {
-		sub.move(now, Refused)
-		out.Refused = fmt.Errorf("%s, version %q: %w", short(u.Type), u.Version, err)
+		sub.move(now, Rejected)
+		out.Rejected = fmt.Errorf("%s, version %q: %w", short(u.Type), u.Version, err)
 		out.Requests = append(out.Requests, s.ask(now, sub, sub.names, err.Error()))
 		return out
 	}
@@ -219,7 +219,7 @@
 }
 
 // read reads an update whole, into a table of its own: nothing of one that is wrong anywhere counts.
-func (s *Session) read(now int64, sub *subscription, u Update, out *Outcome) (table, error) {
+func (s *Session) read(now int64, sub *subscription, u Response, out *Outcome) (table, error) {
 	r := &reading{}
 	old := s.of(sub)
 	next := table{}
@@ -328,8 +328,8 @@
 	if sub == &s.endpoints {
 		clusters, assigned = s.have, next
 	}
-	if len(clusters) > MostClusters {
-		return fmt.Errorf("%d clusters, more than %d", len(clusters), MostClusters)
+	if len(clusters) > MaxClusters {
+		return fmt.Errorf("%d clusters, more than %d", len(clusters), MaxClusters)
 	}
 	seen, count := map[string]string{}, 0
 	for _, name := range slices.Sorted(maps.Keys(clusters)) {
@@ -337,8 +337,8 @@
 		if a == nil {
 			continue
 		}
-		if count += len(a.Nodes); count > MostEndpoints {
-			return fmt.Errorf("more than %d endpoints", MostEndpoints)
+		if count += len(a.Nodes); count > MaxEndpoints {
+			return fmt.Errorf("more than %d endpoints", MaxEndpoints)
 		}
 		for _, n := range a.Nodes {
 			if other := seen[n.Addr]; other != "" {
@@ -352,10 +352,10 @@
 
 // nodesOf are a cluster's nodes; nil: none are known yet.
 func nodesOf(c *Cluster, assigned table) *Assignment {
-	if c.Own != nil {
-		return c.Own
+	if c.Inline != nil {
+		return c.Inline
 	}
-	if r := assigned[c.Service]; r != nil {
+	if r := assigned[c.ServiceName]; r != nil {
 		return r.nodes
 	}
 	return nil
@@ -434,7 +434,7 @@
 				}
 				seen[n.Addr] = true
 			}
-			if r := s.assigned[c.Service]; c.Own == nil && a.StaleAfter > 0 && now >= r.heard+int64(a.StaleAfter) {
+			if r := s.assigned[c.ServiceName]; c.Inline == nil && a.StaleAfter > 0 && now >= r.heard+int64(a.StaleAfter) {
 				l.Stale = true
 			}
 			s.note(out, c.Notes)
@@ -466,14 +466,14 @@
 			}
 		}
 	}
-	if c := &s.clusters; c.state == Asked && !c.late && now >= c.since+s.fetch {
+	if c := &s.clusters; c.state == Requested && !c.late && now >= c.since+s.fetch {
 		c.late = true
-		out.Refused = fmt.Errorf("no answer to the first request for clusters within %v", time.Duration(s.fetch))
+		out.Rejected = fmt.Errorf("no answer to the first request for clusters within %v", time.Duration(s.fetch))
 	}
 	for name, r := range s.have {
 		if at := s.came[name] + s.fetch; at > s.fetch && now >= at && nodesOf(r.cluster, s.assigned) == nil {
 			s.came[name] = 0
-			out.Refused = fmt.Errorf("no endpoints of cluster %q come", name)
+			out.Rejected = fmt.Errorf("no endpoints of cluster %q come", name)
 			changed = true
 		}
 	}
@@ -489,8 +489,8 @@
 	return out
 }
 
-// Wake is when Tick has something to do; 0: never.
-func (s *Session) Wake() (at int64) {
+// NextDeadline is when Tick has something to do; 0: never.
+func (s *Session) NextDeadline() (at int64) {
 	sooner := func(t int64) {
 		if t > 0 && (at == 0 || t < at) {
 			at = t
@@ -507,7 +507,7 @@
 			}
 		}
 	}
-	if c := &s.clusters; c.state == Asked && !c.late {
+	if c := &s.clusters; c.state == Requested && !c.late {
 		sooner(c.since + s.fetch)
 	}
 	return at
--- a/internal/xdsstandin/command.go
+++ b/internal/xdsstandin/command.go
@@ -32,7 +32,7 @@
 blurt                     endpoints go out without being asked for
 restart                   the server starts anew, with its versions`
 
-var standings = map[string]listing.Standing{"drain": listing.Draining, "unwell": listing.Unwell, "ready": listing.Ready, "draining": listing.Draining}
+var standings = map[string]listing.Health{"drain": listing.Draining, "unwell": listing.Unhealthy, "ready": listing.Ready, "draining": listing.Draining}
 
 // Command does one of the things that Commands tells.
 func (s *Server) Command(text string) error {
@@ -67,12 +67,12 @@
 			return fmt.Errorf("shard %q is no number", w[2])
 		}
 		s.Set(func(list []listing.Node) []listing.Node {
-			return append(list, listing.Node{Addr: w[1], Shard: shard, Zone: w[3], Born: time.Now().UnixNano()})
+			return append(list, listing.Node{Addr: w[1], Shard: shard, Zone: w[3], StartedAt: time.Now().UnixNano()})
 		})
 	case "drain", "unwell", "ready":
-		return one(func(n *listing.Node) { n.Standing = standings[w[0]] })
+		return one(func(n *listing.Node) { n.Health = standings[w[0]] })
 	case "remove":
-		return one(func(n *listing.Node) { n.Standing = listing.Gone })
+		return one(func(n *listing.Node) { n.Health = listing.Removed })
 	case "nothing":
 		s.Set(func([]listing.Node) []listing.Node { return nil })
 	case "everybody":
@@ -82,8 +82,8 @@
 		}
 		s.Set(func(list []listing.Node) []listing.Node {
 			for i := range list {
-				if list[i].Standing != listing.Gone {
-					list[i].Standing = to
+				if list[i].Health != listing.Removed {
+					list[i].Health = to
 				}
 			}
 			return list
--- a/internal/xdsstandin/server.go
+++ b/internal/xdsstandin/server.go
@@ -236,8 +236,8 @@
 			ResourceApiVersion: corev3.ApiVersion_V3, ConfigSourceSpecifier: &corev3.ConfigSource_Ads{Ads: &corev3.AggregatedConfigSource{}}}}}
 }
 
-var statuses = map[listing.Standing]corev3.HealthStatus{listing.Ready: corev3.HealthStatus_HEALTHY, listing.Draining: corev3.HealthStatus_DRAINING,
-	listing.Unwell: corev3.HealthStatus_UNHEALTHY}
+var statuses = map[listing.Health]corev3.HealthStatus{listing.Ready: corev3.HealthStatus_HEALTHY, listing.Draining: corev3.HealthStatus_DRAINING,
+	listing.Unhealthy: corev3.HealthStatus_UNHEALTHY}
 
 // Assignment is a cluster's nodes as endpoints. One that is gone is left out.
 func Assignment(name string, nodes []listing.Node) *endpointv3.ClusterLoadAssignment {
@@ -248,7 +248,7 @@
 	}
 	at := map[place]*endpointv3.LocalityLbEndpoints{}
 	for _, n := range nodes {
-		if n.Standing == listing.Gone {
+		if n.Health == listing.Removed {
 			continue
 		}
 		l := at[place{n.Zone, n.Priority}]
@@ -267,10 +267,10 @@
 	host, port, _ := net.SplitHostPort(n.Addr)
 	number, _ := strconv.Atoi(port)
 	own := map[string]*structpb.Value{"shard": structpb.NewNumberValue(float64(n.Shard))}
-	if n.Born > 0 {
-		own["born"] = structpb.NewStringValue(time.Unix(0, n.Born).UTC().Format(time.RFC3339Nano))
+	if n.StartedAt > 0 {
+		own["born"] = structpb.NewStringValue(time.Unix(0, n.StartedAt).UTC().Format(time.RFC3339Nano))
 	}
-	e := &endpointv3.LbEndpoint{HealthStatus: statuses[n.Standing],
+	e := &endpointv3.LbEndpoint{HealthStatus: statuses[n.Health],
 		HostIdentifier: &endpointv3.LbEndpoint_Endpoint{Endpoint: &endpointv3.Endpoint{Hostname: n.Name, Address: &corev3.Address{
 			Address: &corev3.Address_SocketAddress{SocketAddress: &corev3.SocketAddress{Address: host,
 				PortSpecifier: &corev3.SocketAddress_PortValue{PortValue: uint32(number)}}}}}},
