--- a/cmd/irispost/check.go
+++ b/cmd/irispost/check.go
@@ -11,16 +11,16 @@
 
 	"irispost/internal/config"
 	"irispost/internal/day"
-	"irispost/internal/fleet/accord"
-	"irispost/internal/fleet/keep"
-	"irispost/internal/listing"
-	"irispost/internal/xds"
+	"irispost/internal/endpoint"
+	"irispost/internal/endpoint/xds"
+	"irispost/internal/fleet/lease"
+	"irispost/internal/fleet/replica"
 )
 
 func checkCommand() *cobra.Command {
 	c := &cobra.Command{Use: "check FILE ...", Short: "Check configurations with their sources' files, lists of nodes (*nodes*.hcl), days (day*.hcl, fleet-*.hcl) and rules (rules*.hcl)",
 		Args: cobra.MinimumNArgs(1)}
-	terms := accord.Settings{}
+	terms := lease.Settings{}
 	lease := c.Flags().Duration("lease", 2*time.Second, "the lease that the keepers of rules were founded with")
 	c.Flags().Float64Var(&terms.MaxClockDrift, "drift", 0.01, "and the part by which clocks run fast or slow at most")
 	c.RunE = func(c *cobra.Command, files []string) error {
@@ -43,22 +43,22 @@
 }
 
 // stated tells of rules and days for how long after its announcement a version may not be acted on alone by all.
-func stated(t accord.Settings, floor int64) string {
-	text := fmt.Sprintf("; stated time %v", time.Duration(keep.ConvergenceBound(t)).Round(time.Millisecond))
+func stated(t lease.Settings, floor int64) string {
+	text := fmt.Sprintf("; stated time %v", time.Duration(replica.ConvergenceBound(t)).Round(time.Millisecond))
 	if floor > 0 {
 		t.LeaseDuration = floor
-		text += fmt.Sprintf(", and up to %v for a change that the floor contradicts", time.Duration(keep.ConvergenceBound(t)).Round(time.Millisecond))
+		text += fmt.Sprintf(", and up to %v for a change that the floor contradicts", time.Duration(replica.ConvergenceBound(t)).Round(time.Millisecond))
 	}
 	return text
 }
 
 // check checks a file, and returns what there is to say of one that is in order.
-func check(file string, terms accord.Settings) (note string, err error) {
+func check(file string, terms lease.Settings) (note string, err error) {
 	base := filepath.Base(file)
 	if ok, _ := filepath.Match("*nodes*.hcl", base); ok {
 		src, err := os.ReadFile(file)
 		if err == nil {
-			_, err = listing.ParseList(file, src)
+			_, err = endpoint.ParseList(file, src)
 		}
 		return "", err
 	}
@@ -79,7 +79,7 @@
 		if err != nil || s.Fleet.Keepers == 0 {
 			return "", err
 		}
-		return stated(accord.Settings{LeaseDuration: int64(s.Fleet.Lease), MaxClockDrift: s.Fleet.Drift}, int64(s.Fleet.Floor)), nil
+		return stated(lease.Settings{LeaseDuration: int64(s.Fleet.Lease), MaxClockDrift: s.Fleet.Drift}, int64(s.Fleet.Floor)), nil
 	}
 	c, err := config.Load(file)
 	if err != nil {
@@ -97,7 +97,7 @@
 		case "own":
 			var src []byte
 			if src, err = os.ReadFile(from(s.File)); err == nil {
-				_, err = listing.ParseList(from(s.File), src)
+				_, err = endpoint.ParseList(from(s.File), src)
 			}
 		case "xds-file":
 			_, _, err = xds.CheckFiles(from(s.Clusters), from(s.Endpoints))
--- a/cmd/irispost/fleet.go
+++ b/cmd/irispost/fleet.go
@@ -17,17 +17,17 @@
 	"github.com/spf13/cobra"
 
 	"irispost/internal/config"
-	"irispost/internal/fleet/accord"
-	"irispost/internal/fleet/keep"
-	"irispost/internal/fleet/rules"
-	"irispost/internal/listing"
+	"irispost/internal/endpoint"
+	"irispost/internal/fleet/configversion"
+	"irispost/internal/fleet/lease"
+	"irispost/internal/fleet/replica"
 )
 
 func keeperCommand() *cobra.Command {
 	c := &cobra.Command{Use: "keeper", Short: "Keep the versions of settings and lists, together with other keepers", Args: cobra.NoArgs,
 		Long: `A keeper holds the log of versions that gateways act on, with two or four others. Each is started with its own number, the
 addresses of all, and a folder that nobody else uses. See docs/fleet.md.`}
-	o := keep.Options{LeaseSettings: accord.Settings{}}
+	o := replica.Options{LeaseSettings: lease.Settings{}}
 	c.Flags().Uint64Var(&o.ID, "number", 0, "this keeper's number, from 1")
 	c.Flags().StringVar(&o.Listen, "listen", "127.0.0.1:7100", "address to serve at")
 	c.Flags().StringVar(&o.Dir, "dir", "", "folder for what lasts")
@@ -55,7 +55,7 @@
 		}
 		ctx, cancel := untilSignal()
 		defer cancel()
-		k, err := keep.Start(o)
+		k, err := replica.Start(o)
 		if err != nil {
 			return err
 		}
@@ -72,10 +72,10 @@
 }
 
 // keepers adds the flags for speaking to keepers.
-func keepers(c *cobra.Command) func() (*keep.Client, error) {
+func keepers(c *cobra.Command) func() (*replica.Client, error) {
 	list := c.PersistentFlags().StringSlice("keepers", nil, "addresses of the keepers (or IRISPOST_KEEPERS)")
 	within := c.PersistentFlags().Duration("within", 10*time.Second, "how long to wait for an answer")
-	return func() (*keep.Client, error) {
+	return func() (*replica.Client, error) {
 		if len(*list) == 0 {
 			if s := os.Getenv("IRISPOST_KEEPERS"); s != "" {
 				*list = strings.Split(s, ",")
@@ -84,7 +84,7 @@
 		if len(*list) == 0 {
 			return nil, fmt.Errorf("name the keepers: --keepers 10.0.0.1:7100,10.0.0.2:7100,10.0.0.3:7100")
 		}
-		return &keep.Client{Replicas: *list, Timeout: *within}, nil
+		return &replica.Client{Replicas: *list, Timeout: *within}, nil
 	}
 }
 
@@ -111,7 +111,7 @@
 		if err != nil {
 			return err
 		}
-		p := &accord.Proposal{ID: fmt.Sprintf("%d.%d", os.Getpid(), time.Now().UnixNano()), Parent: uint64(max(*parent, 0)), ReplacePending: *over, Author: author(),
+		p := &lease.Proposal{ID: fmt.Sprintf("%d.%d", os.Getpid(), time.Now().UnixNano()), Parent: uint64(max(*parent, 0)), ReplacePending: *over, Author: author(),
 			Reason: *why, CreatedAt: time.Now().UTC().Format(time.RFC3339), Content: r.Canonical()}
 		if *parent < 0 {
 			s, err := client.Status()
@@ -138,7 +138,7 @@
 		}}
 	diff := &cobra.Command{Use: "diff A B", Short: "Show what has changed from a version to another, and what contradicts", Args: cobra.ExactArgs(2),
 		RunE: func(c *cobra.Command, args []string) error {
-			var opened [2]*rules.Config
+			var opened [2]*configversion.Config
 			for i := range opened {
 				v, err := versionBy(dial, args[i])
 				if err == nil {
@@ -148,10 +148,10 @@
 					return err
 				}
 			}
-			for _, line := range rules.Diff(opened[0], opened[1]) {
+			for _, line := range configversion.Diff(opened[0], opened[1]) {
 				fmt.Fprintln(c.OutOrStdout(), line)
 			}
-			for _, line := range rules.Conflicts(opened[0], opened[1]) {
+			for _, line := range configversion.Conflicts(opened[0], opened[1]) {
 				fmt.Fprintln(c.OutOrStdout(), "contradicts:", line)
 			}
 			return nil
@@ -169,7 +169,7 @@
 			if len(all) > 0 && all[0].Number > 1 {
 				fmt.Fprintf(c.OutOrStdout(), "versions before %d are not known any more to the keeper that leads, or were made before it joined\n", all[0].Number)
 			}
-			var before *rules.Config
+			var before *configversion.Config
 			for _, v := range all {
 				fmt.Fprintf(c.OutOrStdout(), "%s  of %d  %s  %s: %s\n", v.Name(), v.Parent, v.CreatedAt, v.Author, v.Reason)
 				if v.Content == nil {
@@ -183,7 +183,7 @@
 					continue
 				}
 				if before != nil {
-					for _, line := range rules.Diff(before, r) {
+					for _, line := range configversion.Diff(before, r) {
 						fmt.Fprintln(c.OutOrStdout(), "   ", line)
 					}
 				}
@@ -196,7 +196,7 @@
 }
 
 // version fetches a version by its number, or the newest.
-func versionBy(dial func() (*keep.Client, error), args ...string) (*rules.Version, error) {
+func versionBy(dial func() (*replica.Client, error), args ...string) (*configversion.Version, error) {
 	client, err := dial()
 	if err != nil {
 		return nil, err
@@ -270,7 +270,7 @@
 			return err
 		}
 		if len(*add)+len(*remove) > 0 {
-			v := &keep.MembershipChange{Add: map[uint64]string{}}
+			v := &replica.MembershipChange{Add: map[uint64]string{}}
 			for name, addr := range *add {
 				n, err := strconv.ParseUint(name, 10, 32)
 				if err != nil || n == 0 {
@@ -328,7 +328,7 @@
 }
 
 // demoKeepers starts keepers as processes, proposes the list as the first version and has a gateway follow. It returns what to try.
-func demoKeepers(count int, dir string, conf *config.Config, l listing.List) (text string, end func(), err error) {
+func demoKeepers(count int, dir string, conf *config.Config, l endpoint.List) (text string, end func(), err error) {
 	if count != 1 && count != 3 && count != 5 {
 		return "", nil, fmt.Errorf("--keepers %d: one, three or five", count)
 	}
@@ -344,13 +344,13 @@
 	for _, cmd := range started {
 		pids = append(pids, strconv.Itoa(cmd.Process.Pid))
 	}
-	r := &rules.Config{RequiredFormat: rules.Format, Shards: conf.Shards, MeanRequestUnits: 1, FallbackPolicy: rules.FallbackPolicy{Duration: int64(time.Minute), LimitFraction: 1, AllowWrites: true}}
+	r := &configversion.Config{RequiredFormat: configversion.Format, Shards: conf.Shards, MeanRequestUnits: 1, FallbackPolicy: configversion.FallbackPolicy{Duration: int64(time.Minute), LimitFraction: 1, AllowWrites: true}}
 	r.SetFromSettings(conf.Settings)
 	for _, n := range l.Nodes {
-		r.Nodes[n.Addr] = rules.Node{Shard: n.Shard}
+		r.Nodes[n.Addr] = configversion.Node{Shard: n.Shard}
 	}
-	client := &keep.Client{Replicas: addrs, Timeout: 20 * time.Second}
-	if _, err := client.Propose(&accord.Proposal{ID: "demo", Author: author(), Reason: "the demo's first version", CreatedAt: time.Now().UTC().Format(time.RFC3339),
+	client := &replica.Client{Replicas: addrs, Timeout: 20 * time.Second}
+	if _, err := client.Propose(&lease.Proposal{ID: "demo", Author: author(), Reason: "the demo's first version", CreatedAt: time.Now().UTC().Format(time.RFC3339),
 		Content: r.Canonical()}); err != nil {
 		end()
 		return "", nil, err
@@ -372,7 +372,7 @@
 }
 
 // demoRules writes rules as a file that can be changed and proposed.
-func demoRules(r *rules.Config) []byte {
+func demoRules(r *configversion.Config) []byte {
 	out := fmt.Appendf(nil, "shards = %d\n\nfloor {\n  for    = %q\n  writes = true\n}\n", r.Shards, time.Duration(r.FallbackPolicy.Duration))
 	for _, name := range slices.Sorted(maps.Keys(r.ServiceLevels)) {
 		p := r.ServiceLevels[name]
@@ -388,5 +388,5 @@
 		out = fmt.Appendf(out, "\nproduct %q {\n  kind     = %q\n  group    = %q\n  goal     = %q\n  patience = %q\n  window   = %q\n  in_turn  = %v\n}\n", name, kind, group,
 			time.Duration(p.LatencyObjective), time.Duration(p.ClientTimeout), time.Duration(p.DedupWindow), p.Ordered)
 	}
-	return append(append(out, '\n'), listing.FormatList(r.EndpointList(""))...)
+	return append(append(out, '\n'), endpoint.FormatList(r.EndpointList(""))...)
 }
--- a/cmd/irispost/main_test.go
+++ b/cmd/irispost/main_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"irispost/internal/listing"
+	"irispost/internal/endpoint"
 	"irispost/internal/testkit"
 )
 
@@ -85,7 +85,7 @@
 	if err != nil || strings.Count(out, "serving") != 2 || !strings.Contains(out, w.Nodes[0].Addr()) {
 		t.Errorf("%q, %v", out, err)
 	}
-	w.Tell(listing.List{})
+	w.Tell(endpoint.List{})
 	for !strings.Contains(out, "HELD") { // the list comes by and by
 		if out, err = run("members", "--socket", socket); err != nil {
 			t.Fatal(err)
--- a/cmd/irispost/members.go
+++ b/cmd/irispost/members.go
@@ -14,7 +14,7 @@
 	"github.com/spf13/cobra"
 
 	"irispost/internal/admin"
-	"irispost/internal/listing"
+	"irispost/internal/endpoint"
 	"irispost/internal/xdsstandin"
 )
 
@@ -100,13 +100,13 @@
 	file := c.Flags().String("nodes", "", "the nodes to begin with, in our own form")
 	clusters := c.Flags().Int("clusters", 1, "clusters that the nodes are spread over, by their shards")
 	c.RunE = func(c *cobra.Command, _ []string) error {
-		var l listing.List
+		var l endpoint.List
 		if *file != "" {
 			src, err := os.ReadFile(*file)
 			if err != nil {
 				return err
 			}
-			if l, err = listing.ParseList(*file, src); err != nil {
+			if l, err = endpoint.ParseList(*file, src); err != nil {
 				return err
 			}
 		}
--- a/cmd/irispost/run.go
+++ b/cmd/irispost/run.go
@@ -21,7 +21,7 @@
 	"irispost/internal/bench"
 	"irispost/internal/config"
 	"irispost/internal/day"
-	"irispost/internal/listing"
+	"irispost/internal/endpoint"
 	"irispost/internal/serve"
 	"irispost/internal/standin"
 )
@@ -125,7 +125,7 @@
 			return err
 		}
 		defer os.RemoveAll(dir)
-		var l listing.List
+		var l endpoint.List
 		for shard := range conf.Shards {
 			store, err := standin.NewStore("")
 			if err != nil {
@@ -137,9 +137,9 @@
 				return err
 			}
 			defer n.Close()
-			l.Nodes = append(l.Nodes, listing.Node{Addr: n.Addr(), Shard: shard})
+			l.Nodes = append(l.Nodes, endpoint.Node{Addr: n.Addr(), Shard: shard})
 		}
-		if err := renameio.WriteFile(filepath.Join(dir, conf.Sources[0].File), listing.FormatList(l), 0o644); err != nil {
+		if err := renameio.WriteFile(filepath.Join(dir, conf.Sources[0].File), endpoint.FormatList(l), 0o644); err != nil {
 			return err
 		}
 		conf.Listen = *listen
--- a/internal/adapter/adapter.go
+++ b/internal/adapter/adapter.go
@@ -6,24 +6,24 @@
 	"fmt"
 	"io"
 
-	"irispost/decide"
-	"irispost/internal/listing"
+	"irispost/internal/endpoint"
 	"irispost/internal/wire"
+	"irispost/scheduler"
 )
 
 // Tap is told all that a gateway's module is told, and what it decides, in the same order.
 type Tap interface {
-	Start(now decide.Time, seed uint64, terms decide.Settings)
-	EndpointUpdate(now decide.Time, l listing.List, whole bool)
-	EndpointListFailed(now decide.Time, silent bool)
-	SettingsChanged(now decide.Time, terms decide.Settings)
-	Allocated(now decide.Time, addr string, born decide.Time, units float64, till decide.Time)
-	Submitted(now decide.Time, j *decide.Request, volume int64, plan, product string, hosts float64, keyed bool)
-	StreamStarted(now decide.Time, job string, number int)
-	AttemptEnded(now decide.Time, job string, number int, o decide.Outcome, took decide.Time, final bool, others float64, inflight int,
-		latency decide.Time)
-	ClientCancelled(now decide.Time, job string)
-	Decided(now decide.Time, d *decide.Decision)
+	Start(now scheduler.Time, seed uint64, terms scheduler.Settings)
+	EndpointUpdate(now scheduler.Time, l endpoint.List, whole bool)
+	EndpointListFailed(now scheduler.Time, silent bool)
+	SettingsChanged(now scheduler.Time, terms scheduler.Settings)
+	Allocated(now scheduler.Time, addr string, born scheduler.Time, units float64, till scheduler.Time)
+	Submitted(now scheduler.Time, j *scheduler.Request, volume int64, plan, product string, hosts float64, keyed bool)
+	StreamStarted(now scheduler.Time, job string, number int)
+	AttemptEnded(now scheduler.Time, job string, number int, o scheduler.Outcome, took scheduler.Time, final bool, others float64, inflight int,
+		latency scheduler.Time)
+	ClientCancelled(now scheduler.Time, job string)
+	Decided(now scheduler.Time, d *scheduler.Decision)
 }
 
 // Run serves the bench until its input ends. listen, where it is given, names the tap of a gateway, or nil.
@@ -44,9 +44,9 @@
 // instance is one gateway.
 type instance struct {
 	number  int64
-	gateway *decide.Scheduler
+	gateway *scheduler.Scheduler
 	inBatch bool
-	wakeAt  decide.Time // of the earliest alarm set; 0 for none
+	wakeAt  scheduler.Time // of the earliest alarm set; 0 for none
 	failed  string
 	tap     Tap // nil: nobody listens
 }
@@ -82,7 +82,7 @@
 }
 
 // events reads the events of a batch.
-func (a *adapter) events(now decide.Time) error {
+func (a *adapter) events(now scheduler.Time) error {
 	for {
 		f, err := a.in.Next()
 		if err != nil {
@@ -107,7 +107,7 @@
 }
 
 // event turns an event into a call. A panic of the module becomes a fault of its instance.
-func (a *adapter) event(name string, number int64, now decide.Time, f *wire.Fields) {
+func (a *adapter) event(name string, number int64, now scheduler.Time, f *wire.Fields) {
 	i := a.gateways[number]
 	if i == nil {
 		i = &instance{number: number}
@@ -129,7 +129,7 @@
 			if i.tap != nil {
 				i.tap.Start(now, seed, terms)
 			}
-			i.gateway, i.wakeAt = decide.New(now, seed, terms), 0
+			i.gateway, i.wakeAt = scheduler.New(now, seed, terms), 0
 		}
 		return
 	case "DOWN":
@@ -145,7 +145,7 @@
 	}
 	switch name {
 	case "REQ":
-		j := &decide.Request{ID: f.Text("tid")}
+		j := &scheduler.Request{ID: f.Text("tid")}
 		f.Skip() // repeat: the module tells by the time that is left
 		hosts := f.Number("n_hosts")
 		volume := f.Int("disk")
@@ -229,9 +229,9 @@
 }
 
 // list reads what discovery says, with its entries. For a killed gateway they are read and dropped.
-func (a *adapter) list(i *instance, now decide.Time, f *wire.Fields) {
+func (a *adapter) list(i *instance, now scheduler.Time, f *wire.Fields) {
 	g := i.gateway
-	told := listing.List{}
+	told := endpoint.List{}
 	mode := f.Text("mode")
 	f.Int("rev")
 	count := f.Int("nodes_list")
@@ -271,8 +271,8 @@
 		}
 		if g != nil {
 			g.UpdateEndpoint(node, zone, shard, born, standing)
-			told.Nodes = append(told.Nodes, listing.Node{Addr: node, Zone: zone, Shard: shard, StartedAt: born,
-				Health: listing.Health(standing)})
+			told.Nodes = append(told.Nodes, endpoint.Node{Addr: node, Zone: zone, Shard: shard, StartedAt: born,
+				Health: endpoint.Health(standing)})
 		}
 	}
 	switch {
@@ -291,8 +291,8 @@
 }
 
 // decide asks a gateway for its decision and writes it.
-func (a *adapter) decide(i *instance, now decide.Time) {
-	var d *decide.Decision
+func (a *adapter) decide(i *instance, now scheduler.Time) {
+	var d *scheduler.Decision
 	if i.failed == "" {
 		func() {
 			defer i.catch()
@@ -307,7 +307,7 @@
 		return
 	}
 	for _, j := range d.Finished {
-		if j.State == decide.RequestRejected {
+		if j.State == scheduler.RequestRejected {
 			a.out.Start("BOUNCE", i.number).Text(j.ID).Time(j.RetryAfter).End()
 		} else {
 			a.out.Start("FINISH_ERROR", i.number).Text(j.ID).End()
@@ -329,7 +329,7 @@
 		a.out.Start("TRACE", i.number).Text(line).End()
 	}
 	if d.NextWake > 0 && (i.wakeAt == 0 || d.NextWake < i.wakeAt) {
-		i.wakeAt = max(d.NextWake, now+decide.Microsecond)
+		i.wakeAt = max(d.NextWake, now+scheduler.Microsecond)
 		a.out.Start("SET_ALARM", i.number).Int(1).Time(i.wakeAt - now).End()
 	}
 }
--- a/internal/adapter/adapter_test.go
+++ b/internal/adapter/adapter_test.go
@@ -5,8 +5,8 @@
 	"strings"
 	"testing"
 
-	"irispost/decide"
 	"irispost/internal/wire"
+	"irispost/scheduler"
 )
 
 // talk plays lines, with "|" for the tab, to an adapter and returns its replies and its error.
@@ -65,7 +65,7 @@
 }
 
 func TestTimesKeepTheMicrosecond(t *testing.T) {
-	for text, ns := range map[string]decide.Time{"8412.251": 8412251000, "0.000001": 1, "7": 7000000, "-2.5": -2500000} {
+	for text, ns := range map[string]scheduler.Time{"8412.251": 8412251000, "0.000001": 1, "7": 7000000, "-2.5": -2500000} {
 		if got, ok := wire.ParseTime([]byte(text)); !ok || got != ns {
 			t.Errorf("%s reads as %d", text, got)
 		}
--- a/internal/adapter/story_test.go
+++ b/internal/adapter/story_test.go
@@ -13,29 +13,29 @@
 
 	"pgregory.net/rapid"
 
-	"irispost/decide"
 	"irispost/internal/adapter"
+	"irispost/internal/backend/node"
+	"irispost/internal/endpoint"
 	"irispost/internal/gateway"
-	"irispost/internal/listing"
-	"irispost/internal/node"
 	"irispost/internal/platform"
 	"irispost/internal/testkit"
+	"irispost/scheduler"
 )
 
 // trace writes down what a module is told and what it decides, in words that both sides share.
 type trace struct{ lines []string }
 
-func (t *trace) add(now decide.Time, format string, args ...any) {
+func (t *trace) add(now scheduler.Time, format string, args ...any) {
 	t.lines = append(t.lines, fmt.Sprintf("%d ", now)+fmt.Sprintf(format, args...))
 }
 
-func (t *trace) Start(now decide.Time, seed uint64, terms decide.Settings) {
+func (t *trace) Start(now scheduler.Time, seed uint64, terms scheduler.Settings) {
 	t.add(now, "start %d %v", seed, terms)
 }
 
-func (t *trace) EndpointList(now decide.Time, l listing.List) { t.EndpointUpdate(now, l, true) }
+func (t *trace) EndpointList(now scheduler.Time, l endpoint.List) { t.EndpointUpdate(now, l, true) }
 
-func (t *trace) EndpointUpdate(now decide.Time, l listing.List, whole bool) {
+func (t *trace) EndpointUpdate(now scheduler.Time, l endpoint.List, whole bool) {
 	s := fmt.Sprintf("list whole=%t stale=%t", whole, l.Stale)
 	for _, n := range l.Nodes {
 		s += fmt.Sprintf(" %s/%s/%d/%d/%d", n.Addr, n.Zone, n.Shard, n.StartedAt, n.Health)
@@ -43,36 +43,36 @@
 	t.add(now, "%s", s)
 }
 
-func (t *trace) EndpointListFailed(now decide.Time, silent bool) {
+func (t *trace) EndpointListFailed(now scheduler.Time, silent bool) {
 	t.add(now, "list failed %t", silent)
 }
 
-func (t *trace) SettingsChanged(now decide.Time, terms decide.Settings) {
+func (t *trace) SettingsChanged(now scheduler.Time, terms scheduler.Settings) {
 	t.add(now, "agreed %v", terms)
 }
 
-func (t *trace) Allocated(now decide.Time, addr string, born decide.Time, units float64, till decide.Time) {
+func (t *trace) Allocated(now scheduler.Time, addr string, born scheduler.Time, units float64, till scheduler.Time) {
 	t.add(now, "lent %s of %d %v till %d", addr, born, units, till)
 }
 
-func (t *trace) Submitted(now decide.Time, j *decide.Request, volume int64, plan, product string, hosts float64, keyed bool) {
+func (t *trace) Submitted(now scheduler.Time, j *scheduler.Request, volume int64, plan, product string, hosts float64, keyed bool) {
 	t.add(now, "take %s units=%v shard=%d key=%d write=%t stop=%d volume=%d %s %s %v %t", j.ID, j.Units, j.Shard, j.Key, j.Write, j.Deadline,
 		volume, plan, product, hosts, keyed)
 }
 
-func (t *trace) StreamStarted(now decide.Time, job string, number int) {
+func (t *trace) StreamStarted(now scheduler.Time, job string, number int) {
 	t.add(now, "begun %s %d", job, number)
 }
 
-func (t *trace) AttemptEnded(now decide.Time, job string, number int, o decide.Outcome, took decide.Time, final bool, others float64, _ int,
-	_ decide.Time) {
+func (t *trace) AttemptEnded(now scheduler.Time, job string, number int, o scheduler.Outcome, took scheduler.Time, final bool, others float64, _ int,
+	_ scheduler.Time) {
 	t.add(now, "ended %s %d outcome=%d took=%d final=%t others=%v", job, number, o, took, final, others)
 }
 
-func (t *trace) ClientCancelled(now decide.Time, job string) { t.add(now, "left %s", job) }
+func (t *trace) ClientCancelled(now scheduler.Time, job string) { t.add(now, "left %s", job) }
 
 // Decided leaves out decisions to do nothing: the gateway's loop looks more often than the bench asks.
-func (t *trace) Decided(now decide.Time, d *decide.Decision) {
+func (t *trace) Decided(now scheduler.Time, d *scheduler.Decision) {
 	for _, j := range d.Finished {
 		t.add(now, "end %s state=%d wait=%d", j.ID, j.State, j.RetryAfter)
 	}
@@ -90,13 +90,13 @@
 	}
 }
 
-func (t *trace) Snapshot(decide.Time, *decide.Scheduler) {}
-func (t *trace) NeedsSnapshot() bool                     { return false }
+func (t *trace) Snapshot(scheduler.Time, *scheduler.Scheduler) {}
+func (t *trace) NeedsSnapshot() bool                           { return false }
 
 // clock stands still until it is set.
 type clock struct{ now atomic.Int64 }
 
-func (c *clock) Now() decide.Time { return c.now.Load() }
+func (c *clock) Now() scheduler.Time { return c.now.Load() }
 
 // nodes hold what is sent until the story ends it.
 type nodes struct {
@@ -108,7 +108,7 @@
 	nodes  *nodes
 	call   node.Call
 	addr   string
-	at     decide.Time
+	at     scheduler.Time
 	done   func(node.Reply)
 	called bool
 	over   bool
@@ -180,7 +180,9 @@
 	next atomic.Pointer[gateway.ActiveConfig]
 }
 
-func (c *changes) At(decide.Time) (*gateway.ActiveConfig, decide.Time) { return c.next.Swap(nil), 0 }
+func (c *changes) At(scheduler.Time) (*gateway.ActiveConfig, scheduler.Time) {
+	return c.next.Swap(nil), 0
+}
 
 // change has both act on other terms, and on a list with them.
 func (s *story) change() {
@@ -210,8 +212,8 @@
 // lend lends something for a node, of the start that was told or of another.
 func (s *story) lend() {
 	addr := fmt.Sprintf("10.0.0.%d:5", rapid.IntRange(0, 4).Draw(s.t, "node"))
-	born := rapid.SampledFrom([]decide.Time{s.born[addr], s.clock.Now()}).Draw(s.t, "start")
-	units, till := float64(rapid.IntRange(0, 20).Draw(s.t, "units")), s.clock.Now()+1e6*decide.Time(rapid.IntRange(0, 400).Draw(s.t, "till"))
+	born := rapid.SampledFrom([]scheduler.Time{s.born[addr], s.clock.Now()}).Draw(s.t, "start")
+	units, till := float64(rapid.IntRange(0, 20).Draw(s.t, "units")), s.clock.Now()+1e6*scheduler.Time(rapid.IntRange(0, 400).Draw(s.t, "till"))
 	s.loop.Allocate(addr, born, units, till)
 	s.say("LENT|3|%s|%s|%v|%s", addr, at(born), units, at(till))
 }
@@ -223,9 +225,9 @@
 	nodes *nodes
 	loop  *gateway.Loop
 	wire  bytes.Buffer
-	jobs  map[string]*asked      // by the name that the loop gives them
-	born  map[string]decide.Time // as was told last
-	acts  string                 // the terms that both act on, as the wire has them
+	jobs  map[string]*asked         // by the name that the loop gives them
+	born  map[string]scheduler.Time // as was told last
+	acts  string                    // the terms that both act on, as the wire has them
 	changes
 	count int
 }
@@ -233,12 +235,12 @@
 type asked struct {
 	session *gateway.Session
 	result  <-chan gateway.Result
-	stop    decide.Time
+	stop    scheduler.Time
 	over    bool
 }
 
 // at writes a time as the wire has it.
-func at(t decide.Time) string { return fmt.Sprintf("%d.%06d", t/1e6, t%1e6) }
+func at(t scheduler.Time) string { return fmt.Sprintf("%d.%06d", t/1e6, t%1e6) }
 
 // looks is how often both modules are asked at one moment. The loop looks more often than the bench would ask, and what a look finds
 // can hang on what the one before it did; after so many, nothing more follows.
@@ -281,7 +283,7 @@
 	session := gateway.NewSession(fmt.Sprintf("n1/%d", s.count))
 	w := &gateway.RequestSpec{Volume: &gateway.Volume{ID: int64(rapid.IntRange(1, 4).Draw(s.t, "volume")), ServiceLevel: rapid.SampledFrom([]string{"basic", "gold"}).Draw(s.t, "plan"),
 		Gateways: 2}, Class: rapid.SampledFrom([]string{"read", "write"}).Draw(s.t, "product"), Units: float64(rapid.IntRange(1, 8).Draw(s.t, "units")),
-		Key: int64(rapid.IntRange(1, 9).Draw(s.t, "key")), HasKey: true, Deadline: s.clock.Now() + 1e6*decide.Time(rapid.IntRange(1, 900).Draw(s.t, "left")),
+		Key: int64(rapid.IntRange(1, 9).Draw(s.t, "key")), HasKey: true, Deadline: s.clock.Now() + 1e6*scheduler.Time(rapid.IntRange(1, 900).Draw(s.t, "left")),
 		Call: node.Call{Op: node.GetObject, Shard: rapid.IntRange(-1, 3).Draw(s.t, "shard")}}
 	write := 0
 	if w.Class == "write" {
@@ -352,10 +354,10 @@
 }
 
 // draw makes a list, and its entries on the wire.
-func (s *story) draw(whole bool) (l listing.List, text string) {
+func (s *story) draw(whole bool) (l endpoint.List, text string) {
 	l.Partial = !whole
 	for i := range rapid.IntRange(0, 4).Draw(s.t, "nodes") {
-		n := listing.Node{Addr: fmt.Sprintf("10.0.0.%d:5", i), Zone: "z", Shard: i, Health: listing.Health(rapid.IntRange(0, 2).Draw(s.t, "standing"))}
+		n := endpoint.Node{Addr: fmt.Sprintf("10.0.0.%d:5", i), Zone: "z", Shard: i, Health: endpoint.Health(rapid.IntRange(0, 2).Draw(s.t, "standing"))}
 		if rapid.Bool().Draw(s.t, "new") {
 			n.StartedAt = s.clock.Now()
 			s.born[n.Addr] = n.StartedAt
@@ -370,7 +372,7 @@
 // sees by itself.
 func (s *story) pass() {
 	s.settle()
-	now := s.clock.Now() + 1e3*decide.Time(rapid.IntRange(1, 200_000).Draw(s.t, "microseconds"))
+	now := s.clock.Now() + 1e3*scheduler.Time(rapid.IntRange(1, 200_000).Draw(s.t, "microseconds"))
 	for _, e := range s.nodes.waiting() {
 		now = min(now, s.jobs[e.call.RequestID].stop)
 	}
@@ -399,11 +401,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s := &story{t: t, clock: &clock{}, nodes: &nodes{}, jobs: map[string]*asked{}, acts: pairs, born: map[string]decide.Time{}}
+		s := &story{t: t, clock: &clock{}, nodes: &nodes{}, jobs: map[string]*asked{}, acts: pairs, born: map[string]scheduler.Time{}}
 		s.clock.now.Store(1_790_000_000_000_000_000)
-		known := listing.List{Stale: true}
+		known := endpoint.List{Stale: true}
 		for i := range 3 {
-			known.Nodes = append(known.Nodes, listing.Node{Addr: fmt.Sprintf("10.0.0.%d:5", i), Zone: "z", Shard: i})
+			known.Nodes = append(known.Nodes, endpoint.Node{Addr: fmt.Sprintf("10.0.0.%d:5", i), Zone: "z", Shard: i})
 		}
 		fmt.Fprintf(&s.wire, "MARK|%s\nINIT|3|%d|%s\nBACKENDS_CHANGED|3|restored|1|3\n", at(s.clock.Now()), conf.Seed, pairs)
 		for i := range 3 {
--- a/internal/node/golden_test.go
+++ b/internal/backend/node/golden_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"irispost/internal/node"
+	"irispost/internal/backend/node"
 	"irispost/internal/sftp"
 )
 
--- a/internal/node/node_test.go
+++ b/internal/backend/node/node_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"irispost/internal/node"
+	"irispost/internal/backend/node"
 	"irispost/internal/sftp"
 	"irispost/internal/standin"
 )
--- a/internal/node/orca_test.go
+++ b/internal/backend/node/orca_test.go
@@ -10,7 +10,7 @@
 	orcav3 "github.com/cncf/xds/go/xds/data/orca/v3"
 	"google.golang.org/protobuf/proto"
 
-	"irispost/internal/node"
+	"irispost/internal/backend/node"
 	"irispost/internal/sftp"
 	"irispost/internal/standin"
 )
--- a/internal/webnode/client.go
+++ b/internal/backend/webnode/client.go
@@ -12,8 +12,8 @@
 	"sync/atomic"
 	"time"
 
+	"irispost/internal/backend/node"
 	"irispost/internal/http1"
-	"irispost/internal/node"
 )
 
 // Options are what a client is started with.
--- a/internal/webnode/client_test.go
+++ b/internal/backend/webnode/client_test.go
@@ -8,10 +8,10 @@
 
 	"pgregory.net/rapid"
 
+	"irispost/internal/backend/node"
+	"irispost/internal/backend/webnode"
 	"irispost/internal/http1"
-	"irispost/internal/node"
 	"irispost/internal/testkit"
-	"irispost/internal/webnode"
 	"irispost/internal/webstandin"
 )
 
--- a/internal/webnode/exchange.go
+++ b/internal/backend/webnode/exchange.go
@@ -8,8 +8,8 @@
 	"strconv"
 	"time"
 
+	"irispost/internal/backend/node"
 	"irispost/internal/http1"
-	"irispost/internal/node"
 )
 
 // write sends an execution, unless its time to begin has gone by while the connection came up or was waited for.
--- a/internal/webnode/golden_test.go
+++ b/internal/backend/webnode/golden_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"irispost/internal/node"
+	"irispost/internal/backend/node"
 )
 
 // golden compares a text with a file of testdata, which UPDATE_GOLDEN=1 writes. Its lines end with LF; a CR shows as \r.
--- a/internal/webnode/idle.go
+++ b/internal/backend/webnode/idle.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"irispost/internal/node"
+	"irispost/internal/backend/node"
 )
 
 // rested is the idle connection to a node that was used last, of those that have rested; nil: none; the lock is held.
--- a/internal/webnode/link.go
+++ b/internal/backend/webnode/link.go
@@ -7,7 +7,7 @@
 	"syscall"
 	"time"
 
-	"irispost/internal/node"
+	"irispost/internal/backend/node"
 )
 
 // linkState is where a connection to a node stands. Only link.move changes it.
--- a/internal/webnode/order_test.go
+++ b/internal/backend/webnode/order_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"irispost/internal/node"
-	"irispost/internal/webnode"
+	"irispost/internal/backend/node"
+	"irispost/internal/backend/webnode"
 )
 
 // peer is a node whose connections the test plays by hand.
--- a/internal/webnode/reuse_test.go
+++ b/internal/backend/webnode/reuse_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"irispost/internal/node"
+	"irispost/internal/backend/node"
 )
 
 // TestBytesNobodyAskedFor: a kept connection on which something has come, and that its reader has not got to, is not written to.
--- a/internal/webnode/sent.go
+++ b/internal/backend/webnode/sent.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"irispost/internal/node"
+	"irispost/internal/backend/node"
 )
 
 // Attempt is an execution that is out, or waits for a socket.
--- a/internal/bench/bench.go
+++ b/internal/bench/bench.go
@@ -12,7 +12,7 @@
 	"text/tabwriter"
 	"time"
 
-	"irispost/internal/listing"
+	"irispost/internal/endpoint"
 	"irispost/internal/sftp"
 	"irispost/internal/standin"
 )
@@ -33,7 +33,7 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	list := listing.FormatList(listing.List{Nodes: []listing.Node{{Addr: n.Addr()}}})
+	list := endpoint.FormatList(endpoint.List{Nodes: []endpoint.Node{{Addr: n.Addr()}}})
 	if err := os.WriteFile(filepath.Join(dir, "nodes.hcl"), list, 0o644); err != nil {
 		return err
 	}
--- a/internal/bench/process.go
+++ b/internal/bench/process.go
@@ -13,9 +13,9 @@
 	"time"
 
 	"irispost/internal/config"
-	"irispost/internal/fleet/accord"
-	"irispost/internal/fleet/keep"
-	"irispost/internal/fleet/rules"
+	"irispost/internal/fleet/configversion"
+	"irispost/internal/fleet/lease"
+	"irispost/internal/fleet/replica"
 )
 
 const conf = `
@@ -131,11 +131,11 @@
 		k.stop()
 		return nil, err
 	}
-	r := &rules.Config{RequiredFormat: rules.Format, Shards: 1, MeanRequestUnits: 1}
+	r := &configversion.Config{RequiredFormat: configversion.Format, Shards: 1, MeanRequestUnits: 1}
 	r.SetFromSettings(c.Settings)
-	r.Nodes[node] = rules.Node{}
-	client := &keep.Client{Replicas: k.addrs, Timeout: 20 * time.Second}
-	if _, err := client.Propose(&accord.Proposal{ID: "bench", Reason: "what is measured", Content: r.Canonical()}); err != nil {
+	r.Nodes[node] = configversion.Node{}
+	client := &replica.Client{Replicas: k.addrs, Timeout: 20 * time.Second}
+	if _, err := client.Propose(&lease.Proposal{ID: "bench", Reason: "what is measured", Content: r.Canonical()}); err != nil {
 		k.stop()
 		return nil, err
 	}
--- a/internal/capacity/measure_list_test.go
+++ b/internal/capacity/measure_list_test.go
@@ -19,15 +19,15 @@
 	"testing"
 	"time"
 
-	"irispost/decide"
+	"irispost/internal/backend/node"
+	"irispost/internal/backend/webnode"
 	"irispost/internal/capacity"
-	"irispost/internal/discovery"
-	"irispost/internal/fleet/rules"
+	"irispost/internal/endpoint"
+	"irispost/internal/endpoint/discovery"
+	"irispost/internal/fleet/configversion"
 	"irispost/internal/gateway"
 	"irispost/internal/http1"
-	"irispost/internal/listing"
-	"irispost/internal/node"
-	"irispost/internal/webnode"
+	"irispost/scheduler"
 )
 
 // desk is a list service: it holds a call until the list is another than the call knows.
@@ -126,13 +126,13 @@
 		s.add(capacity.Measured, "list_whole_take_ms_by_nodes", "ms", "nodes", size, each(50, func(int) { read(whole) })/1e3)
 		part, _ := json.Marshal(discovery.Response{Revision: 2, Targets: d.form.Targets[:1]})
 		s.add(capacity.Measured, "list_take_us_by_nodes", "us", "nodes", size, each(300, func(int) { read(part) }))
-		heard := make(chan listing.List)
+		heard := make(chan endpoint.List)
 		c, _, err := discovery.New(discovery.Options{Gateway: "g", Address: d.Addr().String(), LongPoll: 2 * time.Millisecond, Timeout: time.Minute, Log: quiet()})
 		if err != nil {
 			t.Fatal(err)
 		}
 		ctx, cancel := context.WithCancel(context.Background())
-		go c.Run(ctx, func(l listing.List) {
+		go c.Run(ctx, func(l endpoint.List) {
 			select {
 			case heard <- l:
 			case <-ctx.Done():
@@ -203,11 +203,11 @@
 				t.Fatal(err)
 			}
 			loop := gateway.Start(gateway.Options{Name: "g", Seed: uint64(i), QueueSize: 64, Clock: gateway.NewClock(), Nodes: nowhere{}, Watch: c.Watch, Log: quiet(),
-				Settings: decide.Settings{"discovery": "ask", "units.mean": "1", "products.count": "1", "products.0.name": "r", "products.0.goal": "300"}})
+				Settings: scheduler.Settings{"discovery": "ask", "units.mean": "1", "products.count": "1", "products.0.name": "r", "products.0.goal": "300"}})
 			loops = append(loops, loop)
 			last := ""
 			running.Go(func() {
-				c.Run(ctx, func(l listing.List) {
+				c.Run(ctx, func(l endpoint.List) {
 					loop.UpdateEndpoints(l)
 					if want := *back.Load(); l.Version == want && last != want {
 						if last = want; there.Add(1) == int64(gateways) {
@@ -259,11 +259,11 @@
 		s.add(capacity.Measured, "version_bytes_by_nodes", "bytes", "nodes", size, float64(len(text)))
 		s.add(capacity.Measured, "version_make_ms_by_nodes", "ms", "nodes", size, each(30, func(int) { a.Digest() })/1e3)
 		s.add(capacity.Measured, "version_read_ms_by_nodes", "ms", "nodes", size, each(30, func(int) {
-			if _, err := rules.Parse(text); err != nil {
+			if _, err := configversion.Parse(text); err != nil {
 				t.Fatal(err)
 			}
 		})/1e3)
-		s.add(capacity.Measured, "version_compare_ms_by_nodes", "ms", "nodes", size, each(30, func(int) { rules.Conflicts(a, b) })/1e3)
+		s.add(capacity.Measured, "version_compare_ms_by_nodes", "ms", "nodes", size, each(30, func(int) { configversion.Conflicts(a, b) })/1e3)
 	}
 	s.keep()
 }
@@ -273,10 +273,10 @@
 	s := begin(t)
 	for _, nodes := range []int{200, 900, 1800} {
 		text := content(nodes, 10).Canonical()
-		list := make([]*rules.Config, 50)
+		list := make([]*configversion.Config, 50)
 		before := heap()
 		for i := range list {
-			list[i], _ = rules.Parse(text)
+			list[i], _ = configversion.Parse(text)
 		}
 		s.add(capacity.Measured, "version_kb_by_nodes", "KB", "nodes", float64(nodes), (heap()-before)/float64(len(list)))
 		for _, r := range list { // held until here
@@ -289,11 +289,11 @@
 }
 
 // content is a version's, with names, zones and ages.
-func content(nodes int, limit float64) *rules.Config {
-	r := &rules.Config{RequiredFormat: rules.Format, Shards: nodes, MeanRequestUnits: 1, ServiceLevels: map[string]rules.ServiceLevel{"gold": {Weight: 1, RateLimit: limit}}, RequestClasses: map[string]rules.RequestClass{},
-		Dispatch: rules.DispatchPolicy{MaxAttempts: 1}, Nodes: map[string]rules.Node{}}
+func content(nodes int, limit float64) *configversion.Config {
+	r := &configversion.Config{RequiredFormat: configversion.Format, Shards: nodes, MeanRequestUnits: 1, ServiceLevels: map[string]configversion.ServiceLevel{"gold": {Weight: 1, RateLimit: limit}}, RequestClasses: map[string]configversion.RequestClass{},
+		Dispatch: configversion.DispatchPolicy{MaxAttempts: 1}, Nodes: map[string]configversion.Node{}}
 	for i := range nodes {
-		r.Nodes[fmt.Sprintf("10.0.%d.%d:7000", i/250, i%250)] = rules.Node{Name: fmt.Sprintf("store-%04d.zone%d.example.net", i, i%7), Zone: fmt.Sprint("zone", i%7), Shard: i,
+		r.Nodes[fmt.Sprintf("10.0.%d.%d:7000", i/250, i%250)] = configversion.Node{Name: fmt.Sprintf("store-%04d.zone%d.example.net", i, i%7), Zone: fmt.Sprint("zone", i%7), Shard: i,
 			StartedAt: 1_700_000_000_000_000_000 + int64(i)*1_000_003, Weight: 1}
 	}
 	return r
@@ -359,7 +359,7 @@
 // TestMeasureCold takes what TestFleetAndOneColdNode says of each fleet, with 780 gateways too: the worst of its cases, and the fewest calls.
 func TestMeasureCold(t *testing.T) {
 	s := begin(t)
-	cmd := exec.Command("go", "test", "-count=1", "-v", "-run", "TestFleetAndOneColdNode$", "irispost/decide")
+	cmd := exec.Command("go", "test", "-count=1", "-v", "-run", "TestFleetAndOneColdNode$", "irispost/scheduler")
 	cmd.Env = append(os.Environ(), "IRISPOST_MEASURE=1")
 	out, err := cmd.CombinedOutput()
 	if err != nil {
--- a/internal/capacity/measure_module_test.go
+++ b/internal/capacity/measure_module_test.go
@@ -9,24 +9,24 @@
 	"testing"
 	"time"
 
-	"irispost/decide"
 	"irispost/internal/capacity"
+	"irispost/scheduler"
 )
 
 // module is a decision module with a list, driven in virtual time as the loop drives it: a decision after what was taken, and one after what ended.
 type module struct {
-	g     *decide.Scheduler
-	now   decide.Time
+	g     *scheduler.Scheduler
+	now   scheduler.Time
 	nodes int
 	count int
 	rand  *rand.Rand
 }
 
-const pace = 788 * decide.Microsecond // 1,269 requests a second
+const pace = 788 * scheduler.Microsecond // 1,269 requests a second
 
 func newModule(nodes int) *module {
-	m := &module{now: decide.Second, nodes: nodes, rand: rand.New(rand.NewPCG(1, 2))}
-	m.g = decide.New(m.now, 1, decide.Settings{"units.mean": "1", "plans.count": "1", "plans.0.name": "p", "plans.0.rate": "100000", "products.count": "1",
+	m := &module{now: scheduler.Second, nodes: nodes, rand: rand.New(rand.NewPCG(1, 2))}
+	m.g = scheduler.New(m.now, 1, scheduler.Settings{"units.mean": "1", "plans.count": "1", "plans.0.name": "p", "plans.0.rate": "100000", "products.count": "1",
 		"products.0.name": "r", "products.0.goal": "300", "products.0.patience": "2500", "executions.most": "3", "tells.others": "true"})
 	m.list(-1)
 	return m
@@ -36,11 +36,11 @@
 func (m *module) list(anew int) {
 	m.g.BeginEndpointList(m.now, true, false)
 	for i := range m.nodes {
-		born := decide.Time(1)
+		born := scheduler.Time(1)
 		if i == anew {
 			born = m.now
 		}
-		m.g.UpdateEndpoint("10.0.0."+strconv.Itoa(i)+":7000", "zone-"+strconv.Itoa(i%7), i, born, decide.EndpointReady)
+		m.g.UpdateEndpoint("10.0.0."+strconv.Itoa(i)+":7000", "zone-"+strconv.Itoa(i%7), i, born, scheduler.EndpointReady)
 	}
 	m.g.FinishEndpointList()
 	m.g.Decide(m.now)
@@ -53,7 +53,7 @@
 			m.now += pace
 			volume, shard := pick()
 			m.count++
-			j := &decide.Request{ID: strconv.Itoa(m.count), Units: 1, Shard: shard, Deadline: m.now + 2500*decide.Millisecond}
+			j := &scheduler.Request{ID: strconv.Itoa(m.count), Units: 1, Shard: shard, Deadline: m.now + 2500*scheduler.Millisecond}
 			m.g.Submit(m.now, j, int64(volume), "p", "r", 1, false)
 		}
 		d := m.g.Decide(m.now)
@@ -62,7 +62,7 @@
 		}
 		start := slices.Clone(d.Dispatch)
 		for _, e := range start {
-			m.g.AttemptFinished(m.now+pace/2, e.Request.ID, e.Number, decide.OutcomeServed, pace/2, true, 0)
+			m.g.AttemptFinished(m.now+pace/2, e.Request.ID, e.Number, scheduler.OutcomeServed, pace/2, true, 0)
 		}
 		m.g.Decide(m.now + pace/2)
 		done += gathered
@@ -96,7 +96,7 @@
 		s.add(capacity.Measured, "module_gathered_us_by_nodes", "us", "nodes", size, m.eachUS(t, 16, pick))
 		at := time.Now()
 		for i := range 200 {
-			m.now += decide.Second
+			m.now += scheduler.Second
 			m.list(i % nodes)
 		}
 		s.add(capacity.Measured, "module_list_us_by_nodes", "us", "nodes", size, float64(time.Since(at).Microseconds())/200)
@@ -133,7 +133,7 @@
 		decision := func(int) { m.now += 1000; m.g.Decide(m.now) }
 		each(2, decision)
 		s.add(capacity.Measured, "module_decision_us_by_nodes", "us", "nodes", float64(nodes), each(10_000, decision))
-		s.add(capacity.Measured, "module_round_us_by_nodes", "us", "nodes", float64(nodes), each(2000, func(int) { m.now += 40 * decide.Millisecond; m.g.Decide(m.now) }))
+		s.add(capacity.Measured, "module_round_us_by_nodes", "us", "nodes", float64(nodes), each(2000, func(int) { m.now += 40 * scheduler.Millisecond; m.g.Decide(m.now) }))
 	}
 	s.keep()
 }
--- a/internal/capacity/measure_web_test.go
+++ b/internal/capacity/measure_web_test.go
@@ -20,7 +20,7 @@
 	"time"
 
 	"irispost/internal/capacity"
-	"irispost/internal/discovery"
+	"irispost/internal/endpoint/discovery"
 )
 
 // plant is a gateway as the platform starts it, in a process of its own, before stand-in nodes and a stand-in list service.
--- a/internal/capture/file.go
+++ b/internal/capture/file.go
@@ -14,7 +14,7 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/klauspost/compress/zstd"
 
-	"irispost/decide"
+	"irispost/scheduler"
 )
 
 // A capture is its magic with the version, then blocks. A block is its head (lengths raw and packed, the time of its
@@ -47,7 +47,7 @@
 	lock    sync.Mutex                     // buf and count: the loop's, and the flush's
 	buf     []byte
 	count   int
-	first   decide.Time
+	first   scheduler.Time
 	scratch Record      // what is being written down, the loop's, used again; only the fields of its kind count
 	spare   chan []byte // buffers of blocks that are written
 	lost    int         // records dropped since the last block that was handed on
@@ -64,7 +64,7 @@
 
 type block struct {
 	raw   []byte
-	first decide.Time
+	first scheduler.Time
 	count int
 }
 
@@ -76,7 +76,7 @@
 func newRecorder(out io.WriteCloser, next func() (io.WriteCloser, error), name, build string, l Limits) *Recorder {
 	r := &Recorder{limits: l, next: next, blocks: make(chan block, max(l.QueuedBlocks, 1)), done: make(chan struct{}), stop: make(chan struct{}),
 		spare: make(chan []byte, 2)}
-	r.head = Record{Kind: Header, Name: name, Build: build, Digest: xxhash.Sum64(decide.PolicySource)}
+	r.head = Record{Kind: Header, Name: name, Build: build, Digest: xxhash.Sum64(scheduler.PolicySource)}
 	go r.writer(out)
 	go r.flusher()
 	r.add(&r.head)
@@ -265,7 +265,7 @@
 func (r *Recorder) Status() Status { return Status{r.written.Load(), r.dropped.Load()} }
 
 // Close ends the capture and waits until it is written.
-func (r *Recorder) Close(now decide.Time) error {
+func (r *Recorder) Close(now scheduler.Time) error {
 	r.once.Do(func() {
 		close(r.stop)
 		r.add(&Record{Kind: End, At: now, Name: "closed"})
--- a/internal/capture/format.go
+++ b/internal/capture/format.go
@@ -11,8 +11,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"irispost/decide"
-	"irispost/internal/listing"
+	"irispost/internal/endpoint"
+	"irispost/scheduler"
 )
 
 // Kind is what a record tells.
@@ -48,17 +48,17 @@
 // Record is one thing that was told or decided. Which fields count hangs on its kind.
 type Record struct {
 	Kind Kind
-	At   decide.Time
+	At   scheduler.Time
 
 	Name   string // Header: of the gateway; End: why
 	Build  string // Header
 	Digest uint64 // Header: of the module's text
 
 	Seed  uint64 // Start
-	Terms decide.Settings
+	Terms scheduler.Settings
 
 	Stale bool // Listed
-	Nodes []listing.Node
+	Nodes []endpoint.Node
 
 	Job     string // Take, Ended, Left
 	Volume  int64  // Take
@@ -70,15 +70,15 @@
 	Shard   int
 	Key     int64
 	Write   bool
-	StopBy  decide.Time
+	StopBy  scheduler.Time
 
 	Number   int // Ended
-	Outcome  decide.Outcome
-	Took     decide.Time
+	Outcome  scheduler.Outcome
+	Took     scheduler.Time
 	Final    bool
 	Others   float64
-	Inflight int         // the node's load report, for people: the module is not told
-	Latency  decide.Time // likewise
+	Inflight int            // the node's load report, for people: the module is not told
+	Latency  scheduler.Time // likewise
 
 	Decision Decision // Decided
 
@@ -86,9 +86,9 @@
 
 	State string // State: a snapshot of the module
 
-	Node string      // Lent; with Units
-	Born decide.Time // the start of it that is meant
-	Till decide.Time
+	Node string         // Lent; with Units
+	Born scheduler.Time // the start of it that is meant
+	Till scheduler.Time
 }
 
 // Decision is what the module decided, by names.
@@ -98,14 +98,14 @@
 	Sent     []Execution
 	Log      []string
 	Watch    bool
-	NextWake decide.Time
+	NextWake scheduler.Time
 }
 
 // Answer is a job that ended.
 type Answer struct {
 	Job   string
-	State decide.RequestState
-	Wait  decide.Time
+	State scheduler.RequestState
+	Wait  scheduler.Time
 }
 
 // Execution is one that is sent or called off. Node and Limit are of a sent one.
@@ -113,18 +113,18 @@
 	Job    string
 	Number int
 	Node   string
-	Limit  decide.Time
+	Limit  scheduler.Time
 }
 
 // DecisionOf names what the module decided.
-func DecisionOf(d *decide.Decision) (out Decision) {
+func DecisionOf(d *scheduler.Decision) (out Decision) {
 	out.name(d)
 	out.Log = slices.Clone(out.Log)
 	return out
 }
 
 // name fills in what the module decided. The log lines are the module's own until its next decision.
-func (out *Decision) name(d *decide.Decision) {
+func (out *Decision) name(d *scheduler.Decision) {
 	out.Ended, out.CallOff, out.Sent = out.Ended[:0], out.CallOff[:0], out.Sent[:0]
 	for _, j := range d.Finished {
 		out.Ended = append(out.Ended, Answer{j.ID, j.State, j.RetryAfter})
@@ -243,7 +243,7 @@
 		c.terms(&r.Terms)
 	case Listed, ListedPart:
 		c.flag(&r.Stale)
-		list(c, &r.Nodes, func(n *listing.Node) {
+		list(c, &r.Nodes, func(n *endpoint.Node) {
 			c.text(&n.Addr)
 			c.text(&n.Zone)
 			c.count(&n.Shard)
@@ -251,7 +251,7 @@
 			c.signed(&n.StartedAt)
 			s := int(n.Health)
 			c.count(&s)
-			n.Health = listing.Health(s)
+			n.Health = endpoint.Health(s)
 		})
 	case Take:
 		c.text(&r.Job)
@@ -270,7 +270,7 @@
 		c.count(&r.Number)
 		o := int(r.Outcome)
 		c.count(&o)
-		r.Outcome = decide.Outcome(o)
+		r.Outcome = scheduler.Outcome(o)
 		c.signed(&r.Took)
 		c.flag(&r.Final)
 		c.float(&r.Others)
@@ -300,7 +300,7 @@
 		c.text(&a.Job)
 		s := int(a.State)
 		c.count(&s)
-		a.State = decide.RequestState(s)
+		a.State = scheduler.RequestState(s)
 		c.signed(&a.Wait)
 	})
 	for _, l := range []*[]Execution{&d.CallOff, &d.Sent} {
@@ -317,13 +317,13 @@
 }
 
 // terms are written in order of their names, so that equal captures are equal files.
-func (c *coder) terms(t *decide.Settings) {
+func (c *coder) terms(t *scheduler.Settings) {
 	var names []string
 	for name := range *t {
 		names = append(names, name)
 	}
 	slices.Sort(names)
-	values := decide.Settings{}
+	values := scheduler.Settings{}
 	list(c, &names, func(name *string) {
 		c.text(name)
 		v := (*t)[*name]
--- a/internal/capture/redact.go
+++ b/internal/capture/redact.go
@@ -10,7 +10,7 @@
 	"github.com/klauspost/compress/zstd"
 	"github.com/zeebo/blake3"
 
-	"irispost/decide"
+	"irispost/scheduler"
 )
 
 // Redactor replaces names by keyed hashes (BLAKE3): addresses and zones of nodes, plans, products, and the gateway. The
@@ -67,7 +67,7 @@
 		r.gateway = rec.Name
 		r.name(&rec.Name)
 	case Start, Agreed:
-		t := decide.Settings{}
+		t := scheduler.Settings{}
 		for key, v := range rec.Terms {
 			if strings.HasSuffix(key, ".name") {
 				r.name(&v)
--- a/internal/capture/told.go
+++ b/internal/capture/told.go
@@ -1,23 +1,23 @@
 package capture
 
 import (
-	"irispost/decide"
-	"irispost/internal/listing"
+	"irispost/internal/endpoint"
 	"irispost/internal/snapshot"
+	"irispost/scheduler"
 )
 
 // Start tells of the module's start.
-func (r *Recorder) Start(now decide.Time, seed uint64, t decide.Settings) {
+func (r *Recorder) Start(now scheduler.Time, seed uint64, t scheduler.Settings) {
 	r.add(&Record{Kind: Start, At: now, Seed: seed, Terms: t})
 }
 
 // EndpointList tells of a list.
-func (r *Recorder) EndpointList(now decide.Time, l listing.List) {
+func (r *Recorder) EndpointList(now scheduler.Time, l endpoint.List) {
 	r.add(&Record{Kind: Listed, At: now, Stale: l.Stale, Nodes: l.Nodes})
 }
 
 // EndpointUpdate tells of a list that may leave out what has not changed.
-func (r *Recorder) EndpointUpdate(now decide.Time, l listing.List, whole bool) {
+func (r *Recorder) EndpointUpdate(now scheduler.Time, l endpoint.List, whole bool) {
 	kind := ListedPart
 	if whole {
 		kind = Listed
@@ -26,7 +26,7 @@
 }
 
 // EndpointListFailed tells that a list could not be had, silent that nothing at all was heard.
-func (r *Recorder) EndpointListFailed(now decide.Time, silent bool) {
+func (r *Recorder) EndpointListFailed(now scheduler.Time, silent bool) {
 	kind := ListFailed
 	if silent {
 		kind = ListSilent
@@ -35,22 +35,22 @@
 }
 
 // SettingsChanged tells of other terms.
-func (r *Recorder) SettingsChanged(now decide.Time, t decide.Settings) {
+func (r *Recorder) SettingsChanged(now scheduler.Time, t scheduler.Settings) {
 	r.add(&Record{Kind: Agreed, At: now, Terms: t})
 }
 
 // Allocated tells of a loan for a cold node.
-func (r *Recorder) Allocated(now decide.Time, addr string, born decide.Time, units float64, till decide.Time) {
+func (r *Recorder) Allocated(now scheduler.Time, addr string, born scheduler.Time, units float64, till scheduler.Time) {
 	r.add(&Record{Kind: Lent, At: now, Node: addr, Born: born, Units: units, Till: till})
 }
 
 // StreamStarted tells that an execution's answer has begun to flow.
-func (r *Recorder) StreamStarted(now decide.Time, job string, number int) {
+func (r *Recorder) StreamStarted(now scheduler.Time, job string, number int) {
 	r.add(&Record{Kind: Begun, At: now, Job: job, Number: number})
 }
 
 // Submitted tells of a job.
-func (r *Recorder) Submitted(now decide.Time, j *decide.Request, volume int64, plan, product string, hosts float64, keyed bool) {
+func (r *Recorder) Submitted(now scheduler.Time, j *scheduler.Request, volume int64, plan, product string, hosts float64, keyed bool) {
 	rec := &r.scratch
 	rec.Kind, rec.At, rec.Job, rec.Volume, rec.Plan, rec.Product, rec.Hosts, rec.Keyed = Take, now, j.ID, volume, plan, product, hosts, keyed
 	rec.Units, rec.Shard, rec.Key, rec.Write, rec.StopBy = j.Units, j.Shard, j.Key, j.Write, j.Deadline
@@ -58,8 +58,8 @@
 }
 
 // AttemptEnded tells of an execution's outcome, with the node's load report.
-func (r *Recorder) AttemptEnded(now decide.Time, job string, number int, o decide.Outcome, took decide.Time, final bool, others float64,
-	inflight int, latency decide.Time) {
+func (r *Recorder) AttemptEnded(now scheduler.Time, job string, number int, o scheduler.Outcome, took scheduler.Time, final bool, others float64,
+	inflight int, latency scheduler.Time) {
 	rec := &r.scratch
 	rec.Kind, rec.At, rec.Job, rec.Number, rec.Outcome, rec.Took, rec.Final = Ended, now, job, number, o, took, final
 	rec.Others, rec.Inflight, rec.Latency = others, inflight, latency
@@ -70,9 +70,9 @@
 func (r *Recorder) NeedsSnapshot() bool { return r.blind.Load() }
 
 // Snapshot tells of the module's full state.
-func (r *Recorder) Snapshot(now decide.Time, g *decide.Scheduler) {
+func (r *Recorder) Snapshot(now scheduler.Time, g *scheduler.Scheduler) {
 	r.blind.Store(false)
-	b, err := snapshot.Take(g, decide.StoredNames)
+	b, err := snapshot.Take(g, scheduler.StoredNames)
 	if err != nil {
 		r.add(&Record{Kind: Gap, At: now}) // a replay cannot begin here
 		return
@@ -81,12 +81,12 @@
 }
 
 // ClientCancelled tells that a client has gone.
-func (r *Recorder) ClientCancelled(now decide.Time, job string) {
+func (r *Recorder) ClientCancelled(now scheduler.Time, job string) {
 	r.add(&Record{Kind: Left, At: now, Job: job})
 }
 
 // Decided tells what the module decided.
-func (r *Recorder) Decided(now decide.Time, d *decide.Decision) {
+func (r *Recorder) Decided(now scheduler.Time, d *scheduler.Decision) {
 	rec := &r.scratch
 	rec.Kind, rec.At = Decided, now
 	rec.Decision.name(d)
--- a/internal/config/blocks.go
+++ b/internal/config/blocks.go
@@ -6,13 +6,13 @@
 	"strings"
 	"time"
 
-	"irispost/decide"
 	"irispost/internal/front"
 	"irispost/internal/gateway"
+	"irispost/scheduler"
 )
 
 // rules reads the figures of the rules.
-func (r *reader) rules(f *fileForm, t decide.Settings) {
+func (r *reader) rules(f *fileForm, t scheduler.Settings) {
 	if c := f.Cold; c != nil {
 		t["cold.from"] = plain(r.number(c.From, 0.001, 1, 1))
 		t["cold.time"] = milliseconds(r.span(c.Time, 0, time.Hour, 0))
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -13,14 +13,14 @@
 	"github.com/hashicorp/hcl/v2/gohcl"
 	"github.com/hashicorp/hcl/v2/hclparse"
 
-	"irispost/decide"
 	"irispost/internal/capture"
+	"irispost/internal/endpoint/membership"
+	"irispost/internal/endpoint/xds"
 	"irispost/internal/front"
 	"irispost/internal/iscsi/negotiate"
 	"irispost/internal/iscsi/target"
-	"irispost/internal/members"
 	"irispost/internal/sftp"
-	"irispost/internal/xds"
+	"irispost/scheduler"
 )
 
 // RequestClass is a kind of job, as its clients know it.
@@ -78,7 +78,7 @@
 	Name               string
 	Listen             string
 	Sources            []Source // of the list of nodes, by precedence
-	Membership         members.Settings
+	Membership         membership.Settings
 	Follow             *FleetClient  // nil: it follows nobody
 	EndpointCacheDir   string        // for the last lists; empty: they are not kept
 	FirstListTimeout   time.Duration // the longest wait for all sources' first words before clients are served
@@ -101,7 +101,7 @@
 	RequestClasses     map[string]*RequestClass
 	Volumes            map[string]*front.Volume
 	VolumeLimits       map[int64]Limit // by volume, where its plan has a limit
-	Settings           decide.Settings
+	Settings           scheduler.Settings
 }
 
 // Load reads a file.
@@ -188,7 +188,7 @@
 	}
 	g.CaptureLimits, g.AdminSocket = l, b.Admin
 	g.Units = front.Units{Bytes: float64(r.size(f.Units.Bytes, 1, 1<<30, 16<<10)), Least: r.number(f.Units.Least, 1e-3, 1e6, 0.25)}
-	t := decide.Settings{"number": "0", "discovery": "told", "tells.others": "true"}
+	t := scheduler.Settings{"number": "0", "discovery": "told", "tells.others": "true"}
 	t["gateways"] = strconv.Itoa(r.count(b.Gateways, 1, 1<<20, 1))
 	t["units.mean"] = plain(r.number(f.Units.Mean, 1e-3, 1e6, 1))
 	t["units.largest"] = plain(r.number(f.Units.Largest, 1e-3, 1e6, max(g.Units.Of(int(g.ExtentBytes)), 1)))
--- a/internal/config/rules.go
+++ b/internal/config/rules.go
@@ -9,9 +9,9 @@
 	"github.com/hashicorp/hcl/v2/gohcl"
 	"github.com/hashicorp/hcl/v2/hclparse"
 
-	"irispost/decide"
-	"irispost/internal/fleet/rules"
-	"irispost/internal/listing"
+	"irispost/internal/endpoint"
+	"irispost/internal/fleet/configversion"
+	"irispost/scheduler"
 )
 
 // rulesForm is what gateways agree on, as it stands in a file: the blocks of a gateway's configuration that are the same at all,
@@ -37,7 +37,7 @@
 }
 
 // ParseRules reads a file of rules. What it refuses it names with file, line and column.
-func ParseRules(file string, src []byte) (*rules.Config, error) {
+func ParseRules(file string, src []byte) (*configversion.Config, error) {
 	f, diags := hclparse.NewParser().ParseHCL(src, file)
 	if diags.HasErrors() {
 		return nil, problems(diags)
@@ -50,27 +50,27 @@
 		form.Units = &unitsForm{}
 	}
 	r := &reader{}
-	g := &Config{RequestClasses: map[string]*RequestClass{}, Settings: decide.Settings{}}
+	g := &Config{RequestClasses: map[string]*RequestClass{}, Settings: scheduler.Settings{}}
 	whole := &fileForm{Cold: form.Cold, Further: form.Further, Executions: form.Executions, Dismissals: form.Dismissals, Order: form.Order,
 		Plans: form.Plans, Products: form.Products}
 	whole.Gateway.Range = f.Body.MissingItemRange()
 	r.rules(whole, g.Settings)
 	r.plans(whole, g)
 	r.products(whole, g)
-	out := &rules.Config{RequiredFormat: rules.Format, Shards: r.count(form.Shards, 1, 1<<16, 1), MeanRequestUnits: r.number(form.Units.Mean, 1e-3, 1e6, 1)}
+	out := &configversion.Config{RequiredFormat: configversion.Format, Shards: r.count(form.Shards, 1, 1<<16, 1), MeanRequestUnits: r.number(form.Units.Mean, 1e-3, 1e6, 1)}
 	if b := form.Floor; b != nil {
-		out.FallbackPolicy = rules.FallbackPolicy{Duration: int64(r.span(b.For, 0, 30*24*time.Hour, 0)), LimitFraction: r.number(b.Limits, 0, 1, 1), AllowWrites: b.Writes}
+		out.FallbackPolicy = configversion.FallbackPolicy{Duration: int64(r.span(b.For, 0, 30*24*time.Hour, 0)), LimitFraction: r.number(b.Limits, 0, 1, 1), AllowWrites: b.Writes}
 	}
 	if r.diags.HasErrors() {
 		return nil, problems(r.diags)
 	}
-	list, err := listing.DecodeList(form.Nodes)
+	list, err := endpoint.DecodeList(form.Nodes)
 	if err != nil {
 		return nil, err
 	}
 	out.SetFromSettings(g.Settings)
 	for _, n := range list.Nodes {
-		out.Nodes[n.Addr] = rules.Node{Name: n.Name, Zone: n.Zone, Shard: n.Shard, StartedAt: n.StartedAt, Health: n.Health, Weight: n.Weight}
+		out.Nodes[n.Addr] = configversion.Node{Name: n.Name, Zone: n.Zone, Shard: n.Shard, StartedAt: n.StartedAt, Health: n.Health, Weight: n.Weight}
 	}
 	if err := out.Validate(); err != nil {
 		return nil, fmt.Errorf("%s: %w", file, err)
@@ -79,9 +79,9 @@
 }
 
 // Contradictions tells in what a gateway's own configuration parts from rules, in words.
-func (g *Config) Contradictions(r *rules.Config) []string {
-	own := &rules.Config{RequiredFormat: r.RequiredFormat, Shards: g.Shards, Nodes: r.Nodes, FallbackPolicy: r.FallbackPolicy}
+func (g *Config) Contradictions(r *configversion.Config) []string {
+	own := &configversion.Config{RequiredFormat: r.RequiredFormat, Shards: g.Shards, Nodes: r.Nodes, FallbackPolicy: r.FallbackPolicy}
 	own.MeanRequestUnits, _ = strconv.ParseFloat(g.Settings["units.mean"], 64)
 	own.SetFromSettings(g.Settings)
-	return rules.Conflicts(own, r)
+	return configversion.Conflicts(own, r)
 }
--- a/internal/config/sources.go
+++ b/internal/config/sources.go
@@ -9,11 +9,11 @@
 	"github.com/hashicorp/hcl/v2"
 	"github.com/zclconf/go-cty/cty"
 
+	"irispost/internal/endpoint/membership"
+	"irispost/internal/endpoint/xds"
 	"irispost/internal/iscsi/negotiate"
 	"irispost/internal/iscsi/target"
 	"irispost/internal/layout"
-	"irispost/internal/members"
-	"irispost/internal/xds"
 )
 
 // sources reads where the list comes from: the one file of the gateway block, or the source blocks in their order.
@@ -117,11 +117,11 @@
 	if b == nil {
 		b = &membersForm{}
 	}
-	d := members.DefaultSettings
-	span := func(e hcl.Expression, otherwise members.Time) members.Time {
+	d := membership.DefaultSettings
+	span := func(e hcl.Expression, otherwise membership.Time) membership.Time {
 		return int64(r.span(e, 0, 24*time.Hour, time.Duration(otherwise)))
 	}
-	g.Membership = members.Settings{MaxLossRatio: r.number(b.Shrink, 0, 1, d.MaxLossRatio), HoldDown: span(b.Hold, d.HoldDown), RemovalGrace: span(b.Grace, d.RemovalGrace),
+	g.Membership = membership.Settings{MaxLossRatio: r.number(b.Shrink, 0, 1, d.MaxLossRatio), HoldDown: span(b.Hold, d.HoldDown), RemovalGrace: span(b.Grace, d.RemovalGrace),
 		MaxFlaps: r.count(b.Flaps, 0, 1000, d.MaxFlaps), FlapWindow: span(b.FlapWindow, d.FlapWindow), DampingTime: span(b.Rest, d.DampingTime),
 		StaleAfter: span(b.Silent, d.StaleAfter), ForgetAfter: span(b.Forget, d.ForgetAfter)}
 	g.EndpointCacheDir = r.text(b.Folder, "")
--- a/internal/day/fleet.go
+++ b/internal/day/fleet.go
@@ -17,11 +17,11 @@
 	"golang.org/x/sys/unix"
 
 	"irispost/internal/audit"
-	"irispost/internal/fleet/accord"
-	"irispost/internal/fleet/keep"
+	"irispost/internal/endpoint"
+	"irispost/internal/fleet/configversion"
+	"irispost/internal/fleet/lease"
+	"irispost/internal/fleet/replica"
 	"irispost/internal/fleet/rig"
-	"irispost/internal/fleet/rules"
-	"irispost/internal/listing"
 	"irispost/internal/loopback"
 )
 
@@ -59,10 +59,10 @@
 	addrs   map[string]string
 	lock    sync.Mutex
 	keepers map[string]*exec.Cmd
-	base    *rules.Config
+	base    *configversion.Config
 	limits  map[string]float64
-	wanted  *rules.Config // to be proposed next; nil: nothing
-	listed  listing.List  // of it
+	wanted  *configversion.Config // to be proposed next; nil: nothing
+	listed  endpoint.List         // of it
 	news    chan struct{}
 	gone    map[string][]rig.Activation // records of gateways that have ended, by name and start
 	count   int
@@ -86,7 +86,7 @@
 	if t.opt.Program == "" {
 		return errors.New("a day with keepers needs gateways as processes of their own")
 	}
-	f.base = &rules.Config{RequiredFormat: rules.Format, Shards: t.conf.Shards, FallbackPolicy: rules.FallbackPolicy{Duration: int64(f.plan.Floor), LimitFraction: 1, AllowWrites: true}}
+	f.base = &configversion.Config{RequiredFormat: configversion.Format, Shards: t.conf.Shards, FallbackPolicy: configversion.FallbackPolicy{Duration: int64(f.plan.Floor), LimitFraction: 1, AllowWrites: true}}
 	if t.script.Shards > 0 {
 		f.base.Shards = t.script.Shards
 	}
@@ -279,12 +279,12 @@
 
 // stated is the time that docs/fleet.md states for this day's lease and drift.
 func (f *fleet) stated() int64 {
-	return keep.ConvergenceBound(accord.Settings{LeaseDuration: int64(f.plan.Lease), MaxClockDrift: f.plan.Drift})
+	return replica.ConvergenceBound(lease.Settings{LeaseDuration: int64(f.plan.Lease), MaxClockDrift: f.plan.Drift})
 }
 
 // announce notes that a list is announced.
-func (t *town) announce(l listing.List) {
-	words := map[listing.Health]string{listing.Ready: "ready", listing.Draining: "draining", listing.Removed: "gone"}
+func (t *town) announce(l endpoint.List) {
+	words := map[endpoint.Health]string{endpoint.Ready: "ready", endpoint.Draining: "draining", endpoint.Removed: "gone"}
 	for _, n := range l.Nodes {
 		t.record.Add(audit.Event{What: audit.Listed, Node: n.Addr, Word: words[n.Health]})
 	}
--- a/internal/day/operator.go
+++ b/internal/day/operator.go
@@ -6,15 +6,15 @@
 	"fmt"
 	"time"
 
-	"irispost/internal/fleet/accord"
-	"irispost/internal/fleet/keep"
-	"irispost/internal/fleet/rules"
-	"irispost/internal/listing"
+	"irispost/internal/endpoint"
+	"irispost/internal/fleet/configversion"
+	"irispost/internal/fleet/lease"
+	"irispost/internal/fleet/replica"
 )
 
 // client speaks to the keepers as an operator: no link is between, as the operators' machine is not part of the day's faults.
-func (f *fleet) client(within time.Duration) *keep.Client {
-	c := &keep.Client{Timeout: within}
+func (f *fleet) client(within time.Duration) *replica.Client {
+	c := &replica.Client{Timeout: within}
 	for name, addr := range f.addrs {
 		if name[0] == 'k' {
 			c.Replicas = append(c.Replicas, addr)
@@ -24,10 +24,10 @@
 }
 
 // want has the list as it is now, with the limits in force, be proposed. One that was not proposed yet is out of date.
-func (f *fleet) want(l listing.List) {
-	r := rules.Intersect(f.base, f.base)
+func (f *fleet) want(l endpoint.List) {
+	r := configversion.Intersect(f.base, f.base)
 	for _, n := range l.Nodes {
-		r.Nodes[n.Addr] = rules.Node{Name: n.Name, Zone: n.Zone, Shard: n.Shard, StartedAt: n.StartedAt, Health: n.Health, Weight: n.Weight}
+		r.Nodes[n.Addr] = configversion.Node{Name: n.Name, Zone: n.Zone, Shard: n.Shard, StartedAt: n.StartedAt, Health: n.Health, Weight: n.Weight}
 	}
 	f.lock.Lock()
 	for name, limit := range f.limits {
@@ -64,7 +64,7 @@
 }
 
 // propose proposes rules against the newest version; false: they are not in the log.
-func (f *fleet) propose(ctx context.Context, r *rules.Config, author string, parent uint64) bool {
+func (f *fleet) propose(ctx context.Context, r *configversion.Config, author string, parent uint64) bool {
 	c := f.client(5 * time.Second)
 	if parent == 0 {
 		s, err := c.Status()
@@ -78,8 +78,8 @@
 	id := fmt.Sprint("day ", f.count)
 	f.lock.Unlock()
 	for ctx.Err() == nil {
-		v, err := c.Propose(&accord.Proposal{ID: id, Parent: parent, ReplacePending: true, Author: author, Reason: "the day's script", Content: r.Canonical()})
-		var refused *keep.RejectedError
+		v, err := c.Propose(&lease.Proposal{ID: id, Parent: parent, ReplacePending: true, Author: author, Reason: "the day's script", Content: r.Canonical()})
+		var refused *replica.RejectedError
 		f.lock.Lock()
 		if err == nil {
 			f.changes++
@@ -117,7 +117,7 @@
 		return
 	}
 	for i := range c.Race {
-		own := rules.Intersect(r, r)
+		own := configversion.Intersect(r, r)
 		p := own.ServiceLevels[c.Plan]
 		p.RateLimit = c.Limit + float64(i)
 		own.ServiceLevels[c.Plan] = p
--- a/internal/day/play.go
+++ b/internal/day/play.go
@@ -14,9 +14,9 @@
 
 	"irispost/internal/audit"
 	"irispost/internal/config"
+	"irispost/internal/endpoint"
 	"irispost/internal/fleet/rig"
 	"irispost/internal/gateway"
-	"irispost/internal/listing"
 	"irispost/internal/serve"
 	"irispost/internal/standin"
 	"irispost/internal/xdsstandin"
@@ -87,7 +87,7 @@
 	plan   NodePlan
 	store  *standin.Store
 	node   *standin.Node
-	listed []listing.Node // as the list has it: the present one and those that leave
+	listed []endpoint.Node // as the list has it: the present one and those that leave
 }
 
 // host is a gateway of the script.
--- a/internal/day/town.go
+++ b/internal/day/town.go
@@ -16,7 +16,7 @@
 	"github.com/google/renameio/v2"
 
 	"irispost/internal/config"
-	"irispost/internal/listing"
+	"irispost/internal/endpoint"
 	"irispost/internal/serve"
 	"irispost/internal/standin"
 	"irispost/internal/xdsstandin"
@@ -102,7 +102,7 @@
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	p.node = n
-	entry := listing.Node{Addr: n.Addr(), Zone: p.plan.Zone, Shard: p.plan.Shard}
+	entry := endpoint.Node{Addr: n.Addr(), Zone: p.plan.Zone, Shard: p.plan.Shard}
 	if cold {
 		entry.StartedAt = n.Born().UnixNano()
 	}
@@ -114,7 +114,7 @@
 func (t *town) list() error {
 	t.lock.Lock()
 	defer t.lock.Unlock()
-	var l listing.List
+	var l endpoint.List
 	for _, n := range t.script.Nodes {
 		l.Nodes = append(l.Nodes, t.nodes[n.Name].listed...)
 	}
@@ -123,8 +123,8 @@
 		return nil
 	}
 	if t.plane != nil {
-		t.plane.Set(func([]listing.Node) []listing.Node { return slices.Clone(l.Nodes) })
-	} else if err := renameio.WriteFile(filepath.Join(t.dir, "nodes.hcl"), listing.FormatList(l), 0o644); err != nil {
+		t.plane.Set(func([]endpoint.Node) []endpoint.Node { return slices.Clone(l.Nodes) })
+	} else if err := renameio.WriteFile(filepath.Join(t.dir, "nodes.hcl"), endpoint.FormatList(l), 0o644); err != nil {
 		return err
 	}
 	t.announce(l)
@@ -132,7 +132,7 @@
 }
 
 // stand changes what the list says of a node.
-func (t *town) stand(p *place, addr string, s listing.Health) {
+func (t *town) stand(p *place, addr string, s endpoint.Health) {
 	t.lock.Lock()
 	for i := range p.listed {
 		if p.listed[i].Addr == addr {
--- a/internal/day/troubles.go
+++ b/internal/day/troubles.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"irispost/internal/audit"
-	"irispost/internal/listing"
+	"irispost/internal/endpoint"
 	"irispost/internal/standin"
 )
 
@@ -78,7 +78,7 @@
 				t.opt.Note("%s dies", tr.Node)
 				old.Close()
 			}},
-			{tr.At + noticed, func() { t.stand(p, old.Addr(), listing.Removed) }},
+			{tr.At + noticed, func() { t.stand(p, old.Addr(), endpoint.Removed) }},
 			{end, func() { t.fresh(tr.Node, p) }},
 		}
 	case "replace": // the old one is listed as draining when its successor stands
@@ -90,9 +90,9 @@
 					t.opt.Note("%s does not start: %v", tr.Node, err)
 					return
 				}
-				t.stand(p, old.Addr(), listing.Draining) // the list has both at once
+				t.stand(p, old.Addr(), endpoint.Draining) // the list has both at once
 			}},
-			{tr.At + farewell, func() { t.stand(p, old.Addr(), listing.Removed) }},
+			{tr.At + farewell, func() { t.stand(p, old.Addr(), endpoint.Removed) }},
 			{tr.At + farewell + noticed, func() { old.Close() }},
 		}
 	}
--- a/internal/discovery/discovery.go
+++ b/internal/endpoint/discovery/discovery.go
@@ -16,8 +16,8 @@
 	"sync"
 	"time"
 
+	"irispost/internal/endpoint"
 	"irispost/internal/http1"
-	"irispost/internal/listing"
 )
 
 // Response is a list as the service writes it.
@@ -42,46 +42,46 @@
 // Table holds what was told last, by the service's ids, and turns what it says into lists by address. It is pure.
 type Table struct {
 	rev  int64
-	last map[string]listing.Node
+	last map[string]endpoint.Node
 }
 
-var standings = map[string]listing.Health{"ready": listing.Ready, "draining": listing.Draining, "gone": listing.Removed}
+var standings = map[string]endpoint.Health{"ready": endpoint.Ready, "draining": endpoint.Draining, "gone": endpoint.Removed}
 
 // Apply takes in what the service says. Where several ids have one address, the one that started last counts; a node that has
 // another address now leaves none behind.
-func (t *Table) Apply(f *Response, stale bool) (listing.List, error) {
-	l := listing.List{Version: strconv.FormatInt(f.Revision, 10), Stale: stale, Partial: !f.Full}
-	said := make([]listing.Node, 0, len(f.Targets))
+func (t *Table) Apply(f *Response, stale bool) (endpoint.List, error) {
+	l := endpoint.List{Version: strconv.FormatInt(f.Revision, 10), Stale: stale, Partial: !f.Full}
+	said := make([]endpoint.Node, 0, len(f.Targets))
 	for _, e := range f.Targets {
 		s, ok := standings[e.State]
-		if !ok || e.UID == "" || s != listing.Removed && e.Endpoint == "" {
+		if !ok || e.UID == "" || s != endpoint.Removed && e.Endpoint == "" {
 			return l, fmt.Errorf("an entry that can't be read: uid %q, endpoint %q, state %q", e.UID, e.Endpoint, e.State)
 		}
-		said = append(said, listing.Node{Addr: e.Endpoint, Name: e.UID, Zone: e.Zone, Shard: e.Shard, Weight: e.Weight,
+		said = append(said, endpoint.Node{Addr: e.Endpoint, Name: e.UID, Zone: e.Zone, Shard: e.Shard, Weight: e.Weight,
 			StartedAt: e.StartedMillis * int64(time.Millisecond), Health: s})
 	}
 	before := t.last
 	if f.Full || before == nil {
-		t.last = map[string]listing.Node{}
+		t.last = map[string]endpoint.Node{}
 	}
 	t.rev = f.Revision
-	touched := []listing.Node{} // whose address is told of anew
+	touched := []endpoint.Node{} // whose address is told of anew
 	for _, n := range said {
 		old, known := before[n.Name]
-		if n.Health == listing.Removed {
+		if n.Health == endpoint.Removed {
 			delete(t.last, n.Name)
 		} else {
 			t.last[n.Name] = n
 		}
 		if known && old.Addr != n.Addr {
-			old.Health = listing.Removed
+			old.Health = endpoint.Removed
 			touched = append(touched, old)
 		}
 		if n.Addr != "" {
 			touched = append(touched, n)
 		}
 	}
-	held := map[string]listing.Node{} // by address, the one that started last counts
+	held := map[string]endpoint.Node{} // by address, the one that started last counts
 	for _, n := range t.last {
 		if o, ok := held[n.Addr]; !ok || n.StartedAt > o.StartedAt || n.StartedAt == o.StartedAt && n.Name > o.Name {
 			held[n.Addr] = n
@@ -98,7 +98,7 @@
 		case ok:
 			l.Nodes = append(l.Nodes, o)
 		case l.Partial:
-			n.Health = listing.Removed
+			n.Health = endpoint.Removed
 			l.Nodes = append(l.Nodes, n)
 		}
 	}
@@ -119,7 +119,7 @@
 type Client struct {
 	opt   Options
 	table Table
-	tell  func(listing.List)
+	tell  func(endpoint.List)
 	wake  chan struct{}
 	lock  sync.Mutex
 	addr  string
@@ -132,7 +132,7 @@
 }
 
 // New makes a client, and returns the list as it was last held; nil: there is none.
-func New(opt Options) (*Client, *listing.List, error) {
+func New(opt Options) (*Client, *endpoint.List, error) {
 	c := &Client{opt: opt, addr: opt.Address, wake: make(chan struct{}, 1), undo: func() {}, dial: (&net.Dialer{}).DialContext}
 	if opt.Cached == nil {
 		return c, nil, nil
@@ -168,7 +168,7 @@
 }
 
 // Run watches until the context ends. It tells of lists, and of calls that failed; silent that one was taken and nothing came of it.
-func (c *Client) Run(ctx context.Context, tell func(listing.List), failed func(silent bool)) {
+func (c *Client) Run(ctx context.Context, tell func(endpoint.List), failed func(silent bool)) {
 	c.tell = tell
 	stop := context.AfterFunc(ctx, func() {
 		c.lock.Lock()
--- a/internal/discovery/discovery_test.go
+++ b/internal/endpoint/discovery/discovery_test.go
@@ -16,8 +16,8 @@
 
 	"pgregory.net/rapid"
 
-	"irispost/internal/discovery"
-	"irispost/internal/listing"
+	"irispost/internal/endpoint"
+	"irispost/internal/endpoint/discovery"
 	"irispost/internal/testkit"
 )
 
@@ -28,19 +28,19 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var parts, wholes discovery.Table
 		truth := map[string]discovery.Target{}
-		apply := func(held map[string]listing.Node, l listing.List) {
+		apply := func(held map[string]endpoint.Node, l endpoint.List) {
 			if !l.Partial {
 				clear(held)
 			}
 			for _, n := range l.Nodes {
-				if n.Health == listing.Removed {
+				if n.Health == endpoint.Removed {
 					delete(held, n.Addr)
 				} else {
 					held[n.Addr] = n
 				}
 			}
 		}
-		a, b := map[string]listing.Node{}, map[string]listing.Node{}
+		a, b := map[string]endpoint.Node{}, map[string]endpoint.Node{}
 		for rev := range rapid.IntRange(1, 30).Draw(t, "steps") {
 			changes := map[string]discovery.Target{}
 			for range rapid.IntRange(1, 3).Draw(t, "changes") {
@@ -147,11 +147,11 @@
 	if err != nil || !held.Stale || held.Partial || len(held.Nodes) != 1 || held.Nodes[0].StartedAt != 7e6 || held.Nodes[0].Shard != 3 {
 		t.Fatalf("%+v, %v", held, err)
 	}
-	lists, failed := make(chan listing.List), make(chan bool)
+	lists, failed := make(chan endpoint.List), make(chan bool)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() {
-		c.Run(ctx, func(l listing.List) { lists <- l }, func(silent bool) { failed <- silent })
+		c.Run(ctx, func(l endpoint.List) { lists <- l }, func(silent bool) { failed <- silent })
 		close(ended)
 	}()
 	next := func(s *service, query, answer string) {
@@ -162,10 +162,10 @@
 		}
 		a.answer <- answer
 	}
-	told := func(version string, part bool, s listing.Health) {
+	told := func(version string, part bool, s endpoint.Health) {
 		t.Helper()
 		l := <-lists
-		if l.Version != version || l.Partial != part || l.Stale || !slices.ContainsFunc(l.Nodes, func(n listing.Node) bool { return n.Health == s }) {
+		if l.Version != version || l.Partial != part || l.Stale || !slices.ContainsFunc(l.Nodes, func(n endpoint.Node) bool { return n.Health == s }) {
 			t.Fatalf("%+v", l)
 		}
 	}
@@ -177,13 +177,13 @@
 	}
 	c.Watch()
 	next(one, "/v1/servers?from=41&hold_ms=1000", form(43, false, "draining"))
-	told("43", true, listing.Draining)
+	told("43", true, endpoint.Draining)
 	indented := &bytes.Buffer{}
 	if err := json.Indent(indented, []byte(form(44, true, "ready")), "", "  "); err != nil {
 		t.Fatal(err)
 	}
 	next(one, "/v1/servers?from=43&hold_ms=1000", indented.String())
-	told("44", false, listing.Ready)
+	told("44", false, endpoint.Ready)
 	next(one, "/v1/servers?from=44&hold_ms=1000", "busy")
 	loud() // and nothing is asked until the module wants it
 	c.Watch()
@@ -194,11 +194,11 @@
 	loud()
 	c.SetAddress(two.addr) // asked at once
 	next(two, "/v1/servers?from=44&hold_ms=1000", form(45, false, "gone"))
-	told("45", true, listing.Removed)
+	told("45", true, endpoint.Removed)
 	a := <-two.calls
 	c.SetAddress(one.addr) // while a call is out: that is no failure
 	next(one, "/v1/servers?from=45&hold_ms=1000", form(46, true, "ready"))
-	told("46", false, listing.Ready)
+	told("46", false, endpoint.Ready)
 	if _ = a; c.Pending() != 0 {
 		t.Error("what Move asked for is left for after the next failure")
 	}
@@ -216,11 +216,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	lists, failed := make(chan listing.List), make(chan bool)
+	lists, failed := make(chan endpoint.List), make(chan bool)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() {
-		c.Run(ctx, func(l listing.List) { lists <- l }, func(silent bool) { failed <- silent })
+		c.Run(ctx, func(l endpoint.List) { lists <- l }, func(silent bool) { failed <- silent })
 		close(ended)
 	}()
 	c.Watch()
--- a/internal/discovery/golden_test.go
+++ b/internal/endpoint/discovery/golden_test.go
@@ -15,8 +15,8 @@
 	"testing"
 	"time"
 
-	"irispost/internal/discovery"
-	"irispost/internal/listing"
+	"irispost/internal/endpoint"
+	"irispost/internal/endpoint/discovery"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
@@ -75,8 +75,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	told, failed := make(chan listing.List, 8), make(chan bool, 1)
-	go c.Run(t.Context(), func(l listing.List) { told <- l }, func(silent bool) { failed <- silent })
+	told, failed := make(chan endpoint.List, 8), make(chan bool, 1)
+	go c.Run(t.Context(), func(l endpoint.List) { told <- l }, func(silent bool) { failed <- silent })
 	c.Watch()
 	conn, err := l.Accept()
 	if err != nil {
--- a/internal/discovery/reach_test.go
+++ b/internal/endpoint/discovery/reach_test.go
@@ -15,12 +15,12 @@
 	"testing/synctest"
 	"time"
 
-	"irispost/decide"
-	"irispost/internal/discovery"
+	"irispost/internal/backend/node"
+	"irispost/internal/endpoint"
+	"irispost/internal/endpoint/discovery"
 	"irispost/internal/gateway"
-	"irispost/internal/listing"
-	"irispost/internal/node"
 	"irispost/internal/platform"
+	"irispost/scheduler"
 )
 
 // nowhere is nodes that nothing is sent to.
@@ -117,7 +117,7 @@
 	play := func(t *testing.T, seed uint64, only, every, goal string) (took time.Duration) {
 		synctest.Test(t, func(t *testing.T) {
 			draw := rand.New(rand.NewPCG(seed, 1))
-			terms := decide.Settings{"discovery": "ask", "products.count": "1", "products.0.name": "read", "products.0.goal": goal}
+			terms := scheduler.Settings{"discovery": "ask", "products.count": "1", "products.0.name": "read", "products.0.goal": goal}
 			if every != "" {
 				terms["list.every"] = every
 			}
@@ -131,7 +131,7 @@
 			ctx, cancel := context.WithCancel(t.Context())
 			heard, ended := make(chan bool, 100), make(chan bool)
 			go func() {
-				c.Run(ctx, func(l listing.List) { loop.UpdateEndpoints(l); heard <- true }, loop.EndpointListFailed)
+				c.Run(ctx, func(l endpoint.List) { loop.UpdateEndpoints(l); heard <- true }, loop.EndpointListFailed)
 				close(ended)
 			}()
 			<-heard
--- a/internal/listing/listing.go
+++ b/internal/endpoint/listing.go
@@ -1,5 +1,5 @@
-// Package listing brings the list of storage nodes: what a list is, and the sources that it comes from.
-package listing
+// Package endpoint brings the list of storage nodes: what a list is, and the sources that it comes from.
+package endpoint
 
 import "context"
 
--- a/internal/listing/listing_test.go
+++ b/internal/endpoint/listing_test.go
@@ -1,4 +1,4 @@
-package listing
+package endpoint
 
 import (
 	"context"
--- a/internal/roster/golden_test.go
+++ b/internal/endpoint/manager/golden_test.go
@@ -1,4 +1,4 @@
-package roster
+package manager
 
 import (
 	"context"
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
-	"irispost/internal/listing"
-	"irispost/internal/members"
+	"irispost/internal/endpoint"
+	"irispost/internal/endpoint/membership"
 )
 
 const (
@@ -19,9 +19,9 @@
 )
 
 // script is a source that hands out one list; nil: it is never reached.
-type script struct{ list *listing.List }
+type script struct{ list *endpoint.List }
 
-func (s script) Run(ctx context.Context, to listing.Subscriber) error {
+func (s script) Run(ctx context.Context, to endpoint.Subscriber) error {
 	if s.list != nil {
 		to.OnLink(true, "")
 		to.OnUpdate(*s.list)
@@ -31,12 +31,12 @@
 }
 
 // start runs a gateway's source plane over a folder, and returns where it is told.
-func start(t *testing.T, folder string, source listing.Source) <-chan listing.List {
+func start(t *testing.T, folder string, source endpoint.Source) <-chan endpoint.List {
 	t.Helper()
-	told := make(chan listing.List, 8)
+	told := make(chan endpoint.List, 8)
 	begin := time.Now()
-	r := Start(Options{Gateway: "g0", Settings: members.DefaultSettings, Sources: []NamedSource{{Name: "plane", Source: source}}, Dir: folder,
-		Now: func() int64 { return 1e18 + int64(time.Since(begin)) }, OnChange: func(l listing.List) { told <- l },
+	r := Start(Options{Gateway: "g0", Settings: membership.DefaultSettings, Sources: []NamedSource{{Name: "plane", Source: source}}, Dir: folder,
+		Now: func() int64 { return 1e18 + int64(time.Since(begin)) }, OnChange: func(l endpoint.List) { told <- l },
 		Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
 	t.Cleanup(r.Close)
 	return told
@@ -48,10 +48,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	list := listing.List{Version: "c:3 e:9", Nodes: []listing.Node{
+	list := endpoint.List{Version: "c:3 e:9", Nodes: []endpoint.Node{
 		{Addr: "127.0.0.1:7000", Zone: "a"},
 		{Addr: "127.0.0.1:7001", Name: "one", Zone: "b", Shard: 1, Weight: 2.5, StartedAt: 1_767_366_245_123_456_789, Priority: 1},
-		{Addr: "127.0.0.1:7002", Zone: "b", Shard: 2, Health: listing.Draining},
+		{Addr: "127.0.0.1:7002", Zone: "b", Shard: 2, Health: endpoint.Draining},
 	}}
 	folder := t.TempDir()
 	start(t, folder, script{&list})
@@ -77,7 +77,7 @@
 	select {
 	case l := <-start(t, again, script{}):
 		if l.Version != list.Version || !l.Stale || len(l.Nodes) != 3 || l.Nodes[1].Weight != 2.5 || l.Nodes[1].StartedAt != list.Nodes[1].StartedAt ||
-			l.Nodes[2].Health != listing.Draining {
+			l.Nodes[2].Health != endpoint.Draining {
 			t.Errorf("the kept list is told as %+v", l)
 		}
 	case <-time.After(longEnd):
--- a/internal/roster/roster.go
+++ b/internal/endpoint/manager/roster.go
@@ -1,6 +1,6 @@
-// Package roster runs the sources of lists of nodes and hands on what package members makes of them. It decides
+// Package manager runs the sources of lists of nodes and hands on what package members makes of them. It decides
 // nothing: it brings the time, keeps the last lists in a folder, and passes words both ways.
-package roster
+package manager
 
 import (
 	"context"
@@ -13,36 +13,36 @@
 
 	"github.com/google/renameio/v2"
 
-	"irispost/internal/listing"
-	"irispost/internal/members"
+	"irispost/internal/endpoint"
+	"irispost/internal/endpoint/membership"
 )
 
 // NamedSource is a source with its name, which is unique in the gateway.
 type NamedSource struct {
 	Name   string
-	Source listing.Source
+	Source endpoint.Source
 }
 
 // Options are what a roster is started with.
 type Options struct {
 	Gateway  string
-	Settings members.Settings
-	Sources  []NamedSource      // by precedence
-	Dir      string             // for the last lists; empty: they are not kept
-	Now      func() int64       // nanoseconds since 1970; it never goes back
-	OnChange func(listing.List) // the module, through the loop
+	Settings membership.Settings
+	Sources  []NamedSource       // by precedence
+	Dir      string              // for the last lists; empty: they are not kept
+	Now      func() int64        // nanoseconds since 1970; it never goes back
+	OnChange func(endpoint.List) // the module, through the loop
 	Log      *slog.Logger
 }
 
 // Manager is a running one.
 type Manager struct {
 	opt    Options
-	fleet  *members.Tracker
+	fleet  *membership.Tracker
 	calls  chan func()
 	ended  chan struct{}
 	first  chan struct{}
-	silent map[*members.Source]bool // that have not spoken yet
-	tellAt int64                    // of the last list told
+	silent map[*membership.Source]bool // that have not spoken yet
+	tellAt int64                       // of the last list told
 	done   sync.WaitGroup
 	cancel context.CancelFunc
 }
@@ -53,14 +53,14 @@
 	for i, s := range opt.Sources {
 		names[i] = s.Name
 	}
-	r := &Manager{opt: opt, fleet: members.New(opt.Settings, names...), calls: make(chan func(), 64), ended: make(chan struct{}),
-		first: make(chan struct{}), silent: map[*members.Source]bool{}}
+	r := &Manager{opt: opt, fleet: membership.New(opt.Settings, names...), calls: make(chan func(), 64), ended: make(chan struct{}),
+		first: make(chan struct{}), silent: map[*membership.Source]bool{}}
 	var ctx context.Context
 	ctx, r.cancel = context.WithCancel(context.Background())
 	for i, s := range r.fleet.Sources() {
 		r.silent[s] = true
 		r.kept(s)
-		e := &subscriber{roster: r, ctx: ctx, source: s, keep: make(chan listing.List, 1)}
+		e := &subscriber{roster: r, ctx: ctx, source: s, keep: make(chan endpoint.List, 1)}
 		r.done.Add(2)
 		go func() { defer r.done.Done(); e.keeper() }()
 		go func() {
@@ -151,12 +151,12 @@
 }
 
 // View has somebody look at the fleet, as it is between two events; now is its time, toldAt when the module was told last.
-func (r *Manager) View(look func(now, toldAt int64, f *members.Tracker)) bool {
+func (r *Manager) View(look func(now, toldAt int64, f *membership.Tracker)) bool {
 	return r.ask(func() { look(r.opt.Now(), r.tellAt, r.fleet) })
 }
 
 // spoken notes that a source has spoken.
-func (r *Manager) spoken(s *members.Source) {
+func (r *Manager) spoken(s *membership.Source) {
 	if len(r.silent) == 0 {
 		return
 	}
@@ -170,11 +170,11 @@
 type subscriber struct {
 	roster *Manager
 	ctx    context.Context
-	source *members.Source
-	keep   chan listing.List // the last one to be kept
+	source *membership.Source
+	keep   chan endpoint.List // the last one to be kept
 }
 
-func (e *subscriber) OnUpdate(l listing.List) {
+func (e *subscriber) OnUpdate(l endpoint.List) {
 	r := e.roster
 	r.do(e.ctx, func() {
 		e.source.Receive(r.opt.Now(), l)
@@ -213,18 +213,18 @@
 func (e *subscriber) keeper() {
 	for l := range e.keep {
 		file := e.roster.file(e.source)
-		if err := renameio.WriteFile(file, listing.FormatList(l), 0o600); err != nil {
+		if err := renameio.WriteFile(file, endpoint.FormatList(l), 0o600); err != nil {
 			e.roster.opt.Log.Warn("a list is not kept", "gateway", e.roster.opt.Gateway, "source", e.source.Name, "why", err)
 		}
 	}
 }
 
-func (r *Manager) file(s *members.Source) string {
+func (r *Manager) file(s *membership.Source) string {
 	return filepath.Join(r.opt.Dir, r.opt.Gateway+"."+s.Name+".nodes.hcl")
 }
 
 // kept has the fleet told of the list that an earlier life has kept, if there is one that can be read.
-func (r *Manager) kept(s *members.Source) {
+func (r *Manager) kept(s *membership.Source) {
 	if r.opt.Dir == "" {
 		return
 	}
@@ -233,8 +233,8 @@
 		return
 	}
 	if err == nil {
-		var l listing.List
-		if l, err = listing.ParseList(r.file(s), src); err == nil {
+		var l endpoint.List
+		if l, err = endpoint.ParseList(r.file(s), src); err == nil {
 			l.Stale = true
 			s.Receive(r.opt.Now(), l)
 			return
--- a/internal/members/golden_test.go
+++ b/internal/endpoint/membership/golden_test.go
@@ -1,4 +1,4 @@
-package members
+package membership
 
 import (
 	"bytes"
--- a/internal/members/members.go
+++ b/internal/endpoint/membership/members.go
@@ -1,7 +1,7 @@
-// Package members turns what sources of lists say into what the decision module is told of its nodes. It is pure: no
+// Package membership turns what sources of lists say into what the decision module is told of its nodes. It is pure: no
 // I/O, no clock, no chance. Whoever runs it calls what has happened with the time, then Decide, and hands on what that
 // returns. docs/members.md gives the reasons.
-package members
+package membership
 
 import (
 	"cmp"
@@ -9,7 +9,7 @@
 	"slices"
 	"strings"
 
-	"irispost/internal/listing"
+	"irispost/internal/endpoint"
 )
 
 // Time is nanoseconds since 1970.
@@ -52,23 +52,23 @@
 type Member struct {
 	Addr   string
 	State  State
-	Since  Time         // of the state
-	Reason string       // of the state
-	Source *Source      // the one that counts for it; of one that no source has, the last
-	said   listing.Node // by that source, last
-	listed bool         // some source has it
-	shard  int          // that it is in force for
-	born   Time         // as told; it never goes back
-	told   bool         // the module has heard of it
-	ready  Time         // said ready since; 0: it is not
-	turns  []Time       // when it was said to be ready again, of late
+	Since  Time          // of the state
+	Reason string        // of the state
+	Source *Source       // the one that counts for it; of one that no source has, the last
+	said   endpoint.Node // by that source, last
+	listed bool          // some source has it
+	shard  int           // that it is in force for
+	born   Time          // as told; it never goes back
+	told   bool          // the module has heard of it
+	ready  Time          // said ready since; 0: it is not
+	turns  []Time        // when it was said to be ready again, of late
 }
 
 // Shard is the shard that it is in force for.
 func (m *Member) Shard() int { return m.shard }
 
 // Reported is what the source said last.
-func (m *Member) Reported() listing.Node { return m.said }
+func (m *Member) Reported() endpoint.Node { return m.said }
 
 // hold is a loss that is not believed yet.
 type hold struct {
@@ -90,8 +90,8 @@
 	confirm  bool
 	changed  bool
 	wake     Time
-	last     []listing.Node // as told
-	stale    bool           // as told
+	last     []endpoint.Node // as told
+	stale    bool            // as told
 	toldOnce bool
 	version  string
 	log      []string
@@ -127,7 +127,7 @@
 
 // Update is what the module is to be told.
 type Update struct {
-	List    listing.List
+	List    endpoint.List
 	Changed bool // it differs from what was told before
 	Log     []string
 	NextAt  Time // when Decide has to be asked at the latest; 0: when something happens
@@ -165,7 +165,7 @@
 	for _, s := range f.sources {
 		t.NextAt = sooner(t.NextAt, s.wake())
 	}
-	t.List = listing.List{Version: f.version, Stale: f.stale, Nodes: f.last}
+	t.List = endpoint.List{Version: f.version, Stale: f.stale, Nodes: f.last}
 	return t
 }
 
@@ -234,7 +234,7 @@
 	for i := len(f.sources) - 1; i >= 0; i-- { // so that the first has the last word
 		s := f.sources[i]
 		for _, n := range s.said {
-			if n.Health == listing.Removed {
+			if n.Health == endpoint.Removed {
 				continue // as if it were not there
 			}
 			m := f.members[n.Addr]
@@ -249,7 +249,7 @@
 	}
 	for _, s := range f.sources { // one that a source lists as gone is gone, whatever later ones say
 		for _, n := range s.said {
-			if m := f.members[n.Addr]; n.Health == listing.Removed && m != nil && m.listed && s.rank < m.Source.rank {
+			if m := f.members[n.Addr]; n.Health == endpoint.Removed && m != nil && m.listed && s.rank < m.Source.rank {
 				m.said, m.Source, m.listed = n, s, false
 			}
 		}
@@ -258,7 +258,7 @@
 		slices.SortFunc(f.order, func(a, b *Member) int { return cmp.Compare(a.Addr, b.Addr) })
 	}
 	for _, m := range f.order {
-		switch is := m.listed && m.said.Health == listing.Ready; {
+		switch is := m.listed && m.said.Health == endpoint.Ready; {
 		case !is:
 			m.ready = 0
 		case m.ready == 0:
@@ -293,7 +293,7 @@
 	case m.born < 0 || m.State == Absent && m.told && m.said.StartedAt <= m.born:
 		m.born = max(now, m.born+1) // new, or back after it was gone, and nobody says since when
 	}
-	if m.said.Health != listing.Ready {
+	if m.said.Health != endpoint.Ready {
 		return false
 	}
 	return !f.flaps(now, m)
@@ -329,7 +329,7 @@
 			continue
 		}
 		covered++
-		drained := m.listed && m.said.Health == listing.Draining && m.said.Shard == m.shard // a drain is kept, not held
+		drained := m.listed && m.said.Health == endpoint.Draining && m.said.Shard == m.shard // a drain is kept, not held
 		if winners[m.shard] == nil && !drained {
 			lost = append(lost, m)
 		}
@@ -405,9 +405,9 @@
 		case moves:
 		case !m.listed:
 			f.let(now, m)
-		case m.said.Health == listing.Draining:
+		case m.said.Health == endpoint.Draining:
 			f.move(now, m, Draining, "said by "+m.Source.Name)
-		case m.said.Health == listing.Unhealthy:
+		case m.said.Health == endpoint.Unhealthy:
 			f.move(now, m, Unhealthy, "said by "+m.Source.Name)
 		case winners[m.shard] == m:
 			f.move(now, m, Serving, "said by "+m.Source.Name)
@@ -451,15 +451,15 @@
 }
 
 // list is what the module is to be told: whole, so that what it leaves out is gone.
-func (f *Tracker) list() (nodes []listing.Node, stale bool) {
+func (f *Tracker) list() (nodes []endpoint.Node, stale bool) {
 	for _, m := range f.order {
-		n := listing.Node{Addr: m.Addr, Zone: m.said.Zone, Shard: m.shard, Weight: m.said.Weight, StartedAt: m.born}
+		n := endpoint.Node{Addr: m.Addr, Zone: m.said.Zone, Shard: m.shard, Weight: m.said.Weight, StartedAt: m.born}
 		switch m.State {
 		case Serving, HeldDown:
 		case Draining, Damped:
-			n.Health = listing.Draining
+			n.Health = endpoint.Draining
 		case Standby:
-			if n.Health = listing.Draining; !m.told {
+			if n.Health = endpoint.Draining; !m.told {
 				continue
 			}
 		default:
--- a/internal/members/members_test.go
+++ b/internal/endpoint/membership/members_test.go
@@ -1,4 +1,4 @@
-package members
+package membership
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"irispost/internal/listing"
+	"irispost/internal/endpoint"
 )
 
 const sec = Time(1e9)
@@ -55,22 +55,22 @@
 }
 
 func (w *world) say(source int, version, nodes string) {
-	w.f.Sources()[source].Receive(w.now, listing.List{Version: version, Nodes: parse(nodes)})
+	w.f.Sources()[source].Receive(w.now, endpoint.List{Version: version, Nodes: parse(nodes)})
 	w.decide()
 }
 
 // parse reads nodes such as "a:0 b:1/draining c:1@5s!1": address, shard, standing, born, priority.
-func parse(text string) (list []listing.Node) {
+func parse(text string) (list []endpoint.Node) {
 	for _, word := range strings.Fields(text) {
-		var n listing.Node
+		var n endpoint.Node
 		word, prio, _ := strings.Cut(word, "!")
 		fmt.Sscan(prio, &n.Priority)
 		word, born, _ := strings.Cut(word, "@")
 		fmt.Sscan(born, &n.StartedAt)
 		n.StartedAt *= sec
 		word, standing, _ := strings.Cut(word, "/")
-		n.Health = map[string]listing.Health{"": listing.Ready, "draining": listing.Draining, "gone": listing.Removed,
-			"unwell": listing.Unhealthy}[standing]
+		n.Health = map[string]endpoint.Health{"": endpoint.Ready, "draining": endpoint.Draining, "gone": endpoint.Removed,
+			"unwell": endpoint.Unhealthy}[standing]
 		addr, shard, _ := strings.Cut(word, ":")
 		fmt.Sscan(shard, &n.Shard)
 		n.Addr = addr
@@ -84,7 +84,7 @@
 	var out []string
 	for _, n := range w.told.List.Nodes {
 		word := fmt.Sprintf("%s:%d", n.Addr, n.Shard)
-		if n.Health == listing.Draining {
+		if n.Health == endpoint.Draining {
 			word += "/draining"
 		}
 		if n.StartedAt > 0 {
@@ -333,7 +333,7 @@
 	w := newWorld(DefaultSettings, "own")
 	w.t = t
 	w.f = New(DefaultSettings, "own")
-	w.f.Sources()[0].Receive(w.now, listing.List{Version: "1", Stale: true, Nodes: parse("a:0 b:1 c:2")})
+	w.f.Sources()[0].Receive(w.now, endpoint.List{Version: "1", Stale: true, Nodes: parse("a:0 b:1 c:2")})
 	w.decide()
 	if w.want("kept", "a:0 b:1 c:2"); !w.told.List.Stale {
 		t.Error("not told as old")
--- a/internal/members/model_test.go
+++ b/internal/endpoint/membership/model_test.go
@@ -1,4 +1,4 @@
-package members
+package membership
 
 import (
 	"flag"
@@ -10,7 +10,7 @@
 
 	"pgregory.net/rapid"
 
-	"irispost/internal/listing"
+	"irispost/internal/endpoint"
 )
 
 // model is two sources with cuts, and what has to hold whatever they say.
@@ -29,7 +29,7 @@
 		m.list(t, s, rapid.SampledFrom([]string{"1", "2", "3", "4"}).Draw(t, "version"))
 	case "again":
 		if src.NodeCount() > 0 {
-			src.Receive(m.now, listing.List{Version: src.Version(), Nodes: src.said})
+			src.Receive(m.now, endpoint.List{Version: src.Version(), Nodes: src.said})
 		}
 	case "refuse":
 		before := src.Version()
@@ -65,7 +65,7 @@
 
 // list has a source say a list: the present one with a few changes, as they come, or a wholly other one.
 func (m *model) list(t *rapid.T, s int, version string) {
-	next := map[string]listing.Node{}
+	next := map[string]endpoint.Node{}
 	if !rapid.Bool().Draw(t, "anew") {
 		for _, n := range m.f.Sources()[s].said {
 			next[n.Addr] = n
@@ -77,28 +77,28 @@
 			delete(next, addr)
 			continue
 		}
-		next[addr] = listing.Node{Addr: addr, Shard: rapid.IntRange(0, 3).Draw(t, "shard"),
+		next[addr] = endpoint.Node{Addr: addr, Shard: rapid.IntRange(0, 3).Draw(t, "shard"),
 			StartedAt: rapid.SampledFrom([]Time{0, 0, 5, 7 * sec, m.now}).Draw(t, "born"),
-			Health:    listing.Health(rapid.IntRange(0, 3).Draw(t, "standing")), Priority: rapid.IntRange(0, 1).Draw(t, "priority")}
+			Health:    endpoint.Health(rapid.IntRange(0, 3).Draw(t, "standing")), Priority: rapid.IntRange(0, 1).Draw(t, "priority")}
 	}
-	l := listing.List{Version: version}
+	l := endpoint.List{Version: version}
 	for _, n := range next {
 		l.Nodes = append(l.Nodes, n)
 	}
-	slices.SortFunc(l.Nodes, func(a, b listing.Node) int { return int(a.Addr[0]) - int(b.Addr[0]) })
+	slices.SortFunc(l.Nodes, func(a, b endpoint.Node) int { return int(a.Addr[0]) - int(b.Addr[0]) })
 	m.f.Sources()[s].Receive(m.now, l)
 }
 
 // counts is what the source that counts says of an address; false: none has it.
-func (m *model) counts(addr string) (listing.Node, bool) {
+func (m *model) counts(addr string) (endpoint.Node, bool) {
 	for _, s := range m.f.Sources() {
 		for _, n := range s.said {
 			if n.Addr == addr {
-				return n, n.Health != listing.Removed
+				return n, n.Health != endpoint.Removed
 			}
 		}
 	}
-	return listing.Node{}, false
+	return endpoint.Node{}, false
 }
 
 // check checks what has to hold after each step.
@@ -115,7 +115,7 @@
 			bad("%s started at %d, now at %d", n.Addr, m.born[n.Addr], n.StartedAt)
 		}
 		m.born[n.Addr] = n.StartedAt
-		if n.Health != listing.Ready {
+		if n.Health != endpoint.Ready {
 			continue
 		}
 		// One node serves a shard.
@@ -130,17 +130,17 @@
 			if m.f.hold == nil {
 				bad("%s is kept, and nothing is held", n.Addr)
 			}
-		} else if !listed || said.Health != listing.Ready || said.Shard != n.Shard {
+		} else if !listed || said.Health != endpoint.Ready || said.Shard != n.Shard {
 			bad("%s is told ready for shard %d, said is %+v, %v", n.Addr, n.Shard, said, listed)
 		}
 		// A drain is kept at once.
-		if listed && said.Health == listing.Draining && said.Shard == n.Shard {
+		if listed && said.Health == endpoint.Draining && said.Shard == n.Shard {
 			bad("%s is draining and told ready", n.Addr)
 		}
 	}
 	// A shard that somebody could serve is served, but for the rest of one that flaps and the grace of an address.
 	for _, mem := range m.f.Members() {
-		if said, listed := m.counts(mem.Addr); listed && said.Health == listing.Ready && shards[said.Shard] == "" &&
+		if said, listed := m.counts(mem.Addr); listed && said.Health == endpoint.Ready && shards[said.Shard] == "" &&
 			mem.State != Damped && mem.State != Removing && mem.State != HeldDown {
 			bad("shard %d is not served, %s is %v", said.Shard, mem.Addr, mem.State)
 		}
--- a/internal/members/source.go
+++ b/internal/endpoint/membership/source.go
@@ -1,4 +1,4 @@
-package members
+package membership
 
 import (
 	"encoding/binary"
@@ -6,7 +6,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"irispost/internal/listing"
+	"irispost/internal/endpoint"
 )
 
 // SourceState is how a source stands.
@@ -31,7 +31,7 @@
 	fleet *Tracker
 	rank  int
 	// What it says.
-	said    []listing.Node // nil: nothing yet
+	said    []endpoint.Node // nil: nothing yet
 	version string
 	sum     uint64
 	heard   Time // its last list
@@ -39,8 +39,8 @@
 	stale   bool // that list may be old
 	// Lists that were in force before, so that one that comes back after a cut is known.
 	left      []mark
-	fresh     bool          // nothing was said since the link came up
-	old       *listing.List // one that is held as old; nil: none
+	fresh     bool           // nothing was said since the link came up
+	old       *endpoint.List // one that is held as old; nil: none
 	oldAt     Time
 	LinkError string // why its link is not there; empty: it is
 	// The last update that was refused.
@@ -116,7 +116,7 @@
 }
 
 // Receive tells of a whole list. One that is stale was kept from an earlier life and counts until the source itself speaks.
-func (s *Source) Receive(now Time, l listing.List) {
+func (s *Source) Receive(now Time, l endpoint.List) {
 	m := mark{l.Version, sum(l.Nodes)}
 	again := s.said != nil && m.version == s.version && m.sum == s.sum
 	back := s.fresh && !l.Stale && !again && s.leftAlready(m)
@@ -141,7 +141,7 @@
 }
 
 // take puts a list in force.
-func (s *Source) take(now Time, l listing.List, why string) {
+func (s *Source) take(now Time, l endpoint.List, why string) {
 	s.old = nil
 	m := mark{l.Version, sum(l.Nodes)}
 	if s.said != nil && (m.version != s.version || m.sum != s.sum) && !s.leftAlready(mark{s.version, s.sum}) {
@@ -156,7 +156,7 @@
 	s.first = s.said == nil || s.stale
 	s.said, s.version, s.sum, s.heard, s.stale = l.Nodes, m.version, m.sum, now, l.Stale
 	if s.said == nil {
-		s.said = []listing.Node{}
+		s.said = []endpoint.Node{}
 	}
 	f := s.fleet
 	f.changed = true
@@ -188,7 +188,7 @@
 }
 
 // sum tells lists apart by what they hold, in any order.
-func sum(nodes []listing.Node) (all uint64) {
+func sum(nodes []endpoint.Node) (all uint64) {
 	var b []byte
 	for _, n := range nodes {
 		b = append(append(append(append(b[:0], n.Addr...), 0), n.Zone...), 0)
--- a/internal/xds/bench_test.go
+++ b/internal/endpoint/xds/bench_test.go
@@ -5,9 +5,9 @@
 	"testing"
 	"time"
 
-	"irispost/internal/listing"
-	"irispost/internal/members"
-	"irispost/internal/xds"
+	"irispost/internal/endpoint"
+	"irispost/internal/endpoint/membership"
+	"irispost/internal/endpoint/xds"
 	"irispost/internal/xdsstandin"
 )
 
@@ -17,15 +17,15 @@
 	for _, size := range []int{50, 500, 5000} {
 		for _, delta := range []bool{false, true} {
 			b.Run(fmt.Sprintf("%d/%s", size, map[bool]string{false: "whole", true: "delta"}[delta]), func(b *testing.B) {
-				s, f := xds.NewSession(delta, nil, time.Minute), members.New(members.DefaultSettings, "plane")
+				s, f := xds.NewSession(delta, nil, time.Minute), membership.New(membership.DefaultSettings, "plane")
 				s.OpenStream(sec)
 				var names []string
-				var lists [][]listing.Node
+				var lists [][]endpoint.Node
 				for i := range size / 50 {
 					names = append(names, fmt.Sprint("c", i))
-					var list []listing.Node
+					var list []endpoint.Node
 					for j := range 50 {
-						list = append(list, listing.Node{Addr: fmt.Sprintf("127.0.%d.%d:7000", i, j+1), Shard: i*50 + j, Zone: "z"})
+						list = append(list, endpoint.Node{Addr: fmt.Sprintf("127.0.%d.%d:7000", i, j+1), Shard: i*50 + j, Zone: "z"})
 					}
 					lists = append(lists, list)
 				}
@@ -76,7 +76,7 @@
 func BenchmarkFleet(b *testing.B) {
 	for _, delta := range []bool{false, true} {
 		b.Run(map[bool]string{false: "whole", true: "delta"}[delta], func(b *testing.B) {
-			var list []listing.Node
+			var list []endpoint.Node
 			for i := range 50 {
 				list = append(list, nodes(fmt.Sprint(1000+i))...)
 			}
@@ -95,7 +95,7 @@
 			b.ResetTimer()
 			for i := range b.N {
 				weight := float64(i + 1)
-				s.Set(func(list []listing.Node) []listing.Node { list[0].Weight = weight; return list })
+				s.Set(func(list []endpoint.Node) []endpoint.Node { list[0].Weight = weight; return list })
 				for _, e := range ears {
 					e.until(b, "a change", func(e *recorder) bool {
 						for _, n := range e.list.Nodes {
--- a/internal/xds/client.go
+++ b/internal/endpoint/xds/client.go
@@ -19,7 +19,7 @@
 	"google.golang.org/grpc/keepalive"
 	"google.golang.org/grpc/status"
 
-	"irispost/internal/listing"
+	"irispost/internal/endpoint"
 )
 
 // Options are what a client is started with.
@@ -67,7 +67,7 @@
 }
 
 // Run keeps a stream until the context ends.
-func (c *Client) Run(ctx context.Context, to listing.Subscriber) error {
+func (c *Client) Run(ctx context.Context, to endpoint.Subscriber) error {
 	conn, err := grpc.NewClient(c.opt.Address, grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithConnectParams(grpc.ConnectParams{Backoff: backoff.DefaultConfig, MinConnectTimeout: alive / 4}),
 		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: alive, Timeout: alive / 2}),
@@ -120,7 +120,7 @@
 type stream struct {
 	opt     *Options
 	session *Session
-	to      listing.Subscriber
+	to      endpoint.Subscriber
 	now     func() int64
 	reached bool // told so
 	good    bool // an update was accepted
--- a/internal/xds/client_test.go
+++ b/internal/endpoint/xds/client_test.go
@@ -18,8 +18,8 @@
 	"google.golang.org/protobuf/proto"
 	"google.golang.org/protobuf/types/known/anypb"
 
-	"irispost/internal/listing"
-	"irispost/internal/xds"
+	"irispost/internal/endpoint"
+	"irispost/internal/endpoint/xds"
 	"irispost/internal/xdsstandin"
 )
 
@@ -27,7 +27,7 @@
 type recorder struct {
 	lock    sync.Mutex
 	cond    *sync.Cond
-	list    listing.List
+	list    endpoint.List
 	lists   int
 	refused []string
 	links   []bool
@@ -48,7 +48,7 @@
 	e.lock.Unlock()
 }
 
-func (e *recorder) OnUpdate(l listing.List) { e.note(func() { e.list = l; e.lists++ }) }
+func (e *recorder) OnUpdate(l endpoint.List) { e.note(func() { e.list = l; e.lists++ }) }
 func (e *recorder) OnRejected(why error) {
 	e.note(func() { e.refused = append(e.refused, why.Error()) })
 }
@@ -75,11 +75,11 @@
 	e.until(t, want, func(e *recorder) bool { return words(e.list) == want })
 }
 
-func words(l listing.List) string {
+func words(l endpoint.List) string {
 	var out []string
 	for _, n := range l.Nodes {
 		word := strings.TrimPrefix(n.Addr, "127.0.0.1:")
-		out = append(out, word+map[listing.Health]string{listing.Draining: "/draining", listing.Unhealthy: "/unwell"}[n.Health])
+		out = append(out, word+map[endpoint.Health]string{endpoint.Draining: "/draining", endpoint.Unhealthy: "/unwell"}[n.Health])
 	}
 	slices.Sort(out)
 	return strings.Join(out, " ")
@@ -239,9 +239,9 @@
 	c := xds.NewClient(xds.Options{Address: s.Addr(), NodeID: "g", MinBackoff: time.Millisecond, MaxBackoff: time.Millisecond, MaxMessageBytes: 2000, Log: quiet})
 	go c.Run(ctx, e)
 	e.has(t, "1000")
-	s.Set(func([]listing.Node) []listing.Node { return nodes(strings.Fields(strings.Repeat("2000 ", 1))...) })
+	s.Set(func([]endpoint.Node) []endpoint.Node { return nodes(strings.Fields(strings.Repeat("2000 ", 1))...) })
 	e.has(t, "2000")
-	s.Set(func(list []listing.Node) []listing.Node {
+	s.Set(func(list []endpoint.Node) []endpoint.Node {
 		for i := range 100 {
 			list = append(list, nodes(fmt.Sprint(3000+i))...)
 		}
@@ -257,7 +257,7 @@
 
 // 50 nodes and 200 clients, half of them in each form, on one server: all get each change, and all come back after a cut.
 func TestTwoHundredClients(t *testing.T) {
-	var list []listing.Node
+	var list []endpoint.Node
 	for i := range 50 {
 		list = append(list, nodes(fmt.Sprint(1000+i))...)
 	}
--- a/internal/xds/file.go
+++ b/internal/endpoint/xds/file.go
@@ -15,7 +15,7 @@
 	"google.golang.org/protobuf/encoding/protojson"
 	"google.golang.org/protobuf/proto"
 
-	"irispost/internal/listing"
+	"irispost/internal/endpoint"
 )
 
 // FileSource is a source of lists: files that each hold a DiscoveryResponse, as JSON (.json) or in its binary form (.pb), read
@@ -82,7 +82,7 @@
 }
 
 // Run reads the files, clusters before endpoints, and watches their folders.
-func (f FileSource) Run(ctx context.Context, to listing.Subscriber) error {
+func (f FileSource) Run(ctx context.Context, to endpoint.Subscriber) error {
 	watcher, err := fsnotify.NewWatcher()
 	if err != nil {
 		return err
@@ -108,7 +108,7 @@
 		}
 	}
 	read := func() {
-		var list *listing.List
+		var list *endpoint.List
 		changed := false
 		for _, part := range []struct{ file, kind string }{{f.Clusters, ClusterType}, {f.Endpoints, EndpointType}} {
 			src, err := os.ReadFile(part.file)
--- a/internal/xds/mapping.go
+++ b/internal/endpoint/xds/mapping.go
@@ -17,7 +17,7 @@
 	"google.golang.org/protobuf/reflect/protoreflect"
 	"google.golang.org/protobuf/types/known/structpb"
 
-	"irispost/internal/listing"
+	"irispost/internal/endpoint"
 )
 
 // MetadataKey is the key in an endpoint's filter_metadata under which its shard and its start stand.
@@ -41,7 +41,7 @@
 // Assignment is a cluster's nodes.
 type Assignment struct {
 	Name       string
-	Nodes      []listing.Node
+	Nodes      []endpoint.Node
 	StaleAfter time.Duration // without news for so long it counts as old; 0: never
 	Notes      []string
 }
@@ -254,11 +254,11 @@
 
 // health by the protocol's statuses (envoy.config.core.v3.HealthStatus). A degraded node serves: the module finds out
 // how slow it is.
-var health = map[corev3.HealthStatus]listing.Health{corev3.HealthStatus_UNKNOWN: listing.Ready, corev3.HealthStatus_HEALTHY: listing.Ready,
-	corev3.HealthStatus_DEGRADED: listing.Ready, corev3.HealthStatus_DRAINING: listing.Draining, corev3.HealthStatus_UNHEALTHY: listing.Unhealthy,
-	corev3.HealthStatus_TIMEOUT: listing.Unhealthy}
+var health = map[corev3.HealthStatus]endpoint.Health{corev3.HealthStatus_UNKNOWN: endpoint.Ready, corev3.HealthStatus_HEALTHY: endpoint.Ready,
+	corev3.HealthStatus_DEGRADED: endpoint.Ready, corev3.HealthStatus_DRAINING: endpoint.Draining, corev3.HealthStatus_UNHEALTHY: endpoint.Unhealthy,
+	corev3.HealthStatus_TIMEOUT: endpoint.Unhealthy}
 
-func (r *reading) endpoint(at string, e *endpointv3.LbEndpoint) (n listing.Node, ok bool) {
+func (r *reading) endpoint(at string, e *endpointv3.LbEndpoint) (n endpoint.Node, ok bool) {
 	before := len(r.problems)
 	if e == nil || e.GetEndpoint() == nil && e.GetEndpointName() == "" {
 		r.refuse(at, "an endpoint is empty")
@@ -319,7 +319,7 @@
 }
 
 // own reads what stands under our key: shard, a whole number from 0, and born, a time as RFC 3339 has it.
-func (r *reading) own(at string, s *structpb.Struct, n *listing.Node) {
+func (r *reading) own(at string, s *structpb.Struct, n *endpoint.Node) {
 	if s == nil {
 		r.refuse(at, "its metadata has no %q: which shard it holds is not known", MetadataKey)
 		return
--- a/internal/xds/mapping_test.go
+++ b/internal/endpoint/xds/mapping_test.go
@@ -15,13 +15,13 @@
 	"google.golang.org/protobuf/types/known/structpb"
 	"google.golang.org/protobuf/types/known/wrapperspb"
 
-	"irispost/internal/listing"
-	"irispost/internal/xds"
+	"irispost/internal/endpoint"
+	"irispost/internal/endpoint/xds"
 	"irispost/internal/xdsstandin"
 )
 
-var two = []listing.Node{{Addr: "127.0.0.1:7000", Name: "first", Zone: "a", Shard: 0, Weight: 3, StartedAt: 1_700_000_000_123_456_789},
-	{Addr: "[::1]:7001", Zone: "b", Shard: 1, Health: listing.Draining, Priority: 1}}
+var two = []endpoint.Node{{Addr: "127.0.0.1:7000", Name: "first", Zone: "a", Shard: 0, Weight: 3, StartedAt: 1_700_000_000_123_456_789},
+	{Addr: "[::1]:7001", Zone: "b", Shard: 1, Health: endpoint.Draining, Priority: 1}}
 
 // What an assignment says comes out as nodes.
 func TestMapping(t *testing.T) {
@@ -33,9 +33,9 @@
 	if err != nil || c.ServiceName != "storage" || c.Inline != nil {
 		t.Errorf("%+v, %v", c, err)
 	}
-	for status, want := range map[corev3.HealthStatus]listing.Health{corev3.HealthStatus_UNKNOWN: listing.Ready, corev3.HealthStatus_HEALTHY: listing.Ready,
-		corev3.HealthStatus_DEGRADED: listing.Ready, corev3.HealthStatus_DRAINING: listing.Draining, corev3.HealthStatus_UNHEALTHY: listing.Unhealthy,
-		corev3.HealthStatus_TIMEOUT: listing.Unhealthy} {
+	for status, want := range map[corev3.HealthStatus]endpoint.Health{corev3.HealthStatus_UNKNOWN: endpoint.Ready, corev3.HealthStatus_HEALTHY: endpoint.Ready,
+		corev3.HealthStatus_DEGRADED: endpoint.Ready, corev3.HealthStatus_DRAINING: endpoint.Draining, corev3.HealthStatus_UNHEALTHY: endpoint.Unhealthy,
+		corev3.HealthStatus_TIMEOUT: endpoint.Unhealthy} {
 		m := xdsstandin.Assignment("storage", two)
 		m.Endpoints[0].LbEndpoints[0].HealthStatus = status
 		if a, err := xds.ReadAssignment(m); err != nil || a.Nodes[0].Health != want {
@@ -185,7 +185,7 @@
 		}
 		seen := map[string]bool{}
 		for _, n := range a.Nodes {
-			if n.Addr == "" || seen[n.Addr] || n.Shard < 0 || n.Shard >= 1<<16 || n.StartedAt < 0 || n.Priority < 0 || n.Health > listing.Unhealthy {
+			if n.Addr == "" || seen[n.Addr] || n.Shard < 0 || n.Shard >= 1<<16 || n.StartedAt < 0 || n.Priority < 0 || n.Health > endpoint.Unhealthy {
 				t.Errorf("%+v", n)
 			}
 			seen[n.Addr] = true
--- a/internal/xds/session.go
+++ b/internal/endpoint/xds/session.go
@@ -14,7 +14,7 @@
 	"google.golang.org/protobuf/proto"
 	"google.golang.org/protobuf/types/known/anypb"
 
-	"irispost/internal/listing"
+	"irispost/internal/endpoint"
 )
 
 // Type URLs of the resources.
@@ -58,9 +58,9 @@
 // Outcome is what follows from an event.
 type Outcome struct {
 	Requests []Request
-	List     *listing.List // nil: nothing new
-	Rejected error         // an update that cannot be used
-	Notes    []string      // for the log
+	List     *endpoint.List // nil: nothing new
+	Rejected error          // an update that cannot be used
+	Notes    []string       // for the log
 }
 
 // subscription is one type of resources.
@@ -418,8 +418,8 @@
 }
 
 // list makes the list of all nodes, in the order of clusters and endpoints.
-func (s *Session) list(now int64, out *Outcome) *listing.List {
-	l := &listing.List{Version: fmt.Sprintf("c:%s e:%s", s.clusters.version, s.endpoints.version)}
+func (s *Session) list(now int64, out *Outcome) *endpoint.List {
+	l := &endpoint.List{Version: fmt.Sprintf("c:%s e:%s", s.clusters.version, s.endpoints.version)}
 	seen := map[string]bool{}
 	for _, t := range []table{s.have, s.leaving} { // what comes goes before what leaves
 		for _, name := range slices.Sorted(maps.Keys(t)) {
--- a/internal/xds/session_test.go
+++ b/internal/endpoint/xds/session_test.go
@@ -13,8 +13,8 @@
 	"google.golang.org/protobuf/types/known/anypb"
 	"google.golang.org/protobuf/types/known/durationpb"
 
-	"irispost/internal/listing"
-	"irispost/internal/xds"
+	"irispost/internal/endpoint"
+	"irispost/internal/endpoint/xds"
 	"irispost/internal/xdsstandin"
 )
 
@@ -31,9 +31,9 @@
 	return a
 }
 
-func nodes(addrs ...string) (list []listing.Node) {
+func nodes(addrs ...string) (list []endpoint.Node) {
 	for _, a := range addrs {
-		list = append(list, listing.Node{Addr: "127.0.0.1:" + a, Shard: int(a[0] - '0')})
+		list = append(list, endpoint.Node{Addr: "127.0.0.1:" + a, Shard: int(a[0] - '0')})
 	}
 	return list
 }
--- a/internal/fleet/follow/bytes_test.go
+++ b/internal/fleet/client/bytes_test.go
@@ -1,4 +1,4 @@
-package follow
+package client
 
 import (
 	"context"
@@ -12,9 +12,9 @@
 	"testing"
 	"time"
 
-	"irispost/internal/fleet/accord"
-	"irispost/internal/fleet/keep"
-	"irispost/internal/fleet/rules"
+	"irispost/internal/fleet/configversion"
+	"irispost/internal/fleet/lease"
+	"irispost/internal/fleet/replica"
 )
 
 // counted is a connection whose bytes are counted, both ways.
@@ -37,14 +37,14 @@
 
 // large is a version of so many nodes, the n-th of which has been replaced.
 func large(nodes, n int) []byte {
-	r := &rules.Config{RequiredFormat: 1, Shards: nodes, MeanRequestUnits: 1, ServiceLevels: map[string]rules.ServiceLevel{"gold": {Weight: 1}}, Dispatch: rules.DispatchPolicy{MaxAttempts: 1},
-		RequestClasses: map[string]rules.RequestClass{}, Nodes: map[string]rules.Node{}}
+	r := &configversion.Config{RequiredFormat: 1, Shards: nodes, MeanRequestUnits: 1, ServiceLevels: map[string]configversion.ServiceLevel{"gold": {Weight: 1}}, Dispatch: configversion.DispatchPolicy{MaxAttempts: 1},
+		RequestClasses: map[string]configversion.RequestClass{}, Nodes: map[string]configversion.Node{}}
 	for i := range nodes {
 		addr := fmt.Sprintf("10.%d.%d.%d:7000", i%7, i/250, i%250)
 		if i == n {
 			addr = "10.9.9.9:7000"
 		}
-		r.Nodes[addr] = rules.Node{Name: fmt.Sprint("node-", i), Zone: fmt.Sprint("z", i%7), Shard: i, StartedAt: 1764650723000000000 + int64(i)*7919}
+		r.Nodes[addr] = configversion.Node{Name: fmt.Sprint("node-", i), Zone: fmt.Sprint("z", i%7), Shard: i, StartedAt: 1764650723000000000 + int64(i)*7919}
 	}
 	return r.Canonical()
 }
@@ -105,9 +105,9 @@
 		count, changes, rest = 50, 20, 30*time.Second
 	}
 	addrs, _ := processes(t)
-	c := &keep.Client{Replicas: addrs, Timeout: 30 * time.Second}
+	c := &replica.Client{Replicas: addrs, Timeout: 30 * time.Second}
 	propose := func(n int) {
-		if _, err := c.Propose(&accord.Proposal{ID: fmt.Sprint(n), Parent: uint64(n - 1), ReplacePending: true, Content: large(nodes, n)}); err != nil {
+		if _, err := c.Propose(&lease.Proposal{ID: fmt.Sprint(n), Parent: uint64(n - 1), ReplacePending: true, Content: large(nodes, n)}); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/fleet/follow/contents.go
+++ b/internal/fleet/client/contents.go
@@ -1,18 +1,18 @@
-package follow
+package client
 
 import (
 	"context"
 	"net/http"
 
-	"irispost/internal/fleet/accord"
 	"irispost/internal/fleet/content"
-	"irispost/internal/fleet/keep"
+	"irispost/internal/fleet/lease"
+	"irispost/internal/fleet/replica"
 )
 
 // fetcher gets the contents that a grant names. It belongs to the goroutine that asks.
 type fetcher struct {
 	following *Client
-	client    *keep.Client
+	client    *replica.Client
 	hold      *content.Cache
 	spool     *spool // nil: none
 	said      string // what was wrong with a content last, so that it is said once
@@ -20,7 +20,7 @@
 
 // complete has a grant hold the contents that can be had within a pause; the others are asked for again with the next one. The lease
 // counts from when it was asked for, whatever this takes.
-func (t *fetcher) complete(ctx context.Context, g *accord.RenewResponse) {
+func (t *fetcher) complete(ctx context.Context, g *lease.RenewResponse) {
 	f := t.following
 	if g.LeaseDuration == 0 {
 		return
@@ -76,6 +76,6 @@
 }
 
 // caller is how a gateway calls keepers, over one connection to each.
-func (f *Client) caller() *keep.Client {
-	return &keep.Client{HTTPClient: &http.Client{Transport: &http.Transport{DialContext: f.opt.Dial, MaxIdleConnsPerHost: 1, DisableCompression: true}}}
+func (f *Client) caller() *replica.Client {
+	return &replica.Client{HTTPClient: &http.Client{Transport: &http.Transport{DialContext: f.opt.Dial, MaxIdleConnsPerHost: 1, DisableCompression: true}}}
 }
--- a/internal/fleet/follow/contents_test.go
+++ b/internal/fleet/client/contents_test.go
@@ -1,4 +1,4 @@
-package follow
+package client
 
 import (
 	"bytes"
@@ -21,34 +21,34 @@
 	"testing"
 	"time"
 
-	"irispost/internal/fleet/accord"
+	"irispost/internal/fleet/configversion"
 	"irispost/internal/fleet/content"
 	"irispost/internal/fleet/delta"
-	"irispost/internal/fleet/keep"
-	"irispost/internal/fleet/rules"
+	"irispost/internal/fleet/lease"
+	"irispost/internal/fleet/replica"
 )
 
 // single is one keeper, and a way to it that may do something to what passes.
 type single struct {
 	t      *testing.T
 	addr   string
-	client *keep.Client
+	client *replica.Client
 	last   uint64
 }
 
 func alone(t *testing.T, leaseDuration time.Duration) *single {
-	k, err := keep.Start(keep.Options{ID: 1, Listen: "127.0.0.1:0", Peers: map[uint64]string{1: "-"}, Dir: t.TempDir(), LeaseSettings: accord.Settings{LeaseDuration: int64(leaseDuration), MaxClockDrift: 0.01},
+	k, err := replica.Start(replica.Options{ID: 1, Listen: "127.0.0.1:0", Peers: map[uint64]string{1: "-"}, Dir: t.TempDir(), LeaseSettings: lease.Settings{LeaseDuration: int64(leaseDuration), MaxClockDrift: 0.01},
 		TickInterval: 10 * time.Millisecond, Logger: slog.New(slog.NewTextHandler(io.Discard, nil))})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(k.Close)
-	return &single{t: t, addr: k.Addr(), client: &keep.Client{Replicas: []string{k.Addr()}, Timeout: 30 * time.Second}}
+	return &single{t: t, addr: k.Addr(), client: &replica.Client{Replicas: []string{k.Addr()}, Timeout: 30 * time.Second}}
 }
 
 func (s *single) propose(b []byte) {
 	s.t.Helper()
-	if _, err := s.client.Propose(&accord.Proposal{ID: fmt.Sprint(s.last), Parent: s.last, ReplacePending: true, Content: b}); err != nil {
+	if _, err := s.client.Propose(&lease.Proposal{ID: fmt.Sprint(s.last), Parent: s.last, ReplacePending: true, Content: b}); err != nil {
 		s.t.Fatal(err)
 	}
 	s.last++
@@ -125,7 +125,7 @@
 // it is asked for at the next keeper.
 func TestAnswersThatAreNone(t *testing.T) {
 	one, two := large(200, 1), large(200, 2)
-	bomb, _ := delta.Encode(one, make([]byte, rules.MaxContentBytes+1))
+	bomb, _ := delta.Encode(one, make([]byte, configversion.MaxContentBytes+1))
 	otherBase, _ := delta.Encode(large(200, 9), two)
 	late, _ := delta.Encode(one, one)
 	if len(bomb) > 1<<20 {
@@ -183,7 +183,7 @@
 			r.StatusCode = http.StatusNotFound
 		case gone.Load() && r.Request.URL.Path == "/renew":
 			return body(r, func(b []byte) []byte {
-				g := &accord.RenewResponse{}
+				g := &lease.RenewResponse{}
 				if json.Unmarshal(b, g) == nil && g.LeaseDuration > 0 && g.Announced == 2 && g.InForce == 1 {
 					renewed.Add(1)
 				}
@@ -247,14 +247,14 @@
 		t.Errorf("no delta has passed: %q", list)
 	}
 	for form := range 2 { // as the other side sees it
-		ask := &accord.RenewRequest{Holder: fmt.Sprint("asks/", form), Seq: 1, Format: form}
-		grant := &accord.RenewResponse{}
+		ask := &lease.RenewRequest{Holder: fmt.Sprint("asks/", form), Seq: 1, Format: form}
+		grant := &lease.RenewResponse{}
 		for deadline := time.Now().Add(time.Minute); grant.LeaseDuration == 0 && time.Now().Before(deadline); ask.Seq++ {
 			if err := s.client.Call(context.Background(), s.addr, http.MethodPost, "/renew", ask, grant); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if len(grant.Versions) != 1 || (len(grant.Versions[0].Content) == 0) != (form == accord.ByDigest) {
+		if len(grant.Versions) != 1 || (len(grant.Versions[0].Content) == 0) != (form == lease.ByDigest) {
 			t.Errorf("form %d: %+v", form, grant)
 		}
 	}
@@ -264,7 +264,7 @@
 func TestContentOnDisk(t *testing.T) {
 	s := alone(t, time.Second)
 	one, two := large(200, 1), large(200, 2)
-	file := func(b []byte) string { return rules.DigestOf(b) + ".rules" }
+	file := func(b []byte) string { return configversion.DigestOf(b) + ".rules" }
 	s.propose(one)
 	s.propose(two)
 	stray := filepath.Join(t.TempDir(), "a file")
--- a/internal/fleet/follow/follow.go
+++ b/internal/fleet/client/follow.go
@@ -1,6 +1,6 @@
-// Package follow keeps a gateway in touch with the keepers: it asks for leases and brings what they answer to the pure
+// Package client keeps a gateway in touch with the keepers: it asks for leases and brings what they answer to the pure
 // Follower, from which the gateway's loop learns what it acts on. It decides nothing itself.
-package follow
+package client
 
 import (
 	"context"
@@ -16,12 +16,12 @@
 
 	"golang.org/x/sys/unix"
 
-	"irispost/decide"
-	"irispost/internal/fleet/accord"
+	"irispost/internal/endpoint"
+	"irispost/internal/fleet/configversion"
 	"irispost/internal/fleet/content"
-	"irispost/internal/fleet/rules"
+	"irispost/internal/fleet/lease"
 	"irispost/internal/gateway"
-	"irispost/internal/listing"
+	"irispost/scheduler"
 )
 
 // Options are what following starts with.
@@ -32,16 +32,16 @@
 	Now            func() int64  // the gateway's own clock: it never goes back
 	OnChange       func()        // what is acted on may have changed; it must not wait
 	Seed           uint64
-	Holder         string                         // its name with its start; empty: made here
-	PeerAddr       string                         // where other gateways reach it; empty: they do not
-	OnMembership   func(*accord.MembershipUpdate) // who is present, with each lease of one that is reached; it must not wait
-	LocalSettings  decide.Settings                // the gateway's own: what no version has counts from there
-	LocalConflicts func(r *rules.Config) []string // in what the gateway's own configuration contradicts a version; nil: not asked
-	Dial           Dial                           // opens connections to keepers; nil: a net.Dialer that gives up after Pause
-	RecordFile     string                         // file for what was acted on from when; empty: none
-	CacheDir       string                         // folder for the last content, its own; empty: none, all is fetched after a start
-	FullVersions   bool                           // it asks in the form of the build before, which takes versions whole: for what plays both beside each other
-	InjectedFaults accord.InjectedFaults
+	Holder         string                                 // its name with its start; empty: made here
+	PeerAddr       string                                 // where other gateways reach it; empty: they do not
+	OnMembership   func(*lease.MembershipUpdate)          // who is present, with each lease of one that is reached; it must not wait
+	LocalSettings  scheduler.Settings                     // the gateway's own: what no version has counts from there
+	LocalConflicts func(r *configversion.Config) []string // in what the gateway's own configuration contradicts a version; nil: not asked
+	Dial           Dial                                   // opens connections to keepers; nil: a net.Dialer that gives up after Pause
+	RecordFile     string                                 // file for what was acted on from when; empty: none
+	CacheDir       string                                 // folder for the last content, its own; empty: none, all is fetched after a start
+	FullVersions   bool                                   // it asks in the form of the build before, which takes versions whole: for what plays both beside each other
+	InjectedFaults lease.InjectedFaults
 	Logger         *slog.Logger
 }
 
@@ -52,9 +52,9 @@
 type Client struct {
 	opt    Options
 	lock   sync.Mutex
-	f      *accord.Client
-	told   string         // what the loop was told last
-	nodes  []listing.Node // and the list; nil: none
+	f      *lease.Client
+	told   string          // what the loop was told last
+	nodes  []endpoint.Node // and the list; nil: none
 	made   atomic.Pointer[listed]
 	until  int64 // and until when it counts
 	first  chan struct{}
@@ -83,7 +83,7 @@
 	if boot == "" {
 		boot = NewHolderID(opt.Gateway)
 	}
-	f := &Client{opt: opt, f: accord.NewClient(boot, int64(opt.RenewInterval), opt.InjectedFaults), told: "none", first: make(chan struct{}), stir: make(chan struct{}, 1), heard: make(chan struct{}, 1), leave: func() {}}
+	f := &Client{opt: opt, f: lease.NewClient(boot, int64(opt.RenewInterval), opt.InjectedFaults), told: "none", first: make(chan struct{}), stir: make(chan struct{}, 1), heard: make(chan struct{}, 1), leave: func() {}}
 	f.f.SetPeerAddr(opt.PeerAddr)
 	if opt.FullVersions {
 		f.f.RequestFullVersions()
@@ -136,7 +136,7 @@
 	least := f.opt.RenewInterval / 16
 	wait := least
 	f.which.Store(int64(chance.IntN(len(f.opt.Replicas))))
-	var seen *rules.Version
+	var seen *configversion.Version
 	for ctx.Err() == nil {
 		f.lock.Lock()
 		at := f.f.NextRequestAt(f.opt.Now())
@@ -147,7 +147,7 @@
 		f.lock.Lock()
 		a := f.f.NextRequest(f.opt.Now())
 		f.lock.Unlock()
-		g := &accord.RenewResponse{}
+		g := &lease.RenewResponse{}
 		each, end := context.WithTimeout(ctx, within)
 		err := client.Call(each, f.keeper(), http.MethodPost, "/renew", a, g)
 		end()
@@ -324,7 +324,7 @@
 		}
 		fmt.Fprintf(f.record, "%d %v %v\n", t.Nano()-since, floor, holds)
 	}
-	acts, nodes := &gateway.ActiveConfig{}, []listing.Node(nil)
+	acts, nodes := &gateway.ActiveConfig{}, []endpoint.Node(nil)
 	if effect != nil {
 		nodes = f.list(effect)
 		acts.List, acts.Settings = change(f.nodes, nodes), effect.Settings(f.opt.LocalSettings)
--- a/internal/fleet/follow/golden_test.go
+++ b/internal/fleet/client/golden_test.go
@@ -1,4 +1,4 @@
-package follow
+package client
 
 import (
 	"bytes"
--- a/internal/fleet/follow/killed_test.go
+++ b/internal/fleet/client/killed_test.go
@@ -1,4 +1,4 @@
-package follow
+package client
 
 import (
 	"errors"
@@ -14,9 +14,9 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"irispost/internal/fleet/accord"
-	"irispost/internal/fleet/keep"
-	"irispost/internal/fleet/rules"
+	"irispost/internal/fleet/configversion"
+	"irispost/internal/fleet/lease"
+	"irispost/internal/fleet/replica"
 )
 
 // operation is what an operator asked, and was told.
@@ -116,7 +116,7 @@
 					return
 				default:
 				}
-				c := &keep.Client{Replicas: addrs, Timeout: 2 * time.Second}
+				c := &replica.Client{Replicas: addrs, Timeout: 2 * time.Second}
 				call := time.Since(began)
 				s, err := c.Status()
 				if err != nil {
@@ -129,9 +129,9 @@
 				note(call, look)
 				b := numbered(10*n + who)
 				call = time.Since(began)
-				v, err := c.Propose(&accord.Proposal{ID: fmt.Sprint(who, " ", n), Parent: s.Announced, ReplacePending: true, Content: b})
-				o := operation{parent: s.Announced, digest: rules.DigestOf(b), known: err == nil}
-				var refused *keep.RejectedError
+				v, err := c.Propose(&lease.Proposal{ID: fmt.Sprint(who, " ", n), Parent: s.Announced, ReplacePending: true, Content: b})
+				o := operation{parent: s.Announced, digest: configversion.DigestOf(b), known: err == nil}
+				var refused *replica.RejectedError
 				if errors.As(err, &refused) {
 					o.known, o.refused = true, true
 				}
@@ -185,13 +185,13 @@
 // with room again it has all that was acknowledged.
 func TestKeeperWithAFullDisk(t *testing.T) {
 	addrs, list := processes(t, "IRISPOST_TEST_DISK=200000")
-	c := &keep.Client{Replicas: addrs, Timeout: 30 * time.Second}
+	c := &replica.Client{Replicas: addrs, Timeout: 30 * time.Second}
 	ended := make(chan struct{})
 	go func() { list[0].Wait(); close(ended) }()
 	var digests []string
 	propose := func() {
 		n := len(digests)
-		v, err := c.Propose(&accord.Proposal{ID: fmt.Sprint(n), Parent: uint64(n), ReplacePending: true, Content: numbered(n + 1)})
+		v, err := c.Propose(&lease.Proposal{ID: fmt.Sprint(n), Parent: uint64(n), ReplacePending: true, Content: numbered(n + 1)})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/fleet/follow/size_test.go
+++ b/internal/fleet/client/size_test.go
@@ -1,4 +1,4 @@
-package follow
+package client
 
 import (
 	"bytes"
@@ -16,16 +16,16 @@
 
 	"golang.org/x/sys/unix"
 
-	"irispost/internal/fleet/accord"
-	"irispost/internal/fleet/keep"
-	"irispost/internal/fleet/rules"
+	"irispost/internal/fleet/configversion"
+	"irispost/internal/fleet/lease"
+	"irispost/internal/fleet/replica"
 	"irispost/internal/loopback"
 )
 
 // TestMain has the test's own binary be a keeper where it is started as one.
 func TestMain(m *testing.M) {
 	if args := strings.Fields(os.Getenv("IRISPOST_TEST_KEEPER")); len(args) > 0 {
-		o := keep.Options{Peers: map[uint64]string{}, Dir: args[1], LeaseSettings: accord.Settings{LeaseDuration: 2e9, MaxClockDrift: 0.01}, Logger: slog.New(slog.NewTextHandler(io.Discard, nil))}
+		o := replica.Options{Peers: map[uint64]string{}, Dir: args[1], LeaseSettings: lease.Settings{LeaseDuration: 2e9, MaxClockDrift: 0.01}, Logger: slog.New(slog.NewTextHandler(io.Discard, nil))}
 		o.ID, _ = strconv.ParseUint(args[0], 10, 64)
 		for i, addr := range args[2:] {
 			o.Peers[uint64(i+1)] = addr
@@ -37,10 +37,10 @@
 				panic(err)
 			}
 		}
-		k, err := keep.Start(o)
+		k, err := replica.Start(o)
 		for tries := 0; err != nil && tries < 200; tries++ { // its address may be taken for a moment
 			time.Sleep(20 * time.Millisecond)
-			k, err = keep.Start(o)
+			k, err = replica.Start(o)
 		}
 		if err != nil {
 			fmt.Println(err)
@@ -88,10 +88,10 @@
 }
 
 func numbered(n int) []byte {
-	r := &rules.Config{RequiredFormat: 1, Shards: 100, MeanRequestUnits: 1, ServiceLevels: map[string]rules.ServiceLevel{"gold": {Weight: 1, RateLimit: float64(n)}}, Dispatch: rules.DispatchPolicy{MaxAttempts: 1},
-		RequestClasses: map[string]rules.RequestClass{}, Nodes: map[string]rules.Node{}}
+	r := &configversion.Config{RequiredFormat: 1, Shards: 100, MeanRequestUnits: 1, ServiceLevels: map[string]configversion.ServiceLevel{"gold": {Weight: 1, RateLimit: float64(n)}}, Dispatch: configversion.DispatchPolicy{MaxAttempts: 1},
+		RequestClasses: map[string]configversion.RequestClass{}, Nodes: map[string]configversion.Node{}}
 	for i := range 100 {
-		r.Nodes[fmt.Sprintf("10.0.0.%d:7000", i)] = rules.Node{Shard: i, Zone: "a"}
+		r.Nodes[fmt.Sprintf("10.0.0.%d:7000", i)] = configversion.Node{Shard: i, Zone: "a"}
 	}
 	return r.Canonical()
 }
--- a/internal/fleet/follow/spool.go
+++ b/internal/fleet/client/spool.go
@@ -1,4 +1,4 @@
-package follow
+package client
 
 import (
 	"fmt"
@@ -11,7 +11,7 @@
 
 	"github.com/google/renameio/v2"
 
-	"irispost/internal/fleet/rules"
+	"irispost/internal/fleet/configversion"
 )
 
 // spool has a gateway's last content on disk, one file named by its digest, whole or not there. After a start it is a base for what is
@@ -82,14 +82,14 @@
 	if err != nil {
 		return nil, time.Time{}, err
 	}
-	if !info.Mode().IsRegular() || info.Size() == 0 || info.Size() > rules.MaxContentBytes {
-		return nil, time.Time{}, fmt.Errorf("%d bytes, where a content has 1 to %d", info.Size(), rules.MaxContentBytes)
+	if !info.Mode().IsRegular() || info.Size() == 0 || info.Size() > configversion.MaxContentBytes {
+		return nil, time.Time{}, fmt.Errorf("%d bytes, where a content has 1 to %d", info.Size(), configversion.MaxContentBytes)
 	}
 	b, err := os.ReadFile(name)
 	if err != nil {
 		return nil, time.Time{}, err
 	}
-	if sum := rules.DigestOf(b); filepath.Base(name) != sum+".rules" {
+	if sum := configversion.DigestOf(b); filepath.Base(name) != sum+".rules" {
 		return nil, time.Time{}, fmt.Errorf("its digest is %.12s", sum)
 	}
 	return b, info.ModTime(), nil
@@ -121,7 +121,7 @@
 func (s *spool) run() {
 	defer close(s.ended)
 	for content := range s.to {
-		name := filepath.Join(s.dir, rules.DigestOf(content)+".rules")
+		name := filepath.Join(s.dir, configversion.DigestOf(content)+".rules")
 		err := renameio.WriteFile(name, content, 0o600)
 		if err == nil {
 			err = s.clear(name)
--- a/internal/fleet/follow/told.go
+++ b/internal/fleet/client/told.go
@@ -1,18 +1,18 @@
-package follow
+package client
 
 import (
-	"irispost/internal/fleet/rules"
-	"irispost/internal/listing"
+	"irispost/internal/endpoint"
+	"irispost/internal/fleet/configversion"
 )
 
 // listed is rules with the list of nodes that they come to, by address.
 type listed struct {
-	of    *rules.Config
-	nodes []listing.Node
+	of    *configversion.Config
+	nodes []endpoint.Node
 }
 
 // list is the list of what is acted on. It has been made before the loop asks for it, unless only a floor counts since.
-func (f *Client) list(effect *rules.Config) []listing.Node {
+func (f *Client) list(effect *configversion.Config) []endpoint.Node {
 	if l := f.made.Load(); l != nil && l.of == effect {
 		return l.nodes
 	}
@@ -20,7 +20,7 @@
 }
 
 // prepare makes the list of what is acted on, outside of the loop.
-func (f *Client) prepare(effect *rules.Config) {
+func (f *Client) prepare(effect *configversion.Config) {
 	if effect != nil {
 		f.made.Store(&listed{effect, f.list(effect)})
 	}
@@ -28,12 +28,12 @@
 
 // change is what to tell of a list after another: what is new or differs, or all of it. Connections to nodes that are left out or gone are
 // closed, which only a whole list does; nil: nothing was told before.
-func change(before, now []listing.Node) listing.List {
-	whole := listing.List{Nodes: now}
+func change(before, now []endpoint.Node) endpoint.List {
+	whole := endpoint.List{Nodes: now}
 	if before == nil {
 		return whole
 	}
-	part := listing.List{Partial: true}
+	part := endpoint.List{Partial: true}
 	for len(now) > 0 {
 		switch {
 		case len(before) == 0 || now[0].Addr < before[0].Addr:
@@ -42,7 +42,7 @@
 			return whole
 		default:
 			if now[0] != before[0] {
-				if now[0].Health == listing.Removed {
+				if now[0].Health == endpoint.Removed {
 					return whole
 				}
 				part.Nodes = append(part.Nodes, now[0])
--- a/internal/fleet/rules/beyond.go
+++ b/internal/fleet/configversion/beyond.go
@@ -1,4 +1,4 @@
-package rules
+package configversion
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"slices"
 	"strconv"
 
-	"irispost/internal/listing"
+	"irispost/internal/endpoint"
 )
 
 // Exceeds tells what a allows that b does not, in words; nothing: a is within b, so whoever acts on a does not contradict b.
@@ -51,7 +51,7 @@
 	note(s.KeyCooldown < t.KeyCooldown, "rest of a key: %d under %d", s.KeyCooldown, t.KeyCooldown)
 	for _, addr := range sorted(a.Nodes) {
 		n := a.Nodes[addr]
-		if n.Health != listing.Ready {
+		if n.Health != endpoint.Ready {
 			continue
 		}
 		note(a.Shards != b.Shards, "node %s: one of %d shards, where there are %d", addr, a.Shards, b.Shards)
@@ -61,7 +61,7 @@
 			note(true, "node %s: not in the other", addr)
 		case n.Shard != o.Shard:
 			note(true, "node %s: shard %d, where it is %d", addr, n.Shard, o.Shard)
-		case o.Health != listing.Ready:
+		case o.Health != endpoint.Ready:
 			note(true, "node %s: served, where it drains or is gone", addr)
 		default:
 			note(n.StartedAt < o.StartedAt, "node %s: started anew since", addr)
--- a/internal/fleet/rules/golden_test.go
+++ b/internal/fleet/configversion/golden_test.go
@@ -1,4 +1,4 @@
-package rules
+package configversion
 
 import (
 	"bytes"
@@ -10,7 +10,7 @@
 	"strings"
 	"testing"
 
-	"irispost/internal/listing"
+	"irispost/internal/endpoint"
 )
 
 // The files under testdata/golden hold the forms in which versions are stored, sent and digested. Each build has to come to the same
@@ -45,8 +45,8 @@
 		RetryBudget:    RetryBudget{Window: 2e9, FreeRetries: 3, RequestShare: 0.1},
 		Dispatch:       DispatchPolicy{MaxAttempts: 3, Hedging: true, Cancellation: true, RetryAfter: true, MaxRetryAfter: 6e9, KeyCooldown: 7e6},
 		FallbackPolicy: FallbackPolicy{Duration: 8e9, LimitFraction: 0.5, AllowWrites: true},
-		Nodes: map[string]Node{"10.0.0.1:7000": {Name: "one", Zone: "z1", Shard: 1, StartedAt: 1764650723000000000, Weight: 2, Health: listing.Draining},
-			"10.0.0.2:7000": {}, "10.0.0.3:7000": {Shard: 2, Health: listing.Removed}, "10.0.0.4:7000": {Shard: 1, Health: listing.Unhealthy}}}
+		Nodes: map[string]Node{"10.0.0.1:7000": {Name: "one", Zone: "z1", Shard: 1, StartedAt: 1764650723000000000, Weight: 2, Health: endpoint.Draining},
+			"10.0.0.2:7000": {}, "10.0.0.3:7000": {Shard: 2, Health: endpoint.Removed}, "10.0.0.4:7000": {Shard: 1, Health: endpoint.Unhealthy}}}
 }
 
 func TestGoldenForms(t *testing.T) {
--- a/internal/fleet/rules/meet.go
+++ b/internal/fleet/configversion/meet.go
@@ -1,9 +1,9 @@
-package rules
+package configversion
 
 import (
 	"math"
 
-	"irispost/internal/listing"
+	"irispost/internal/endpoint"
 )
 
 // limit is a plan's limit, where none is more than any.
@@ -75,15 +75,15 @@
 	m := Node{Name: min(a.Name, b.Name), Zone: min(a.Zone, b.Zone), Shard: min(a.Shard, b.Shard), StartedAt: max(a.StartedAt, b.StartedAt),
 		Health: max(order(a.Health), order(b.Health)), Weight: min(a.Weight, b.Weight)}
 	if a.Shard != b.Shard {
-		m.Health = listing.Removed // it holds the data of one shard only, and which is what they differ on
+		m.Health = endpoint.Removed // it holds the data of one shard only, and which is what they differ on
 	}
 	return m
 }
 
 // order has unwell and gone be the same, as both are left alone at once.
-func order(s listing.Health) listing.Health {
-	if s == listing.Unhealthy {
-		return listing.Removed
+func order(s endpoint.Health) endpoint.Health {
+	if s == endpoint.Unhealthy {
+		return endpoint.Removed
 	}
 	return s
 }
--- a/internal/fleet/rules/parsed.go
+++ b/internal/fleet/configversion/parsed.go
@@ -1,4 +1,4 @@
-package rules
+package configversion
 
 // ReleaseParsed drops what was read of a version; its content stays, and Open reads it again. A parsed version takes several times the bytes of
 // its content.
--- a/internal/fleet/rules/rules.go
+++ b/internal/fleet/configversion/rules.go
@@ -1,7 +1,7 @@
-// Package rules holds what gateways have to agree on, as versions: the settings of the service and the list of storage
+// Package configversion holds what gateways have to agree on, as versions: the settings of the service and the list of storage
 // nodes. It is pure: no I/O, no clock, no chance. It tells of two versions what contradicts and what may differ, and makes
 // their meet, under which a gateway contradicts neither. docs/fleet.md gives the reasons.
-package rules
+package configversion
 
 import (
 	"bytes"
@@ -16,7 +16,7 @@
 
 	"github.com/zeebo/blake3"
 
-	"irispost/internal/listing"
+	"irispost/internal/endpoint"
 )
 
 // Idempotency is what a repeat of a product's job may do, and at which nodes: each allows what the later ones do, but for
@@ -80,12 +80,12 @@
 
 // Node is a storage node. Born is nanoseconds since 1970, 0 for long ago.
 type Node struct {
-	Name      string         `json:"name,omitempty"`
-	Zone      string         `json:"zone,omitempty"`
-	Shard     int            `json:"shard"`
-	StartedAt int64          `json:"born,omitempty"`
-	Health    listing.Health `json:"standing"`
-	Weight    float64        `json:"weight,omitempty"`
+	Name      string          `json:"name,omitempty"`
+	Zone      string          `json:"zone,omitempty"`
+	Shard     int             `json:"shard"`
+	StartedAt int64           `json:"born,omitempty"`
+	Health    endpoint.Health `json:"standing"`
+	Weight    float64         `json:"weight,omitempty"`
 }
 
 // FallbackPolicy is what a gateway whose lease has run out may still do for a while: its version with these bounds.
@@ -204,10 +204,10 @@
 		if n.Shard < 0 || n.Shard >= r.Shards {
 			return bad("node %q: there is no shard %d of %d", addr, n.Shard, r.Shards)
 		}
-		if n.Health > listing.Unhealthy {
+		if n.Health > endpoint.Unhealthy {
 			return bad("node %q: there is no standing %d", addr, n.Health)
 		}
-		if n.Health != listing.Ready {
+		if n.Health != endpoint.Ready {
 			continue
 		}
 		if other := owners[n.Shard]; other != "" {
@@ -223,7 +223,7 @@
 // ShardOwner is the node that serves a shard: its address, "" for none.
 func (r *Config) ShardOwner(shard int) string {
 	for _, addr := range sorted(r.Nodes) {
-		if n := r.Nodes[addr]; n.Shard == shard && n.Health == listing.Ready {
+		if n := r.Nodes[addr]; n.Shard == shard && n.Health == endpoint.Ready {
 			return addr
 		}
 	}
@@ -231,11 +231,11 @@
 }
 
 // EndpointList is the list of nodes, by address.
-func (r *Config) EndpointList(version string) listing.List {
-	l := listing.List{Version: version}
+func (r *Config) EndpointList(version string) endpoint.List {
+	l := endpoint.List{Version: version}
 	for _, addr := range sorted(r.Nodes) {
 		n := r.Nodes[addr]
-		l.Nodes = append(l.Nodes, listing.Node{Addr: addr, Name: n.Name, Zone: n.Zone, Shard: n.Shard, StartedAt: n.StartedAt, Health: n.Health,
+		l.Nodes = append(l.Nodes, endpoint.Node{Addr: addr, Name: n.Name, Zone: n.Zone, Shard: n.Shard, StartedAt: n.StartedAt, Health: n.Health,
 			Weight: n.Weight})
 	}
 	return l
--- a/internal/fleet/rules/rules_test.go
+++ b/internal/fleet/configversion/rules_test.go
@@ -1,4 +1,4 @@
-package rules
+package configversion
 
 import (
 	"bytes"
@@ -12,7 +12,7 @@
 
 	"pgregory.net/rapid"
 
-	"irispost/internal/listing"
+	"irispost/internal/endpoint"
 )
 
 // sameSeeds has checks draw the same each time.
@@ -51,11 +51,11 @@
 	for _, addr := range []string{"a", "b", "c", "d"} {
 		if yes(addr) {
 			n := Node{Shard: rapid.IntRange(0, 1).Draw(t, "shard"), StartedAt: span("born"), Zone: rapid.SampledFrom([]string{"", "z"}).Draw(t, "zone"),
-				Health: rapid.SampledFrom([]listing.Health{0, 0, 0, listing.Draining, listing.Removed, listing.Unhealthy}).Draw(t, "standing")}
-			if owned[n.Shard] && n.Health == listing.Ready {
-				n.Health = listing.Draining
+				Health: rapid.SampledFrom([]endpoint.Health{0, 0, 0, endpoint.Draining, endpoint.Removed, endpoint.Unhealthy}).Draw(t, "standing")}
+			if owned[n.Shard] && n.Health == endpoint.Ready {
+				n.Health = endpoint.Draining
 			}
-			owned[n.Shard] = owned[n.Shard] || n.Health == listing.Ready
+			owned[n.Shard] = owned[n.Shard] || n.Health == endpoint.Ready
 			r.Nodes[addr] = n
 		}
 	}
@@ -78,7 +78,7 @@
 	p, plan := r.ServiceLevels[a.plan]
 	q, product := r.RequestClasses[a.product]
 	n, node := r.Nodes[a.node]
-	if !plan || !product || !node || n.Health != listing.Ready || n.Shard != a.shard || n.StartedAt > a.born {
+	if !plan || !product || !node || n.Health != endpoint.Ready || n.Shard != a.shard || n.StartedAt > a.born {
 		return false
 	}
 	if p.RateLimit > 0 && a.rate > p.RateLimit || a.number >= r.Dispatch.MaxAttempts {
--- a/internal/fleet/rules/version.go
+++ b/internal/fleet/configversion/version.go
@@ -1,4 +1,4 @@
-package rules
+package configversion
 
 import (
 	"fmt"
--- a/internal/fleet/content/content_test.go
+++ b/internal/fleet/content/content_test.go
@@ -10,8 +10,8 @@
 	"strings"
 	"testing"
 
+	"irispost/internal/fleet/configversion"
 	"irispost/internal/fleet/delta"
-	"irispost/internal/fleet/rules"
 	"pgregory.net/rapid"
 )
 
@@ -31,7 +31,7 @@
 
 var digests = func() (list []string) {
 	for _, b := range plain {
-		list = append(list, rules.DigestOf(b))
+		list = append(list, configversion.DigestOf(b))
 	}
 	return list
 }()
@@ -233,7 +233,7 @@
 	}
 	hold.Retain(digests[6], digests[7])
 	f := hold.Fetch(digests[7], 2)
-	bomb, _ := delta.Encode(plain[6], make([]byte, rules.MaxContentBytes+1))
+	bomb, _ := delta.Encode(plain[6], make([]byte, configversion.MaxContentBytes+1))
 	for i, want := range []struct {
 		base   string
 		keeper int
--- a/internal/fleet/content/holding.go
+++ b/internal/fleet/content/holding.go
@@ -8,8 +8,8 @@
 	"fmt"
 	"slices"
 
+	"irispost/internal/fleet/configversion"
 	"irispost/internal/fleet/delta"
-	"irispost/internal/fleet/rules"
 )
 
 // Codings of an answer, as Content-Encoding has them.
@@ -48,7 +48,7 @@
 func NewCache(spool []byte, flaws InjectedFaults) *Cache {
 	h := &Cache{have: map[string][]byte{}, whole: map[string]bool{}, flaws: flaws}
 	if len(spool) > 0 {
-		h.spare = rules.DigestOf(spool)
+		h.spare = configversion.DigestOf(spool)
 		h.have[h.spare] = spool
 	}
 	return h
@@ -86,7 +86,7 @@
 
 // Add holds a content that came some other way, if it is the one.
 func (h *Cache) Add(digest string, content []byte) bool {
-	if rules.DigestOf(content) != digest {
+	if configversion.DigestOf(content) != digest {
 		return false
 	}
 	h.have[digest] = content
@@ -186,9 +186,9 @@
 	case h.flaws.Has(FaultWrongBase) && h.have[h.last] != nil:
 		base = h.have[h.last]
 	}
-	content, err := delta.Decode(base, coded, rules.MaxContentBytes)
-	if err == nil && rules.DigestOf(content) != r.Digest && !h.flaws.Has(FaultNoDigestCheck) {
-		err = fmt.Errorf("%w, %.8s", ErrDigestMismatch, rules.DigestOf(content))
+	content, err := delta.Decode(base, coded, configversion.MaxContentBytes)
+	if err == nil && configversion.DigestOf(content) != r.Digest && !h.flaws.Has(FaultNoDigestCheck) {
+		err = fmt.Errorf("%w, %.8s", ErrDigestMismatch, configversion.DigestOf(content))
 	}
 	if err != nil {
 		f.wrong(r)
--- a/internal/fleet/accord/contents_test.go
+++ b/internal/fleet/lease/contents_test.go
@@ -1,11 +1,11 @@
-package accord
+package lease
 
 import (
 	"sync"
 
+	"irispost/internal/fleet/configversion"
 	"irispost/internal/fleet/content"
 	"irispost/internal/fleet/delta"
-	"irispost/internal/fleet/rules"
 )
 
 // Contents travel apart from grants in the world: as deltas or whole, from any keeper, lost, late, spoilt, mixed up; what a gateway had on
@@ -53,11 +53,11 @@
 		h.hold.Retain(digests...)
 	}
 	till := w.now + lease/4
-	var next func(left []*rules.Version, at *content.Fetch)
-	again := func(after Time, left []*rules.Version, at *content.Fetch) {
+	var next func(left []*configversion.Version, at *content.Fetch)
+	again := func(after Time, left []*configversion.Version, at *content.Fetch) {
 		w.post(after, func() { next(left, at) })
 	}
-	next = func(left []*rules.Version, at *content.Fetch) {
+	next = func(left []*configversion.Version, at *content.Fetch) {
 		switch {
 		case h.f != f:
 			return
@@ -78,7 +78,7 @@
 			if c := h.hold.Content(left[0].Digest); c != nil {
 				left[0].Content = c
 				if w.flaws.Has(noDigest) || w.flaws.Has(oldSpool) {
-					left[0].Digest = rules.DigestOf(c)
+					left[0].Digest = configversion.DigestOf(c)
 				}
 				h.spool = append(h.spool, c)
 			}
--- a/internal/fleet/accord/entry.go
+++ b/internal/fleet/lease/entry.go
@@ -1,4 +1,4 @@
-package accord
+package lease
 
 import (
 	"encoding/binary"
@@ -6,8 +6,8 @@
 	"errors"
 	"fmt"
 
+	"irispost/internal/fleet/configversion"
 	"irispost/internal/fleet/delta"
-	"irispost/internal/fleet/rules"
 )
 
 // An entry of the log is a command in one of two forms. The first is its JSON, with a proposal's whole content. The second begins with a
@@ -35,7 +35,7 @@
 	for _, part := range []struct {
 		what       string
 		have, most int
-	}{{"content", len(p.Content), rules.MaxContentBytes}, {"ID", len(p.ID), mostID}, {"author", len(p.Author), mostWho}, {"time", len(p.CreatedAt), mostWho}, {"reason", len(p.Reason), mostWhy}} {
+	}{{"content", len(p.Content), configversion.MaxContentBytes}, {"ID", len(p.ID), mostID}, {"author", len(p.Author), mostWho}, {"time", len(p.CreatedAt), mostWho}, {"reason", len(p.Reason), mostWhy}} {
 		if part.have > part.most {
 			return fmt.Errorf("the proposal's %s has %d bytes, %d at most are taken", part.what, part.have, part.most)
 		}
@@ -75,14 +75,14 @@
 // code puts the coded content in place of the whole.
 func (p *Proposal) code(l *StateMachine) (err error) {
 	var base []byte
-	p.Digest, p.DeltaBase = rules.DigestOf(p.Content), 0
+	p.Digest, p.DeltaBase = configversion.DigestOf(p.Content), 0
 	if v := l.Version(p.Parent); v != nil && p.Parent == l.Announced {
 		p.DeltaBase, base = v.Number, v.Content
 	}
 	if p.Delta, err = delta.Encode(base, p.Content); err != nil {
 		return err
 	}
-	if b, err := delta.Decode(base, p.Delta, rules.MaxContentBytes); err != nil || rules.DigestOf(b) != p.Digest { // each keeper would end by it
+	if b, err := delta.Decode(base, p.Delta, configversion.MaxContentBytes); err != nil || configversion.DigestOf(b) != p.Digest { // each keeper would end by it
 		return fmt.Errorf("the content of %d bytes is not the same once it is coded and decoded: %v", len(p.Content), err)
 	}
 	p.Content = nil
@@ -125,11 +125,11 @@
 		}
 		base = v.Content
 	}
-	b, err := delta.Decode(base, p.Delta, rules.MaxContentBytes)
+	b, err := delta.Decode(base, p.Delta, configversion.MaxContentBytes)
 	if err != nil {
 		return nil, fmt.Errorf("%w: proposal %q, a delta of %d bytes from version %d: %w", ErrInvalidEntry, p.ID, len(p.Delta), p.DeltaBase, err)
 	}
-	if sum := rules.DigestOf(b); sum != p.Digest {
+	if sum := configversion.DigestOf(b); sum != p.Digest {
 		return nil, fmt.Errorf("%w: proposal %q, a delta of %d bytes from version %d, comes to a content of digest %.12s, and it says %.12s", ErrInvalidEntry, p.ID,
 			len(p.Delta), p.DeltaBase, sum, p.Digest)
 	}
--- a/internal/fleet/accord/flaws.go
+++ b/internal/fleet/lease/flaws.go
@@ -1,4 +1,4 @@
-package accord
+package lease
 
 // InjectedFaults are defects that tests put in on purpose, to prove that what looks for defects finds them. Nothing else sets them.
 type InjectedFaults uint32
--- a/internal/fleet/accord/follower.go
+++ b/internal/fleet/lease/follower.go
@@ -1,12 +1,12 @@
-package accord
+package lease
 
 import (
 	"fmt"
 	"slices"
 	"strings"
 
-	"irispost/internal/fleet/cold/tenure"
-	"irispost/internal/fleet/rules"
+	"irispost/internal/fleet/configversion"
+	"irispost/internal/fleet/slowstart/epoch"
 )
 
 // State is how a gateway stands with the keepers. Only Follower.move changes it.
@@ -32,13 +32,13 @@
 type Client struct {
 	who     string
 	state   State
-	held    []*rules.Version // one, or two whose meet counts
-	opened  []*rules.Config  // the same
-	effect  *rules.Config    // what it acts on; nil: nothing
-	name    string           // of that, for people and records
-	seq     uint64           // of the last ask
-	taken   uint64           // of the grant that was taken last
-	term    uint64           // of it
+	held    []*configversion.Version // one, or two whose meet counts
+	opened  []*configversion.Config  // the same
+	effect  *configversion.Config    // what it acts on; nil: nothing
+	name    string                   // of that, for people and records
+	seq     uint64                   // of the last ask
+	taken   uint64                   // of the grant that was taken last
+	term    uint64                   // of it
 	inForce uint64
 	newest  uint64 // announced
 	asked   []asked
@@ -82,7 +82,7 @@
 // MembershipUpdate are those that a lease came with.
 type MembershipUpdate struct {
 	RequestedAt Time // when the lease was asked for
-	Membership  tenure.Membership
+	Membership  epoch.Membership
 	PeerAddrs   map[string]string
 }
 
@@ -196,7 +196,7 @@
 // gather finds the versions that a grant names: the one in force, and the announced one beside it where it can be read. acts
 // tells whether the one in force is among them: if not, nothing is acted on. A version whose content has not come yet is not there; it is
 // asked for again.
-func (f *Client) gather(g *RenewResponse) (held []*rules.Version, opened []*rules.Config, acts bool, trouble string) {
+func (f *Client) gather(g *RenewResponse) (held []*configversion.Version, opened []*configversion.Config, acts bool, trouble string) {
 	f.lacks = false
 	for i, n := range []uint64{g.InForce, g.Announced} {
 		if n == 0 || i == 1 && n == g.InForce {
@@ -223,10 +223,10 @@
 
 // VersionsOf are the versions that a grant names, the one in force first, as far as they are held or in the grant; their contents need not be
 // there.
-func (f *Client) VersionsOf(g *RenewResponse) (list []*rules.Version) {
+func (f *Client) VersionsOf(g *RenewResponse) (list []*configversion.Version) {
 	for i, n := range []uint64{g.InForce, g.Announced} {
 		of := slices.Concat(f.held, g.Versions)
-		if at := slices.IndexFunc(of, func(v *rules.Version) bool { return v.Number == n }); at >= 0 && (i == 0 || n != g.InForce) {
+		if at := slices.IndexFunc(of, func(v *configversion.Version) bool { return v.Number == n }); at >= 0 && (i == 0 || n != g.InForce) {
 			list = append(list, of[at])
 		}
 	}
@@ -242,7 +242,7 @@
 	f.name = strings.Join(list, "&")
 	f.effect = f.opened[0]
 	if len(f.opened) == 2 && !f.flaws.Has(FaultNoIntersection) {
-		f.effect = rules.Intersect(f.opened[0], f.opened[1])
+		f.effect = configversion.Intersect(f.opened[0], f.opened[1])
 	}
 }
 
@@ -258,12 +258,12 @@
 }
 
 // Effective is what the gateway acts on at a time; nil: on nothing. Whoever sends has read the clock once, and sends by this.
-func (f *Client) Effective(now Time) *rules.Config {
+func (f *Client) Effective(now Time) *configversion.Config {
 	if (f.state == StateActing || f.state == StatePrepared) && now >= f.lease {
 		floor, _ := f.held[0].Fallback() // what is held could be read
 		if len(f.held) == 2 {
 			other, _ := f.held[1].Fallback()
-			floor = rules.Intersect(floor, other)
+			floor = configversion.Intersect(floor, other)
 		}
 		f.effect, f.name = floor, "floor of "+f.name
 		f.move(StateExpired, "no word from the keepers for a lease")
@@ -292,7 +292,7 @@
 }
 
 // LatestVersion is the newest version that counts, as it was read; nil: none.
-func (f *Client) LatestVersion() (*rules.Version, *rules.Config) {
+func (f *Client) LatestVersion() (*configversion.Version, *configversion.Config) {
 	if len(f.held) == 0 {
 		return nil, nil
 	}
--- a/internal/fleet/accord/golden_test.go
+++ b/internal/fleet/lease/golden_test.go
@@ -1,4 +1,4 @@
-package accord
+package lease
 
 import (
 	"bytes"
@@ -11,8 +11,8 @@
 	"strings"
 	"testing"
 
-	"irispost/internal/fleet/cold/tenure"
-	"irispost/internal/fleet/rules"
+	"irispost/internal/fleet/configversion"
+	"irispost/internal/fleet/slowstart/epoch"
 )
 
 // The files under testdata/golden hold every form that goes over the wire or to disk. Replicas and gateways of other builds read and
@@ -37,8 +37,8 @@
 
 // goldenRules is a content that differs from others by its limit alone.
 func goldenRules(limit float64) []byte {
-	r := &rules.Config{RequiredFormat: 1, Shards: 2, MeanRequestUnits: 1, ServiceLevels: map[string]rules.ServiceLevel{"gold": {Weight: 1, RateLimit: limit}}, Dispatch: rules.DispatchPolicy{MaxAttempts: 1},
-		Nodes: map[string]rules.Node{"10.0.0.1:7000": {Name: "one", Zone: "z1", StartedAt: 5}, "10.0.0.2:7000": {Shard: 1}}}
+	r := &configversion.Config{RequiredFormat: 1, Shards: 2, MeanRequestUnits: 1, ServiceLevels: map[string]configversion.ServiceLevel{"gold": {Weight: 1, RateLimit: limit}}, Dispatch: configversion.DispatchPolicy{MaxAttempts: 1},
+		Nodes: map[string]configversion.Node{"10.0.0.1:7000": {Name: "one", Zone: "z1", StartedAt: 5}, "10.0.0.2:7000": {Shard: 1}}}
 	return r.Canonical()
 }
 
@@ -81,13 +81,13 @@
 }
 
 func TestGoldenJSON(t *testing.T) {
-	version := rules.Version{Number: 7, Parent: 6, Digest: "abcd", Author: "ann", Reason: "more room", CreatedAt: "2026-01-02T03:04:05Z", Content: []byte("{}")}
+	version := configversion.Version{Number: 7, Parent: 6, Digest: "abcd", Author: "ann", Reason: "more room", CreatedAt: "2026-01-02T03:04:05Z", Content: []byte("{}")}
 	for name, value := range map[string]any{
 		"ask.json": &RenewRequest{Holder: "g1/1", Seq: 9, Term: 3, AcceptedSeq: 8, HeldVersions: []uint64{6, 7}, Fault: "version 7 is not acted on", State: StatePrepared.String(), MembershipEpoch: 4,
 			PeerAddr: "10.0.0.9:7200", Format: ByDigest},
 		"ask-first.json": &RenewRequest{Holder: "g1/1", Seq: 1, State: StateFollowing.String()},
-		"grant.json": &RenewResponse{Seq: 9, Term: 3, InForce: 6, Announced: 7, LeaseDuration: 2e9, Versions: []*rules.Version{&version},
-			Membership: &tenure.Membership{Epoch: 4, Departures: 1, Age: 5e8, Members: []string{"g1/1", "g2/1"}, LeaseDuration: 2e9, MaxClockDrift: 0.01},
+		"grant.json": &RenewResponse{Seq: 9, Term: 3, InForce: 6, Announced: 7, LeaseDuration: 2e9, Versions: []*configversion.Version{&version},
+			Membership: &epoch.Membership{Epoch: 4, Departures: 1, Age: 5e8, Members: []string{"g1/1", "g2/1"}, LeaseDuration: 2e9, MaxClockDrift: 0.01},
 			PeerAddrs:  map[string]string{"g1/1": "10.0.0.9:7200"}},
 		"grant-none.json":      &RenewResponse{Seq: 9, Term: 3},
 		"seen.json":            &GatewayStatus{Holder: "g1/1", State: StateActing.String(), HeldVersions: []uint64{7}, LastHeardMillis: 120, LeaseLeftMillis: 1880, Unresponsive: true, Fault: "late"},
--- a/internal/fleet/accord/granted_test.go
+++ b/internal/fleet/lease/granted_test.go
@@ -1,4 +1,4 @@
-package accord
+package lease
 
 import "testing"
 
--- a/internal/fleet/accord/ledger.go
+++ b/internal/fleet/lease/ledger.go
@@ -1,8 +1,8 @@
-// Package accord decides how gateways come to act on versions of rules together: what the keepers' log comes to (Ledger),
+// Package lease decides how gateways come to act on versions of rules together: what the keepers' log comes to (Ledger),
 // when the leading keeper may bring a version into force (Warden), and what a gateway acts on meanwhile (Follower). It is
 // pure: no I/O, no clock, no chance. Each clock that it is told of is one process's own and never goes back; no two are
 // compared, and none tells the time of day. docs/fleet.md has the argument and the times that follow from it.
-package accord
+package lease
 
 import (
 	"bytes"
@@ -12,7 +12,7 @@
 	"maps"
 	"slices"
 
-	"irispost/internal/fleet/rules"
+	"irispost/internal/fleet/configversion"
 )
 
 // Time is nanoseconds on one process's clock.
@@ -64,18 +64,18 @@
 
 // StateMachine is what the log has come to. The same commands in the same order give the same ledger at each keeper.
 type StateMachine struct {
-	Format          int               `json:"form,omitempty"` // of entries and snapshots; 0: the first, in which nothing is forgotten
-	Settings        Settings          `json:"terms"`
-	Versions        []*rules.Version  `json:"versions"` // by number; those that were forgotten are not among them
-	ProposalIDs     map[string]uint64 `json:"ids"`      // of proposals
-	InForce         uint64            `json:"in_force"` // 0: none
-	Announced       uint64            `json:"announced"`
-	Holders         map[string]bool   `json:"holders"` // that may hold a lease or a floor
-	Members         map[string]bool   `json:"present"` // those of them that may hold a lease
-	MembershipEpoch uint64            `json:"sets"`    // changes of who is present
-	Departures      uint64            `json:"parts"`   // gateways that were present and ceased to be, so far
-	spans           map[uint64]Time   // how long the floors of versions count, as far as it was asked for
-	codes           map[uint64]code   // contents as they were coded once, by version
+	Format          int                      `json:"form,omitempty"` // of entries and snapshots; 0: the first, in which nothing is forgotten
+	Settings        Settings                 `json:"terms"`
+	Versions        []*configversion.Version `json:"versions"` // by number; those that were forgotten are not among them
+	ProposalIDs     map[string]uint64        `json:"ids"`      // of proposals
+	InForce         uint64                   `json:"in_force"` // 0: none
+	Announced       uint64                   `json:"announced"`
+	Holders         map[string]bool          `json:"holders"` // that may hold a lease or a floor
+	Members         map[string]bool          `json:"present"` // those of them that may hold a lease
+	MembershipEpoch uint64                   `json:"sets"`    // changes of who is present
+	Departures      uint64                   `json:"parts"`   // gateways that were present and ceased to be, so far
+	spans           map[uint64]Time          // how long the floors of versions count, as far as it was asked for
+	codes           map[uint64]code          // contents as they were coded once, by version
 }
 
 // Why a proposal is refused. The text says what to do.
@@ -91,11 +91,11 @@
 
 // find tells where a version is, or would be.
 func (l *StateMachine) find(n uint64) (int, bool) {
-	return slices.BinarySearchFunc(l.Versions, n, func(v *rules.Version, n uint64) int { return cmp.Compare(v.Number, n) })
+	return slices.BinarySearchFunc(l.Versions, n, func(v *configversion.Version, n uint64) int { return cmp.Compare(v.Number, n) })
 }
 
 // Version is a version by its number; nil: there is none, or it was forgotten.
-func (l *StateMachine) Version(n uint64) *rules.Version {
+func (l *StateMachine) Version(n uint64) *configversion.Version {
 	if i, is := l.find(n); is {
 		return l.Versions[i]
 	}
@@ -104,7 +104,7 @@
 
 // Apply takes the next command of the log. An error that is ErrEntry tells that this ledger cannot go on; any other, that the command
 // changes nothing.
-func (l *StateMachine) Apply(c *Command) (*rules.Version, error) {
+func (l *StateMachine) Apply(c *Command) (*configversion.Version, error) {
 	switch {
 	case c.Bootstrap != nil:
 		if l.Settings.LeaseDuration > 0 {
@@ -145,7 +145,7 @@
 	}
 }
 
-func (l *StateMachine) propose(p *Proposal) (*rules.Version, error) {
+func (l *StateMachine) propose(p *Proposal) (*configversion.Version, error) {
 	if p.Delta != nil {
 		l.Format = 2
 	}
@@ -153,7 +153,7 @@
 		if v := l.Version(n); v != nil {
 			return v, nil
 		}
-		return &rules.Version{Number: n, Parent: n - 1}, nil // the rest of it is in the history
+		return &configversion.Version{Number: n, Parent: n - 1}, nil // the rest of it is in the history
 	}
 	if p.Parent != l.Announced {
 		late := ""
@@ -172,14 +172,14 @@
 	if err != nil {
 		return nil, err
 	}
-	r, err := rules.Parse(content)
-	var newer *rules.UnsupportedFormatError
+	r, err := configversion.Parse(content)
+	var newer *configversion.UnsupportedFormatError
 	if err != nil && !errors.As(err, &newer) { // a keeper may be older than what the gateways are asked to act on
 		return nil, err
 	}
-	v := &rules.Version{Number: l.Announced + 1, Parent: p.Parent, Author: p.Author, Reason: p.Reason, CreatedAt: p.CreatedAt, Content: content}
+	v := &configversion.Version{Number: l.Announced + 1, Parent: p.Parent, Author: p.Author, Reason: p.Reason, CreatedAt: p.CreatedAt, Content: content}
 	if newer != nil {
-		v.Digest = rules.DigestOf(content)
+		v.Digest = configversion.DigestOf(content)
 	} else {
 		v.Digest, v.Content = r.Digest(), r.Canonical()
 		l.spans[v.Number] = r.FallbackPolicy.Duration
@@ -205,7 +205,7 @@
 		}
 	}
 	gone := func(n uint64) bool { return slices.Contains(numbers, n) }
-	l.Versions = slices.DeleteFunc(l.Versions, func(v *rules.Version) bool { return gone(v.Number) })
+	l.Versions = slices.DeleteFunc(l.Versions, func(v *configversion.Version) bool { return gone(v.Number) })
 	maps.DeleteFunc(l.spans, func(n uint64, _ Time) bool { return gone(n) })
 	maps.DeleteFunc(l.codes, func(n uint64, _ code) bool { return gone(n) })
 	return nil
@@ -230,7 +230,7 @@
 		return 0
 	}
 	var span Time
-	if r, err := rules.Parse(v.Content); err == nil { // not by Open: what was read would stay with it
+	if r, err := configversion.Parse(v.Content); err == nil { // not by Open: what was read would stay with it
 		span = r.FallbackPolicy.Duration
 	}
 	l.spans[n] = span
@@ -249,7 +249,7 @@
 func names(set map[string]bool) []string { return slices.Sorted(maps.Keys(set)) }
 
 // VersionByDigest is the newest version with a digest; nil: there is none.
-func (l *StateMachine) VersionByDigest(digest string) *rules.Version {
+func (l *StateMachine) VersionByDigest(digest string) *configversion.Version {
 	for _, v := range slices.Backward(l.Versions) {
 		if v.Digest == digest {
 			return v
--- a/internal/fleet/accord/model_test.go
+++ b/internal/fleet/lease/model_test.go
@@ -1,4 +1,4 @@
-package accord
+package lease
 
 import (
 	"encoding/binary"
@@ -13,8 +13,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"irispost/internal/fleet/rules"
-	"irispost/internal/listing"
+	"irispost/internal/endpoint"
+	"irispost/internal/fleet/configversion"
 )
 
 // The model: all that can happen to three keepers, two gateways and a change from one version to another, with a bounded number
@@ -54,9 +54,9 @@
 	letters   []letter
 	proposed  int
 	elections int
-	path      string                    // how it was reached
-	versions  map[string]*rules.Version // by proposal; the same for all
-	span      Time                      // of their floors
+	path      string                            // how it was reached
+	versions  map[string]*configversion.Version // by proposal; the same for all
+	span      Time                              // of their floors
 }
 
 func cloneLedger(l *StateMachine) *StateMachine {
@@ -212,15 +212,15 @@
 // explore goes through all that can happen. It returns how many states there are, and how one breaks, if one does.
 func explore(b bounds, flaws InjectedFaults) (states int, broken string) {
 	version := func(owner string) []byte {
-		r := &rules.Config{RequiredFormat: 1, Shards: 1, MeanRequestUnits: 1, ServiceLevels: map[string]rules.ServiceLevel{"p": {Weight: 1}}, Dispatch: rules.DispatchPolicy{MaxAttempts: 1},
-			Nodes: map[string]rules.Node{"a": {Health: listing.Draining}, "b": {Health: listing.Draining}}, FallbackPolicy: rules.FallbackPolicy{Duration: b.floor, LimitFraction: 1}}
-		r.Nodes[owner] = rules.Node{}
+		r := &configversion.Config{RequiredFormat: 1, Shards: 1, MeanRequestUnits: 1, ServiceLevels: map[string]configversion.ServiceLevel{"p": {Weight: 1}}, Dispatch: configversion.DispatchPolicy{MaxAttempts: 1},
+			Nodes: map[string]configversion.Node{"a": {Health: endpoint.Draining}, "b": {Health: endpoint.Draining}}, FallbackPolicy: configversion.FallbackPolicy{Duration: b.floor, LimitFraction: 1}}
+		r.Nodes[owner] = configversion.Node{}
 		if b.mild {
-			r.Nodes = map[string]rules.Node{"a": {Name: owner}}
+			r.Nodes = map[string]configversion.Node{"a": {Name: owner}}
 		}
 		return r.Canonical()
 	}
-	first := &state{truth: NewStateMachine(), hosts: [2]*Client{NewClient("g", 1, flaws), NewClient("h", 1, flaws)}, versions: map[string]*rules.Version{}, span: b.floor}
+	first := &state{truth: NewStateMachine(), hosts: [2]*Client{NewClient("g", 1, flaws), NewClient("h", 1, flaws)}, versions: map[string]*configversion.Version{}, span: b.floor}
 	l := NewStateMachine()
 	for i, owner := range []string{"a", "b"} {
 		id := []string{"one", "two"}[i]
@@ -232,7 +232,7 @@
 		first.versions[id] = v
 	}
 	for id, other := range map[string]string{"one": "two", "two": "one"} { // the content of the other, which a gateway takes that checks no digest
-		v := &rules.Version{Number: first.versions[id].Number, Digest: first.versions[other].Digest, Content: first.versions[other].Content}
+		v := &configversion.Version{Number: first.versions[id].Number, Digest: first.versions[other].Digest, Content: first.versions[other].Content}
 		v.Fallback()
 		first.versions["not "+id] = v
 	}
@@ -344,7 +344,7 @@
 			continue
 		}
 		inForce, _ := s.truth.Version(s.truth.InForce).Config()
-		if len(rules.Exceeds(effect, inForce)) > 0 {
+		if len(configversion.Exceeds(effect, inForce)) > 0 {
 			return fmt.Sprintf("gateway %d acts on %s, in force is %d: %s", i, f.EffectiveName(), s.truth.InForce, s.path)
 		}
 		fits[key] = true
@@ -354,11 +354,11 @@
 
 // fetched are the ways in which a gateway may have the contents that a grant names by the time that it takes it: each of them, or not. That
 // they come late is that the grant does.
-func (s *state) fetched(g *RenewResponse, flaws InjectedFaults) (ways [][]*rules.Version) {
-	ways = [][]*rules.Version{nil}
+func (s *state) fetched(g *RenewResponse, flaws InjectedFaults) (ways [][]*configversion.Version) {
+	ways = [][]*configversion.Version{nil}
 	for _, v := range g.Versions {
 		id := []string{"one", "two"}[v.Number-1]
-		can := []*rules.Version{s.versions[id]}
+		can := []*configversion.Version{s.versions[id]}
 		if flaws.Has(noDigest) {
 			can = append(can, s.versions["not "+id])
 		}
--- a/internal/fleet/accord/retain.go
+++ b/internal/fleet/lease/retain.go
@@ -1,4 +1,4 @@
-package accord
+package lease
 
 // batch is how many versions have to be there to be forgotten before that is put into the log: an entry costs a round to all keepers.
 const batch = 32
--- a/internal/fleet/accord/snapshot.go
+++ b/internal/fleet/lease/snapshot.go
@@ -1,4 +1,4 @@
-package accord
+package lease
 
 import (
 	"bytes"
@@ -9,8 +9,8 @@
 
 	"github.com/zeebo/blake3"
 
+	"irispost/internal/fleet/configversion"
 	"irispost/internal/fleet/delta"
-	"irispost/internal/fleet/rules"
 )
 
 // A snapshot of a ledger of form 2: the mark, the length of a JSON (uvarint) and the ledger's JSON with versions without contents; then for
@@ -41,9 +41,9 @@
 		return b
 	}
 	head := *l
-	head.Versions = make([]*rules.Version, len(l.Versions))
+	head.Versions = make([]*configversion.Version, len(l.Versions))
 	for i, v := range l.Versions {
-		bare := rules.Version{Number: v.Number, Parent: v.Parent, Digest: v.Digest, Author: v.Author, Reason: v.Reason, CreatedAt: v.CreatedAt}
+		bare := configversion.Version{Number: v.Number, Parent: v.Parent, Digest: v.Digest, Author: v.Author, Reason: v.Reason, CreatedAt: v.CreatedAt}
 		head.Versions[i] = &bare
 	}
 	b, err := json.Marshal(&head)
@@ -133,10 +133,10 @@
 		if err != nil {
 			return err
 		}
-		if v.Content, err = delta.Decode(base, coded, rules.MaxContentBytes); err != nil {
+		if v.Content, err = delta.Decode(base, coded, configversion.MaxContentBytes); err != nil {
 			return fmt.Errorf("version %d, coded from %d: %w", v.Number, from, err)
 		}
-		if sum := rules.DigestOf(v.Content); sum != v.Digest {
+		if sum := configversion.DigestOf(v.Content); sum != v.Digest {
 			return fmt.Errorf("version %d has a content of digest %.12s, and it says %.12s", v.Number, sum, v.Digest)
 		}
 		l.codes[v.Number] = code{from, bytes.Clone(coded)}
--- a/internal/fleet/accord/snapshot_test.go
+++ b/internal/fleet/lease/snapshot_test.go
@@ -1,4 +1,4 @@
-package accord
+package lease
 
 import (
 	"bytes"
@@ -11,15 +11,15 @@
 
 	"pgregory.net/rapid"
 
-	"irispost/internal/fleet/rules"
+	"irispost/internal/fleet/configversion"
 )
 
 // plan is rules of so many nodes with a limit.
 func plan(nodes int, limit float64) []byte {
-	r := &rules.Config{RequiredFormat: 1, Shards: nodes + 1, MeanRequestUnits: 1, ServiceLevels: map[string]rules.ServiceLevel{"gold": {Weight: 1, RateLimit: limit}}, Dispatch: rules.DispatchPolicy{MaxAttempts: 1},
-		Nodes: map[string]rules.Node{}}
+	r := &configversion.Config{RequiredFormat: 1, Shards: nodes + 1, MeanRequestUnits: 1, ServiceLevels: map[string]configversion.ServiceLevel{"gold": {Weight: 1, RateLimit: limit}}, Dispatch: configversion.DispatchPolicy{MaxAttempts: 1},
+		Nodes: map[string]configversion.Node{}}
 	for i := range nodes {
-		r.Nodes[fmt.Sprintf("10.0.%d.%d:7000", i/250, i%250)] = rules.Node{Shard: i, Name: fmt.Sprint("node-", i), Zone: "a", StartedAt: int64(i) * 1e9}
+		r.Nodes[fmt.Sprintf("10.0.%d.%d:7000", i/250, i%250)] = configversion.Node{Shard: i, Name: fmt.Sprint("node-", i), Zone: "a", StartedAt: int64(i) * 1e9}
 	}
 	return r.Canonical()
 }
@@ -30,7 +30,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		ledgers := []*StateMachine{NewStateMachine(), NewStateMachine(), NewStateMachine()}
 		all, gone := map[uint64][]byte{}, map[uint64]bool{}
-		put := func(c *Command, form int) (taken *rules.Version) {
+		put := func(c *Command, form int) (taken *configversion.Version) {
 			e, err := c.EncodeEntry(form, ledgers[0])
 			if err != nil {
 				t.Fatal(err)
@@ -174,7 +174,7 @@
 // A proposal that is asked for again is told its number as long as its ID is known, and is refused after that, as its parent is not the newest.
 func TestRepeatsOfProposals(t *testing.T) {
 	l := NewStateMachine()
-	ask := func(n int) (*rules.Version, error) {
+	ask := func(n int) (*configversion.Version, error) {
 		c := &Command{Propose: &Proposal{ID: fmt.Sprint(n), Parent: uint64(n), ReplacePending: true, Content: plan(0, float64(n+1))}}
 		e, err := c.EncodeEntry([]int{2, 1}[min(n%16, 1)], l)
 		if err != nil {
@@ -205,7 +205,7 @@
 	if _, err := ask(0); err == nil || !strings.Contains(err.Error(), "kept for 1024 versions") || l.Announced != all {
 		t.Errorf("%v", err)
 	}
-	for _, p := range []*Proposal{{Content: make([]byte, rules.MaxContentBytes+1)}, {Reason: strings.Repeat("w", 3000)}, {ID: strings.Repeat("w", 129)}} {
+	for _, p := range []*Proposal{{Content: make([]byte, configversion.MaxContentBytes+1)}, {Reason: strings.Repeat("w", 3000)}, {ID: strings.Repeat("w", 129)}} {
 		if err := p.Validate(); err == nil {
 			t.Error("a proposal that is too large is taken")
 		}
@@ -217,8 +217,8 @@
 	l, now, seq := NewStateMachine(), Time(0), uint64(0)
 	l.Apply(&Command{Bootstrap: &testTerms})
 	l.Apply(&Command{Join: []string{"far", "near"}})
-	r, _ := rules.Parse(plan(0, 1))
-	r.FallbackPolicy = rules.FallbackPolicy{Duration: 3600 * 1e9, LimitFraction: 1}
+	r, _ := configversion.Parse(plan(0, 1))
+	r.FallbackPolicy = configversion.FallbackPolicy{Duration: 3600 * 1e9, LimitFraction: 1}
 	w := NewManager(now, 1, l, 0)
 	step := func(content []byte) {
 		if _, err := l.Apply(&Command{Propose: &Proposal{ID: fmt.Sprint(now), Parent: l.Announced, ReplacePending: true, Content: content}}); err != nil {
--- a/internal/fleet/accord/warden.go
+++ b/internal/fleet/lease/warden.go
@@ -1,11 +1,11 @@
-package accord
+package lease
 
 import (
 	"fmt"
 	"slices"
 
-	"irispost/internal/fleet/cold/tenure"
-	"irispost/internal/fleet/rules"
+	"irispost/internal/fleet/configversion"
+	"irispost/internal/fleet/slowstart/epoch"
 )
 
 // RenewRequest is what a gateway asks a keeper for: to go on acting.
@@ -27,14 +27,14 @@
 
 // RenewResponse is the leading keeper's answer.
 type RenewResponse struct {
-	Seq           uint64             `json:"seq"`
-	Term          uint64             `json:"term"`
-	InForce       uint64             `json:"in_force"`
-	Announced     uint64             `json:"announced"`
-	LeaseDuration Time               `json:"lease"`              // from when it was asked for; 0: none yet, ask again
-	Versions      []*rules.Version   `json:"versions,omitempty"` // that the ask does not hold; without contents to who asks in the form Apart
-	Membership    *tenure.Membership `json:"set,omitempty"`      // who is present; its members only where the gateway knows others
-	PeerAddrs     map[string]string  `json:"peers,omitempty"`    // with them, where they are reached, as far as is known
+	Seq           uint64                   `json:"seq"`
+	Term          uint64                   `json:"term"`
+	InForce       uint64                   `json:"in_force"`
+	Announced     uint64                   `json:"announced"`
+	LeaseDuration Time                     `json:"lease"`              // from when it was asked for; 0: none yet, ask again
+	Versions      []*configversion.Version `json:"versions,omitempty"` // that the ask does not hold; without contents to who asks in the form Apart
+	Membership    *epoch.Membership        `json:"set,omitempty"`      // who is present; its members only where the gateway knows others
+	PeerAddrs     map[string]string        `json:"peers,omitempty"`    // with them, where they are reached, as far as is known
 }
 
 // holder is a gateway that may act on something, as the leading keeper knows it.
@@ -162,7 +162,7 @@
 	if w.set != w.ledger.MembershipEpoch {
 		w.set, w.setAt = w.ledger.MembershipEpoch, now // seen late, it counts as later than it is
 	}
-	g.Membership = &tenure.Membership{Epoch: w.set, Departures: w.ledger.Departures, Age: now - w.setAt, LeaseDuration: w.ledger.Settings.LeaseDuration, MaxClockDrift: w.ledger.Settings.MaxClockDrift}
+	g.Membership = &epoch.Membership{Epoch: w.set, Departures: w.ledger.Departures, Age: now - w.setAt, LeaseDuration: w.ledger.Settings.LeaseDuration, MaxClockDrift: w.ledger.Settings.MaxClockDrift}
 	if a.MembershipEpoch == w.set {
 		return
 	}
@@ -265,7 +265,7 @@
 	return list
 }
 
-func (w *Manager) open(n uint64) (*rules.Config, error) {
+func (w *Manager) open(n uint64) (*configversion.Config, error) {
 	if v := w.ledger.Version(n); v != nil {
 		return v.Config()
 	}
@@ -274,7 +274,7 @@
 
 // floorFits tells whether the floor that a gateway may act on is within rules. It acts on the floors of all that it holds,
 // so one of them within is enough; what it holds is what it said last, or what it took of the grants since.
-func (w *Manager) floorFits(h *holder, next *rules.Config) bool {
+func (w *Manager) floorFits(h *holder, next *configversion.Config) bool {
 	if next == nil {
 		return false
 	}
@@ -287,7 +287,7 @@
 			return false
 		}
 		floor, err := v.Fallback()
-		return err == nil && len(rules.Exceeds(floor, next)) == 0
+		return err == nil && len(configversion.Exceeds(floor, next)) == 0
 	}
 	for _, g := range h.granted {
 		if !fits(g.inForce) { // it may be without the announced one, where it cannot read that
--- a/internal/fleet/accord/world_test.go
+++ b/internal/fleet/lease/world_test.go
@@ -1,4 +1,4 @@
-package accord
+package lease
 
 import (
 	"errors"
@@ -13,9 +13,9 @@
 	"sync/atomic"
 	"testing"
 
+	"irispost/internal/endpoint"
+	"irispost/internal/fleet/configversion"
 	"irispost/internal/fleet/content"
-	"irispost/internal/fleet/rules"
-	"irispost/internal/listing"
 )
 
 // The world of these tests: keepers around one log, of which one leads and others may still believe that they do; gateways;
@@ -38,17 +38,17 @@
 // pool is rules that agree and contradict in different ways.
 var pool = func() (list [][]byte) {
 	for n := range 24 {
-		r := &rules.Config{RequiredFormat: 1, Shards: 2, MeanRequestUnits: 1, ServiceLevels: map[string]rules.ServiceLevel{"gold": {Weight: 1, RateLimit: float64(1 + n%3)}},
-			RequestClasses: map[string]rules.RequestClass{"read": {Idempotency: rules.Idempotent, LatencyObjective: 1, ClientTimeout: 2}},
-			Nodes:          map[string]rules.Node{"a": {}, "b": {Shard: 1}, "c": {Health: listing.Draining}}, Dispatch: rules.DispatchPolicy{MaxAttempts: 3},
-			FallbackPolicy: rules.FallbackPolicy{Duration: Time(n%4) * 2 * lease, LimitFraction: []float64{0.3, 1}[n%2]}}
+		r := &configversion.Config{RequiredFormat: 1, Shards: 2, MeanRequestUnits: 1, ServiceLevels: map[string]configversion.ServiceLevel{"gold": {Weight: 1, RateLimit: float64(1 + n%3)}},
+			RequestClasses: map[string]configversion.RequestClass{"read": {Idempotency: configversion.Idempotent, LatencyObjective: 1, ClientTimeout: 2}},
+			Nodes:          map[string]configversion.Node{"a": {}, "b": {Shard: 1}, "c": {Health: endpoint.Draining}}, Dispatch: configversion.DispatchPolicy{MaxAttempts: 3},
+			FallbackPolicy: configversion.FallbackPolicy{Duration: Time(n%4) * 2 * lease, LimitFraction: []float64{0.3, 1}[n%2]}}
 		switch n % 5 {
 		case 1:
-			r.Nodes["a"], r.Nodes["c"] = rules.Node{Health: listing.Draining}, rules.Node{}
+			r.Nodes["a"], r.Nodes["c"] = configversion.Node{Health: endpoint.Draining}, configversion.Node{}
 		case 2:
 			delete(r.Nodes, "b")
 		case 3:
-			r.RequestClasses["read"] = rules.RequestClass{Idempotency: rules.NonIdempotent, LatencyObjective: 1, ClientTimeout: 2}
+			r.RequestClasses["read"] = configversion.RequestClass{Idempotency: configversion.NonIdempotent, LatencyObjective: 1, ClientTimeout: 2}
 		}
 		list = append(list, r.Canonical())
 	}
@@ -58,7 +58,7 @@
 // bare is the same without floors.
 var bare = func() (list [][]byte) {
 	for _, b := range pool[:24] {
-		r, _ := rules.Parse(b)
+		r, _ := configversion.Parse(b)
 		r.FallbackPolicy.Duration = 0
 		list = append(list, r.Canonical())
 	}
@@ -129,7 +129,7 @@
 	coded   bool              // entries and snapshots are written and read
 	history map[uint64]string // digests of versions that were forgotten
 	truth   *StateMachine
-	acked   []*rules.Version // proposals that were answered
+	acked   []*configversion.Version // proposals that were answered
 	keepers []*keeper
 	leader  *keeper
 	term    uint64
@@ -158,7 +158,7 @@
 func (w *world) draw(list ...float64) float64 { return list[w.rand.IntN(len(list))] }
 
 type fit struct {
-	effect  *rules.Config
+	effect  *configversion.Config
 	inForce uint64
 }
 
@@ -467,7 +467,7 @@
 
 // check holds each gateway's rules against those in force by the log.
 func (w *world) check() {
-	var inForce *rules.Config
+	var inForce *configversion.Config
 	if v := w.truth.Version(w.truth.InForce); v != nil {
 		inForce, _ = v.Config()
 	}
@@ -491,7 +491,7 @@
 			w.broken = fmt.Sprintf("gateway %d acts on %s, and nothing is in force", i, h.f.EffectiveName())
 			return
 		}
-		if list := rules.Exceeds(effect, inForce); len(list) > 0 {
+		if list := configversion.Exceeds(effect, inForce); len(list) > 0 {
 			w.broken = fmt.Sprintf("at step %d gateway %d acts on %s, in force is %d: %v", w.steps, i, h.f.EffectiveName(), w.truth.InForce, list)
 			return
 		}
@@ -623,9 +623,9 @@
 // What a leading keeper makes of asks that do not say what they seem to.
 func TestAsksThatMislead(t *testing.T) {
 	at := func(owner string, floor Time) []byte {
-		r, _ := rules.Parse(pool[0])
-		r.FallbackPolicy = rules.FallbackPolicy{Duration: floor, LimitFraction: 1}
-		r.Nodes = map[string]rules.Node{owner: {}, "z": {Shard: 1}}
+		r, _ := configversion.Parse(pool[0])
+		r.FallbackPolicy = configversion.FallbackPolicy{Duration: floor, LimitFraction: 1}
+		r.Nodes = map[string]configversion.Node{owner: {}, "z": {Shard: 1}}
 		return r.Canonical()
 	}
 	lead := func(flaw InjectedFaults, versions ...[]byte) *Manager {
--- a/internal/fleet/keep/client.go
+++ b/internal/fleet/replica/client.go
@@ -1,4 +1,4 @@
-package keep
+package replica
 
 import (
 	"bytes"
@@ -12,8 +12,8 @@
 	"strings"
 	"time"
 
-	"irispost/internal/fleet/accord"
-	"irispost/internal/fleet/rules"
+	"irispost/internal/fleet/configversion"
+	"irispost/internal/fleet/lease"
 )
 
 // Client speaks to keepers, whichever leads.
@@ -100,7 +100,7 @@
 }
 
 // Propose proposes a change. It is asked for until it is known whether it is in the log.
-func (c *Client) Propose(p *accord.Proposal) (v *rules.Version, err error) {
-	v = &rules.Version{}
+func (c *Client) Propose(p *lease.Proposal) (v *configversion.Version, err error) {
+	v = &configversion.Version{}
 	return v, c.ask(http.MethodPost, "/propose", p, v)
 }
--- a/internal/fleet/keep/content.go
+++ b/internal/fleet/replica/content.go
@@ -1,4 +1,4 @@
-package keep
+package replica
 
 import (
 	"context"
@@ -16,9 +16,9 @@
 
 	"golang.org/x/sync/singleflight"
 
+	"irispost/internal/fleet/configversion"
 	"irispost/internal/fleet/content"
 	"irispost/internal/fleet/delta"
-	"irispost/internal/fleet/rules"
 )
 
 // Headers of RFC 9842. Who offers a base names it by its SHA-256, and by its BLAKE3 digest, under which keepers have it.
@@ -65,7 +65,7 @@
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), patience)
 		defer cancel()
-		to := make(chan *rules.Version, 1)
+		to := make(chan *configversion.Version, 1)
 		c.keeper.do(ctx, func() { to <- c.keeper.ledger.VersionByDigest(digest) })
 		select {
 		case v := <-to:
@@ -214,7 +214,7 @@
 		return "", nil, err
 	}
 	defer a.Body.Close()
-	const most = rules.MaxContentBytes + rules.MaxContentBytes/64 // what cannot be made smaller grows by a little
+	const most = configversion.MaxContentBytes + configversion.MaxContentBytes/64 // what cannot be made smaller grows by a little
 	coded, err = io.ReadAll(io.LimitReader(a.Body, most+1))
 	switch {
 	case err != nil:
--- a/internal/fleet/keep/content_test.go
+++ b/internal/fleet/replica/content_test.go
@@ -1,4 +1,4 @@
-package keep
+package replica
 
 import (
 	"bytes"
@@ -14,26 +14,26 @@
 	"testing"
 	"time"
 
-	"irispost/internal/fleet/accord"
+	"irispost/internal/fleet/configversion"
 	"irispost/internal/fleet/content"
 	"irispost/internal/fleet/delta"
-	"irispost/internal/fleet/rules"
+	"irispost/internal/fleet/lease"
 )
 
 // wide is a version of so many nodes; the n-th differs.
 func wide(nodes, n int) []byte {
-	r, _ := rules.Parse(some(1))
+	r, _ := configversion.Parse(some(1))
 	r.Shards = nodes
 	for i := range nodes {
-		r.Nodes[fmt.Sprintf("10.0.%d.%d:7000", i/250, i%250)] = rules.Node{Shard: i, Zone: "a", StartedAt: int64(i)*7919 + int64(i/(n+1))}
+		r.Nodes[fmt.Sprintf("10.0.%d.%d:7000", i/250, i%250)] = configversion.Node{Shard: i, Zone: "a", StartedAt: int64(i)*7919 + int64(i/(n+1))}
 	}
 	return r.Canonical()
 }
 
 // propose has a version announced; over whatever is.
-func propose(t *testing.T, c *Client, n uint64, b []byte) *rules.Version {
+func propose(t *testing.T, c *Client, n uint64, b []byte) *configversion.Version {
 	t.Helper()
-	v, err := c.Propose(&accord.Proposal{ID: fmt.Sprint(n), Parent: n - 1, ReplacePending: true, Content: b})
+	v, err := c.Propose(&lease.Proposal{ID: fmt.Sprint(n), Parent: n - 1, ReplacePending: true, Content: b})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -130,14 +130,14 @@
 	defer again.Close()
 	req, _ := http.NewRequest(http.MethodGet, again.URL+"/again/"+last.Digest, nil)
 	req.Header.Set("Accept-Encoding", "dcz, zstd")
-	req.Header.Set(headID, `"`+rules.DigestOf(one)+`"`)
+	req.Header.Set(headID, `"`+configversion.DigestOf(one)+`"`)
 	a, err := http.DefaultClient.Do(req)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer a.Body.Close()
 	coded, _ := io.ReadAll(a.Body)
-	b, err := delta.Decode(nil, coded, rules.MaxContentBytes)
+	b, err := delta.Decode(nil, coded, configversion.MaxContentBytes)
 	if a.Header.Get("Content-Encoding") != content.EncodingZstd || err != nil || !bytes.Equal(b, two) {
 		t.Errorf("%q, %v", a.Header.Get("Content-Encoding"), err)
 	}
@@ -212,13 +212,13 @@
 	h.must(1, 2, 3)
 	c := h.client()
 	c.Timeout = 4 * time.Minute
-	_, err := c.Propose(&accord.Proposal{ID: "a", Content: make([]byte, rules.MaxContentBytes+1)})
+	_, err := c.Propose(&lease.Proposal{ID: "a", Content: make([]byte, configversion.MaxContentBytes+1)})
 	var refused *RejectedError
 	if !errors.As(err, &refused) || refused.Message != "the rules are 16777217 bytes, and a version has 16777216 at most" {
 		t.Errorf("%v", err)
 	}
 	short := []byte(`{"needs":1,"shards":1,"plans":{"p":{"weight":1}},"sending":{"most":1},"nodes":{"a":{}}}`)
-	r, err := rules.Parse(short)
+	r, err := configversion.Parse(short)
 	if err != nil || proposedSize(short) != len(r.Canonical()) || proposedSize(short) <= len(short) {
 		t.Errorf("%d bytes of %d, %v", proposedSize(short), len(short), err)
 	}
--- a/internal/fleet/keep/form.go
+++ b/internal/fleet/replica/form.go
@@ -1,4 +1,4 @@
-package keep
+package replica
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 	"slices"
 	"strconv"
 
-	"irispost/internal/fleet/accord"
+	"irispost/internal/fleet/lease"
 )
 
 // A keeper writes entries of the second form once it knows of each that votes that it reads them; from the first one on the log cannot be
@@ -61,7 +61,7 @@
 }
 
 // propose puts a proposal into the log; to hears what became of it.
-func (k *Replica) propose(p *accord.Proposal, to chan result) {
+func (k *Replica) propose(p *lease.Proposal, to chan result) {
 	if k.warden == nil || k.ledger.Settings.LeaseDuration == 0 {
 		to <- result{err: ErrNotLeader}
 		return
@@ -71,11 +71,11 @@
 		return
 	}
 	k.waiting[p.ID] = to
-	k.put(&accord.Command{Propose: p})
+	k.put(&lease.Command{Propose: p})
 }
 
 // put hands a command to the log. Whether it gets there shows later.
-func (k *Replica) put(c *accord.Command) {
+func (k *Replica) put(c *lease.Command) {
 	b, err := c.EncodeEntry(k.form(), k.ledger)
 	if err != nil {
 		k.log.Error("a command cannot be written", "why", err)
@@ -87,11 +87,11 @@
 }
 
 // readEntry reads an entry of the log.
-func (k *Replica) readEntry(index uint64, b []byte) (c *accord.Command, err error) {
+func (k *Replica) readEntry(index uint64, b []byte) (c *lease.Command, err error) {
 	if k.opt.form < 2 && b[0] != '{' {
 		err = errors.New("it is no JSON")
 	} else {
-		c, err = accord.DecodeEntry(b)
+		c, err = lease.DecodeEntry(b)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("entry %d of the log cannot be read, a newer keeper may have written it: %w", index, err)
--- a/internal/fleet/keep/golden_test.go
+++ b/internal/fleet/replica/golden_test.go
@@ -1,4 +1,4 @@
-package keep
+package replica
 
 import (
 	"bytes"
@@ -27,9 +27,9 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"irispost/internal/fleet/accord"
+	"irispost/internal/fleet/configversion"
 	"irispost/internal/fleet/content"
-	"irispost/internal/fleet/rules"
+	"irispost/internal/fleet/lease"
 	"irispost/internal/loopback"
 )
 
@@ -61,7 +61,7 @@
 // goldenReplica starts a replica under number 1 whose folder is dir.
 func goldenReplica(t *testing.T, dir string, peers map[uint64]string) *Replica {
 	t.Helper()
-	k, err := Start(Options{ID: 1, Listen: loopback.Own() + ":0", Peers: peers, Dir: dir, LeaseSettings: accord.Settings{LeaseDuration: 6e10, MaxClockDrift: 0.01}, TickInterval: 10 * time.Millisecond,
+	k, err := Start(Options{ID: 1, Listen: loopback.Own() + ":0", Peers: peers, Dir: dir, LeaseSettings: lease.Settings{LeaseDuration: 6e10, MaxClockDrift: 0.01}, TickInterval: 10 * time.Millisecond,
 		CompactionEntries: 20, Logger: slog.New(slog.DiscardHandler)})
 	if err != nil {
 		t.Fatal(err)
@@ -128,19 +128,19 @@
 // Each route answers with the recorded status, headers and body, at a replica that leads and at one that does not.
 func TestRoutesMatchGolden(t *testing.T) {
 	first, second := some(1), some(2)
-	digest, next := rules.DigestOf(first), rules.DigestOf(second)
+	digest, next := configversion.DigestOf(first), configversion.DigestOf(second)
 	sum := content.NewCache(first, 0).Fetch(next, 1).NextRequest().BaseHash()
 	delta := map[string]string{"Accept-Encoding": "dcz, zstd", "Available-Dictionary": fmt.Sprintf(":%s:", base64.StdEncoding.EncodeToString(sum[:])), "Dictionary-ID": `"` + digest + `"`}
-	propose := func(p accord.Proposal) string { return jsonOf(t, p) }
+	propose := func(p lease.Proposal) string { return jsonOf(t, p) }
 	leading := []goldenRequest{
-		{method: "POST", path: "/propose", body: propose(accord.Proposal{ID: "a", Author: "ann", Reason: "first", CreatedAt: "2026-12-02T04:00:00Z", Content: first}), until: "number"},
+		{method: "POST", path: "/propose", body: propose(lease.Proposal{ID: "a", Author: "ann", Reason: "first", CreatedAt: "2026-12-02T04:00:00Z", Content: first}), until: "number"},
 		{method: "GET", path: "/status", until: `"in_force":1`},
 		{method: "GET", path: "/metrics"},
 		{method: "POST", path: "/renew", body: `{"who":"g1/1","seq":1,"state":"following","form":1}`, until: `"lease":60000000000`},
 		{method: "POST", path: "/renew", body: `{"who":"g1/1","seq":2,"term":2,"taken":1,"holds":[1],"trouble":"cannot read it","state":"following"}`},
-		{method: "POST", path: "/propose", body: propose(accord.Proposal{ID: "b", Parent: 1, Author: "ann", Reason: "second", Content: second})},
-		{method: "POST", path: "/propose", body: propose(accord.Proposal{ID: "c", Parent: 2, Author: "ben", Content: second})},
-		{method: "POST", path: "/propose", body: propose(accord.Proposal{ID: "d", Parent: 1, Author: "ben", Content: second})},
+		{method: "POST", path: "/propose", body: propose(lease.Proposal{ID: "b", Parent: 1, Author: "ann", Reason: "second", Content: second})},
+		{method: "POST", path: "/propose", body: propose(lease.Proposal{ID: "c", Parent: 2, Author: "ben", Content: second})},
+		{method: "POST", path: "/propose", body: propose(lease.Proposal{ID: "d", Parent: 1, Author: "ben", Content: second})},
 		{method: "POST", path: "/propose", body: "{"},
 		{method: "GET", path: "/status"},
 		{method: "GET", path: "/metrics"},
@@ -174,7 +174,7 @@
 		{method: "GET", path: "/versions?from=1"},
 		{method: "GET", path: "/news?hold_ms=60000"},
 		{method: "POST", path: "/renew", body: `{"who":"g1/1","seq":1,"state":"following"}`},
-		{method: "POST", path: "/propose", body: propose(accord.Proposal{ID: "a", Content: first})},
+		{method: "POST", path: "/propose", body: propose(lease.Proposal{ID: "a", Content: first})},
 		{method: "POST", path: "/voters", body: `{"remove":[2]}`},
 		{method: "GET", path: "/content/" + digest},
 		{method: "POST", path: "/raft"},
@@ -208,8 +208,8 @@
 		{"identity", identity{Number: 4}},
 		{"status", Status{}},
 		{"status", Status{Replica: 1, Leader: 2, Term: 3, InForce: 4, Announced: 5, LeaseMillis: 6, ConvergenceBoundMillis: 7, Voters: []uint64{1, 2, 3}, WaitingFor: []string{"g1/1: why"},
-			Gateways: []accord.GatewayStatus{{Holder: "g1/1", State: "following", HeldVersions: []uint64{4}, LastHeardMillis: 8, LeaseLeftMillis: 9, Unresponsive: true, Fault: "why"}},
-			Latest:   &rules.Version{Number: 5, Parent: 4, Digest: "abc", Author: "ann", Reason: "because", CreatedAt: "now", Content: []byte("{}")}}},
+			Gateways: []lease.GatewayStatus{{Holder: "g1/1", State: "following", HeldVersions: []uint64{4}, LastHeardMillis: 8, LeaseLeftMillis: 9, Unresponsive: true, Fault: "why"}},
+			Latest:   &configversion.Version{Number: 5, Parent: 4, Digest: "abc", Author: "ann", Reason: "because", CreatedAt: "now", Content: []byte("{}")}}},
 	} {
 		fmt.Fprintf(out, "%s %s\n", message.name, jsonOf(t, message.value))
 	}
@@ -220,7 +220,7 @@
 		t.Fatal(err)
 	}
 	fmt.Fprintf(out, "frames %x\n", framed)
-	fmt.Fprintf(out, "stated %d\n", ConvergenceBound(accord.Settings{LeaseDuration: 1e9, MaxClockDrift: 0.01}))
+	fmt.Fprintf(out, "stated %d\n", ConvergenceBound(lease.Settings{LeaseDuration: 1e9, MaxClockDrift: 0.01}))
 
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
@@ -237,7 +237,7 @@
 	for _, call := range []func() error{
 		func() error { _, err := c.Status(); return err },
 		func() error {
-			_, err := c.Propose(&accord.Proposal{ID: "a", Parent: 1, ReplacePending: true, Author: "ann", Reason: "because", CreatedAt: "now", Content: []byte("{}")})
+			_, err := c.Propose(&lease.Proposal{ID: "a", Parent: 1, ReplacePending: true, Author: "ann", Reason: "because", CreatedAt: "now", Content: []byte("{}")})
 			return err
 		},
 		func() error { _, err := c.Versions(3); return err },
@@ -282,8 +282,8 @@
 		t.Fatal(err)
 	}
 	for n := uint64(1); n <= 70; n++ {
-		v := &rules.Version{Number: n, Parent: n - 1, Author: "ann", Reason: fmt.Sprint("change ", n), CreatedAt: "now", Content: some(float64(n))}
-		v.Digest = rules.DigestOf(v.Content)
+		v := &configversion.Version{Number: n, Parent: n - 1, Author: "ann", Reason: fmt.Sprint("change ", n), CreatedAt: "now", Content: some(float64(n))}
+		v.Digest = configversion.DigestOf(v.Content)
 		s.history.pending = append(s.history.pending, forgotten{version: v})
 	}
 	if err := s.compact(3, &raftpb.ConfState{Voters: []uint64{1, 2, 3}}, []byte("the state"), 1); err != nil {
@@ -352,13 +352,13 @@
 		t.Fatal(err)
 	}
 	for _, v := range list {
-		if v.Content != nil && rules.DigestOf(v.Content) != v.Digest {
-			t.Errorf("version %d has a content of digest %s", v.Number, rules.DigestOf(v.Content))
+		if v.Content != nil && configversion.DigestOf(v.Content) != v.Digest {
+			t.Errorf("version %d has a content of digest %s", v.Number, configversion.DigestOf(v.Content))
 		}
 		fmt.Fprintf(out, "%d of %d, %s, %s: %s, %s, %d bytes\n", v.Number, v.Parent, v.Digest, v.Author, v.Reason, v.CreatedAt, len(v.Content))
 	}
 	golden(t, "folder.golden", out.String())
-	if v, err := c.Propose(&accord.Proposal{ID: "next", Parent: s.Announced, ReplacePending: true, Content: some(1)}); err != nil || v.Number != s.Announced+1 {
+	if v, err := c.Propose(&lease.Proposal{ID: "next", Parent: s.Announced, ReplacePending: true, Content: some(1)}); err != nil || v.Number != s.Announced+1 {
 		t.Errorf("the next version: %+v, %v", v, err)
 	}
 }
