--- a/cmd/irispost/fleet_test.go
+++ b/cmd/irispost/fleet_test.go
@@ -31,6 +31,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
+	return playFleetWith(t, name, seed, day.Options{Program: self, Note: t.Logf})
+}
+
+func playFleetWith(t *testing.T, name string, seed uint64, options day.Options) *day.Report {
+	t.Helper()
 	s, err := day.Load("../../examples/fleet-" + name + ".hcl")
 	if err != nil {
 		t.Fatal(err)
@@ -47,7 +52,7 @@
 			s.Clients[i].Rate /= 2
 		}
 	}
-	r, err := day.Play(context.Background(), s, day.Options{Program: self, Note: t.Logf})
+	r, err := day.Play(context.Background(), s, options)
 	if err != nil {
 		t.Fatal(err)
 	}
