--- a/internal/capacity/measure_list_test.go
+++ b/internal/capacity/measure_list_test.go
@@ -356,10 +356,10 @@
 
 var coldLine = regexp.MustCompile(`(\d+) gateways, ([^:]+): (\d+) calls in 4 s, at worst (-?[0-9.]+)`)
 
-// TestMeasureCold takes what TestFleetAndOneColdNode says of each fleet, with 780 gateways too: the worst of its cases, and the fewest calls.
+// TestMeasureCold takes what TestFleetStaysWithinTheBudgetOfAWarmingNode says of each fleet, with 780 gateways too: the worst of its cases, and the fewest calls.
 func TestMeasureCold(t *testing.T) {
 	s := begin(t)
-	cmd := exec.Command("go", "test", "-count=1", "-v", "-run", "TestFleetAndOneColdNode$", "irispost/scheduler")
+	cmd := exec.Command("go", "test", "-count=1", "-v", "-run", "TestFleetStaysWithinTheBudgetOfAWarmingNode$", "irispost/scheduler")
 	cmd.Env = append(os.Environ(), "IRISPOST_MEASURE=1")
 	out, err := cmd.CombinedOutput()
 	if err != nil {
--- /dev/null
+++ b/scheduler/endpoint_list_test.go
@@ -0,0 +1,108 @@
+package scheduler
+
+import "testing"
+
+// A failed call for the list is repeated soon at first, since nodes may be leaving, and less often while it goes on
+// failing, so that the gateways do not come back together. But three calls fit in the time after which the list is
+// outdated, and a list that comes resets the backoff.
+func TestListBackoffBeginsShortAndDoubles(t *testing.T) {
+	h := newHarness(1, testSettings("discovery=ask"))
+	nextCall := func() Time {
+		failedAt := h.now
+		h.scheduler.EndpointListFailed(h.now, false)
+		for ; h.now < failedAt+60*Second; h.now += 10 * Millisecond {
+			if h.scheduler.Decide(h.now).WatchEndpoints {
+				break
+			}
+		}
+		return h.now - failedAt
+	}
+	h.scheduler.Decide(h.now)
+	first := nextCall()
+	expectEqual(t, h, "soon at first", first <= 500*Millisecond, true)
+	longest, sum := Time(0), Time(0)
+	for range 40 {
+		backoff := nextCall()
+		longest = max(longest, backoff)
+		sum += backoff
+	}
+	expectEqual(t, h, "seldom then", sum >= 40*listBackoffMax*3/4, true)
+	expectEqual(t, h, "never too seldom", longest <= listSilenceMax/4, true)
+	h.listNode("a0", 0, 0, EndpointReady)
+	expectEqual(t, h, "soon again", nextCall() <= 500*Millisecond, true)
+}
+
+// Once the list is outdated, a node may have drained or started anew. It is sent to only while it answers, and as
+// one that warms up. A call that failed with an answer changes nothing.
+func TestOutdatedListLimitsSendingToNodesThatAnswer(t *testing.T) {
+	for _, unresponsive := range []bool{false, true} {
+		h := newHarness(1, testSettings("plans.0.limit=0", "drain.grace=2000"))
+		h.listNode("a0", 0, 0, EndpointReady)
+		h.listNode("a1", 1, 0, EndpointReady)
+		h.scheduler.EndpointListFailed(h.now, unresponsive)
+		sent := map[string]int{}
+		for h.now < 30*Second {
+			shard := []int{0, 0, 0, 1}[h.now/(40*Millisecond)%4] // the second node is used too, until the list is outdated
+			if shard == 0 || h.now < 7*Second {
+				h.submit(1, "read", shard, 1)
+			}
+			h.advance(40 * Millisecond)
+			for _, attempt := range h.dispatched {
+				if h.now > 11*Second {
+					sent[attempt.Node.Addr]++
+				}
+			}
+			h.finishAll(OutcomeServed)
+		}
+		late := h.submit(1, "read", 1, 1)
+		h.advance(Millisecond)
+		expectEqual(t, h, "sent to a node that answered nothing for as long", late.State == RequestInFlight, !unresponsive)
+		expectEqual(t, h, "still sent to one that answers", sent["a0"] > 100, true)
+		// The time of a slow start has passed since the list was last heard.
+		expectEqual(t, h, "warming up at the end", h.scheduler.warmingUp(h.node("a0")), false)
+		h.listNode("a2", 2, 0, EndpointReady)
+		h.advance(Millisecond)
+		expectEqual(t, h, "once the list is heard", late.State, RequestInFlight)
+	}
+}
+
+func TestNodesCountAsWarmingUpOnceTheListIsOutdated(t *testing.T) {
+	h := newHarness(1, testSettings("drain.grace=2000"))
+	h.listNode("a0", 0, 0, EndpointReady)
+	h.scheduler.EndpointListFailed(h.now, true)
+	h.advanceInSteps(5 * Second)
+	expectEqual(t, h, "warming up before the list is outdated", h.scheduler.warmingUp(h.node("a0")), false)
+	h.advanceInSteps(Second)
+	expectEqual(t, h, "warming up after", h.scheduler.warmingUp(h.node("a0")), true)
+}
+
+// A gateway whose calls for the list fail calls again well within the time after which the list is outdated.
+func TestListIsPolledWithinTheTimeAfterWhichItIsOutdated(t *testing.T) {
+	for _, c := range []struct {
+		interval     string
+		unresponsive bool
+		longest      Time
+	}{
+		{"0", false, 1500 * Millisecond},
+		{"0", true, 750 * Millisecond},
+		{"3000", false, 1500 * Millisecond},
+		{"3000", true, 750 * Millisecond},
+		{"600", false, 900 * Millisecond},
+	} {
+		h := newHarness(1, testSettings("list.every="+c.interval))
+		h.decide()
+		worst := Time(0)
+		for range 40 {
+			failedAt := h.now
+			h.scheduler.EndpointListFailed(h.now, c.unresponsive)
+			h.advance(10 * Millisecond)
+			for !h.scheduler.returned.WatchEndpoints {
+				h.advance(10 * Millisecond)
+			}
+			worst = max(worst, h.now-failedAt)
+		}
+		if worst > c.longest+50*Millisecond || worst < c.longest/2 {
+			t.Errorf("%+v: called again after %d ms at worst", c, worst/Millisecond)
+		}
+	}
+}
--- /dev/null
+++ b/scheduler/policy_source.go
@@ -0,0 +1,31 @@
+package scheduler
+
+import (
+	"embed"
+	"io/fs"
+)
+
+// The files that hold decisions or tuned values, which are also the "policy" files of deploy/balancer.toml.
+//
+//go:embed admission.go apply_settings.go capacity.go dispatch.go endpoint_list.go fair_queuing.go outliers.go
+//go:embed placement.go requests.go retries.go scheduler.go slow_start.go tuning.go
+var policyFiles embed.FS
+
+// PolicySource is the source text of the files that decide, in order of their names. A capture holds its digest,
+// which says what text decided in it.
+var PolicySource = readPolicySource()
+
+func readPolicySource() (source []byte) {
+	names, err := fs.Glob(policyFiles, "*.go") // sorted
+	if err != nil {
+		panic(err) // the pattern is constant and well formed
+	}
+	for _, name := range names {
+		text, err := policyFiles.ReadFile(name)
+		if err != nil {
+			panic(err) // the file has just been listed
+		}
+		source = append(source, text...)
+	}
+	return source
+}
--- /dev/null
+++ b/scheduler/settings_changes_test.go
@@ -0,0 +1,142 @@
+package scheduler
+
+import (
+	"maps"
+	"testing"
+
+	"pgregory.net/rapid"
+)
+
+// settingsWith is settings with some values set.
+func settingsWith(base Settings, more map[string]string) Settings {
+	settings := maps.Clone(base)
+	maps.Copy(settings, more)
+	return settings
+}
+
+// changingRun is a random run in which the settings change at any moment.
+type changingRun struct {
+	*harness
+	t             *rapid.T
+	nonIdempotent map[*Request]bool // have been of a non-idempotent class at some time
+	removed       map[string]bool   // names of service levels and classes that the settings leave out
+}
+
+// Beside the invariants that a harness checks, nothing is sent of what the settings leave out, and nothing again
+// that ever was non-idempotent.
+func TestInvariantsHoldWhileSettingsChange(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		seed := uint64(rapid.IntRange(0, 1<<20).Draw(t, "seed"))
+		run := changingRun{newHarness(seed, testSettings("plans.0.limit=0")), t, map[*Request]bool{}, map[string]bool{}}
+		for shard, addr := range randomNodes {
+			run.listNode(addr, shard, 0, EndpointReady)
+		}
+		for range rapid.IntRange(10, 80).Draw(t, "steps") {
+			run.step()
+			if run.violation != "" {
+				t.Fatal(run.violation)
+			}
+		}
+		for range 60 {
+			run.advance(20 * Millisecond)
+		}
+		s := run.scheduler
+		if run.violation != "" || len(s.requests) > 0 || len(s.unplaced) > 0 {
+			t.Fatalf("%s; %d requests are not forgotten, %d unplaced", run.violation, len(s.requests), len(s.unplaced))
+		}
+	})
+}
+
+// step submits a request, ends an attempt, changes the settings or lets time go by.
+func (r *changingRun) step() {
+	switch rapid.IntRange(0, 7).Draw(r.t, "step") {
+	case 0, 1, 2:
+		r.submitRandom()
+	case 3, 4:
+		if len(r.inFlight) > 0 {
+			attempt := rapid.SampledFrom(r.inFlight).Draw(r.t, "attempt")
+			outcomes := []Outcome{
+				OutcomeServed, OutcomeServed, OutcomeError, OutcomeOverloaded, OutcomeReset, OutcomeConnectFailed,
+			}
+			r.finish(attempt, rapid.SampledFrom(outcomes).Draw(r.t, "outcome"))
+		}
+	case 5:
+		r.changeSettings()
+	default:
+		r.advance(Time(rapid.IntRange(1, 150).Draw(r.t, "milliseconds")) * Millisecond)
+		r.checkDispatched()
+		r.checkWaiting()
+	}
+}
+
+// submitRandom submits a request.
+func (r *changingRun) submitRandom() {
+	volume := int64(rapid.IntRange(0, 4).Draw(r.t, "volume"))
+	class := rapid.SampledFrom([]string{"read", "once", "line"}).Draw(r.t, "class")
+	shard := rapid.IntRange(-1, 2).Draw(r.t, "shard")
+	units := float64(rapid.IntRange(1, 8).Draw(r.t, "units"))
+	request := r.submit(volume, class, shard, units)
+	r.nonIdempotent[request] = request.Class.Idempotency == NonIdempotent
+}
+
+// changeSettings changes some settings, and leaves out some service levels and classes by naming others.
+func (r *changingRun) changeSettings() {
+	kind := rapid.SampledFrom([]string{"replayable", "single-use"}).Draw(r.t, "kind of read")
+	more := map[string]string{
+		"products.0.kind": kind,
+		"plans.1.reserve": rapid.SampledFrom([]string{"0", "20"}).Draw(r.t, "reserve"),
+		"plans.0.weight":  rapid.SampledFrom([]string{"1", "5"}).Draw(r.t, "weight"),
+		"executions.most": rapid.SampledFrom([]string{"1", "3"}).Draw(r.t, "attempts"),
+	}
+	clear(r.removed)
+	for _, name := range []string{"plans.1.name", "products.0.name", "products.3.name"} {
+		if rapid.IntRange(0, 3).Draw(r.t, name) == 0 {
+			r.removed[r.settings[name]] = true
+			more[name] = "other"
+		}
+	}
+	r.scheduler.ApplySettings(r.now, settingsWith(r.settings, more))
+	if kind != "single-use" || r.removed["read"] {
+		return
+	}
+	for _, request := range r.requests {
+		if request.Class.Name == "read" && !request.State.Terminal() {
+			r.nonIdempotent[request] = true
+		}
+	}
+}
+
+// leftOut reports whether the settings leave out a request's class or service level.
+func (r *changingRun) leftOut(request *Request) bool {
+	return r.removed[request.Class.Name] || r.removed[request.Volume.ServiceLevel.Name]
+}
+
+// checkDispatched checks what the latest decision sent.
+func (r *changingRun) checkDispatched() {
+	for _, attempt := range r.dispatched {
+		request := attempt.Request
+		if r.leftOut(request) {
+			r.t.Fatalf("request %s of class %s, level %s is sent, which the settings leave out",
+				request.ID, request.Class.Name, request.Volume.ServiceLevel.Name)
+		}
+		if !r.nonIdempotent[request] {
+			continue
+		}
+		for _, earlier := range request.Attempts[:attempt.Number] {
+			if !earlier.Outcome.NeverExecuted() {
+				r.t.Fatalf("request %s may run twice", request.ID)
+			}
+		}
+	}
+}
+
+// checkWaiting checks what waits.
+func (r *changingRun) checkWaiting() {
+	for _, request := range r.requests {
+		waits := request.State == RequestUnplaced || request.State == RequestQueued
+		if waits && r.leftOut(request) {
+			r.t.Fatalf("request %s of class %s, level %s waits, which the settings leave out",
+				request.ID, request.Class.Name, request.Volume.ServiceLevel.Name)
+		}
+	}
+}
--- a/scheduler/stored.go
+++ b/scheduler/stored_names.go
@@ -1,9 +1,10 @@
 package scheduler
 
-// StoredNames gives the names under which a stored state of this package (a snapshot in a capture) knows the types
-// ("Type") and fields ("Type.field") that code calls otherwise by now. A snapshot is read only where kinds, order and
-// stored names of all fields are as they were when it was written: so a rename takes a line here, and a type that a
-// state reaches keeps the order of its fields.
+// StoredNames gives the names under which a stored state knows the types ("Type") and fields ("Type.field") that the code
+// calls otherwise. A state in a capture is a snapshot of a Scheduler by reflection (internal/snapshot), and is read only
+// where the kinds, the order and the stored names of all fields are as they were when it was written. So whoever renames
+// a type or field that a Scheduler reaches adds a line here, and the fields of these types keep their order: then states
+// of earlier builds are read, and earlier builds read those of this one.
 var StoredNames = map[string]string{
 	"Scheduler":                     "Gateway",
 	"Scheduler.startedAt":           "began",
@@ -27,8 +28,8 @@
 	"Scheduler.listGeneration":      "epoch",
 	"Scheduler.overdueLostShare":    "vain",
 	"Scheduler.overdueCountsAsLost": "loses",
-	"Scheduler.listHeardAt":         "heardAt",
-	"Scheduler.listSilent":          "silent",
+	"Scheduler.listReceivedAt":      "heardAt",
+	"Scheduler.listUnresponsive":    "silent",
 	"Scheduler.nextListCallAt":      "listAt",
 	"Scheduler.listBackoff":         "listWait",
 	"Scheduler.nextRoundAt":         "roundAt",
@@ -65,27 +66,27 @@
 	"Attempt.SilenceCounted": "Late",
 	"Attempt.PresumedLost":   "Lost",
 
-	"RequestClass":                  "Product",
-	"RequestClass.Idempotency":      "Kind",
-	"RequestClass.DedupScope":       "Group",
-	"RequestClass.LatencyObjective": "Goal",
-	"RequestClass.ClientTimeout":    "Patience",
-	"RequestClass.DedupWindow":      "Window",
-	"RequestClass.Ordered":          "InTurn",
-	"RequestClass.LongestTimeLeft":  "Share",
-	"RequestClass.Removed":          "Out",
+	"RequestClass":                      "Product",
+	"RequestClass.Idempotency":          "Kind",
+	"RequestClass.DedupScope":           "Group",
+	"RequestClass.LatencyObjective":     "Goal",
+	"RequestClass.ClientTimeout":        "Patience",
+	"RequestClass.DedupWindow":          "Window",
+	"RequestClass.Ordered":              "InTurn",
+	"RequestClass.LongestTimeRemaining": "Share",
+	"RequestClass.Removed":              "Out",
 
 	"Idempotency": "Kind",
 
 	"DedupScope": "Group",
 
-	"ServiceLevel":                   "Plan",
-	"ServiceLevel.NominalRate":       "Rate",
-	"ServiceLevel.RateLimit":         "Limit",
-	"ServiceLevel.EarlyLeaveShare":   "Leaving",
-	"ServiceLevel.EarlyLeaveAfter":   "Leaves",
-	"ServiceLevel.ClientsLeaveEarly": "Hurried",
-	"ServiceLevel.Removed":           "Out",
+	"ServiceLevel":                    "Plan",
+	"ServiceLevel.NominalRate":        "Rate",
+	"ServiceLevel.RateLimit":          "Limit",
+	"ServiceLevel.EarlyCancelShare":   "Leaving",
+	"ServiceLevel.EarlyCancelAfter":   "Leaves",
+	"ServiceLevel.ClientsCancelEarly": "Hurried",
+	"ServiceLevel.Removed":            "Out",
 
 	"EndpointState": "Standing",
 
