--- a/scheduler/bench_test.go
+++ b/scheduler/bench_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// BenchmarkRequest takes a request of one of 64 volumes over 16 nodes through to its answer, with 16 requests a decision.
+// BenchmarkRequest takes a request of one of 64 volumes over 16 nodes through to its answer, with 16 requests a
+// decision.
 func BenchmarkRequest(b *testing.B) {
 	now := Second
 	s := New(now, 1, Settings{
--- a/scheduler/endpoint_list_test.go
+++ b/scheduler/endpoint_list_test.go
@@ -106,3 +106,22 @@
 		}
 	}
 }
+
+// A node that a complete list does not name is removed; one that a list of changes does not name stays. Only a list
+// that is up to date ends the calls for it.
+func TestCompleteListRemovesNodesThatItDoesNotName(t *testing.T) {
+	h := newHarnessWithNode()
+	for _, c := range []struct {
+		complete, stale bool
+		state           EndpointState
+	}{
+		{false, false, EndpointReady},
+		{true, true, EndpointRemoved},
+	} {
+		h.scheduler.EndpointListFailed(h.now, false)
+		h.scheduler.BeginEndpointList(h.now, c.complete, c.stale)
+		h.scheduler.FinishEndpointList()
+		expectEqual(t, h, "state", h.node("a0").State, c.state)
+		expectEqual(t, h, "another call is due", h.scheduler.nextListCallAt > 0, c.stale)
+	}
+}
--- a/scheduler/slow_start_fleet_test.go
+++ b/scheduler/slow_start_fleet_test.go
@@ -33,8 +33,8 @@
 }
 
 // play runs the fleet for a second before the node's start and four seconds after it. It returns the attempts that
-// reached the node since, and the most over its budget in any window: the attempts past N over 2 x root of N + 2, with N
-// the attempts of mean units that the stated multiple allows by then.
+// reached the node since, and the most over its budget in any window: the attempts past N over 2 x root of N + 2,
+// with N the attempts of mean units that the stated multiple allows by then.
 func (f slowStartFleet) play(seed uint64) (attempts int, excess float64) {
 	run := &fleetRun{
 		slowStartFleet: f,
@@ -144,10 +144,10 @@
 	return most
 }
 
-// What all gateways together send a warming node stays within its budget of N attempts and 2 x root of N + 2 for chance,
-// at the tail over many seeds, with 5 to 300 gateways, uneven traffic, gateways that start anew and know nothing, retries,
-// and connections that come up late and all at once; and it is not nothing. The worst run of a case is logged: 0 is N, 1
-// is the bound. The capacity record reads these lines.
+// What all gateways together send a warming node stays within its budget of N attempts and 2 x root of N + 2 for
+// chance, at the tail over many seeds, with 5 to 300 gateways, uneven traffic, gateways that start anew and know
+// nothing, retries, and connections that come up late and all at once; and it is not nothing. The worst run of a
+// case is logged: 0 is N, 1 is the bound. The capacity record reads these lines.
 func TestFleetStaysWithinTheBudgetOfAWarmingNode(t *testing.T) {
 	sizes := []int{5, 20, 30, 300}
 	if os.Getenv("IRISPOST_MEASURE") != "" {
--- a/scheduler/slow_start_test.go
+++ b/scheduler/slow_start_test.go
@@ -166,3 +166,44 @@
 		expectEqual(t, h, "answers that count", len(h.node("a0").SlowStartAnswered) > 0, !write)
 	}
 }
+
+// An allocation is all that a warming node is sent until it expires; what is left of it is returned, and one for
+// another start is dropped.
+func TestAllocationIsAllThatAWarmingNodeIsSent(t *testing.T) {
+	h := newHarness(1, testSettings("plans.0.limit=0"))
+	startedAt := h.now
+	h.listNode("a0", 0, startedAt, EndpointReady)
+	expiresAt := h.now + 500*Millisecond
+	allocate := func(startedAt Time, units float64) float64 {
+		return h.scheduler.AllocateSlowStart(h.now, "a0", startedAt, units, expiresAt)
+	}
+	expectEqual(t, h, "left at first", allocate(startedAt, 3), 0.0)
+	expectEqual(t, h, "left for another start", allocate(startedAt-1, 8), 0.0)
+	first, second := h.submit(1, "read", 0, 2), h.submit(1, "read", 0, 2)
+	h.advance(Millisecond)
+	expectEqual(t, h, "within the allocation", first.State, RequestInFlight)
+	expectEqual(t, h, "not to be sent after", first.Attempts[0].SendBefore, expiresAt)
+	expectEqual(t, h, "beyond it", second.State, RequestQueued)
+	expectEqual(t, h, "left", allocate(startedAt, 2), 1.0)
+	h.advance(Millisecond)
+	expectEqual(t, h, "with another allocation", second.State, RequestInFlight)
+}
+
+func TestSlowStartDemandsAreWhatWaitsAtWarmingNodes(t *testing.T) {
+	h := newHarness(1, testSettings("plans.0.limit=0"))
+	h.listNode("a0", 0, h.now, EndpointReady)
+	h.listNode("a2", 2, h.now, EndpointDraining)
+	h.listWarmNode()
+	h.scheduler.AllocateSlowStart(h.now, "a0", h.now, 0, h.now+Second) // so that all waits
+	h.submit(1, "read", 0, 3)                                          // weight 3
+	h.submit(2, "read", 0, 1)                                          // weight 1
+	h.advance(Millisecond)
+	demands, rate := h.scheduler.SlowStartDemands(h.now)
+	expectEqual(t, h, "nodes", len(demands), 1)
+	want := SlowStartDemand{Addr: "a0", StartedAt: Second, Units: 4, SmallestRequest: 1, PriorityWeight: 3}
+	expectEqual(t, h, "demand", demands[0], want)
+	expectEqual(t, h, "rate", rate, float64(warmUnitsPerSecond))
+	h.node("a1").BaseLatency = float64(20 * Millisecond) // two units in 20 ms
+	_, rate = h.scheduler.SlowStartDemands(h.now)
+	expectEqual(t, h, "rate by the base latency", rate, 100.0)
+}
--- a/scheduler/stored_names.go
+++ b/scheduler/stored_names.go
@@ -1,10 +1,10 @@
 package scheduler
 
-// StoredNames gives the names under which a stored state knows the types ("Type") and fields ("Type.field") that the code
-// calls otherwise. A state in a capture is a snapshot of a Scheduler by reflection (internal/snapshot), and is read only
-// where the kinds, the order and the stored names of all fields are as they were when it was written. So whoever renames
-// a type or field that a Scheduler reaches adds a line here, and the fields of these types keep their order: then states
-// of earlier builds are read, and earlier builds read those of this one.
+// StoredNames gives the names under which a stored state knows the types ("Type") and fields ("Type.field") that
+// the code calls otherwise. A state in a capture is a snapshot of a Scheduler by reflection (internal/snapshot),
+// and is read only where the kinds, the order and the stored names of all fields are as they were when it was
+// written. So whoever renames a type or field that a Scheduler reaches adds a line here, and the fields of these
+// types keep their order: then states of earlier builds are read, and earlier builds read those of this one.
 var StoredNames = map[string]string{
 	"Scheduler":                     "Gateway",
 	"Scheduler.startedAt":           "began",
