--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -1,8 +1,8 @@
 package scheduler
 
-// canDispatch reports whether a request can be sent to a node now: the node may receive and has room, and the
-// request is within its volume's reserve, or within what the node takes beyond reserves, and within what the node
-// withstands while it warms up. The order of the conditions counts, since some of them draw.
+// canDispatch reports whether a request can be sent to a node now: the node may receive and has capacity, and the
+// request is within its volume's reserve or within what the node takes beyond reserves, and within the slow-start
+// budget of a node that warms up. The order of the conditions counts, since some of them draw random numbers.
 func (s *Scheduler) canDispatch(node *Node, request *Request) bool {
 	if !s.mayReceive(node) || s.now < node.EjectedUntil {
 		return false
--- a/scheduler/apply_settings.go
+++ b/scheduler/apply_settings.go
@@ -41,8 +41,8 @@
 	s.recentRetries = slices.Repeat([]Time{s.now}, 1+int(budget))
 }
 
-// resizeRateLimit sets a volume's rate limit to its service level's. Where there was none, nothing says what was
-// sent: its bucket begins empty.
+// resizeRateLimit sets a volume's rate limit to its service level's. Where there was none, it is not known
+// what was sent: its bucket begins empty.
 func (s *Scheduler) resizeRateLimit(volume *Volume) {
 	if volume.RateLimit.Rate <= 0 {
 		volume.RateLimit = TokenBucket{UpdatedAt: s.now}
--- a/scheduler/attempt.go
+++ b/scheduler/attempt.go
@@ -49,11 +49,11 @@
 	Number         int // counted from 0
 	Node           *Node
 	SentAt         Time
-	Timeout        Time // 0 for none before the client's deadline
+	Timeout        Time // 0 for none before the client's deadline, as it is for now on all attempts
 	SendBefore     Time // it must not reach the node after this; 0 for no such time
 	Outcome        Outcome
 	Cancelled      bool // its cancellation was decided; the outcome is still due
-	SilenceCounted bool // pending for longer than the objective, which was counted as a slow answer
+	SilenceCounted bool // its lack of an answer within the objective was counted as a slow answer
 	Overdue        bool // pending for several times the expected latency, while later attempts were answered
 	PresumedLost   bool // overdue, and not counted as in flight any more
 }
--- a/scheduler/capacity.go
+++ b/scheduler/capacity.go
@@ -64,7 +64,7 @@
 }
 
 // ownStall is how long this gateway itself stood still before now: by how much its periodic round is overdue, if
-// that is more than an interval. What it finds then does not say how long nodes took. Where every step of a gateway
+// that is more than an interval. Latencies found then do not tell how long nodes took. Where every step of a gateway
 // comes late it learns no latencies at all.
 func (s *Scheduler) ownStall() Time {
 	late := s.now - s.nextRoundAt
@@ -151,7 +151,7 @@
 
 // recordServedUnits counts units of a volume served here and through other gateways, and sets this gateway's share
 // of what the volume is due: its share of the service, but at least the even one. Otherwise each of many gateways
-// would give the volume the whole. The share is wrong while reports are late.
+// would give the volume all of it. The share is wrong while nodes' reports are late.
 func (s *Scheduler) recordServedUnits(volume *Volume, here, elsewhere float64) {
 	decay := math.Exp(-float64(s.now-volume.ServedUpdatedAt) / float64(shareMemory))
 	volume.ServedHere = volume.ServedHere*decay + here
--- a/scheduler/dispatch.go
+++ b/scheduler/dispatch.go
@@ -50,7 +50,7 @@
 func (s *Scheduler) occupyCapacity(node *Node, flow *Flow, request *Request) {
 	s.advanceBusyTime(node)
 	if node.AttemptsInFlight == 0 {
-		node.LastAnswerAt = s.now // its silence counts from here
+		node.LastAnswerAt = s.now // how long it has not answered counts from here
 	}
 	flow.InFlight++
 	node.AttemptsInFlight++
@@ -96,7 +96,7 @@
 	return r.Attempts[number]
 }
 
-// ResponseStarted takes that an attempt's response has begun to flow to the client. The request is streaming from
+// ResponseStarted records that an attempt's response has begun to flow to the client. The request is streaming from
 // now on, and its other attempts are cancelled.
 func (s *Scheduler) ResponseStarted(now Time, id string, number int) {
 	s.now = now
@@ -127,7 +127,7 @@
 	}
 }
 
-// AttemptFinished takes an attempt's outcome, and how long it took. Final means that the client has had its answer.
+// AttemptFinished records an attempt's outcome, and how long it took. Final means that the client has had its answer.
 // Elsewhere is the units that the node's shard served the volume through other gateways since it last answered this
 // one about it.
 func (s *Scheduler) AttemptFinished(
@@ -182,7 +182,7 @@
 		s.setRequestState(request, RequestSucceeded)
 		s.cancelOtherAttempts(request, attempt)
 	case final:
-		s.setRequestState(request, RequestFailed) // a response that broke off has told its client so
+		s.setRequestState(request, RequestFailed) // its client has seen the response break off
 	case request.State == RequestInFlight && request.attemptsPending() == 0:
 		s.retryOrGiveUp(request, attempt)
 	}
--- a/scheduler/dispatch_test.go
+++ b/scheduler/dispatch_test.go
@@ -33,7 +33,7 @@
 	request := h.submit(2, "read", 0, 1)
 	h.advance(Millisecond)
 	h.scheduler.ResponseStarted(h.now, request.ID, 0)
-	h.finished[request] = true // its client has been told by the broken response
+	h.finished[request] = true // its client sees the response break off
 	h.finish(request.Attempts[0], OutcomeReset)
 	expectEqual(t, h, "state", request.State, RequestFailed)
 }
--- a/scheduler/endpoint_list.go
+++ b/scheduler/endpoint_list.go
@@ -2,8 +2,8 @@
 
 import "cmp"
 
-// BeginEndpointList begins what the endpoint list says. Complete means that a node that it does not name is gone,
-// stale that it may be out of date. UpdateEndpoint follows for each node, then FinishEndpointList.
+// BeginEndpointList begins an endpoint list. Complete means that a node that it does not name is removed, stale that
+// it may be out of date. UpdateEndpoint follows for each node, then FinishEndpointList.
 func (s *Scheduler) BeginEndpointList(now Time, complete, stale bool) {
 	s.now = now
 	s.listComplete = complete
@@ -11,7 +11,7 @@
 	s.listGeneration++
 }
 
-// UpdateEndpoint takes one node of the list. A start that is later than the one known voids what was learned of the
+// UpdateEndpoint records one node of the list. A start that is later than the one known voids what was learned of the
 // node; what is in flight there still gets its outcome.
 func (s *Scheduler) UpdateEndpoint(addr, zone string, shard int, startedAt Time, state EndpointState) {
 	node := s.nodesByAddress[addr]
@@ -47,8 +47,8 @@
 	node.AllocationExpiresAt = 0
 }
 
-// FinishEndpointList ends what the endpoint list says. A list that may be out of date does not count as heard: the
-// next call for it stays due.
+// FinishEndpointList ends an endpoint list. One that may be out of date does not count as received: the next call for
+// it stays due.
 func (s *Scheduler) FinishEndpointList() {
 	for _, node := range s.nodes {
 		if s.listComplete && node.listGeneration != s.listGeneration {
@@ -64,9 +64,9 @@
 	s.logTransition(&s.listUnresponsive, false, "the list is silent: %%t")
 }
 
-// EndpointListFailed takes the failure of a call for the list; silent means that it ended with no word at all.
-// Where the list has to be asked for, the next call comes after a backoff. It doubles up to a limit that lets the
-// list be heard in time, and is spread by chance so that gateways do not come back together.
+// EndpointListFailed records that a call for the list failed; unresponsive means that it ended with no response at
+// all. Where the list has to be asked for, the next call comes after a backoff. It doubles up to a limit that lets
+// the list be received before it counts as outdated, and is spread by chance so that gateways do not call together.
 func (s *Scheduler) EndpointListFailed(now Time, unresponsive bool) {
 	s.now = now
 	s.logTransition(&s.listUnresponsive, s.listUnresponsive || unresponsive,
@@ -82,14 +82,14 @@
 	s.listBackoff = min(2*s.listBackoff, listBackoffMax, statedInterval)
 }
 
-// listOutdated reports whether the list has been silent for so long that what it could not say counts as said: the
-// platform's limit, and a grace beyond it.
+// listOutdated reports whether the list has been unresponsive for so long that its changes count as announced
+// although they could not be received: for the platform's limit, and a grace beyond it.
 func (s *Scheduler) listOutdated(grace Time) bool {
 	return s.listUnresponsive && s.now-s.listReceivedAt >= listSilenceMax+grace
 }
 
 // latestPossibleStart returns when a node may have started last. While the list is outdated that is when it was last
-// heard, since any node may have started anew after it. This costs capacity where none has.
+// received, since any node may have restarted after that. This costs capacity where none has.
 func (s *Scheduler) latestPossibleStart(node *Node) Time {
 	if !s.listOutdated(0) {
 		return node.StartedAt
@@ -97,7 +97,7 @@
 	return max(node.StartedAt, s.listReceivedAt)
 }
 
-// mayReceive reports whether a node may be sent requests. While the list is silent any node may have begun to
+// mayReceive reports whether a node may be sent requests. While the list is unresponsive any node may have begun to
 // drain. So after the grace of a drain beyond the time when the list is outdated, only those may that have answered
 // an attempt sent within such a grace.
 func (s *Scheduler) mayReceive(node *Node) bool {
--- a/scheduler/endpoint_list_test.go
+++ b/scheduler/endpoint_list_test.go
@@ -58,11 +58,11 @@
 		h.advance(Millisecond)
 		expectEqual(t, h, "sent to a node that answered nothing for as long", late.State == RequestInFlight, !unresponsive)
 		expectEqual(t, h, "still sent to one that answers", sent["a0"] > 100, true)
-		// The time of a slow start has passed since the list was last heard.
+		// The time of a slow start has passed since the list was last received.
 		expectEqual(t, h, "warming up at the end", h.scheduler.warmingUp(h.node("a0")), false)
 		h.listNode("a2", 2, 0, EndpointReady)
 		h.advance(Millisecond)
-		expectEqual(t, h, "once the list is heard", late.State, RequestInFlight)
+		expectEqual(t, h, "once the list is received", late.State, RequestInFlight)
 	}
 }
 
--- a/scheduler/fair_queuing.go
+++ b/scheduler/fair_queuing.go
@@ -64,14 +64,14 @@
 	if reserved != nil {
 		return reserved
 	}
-	if current := node.InService; current != nil && s.hasPayable(current) {
+	if current := node.InService; current != nil && s.nextWithinRateLimit(current) {
 		return current
 	}
 	return first
 }
 
-// hasPayable reports whether a flow has a queued request that its volume's rate limit admits.
-func (s *Scheduler) hasPayable(flow *Flow) bool {
+// nextWithinRateLimit reports whether a flow has a queued request that its volume's rate limit admits.
+func (s *Scheduler) nextWithinRateLimit(flow *Flow) bool {
 	return len(flow.Queue) > 0 && s.withinRateLimit(flow.Queue[0])
 }
 
@@ -114,7 +114,7 @@
 func (s *Scheduler) earliestFlows(node *Node) (first, reserved *Flow) {
 	var firstFinish, reservedFinish float64
 	for _, flow := range node.Flows {
-		if !s.hasPayable(flow) {
+		if !s.nextWithinRateLimit(flow) {
 			continue
 		}
 		request := flow.Queue[0]
@@ -131,7 +131,7 @@
 
 // chargeVirtualTime counts units of a flow beyond its volume's reserve, sent by this gateway or served through
 // others. The flow's virtual start moves on by units over its weight, the node's virtual time by units over the
-// weights of all active flows. The node's never lies behind the least virtual start of the flows that wait.
+// weights of all active flows. The node's is never behind the least virtual start of the flows that wait.
 func (s *Scheduler) chargeVirtualTime(node *Node, charged *Flow, units float64) {
 	charged.VirtualStart += units / charged.Volume.ServiceLevel.Weight
 	weights, leastStart := 0.0, math.Inf(1)
--- a/scheduler/harness_test.go
+++ b/scheduler/harness_test.go
@@ -61,8 +61,8 @@
 	return settings
 }
 
-// harness is a client, an endpoint list, and nodes that answer as a script or chance says, around a scheduler. It
-// checks the invariants of the platform after every step, from what it has told and been told.
+// harness is a client, an endpoint list, and nodes that answer by script or by chance, around a scheduler. It checks
+// the invariants of the platform after every step, from the events that it sent and the decisions that it received.
 type harness struct {
 	scheduler       *Scheduler
 	settings        Settings
--- a/scheduler/node.go
+++ b/scheduler/node.go
@@ -5,7 +5,7 @@
 	"strconv"
 )
 
-// EndpointState is what the endpoint list says of a node.
+// EndpointState is the state of a node by the endpoint list.
 type EndpointState uint8
 
 // The states. Only a ready node is sent requests.
@@ -39,7 +39,7 @@
 	// Fair queuing.
 	Flows          []*Flow
 	VirtualTime    float64
-	InService      *Flow // the flow whose turn it is, if any
+	InService      *Flow // the flow that has the turn, if any
 	InServiceSince Time
 
 	// Load and capacity.
@@ -60,7 +60,7 @@
 
 	// Health.
 	FailureRate         float64     // share of attempts that failed, averaged over the latest
-	SlowStart           TokenBucket // this gateway's part of what the node withstands while it warms up
+	SlowStart           TokenBucket // this gateway's part of the node's slow-start budget
 	FairRate            float64     // what it takes beyond reserves, as a part of the nominal fair rate
 	BaseLatency         float64     // nanoseconds for a mean request when the node is not busy
 	LastOutcomeAt       Time        // when the latest outcome was weighed
--- a/scheduler/outliers.go
+++ b/scheduler/outliers.go
@@ -7,7 +7,7 @@
 func (s *Scheduler) recordOutcome(node *Node, attempt *Attempt, took Time) {
 	outcome := attempt.Outcome
 	if outcome == OutcomeCancelled || outcome == OutcomeMisdirected {
-		return // says nothing of the node's health
+		return // independent of the node's health
 	}
 	weight := s.outcomeWeight(node)
 	failed := 1.0
@@ -47,8 +47,8 @@
 }
 
 // detectOutlier suspects a node that could not be reached or turned a request away, and clears one that has
-// answered. A node that was silent all through a time-out hangs or is jammed: it is ejected for one to two such
-// times, since with hundreds of gateways one attempt of each would keep it so.
+// answered. A node that did not answer at all through a time-out hangs or is jammed: it is ejected for one to two
+// such times, since with hundreds of gateways one attempt of each would keep it so.
 func (s *Scheduler) detectOutlier(node *Node, attempt *Attempt, took Time) {
 	switch attempt.Outcome {
 	case OutcomeServed, OutcomeError:
@@ -83,7 +83,7 @@
 	}
 	if request.CreditNode == node {
 		request.CreditNode = nil
-		s.returnCredit(node)
+		node.returnCredit()
 	}
 }
 
@@ -137,12 +137,12 @@
 	}
 }
 
-// countSilence counts an attempt that is pending for longer than the objective as a slow answer: silence says as
-// much, and sooner.
+// countSilence counts an attempt that is pending for longer than the objective as a slow answer, when the node has
+// answered nothing sent as late: that tells as much, and sooner.
 func (s *Scheduler) countSilence(attempt *Attempt) {
 	node := attempt.Node
-	silent := node.LatestAnsweredSend <= attempt.SentAt && s.now-attempt.SentAt > s.tightestObjective
-	if attempt.SilenceCounted || !silent || s.ownStall() > 0 {
+	unanswered := node.LatestAnsweredSend <= attempt.SentAt && s.now-attempt.SentAt > s.tightestObjective
+	if attempt.SilenceCounted || !unanswered || s.ownStall() > 0 {
 		return
 	}
 	attempt.SilenceCounted = true
@@ -151,7 +151,7 @@
 
 // detectLoss presumes an attempt lost that is overdue, that is, pending for several times its expected latency
 // while later ones were answered, at a node that fails some or where most of the overdue attempts had no answer. It
-// is meant for nodes and links that lose part of what they take, and for connections that fall silent. It costs a
+// is meant for nodes and links that lose part of what they take, and for connections that die unnoticed. It costs a
 // second attempt where a failing node is only slow.
 func (s *Scheduler) detectLoss(attempt *Attempt) {
 	node := attempt.Node
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -20,7 +20,7 @@
 		return false
 	}
 	flow := s.flow(node, request.Volume)
-	if s.hopeless(node, request) {
+	if s.notWorthQueuing(node, request) {
 		s.giveUp(request)
 		return true
 	}
@@ -34,10 +34,10 @@
 	return queue != nil && (queue.Requests[0] != request || queue.BlockedUntil > s.now)
 }
 
-// hopeless reports whether a request is not worth queuing at a node. One that cannot meet its objective earns
+// notWorthQueuing reports whether a request is not worth queuing at a node. One that cannot meet its objective earns
 // little: it goes at once to a node that has nothing of this gateway's, or not at all; and one that is past its
 // objective, as clients' retries are, only to a node that is lightly loaded by all.
-func (s *Scheduler) hopeless(node *Node, request *Request) bool {
+func (s *Scheduler) notWorthQueuing(node *Node, request *Request) bool {
 	if s.now+node.expectedLatency(request.Units) <= request.effectiveObjective() {
 		return false
 	}
@@ -60,7 +60,7 @@
 	})
 	flow.Queue = slices.Insert(flow.Queue, at, request)
 	if request.Shard < 0 {
-		takeCredit(node, request)
+		node.takeCredit(request)
 	}
 	s.setRequestState(request, RequestQueued)
 	request.Node = node
@@ -91,8 +91,8 @@
 }
 
 // newObjectNode returns the node for a new object: the one that would be through with it first, of those that have
-// a placement credit left, answer, and have not been tried for it. A node that warms up keeps what it withstands
-// for the requests that no other node can serve, unless all do.
+// a placement credit left, answer, and have not been tried for it. A node that warms up keeps its slow-start budget
+// for the requests that no other node can serve, unless all warm up.
 func (s *Scheduler) newObjectNode(request *Request) (best *Node) {
 	least := math.Inf(1)
 	for _, node := range s.nodes {
@@ -138,13 +138,13 @@
 	return units
 }
 
-// takeCredit takes a placement credit of a node for a new object.
-func takeCredit(node *Node, request *Request) {
-	node.PlacementCredits--
-	request.CreditNode = node
+// takeCredit spends a placement credit of the node on a new object.
+func (n *Node) takeCredit(request *Request) {
+	n.PlacementCredits--
+	request.CreditNode = n
 }
 
-// returnCredit gives a node a placement credit back.
-func (s *Scheduler) returnCredit(node *Node) {
-	node.PlacementCredits = min(node.PlacementCredits+1, maxPlacementCredits)
+// returnCredit gives the node a placement credit back.
+func (n *Node) returnCredit() {
+	n.PlacementCredits = min(n.PlacementCredits+1, maxPlacementCredits)
 }
--- a/scheduler/request.go
+++ b/scheduler/request.go
@@ -44,7 +44,7 @@
 	ObjectiveDeadline  Time // when its latency objective ends
 	Deadline           Time // when its client gives up
 	State              RequestState
-	RetryAfter         Time // how long its client is asked to wait, when rejected; 0 for nothing said
+	RetryAfter         Time // how long its client is asked to wait, when rejected; 0 for no advice
 	Attempts           []*Attempt
 	Node               *Node         // where it is queued or was sent last
 	NotBefore          Time          // it is not placed again before this time
--- a/scheduler/requests.go
+++ b/scheduler/requests.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// Submit takes a request. The caller has filled in its ID, Units, Shard, Key, Write and Deadline, and names its
-// volume, service level and class. GatewayCount is how many gateways the volume's requests come through, and keyed
-// says whether Key counts, for a class that is ordered.
+// Submit accepts a request for scheduling. The caller has filled in its ID, Units, Shard, Key, Write and Deadline,
+// and names its volume, service level and class. GatewayCount is how many gateways the volume's requests come
+// through, and keyed says whether Key counts, for a class that is ordered.
 func (s *Scheduler) Submit(
 	now Time, request *Request, volume int64, level, class string, gatewayCount float64, keyed bool,
 ) {
@@ -64,7 +64,7 @@
 }
 
 // volume returns a volume by its ID, and makes it on first use. This gateway's part of its rate limit is even, by
-// the most gateways that its requests were said to come through, and its bucket counts as empty at the gateway's
+// the most gateways that its requests came through, and its bucket counts as empty at the gateway's
 // start: one that was killed does not know what it had sent.
 func (s *Scheduler) volume(id int64, level string, gatewayCount float64) *Volume {
 	volume := s.volumes[id]
@@ -105,7 +105,7 @@
 		s.flow(request.Node, request.Volume).remove(request)
 	}
 	if wasQueued && state != RequestInFlight && request.CreditNode != nil {
-		s.returnCredit(request.CreditNode)
+		request.CreditNode.returnCredit()
 		request.CreditNode = nil
 	}
 	request.State = state
@@ -159,7 +159,7 @@
 	return min(r.ObjectiveDeadline, leavesAt)
 }
 
-// latestDispatch is when a request that waits has to be sent to meet its objective, as far as can be told. It is
+// latestDispatch is when a request that waits has to be sent to meet its objective, as far as is known. It is
 // given up then.
 func (s *Scheduler) latestDispatch(request *Request) Time {
 	at := request.effectiveObjective()
@@ -170,7 +170,7 @@
 }
 
 // giveUp answers a request at once that is not tried any more: it is rejected where trying again is harmless, and
-// fails where it may have run. A rejection says when to come back, where clients are told so.
+// fails where it may have run. A rejection carries a Retry-After, where the installation wants one.
 func (s *Scheduler) giveUp(request *Request) {
 	state := RequestFailed
 	if request.mayReject() {
@@ -205,7 +205,7 @@
 	return !slices.ContainsFunc(r.Attempts, (*Attempt).mayHaveExecuted)
 }
 
-// ClientLeft takes that a request's client has gone. Nothing is owed to it; its pending attempts are cancelled.
+// ClientLeft records that a request's client has gone. It gets no answer, and its pending attempts are cancelled.
 func (s *Scheduler) ClientLeft(now Time, id string) {
 	s.now = now
 	request := s.requests[id]
--- a/scheduler/retries.go
+++ b/scheduler/retries.go
@@ -99,7 +99,7 @@
 		return
 	}
 	if request.Shard < 0 {
-		takeCredit(node, request)
+		node.takeCredit(request)
 	}
 	s.dispatch(request, node)
 }
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Scheduler decides for one gateway. It knows the time of the latest call, what it was told, and its seed.
+// Scheduler decides for one gateway. It knows the time of the latest call, the events so far, and its seed.
 //
 // A capture stores this object with all that it reaches (see StoredNames): fields keep their order and kinds.
 type Scheduler struct {
@@ -25,13 +25,13 @@
 	tightestObjective   Time    // least latency objective of all classes
 	meanUnits           float64 // units of a mean request
 	nominalFairRate     float64 // units a second, per weight, that a node is open to beyond reserves
-	listComplete        bool    // the list that is being told names all nodes
-	listStale           bool    // the list that is being told may be out of date
+	listComplete        bool    // the list that is being received names all nodes
+	listStale           bool    // the list that is being received may be out of date
 	listGeneration      int     // counts lists
 	overdueLostShare    float64 // share of overdue attempts that had no answer, averaged over the latest
 	overdueCountsAsLost bool    // as last logged: overdueLostShare is over its threshold
-	listReceivedAt      Time    // when the list was last heard, or the start
-	listUnresponsive    bool    // a call for the list has since ended with no word at all
+	listReceivedAt      Time    // when the list was last received, or the start
+	listUnresponsive    bool    // a call for the list has ended with no response since
 	nextListCallAt      Time    // when to call for the list again; 0 for no need
 	listBackoff         Time
 	nextRoundAt         Time
@@ -152,15 +152,14 @@
 	creditInterval := Time(creditReturnObjectives * float64(s.tightestObjective))
 	if node.PlacementCredits < maxPlacementCredits && s.now-node.CreditReturnedAt >= creditInterval {
 		node.CreditReturnedAt = s.now
-		s.returnCredit(node)
+		node.returnCredit()
 	}
 }
 
-// HealthChecked takes the outcome of a health check. The scheduler asks for none, and learns nothing from it but
-// the time.
+// HealthChecked records the outcome of a health check. The scheduler asks for none, and learns only the time.
 func (s *Scheduler) HealthChecked(now Time, _ string, _ Outcome, _ Time) { s.now = now }
 
-// logTransition logs when a condition begins or ends to hold, with its cause. The format is applied twice: once to
+// logTransition logs when a condition becomes true or false, with its cause. The format is applied twice: once to
 // args, and once to the condition, whose verb is written %%t.
 func (s *Scheduler) logTransition(logged *bool, isTrue bool, format string, args ...any) {
 	if *logged != isTrue {
--- a/scheduler/service_level.go
+++ b/scheduler/service_level.go
@@ -2,7 +2,7 @@
 
 import "strconv"
 
-// Idempotency says what a repeat of a class's request may do.
+// Idempotency is what a repeat of a class's request may do.
 type Idempotency uint8
 
 // The kinds of idempotency.
--- a/scheduler/settings.go
+++ b/scheduler/settings.go
@@ -26,9 +26,9 @@
 	settingSharesUsage        = "tells.others"     // whether answers report what other gateways were served
 	settingSlowStartTime      = "cold.time"        // how long a node warms up, ms
 	settingSlowStartFrom      = "cold.from"        // share of its capacity that it has at its start
-	settingSlowStartMultiple  = "cold.multiple"    // multiple of its capacity that it withstands in a window
+	settingSlowStartMultiple  = "cold.multiple"    // multiple of its capacity that it tolerates in a window
 	settingSlowStartWindow    = "cold.window"      // that window, ms
-	settingSlowStartFreeUnits = "cold.units"       // units in a window that it withstands in any case
+	settingSlowStartFreeUnits = "cold.units"       // units in a window that it tolerates in any case
 )
 
 // discoveryAsk is the value of settingDiscovery where the endpoint list is sent only to those who ask for it.
--- a/scheduler/slow_start.go
+++ b/scheduler/slow_start.go
@@ -8,14 +8,14 @@
 	return startedAt > 0 && s.now-startedAt < s.settings.duration(settingSlowStartTime)
 }
 
-// withinSlowStart reports whether a node that warms up withstands a request. All gateways send, and each sees only
-// what it sends itself; together they must stay within what the node withstands. So a request goes in one of these
-// ways:
+// withinSlowStart reports whether a request is within the slow-start budget of a node that warms up: a multiple of
+// the capacity that it has by its age, in any window. All gateways send, and each sees only what it sends itself;
+// together they must stay within the budget. So a request goes in one of these ways:
 //
 //   - Allocated: where the node's budget is allocated among the gateways (AllocateSlowStart), what is left of the
 //     allocation holds it, and nothing else goes.
 //   - Answered: what this gateway sent in the window stays within the safe multiple of what it was answered in it.
-//   - Saved up: it is within this gateway's even part of what the node withstands in any case, or of the safe multiple
+//   - Saved up: it is within this gateway's even part of what the node tolerates in any case, or of the safe multiple
 //     of what it can do by now at the rate that is known of other nodes. Half of that is a bucket's capacity and half
 //     flows in within a window.
 //   - By chance, where that part is less than one request: the part of the others would go unused, since few of many
@@ -63,12 +63,12 @@
 	return initial + (1-initial)*age/float64(s.settings.duration(settingSlowStartTime))
 }
 
-// resizeSlowStart sets a node's slow-start bucket to this gateway's even part of what the node withstands by now.
+// resizeSlowStart sets a node's slow-start bucket to this gateway's even part of the budget.
 func (s *Scheduler) resizeSlowStart(node *Node, share float64) {
 	window := float64(s.settings.duration(settingSlowStartWindow))
-	withstands := s.safeMultiple() * share * s.meanServiceRate() * window / float64(Second)
-	withstands = max(withstands, s.settings.number(settingSlowStartFreeUnits))
-	part := withstands / max(s.settings.number(settingGateways), 1)
+	budget := s.safeMultiple() * share * s.meanServiceRate() * window / float64(Second)
+	budget = max(budget, s.settings.number(settingSlowStartFreeUnits))
+	part := budget / max(s.settings.number(settingGateways), 1)
 	node.SlowStart.resize(s.now, part/2/window*float64(Second), part/2)
 }
 
--- a/scheduler/slow_start_test.go
+++ b/scheduler/slow_start_test.go
@@ -52,12 +52,12 @@
 	gateways, volumes, gatewaysPerVolume int
 	submitted                            float64 // units a second
 	leastUnits                           float64 // sent in four seconds from the start
-	mostShare                            float64 // of what the node withstands, in any second
+	mostShare                            float64 // of the budget, in any second
 }
 
-// However many gateways there are, what they send a warming node stays within what it withstands, and is not nothing:
+// However many gateways there are, what they send a warming node stays within its slow-start budget, and is not nothing:
 // requests of one volume through all of them, or of many volumes within their service levels, seldom each, or more.
-func TestManyGatewaysStayWithinWhatAWarmingNodeWithstands(t *testing.T) {
+func TestManyGatewaysStayWithinTheSlowStartBudget(t *testing.T) {
 	for _, c := range []manyGateways{
 		{2, 1, 2, 600, 30, 0.4},
 		{80, 1, 80, 600, 30, 0.55},
@@ -67,9 +67,9 @@
 		{60, 12, 2, 144, 80, 0.9},
 	} {
 		units, share := c.play()
-		t.Logf("%+v: %.0f units, at most %.0f%% of what it withstands", c, units, 100*share)
+		t.Logf("%+v: %.0f units, at most %.0f%% of the slow-start budget", c, units, 100*share)
 		if share > c.mostShare || units < c.leastUnits {
-			t.Errorf("%+v: %g units in four seconds, at most %.0f%% of what it withstands", c, units, 100*share)
+			t.Errorf("%+v: %g units in four seconds, at most %.0f%% of the slow-start budget", c, units, 100*share)
 		}
 	}
 }
@@ -99,8 +99,8 @@
 }
 
 // play runs the gateways for five seconds, the last four from the node's start; the node takes one request after
-// the other. It returns the units sent in these four, and the most in any second as a share of what the node
-// withstands.
+// the other. It returns the units sent in these four, and the most in any second as a share of its slow-start
+// budget.
 func (c manyGateways) play() (units, mostShare float64) {
 	harnesses := c.start()
 	random := newPCG32(uint64(c.gateways))
@@ -147,8 +147,8 @@
 	}
 }
 
-// A warming node keeps what it withstands for requests that no other node can serve. Answered writes, part of whose
-// work may be put off, do not let it have more.
+// A warming node keeps its slow-start budget for requests that no other node can serve. Answered writes, part of
+// whose work may be put off, do not let it have more.
 func TestWarmingNodeTakesNoNewObjectsAndNoCreditForWrites(t *testing.T) {
 	h := newHarness(1, testSettings("plans.0.limit=0"))
 	h.listNode("a0", 0, h.now, EndpointReady)
--- a/scheduler/tuning.go
+++ b/scheduler/tuning.go
@@ -59,7 +59,7 @@
 
 // Outlier detection.
 const (
-	suspectAfterLatencies   = 4.0  // a node silent for the objective and so many mean latencies is suspected
+	suspectAfterLatencies   = 4.0  // a node is suspected that answers nothing for the objective and so many mean latencies
 	suspectDelayMin         = 0.5  // least delay before a node newly suspected is tried, in objectives
 	suspectRetryMin         = 1.0  // and between tries; both are lengthened by chance by up to one objective
 	highFailureRate         = 0.05 // a node with more is one that fails some
@@ -82,7 +82,7 @@
 )
 
 // Slow start.
-const slowStartSafety = 0.5 // part of what a node withstands while it warms up that is used
+const slowStartSafety = 0.5 // part of the multiple that a warming node tolerates that is used
 
 // Periodic work and the endpoint list.
 const (
@@ -90,5 +90,5 @@
 	listBackoffInitial = 250 * Millisecond // after a failed call for the endpoint list; it doubles from call to call
 	listBackoffMax     = Second            // three calls fit in the time after which the list counts as outdated
 	listJitterMin      = 0.5               // the backoff is multiplied by chance by this to one more
-	listSilenceMax     = 6 * Second        // a silent list counts as outdated after it (platform protocol)
+	listSilenceMax     = 6 * Second        // an unresponsive list is outdated after it (platform protocol)
 )
