--- a/internal/snapshot/scheduler_test.go
+++ b/internal/snapshot/scheduler_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"encoding/hex"
+	"maps"
 	"reflect"
 	"strings"
 	"testing"
@@ -64,3 +65,16 @@
 		t.Errorf("the state comes back as\n%x, not\n%x", again, state)
 	}
 }
+
+// Each stored name is of a type or field that a state reaches by now.
+func TestStoredNamesAreOfTypesAndFieldsThatExist(t *testing.T) {
+	root := reflect.TypeFor[*scheduler.Scheduler]()
+	shape := shapeText(root, scheduler.StoredNames)
+	for key := range scheduler.StoredNames {
+		fewer := maps.Clone(scheduler.StoredNames)
+		delete(fewer, key)
+		if shapeText(root, fewer) == shape {
+			t.Errorf("nothing that a state reaches is called %s", key)
+		}
+	}
+}
