--- a/scheduler/apply_settings.go
+++ b/scheduler/apply_settings.go
@@ -108,7 +108,7 @@
 		return
 	}
 	for _, level := range s.serviceLevels { // a multiple of what it is sized for stands in
-		level.Reserve = standInReserveFactor * level.NominalRate
+		level.Reserve = defaultReserveFactor * level.NominalRate
 	}
 }
 
--- a/scheduler/endpoint_list.go
+++ b/scheduler/endpoint_list.go
@@ -71,7 +71,7 @@
 	s.now = now
 	s.logTransition(&s.listUnresponsive, s.listUnresponsive || unresponsive,
 		"the list is silent: %%t, %d ms by now", (now-s.listReceivedAt)/Millisecond)
-	if s.settings[settingDiscovery] != discoveryAsk {
+	if s.settings[settingDiscovery] != discoveryPull {
 		return
 	}
 	if s.listUnresponsive {
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -20,7 +20,7 @@
 		return false
 	}
 	flow := s.flow(node, request.Volume)
-	if s.notWorthQueuing(node, request) {
+	if s.shouldGiveUpAt(node, request) {
 		s.giveUp(request)
 		return true
 	}
@@ -34,10 +34,10 @@
 	return queue != nil && (queue.Requests[0] != request || queue.BlockedUntil > s.now)
 }
 
-// notWorthQueuing reports whether a request is not worth queuing at a node. One that cannot meet its objective earns
+// shouldGiveUpAt reports whether a request is not worth queuing at a node. One that cannot meet its objective earns
 // little: it goes at once to a node that has nothing of this gateway's, or not at all; and one that is past its
 // objective, as clients' retries are, only to a node that is lightly loaded by all.
-func (s *Scheduler) notWorthQueuing(node *Node, request *Request) bool {
+func (s *Scheduler) shouldGiveUpAt(node *Node, request *Request) bool {
 	if s.now+node.expectedLatency(request.Units) <= request.effectiveObjective() {
 		return false
 	}
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -58,7 +58,7 @@
 		listReceivedAt: now,
 	}
 	s.loadSettings()
-	s.pending.WatchEndpoints = settings[settingDiscovery] == discoveryAsk
+	s.pending.WatchEndpoints = settings[settingDiscovery] == discoveryPull
 	return s
 }
 
--- a/scheduler/settings.go
+++ b/scheduler/settings.go
@@ -9,7 +9,7 @@
 // Names of settings. Their text is that of the operators' configuration.
 const (
 	settingGateways           = "gateways"         // gateways of the installation
-	settingDiscovery          = "discovery"        // discoveryAsk, or anything else
+	settingDiscovery          = "discovery"        // discoveryPull, or anything else
 	settingListInterval       = "list.every"       // stated time between calls for the endpoint list, ms
 	settingDrainGrace         = "drain.grace"      // how long a draining node still takes requests, ms
 	settingMeanUnits          = "units.mean"       // units of a mean request
@@ -31,8 +31,8 @@
 	settingSlowStartFreeUnits = "cold.units"       // units in a window that it tolerates in any case
 )
 
-// discoveryAsk is the value of settingDiscovery where the endpoint list is sent only to those who ask for it.
-const discoveryAsk = "ask"
+// discoveryPull is the value of settingDiscovery where the endpoint list is sent only to those who ask for it.
+const discoveryPull = "ask"
 
 // Lists of settings.
 const (
--- a/scheduler/settings_changes_test.go
+++ b/scheduler/settings_changes_test.go
@@ -106,8 +106,8 @@
 	}
 }
 
-// leftOut reports whether the settings leave out a request's class or service level.
-func (r *changingRun) leftOut(request *Request) bool {
+// isRemoved reports whether the settings leave out a request's class or service level.
+func (r *changingRun) isRemoved(request *Request) bool {
 	return r.removed[request.Class.Name] || r.removed[request.Volume.ServiceLevel.Name]
 }
 
@@ -115,7 +115,7 @@
 func (r *changingRun) checkDispatched() {
 	for _, attempt := range r.dispatched {
 		request := attempt.Request
-		if r.leftOut(request) {
+		if r.isRemoved(request) {
 			r.t.Fatalf("request %s of class %s, level %s is sent, which the settings leave out",
 				request.ID, request.Class.Name, request.Volume.ServiceLevel.Name)
 		}
@@ -134,7 +134,7 @@
 func (r *changingRun) checkWaiting() {
 	for _, request := range r.requests {
 		waits := request.State == RequestUnplaced || request.State == RequestQueued
-		if waits && r.leftOut(request) {
+		if waits && r.isRemoved(request) {
 			r.t.Fatalf("request %s of class %s, level %s waits, which the settings leave out",
 				request.ID, request.Class.Name, request.Volume.ServiceLevel.Name)
 		}
--- a/scheduler/tuning.go
+++ b/scheduler/tuning.go
@@ -34,7 +34,7 @@
 	minLatencyDivisor     = 4           // the expected latency is no less than the mean latency divided by this
 	shareMemory           = 5 * Second  // time constant over which a gateway's share of a volume's service is counted
 	shareInitialRequests  = 2.0         // mean requests for which the even share counts in it
-	standInReserveFactor  = 2.0         // nominal rates that stand in for the reserve where no service level has one
+	defaultReserveFactor  = 2.0         // nominal rates that stand in for the reserve where no service level has one
 	minTotalWeight        = 1e-3        // least sum of the service levels' weights
 	minObjective          = Millisecond // least tightest objective
 )
