--- a/internal/audit/check.go
+++ b/internal/audit/check.go
@@ -188,7 +188,8 @@
 		r.Checked++
 		a := asked[k]
 		left, went := gone[k.session]
-		if told[k] == 0 && !(went && !broke[k.session] && left <= d.limit(a)) && end > d.limit(a) {
+		leftInTime := went && !broke[k.session] && left <= d.limit(a)
+		if told[k] == 0 && !leftInTime && end > d.limit(a) {
 			r.breaks("request %d of %s (%s) has no answer", k.id, k.session, a.Product)
 		}
 	}
@@ -230,7 +231,8 @@
 		}
 		r.Checked++
 		for _, x := range d.requests[requestKey{e.Session, e.ID}] {
-			if x.Kind != 0 && x.Change && !(x.never && x.answered <= e.At) {
+			neverRan := x.never && x.answered <= e.At
+			if x.Kind != 0 && x.Change && !neverRan {
 				r.breaks("request %d of %s is dismissed while execution %d of %s may have run", e.ID, e.Session, x.Number, x.Job)
 			}
 		}
--- a/internal/audit/record.go
+++ b/internal/audit/record.go
@@ -11,6 +11,7 @@
 // What is what an event tells.
 type What uint8
 
+// The kinds of events.
 const (
 	Asked    What = iota // a client has sent a request
 	Told                 // a client has got its answer
@@ -32,6 +33,7 @@
 // Answer is the kind of a final answer.
 type Answer uint8
 
+// The kinds of final answers.
 const (
 	Completed Answer = iota
 	Dismissed
--- a/internal/audit/summary.go
+++ b/internal/audit/summary.go
@@ -61,7 +61,8 @@
 			switch e.Answer {
 			case Completed:
 				s.Completed++
-				times[a.Product].RecordValue(max(1, (e.At-a.At)/1000))
+				// An answer that took more than an hour is out of the histogram; a day lasts an hour at most.
+				_ = times[a.Product].RecordValue(max(1, (e.At-a.At)/1000))
 				if e.At <= a.Goal {
 					products[a.Product].InGoal++
 				}
--- a/internal/bench/bench.go
+++ b/internal/bench/bench.go
@@ -32,7 +32,7 @@
 	if err != nil {
 		return err
 	}
-	defer os.RemoveAll(dir)
+	defer func() { _ = os.RemoveAll(dir) }()
 	list := endpoint.FormatList(endpoint.List{Nodes: []endpoint.Node{{Addr: n.Addr()}}})
 	if err := os.WriteFile(filepath.Join(dir, "nodes.hcl"), list, 0o644); err != nil {
 		return err
@@ -62,10 +62,10 @@
 	if err != nil {
 		return err
 	}
-	jobs := 0.0                  // of the one that is captured
-	var costs, follows []float64 // of the capture, and of following keepers, a case each
-	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(w, "request\tbytes\tout\tstraight/s\tthrough/s\tratio\tp50 added us\tp99 added us\tgateway cpu us\tcaptured/through\tfollowed/through\tfailed\t")
+	jobs := 0.0                                                       // of the one that is captured
+	var costs, follows []float64                                      // of the capture, and of following keepers, a case each
+	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight) // what cannot be written is told by Flush
+	_, _ = fmt.Fprintln(w, "request\tbytes\tout\tstraight/s\tthrough/s\tratio\tp50 added us\tp99 added us\tgateway cpu us\tcaptured/through\tfollowed/through\tfailed\t")
 	for _, t := range []sftp.Type{sftp.Read, sftp.Write} {
 		for _, bytes := range []int{4 << 10, 32 << 10} {
 			for _, outstanding := range []int{1, 16, 256} {
@@ -94,7 +94,7 @@
 				p50 := func(f figures) float64 { return f.p50 }
 				p99 := func(f figures) float64 { return f.p99 }
 				costs, follows = append(costs, paired(with, b)), append(follows, paired(led, b))
-				fmt.Fprintf(w, "%s\t%d\t%d\t%.0f\t%.0f\t%.2f\t%.0f\t%.0f\t%.1f\t%.2f\t%.2f\t%d\t\n", name, bytes, outstanding, median(a, rate),
+				_, _ = fmt.Fprintf(w, "%s\t%d\t%d\t%.0f\t%.0f\t%.2f\t%.0f\t%.0f\t%.1f\t%.2f\t%.2f\t%d\t\n", name, bytes, outstanding, median(a, rate),
 					median(b, rate), median(b, rate)/median(a, rate), median(b, p50)-median(a, p50), median(b, p99)-median(a, p99),
 					median(b, func(f figures) float64 { return f.cpu }), costs[len(costs)-1],
 					follows[len(follows)-1], failed)
@@ -106,12 +106,12 @@
 	}
 	for name, list := range map[string][]float64{"captured": costs, "followed": follows} {
 		slices.Sort(list)
-		fmt.Fprintf(out, "%s/through over the %d cases: median %.2f, least %.2f, most %.2f\n", name, len(list), list[len(list)/2], list[0], list[len(list)-1])
+		_, _ = fmt.Fprintf(out, "%s/through over the %d cases: median %.2f, least %.2f, most %.2f\n", name, len(list), list[len(list)/2], list[0], list[len(list)-1])
 	}
 	files, _ := filepath.Glob(filepath.Join(dir, "*.iriscap"))
 	for _, f := range files {
 		if info, err := os.Stat(f); err == nil {
-			fmt.Fprintf(out, "the capture has %.1f bytes a job\n", float64(info.Size())/jobs)
+			_, _ = fmt.Fprintf(out, "the capture has %.1f bytes a job\n", float64(info.Size())/jobs)
 		}
 	}
 	return nil
--- a/internal/bench/client.go
+++ b/internal/bench/client.go
@@ -152,7 +152,7 @@
 					bad++
 					continue
 				}
-				mine.RecordValue(max(1, time.Since(from).Microseconds()))
+				_ = mine.RecordValue(max(1, time.Since(from).Microseconds()))
 			}
 			lock.Lock()
 			h.Merge(mine)
--- a/internal/bench/process.go
+++ b/internal/bench/process.go
@@ -94,8 +94,8 @@
 }
 
 func (p *process) stop() {
-	p.cmd.Process.Signal(syscall.SIGTERM)
-	p.cmd.Wait()
+	_ = p.cmd.Process.Signal(syscall.SIGTERM)
+	_ = p.cmd.Wait() // it reports the signal
 }
 
 // keepers are three of them in processes of their own, that hold the bench's settings and its node as their first version.
@@ -117,7 +117,7 @@
 		args = append(args, "--peer", fmt.Sprintf("%d=%s", i+1, l.Addr()))
 	}
 	for i, addr := range k.addrs {
-		held[i].Close()
+		_ = held[i].Close()
 		number := strconv.Itoa(i + 1)
 		cmd := exec.Command(program, append([]string{"keeper", "--number", number, "--listen", addr, "--dir", filepath.Join(dir, "keeper"+number)}, args...)...)
 		if err := cmd.Start(); err != nil {
@@ -144,8 +144,8 @@
 
 func (k *keepers) stop() {
 	for _, cmd := range k.list {
-		cmd.Process.Kill()
-		cmd.Wait()
+		_ = cmd.Process.Kill()
+		_ = cmd.Wait()
 	}
 }
 
--- a/internal/capacity/figures.go
+++ b/internal/capacity/figures.go
@@ -17,11 +17,10 @@
 	return func(c *Calc) { c.Value = c.At(record, size(c.Size)) }
 }
 
-func gateways(s Size) float64    { return s.Gateways }
-func nodes(s Size) float64       { return s.Nodes }
-func connections(s Size) float64 { return s.Connections }
-func requests(s Size) float64    { return s.Requests }
-func volumes(s Size) float64     { return s.Volumes }
+func gateways(s Size) float64 { return s.Gateways }
+func nodes(s Size) float64    { return s.Nodes }
+func requests(s Size) float64 { return s.Requests }
+func volumes(s Size) float64  { return s.Volumes }
 
 // serving is a gateway's part for its clients.
 var serving = []Figure{
--- a/internal/capacity/measure_list_test.go
+++ b/internal/capacity/measure_list_test.go
@@ -47,7 +47,7 @@
 		d.form.Targets = append(d.form.Targets, target(i, fmt.Sprintf("10.0.%d.%d:7000", i/250, i%250)))
 	}
 	d.open(t, "127.0.0.1:0")
-	t.Cleanup(func() { d.server.Close() })
+	t.Cleanup(func() { _ = d.server.Close() })
 	return d
 }
 
@@ -58,7 +58,7 @@
 	}
 	d.Listener = l
 	d.server = &http.Server{Handler: d}
-	go d.server.Serve(d)
+	go func() { _ = d.server.Serve(d) }()
 }
 
 // Accept counts what passes.
@@ -92,7 +92,7 @@
 		form.Full, form.Targets = false, form.Targets[:min(1, int(form.Revision-from))]
 	}
 	b, _ := json.Marshal(form)
-	w.Write(b)
+	_, _ = w.Write(b) // a client that has gone asks again
 }
 
 // change has the list be another.
@@ -112,7 +112,7 @@
 		d := openDesk(t, nodes)
 		whole, _ := json.Marshal(d.form)
 		s.add(capacity.Measured, "list_whole_bytes_by_nodes", "bytes", "nodes", size, float64(len(whole)))
-		s.add(capacity.Measured, "list_make_ms_by_nodes", "ms", "nodes", size, each(50, func(int) { json.Marshal(d.form) })/1e3)
+		s.add(capacity.Measured, "list_make_ms_by_nodes", "ms", "nodes", size, each(50, func(int) { _, _ = json.Marshal(d.form) })/1e3)
 		var table discovery.Table
 		read := func(b []byte) {
 			var f discovery.Response
@@ -158,7 +158,7 @@
 		}
 		s.add(capacity.Measured, "list_change_bytes_by_nodes", "bytes", "nodes", size, (float64(d.bytes.Load()-before)-float64(seen)*empty)/count)
 		cancel()
-		d.server.Close()
+		_ = d.server.Close()
 	}
 	s.keep()
 }
@@ -218,7 +218,7 @@
 			})
 		}
 		<-all
-		d.server.Close()
+		_ = d.server.Close()
 		time.Sleep(4 * time.Second)
 		expect("2")
 		d.lock.Lock()
@@ -240,7 +240,7 @@
 		s.add(capacity.Measured, "list_return_ms_by_gateways", "ms", "gateways", float64(gateways), float64(took.Milliseconds()))
 		s.add(capacity.Measured, "list_return_calls_by_gateways", "calls", "gateways", float64(gateways), float64(first))
 		cancel()
-		d.server.Close()
+		_ = d.server.Close()
 		running.Wait()
 		for _, loop := range loops {
 			loop.Stop()
@@ -310,17 +310,17 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer l.Close()
+			defer func() { _ = l.Close() }()
 			addrs = append(addrs, l.Addr().String())
 			go func() {
 				for raw, err := l.Accept(); err == nil; raw, err = l.Accept() {
 					go func() {
 						for in := bufio.NewReader(raw); ; {
 							if _, err := http.ReadRequest(in); err != nil {
-								raw.Close()
+								_ = raw.Close()
 								return
 							}
-							io.WriteString(raw, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
+							_, _ = io.WriteString(raw, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 						}
 					}()
 				}
--- a/internal/capacity/measure_web_test.go
+++ b/internal/capacity/measure_web_test.go
@@ -48,7 +48,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { l.Close() })
+		t.Cleanup(func() { _ = l.Close() })
 		go p.accept(l)
 		form.Targets = append(form.Targets, target(i, l.Addr().String()))
 	}
@@ -66,19 +66,19 @@
 			case <-time.After(time.Duration(ms) * time.Millisecond):
 			case <-q.Context().Done():
 			}
-			w.Write(none)
+			_, _ = w.Write(none)
 			return
 		}
-		w.Write(whole)
+		_, _ = w.Write(whole)
 	})}
-	go server.Serve(service)
-	t.Cleanup(func() { server.Close() })
+	go func() { _ = server.Serve(service) }()
+	t.Cleanup(func() { _ = server.Close() })
 	front, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	p.addr = front.Addr().String()
-	front.Close()
+	_ = front.Close()
 	conf := filepath.Join(t.TempDir(), "config.json")
 	text := fmt.Sprintf(`{"name":"n1","listen":%q,"discovery":%q,"seed":"1","limits":{"cores":2,"memory_mb":1024,"sockets":30000},
 		"settings":{"contract":{"ask_every_ms":40000.0},"contracts":[{"name":"gold","proportion":1.0,"base_rate":100000.0,"floor_rate":100000.0}],
@@ -93,7 +93,10 @@
 	if err := p.cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { p.cmd.Process.Signal(syscall.SIGKILL); p.cmd.Wait() })
+	t.Cleanup(func() {
+		_ = p.cmd.Process.Signal(syscall.SIGKILL)
+		_ = p.cmd.Wait() // it reports the kill
+	})
 	for p.asked.Load() < 2 { // the first list is told
 		time.Sleep(10 * time.Millisecond)
 	}
@@ -127,7 +130,7 @@
 func (p *plant) accept(l net.Listener) {
 	for raw, err := l.Accept(); err == nil; raw, err = l.Accept() {
 		go func() {
-			defer raw.Close()
+			defer func() { _ = raw.Close() }()
 			c := counted{raw, &p.bytes}
 			for in := bufio.NewReader(c); ; {
 				q, err := http.ReadRequest(in)
@@ -138,7 +141,7 @@
 				if err != nil {
 					return
 				}
-				fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+				_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 			}
 		}()
 	}
@@ -155,7 +158,7 @@
 	if err != nil {
 		p.t.Fatal(err)
 	}
-	var c net.Conn = raw
+	c := raw
 	if bytes != nil {
 		c = counted{raw, bytes}
 	}
@@ -175,9 +178,12 @@
 	if err != nil {
 		return err
 	}
-	defer a.Body.Close()
-	if _, err := io.Copy(io.Discard, a.Body); err != nil || a.StatusCode != 200 {
-		return fmt.Errorf("status %d, %v", a.StatusCode, err)
+	defer func() { _ = a.Body.Close() }()
+	if _, err := io.Copy(io.Discard, a.Body); err != nil {
+		return err
+	}
+	if a.StatusCode != http.StatusOK {
+		return fmt.Errorf("status %d", a.StatusCode)
 	}
 	return nil
 }
@@ -252,18 +258,20 @@
 			several(count, 64, func(i int) {
 				conns[i] = p.dial(nil)
 				text := p.text(i%p.nodes, 4096)
-				io.WriteString(conns[i], text[:len(text)-2048])
+				if _, err := io.WriteString(conns[i], text[:len(text)-2048]); err != nil {
+					t.Error(err)
+				}
 			})
 			time.Sleep(900 * time.Millisecond) // all are read by then; a first request has 2.5 s
 			s.add(capacity.Measured, "web_mb_by_half_requests", "MB", "connections", float64(count), p.mb())
 			for i, v := range conns[:50] { // and none was closed before
-				v.SetReadDeadline(time.Now().Add(time.Millisecond))
+				_ = v.SetReadDeadline(time.Now().Add(time.Millisecond))
 				if _, err := v.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
 					t.Fatalf("connection %d: %v", i, err)
 				}
 			}
 			for _, v := range conns {
-				v.Close()
+				_ = v.Close()
 			}
 		})
 	}
--- a/internal/capacity/record.go
+++ b/internal/capacity/record.go
@@ -14,6 +14,7 @@
 // How tells where a record's points come from.
 type How string
 
+// The origins of points.
 const (
 	Measured  How = "measured"  // on sockets, processes or the processor's clock
 	Simulated How = "simulated" // in virtual time
@@ -143,12 +144,12 @@
 			return p.Measured, true, nil
 		}
 	}
-	switch {
-	case r.Form == Flat:
+	switch r.Form {
+	case Flat:
 		return r.Value, false, nil
-	case r.Form == Line:
+	case Line:
 		return r.Base + r.Value*size, false, nil
-	case r.Form == NLogN:
+	case NLogN:
 		return r.Base + r.Value*nLogN(size), false, nil
 	}
 	for i := 1; i < len(r.Points); i++ {
--- a/internal/capacity/size.go
+++ b/internal/capacity/size.go
@@ -20,9 +20,11 @@
 var Letter = Size{Gateways: 780, Nodes: 1800, Connections: 5256, Requests: 1269, Volumes: 16384, Changes: 950, Failures: 5, Restarts: 150, Racks: 28,
 	ZoneGateways: 111, ZoneNodes: 257, Cut: 3600, Keepers: 3}
 
-// AtNode is the requests a second at a storage node, Pair those between a gateway and a node.
+// AtNode is the requests a second at a storage node.
 func (s Size) AtNode() float64 { return s.Requests * s.Gateways / s.Nodes }
-func (s Size) Pair() float64   { return s.Requests / s.Nodes }
+
+// Pair is the requests a second between a gateway and a storage node.
+func (s Size) Pair() float64 { return s.Requests / s.Nodes }
 
 // Bounds of the letter, and the goals that were set with it.
 const (
