--- a/internal/capture/bench_test.go
+++ b/internal/capture/bench_test.go
@@ -27,5 +27,7 @@
 		r.AttemptEnded(int64(i), j.ID, 0, scheduler.OutcomeServed, 1000, true, 0, 1, 1000)
 		r.Decided(int64(i), &scheduler.Decision{NextWake: int64(i)})
 	}
-	r.Close(int64(b.N))
+	if err := r.Close(int64(b.N)); err != nil {
+		b.Fatal(err)
+	}
 }
--- a/internal/capture/file.go
+++ b/internal/capture/file.go
@@ -91,7 +91,7 @@
 	next := func() (io.WriteCloser, error) {
 		number++
 		if old := number - l.KeptFiles; l.KeptFiles > 0 && old > 0 {
-			os.Remove(fmt.Sprintf("%s.%d.iriscap", stem, old)) // one that is gone already is no trouble
+			_ = os.Remove(fmt.Sprintf("%s.%d.iriscap", stem, old)) // one that is gone already is no trouble
 		}
 		first = fmt.Sprintf("%s.%d.iriscap", stem, number)
 		return os.OpenFile(first, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600)
@@ -196,7 +196,8 @@
 				why = fmt.Sprintf("it has reached %d bytes, the most that it may have", r.limits.FileBytes)
 				err = errors.New(why)
 			}
-			out.Write(packBlock(pack, block{appendRecord(nil, &Record{Kind: End, At: b.first, Name: why}), b.first, 1}, nil))
+			// A file without its End record is read as cut off.
+			_, _ = out.Write(packBlock(pack, block{appendRecord(nil, &Record{Kind: End, At: b.first, Name: why}), b.first, 1}, nil))
 			if err == nil {
 				out, err = r.turn(out, pack)
 				opened = time.Now()
@@ -250,8 +251,8 @@
 // sum is the checksum of a block's head and body.
 func sum(head, body []byte) uint64 {
 	h := xxhash.New()
-	h.Write(head)
-	h.Write(body)
+	_, _ = h.Write(head) // a digest takes all
+	_, _ = h.Write(body)
 	return h.Sum64()
 }
 
--- a/internal/capture/format.go
+++ b/internal/capture/format.go
@@ -18,6 +18,7 @@
 // Kind is what a record tells.
 type Kind uint8
 
+// The kinds of records, by their numbers in the file.
 const (
 	Header     Kind = iota + 1 // what is captured: always the first record
 	Start                      // the module was started
@@ -124,18 +125,18 @@
 }
 
 // name fills in what the module decided. The log lines are the module's own until its next decision.
-func (out *Decision) name(d *scheduler.Decision) {
-	out.Ended, out.CallOff, out.Sent = out.Ended[:0], out.CallOff[:0], out.Sent[:0]
-	for _, j := range d.Finished {
-		out.Ended = append(out.Ended, Answer{j.ID, j.State, j.RetryAfter})
+func (d *Decision) name(from *scheduler.Decision) {
+	d.Ended, d.CallOff, d.Sent = d.Ended[:0], d.CallOff[:0], d.Sent[:0]
+	for _, j := range from.Finished {
+		d.Ended = append(d.Ended, Answer{j.ID, j.State, j.RetryAfter})
 	}
-	for _, e := range d.Cancel {
-		out.CallOff = append(out.CallOff, Execution{Job: e.Request.ID, Number: e.Number})
+	for _, e := range from.Cancel {
+		d.CallOff = append(d.CallOff, Execution{Job: e.Request.ID, Number: e.Number})
 	}
-	for _, e := range d.Dispatch {
-		out.Sent = append(out.Sent, Execution{e.Request.ID, e.Number, e.Node.Addr, e.Timeout})
+	for _, e := range from.Dispatch {
+		d.Sent = append(d.Sent, Execution{e.Request.ID, e.Number, e.Node.Addr, e.Timeout})
 	}
-	out.Log, out.Watch, out.NextWake = d.Log, d.WatchEndpoints, d.NextWake
+	d.Log, d.Watch, d.NextWake = from.Log, from.WatchEndpoints, from.NextWake
 }
 
 // Equal tells whether two decisions are the same.
--- a/internal/capture/reader.go
+++ b/internal/capture/reader.go
@@ -76,7 +76,7 @@
 	head := make([]byte, blockHead)
 	n, err := io.ReadFull(r.in, head)
 	switch {
-	case err == io.EOF && r.ended != "":
+	case errors.Is(err, io.EOF) && r.ended != "":
 		return io.EOF
 	case err != nil && n == 0:
 		return r.stopped(ErrCut)
@@ -95,8 +95,11 @@
 		return r.stopped(fmt.Errorf("%w: a block's checksum does not fit", ErrDamaged))
 	}
 	out, err := r.unpack.DecodeAll(body, make([]byte, 0, raw))
-	if err != nil || len(out) != int(raw) {
-		return r.stopped(fmt.Errorf("%w: a block does not unpack: %v", ErrDamaged, err))
+	if err != nil {
+		return r.stopped(fmt.Errorf("%w: a block does not unpack: %w", ErrDamaged, err))
+	}
+	if len(out) != int(raw) {
+		return r.stopped(fmt.Errorf("%w: a block unpacks to %d bytes, not to %d", ErrDamaged, len(out), raw))
 	}
 	r.rest = out
 	r.offset += int64(blockHead) + int64(packed)
--- a/internal/capture/redact.go
+++ b/internal/capture/redact.go
@@ -41,7 +41,7 @@
 	h, seen := r.known[*s]
 	if !seen {
 		k, _ := blake3.NewKeyed(r.key[:]) // fails only for a key of another length
-		k.Write([]byte(*s))
+		_, _ = k.Write([]byte(*s))        // a hash takes all
 		h = "x" + hex.EncodeToString(k.Sum(nil)[:8])
 		r.known[*s] = h
 		at := 0
@@ -122,7 +122,7 @@
 			if err := w.flush(); err != nil {
 				return err
 			}
-			if stopped == io.EOF {
+			if errors.Is(stopped, io.EOF) {
 				return nil
 			}
 			return stopped
--- a/internal/relive/relive.go
+++ b/internal/relive/relive.go
@@ -76,7 +76,7 @@
 	sent, taken, goals := map[execution]string{}, map[string]*capture.Record{}, map[string]scheduler.Time{}
 	for {
 		r, err := next()
-		if err == io.EOF || errors.Is(err, capture.ErrCut) {
+		if errors.Is(err, io.EOF) || errors.Is(err, capture.ErrCut) {
 			break
 		}
 		if err != nil {
--- a/internal/replay/feed.go
+++ b/internal/replay/feed.go
@@ -126,7 +126,7 @@
 			return
 		}
 		var ms float64
-		fmt.Sscan(terms[item+"goal"], &ms)
+		_, _ = fmt.Sscan(terms[item+"goal"], &ms)
 		r.goals[name] = scheduler.Time(ms * 1e6)
 	}
 }
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -13,6 +13,7 @@
 // State is how a replay stands. Only Replay.move changes it.
 type State uint8
 
+// The states of a replay, in their order: from Parted on it is over.
 const (
 	Waiting State = iota // for the module's start
 	Running
@@ -111,9 +112,9 @@
 	for r.report.State < Parted { // waiting, running or gapped
 		rec, err := next()
 		switch {
-		case err == io.EOF && r.report.State == Gapped:
+		case errors.Is(err, io.EOF) && r.report.State == Gapped:
 			return r.Report(), nil
-		case err == io.EOF:
+		case errors.Is(err, io.EOF):
 			r.move(Ended, "")
 		case errors.Is(err, capture.ErrCut), errors.Is(err, capture.ErrDamaged):
 			r.move(Cut, err.Error())
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -205,7 +205,9 @@
 	l := limits()
 	l.BlockBytes = 1 << 10
 	rec := capture.NewRecorder(&m, "g", "b", l)
-	rec.Close(drive(1, 40, rec))
+	if err := rec.Close(drive(1, 40, rec)); err != nil {
+		t.Fatal(err)
+	}
 	count := func(b []byte) (n int, sum string, err error) {
 		r, err := capture.NewReader(bytes.NewReader(b))
 		for err == nil {
@@ -218,7 +220,7 @@
 		return n, sum, err
 	}
 	all, text, err := count(m.Bytes())
-	if err != io.EOF {
+	if !errors.Is(err, io.EOF) {
 		t.Fatal(err)
 	}
 	for cut := range m.Len() {
@@ -231,7 +233,7 @@
 		b := bytes.Clone(m.Bytes())
 		b[at] ^= 1 << (at % 8)
 		n, sum, err := count(b)
-		if n >= all || err == io.EOF || !strings.HasPrefix(text, sum) {
+		if n >= all || errors.Is(err, io.EOF) || !strings.HasPrefix(text, sum) {
 			t.Fatalf("byte %d flipped: %d records of %d are believed, %v", at, n, all, err)
 		}
 	}
