--- a/internal/front/disk.go
+++ b/internal/front/disk.go
@@ -12,6 +12,7 @@
 // Outcome is what became of a block request.
 type Outcome uint8
 
+// The outcomes of block requests.
 const (
 	Done       Outcome = iota
 	Dismissed          // it never ran, or only read: trying again is harmless
@@ -64,9 +65,11 @@
 // Leave leaves what is still out.
 func (c *Client) Leave() { c.front.opt.Loop.CloseSession(c.loop) }
 
-// Begin and End count a request that is under way, so that a drain waits for it.
+// Begin counts a request that is under way, so that a drain waits for it.
 func (f *Front) Begin() { f.busy.begin() }
-func (f *Front) End()   { f.busy.end() }
+
+// End counts a request of Begin as done.
+func (f *Front) End() { f.busy.end() }
 
 // Stopping tells whether the gateway takes nothing new any more.
 func (f *Front) Stopping() bool { return f.stopping.Load() }
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -22,6 +22,7 @@
 // Sort is what an operation is to the rules that name its product.
 type Sort string
 
+// The sorts of operations, as the configuration names them.
 const (
 	Read   Sort = "read"   // bytes of a file
 	Write  Sort = "write"  // bytes of a file
--- a/internal/front/record.go
+++ b/internal/front/record.go
@@ -125,7 +125,7 @@
 		return now, ours, nil
 	}
 	if gone := t.inFolder(v, p); gone != nil {
-		t.swap(v, p, now.Version, nil, t.front.mark())
+		_, _, _ = t.swap(v, p, now.Version, nil, t.front.mark()) // the answer is that the folder is gone, whether this succeeds or not
 		return nil, false, gone
 	}
 	return now, true, nil
@@ -165,7 +165,7 @@
 		defer f.busy.end()
 		t := f.duty()
 		for _, e := range extents {
-			t.do(v, v.Product(Write, p, 0), f.opt.Units.Of(0), keyOf(e.Object),
+			_, _ = t.do(v, v.Product(Write, p, 0), f.opt.Units.Of(0), keyOf(e.Object),
 				node.Call{Op: node.DeleteObject, Name: e.Object, Shard: e.Shard})
 		}
 	}()
@@ -216,7 +216,7 @@
 	}
 	back := *marked
 	back.State = layout.Live
-	t.swap(v, p, marked.Version, &back, t.front.mark())
+	_, _, _ = t.swap(v, p, marked.Version, &back, t.front.mark()) // where it fails, the folder stays marked as closing
 	if err == nil {
 		err = failed(sftp.Failure, "%s is not empty", p)
 	}
--- a/internal/front/session.go
+++ b/internal/front/session.go
@@ -291,7 +291,7 @@
 		n := int(min(length, uint32(s.front.opt.Limits.Wire.MaxPacket-1024)))
 		r.turn(h.path, offset, offset+uint64(n), false, Read)
 		return func() (*sftp.Packet, *failure) {
-			data, err := r.task.read(h.file, offset, n)
+			data, err := r.read(h.file, offset, n)
 			return sftp.New(sftp.Data, r.id).Tail(data), err
 		}, nil
 	case sftp.Write:
@@ -309,11 +309,11 @@
 				h.file.lock.Lock()
 				end := h.file.size
 				h.file.lock.Unlock()
-				return nil, r.task.write(h.file, end, data)
+				return nil, r.write(h.file, end, data)
 			}, nil
 		}
 		r.turn(h.path, offset, offset+uint64(len(data)), true, Write)
-		return func() (*sftp.Packet, *failure) { return nil, r.task.write(h.file, offset, data) }, nil
+		return func() (*sftp.Packet, *failure) { return nil, r.write(h.file, offset, data) }, nil
 	case sftp.Lstat, sftp.Stat:
 		p, v, err := s.path(f)
 		if err != nil || f.Done() != nil {
@@ -382,15 +382,15 @@
 		return func() (*sftp.Packet, *failure) {
 			switch t {
 			case sftp.Remove:
-				return nil, r.task.remove(v, p)
+				return nil, r.remove(v, p)
 			case sftp.Rmdir:
-				return nil, r.task.rmdir(v, p)
+				return nil, r.rmdir(v, p)
 			}
 			mode := uint32(0o755)
 			if attrs.HasMode {
 				mode = attrs.Mode & sftp.ModeBits
 			}
-			return nil, r.task.mkdir(v, p, mode)
+			return nil, r.mkdir(v, p, mode)
 		}, nil
 	case sftp.Rename:
 		return s.rename(r, f, false)
@@ -421,7 +421,7 @@
 			return nil, failed(sftp.Failure, "the handle is a folder's")
 		}
 		r.whole(h.path, true)
-		return func() (*sftp.Packet, *failure) { return nil, r.task.commit(h.file) }, nil
+		return func() (*sftp.Packet, *failure) { return nil, r.commit(h.file) }, nil
 	case limits:
 		packet := s.front.opt.Limits.Wire.MaxPacket
 		r.answer(sftp.New(sftp.ExtendedReply, r.id).Uint64(uint64(packet)).Uint64(uint64(packet-1024)).
@@ -448,7 +448,7 @@
 	if to != from {
 		r.whole(to, true)
 	}
-	return func() (*sftp.Packet, *failure) { return nil, r.task.rename(v, from, to, replace) }, nil
+	return func() (*sftp.Packet, *failure) { return nil, r.rename(v, from, to, replace) }, nil
 }
 
 // path reads a path. The root of all volumes has none.
@@ -500,7 +500,7 @@
 	if v == nil {
 		return nil, failed(sftp.Failure, "/ is a folder")
 	}
-	file, err := r.task.open(v, p, flags, attrs)
+	file, err := r.open(v, p, flags, attrs)
 	if err != nil {
 		return nil, err
 	}
@@ -519,14 +519,14 @@
 	if h.flags&sftp.FlagWrite == 0 {
 		return nil
 	}
-	return r.task.commit(h.file)
+	return r.commit(h.file)
 }
 
 func (s *session) stat(r *request, v *Volume, p layout.Path) (*sftp.Packet, *failure) {
 	if p.Rel == "" {
 		return sftp.New(sftp.Attributes, r.id).Attrs(sftp.Attrs{HasMode: true, Mode: sftp.ModeFolder | 0o755}), nil
 	}
-	record, err := r.task.look(v, p)
+	record, err := r.look(v, p)
 	if err != nil {
 		return nil, err
 	}
@@ -565,16 +565,16 @@
 		f := open
 		if f == nil {
 			var err *failure
-			if f, err = r.task.open(v, p, sftp.FlagWrite, sftp.Attrs{}); err != nil {
+			if f, err = r.open(v, p, sftp.FlagWrite, sftp.Attrs{}); err != nil {
 				return err
 			}
 			defer f.release()
 		}
-		if err := r.task.resize(f, a.Size); err != nil {
+		if err := r.resize(f, a.Size); err != nil {
 			return err
 		}
 		if open == nil {
-			if err := r.task.commit(f); err != nil {
+			if err := r.commit(f); err != nil {
 				return err
 			}
 		}
@@ -583,12 +583,12 @@
 		return nil
 	}
 	if open != nil {
-		if err := r.task.commit(open); err != nil {
+		if err := r.commit(open); err != nil {
 			return err
 		}
 	}
-	for r.task.patient(v, p) {
-		record, err := r.task.look(v, p)
+	for r.patient(v, p) {
+		record, err := r.look(v, p)
 		if err != nil {
 			return err
 		}
@@ -602,7 +602,7 @@
 		if a.HasTimes {
 			next.Modified = int64(a.Modified) * scheduler.Second
 		}
-		now, ours, err := r.task.swap(v, p, record.Version, &next, s.front.mark())
+		now, ours, err := r.swap(v, p, record.Version, &next, s.front.mark())
 		if err != nil {
 			return err
 		}
@@ -630,7 +630,7 @@
 
 func (s *session) opendir(r *request, v *Volume, p layout.Path) (*sftp.Packet, *failure) {
 	if p.Rel != "" {
-		record, err := r.task.glance(v, p)
+		record, err := r.glance(v, p)
 		switch {
 		case err != nil:
 			return nil, err
@@ -660,7 +660,7 @@
 			})
 		} else {
 			most := s.front.opt.Limits.Entries
-			items, err := r.task.list(s.front.opt.Volumes[h.path.Volume], h.path, most+1)
+			items, err := r.list(s.front.opt.Volumes[h.path.Volume], h.path, most+1)
 			if err != nil {
 				return nil, err
 			}
--- a/internal/iscsi/initiator/disk.go
+++ b/internal/iscsi/initiator/disk.go
@@ -62,18 +62,18 @@
 		return nil, err
 	}
 	if len(r.Data) < 36 || r.Data[0] != 0 {
-		d.Close()
+		_ = d.Close()
 		return nil, fmt.Errorf("iscsi: %s has no disk %d", opt.Target, lun)
 	}
 	if _, err = d.command(ctx, cdb(0x00), nil, 0, true); err != nil { // it may have to become ready
-		d.Close()
+		_ = d.Close()
 		return nil, err
 	}
 	d.Model = string(bytes.TrimSpace(r.Data[8:32]))
 	size := cdb(0x9e, 0x10)
 	binary.BigEndian.PutUint32(size[10:], 32)
 	if r, err = d.command(ctx, size, nil, 32, true); err != nil || len(r.Data) < 12 {
-		d.Close()
+		_ = d.Close()
 		return nil, fmt.Errorf("iscsi: the size of disk %d is not told: %w", lun, err)
 	}
 	d.Count, d.Block = binary.BigEndian.Uint64(r.Data)+1, binary.BigEndian.Uint32(r.Data[8:])
@@ -98,7 +98,7 @@
 		return d.s, nil
 	}
 	if d.s != nil && d.s.Asked() {
-		go d.s.Close()
+		go func() { _ = d.s.Close() }()
 	}
 	s, err := Dial(ctx, d.opt)
 	if err == nil {
--- a/internal/iscsi/initiator/example_test.go
+++ b/internal/iscsi/initiator/example_test.go
@@ -18,7 +18,7 @@
 	if err != nil {
 		log.Fatal(err)
 	}
-	defer d.Close()
+	defer func() { _ = d.Close() }()
 	old := make([]byte, d.Block)
 	if _, err := d.ReadAt(old, 0); err != nil {
 		log.Fatal(err)
--- a/internal/iscsi/initiator/session.go
+++ b/internal/iscsi/initiator/session.go
@@ -111,12 +111,12 @@
 	s.cond = sync.NewCond(&s.lock)
 	r := plain{bufio.NewReaderSize(conn, 64<<10)}
 	end, _ := ctx.Deadline()
-	conn.SetDeadline(end)
+	_ = conn.SetDeadline(end)
 	if err := s.login(r); err != nil {
-		conn.Close()
+		_ = conn.Close()
 		return nil, err
 	}
-	conn.SetDeadline(time.Time{})
+	_ = conn.SetDeadline(time.Time{})
 	go s.receive(r)
 	return s, nil
 }
@@ -268,7 +268,7 @@
 		return
 	}
 	s.lost = fmt.Errorf("%w: %w", ErrLost, why)
-	s.conn.Close()
+	_ = s.conn.Close()
 	if s.opt.Saw != nil {
 		s.opt.Saw(Event{Session: s.name, Lost: why})
 	}
@@ -315,7 +315,8 @@
 		s.maxCmd = top
 		s.cond.Broadcast()
 	}
-	status := p.Op() != iscsi.ReadyTo && (p.Op() != iscsi.DataIn || p.Flags()&iscsi.HasStatus != 0) && !(p.Op() == iscsi.NopIn && p.Tag() == iscsi.NoTag)
+	ping := p.Op() == iscsi.NopIn && p.Tag() == iscsi.NoTag // asks for an answer, and has no number of its own
+	status := !ping && p.Op() != iscsi.ReadyTo && (p.Op() != iscsi.DataIn || p.Flags()&iscsi.HasStatus != 0)
 	if status {
 		s.expStat = p.U32(24) + 1
 	}
@@ -372,7 +373,7 @@
 			out := iscsi.New(iscsi.NopOut, iscsi.Final).Put(16, iscsi.NoTag).Put(20, ttt).Put(24, s.cmdSN).Put(28, s.expStat)
 			out.Head[0] |= 0x40
 			copy(out.Head[8:16], p.Lun())
-			go s.write(out)
+			go func() { _ = s.write(out) }() // a write that fails ends the session
 		}
 	case iscsi.LogoutTell:
 		return ErrClosed
@@ -521,7 +522,7 @@
 		}
 		return r, nil
 	case <-ctx.Done():
-		s.Abort(lun, tag)
+		_, _ = s.Abort(lun, tag) // the caller has given up either way
 		return Reply{}, ctx.Err()
 	}
 }
@@ -593,7 +594,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer s.Close()
+	defer func() { _ = s.Close() }()
 	s.lock.Lock()
 	s.tag++
 	t := make(chan []byte, 1)
--- a/internal/iscsi/negotiate/negotiate.go
+++ b/internal/iscsi/negotiate/negotiate.go
@@ -19,6 +19,7 @@
 // Stage is where a login stands (RFC 7143, 6.3), by its number on the wire.
 type Stage uint8
 
+// The stages of a login.
 const (
 	Security    Stage = 0
 	Operational Stage = 1
--- a/internal/iscsi/negotiate/negotiate_test.go
+++ b/internal/iscsi/negotiate/negotiate_test.go
@@ -172,8 +172,11 @@
 	// Our own challenge sent back proves nothing.
 	a := Account{Name: "host", Secret: "twelve chars", OurName: "disk", OurSecret: "other secret"}
 	l := NewLogin(options(a))
-	l.Step(first("AuthMethod=CHAP"))
-	l.Step(Request{Current: Security, Text: text("CHAP_A=5")})
+	for _, request := range []Request{first("AuthMethod=CHAP"), {Current: Security, Text: text("CHAP_A=5")}} {
+		if _, refusal := l.Step(request); refusal != nil {
+			t.Fatal(refusal)
+		}
+	}
 	c := []byte("0123456789abcdef")
 	_, refusal := l.Step(Request{Current: Security, Text: text("CHAP_N=host", "CHAP_R="+Hex(Proof('0', a.Secret, c)), "CHAP_I=1", "CHAP_C="+Hex(c))})
 	if refusal == nil || refusal.Detail != 1 {
--- a/internal/iscsi/pace/pace.go
+++ b/internal/iscsi/pace/pace.go
@@ -19,6 +19,7 @@
 // State is how a pacer stands.
 type State uint8
 
+// The states of a pacer.
 const (
 	Open   State = iota // what comes goes in
 	Slow                // commands were dismissed, the bound is under what it was
@@ -30,6 +31,7 @@
 // End is how a command came back.
 type End uint8
 
+// The ways in which a command comes back.
 const (
 	Served End = iota
 	Dismissed
@@ -76,8 +78,10 @@
 // Bound is how many commands may be inside.
 func (p *Pacer) Bound() int { return max(int(p.bound), 1) }
 
-// Inside and Waiting are how many commands are.
-func (p *Pacer) Inside() int  { return p.inside }
+// Inside is the number of commands that are carried out.
+func (p *Pacer) Inside() int { return p.inside }
+
+// Waiting is the number of commands that wait.
 func (p *Pacer) Waiting() int { return p.waiting }
 
 // Changed tells once that the state has changed.
--- a/internal/iscsi/pace/pace_test.go
+++ b/internal/iscsi/pace/pace_test.go
@@ -11,7 +11,9 @@
 // Random arrivals, ends, leaves and closings: nothing is lost or comes twice, the bounds hold, the order within a session
 // is kept, and nothing waits while there is room.
 func TestModel(t *testing.T) {
-	flag.Set("rapid.nofailfile", "true")
+	if err := flag.Set("rapid.nofailfile", "true"); err != nil {
+		panic(err)
+	}
 	if err := flag.Set("rapid.seed", "7"); err != nil { // the same verdict every time
 		t.Fatal(err)
 	}
--- a/internal/iscsi/pdu.go
+++ b/internal/iscsi/pdu.go
@@ -12,6 +12,7 @@
 // Opcode is a PDU's kind (RFC 7143, 11.2.1.2).
 type Opcode byte
 
+// Opcodes, the initiator's and then the target's.
 const (
 	NopOut      Opcode = 0x00
 	Command     Opcode = 0x01
@@ -66,13 +67,28 @@
 	return p
 }
 
-func (p *PDU) Op() Opcode        { return Opcode(p.Head[0] & 0x3f) }
-func (p *PDU) Immediate() bool   { return p.Head[0]&0x40 != 0 }
-func (p *PDU) Flags() byte       { return p.Head[1] }
-func (p *PDU) Final() bool       { return p.Head[1]&Final != 0 }
-func (p *PDU) Tag() uint32       { return p.U32(16) }
-func (p *PDU) Lun() []byte       { return p.Head[8:16] }
+// Op is the opcode, without the mark of an immediate PDU.
+func (p *PDU) Op() Opcode { return Opcode(p.Head[0] & 0x3f) }
+
+// Immediate tells whether the PDU is marked for immediate delivery.
+func (p *PDU) Immediate() bool { return p.Head[0]&0x40 != 0 }
+
+// Flags are the bits of byte 1.
+func (p *PDU) Flags() byte { return p.Head[1] }
+
+// Final tells whether it is the last PDU of its sequence.
+func (p *PDU) Final() bool { return p.Head[1]&Final != 0 }
+
+// Tag is the initiator task tag.
+func (p *PDU) Tag() uint32 { return p.U32(16) }
+
+// Lun is the field of the logical unit number, 8 bytes, not copied.
+func (p *PDU) Lun() []byte { return p.Head[8:16] }
+
+// U32 is the big-endian field of 32 bits at an offset of the header.
 func (p *PDU) U32(at int) uint32 { return binary.BigEndian.Uint32(p.Head[at:]) }
+
+// U16 is the big-endian field of 16 bits at an offset of the header.
 func (p *PDU) U16(at int) uint16 { return binary.BigEndian.Uint16(p.Head[at:]) }
 
 // Put sets a field of 32 bits.
--- a/internal/iscsi/pdu_test.go
+++ b/internal/iscsi/pdu_test.go
@@ -110,6 +110,6 @@
 		if err != nil || again.Head != p.Head || !bytes.Equal(again.Data, p.Data) || !bytes.Equal(again.More, p.More) {
 			t.Errorf("%+v comes back as %+v, %v", p, again, err)
 		}
-		ReadText(p.Data)
+		_, _ = ReadText(p.Data) // read or refused
 	})
 }
--- a/internal/layout/layout.go
+++ b/internal/layout/layout.go
@@ -86,6 +86,7 @@
 // Kind is what a record is of.
 type Kind uint8
 
+// The kinds of records.
 const (
 	File Kind = iota
 	Folder
@@ -95,6 +96,7 @@
 // State is where a record stands.
 type State uint8
 
+// The states of a record.
 const (
 	Live     State = iota
 	Moving         // on its way to Target, under Mark
--- a/internal/layout/layout_test.go
+++ b/internal/layout/layout_test.go
@@ -116,7 +116,9 @@
 
 // sameSeeds has the checks draw the same each time.
 func sameSeeds(t *testing.T) {
-	flag.Set("rapid.nofailfile", "true")
+	if err := flag.Set("rapid.nofailfile", "true"); err != nil {
+		panic(err)
+	}
 	if err := flag.Set("rapid.seed", "7"); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/scsi/scsi.go
+++ b/internal/scsi/scsi.go
@@ -11,6 +11,7 @@
 // Kind is what a command asks for.
 type Kind uint8
 
+// The kinds of commands.
 const (
 	Ready       Kind = iota // TEST UNIT READY, START STOP UNIT: is it there
 	Inquiry                 // what it is
@@ -64,6 +65,7 @@
 // Status is a command's (SAM-5).
 type Status uint8
 
+// Status codes, as SAM-5 numbers them.
 const (
 	Good           Status = 0x00
 	CheckCondition Status = 0x02
--- a/internal/scsi/scsi_test.go
+++ b/internal/scsi/scsi_test.go
@@ -194,7 +194,7 @@
 		if c.Kind >= Read && c.Kind != Unmap && c.Block+c.Blocks > u.Count {
 			t.Errorf("%+v is past the end", c)
 		}
-		u.Answer(&c, []uint16{0})
-		u.Ranges(data)
+		_, _ = u.Answer(&c, []uint16{0}) // read or refused
+		_, _ = u.Ranges(data)
 	})
 }
--- a/internal/sftp/packet.go
+++ b/internal/sftp/packet.go
@@ -13,6 +13,7 @@
 // Type is a packet's type (draft, section 3).
 type Type uint8
 
+// Packet types of SFTP version 3.
 const (
 	Init          Type = 1
 	Version       Type = 2
@@ -46,6 +47,7 @@
 // Code is a status code (draft, section 7).
 type Code uint32
 
+// Status codes of SFTP version 3.
 const (
 	OK            Code = 0
 	EOF           Code = 1
--- a/internal/sftp/sftp_test.go
+++ b/internal/sftp/sftp_test.go
@@ -86,15 +86,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer raw.Close()
-	raw.SetDeadline(time.Now().Add(20 * time.Second))
+	defer func() { _ = raw.Close() }()
+	_ = raw.SetDeadline(time.Now().Add(20 * time.Second))
 	for _, size := range []int{0, 1, 4095, 5000, 65_000} {
 		data := bytes.Repeat([]byte{byte(size)}, size)
 		head, tail := New(Write, uint32(size)).Tail(data).Bytes()
 		packet := append(head, tail...)
 		for len(packet) > 0 { // in pieces
 			n := min(len(packet), 1+size/3)
-			raw.Write(packet[:n])
+			send(t, raw, packet[:n])
 			packet = packet[n:]
 		}
 		got := make([]byte, 13+size)
@@ -106,8 +106,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer second.Close()
-	second.Write([]byte{0, 0, 0, 9, 6, 0, 0, 0, 1, 0, 0, 0, 0})
+	defer func() { _ = second.Close() }()
+	send(t, second, []byte{0, 0, 0, 9, 6, 0, 0, 0, 1, 0, 0, 0, 0})
 	if _, err := readFull(second, make([]byte, 13)); err != nil {
 		t.Fatal(err)
 	}
@@ -115,18 +115,25 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer third.Close()
-	third.SetDeadline(time.Now().Add(20 * time.Second))
+	defer func() { _ = third.Close() }()
+	_ = third.SetDeadline(time.Now().Add(20 * time.Second))
 	if n, err := third.Read(make([]byte, 1)); err == nil {
 		t.Errorf("a third connection is served %d bytes", n)
 	}
-	binary.Write(raw, binary.BigEndian, uint32(70_001))
-	raw.Write([]byte{5})
+	send(t, raw, binary.BigEndian.AppendUint32(nil, 70_001))
+	send(t, raw, []byte{5})
 	if why := <-closed; !errors.Is(why, ErrLength) || !strings.Contains(why.Error(), "70001") {
 		t.Errorf("closed because: %v", why)
 	}
 }
 
+func send(t *testing.T, c net.Conn, b []byte) {
+	t.Helper()
+	if _, err := c.Write(b); err != nil {
+		t.Fatal(err)
+	}
+}
+
 func readFull(c net.Conn, b []byte) (n int, err error) {
 	for n < len(b) && err == nil {
 		var k int
@@ -180,10 +187,11 @@
 			c.Close(nil)
 		}()
 	}
+	var told []error
 	for range all {
-		<-ended
+		told = append(told, <-ended)
 	}
 	if len(ended) > 0 {
-		t.Errorf("%d ends were told twice", len(ended))
+		t.Errorf("%d ends were told twice: %v", len(ended), told)
 	}
 }
