--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -117,19 +117,19 @@
 // Listen serves at a socket. One that a dead gateway left is replaced; one that is served is not.
 func Listen(path string, g Gateway) (*Server, error) {
 	if conn, err := net.DialTimeout("unix", path, time.Second); err == nil {
-		conn.Close()
+		_ = conn.Close()
 		return nil, fmt.Errorf("admin socket %s is served by another gateway", path)
 	}
 	if info, err := os.Lstat(path); err == nil && info.Mode()&os.ModeSocket == 0 {
 		return nil, fmt.Errorf("admin socket %s: there is a file of another kind", path)
 	}
-	os.Remove(path)
+	_ = os.Remove(path) // where it cannot be removed, Listen says so
 	l, err := net.Listen("unix", path)
 	if err != nil {
 		return nil, fmt.Errorf("admin socket: %w", err)
 	}
 	if err := os.Chmod(path, 0o600); err != nil {
-		l.Close()
+		_ = l.Close()
 		return nil, fmt.Errorf("admin socket: %w", err)
 	}
 	mux := http.NewServeMux()
@@ -139,7 +139,7 @@
 			return
 		}
 		w.Header().Set("Content-Type", "application/json")
-		json.NewEncoder(w).Encode(v)
+		_ = json.NewEncoder(w).Encode(v) // it fails where the client has gone
 	}
 	mux.HandleFunc("GET /status", func(w http.ResponseWriter, _ *http.Request) {
 		s, err := g.Status()
@@ -168,14 +168,14 @@
 	})
 	mux.Handle("GET /metrics", metrics(g))
 	s := &Server{http: &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second}, path: path}
-	go s.http.Serve(l)
+	go func() { _ = s.http.Serve(l) }() // it returns when the server is closed
 	return s, nil
 }
 
 // Close stops serving and takes the socket away.
 func (s *Server) Close() {
-	s.http.Close()
-	os.Remove(s.path)
+	_ = s.http.Close()
+	_ = os.Remove(s.path)
 }
 
 // Client asks a gateway.
@@ -203,7 +203,7 @@
 	if err != nil {
 		return fmt.Errorf("the gateway does not answer: %w", err)
 	}
-	defer r.Body.Close()
+	defer func() { _ = r.Body.Close() }()
 	text, err := io.ReadAll(io.LimitReader(r.Body, 16<<20))
 	if err != nil {
 		return err
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -92,7 +92,7 @@
 }
 
 // serve serves a gateway at a socket, and writes down each request that comes there.
-func serve(t *testing.T, g gateway, record io.Writer) string {
+func serve(t *testing.T, g gateway, record *bytes.Buffer) string {
 	t.Helper()
 	dir := t.TempDir()
 	s, err := admin.Listen(filepath.Join(dir, "inner"), g)
@@ -120,6 +120,7 @@
 			t.Error(err)
 			return
 		}
+		defer func() { _ = a.Body.Close() }()
 		answer, err := io.ReadAll(a.Body)
 		if err != nil {
 			t.Error(err)
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -25,9 +25,11 @@
 
 // SameSeeds has the checks of a test draw the same each time.
 func SameSeeds(t testing.TB) {
-	flag.Set("rapid.nofailfile", "true")
-	if err := flag.Set("rapid.seed", "7"); err != nil {
-		t.Fatal(err)
+	t.Helper()
+	for name, value := range map[string]string{"rapid.nofailfile": "true", "rapid.seed": "7"} {
+		if err := flag.Set(name, value); err != nil {
+			t.Fatal(err)
+		}
 	}
 }
 
@@ -200,7 +202,7 @@
 	if err != nil {
 		w.T.Fatal(err)
 	}
-	w.T.Cleanup(func() { c.Close() })
+	w.T.Cleanup(func() { _ = c.Close() })
 	return c
 }
 
--- a/internal/webstandin/node.go
+++ b/internal/webstandin/node.go
@@ -64,7 +64,7 @@
 		t.Fatal(err)
 	}
 	s := &Node{Listener: l, Seen: map[string]int{}, Hold: make(chan struct{}), Held: make(chan string, 1000), Gone: make(chan bool, 1000)}
-	t.Cleanup(func() { l.Close() })
+	t.Cleanup(func() { _ = l.Close() })
 	go func() {
 		for c, err := l.Accept(); err == nil; c, err = l.Accept() {
 			go s.serve(c)
@@ -75,7 +75,11 @@
 
 func (s *Node) serve(c net.Conn) {
 	s.count(0, 1)
-	defer func() { c.Close(); s.count(0, -1); s.Gone <- true }()
+	defer func() {
+		_ = c.Close()
+		s.count(0, -1)
+		s.Gone <- true
+	}()
 	for in := bufio.NewReader(c); ; {
 		q, err := http.ReadRequest(in)
 		if err != nil {
@@ -97,15 +101,16 @@
 			s.count(-1, 0)
 		}
 		text := id + string(body)
-		io.WriteString(c, strings.NewReplacer("LEN", strconv.Itoa(len(text)), "BODY", text).Replace(Kinds[what].say))
+		answer := strings.NewReplacer("LEN", strconv.Itoa(len(text)), "BODY", text).Replace(Kinds[what].say)
+		_, _ = io.WriteString(c, answer) // the client may have gone
 		switch Kinds[what].then {
 		case stay:
-			io.Copy(io.Discard, in)
+			_, _ = io.Copy(io.Discard, in) // until the client goes
 			return
 		case end:
 			return
 		case cut:
-			c.(*net.TCPConn).SetLinger(0)
+			_ = c.(*net.TCPConn).SetLinger(0)
 			return
 		}
 	}
--- a/internal/xdsstandin/server.go
+++ b/internal/xdsstandin/server.go
@@ -95,7 +95,7 @@
 	s.lock.Lock()
 	s.addr, s.grpc = l.Addr().String(), g
 	s.lock.Unlock()
-	go g.Serve(l)
+	go func() { _ = g.Serve(l) }()
 	return nil
 }
 
