--- a/cmd/irispost/capture.go
+++ b/cmd/irispost/capture.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }()
 	r, err := capture.NewReader(f)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", file, err)
@@ -65,7 +65,7 @@
 			if err != nil {
 				return err
 			}
-			fmt.Fprintln(c.OutOrStdout(), string(b))
+			writeln(c.OutOrStdout(), string(b))
 		} else {
 			show(c, r)
 		}
@@ -86,7 +86,7 @@
 	if err != nil {
 		return err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }()
 	r, err := capture.NewReader(f)
 	if err != nil {
 		return fmt.Errorf("%s: %w", file, err)
@@ -106,10 +106,10 @@
 		if err != nil {
 			return err
 		}
-		fmt.Fprintln(c.OutOrStdout(), string(b))
+		writeln(c.OutOrStdout(), string(b))
 	} else {
 		w := tabwriter.NewWriter(c.OutOrStdout(), 0, 4, 2, ' ', 0)
-		fmt.Fprintf(w, "product\tjobs\tin goal\tlate\tdismissed\twritten off\tleft\n")
+		writef(w, "product\tjobs\tin goal\tlate\tdismissed\twritten off\tleft\n")
 		for _, name := range slices.Sorted(maps.Keys(report.Was)) {
 			for _, side := range []struct {
 				name  string
@@ -117,19 +117,19 @@
 			}{{"captured", report.Was[name]}, {"now", report.Is[name]}} {
 				if s := side.shape; s != nil {
 					n := float64(max(s.Jobs, 1)) / 100
-					fmt.Fprintf(w, "%s %s\t%d\t%.1f%%\t%.1f%%\t%.1f%%\t%.1f%%\t%.1f%%\n", name, side.name, s.Jobs, float64(s.InGoal)/n,
+					writef(w, "%s %s\t%d\t%.1f%%\t%.1f%%\t%.1f%%\t%.1f%%\t%.1f%%\n", name, side.name, s.Jobs, float64(s.InGoal)/n,
 						float64(s.Late)/n, float64(s.Dismissed)/n, float64(s.WrittenOff)/n, float64(s.Left)/n)
 				}
 			}
 		}
-		fmt.Fprintf(w, "\nrule\tchecked\tbroken\n")
+		writef(w, "\nrule\tchecked\tbroken\n")
 		for _, rule := range report.Rules {
-			fmt.Fprintf(w, "%s\t%d\t%d\n", rule.Name, rule.Checked, rule.Broken)
+			writef(w, "%s\t%d\t%d\n", rule.Name, rule.Checked, rule.Broken)
 			for _, first := range rule.First {
-				fmt.Fprintf(w, "    %s\n", first)
+				writef(w, "    %s\n", first)
 			}
 		}
-		w.Flush()
+		_ = w.Flush()
 	}
 	if !report.Good() {
 		return errors.New("a rule is broken, or nothing was checked")
@@ -151,13 +151,13 @@
 		}
 		return fmt.Sprintf("record %d, %.3f ms, job %s", r.Difference.Record, float64(r.Difference.At)/1e6, r.Difference.Job)
 	}
-	fmt.Fprintf(w, "\tthis build\t%s\n", program)
-	fmt.Fprintf(w, "decisions\t%d\t%d\nother than captured\t%d\t%d\nfirst of them\t%s\t%s\n", ours.Decisions, theirs.Decisions,
+	writef(w, "\tthis build\t%s\n", program)
+	writef(w, "decisions\t%d\t%d\nother than captured\t%d\t%d\nfirst of them\t%s\t%s\n", ours.Decisions, theirs.Decisions,
 		ours.Differing, theirs.Differing, first(ours), first(&theirs))
 	for _, p := range ours.Products {
 		for _, o := range theirs.Products {
 			if o.Name == p.Name {
-				fmt.Fprintf(w, "%s: dismissed, written off\t%d, %d\t%d, %d\n", p.Name, p.Dismissed, p.WrittenOff, o.Dismissed, o.WrittenOff)
+				writef(w, "%s: dismissed, written off\t%d, %d\t%d, %d\n", p.Name, p.Dismissed, p.WrittenOff, o.Dismissed, o.WrittenOff)
 			}
 		}
 	}
@@ -167,7 +167,7 @@
 func explainCommand() *cobra.Command {
 	c := &cobra.Command{Use: "explain FILE --job ID", Short: "Tell what became of one job, step by step", Args: cobra.ExactArgs(1)}
 	job := c.Flags().String("job", "", "the job, as logs and captures name it")
-	c.MarkFlagRequired("job")
+	_ = c.MarkFlagRequired("job")
 	c.RunE = func(c *cobra.Command, args []string) error {
 		r, err := replayFile(args[0], replay.Options{Job: *job})
 		if err != nil {
@@ -177,7 +177,7 @@
 			return fmt.Errorf("there is no job %q in the capture", *job)
 		}
 		for _, line := range r.Story {
-			fmt.Fprintln(c.OutOrStdout(), line)
+			writeln(c.OutOrStdout(), line)
 		}
 		return nil
 	}
@@ -189,7 +189,7 @@
 	redact := &cobra.Command{Use: "redact FILE NEW", Args: cobra.ExactArgs(2),
 		Short: "Copy a capture with its names replaced by keyed hashes; it replays the same"}
 	key := redact.Flags().String("key-file", "", "a file with the key, 16 bytes or more")
-	redact.MarkFlagRequired("key-file")
+	_ = redact.MarkFlagRequired("key-file")
 	redact.RunE = func(_ *cobra.Command, args []string) error {
 		secret, err := os.ReadFile(*key)
 		if err != nil {
@@ -199,7 +199,7 @@
 		if err != nil {
 			return err
 		}
-		defer in.Close()
+		defer func() { _ = in.Close() }()
 		r, err := capture.NewReader(in)
 		if err != nil {
 			return fmt.Errorf("%s: %w", args[0], err)
@@ -229,7 +229,7 @@
 			if err != nil {
 				return err
 			}
-			fmt.Fprintf(sub.OutOrStdout(), "%s: on %v, %d bytes written, %d records dropped %s\n", state.File, state.On, state.Written,
+			writef(sub.OutOrStdout(), "%s: on %v, %d bytes written, %d records dropped %s\n", state.File, state.On, state.Written,
 				state.Dropped, state.Error)
 			return nil
 		}
@@ -256,7 +256,7 @@
 		if err != nil {
 			return err
 		}
-		defer in.Close()
+		defer func() { _ = in.Close() }()
 		process, err := adapter.FindProcess(in, *number)
 		if err != nil {
 			return err
@@ -274,7 +274,7 @@
 		if closed := rec.Close(0); closed != nil {
 			return errors.Join(err, closed)
 		}
-		fmt.Fprintf(c.OutOrStdout(), "%d batches of process %d\n", batches, process)
+		writef(c.OutOrStdout(), "%d batches of process %d\n", batches, process)
 		return err
 	}
 	return c
@@ -294,26 +294,26 @@
 			if err != nil {
 				return err
 			}
-			fmt.Fprintln(c.OutOrStdout(), string(b))
+			writeln(c.OutOrStdout(), string(b))
 			return nil
 		}
 		w := tabwriter.NewWriter(c.OutOrStdout(), 0, 4, 2, ' ', 0)
-		fmt.Fprintf(w, "gateway %s at %s, since %s: %d jobs held, %d executions out, %d late answers dropped\n", s.Gateway, s.Address,
+		writef(w, "gateway %s at %s, since %s: %d jobs held, %d executions out, %d late answers dropped\n", s.Gateway, s.Address,
 			s.Since.UTC().Format(time.RFC3339), s.Requests, s.AttemptsInFlight, s.LateAnswers)
-		fmt.Fprint(w, "nodes:")
+		writef(w, "nodes:")
 		for _, state := range slices.Sorted(maps.Keys(s.Nodes)) {
-			fmt.Fprintf(w, " %d %s", s.Nodes[state], state)
+			writef(w, " %d %s", s.Nodes[state], state)
 		}
 		if s.Version != "" {
-			fmt.Fprintf(w, "; rules: %s", s.Version)
+			writef(w, "; rules: %s", s.Version)
 		}
 		if s.HeldLoss != nil {
-			fmt.Fprintf(w, "; the loss of %d is HELD, see irispost members", s.HeldLoss.Nodes)
+			writef(w, "; the loss of %d is HELD, see irispost members", s.HeldLoss.Nodes)
 		}
-		fmt.Fprintf(w, "\ncapture: on %v %s\n\nproduct\ttaken\tcompleted\tdismissed\twritten off\tleft\n", s.Capture.On, s.Capture.File)
+		writef(w, "\ncapture: on %v %s\n\nproduct\ttaken\tcompleted\tdismissed\twritten off\tleft\n", s.Capture.On, s.Capture.File)
 		for _, name := range slices.Sorted(maps.Keys(s.RequestClasses)) {
 			p := s.RequestClasses[name]
-			fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\n", name, p.Accepted, p.Succeeded, p.Rejected, p.Failed, p.Cancelled)
+			writef(w, "%s\t%d\t%d\t%d\t%d\t%d\n", name, p.Accepted, p.Succeeded, p.Rejected, p.Failed, p.Cancelled)
 		}
 		return w.Flush()
 	}
@@ -323,31 +323,31 @@
 // show prints a report for people.
 func show(c *cobra.Command, r *replay.Report) {
 	w := tabwriter.NewWriter(c.OutOrStdout(), 0, 4, 2, ' ', 0)
-	defer w.Flush()
-	fmt.Fprintf(w, "gateway %s, build %s, module %s\n", r.Gateway, r.Build, map[bool]string{true: "of the same text as this build's",
+	defer func() { _ = w.Flush() }()
+	writef(w, "gateway %s, build %s, module %s\n", r.Gateway, r.Build, map[bool]string{true: "of the same text as this build's",
 		false: "of ANOTHER text than this build's"}[r.SameModule])
-	fmt.Fprintf(w, "%d records over %.3f s, %d decisions compared; the replay has %s", r.Records, float64(r.Span)/1e9, r.Decisions, r.How)
+	writef(w, "%d records over %.3f s, %d decisions compared; the replay has %s", r.Records, float64(r.Span)/1e9, r.Decisions, r.How)
 	if r.Why != "" {
-		fmt.Fprintf(w, ": %s", r.Why)
+		writef(w, ": %s", r.Why)
 	}
-	fmt.Fprintf(w, "\n\nproduct\tjobs\tcompleted\tin goal\tdismissed\twritten off\tleft\n")
+	writef(w, "\n\nproduct\tjobs\tcompleted\tin goal\tdismissed\twritten off\tleft\n")
 	for _, p := range r.Products {
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\n", p.Name, p.Jobs, p.Completed, p.InGoal, p.Dismissed, p.WrittenOff, p.Left)
+		writef(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\n", p.Name, p.Jobs, p.Completed, p.InGoal, p.Dismissed, p.WrittenOff, p.Left)
 	}
 	for _, line := range r.Story {
-		fmt.Fprintln(w, line)
+		writeln(w, line)
 	}
 	d := r.Difference
 	if d == nil {
 		return
 	}
-	fmt.Fprintf(w, "\nFIRST DIFFERENCE at record %d, %.3f ms after the start, job %s\n", d.Record, float64(d.At)/1e6, d.Job)
-	fmt.Fprintf(w, "captured: %+v\nnow:      %+v\n\nbefore it:\n", d.Captured, d.Now)
+	writef(w, "\nFIRST DIFFERENCE at record %d, %.3f ms after the start, job %s\n", d.Record, float64(d.At)/1e6, d.Job)
+	writef(w, "captured: %+v\nnow:      %+v\n\nbefore it:\n", d.Captured, d.Now)
 	for _, rec := range d.Before {
-		fmt.Fprintf(w, "  %v %s number %d outcome %d\n", rec.Kind, rec.Job, rec.Number, rec.Outcome)
+		writef(w, "  %v %s number %d outcome %d\n", rec.Kind, rec.Job, rec.Number, rec.Outcome)
 	}
-	fmt.Fprintln(w, "\nthe job's story:")
+	writeln(w, "\nthe job's story:")
 	for _, line := range d.Story {
-		fmt.Fprintln(w, " ", line)
+		writeln(w, " ", line)
 	}
 }
--- a/cmd/irispost/check.go
+++ b/cmd/irispost/check.go
@@ -28,10 +28,10 @@
 		terms.LeaseDuration = int64(*lease)
 		for _, file := range files {
 			if note, err := check(file, terms); err != nil {
-				fmt.Fprintln(c.ErrOrStderr(), err)
+				writeln(c.ErrOrStderr(), err)
 				bad++
 			} else {
-				fmt.Fprintln(c.OutOrStdout(), file, "is in order"+note)
+				writeln(c.OutOrStdout(), file, "is in order"+note)
 			}
 		}
 		if bad > 0 {
--- a/cmd/irispost/disk.go
+++ b/cmd/irispost/disk.go
@@ -19,10 +19,9 @@
 
 // diskFlags are the flags of commands that open a disk.
 type diskFlags struct {
-	opt    initiator.Options
-	lun    uint16
-	retry  initiator.Retry
-	secret string
+	opt   initiator.Options
+	lun   uint16
+	retry initiator.Retry
 }
 
 func (f *diskFlags) add(c *cobra.Command, target bool) {
@@ -32,7 +31,7 @@
 		return
 	}
 	c.Flags().StringVar(&f.opt.Target, "target", "", "name of the target")
-	c.MarkFlagRequired("target")
+	_ = c.MarkFlagRequired("target")
 	c.Flags().Uint16Var(&f.lun, "lun", 0, "number of the unit")
 	c.Flags().BoolVar(&f.opt.Digests, "digests", false, "ask for CRC32C digests")
 	c.Flags().StringVar(&f.opt.Account.Name, "user", "", "CHAP name; the secret is read from IRISPOST_SECRET")
@@ -59,7 +58,7 @@
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		list, err := initiator.Discover(c.Context(), f.opt)
 		for _, t := range list {
-			fmt.Fprintln(c.OutOrStdout(), t.Name, t.Address)
+			writeln(c.OutOrStdout(), t.Name, t.Address)
 		}
 		return err
 	}
@@ -75,8 +74,8 @@
 		if err != nil {
 			return err
 		}
-		defer d.Close()
-		fmt.Fprintf(c.OutOrStdout(), "%s unit %d: %s, %d blocks of %d bytes, %d bytes\n", f.opt.Target, f.lun, d.Model, d.Count, d.Block, d.Size())
+		defer func() { _ = d.Close() }()
+		writef(c.OutOrStdout(), "%s unit %d: %s, %d blocks of %d bytes, %d bytes\n", f.opt.Target, f.lun, d.Model, d.Count, d.Block, d.Size())
 		return nil
 	}
 	return c
@@ -93,7 +92,7 @@
 		if err != nil {
 			return err
 		}
-		defer d.Close()
+		defer func() { _ = d.Close() }()
 		out := c.OutOrStdout()
 		if args[0] != "-" {
 			file, err := os.Create(args[0])
@@ -128,14 +127,14 @@
 			if err != nil {
 				return err
 			}
-			defer file.Close()
+			defer func() { _ = file.Close() }()
 			in = file
 		}
 		d, err := f.open(c.Context())
 		if err != nil {
 			return err
 		}
-		defer d.Close()
+		defer func() { _ = d.Close() }()
 		b := make([]byte, 1<<20)
 		for at := *offset; ; {
 			n, err := io.ReadFull(in, b)
@@ -173,7 +172,7 @@
 		if err != nil {
 			return err
 		}
-		defer d.Close()
+		defer func() { _ = d.Close() }()
 		if *size <= 0 || *size%int(d.Block) != 0 || int64(*size) > d.Size() {
 			return fmt.Errorf("%d bytes are not whole blocks of %d within the disk", *size, d.Block)
 		}
@@ -185,7 +184,7 @@
 		}
 		for _, what := range []string{"read", "write"} {
 			h, failed := measureDisk(d, what == "write", *size, *depth, places, *each)
-			fmt.Fprintf(c.OutOrStdout(), "%s of %d bytes, %d out: %.0f a second, p50 %d us, p99 %d us, %d failed\n", what, *size, *depth,
+			writef(c.OutOrStdout(), "%s of %d bytes, %d out: %.0f a second, p50 %d us, p99 %d us, %d failed\n", what, *size, *depth,
 				float64(h.TotalCount())/each.Seconds(), h.ValueAtQuantile(50), h.ValueAtQuantile(99), failed)
 		}
 		return nil
@@ -217,7 +216,7 @@
 					bad++
 					continue
 				}
-				mine.RecordValue(max(1, time.Since(from).Microseconds()))
+				_ = mine.RecordValue(max(1, time.Since(from).Microseconds()))
 			}
 			lock.Lock()
 			h.Merge(mine)
--- a/cmd/irispost/files.go
+++ b/cmd/irispost/files.go
@@ -27,12 +27,12 @@
 			if err != nil {
 				return fmt.Errorf("no gateway at %s: %w", *at, err)
 			}
-			defer conn.Close()
+			defer func() { _ = conn.Close() }()
 			client, err := sftp.NewClientPipe(conn, conn, sftp.UseConcurrentWrites(true))
 			if err != nil {
 				return fmt.Errorf("%s does not speak as a gateway: %w", *at, err)
 			}
-			defer client.Close()
+			defer func() { _ = client.Close() }()
 			return run(c, client, args)
 		}
 		return c
@@ -77,7 +77,7 @@
 }
 
 func line(c *cobra.Command, f os.FileInfo) {
-	fmt.Fprintf(c.OutOrStdout(), "%s %12d %s %s\n", f.Mode(), f.Size(), f.ModTime().UTC().Format(time.DateTime), f.Name())
+	writef(c.OutOrStdout(), "%s %12d %s %s\n", f.Mode(), f.Size(), f.ModTime().UTC().Format(time.DateTime), f.Name())
 }
 
 // counted counts what passes, and tells of it once a second.
@@ -110,7 +110,7 @@
 			case <-stop:
 				return
 			case <-tick.C:
-				fmt.Fprintf(c.ErrOrStderr(), "%s: %d of %d bytes\n", what, n.done.Load(), all)
+				writef(c.ErrOrStderr(), "%s: %d of %d bytes\n", what, n.done.Load(), all)
 			}
 		}
 	}()
@@ -124,7 +124,7 @@
 	if err != nil {
 		return err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }()
 	info, err := f.Stat()
 	if err != nil {
 		return err
@@ -138,7 +138,7 @@
 	if err != nil {
 		return err
 	}
-	defer os.Remove(part.Name())
+	defer func() { _ = os.Remove(part.Name()) }()
 	n := &counted{Writer: part}
 	end := n.progress(c, from, info.Size())
 	_, err = f.WriteTo(n)
@@ -156,7 +156,7 @@
 		if err != nil {
 			return err
 		}
-		defer f.Close()
+		defer func() { _ = f.Close() }()
 		if info, err := f.Stat(); err == nil {
 			size = info.Size()
 		}
--- a/cmd/irispost/fleet.go
+++ b/cmd/irispost/fleet.go
@@ -59,7 +59,7 @@
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(c.OutOrStdout(), "keeper %d serves at %s\n", o.ID, k.Addr())
+		writef(c.OutOrStdout(), "keeper %d serves at %s\n", o.ID, k.Addr())
 		select {
 		case <-ctx.Done():
 			k.Close()
@@ -124,7 +124,7 @@
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(c.OutOrStdout(), "version %s is announced\n", v.Name())
+		writef(c.OutOrStdout(), "version %s is announced\n", v.Name())
 		return nil
 	}
 	show := &cobra.Command{Use: "show [NUMBER]", Short: "Show a version, the newest if none is named", Args: cobra.MaximumNArgs(1),
@@ -133,7 +133,7 @@
 			if err != nil {
 				return err
 			}
-			fmt.Fprintf(c.OutOrStdout(), "version %s of %d, by %s at %s: %s\n%s\n", v.Name(), v.Parent, v.Author, v.CreatedAt, v.Reason, v.Content)
+			writef(c.OutOrStdout(), "version %s of %d, by %s at %s: %s\n%s\n", v.Name(), v.Parent, v.Author, v.CreatedAt, v.Reason, v.Content)
 			return nil
 		}}
 	diff := &cobra.Command{Use: "diff A B", Short: "Show what has changed from a version to another, and what contradicts", Args: cobra.ExactArgs(2),
@@ -149,10 +149,10 @@
 				}
 			}
 			for _, line := range configversion.Diff(opened[0], opened[1]) {
-				fmt.Fprintln(c.OutOrStdout(), line)
+				writeln(c.OutOrStdout(), line)
 			}
 			for _, line := range configversion.Conflicts(opened[0], opened[1]) {
-				fmt.Fprintln(c.OutOrStdout(), "contradicts:", line)
+				writeln(c.OutOrStdout(), "contradicts:", line)
 			}
 			return nil
 		}}
@@ -167,24 +167,24 @@
 				return err
 			}
 			if len(all) > 0 && all[0].Number > 1 {
-				fmt.Fprintf(c.OutOrStdout(), "versions before %d are not known any more to the keeper that leads, or were made before it joined\n", all[0].Number)
+				writef(c.OutOrStdout(), "versions before %d are not known any more to the keeper that leads, or were made before it joined\n", all[0].Number)
 			}
 			var before *configversion.Config
 			for _, v := range all {
-				fmt.Fprintf(c.OutOrStdout(), "%s  of %d  %s  %s: %s\n", v.Name(), v.Parent, v.CreatedAt, v.Author, v.Reason)
+				writef(c.OutOrStdout(), "%s  of %d  %s  %s: %s\n", v.Name(), v.Parent, v.CreatedAt, v.Author, v.Reason)
 				if v.Content == nil {
-					fmt.Fprintln(c.OutOrStdout(), "    its content is not kept any more")
+					writeln(c.OutOrStdout(), "    its content is not kept any more")
 					before = nil
 					continue
 				}
 				r, err := v.Config()
 				if err != nil {
-					fmt.Fprintln(c.OutOrStdout(), "   ", err)
+					writeln(c.OutOrStdout(), "   ", err)
 					continue
 				}
 				if before != nil {
 					for _, line := range configversion.Diff(before, r) {
-						fmt.Fprintln(c.OutOrStdout(), "   ", line)
+						writeln(c.OutOrStdout(), "   ", line)
 					}
 				}
 				before = r
@@ -246,18 +246,18 @@
 				return err
 			}
 			out := c.OutOrStdout()
-			fmt.Fprintf(out, "keeper %d leads in term %d; in force %d, announced %d; lease %d ms, stated time %d ms\n", s.Leader, s.Term, s.InForce, s.Announced, s.LeaseMillis, s.ConvergenceBoundMillis)
+			writef(out, "keeper %d leads in term %d; in force %d, announced %d; lease %d ms, stated time %d ms\n", s.Leader, s.Term, s.InForce, s.Announced, s.LeaseMillis, s.ConvergenceBoundMillis)
 			for _, w := range s.WaitingFor {
-				fmt.Fprintln(out, "waits for", w)
+				writeln(out, "waits for", w)
 			}
 			w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-			fmt.Fprintln(w, "gateway\tstate\tholds\tlease ms\theard ms ago\t")
+			writeln(w, "gateway\tstate\tholds\tlease ms\theard ms ago\t")
 			for _, g := range s.Gateways {
 				note := g.Fault
 				if g.Unresponsive {
 					note = "HANGS " + note
 				}
-				fmt.Fprintf(w, "%s\t%s\t%v\t%d\t%d\t%s\n", g.Holder, g.State, g.HeldVersions, g.LeaseLeftMillis, g.LastHeardMillis, note)
+				writef(w, "%s\t%s\t%v\t%d\t%d\t%s\n", g.Holder, g.State, g.HeldVersions, g.LeaseLeftMillis, g.LastHeardMillis, note)
 			}
 			return w.Flush()
 		}}
@@ -289,7 +289,7 @@
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(c.OutOrStdout(), "keepers %v vote, %d leads\n", s.Voters, s.Leader)
+		writef(c.OutOrStdout(), "keepers %v vote, %d leads\n", s.Voters, s.Leader)
 		return nil
 	}
 	root.AddCommand(status, change, sizeCommand(), scaleCommand())
@@ -310,12 +310,12 @@
 	}
 	end = func() {
 		for _, cmd := range started {
-			cmd.Process.Kill()
-			cmd.Wait()
+			_ = cmd.Process.Kill()
+			_ = cmd.Wait()
 		}
 	}
 	for i := range count {
-		held[i].Close()
+		_ = held[i].Close()
 		number := strconv.Itoa(i + 1)
 		cmd := exec.Command(self, append([]string{"keeper", "--number", number, "--listen", addrs[i], "--dir", filepath.Join(dir, number)}, args...)...)
 		if err := cmd.Start(); err != nil {
--- a/cmd/irispost/fleet_test.go
+++ b/cmd/irispost/fleet_test.go
@@ -8,6 +8,7 @@
 	"net/http/httptest"
 	"os"
 	"path/filepath"
+	"strconv"
 	"strings"
 	"testing"
 	"time"
@@ -117,7 +118,7 @@
 			asked <- struct{}{}
 			<-quit
 		}
-		fmt.Fprint(w, `{"rev":1,"all":true,"targets":[]}`)
+		_, _ = fmt.Fprint(w, `{"rev":1,"all":true,"targets":[]}`)
 	}))
 	defer list.Close()
 	defer close(quit)
@@ -125,13 +126,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer trap.Close()
+	defer func() { _ = trap.Close() }()
 	w := startWeb(t, list.Listener.Addr().String(), "", "IRISPOST_KEEPERS="+trap.Addr().String())
 	<-asked // by now it watches its list
 	listen, to, others := sockets(t, w.Process.Pid)
 	_, port, _ := net.SplitHostPort(list.Listener.Addr().String())
-	var number int
-	fmt.Sscan(port, &number)
+	number, err := strconv.Atoi(port)
+	if err != nil {
+		t.Fatal(err)
+	}
 	delete(to, fmt.Sprintf("%04X", number))
 	if listen != 1 || len(to) > 0 || others > 0 {
 		t.Errorf("%d sockets listen, others go to %v, and %d are none of TCP's", listen, to, others)
--- a/cmd/irispost/main.go
+++ b/cmd/irispost/main.go
@@ -34,9 +34,9 @@
 		webCommand(), keeperCommand(), rulesCommand(), fleetCommand(), statusCommand(), membersCommand(), standinCommand(), diskCommand(),
 		&cobra.Command{Use: "version", Short: "Tell which build this is", Args: cobra.NoArgs,
 			Run: func(c *cobra.Command, _ []string) {
-				fmt.Fprintln(c.OutOrStdout(), "irispost", version)
+				writeln(c.OutOrStdout(), "irispost", version)
 				if info, ok := debug.ReadBuildInfo(); ok {
-					fmt.Fprintln(c.OutOrStdout(), info.GoVersion, info.Main.Version)
+					writeln(c.OutOrStdout(), info.GoVersion, info.Main.Version)
 				}
 			}})
 	root.AddCommand(fileCommands()...)
--- a/cmd/irispost/members.go
+++ b/cmd/irispost/members.go
@@ -34,7 +34,7 @@
 					problems = errors.Join(problems, fmt.Errorf("%s: %w", socket, err))
 					continue
 				}
-				fmt.Fprintf(c.OutOrStdout(), "%s: the loss of %d nodes and %d old lists are confirmed\n", socket, f.Nodes, f.Lists)
+				writef(c.OutOrStdout(), "%s: the loss of %d nodes and %d old lists are confirmed\n", socket, f.Nodes, f.Lists)
 			}
 			m, err := a.Members()
 			switch {
@@ -61,16 +61,16 @@
 		}
 		return now.Sub(t).Round(time.Millisecond).String()
 	}
-	fmt.Fprintf(out, "gateway %s, told its decision module %s ago\n", m.Gateway, age(m.ScheduledAt))
+	writef(out, "gateway %s, told its decision module %s ago\n", m.Gateway, age(m.ScheduledAt))
 	if h := m.HeldLoss; h != nil {
-		fmt.Fprintf(out, "HELD for %s: %d nodes are gone or unwell by the sources and are kept.", age(h.Since), h.Nodes)
+		writef(out, "HELD for %s: %d nodes are gone or unwell by the sources and are kept.", age(h.Since), h.Nodes)
 		if h.LeavesNone {
-			fmt.Fprint(out, " Nothing would be left, so it waits for the source's next word or for --confirm.")
+			writef(out, " Nothing would be left, so it waits for the source's next word or for --confirm.")
 		}
-		fmt.Fprintln(out)
+		writeln(out)
 	}
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(w, "\nsource\tstate\tfor\tversion\tsaid\tnodes\trefused\tlast refusal or trouble")
+	writeln(w, "\nsource\tstate\tfor\tversion\tsaid\tnodes\trefused\tlast refusal or trouble")
 	for _, s := range m.Sources {
 		last := s.LastError
 		if s.LastRejection != "" {
@@ -79,17 +79,17 @@
 		if s.HeldVersion != "" {
 			last = fmt.Sprintf("version %q was left already, and is held; %s", s.HeldVersion, last)
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%d\t%s\n", s.Name, s.State, age(s.Since), s.Version, age(s.ReceivedAt), s.Nodes, s.RejectedUpdates, last)
+		writef(w, "%s\t%s\t%s\t%s\t%s\t%d\t%d\t%s\n", s.Name, s.State, age(s.Since), s.Version, age(s.ReceivedAt), s.Nodes, s.RejectedUpdates, last)
 	}
-	fmt.Fprintln(w, "\nnode\tshard\tzone\tstate\tfor\tout\tsource\twhy")
+	writeln(w, "\nnode\tshard\tzone\tstate\tfor\tout\tsource\twhy")
 	for _, n := range m.Nodes {
 		name := n.Addr
 		if n.Name != "" {
 			name += " (" + n.Name + ")"
 		}
-		fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\t%d\t%s\t%s\n", name, n.Shard, n.Zone, n.State, age(n.Since), n.AttemptsInFlight, n.Source, n.Reason)
+		writef(w, "%s\t%d\t%s\t%s\t%s\t%d\t%s\t%s\n", name, n.Shard, n.Zone, n.State, age(n.Since), n.AttemptsInFlight, n.Source, n.Reason)
 	}
-	w.Flush()
+	_ = w.Flush()
 }
 
 func standinCommand() *cobra.Command {
@@ -115,7 +115,7 @@
 			return err
 		}
 		defer s.Close()
-		fmt.Fprintf(c.OutOrStdout(), "the management server serves %d nodes at %s\n", len(l.Nodes), s.Addr())
+		writef(c.OutOrStdout(), "the management server serves %d nodes at %s\n", len(l.Nodes), s.Addr())
 		ctx, cancel := untilSignal()
 		defer cancel()
 		lines := make(chan string)
@@ -135,7 +135,7 @@
 				case "wait":
 					d, err := time.ParseDuration(rest)
 					if err != nil {
-						fmt.Fprintln(c.ErrOrStderr(), err)
+						writeln(c.ErrOrStderr(), err)
 						continue
 					}
 					select {
@@ -144,11 +144,11 @@
 					}
 				case "answers":
 					for _, a := range s.Answers() {
-						fmt.Fprintf(c.OutOrStdout(), "%+v\n", a)
+						writef(c.OutOrStdout(), "%+v\n", a)
 					}
 				default:
 					if err := s.Command(line); err != nil {
-						fmt.Fprintln(c.ErrOrStderr(), err)
+						writeln(c.ErrOrStderr(), err)
 					}
 				}
 			}
--- a/cmd/irispost/run.go
+++ b/cmd/irispost/run.go
@@ -4,7 +4,6 @@
 	"context"
 	"encoding/json"
 	"errors"
-	"fmt"
 	"os"
 	"os/signal"
 	"path/filepath"
@@ -46,7 +45,7 @@
 			if err != nil {
 				return err
 			}
-			defer out.Close()
+			defer func() { _ = out.Close() }() // a profile that is not whole cannot be read
 			if err := pprof.StartCPUProfile(out); err != nil {
 				return err
 			}
@@ -61,9 +60,9 @@
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(c.OutOrStdout(), "gateway %s serves at %s\n", conf.Name, g.Frontend.Addr())
+		writef(c.OutOrStdout(), "gateway %s serves at %s\n", conf.Name, g.Frontend.Addr())
 		if g.ISCSI != nil {
-			fmt.Fprintf(c.OutOrStdout(), "disks of %s at %s\n", conf.Name, g.ISCSI.Addr())
+			writef(c.OutOrStdout(), "disks of %s at %s\n", conf.Name, g.ISCSI.Addr())
 		}
 		<-ctx.Done()
 		cancel() // a second signal ends the program at once
@@ -96,7 +95,7 @@
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(c.OutOrStdout(), "node of shard %d serves at %s\n", o.Shard, n.Addr())
+		writef(c.OutOrStdout(), "node of shard %d serves at %s\n", o.Shard, n.Addr())
 		ctx, cancel := untilSignal()
 		defer cancel()
 		<-ctx.Done()
@@ -124,7 +123,7 @@
 		if err != nil {
 			return err
 		}
-		defer os.RemoveAll(dir)
+		defer func() { _ = os.RemoveAll(dir) }()
 		var l endpoint.List
 		for shard := range conf.Shards {
 			store, err := standin.NewStore("")
@@ -157,7 +156,7 @@
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(c.OutOrStdout(), `gateway %s serves at %s, over %d stand-in nodes; its volume is /home
+		writef(c.OutOrStdout(), `gateway %s serves at %s, over %d stand-in nodes; its volume is /home
 
 Try, in another terminal:
     go run ./cmd/irispost put --at %[2]s README.md /home/readme
@@ -189,7 +188,7 @@
 		if *seed > 0 {
 			s.Seed = *seed
 		}
-		opt := day.Options{List: *source, Note: func(format string, a ...any) { fmt.Fprintf(c.ErrOrStderr(), format+"\n", a...) }}
+		opt := day.Options{List: *source, Note: func(format string, a ...any) { writef(c.ErrOrStderr(), format+"\n", a...) }}
 		if !*inside {
 			if opt.Program, err = os.Executable(); err != nil {
 				return err
@@ -229,25 +228,25 @@
 
 func table(c *cobra.Command, r *day.Report) {
 	w := tabwriter.NewWriter(c.OutOrStdout(), 0, 4, 2, ' ', 0)
-	fmt.Fprintf(w, "jobs\t%d\tcompleted %d, dismissed %d, written off %d, left %d, lost %d, answered twice %d, torn reads %d\n",
+	writef(w, "jobs\t%d\tcompleted %d, dismissed %d, written off %d, left %d, lost %d, answered twice %d, torn reads %d\n",
 		r.Jobs, r.Completed, r.Dismissed, r.WrittenOff, r.Left, r.Lost, r.Twice, r.TornReads)
-	fmt.Fprintf(w, "service\t%.3f\tof %d requests, with their further tries folded into the first\n", r.Service, r.Requests)
+	writef(w, "service\t%.3f\tof %d requests, with their further tries folded into the first\n", r.Service, r.Requests)
 	if a := r.Agreement; a != nil {
-		fmt.Fprintf(w, "agreement\t%d\tpairs of gateways over %d versions, longest contradiction %.1f ms of %.0f stated, broken %d %s\n", a.Pairs, a.Versions, a.WorstMillis,
+		writef(w, "agreement\t%d\tpairs of gateways over %d versions, longest contradiction %.1f ms of %.0f stated, broken %d %s\n", a.Pairs, a.Versions, a.WorstMillis,
 			a.BoundMillis, a.Violations, a.FirstViolation)
 	}
-	fmt.Fprintf(w, "\nproduct\tjobs\tin goal\tp50 ms\tp99 ms\n")
+	writef(w, "\nproduct\tjobs\tin goal\tp50 ms\tp99 ms\n")
 	for _, p := range r.Products {
-		fmt.Fprintf(w, "%s\t%d\t%d\t%.1f\t%.1f\n", p.Name, p.Jobs, p.InGoal, p.P50, p.P99)
+		writef(w, "%s\t%d\t%d\t%.1f\t%.1f\n", p.Name, p.Jobs, p.InGoal, p.P50, p.P99)
 	}
-	fmt.Fprintf(w, "\nrule\tchecked\tbroken\n")
+	writef(w, "\nrule\tchecked\tbroken\n")
 	for _, rule := range r.Rules {
-		fmt.Fprintf(w, "%s\t%d\t%d\n", rule.Name, rule.Checked, rule.Broken)
+		writef(w, "%s\t%d\t%d\n", rule.Name, rule.Checked, rule.Broken)
 		for _, first := range rule.First {
-			fmt.Fprintf(w, "    %s\n", first)
+			writef(w, "    %s\n", first)
 		}
 	}
-	w.Flush()
+	_ = w.Flush()
 }
 
 func benchCommand() *cobra.Command {
--- a/cmd/irispost/scale.go
+++ b/cmd/irispost/scale.go
@@ -44,7 +44,7 @@
 		out := c.OutOrStdout()
 		if len(args) == 0 {
 			for _, one := range scale.Cases {
-				fmt.Fprintf(out, "%-10s %s\n", one.Name, one.About)
+				writef(out, "%-10s %s\n", one.Name, one.About)
 			}
 			return nil
 		}
@@ -60,10 +60,10 @@
 		if err != nil {
 			return err
 		}
-		defer os.RemoveAll(dir)
+		defer func() { _ = os.RemoveAll(dir) }()
 		r, err := scale.Run(one, s, scale.Options{Program: func(args ...string) *exec.Cmd { return exec.Command(self, args...) }, Dir: dir,
 			Log:  slog.New(slog.NewTextHandler(io.Discard, nil)),
-			Note: func(format string, args ...any) { fmt.Fprintf(out, format+"\n", args...) }})
+			Note: func(format string, args ...any) { writef(out, format+"\n", args...) }})
 		if err != nil {
 			return err
 		}
@@ -80,7 +80,7 @@
 	}
 	b = append(b, '\n')
 	if file == "" {
-		out.Write(b)
+		_, _ = out.Write(b) // as writef
 	} else if err := os.WriteFile(file, b, 0o600); err != nil {
 		return err
 	}
--- a/cmd/irispost/size.go
+++ b/cmd/irispost/size.go
@@ -43,7 +43,7 @@
 		if o.Program, err = os.Executable(); err != nil {
 			return err
 		}
-		o.Note = func(line string) { fmt.Fprintln(c.ErrOrStderr(), line) }
+		o.Note = func(line string) { writeln(c.ErrOrStderr(), line) }
 		save := func([]byte) error { return nil }
 		if *file != "" {
 			var drop func()
@@ -88,5 +88,5 @@
 		}
 		return pending.CloseAtomicallyReplace()
 	}
-	return save, func() { pending.Cleanup() }, nil
+	return save, func() { _ = pending.Cleanup() }, nil
 }
--- a/cmd/irispost/web.go
+++ b/cmd/irispost/web.go
@@ -17,7 +17,7 @@
 func webCommand() *cobra.Command {
 	c := &cobra.Command{Use: "web", Short: "Run a gateway behind HTTP, as the platform's environment tells", Args: cobra.NoArgs}
 	log := logs(c)
-	c.RunE = func(c *cobra.Command, _ []string) error {
+	c.RunE = func(*cobra.Command, []string) error {
 		signals := make(chan os.Signal, 8)
 		signal.Notify(signals, syscall.SIGHUP, syscall.SIGTERM, os.Interrupt)
 		conf, err := platform.Load(os.Getenv)
--- a/cmd/irispost/web_test.go
+++ b/cmd/irispost/web_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -45,7 +46,7 @@
 		t.Fatal(err)
 	}
 	w := &webProcess{t: t, file: filepath.Join(t.TempDir(), "proxy.json"), addr: l.Addr().String(), over: make(chan error, 1)}
-	l.Close()
+	_ = l.Close()
 	w.write(webConfig(w.addr, list, more))
 	self, err := os.Executable()
 	if err != nil {
@@ -68,10 +69,18 @@
 		}
 		w.over <- w.Wait()
 	}()
-	t.Cleanup(func() { w.Process.Kill() })
+	t.Cleanup(func() { _ = w.Process.Kill() })
 	return w
 }
 
+// signal sends a signal. A process that has ended already takes none.
+func (w *webProcess) signal(s syscall.Signal) {
+	w.t.Helper()
+	if err := w.Process.Signal(s); err != nil && !errors.Is(err, os.ErrProcessDone) {
+		w.t.Error(err)
+	}
+}
+
 func (w *webProcess) write(config string) {
 	if err := os.WriteFile(w.file+".new", []byte(config), 0o600); err != nil {
 		w.t.Fatal(err)
@@ -99,7 +108,7 @@
 func (w *webProcess) ready() {
 	for {
 		if a, err := http.Get("http://" + w.addr + "/healthz"); err == nil {
-			a.Body.Close()
+			_ = a.Body.Close()
 			if a.StatusCode == 200 {
 				return
 			}
@@ -120,7 +129,7 @@
 	if err != nil {
 		return 0, err.Error()
 	}
-	defer a.Body.Close()
+	defer func() { _ = a.Body.Close() }()
 	b, _ := io.ReadAll(a.Body)
 	return a.StatusCode, string(b)
 }
@@ -141,10 +150,13 @@
 			case <-q.Context().Done():
 			}
 		}
-		fmt.Fprintf(a, `{"rev":7,"all":true,"targets":[{"uid":"s","endpoint":%q,"az":"a","pod_group":0,"state":"ready","boot_ms":0}]}`, node)
+		_, _ = fmt.Fprintf(a, `{"rev":7,"all":true,"targets":[{"uid":"s","endpoint":%q,"az":"a","pod_group":0,"state":"ready","boot_ms":0}]}`, node)
 	})}
-	go s.Serve(l)
-	t.Cleanup(func() { close(quit); s.Close() })
+	go func() { _ = s.Serve(l) }()
+	t.Cleanup(func() {
+		close(quit)
+		_ = s.Close()
+	})
 	return l, asked
 }
 
@@ -160,19 +172,19 @@
 		<-asked
 		for i, bad := range []string{"", `{"name":`, strings.Replace(webConfig(w.addr, two.Addr().String(), ""), "read_like", "perhaps", 1)} {
 			w.write(bad)
-			w.Process.Signal(syscall.SIGHUP)
+			w.signal(syscall.SIGHUP)
 			w.says("the old one stays", i+1)
 		}
 		if status, body := w.put("served-1"); status != 200 || len(moved) > 0 {
 			t.Errorf("with the old configuration: %d %q, %d calls at the new list", status, body, len(moved))
 		}
 		w.write(webConfig(w.addr, two.Addr().String(), ""))
-		w.Process.Signal(syscall.SIGHUP)
+		w.signal(syscall.SIGHUP)
 		<-moved
-		w.Process.Signal(syscall.SIGHUP) // the same again
-		w.Process.Signal(syscall.SIGTERM)
-		w.Process.Signal(syscall.SIGHUP) // while it ends
-		w.Process.Signal(syscall.SIGTERM)
+		w.signal(syscall.SIGHUP) // the same again
+		w.signal(syscall.SIGTERM)
+		w.signal(syscall.SIGHUP) // while it ends
+		w.signal(syscall.SIGTERM)
 		w.says("the gateway ends", 1)
 		if status, body := w.put("served-2"); status != 200 && status != 0 {
 			t.Errorf("while it ends: %d %q", status, body)
@@ -185,7 +197,7 @@
 		for i := range 20 { // from before its first line of code to after it is up
 			w := startWeb(t, one.Addr().String(), "")
 			time.Sleep(time.Duration(i) * 2 * time.Millisecond)
-			w.Process.Signal(syscall.SIGTERM)
+			w.signal(syscall.SIGTERM)
 			if err := <-w.over; err != nil && !strings.Contains(err.Error(), "terminated") {
 				t.Errorf("after %d ms: %v", 2*i, err)
 			}
@@ -201,14 +213,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer silent.Close()
-	spoilt := &http.Server{Handler: http.HandlerFunc(func(a http.ResponseWriter, q *http.Request) { io.WriteString(a, `{"rev":"x"}`) })}
+	defer func() { _ = silent.Close() }()
+	spoilt := &http.Server{Handler: http.HandlerFunc(func(a http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(a, `{"rev":"x"}`) })}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	go spoilt.Serve(l)
-	defer spoilt.Close()
+	go func() { _ = spoilt.Serve(l) }()
+	defer func() { _ = spoilt.Close() }()
 	for what, list := range map[string]string{"refuses": "127.0.0.1:1", "silent": silent.Addr().String(), "spoilt": l.Addr().String()} {
 		for _, has := range []string{"", known} {
 			w := startWeb(t, list, has)
@@ -220,8 +232,10 @@
 					t.Errorf("the list %s: %d %q from the known one", what, status, body)
 				}
 			}
-			w.Process.Kill()
-			<-w.over
+			_ = w.Process.Kill()
+			if err := <-w.over; err == nil {
+				t.Errorf("the list %s: it ends by itself before it is killed", what)
+			}
 		}
 	}
 }
@@ -235,14 +249,14 @@
 		t.Fatal(err)
 	}
 	addr := free.Addr().String()
-	free.Close()
+	_ = free.Close()
 	w := startWeb(t, addr, "")
 	w.ready()
 	var idle []net.Conn
 	for range 300 {
 		if c, err := net.Dial("tcp", w.addr); err == nil {
 			idle = append(idle, c)
-			defer c.Close()
+			defer func() { _ = c.Close() }()
 		}
 	}
 	stop := make(chan bool)
@@ -255,7 +269,7 @@
 			case <-time.After(5 * time.Millisecond):
 			}
 			if c, err := net.Dial("tcp", w.addr); err == nil {
-				defer c.Close()
+				defer func() { _ = c.Close() }()
 			}
 		}
 	}()
