--- a/internal/fleet/replica/client.go
+++ b/internal/fleet/replica/client.go
@@ -3,104 +3,206 @@
 import (
 	"bytes"
 	"context"
+	"encoding/base64"
 	"encoding/json"
 	"errors"
 	"fmt"
 	"io"
 	"net/http"
 	"net/url"
+	"strconv"
 	"strings"
 	"time"
 
 	"irispost/internal/fleet/configversion"
+	"irispost/internal/fleet/content"
 	"irispost/internal/fleet/lease"
 )
 
-// Client speaks to keepers, whichever leads.
+const (
+	maxAnswerBytes = 256 << 20
+	minTryTimeout  = time.Second           // of one replica, where the client's timeout would leave it less
+	retryInterval  = 50 * time.Millisecond // after all replicas were tried
+
+	// maxContentAnswerBytes allows for what cannot be compressed, which grows by a little.
+	maxContentAnswerBytes = configversion.MaxContentBytes + configversion.MaxContentBytes/64
+)
+
+// Client calls the replicas of a group. Its methods, except for Call and FetchContent, try all in turn until the leader
+// has answered.
 type Client struct {
 	Replicas   []string // addresses
 	Timeout    time.Duration
-	HTTPClient *http.Client // nil: the default
+	HTTPClient *http.Client // nil: the default one
 }
 
-// RejectedError is a keeper's answer that stands: asking another helps nothing.
+// RejectedError is an answer that stands: no other replica would answer otherwise.
 type RejectedError struct{ Message string }
 
+// Error is the replica's text.
 func (e *RejectedError) Error() string { return e.Message }
 
-// Call asks one keeper once.
-func (c *Client) Call(ctx context.Context, keeper, method, path string, body, into any) error {
-	var sent io.Reader
+// Call sends one request to one replica and reads the answer's JSON. Body is nil or encoded as JSON.
+func (c *Client) Call(ctx context.Context, replica, method, path string, body, into any) error {
+	var reader io.Reader
 	if body != nil {
-		b, err := json.Marshal(body)
+		encoded, err := json.Marshal(body)
 		if err != nil {
 			return err
 		}
-		sent = bytes.NewReader(b)
+		reader = bytes.NewReader(encoded)
 	}
-	req, err := http.NewRequestWithContext(ctx, method, (&url.URL{Scheme: "http", Host: keeper}).String()+path, sent)
+	req, err := newClientRequest(ctx, replica, method, path, reader)
 	if err != nil {
 		return err
 	}
-	req.Header.Set("User-Agent", "") // none: a gateway asks each second
-	r, err := c.http().Do(req)
+	response, err := c.httpClient().Do(req)
 	if err != nil {
 		return err
 	}
-	defer r.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(r.Body, 256<<20))
+	defer closeBody(response)
+	answer, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 	if err != nil {
 		return err
 	}
-	switch r.StatusCode {
+	switch response.StatusCode {
 	case http.StatusOK:
-		return json.Unmarshal(text, into)
+		return json.Unmarshal(answer, into)
 	case http.StatusConflict, http.StatusBadRequest:
-		return &RejectedError{strings.TrimSpace(string(text))}
+		return &RejectedError{strings.TrimSpace(string(answer))}
+	default:
+		return fmt.Errorf("keeper %s: %s", replica, strings.TrimSpace(string(answer)))
+	}
+}
+
+// newClientRequest makes a request without the headers that a gateway would send in vain each second.
+func newClientRequest(ctx context.Context, replica, method, path string, body io.Reader) (*http.Request, error) {
+	base := url.URL{Scheme: "http", Host: replica}
+	req, err := http.NewRequestWithContext(ctx, method, base.String()+path, body)
+	if err != nil {
+		return nil, err
 	}
-	return fmt.Errorf("keeper %s: %s", keeper, strings.TrimSpace(string(text)))
+	req.Header.Set("User-Agent", "")
+	return req, nil
 }
 
-func (c *Client) http() *http.Client {
+func (c *Client) httpClient() *http.Client {
 	if c.HTTPClient == nil {
 		return http.DefaultClient
 	}
 	return c.HTTPClient
 }
 
-// ask asks all in turn until one that leads answers.
-func (c *Client) ask(method, path string, body, into any) error {
+// callLeader tries all replicas in turn until the leader answers.
+func (c *Client) callLeader(method, path string, body, into any) error {
 	ctx, cancel := context.WithTimeout(context.Background(), c.Timeout)
 	defer cancel()
 	var last error
 	for ctx.Err() == nil {
-		for _, k := range c.Replicas {
-			each, end := context.WithTimeout(ctx, max(c.Timeout/4, time.Second))
-			err := c.Call(each, k, method, path, body, into)
-			end()
-			var refused *RejectedError
-			if err == nil || errors.As(err, &refused) {
+		for _, replica := range c.Replicas {
+			err := c.tryReplica(ctx, replica, method, path, body, into)
+			var rejected *RejectedError
+			if err == nil || errors.As(err, &rejected) {
 				return err
 			}
-			if last == nil || ctx.Err() == nil {
+			if last == nil || ctx.Err() == nil { // an error of our own deadline tells nothing
 				last = err
 			}
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(50 * time.Millisecond):
+		case <-time.After(retryInterval):
 		}
 	}
 	return fmt.Errorf("no keeper answers as the leading one within %v, the last word: %w", c.Timeout, last)
 }
 
-// Status asks how the fleet stands.
-func (c *Client) Status() (s Status, err error) {
-	return s, c.ask(http.MethodGet, "/status", nil, &s)
+// tryReplica calls one replica with a part of the timeout, so that one that hangs leaves time for the others.
+func (c *Client) tryReplica(ctx context.Context, replica, method, path string, body, into any) error {
+	ctx, cancel := context.WithTimeout(ctx, max(c.Timeout/4, minTryTimeout))
+	defer cancel()
+	return c.Call(ctx, replica, method, path, body, into)
 }
 
-// Propose proposes a change. It is asked for until it is known whether it is in the log.
-func (c *Client) Propose(p *lease.Proposal) (v *configversion.Version, err error) {
-	v = &configversion.Version{}
-	return v, c.ask(http.MethodPost, "/propose", p, v)
+// Status returns the state of the group.
+func (c *Client) Status() (Status, error) {
+	var status Status
+	err := c.callLeader(http.MethodGet, "/status", nil, &status)
+	return status, err
+}
+
+// Propose proposes a version. It is repeated until it is known whether it is in the log.
+func (c *Client) Propose(proposal *lease.Proposal) (*configversion.Version, error) {
+	version := &configversion.Version{}
+	err := c.callLeader(http.MethodPost, "/propose", proposal, version)
+	return version, err
+}
+
+// ChangeMembership changes the replicas that vote. It may be repeated after it has taken effect, which changes nothing.
+func (c *Client) ChangeMembership(change *MembershipChange) error {
+	done := false
+	return c.callLeader(http.MethodPost, "/voters", change, &done)
+}
+
+// Versions lists the versions from a number on. Those whose content is not kept any more come without it.
+func (c *Client) Versions(from uint64) ([]*configversion.Version, error) {
+	var list []*configversion.Version
+	for {
+		page, err := c.versionsPage(from)
+		if err != nil || len(page) == 0 {
+			return list, err
+		}
+		list = append(list, page...)
+		from = page[len(page)-1].Number + 1
+	}
+}
+
+// Version returns one version; nil where there is none with that number.
+func (c *Client) Version(number uint64) (*configversion.Version, error) {
+	page, err := c.versionsPage(number)
+	if err != nil || len(page) == 0 || page[0].Number != number {
+		return nil, err
+	}
+	return page[0], nil
+}
+
+func (c *Client) versionsPage(from uint64) ([]*configversion.Version, error) {
+	var page []*configversion.Version
+	err := c.callLeader(http.MethodGet, "/versions?from="+strconv.FormatUint(from, 10), nil, &page)
+	return page, err
+}
+
+// FetchContent asks one replica for a content, or for a delta from the base that the request names. What comes is not
+// checked against its digest.
+func (c *Client) FetchContent(
+	ctx context.Context, replica string, request content.Request,
+) (coding string, encoded []byte, err error) {
+	req, err := newClientRequest(ctx, replica, http.MethodGet, "/content/"+request.Digest, nil)
+	if err != nil {
+		return "", nil, err
+	}
+	req.Header.Set("Accept-Encoding", content.EncodingZstd)
+	if request.Base != "" {
+		hash := request.BaseHash()
+		req.Header.Set("Accept-Encoding", content.EncodingDelta+", "+content.EncodingZstd)
+		req.Header.Set(headerBaseHash, ":"+base64.StdEncoding.EncodeToString(hash[:])+":")
+		req.Header.Set(headerBaseDigest, `"`+request.Base+`"`)
+	}
+	response, err := c.httpClient().Do(req)
+	if err != nil {
+		return "", nil, err
+	}
+	defer closeBody(response)
+	encoded, err = io.ReadAll(io.LimitReader(response.Body, maxContentAnswerBytes+1))
+	switch {
+	case err != nil:
+		return "", nil, err
+	case response.StatusCode == http.StatusNotFound:
+		return "", nil, ErrContentNotFound
+	case response.StatusCode != http.StatusOK:
+		return "", nil, fmt.Errorf("keeper %s: %s", replica, response.Status)
+	case len(encoded) > maxContentAnswerBytes:
+		return "", nil, fmt.Errorf("keeper %s: a content of more than %d bytes", replica, maxContentAnswerBytes)
+	}
+	return response.Header.Get("Content-Encoding"), encoded, nil
 }
--- /dev/null
+++ b/internal/fleet/replica/contentserver.go
@@ -0,0 +1,223 @@
+package replica
+
+import (
+	"context"
+	"crypto/sha256"
+	"encoding/base64"
+	"errors"
+	"fmt"
+	"net/http"
+	"strconv"
+	"strings"
+	"sync"
+	"time"
+
+	"golang.org/x/sync/singleflight"
+
+	"irispost/internal/fleet/configversion"
+	"irispost/internal/fleet/content"
+	"irispost/internal/fleet/delta"
+)
+
+// Request headers of RFC 9842. A gateway that has a base names it by its SHA-256, and by its BLAKE3 digest, which
+// is how replicas find it.
+const (
+	headerBaseHash   = "Available-Dictionary"
+	headerBaseDigest = "Dictionary-ID"
+)
+
+const (
+	maxConcurrentEncodings = 2       // processor time goes to leases first
+	maxConcurrentWrites    = 32      // of answers that are not small
+	smallAnswerBytes       = 8 << 10 // what is smaller is not counted, as a socket takes it at once
+)
+
+// ErrContentNotFound reports that a replica does not have a content.
+var ErrContentNotFound = errors.New("this replica does not have the content")
+
+// contentServer answers with the contents of versions by digest, for this replica's HTTP server. Any replica does,
+// whether it leads or not: a digest never names another content. It runs outside of the owner goroutine, except for
+// the first look at a digest.
+type contentServer struct {
+	replica   *Replica
+	flight    singleflight.Group // one look or encoding at a time for each content
+	encodings chan struct{}      // holds a token for each encoding under way
+	writes    chan struct{}      // holds a token for each large answer under way
+
+	mutex   sync.Mutex // guards what follows
+	cache   *content.DeltaCache
+	encoded int // encodings so far
+}
+
+func newContentServer(r *Replica) *contentServer {
+	return &contentServer{
+		replica:   r,
+		cache:     content.NewDeltaCache(),
+		encodings: make(chan struct{}, maxConcurrentEncodings),
+		writes:    make(chan struct{}, maxConcurrentWrites),
+	}
+}
+
+// ServeHTTP answers GET /content/{digest}: 200 with Content-Encoding dcz, zstd or none, 404 where the content is
+// not here.
+func (s *contentServer) ServeHTTP(w http.ResponseWriter, req *http.Request) {
+	omitDefaultHeaders(w)
+	found, ok := s.find(req.PathValue("digest"))
+	if !ok {
+		w.WriteHeader(http.StatusNotFound)
+		return
+	}
+	if !accepts(req, content.EncodingZstd) {
+		s.write(w, req, "", found.Bytes)
+		return
+	}
+	base, pair := s.baseFor(req, found.Digest)
+	coding := content.EncodingDelta
+	if pair.Base == "" {
+		coding = content.EncodingZstd
+		base = nil
+	}
+	encoded, err := s.encode(pair, base, found.Bytes)
+	if err != nil {
+		http.Error(w, err.Error(), http.StatusInternalServerError)
+		return
+	}
+	s.write(w, req, coding, encoded)
+}
+
+func accepts(req *http.Request, coding string) bool {
+	return strings.Contains(req.Header.Get("Accept-Encoding"), coding)
+}
+
+// baseFor finds the base that a request names. The pair is without a base where there is none to encode from.
+func (s *contentServer) baseFor(req *http.Request, digest string) (base []byte, pair content.DeltaKey) {
+	complete := content.DeltaKey{Digest: digest}
+	hash, err := parseBaseHash(req.Header.Get(headerBaseHash))
+	if err != nil || !accepts(req, content.EncodingDelta) {
+		return nil, complete
+	}
+	found, ok := s.find(strings.Trim(req.Header.Get(headerBaseDigest), `"`))
+	if !ok {
+		return nil, complete
+	}
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return found.Bytes, s.cache.KeyFor(digest, found.Digest, hash)
+}
+
+// parseBaseHash reads the SHA-256 of a base, a byte sequence of RFC 8941.
+func parseBaseHash(text string) (hash [sha256.Size]byte, err error) {
+	inner, opened := strings.CutPrefix(text, ":")
+	inner, closed := strings.CutSuffix(inner, ":")
+	decoded, err := base64.StdEncoding.DecodeString(inner)
+	if !opened || !closed || err != nil || len(decoded) != len(hash) {
+		return hash, fmt.Errorf("%q is no SHA-256 of a base", text)
+	}
+	return [sha256.Size]byte(decoded), nil
+}
+
+// cachedContent looks for a content in the cache.
+func (s *contentServer) cachedContent(digest string) (content.Content, bool) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.cache.Content(digest)
+}
+
+// cachedEncoding looks for an encoding in the cache.
+func (s *contentServer) cachedEncoding(pair content.DeltaKey) ([]byte, bool) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.cache.Encoded(pair)
+}
+
+// find is a content by its digest; false where this replica does not have it, or no more, or not yet.
+func (s *contentServer) find(digest string) (content.Content, bool) {
+	if found, ok := s.cachedContent(digest); ok || digest == "" {
+		return found, ok
+	}
+	found, err, _ := s.flight.Do("find "+digest, func() (any, error) {
+		if found, ok := s.cachedContent(digest); ok {
+			return found, nil
+		}
+		return s.findVersion(digest)
+	})
+	if err != nil {
+		return content.Content{}, false
+	}
+	return found.(content.Content), true
+}
+
+// findVersion takes a content from the state machine into the cache.
+func (s *contentServer) findVersion(digest string) (content.Content, error) {
+	// The context is not that of a request, as the result is for all requests that wait for it.
+	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
+	defer cancel()
+	result := make(chan *configversion.Version, 1)
+	s.replica.do(ctx, func() { result <- s.replica.machine.VersionByDigest(digest) })
+	select {
+	case version := <-result:
+		if version == nil || len(version.Content) == 0 {
+			return content.Content{}, ErrContentNotFound
+		}
+		s.mutex.Lock()
+		defer s.mutex.Unlock()
+		return s.cache.AddContent(digest, version.Content), nil
+	case <-ctx.Done():
+		return content.Content{}, ErrContentNotFound
+	case <-s.replica.stopped:
+		return content.Content{}, ErrContentNotFound
+	}
+}
+
+// encode is a content as a delta from a base, or complete, encoded once for all that ask.
+func (s *contentServer) encode(pair content.DeltaKey, base, bytes []byte) ([]byte, error) {
+	if encoded, ok := s.cachedEncoding(pair); ok {
+		return encoded, nil
+	}
+	encoded, err, _ := s.flight.Do("code "+pair.Base+" "+pair.Digest, func() (any, error) {
+		if encoded, ok := s.cachedEncoding(pair); ok {
+			return encoded, nil
+		}
+		s.encodings <- struct{}{}
+		defer func() { <-s.encodings }()
+		encoded, err := delta.Encode(base, bytes)
+		if err != nil {
+			return nil, err
+		}
+		s.mutex.Lock()
+		defer s.mutex.Unlock()
+		s.cache.AddEncoded(pair, encoded)
+		s.encoded++
+		return encoded, nil
+	})
+	if err != nil {
+		return nil, err
+	}
+	return encoded.([]byte), nil
+}
+
+// write sends an answer. One that is not small waits for a place, and gives it back where its reader is too slow.
+func (s *contentServer) write(w http.ResponseWriter, req *http.Request, coding string, body []byte) {
+	if coding != "" {
+		w.Header().Set("Content-Encoding", coding)
+	}
+	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
+	if len(body) <= smallAnswerBytes {
+		_, _ = w.Write(body) // a gateway that is gone asks again
+		return
+	}
+	select {
+	case s.writes <- struct{}{}:
+	case <-req.Context().Done():
+		return
+	case <-s.replica.stopped:
+		return
+	}
+	defer func() { <-s.writes }()
+	// An error of the three is one of the connection, and the gateway asks again.
+	controller := http.NewResponseController(w)
+	_ = controller.SetWriteDeadline(time.Now().Add(requestTimeout))
+	_, _ = w.Write(body)
+	_ = controller.Flush()
+	_ = controller.SetWriteDeadline(time.Time{})
+}
--- /dev/null
+++ b/internal/fleet/replica/contentserver_test.go
@@ -0,0 +1,207 @@
+package replica
+
+import (
+	"bytes"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"irispost/internal/fleet/configversion"
+	"irispost/internal/fleet/content"
+	"irispost/internal/fleet/delta"
+)
+
+// contentAnswer is an answer to GET /content/{digest}.
+type contentAnswer struct {
+	status int
+	coding string
+	body   []byte
+}
+
+// getContent requests a content as a client would that knows nothing of codings.
+func getContent(t *testing.T, url string, header map[string]string) contentAnswer {
+	t.Helper()
+	req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, url, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for name, value := range header {
+		req.Header.Set(name, value)
+	}
+	client := &http.Client{Transport: &http.Transport{DisableCompression: true, DisableKeepAlives: true}}
+	response, err := client.Do(req)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer closeBody(response)
+	body, err := io.ReadAll(response.Body)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return contentAnswer{response.StatusCode, response.Header.Get("Content-Encoding"), body}
+}
+
+// Any replica has the content of any version, one that was replaced before it came into force too: as a delta from
+// a base that the replica has, complete where the base is unknown, of another group, or another than its digest
+// says. A content that it does not have it answers with 404.
+func TestAnyReplicaServesContents(t *testing.T) {
+	c := newTestCluster(t)
+	c.start(1, 2, 3)
+	client := c.client()
+	one, two, three := nodesConfig(300, 1), nodesConfig(300, 2), nodesConfig(300, 3)
+	first := propose(t, client, 1, one)
+	propose(t, client, 2, two) // in place of the first
+	last := propose(t, client, 3, three)
+	for id, address := range c.peers {
+		for name, test := range map[string]struct {
+			base []byte
+			want string
+		}{
+			"the one before":   {two, content.EncodingDelta},
+			"one replaced":     {one, content.EncodingDelta},
+			"of another group": {nodesConfig(300, 9), content.EncodingZstd},
+			"none":             {nil, content.EncodingZstd},
+		} {
+			holding := content.NewCache(test.base, 0)
+			request, coding, encoded := fetchEventually(t, address, holding, last.Digest)
+			err := holding.Fetch(last.Digest, 1).HandleResponse(request, coding, encoded)
+			if err != nil || coding != test.want || !bytes.Equal(holding.Content(last.Digest), three) {
+				t.Errorf("replica %d, base %s: %q of %d bytes, %v", id, name, coding, len(encoded), err)
+			}
+		}
+		expectPlainContents(t, "http://"+address+"/content/", first, last)
+	}
+}
+
+// expectPlainContents tries what the holding of a gateway never asks for.
+func expectPlainContents(t *testing.T, url string, first, last *configversion.Version) {
+	t.Helper()
+	answer := getContent(t, url+first.Digest, nil)
+	if answer.status != http.StatusOK || answer.coding != "" || !bytes.Equal(answer.body, first.Content) {
+		t.Errorf("without a coding: %d, %q, %d bytes", answer.status, answer.coding, len(answer.body))
+	}
+	wrongHashes := []string{"", "x", ":eA==:", ":" + strings.Repeat("A", 43) + "=:"}
+	for _, hash := range wrongHashes {
+		answer := getContent(t, url+last.Digest, map[string]string{
+			"Accept-Encoding": "dcz, zstd",
+			headerBaseHash:    hash,
+			headerBaseDigest:  `"` + first.Digest + `"`,
+		})
+		if answer.status != http.StatusOK || answer.coding != content.EncodingZstd {
+			t.Errorf("base %q: %d, %q", hash, answer.status, answer.coding)
+		}
+	}
+	for _, digest := range []string{strings.Repeat("0", 64), "x", last.Digest[:63]} {
+		answer := getContent(t, url+digest, nil)
+		if answer.status != http.StatusNotFound || len(answer.body) > 0 {
+			t.Errorf("%q: %d, %d bytes", digest, answer.status, len(answer.body))
+		}
+	}
+}
+
+// Where a replica has forgotten a base that it knew, the content is sent complete.
+func TestContentIsCompleteWhenBaseIsForgotten(t *testing.T) {
+	c := newTestCluster(t)
+	c.start(1, 2, 3)
+	one, two := nodesConfig(300, 1), nodesConfig(300, 2)
+	propose(t, c.client(), 1, one)
+	last := propose(t, c.client(), 2, two)
+	fetchEventually(t, c.peers[1], content.NewCache(one, 0), last.Digest)
+	r := c.running[1]
+	r.call(t, func() { r.machine.Version(1).Digest = "forgotten" }) // as a compaction may
+	mux := http.NewServeMux()
+	mux.Handle("GET /again/{digest}", newContentServer(r)) // with nothing cached
+	server := httptest.NewServer(mux)
+	defer server.Close()
+	answer := getContent(t, server.URL+"/again/"+last.Digest, map[string]string{
+		"Accept-Encoding": "dcz, zstd",
+		headerBaseDigest:  `"` + configversion.DigestOf(one) + `"`,
+	})
+	decoded, err := delta.Decode(nil, answer.body, configversion.MaxContentBytes)
+	if answer.coding != content.EncodingZstd || err != nil || !bytes.Equal(decoded, two) {
+		t.Errorf("%q, %v", answer.coding, err)
+	}
+}
+
+// 780 gateways that ask for a complete content at once are served by one encoding, also where others have taken all
+// places and do not read; requests that are confirmed are answered meanwhile.
+func TestManyRequestsShareOneEncoding(t *testing.T) {
+	const gateways = 780
+	c := newTestCluster(t)
+	c.start(1, 2, 3)
+	version := propose(t, c.client(), 1, nodesConfig(1800, 1))
+	fetchEventually(t, c.peers[1], content.NewCache(nil, 0), version.Digest)
+	contents := newContentServer(c.running[1]) // its own, so that its encodings are counted
+	contents.cache.AddContent("large", make([]byte, 12<<20))
+	address := serveContents(t, contents)
+	takeAllWrites(t, contents, address)
+
+	var fetches sync.WaitGroup
+	errs := make(chan error, gateways)
+	for range gateways {
+		fetches.Add(1)
+		go func() {
+			defer fetches.Done()
+			holding := content.NewCache(nil, 0)
+			fetch := holding.Fetch(version.Digest, 1)
+			request := fetch.NextRequest()
+			coding, encoded, err := (&Client{}).FetchContent(t.Context(), address, request)
+			if err == nil {
+				err = fetch.HandleResponse(request, coding, encoded)
+			}
+			if err != nil {
+				errs <- err
+			}
+		}()
+	}
+	if _, err := c.client().Status(); err != nil { // is confirmed like a lease
+		t.Error(err)
+	}
+	fetches.Wait()
+	close(errs)
+	for err := range errs {
+		t.Fatal(err)
+	}
+	if contents.encoded != 1 {
+		t.Errorf("encoded %d times", contents.encoded)
+	}
+}
+
+func serveContents(t *testing.T, contents *contentServer) (address string) {
+	t.Helper()
+	mux := http.NewServeMux()
+	mux.Handle("GET /content/{digest}", contents)
+	listener := listen(t, "127.0.0.1:0")
+	server := &http.Server{Handler: mux}
+	go func() { _ = server.Serve(listener) }() // ends with ErrServerClosed
+	t.Cleanup(func() { _ = server.Close() })   // connections that do not read are cut
+	return listener.Addr().String()
+}
+
+// takeAllWrites has connections that do not read take all places for large answers.
+func takeAllWrites(t *testing.T, contents *contentServer, address string) {
+	t.Helper()
+	for range maxConcurrentWrites {
+		connection, err := net.Dial("tcp", address)
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(func() { _ = connection.Close() }) // the server may have cut it
+		if _, err := fmt.Fprintf(connection, "GET /content/large HTTP/1.1\r\nHost: k\r\n\r\n"); err != nil {
+			t.Fatal(err)
+		}
+	}
+	deadline := time.Now().Add(time.Minute)
+	for len(contents.writes) < maxConcurrentWrites {
+		if time.Now().After(deadline) {
+			t.Fatal("the places are not taken")
+		}
+		time.Sleep(time.Millisecond)
+	}
+}
--- /dev/null
+++ b/internal/fleet/replica/leadership.go
@@ -0,0 +1,67 @@
+package replica
+
+import (
+	"go.etcd.io/raft/v3"
+	"go.etcd.io/raft/v3/raftpb"
+
+	"irispost/internal/fleet/lease"
+)
+
+// leadership is what a replica knows of who leads.
+type leadership struct {
+	leader   uint64         // as Raft says; 0: unknown
+	isLeader bool           // as Raft says of this replica
+	manager  *lease.Manager // nil: this replica does not lead, or has not applied an entry of its term yet
+	term     uint64         // of the manager
+}
+
+// leading tells whether this replica grants leases: it leads, and the group has its lease settings.
+func (r *Replica) leading() bool {
+	return r.leadership.manager != nil && r.machine.Settings.LeaseDuration > 0
+}
+
+// leaderChanged takes Raft's word on who leads.
+func (r *Replica) leaderChanged(state *raft.SoftState) {
+	isLeader := state.RaftState == raft.StateLeader
+	if r.leadership.isLeader && !isLeader {
+		r.logger.Info("lost leadership", "leader", state.Lead)
+	}
+	r.leadership.leader = state.Lead
+	r.leadership.isLeader = isLeader
+	if !isLeader {
+		r.leadership.manager = nil
+		r.rejectPending()
+	}
+}
+
+// rejectPending tells all that wait that this replica does not lead. A proposal may still get into the log.
+func (r *Replica) rejectPending() {
+	for _, answer := range r.reads.drain() {
+		answer(nil)
+	}
+	if result := r.membership.pending; result != nil {
+		result <- ErrNotLeader
+		r.membership.pending = nil
+	}
+	for id, result := range r.proposals {
+		delete(r.proposals, id)
+		result <- proposalResult{err: ErrNotLeader}
+	}
+}
+
+// leadFromEntry makes the lease manager at the first entry of this replica's own term: no entry of an earlier
+// leader can follow it.
+func (r *Replica) leadFromEntry(entry *raftpb.Entry) {
+	term := r.currentTerm()
+	fresh := r.leadership.manager == nil || r.leadership.term != term
+	if !r.leadership.isLeader || !fresh || entry.GetTerm() != term {
+		return
+	}
+	r.leadership.term = term
+	r.leadership.manager = lease.NewManager(r.now(), term, r.machine, 0)
+	r.logger.Info("became leader", "term", term, "gateways", len(r.machine.Holders), "in_force", r.machine.InForce,
+		"announced", r.machine.Announced)
+	if r.machine.Settings.LeaseDuration == 0 {
+		r.appendCommand(&lease.Command{Bootstrap: &r.options.LeaseSettings})
+	}
+}
--- /dev/null
+++ b/internal/fleet/replica/membership.go
@@ -0,0 +1,191 @@
+package replica
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"maps"
+	"net/http"
+	"slices"
+
+	"go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+)
+
+// maxVoters is the largest number of replicas that vote.
+const maxVoters = 7
+
+// membership is what a replica knows of the other replicas.
+type membership struct {
+	configuration *raftpb.ConfState
+	addresses     map[uint64]string // of all replicas that ever were, by ID
+	peers         map[uint64]*peer  // connections, by ID
+	entryFormats  map[uint64]int    // that peers read, by ID; 0: unknown
+	pending       chan<- error      // gets the outcome of the change that was requested here; nil: none
+}
+
+// MembershipChange is a change of the replicas that vote.
+//
+// It is an entry of the log and takes effect over a joint majority of the voters before and after (Raft's joint
+// consensus), so that no two majorities can decide differently. A replica that has lost its folder is replaced by one
+// with another ID: under its own it would vote twice.
+type MembershipChange struct {
+	// Add has addresses, as the other replicas reach them, by IDs that were never used.
+	Add map[uint64]string `json:"add,omitempty"`
+
+	// Remove has the IDs of replicas that vote no more.
+	Remove []uint64 `json:"remove,omitempty"`
+}
+
+// ErrMembershipChange reports why a change of the voters is rejected. Clients see its text in answers with status 409.
+var ErrMembershipChange = errors.New("this change of keepers cannot be")
+
+// validate rejects a change that is not possible with these voters and the IDs used so far.
+func (c *MembershipChange) validate(voters []uint64, used map[uint64]string) error {
+	for _, id := range c.Remove {
+		if !slices.Contains(voters, id) {
+			return fmt.Errorf("%w: keeper %d does not vote, %v do", ErrMembershipChange, id, voters)
+		}
+	}
+	for _, id := range slices.Sorted(maps.Keys(c.Add)) {
+		if _, known := used[id]; known || id == 0 || c.Add[id] == "" {
+			return fmt.Errorf("%w: the number %d has been used, or is none, or has no address", ErrMembershipChange, id)
+		}
+	}
+	size := len(voters) + len(c.Add) - len(c.Remove)
+	if size < 1 || size > maxVoters || len(c.Add)+len(c.Remove) == 0 {
+		return fmt.Errorf("%w: %d would vote", ErrMembershipChange, size)
+	}
+	return nil
+}
+
+// applied tells whether the change has taken effect already: a client that missed the answer sends it again.
+func (c *MembershipChange) applied(voters []uint64, used map[uint64]string) bool {
+	for _, id := range c.Remove {
+		if _, known := used[id]; !known || slices.Contains(voters, id) {
+			return false
+		}
+	}
+	for id, address := range c.Add {
+		if used[id] != address || !slices.Contains(voters, id) {
+			return false
+		}
+	}
+	return len(c.Add)+len(c.Remove) > 0
+}
+
+// confChange is the change as Raft takes it; its context is the change's JSON.
+func (c *MembershipChange) confChange() *raftpb.ConfChangeV2 {
+	change := &raftpb.ConfChangeV2{}
+	change.Context, _ = json.Marshal(c) // strings and integers only
+	add := func(kind raftpb.ConfChangeType, id uint64) {
+		single := &raftpb.ConfChangeSingle{Type: kind.Enum(), NodeId: proto.Uint64(id)}
+		change.Changes = append(change.Changes, single)
+	}
+	for _, id := range slices.Sorted(maps.Keys(c.Add)) {
+		add(raftpb.ConfChangeAddNode, id)
+	}
+	for _, id := range c.Remove {
+		add(raftpb.ConfChangeRemoveNode, id)
+	}
+	return change
+}
+
+// proposeMembershipChange puts a change into the log; result gets nil once it has taken effect, or why it does not.
+func (r *Replica) proposeMembershipChange(change *MembershipChange, result chan<- error) {
+	voters := r.membership.configuration.GetVoters()
+	switch {
+	case r.leadership.manager == nil:
+		result <- ErrNotLeader
+		return
+	case r.membership.pending != nil || len(r.membership.configuration.GetVotersOutgoing()) > 0:
+		result <- fmt.Errorf("%w: another change is under way", ErrMembershipChange)
+		return
+	case change.applied(voters, r.membership.addresses):
+		result <- nil
+		return
+	}
+	if err := change.validate(voters, r.membership.addresses); err != nil {
+		result <- err
+		return
+	}
+	if err := r.node.ProposeConfChange(change.confChange()); err != nil {
+		result <- err
+		return
+	}
+	r.membership.pending = result
+}
+
+// applyMembershipChange applies an entry of the log that changes the voters.
+func (r *Replica) applyMembershipChange(entry *raftpb.Entry) error {
+	confChange := &raftpb.ConfChangeV2{}
+	if err := proto.Unmarshal(entry.GetData(), confChange); err != nil {
+		return fmt.Errorf("entry %d of the log cannot be read: %w", entry.GetIndex(), err)
+	}
+	r.membership.configuration = r.node.ApplyConfChange(confChange)
+	// A replica that joins must not take a snapshot whose voters are without it.
+	if err := r.compact(); err != nil {
+		return err
+	}
+	if len(confChange.GetContext()) > 0 {
+		change := &MembershipChange{}
+		if err := json.Unmarshal(confChange.GetContext(), change); err != nil {
+			return fmt.Errorf("entry %d of the log cannot be read: %w", entry.GetIndex(), err)
+		}
+		if err := r.connectAdded(change); err != nil {
+			return err
+		}
+	}
+	if r.membership.pending != nil && len(r.membership.configuration.GetVotersOutgoing()) == 0 {
+		r.membership.pending <- nil
+		r.membership.pending = nil
+	}
+	return nil
+}
+
+// connectAdded records the addresses of added replicas and connects to them.
+func (r *Replica) connectAdded(change *MembershipChange) error {
+	maps.Copy(r.membership.addresses, change.Add)
+	if err := r.store.saveAddresses(r.membership.addresses); err != nil {
+		return err
+	}
+	r.connectPeers()
+	r.logger.Info("membership changed", "added", len(change.Add), "removed", change.Remove,
+		"voters", r.membership.configuration.GetVoters())
+	return nil
+}
+
+// connectPeers starts a connection to each other replica whose address is known and that has none yet.
+func (r *Replica) connectPeers() {
+	for id, address := range r.membership.addresses {
+		if id == r.options.ID || r.membership.peers[id] != nil {
+			continue
+		}
+		p := newPeer(r, id, address)
+		r.membership.peers[id] = p
+		r.goroutines.Add(1)
+		go func() {
+			defer r.goroutines.Done()
+			p.run(r.ctx)
+		}()
+	}
+}
+
+// handleMembershipChange answers POST /voters: 200 once the change has taken effect.
+func (r *Replica) handleMembershipChange(w http.ResponseWriter, req *http.Request) {
+	change := &MembershipChange{}
+	if !decodeBody(w, req, change) {
+		return
+	}
+	result := make(chan error, 1)
+	r.do(req.Context(), func() { r.proposeMembershipChange(change, result) })
+	err, done := awaitProposal(w, req, result)
+	if !done {
+		return
+	}
+	if err != nil {
+		writeProposalError(w, err)
+		return
+	}
+	_, _ = w.Write([]byte("true"))
+}
--- /dev/null
+++ b/internal/fleet/replica/membership_test.go
@@ -0,0 +1,54 @@
+package replica
+
+import (
+	"errors"
+	"fmt"
+	"testing"
+)
+
+// A replica whose folder is lost is replaced by one with another ID, while versions are proposed; with one more
+// lost, the two that are left, of which one has joined, go on, also after they have all started again.
+func TestLostReplicaIsReplacedUnderNewID(t *testing.T) {
+	c := newTestCluster(t)
+	c.start(1, 2, 3)
+	client := c.client()
+	for n := uint64(1); n <= 30; n++ { // past a compaction
+		propose(t, client, n, rateLimitConfig(float64(n)))
+	}
+	c.stop(2)
+	c.peers[4] = freeAddress(t)
+	client.Replicas = append(client.Replicas, c.peers[4])
+	c.joining = 4
+	c.start(4)
+	for _, change := range []*MembershipChange{
+		{Remove: []uint64{7}},
+		{Add: map[uint64]string{2: "a:1"}},
+		{},
+		{Add: map[uint64]string{5: ""}},
+	} {
+		var rejected *RejectedError
+		if err := client.ChangeMembership(change); !errors.As(err, &rejected) {
+			t.Errorf("%+v: %v", change, err)
+		}
+	}
+	replacement := &MembershipChange{Add: map[uint64]string{4: c.peers[4]}, Remove: []uint64{2}}
+	for range 2 { // a client that misses the answer sends it again
+		if err := client.ChangeMembership(replacement); err != nil {
+			t.Fatal(err)
+		}
+	}
+	propose(t, client, 31, rateLimitConfig(31))
+	if status, err := client.Status(); err != nil || fmt.Sprint(status.Voters) != "[1 3 4]" {
+		t.Fatalf("%+v, %v", status.Voters, err)
+	}
+	c.stop(1)
+	propose(t, client, 32, rateLimitConfig(32))
+	c.stop(3, 4)
+	c.joining = 4
+	delete(c.peers, 2) // options name the replicas that there are now
+	c.start(3, 4)
+	propose(t, client, 33, rateLimitConfig(33))
+	if list, err := client.Versions(1); err != nil || len(list) != 33 {
+		t.Errorf("%d versions, %v", len(list), err)
+	}
+}
--- a/internal/fleet/replica/metrics.go
+++ b/internal/fleet/replica/metrics.go
@@ -10,67 +10,77 @@
 	"irispost/internal/fleet/lease"
 )
 
+// Metrics of a replica. Names, labels and help are what operators' dashboards rest on.
 var (
-	descLeads = prometheus.NewDesc("irispost_keeper_leads", "1 where this keeper leads, as it believes.", nil, nil)
-	descTerm  = prometheus.NewDesc("irispost_keeper_term", "Raft's term.", nil, nil)
-	descLog   = prometheus.NewDesc("irispost_keeper_version", "Numbers of versions, as this keeper's log has them.", []string{"which"}, nil)
-	descSeen  = prometheus.NewDesc("irispost_keeper_gateways", "Gateways that may hold a lease, by their state; told by the leading keeper.", []string{"state"}, nil)
-	descWaits = prometheus.NewDesc("irispost_keeper_waits", "Gateways that an announced version waits for; told by the leading keeper.", nil, nil)
+	descLeading = prometheus.NewDesc("irispost_keeper_leads",
+		"1 where this keeper leads, as it believes.", nil, nil)
+	descTerm = prometheus.NewDesc("irispost_keeper_term",
+		"Raft's term.", nil, nil)
+	descVersion = prometheus.NewDesc("irispost_keeper_version",
+		"Numbers of versions, as this keeper's log has them.", []string{"which"}, nil)
+	descGateways = prometheus.NewDesc("irispost_keeper_gateways",
+		"Gateways that may hold a lease, by their state; told by the leading keeper.", []string{"state"}, nil)
+	descWaits = prometheus.NewDesc("irispost_keeper_waits",
+		"Gateways that an announced version waits for; told by the leading keeper.", nil, nil)
 )
 
-// collector tells how a keeper stands. Nothing is confirmed: it is what this keeper believes.
-type collector struct{ keeper *Replica }
+// stateUnheard is the state of a gateway that the lease manager has not heard in its term.
+const stateUnheard = "unheard"
 
-// Describe is empty: what there is hangs on whether it leads.
+// collector reads the metrics. Nothing is confirmed: they are what this replica believes.
+type collector struct{ replica *Replica }
+
+// Describe sends nothing: which metrics there are depends on whether the replica leads.
 func (c collector) Describe(chan<- *prometheus.Desc) {}
 
-// Collect asks the keeper's goroutine once.
+// Collect reads all metrics in one call of the owner goroutine.
 func (c collector) Collect(to chan<- prometheus.Metric) {
-	k := c.keeper
-	done := make(chan []prometheus.Metric, 1)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
-	k.do(ctx, func() {
-		var list []prometheus.Metric
-		gauge := func(d *prometheus.Desc, v float64, labels ...string) {
-			list = append(list, prometheus.MustNewConstMetric(d, prometheus.GaugeValue, v, labels...))
-		}
-		gauge(descTerm, float64(k.node.BasicStatus().HardState.GetTerm()))
-		gauge(descLog, float64(k.ledger.InForce), "in_force")
-		gauge(descLog, float64(k.ledger.Announced), "announced")
-		if k.warden == nil {
-			gauge(descLeads, 0)
-			done <- list
-			return
-		}
-		gauge(descLeads, 1)
-		states := map[string]int{}
-		for _, s := range k.warden.Gateways(k.now()) {
-			states[s.State]++
-		}
-		for _, s := range append(lease.StateNames(), "unheard") {
-			gauge(descSeen, float64(states[s]), s)
-		}
-		waits := 0
-		if k.ledger.InForce != k.ledger.Announced {
-			waits = len(k.warden.WaitingFor(k.now()))
-		}
-		gauge(descWaits, float64(waits))
-		done <- list
-	})
+	collected := make(chan []prometheus.Metric, 1)
+	c.replica.do(ctx, func() { collected <- c.replica.collectMetrics() })
 	select {
-	case list := <-done:
-		for _, m := range list {
-			to <- m
+	case metrics := <-collected:
+		for _, metric := range metrics {
+			to <- metric
 		}
 	case <-ctx.Done():
-	case <-k.ended:
+	case <-c.replica.stopped:
+	}
+}
+
+func (r *Replica) collectMetrics() []prometheus.Metric {
+	var metrics []prometheus.Metric
+	gauge := func(desc *prometheus.Desc, value float64, labels ...string) {
+		metrics = append(metrics, prometheus.MustNewConstMetric(desc, prometheus.GaugeValue, value, labels...))
+	}
+	gauge(descTerm, float64(r.currentTerm()))
+	gauge(descVersion, float64(r.machine.InForce), "in_force")
+	gauge(descVersion, float64(r.machine.Announced), "announced")
+	manager := r.leadership.manager
+	if manager == nil {
+		gauge(descLeading, 0)
+		return metrics
+	}
+	gauge(descLeading, 1)
+	gatewaysByState := map[string]int{}
+	for _, gateway := range manager.Gateways(r.now()) {
+		gatewaysByState[gateway.State]++
+	}
+	for _, state := range append(lease.StateNames(), stateUnheard) {
+		gauge(descGateways, float64(gatewaysByState[state]), state)
+	}
+	waiting := 0
+	if r.machine.InForce != r.machine.Announced {
+		waiting = len(manager.WaitingFor(r.now()))
 	}
+	gauge(descWaits, float64(waiting))
+	return metrics
 }
 
-// metrics serves them.
-func (k *Replica) metrics() http.Handler {
-	r := prometheus.NewRegistry()
-	r.MustRegister(collector{k})
-	return promhttp.HandlerFor(r, promhttp.HandlerOpts{})
+// metricsHandler serves the metrics.
+func (r *Replica) metricsHandler() http.Handler {
+	registry := prometheus.NewRegistry()
+	registry.MustRegister(collector{r})
+	return promhttp.HandlerFor(registry, promhttp.HandlerOpts{})
 }
--- a/internal/fleet/replica/peer.go
+++ b/internal/fleet/replica/peer.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"context"
+	"encoding/binary"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -10,120 +11,170 @@
 	"net"
 	"net/http"
 	"sync/atomic"
-	"time"
 
 	"go.etcd.io/raft/v3"
 	"go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
 )
 
-// peer is the way to another keeper. What cannot be sent is dropped: Raft says it again.
+const (
+	peerQueueLength     = 256
+	peerIdleConnections = 2
+	peerTimeoutTicks    = 6 // less than electionTicks, so that one lost connection does not cost the leader
+)
+
+// peer is the connection to another replica. Messages that cannot be sent are dropped: Raft repeats them.
 type peer struct {
-	keeper *Replica
-	id     uint64
-	url    string
-	queue  chan *raftpb.Message
-	client *http.Client
-	form   atomic.Int64 // that it said last
+	replica     *Replica
+	id          uint64
+	url         string
+	queue       chan *raftpb.Message
+	client      *http.Client
+	entryFormat atomic.Int64 // that its last answer stated
 }
 
-func newPeer(k *Replica, id uint64, addr string) *peer {
-	within := 6 * k.opt.TickInterval // under an election's time, so that one lost connection costs no leader
-	return &peer{keeper: k, id: id, url: "http://" + addr, queue: make(chan *raftpb.Message, 256), client: &http.Client{Timeout: within,
-		Transport: &http.Transport{DialContext: (&net.Dialer{Timeout: within}).DialContext, MaxIdleConnsPerHost: 2}}}
+func newPeer(r *Replica, id uint64, address string) *peer {
+	timeout := peerTimeoutTicks * r.options.TickInterval
+	return &peer{
+		replica: r,
+		id:      id,
+		url:     "http://" + address,
+		queue:   make(chan *raftpb.Message, peerQueueLength),
+		client: &http.Client{
+			Timeout: timeout,
+			Transport: &http.Transport{
+				DialContext:         (&net.Dialer{Timeout: timeout}).DialContext,
+				MaxIdleConnsPerHost: peerIdleConnections,
+			},
+		},
+	}
 }
 
-func (p *peer) send(m *raftpb.Message) {
+// send queues a message, or drops it where the queue is full.
+func (p *peer) send(message *raftpb.Message) {
 	select {
-	case p.queue <- m:
+	case p.queue <- message:
 	default:
 	}
 }
 
-// run sends what is queued, all at a time.
+// run sends what is queued, as one request each time, until the context ends.
 func (p *peer) run(ctx context.Context) {
 	for {
-		var list []*raftpb.Message
+		var messages []*raftpb.Message
 		select {
 		case <-ctx.Done():
 			return
-		case m := <-p.queue:
-			list = append(list, m)
-		}
-		for n := len(p.queue); n > 0; n-- {
-			list = append(list, <-p.queue)
+		case message := <-p.queue:
+			messages = append(messages, message)
 		}
-		err := p.post(ctx, "/raft", list)
-		for _, m := range list {
-			if m.GetType() == raftpb.MsgSnap {
-				status := raft.SnapshotFinish
-				if err != nil {
-					status = raft.SnapshotFailure
-				}
-				p.keeper.do(ctx, func() { p.keeper.node.ReportSnapshot(p.id, status) })
-			}
+		for range len(p.queue) {
+			messages = append(messages, <-p.queue)
 		}
+		err := p.sendMessages(ctx, messages)
+		p.reportSnapshots(ctx, messages, err)
 		if err != nil {
-			p.keeper.do(ctx, func() { p.keeper.node.ReportUnreachable(p.id) })
+			p.replica.do(ctx, func() { p.replica.node.ReportUnreachable(p.id) })
 			p.client.CloseIdleConnections() // a connection that hangs is not used again
 		}
 	}
 }
 
-func (p *peer) post(ctx context.Context, path string, list []*raftpb.Message) error {
-	b, err := frames(list)
+// reportSnapshots tells Raft what became of the snapshots among messages that were sent.
+func (p *peer) reportSnapshots(ctx context.Context, messages []*raftpb.Message, err error) {
+	status := raft.SnapshotFinish
 	if err != nil {
-		return err
+		status = raft.SnapshotFailure
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, p.url+path, bytes.NewReader(b))
-	if err != nil {
-		return err
+	for _, message := range messages {
+		if message.GetType() == raftpb.MsgSnap {
+			p.replica.do(ctx, func() { p.replica.node.ReportSnapshot(p.id, status) })
+		}
 	}
-	r, err := p.client.Do(req)
+}
+
+// sendMessages sends Raft messages to POST /raft.
+func (p *peer) sendMessages(ctx context.Context, messages []*raftpb.Message) error {
+	body, err := encodeMessages(messages)
 	if err != nil {
 		return err
 	}
-	defer r.Body.Close()
-	io.Copy(io.Discard, r.Body)
-	p.heard(ctx, r)
-	if r.StatusCode != http.StatusNoContent {
-		return errors.New(r.Status)
-	}
-	return nil
+	return p.post(ctx, "/raft", body)
 }
 
-// greeting is a start of a keeper, as it tells the others.
-type greeting struct {
-	From        uint64 `json:"from"`
-	Starts      uint64 `json:"starts"`
-	Incarnation uint64 `json:"incarnation,omitempty"` // this start's mark
-	Form        int    `json:"form,omitempty"`        // of entries that it reads; 0: the first
-}
-
-// hello tells the other keeper of this start. ErrOlder: it knows a later one.
-func (p *peer) hello(ctx context.Context, g greeting) error {
-	b, err := json.Marshal(g)
+// announce sends this replica's start to POST /hello.
+func (p *peer) announce(ctx context.Context, message announcement) error {
+	body, err := json.Marshal(message)
 	if err != nil {
 		return err
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, p.url+"/hello", bytes.NewReader(b))
+	return p.post(ctx, "/hello", body)
+}
+
+// post sends a request whose answer has no body. A 409 is ErrStaleIncarnation.
+func (p *peer) post(ctx context.Context, path string, body []byte) error {
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, p.url+path, bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
-	r, err := p.client.Do(req)
+	response, err := p.client.Do(req)
 	if err != nil {
 		return err
 	}
-	defer r.Body.Close()
-	io.Copy(io.Discard, r.Body)
-	p.heard(ctx, r)
-	switch r.StatusCode {
+	defer closeBody(response)
+	_, _ = io.Copy(io.Discard, response.Body) // so that the connection is used again
+	p.takeEntryFormat(ctx, response)
+	switch response.StatusCode {
 	case http.StatusNoContent:
 		return nil
 	case http.StatusConflict:
-		return fmt.Errorf("keeper %d: %w", p.id, ErrStaleIncarnation)
+		return fmt.Errorf("replica %d: %w", p.id, ErrStaleIncarnation)
+	default:
+		return fmt.Errorf("replica %d answered %s", p.id, response.Status)
+	}
+}
+
+// closeBody closes the body of an answer that was read: an error loses nothing.
+func closeBody(response *http.Response) { _ = response.Body.Close() }
+
+// messageLengthBytes is the size of the length before each message, big endian.
+const messageLengthBytes = 4
+
+// errTruncatedMessages reports a body that ends within a message.
+var errTruncatedMessages = errors.New("messages are cut off")
+
+// encodeMessages joins messages, each after its length.
+func encodeMessages(messages []*raftpb.Message) ([]byte, error) {
+	var body []byte
+	for _, message := range messages {
+		encoded, err := proto.Marshal(message)
+		if err != nil {
+			return nil, err
+		}
+		body = binary.BigEndian.AppendUint32(body, uint32(len(encoded)))
+		body = append(body, encoded...)
 	}
-	return errors.New(r.Status)
+	return body, nil
 }
 
-// patience is how long an operator's or a gateway's request may wait in a keeper.
-const patience = 5 * time.Second
+// decodeMessages reads what encodeMessages wrote.
+func decodeMessages(body []byte) ([]*raftpb.Message, error) {
+	var messages []*raftpb.Message
+	for len(body) > 0 {
+		if len(body) < messageLengthBytes {
+			return nil, errTruncatedMessages
+		}
+		length := binary.BigEndian.Uint32(body)
+		body = body[messageLengthBytes:]
+		if uint64(len(body)) < uint64(length) {
+			return nil, errTruncatedMessages
+		}
+		message := &raftpb.Message{}
+		if err := proto.Unmarshal(body[:length], message); err != nil {
+			return nil, err
+		}
+		messages = append(messages, message)
+		body = body[length:]
+	}
+	return messages, nil
+}
--- a/internal/fleet/replica/server.go
+++ b/internal/fleet/replica/server.go
@@ -7,224 +7,219 @@
 	"fmt"
 	"io"
 	"net/http"
-	"strconv"
 	"time"
 
 	"irispost/internal/fleet/configversion"
 	"irispost/internal/fleet/lease"
 )
 
-// Status is how a fleet stands, as the leading keeper knows it.
+const (
+	requestTimeout      = 5 * time.Second // of a gateway's or an operator's request that waits in a replica
+	maxRaftBodyBytes    = 256 << 20       // of POST /raft, which may have a snapshot
+	maxRequestBodyBytes = 64 << 20        // of other requests
+)
+
+// Status is the state of the group as its leader knows it: the answer to GET /status.
 type Status struct {
 	Replica                uint64                 `json:"keeper"`
 	Leader                 uint64                 `json:"leader"`
 	Term                   uint64                 `json:"term"`
-	InForce                uint64                 `json:"in_force"`
-	Announced              uint64                 `json:"announced"`
+	InForce                uint64                 `json:"in_force"`  // number of the version; 0: none
+	Announced              uint64                 `json:"announced"` // number of the version; 0: none
 	LeaseMillis            int64                  `json:"lease_ms"`
-	ConvergenceBoundMillis int64                  `json:"stated_ms"` // T of docs/fleet.md
+	ConvergenceBoundMillis int64                  `json:"stated_ms"` // see ConvergenceBound
 	Voters                 []uint64               `json:"voters"`
-	WaitingFor             []string               `json:"waits,omitempty"` // what an announced version waits for
+	WaitingFor             []string               `json:"waits,omitempty"` // gateways, and why a version waits for them
 	Gateways               []lease.GatewayStatus  `json:"gateways"`
-	Latest                 *configversion.Version `json:"newest,omitempty"`
+	Latest                 *configversion.Version `json:"newest,omitempty"` // the announced one
 }
 
-// ConvergenceBound is the longest time from a version's announcement until no gateway acts on the one before alone, in
-// nanoseconds; docs/fleet.md has the reasons.
-func ConvergenceBound(t lease.Settings) int64 {
-	span := float64(t.LeaseDuration) * (1 + t.MaxClockDrift) / (1 - t.MaxClockDrift)
-	return int64(span)
+// ConvergenceBound is the longest time, in nanoseconds, from a version's announcement until no gateway acts on the
+// version before it alone: a lease as the replicas count it, whose clocks may drift from the gateways'. It is T of
+// docs/fleet.md.
+func ConvergenceBound(settings lease.Settings) int64 {
+	return int64(float64(settings.LeaseDuration) * (1 + settings.MaxClockDrift) / (1 - settings.MaxClockDrift))
 }
 
-func (k *Replica) handler() http.Handler {
+// routes are the requests of peers, gateways and operators.
+func (r *Replica) routes() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /raft", func(w http.ResponseWriter, r *http.Request) {
-		b, err := io.ReadAll(io.LimitReader(r.Body, 256<<20))
-		if err != nil {
-			return
-		}
-		list, err := parts(b)
-		if err != nil {
-			http.Error(w, err.Error(), http.StatusBadRequest)
-			return
-		}
-		k.do(r.Context(), func() { k.step(list) })
-		w.WriteHeader(http.StatusNoContent)
-	})
-	mux.HandleFunc("POST /hello", func(w http.ResponseWriter, r *http.Request) {
-		var g greeting
-		if !read(w, r, &g) {
-			return
-		}
-		answer := make(chan int, 1)
-		if !k.do(r.Context(), func() {
-			switch ok, err := k.store.hello(g.From, g.Starts, g.Incarnation); {
-			case err != nil:
-				k.err = err
-				answer <- http.StatusInternalServerError
-			case !ok:
-				k.log.Warn("a keeper is refused: a later start of it is known", "from", g.From, "start", g.Starts, "known", k.store.known[g.From])
-				answer <- http.StatusConflict
-			default:
-				k.reads(g.From, g.Form)
-				answer <- http.StatusNoContent
-			}
-		}) {
-			return
-		}
-		select {
-		case code := <-answer:
-			w.WriteHeader(code)
-		case <-k.ended:
-		}
-	})
-	mux.HandleFunc("POST /renew", func(w http.ResponseWriter, r *http.Request) {
-		a := &lease.RenewRequest{}
-		if read(w, r, a) {
-			terse(w)
-			k.answer(w, r, func(warden *lease.Manager) any { return warden.Renew(k.now(), a) })
-		}
-	})
-	mux.HandleFunc("GET /news", k.news)
-	mux.Handle("GET /content/{digest}", newContents(k))
-	mux.Handle("GET /metrics", k.metrics())
-	mux.HandleFunc("POST /voters", k.votersHandler)
-	mux.HandleFunc("GET /status", func(w http.ResponseWriter, r *http.Request) {
-		k.answer(w, r, func(warden *lease.Manager) any {
-			l := k.ledger
-			s := Status{Replica: k.opt.ID, Leader: k.leader, Term: k.term, InForce: l.InForce, Announced: l.Announced, Voters: k.conf.GetVoters(), LeaseMillis: l.Settings.LeaseDuration / 1e6, ConvergenceBoundMillis: ConvergenceBound(l.Settings) / 1e6,
-				Gateways: warden.Gateways(k.now()), Latest: l.Version(l.Announced)}
-			if l.InForce != l.Announced {
-				s.WaitingFor = warden.WaitingFor(k.now())
-			}
-			return s
-		})
-	})
-	mux.HandleFunc("GET /versions", k.versions)
-	mux.HandleFunc("POST /propose", func(w http.ResponseWriter, r *http.Request) {
-		p := &lease.Proposal{}
-		if !read(w, r, p) {
-			return
-		}
-		if size := proposedSize(p.Content); size > configversion.MaxContentBytes {
-			http.Error(w, fmt.Sprintf("the rules are %d bytes, and a version has %d at most", size, configversion.MaxContentBytes), http.StatusBadRequest)
-			return
-		}
-		to := make(chan result, 1)
-		k.do(r.Context(), func() { k.propose(p, to) })
-		ctx, cancel := context.WithTimeout(r.Context(), patience)
-		defer cancel()
-		select {
-		case got := <-to:
-			switch {
-			case errors.Is(got.err, ErrNotLeader):
-				k.elsewhere(w)
-			case got.err != nil:
-				http.Error(w, got.err.Error(), http.StatusConflict)
-			default:
-				json.NewEncoder(w).Encode(got.version)
-			}
-		case <-ctx.Done(): // whether it is in the log is not known; asked for again under its ID, it is told
-			http.Error(w, "not in the log yet", http.StatusGatewayTimeout)
-		}
-	})
+	mux.HandleFunc("POST /raft", r.handleRaftMessages)
+	mux.HandleFunc("POST /hello", r.handleAnnouncement)
+
+	mux.HandleFunc("POST /renew", r.handleRenew)
+	mux.HandleFunc("GET /news", r.handleWatch)
+	mux.Handle("GET /content/{digest}", newContentServer(r))
+
+	mux.HandleFunc("GET /status", r.handleStatus)
+	mux.HandleFunc("GET /versions", r.handleVersions)
+	mux.HandleFunc("POST /propose", r.handlePropose)
+	mux.HandleFunc("POST /voters", r.handleMembershipChange)
+	mux.Handle("GET /metrics", r.metricsHandler())
 	return mux
 }
 
-// longestHold is for how long a keeper has somebody wait for news: what a way between may let a connection stand idle.
-const longestHold = 20 * time.Second
+// handleRaftMessages takes Raft messages of a peer. It answers before they are processed.
+func (r *Replica) handleRaftMessages(w http.ResponseWriter, req *http.Request) {
+	body, err := io.ReadAll(io.LimitReader(req.Body, maxRaftBodyBytes))
+	if err != nil {
+		return
+	}
+	messages, err := decodeMessages(body)
+	if err != nil {
+		http.Error(w, err.Error(), http.StatusBadRequest)
+		return
+	}
+	r.do(req.Context(), func() { r.step(messages) })
+	w.WriteHeader(http.StatusNoContent)
+}
+
+// handleRenew renews a gateway's lease.
+func (r *Replica) handleRenew(w http.ResponseWriter, req *http.Request) {
+	request := &lease.RenewRequest{}
+	if !decodeBody(w, req, request) {
+		return
+	}
+	omitDefaultHeaders(w)
+	r.answerAsLeader(w, req, func(manager *lease.Manager) any { return manager.Renew(r.now(), request) })
+}
+
+// handleStatus answers with the Status.
+func (r *Replica) handleStatus(w http.ResponseWriter, req *http.Request) {
+	r.answerAsLeader(w, req, func(manager *lease.Manager) any { return r.status(manager) })
+}
 
-// news answers once the log's state is another than who asks knows, or after a while. It gives no lease and confirms nothing: who
-// hears of news asks for it. What it says may be wrong where this keeper wrongly believes that it leads.
-func (k *Replica) news(w http.ResponseWriter, r *http.Request) {
-	number := func(name string) uint64 {
-		n, _ := strconv.ParseUint(r.URL.Query().Get(name), 10, 64)
-		return n
+func (r *Replica) status(manager *lease.Manager) Status {
+	machine := r.machine
+	status := Status{
+		Replica:                r.options.ID,
+		Leader:                 r.leadership.leader,
+		Term:                   r.leadership.term,
+		InForce:                machine.InForce,
+		Announced:              machine.Announced,
+		LeaseMillis:            time.Duration(machine.Settings.LeaseDuration).Milliseconds(),
+		ConvergenceBoundMillis: time.Duration(ConvergenceBound(machine.Settings)).Milliseconds(),
+		Voters:                 r.membership.configuration.GetVoters(),
+		Gateways:               manager.Gateways(r.now()),
+		Latest:                 machine.Version(machine.Announced),
 	}
-	terse(w)
-	known := standing{term: number("term"), inForce: number("in_force"), announced: number("announced"), leads: true}
-	hold := time.NewTimer(min(time.Duration(number("hold_ms"))*time.Millisecond, longestHold))
-	defer hold.Stop()
-	for {
-		s := k.stand.Load()
-		known.changed = s.changed
-		switch {
-		case !s.leads:
-			k.elsewhere(w)
-			return
-		case *s != known:
-			w.Write([]byte("true"))
-			return
-		}
-		select {
-		case <-s.changed:
-		case <-hold.C:
-			w.Write([]byte("false"))
-			return
-		case <-r.Context().Done():
-			return
-		case <-k.ended:
-			return
-		}
+	if machine.InForce != machine.Announced {
+		status.WaitingFor = manager.WaitingFor(r.now())
 	}
+	return status
 }
 
-// proposedSize is the size of rules as they came, or if that is not too much as a version would have them. Those that cannot be read are
-// refused, or kept as they are, in the log.
-func proposedSize(b []byte) int {
-	if len(b) > configversion.MaxContentBytes {
-		return len(b)
+// handlePropose puts a proposal into the log and answers with its version once that is announced.
+func (r *Replica) handlePropose(w http.ResponseWriter, req *http.Request) {
+	proposal := &lease.Proposal{}
+	if !decodeBody(w, req, proposal) {
+		return
 	}
-	if r, err := configversion.Parse(b); err == nil {
-		return len(r.Canonical())
+	if size := canonicalSize(proposal.Content); size > configversion.MaxContentBytes {
+		text := fmt.Sprintf("the rules are %d bytes, and a version has %d at most", size, configversion.MaxContentBytes)
+		http.Error(w, text, http.StatusBadRequest)
+		return
 	}
-	return len(b)
+	result := make(chan proposalResult, 1)
+	r.do(req.Context(), func() { r.propose(proposal, result) })
+	outcome, done := awaitProposal(w, req, result)
+	if !done {
+		return
+	}
+	if outcome.err != nil {
+		writeProposalError(w, outcome.err)
+		return
+	}
+	_ = json.NewEncoder(w).Encode(outcome.version) // a client that is gone proposes again, under the same ID
 }
 
-// read reads a request's JSON.
-func read(w http.ResponseWriter, r *http.Request, into any) bool {
-	if err := json.NewDecoder(io.LimitReader(r.Body, 64<<20)).Decode(into); err != nil {
+// canonicalSize is the size of a configuration as a version would hold it. One that cannot be read, and is rejected
+// later, or that is too large already, counts as it is.
+func canonicalSize(content []byte) int {
+	if len(content) > configversion.MaxContentBytes {
+		return len(content)
+	}
+	configuration, err := configversion.Parse(content)
+	if err != nil {
+		return len(content)
+	}
+	return len(configuration.Canonical())
+}
+
+// awaitProposal waits for what becomes of a proposal. Where it takes too long it answers 504 and returns false: whether
+// the proposal gets into the log is unknown then, and a client that repeats it learns the outcome.
+func awaitProposal[T any](w http.ResponseWriter, req *http.Request, result <-chan T) (outcome T, done bool) {
+	ctx, cancel := context.WithTimeout(req.Context(), requestTimeout)
+	defer cancel()
+	select {
+	case outcome = <-result:
+		return outcome, true
+	case <-ctx.Done():
+		http.Error(w, "not in the log yet", http.StatusGatewayTimeout)
+		return outcome, false
+	}
+}
+
+// writeProposalError answers why a proposal is rejected.
+func writeProposalError(w http.ResponseWriter, err error) {
+	if errors.Is(err, ErrNotLeader) {
+		writeNotLeader(w)
+		return
+	}
+	http.Error(w, err.Error(), http.StatusConflict)
+}
+
+// writeNotLeader answers that this replica does not lead.
+func writeNotLeader(w http.ResponseWriter) {
+	http.Error(w, ErrNotLeader.Error(), http.StatusMisdirectedRequest)
+}
+
+// decodeBody reads a request's JSON; where it cannot, it answers 400 and returns false.
+func decodeBody(w http.ResponseWriter, req *http.Request, into any) bool {
+	if err := json.NewDecoder(io.LimitReader(req.Body, maxRequestBodyBytes)).Decode(into); err != nil {
 		http.Error(w, "bad request: "+err.Error(), http.StatusBadRequest)
 		return false
 	}
 	return true
 }
 
-// elsewhere tells that this keeper does not lead.
-func (k *Replica) elsewhere(w http.ResponseWriter) {
-	http.Error(w, ErrNotLeader.Error(), http.StatusMisdirectedRequest)
+// omitDefaultHeaders leaves out of an answer what neither side needs: each gateway gets one a second.
+func omitDefaultHeaders(w http.ResponseWriter) {
+	w.Header()["Date"] = nil
+	w.Header()["Content-Type"] = nil
 }
 
-// answer answers once it is sure that this keeper leads.
-func (k *Replica) answer(w http.ResponseWriter, r *http.Request, content func(*lease.Manager) any) {
-	to := make(chan []byte, 1)
-	k.do(r.Context(), func() {
-		k.whenSure(func(warden *lease.Manager) {
-			if warden == nil {
-				to <- nil
+// answerAsLeader answers with the JSON of content once it is confirmed that this replica leads. Content is called
+// by the owner goroutine.
+func (r *Replica) answerAsLeader(w http.ResponseWriter, req *http.Request, content func(*lease.Manager) any) {
+	answer := make(chan []byte, 1) // nil: this replica does not lead
+	r.do(req.Context(), func() {
+		r.whenLeading(func(manager *lease.Manager) {
+			if manager == nil {
+				answer <- nil
 				return
 			}
-			b, err := json.Marshal(content(warden))
+			encoded, err := json.Marshal(content(manager))
 			if err != nil {
-				k.log.Error("an answer cannot be written", "why", err)
+				r.logger.Error("encoding an answer failed", "err", err)
 			}
-			to <- b
+			answer <- encoded
 		})
 	})
-	ctx, cancel := context.WithTimeout(r.Context(), patience)
+	ctx, cancel := context.WithTimeout(req.Context(), requestTimeout)
 	defer cancel()
 	select {
-	case b := <-to:
-		if b == nil {
-			k.elsewhere(w)
+	case encoded := <-answer:
+		if encoded == nil {
+			writeNotLeader(w)
 			return
 		}
 		if _, decided := w.Header()["Content-Type"]; !decided {
 			w.Header().Set("Content-Type", "application/json")
 		}
-		w.Write(b)
+		_, _ = w.Write(encoded) // a client that is gone asks again
 	case <-ctx.Done():
 		http.Error(w, "no majority of the keepers answers", http.StatusServiceUnavailable)
-	case <-k.ended:
+	case <-r.stopped:
 	}
 }
--- a/internal/fleet/replica/store.go
+++ b/internal/fleet/replica/store.go
@@ -1,5 +1,3 @@
-// Package replica runs a keeper: a process that holds the log of versions together with others, by Raft, and has the pure package
-// accord decide what follows from it. It decides nothing itself: it brings the clock, the disk and the network.
 package replica
 
 import (
@@ -11,174 +9,133 @@
 	"os"
 	"path/filepath"
 	"runtime/debug"
-	"slices"
 	"time"
 
 	"go.etcd.io/bbolt"
+	bbolterrors "go.etcd.io/bbolt/errors"
 	"go.etcd.io/raft/v3"
-	"go.etcd.io/raft/v3/raftpb"
-	"google.golang.org/protobuf/proto"
+)
+
+// databaseName is the file in a replica's folder.
+const databaseName = "keeper.db"
+
+// openTimeout is how long a start waits for another process that has the file open.
+const openTimeout = time.Second
+
+// Buckets of the file. The names are the format on disk.
+var (
+	bucketSelf     = []byte("self")     // identity and addresses, JSON
+	bucketRaft     = []byte("raft")     // hard state and snapshot, protobuf
+	bucketLog      = []byte("log")      // entries by index, protobuf
+	bucketStarts   = []byte("known")    // starts of peers by ID
+	bucketMetadata = []byte("trail")    // see history
+	bucketContents = []byte("contents") // see history
+)
 
-	"irispost/internal/fleet/lease"
+// Keys of bucketSelf and bucketRaft.
+var (
+	keyIdentity  = []byte("identity")
+	keyAddresses = []byte("addresses")
+	keyHardState = []byte("hard")
+	keySnapshot  = []byte("snapshot")
 )
 
-// store is what lasts of a keeper: its number, how often it has started, Raft's state, log and snapshot, and how often it
-// knows each other keeper to have started. Each change is synced before anything is said that builds on it.
+// encodeKey is a number as a key: big endian, so that keys are in the order of the numbers.
+func encodeKey(number uint64) []byte { return binary.BigEndian.AppendUint64(nil, number) }
+
+// decodeKey reads what encodeKey wrote.
+func decodeKey(key []byte) uint64 { return binary.BigEndian.Uint64(key) }
+
+// store is what lasts of a replica: its identity and starts, Raft's state, log and snapshot, the starts of its
+// peers, and the history of versions. Each change is synced before anything is sent that builds on it. It belongs
+// to the goroutine of Replica.run.
 type store struct {
-	db           *bbolt.DB
-	memory       *raft.MemoryStorage // the log as Raft reads it; it follows the disk
-	bytes        int                 // of the entries in it
-	starts       uint64
-	known        map[uint64]uint64 // starts of others
-	incarnations map[uint64]uint64 // the mark of each of them; 0: of the form before
-	incarnation  uint64            // this start's own: an older copy that has come to the same count has another
-	addrs        map[uint64]string // of keepers, as changes of voters told
-	history      history
+	db          *bbolt.DB
+	memory      *raft.MemoryStorage // the log as Raft reads it; it follows the disk
+	logBytes    int                 // of the entries in memory; see save
+	starts      uint64              // of this replica, with this one
+	incarnation uint64              // this start's mark: an older copy that has come to the same count has another
+	peerStarts  map[uint64]peerStart
+	addresses   map[uint64]string // of replicas by ID, as membership changes stated them
+	history     history
 }
 
-var (
-	bucketSelf  = []byte("self")
-	bucketRaft  = []byte("raft")
-	bucketLog   = []byte("log")
-	bucketKnown = []byte("known")
-)
+// peerStart is the latest start of a peer that is known.
+type peerStart struct {
+	count uint64
+	mark  uint64 // 0: stated by a replica that has none
+}
 
-// identity is what a folder belongs to.
+// identity is whose folder it is.
 type identity struct {
-	Number uint64   `json:"number"`
-	Voters []uint64 `json:"voters"` // that founded the fleet; null: it joined later
+	ID     uint64   `json:"number"`
+	Voters []uint64 `json:"voters"` // that founded the group; null: it joined later
 	Starts uint64   `json:"starts"`
 }
 
-func number(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
+// errUnreadable wraps what makes a folder unreadable, with what to do.
+func errUnreadable(path string, cause any) error {
+	const advice = "a replica whose folder is lost is replaced under another ID, not started anew"
+	if err, ok := cause.(error); ok {
+		return fmt.Errorf("%s cannot be read: %w; %s", path, err, advice)
+	}
+	return fmt.Errorf("%s cannot be read: %v; %s", path, cause, advice)
+}
 
-// openStore opens a keeper's folder, or makes it. A folder of another keeper is refused.
-func openStore(dir string, self uint64, voters []uint64) (out *store, err error) {
-	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true)) // a file that was cut off is mapped past its end
+// openStore opens a replica's folder, or makes it. The folder of another replica is rejected. Voters are those of a new
+// group, or nil.
+func openStore(dir string, id uint64, voters []uint64) (opened *store, err error) {
+	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true)) // a truncated file is mapped past its end
 	defer func() {
-		if why := recover(); why != nil {
-			out, err = nil, fmt.Errorf("%s cannot be read: %v; a keeper whose folder is lost is replaced, not started anew", dir, why)
+		if cause := recover(); cause != nil {
+			opened, err = nil, errUnreadable(dir, cause)
 		}
 	}()
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
 	}
-	file := filepath.Join(dir, "keeper.db")
-	db, err := bbolt.Open(file, 0o600, &bbolt.Options{Timeout: time.Second})
-	if errors.Is(err, bbolt.ErrTimeout) {
-		return nil, fmt.Errorf("%s: another process has it open", file)
+	path := filepath.Join(dir, databaseName)
+	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: openTimeout})
+	if errors.Is(err, bbolterrors.ErrTimeout) {
+		return nil, fmt.Errorf("%s: another process has it open", path)
 	}
 	if err != nil {
-		return nil, fmt.Errorf("%s cannot be read: %w; a keeper whose folder is lost is replaced, not started anew", file, err)
-	}
-	if err := whole(db, file); err != nil {
-		db.Close()
-		return nil, err
-	}
-	s := &store{db: db, memory: raft.NewMemoryStorage(), known: map[uint64]uint64{}, incarnations: map[uint64]uint64{}, incarnation: rand.Uint64(), addrs: map[uint64]string{},
-		history: history{told: map[string]bool{}}}
-	if err := s.load(file, self, voters); err != nil {
-		db.Close()
+		return nil, errUnreadable(path, err)
+	}
+	s := &store{
+		db:          db,
+		memory:      raft.NewMemoryStorage(),
+		incarnation: rand.Uint64(),
+		peerStarts:  map[uint64]peerStart{},
+		addresses:   map[uint64]string{},
+		history:     history{reported: map[string]bool{}},
+	}
+	if err := s.load(path, id, voters); err != nil {
+		_ = db.Close() // the error that matters is why it is not opened
 		return nil, err
 	}
 	return s, nil
 }
 
-// whole refuses a file that is shorter than what was written to it.
-func whole(db *bbolt.DB, file string) error {
-	return db.View(func(tx *bbolt.Tx) error {
-		info, err := os.Stat(file)
-		if err == nil && info.Size() < tx.Size() {
-			err = fmt.Errorf("%s cannot be read: it has %d bytes of %d; a keeper whose folder is lost is replaced, not started anew", file, info.Size(), tx.Size())
-		}
+// checkLength rejects a file that is shorter than what was written to it.
+func checkLength(tx *bbolt.Tx, path string) error {
+	info, err := os.Stat(path)
+	if err != nil {
 		return err
-	})
-}
-
-func (s *store) load(file string, self uint64, voters []uint64) error {
-	return s.db.Update(func(tx *bbolt.Tx) error {
-		for _, name := range [][]byte{bucketSelf, bucketRaft, bucketLog, bucketKnown, bucketTrail, bucketContents} {
-			if _, err := tx.CreateBucketIfNotExists(name); err != nil {
-				return err
-			}
-		}
-		if b := tx.Bucket(bucketSelf).Get([]byte("addresses")); b != nil {
-			if err := json.Unmarshal(b, &s.addrs); err != nil {
-				return fmt.Errorf("%s: %w", file, err)
-			}
-		}
-		id := identity{Number: self, Voters: voters}
-		if b := tx.Bucket(bucketSelf).Get([]byte("identity")); b != nil {
-			if err := json.Unmarshal(b, &id); err != nil {
-				return fmt.Errorf("%s: %w", file, err)
-			}
-			if id.Number != self || voters != nil && id.Voters != nil && len(s.addrs) == 0 && !slices.Equal(id.Voters, voters) {
-				return fmt.Errorf("%s belongs to keeper %d of %v, and this is keeper %d of %v", file, id.Number, id.Voters, self, voters)
-			}
-			voters = id.Voters // that it was founded with; who votes now is in the log
-		}
-		id.Starts++
-		s.starts = id.Starts
-		b, err := json.Marshal(id)
-		if err != nil {
-			return err
-		}
-		if err := tx.Bucket(bucketSelf).Put([]byte("identity"), b); err != nil {
-			return err
-		}
-		snap := &raftpb.Snapshot{Data: lease.NewStateMachine().Snapshot(), Metadata: &raftpb.SnapshotMetadata{Index: proto.Uint64(1), Term: proto.Uint64(1),
-			ConfState: &raftpb.ConfState{Voters: voters}}}
-		if b := tx.Bucket(bucketRaft).Get([]byte("snapshot")); b != nil {
-			snap = &raftpb.Snapshot{}
-			if err := proto.Unmarshal(b, snap); err != nil {
-				return fmt.Errorf("%s: snapshot: %w", file, err)
-			}
-		}
-		hard := &raftpb.HardState{Term: proto.Uint64(1), Commit: proto.Uint64(1)}
-		if len(snap.GetMetadata().GetConfState().GetVoters()) == 0 { // it joins: all that it knows comes from those who vote
-			hard = &raftpb.HardState{}
-		} else if err := s.memory.ApplySnapshot(snap); err != nil {
-			return err
-		}
-		if b := tx.Bucket(bucketRaft).Get([]byte("hard")); b != nil {
-			hard = &raftpb.HardState{}
-			if err := proto.Unmarshal(b, hard); err != nil {
-				return fmt.Errorf("%s: state: %w", file, err)
-			}
-		}
-		if err := s.memory.SetHardState(hard); err != nil {
-			return err
-		}
-		var entries []*raftpb.Entry
-		c := tx.Bucket(bucketLog).Cursor()
-		for k, v := c.Seek(number(snap.GetMetadata().GetIndex() + 1)); k != nil; k, v = c.Next() {
-			e := &raftpb.Entry{}
-			if err := proto.Unmarshal(v, e); err != nil {
-				return fmt.Errorf("%s: entry %d: %w", file, binary.BigEndian.Uint64(k), err)
-			}
-			entries = append(entries, e)
-		}
-		if err := s.memory.Append(entries); err != nil {
-			return err
-		}
-		s.bytes = size(entries)
-		return tx.Bucket(bucketKnown).ForEach(func(k, v []byte) error {
-			from := binary.BigEndian.Uint64(k)
-			if s.known[from] = binary.BigEndian.Uint64(v); len(v) == 16 {
-				s.incarnations[from] = binary.BigEndian.Uint64(v[8:])
-			}
-			return nil
-		})
-	})
+	}
+	if info.Size() < tx.Size() {
+		return errUnreadable(path, fmt.Sprintf("it has %d bytes of %d", info.Size(), tx.Size()))
+	}
+	return nil
 }
 
-// update writes in one synced transaction, with what there is of history.
-func (s *store) update(f func(tx *bbolt.Tx) error) error {
+// update writes in one synced transaction, together with the part of the history that is not on disk yet.
+func (s *store) update(write func(tx *bbolt.Tx) error) error {
 	err := s.db.Update(func(tx *bbolt.Tx) error {
 		if err := s.history.flush(tx); err != nil {
 			return err
 		}
-		return f(tx)
+		return write(tx)
 	})
 	if err == nil {
 		s.history.pending = nil
@@ -186,101 +143,30 @@
 	return err
 }
 
-// save makes what Raft has to keep last, in one synced write.
-func (s *store) save(rd *raft.Ready) error {
-	if raft.IsEmptyHardState(rd.HardState) && len(rd.Entries) == 0 && raft.IsEmptySnap(rd.Snapshot) {
-		return nil
-	}
-	err := s.update(func(tx *bbolt.Tx) error {
-		if !raft.IsEmptySnap(rd.Snapshot) {
-			if err := putSnapshot(tx, rd.Snapshot); err != nil {
-				return err
-			}
-		}
-		if len(rd.Entries) > 0 {
-			log := tx.Bucket(bucketLog)
-			c := log.Cursor()
-			for k, _ := c.Seek(number(rd.Entries[0].GetIndex())); k != nil; k, _ = c.Next() { // another leader's, in its place
-				if err := c.Delete(); err != nil {
-					return err
-				}
-			}
-			for _, e := range rd.Entries {
-				b, err := proto.Marshal(e)
-				if err != nil {
-					return err
-				}
-				if err := log.Put(number(e.GetIndex()), b); err != nil {
-					return err
-				}
-			}
-		}
-		if !raft.IsEmptyHardState(rd.HardState) {
-			b, err := proto.Marshal(rd.HardState)
-			if err != nil {
-				return err
-			}
-			return tx.Bucket(bucketRaft).Put([]byte("hard"), b)
-		}
-		return nil
-	})
-	if err != nil {
-		return err
-	}
-	if !raft.IsEmptySnap(rd.Snapshot) {
-		if err := s.memory.ApplySnapshot(rd.Snapshot); err != nil {
-			return err
-		}
-	}
-	if !raft.IsEmptyHardState(rd.HardState) {
-		if err := s.memory.SetHardState(rd.HardState); err != nil {
-			return err
-		}
-	}
-	s.bytes += size(rd.Entries) // more than there is where some take the place of others, until the next compaction
-	return s.memory.Append(rd.Entries)
-}
-
-func putSnapshot(tx *bbolt.Tx, snap *raftpb.Snapshot) error {
-	b, err := proto.Marshal(snap)
-	if err != nil {
-		return err
-	}
-	if err := tx.Bucket(bucketRaft).Put([]byte("snapshot"), b); err != nil {
-		return err
-	}
-	c := tx.Bucket(bucketLog).Cursor()
-	for k, _ := c.First(); k != nil && binary.BigEndian.Uint64(k) <= snap.GetMetadata().GetIndex(); k, _ = c.Next() {
-		if err := c.Delete(); err != nil {
-			return err
-		}
-	}
-	return nil
-}
-
-// address keeps the keepers' addresses.
-func (s *store) address(addrs map[uint64]string) error {
-	b, err := json.Marshal(addrs)
+// saveAddresses records the replicas' addresses.
+func (s *store) saveAddresses(addresses map[uint64]string) error {
+	encoded, err := json.Marshal(addresses)
 	if err != nil {
 		return err
 	}
-	return s.db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(bucketSelf).Put([]byte("addresses"), b) })
+	return s.db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(bucketSelf).Put(keyAddresses, encoded) })
 }
 
-// hello notes a start of another keeper, by its count and mark; false tells that a later one is known already, or another with the same count.
-// One that says it again has not heard the answer.
-func (s *store) hello(from, starts, incarnation uint64) (bool, error) {
-	if starts == s.known[from] && incarnation == s.incarnations[from] && incarnation != 0 {
+// recordStart records a start of a peer by its count and mark. It is false where a later one is known, or another with
+// the same count. A start that is repeated is accepted: the peer has not received the answer.
+func (s *store) recordStart(id, count, mark uint64) (accepted bool, err error) {
+	known := s.peerStarts[id]
+	if count == known.count && mark == known.mark && mark != 0 {
 		return true, nil
 	}
-	if starts <= s.known[from] {
+	if count <= known.count {
 		return false, nil
 	}
-	err := s.db.Update(func(tx *bbolt.Tx) error {
-		return tx.Bucket(bucketKnown).Put(number(from), append(number(starts), number(incarnation)...))
-	})
-	if err == nil {
-		s.known[from], s.incarnations[from] = starts, incarnation
+	value := append(encodeKey(count), encodeKey(mark)...)
+	err = s.db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(bucketStarts).Put(encodeKey(id), value) })
+	if err != nil {
+		return false, err
 	}
-	return err == nil, err
+	s.peerStarts[id] = peerStart{count, mark}
+	return true, nil
 }
