--- a/internal/fleet/replica/contentserver_test.go
+++ b/internal/fleet/replica/contentserver_test.go
@@ -58,6 +58,9 @@
 	first := propose(t, client, 1, one)
 	propose(t, client, 2, two) // in place of the first
 	last := propose(t, client, 3, three)
+	if !bytes.Equal(first.Content, one) {
+		t.Fatalf("version 1 has a content of %d bytes instead of %d", len(first.Content), len(one))
+	}
 	for id, address := range c.peers {
 		for name, test := range map[string]struct {
 			base []byte
--- a/internal/fleet/replica/golden_routes_test.go
+++ b/internal/fleet/replica/golden_routes_test.go
@@ -62,7 +62,7 @@
 		firstRenewal  = `{"who":"g1/1","seq":1,"state":"following","form":1}`
 		secondRenewal = `{"who":"g1/1","seq":2,"term":2,"taken":1,"holds":[1],` +
 			`"trouble":"cannot read it","state":"following"}`
-		thirdRenewal  = `{"who":"g1/1","seq":3,"term":2,"taken":2,"holds":[1],"state":"following"}`
+		thirdRenewal = `{"who":"g1/1","seq":3,"term":2,"taken":2,"holds":[1],"state":"following"}`
 	)
 	return []goldenRequest{
 		proposal(lease.Proposal{
