--- a/internal/fleet/rig/sweep.go
+++ b/internal/fleet/rig/sweep.go
@@ -3,96 +3,130 @@
 import (
 	"cmp"
 	"fmt"
+	"maps"
 	"slices"
 
 	"irispost/internal/fleet/configversion"
 )
 
-// AuditSweep audits records of many gateways as Agree does, in one walk over time in place of one over each pair: Worst is the longest time
-// for which some two gateways contradicted without a break, whoever they were, so that no pair did for longer than that. Broken is 1 where
-// it is over what is stated. Where nobody contradicted it is 0, as Agree's is.
-func AuditSweep(records map[string][]Activation, versions []*configversion.Version, stated, end int64) (a Agreement, err error) {
-	opened := map[uint64]*configversion.Config{}
-	for _, v := range versions {
-		if opened[v.Number], err = v.Config(); err != nil {
-			return a, err
-		}
-	}
-	a.Versions, a.BoundMillis, a.Pairs = len(versions), float64(stated)/1e6, len(records)*(len(records)-1)/2
-	type change struct {
-		at   int64
-		who  string
-		acts Activation
+// AuditSweep audits the records of many gateways in one walk over time in place of one over each pair. WorstMillis
+// is the longest time for which some two gateways conflicted without a break, whoever they were, so that no pair
+// did for longer. Violations is 1 where that is over the bound. Where no two conflicted it is 0, as AuditPairs has
+// it.
+func AuditSweep(
+	records map[string][]Activation, versions []*configversion.Version, bound, end int64,
+) (Agreement, error) {
+	finder, err := newConflictFinder(versions)
+	if err != nil {
+		return Agreement{}, err
 	}
-	var list []change
-	for who, acts := range records {
-		for _, x := range acts {
-			list = append(list, change{x.At, who, x})
-		}
+	result := Agreement{
+		Versions:    len(versions),
+		BoundMillis: float64(bound) / nanosPerMilli,
+		Pairs:       len(records) * (len(records) - 1) / 2,
 	}
-	slices.SortFunc(list, func(a, b change) int { return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.who, b.who)) })
-	s := sweep{judge: &judge{opened: opened, known: map[string]string{}}, acts: map[string]string{}, count: map[string]int{}, as: map[string]Activation{}}
-	since, why := int64(-1), ""
-	for i, c := range list {
-		s.turn(c.who, c.acts)
-		if i+1 < len(list) && list[i+1].at == c.at {
+	changes := changesByTime(records)
+	state := newSweepState(finder)
+	since := int64(noConflict)
+	first := "" // the conflict at since
+	for i, change := range changes {
+		state.set(change.gateway, change.activation)
+		last := i+1 == len(changes)
+		if !last && changes[i+1].activation.At == change.activation.At {
 			continue
 		}
-		a.Intervals++
-		text := s.contradict()
-		until := end
-		if i+1 < len(list) {
-			until = list[i+1].at
-		}
-		if text == "" {
-			since = -1
+		result.Intervals++
+		conflict := state.conflict()
+		if conflict == "" {
+			since = noConflict
 			continue
 		}
-		if since < 0 {
-			since, why = c.at, text
+		if since == noConflict {
+			since = change.activation.At
+			first = conflict
 		}
-		if long := float64(until-since) / 1e6; long > a.WorstMillis {
-			a.WorstMillis = long
-			if until-since > stated {
-				a.Violations, a.FirstViolation = 1, fmt.Sprintf("for %d ms: %s", (until-since)/1e6, why)
-			}
+		until := end
+		if !last {
+			until = changes[i+1].activation.At
 		}
+		result.addConflict(until-since, bound, first)
 	}
-	return a, nil
+	return result, nil
 }
 
-// sweep is what all act on at one time.
-type sweep struct {
-	judge *judge
-	acts  map[string]string // by gateway
-	count map[string]int    // gateways that act so
-	as    map[string]Activation
+// addConflict takes a time, in nanoseconds, for which some two gateways have conflicted so far.
+func (a *Agreement) addConflict(lasted, bound int64, conflict string) {
+	millis := float64(lasted) / nanosPerMilli
+	if millis <= a.WorstMillis {
+		return
+	}
+	a.WorstMillis = millis
+	if lasted > bound {
+		a.Violations = 1
+		a.FirstViolation = fmt.Sprintf("for %d ms: %s", lasted/nanosPerMilli, conflict)
+	}
 }
 
-// turn has a gateway act on something from now on.
-func (s *sweep) turn(who string, acts Activation) {
-	if before, known := s.acts[who]; known {
-		if s.count[before]--; s.count[before] == 0 {
-			delete(s.count, before)
-			delete(s.as, before)
+// sweepChange is an activation of one gateway.
+type sweepChange struct {
+	gateway    string
+	activation Activation
+}
+
+// changesByTime are the activations of all gateways in order of time, and of the gateways' names at one time.
+func changesByTime(records map[string][]Activation) []sweepChange {
+	var list []sweepChange
+	for gateway, record := range records {
+		for _, activation := range record {
+			list = append(list, sweepChange{gateway, activation})
 		}
 	}
-	now := fmt.Sprint(acts.Versions, acts.Fallback)
-	s.acts[who], s.as[now] = now, acts
-	s.count[now]++
+	slices.SortFunc(list, func(a, b sweepChange) int {
+		return cmp.Or(cmp.Compare(a.activation.At, b.activation.At), cmp.Compare(a.gateway, b.gateway))
+	})
+	return list
+}
+
+// sweepState is what all gateways act on at one time. An activation's key is its versions and whether it is on
+// fallbacks.
+type sweepState struct {
+	finder      *conflictFinder
+	keys        map[string]string     // by gateway
+	gateways    map[string]int        // how many act so, by key
+	activations map[string]Activation // by key
 }
 
-// contradict tells in what some two gateways contradict now; "": in nothing.
-func (s *sweep) contradict() string {
-	var names []string
-	for name := range s.count {
-		names = append(names, name)
+func newSweepState(finder *conflictFinder) *sweepState {
+	return &sweepState{
+		finder:      finder,
+		keys:        map[string]string{},
+		gateways:    map[string]int{},
+		activations: map[string]Activation{},
 	}
-	slices.Sort(names)
-	for i, one := range names {
-		for _, other := range names[i+1:] {
-			if text := s.judge.contradict(s.as[one], s.as[other]); text != "" {
-				return text
+}
+
+// set has a gateway act on something from now on.
+func (s *sweepState) set(gateway string, activation Activation) {
+	if before, known := s.keys[gateway]; known {
+		s.gateways[before]--
+		if s.gateways[before] == 0 {
+			delete(s.gateways, before)
+			delete(s.activations, before)
+		}
+	}
+	key := fmt.Sprint(activation.Versions, activation.Fallback)
+	s.keys[gateway] = key
+	s.activations[key] = activation
+	s.gateways[key]++
+}
+
+// conflict tells in what some two gateways conflict; "" where none do.
+func (s *sweepState) conflict() string {
+	keys := slices.Sorted(maps.Keys(s.gateways))
+	for i, key := range keys {
+		for _, other := range keys[i+1:] {
+			if conflict := s.finder.conflict(s.activations[key], s.activations[other]); conflict != "" {
+				return conflict
 			}
 		}
 	}
