--- a/internal/fleet/replica/run.go
+++ b/internal/fleet/replica/run.go
@@ -73,7 +73,7 @@
 		r.leaderChanged(ready.SoftState)
 	}
 	if err := r.store.save(&ready); err != nil {
-		return fmt.Errorf("persisting raft state failed, nothing of it was acknowledged: %w", err)
+		return fmt.Errorf("the raft state cannot be persisted, so nothing is promised by it: %w", err)
 	}
 	r.send(ready.Messages)
 	if !raft.IsEmptySnap(ready.Snapshot) {
