--- a/internal/fleet/replica/apply.go
+++ b/internal/fleet/replica/apply.go
@@ -95,6 +95,7 @@
 	switch {
 	case err != nil:
 	case version.Content == nil: // a repeated proposal whose version was forgotten meanwhile
+		// Where the history cannot be read, the answer has the version without its content.
 		if list, _ := r.forgottenVersions(version.Number, version.Number); len(list) > 0 {
 			version = list[0]
 		}
@@ -127,15 +128,15 @@
 	if err != nil {
 		return err
 	}
-	r.forgetBeforeSnapshot(machine)
+	r.recordForgottenBy(machine)
 	r.machine = machine
 	r.appliedIndex = snapshot.GetMetadata().GetIndex()
 	r.membership.configuration = snapshot.GetMetadata().GetConfState()
 	return nil
 }
 
-// forgetBeforeSnapshot records versions that a snapshot from the leader no longer has.
-func (r *Replica) forgetBeforeSnapshot(machine *lease.StateMachine) {
+// recordForgottenBy hands the versions to the history that the state machine of a snapshot has forgotten.
+func (r *Replica) recordForgottenBy(machine *lease.StateMachine) {
 	for _, version := range r.machine.Versions {
 		if machine.Version(version.Number) == nil {
 			r.store.history.add(version, r.machine.Delta(version.Number))
--- /dev/null
+++ b/internal/fleet/replica/historyread.go
@@ -0,0 +1,142 @@
+package replica
+
+import (
+	"encoding/binary"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"slices"
+
+	"go.etcd.io/bbolt"
+
+	"irispost/internal/fleet/configversion"
+	"irispost/internal/fleet/delta"
+)
+
+// errNoVersionNumber reports a record of bucketContents without its head.
+var errNoVersionNumber = errors.New("it has no number")
+
+// readPage reads a page; nil where there is none, or it cannot be read.
+func (h *history) readPage(metadata *bbolt.Bucket, page uint64) []*configversion.Version {
+	compressed := metadata.Get(encodeKey(page))
+	if compressed == nil {
+		return nil
+	}
+	var versions []*configversion.Version
+	encoded, err := delta.Decode(nil, compressed, maxPageBytes)
+	if err == nil {
+		err = json.Unmarshal(encoded, &versions)
+	}
+	if err != nil || slices.Contains(versions, nil) {
+		first := page * versionsPerPage
+		h.reportCorrupt(fmt.Sprintf("metadata of versions %d to %d", first, first+versionsPerPage-1), err)
+		return nil
+	}
+	return versions
+}
+
+// readContents reads contents in the order in which they came, of the segments that are wanted. What cannot be read is
+// reported, and what is a delta from it left out.
+func (h *history) readContents(
+	contents *bbolt.Bucket,
+	wanted func(segment uint64) bool,
+	each func(number uint64, content []byte),
+) {
+	var last []byte
+	cursor := contents.Cursor()
+	for key, record := cursor.First(); key != nil; key, record = cursor.Next() {
+		place := decodeKey(key)
+		if !wanted(place / contentsPerSegment) {
+			continue
+		}
+		head, size := binary.Uvarint(record)
+		if size <= 0 {
+			h.reportCorrupt(fmt.Sprintf("content at place %d", place), errNoVersionNumber)
+			last = nil
+			continue
+		}
+		number, complete := head>>1, head&1 == 1
+		base := last
+		if complete {
+			base = nil
+		} else if base == nil {
+			continue // its base was reported
+		}
+		content, err := delta.Decode(base, record[size:], configversion.MaxContentBytes)
+		if err != nil {
+			h.reportCorrupt(fmt.Sprintf("content of version %d at place %d", number, place), err)
+		} else {
+			each(number, content)
+		}
+		last = content
+	}
+}
+
+// lastContent is the number and the content of the last record.
+func (h *history) lastContent(contents *bbolt.Bucket) configversion.Version {
+	var last configversion.Version
+	key, record := contents.Cursor().Last()
+	if key == nil {
+		return last
+	}
+	head, _ := binary.Uvarint(record)
+	segment := decodeKey(key) / contentsPerSegment
+	h.readContents(contents, func(n uint64) bool { return n == segment }, func(number uint64, content []byte) {
+		if number == head>>1 {
+			last = configversion.Version{Number: number, Content: content}
+		}
+	})
+	return last
+}
+
+// versions reads the versions from one number to another; those whose content is not kept any more come without it.
+func (h *history) versions(tx *bbolt.Tx, from, to uint64) []*configversion.Version {
+	list := h.readMetadata(tx.Bucket(bucketMetadata), from, to)
+	if len(list) == 0 {
+		return nil
+	}
+	contents := tx.Bucket(bucketContents)
+	wanted := segmentsOf(contents, from, to)
+	h.readContents(contents, func(segment uint64) bool { return wanted[segment] }, func(number uint64, content []byte) {
+		place, listed := slices.BinarySearchFunc(list, number, compareNumber)
+		if !listed {
+			return
+		}
+		version := list[place]
+		if digest := configversion.DigestOf(content); digest != version.Digest {
+			h.reportCorrupt(fmt.Sprintf("content of version %d", number),
+				fmt.Errorf("it has the digest %.12s instead of %.12s", digest, version.Digest))
+			return
+		}
+		version.Content = content
+	})
+	return list
+}
+
+// readMetadata reads the versions from one number to another without their contents.
+func (h *history) readMetadata(metadata *bbolt.Bucket, from, to uint64) []*configversion.Version {
+	var list []*configversion.Version
+	cursor := metadata.Cursor()
+	key, _ := cursor.Seek(encodeKey(from / versionsPerPage))
+	for ; key != nil && decodeKey(key) <= to/versionsPerPage; key, _ = cursor.Next() {
+		for _, version := range h.readPage(metadata, decodeKey(key)) {
+			if version.Number >= from && version.Number <= to {
+				list = append(list, version)
+			}
+		}
+	}
+	return list
+}
+
+// segmentsOf are the segments that have contents of versions from one number to another.
+func segmentsOf(contents *bbolt.Bucket, from, to uint64) map[uint64]bool {
+	segments := map[uint64]bool{}
+	cursor := contents.Cursor()
+	for key, record := cursor.First(); key != nil; key, record = cursor.Next() {
+		head, _ := binary.Uvarint(record)
+		if number := head >> 1; number >= from && number <= to {
+			segments[decodeKey(key)/contentsPerSegment] = true
+		}
+	}
+	return segments
+}
--- a/internal/fleet/replica/membership_test.go
+++ b/internal/fleet/replica/membership_test.go
@@ -52,3 +52,46 @@
 		t.Errorf("%d versions, %v", len(list), err)
 	}
 }
+
+// A change is rejected where the voters or the IDs used so far do not allow it, and recognised once it has been
+// applied.
+func TestMembershipChangeIsValidatedAndRecognised(t *testing.T) {
+	voters := []uint64{1, 2, 4}
+	used := map[uint64]string{1: "a:1", 2: "b:1", 3: "c:1", 4: "d:1"}
+	add := func(ids ...uint64) map[uint64]string {
+		added := map[uint64]string{}
+		for _, id := range ids {
+			added[id] = fmt.Sprintf("new-%d:1", id)
+		}
+		return added
+	}
+	addedBefore := map[uint64]string{4: "d:1"}
+	for name, test := range map[string]struct {
+		change         MembershipChange
+		valid, applied bool
+	}{
+		"one more":                 {MembershipChange{Add: add(5)}, true, false},
+		"one less":                 {MembershipChange{Remove: []uint64{2}}, true, false},
+		"replaced":                 {MembershipChange{Add: add(5), Remove: []uint64{2}}, true, false},
+		"to seven":                 {MembershipChange{Add: add(5, 6, 7, 8)}, true, false},
+		"to eight":                 {MembershipChange{Add: add(5, 6, 7, 8, 9)}, false, false},
+		"to none":                  {MembershipChange{Remove: []uint64{1, 2, 4}}, false, false},
+		"nothing":                  {MembershipChange{}, false, false},
+		"ID zero":                  {MembershipChange{Add: add(0)}, false, false},
+		"ID used before":           {MembershipChange{Add: add(3)}, false, false},
+		"added already":            {MembershipChange{Add: addedBefore}, false, true},
+		"added under another":      {MembershipChange{Add: map[uint64]string{4: "e:1"}}, false, false},
+		"removed already":          {MembershipChange{Remove: []uint64{3}}, false, true},
+		"replaced already":         {MembershipChange{Add: addedBefore, Remove: []uint64{3}}, false, true},
+		"never was":                {MembershipChange{Remove: []uint64{9}}, false, false},
+		"removed, and one to come": {MembershipChange{Add: add(5), Remove: []uint64{3}}, false, false},
+	} {
+		err := test.change.validate(voters, used)
+		if (err == nil) != test.valid || err != nil && !errors.Is(err, ErrMembershipChange) {
+			t.Errorf("%s: %v", name, err)
+		}
+		if applied := test.change.applied(voters, used); applied != test.applied {
+			t.Errorf("%s: applied %t", name, applied)
+		}
+	}
+}
--- a/internal/fleet/replica/store.go
+++ b/internal/fleet/replica/store.go
@@ -73,22 +73,29 @@
 	Starts uint64   `json:"starts"`
 }
 
-// errUnreadable wraps what makes a folder unreadable, with what to do.
-func errUnreadable(path string, cause any) error {
+// unreadableError reports a folder that cannot be read.
+type unreadableError struct {
+	path  string // of the folder or its file
+	cause error
+}
+
+// Error says what is wrong, and what to do.
+func (e *unreadableError) Error() string {
 	const advice = "a replica whose folder is lost is replaced under another ID, not started anew"
-	if err, ok := cause.(error); ok {
-		return fmt.Errorf("%s cannot be read: %w; %s", path, err, advice)
-	}
-	return fmt.Errorf("%s cannot be read: %v; %s", path, cause, advice)
+	return fmt.Sprintf("%s cannot be read: %v; %s", e.path, e.cause, advice)
 }
 
+// Unwrap is the cause.
+func (e *unreadableError) Unwrap() error { return e.cause }
+
 // openStore opens a replica's folder, or makes it. The folder of another replica is rejected. Voters are those of a new
 // group, or nil.
 func openStore(dir string, id uint64, voters []uint64) (opened *store, err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true)) // a truncated file is mapped past its end
 	defer func() {
 		if cause := recover(); cause != nil {
-			opened, err = nil, errUnreadable(dir, cause)
+			opened = nil
+			err = &unreadableError{dir, fmt.Errorf("%v", cause)}
 		}
 	}()
 	if err := os.MkdirAll(dir, 0o700); err != nil {
@@ -100,7 +107,7 @@
 		return nil, fmt.Errorf("%s: another process has it open", path)
 	}
 	if err != nil {
-		return nil, errUnreadable(path, err)
+		return nil, &unreadableError{path, err}
 	}
 	s := &store{
 		db:          db,
@@ -124,7 +131,7 @@
 		return err
 	}
 	if info.Size() < tx.Size() {
-		return errUnreadable(path, fmt.Sprintf("it has %d bytes of %d", info.Size(), tx.Size()))
+		return &unreadableError{path, fmt.Errorf("it has %d bytes of %d", info.Size(), tx.Size())}
 	}
 	return nil
 }
