--- a/internal/fleet/lease/entry.go
+++ b/internal/fleet/lease/entry.go
@@ -10,128 +10,133 @@
 	"irispost/internal/fleet/delta"
 )
 
-// An entry of the log is a command in one of two forms. The first is its JSON, with a proposal's whole content. The second begins with a
-// byte that no JSON begins with, so that a keeper that does not know it stops there: then the length of the JSON that follows (uvarint),
-// the JSON without the content, and the content as package delta codes it, from that of the version before or whole.
+// A log entry is a Command in one of two formats. Format 1 is its JSON, with a proposal's complete content.
+// Format 2 begins with a byte that no JSON begins with, so that a replica that does not know it stops there.
+// The length of the JSON follows (uvarint), then the JSON without the content, and then the content in the
+// form of package delta, either as a delta from its parent or complete.
 
-// Format is the newest form of entries and snapshots that this program knows.
-const Format = 2
+// formatWithDeltas is the first format with deltas, in which versions can be forgotten.
+const formatWithDeltas = 2
 
-// mark is the first byte of what is in the second form.
-const mark = 0x02
+// Format is the newest format of log entries and snapshots that this build reads and writes.
+const Format = formatWithDeltas
 
-// The largest texts of a proposal, bytes: they stay in each keeper's log and history.
-const (
-	mostID  = 128
-	mostWho = 256
-	mostWhy = 2048
-)
+// format2Mark is the first byte of an entry or a snapshot in format 2.
+const format2Mark = 0x02
 
-// ErrInvalidEntry tells of an entry of the log that cannot be taken: who goes on without it parts from the others.
-var ErrInvalidEntry = errors.New("an entry of the log cannot be taken")
+// Errors of log entries.
+var (
+	// ErrInvalidEntry means that a committed entry cannot be applied. A replica that went on without it would
+	// differ from the others.
+	ErrInvalidEntry = errors.New("the log entry cannot be applied")
 
-// Validate refuses a proposal that is too large to be put into the log.
-func (p *Proposal) Validate() error {
-	for _, part := range []struct {
-		what       string
-		have, most int
-	}{{"content", len(p.Content), configversion.MaxContentBytes}, {"ID", len(p.ID), mostID}, {"author", len(p.Author), mostWho}, {"time", len(p.CreatedAt), mostWho}, {"reason", len(p.Reason), mostWhy}} {
-		if part.have > part.most {
-			return fmt.Errorf("the proposal's %s has %d bytes, %d at most are taken", part.what, part.have, part.most)
-		}
-	}
-	return nil
-}
+	errForgetFormat     = errors.New("a log entry of format 1 cannot forget versions")
+	errEntryTruncated   = errors.New("the log entry is truncated")
+	errUnknownCommand   = errors.New("the log entry is of format 2 and has no command that this build knows")
+	errEncodingMismatch = errors.New("the encoded content decodes to another one")
+)
 
-// EncodeEntry writes a command for the log, in a form that all keepers read. In form 2 the content is a delta from that of its parent, as the
-// ledger has it; whoever applies it has the same, or refuses the proposal before it looks at the content.
-func (c *Command) EncodeEntry(form int, l *StateMachine) ([]byte, error) {
-	if form < 2 {
-		if len(c.Forget) > 0 {
-			return nil, errors.New("an entry of form 1 cannot tell what to forget")
-		}
-		return json.Marshal(c)
-	}
-	if c.Propose == nil && len(c.Forget) == 0 {
+// EncodeEntry writes a command for the log in a format that all replicas read. In format 2 a proposal's
+// content is a delta from its parent's content in state. Each replica that applies it has the same parent, or
+// refuses the proposal before it looks at the content.
+func (c *Command) EncodeEntry(format int, state *StateMachine) ([]byte, error) {
+	if format < formatWithDeltas && len(c.Forget) > 0 {
+		return nil, errForgetFormat
+	}
+	if format < formatWithDeltas || c.Propose == nil && len(c.Forget) == 0 {
 		return json.Marshal(c)
 	}
-	short := *c
-	var coded []byte
+	header := *c
+	var content []byte
 	if c.Propose != nil {
-		p := *c.Propose
-		if err := p.code(l); err != nil {
+		proposal := *c.Propose
+		if err := proposal.encodeContent(state); err != nil {
 			return nil, err
 		}
-		short.Propose, coded = &p, p.Delta
+		header.Propose = &proposal
+		content = proposal.Delta
 	}
-	head, err := json.Marshal(&short)
+	headerJSON, err := json.Marshal(&header)
 	if err != nil {
 		return nil, err
 	}
-	out := binary.AppendUvarint([]byte{mark}, uint64(len(head)))
-	return append(append(out, head...), coded...), nil
+	entry := binary.AppendUvarint([]byte{format2Mark}, uint64(len(headerJSON)))
+	entry = append(entry, headerJSON...)
+	return append(entry, content...), nil
 }
 
-// code puts the coded content in place of the whole.
-func (p *Proposal) code(l *StateMachine) (err error) {
+// encodeContent replaces the proposal's content by its encoded form.
+func (p *Proposal) encodeContent(state *StateMachine) error {
+	p.Digest = configversion.DigestOf(p.Content)
+	p.DeltaBase = 0
 	var base []byte
-	p.Digest, p.DeltaBase = configversion.DigestOf(p.Content), 0
-	if v := l.Version(p.Parent); v != nil && p.Parent == l.Announced {
-		p.DeltaBase, base = v.Number, v.Content
+	if parent := state.Version(p.Parent); parent != nil && p.Parent == state.Announced {
+		p.DeltaBase = parent.Number
+		base = parent.Content
 	}
+	var err error
 	if p.Delta, err = delta.Encode(base, p.Content); err != nil {
 		return err
 	}
-	if b, err := delta.Decode(base, p.Delta, configversion.MaxContentBytes); err != nil || configversion.DigestOf(b) != p.Digest { // each keeper would end by it
-		return fmt.Errorf("the content of %d bytes is not the same once it is coded and decoded: %v", len(p.Content), err)
+	// Every replica would stop at an entry that does not decode, so it is tried before it gets into the log.
+	decoded, err := delta.Decode(base, p.Delta, configversion.MaxContentBytes)
+	if err != nil {
+		return fmt.Errorf("decode the encoded content of %d bytes: %w", len(p.Content), err)
+	}
+	if configversion.DigestOf(decoded) != p.Digest {
+		return fmt.Errorf("%w: %d bytes in, %d bytes out", errEncodingMismatch, len(p.Content), len(decoded))
 	}
 	p.Content = nil
 	return nil
 }
 
-// DecodeEntry reads what Entry wrote.
-func DecodeEntry(b []byte) (*Command, error) {
-	c := &Command{}
-	if len(b) == 0 || b[0] != mark {
-		return c, json.Unmarshal(b, c)
-	}
-	size, n := binary.Uvarint(b[1:])
-	if n <= 0 || size > uint64(len(b)-1-n) {
-		return nil, fmt.Errorf("it is cut off within its first %d bytes", len(b))
-	}
-	head, coded := b[1+n:1+n+int(size)], b[1+n+int(size):]
-	if err := json.Unmarshal(head, c); err != nil {
+// DecodeEntry reads an entry of either format.
+func DecodeEntry(entry []byte) (*Command, error) {
+	command := &Command{}
+	if len(entry) == 0 || entry[0] != format2Mark {
+		return command, json.Unmarshal(entry, command)
+	}
+	headerSize, n := binary.Uvarint(entry[1:])
+	if n <= 0 || headerSize > uint64(len(entry)-1-n) {
+		return nil, fmt.Errorf("%w: it has %d bytes", errEntryTruncated, len(entry))
+	}
+	headerJSON := entry[1+n : 1+n+int(headerSize)]
+	content := entry[1+n+int(headerSize):]
+	if err := json.Unmarshal(headerJSON, command); err != nil {
 		return nil, err
 	}
 	switch {
-	case c.Propose != nil:
-		c.Propose.Content, c.Propose.Delta = nil, coded
-	case len(c.Forget) == 0:
-		return nil, errors.New("it is of form 2 and has nothing that this program knows of it")
+	case command.Propose != nil:
+		command.Propose.Content = nil
+		command.Propose.Delta = content
+	case len(command.Forget) == 0:
+		return nil, errUnknownCommand
 	}
-	return c, nil
+	return command, nil
 }
 
-// content is what is proposed, decoded and checked. Its parent is the announced version.
-func (p *Proposal) content(l *StateMachine) ([]byte, error) {
+// decodeContent returns the content of a proposal whose parent is the announced version of state.
+func (p *Proposal) decodeContent(state *StateMachine) ([]byte, error) {
 	if p.Delta == nil {
 		return p.Content, nil
 	}
 	var base []byte
 	if p.DeltaBase != 0 {
-		v := l.Version(p.DeltaBase)
-		if p.DeltaBase != p.Parent || v == nil {
-			return nil, fmt.Errorf("%w: proposal %q is a delta from version %d, and %d is announced", ErrInvalidEntry, p.ID, p.DeltaBase, l.Announced)
+		baseVersion := state.Version(p.DeltaBase)
+		if p.DeltaBase != p.Parent || baseVersion == nil {
+			return nil, fmt.Errorf("%w: proposal %q is a delta from version %d, and %d is announced",
+				ErrInvalidEntry, p.ID, p.DeltaBase, state.Announced)
 		}
-		base = v.Content
+		base = baseVersion.Content
 	}
-	b, err := delta.Decode(base, p.Delta, configversion.MaxContentBytes)
+	content, err := delta.Decode(base, p.Delta, configversion.MaxContentBytes)
 	if err != nil {
-		return nil, fmt.Errorf("%w: proposal %q, a delta of %d bytes from version %d: %w", ErrInvalidEntry, p.ID, len(p.Delta), p.DeltaBase, err)
+		return nil, fmt.Errorf("%w: proposal %q, a delta of %d bytes from version %d: %w",
+			ErrInvalidEntry, p.ID, len(p.Delta), p.DeltaBase, err)
 	}
-	if sum := configversion.DigestOf(b); sum != p.Digest {
-		return nil, fmt.Errorf("%w: proposal %q, a delta of %d bytes from version %d, comes to a content of digest %.12s, and it says %.12s", ErrInvalidEntry, p.ID,
-			len(p.Delta), p.DeltaBase, sum, p.Digest)
+	if digest := configversion.DigestOf(content); digest != p.Digest {
+		return nil, fmt.Errorf("%w: proposal %q, a delta of %d bytes from version %d: its digest is %.12s instead of %.12s",
+			ErrInvalidEntry, p.ID, len(p.Delta), p.DeltaBase, digest, p.Digest)
 	}
-	return b, nil
+	return content, nil
 }
--- a/internal/fleet/lease/golden_test.go
+++ b/internal/fleet/lease/golden_test.go
@@ -35,24 +35,24 @@
 	return want
 }
 
-// goldenRules is a content that differs from others by its limit alone.
-func goldenRules(limit float64) []byte {
+// goldenConfig is a content that differs from others by its limit alone.
+func goldenConfig(limit float64) []byte {
 	r := &configversion.Config{RequiredFormat: 1, Shards: 2, MeanRequestUnits: 1, ServiceLevels: map[string]configversion.ServiceLevel{"gold": {Weight: 1, RateLimit: limit}}, Dispatch: configversion.DispatchPolicy{MaxAttempts: 1},
 		Nodes: map[string]configversion.Node{"10.0.0.1:7000": {Name: "one", Zone: "z1", StartedAt: 5}, "10.0.0.2:7000": {Shard: 1}}}
 	return r.Canonical()
 }
 
 func goldenProposal() *Proposal {
-	return &Proposal{ID: "id-2", Parent: 1, ReplacePending: true, Author: "ann", Reason: "more room", CreatedAt: "2026-01-02T03:04:05Z", Content: goldenRules(2)}
+	return &Proposal{ID: "id-2", Parent: 1, ReplacePending: true, Author: "ann", Reason: "more room", CreatedAt: "2026-01-02T03:04:05Z", Content: goldenConfig(2)}
 }
 
-// goldenLedger has an announced version beside the one in force. In form 2 a version before them was forgotten.
-func goldenLedger(t *testing.T, form int) *StateMachine {
+// goldenStateMachine has an announced version beside the one in force. In form 2 a version before them was forgotten.
+func goldenStateMachine(t *testing.T, form int) *StateMachine {
 	t.Helper()
 	l := NewStateMachine()
 	commands := []*Command{
 		{Bootstrap: &Settings{LeaseDuration: 2e9, MaxClockDrift: 0.01}},
-		{Propose: &Proposal{ID: "id-1", Author: "ann", Reason: "first", CreatedAt: "2026-01-01T00:00:00Z", Content: goldenRules(1)}},
+		{Propose: &Proposal{ID: "id-1", Author: "ann", Reason: "first", CreatedAt: "2026-01-01T00:00:00Z", Content: goldenConfig(1)}},
 		{Activate: 1},
 		{Join: []string{"g1/1", "g2/1", "g3/1"}},
 		{LeaseExpired: []string{"g2/1"}},
@@ -61,7 +61,7 @@
 	}
 	if form >= 2 {
 		commands = append(commands, &Command{Activate: 2},
-			&Command{Propose: &Proposal{ID: "id-3", Parent: 2, Author: "bob", Reason: "less", CreatedAt: "2026-01-03T00:00:00Z", Content: goldenRules(3)}},
+			&Command{Propose: &Proposal{ID: "id-3", Parent: 2, Author: "bob", Reason: "less", CreatedAt: "2026-01-03T00:00:00Z", Content: goldenConfig(3)}},
 			&Command{Forget: []uint64{1}})
 	}
 	for i, c := range commands {
@@ -140,7 +140,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l := NewStateMachine()
-			if _, err := l.Apply(&Command{Propose: &Proposal{ID: "id-1", Content: goldenRules(1)}}); err != nil {
+			if _, err := l.Apply(&Command{Propose: &Proposal{ID: "id-1", Content: goldenConfig(1)}}); err != nil {
 				t.Fatal(err)
 			}
 			got, err := c.command.EncodeEntry(c.form, l)
@@ -167,7 +167,7 @@
 				return
 			}
 			v, err := l.Apply(read)
-			if err != nil || v.Number != 2 || v.Author != "ann" || v.Reason != "more room" || !bytes.Equal(v.Content, goldenRules(2)) {
+			if err != nil || v.Number != 2 || v.Author != "ann" || v.Reason != "more room" || !bytes.Equal(v.Content, goldenConfig(2)) {
 				t.Errorf("applied: %+v, %v", v, err)
 			}
 		})
@@ -178,7 +178,7 @@
 func TestGoldenSnapshots(t *testing.T) {
 	for name, form := range map[string]int{"snapshot-1.bin": 1, "snapshot-2.bin": 2} {
 		t.Run(name, func(t *testing.T) {
-			l := goldenLedger(t, form)
+			l := goldenStateMachine(t, form)
 			want := golden(t, name, l.Snapshot())
 			back, err := Restore(want)
 			if err != nil {
--- a/internal/fleet/lease/present_test.go
+++ b/internal/fleet/lease/membership_test.go
@@ -7,10 +7,10 @@
 
 // A gateway that others reach counts as present from its place in the log until its lease has run out, though it may act on a floor for
 // longer; when it is back the set is another again, and whoever is told knows how often one has parted.
-func TestWhoIsPresent(t *testing.T) {
+func TestMembershipFollowsLeases(t *testing.T) {
 	l := NewStateMachine()
-	l.Apply(&Command{Bootstrap: &testTerms})
-	if _, err := l.Apply(&Command{Propose: &Proposal{ID: "a", Content: pool[3]}}); err != nil { // with a floor of six leases
+	l.Apply(&Command{Bootstrap: &testSettings})
+	if _, err := l.Apply(&Command{Propose: &Proposal{ID: "a", Content: configPool[3]}}); err != nil { // with a floor of six leases
 		t.Fatal(err)
 	}
 	l.Apply(&Command{Activate: 1})
@@ -35,19 +35,19 @@
 		t.Fatalf("%+v", g.Membership)
 	}
 	ask(3, "g2", 1)
-	for now := lease / 2; now < 3*lease; now += lease / 2 { // g2 is silent
+	for now := leaseDuration / 2; now < 3*leaseDuration; now += leaseDuration / 2 { // g2 is silent
 		ask(now, "g1", 1)
 		log(now)
 	}
-	if g := ask(3*lease, "g1", 1); g.Membership.Epoch != 2 || fmt.Sprint(g.Membership.Members) != "[g1]" || g.Membership.Departures != 1 || g.Membership.Age <= 0 || !l.Holders["g2"] {
+	if g := ask(3*leaseDuration, "g1", 1); g.Membership.Epoch != 2 || fmt.Sprint(g.Membership.Members) != "[g1]" || g.Membership.Departures != 1 || g.Membership.Age <= 0 || !l.Holders["g2"] {
 		t.Errorf("%+v, holders %v", g.Membership, l.Holders)
 	}
-	if g := ask(3*lease, "g1", 2); g.Membership.Members != nil {
+	if g := ask(3*leaseDuration, "g1", 2); g.Membership.Members != nil {
 		t.Errorf("told again: %+v", g.Membership)
 	}
-	ask(3*lease+1, "g2", 1)
-	log(3*lease + 1)
-	if g := ask(3*lease+2, "g2", 1); g.Membership.Epoch != 3 || fmt.Sprint(g.Membership.Members) != "[g1 g2]" || g.Membership.Age > 1 || g.PeerAddrs["g2"] != "g2:1" {
+	ask(3*leaseDuration+1, "g2", 1)
+	log(3*leaseDuration + 1)
+	if g := ask(3*leaseDuration+2, "g2", 1); g.Membership.Epoch != 3 || fmt.Sprint(g.Membership.Members) != "[g1 g2]" || g.Membership.Age > 1 || g.PeerAddrs["g2"] != "g2:1" {
 		t.Errorf("%+v, %v", g.Membership, g.PeerAddrs)
 	}
 }
--- a/internal/fleet/lease/snapshot.go
+++ b/internal/fleet/lease/snapshot.go
@@ -13,137 +13,201 @@
 	"irispost/internal/fleet/delta"
 )
 
-// A snapshot of a ledger of form 2: the mark, the length of a JSON (uvarint) and the ledger's JSON with versions without contents; then for
-// each version the length of its coded content and that, the first whole and each other a delta from the one before it; then the BLAKE3 sum
-// of all this, 32 bytes. One of the first form is the ledger's JSON.
+// A snapshot of format 1 is the state's JSON. One of format 2 is the mark, the length of a JSON (uvarint) and
+// that JSON: the state with versions without contents. The encoded content of each version follows with its
+// length, the first complete and each other as a delta from the one before it. The BLAKE3 digest of all this
+// ends it.
 
-// code is a content as package delta coded it from the content of another version; 0: whole.
-type code struct {
-	base  uint64
+const snapshotDigestBytes = 32
+
+// Errors of snapshots that cannot be read.
+var (
+	errSnapshotTruncated    = errors.New("the snapshot is truncated")
+	errSnapshotDigest       = errors.New("the snapshot does not have the digest that it says")
+	errSnapshotFormat       = errors.New("a newer build is needed to read the snapshot")
+	errSnapshotTrailing     = errors.New("data follows after the snapshot")
+	errSnapshotInconsistent = errors.New("the snapshot is inconsistent")
+)
+
+// encodedContent is a version's content as package delta has encoded it.
+type encodedContent struct {
+	base  uint64 // the version that it is a delta from; 0: it is complete
 	bytes []byte
 }
 
-// Delta is a version's content as a delta from that of the version before, where it came so; nil: it did not.
-func (l *StateMachine) Delta(n uint64) []byte {
-	if c := l.codes[n]; c.base > 0 && c.base+1 == n {
+// Delta returns a version's content as a delta from the version before it, if it has come or was stored so;
+// otherwise nil.
+func (s *StateMachine) Delta(number uint64) []byte {
+	if c := s.encoded[number]; c.base > 0 && c.base+1 == number {
 		return c.bytes
 	}
 	return nil
 }
 
-// Snapshot writes the ledger down, in the form that its log has come to.
-func (l *StateMachine) Snapshot() []byte {
-	if l.Format < 2 {
-		b, err := json.Marshal(l)
-		if err != nil {
-			panic("a ledger cannot be written: " + err.Error()) // it holds texts and whole numbers only
+// Snapshot writes the state in the format that its log has come to.
+func (s *StateMachine) Snapshot() []byte {
+	if s.Format < formatWithDeltas {
+		return mustMarshalState(s)
+	}
+	header := *s
+	header.Versions = make([]*configversion.Version, len(s.Versions))
+	for i, v := range s.Versions {
+		header.Versions[i] = &configversion.Version{
+			Number:    v.Number,
+			Parent:    v.Parent,
+			Digest:    v.Digest,
+			Author:    v.Author,
+			Reason:    v.Reason,
+			CreatedAt: v.CreatedAt,
 		}
-		return b
 	}
-	head := *l
-	head.Versions = make([]*configversion.Version, len(l.Versions))
-	for i, v := range l.Versions {
-		bare := configversion.Version{Number: v.Number, Parent: v.Parent, Digest: v.Digest, Author: v.Author, Reason: v.Reason, CreatedAt: v.CreatedAt}
-		head.Versions[i] = &bare
+	snapshot := appendSized([]byte{format2Mark}, mustMarshalState(&header))
+	previous := &configversion.Version{}
+	for _, v := range s.Versions {
+		snapshot = appendSized(snapshot, s.encodedFrom(previous, v))
+		previous = v
+	}
+	digest := blake3.Sum256(snapshot)
+	return append(snapshot, digest[:]...)
+}
+
+// encodedFrom returns a version's content as a delta from a base; from one without content it is complete.
+// What was encoded is kept.
+func (s *StateMachine) encodedFrom(base, version *configversion.Version) []byte {
+	if content, known := s.encoded[version.Number]; known && content.base == base.Number {
+		return content.bytes
 	}
-	b, err := json.Marshal(&head)
+	encoded, err := delta.Encode(base.Content, version.Content)
 	if err != nil {
-		panic("a ledger cannot be written: " + err.Error())
-	}
-	out := append(binary.AppendUvarint([]byte{mark}, uint64(len(b))), b...)
-	base, from := []byte(nil), uint64(0)
-	for _, v := range l.Versions {
-		c, known := l.codes[v.Number]
-		if !known || c.base != from {
-			c.base = from
-			if c.bytes, err = delta.Encode(base, v.Content); err != nil {
-				panic("a ledger cannot be written: " + err.Error()) // the encoder has no settings that could fail
-			}
-			l.codes[v.Number] = c
-		}
-		out = append(binary.AppendUvarint(out, uint64(len(c.bytes))), c.bytes...)
-		base, from = v.Content, v.Number
+		panic("encode a snapshot: " + err.Error()) // the encoder's options are constant and valid
 	}
-	sum := blake3.Sum256(out)
-	return append(out, sum[:]...)
+	s.encoded[version.Number] = encodedContent{base.Number, encoded}
+	return encoded
 }
 
-// Restore reads what Save wrote, in either form.
-func Restore(b []byte) (*StateMachine, error) {
-	l := NewStateMachine()
-	if len(b) > 0 && b[0] == mark {
-		if err := l.restore(b); err != nil {
-			return nil, fmt.Errorf("a ledger of %d bytes cannot be read: %w", len(b), err)
-		}
-	} else if err := json.Unmarshal(b, l); err != nil {
-		return nil, fmt.Errorf("a ledger cannot be read: %w", err)
-	} else if l.Announced != uint64(len(l.Versions)) {
-		return nil, fmt.Errorf("a ledger of %d versions has %d announced and %d in force", len(l.Versions), l.Announced, l.InForce)
+// mustMarshalState writes a state as JSON. It holds strings, numbers and bytes only, which can always be written.
+func mustMarshalState(s *StateMachine) []byte {
+	b, err := json.Marshal(s)
+	if err != nil {
+		panic("encode a snapshot: " + err.Error())
+	}
+	return b
+}
+
+// appendSized appends a part with its length before it.
+func appendSized(to, part []byte) []byte {
+	to = binary.AppendUvarint(to, uint64(len(part)))
+	return append(to, part...)
+}
+
+// Restore reads a snapshot of either format.
+func Restore(snapshot []byte) (*StateMachine, error) {
+	s := NewStateMachine()
+	if err := s.decodeSnapshot(snapshot); err != nil {
+		return nil, fmt.Errorf("a snapshot of %d bytes cannot be read: %w", len(snapshot), err)
+	}
+	if err := s.checkVersions(); err != nil {
+		return nil, fmt.Errorf("a snapshot of %d bytes cannot be read: %w", len(snapshot), err)
+	}
+	return s, nil
+}
+
+func (s *StateMachine) decodeSnapshot(snapshot []byte) error {
+	if len(snapshot) > 0 && snapshot[0] == format2Mark {
+		return s.decodeFormat2(snapshot)
+	}
+	if err := json.Unmarshal(snapshot, s); err != nil {
+		return err
 	}
-	if l.InForce > l.Announced {
-		return nil, fmt.Errorf("a ledger has %d announced and %d in force", l.Announced, l.InForce)
+	if s.Announced != uint64(len(s.Versions)) { // nothing is forgotten in format 1
+		return fmt.Errorf("%w: %d versions, %d announced, %d in force",
+			errSnapshotInconsistent, len(s.Versions), s.Announced, s.InForce)
 	}
-	for i, v := range l.Versions {
-		if v == nil || v.Number == 0 || v.Number > l.Announced || i > 0 && v.Number <= l.Versions[i-1].Number {
-			return nil, fmt.Errorf("a ledger has version %s at place %d of %d, and %d is announced", v.Name(), i, len(l.Versions), l.Announced)
+	return nil
+}
+
+// checkVersions tells whether the versions are in order and those that count are there.
+func (s *StateMachine) checkVersions() error {
+	if s.InForce > s.Announced {
+		return fmt.Errorf("%w: %d announced, %d in force", errSnapshotInconsistent, s.Announced, s.InForce)
+	}
+	previous := uint64(0)
+	for i, v := range s.Versions {
+		if v == nil || v.Number <= previous || v.Number > s.Announced {
+			return fmt.Errorf("%w: version %s at place %d of %d, and %d is announced",
+				errSnapshotInconsistent, v.Name(), i, len(s.Versions), s.Announced)
 		}
+		previous = v.Number
 	}
-	for _, n := range []uint64{l.InForce, l.Announced} {
-		if n > 0 && l.Version(n) == nil {
-			return nil, fmt.Errorf("a ledger has not got version %d, with %d in force and %d announced", n, l.InForce, l.Announced)
+	for _, number := range []uint64{s.InForce, s.Announced} {
+		if number > 0 && s.Version(number) == nil {
+			return fmt.Errorf("%w: version %d is missing, with %d in force and %d announced",
+				errSnapshotInconsistent, number, s.InForce, s.Announced)
 		}
 	}
-	return l, nil
+	return nil
 }
 
-func (l *StateMachine) restore(b []byte) error {
-	if len(b) < 1+32 {
-		return errors.New("it is cut off")
+// decodeFormat2 reads a snapshot of format 2.
+func (s *StateMachine) decodeFormat2(snapshot []byte) error {
+	if len(snapshot) < 1+snapshotDigestBytes {
+		return errSnapshotTruncated
 	}
-	body, tail := b[:len(b)-32], b[len(b)-32:]
-	if sum := blake3.Sum256(body); !bytes.Equal(sum[:], tail) {
-		return fmt.Errorf("its %d bytes have the sum %x, and it says %x", len(body), sum[:6], tail[:6])
+	body, digest := snapshot[:len(snapshot)-snapshotDigestBytes], snapshot[len(snapshot)-snapshotDigestBytes:]
+	if sum := blake3.Sum256(body); !bytes.Equal(sum[:], digest) {
+		return fmt.Errorf("%w: %x instead of %x", errSnapshotDigest, sum[:6], digest[:6])
 	}
-	rest := body[1:]
-	part := func(what string) ([]byte, error) {
-		size, n := binary.Uvarint(rest)
-		if n <= 0 || size > uint64(len(rest)-n) {
-			return nil, fmt.Errorf("%s at byte %d is cut off", what, len(body)-len(rest))
-		}
-		one := rest[n : n+int(size)]
-		rest = rest[n+int(size):]
-		return one, nil
-	}
-	head, err := part("the head")
+	header, rest, err := cutSized(body[1:])
 	if err != nil {
-		return err
+		return fmt.Errorf("header: %w", err)
 	}
-	if err := json.Unmarshal(head, l); err != nil {
-		return fmt.Errorf("the head: %w", err)
+	if err := json.Unmarshal(header, s); err != nil {
+		return fmt.Errorf("header: %w", err)
 	}
-	if l.Format > Format {
-		return fmt.Errorf("it is of form %d, this program knows form %d: a newer program is needed", l.Format, Format)
+	if s.Format > Format {
+		return fmt.Errorf("%w: it is of format %d, this build knows format %d", errSnapshotFormat, s.Format, Format)
 	}
-	base, from := []byte(nil), uint64(0)
-	for i, v := range l.Versions {
+	previous := &configversion.Version{}
+	for i, v := range s.Versions {
 		if v == nil {
-			return fmt.Errorf("the head has no version at place %d", i)
-		}
-		coded, err := part(fmt.Sprintf("version %d", v.Number))
-		if err != nil {
-			return err
+			return fmt.Errorf("%w: the header has no version at place %d", errSnapshotInconsistent, i)
 		}
-		if v.Content, err = delta.Decode(base, coded, configversion.MaxContentBytes); err != nil {
-			return fmt.Errorf("version %d, coded from %d: %w", v.Number, from, err)
+		var encoded []byte
+		if encoded, rest, err = cutSized(rest); err != nil {
+			return fmt.Errorf("version %d: %w", v.Number, err)
 		}
-		if sum := configversion.DigestOf(v.Content); sum != v.Digest {
-			return fmt.Errorf("version %d has a content of digest %.12s, and it says %.12s", v.Number, sum, v.Digest)
+		if err := s.decodeVersion(v, previous, encoded); err != nil {
+			return err
 		}
-		l.codes[v.Number] = code{from, bytes.Clone(coded)}
-		base, from = v.Content, v.Number
+		previous = v
 	}
 	if len(rest) > 0 {
-		return fmt.Errorf("%d bytes follow after it", len(rest))
+		return fmt.Errorf("%w: %d bytes", errSnapshotTrailing, len(rest))
 	}
 	return nil
 }
+
+// decodeVersion fills in a version's content from its encoded form, a delta from base.
+func (s *StateMachine) decodeVersion(version, base *configversion.Version, encoded []byte) error {
+	content, err := delta.Decode(base.Content, encoded, configversion.MaxContentBytes)
+	if err != nil {
+		return fmt.Errorf("version %d, encoded from %d: %w", version.Number, base.Number, err)
+	}
+	if digest := configversion.DigestOf(content); digest != version.Digest {
+		return fmt.Errorf("%w: the content of version %d has digest %.12s instead of %.12s",
+			errSnapshotInconsistent, version.Number, digest, version.Digest)
+	}
+	version.Content = content
+	s.encoded[version.Number] = encodedContent{base.Number, bytes.Clone(encoded)}
+	return nil
+}
+
+// cutSized splits what appendSized has appended off the front.
+func cutSized(from []byte) (part, rest []byte, err error) {
+	size, n := binary.Uvarint(from)
+	if n <= 0 || size > uint64(len(from)-n) {
+		return nil, nil, errSnapshotTruncated
+	}
+	end := n + int(size)
+	return from[n:end], from[end:], nil
+}
--- a/internal/fleet/lease/snapshot_test.go
+++ b/internal/fleet/lease/snapshot_test.go
@@ -14,8 +14,8 @@
 	"irispost/internal/fleet/configversion"
 )
 
-// plan is rules of so many nodes with a limit.
-func plan(nodes int, limit float64) []byte {
+// configOfNodes is rules of so many nodes with a limit.
+func configOfNodes(nodes int, limit float64) []byte {
 	r := &configversion.Config{RequiredFormat: 1, Shards: nodes + 1, MeanRequestUnits: 1, ServiceLevels: map[string]configversion.ServiceLevel{"gold": {Weight: 1, RateLimit: limit}}, Dispatch: configversion.DispatchPolicy{MaxAttempts: 1},
 		Nodes: map[string]configversion.Node{}}
 	for i := range nodes {
@@ -26,7 +26,7 @@
 
 // Whatever is proposed, forgotten, saved and restored, coded or not: each keeper has of each version the bytes that were proposed, or nothing,
 // and nothing only of what was forgotten.
-func TestLedgersAgainstWholeVersions(t *testing.T) {
+func TestStateMachinesKeepProposedContents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ledgers := []*StateMachine{NewStateMachine(), NewStateMachine(), NewStateMachine()}
 		all, gone := map[uint64][]byte{}, map[uint64]bool{}
@@ -72,7 +72,7 @@
 					put(c, 2)
 				}
 			default:
-				content := plan(rapid.IntRange(0, 30).Draw(t, "nodes"), float64(n))
+				content := configOfNodes(rapid.IntRange(0, 30).Draw(t, "nodes"), float64(n))
 				parent := l.Announced - min(l.Announced, uint64(rapid.IntRange(0, 1).Draw(t, "late")))
 				if v := put(&Command{Propose: &Proposal{ID: fmt.Sprint(n), Parent: parent, ReplacePending: true, Content: content}}, form); (v != nil) != (parent == l.Announced-1 && v != nil) {
 					t.Fatalf("%v of parent %d", v, parent)
@@ -92,10 +92,10 @@
 }
 
 // What is spoilt anywhere is refused in one line.
-func TestSpoiltSnapshots(t *testing.T) {
+func TestRestoreRejectsCorruptSnapshots(t *testing.T) {
 	l := NewStateMachine()
 	for n := range 12 {
-		c := &Command{Propose: &Proposal{ID: fmt.Sprint(n), Parent: uint64(n), ReplacePending: true, Content: plan(20, float64(n+1))}}
+		c := &Command{Propose: &Proposal{ID: fmt.Sprint(n), Parent: uint64(n), ReplacePending: true, Content: configOfNodes(20, float64(n+1))}}
 		e, err := c.EncodeEntry(2, l)
 		if err != nil {
 			t.Fatal(err)
@@ -121,7 +121,7 @@
 		}
 	}
 	old := NewStateMachine()
-	if _, err := old.Apply(&Command{Propose: &Proposal{ID: "a", Content: plan(1, 1)}}); err != nil {
+	if _, err := old.Apply(&Command{Propose: &Proposal{ID: "a", Content: configOfNodes(1, 1)}}); err != nil {
 		t.Fatal(err)
 	}
 	text := old.Snapshot()
@@ -136,21 +136,21 @@
 }
 
 // An entry that is spoilt ends the keeper, and changes nothing.
-func TestSpoiltEntries(t *testing.T) {
+func TestCorruptEntriesChangeNothing(t *testing.T) {
 	fresh := func() *StateMachine {
 		l := NewStateMachine()
-		l.Apply(&Command{Propose: &Proposal{ID: "a", Content: plan(50, 1)}})
+		l.Apply(&Command{Propose: &Proposal{ID: "a", Content: configOfNodes(50, 1)}})
 		return l
 	}
 	l := fresh()
-	e, err := (&Command{Propose: &Proposal{ID: "b", Parent: 1, ReplacePending: true, Content: plan(50, 2)}}).EncodeEntry(2, l)
+	e, err := (&Command{Propose: &Proposal{ID: "b", Parent: 1, ReplacePending: true, Content: configOfNodes(50, 2)}}).EncodeEntry(2, l)
 	if err != nil || len(e) > 1000 {
 		t.Fatalf("%d bytes: %v", len(e), err)
 	}
 	if _, err := (&Command{Forget: []uint64{1}}).EncodeEntry(1, l); err == nil {
 		t.Error("an entry of form 1 tells what to forget")
 	}
-	whole := plan(50, 2)
+	whole := configOfNodes(50, 2)
 	for i := range e {
 		for _, bad := range [][]byte{e[:i], slices.Concat(e[:i], []byte{e[i] ^ 1<<(i%8)}, e[i+1:])} {
 			c, err := DecodeEntry(bad)
@@ -164,7 +164,7 @@
 		}
 	}
 	other := NewStateMachine() // whose first version is another
-	other.Apply(&Command{Propose: &Proposal{ID: "a", Content: plan(50, 3)}})
+	other.Apply(&Command{Propose: &Proposal{ID: "a", Content: configOfNodes(50, 3)}})
 	c, _ := DecodeEntry(e)
 	if _, err := other.Apply(c); !errors.Is(err, ErrInvalidEntry) {
 		t.Errorf("against another base: %v", err)
@@ -172,10 +172,10 @@
 }
 
 // A proposal that is asked for again is told its number as long as its ID is known, and is refused after that, as its parent is not the newest.
-func TestRepeatsOfProposals(t *testing.T) {
+func TestRepeatedProposalsAreRecognised(t *testing.T) {
 	l := NewStateMachine()
 	ask := func(n int) (*configversion.Version, error) {
-		c := &Command{Propose: &Proposal{ID: fmt.Sprint(n), Parent: uint64(n), ReplacePending: true, Content: plan(0, float64(n+1))}}
+		c := &Command{Propose: &Proposal{ID: fmt.Sprint(n), Parent: uint64(n), ReplacePending: true, Content: configOfNodes(0, float64(n+1))}}
 		e, err := c.EncodeEntry([]int{2, 1}[min(n%16, 1)], l)
 		if err != nil {
 			t.Fatal(err)
@@ -213,11 +213,11 @@
 }
 
 // A gateway that is on its floor for an hour has its version kept, whoever leads, while a thousand others come and go; then it goes, too.
-func TestFloorOfAnHour(t *testing.T) {
+func TestVersionOfALongFallbackIsKept(t *testing.T) {
 	l, now, seq := NewStateMachine(), Time(0), uint64(0)
-	l.Apply(&Command{Bootstrap: &testTerms})
+	l.Apply(&Command{Bootstrap: &testSettings})
 	l.Apply(&Command{Join: []string{"far", "near"}})
-	r, _ := configversion.Parse(plan(0, 1))
+	r, _ := configversion.Parse(configOfNodes(0, 1))
 	r.FallbackPolicy = configversion.FallbackPolicy{Duration: 3600 * 1e9, LimitFraction: 1}
 	w := NewManager(now, 1, l, 0)
 	step := func(content []byte) {
@@ -225,7 +225,7 @@
 			t.Fatal(err)
 		}
 		for _, who := range []string{"near", "far"} {
-			if seq++; who == "near" || now < 3*lease {
+			if seq++; who == "near" || now < 3*leaseDuration {
 				w.Renew(now, &RenewRequest{Holder: who, Seq: seq, Term: w.term, AcceptedSeq: seq, HeldVersions: []uint64{l.Announced}})
 			}
 		}
@@ -234,24 +234,24 @@
 			l.Apply(c)
 			w.Applied(c)
 		}
-		now += 4 * lease
+		now += 4 * leaseDuration
 	}
 	step(r.Canonical())
 	held := l.Announced
 	most := 0
 	for n := range 1400 {
-		step(plan(0, float64(n+2)))
+		step(configOfNodes(0, float64(n+2)))
 		if most = max(most, len(l.Versions)); n == 100 {
 			w = NewManager(now, 2, l, 0)
 		}
-		if l.Version(held) == nil && now < 3600*lease {
+		if l.Version(held) == nil && now < 3600*leaseDuration {
 			t.Fatalf("forgotten after %d s", now/1e9)
 		}
 	}
 	if l.Version(held) != nil || len(l.Holders) != 1 {
 		t.Errorf("after %d s it is still there, holders %v", now/1e9, l.Holders)
 	}
-	if len(l.Versions) > RetainedBaseVersions+batch+2 {
+	if len(l.Versions) > RetainedBaseVersions+forgetBatch+2 {
 		t.Errorf("%d versions at the end, %d at most", len(l.Versions), most)
 	}
 }
--- /dev/null
+++ b/internal/fleet/lease/statemachine.go
@@ -0,0 +1,263 @@
+package lease
+
+import (
+	"bytes"
+	"cmp"
+	"errors"
+	"fmt"
+	"maps"
+	"slices"
+
+	"irispost/internal/fleet/configversion"
+)
+
+// What a state machine of format 2 keeps at least.
+const (
+	RetainedBaseVersions = 8    // versions before the announced one, which deltas may start from
+	RetainedProposalIDs  = 1024 // IDs of the latest proposals, by which a retry is recognised
+)
+
+// Errors that say why a command changes nothing. The text of a rejected proposal says what to do.
+var (
+	ErrStaleParent    = errors.New("it was made of a version that is not the newest")
+	ErrVersionPending = errors.New("another version is announced and not in force yet")
+
+	errBootstrapped  = errors.New("the fleet is founded already")
+	errVersionNeeded = errors.New("a version that is announced or in force cannot be forgotten")
+)
+
+// StateMachine is the state that the replicas' log comes to. The same commands in the same order give the
+// same state at each replica.
+type StateMachine struct {
+	Format          int                      `json:"form,omitempty"` // of entries and snapshots; 0: the first
+	Settings        Settings                 `json:"terms"`
+	Versions        []*configversion.Version `json:"versions"` // by number, without those that were forgotten
+	ProposalIDs     map[string]uint64        `json:"ids"`      // version numbers by proposal ID
+	InForce         uint64                   `json:"in_force"` // 0: none
+	Announced       uint64                   `json:"announced"`
+	Holders         map[string]bool          `json:"holders"` // gateways that may act on a lease or a fallback
+	Members         map[string]bool          `json:"present"` // those of the holders that may have a lease
+	MembershipEpoch uint64                   `json:"sets"`    // number of changes of Members so far
+	Departures      uint64                   `json:"parts"`   // how many times a gateway has left Members so far
+
+	fallbackDurations map[uint64]Time           // by version, as far as they were needed
+	encoded           map[uint64]encodedContent // contents that were encoded already, by version
+}
+
+// NewStateMachine returns the state of an empty log.
+func NewStateMachine() *StateMachine {
+	return &StateMachine{
+		ProposalIDs:       map[string]uint64{},
+		Holders:           map[string]bool{},
+		Members:           map[string]bool{},
+		fallbackDurations: map[uint64]Time{},
+		encoded:           map[uint64]encodedContent{},
+	}
+}
+
+// Version returns the version with a number, or nil if there is none or it was forgotten.
+func (s *StateMachine) Version(number uint64) *configversion.Version {
+	i, found := slices.BinarySearchFunc(s.Versions, number, func(v *configversion.Version, number uint64) int {
+		return cmp.Compare(v.Number, number)
+	})
+	if !found {
+		return nil
+	}
+	return s.Versions[i]
+}
+
+// VersionByDigest returns the latest version with a digest, or nil if there is none.
+func (s *StateMachine) VersionByDigest(digest string) *configversion.Version {
+	for _, v := range slices.Backward(s.Versions) {
+		if v.Digest == digest {
+			return v
+		}
+	}
+	return nil
+}
+
+// Apply applies the next command of the log and returns the version that a proposal has become. After an
+// error that is ErrInvalidEntry the replica cannot go on. After any other error the command has changed
+// nothing.
+func (s *StateMachine) Apply(c *Command) (*configversion.Version, error) {
+	switch {
+	case c.Bootstrap != nil:
+		if s.Settings.LeaseDuration > 0 {
+			return nil, errBootstrapped
+		}
+		s.Settings = *c.Bootstrap
+	case c.Propose != nil:
+		return s.propose(c.Propose)
+	case c.Activate > 0:
+		if c.Activate == s.Announced { // a version that was replaced meanwhile never comes into force
+			s.InForce = c.Activate
+		}
+	case len(c.Forget) > 0:
+		return nil, s.forget(c.Forget)
+	default:
+		s.updateMembership(c)
+	}
+	return nil, nil
+}
+
+// updateMembership applies the changes of holders and members. All changes of one command count as one epoch.
+func (s *StateMachine) updateMembership(c *Command) {
+	next := s.MembershipEpoch + 1
+	for _, name := range c.Join {
+		s.Holders[name] = true
+		if !s.Members[name] {
+			s.Members[name] = true
+			s.MembershipEpoch = next
+		}
+	}
+	for _, name := range slices.Concat(c.Remove, c.LeaseExpired) {
+		if s.Members[name] {
+			delete(s.Members, name)
+			s.Departures++
+			s.MembershipEpoch = next
+		}
+	}
+	for _, name := range c.Remove {
+		delete(s.Holders, name)
+	}
+}
+
+// propose announces a new version, or returns the one that an earlier try of the same proposal has become.
+func (s *StateMachine) propose(p *Proposal) (*configversion.Version, error) {
+	if p.Delta != nil {
+		s.Format = formatWithDeltas
+	}
+	if number := s.ProposalIDs[p.ID]; number > 0 {
+		if v := s.Version(number); v != nil {
+			return v, nil
+		}
+		return &configversion.Version{Number: number, Parent: number - 1}, nil // all else of it is in the history
+	}
+	if err := s.checkParent(p); err != nil {
+		return nil, err
+	}
+	content, err := p.decodeContent(s)
+	if err != nil {
+		return nil, err
+	}
+	version, err := s.newVersion(p, content)
+	if err != nil {
+		return nil, err
+	}
+	if p.Delta != nil && bytes.Equal(version.Content, content) {
+		s.encoded[version.Number] = encodedContent{p.DeltaBase, p.Delta}
+	}
+	s.Versions = append(s.Versions, version)
+	s.Announced = version.Number
+	s.ProposalIDs[p.ID] = version.Number
+	if s.Format >= formatWithDeltas {
+		maps.DeleteFunc(s.ProposalIDs, func(_ string, number uint64) bool {
+			return number+RetainedProposalIDs <= s.Announced
+		})
+	}
+	return version, nil
+}
+
+// checkParent rejects a proposal that was not made of the latest version, or that would replace a pending one
+// unasked.
+func (s *StateMachine) checkParent(p *Proposal) error {
+	latest := s.Version(s.Announced)
+	switch {
+	case p.Parent != s.Announced && latest == nil:
+		return fmt.Errorf("%w: it was made of %d, there is none yet", ErrStaleParent, p.Parent)
+	case p.Parent != s.Announced:
+		hint := ""
+		if s.Format >= formatWithDeltas && s.Announced-min(s.Announced, p.Parent) >= RetainedProposalIDs {
+			hint = fmt.Sprintf(" (whether it was taken before is not known: that is kept for %d versions)", RetainedProposalIDs)
+		}
+		return fmt.Errorf("%w: it was made of %d, the newest is %s by %s: %s%s",
+			ErrStaleParent, p.Parent, latest.Name(), latest.Author, latest.Reason, hint)
+	case s.Announced != s.InForce && !p.ReplacePending:
+		return fmt.Errorf("%w: %s", ErrVersionPending, latest.Name())
+	}
+	return nil
+}
+
+// newVersion makes the version that a proposal asks for. A content in a newer format than this build knows is
+// taken as it is, as a replica may be older than the gateways that are to act on it.
+func (s *StateMachine) newVersion(p *Proposal, content []byte) (*configversion.Version, error) {
+	version := &configversion.Version{
+		Number:    s.Announced + 1,
+		Parent:    p.Parent,
+		Author:    p.Author,
+		Reason:    p.Reason,
+		CreatedAt: p.CreatedAt,
+	}
+	config, err := configversion.Parse(content)
+	var newer *configversion.UnsupportedFormatError
+	switch {
+	case err == nil:
+		version.Digest = config.Digest()
+		version.Content = config.Canonical()
+		s.fallbackDurations[version.Number] = config.FallbackPolicy.Duration
+	case errors.As(err, &newer):
+		version.Digest = configversion.DigestOf(content)
+		version.Content = content
+	default:
+		return nil, err
+	}
+	return version, nil
+}
+
+// forget drops versions. If one of them may still be granted, all are kept.
+func (s *StateMachine) forget(numbers []uint64) error {
+	s.Format = formatWithDeltas
+	for _, number := range numbers {
+		if number == s.InForce || number == s.Announced {
+			return fmt.Errorf("%w: version %d, with %d in force and %d announced",
+				errVersionNeeded, number, s.InForce, s.Announced)
+		}
+	}
+	forgotten := func(number uint64) bool { return slices.Contains(numbers, number) }
+	s.Versions = slices.DeleteFunc(s.Versions, func(v *configversion.Version) bool { return forgotten(v.Number) })
+	maps.DeleteFunc(s.fallbackDurations, func(number uint64, _ Time) bool { return forgotten(number) })
+	maps.DeleteFunc(s.encoded, func(number uint64, _ encodedContent) bool { return forgotten(number) })
+	return nil
+}
+
+// ReleaseParsed drops the parsed form of versions before the one in force, to save memory. They are parsed
+// again where they are needed.
+func (s *StateMachine) ReleaseParsed() {
+	for _, v := range s.Versions {
+		if v.Number < s.InForce {
+			v.ReleaseParsed()
+		}
+	}
+}
+
+// fallbackDuration returns for how long the fallback of a version counts. It is 0 if there is no such version
+// or this build cannot read it.
+func (s *StateMachine) fallbackDuration(number uint64) Time {
+	if duration, known := s.fallbackDurations[number]; known {
+		return duration
+	}
+	version := s.Version(number)
+	if version == nil {
+		return 0
+	}
+	var duration Time
+	// Version.Config would keep the parsed form in memory.
+	if config, err := configversion.Parse(version.Content); err == nil {
+		duration = config.FallbackPolicy.Duration
+	}
+	s.fallbackDurations[number] = duration
+	return duration
+}
+
+// longestFallback returns the longest duration of a fallback that some gateway may act on, which is one of
+// any version that is kept.
+func (s *StateMachine) longestFallback() Time {
+	var longest Time
+	for _, v := range s.Versions {
+		longest = max(longest, s.fallbackDuration(v.Number))
+	}
+	return longest
+}
+
+// sortedNames returns the members of a set in order.
+func sortedNames(set map[string]bool) []string { return slices.Sorted(maps.Keys(set)) }
