--- a/internal/fleet/configversion/diff.go
+++ b/internal/fleet/configversion/diff.go
@@ -8,39 +8,49 @@
 	"strings"
 )
 
-// Diff tells what has changed from a to b, one line each.
-func Diff(a, b *Config) (list []string) {
-	walk("", a.tree(), b.tree(), &list)
-	return list
+// Diff lists what has changed from a to b, one line for each member, by its path in the canonical form.
+func Diff(a, b *Config) []string {
+	var lines []string
+	appendDiff(&lines, "", a.tree(), b.tree())
+	return lines
 }
 
-// tree is the rules as plain maps.
-func (r *Config) tree() (t map[string]any) {
-	json.Unmarshal(r.Canonical(), &t)
-	return t
+// tree returns the canonical form as plain maps.
+func (c *Config) tree() map[string]any {
+	var tree map[string]any
+	if err := json.Unmarshal(c.Canonical(), &tree); err != nil {
+		panic("decode a canonical configuration: " + err.Error()) // it was encoded here
+	}
+	return tree
 }
 
-func walk(at string, a, b any, list *[]string) {
-	x, isMap := a.(map[string]any)
-	y, also := b.(map[string]any)
-	if !isMap || !also {
-		p, q := text(a), text(b)
-		if p != q {
-			*list = append(*list, fmt.Sprintf("%s: %s -> %s", strings.TrimPrefix(at, "."), p, q))
+// appendDiff compares two members at a path, and what is within them if both are objects.
+func appendDiff(lines *[]string, path string, a, b any) {
+	objectA, isObjectA := a.(map[string]any)
+	objectB, isObjectB := b.(map[string]any)
+	if !isObjectA || !isObjectB {
+		before, after := memberText(a), memberText(b)
+		if before != after {
+			*lines = append(*lines, fmt.Sprintf("%s: %s -> %s", strings.TrimPrefix(path, "."), before, after))
 		}
 		return
 	}
-	names := append(slices.Collect(maps.Keys(x)), slices.Collect(maps.Keys(y))...)
+	names := slices.Collect(maps.Keys(objectA))
+	names = slices.AppendSeq(names, maps.Keys(objectB))
 	slices.Sort(names)
 	for _, name := range slices.Compact(names) {
-		walk(at+"."+name, x[name], y[name], list)
+		appendDiff(lines, path+"."+name, objectA[name], objectB[name])
 	}
 }
 
-func text(v any) string {
-	if v == nil {
+// memberText writes a member as JSON, or "none" if there is none.
+func memberText(member any) string {
+	if member == nil {
 		return "none"
 	}
-	b, _ := json.Marshal(v)
+	b, err := json.Marshal(member)
+	if err != nil {
+		panic("encode a member of a configuration: " + err.Error()) // it was decoded from JSON
+	}
 	return string(b)
 }
--- a/internal/fleet/configversion/golden_test.go
+++ b/internal/fleet/configversion/golden_test.go
@@ -1,64 +1,82 @@
 package configversion
 
 import (
-	"bytes"
 	"encoding/json"
-	"flag"
-	"os"
-	"path/filepath"
 	"reflect"
 	"strings"
 	"testing"
 
 	"irispost/internal/endpoint"
+	"irispost/internal/testkit/golden"
 )
 
-// The files under testdata/golden hold the forms in which versions are stored, sent and digested. Each build has to come to the same
-// bytes, so a file is only ever added, never rewritten.
-var update = flag.Bool("update", false, "write missing golden files")
-
-// golden compares what is written with a golden file. With -update a missing file is written first.
-func golden(t *testing.T, name string, got []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", "golden", name)
-	if _, err := os.Stat(path); *update && os.IsNotExist(err) {
-		if err := os.WriteFile(path, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s: written:\n%s\nthe file has:\n%s", name, got, want)
-	}
-}
-
-// goldenRules has no member at its zero value, and each kind and standing.
-func goldenRules() *Config {
-	return &Config{RequiredFormat: 1, Shards: 3, MeanRequestUnits: 1.5,
-		ServiceLevels: map[string]ServiceLevel{"gold": {Weight: 2, NominalRate: 10, Reserve: 3, RateLimit: 100, Burst: 20, Slack: 4}, "iron": {Weight: 1}},
-		RequestClasses: map[string]RequestClass{"a": {Idempotency: Idempotent, LatencyObjective: 1e6, ClientTimeout: 2e6, DedupWindow: 3e6, Ordered: true}, "b": {Idempotency: KeyedAllNodes, LatencyObjective: 1e6, ClientTimeout: 2e6, DedupWindow: 4e9},
-			"c": {Idempotency: KeyedSameZone, LatencyObjective: 1e6, ClientTimeout: 2e6}, "d": {Idempotency: KeyedSameShard, LatencyObjective: 1e6, ClientTimeout: 2e6}, "e": {Idempotency: NonIdempotent, LatencyObjective: 1e6, ClientTimeout: 2e6}},
-		SlowStart:      SlowStart{InitialShare: 0.25, Duration: 5e9, FairShareMultiple: 1.5, Window: 1e9, MinimumUnits: 7},
-		RetryBudget:    RetryBudget{Window: 2e9, FreeRetries: 3, RequestShare: 0.1},
-		Dispatch:       DispatchPolicy{MaxAttempts: 3, Hedging: true, Cancellation: true, RetryAfter: true, MaxRetryAfter: 6e9, KeyCooldown: 7e6},
+// goldenConfig has no member at its zero value, and each value of idempotency and health.
+func goldenConfig() *Config {
+	return &Config{
+		RequiredFormat:   1,
+		Shards:           3,
+		MeanRequestUnits: 1.5,
+		ServiceLevels: map[string]ServiceLevel{
+			"gold": {Weight: 2, NominalRate: 10, Reserve: 3, RateLimit: 100, Burst: 20, Slack: 4},
+			"iron": {Weight: 1},
+		},
+		RequestClasses: map[string]RequestClass{
+			"a": {Idempotency: Idempotent, LatencyObjective: 1e6, ClientTimeout: 2e6, DedupWindow: 3e6, Ordered: true},
+			"b": {Idempotency: KeyedAllNodes, LatencyObjective: 1e6, ClientTimeout: 2e6, DedupWindow: 4e9},
+			"c": {Idempotency: KeyedSameZone, LatencyObjective: 1e6, ClientTimeout: 2e6},
+			"d": {Idempotency: KeyedSameShard, LatencyObjective: 1e6, ClientTimeout: 2e6},
+			"e": {Idempotency: NonIdempotent, LatencyObjective: 1e6, ClientTimeout: 2e6},
+		},
+		SlowStart:   SlowStart{InitialShare: 0.25, Duration: 5e9, FairShareMultiple: 1.5, Window: 1e9, MinimumUnits: 7},
+		RetryBudget: RetryBudget{Window: 2e9, FreeRetries: 3, RequestShare: 0.1},
+		Dispatch: DispatchPolicy{
+			MaxAttempts:   3,
+			Hedging:       true,
+			Cancellation:  true,
+			RetryAfter:    true,
+			MaxRetryAfter: 6e9,
+			KeyCooldown:   7e6,
+		},
 		FallbackPolicy: FallbackPolicy{Duration: 8e9, LimitFraction: 0.5, AllowWrites: true},
-		Nodes: map[string]Node{"10.0.0.1:7000": {Name: "one", Zone: "z1", Shard: 1, StartedAt: 1764650723000000000, Weight: 2, Health: endpoint.Draining},
-			"10.0.0.2:7000": {}, "10.0.0.3:7000": {Shard: 2, Health: endpoint.Removed}, "10.0.0.4:7000": {Shard: 1, Health: endpoint.Unhealthy}}}
+		Nodes: map[string]Node{
+			"10.0.0.1:7000": {
+				Name:      "one",
+				Zone:      "z1",
+				Shard:     1,
+				StartedAt: 1764650723000000000,
+				Weight:    2,
+				Health:    endpoint.Draining,
+			},
+			"10.0.0.2:7000": {},
+			"10.0.0.3:7000": {Shard: 2, Health: endpoint.Removed},
+			"10.0.0.4:7000": {Shard: 1, Health: endpoint.Unhealthy},
+		},
+	}
 }
 
+// The files under testdata/golden hold the forms in which versions are stored, sent and digested. Each build has to
+// come to the same bytes.
 func TestGoldenForms(t *testing.T) {
-	r := goldenRules()
-	other := goldenRules()
-	other.FallbackPolicy, other.RetryBudget.FreeRetries, other.Dispatch.Hedging = FallbackPolicy{Duration: 1e9, LimitFraction: 0.25}, 1, false
+	r := goldenConfig()
+	other := goldenConfig()
+	other.FallbackPolicy = FallbackPolicy{Duration: 1e9, LimitFraction: 0.25}
+	other.RetryBudget.FreeRetries = 1
+	other.Dispatch.Hedging = false
 	other.ServiceLevels = map[string]ServiceLevel{"gold": {Weight: 1, RateLimit: 50}}
 	other.Nodes["10.0.0.2:7000"] = Node{StartedAt: 9}
 	delete(other.RequestClasses, "a")
-	contrary := goldenRules()
-	contrary.SlowStart, contrary.RetryBudget = SlowStart{InitialShare: 0.5, Duration: 4e9}, RetryBudget{Window: 1e9, FreeRetries: 1.5, RequestShare: 0.25}
-	v := &Version{Number: 7, Parent: 6, Digest: r.Digest(), Author: "ann", Reason: "more room", CreatedAt: "2026-01-02T03:04:05Z", Content: r.Canonical()}
+	conflicting := goldenConfig()
+	conflicting.SlowStart = SlowStart{InitialShare: 0.5, Duration: 4e9}
+	conflicting.RetryBudget = RetryBudget{Window: 1e9, FreeRetries: 1.5, RequestShare: 0.25}
+	v := &Version{
+		Number:    7,
+		Parent:    6,
+		Digest:    r.Digest(),
+		Author:    "ann",
+		Reason:    "more room",
+		CreatedAt: "2026-01-02T03:04:05Z",
+		Content:   r.Canonical(),
+	}
 	asJSON := func(value any) []byte {
 		b, err := json.Marshal(value)
 		if err != nil {
@@ -72,17 +90,17 @@
 		"canonical-empty.json": (&Config{}).Canonical(),
 		"digest.txt":           lines([]string{r.Digest(), (&Config{}).Digest(), DigestOf(nil)}),
 		"version.json":         asJSON(v),
-		"version-head.json":    asJSON(v.Header()),
+		"version-header.json":  asJSON(v.Header()),
 		"version-name.txt":     lines([]string{v.Name(), (*Version)(nil).Name()}),
-		"floor.json":           r.Fallback().Canonical(),
-		"floor-none.json":      (&Config{}).Fallback().Canonical(),
-		"nothing.json":         r.DenyAll().Canonical(),
-		"meet.json":            Intersect(r, other).Canonical(),
-		"terms.json":           asJSON(r.Settings(map[string]string{"gateways": "7", "plans.9.name": "old"})),
+		"fallback.json":        r.Fallback().Canonical(),
+		"fallback-none.json":   (&Config{}).Fallback().Canonical(),
+		"deny-all.json":        r.DenyAll().Canonical(),
+		"intersection.json":    Intersect(r, other).Canonical(),
+		"settings.json":        asJSON(r.Settings(map[string]string{"gateways": "7", "plans.9.name": "old"})),
 		"diff.txt":             lines(Diff(r, other)),
-		"conflicts.txt":        lines(Conflicts(r, contrary)),
+		"conflicts.txt":        lines(Conflicts(r, conflicting)),
 	} {
-		golden(t, name, got)
+		t.Run(name, func(t *testing.T) { golden.Check(t, "golden/"+name, got) })
 	}
 	back, err := Parse(r.Canonical())
 	if err != nil || !reflect.DeepEqual(back, r) {
