--- /dev/null
+++ b/internal/fleet/configversion/settings_test.go
@@ -0,0 +1,56 @@
+package configversion
+
+import (
+	"strings"
+	"testing"
+
+	"pgregory.net/rapid"
+)
+
+// Whatever the gateway's local settings were.
+func TestSettingsAndBackIsTheSame(t *testing.T) {
+	drawTheSame(t)
+	rapid.Check(t, func(t *rapid.T) {
+		config, other := drawConfig(t), drawConfig(t)
+		inMicroseconds(config)
+		local := other.Settings(map[string]string{"gateways": "7", "plans.9.name": "old"})
+		settings := config.Settings(local)
+		if settings["gateways"] != "7" || settings["plans.9.name"] != "" {
+			t.Fatalf("%v", settings)
+		}
+		back := &Config{
+			RequiredFormat:   config.RequiredFormat,
+			Shards:           config.Shards,
+			MeanRequestUnits: config.MeanRequestUnits,
+			FallbackPolicy:   config.FallbackPolicy,
+			Nodes:            config.Nodes,
+		}
+		back.SetFromSettings(settings)
+		if back.Digest() != config.Digest() {
+			t.Fatalf("%s\n%s", config.Canonical(), back.Canonical())
+		}
+	})
+}
+
+// inMicroseconds makes durations whole microseconds, as settings have no smaller part.
+func inMicroseconds(c *Config) {
+	multiply := func(durations ...*int64) {
+		for _, duration := range durations {
+			*duration *= nanosPerMicro
+		}
+	}
+	multiply(&c.SlowStart.Duration, &c.SlowStart.Window, &c.RetryBudget.Window)
+	multiply(&c.Dispatch.MaxRetryAfter, &c.Dispatch.KeyCooldown)
+	for name, class := range c.RequestClasses {
+		multiply(&class.LatencyObjective, &class.ClientTimeout, &class.DedupWindow)
+		c.RequestClasses[name] = class
+	}
+}
+
+func TestSettingsOfDenyAllAreFiniteAndNotNegative(t *testing.T) {
+	for name, value := range (&Config{Shards: 1}).DenyAll().Settings(nil) {
+		if strings.HasPrefix(value, "-") || strings.Contains(value, "Inf") {
+			t.Errorf("%s is %s", name, value)
+		}
+	}
+}
