--- /dev/null
+++ b/internal/fleet/lease/renew_test.go
@@ -0,0 +1,89 @@
+package lease
+
+import (
+	"strconv"
+	"testing"
+
+	"irispost/internal/fleet/configversion"
+)
+
+// contentWithOwner is a content in which one node serves the first shard, with a fallback of a duration.
+func contentWithOwner(t *testing.T, owner string, fallback Time) []byte {
+	t.Helper()
+	config, err := configversion.Parse(configPool[0])
+	if err != nil {
+		t.Fatal(err)
+	}
+	config.FallbackPolicy = configversion.FallbackPolicy{Duration: fallback, LimitFraction: 1}
+	config.Nodes = map[string]configversion.Node{owner: {}, "z": {Shard: 1}}
+	return config.Canonical()
+}
+
+// managerOf returns the manager of term 7 for a holder "g" and versions, of which the last is announced and the one before
+// it is in force.
+func managerOf(t *testing.T, faults InjectedFaults, contents ...[]byte) *Manager {
+	t.Helper()
+	state := stateOf(t, &Command{Bootstrap: &testSettings}, &Command{Join: []string{"g"}})
+	for i, content := range contents {
+		p := &Proposal{ID: strconv.Itoa(i), Parent: state.Announced, ReplacePending: true, Content: content}
+		applyAll(t, state, &Command{Activate: state.Announced}, &Command{Propose: p})
+	}
+	return NewManager(0, 7, state, faults)
+}
+
+// stateOf returns the state that commands come to.
+func stateOf(t *testing.T, commands ...*Command) *StateMachine {
+	t.Helper()
+	state := NewStateMachine()
+	applyAll(t, state, commands...)
+	return state
+}
+
+// applyAll applies commands, none of which may fail.
+func applyAll(t *testing.T, state *StateMachine, commands ...*Command) {
+	t.Helper()
+	for i, c := range commands {
+		if _, err := state.Apply(c); err != nil {
+			t.Fatalf("command %d: %v", i, err)
+		}
+	}
+}
+
+// A request that was long under way says what the gateway held once. If that counted, a version would come into force that
+// contradicts the fallback that the gateway acts on since.
+func TestRequestFromAnEarlierTermDoesNotCount(t *testing.T) {
+	for _, faults := range []InjectedFaults{0, FaultTrustEarlierTerms} {
+		a, b := contentWithOwner(t, "a", 100*leaseDuration), contentWithOwner(t, "b", 100*leaseDuration)
+		m := managerOf(t, faults, a, b, a, a)
+		m.state.Announced = 3
+		m.Renew(0, &RenewRequest{Holder: "g", Seq: 3, Term: 2, HeldVersions: []uint64{1}}) // it acts on the fallback of 2 by now
+		m.state.Announced = 4
+		command := m.NextCommand(10 * leaseDuration)
+		activated := command != nil && command.Activate == 4
+		if activated != (faults == FaultTrustEarlierTerms) {
+			t.Errorf("faults %b: %+v, %v", faults, command, m.WaitingFor(10*leaseDuration))
+		}
+	}
+}
+
+// A gateway whose requests arrive and whose responses do not would ask on for ever. One that cannot read the version says
+// so and is waited for.
+func TestGatewayThatIgnoresAnOfferIsNotWaitedFor(t *testing.T) {
+	for _, fault := range []string{"", "it cannot be read"} {
+		m := managerOf(t, 0, contentWithOwner(t, "a", 0), contentWithOwner(t, "b", 0))
+		activatedAt := Time(0)
+		for now := Time(0); now < 10*leaseDuration && activatedAt == 0; now += leaseDuration / 5 {
+			m.Renew(now, &RenewRequest{Holder: "g", Seq: 1 + uint64(now), Term: 7, HeldVersions: []uint64{1}, Fault: fault})
+			if command := m.NextCommand(now); command != nil && command.Activate == 2 {
+				activatedAt = now
+			}
+		}
+		longest := 2*testSettings.withDrift(leaseDuration) + leaseDuration/2
+		if activated := activatedAt > 0; activated != (fault == "") || activatedAt > longest {
+			t.Errorf("fault %q: in force after %d ms", fault, activatedAt/nanosPerMilli)
+		}
+		if grants := len(m.holders["g"].grants); grants > 1 {
+			t.Errorf("fault %q: %d grants are kept", fault, grants)
+		}
+	}
+}
--- /dev/null
+++ b/internal/fleet/lease/sim_gateway_test.go
@@ -0,0 +1,214 @@
+package lease
+
+import (
+	"strconv"
+	"sync"
+
+	"irispost/internal/fleet/configversion"
+	"irispost/internal/fleet/content"
+	"irispost/internal/fleet/delta"
+)
+
+type gateway struct {
+	clock
+	client       *Client // of the present start
+	stopped      bool
+	cut          bool     // its messages are lost
+	reaches      *replica // the only one that it reaches; nil: all
+	fullVersions bool     // it requests as earlier builds do, and gets versions with contents
+	cache        *content.Cache
+	diskContents [][]byte // what has been on its disk
+}
+
+// start starts a gateway, which knows nothing but what is on its disk. That may be old.
+func (w *world) start(g *gateway) {
+	w.starts++
+	g.client = NewClient("g"+strconv.Itoa(w.starts), leaseDuration/4, w.faults)
+	var faults content.InjectedFaults
+	if w.faults.Has(faultUncheckedDigest) {
+		faults |= content.FaultNoDigestCheck
+	}
+	if w.faults.Has(faultStaleDisk) {
+		faults |= content.FaultStaleCacheFile
+	}
+	var stored []byte
+	if n := len(g.diskContents); n > 0 && w.chance(0.8) {
+		stored = g.diskContents[max(n-1-w.rand.IntN(3), 0)]
+	}
+	g.cache = content.NewCache(stored, faults)
+}
+
+// sendRequest has a gateway send a request to a replica that believes that it leads.
+func (w *world) sendRequest(g *gateway) {
+	if g.stopped {
+		return
+	}
+	r := w.leader
+	if other := w.replicas[w.rand.IntN(len(w.replicas))]; other.manager != nil {
+		r = other
+	}
+	if g.reaches != nil && g.reaches.manager != nil {
+		r = g.reaches
+	}
+	client := g.client
+	request := client.NextRequest(g.at(w.now))
+	if g.fullVersions {
+		request.Format = 0
+	}
+	delay := w.delay()
+	if delay < 0 || g.cut {
+		return
+	}
+	receive := func(response *RenewResponse) { w.receive(g, client, response) }
+	w.post(delay, func() { w.receiveRequest(r, request, receive) })
+}
+
+// receiveRequest has a replica confirm that it leads and answer a request.
+func (w *world) receiveRequest(r *replica, request *RenewRequest, receive func(*RenewResponse)) {
+	term := r.term
+	respond := func(confirmed bool, end int) {
+		if r.manager == nil || r.term != term || !confirmed && !w.faults.Has(faultUnconfirmedLeader) {
+			return
+		}
+		if confirmed {
+			w.apply(r, end)
+		}
+		response := r.manager.Renew(r.at(w.now), request)
+		if delay := w.delay(); delay >= 0 {
+			w.post(delay, func() { receive(response) })
+		}
+	}
+	w.post(max(w.delay(), 0)/4, func() {
+		confirmed := r == w.leader && r.term == term
+		end := len(w.log)
+		w.post(max(w.delay(), 0)/4, func() { respond(confirmed, end) })
+	})
+}
+
+// receive has a gateway take in a response, unless it was started again since.
+func (w *world) receive(g *gateway, client *Client, response *RenewResponse) {
+	switch {
+	case g.client != client: // the gateway was started again
+	case g.stopped:
+		w.post(leaseDuration/10, func() { w.receive(g, client, response) })
+	default:
+		w.fetchContents(g, client, response)
+	}
+}
+
+// contentFetch fetches the contents of a response's versions one after the other, and hands the response to the client
+// with those that have come in time.
+type contentFetch struct {
+	world    *world
+	gateway  *gateway
+	client   *Client
+	response *RenewResponse
+	deadline Time
+}
+
+// fetchContents fetches the contents that a response names. They come from any replica, as deltas or complete, and are
+// lost, late, corrupt or another's.
+func (w *world) fetchContents(g *gateway, client *Client, response *RenewResponse) {
+	var digests []string
+	for _, v := range client.VersionsOf(response) {
+		digests = append(digests, v.Digest)
+	}
+	if !g.fullVersions {
+		g.cache.Retain(digests...)
+	}
+	f := &contentFetch{w, g, client, response, w.now + leaseDuration/4}
+	f.next(response.Versions, nil)
+}
+
+// next goes on with the versions that are left, of which the first is being fetched if fetch is not nil.
+func (f *contentFetch) next(left []*configversion.Version, fetch *content.Fetch) {
+	w, g := f.world, f.gateway
+	inTime := w.now < f.deadline
+	switch {
+	case g.client != f.client: // the gateway was started again
+	case g.stopped:
+		w.post(leaseDuration/10, func() { f.next(left, fetch) })
+	case fetch != nil && fetch.State() == content.StateInProgress && inTime:
+		w.fetchFromReplica(g, fetch, func() { f.next(left, fetch) })
+	case len(left) == 0:
+		f.client.HandleResponse(g.at(w.now), f.response)
+	case len(left[0].Content) > 0:
+		f.next(left[1:], nil)
+	case fetch == nil && inTime:
+		f.next(left, g.cache.Fetch(left[0].Digest, len(w.replicas)))
+	default:
+		f.finish(left[0])
+		f.next(left[1:], nil)
+	}
+}
+
+// finish puts a content into its version if it has come.
+func (f *contentFetch) finish(version *configversion.Version) {
+	fetched := f.gateway.cache.Content(version.Digest)
+	if fetched == nil {
+		return
+	}
+	version.Content = fetched
+	if f.world.faults.Has(faultUncheckedDigest) || f.world.faults.Has(faultStaleDisk) {
+		version.Digest = configversion.DigestOf(fetched)
+	}
+	f.gateway.diskContents = append(f.gateway.diskContents, fetched)
+}
+
+// fetchFromReplica asks any replica for a content, as each may answer.
+func (w *world) fetchFromReplica(g *gateway, fetch *content.Fetch, then func()) {
+	request := fetch.NextRequest()
+	r := w.replicas[w.rand.IntN(len(w.replicas))]
+	there, back := w.delay(), w.delay()
+	if there < 0 || back < 0 || g.cut {
+		w.post(leaseDuration/8, func() {
+			fetch.HandleFailure()
+			then()
+		})
+		return
+	}
+	w.post(there/2, func() {
+		version := r.state.VersionByDigest(request.Digest)
+		if version != nil && !w.healed && w.chance(0.1) { // the content of another version
+			version = w.committed.Versions[w.rand.IntN(len(w.committed.Versions))]
+		}
+		w.post(back/2, func() {
+			w.answerContent(r, request, version, fetch)
+			then()
+		})
+	})
+}
+
+// answerContent hands a version's content to a fetch, as a delta if the replica has the base; some are corrupt.
+func (w *world) answerContent(r *replica, request content.Request, version *configversion.Version, fetch *content.Fetch) {
+	if version == nil {
+		fetch.HandleFailure()
+		return
+	}
+	coding, base := content.EncodingZstd, []byte(nil)
+	if b := r.state.VersionByDigest(request.Base); b != nil {
+		coding, base = content.EncodingDelta, b.Content
+	}
+	encoded := encodeOnce(base, version.Content)
+	if !w.healed && w.chance(0.1) {
+		encoded = append([]byte(nil), encoded...)
+		encoded[w.rand.IntN(len(encoded))] ^= 1 << w.rand.IntN(8)
+	}
+	_ = fetch.HandleResponse(request, coding, encoded) // what is wrong is seen in the fetch's state
+}
+
+// encodedContents keeps what was encoded in all runs, as there are few contents.
+var encodedContents sync.Map
+
+func encodeOnce(base, bytes []byte) []byte {
+	key := content.DeltaKey{Base: string(base), Digest: string(bytes)}
+	if encoded, known := encodedContents.Load(key); known {
+		return encoded.([]byte)
+	}
+	encoded, err := delta.Encode(base, bytes)
+	if err != nil {
+		panic(err)
+	}
+	encodedContents.Store(key, encoded)
+	return encoded
+}
--- /dev/null
+++ b/internal/fleet/lease/sim_replica_test.go
@@ -0,0 +1,203 @@
+package lease
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+)
+
+type replica struct {
+	clock
+	state   *StateMachine
+	applied int      // entries of the log
+	manager *Manager // nil: it does not believe that it leads
+	term    uint64
+	pending []*logEntry // on their way into the log
+}
+
+// logEntry is a command in the log, encoded in runs that encode.
+type logEntry struct {
+	command *Command
+	encoded []byte
+}
+
+// decode returns the command as a replica reads it.
+func (e *logEntry) decode() *Command {
+	if e.encoded == nil {
+		return e.command
+	}
+	command, err := DecodeEntry(e.encoded)
+	if err != nil {
+		panic(err)
+	}
+	return command
+}
+
+// enqueue has a replica that leads hand a command to the log.
+func (w *world) enqueue(r *replica, c *Command) *logEntry {
+	entry := &logEntry{command: c}
+	if w.encodes {
+		var err error
+		if entry.encoded, err = c.EncodeEntry(Format, r.state); err != nil {
+			panic(err)
+		}
+	}
+	r.pending = append(r.pending, entry)
+	return entry
+}
+
+// commit puts an entry into the log, unless another replica leads by now.
+func (w *world) commit(r *replica, entry *logEntry) {
+	i := slices.Index(r.pending, entry)
+	if i < 0 || r != w.leader {
+		return
+	}
+	r.pending = slices.Delete(r.pending, i, i+1)
+	w.log = append(w.log, entry)
+	for _, number := range entry.command.Forget {
+		if v := w.committed.Version(number); v != nil {
+			w.forgotten[number] = v.Digest
+		}
+	}
+	version, err := w.committed.Apply(entry.decode())
+	if err == nil && version != nil {
+		w.acknowledged = append(w.acknowledged, version)
+	}
+	if errors.Is(err, ErrInvalidEntry) {
+		w.violation = err.Error()
+	}
+	if w.encodes && r.applied > w.firstIndex+8 {
+		w.firstIndex = r.applied
+		w.snapshot = r.state.Snapshot()
+	}
+}
+
+// apply has a replica apply the log up to an index.
+func (w *world) apply(r *replica, end int) {
+	end = min(end, len(w.log))
+	if r.applied < min(w.firstIndex, end) {
+		w.restore(r)
+	}
+	for ; r.applied < end; r.applied++ {
+		command := w.log[r.applied].decode()
+		if _, err := r.state.Apply(command); errors.Is(err, ErrInvalidEntry) {
+			w.violation = err.Error()
+		}
+		if r.manager != nil {
+			r.manager.Applied(command)
+		}
+	}
+}
+
+// restore brings a replica that lags over a compaction to the snapshot.
+func (w *world) restore(r *replica) {
+	r.applied = w.firstIndex
+	if w.faults.Has(faultSkipSnapshot) {
+		return
+	}
+	state, err := Restore(w.snapshot)
+	if err != nil {
+		panic(err)
+	}
+	r.state = state
+	r.manager = nil
+}
+
+// checkReplicas compares each replica's state with what the log comes to.
+func (w *world) checkReplicas() {
+	snapshot := func(state *StateMachine) string {
+		copied := *state
+		copied.Format = 0 // so that contents are in it
+		return string(copied.Snapshot())
+	}
+	for i, r := range w.replicas {
+		w.apply(r, len(w.log))
+		if w.violation == "" && snapshot(r.state) != snapshot(w.committed) {
+			w.violation = fmt.Sprintf("replica %d has %d versions of %d, %d announced, and the log comes to %d of %d",
+				i, len(r.state.Versions), r.state.InForce, r.state.Announced, len(w.committed.Versions), w.committed.Announced)
+		}
+	}
+}
+
+// elect makes a replica the leader. The one before may not know.
+func (w *world) elect() {
+	if w.leader != nil {
+		w.depose(w.leader)
+	}
+	if w.faults.Has(faultLostLog) && len(w.log) > w.firstIndex+1 && w.rand.IntN(4) == 0 {
+		w.loseLastEntry()
+	}
+	w.term++
+	r := w.replicas[w.rand.IntN(len(w.replicas))]
+	w.leader = r
+	r.manager = nil
+	r.term = w.term
+	w.apply(r, len(w.log))
+	r.manager = NewManager(r.at(w.now), w.term, r.state, w.faults)
+	r.manager.retention = w.retention
+}
+
+// depose ends a replica's leadership: some of what it has handed to the log is committed, and it may go on believing
+// that it leads, with some gateways on its side of the network.
+func (w *world) depose(r *replica) {
+	for _, entry := range slices.Clone(r.pending) {
+		if w.rand.IntN(2) == 0 {
+			w.commit(r, entry)
+		}
+	}
+	r.pending = nil
+	if !w.chance(w.conditions.keepsLeading) {
+		r.manager = nil
+		return
+	}
+	for _, g := range w.gateways {
+		if w.rand.IntN(3) == 0 {
+			g.reaches = r
+		}
+	}
+}
+
+// loseLastEntry drops an entry of the log that was committed.
+func (w *world) loseLastEntry() {
+	w.log = w.log[:len(w.log)-1]
+	w.committed = NewStateMachine()
+	for _, entry := range w.log {
+		_, _ = w.committed.Apply(entry.decode()) // some proposals are rejected
+	}
+	for _, r := range w.replicas {
+		r.state = NewStateMachine()
+		r.applied = 0
+		r.manager = nil
+	}
+}
+
+// stopEarlierLeaders has the replicas that do not lead any more learn of it.
+func (w *world) stopEarlierLeaders() {
+	for _, r := range w.replicas {
+		if r != w.leader {
+			r.manager = nil
+		}
+	}
+}
+
+// runManager has a replica that believes that it leads do what is due.
+func (w *world) runManager(r *replica) {
+	if r.manager == nil {
+		return
+	}
+	if r == w.leader {
+		w.apply(r, len(w.log))
+	}
+	if c := r.manager.NextCommand(r.at(w.now)); c != nil && r == w.leader {
+		w.append(c)
+	}
+}
+
+// append has the leader hand a command to the log, which takes some time.
+func (w *world) append(c *Command) {
+	r := w.leader
+	entry := w.enqueue(r, c)
+	w.post(max(w.delay(), 0)/4, func() { w.commit(r, entry) })
+}
+
+func (w *world) propose() { w.append(&Command{Propose: w.proposal()}) }
--- /dev/null
+++ b/internal/fleet/lease/sim_world_test.go
@@ -0,0 +1,298 @@
+package lease
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"sort"
+	"strconv"
+
+	"irispost/internal/fleet/configversion"
+)
+
+// The simulation has replicas around one log, of which one leads and others may still believe that they do; gateways; a
+// network that delays, loses and reorders messages; and clocks that drift as far as the settings allow. All randomness
+// comes from the run's seed, so the order of draws is part of a run.
+
+// Faults of the simulated world, beside those of the code.
+const (
+	faultUnconfirmedLeader InjectedFaults = 1 << (iota + 20) // a replica answers without having confirmed that it leads
+	faultWallClock                                           // gateways read a clock that is set back at times
+	faultLostLog                                             // a new leader lacks what an older one had acknowledged
+	faultSkipSnapshot                                        // a replica goes on after a compaction without the snapshot
+	faultUncheckedDigest                                     // contents are taken as they come, and from disk as they are
+	faultStaleDisk                                           // what was on a disk counts as any content
+)
+
+type world struct {
+	rand       *rand.Rand
+	faults     InjectedFaults
+	conditions conditions
+	now        Time // true time
+	steps      int
+	healed     bool // nothing is lost or slow any more
+
+	messages  []message // by time
+	postCount int
+
+	log        []*logEntry
+	firstIndex int    // entries before it were compacted
+	snapshot   []byte // in their place
+	encodes    bool   // entries and snapshots are encoded and decoded
+
+	replicas  []*replica
+	leader    *replica
+	term      uint64
+	retention retention
+
+	gateways []*gateway
+	starts   int // of gateways
+
+	committed    *StateMachine            // what the log comes to
+	acknowledged []*configversion.Version // proposals that were answered
+	forgotten    map[uint64]string        // digests of versions that were forgotten
+	compatible   map[compatibility]bool   // what was checked already
+	violation    string                   // what went wrong first; empty: nothing
+}
+
+// conditions are what a run has much or little of, so that rare things come together in some runs.
+type conditions struct {
+	loss         float64 // fraction of the messages
+	slow         float64 // fraction of the messages
+	maxDelay     Time
+	elections    float64 // a step
+	cuts         float64 // a step
+	restarts     float64 // a step
+	keepsLeading float64 // fraction of the earlier leaders that go on believing that they lead
+	fallbacks    bool
+	extremeDrift bool // clocks drift as far as the settings allow
+	maxStep      Time
+}
+
+type message struct {
+	at      Time
+	deliver func()
+}
+
+type clock struct {
+	rate   float64
+	offset Time
+}
+
+func (c clock) at(now Time) Time { return c.offset + Time(float64(now)*c.rate) }
+
+func newWorld(seed uint64, faults InjectedFaults) *world {
+	w := &world{
+		rand:       rand.New(rand.NewPCG(seed, 1)),
+		faults:     faults,
+		committed:  NewStateMachine(),
+		compatible: map[compatibility]bool{},
+		forgotten:  map[uint64]string{},
+		encodes:    seed%16 == 1,
+		retention:  retention{enabled: seed%5 != 4, baseVersions: int(seed % 3), batchSize: 1 + int(seed/3%2)},
+	}
+	w.conditions = conditions{
+		loss:         w.draw(0, 0.1, 0.4),
+		slow:         w.draw(0, 0.1, 0.5),
+		maxDelay:     Time(w.draw(0.1, 0.5, 2, 6) * float64(leaseDuration)),
+		elections:    w.draw(0.002, 0.02, 0.05),
+		cuts:         w.draw(0, 0.02, 0.08),
+		restarts:     w.draw(0, 0.01, 0.03),
+		keepsLeading: w.draw(0.2, 0.9),
+		fallbacks:    w.chance(0.5),
+		extremeDrift: w.chance(0.5),
+		maxStep:      Time(w.draw(0.05, 0.1, 0.3) * float64(leaseDuration)),
+	}
+	for range 3 {
+		w.replicas = append(w.replicas, &replica{clock: w.newClock(), state: NewStateMachine()})
+	}
+	for range 2 + w.rand.IntN(3) {
+		g := &gateway{clock: w.newClock(), fullVersions: w.chance(0.3)}
+		w.gateways = append(w.gateways, g)
+		w.start(g)
+	}
+	w.log = append(w.log, &logEntry{command: &Command{Bootstrap: &testSettings}})
+	mustApply(w.committed, w.log[0].command)
+	w.elect()
+	return w
+}
+
+// mustApply applies a command that cannot fail.
+func mustApply(state *StateMachine, c *Command) {
+	if _, err := state.Apply(c); err != nil {
+		panic(err)
+	}
+}
+
+func (w *world) chance(probability float64) bool { return w.rand.Float64() < probability }
+
+func (w *world) draw(list ...float64) float64 { return list[w.rand.IntN(len(list))] }
+
+func (w *world) newClock() clock {
+	drift := 2*w.rand.Float64() - 1
+	if w.conditions.extremeDrift {
+		drift = w.draw(-1, 1)
+	}
+	return clock{rate: 1 + testSettings.MaxClockDrift*drift, offset: w.rand.Int64N(leaseDuration * 100)}
+}
+
+// post has something done later.
+func (w *world) post(delay Time, deliver func()) {
+	w.postCount++
+	at := w.now + delay
+	i := sort.Search(len(w.messages), func(i int) bool { return w.messages[i].at > at })
+	w.messages = slices.Insert(w.messages, i, message{at, deliver})
+}
+
+// delay returns how long a message takes; negative: it is lost.
+func (w *world) delay() Time {
+	if w.healed {
+		return leaseDuration / 1000
+	}
+	switch {
+	case w.chance(w.conditions.loss):
+		return -1
+	case w.chance(w.conditions.slow):
+		return w.rand.Int64N(w.conditions.maxDelay)
+	}
+	return w.rand.Int64N(leaseDuration / 20)
+}
+
+// step does one thing, has all that is due done and checks the world.
+func (w *world) step() {
+	w.steps++
+	w.doSomething(w.gateways[w.rand.IntN(len(w.gateways))])
+	for _, r := range w.replicas {
+		w.runManager(r)
+	}
+	for _, g := range w.gateways {
+		if !g.stopped && g.client.NextRequestAt(g.at(w.now)) <= g.at(w.now) {
+			w.sendRequest(g)
+		}
+	}
+	w.check()
+}
+
+// doSomething does one random thing, to a gateway if it is one that happens to gateways.
+func (w *world) doSomething(g *gateway) {
+	switch {
+	case w.healed:
+		w.advance()
+	case w.chance(w.conditions.elections):
+		w.elect()
+	case w.chance(w.conditions.cuts):
+		w.disturb(g)
+	case w.chance(w.conditions.restarts):
+		w.start(g)
+		g.stopped = false
+	case w.faults.Has(faultWallClock) && w.chance(0.05):
+		g.offset -= w.rand.Int64N(4 * leaseDuration)
+	case w.chance(0.08):
+		w.propose()
+	case w.chance(0.05):
+		w.sendRequest(g)
+	case w.chance(0.05 * (1 - w.conditions.keepsLeading)):
+		w.stopEarlierLeaders()
+	default:
+		w.advance()
+	}
+}
+
+// disturb stops a gateway or the messages to it, or lets them go on.
+func (w *world) disturb(g *gateway) {
+	switch w.rand.IntN(4) {
+	case 0:
+		g.stopped = !g.stopped
+	case 1:
+		g.reaches = w.replicas[w.rand.IntN(len(w.replicas))]
+	default:
+		g.cut = !g.cut
+	}
+}
+
+// advance lets time pass, up to the next message.
+func (w *world) advance() {
+	if len(w.messages) > 0 && (w.healed || w.chance(0.8)) && w.messages[0].at <= w.now+w.conditions.maxStep {
+		next := w.messages[0]
+		w.messages = w.messages[1:]
+		w.now = max(w.now, next.at)
+		next.deliver()
+		return
+	}
+	w.now += w.rand.Int64N(w.conditions.maxStep)
+}
+
+// compatibility is that what a gateway acts on does not exceed the version in force.
+type compatibility struct {
+	effective *configversion.Config
+	inForce   uint64
+}
+
+// check compares what each gateway acts on with what is in force by the log, and looks for lost versions.
+func (w *world) check() {
+	var inForce *configversion.Config
+	if v := w.committed.Version(w.committed.InForce); v != nil {
+		inForce, _ = v.Config() // nil, if no build can read it
+	}
+	for i, g := range w.gateways {
+		if violation := w.checkGateway(g, inForce); violation != "" {
+			w.violation = fmt.Sprintf("at step %d gateway %d %s", w.steps, i, violation)
+			return
+		}
+	}
+	for _, v := range w.acknowledged {
+		digest := w.forgotten[v.Number]
+		if kept := w.committed.Version(v.Number); kept != nil {
+			digest = kept.Digest
+		}
+		if digest != v.Digest {
+			w.violation = fmt.Sprintf("version %s was acknowledged and is lost", v.Name())
+		}
+	}
+}
+
+func (w *world) checkGateway(g *gateway, inForce *configversion.Config) string {
+	if g.stopped {
+		return ""
+	}
+	effective := g.client.Effective(g.at(w.now))
+	if effective == nil {
+		return ""
+	}
+	held, _ := g.client.HeldVersions()
+	if w.faults&^FaultForgetHeldVersions == 0 && lacksVersion(w.committed, held) {
+		return fmt.Sprintf("acts on %s, and of %v some are forgotten", g.client.EffectiveName(), held)
+	}
+	key := compatibility{effective, w.committed.InForce}
+	if w.compatible[key] {
+		return ""
+	}
+	if inForce == nil {
+		return fmt.Sprintf("acts on %s, and nothing is in force", g.client.EffectiveName())
+	}
+	if list := configversion.Exceeds(effective, inForce); len(list) > 0 {
+		return fmt.Sprintf("acts on %s, in force is %d: %v", g.client.EffectiveName(), w.committed.InForce, list)
+	}
+	w.compatible[key] = true
+	return ""
+}
+
+// lacksVersion reports whether a state has forgotten one of some versions.
+func lacksVersion(state *StateMachine, numbers []uint64) bool {
+	return slices.ContainsFunc(numbers, func(number uint64) bool { return state.Version(number) == nil })
+}
+
+// proposal draws a proposal that was made of the leader's latest version.
+func (w *world) proposal() *Proposal {
+	p := &Proposal{
+		ID:             strconv.Itoa(w.postCount),
+		Parent:         w.leader.state.Announced,
+		ReplacePending: w.rand.IntN(2) == 0,
+		Content:        configPool[w.rand.IntN(len(configPool))],
+	}
+	if !w.conditions.fallbacks && len(p.Content) > 20 {
+		p.Content = configPoolWithoutFallbacks[w.rand.IntN(len(configPoolWithoutFallbacks))]
+	}
+	w.postCount++
+	return p
+}
