--- a/internal/fleet/lease/client.go
+++ b/internal/fleet/lease/client.go
@@ -22,7 +22,7 @@
 
 	// What the gateway acts on.
 	state         State
-	held          []*configversion.Version // one version, or two of which the intersection counts
+	heldVersions  []*configversion.Version // one version, or two of which the intersection counts
 	configs       []*configversion.Config  // of the versions in held
 	effective     *configversion.Config    // nil: nothing
 	effectiveName string
@@ -118,7 +118,7 @@
 		PeerAddr:        c.peerAddr,
 		Format:          c.format,
 	}
-	for _, v := range c.held {
+	for _, v := range c.heldVersions {
 		request.HeldVersions = append(request.HeldVersions, v.Number)
 	}
 	return request
@@ -155,7 +155,7 @@
 	}
 	c.accept(response, sentAt)
 	c.leaseUntil = max(c.leaseUntil, leaseUntil)
-	if !slices.Equal(found.versions, c.held) || !c.state.leased() {
+	if !slices.Equal(found.versions, c.heldVersions) || !c.state.leased() {
 		c.hold(found)
 	}
 	c.fallbackUntil = sentAt + c.fallbackDuration()
--- a/internal/fleet/lease/effective.go
+++ b/internal/fleet/lease/effective.go
@@ -42,7 +42,7 @@
 // in the response. Their contents may be missing.
 func (c *Client) VersionsOf(response *RenewResponse) []*configversion.Version {
 	var versions []*configversion.Version
-	known := slices.Concat(c.held, response.Versions)
+	known := slices.Concat(c.heldVersions, response.Versions)
 	for _, number := range response.named() {
 		i := slices.IndexFunc(known, func(v *configversion.Version) bool { return v.Number == number })
 		if i >= 0 {
@@ -54,12 +54,12 @@
 
 // hold makes the gateway act on other versions. The replicas are told at once, as others may wait for it.
 func (c *Client) hold(found resolved) {
-	c.held = found.versions
+	c.heldVersions = found.versions
 	c.configs = found.configs
 	c.requestNow = true
 
 	var names []string
-	for _, v := range c.held {
+	for _, v := range c.heldVersions {
 		names = append(names, v.Name())
 	}
 	c.effectiveName = strings.Join(names, "&")
@@ -97,9 +97,9 @@
 // heldFallback returns the fallback of all that is held.
 func (c *Client) heldFallback() *configversion.Config {
 	// Versions that are held were parsed before, so there is no error.
-	fallback, _ := c.held[0].Fallback()
-	if len(c.held) == 2 {
-		other, _ := c.held[1].Fallback()
+	fallback, _ := c.heldVersions[0].Fallback()
+	if len(c.heldVersions) == 2 {
+		other, _ := c.heldVersions[1].Fallback()
 		fallback = configversion.Intersect(fallback, other)
 	}
 	return fallback
@@ -122,7 +122,7 @@
 
 // HeldVersions returns the numbers of the versions that count, and whether only their fallback does.
 func (c *Client) HeldVersions() (numbers []uint64, fallback bool) {
-	for _, v := range c.held {
+	for _, v := range c.heldVersions {
 		numbers = append(numbers, v.Number)
 	}
 	return numbers, c.state == StateExpired || c.state == StateReturning && c.effective != nil
@@ -130,9 +130,9 @@
 
 // LatestVersion returns the latest version that is held, parsed, or nil if none is.
 func (c *Client) LatestVersion() (*configversion.Version, *configversion.Config) {
-	if len(c.held) == 0 {
+	if len(c.heldVersions) == 0 {
 		return nil, nil
 	}
-	last := len(c.held) - 1
-	return c.held[last], c.configs[last]
+	last := len(c.heldVersions) - 1
+	return c.heldVersions[last], c.configs[last]
 }
--- /dev/null
+++ b/internal/fleet/lease/entry_test.go
@@ -0,0 +1,62 @@
+package lease
+
+import (
+	"bytes"
+	"errors"
+	"slices"
+	"testing"
+)
+
+// stateWithBase has one version, which deltas can start from.
+func stateWithBase(t *testing.T, limit float64) *StateMachine {
+	t.Helper()
+	return stateOf(t, &Command{Propose: &Proposal{ID: "a", Content: contentOfNodes(50, limit)}})
+}
+
+// entryWithDelta encodes a proposal as a delta from the version of stateWithBase.
+func entryWithDelta(t *testing.T, content []byte) []byte {
+	t.Helper()
+	p := &Proposal{ID: "b", Parent: 1, ReplacePending: true, Content: content}
+	entry, err := (&Command{Propose: p}).EncodeEntry(formatWithDeltas, stateWithBase(t, 1))
+	if err != nil || len(entry) > 1000 {
+		t.Fatalf("an entry of %d bytes: %v", len(entry), err)
+	}
+	return entry
+}
+
+func TestEncodeEntryRefusesToForgetInFormat1(t *testing.T) {
+	if _, err := (&Command{Forget: []uint64{1}}).EncodeEntry(1, stateWithBase(t, 1)); !errors.Is(err, errForgetFormat) {
+		t.Errorf("got %v", err)
+	}
+}
+
+// A truncated or corrupt entry is refused when it is decoded or applied, or comes to the content that was proposed.
+func TestDamagedEntriesChangeNothing(t *testing.T) {
+	content := contentOfNodes(50, 2)
+	entry := entryWithDelta(t, content)
+	for i := range entry {
+		flipped := slices.Clone(entry)
+		flipped[i] ^= 1 << (i % 8)
+		for _, damaged := range [][]byte{entry[:i], flipped} {
+			command, err := DecodeEntry(damaged)
+			if err != nil || command.Propose == nil {
+				continue // the replica stops at it
+			}
+			state := stateWithBase(t, 1)
+			version, err := state.Apply(command)
+			if err == nil && !bytes.Equal(version.Content, content) || err != nil && len(state.Versions) != 1 {
+				t.Fatalf("damaged at byte %d of %d: %v, %v", i, len(entry), version, err)
+			}
+		}
+	}
+}
+
+func TestApplyRefusesADeltaFromAnotherBase(t *testing.T) {
+	command, err := DecodeEntry(entryWithDelta(t, contentOfNodes(50, 2)))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, err := stateWithBase(t, 3).Apply(command); !errors.Is(err, ErrInvalidEntry) {
+		t.Errorf("got %v", err)
+	}
+}
--- a/internal/fleet/lease/forget_test.go
+++ b/internal/fleet/lease/forget_test.go
@@ -1,33 +1,119 @@
 package lease
 
-import "testing"
+import (
+	"fmt"
+	"slices"
+	"testing"
 
-// Two asks that come out of order are granted the same. A gateway that says that it took the first grant may take the second one yet, so what
-// that names is not forgotten.
-func TestForgetKeepsVersionsOfReorderedRequests(t *testing.T) {
+	"irispost/internal/fleet/configversion"
+)
+
+// Two requests that come out of order are granted the same. A gateway that says that it has accepted the
+// first response may accept the second one yet, so what that names is not forgotten.
+func TestVersionsOfReorderedRequestsAreKept(t *testing.T) {
 	for _, order := range [][]uint64{{1, 2}, {2, 1}} {
-		l := NewStateMachine()
-		for i, c := range []*Command{{Bootstrap: &testSettings}, {Propose: &Proposal{ID: "a", Content: configPool[0]}}, {Activate: 1}, {Join: []string{"g"}},
-			{Propose: &Proposal{ID: "b", Parent: 1, Content: configPool[1]}}} {
-			if _, err := l.Apply(c); err != nil {
-				t.Fatal(i, err)
+		t.Run(fmt.Sprint(order), func(t *testing.T) {
+			state := stateOf(t,
+				&Command{Bootstrap: &testSettings},
+				&Command{Propose: &Proposal{ID: "a", Content: configPool[0]}},
+				&Command{Activate: 1},
+				&Command{Join: []string{"g"}},
+				&Command{Propose: &Proposal{ID: "b", Parent: 1, Content: configPool[1]}})
+			m := NewManager(0, 1, state, 0)
+			m.retention = retention{enabled: true, batchSize: 1}
+			for _, seq := range order {
+				m.Renew(1, &RenewRequest{Holder: "g", Seq: seq, Term: 1})
 			}
+			third := &Proposal{ID: "c", Parent: 2, ReplacePending: true, Content: configPool[2]}
+			applyAll(t, state, &Command{Propose: third})
+			m.Renew(2, &RenewRequest{Holder: "g", Seq: 3, Term: 1, AcceptedSeq: 1, HeldVersions: []uint64{1}})
+			if numbers := m.forgettable(3); numbers != nil {
+				t.Errorf("%v is to be forgotten, and the second response names 2", numbers)
+			}
+			m.Renew(leaseDuration, &RenewRequest{Holder: "g", Seq: 4, Term: 1, AcceptedSeq: 3, HeldVersions: []uint64{1, 3}})
+			if numbers := m.forgettable(2 * leaseDuration); !slices.Equal(numbers, []uint64{2}) {
+				t.Errorf("%v is to be forgotten, and only 2 is of no use any more", numbers)
+			}
+		})
+	}
+}
+
+// A gateway that acts on a fallback for an hour has its version kept, whoever leads, while a thousand others
+// come and go. Then it is forgotten, too.
+func TestVersionOfALongFallbackIsKept(t *testing.T) {
+	const hour = 3600 * Time(1e9)
+	fleet := newForgetFleet(t)
+	config, err := configversion.Parse(contentOfNodes(0, 1))
+	if err != nil {
+		t.Fatal(err)
+	}
+	config.FallbackPolicy = configversion.FallbackPolicy{Duration: hour, LimitFraction: 1}
+	fleet.step(t, config.Canonical())
+	held := fleet.state.Announced
+	most := 0
+	for n := range 1400 {
+		fleet.step(t, contentOfNodes(0, float64(n+2)))
+		most = max(most, len(fleet.state.Versions))
+		if n == 100 {
+			fleet.manager = NewManager(fleet.now, 2, fleet.state, 0)
 		}
-		w := NewManager(0, 1, l, 0)
-		w.retention = retention{enabled: true, batchSize: 1}
-		for _, seq := range order {
-			w.Renew(1, &RenewRequest{Holder: "g", Seq: seq, Term: 1})
-		}
-		if _, err := l.Apply(&Command{Propose: &Proposal{ID: "c", Parent: 2, ReplacePending: true, Content: configPool[2]}}); err != nil {
-			t.Fatal(err)
-		}
-		w.Renew(2, &RenewRequest{Holder: "g", Seq: 3, Term: 1, AcceptedSeq: 1, HeldVersions: []uint64{1}})
-		if list := w.forgettable(3); list != nil {
-			t.Errorf("asks %v: %v is to be forgotten, and the second grant names 2", order, list)
+		if fleet.state.Version(held) == nil && fleet.now < hour {
+			t.Fatalf("forgotten after %d s", fleet.now/1e9)
 		}
-		w.Renew(leaseDuration, &RenewRequest{Holder: "g", Seq: 4, Term: 1, AcceptedSeq: 3, HeldVersions: []uint64{1, 3}})
-		if list := w.forgettable(2 * leaseDuration); len(list) != 1 || list[0] != 2 {
-			t.Errorf("asks %v: %v is to be forgotten, and nobody can take 2 any more", order, list)
+	}
+	if fleet.state.Version(held) != nil || len(fleet.state.Holders) != 1 {
+		t.Errorf("after %d s it is still there, holders %v", fleet.now/1e9, fleet.state.Holders)
+	}
+	if len(fleet.state.Versions) > RetainedBaseVersions+forgetBatch+2 {
+		t.Errorf("%d versions at the end, %d at most", len(fleet.state.Versions), most)
+	}
+}
+
+// forgetFleet has two gateways, of which "far" is not heard any more after three leases.
+type forgetFleet struct {
+	state   *StateMachine
+	manager *Manager
+	now     Time
+	seq     uint64
+}
+
+func newForgetFleet(t *testing.T) *forgetFleet {
+	t.Helper()
+	state := stateOf(t, &Command{Bootstrap: &testSettings}, &Command{Join: []string{"far", "near"}})
+	return &forgetFleet{state: state, manager: NewManager(0, 1, state, 0)}
+}
+
+// step proposes a version, has the gateways acknowledge it and lets four leases pass.
+func (f *forgetFleet) step(t *testing.T, content []byte) {
+	t.Helper()
+	p := &Proposal{ID: fmt.Sprint(f.now), Parent: f.state.Announced, ReplacePending: true, Content: content}
+	applyAll(t, f.state, &Command{Propose: p})
+	for _, name := range []string{"near", "far"} {
+		f.seq++
+		if name == "far" && f.now >= 3*leaseDuration {
+			continue
 		}
+		f.manager.Renew(f.now, &RenewRequest{
+			Holder:       name,
+			Seq:          f.seq,
+			Term:         f.manager.term,
+			AcceptedSeq:  f.seq,
+			HeldVersions: []uint64{f.state.Announced},
+		})
+	}
+	f.manager.AllowForget(true)
+	applyDue(t, f.manager, f.now)
+	f.now += 4 * leaseDuration
+}
+
+// applyDue applies all commands that are due, and returns them.
+func applyDue(t *testing.T, m *Manager, now Time) []*Command {
+	t.Helper()
+	var commands []*Command
+	for c := m.NextCommand(now); c != nil; c = m.NextCommand(now) {
+		applyAll(t, m.state, c)
+		m.Applied(c)
+		commands = append(commands, c)
 	}
+	return commands
 }
--- a/internal/fleet/lease/membership_test.go
+++ b/internal/fleet/lease/membership_test.go
@@ -1,53 +1,57 @@
 package lease
 
 import (
-	"fmt"
+	"slices"
 	"testing"
 )
 
-// A gateway that others reach counts as present from its place in the log until its lease has run out, though it may act on a floor for
-// longer; when it is back the set is another again, and whoever is told knows how often one has parted.
+// A gateway that others reach is a member from its place in the log until its lease has expired, though it
+// may act on a fallback for longer. When it is back, that is another epoch, and the others learn how many
+// departures there were.
 func TestMembershipFollowsLeases(t *testing.T) {
-	l := NewStateMachine()
-	l.Apply(&Command{Bootstrap: &testSettings})
-	if _, err := l.Apply(&Command{Propose: &Proposal{ID: "a", Content: configPool[3]}}); err != nil { // with a floor of six leases
-		t.Fatal(err)
-	}
-	l.Apply(&Command{Activate: 1})
-	w := NewManager(0, 1, l, 0)
+	state := stateOf(t,
+		&Command{Bootstrap: &testSettings},
+		&Command{Propose: &Proposal{ID: "a", Content: configPool[3]}}, // with a fallback of six leases
+		&Command{Activate: 1})
+	m := NewManager(0, 1, state, 0)
 	seq := uint64(0)
-	ask := func(now Time, who string, knows uint64) *RenewResponse {
+	renew := func(now Time, name string, knownEpoch uint64) *RenewResponse {
 		seq++
-		return w.Renew(now, &RenewRequest{Holder: who, Seq: seq, Term: 1, PeerAddr: who + ":1", MembershipEpoch: knows})
-	}
-	log := func(now Time) (list []string) {
-		for c := w.NextCommand(now); c != nil; c = w.NextCommand(now) {
-			l.Apply(c)
-			w.Applied(c)
-			list = append(list, fmt.Sprint(c.Join, c.Remove, c.LeaseExpired))
-		}
-		return list
+		request := &RenewRequest{Holder: name, Seq: seq, Term: 1, PeerAddr: name + ":1", MembershipEpoch: knownEpoch}
+		return m.Renew(now, request)
 	}
-	ask(1, "g1", 0)
-	ask(1, "g2", 0)
-	log(1)
-	if g := ask(2, "g1", 0); g.Membership == nil || g.Membership.Epoch != 1 || fmt.Sprint(g.Membership.Members) != "[g1 g2]" || g.Membership.Departures != 0 {
-		t.Fatalf("%+v", g.Membership)
+	both := []string{"g1", "g2"}
+
+	renew(1, "g1", 0)
+	renew(1, "g2", 0)
+	applyDue(t, m, 1)
+	joined := renew(2, "g1", 0).Membership
+	if joined == nil || joined.Epoch != 1 || !slices.Equal(joined.Members, both) || joined.Departures != 0 {
+		t.Fatalf("after both have joined: %+v", joined)
 	}
-	ask(3, "g2", 1)
+
+	renew(3, "g2", 1)
 	for now := leaseDuration / 2; now < 3*leaseDuration; now += leaseDuration / 2 { // g2 is silent
-		ask(now, "g1", 1)
-		log(now)
+		renew(now, "g1", 1)
+		applyDue(t, m, now)
+	}
+	expired := renew(3*leaseDuration, "g1", 1).Membership
+	alone := []string{"g1"}
+	if expired.Epoch != 2 || !slices.Equal(expired.Members, alone) || expired.Departures != 1 || expired.Age <= 0 {
+		t.Errorf("after the lease of g2: %+v", expired)
 	}
-	if g := ask(3*leaseDuration, "g1", 1); g.Membership.Epoch != 2 || fmt.Sprint(g.Membership.Members) != "[g1]" || g.Membership.Departures != 1 || g.Membership.Age <= 0 || !l.Holders["g2"] {
-		t.Errorf("%+v, holders %v", g.Membership, l.Holders)
+	if !state.Holders["g2"] {
+		t.Errorf("g2 may act on its fallback, holders %v", state.Holders)
 	}
-	if g := ask(3*leaseDuration, "g1", 2); g.Membership.Members != nil {
-		t.Errorf("told again: %+v", g.Membership)
+	if known := renew(3*leaseDuration, "g1", 2).Membership; known.Members != nil {
+		t.Errorf("the members are sent again: %+v", known)
 	}
-	ask(3*leaseDuration+1, "g2", 1)
-	log(3*leaseDuration + 1)
-	if g := ask(3*leaseDuration+2, "g2", 1); g.Membership.Epoch != 3 || fmt.Sprint(g.Membership.Members) != "[g1 g2]" || g.Membership.Age > 1 || g.PeerAddrs["g2"] != "g2:1" {
-		t.Errorf("%+v, %v", g.Membership, g.PeerAddrs)
+
+	renew(3*leaseDuration+1, "g2", 1)
+	applyDue(t, m, 3*leaseDuration+1)
+	response := renew(3*leaseDuration+2, "g2", 1)
+	back := response.Membership
+	if back.Epoch != 3 || !slices.Equal(back.Members, both) || back.Age > 1 || response.PeerAddrs["g2"] != "g2:1" {
+		t.Errorf("after g2 is back: %+v, %v", back, response.PeerAddrs)
 	}
 }
--- /dev/null
+++ b/internal/fleet/lease/model_state_test.go
@@ -0,0 +1,248 @@
+package lease
+
+import (
+	"encoding/binary"
+	"maps"
+	"slices"
+	"strings"
+
+	"github.com/cespare/xxhash/v2"
+
+	"irispost/internal/fleet/configversion"
+)
+
+// modelMessage is a message on its way: a request to a replica, or a response back.
+type modelMessage struct {
+	gateway, replica int
+	term             uint64 // of the replica when the request was sent
+	request          *RenewRequest
+	response         *RenewResponse
+}
+
+// modelState is one state of a model.
+type modelState struct {
+	now  Time
+	path string // how the state was reached
+
+	log       []*Command
+	committed *StateMachine // what the log comes to
+
+	stateMachines [3]*StateMachine
+	applied       [3]int // entries of the log
+	managers      [3]*Manager
+	terms         [3]uint64
+	leader        int
+	term          uint64
+
+	clients  [2]*Client
+	stopped  [2]bool
+	requests [2]int // sent so far
+
+	messages  []modelMessage
+	proposed  int
+	elections int
+
+	versions map[string]*configversion.Version // by proposal; the same for all states
+	fallback Time                              // of each version
+}
+
+func cloneStateMachine(s *StateMachine) *StateMachine {
+	c := *s
+	c.Versions = slices.Clone(s.Versions)
+	c.ProposalIDs = maps.Clone(s.ProposalIDs)
+	c.Holders = maps.Clone(s.Holders)
+	c.Members = maps.Clone(s.Members)
+	c.fallbackDurations = maps.Clone(s.fallbackDurations)
+	c.encoded = maps.Clone(s.encoded)
+	return &c
+}
+
+func cloneManager(m *Manager, state *StateMachine) *Manager {
+	c := *m
+	c.state = state
+	c.pendingJoins = maps.Clone(m.pendingJoins)
+	c.pendingRemovals = maps.Clone(m.pendingRemovals)
+	c.holders = map[string]*holder{}
+	for name, h := range m.holders {
+		copied := *h
+		copied.grants = slices.Clone(h.grants)
+		c.holders[name] = &copied
+	}
+	return &c
+}
+
+func cloneClient(client *Client) *Client {
+	c := *client
+	c.outstanding = slices.Clone(client.outstanding)
+	c.logLines = nil
+	return &c
+}
+
+func (s *modelState) clone() *modelState {
+	c := *s
+	c.log = slices.Clone(s.log)
+	c.committed = cloneStateMachine(s.committed)
+	c.messages = slices.Clone(s.messages)
+	for i, m := range s.managers {
+		c.stateMachines[i] = cloneStateMachine(s.stateMachines[i])
+		if m != nil {
+			c.managers[i] = cloneManager(m, c.stateMachines[i])
+		}
+	}
+	for i, client := range s.clients {
+		c.clients[i] = cloneClient(client)
+	}
+	return &c
+}
+
+// stateKey collects what distinguishes states.
+type stateKey []byte
+
+// Ends of lists and parts in a key.
+const (
+	endOfList = 255
+	endOfPart = 254
+)
+
+func (k *stateKey) numbers(list ...uint64) {
+	for _, n := range list {
+		*k = binary.AppendUvarint(*k, n)
+	}
+	*k = append(*k, endOfList)
+}
+
+func (k *stateKey) names(set map[string]bool) {
+	for _, name := range sortedNames(set) {
+		*k = append(*k, name...)
+	}
+	*k = append(*k, endOfList)
+}
+
+func (k *stateKey) flag(on bool) {
+	if on {
+		k.numbers(1)
+	} else {
+		k.numbers(0)
+	}
+}
+
+// key is a hash of all that matters for what can come.
+func (s *modelState) key() uint64 {
+	k := make(stateKey, 0, 512)
+	k.numbers(uint64(s.now), uint64(len(s.log)))
+	k.numbers(uint64(len(s.committed.Versions)), s.committed.InForce, s.committed.Announced)
+	k.numbers(uint64(s.leader), s.term, uint64(s.requests[0]), uint64(s.requests[1]))
+	k.numbers(uint64(s.proposed), uint64(s.elections))
+	k.flag(s.stopped[0])
+	k.names(s.committed.Holders)
+	for i, m := range s.managers {
+		k.numbers(uint64(s.applied[i]), s.terms[i])
+		if m != nil {
+			k.manager(m)
+		}
+	}
+	for _, c := range s.clients {
+		k.client(c)
+	}
+	messages := make([]string, 0, len(s.messages)) // their order does not matter
+	for _, m := range s.messages {
+		var key stateKey
+		key.message(m)
+		messages = append(messages, string(key))
+	}
+	slices.Sort(messages)
+	return xxhash.Sum64(append(k, strings.Join(messages, "")...))
+}
+
+func (k *stateKey) manager(m *Manager) {
+	k.numbers(m.term, m.activating, uint64(m.activatingSince))
+	k.names(m.pendingJoins)
+	for _, name := range []string{"g", "h"} {
+		if h := m.holders[name]; h != nil {
+			k.numbers(h.lastSeq, uint64(h.leaseUntil), uint64(h.fallbackUntil), uint64(h.unknownUntil))
+			k.numbers(h.heldVersions...)
+			for _, g := range h.grants {
+				k.numbers(g.seq, g.inForce, g.announced, uint64(g.expiresAt))
+			}
+			if handedOut, pending := m.pendingRemovals[name]; pending {
+				k.numbers(uint64(handedOut), 1)
+			}
+		}
+		*k = append(*k, endOfPart)
+	}
+}
+
+func (k *stateKey) client(c *Client) {
+	*k = append(*k, c.effectiveName...)
+	*k = append(*k, byte(c.state))
+	k.numbers(c.seq, c.acceptedSeq, c.term, c.inForce, c.announced, uint64(c.leaseUntil), uint64(c.fallbackUntil))
+	for _, request := range c.outstanding {
+		k.numbers(request.seq, uint64(request.sentAt))
+	}
+	for _, v := range c.heldVersions {
+		k.numbers(v.Number)
+	}
+}
+
+func (k *stateKey) message(m modelMessage) {
+	k.numbers(uint64(m.gateway), uint64(m.replica), m.term)
+	if r := m.response; r != nil {
+		k.numbers(1, r.Seq, r.Term, r.InForce, r.Announced, uint64(r.LeaseDuration), uint64(len(r.Versions)))
+		return
+	}
+	k.numbers(2, m.request.Seq, m.request.Term, m.request.AcceptedSeq)
+	k.numbers(m.request.HeldVersions...)
+}
+
+// applyTo applies a command to a state machine. Versions are shared by all states, so that they are parsed once.
+func (s *modelState) applyTo(state *StateMachine, c *Command) {
+	if c.Propose == nil {
+		mustApply(state, c)
+		return
+	}
+	version := s.versions[c.Propose.ID]
+	state.Versions = append(state.Versions, version)
+	state.Announced = version.Number
+	state.fallbackDurations[version.Number] = s.fallback
+	state.ProposalIDs[c.Propose.ID] = version.Number
+}
+
+// commit puts a command into the log.
+func (s *modelState) commit(c *Command) {
+	s.log = append(s.log, c)
+	s.applyTo(s.committed, c)
+}
+
+// apply has a replica apply all of the log.
+func (s *modelState) apply(replica int) {
+	for ; s.applied[replica] < len(s.log); s.applied[replica]++ {
+		command := s.log[s.applied[replica]]
+		s.applyTo(s.stateMachines[replica], command)
+		if m := s.managers[replica]; m != nil {
+			m.Applied(command)
+		}
+	}
+}
+
+// runLeader has the leader put into the log all that is due.
+func (s *modelState) runLeader() {
+	for {
+		s.apply(s.leader)
+		command := s.managers[s.leader].NextCommand(s.now)
+		if command == nil {
+			return
+		}
+		s.commit(command)
+	}
+}
+
+// elect makes a replica the leader of the next term.
+func (s *modelState) elect(replica int, faults InjectedFaults) {
+	s.term++
+	s.leader = replica
+	s.terms[replica] = s.term
+	s.managers[replica] = nil
+	s.apply(replica)
+	s.managers[replica] = NewManager(s.now, s.term, s.stateMachines[replica], faults)
+	s.managers[replica].retention = retention{enabled: true, batchSize: 1}
+}
--- a/internal/fleet/lease/renew_test.go
+++ b/internal/fleet/lease/renew_test.go
@@ -19,8 +19,8 @@
 	return config.Canonical()
 }
 
-// managerOf returns the manager of term 7 for a holder "g" and versions, of which the last is announced and the one before
-// it is in force.
+// managerOf returns the manager of term 7 for a holder "g" and versions, of which the last is announced and
+// the one before it is in force.
 func managerOf(t *testing.T, faults InjectedFaults, contents ...[]byte) *Manager {
 	t.Helper()
 	state := stateOf(t, &Command{Bootstrap: &testSettings}, &Command{Join: []string{"g"}})
@@ -49,14 +49,15 @@
 	}
 }
 
-// A request that was long under way says what the gateway held once. If that counted, a version would come into force that
-// contradicts the fallback that the gateway acts on since.
+// A request that was long under way says what the gateway held once. If that counted, a version would come
+// into force that contradicts the fallback that the gateway acts on since.
 func TestRequestFromAnEarlierTermDoesNotCount(t *testing.T) {
 	for _, faults := range []InjectedFaults{0, FaultTrustEarlierTerms} {
 		a, b := contentWithOwner(t, "a", 100*leaseDuration), contentWithOwner(t, "b", 100*leaseDuration)
 		m := managerOf(t, faults, a, b, a, a)
 		m.state.Announced = 3
-		m.Renew(0, &RenewRequest{Holder: "g", Seq: 3, Term: 2, HeldVersions: []uint64{1}}) // it acts on the fallback of 2 by now
+		// By now it acts on the fallback of version 2.
+		m.Renew(0, &RenewRequest{Holder: "g", Seq: 3, Term: 2, HeldVersions: []uint64{1}})
 		m.state.Announced = 4
 		command := m.NextCommand(10 * leaseDuration)
 		activated := command != nil && command.Activate == 4
@@ -66,8 +67,8 @@
 	}
 }
 
-// A gateway whose requests arrive and whose responses do not would ask on for ever. One that cannot read the version says
-// so and is waited for.
+// A gateway whose requests arrive and whose responses do not would ask on for ever. One that cannot read the
+// version says so and is waited for.
 func TestGatewayThatIgnoresAnOfferIsNotWaitedFor(t *testing.T) {
 	for _, fault := range []string{"", "it cannot be read"} {
 		m := managerOf(t, 0, contentWithOwner(t, "a", 0), contentWithOwner(t, "b", 0))
--- a/internal/fleet/lease/sim_gateway_test.go
+++ b/internal/fleet/lease/sim_gateway_test.go
@@ -96,8 +96,8 @@
 	}
 }
 
-// contentFetch fetches the contents of a response's versions one after the other, and hands the response to the client
-// with those that have come in time.
+// contentFetch fetches the contents of a response's versions one after the other, and hands the response to
+// the client with those that have come in time.
 type contentFetch struct {
 	world    *world
 	gateway  *gateway
@@ -106,8 +106,8 @@
 	deadline Time
 }
 
-// fetchContents fetches the contents that a response names. They come from any replica, as deltas or complete, and are
-// lost, late, corrupt or another's.
+// fetchContents fetches the contents that a response names. They come from any replica, as deltas or
+// complete, and are lost, late, corrupt or another's.
 func (w *world) fetchContents(g *gateway, client *Client, response *RenewResponse) {
 	var digests []string
 	for _, v := range client.VersionsOf(response) {
@@ -173,14 +173,16 @@
 			version = w.committed.Versions[w.rand.IntN(len(w.committed.Versions))]
 		}
 		w.post(back/2, func() {
-			w.answerContent(r, request, version, fetch)
+			w.answerContent(r, fetch, request, version)
 			then()
 		})
 	})
 }
 
 // answerContent hands a version's content to a fetch, as a delta if the replica has the base; some are corrupt.
-func (w *world) answerContent(r *replica, request content.Request, version *configversion.Version, fetch *content.Fetch) {
+func (w *world) answerContent(
+	r *replica, fetch *content.Fetch, request content.Request, version *configversion.Version,
+) {
 	if version == nil {
 		fetch.HandleFailure()
 		return
--- a/internal/fleet/lease/sim_replica_test.go
+++ b/internal/fleet/lease/sim_replica_test.go
@@ -137,8 +137,8 @@
 	r.manager.retention = w.retention
 }
 
-// depose ends a replica's leadership: some of what it has handed to the log is committed, and it may go on believing
-// that it leads, with some gateways on its side of the network.
+// depose ends a replica's leadership: some of what it has handed to the log is committed, and it may go on
+// believing that it leads, with some gateways on its side of the network.
 func (w *world) depose(r *replica) {
 	for _, entry := range slices.Clone(r.pending) {
 		if w.rand.IntN(2) == 0 {
--- a/internal/fleet/lease/sim_test.go
+++ b/internal/fleet/lease/sim_test.go
@@ -136,8 +136,8 @@
 	w.apply(w.leader, len(w.log))
 }
 
-// longestWait is how long a version may wait in a healed world: for a lease and the messages that are under way, and for
-// the longest fallback.
+// longestWait is how long a version may wait in a healed world: for a lease and the messages that are under
+// way, and for the longest fallback.
 func (w *world) longestWait() Time {
 	lease := testSettings.withDrift(testSettings.withDrift(leaseDuration)) + 10*leaseDuration
 	fallback := testSettings.withDrift(testSettings.withDrift(w.committed.longestFallback()))
@@ -163,8 +163,8 @@
 	}
 }
 
-// checkForgetting checks that all versions are forgotten in time but those that are always kept. Only the latest is acted
-// on now, so it, its bases and less than a batch remain.
+// checkForgetting checks that all versions are forgotten in time but those that are always kept. Only the
+// latest is acted on now, so it, its bases and less than a batch remain.
 func (w *world) checkForgetting(longest Time) {
 	if !w.retention.enabled {
 		return
--- a/internal/fleet/lease/sim_world_test.go
+++ b/internal/fleet/lease/sim_world_test.go
@@ -10,9 +10,9 @@
 	"irispost/internal/fleet/configversion"
 )
 
-// The simulation has replicas around one log, of which one leads and others may still believe that they do; gateways; a
-// network that delays, loses and reorders messages; and clocks that drift as far as the settings allow. All randomness
-// comes from the run's seed, so the order of draws is part of a run.
+// The simulation has replicas around one log, of which one leads and others may still believe that they do;
+// gateways; a network that delays, loses and reorders messages; and clocks that drift as far as the settings
+// allow. All randomness comes from the run's seed, so the order of draws is part of a run.
 
 // Faults of the simulated world, beside those of the code.
 const (
--- a/internal/fleet/lease/statemachine.go
+++ b/internal/fleet/lease/statemachine.go
@@ -79,77 +79,77 @@
 // Apply applies the next command of the log and returns the version that a proposal has become. After an
 // error that is ErrInvalidEntry the replica cannot go on. After any other error the command has changed
 // nothing.
-func (s *StateMachine) Apply(c *Command) (*configversion.Version, error) {
+func (s *StateMachine) Apply(command *Command) (*configversion.Version, error) {
 	switch {
-	case c.Bootstrap != nil:
+	case command.Bootstrap != nil:
 		if s.Settings.LeaseDuration > 0 {
 			return nil, errBootstrapped
 		}
-		s.Settings = *c.Bootstrap
-	case c.Propose != nil:
-		return s.propose(c.Propose)
-	case c.Activate > 0:
-		if c.Activate == s.Announced { // a version that was replaced meanwhile never comes into force
-			s.InForce = c.Activate
+		s.Settings = *command.Bootstrap
+	case command.Propose != nil:
+		return s.propose(command.Propose)
+	case command.Activate > 0:
+		if command.Activate == s.Announced { // a version that was replaced meanwhile never comes into force
+			s.InForce = command.Activate
 		}
-	case len(c.Forget) > 0:
-		return nil, s.forget(c.Forget)
+	case len(command.Forget) > 0:
+		return nil, s.forget(command.Forget)
 	default:
-		s.updateMembership(c)
+		s.updateMembership(command)
 	}
 	return nil, nil
 }
 
 // updateMembership applies the changes of holders and members. All changes of one command count as one epoch.
-func (s *StateMachine) updateMembership(c *Command) {
+func (s *StateMachine) updateMembership(command *Command) {
 	next := s.MembershipEpoch + 1
-	for _, name := range c.Join {
+	for _, name := range command.Join {
 		s.Holders[name] = true
 		if !s.Members[name] {
 			s.Members[name] = true
 			s.MembershipEpoch = next
 		}
 	}
-	for _, name := range slices.Concat(c.Remove, c.LeaseExpired) {
+	for _, name := range slices.Concat(command.Remove, command.LeaseExpired) {
 		if s.Members[name] {
 			delete(s.Members, name)
 			s.Departures++
 			s.MembershipEpoch = next
 		}
 	}
-	for _, name := range c.Remove {
+	for _, name := range command.Remove {
 		delete(s.Holders, name)
 	}
 }
 
 // propose announces a new version, or returns the one that an earlier try of the same proposal has become.
-func (s *StateMachine) propose(p *Proposal) (*configversion.Version, error) {
-	if p.Delta != nil {
+func (s *StateMachine) propose(proposal *Proposal) (*configversion.Version, error) {
+	if proposal.Delta != nil {
 		s.Format = formatWithDeltas
 	}
-	if number := s.ProposalIDs[p.ID]; number > 0 {
+	if number := s.ProposalIDs[proposal.ID]; number > 0 {
 		if v := s.Version(number); v != nil {
 			return v, nil
 		}
 		return &configversion.Version{Number: number, Parent: number - 1}, nil // all else of it is in the history
 	}
-	if err := s.checkParent(p); err != nil {
+	if err := s.checkParent(proposal); err != nil {
 		return nil, err
 	}
-	content, err := p.decodeContent(s)
+	content, err := proposal.decodeContent(s)
 	if err != nil {
 		return nil, err
 	}
-	version, err := s.newVersion(p, content)
+	version, err := s.newVersion(proposal, content)
 	if err != nil {
 		return nil, err
 	}
-	if p.Delta != nil && bytes.Equal(version.Content, content) {
-		s.encoded[version.Number] = encodedContent{p.DeltaBase, p.Delta}
+	if proposal.Delta != nil && bytes.Equal(version.Content, content) {
+		s.encoded[version.Number] = encodedContent{proposal.DeltaBase, proposal.Delta}
 	}
 	s.Versions = append(s.Versions, version)
 	s.Announced = version.Number
-	s.ProposalIDs[p.ID] = version.Number
+	s.ProposalIDs[proposal.ID] = version.Number
 	if s.Format >= formatWithDeltas {
 		maps.DeleteFunc(s.ProposalIDs, func(_ string, number uint64) bool {
 			return number+RetainedProposalIDs <= s.Announced
@@ -160,19 +160,19 @@
 
 // checkParent rejects a proposal that was not made of the latest version, or that would replace a pending one
 // unasked.
-func (s *StateMachine) checkParent(p *Proposal) error {
+func (s *StateMachine) checkParent(proposal *Proposal) error {
 	latest := s.Version(s.Announced)
 	switch {
-	case p.Parent != s.Announced && latest == nil:
-		return fmt.Errorf("%w: it was made of %d, there is none yet", ErrStaleParent, p.Parent)
-	case p.Parent != s.Announced:
+	case proposal.Parent != s.Announced && latest == nil:
+		return fmt.Errorf("%w: it was made of %d, there is none yet", ErrStaleParent, proposal.Parent)
+	case proposal.Parent != s.Announced:
 		hint := ""
-		if s.Format >= formatWithDeltas && s.Announced-min(s.Announced, p.Parent) >= RetainedProposalIDs {
+		if s.Format >= formatWithDeltas && s.Announced-min(s.Announced, proposal.Parent) >= RetainedProposalIDs {
 			hint = fmt.Sprintf(" (whether it was taken before is not known: that is kept for %d versions)", RetainedProposalIDs)
 		}
 		return fmt.Errorf("%w: it was made of %d, the newest is %s by %s: %s%s",
-			ErrStaleParent, p.Parent, latest.Name(), latest.Author, latest.Reason, hint)
-	case s.Announced != s.InForce && !p.ReplacePending:
+			ErrStaleParent, proposal.Parent, latest.Name(), latest.Author, latest.Reason, hint)
+	case s.Announced != s.InForce && !proposal.ReplacePending:
 		return fmt.Errorf("%w: %s", ErrVersionPending, latest.Name())
 	}
 	return nil
@@ -180,13 +180,13 @@
 
 // newVersion makes the version that a proposal asks for. A content in a newer format than this build knows is
 // taken as it is, as a replica may be older than the gateways that are to act on it.
-func (s *StateMachine) newVersion(p *Proposal, content []byte) (*configversion.Version, error) {
+func (s *StateMachine) newVersion(proposal *Proposal, content []byte) (*configversion.Version, error) {
 	version := &configversion.Version{
 		Number:    s.Announced + 1,
-		Parent:    p.Parent,
-		Author:    p.Author,
-		Reason:    p.Reason,
-		CreatedAt: p.CreatedAt,
+		Parent:    proposal.Parent,
+		Author:    proposal.Author,
+		Reason:    proposal.Reason,
+		CreatedAt: proposal.CreatedAt,
 	}
 	config, err := configversion.Parse(content)
 	var newer *configversion.UnsupportedFormatError
