--- a/internal/fleet/lease/client.go
+++ b/internal/fleet/lease/client.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"math"
 	"slices"
 
 	"irispost/internal/fleet/configversion"
@@ -23,7 +24,7 @@
 	// What the gateway acts on.
 	state         State
 	heldVersions  []*configversion.Version // one version, or two of which the intersection counts
-	configs       []*configversion.Config  // of the versions in held
+	configs       []*configversion.Config  // of the versions held
 	effective     *configversion.Config    // nil: nothing
 	effectiveName string
 	leaseUntil    Time
@@ -139,13 +140,7 @@
 	c.contentMissing = found.contentMissing
 	c.setFault(found.fault)
 
-	leaseUntil := sentAt + response.LeaseDuration
-	if c.faults.Has(FaultLeaseFromReceipt) {
-		leaseUntil = now + response.LeaseDuration
-	}
-	if c.faults.Has(FaultNoLeaseExpiry) && response.LeaseDuration > 0 {
-		leaseUntil = 1 << 62
-	}
+	leaseUntil := c.leaseEnd(now, sentAt, response.LeaseDuration)
 	if response.LeaseDuration == 0 || now >= leaseUntil || len(found.versions) == 0 {
 		c.term = response.Term
 		if c.state == StateExpired || c.state == StateEnded {
@@ -171,6 +166,17 @@
 	}
 }
 
+// leaseEnd returns when a lease expires that was requested at a time and is received now.
+func (c *Client) leaseEnd(now, sentAt, duration Time) Time {
+	if c.faults.Has(FaultNoLeaseExpiry) && duration > 0 {
+		return math.MaxInt64 / 2
+	}
+	if c.faults.Has(FaultLeaseFromReceipt) {
+		return now + duration
+	}
+	return sentAt + duration
+}
+
 // sentAt returns when a request was sent whose response may still come.
 func (c *Client) sentAt(seq uint64) (at Time, known bool) {
 	for _, request := range c.outstanding {
--- a/internal/fleet/lease/command.go
+++ b/internal/fleet/lease/command.go
@@ -25,7 +25,7 @@
 	Forget       []uint64  `json:"forget,omitempty"`  // versions that nobody acts on any more; from format 2 on
 }
 
-// Proposal asks for a new version. A retry has the same ID and is not made a second version.
+// Proposal asks for a new version. A retry has the same ID and becomes no second version.
 type Proposal struct {
 	ID             string `json:"id"`
 	Parent         uint64 `json:"parent"` // the latest version that the author knew
--- a/internal/fleet/lease/effective.go
+++ b/internal/fleet/lease/effective.go
@@ -78,8 +78,9 @@
 	return shortest
 }
 
-// Effective returns what the gateway acts on at a time, or nil for nothing. A gateway reads its clock once
-// for each decision and all that it sends by that decision.
+// Effective returns what the gateway acts on at a time, or nil for nothing. If the lease or the fallback has
+// expired by then, the state changes with it. A gateway reads its clock once for each decision and all that
+// it sends by that decision.
 func (c *Client) Effective(now Time) *configversion.Config {
 	if c.state.leased() && now >= c.leaseUntil {
 		c.effective = c.heldFallback()
--- a/internal/fleet/lease/statemachine.go
+++ b/internal/fleet/lease/statemachine.go
@@ -122,7 +122,7 @@
 	}
 }
 
-// propose announces a new version, or returns the one that an earlier try of the same proposal has become.
+// propose announces a new version, or returns the one that an earlier attempt of the same proposal has become.
 func (s *StateMachine) propose(proposal *Proposal) (*configversion.Version, error) {
 	if proposal.Delta != nil {
 		s.Format = formatWithDeltas
