--- a/internal/fleet/lease/model_state_test.go
+++ b/internal/fleet/lease/model_state_test.go
@@ -62,6 +62,7 @@
 	c.state = state
 	c.pendingJoins = maps.Clone(m.pendingJoins)
 	c.pendingRemovals = maps.Clone(m.pendingRemovals)
+	c.pendingExpiries = maps.Clone(m.pendingExpiries)
 	c.holders = map[string]*holder{}
 	for name, h := range m.holders {
 		copied := *h
