--- a/internal/fleet/delta/delta.go
+++ b/internal/fleet/delta/delta.go
@@ -1,8 +1,9 @@
-// Package delta encodes contents for the network and the disk: as a delta from a base that the other side has, in the
-// format of RFC 9842 (Dictionary-Compressed Zstandard), or complete, as a Zstandard frame.
+// Package delta encodes contents for the network and the disk: as a delta from a base that the other side
+// has, in the format of RFC 9842 (Dictionary-Compressed Zstandard), or complete, as a Zstandard frame.
 //
-// Package lease encodes log entries and snapshots by it, and packages replica, content and client what is sent between
-// replicas and gateways. The package is pure. It does not vouch for what it decodes: callers check its digest.
+// Package lease encodes log entries and snapshots by it, and packages replica, content and client what is
+// sent between replicas and gateways. The package is pure. It does not vouch for what it decodes: callers
+// check its digest.
 package delta
 
 import (
@@ -73,8 +74,8 @@
 	return min(max(1<<bits.Len(uint(size)), minWindowBytes), zstd.MaxWindowSize)
 }
 
-// Decode decodes what Encode has encoded with the same base, up to maxBytes of content. Data that is plainly wrong is
-// not decoded at all, and never much more than twice maxBytes and the base.
+// Decode decodes what Encode has encoded with the same base, up to maxBytes of content. Data that is plainly
+// wrong is not decoded at all, and never much more than twice maxBytes and the base.
 func Decode(base, encoded []byte, maxBytes int) ([]byte, error) {
 	// The largest window that Encode uses. The decoder takes one bound for the window and the memory.
 	window := uint64(windowFor(len(base) + maxBytes))
--- a/internal/fleet/delta/delta_test.go
+++ b/internal/fleet/delta/delta_test.go
@@ -93,8 +93,8 @@
 	return base, content
 }
 
-// checkDamaged checks that truncated and doubled data is refused. Of data with one wrong bit there may come anything,
-// but not more than is asked for.
+// checkDamaged checks that truncated and doubled data is refused. Of data with one wrong bit there may come
+// anything, but not more than is asked for.
 func checkDamaged(t *rapid.T, base, encoded []byte) {
 	end := rapid.IntRange(0, len(encoded)-1).Draw(t, "cut")
 	if _, err := Decode(base, encoded[:end], maxTestBytes); err == nil {
--- a/internal/fleet/delta/frame.go
+++ b/internal/fleet/delta/frame.go
@@ -17,8 +17,8 @@
 	blockTypeRLE     = 1 // one byte that is repeated
 )
 
-// checkSingleFrame checks that data is one complete frame of at most maxBytes of content, as far as it says, and that
-// nothing follows: the decoder would go on with whatever follows, or skip it.
+// checkSingleFrame checks that data is one complete frame of at most maxBytes of content, as far as it says,
+// and that nothing follows: the decoder would go on with whatever follows, or skip it.
 func checkSingleFrame(data []byte, maxBytes int) error {
 	header, err := decodeFrameHeader(data, maxBytes)
 	if err != nil {
--- a/internal/fleet/delta/golden_test.go
+++ b/internal/fleet/delta/golden_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// Logs and snapshots keep what earlier builds have encoded. What is encoded now may be compressed otherwise, but for the
-// first bytes of a delta: its magic number and the digest of its base.
+// Logs and snapshots keep what earlier builds have encoded. What is encoded now may be compressed otherwise,
+// but for the first bytes of a delta: its magic number and the digest of its base.
 func TestGoldenDeltasAreDecoded(t *testing.T) {
 	base, content := listOfNodes(50, -1), listOfNodes(50, 25)
 	for name, base := range map[string][]byte{"delta.dcz": base, "complete.zst": nil} {
