--- /dev/null
+++ b/internal/layout/golden_test.go
@@ -0,0 +1,38 @@
+package layout
+
+import (
+	"bytes"
+	"encoding/hex"
+	"fmt"
+	"reflect"
+	"testing"
+
+	"irispost/internal/testkit/golden"
+)
+
+// Nodes hold encoded records, so their bytes stay as they are, and records that were stored stay readable.
+func TestGoldenStoredRecords(t *testing.T) {
+	extents := []Extent{{Shard: 1, Object: "g0-abc-1"}, {}, {Shard: 300, Object: "g1-abc-2"}}
+	records := []Record{
+		{},
+		{Kind: Folder, State: Closing, Mode: 0o755, Modified: 1_700_000_000_000_000_001, Mark: "g0-abc-3"},
+		{Kind: File, State: Live, Mode: 0o640, Size: 150_000, Modified: 1_700_000_000_000_000_002, Extent: 64 << 10,
+			Mark: "g0-abc-4", Extents: extents},
+		{Kind: File, State: Moving, Mode: 0o640, Size: 150_000, Modified: -1, Extent: 64 << 10, Mark: "g0-abc-5",
+			Target: "/meals/new", Expected: 1 << 40, Extents: extents},
+		{Kind: File, State: Arriving, Mode: 0o640, Size: 150_000, Modified: 1_700_000_000_000_000_003, Extent: 64 << 10,
+			Mark: "g0-abc-6", Target: "/meals/old", Expected: 7, Origin: "g0-abc-5", Extents: extents},
+		{Kind: Absent},
+	}
+	var out bytes.Buffer
+	for i, record := range records {
+		encoded := record.Encode()
+		fmt.Fprintf(&out, "kind %d, state %d: %s\n", record.Kind, record.State, hex.EncodeToString(encoded))
+		record.Version = uint64(i + 1)
+		decoded, err := Decode(encoded, record.Version)
+		if err != nil || !reflect.DeepEqual(*decoded, record) {
+			t.Errorf("%+v is read as %+v, %v", record, decoded, err)
+		}
+	}
+	golden.Check(t, "records.txt", out.Bytes())
+}
