--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -54,17 +54,17 @@
 }
 
 // Product names the product of an operation.
-func (v *Volume) Product(s Sort, p layout.Path, size uint64) *Product {
-	for _, r := range v.Rules {
-		fits := r.Larger == 0 || size > r.Larger
-		if fits && r.Match != "" {
-			whole, _ := path.Match(r.Match, p.Rel)
-			last, _ := path.Match(r.Match, p.Name())
+func (v *Volume) Product(kind Sort, file layout.Path, size uint64) *Product {
+	for _, rule := range v.Rules {
+		fits := rule.Larger == 0 || size > rule.Larger
+		if fits && rule.Match != "" {
+			whole, _ := path.Match(rule.Match, file.Rel)
+			last, _ := path.Match(rule.Match, file.Name())
 			fits = whole || last
 		}
-		for _, o := range r.Sorts {
-			if fits && o == s {
-				return r.Product
+		for _, ruled := range rule.Sorts {
+			if fits && ruled == kind {
+				return rule.Product
 			}
 		}
 	}
@@ -103,28 +103,28 @@
 
 // Front is a running front.
 type Front struct {
-	opt      Options
-	boot     string
-	server   *sftp.Server
-	sessions atomic.Int64
-	marks    atomic.Int64
-	lock     sync.Mutex
-	files    map[layout.Path]*file
-	stopping atomic.Bool
-	busy     tally // requests without an answer, and duties
+	options     Options
+	incarnation string
+	server      *sftp.Server
+	lastSession atomic.Int64
+	lastName    atomic.Int64
+	lock        sync.Mutex
+	openFiles   map[layout.Path]*openFile
+	draining    atomic.Bool
+	inFlight    requestCounter // requests without an answer, and duties
 }
 
 // Start listens at an address.
-func Start(addr string, opt Options) (*Front, error) {
-	f := &Front{opt: opt, boot: strconv.FormatInt(opt.Loop.Now(), 36), files: map[layout.Path]*file{}}
-	s, err := sftp.Listen(addr, opt.Limits.Wire, opt.Limits.Connections, func(c *sftp.Conn) sftp.Peer {
-		return newSession(f, c)
+func Start(addr string, options Options) (*Front, error) {
+	front := &Front{options: options, incarnation: strconv.FormatInt(options.Loop.Now(), 36), openFiles: map[layout.Path]*openFile{}}
+	server, err := sftp.Listen(addr, options.Limits.Wire, options.Limits.Connections, func(conn *sftp.Conn) sftp.Peer {
+		return newSession(front, conn)
 	})
 	if err != nil {
 		return nil, err
 	}
-	f.server = s
-	return f, nil
+	front.server = server
+	return front, nil
 }
 
 // Addr is the address that clients connect to.
@@ -132,11 +132,11 @@
 
 // Drain stops taking requests and waits until all that were taken have their answers, or the context ends.
 func (f *Front) Drain(ctx context.Context) error {
-	f.stopping.Store(true)
+	f.draining.Store(true)
 	select {
-	case <-f.busy.none():
-		for _, c := range f.server.Conns() {
-			c.WaitSent(time.Second)
+	case <-f.inFlight.idle():
+		for _, conn := range f.server.Conns() {
+			conn.WaitSent(time.Second)
 		}
 		return nil
 	case <-ctx.Done():
@@ -147,168 +147,168 @@
 // Close closes all connections.
 func (f *Front) Close() { f.server.Close() }
 
-// mark is a new name for a change or an object, unique in the installation.
-func (f *Front) mark() string {
-	return f.opt.Name + "-" + f.boot + "-" + strconv.FormatInt(f.marks.Add(1), 36)
+// uniqueName is a new name for a change or an object, unique in the installation.
+func (f *Front) uniqueName() string {
+	return f.options.Name + "-" + f.incarnation + "-" + strconv.FormatInt(f.lastName.Add(1), 36)
 }
 
 // failure is why a request is not answered with what it asked for.
 type failure struct {
-	code      sftp.Code
-	text      string
-	left      bool          // the client has gone: there is nobody to answer
-	dismissed bool          // trying again is harmless
-	wait      time.Duration // of a dismissal: when to come back
-	ran       bool          // of a dismissal: it may have run all the same, and to do it once more is harmless by its kind
+	code       sftp.Code
+	message    string
+	clientGone bool          // the client has gone: there is nobody to answer
+	rejected   bool          // trying again is harmless
+	retryAfter time.Duration // of a dismissal: when to come back
+	mayHaveRun bool          // of a dismissal: it may have run all the same, and to do it once more is harmless by its kind
 }
 
-func failed(code sftp.Code, format string, args ...any) *failure {
-	return &failure{code: code, text: fmt.Sprintf(format, args...)}
+func failuref(code sftp.Code, format string, args ...any) *failure {
+	return &failure{code: code, message: fmt.Sprintf(format, args...)}
 }
 
 // task is a client's request, or a duty of the gateway's own, on its way through its jobs.
 type task struct {
-	front    *Front
-	session  *gateway.Session // nil for a duty
-	arrived  scheduler.Time
-	number   uint32 // of the request
-	affected bool   // a job of it may have changed something
+	front          *Front
+	session        *gateway.Session // nil for a duty
+	arrived        scheduler.Time
+	requestID      uint32 // of the request
+	mayHaveChanged bool   // a job of it may have changed something
 }
 
-// duty is a task that no client waits for.
-func (f *Front) duty() *task { return &task{front: f, arrived: f.opt.Loop.Now()} }
+// backgroundTask is a task that no client waits for.
+func (f *Front) backgroundTask() *task { return &task{front: f, arrived: f.options.Loop.Now()} }
 
-// start hands in a job. Its client waits from the task's arrival on, a duty's patience begins with the job.
-func (t *task) start(v *Volume, p *Product, units float64, key uint64, call node.Call) <-chan gateway.Result {
-	from := t.arrived
+// submit hands in a job. Its client waits from the task's arrival on, a duty's patience begins with the job.
+func (t *task) submit(volume *Volume, class *Product, units float64, key uint64, call node.Call) <-chan gateway.Result {
+	waitsFrom := t.arrived
 	if t.session == nil {
-		from = t.front.opt.Loop.Now()
+		waitsFrom = t.front.options.Loop.Now()
 	}
-	if !p.InTurn {
+	if !class.InTurn {
 		key = 0
 	}
 	if call.Op == node.CompareAndSwapRecord && call.IdempotencyKey == "" {
-		call.IdempotencyKey = t.front.mark()
+		call.IdempotencyKey = t.front.uniqueName()
 	}
-	return t.front.opt.Loop.Submit(t.session, &gateway.RequestSpec{Volume: &v.Volume, Class: p.Name, Units: units,
-		Key: int64(key >> 1), HasKey: key != 0, Deadline: from + int64(p.Patience), Idempotency: p.Kind, ClientRequest: t.number, Call: call})
+	return t.front.options.Loop.Submit(t.session, &gateway.RequestSpec{Volume: &volume.Volume, Class: class.Name, Units: units,
+		Key: int64(key >> 1), HasKey: key != 0, Deadline: waitsFrom + int64(class.Patience), Idempotency: class.Kind, ClientRequest: t.requestID, Call: call})
 }
 
-// await waits for another task's step, as long as the client of a product's job waits.
-func (t *task) await(step <-chan struct{}, p *Product) *failure {
+// waitFor waits for another task's step, as long as the client of a product's job waits.
+func (t *task) waitFor(done <-chan struct{}, class *Product) *failure {
 	select {
-	case <-step:
+	case <-done:
 		return nil
 	default:
 	}
-	if p == nil { // at the root of all volumes, where no request has jobs to wait for
-		<-step
+	if class == nil { // at the root of all volumes, where no request has jobs to wait for
+		<-done
 		return nil
 	}
-	timer := time.NewTimer(time.Duration(t.arrived + int64(p.Patience) - t.front.opt.Loop.Now()))
+	timer := time.NewTimer(time.Duration(t.arrived + int64(class.Patience) - t.front.options.Loop.Now()))
 	defer timer.Stop()
 	select {
-	case <-step:
+	case <-done:
 		return nil
 	case <-timer.C:
-		return dismissal(0, "an earlier request for the same bytes is still out")
+		return rejection(0, "an earlier request for the same bytes is still out")
 	}
 }
 
-// do runs a job to its end.
-func (t *task) do(v *Volume, p *Product, units float64, key uint64, call node.Call) (node.Reply, *failure) {
-	return t.finish(<-t.start(v, p, units, key, call), call.Op)
+// execute runs a job to its end.
+func (t *task) execute(volume *Volume, class *Product, units float64, key uint64, call node.Call) (node.Reply, *failure) {
+	return t.replyOf(<-t.submit(volume, class, units, key, call), call.Op)
 }
 
-// finish turns a job's final answer into an answer or a failure. What each says to the client is in
+// replyOf turns a job's final answer into an answer or a failure. What each says to the client is in
 // docs/operators.md.
-func (t *task) finish(r gateway.Result, op node.Operation) (node.Reply, *failure) {
-	switch r.State {
+func (t *task) replyOf(result gateway.Result, op node.Operation) (node.Reply, *failure) {
+	switch result.State {
 	case scheduler.RequestSucceeded:
-		if op == node.CompareAndSwapRecord && r.Reply.Status == node.OK {
-			t.affected = true
+		if op == node.CompareAndSwapRecord && result.Reply.Status == node.OK {
+			t.mayHaveChanged = true
 		}
-		return r.Reply, nil
+		return result.Reply, nil
 	case scheduler.RequestClientCancelled:
-		return node.Reply{}, &failure{left: true}
+		return node.Reply{}, &failure{clientGone: true}
 	case scheduler.RequestRejected:
-		if !t.affected {
-			d := dismissal(r.RetryAfter, r.Reason)
-			d.ran = r.MayHaveRun
-			return node.Reply{}, d
+		if !t.mayHaveChanged {
+			failure := rejection(result.RetryAfter, result.Reason)
+			failure.mayHaveRun = result.MayHaveRun
+			return node.Reply{}, failure
 		}
 	}
 	if op == node.CompareAndSwapRecord {
-		t.affected = true
+		t.mayHaveChanged = true
 	}
 	text := "written off: it may have been done in part or not at all"
-	if r.Reason != "" {
-		text += "; " + r.Reason
+	if result.Reason != "" {
+		text += "; " + result.Reason
 	}
-	return node.Reply{}, failed(sftp.Failure, "%s", text)
+	return node.Reply{}, failuref(sftp.Failure, "%s", text)
 }
 
-func dismissal(wait time.Duration, why string) *failure {
+func rejection(retryAfter time.Duration, reason string) *failure {
 	text := "dismissed: trying again is harmless"
-	if wait > 0 {
-		text += ", come back in " + wait.Round(time.Millisecond).String()
+	if retryAfter > 0 {
+		text += ", come back in " + retryAfter.Round(time.Millisecond).String()
 	}
-	if why != "" {
-		text += "; " + why
+	if reason != "" {
+		text += "; " + reason
 	}
-	return &failure{code: sftp.Failure, text: text, dismissed: true, wait: wait}
+	return &failure{code: sftp.Failure, message: text, rejected: true, retryAfter: retryAfter}
 }
 
-// volume finds the volume of a path.
-func (f *Front) volume(p layout.Path) (*Volume, *failure) {
-	if v := f.opt.Volumes[p.Volume]; v != nil {
-		return v, nil
+// findVolume finds the volume of a path.
+func (f *Front) findVolume(path layout.Path) (*Volume, *failure) {
+	if volume := f.options.Volumes[path.Volume]; volume != nil {
+		return volume, nil
 	}
-	return nil, failed(sftp.NoSuchFile, "there is no volume %q", p.Volume)
+	return nil, failuref(sftp.NoSuchFile, "there is no volume %q", path.Volume)
 }
 
-// parse reads a path as a client sends it.
-func parse(s string) (layout.Path, *failure) {
-	p, err := layout.Parse(s)
+// parsePath reads a path as a client sends it.
+func parsePath(text string) (layout.Path, *failure) {
+	path, err := layout.Parse(text)
 	if err != nil {
-		return p, failed(sftp.Denied, "%v", err)
+		return path, failuref(sftp.Denied, "%v", err)
 	}
-	return p, nil
+	return path, nil
 }
 
-// tally counts what is under way, and tells when nothing is. Unlike a WaitGroup it may be waited for while more begins.
-type tally struct {
-	lock  sync.Mutex
-	count int
-	waits []chan struct{}
+// requestCounter counts what is under way, and tells when nothing is. Unlike a WaitGroup it may be waited for while more begins.
+type requestCounter struct {
+	lock    sync.Mutex
+	count   int
+	waiters []chan struct{}
 }
 
-func (t *tally) begin() {
+func (t *requestCounter) begin() {
 	t.lock.Lock()
 	t.count++
 	t.lock.Unlock()
 }
 
-func (t *tally) end() {
+func (t *requestCounter) end() {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	if t.count--; t.count == 0 {
-		for _, w := range t.waits {
-			close(w)
+		for _, waiter := range t.waiters {
+			close(waiter)
 		}
-		t.waits = nil
+		t.waiters = nil
 	}
 }
 
-// none returns what is closed once nothing is under way.
-func (t *tally) none() <-chan struct{} {
+// idle returns what is closed once nothing is under way.
+func (t *requestCounter) idle() <-chan struct{} {
 	t.lock.Lock()
 	defer t.lock.Unlock()
-	w := make(chan struct{})
+	waiter := make(chan struct{})
 	if t.count == 0 {
-		close(w)
+		close(waiter)
 	} else {
-		t.waits = append(t.waits, w)
+		t.waiters = append(t.waiters, waiter)
 	}
-	return w
+	return waiter
 }
--- a/internal/front/golden_test.go
+++ b/internal/front/golden_test.go
@@ -83,7 +83,7 @@
 		var items []node.ListItem
 		for _, name := range sortedNames(n.records) {
 			path, _ := layout.Parse(name)
-			if len(n.records[name].Data) > 0 && path.Parent().String() == call.Name && path.Home(2) == shard && name > call.Owner {
+			if len(n.records[name].Data) > 0 && path.Parent().String() == call.Name && path.HomeShard(2) == shard && name > call.Owner {
 				items = append(items, n.records[name])
 			}
 		}
@@ -124,7 +124,7 @@
 		if err != nil {
 			return err.Error()
 		}
-		record.Mark, record.Target, record.Origin = unstarted(record.Mark), unstarted(record.Target), unstarted(record.Origin)
+		record.ChangeID, record.MovePeer, record.LastMoveID = unstarted(record.ChangeID), unstarted(record.MovePeer), unstarted(record.LastMoveID)
 		record.Modified = 0
 		for i := range record.Extents {
 			record.Extents[i].Object = unstarted(record.Extents[i].Object)
@@ -366,7 +366,7 @@
 }
 
 func formOf(r front.Result) string {
-	return fmt.Sprintf("outcome %d after %s at byte %d: %q", r.Outcome, r.Wait, r.At, r.Why)
+	return fmt.Sprintf("outcome %d after %s at byte %d: %q", r.Outcome, r.RetryAfter, r.MismatchOffset, r.Reason)
 }
 
 // disk runs the requests of a disk's client.
@@ -376,22 +376,22 @@
 	if err != nil {
 		b.t.Fatal(err)
 	}
-	b.note("disk", fmt.Sprint(disk.Extent()))
+	b.note("disk", fmt.Sprint(disk.ExtentSize()))
 	_, err = b.front.Disk("/meals/disk", 128<<10)
 	b.note("disk smaller than the file", fmt.Sprint(err))
 	_, err = b.front.Disk("/other/disk", 128<<10)
 	b.note("disk of no volume", fmt.Sprint(err))
-	client := b.front.Client()
+	client := b.front.NewClient()
 	b.note("client", client.Name())
 	b.note("disk write", formOf(client.Write(disk, 1, 100, []byte("abcdef"), false)))
 	b.note("disk write through", formOf(client.Write(disk, 2, 102, []byte("xy"), true)))
 	data, result := client.Read(disk, 3, 98, 10)
 	b.note("disk read", fmt.Sprintf("%q %s", data, formOf(result)))
-	b.note("disk compare, different", formOf(client.Compare(disk, 4, 100, []byte("abcd"), []byte("1234"), false)))
-	b.note("disk compare, equal", formOf(client.Compare(disk, 5, 100, []byte("abxy"), []byte("1234"), true)))
+	b.note("disk compare, different", formOf(client.CompareAndWrite(disk, 4, 100, []byte("abcd"), []byte("1234"), false)))
+	b.note("disk compare, equal", formOf(client.CompareAndWrite(disk, 5, 100, []byte("abxy"), []byte("1234"), true)))
 	b.note("disk zero", formOf(client.Zero(disk, 6, 101, 128<<10)))
 	b.note("disk sync", formOf(client.Sync(disk, 7)))
 	b.note("disk close", fmt.Sprint(disk.Close()))
-	client.Leave()
+	client.Close()
 	b.note("left client", formOf(client.Write(disk, 8, 0, []byte("a"), false)))
 }
--- a/internal/front/record.go
+++ b/internal/front/record.go
@@ -10,364 +10,364 @@
 	"irispost/internal/sftp"
 )
 
-// patient tells whether a task may try once more to put its change of a record on top of others' changes: as long as
+// beforeDeadline tells whether a task may try once more to put its change of a record on top of others' changes: as long as
 // its client waits.
-func (t *task) patient(v *Volume, p layout.Path) bool {
-	return t.front.opt.Loop.Now() < t.arrived+int64(v.Product(Change, p, 0).Patience)
+func (t *task) beforeDeadline(volume *Volume, path layout.Path) bool {
+	return t.front.options.Loop.Now() < t.arrived+int64(volume.Product(Change, path, 0).Patience)
 }
 
-// look reads a record. One that is in a move has that brought to its end first.
-func (t *task) look(v *Volume, p layout.Path) (*layout.Record, *failure) {
-	for t.patient(v, p) {
-		r, err := t.glance(v, p)
-		if err != nil || r.State != layout.Moving && r.State != layout.Arriving {
-			return r, err
+// readRecord reads a record. One that is in a move has that brought to its end first.
+func (t *task) readRecord(volume *Volume, path layout.Path) (*layout.Record, *failure) {
+	for t.beforeDeadline(volume, path) {
+		record, err := t.fetchRecord(volume, path)
+		if err != nil || record.State != layout.Moving && record.State != layout.Arriving {
+			return record, err
 		}
-		if r.State == layout.Moving {
-			_, err = t.finishMove(v, p, r)
+		if record.State == layout.Moving {
+			_, err = t.completeMove(volume, path, record)
 		} else {
-			err = t.arrive(v, p, r)
+			err = t.completeArrival(volume, path, record)
 		}
 		if err != nil {
 			return nil, err
 		}
 	}
-	return nil, dismissal(0, "the file keeps moving")
+	return nil, rejection(0, "the file keeps moving")
 }
 
-// glance reads a record as it stands.
-func (t *task) glance(v *Volume, p layout.Path) (*layout.Record, *failure) {
-	a, err := t.do(v, v.Product(Look, p, 0), t.front.opt.Units.Of(0), 0,
-		node.Call{Op: node.GetRecord, Name: p.String(), Shard: p.Home(t.front.opt.Shards)})
+// fetchRecord reads a record as it stands.
+func (t *task) fetchRecord(volume *Volume, path layout.Path) (*layout.Record, *failure) {
+	reply, err := t.execute(volume, volume.Product(Look, path, 0), t.front.options.Units.Of(0), 0,
+		node.Call{Op: node.GetRecord, Name: path.String(), Shard: path.HomeShard(t.front.options.Shards)})
 	if err != nil {
 		return nil, err
 	}
-	return decode(p, a)
+	return decodeRecord(path, reply)
 }
 
-func decode(p layout.Path, a node.Reply) (*layout.Record, *failure) {
-	if len(a.Data) == 0 {
-		return &layout.Record{Kind: layout.Absent, Version: a.Version}, nil
+func decodeRecord(path layout.Path, reply node.Reply) (*layout.Record, *failure) {
+	if len(reply.Data) == 0 {
+		return &layout.Record{Kind: layout.Absent, Version: reply.Version}, nil
 	}
-	r, err := layout.Decode(a.Data, a.Version)
+	record, err := layout.Decode(reply.Data, reply.Version)
 	if err != nil {
-		return nil, failed(sftp.Failure, "%s: %v", p, err)
+		return nil, failuref(sftp.Failure, "%s: %v", path, err)
 	}
-	return r, nil
+	return record, nil
 }
 
-// swap changes a record from the version that was seen to another, or removes it (to is nil). It returns the record
+// compareAndSwap changes a record from the version that was seen to another, or removes it (to is nil). It returns the record
 // as it stands afterwards, and whether it is ours.
-func (t *task) swap(v *Volume, p layout.Path, seen uint64, to *layout.Record, mark string) (*layout.Record, bool, *failure) {
-	call := node.Call{Op: node.CompareAndSwapRecord, Name: p.String(), Shard: p.Home(t.front.opt.Shards), Version: seen, IdempotencyKey: mark}
-	if to != nil {
-		to.Mark = mark
-		call.Data = to.Encode()
+func (t *task) compareAndSwap(volume *Volume, path layout.Path, version uint64, next *layout.Record, changeID string) (*layout.Record, bool, *failure) {
+	call := node.Call{Op: node.CompareAndSwapRecord, Name: path.String(), Shard: path.HomeShard(t.front.options.Shards), Version: version, IdempotencyKey: changeID}
+	if next != nil {
+		next.ChangeID = changeID
+		call.Data = next.Encode()
 	}
-	a, err := t.do(v, v.Product(Change, p, 0), t.front.opt.Units.Of(len(call.Data)), 0, call)
+	reply, err := t.execute(volume, volume.Product(Change, path, 0), t.front.options.Units.Of(len(call.Data)), 0, call)
 	if err != nil {
 		return nil, false, err
 	}
-	if a.Status == node.VersionConflict {
-		now, err := decode(p, a)
-		return now, err == nil && to != nil && now.Kind != layout.Absent && now.Mark == mark, err
+	if reply.Status == node.VersionConflict {
+		current, err := decodeRecord(path, reply)
+		return current, err == nil && next != nil && current.Kind != layout.Absent && current.ChangeID == changeID, err
 	}
-	if to == nil {
-		return &layout.Record{Kind: layout.Absent, Version: a.Version}, true, nil
+	if next == nil {
+		return &layout.Record{Kind: layout.Absent, Version: reply.Version}, true, nil
 	}
-	done := *to
-	done.Version = a.Version
-	return &done, true, nil
+	stored := *next
+	stored.Version = reply.Version
+	return &stored, true, nil
 }
 
-// inFolder looks whether something can be made in the folder that p lies in.
-func (t *task) inFolder(v *Volume, p layout.Path) *failure {
-	dir := p.Parent()
-	if dir.Rel == "" {
+// checkParent looks whether something can be made in the folder that p lies in.
+func (t *task) checkParent(volume *Volume, path layout.Path) *failure {
+	parent := path.Parent()
+	if parent.Rel == "" {
 		return nil
 	}
-	r, err := t.glance(v, dir)
+	record, err := t.fetchRecord(volume, parent)
 	switch {
 	case err != nil:
 		return err
-	case r.Kind == layout.Absent:
-		return failed(sftp.NoSuchFile, "there is no folder %s", dir)
-	case r.Kind != layout.Folder:
-		return failed(sftp.Failure, "%s is no folder", dir)
-	case r.State != layout.Live:
-		return dismissal(0, "the folder is being removed")
+	case record.Kind == layout.Absent:
+		return failuref(sftp.NoSuchFile, "there is no folder %s", parent)
+	case record.Kind != layout.Directory:
+		return failuref(sftp.Failure, "%s is no folder", parent)
+	case record.State != layout.Live:
+		return rejection(0, "the folder is being removed")
 	}
 	return nil
 }
 
-// make makes a record where there is none, as far as is known at the version that r holds. The folder is looked at before and after: a folder that is being removed
+// createRecord makes a record where there is none, as far as is known at the version that r holds. The folder is looked at before and after: a folder that is being removed
 // is listed only after it was marked, so one of both sees the other.
-func (t *task) make(v *Volume, p layout.Path, r *layout.Record) (*layout.Record, bool, *failure) {
-	if err := t.inFolder(v, p); err != nil {
+func (t *task) createRecord(volume *Volume, path layout.Path, record *layout.Record) (*layout.Record, bool, *failure) {
+	if err := t.checkParent(volume, path); err != nil {
 		return nil, false, err
 	}
-	now, ours, seen := (*layout.Record)(nil), false, r.Version
-	for t.patient(v, p) {
+	current, ours, version := (*layout.Record)(nil), false, record.Version
+	for t.beforeDeadline(volume, path) {
 		var err *failure
-		now, ours, err = t.swap(v, p, seen, r, t.front.mark())
+		current, ours, err = t.compareAndSwap(volume, path, version, record, t.front.uniqueName())
 		if err != nil {
 			return nil, false, err
 		}
-		if ours || now.Kind != layout.Absent {
+		if ours || current.Kind != layout.Absent {
 			break
 		}
-		seen = now.Version // it was there, and was removed
+		version = current.Version // it was there, and was removed
 	}
-	if now == nil || now.Kind == layout.Absent {
-		return nil, false, dismissal(0, "the name is changed by others all the time")
+	if current == nil || current.Kind == layout.Absent {
+		return nil, false, rejection(0, "the name is changed by others all the time")
 	}
-	if !ours || p.Parent().Rel == "" {
-		return now, ours, nil
+	if !ours || path.Parent().Rel == "" {
+		return current, ours, nil
 	}
-	if gone := t.inFolder(v, p); gone != nil {
-		_, _, _ = t.swap(v, p, now.Version, nil, t.front.mark()) // the answer is that the folder is gone, whether this succeeds or not
+	if gone := t.checkParent(volume, path); gone != nil {
+		_, _, _ = t.compareAndSwap(volume, path, current.Version, nil, t.front.uniqueName()) // the answer is that the folder is gone, whether this succeeds or not
 		return nil, false, gone
 	}
-	return now, true, nil
+	return current, true, nil
 }
 
-// remove removes a file.
-func (t *task) remove(v *Volume, p layout.Path) *failure {
-	for t.patient(v, p) {
-		r, err := t.look(v, p)
+// removeFile removes a file.
+func (t *task) removeFile(volume *Volume, path layout.Path) *failure {
+	for t.beforeDeadline(volume, path) {
+		record, err := t.readRecord(volume, path)
 		switch {
 		case err != nil:
 			return err
-		case r.Kind == layout.Absent:
-			return failed(sftp.NoSuchFile, "there is no %s", p)
-		case r.Kind == layout.Folder:
-			return failed(sftp.Failure, "%s is a folder", p)
+		case record.Kind == layout.Absent:
+			return failuref(sftp.NoSuchFile, "there is no %s", path)
+		case record.Kind == layout.Directory:
+			return failuref(sftp.Failure, "%s is a folder", path)
 		}
-		_, ours, err := t.swap(v, p, r.Version, nil, t.front.mark())
+		_, ours, err := t.compareAndSwap(volume, path, record.Version, nil, t.front.uniqueName())
 		if err != nil {
 			return err
 		}
 		if ours {
-			t.front.drop(v, p, r.Objects())
+			t.front.deleteObjects(volume, path, record.StoredExtents())
 			return nil
 		}
 	}
-	return dismissal(0, "the file is changed by others all the time")
+	return rejection(0, "the file is changed by others all the time")
 }
 
-// drop removes objects that nothing refers to any more. No client waits for it; what stays is found by the sweep.
-func (f *Front) drop(v *Volume, p layout.Path, extents []layout.Extent) {
+// deleteObjects removes objects that nothing refers to any more. No client waits for it; what stays is found by the sweep.
+func (f *Front) deleteObjects(volume *Volume, path layout.Path, extents []layout.Extent) {
 	if len(extents) == 0 {
 		return
 	}
-	f.busy.begin()
+	f.inFlight.begin()
 	go func() {
-		defer f.busy.end()
-		t := f.duty()
-		for _, e := range extents {
-			_, _ = t.do(v, v.Product(Write, p, 0), f.opt.Units.Of(0), keyOf(e.Object),
-				node.Call{Op: node.DeleteObject, Name: e.Object, Shard: e.Shard})
+		defer f.inFlight.end()
+		task := f.backgroundTask()
+		for _, extent := range extents {
+			_, _ = task.execute(volume, volume.Product(Write, path, 0), f.options.Units.Of(0), orderingKey(extent.Object),
+				node.Call{Op: node.DeleteObject, Name: extent.Object, Shard: extent.Shard})
 		}
 	}()
 }
 
 // mkdir makes a folder.
-func (t *task) mkdir(v *Volume, p layout.Path, mode uint32) *failure {
-	if p.Rel == "" {
-		return failed(sftp.Failure, "%s is a volume", p)
+func (t *task) mkdir(volume *Volume, path layout.Path, mode uint32) *failure {
+	if path.Rel == "" {
+		return failuref(sftp.Failure, "%s is a volume", path)
 	}
-	_, ours, err := t.make(v, p, &layout.Record{Kind: layout.Folder, Mode: mode, Modified: t.arrived})
+	_, ours, err := t.createRecord(volume, path, &layout.Record{Kind: layout.Directory, Mode: mode, Modified: t.arrived})
 	if err == nil && !ours {
-		return failed(sftp.Failure, "%s exists", p)
+		return failuref(sftp.Failure, "%s exists", path)
 	}
 	return err
 }
 
 // rmdir removes an empty folder: it is marked, then listed, then removed.
-func (t *task) rmdir(v *Volume, p layout.Path) *failure {
-	if p.Rel == "" {
-		return failed(sftp.Failure, "%s is a volume", p)
+func (t *task) rmdir(volume *Volume, path layout.Path) *failure {
+	if path.Rel == "" {
+		return failuref(sftp.Failure, "%s is a volume", path)
 	}
-	r, err := t.glance(v, p)
+	record, err := t.fetchRecord(volume, path)
 	switch {
 	case err != nil:
 		return err
-	case r.Kind == layout.Absent:
-		return failed(sftp.NoSuchFile, "there is no %s", p)
-	case r.Kind != layout.Folder:
-		return failed(sftp.Failure, "%s is no folder", p)
-	}
-	closing := *r
-	closing.State = layout.Closing
-	marked, ours, err := t.swap(v, p, r.Version, &closing, t.front.mark())
+	case record.Kind == layout.Absent:
+		return failuref(sftp.NoSuchFile, "there is no %s", path)
+	case record.Kind != layout.Directory:
+		return failuref(sftp.Failure, "%s is no folder", path)
+	}
+	closing := *record
+	closing.State = layout.Removing
+	marked, ours, err := t.compareAndSwap(volume, path, record.Version, &closing, t.front.uniqueName())
 	if err != nil {
 		return err
 	}
 	if !ours {
-		return dismissal(0, "the folder is changed by others")
+		return rejection(0, "the folder is changed by others")
 	}
-	items, err := t.list(v, p, 1)
-	if err == nil && len(items) == 0 {
-		_, ours, err = t.swap(v, p, marked.Version, nil, t.front.mark())
+	entries, err := t.listDirectory(volume, path, 1)
+	if err == nil && len(entries) == 0 {
+		_, ours, err = t.compareAndSwap(volume, path, marked.Version, nil, t.front.uniqueName())
 		if err == nil && !ours {
-			err = dismissal(0, "the folder is changed by others")
+			err = rejection(0, "the folder is changed by others")
 		}
 		return err
 	}
-	back := *marked
-	back.State = layout.Live
-	_, _, _ = t.swap(v, p, marked.Version, &back, t.front.mark()) // where it fails, the folder stays marked as closing
+	reopened := *marked
+	reopened.State = layout.Live
+	_, _, _ = t.compareAndSwap(volume, path, marked.Version, &reopened, t.front.uniqueName()) // where it fails, the folder stays marked as closing
 	if err == nil {
-		err = failed(sftp.Failure, "%s is not empty", p)
+		err = failuref(sftp.Failure, "%s is not empty", path)
 	}
 	return err
 }
 
-// item is one name of a folder.
-type item struct {
+// dirEntry is one name of a folder.
+type dirEntry struct {
 	name   string
 	record *layout.Record
 }
 
-// list reads a folder: all shards are asked, since each holds the records that hash to it. One that does not answer
+// listDirectory reads a folder: all shards are asked, since each holds the records that hash to it. One that does not answer
 // fails the whole, as a listing with names missing would be believed.
-func (t *task) list(v *Volume, p layout.Path, most int) ([]item, *failure) {
+func (t *task) listDirectory(volume *Volume, path layout.Path, limit int) ([]dirEntry, *failure) {
 	type page struct {
 		answer node.Reply
 		err    *failure
 	}
-	var items []item
-	after := make([]string, t.front.opt.Shards)
-	open := make([]bool, t.front.opt.Shards)
-	for i := range open {
-		open[i] = true
+	var entries []dirEntry
+	lastNames := make([]string, t.front.options.Shards)
+	more := make([]bool, t.front.options.Shards)
+	for index := range more {
+		more[index] = true
 	}
-	for slices.Contains(open, true) {
-		var waits []<-chan gateway.Result
+	for slices.Contains(more, true) {
+		var results []<-chan gateway.Result
 		var shards []int
-		for shard := range open {
-			if open[shard] {
+		for shard := range more {
+			if more[shard] {
 				shards = append(shards, shard)
-				waits = append(waits, t.start(v, v.Product(Look, p, 0), t.front.opt.Units.Of(0), 0,
-					node.Call{Op: node.ListRecords, Name: p.String(), Owner: after[shard], Shard: shard, Length: uint32(min(most, 512))}))
+				results = append(results, t.submit(volume, volume.Product(Look, path, 0), t.front.options.Units.Of(0), 0,
+					node.Call{Op: node.ListRecords, Name: path.String(), Owner: lastNames[shard], Shard: shard, Length: uint32(min(limit, 512))}))
 			}
 		}
-		pages := make([]page, len(waits))
-		for i, w := range waits {
-			pages[i].answer, pages[i].err = t.finish(<-w, node.ListRecords)
+		pages := make([]page, len(results))
+		for index, result := range results {
+			pages[index].answer, pages[index].err = t.replyOf(<-result, node.ListRecords)
 		}
-		for i, pg := range pages {
-			if pg.err != nil {
-				return nil, pg.err
+		for index, answer := range pages {
+			if answer.err != nil {
+				return nil, answer.err
 			}
-			list, err := node.DecodeItems(pg.answer.Data)
+			items, err := node.DecodeItems(answer.answer.Data)
 			if err != nil {
-				return nil, failed(sftp.Failure, "listing of shard %d: %v", shards[i], err)
+				return nil, failuref(sftp.Failure, "listing of shard %d: %v", shards[index], err)
 			}
-			for _, it := range list {
-				r, err := layout.Decode(it.Data, it.Version)
+			for _, item := range items {
+				r, err := layout.Decode(item.Data, item.Version)
 				if err != nil {
-					return nil, failed(sftp.Failure, "%s: %v", it.Name, err)
+					return nil, failuref(sftp.Failure, "%s: %v", item.Name, err)
 				}
-				entry, perr := layout.Parse(it.Name)
+				entry, perr := layout.Parse(item.Name)
 				if perr != nil {
-					return nil, failed(sftp.Failure, "shard %d holds a record named %q", shards[i], it.Name)
+					return nil, failuref(sftp.Failure, "shard %d holds a record named %q", shards[index], item.Name)
 				}
-				items = append(items, item{entry.Name(), r})
-				after[shards[i]] = it.Name
+				entries = append(entries, dirEntry{entry.Name(), r})
+				lastNames[shards[index]] = item.Name
 			}
-			open[shards[i]] = len(list) == 512
+			more[shards[index]] = len(items) == 512
 		}
-		if len(items) >= most {
+		if len(entries) >= limit {
 			break
 		}
 	}
-	slices.SortFunc(items, func(a, b item) int { return cmp.Compare(a.name, b.name) })
-	return items[:min(len(items), most)], nil
+	slices.SortFunc(entries, func(a, b dirEntry) int { return cmp.Compare(a.name, b.name) })
+	return entries[:min(len(entries), limit)], nil
 }
 
-// rename moves a file in four changes of records: the old place is marked Moving with where it goes, the new one is
+// renameFile moves a file in four changes of records: the old place is marked Moving with where it goes, the new one is
 // made Arriving, the old one is removed, the new one becomes Live. Whoever meets a mark brings the move to its end, so
 // a gateway that dies leaves none. What a version was replaced by never comes back, so the second change happens once
 // at most; and what is Arriving stays until the old place is removed. So a file is never lost, nor there twice.
-func (t *task) rename(v *Volume, from, to layout.Path, replace bool) *failure {
-	if from.Volume != to.Volume {
-		return failed(sftp.OpUnsupported, "files do not move between volumes")
+func (t *task) renameFile(volume *Volume, source, target layout.Path, replace bool) *failure {
+	if source.Volume != target.Volume {
+		return failuref(sftp.OpUnsupported, "files do not move between volumes")
 	}
-	r, err := t.look(v, from)
+	record, err := t.readRecord(volume, source)
 	switch {
 	case err != nil:
 		return err
-	case r.Kind == layout.Absent:
-		return failed(sftp.NoSuchFile, "there is no %s", from)
-	case r.Kind == layout.Folder:
-		return failed(sftp.OpUnsupported, "folders cannot be renamed")
-	case from == to:
+	case record.Kind == layout.Absent:
+		return failuref(sftp.NoSuchFile, "there is no %s", source)
+	case record.Kind == layout.Directory:
+		return failuref(sftp.OpUnsupported, "folders cannot be renamed")
+	case source == target:
 		return nil
 	}
-	if err := t.inFolder(v, to); err != nil {
+	if err := t.checkParent(volume, target); err != nil {
 		return err
 	}
-	there, err := t.look(v, to)
+	replaced, err := t.readRecord(volume, target)
 	switch {
 	case err != nil:
 		return err
-	case there.Kind != layout.Absent && (!replace || there.Kind == layout.Folder):
-		return failed(sftp.Failure, "%s exists", to)
+	case replaced.Kind != layout.Absent && (!replace || replaced.Kind == layout.Directory):
+		return failuref(sftp.Failure, "%s exists", target)
 	}
-	moving := *r
-	moving.State, moving.Target, moving.Expected = layout.Moving, to.String(), there.Version
-	marked, ours, err := t.swap(v, from, r.Version, &moving, t.front.mark())
+	moving := *record
+	moving.State, moving.MovePeer, moving.PeerVersion = layout.Moving, target.String(), replaced.Version
+	marked, ours, err := t.compareAndSwap(volume, source, record.Version, &moving, t.front.uniqueName())
 	if err != nil {
 		return err
 	}
 	if !ours {
-		return dismissal(0, "the file is changed by others")
+		return rejection(0, "the file is changed by others")
 	}
-	moved, err := t.finishMove(v, from, marked)
+	moved, err := t.completeMove(volume, source, marked)
 	if err != nil {
 		return err
 	}
 	if !moved {
-		return failed(sftp.Failure, "%s was changed by another, and %s is where it was", to, from)
+		return failuref(sftp.Failure, "%s was changed by another, and %s is where it was", target, source)
 	}
-	t.front.drop(v, to, there.Objects())
+	t.front.deleteObjects(volume, target, replaced.StoredExtents())
 	return nil
 }
 
-// finishMove brings a move to its end: forward if the new place is as it was, else back. It tells which.
-func (t *task) finishMove(v *Volume, from layout.Path, moving *layout.Record) (moved bool, err *failure) {
-	to, perr := layout.Parse(moving.Target)
-	if perr != nil {
-		return false, failed(sftp.Failure, "%s moves to %q", from, moving.Target)
+// completeMove brings a move to its end: forward if the new place is as it was, else back. It tells which.
+func (t *task) completeMove(volume *Volume, source layout.Path, moving *layout.Record) (moved bool, err *failure) {
+	target, parseErr := layout.Parse(moving.MovePeer)
+	if parseErr != nil {
+		return false, failuref(sftp.Failure, "%s moves to %q", source, moving.MovePeer)
 	}
 	arriving := *moving
-	arriving.State, arriving.Target, arriving.Expected, arriving.Origin = layout.Arriving, from.String(), moving.Version, moving.Mark
-	there, ours, err := t.swap(v, to, moving.Expected, &arriving, t.front.mark())
+	arriving.State, arriving.MovePeer, arriving.PeerVersion, arriving.LastMoveID = layout.Arriving, source.String(), moving.Version, moving.ChangeID
+	current, ours, err := t.compareAndSwap(volume, target, moving.PeerVersion, &arriving, t.front.uniqueName())
 	if err != nil {
 		return false, err
 	}
-	if ours || there.State == layout.Arriving && there.Origin == moving.Mark {
-		return true, t.arrive(v, to, there)
+	if ours || current.State == layout.Arriving && current.LastMoveID == moving.ChangeID {
+		return true, t.completeArrival(volume, target, current)
 	}
-	back := *moving
-	back.State, back.Target, back.Expected, back.Origin = layout.Live, "", 0, moving.Mark
-	old, ours, err := t.swap(v, from, moving.Version, &back, t.front.mark())
+	restored := *moving
+	restored.State, restored.MovePeer, restored.PeerVersion, restored.LastMoveID = layout.Live, "", 0, moving.ChangeID
+	left, ours, err := t.compareAndSwap(volume, source, moving.Version, &restored, t.front.uniqueName())
 	// If the old place is not as it was, another has brought the move to its end, and said so if it was back.
-	return err == nil && !ours && (old.Kind == layout.Absent || old.Origin != moving.Mark), err
+	return err == nil && !ours && (left.Kind == layout.Absent || left.LastMoveID != moving.ChangeID), err
 }
 
-// arrive ends a move whose new place stands.
-func (t *task) arrive(v *Volume, to layout.Path, arriving *layout.Record) *failure {
-	from, perr := layout.Parse(arriving.Target)
-	if perr != nil {
-		return failed(sftp.Failure, "%s comes from %q", to, arriving.Target)
+// completeArrival ends a move whose new place stands.
+func (t *task) completeArrival(volume *Volume, target layout.Path, arriving *layout.Record) *failure {
+	source, parseErr := layout.Parse(arriving.MovePeer)
+	if parseErr != nil {
+		return failuref(sftp.Failure, "%s comes from %q", target, arriving.MovePeer)
 	}
-	if _, _, err := t.swap(v, from, arriving.Expected, nil, t.front.mark()); err != nil { // if it is gone already, good
+	if _, _, err := t.compareAndSwap(volume, source, arriving.PeerVersion, nil, t.front.uniqueName()); err != nil { // if it is gone already, good
 		return err
 	}
 	live := *arriving
-	live.State, live.Target, live.Expected = layout.Live, "", 0
-	_, _, err := t.swap(v, to, arriving.Version, &live, t.front.mark())
+	live.State, live.MovePeer, live.PeerVersion = layout.Live, "", 0
+	_, _, err := t.compareAndSwap(volume, target, arriving.Version, &live, t.front.uniqueName())
 	return err
 }
--- a/internal/front/session.go
+++ b/internal/front/session.go
@@ -18,37 +18,37 @@
 
 // Extensions of others that are offered.
 const (
-	posixRename = "posix-rename@openssh.com"
-	fsync       = "fsync@openssh.com"
-	limits      = "limits@openssh.com"
+	posixRenameExtension = "posix-rename@openssh.com"
+	fsyncExtension       = "fsync@openssh.com"
+	limitsExtension      = "limits@openssh.com"
 )
 
 // session is one client's connection.
 type session struct {
-	front   *Front
-	conn    *sftp.Conn
-	loop    *gateway.Session
-	slots   chan struct{} // one for each request without an answer
-	greeted bool
-	next    int
-	lock    sync.Mutex
-	handles map[string]*handle
-	turns   map[layout.Path][]*turn
+	front       *Front
+	conn        *sftp.Conn
+	gateway     *gateway.Session
+	slots       chan struct{} // one for each request without an answer
+	initialized bool
+	lastHandle  int
+	lock        sync.Mutex
+	handles     map[string]*openHandle
+	accesses    map[layout.Path][]*rangeAccess
 }
 
-// handle is an open file or folder.
-type handle struct {
-	name  string
-	path  layout.Path
-	file  *file // nil for a folder
-	flags uint32
-	items []item // of a folder, that were not sent yet
-	read  bool   // the folder has been listed
+// openHandle is an open file or folder.
+type openHandle struct {
+	name    string
+	path    layout.Path
+	file    *openFile // nil for a folder
+	flags   uint32
+	entries []dirEntry // of a folder, that were not sent yet
+	listed  bool       // the folder has been listed
 }
 
-// turn is a request's place among those for one path. The draft asks (section 4.1) that requests for one file have the
+// rangeAccess is a request's place among those for one path. The draft asks (section 4.1) that requests for one file have the
 // results that they would have one at a time; those whose bytes do not overlap, or that only read, go side by side.
-type turn struct {
+type rangeAccess struct {
 	from, to uint64
 	write    bool
 	done     chan struct{}
@@ -58,79 +58,79 @@
 type requestState uint8
 
 const (
-	waiting requestState = iota // for earlier requests for the same bytes
-	working
-	answered
+	requestWaiting requestState = iota // for earlier requests for the same bytes
+	requestRunning
+	requestAnswered
 )
 
 // request is one request of a client's. It gets exactly one answer, unless its client has gone.
 type request struct {
 	task
-	session *session
-	id      uint32
-	state   requestState
-	turns   map[layout.Path]*turn
-	before  []<-chan struct{}
-	product *Product // whose patience bounds the wait for the turn
+	session      *session
+	id           uint32
+	state        requestState
+	accesses     map[layout.Path]*rangeAccess
+	predecessors []<-chan struct{}
+	class        *Product // whose patience bounds the wait for the turn
 }
 
-func newSession(f *Front, c *sftp.Conn) *session {
-	name := f.opt.Name + "/" + f.boot + "/" + strconv.FormatInt(f.sessions.Add(1), 10)
-	return &session{front: f, conn: c, loop: gateway.NewSession(name), handles: map[string]*handle{},
-		turns: map[layout.Path][]*turn{}, slots: make(chan struct{}, max(f.opt.Limits.Outstanding, 1))}
+func newSession(front *Front, conn *sftp.Conn) *session {
+	name := front.options.Name + "/" + front.incarnation + "/" + strconv.FormatInt(front.lastSession.Add(1), 10)
+	return &session{front: front, conn: conn, gateway: gateway.NewSession(name), handles: map[string]*openHandle{},
+		accesses: map[layout.Path][]*rangeAccess{}, slots: make(chan struct{}, max(front.options.Limits.Outstanding, 1))}
 }
 
 // Packet takes in one packet. It waits while the client has too many requests out, and with it the connection.
-func (s *session) Packet(p sftp.Frame) error {
-	if !s.greeted {
-		if p.Type != sftp.Init {
-			return fmt.Errorf("the first packet is of type %d, not INIT", p.Type)
+func (s *session) Packet(frame sftp.Frame) error {
+	if !s.initialized {
+		if frame.Type != sftp.Init {
+			return fmt.Errorf("the first packet is of type %d, not INIT", frame.Type)
 		}
-		if v, r := p.ID(); r.Err != nil || v < sftp.ProtocolVersion {
-			return fmt.Errorf("the client speaks version %d, version %d is needed", v, sftp.ProtocolVersion)
+		if version, req := frame.ID(); req.Err != nil || version < sftp.ProtocolVersion {
+			return fmt.Errorf("the client speaks version %d, version %d is needed", version, sftp.ProtocolVersion)
 		}
-		s.greeted = true
-		s.conn.Send(sftp.Hello(posixRename, "1", fsync, "1", limits, "1", SessionExtension, s.loop.Name))
+		s.initialized = true
+		s.conn.Send(sftp.Hello(posixRenameExtension, "1", fsyncExtension, "1", limitsExtension, "1", SessionExtension, s.gateway.Name))
 		return nil
 	}
-	id, fields := p.ID()
+	id, fields := frame.ID()
 	if fields.Err != nil {
-		return fmt.Errorf("a packet of type %d without an id", p.Type)
+		return fmt.Errorf("a packet of type %d without an id", frame.Type)
 	}
-	if err := s.slot(); err != nil {
+	if err := s.acquireSlot(); err != nil {
 		return err
 	}
-	r := &request{session: s, id: id, turns: map[layout.Path]*turn{},
-		task: task{front: s.front, session: s.loop, number: id, arrived: s.front.opt.Loop.Now()}}
-	s.front.busy.begin()
-	if s.front.stopping.Load() {
-		r.answer(nil, dismissal(0, "this gateway is stopping, another may serve you"))
+	req := &request{session: s, id: id, accesses: map[layout.Path]*rangeAccess{},
+		task: task{front: s.front, session: s.gateway, requestID: id, arrived: s.front.options.Loop.Now()}}
+	s.front.inFlight.begin()
+	if s.front.draining.Load() {
+		req.answer(nil, rejection(0, "this gateway is stopping, another may serve you"))
 		return nil
 	}
-	work := s.read(r, p.Type, fields)
+	work := s.prepare(req, frame.Type, fields)
 	if work == nil {
 		return nil // answered
 	}
-	go r.run(work)
+	go req.run(work)
 	return nil
 }
 
-// slot waits for room for one more request.
-func (s *session) slot() error {
+// acquireSlot waits for room for one more request.
+func (s *session) acquireSlot() error {
 	select {
 	case s.slots <- struct{}{}:
 		return nil
 	default:
 	}
-	look := time.NewTicker(50 * time.Millisecond)
-	defer look.Stop()
+	ticker := time.NewTicker(50 * time.Millisecond)
+	defer ticker.Stop()
 	for {
 		select {
 		case s.slots <- struct{}{}:
 			return nil
 		case <-s.conn.Done():
 			return s.conn.Err()
-		case <-look.C:
+		case <-ticker.C:
 			if s.conn.ReadAheadExceeded() {
 				return fmt.Errorf("the client sends on while %d requests wait for their answers", cap(s.slots))
 			}
@@ -139,545 +139,547 @@
 }
 
 // Closed ends the session: its jobs are left, and what it wrote is committed.
-func (s *session) Closed(why error) {
-	s.front.opt.Loop.CloseSession(s.loop)
-	s.front.opt.Log.Debug("session ended", "session", s.loop.Name, "why", why)
+func (s *session) Closed(cause error) {
+	s.front.options.Loop.CloseSession(s.gateway)
+	s.front.options.Log.Debug("session ended", "session", s.gateway.Name, "why", cause)
 	s.lock.Lock()
-	var open []*handle
-	for _, h := range s.handles {
-		if h.file != nil {
-			open = append(open, h)
+	var open []*openHandle
+	for _, opened := range s.handles {
+		if opened.file != nil {
+			open = append(open, opened)
 		}
 	}
-	s.handles = map[string]*handle{}
+	s.handles = map[string]*openHandle{}
 	s.lock.Unlock()
-	slices.SortFunc(open, func(a, b *handle) int { return len(a.name) - len(b.name) })
-	s.front.busy.begin()
+	slices.SortFunc(open, func(a, b *openHandle) int { return len(a.name) - len(b.name) })
+	s.front.inFlight.begin()
 	go func() {
-		defer s.front.busy.end()
-		for _, h := range open {
-			if err := s.front.duty().commit(h.file); err != nil {
-				s.front.opt.Log.Warn("what a client wrote before it left is not recorded", "path", h.path.String(), "why", err.text)
+		defer s.front.inFlight.end()
+		for _, opened := range open {
+			if err := s.front.backgroundTask().commit(opened.file); err != nil {
+				s.front.options.Log.Warn("what a client wrote before it left is not recorded", "path", opened.path.String(), "why", err.message)
 			}
-			h.file.release()
+			opened.file.release()
 		}
 	}()
 }
 
-// turn places a request among those for a path, and notes which it has to wait for.
-func (r *request) turn(p layout.Path, from, to uint64, write bool, sort Sort) {
+// orderRange places a request among those for a path, and notes which it has to wait for.
+func (r *request) orderRange(path layout.Path, from, to uint64, write bool, kind Sort) {
 	s := r.session
-	if v := s.front.opt.Volumes[p.Volume]; v != nil {
-		r.product = v.Product(sort, p, 0)
+	if volume := s.front.options.Volumes[path.Volume]; volume != nil {
+		r.class = volume.Product(kind, path, 0)
 	}
-	t := &turn{from, to, write, make(chan struct{})}
+	access := &rangeAccess{from, to, write, make(chan struct{})}
 	s.lock.Lock()
-	for _, o := range s.turns[p] {
-		if (o.write || write) && o.from < to && from < o.to {
-			r.before = append(r.before, o.done)
+	for _, earlier := range s.accesses[path] {
+		if (earlier.write || write) && earlier.from < to && from < earlier.to {
+			r.predecessors = append(r.predecessors, earlier.done)
 		}
 	}
-	s.turns[p] = append(s.turns[p], t)
+	s.accesses[path] = append(s.accesses[path], access)
 	s.lock.Unlock()
-	r.turns[p] = t
+	r.accesses[path] = access
 }
 
-// whole places a request that concerns all of a path.
-func (r *request) whole(p layout.Path, write bool) {
-	sort := Look
+// orderPath places a request that concerns all of a path.
+func (r *request) orderPath(path layout.Path, write bool) {
+	kind := Look
 	if write {
-		sort = Change
+		kind = Change
 	}
-	r.turn(p, 0, ^uint64(0), write, sort)
+	r.orderRange(path, 0, ^uint64(0), write, kind)
 }
 
 // run waits for the request's turn, does its work and answers. One whose turn does not come before its client's
 // patience ends has done nothing.
 func (r *request) run(work func() (*sftp.Packet, *failure)) {
-	for _, before := range r.before {
-		if err := r.await(before, r.product); err != nil {
+	for _, before := range r.predecessors {
+		if err := r.waitFor(before, r.class); err != nil {
 			r.answer(nil, err)
 			return
 		}
 	}
-	r.move(working)
+	r.setState(requestRunning)
 	r.answer(work())
 }
 
-// move is the one place where a request changes state.
-func (r *request) move(to requestState) {
-	r.state = to
-	if to != answered {
+// setState is the one place where a request changes state.
+func (r *request) setState(state requestState) {
+	r.state = state
+	if state != requestAnswered {
 		return
 	}
 	s := r.session
 	s.lock.Lock()
-	for p, t := range r.turns {
-		close(t.done)
-		if i := slices.Index(s.turns[p], t); i >= 0 {
-			s.turns[p] = slices.Delete(s.turns[p], i, i+1)
+	for path, access := range r.accesses {
+		close(access.done)
+		if index := slices.Index(s.accesses[path], access); index >= 0 {
+			s.accesses[path] = slices.Delete(s.accesses[path], index, index+1)
 		}
-		if len(s.turns[p]) == 0 {
-			delete(s.turns, p)
+		if len(s.accesses[path]) == 0 {
+			delete(s.accesses, path)
 		}
 	}
 	s.lock.Unlock()
 	<-s.slots
-	s.front.busy.end()
+	s.front.inFlight.end()
 }
 
 // answer sends the one answer.
-func (r *request) answer(p *sftp.Packet, err *failure) {
-	if r.state == answered {
+func (r *request) answer(packet *sftp.Packet, err *failure) {
+	if r.state == requestAnswered {
 		return
 	}
 	switch {
-	case err != nil && err.left:
+	case err != nil && err.clientGone:
 	case err != nil:
-		r.session.conn.Send(sftp.StatusOf(r.id, err.code, err.text))
-	case p != nil:
-		r.session.conn.Send(p)
+		r.session.conn.Send(sftp.StatusOf(r.id, err.code, err.message))
+	case packet != nil:
+		r.session.conn.Send(packet)
 	default:
 		r.session.conn.Send(sftp.StatusOf(r.id, sftp.OK, "ok"))
 	}
-	r.move(answered)
+	r.setState(requestAnswered)
 }
 
-// read reads a request's fields and says what is to be done for it, or answers it at once.
-func (s *session) read(r *request, t sftp.Type, f *sftp.Fields) func() (*sftp.Packet, *failure) {
-	work, err := s.plan(r, t, f)
-	if bad := f.Err; bad != nil && (err == nil || err.code != sftp.OpUnsupported) {
-		work, err = nil, failed(sftp.BadMessage, "packet of type %d: %v", t, bad)
+// prepare reads a request's fields and says what is to be done for it, or answers it at once.
+func (s *session) prepare(req *request, packetType sftp.Type, fields *sftp.Fields) func() (*sftp.Packet, *failure) {
+	work, err := s.parse(req, packetType, fields)
+	if malformed := fields.Err; malformed != nil && (err == nil || err.code != sftp.OpUnsupported) {
+		work, err = nil, failuref(sftp.BadMessage, "packet of type %d: %v", packetType, malformed)
 	}
-	if err == nil && work == nil && r.state != answered { // all fields could be read, and some were left
-		err = failed(sftp.BadMessage, "packet of type %d: %v", t, sftp.ErrExtra)
+	if err == nil && work == nil && req.state != requestAnswered { // all fields could be read, and some were left
+		err = failuref(sftp.BadMessage, "packet of type %d: %v", packetType, sftp.ErrExtra)
 	}
 	if err != nil {
-		r.answer(nil, err)
+		req.answer(nil, err)
 		return nil
 	}
 	return work
 }
 
-type step = func() (*sftp.Packet, *failure)
+type work = func() (*sftp.Packet, *failure)
 
-// plan reads a request. Fields that cannot be read are found by who called.
-func (s *session) plan(r *request, t sftp.Type, f *sftp.Fields) (step, *failure) {
-	switch t {
+// parse reads a request. Fields that cannot be read are found by who called.
+func (s *session) parse(req *request, packetType sftp.Type, fields *sftp.Fields) (work, *failure) {
+	switch packetType {
 	case sftp.Open:
-		p, v, err := s.path(f)
-		flags, attrs := f.Uint32(), f.Attrs()
-		if err != nil || f.Done() != nil {
+		path, volume, err := s.readPath(fields)
+		flags, attrs := fields.Uint32(), fields.Attrs()
+		if err != nil || fields.Done() != nil {
 			return nil, err
 		}
-		r.whole(p, flags&(sftp.FlagCreate|sftp.FlagTrunc) != 0)
-		return func() (*sftp.Packet, *failure) { return s.open(r, v, p, flags, attrs) }, nil
+		req.orderPath(path, flags&(sftp.FlagCreate|sftp.FlagTrunc) != 0)
+		return func() (*sftp.Packet, *failure) { return s.open(req, volume, path, flags, attrs) }, nil
 	case sftp.Close:
-		h, err := s.handle(f, true)
+		handle, err := s.readHandle(fields, true)
 		if err != nil {
 			return nil, err
 		}
-		r.whole(h.path, true)
-		return func() (*sftp.Packet, *failure) { return nil, s.close(r, h) }, nil
+		req.orderPath(handle.path, true)
+		return func() (*sftp.Packet, *failure) { return nil, s.close(req, handle) }, nil
 	case sftp.Read:
-		h, err := s.handle(f, false)
-		offset, length := f.Uint64(), f.Uint32()
-		if err != nil || f.Done() != nil {
+		handle, err := s.readHandle(fields, false)
+		offset, length := fields.Uint64(), fields.Uint32()
+		if err != nil || fields.Done() != nil {
 			return nil, err
 		}
-		if h.file == nil || h.flags&sftp.FlagRead == 0 {
-			return nil, failed(sftp.Denied, "the handle is not open for reading")
+		if handle.file == nil || handle.flags&sftp.FlagRead == 0 {
+			return nil, failuref(sftp.Denied, "the handle is not open for reading")
 		}
-		n := int(min(length, uint32(s.front.opt.Limits.Wire.MaxPacket-1024)))
-		r.turn(h.path, offset, offset+uint64(n), false, Read)
+		count := int(min(length, uint32(s.front.options.Limits.Wire.MaxPacket-1024)))
+		req.orderRange(handle.path, offset, offset+uint64(count), false, Read)
 		return func() (*sftp.Packet, *failure) {
-			data, err := r.read(h.file, offset, n)
-			return sftp.New(sftp.Data, r.id).Tail(data), err
+			data, err := req.readFile(handle.file, offset, count)
+			return sftp.New(sftp.Data, req.id).Tail(data), err
 		}, nil
 	case sftp.Write:
-		h, err := s.handle(f, false)
-		offset, data := f.Uint64(), f.Bytes()
-		if err != nil || f.Done() != nil {
+		handle, err := s.readHandle(fields, false)
+		offset, data := fields.Uint64(), fields.Bytes()
+		if err != nil || fields.Done() != nil {
 			return nil, err
 		}
-		if h.file == nil || h.flags&sftp.FlagWrite == 0 {
-			return nil, failed(sftp.Denied, "the handle is not open for writing")
+		if handle.file == nil || handle.flags&sftp.FlagWrite == 0 {
+			return nil, failuref(sftp.Denied, "the handle is not open for writing")
 		}
-		if h.flags&sftp.FlagAppend != 0 {
-			r.whole(h.path, true)
+		if handle.flags&sftp.FlagAppend != 0 {
+			req.orderPath(handle.path, true)
 			return func() (*sftp.Packet, *failure) {
-				h.file.lock.Lock()
-				end := h.file.size
-				h.file.lock.Unlock()
-				return nil, r.write(h.file, end, data)
+				handle.file.lock.Lock()
+				end := handle.file.size
+				handle.file.lock.Unlock()
+				return nil, req.writeFile(handle.file, end, data)
 			}, nil
 		}
-		r.turn(h.path, offset, offset+uint64(len(data)), true, Write)
-		return func() (*sftp.Packet, *failure) { return nil, r.write(h.file, offset, data) }, nil
+		req.orderRange(handle.path, offset, offset+uint64(len(data)), true, Write)
+		return func() (*sftp.Packet, *failure) { return nil, req.writeFile(handle.file, offset, data) }, nil
 	case sftp.Lstat, sftp.Stat:
-		p, v, err := s.path(f)
-		if err != nil || f.Done() != nil {
+		path, volume, err := s.readPath(fields)
+		if err != nil || fields.Done() != nil {
 			return nil, err
 		}
-		r.whole(p, false)
-		return func() (*sftp.Packet, *failure) { return s.stat(r, v, p) }, nil
+		req.orderPath(path, false)
+		return func() (*sftp.Packet, *failure) { return s.stat(req, volume, path) }, nil
 	case sftp.Fstat:
-		h, err := s.handle(f, false)
+		handle, err := s.readHandle(fields, false)
 		if err != nil {
 			return nil, err
 		}
-		r.whole(h.path, false)
-		return func() (*sftp.Packet, *failure) { return s.stat(r, s.front.opt.Volumes[h.path.Volume], h.path) }, nil
+		req.orderPath(handle.path, false)
+		return func() (*sftp.Packet, *failure) {
+			return s.stat(req, s.front.options.Volumes[handle.path.Volume], handle.path)
+		}, nil
 	case sftp.Setstat:
-		p, v, err := s.path(f)
-		attrs := f.Attrs()
-		if err != nil || f.Done() != nil {
+		path, volume, err := s.readPath(fields)
+		attrs := fields.Attrs()
+		if err != nil || fields.Done() != nil {
 			return nil, err
 		}
-		r.whole(p, true)
-		return func() (*sftp.Packet, *failure) { return nil, s.setstat(r, v, p, nil, attrs) }, nil
+		req.orderPath(path, true)
+		return func() (*sftp.Packet, *failure) { return nil, s.setstat(req, volume, path, nil, attrs) }, nil
 	case sftp.Fsetstat:
-		h, err := s.handle(f, false)
-		attrs := f.Attrs()
-		if err != nil || f.Done() != nil {
+		handle, err := s.readHandle(fields, false)
+		attrs := fields.Attrs()
+		if err != nil || fields.Done() != nil {
 			return nil, err
 		}
-		if attrs.HasSize && (h.file == nil || h.flags&sftp.FlagWrite == 0) {
-			return nil, failed(sftp.Denied, "the handle is not open for writing")
+		if attrs.HasSize && (handle.file == nil || handle.flags&sftp.FlagWrite == 0) {
+			return nil, failuref(sftp.Denied, "the handle is not open for writing")
 		}
-		r.whole(h.path, true)
+		req.orderPath(handle.path, true)
 		return func() (*sftp.Packet, *failure) {
-			return nil, s.setstat(r, s.front.opt.Volumes[h.path.Volume], h.path, h.file, attrs)
+			return nil, s.setstat(req, s.front.options.Volumes[handle.path.Volume], handle.path, handle.file, attrs)
 		}, nil
 	case sftp.Opendir:
-		p, v, err := s.path(f)
-		if err != nil || f.Done() != nil {
+		path, volume, err := s.readPath(fields)
+		if err != nil || fields.Done() != nil {
 			return nil, err
 		}
-		r.whole(p, false)
-		return func() (*sftp.Packet, *failure) { return s.opendir(r, v, p) }, nil
+		req.orderPath(path, false)
+		return func() (*sftp.Packet, *failure) { return s.opendir(req, volume, path) }, nil
 	case sftp.Readdir:
-		h, err := s.handle(f, false)
+		handle, err := s.readHandle(fields, false)
 		if err != nil {
 			return nil, err
 		}
-		if h.file != nil {
-			return nil, failed(sftp.Failure, "the handle is not a folder's")
+		if handle.file != nil {
+			return nil, failuref(sftp.Failure, "the handle is not a folder's")
 		}
-		r.whole(h.path, true) // one after the other: each takes what the one before has left
-		return func() (*sftp.Packet, *failure) { return s.readdir(r, h) }, nil
+		req.orderPath(handle.path, true) // one after the other: each takes what the one before has left
+		return func() (*sftp.Packet, *failure) { return s.readdir(req, handle) }, nil
 	case sftp.Remove, sftp.Rmdir, sftp.Mkdir:
-		p, v, err := s.path(f)
+		path, volume, err := s.readPath(fields)
 		var attrs sftp.Attrs
-		if t == sftp.Mkdir {
-			attrs = f.Attrs()
+		if packetType == sftp.Mkdir {
+			attrs = fields.Attrs()
 		}
-		if err != nil || f.Done() != nil {
+		if err != nil || fields.Done() != nil {
 			return nil, err
 		}
-		if p.Volume == "" || v == nil {
-			return nil, failed(sftp.Denied, "volumes are made and removed in the configuration")
+		if path.Volume == "" || volume == nil {
+			return nil, failuref(sftp.Denied, "volumes are made and removed in the configuration")
 		}
-		r.whole(p, true)
+		req.orderPath(path, true)
 		return func() (*sftp.Packet, *failure) {
-			switch t {
+			switch packetType {
 			case sftp.Remove:
-				return nil, r.remove(v, p)
+				return nil, req.removeFile(volume, path)
 			case sftp.Rmdir:
-				return nil, r.rmdir(v, p)
+				return nil, req.rmdir(volume, path)
 			}
 			mode := uint32(0o755)
 			if attrs.HasMode {
 				mode = attrs.Mode & sftp.ModeBits
 			}
-			return nil, r.mkdir(v, p, mode)
+			return nil, req.mkdir(volume, path, mode)
 		}, nil
 	case sftp.Rename:
-		return s.rename(r, f, false)
+		return s.rename(req, fields, false)
 	case sftp.Realpath:
-		p, err := parse(f.Text())
-		if err != nil || f.Done() != nil {
+		path, err := parsePath(fields.Text())
+		if err != nil || fields.Done() != nil {
 			return nil, err
 		}
-		r.answer(sftp.Names(r.id, []sftp.Entry{{Name: p.String()}}), nil)
+		req.answer(sftp.Names(req.id, []sftp.Entry{{Name: path.String()}}), nil)
 		return nil, nil
 	case sftp.Extended:
-		return s.extended(r, f)
+		return s.extended(req, fields)
 	}
-	f.Err = nil
-	return nil, failed(sftp.OpUnsupported, "packets of type %d are not served", t)
+	fields.Err = nil
+	return nil, failuref(sftp.OpUnsupported, "packets of type %d are not served", packetType)
 }
 
-func (s *session) extended(r *request, f *sftp.Fields) (step, *failure) {
-	switch name := f.Text(); name {
-	case posixRename:
-		return s.rename(r, f, true)
-	case fsync:
-		h, err := s.handle(f, false)
+func (s *session) extended(req *request, fields *sftp.Fields) (work, *failure) {
+	switch name := fields.Text(); name {
+	case posixRenameExtension:
+		return s.rename(req, fields, true)
+	case fsyncExtension:
+		handle, err := s.readHandle(fields, false)
 		if err != nil {
 			return nil, err
 		}
-		if h.file == nil {
-			return nil, failed(sftp.Failure, "the handle is a folder's")
+		if handle.file == nil {
+			return nil, failuref(sftp.Failure, "the handle is a folder's")
 		}
-		r.whole(h.path, true)
-		return func() (*sftp.Packet, *failure) { return nil, r.commit(h.file) }, nil
-	case limits:
-		packet := s.front.opt.Limits.Wire.MaxPacket
-		r.answer(sftp.New(sftp.ExtendedReply, r.id).Uint64(uint64(packet)).Uint64(uint64(packet-1024)).
-			Uint64(uint64(packet-1024)).Uint64(uint64(s.front.opt.Limits.Handles)), nil)
+		req.orderPath(handle.path, true)
+		return func() (*sftp.Packet, *failure) { return nil, req.commit(handle.file) }, nil
+	case limitsExtension:
+		packet := s.front.options.Limits.Wire.MaxPacket
+		req.answer(sftp.New(sftp.ExtendedReply, req.id).Uint64(uint64(packet)).Uint64(uint64(packet-1024)).
+			Uint64(uint64(packet-1024)).Uint64(uint64(s.front.options.Limits.Handles)), nil)
 		return nil, nil
 	default:
-		return nil, failed(sftp.OpUnsupported, "the extension %.64q is not served", name)
+		return nil, failuref(sftp.OpUnsupported, "the extension %.64q is not served", name)
 	}
 }
 
-func (s *session) rename(r *request, f *sftp.Fields, replace bool) (step, *failure) {
-	from, v, err := s.path(f)
-	to, _, err2 := s.path(f)
+func (s *session) rename(req *request, fields *sftp.Fields, replace bool) (work, *failure) {
+	from, volume, err := s.readPath(fields)
+	to, _, err2 := s.readPath(fields)
 	if err == nil {
 		err = err2
 	}
-	if err != nil || f.Done() != nil {
+	if err != nil || fields.Done() != nil {
 		return nil, err
 	}
 	if from.Rel == "" || to.Rel == "" {
-		return nil, failed(sftp.Denied, "volumes are not renamed")
+		return nil, failuref(sftp.Denied, "volumes are not renamed")
 	}
-	r.whole(from, true)
+	req.orderPath(from, true)
 	if to != from {
-		r.whole(to, true)
+		req.orderPath(to, true)
 	}
-	return func() (*sftp.Packet, *failure) { return nil, r.rename(v, from, to, replace) }, nil
+	return func() (*sftp.Packet, *failure) { return nil, req.renameFile(volume, from, to, replace) }, nil
 }
 
-// path reads a path. The root of all volumes has none.
-func (s *session) path(f *sftp.Fields) (layout.Path, *Volume, *failure) {
-	text := f.Text()
-	if f.Err != nil {
+// readPath reads a path. The root of all volumes has none.
+func (s *session) readPath(fields *sftp.Fields) (layout.Path, *Volume, *failure) {
+	text := fields.Text()
+	if fields.Err != nil {
 		return layout.Path{}, nil, nil
 	}
-	p, err := parse(text)
-	if err != nil || p.Volume == "" {
-		return p, nil, err
+	path, err := parsePath(text)
+	if err != nil || path.Volume == "" {
+		return path, nil, err
 	}
-	v, err := s.front.volume(p)
-	return p, v, err
+	volume, err := s.front.findVolume(path)
+	return path, volume, err
 }
 
-// handle reads a handle, and takes it away where it is to be closed.
-func (s *session) handle(f *sftp.Fields, take bool) (*handle, *failure) {
-	name := f.Text()
-	if f.Err != nil {
-		return nil, failed(sftp.BadMessage, "%v", f.Err)
+// readHandle reads a handle, and takes it away where it is to be closed.
+func (s *session) readHandle(fields *sftp.Fields, remove bool) (*openHandle, *failure) {
+	name := fields.Text()
+	if fields.Err != nil {
+		return nil, failuref(sftp.BadMessage, "%v", fields.Err)
 	}
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	h := s.handles[name]
-	if h == nil {
-		return nil, failed(sftp.Failure, "no such handle")
+	handle := s.handles[name]
+	if handle == nil {
+		return nil, failuref(sftp.Failure, "no such handle")
 	}
-	if take {
+	if remove {
 		delete(s.handles, name)
 	}
-	return h, nil
+	return handle, nil
 }
 
-// keep gives a handle a name, if there is room.
-func (s *session) keep(r *request, h *handle) (*sftp.Packet, *failure) {
+// addHandle gives a handle a name, if there is room.
+func (s *session) addHandle(req *request, handle *openHandle) (*sftp.Packet, *failure) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	if len(s.handles) >= s.front.opt.Limits.Handles {
-		return nil, failed(sftp.Failure, "%d handles are open on this connection, no more are given", len(s.handles))
+	if len(s.handles) >= s.front.options.Limits.Handles {
+		return nil, failuref(sftp.Failure, "%d handles are open on this connection, no more are given", len(s.handles))
 	}
-	s.next++
-	h.name = strconv.Itoa(s.next)
-	s.handles[h.name] = h
-	return sftp.New(sftp.Handle, r.id).Text(h.name), nil
+	s.lastHandle++
+	handle.name = strconv.Itoa(s.lastHandle)
+	s.handles[handle.name] = handle
+	return sftp.New(sftp.Handle, req.id).Text(handle.name), nil
 }
 
-func (s *session) open(r *request, v *Volume, p layout.Path, flags uint32, attrs sftp.Attrs) (*sftp.Packet, *failure) {
-	if v == nil {
-		return nil, failed(sftp.Failure, "/ is a folder")
+func (s *session) open(req *request, volume *Volume, path layout.Path, flags uint32, attrs sftp.Attrs) (*sftp.Packet, *failure) {
+	if volume == nil {
+		return nil, failuref(sftp.Failure, "/ is a folder")
 	}
-	file, err := r.open(v, p, flags, attrs)
+	file, err := req.openFile(volume, path, flags, attrs)
 	if err != nil {
 		return nil, err
 	}
-	answer, err := s.keep(r, &handle{path: p, file: file, flags: flags})
+	answer, err := s.addHandle(req, &openHandle{path: path, file: file, flags: flags})
 	if err != nil {
 		file.release()
 	}
 	return answer, err
 }
 
-func (s *session) close(r *request, h *handle) *failure {
-	if h.file == nil {
+func (s *session) close(req *request, handle *openHandle) *failure {
+	if handle.file == nil {
 		return nil
 	}
-	defer h.file.release()
-	if h.flags&sftp.FlagWrite == 0 {
+	defer handle.file.release()
+	if handle.flags&sftp.FlagWrite == 0 {
 		return nil
 	}
-	return r.commit(h.file)
+	return req.commit(handle.file)
 }
 
-func (s *session) stat(r *request, v *Volume, p layout.Path) (*sftp.Packet, *failure) {
-	if p.Rel == "" {
-		return sftp.New(sftp.Attributes, r.id).Attrs(sftp.Attrs{HasMode: true, Mode: sftp.ModeFolder | 0o755}), nil
+func (s *session) stat(req *request, volume *Volume, path layout.Path) (*sftp.Packet, *failure) {
+	if path.Rel == "" {
+		return sftp.New(sftp.Attributes, req.id).Attrs(sftp.Attrs{HasMode: true, Mode: sftp.ModeFolder | 0o755}), nil
 	}
-	record, err := r.look(v, p)
+	record, err := req.readRecord(volume, path)
 	if err != nil {
 		return nil, err
 	}
 	if record.Kind == layout.Absent {
-		return nil, failed(sftp.NoSuchFile, "there is no %s", p)
+		return nil, failuref(sftp.NoSuchFile, "there is no %s", path)
 	}
-	a := attrsOf(record)
+	attrs := attrsOf(record)
 	s.front.lock.Lock()
-	open := s.front.files[p]
+	open := s.front.openFiles[path]
 	s.front.lock.Unlock()
 	if open != nil { // what is written here counts before it is committed
 		open.lock.Lock()
 		if open.dirty {
-			a.Size = open.size
+			attrs.Size = open.size
 		}
 		open.lock.Unlock()
 	}
-	return sftp.New(sftp.Attributes, r.id).Attrs(a), nil
+	return sftp.New(sftp.Attributes, req.id).Attrs(attrs), nil
 }
 
-func attrsOf(r *layout.Record) sftp.Attrs {
-	a := sftp.Attrs{HasSize: true, HasMode: true, HasTimes: true, Size: r.Size, Mode: r.Mode | sftp.ModeFile,
-		Modified: uint32(r.Modified / scheduler.Second), Accessed: uint32(r.Modified / scheduler.Second)}
-	if r.Kind == layout.Folder {
-		a.Mode = r.Mode | sftp.ModeFolder
+func attrsOf(record *layout.Record) sftp.Attrs {
+	attrs := sftp.Attrs{HasSize: true, HasMode: true, HasTimes: true, Size: record.Size, Mode: record.Mode | sftp.ModeFile,
+		Modified: uint32(record.Modified / scheduler.Second), Accessed: uint32(record.Modified / scheduler.Second)}
+	if record.Kind == layout.Directory {
+		attrs.Mode = record.Mode | sftp.ModeFolder
 	}
-	return a
+	return attrs
 }
 
 // setstat sets size, mode and time of change. Owners are not kept.
-func (s *session) setstat(r *request, v *Volume, p layout.Path, open *file, a sftp.Attrs) *failure {
-	if p.Rel == "" {
-		return failed(sftp.Denied, "%s is set in the configuration", p)
+func (s *session) setstat(req *request, volume *Volume, path layout.Path, open *openFile, attrs sftp.Attrs) *failure {
+	if path.Rel == "" {
+		return failuref(sftp.Denied, "%s is set in the configuration", path)
 	}
-	if a.HasSize {
-		f := open
-		if f == nil {
+	if attrs.HasSize {
+		file2 := open
+		if file2 == nil {
 			var err *failure
-			if f, err = r.open(v, p, sftp.FlagWrite, sftp.Attrs{}); err != nil {
+			if file2, err = req.openFile(volume, path, sftp.FlagWrite, sftp.Attrs{}); err != nil {
 				return err
 			}
-			defer f.release()
+			defer file2.release()
 		}
-		if err := r.resize(f, a.Size); err != nil {
+		if err := req.resize(file2, attrs.Size); err != nil {
 			return err
 		}
 		if open == nil {
-			if err := r.commit(f); err != nil {
+			if err := req.commit(file2); err != nil {
 				return err
 			}
 		}
 	}
-	if !a.HasMode && !a.HasTimes {
+	if !attrs.HasMode && !attrs.HasTimes {
 		return nil
 	}
 	if open != nil {
-		if err := r.commit(open); err != nil {
+		if err := req.commit(open); err != nil {
 			return err
 		}
 	}
-	for r.patient(v, p) {
-		record, err := r.look(v, p)
+	for req.beforeDeadline(volume, path) {
+		record, err := req.readRecord(volume, path)
 		if err != nil {
 			return err
 		}
 		if record.Kind == layout.Absent {
-			return failed(sftp.NoSuchFile, "there is no %s", p)
+			return failuref(sftp.NoSuchFile, "there is no %s", path)
 		}
 		next := *record
-		if a.HasMode {
-			next.Mode = a.Mode & sftp.ModeBits
+		if attrs.HasMode {
+			next.Mode = attrs.Mode & sftp.ModeBits
 		}
-		if a.HasTimes {
-			next.Modified = int64(a.Modified) * scheduler.Second
+		if attrs.HasTimes {
+			next.Modified = int64(attrs.Modified) * scheduler.Second
 		}
-		now, ours, err := r.swap(v, p, record.Version, &next, s.front.mark())
+		current, ours, err := req.compareAndSwap(volume, path, record.Version, &next, s.front.uniqueName())
 		if err != nil {
 			return err
 		}
 		if ours {
-			s.front.learn(p, now)
+			s.front.updateOpenRecord(path, current)
 			return nil
 		}
 	}
-	return dismissal(0, "the file is changed by others all the time")
+	return rejection(0, "the file is changed by others all the time")
 }
 
-// learn lets an open file know a record that this gateway has just made of it.
-func (f *Front) learn(p layout.Path, r *layout.Record) {
+// updateOpenRecord lets an open file know a record that this gateway has just made of it.
+func (f *Front) updateOpenRecord(path layout.Path, record *layout.Record) {
 	f.lock.Lock()
-	open := f.files[p]
+	open := f.openFiles[path]
 	f.lock.Unlock()
 	if open != nil {
 		open.lock.Lock()
-		if open.record != nil && open.record.Version < r.Version && slices.Equal(open.record.Extents, r.Extents) {
-			open.record = r
+		if open.record != nil && open.record.Version < record.Version && slices.Equal(open.record.Extents, record.Extents) {
+			open.record = record
 		}
 		open.lock.Unlock()
 	}
 }
 
-func (s *session) opendir(r *request, v *Volume, p layout.Path) (*sftp.Packet, *failure) {
-	if p.Rel != "" {
-		record, err := r.glance(v, p)
+func (s *session) opendir(req *request, volume *Volume, path layout.Path) (*sftp.Packet, *failure) {
+	if path.Rel != "" {
+		record, err := req.fetchRecord(volume, path)
 		switch {
 		case err != nil:
 			return nil, err
 		case record.Kind == layout.Absent:
-			return nil, failed(sftp.NoSuchFile, "there is no %s", p)
-		case record.Kind != layout.Folder:
-			return nil, failed(sftp.Failure, "%s is no folder", p)
+			return nil, failuref(sftp.NoSuchFile, "there is no %s", path)
+		case record.Kind != layout.Directory:
+			return nil, failuref(sftp.Failure, "%s is no folder", path)
 		}
 	}
-	return s.keep(r, &handle{path: p})
+	return s.addHandle(req, &openHandle{path: path})
 }
 
-// batch is how many names go into one answer.
-const batch = 128
+// namesPerReply is how many names go into one answer.
+const namesPerReply = 128
 
-func (s *session) readdir(r *request, h *handle) (*sftp.Packet, *failure) {
-	if !h.read {
-		if h.path.Volume == "" {
-			for name := range s.front.opt.Volumes {
-				h.items = append(h.items, item{name, &layout.Record{Kind: layout.Folder, Mode: 0o755}})
+func (s *session) readdir(req *request, handle *openHandle) (*sftp.Packet, *failure) {
+	if !handle.listed {
+		if handle.path.Volume == "" {
+			for name := range s.front.options.Volumes {
+				handle.entries = append(handle.entries, dirEntry{name, &layout.Record{Kind: layout.Directory, Mode: 0o755}})
 			}
-			slices.SortFunc(h.items, func(a, b item) int {
+			slices.SortFunc(handle.entries, func(a, b dirEntry) int {
 				if a.name < b.name {
 					return -1
 				}
 				return 1
 			})
 		} else {
-			most := s.front.opt.Limits.Entries
-			items, err := r.list(s.front.opt.Volumes[h.path.Volume], h.path, most+1)
+			limit := s.front.options.Limits.Entries
+			items, err := req.listDirectory(s.front.options.Volumes[handle.path.Volume], handle.path, limit+1)
 			if err != nil {
 				return nil, err
 			}
-			if len(items) > most {
-				return nil, failed(sftp.Failure, "the folder has over %d entries, which is the limit of a listing", most)
+			if len(items) > limit {
+				return nil, failuref(sftp.Failure, "the folder has over %d entries, which is the limit of a listing", limit)
 			}
-			h.items = items
+			handle.entries = items
 		}
-		h.read = true
+		handle.listed = true
 	}
-	if len(h.items) == 0 {
-		return nil, failed(sftp.EOF, "end of folder")
+	if len(handle.entries) == 0 {
+		return nil, failuref(sftp.EOF, "end of folder")
 	}
 	var entries []sftp.Entry
-	for _, it := range h.items[:min(batch, len(h.items))] {
-		entries = append(entries, sftp.Entry{Name: it.name, Attrs: attrsOf(it.record)})
+	for _, entry := range handle.entries[:min(namesPerReply, len(handle.entries))] {
+		entries = append(entries, sftp.Entry{Name: entry.name, Attrs: attrsOf(entry.record)})
 	}
-	h.items = h.items[len(entries):]
-	return sftp.Names(r.id, entries), nil
+	handle.entries = handle.entries[len(entries):]
+	return sftp.Names(req.id, entries), nil
 }
--- a/internal/iscsi/target/session.go
+++ b/internal/iscsi/target/session.go
@@ -55,7 +55,7 @@
 }
 
 func newSession(s *Server, c *packetconn.Conn) *session {
-	x := &session{server: s, conn: c, tasks: map[uint32]*task{}, early: map[uint32]*iscsi.PDU{}, statSN: 1, client: s.opt.Front.Client()}
+	x := &session{server: s, conn: c, tasks: map[uint32]*task{}, early: map[uint32]*iscsi.PDU{}, statSN: 1, client: s.opt.Front.NewClient()}
 	opt := s.login()
 	opt.Session = x.client.Name
 	x.login = negotiate.NewLogin(opt)
@@ -93,7 +93,7 @@
 	if x.target == nil {
 		return
 	}
-	x.client.Leave()
+	x.client.Close()
 	x.server.pacing.Lock()
 	rest := x.pace.Leave()
 	x.server.pacing.Unlock()
@@ -113,7 +113,7 @@
 	}
 	x.lock.Unlock()
 	for _, t := range inside {
-		t.finish(front.Result{Outcome: front.Left}, nil)
+		t.finish(front.Result{Outcome: front.ClientGone}, nil)
 	}
 	for _, t := range outside {
 		t.gone()
--- a/internal/iscsi/target/task.go
+++ b/internal/iscsi/target/task.go
@@ -62,11 +62,11 @@
 func (x *session) command(p *iscsi.PDU) {
 	t := &task{session: x, tag: p.Tag(), expects: p.U32(20), done: make(chan struct{})}
 	copy(t.lun[:], p.Lun())
-	x.server.opt.Front.Begin()
+	x.server.opt.Front.BeginRequest()
 	x.lock.Lock()
 	if x.tasks[t.tag] != nil {
 		x.lock.Unlock()
-		x.server.opt.Front.End()
+		x.server.opt.Front.EndRequest()
 		x.reject(p, 0x07) // the tag is in use
 		return
 	}
@@ -181,7 +181,7 @@
 	if x.state == ended {
 		t.move(over)
 		x.lock.Unlock()
-		x.server.opt.Front.End()
+		x.server.opt.Front.EndRequest()
 		return
 	}
 	t.move(queued)
@@ -333,7 +333,7 @@
 	case scsi.Sync:
 		r = client.Sync(t.disk, t.tag)
 	case scsi.CompareSwap:
-		r = client.Compare(t.disk, t.tag, at, t.data[:n], t.data[n:], c.Through)
+		r = client.CompareAndWrite(t.disk, t.tag, at, t.data[:n], t.data[n:], c.Through)
 	case scsi.WriteSame:
 		r = t.same(at, n)
 	case scsi.Unmap:
@@ -343,7 +343,7 @@
 			return
 		}
 		for _, g := range ranges {
-			if r = client.Zero(t.disk, t.tag, g.Block*block, g.Blocks*block); r.Outcome != front.Done {
+			if r = client.Zero(t.disk, t.tag, g.Block*block, g.Blocks*block); r.Outcome != front.Succeeded {
 				break
 			}
 		}
@@ -368,7 +368,7 @@
 		for i := uint64(0); i < part; i += uint64(u.Block) {
 			copy(data[i:], t.data)
 		}
-		if r := client.Write(t.disk, t.tag, at, data, false); r.Outcome != front.Done {
+		if r := client.Write(t.disk, t.tag, at, data, false); r.Outcome != front.Succeeded {
 			return r
 		}
 		at += part
@@ -380,22 +380,22 @@
 func (t *task) finish(r front.Result, data []byte) {
 	end := pace.Failed
 	switch r.Outcome {
-	case front.Done, front.Different:
+	case front.Succeeded, front.Mismatch:
 		end = pace.Served
-	case front.Dismissed:
+	case front.Rejected:
 		end = pace.Dismissed
 	}
 	t.letOut(end)
 	switch r.Outcome {
-	case front.Done:
+	case front.Succeeded:
 		t.answer(scsi.Good, nil, data)
-	case front.Left:
+	case front.ClientGone:
 		t.gone()
-	case front.Dismissed:
+	case front.Rejected:
 		t.answer(scsi.Busy, nil, nil)
-	case front.Different:
-		t.answer(scsi.CheckCondition, &scsi.Sense{Key: scsi.Miscompare.Key, Code: scsi.Miscompare.Code, Info: uint32(r.At), Valid: true}, nil)
-	case front.Gone:
+	case front.Mismatch:
+		t.answer(scsi.CheckCondition, &scsi.Sense{Key: scsi.Miscompare.Key, Code: scsi.Miscompare.Code, Info: uint32(r.MismatchOffset), Valid: true}, nil)
+	case front.FileGone:
 		t.answer(scsi.CheckCondition, scsi.NotReady, nil)
 	default:
 		t.answer(scsi.CheckCondition, scsi.Unknown, nil)
@@ -428,7 +428,7 @@
 	}
 	t.move(over)
 	x.lock.Unlock()
-	x.server.opt.Front.End()
+	x.server.opt.Front.EndRequest()
 }
 
 // abort ends a command: at once while it waits, when its jobs have ended otherwise. By its own session it gets no answer;
@@ -479,7 +479,7 @@
 	}
 	t.move(over)
 	x.lock.Unlock()
-	x.server.opt.Front.End()
+	x.server.opt.Front.EndRequest()
 }
 
 // send sends the answer; the session's lock is held.
--- a/internal/layout/golden_test.go
+++ b/internal/layout/golden_test.go
@@ -15,13 +15,13 @@
 	extents := []Extent{{Shard: 1, Object: "g0-abc-1"}, {}, {Shard: 300, Object: "g1-abc-2"}}
 	records := []Record{
 		{},
-		{Kind: Folder, State: Closing, Mode: 0o755, Modified: 1_700_000_000_000_000_001, Mark: "g0-abc-3"},
-		{Kind: File, State: Live, Mode: 0o640, Size: 150_000, Modified: 1_700_000_000_000_000_002, Extent: 64 << 10,
-			Mark: "g0-abc-4", Extents: extents},
-		{Kind: File, State: Moving, Mode: 0o640, Size: 150_000, Modified: -1, Extent: 64 << 10, Mark: "g0-abc-5",
-			Target: "/meals/new", Expected: 1 << 40, Extents: extents},
-		{Kind: File, State: Arriving, Mode: 0o640, Size: 150_000, Modified: 1_700_000_000_000_000_003, Extent: 64 << 10,
-			Mark: "g0-abc-6", Target: "/meals/old", Expected: 7, Origin: "g0-abc-5", Extents: extents},
+		{Kind: Directory, State: Removing, Mode: 0o755, Modified: 1_700_000_000_000_000_001, ChangeID: "g0-abc-3"},
+		{Kind: File, State: Live, Mode: 0o640, Size: 150_000, Modified: 1_700_000_000_000_000_002, ExtentSize: 64 << 10,
+			ChangeID: "g0-abc-4", Extents: extents},
+		{Kind: File, State: Moving, Mode: 0o640, Size: 150_000, Modified: -1, ExtentSize: 64 << 10, ChangeID: "g0-abc-5",
+			MovePeer: "/meals/new", PeerVersion: 1 << 40, Extents: extents},
+		{Kind: File, State: Arriving, Mode: 0o640, Size: 150_000, Modified: 1_700_000_000_000_000_003, ExtentSize: 64 << 10,
+			ChangeID: "g0-abc-6", MovePeer: "/meals/old", PeerVersion: 7, LastMoveID: "g0-abc-5", Extents: extents},
 		{Kind: Absent},
 	}
 	var out bytes.Buffer
--- a/internal/layout/layout_test.go
+++ b/internal/layout/layout_test.go
@@ -16,9 +16,9 @@
 		err     error
 	}{
 		{"/", "/", nil}, {"", "/", nil}, {".", "/", nil}, {"/v", "/v", nil}, {"v/a//b/./c/", "/v/a/b/c", nil},
-		{"/v/a/../b", "/v/b", nil}, {"/v/..", "", ErrClimbs}, {"/v/../w/x", "", ErrClimbs}, {"/v/a/../../w", "", ErrClimbs},
-		{"..", "", ErrClimbs}, {"/v/a\x00b", "", ErrInvalid}, {"/v/" + strings.Repeat("x", 256), "", ErrInvalid},
-		{"/v/" + strings.Repeat("x/", 2100), "", ErrLong},
+		{"/v/a/../b", "/v/b", nil}, {"/v/..", "", ErrOutsideVolume}, {"/v/../w/x", "", ErrOutsideVolume}, {"/v/a/../../w", "", ErrOutsideVolume},
+		{"..", "", ErrOutsideVolume}, {"/v/a\x00b", "", ErrInvalidName}, {"/v/" + strings.Repeat("x", 256), "", ErrInvalidName},
+		{"/v/" + strings.Repeat("x/", 2100), "", ErrTooLong},
 	} {
 		p, err := Parse(c.in)
 		if !errors.Is(err, c.err) || err == nil && p.String() != c.out {
@@ -30,8 +30,8 @@
 func records(t *rapid.T) *Record {
 	r := &Record{Version: rapid.Uint64Min(1).Draw(t, "version"), Kind: Kind(rapid.IntRange(0, 1).Draw(t, "kind")),
 		State: State(rapid.IntRange(0, 3).Draw(t, "state")), Mode: rapid.Uint32().Draw(t, "mode"), Size: rapid.Uint64().Draw(t, "size"),
-		Modified: rapid.Int64().Draw(t, "at"), Extent: rapid.Uint32().Draw(t, "extent"), Expected: rapid.Uint64().Draw(t, "expected"),
-		Mark: rapid.String().Draw(t, "mark"), Target: rapid.String().Draw(t, "target"), Origin: rapid.String().Draw(t, "origin")}
+		Modified: rapid.Int64().Draw(t, "at"), ExtentSize: rapid.Uint32().Draw(t, "extent"), PeerVersion: rapid.Uint64().Draw(t, "expected"),
+		ChangeID: rapid.String().Draw(t, "mark"), MovePeer: rapid.String().Draw(t, "target"), LastMoveID: rapid.String().Draw(t, "origin")}
 	for range rapid.IntRange(0, 5).Draw(t, "extents") {
 		r.Extents = append(r.Extents, Extent{rapid.IntRange(0, 1<<30).Draw(t, "shard"), rapid.String().Draw(t, "object")})
 	}
@@ -64,9 +64,9 @@
 		offset, length := rapid.Uint64Range(0, 1<<40).Draw(t, "offset"), rapid.IntRange(0, 1<<20).Draw(t, "length")
 		extent := rapid.Uint32Range(4096, 1<<20).Draw(t, "extent")
 		at := 0
-		for _, p := range Pieces(offset, length, extent) {
-			if p.From != at || p.Length <= 0 || uint64(p.Index)*uint64(extent)+p.Offset != offset+uint64(at) ||
-				p.Offset+uint64(p.Length) > uint64(extent) {
+		for _, p := range SplitByExtent(offset, length, extent) {
+			if p.DataOffset != at || p.Length <= 0 || uint64(p.ExtentIndex)*uint64(extent)+p.ExtentOffset != offset+uint64(at) ||
+				p.ExtentOffset+uint64(p.Length) > uint64(extent) {
 				t.Fatalf("piece %+v at %d", p, at)
 			}
 			at += p.Length
@@ -82,7 +82,7 @@
 	count := make([]int, 8)
 	for i := range 8000 {
 		p := Path{"v", strings.Repeat("x", i%7) + string(rune('a'+i%26)) + strings.Repeat("y", i/26%99) + string(rune('a'+i/2574))}
-		a, b := p.Home(7), p.Home(8)
+		a, b := p.HomeShard(7), p.HomeShard(8)
 		if a != b && b != 7 {
 			t.Fatalf("%s moves from shard %d to %d", p, a, b)
 		}
@@ -106,7 +106,7 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add((&Record{Mark: "m", Extents: []Extent{{1, "o"}}}).Encode())
+	f.Add((&Record{ChangeID: "m", Extents: []Extent{{1, "o"}}}).Encode())
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if r, err := Decode(b, 1); err == nil && string(r.Encode()) != string(b) {
 			t.Errorf("%x is read and written otherwise", b)
