--- /dev/null
+++ b/internal/front/directory.go
@@ -0,0 +1,240 @@
+package front
+
+import (
+	"cmp"
+	"slices"
+
+	"irispost/internal/backend/node"
+	"irispost/internal/gateway"
+	"irispost/internal/layout"
+	"irispost/internal/sftp"
+)
+
+const (
+	namesPerReply  = 128 // entries of one answer to READDIR
+	recordsPerPage = 512 // records that one shard lists at a time
+)
+
+// dirEntry is one entry of a directory.
+type dirEntry struct {
+	name   string
+	record *layout.Record
+}
+
+func compareNames(a, b dirEntry) int { return cmp.Compare(a.name, b.name) }
+
+func (s *session) opendir(req *request, volume *Volume, path layout.Path) (*sftp.Packet, *failure) {
+	if path.Rel != "" {
+		record, err := req.fetchRecord(volume, path)
+		if err == nil {
+			err = requireDirectory(path, record)
+		}
+		if err != nil {
+			return nil, err
+		}
+	}
+	return s.addHandle(req, &openHandle{path: path})
+}
+
+// requireDirectory fails where the record of a path is not a directory's.
+func requireDirectory(path layout.Path, record *layout.Record) *failure {
+	switch record.Kind {
+	case layout.Directory:
+		return nil
+	case layout.Absent:
+		return failuref(sftp.NoSuchFile, "there is no %s", path)
+	default:
+		return failuref(sftp.Failure, "%s is no folder", path)
+	}
+}
+
+// readdir answers with the next entries of a directory. The first READDIR of a handle lists the whole directory.
+func (s *session) readdir(req *request, handle *openHandle) (*sftp.Packet, *failure) {
+	if !handle.listed {
+		entries, err := s.listAll(req, handle.path)
+		if err != nil {
+			return nil, err
+		}
+		handle.entries, handle.listed = entries, true
+	}
+	if len(handle.entries) == 0 {
+		return nil, failuref(sftp.EOF, "end of folder")
+	}
+	var names []sftp.Entry
+	for _, entry := range handle.entries[:min(namesPerReply, len(handle.entries))] {
+		names = append(names, sftp.Entry{Name: entry.name, Attrs: attrsOf(entry.record)})
+	}
+	handle.entries = handle.entries[len(names):]
+	return sftp.Names(req.requestID, names), nil
+}
+
+// listAll lists a directory, or the volumes at their root. It fails where there are more entries than the limit.
+func (s *session) listAll(req *request, path layout.Path) ([]dirEntry, *failure) {
+	if path.Volume == "" {
+		return s.front.listVolumes(), nil
+	}
+	limit := s.front.options.Limits.Entries
+	entries, err := req.listDirectory(s.front.options.Volumes[path.Volume], path, limit+1)
+	if err != nil {
+		return nil, err
+	}
+	if len(entries) > limit {
+		return nil, failuref(sftp.Failure, "the folder has over %d entries, which is the limit of a listing", limit)
+	}
+	return entries, nil
+}
+
+func (f *Front) listVolumes() []dirEntry {
+	var entries []dirEntry
+	for name := range f.options.Volumes {
+		record := &layout.Record{Kind: layout.Directory, Mode: defaultDirectoryMode}
+		entries = append(entries, dirEntry{name: name, record: record})
+	}
+	slices.SortFunc(entries, compareNames)
+	return entries
+}
+
+// mkdir makes a directory.
+func (t *task) mkdir(volume *Volume, path layout.Path, mode uint32) *failure {
+	if path.Rel == "" {
+		return failuref(sftp.Failure, "%s is a volume", path)
+	}
+	_, ours, err := t.createRecord(volume, path, &layout.Record{Kind: layout.Directory, Mode: mode, Modified: t.arrived})
+	if err == nil && !ours {
+		return failuref(sftp.Failure, "%s exists", path)
+	}
+	return err
+}
+
+// rmdir removes an empty directory: it is marked as Removing, so that nothing more is made in it, then listed, then
+// removed. One that is not empty is made Live again.
+func (t *task) rmdir(volume *Volume, path layout.Path) *failure {
+	if path.Rel == "" {
+		return failuref(sftp.Failure, "%s is a volume", path)
+	}
+	record, err := t.fetchRecord(volume, path)
+	if err != nil {
+		return err
+	}
+	if err := requireDirectory(path, record); err != nil {
+		return err
+	}
+	removing := *record
+	removing.State = layout.Removing
+	marked, ours, err := t.compareAndSwap(volume, path, record.Version, &removing, t.front.uniqueName())
+	if err != nil {
+		return err
+	}
+	if !ours {
+		return rejection(0, "the folder is changed by others")
+	}
+	entries, err := t.listDirectory(volume, path, 1)
+	if err == nil && len(entries) == 0 {
+		return t.removeMarkedDirectory(volume, path, marked)
+	}
+	reopened := *marked
+	reopened.State = layout.Live
+	// Where this fails, the directory stays marked as Removing.
+	_, _, _ = t.compareAndSwap(volume, path, marked.Version, &reopened, t.front.uniqueName())
+	if err == nil {
+		err = failuref(sftp.Failure, "%s is not empty", path)
+	}
+	return err
+}
+
+func (t *task) removeMarkedDirectory(volume *Volume, path layout.Path, marked *layout.Record) *failure {
+	_, ours, err := t.compareAndSwap(volume, path, marked.Version, nil, t.front.uniqueName())
+	if err == nil && !ours {
+		return rejection(0, "the folder is changed by others")
+	}
+	return err
+}
+
+// listDirectory lists at least the first entries of a directory up to a limit, by name. All shards are asked, since
+// each holds the records that hash to it. One that does not answer fails the listing, as a listing with names missing
+// would be believed.
+func (t *task) listDirectory(volume *Volume, path layout.Path, limit int) ([]dirEntry, *failure) {
+	listing := newListing(t.front.options.Shards)
+	for listing.incomplete() {
+		if err := t.listNextPages(volume, path, limit, listing); err != nil {
+			return nil, err
+		}
+		if len(listing.entries) >= limit {
+			break
+		}
+	}
+	slices.SortFunc(listing.entries, compareNames)
+	return listing.entries[:min(len(listing.entries), limit)], nil
+}
+
+// listing is a directory's listing while its pages come in, by shard.
+type listing struct {
+	entries  []dirEntry
+	lastName []string // that a shard has listed; its next page begins after it
+	more     []bool   // the shard may have more
+}
+
+func newListing(shards int) *listing {
+	l := &listing{lastName: make([]string, shards), more: make([]bool, shards)}
+	for shard := range l.more {
+		l.more[shard] = true
+	}
+	return l
+}
+
+func (l *listing) incomplete() bool { return slices.Contains(l.more, true) }
+
+// listNextPages asks all shards that may have more for their next page at the same time. All answers are waited for.
+func (t *task) listNextPages(volume *Volume, path layout.Path, limit int, listing *listing) *failure {
+	var shards []int
+	var results []<-chan gateway.Result
+	for shard, more := range listing.more {
+		if !more {
+			continue
+		}
+		shards = append(shards, shard)
+		results = append(results, t.submit(volume, volume.Product(Look, path, 0), t.front.options.Units.Of(0), 0, node.Call{
+			Op:     node.ListRecords,
+			Name:   path.String(),
+			Owner:  listing.lastName[shard],
+			Shard:  shard,
+			Length: uint32(min(limit, recordsPerPage)),
+		}))
+	}
+	replies := make([]node.Reply, len(results))
+	failures := make([]*failure, len(results))
+	for i, result := range results {
+		replies[i], failures[i] = t.replyOf(<-result, node.ListRecords)
+	}
+	for i, shard := range shards {
+		if failures[i] != nil {
+			return failures[i]
+		}
+		if err := listing.addPage(shard, replies[i].Data); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// addPage adds a page of a shard. A page that is not full is the shard's last.
+func (l *listing) addPage(shard int, page []byte) *failure {
+	items, err := node.DecodeItems(page)
+	if err != nil {
+		return failuref(sftp.Failure, "listing of shard %d: %v", shard, err)
+	}
+	for _, item := range items {
+		record, err := layout.Decode(item.Data, item.Version)
+		if err != nil {
+			return failuref(sftp.Failure, "%s: %v", item.Name, err)
+		}
+		path, err := layout.Parse(item.Name)
+		if err != nil {
+			return failuref(sftp.Failure, "shard %d holds a record named %q", shard, item.Name)
+		}
+		l.entries = append(l.entries, dirEntry{name: path.Name(), record: record})
+		l.lastName[shard] = item.Name
+	}
+	l.more[shard] = len(items) == recordsPerPage
+	return nil
+}
--- /dev/null
+++ b/internal/front/fake_nodes_test.go
@@ -0,0 +1,165 @@
+package front_test
+
+import (
+	"encoding/hex"
+	"fmt"
+	"maps"
+	"regexp"
+	"slices"
+	"strings"
+	"sync"
+
+	"irispost/internal/backend/node"
+	"irispost/internal/endpoint"
+	"irispost/internal/layout"
+)
+
+// fakeNodes stands for the storage nodes of all shards and writes down each call in the order of its arrival.
+type fakeNodes struct {
+	lock    sync.Mutex
+	calls   []string
+	records map[string]node.ListItem
+	objects map[string][]byte
+	version uint64
+}
+
+type doneCall struct{}
+
+func (doneCall) Cancel() {}
+
+// AbortQueued does nothing, as no call waits.
+func (*fakeNodes) AbortQueued(func(string) bool) {}
+
+// Retain does nothing, as there are no connections.
+func (*fakeNodes) Retain(map[string]bool) {}
+
+// LateReplies returns 0, as no call is cancelled.
+func (*fakeNodes) LateReplies() int64 { return 0 }
+
+func shardOf(address string) int { return int(address[len(address)-1] - '0') }
+
+func nodeOf(shard int) endpoint.Node {
+	return endpoint.Node{Addr: fmt.Sprint("node:", shard), Zone: "z", Shard: shard}
+}
+
+// Start executes a call at once and answers from another goroutine.
+func (n *fakeNodes) Start(address string, call *node.Call, done func(node.Reply)) node.Attempt {
+	n.lock.Lock()
+	n.calls = append(n.calls, describe(call))
+	reply := n.execute(shardOf(address), call)
+	n.lock.Unlock()
+	reply.Outcome, reply.Shard = node.Executed, shardOf(address)
+	if call.Shard < 0 {
+		reply.Shard = 1 // where the scheduler places a new object is none of this test's
+	}
+	go done(reply)
+	return doneCall{}
+}
+
+func (n *fakeNodes) execute(shard int, call *node.Call) (reply node.Reply) {
+	switch call.Op {
+	case node.GetRecord:
+		return node.Reply{Version: n.records[call.Name].Version, Data: n.records[call.Name].Data}
+	case node.CompareAndSwapRecord:
+		now := n.records[call.Name]
+		if now.Version != call.Version {
+			return node.Reply{Status: node.VersionConflict, Version: now.Version, Data: now.Data}
+		}
+		n.version++
+		n.records[call.Name] = node.ListItem{Name: call.Name, Version: n.version, Data: slices.Clone(call.Data)}
+		return node.Reply{Version: n.version}
+	case node.ListRecords:
+		var items []node.ListItem
+		for _, name := range slices.Sorted(maps.Keys(n.records)) {
+			path, _ := layout.Parse(name)
+			inDirectory := len(n.records[name].Data) > 0 && path.Parent().String() == call.Name
+			if inDirectory && path.HomeShard(2) == shard && name > call.Owner {
+				items = append(items, n.records[name])
+			}
+		}
+		return node.Reply{Data: node.EncodeItems(items)}
+	case node.PutObject:
+		object := n.objects[call.Name]
+		if end := int(call.Offset) + len(call.Data); end > len(object) {
+			object = append(object, make([]byte, end-len(object))...)
+		}
+		copy(object[call.Offset:], call.Data)
+		n.objects[call.Name] = object
+	case node.GetObject:
+		object := n.objects[call.Name]
+		from := min(int(call.Offset), len(object))
+		return node.Reply{Data: slices.Clone(object[from:min(from+int(call.Length), len(object))])}
+	case node.DeleteObject:
+		delete(n.objects, call.Name)
+	}
+	return node.Reply{}
+}
+
+// started matches the part of a name that says when the gateway was started, counted the number of a request of the
+// loop, which differs between those that go side by side.
+var (
+	started = regexp.MustCompile(`(g[-/])[0-9a-z]{12}([-/])`)
+	counted = regexp.MustCompile(`#\d+ `)
+)
+
+func unstarted(s string) string {
+	return counted.ReplaceAllString(started.ReplaceAllString(s, "${1}start${2}"), "#n ")
+}
+
+// describe writes down a call without what differs from run to run: times, and the start in names.
+func describe(call *node.Call) string {
+	data := hex.EncodeToString(call.Data)
+	if call.Op == node.CompareAndSwapRecord && len(call.Data) > 0 {
+		data = describeRecord(call.Data)
+	}
+	if len(data) > 300 {
+		data = fmt.Sprintf("%.16s... %d bytes", data, len(data)/2)
+	}
+	return unstarted(fmt.Sprintf("  op %d name %s owner %q shard %d offset %d length %d version %d volume %d",
+		call.Op, call.Name, call.Owner, call.Shard, call.Offset, call.Length, call.Version, call.Volume) +
+		fmt.Sprintf(" units %.3g kind %d keyed %t key %s request %s data %s",
+			call.Units, call.Idempotency, call.OrderingKey != 0, call.IdempotencyKey, call.RequestID, data))
+}
+
+func describeRecord(encoded []byte) string {
+	record, err := layout.Decode(encoded, 0)
+	if err != nil {
+		return err.Error()
+	}
+	record.Modified = 0
+	record.ChangeID = unstarted(record.ChangeID)
+	record.MovePeer = unstarted(record.MovePeer)
+	record.LastMoveID = unstarted(record.LastMoveID)
+	for i := range record.Extents {
+		record.Extents[i].Object = unstarted(record.Extents[i].Object)
+	}
+	return hex.EncodeToString(record.Encode())
+}
+
+// take returns the calls since the last take; those that go side by side are put in the order of their text.
+func (n *fakeNodes) take() string {
+	n.lock.Lock()
+	defer n.lock.Unlock()
+	calls := n.calls
+	n.calls = nil
+	sideBySide := func(call string) string {
+		for _, op := range []node.Operation{node.ListRecords, node.GetObject, node.PutObject} {
+			if prefix := fmt.Sprintf("  op %d ", op); strings.HasPrefix(call, prefix) {
+				return prefix
+			}
+		}
+		return ""
+	}
+	for from := 0; from < len(calls); {
+		to := from + 1
+		for to < len(calls) && sideBySide(calls[from]) != "" && sideBySide(calls[to]) == sideBySide(calls[from]) {
+			to++
+		}
+		slices.Sort(calls[from:to])
+		from = to
+	}
+	if len(calls) == 0 {
+		return ""
+	}
+	return strings.Join(calls, "\n") + "\n"
+}
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -1,123 +1,50 @@
-// Package front serves SFTP version 3 (draft-ietf-secsh-filexfer-02) to clients and turns what they ask into jobs of
-// the gateway. A path is /VOLUME/REL. Where files lie is package layout's; which job goes when is the module's.
+// Package front is the front end for files: it serves SFTP version 3 (draft-ietf-secsh-filexfer-02) to clients and
+// turns their requests into requests to the gateway's event loop, each a call to one storage node. A path is
+// /VOLUME/REL. The iSCSI front end (package iscsi/target) uses it for disks, each a file.
+//
+// Package serve starts a Front. It owns the clients' connections and handles, and the open files with what is written
+// but not committed (openFile, under its lock); records and objects are kept by the storage nodes. Where they lie is
+// decided by package layout, when a request goes to a node by package scheduler. A goroutine runs for each request of
+// a client; requests for the same bytes of a file wait for each other (request.orderRange).
 package front
 
 import (
 	"context"
-	"fmt"
-	"log/slog"
-	"path"
 	"strconv"
 	"sync"
 	"sync/atomic"
 	"time"
 
-	"irispost/internal/backend/node"
-	"irispost/internal/gateway"
 	"irispost/internal/layout"
 	"irispost/internal/sftp"
-	"irispost/scheduler"
 )
 
-// Sort is what an operation is to the rules that name its product.
-type Sort string
+// sendTimeout is how long Drain waits until a connection has sent its last answers.
+const sendTimeout = time.Second
 
-// The sorts of operations, as the configuration names them.
-const (
-	Read   Sort = "read"   // bytes of a file
-	Write  Sort = "write"  // bytes of a file
-	Look   Sort = "look"   // a record, or a folder's
-	Change Sort = "change" // a record
-)
-
-// Product is what the front has to know of a kind of job.
-type Product struct {
-	Name     string
-	Kind     uint8         // as in node.Call
-	Patience time.Duration // how long a client waits
-	InTurn   bool          // jobs of one key run one at a time
-}
-
-// Rule names the product of some operations on a volume. The first that fits counts.
-type Rule struct {
-	Sorts   []Sort
-	Match   string // a pattern for the path in the volume, or for its last name; empty: all
-	Larger  uint64 // only files of more bytes
-	Product *Product
-}
-
-// Volume is a customer's tree of files.
-type Volume struct {
-	gateway.Volume
-	Name  string
-	Rules []Rule // the last ones fit everything
-}
-
-// Product names the product of an operation.
-func (v *Volume) Product(kind Sort, file layout.Path, size uint64) *Product {
-	for _, rule := range v.Rules {
-		fits := rule.Larger == 0 || size > rule.Larger
-		if fits && rule.Match != "" {
-			whole, _ := path.Match(rule.Match, file.Rel)
-			last, _ := path.Match(rule.Match, file.Name())
-			fits = whole || last
-		}
-		for _, ruled := range rule.Sorts {
-			if fits && ruled == kind {
-				return rule.Product
-			}
-		}
-	}
-	return v.Rules[len(v.Rules)-1].Product
-}
-
-// Units turns bytes into units.
-type Units struct {
-	Bytes float64 // of one unit
-	Least float64 // units of the smallest job
-}
-
-// Of is the units of so many bytes.
-func (u Units) Of(bytes int) float64 { return max(u.Least, float64(bytes)/u.Bytes) }
-
-// Limits bound what one connection may hold.
-type Limits struct {
-	Connections int
-	Outstanding int // requests without an answer; more wait at the socket
-	Handles     int
-	Entries     int // of one folder's listing
-	Wire        sftp.Limits
-}
-
-// Options are what a front is started with.
-type Options struct {
-	Name    string // of the gateway, unique in the installation
-	Loop    *gateway.Loop
-	Volumes map[string]*Volume
-	Shards  int
-	Extent  uint32 // bytes of an extent of a new file
-	Units   Units
-	Limits  Limits
-	Log     *slog.Logger
-}
-
-// Front is a running front.
+// Front is a running front end.
 type Front struct {
 	options     Options
-	incarnation string
+	incarnation string // of this start of the gateway, in all names that it gives
 	server      *sftp.Server
 	lastSession atomic.Int64
 	lastName    atomic.Int64
-	lock        sync.Mutex
-	openFiles   map[layout.Path]*openFile
 	draining    atomic.Bool
-	inFlight    requestCounter // requests without an answer, and duties
+	inFlight    requestCounter // unanswered requests and background work
+
+	lock      sync.Mutex // guards openFiles and their references
+	openFiles map[layout.Path]*openFile
 }
 
-// Start listens at an address.
+// Start listens for SFTP clients at an address.
 func Start(addr string, options Options) (*Front, error) {
-	front := &Front{options: options, incarnation: strconv.FormatInt(options.Loop.Now(), 36), openFiles: map[layout.Path]*openFile{}}
-	server, err := sftp.Listen(addr, options.Limits.Wire, options.Limits.Connections, func(conn *sftp.Conn) sftp.Peer {
+	front := &Front{
+		options:     options,
+		incarnation: strconv.FormatInt(options.Loop.Now(), 36),
+		openFiles:   map[layout.Path]*openFile{},
+	}
+	limits := options.Limits
+	server, err := sftp.Listen(addr, limits.Wire, limits.Connections, func(conn *sftp.Conn) sftp.Peer {
 		return newSession(front, conn)
 	})
 	if err != nil {
@@ -127,16 +54,16 @@
 	return front, nil
 }
 
-// Addr is the address that clients connect to.
+// Addr returns the address that clients connect to.
 func (f *Front) Addr() string { return f.server.Addr() }
 
-// Drain stops taking requests and waits until all that were taken have their answers, or the context ends.
+// Drain rejects new requests and waits until all earlier ones have their answers, or the context ends.
 func (f *Front) Drain(ctx context.Context) error {
 	f.draining.Store(true)
 	select {
 	case <-f.inFlight.idle():
 		for _, conn := range f.server.Conns() {
-			conn.WaitSent(time.Second)
+			conn.WaitSent(sendTimeout)
 		}
 		return nil
 	case <-ctx.Done():
@@ -144,122 +71,20 @@
 	}
 }
 
-// Close closes all connections.
+// Close closes all connections of SFTP clients.
 func (f *Front) Close() { f.server.Close() }
 
-// uniqueName is a new name for a change or an object, unique in the installation.
+// uniqueName returns a new name of a change or an object, unique in the installation.
 func (f *Front) uniqueName() string {
 	return f.options.Name + "-" + f.incarnation + "-" + strconv.FormatInt(f.lastName.Add(1), 36)
 }
 
-// failure is why a request is not answered with what it asked for.
-type failure struct {
-	code       sftp.Code
-	message    string
-	clientGone bool          // the client has gone: there is nobody to answer
-	rejected   bool          // trying again is harmless
-	retryAfter time.Duration // of a dismissal: when to come back
-	mayHaveRun bool          // of a dismissal: it may have run all the same, and to do it once more is harmless by its kind
-}
-
-func failuref(code sftp.Code, format string, args ...any) *failure {
-	return &failure{code: code, message: fmt.Sprintf(format, args...)}
-}
-
-// task is a client's request, or a duty of the gateway's own, on its way through its jobs.
-type task struct {
-	front          *Front
-	session        *gateway.Session // nil for a duty
-	arrived        scheduler.Time
-	requestID      uint32 // of the request
-	mayHaveChanged bool   // a job of it may have changed something
-}
-
-// backgroundTask is a task that no client waits for.
-func (f *Front) backgroundTask() *task { return &task{front: f, arrived: f.options.Loop.Now()} }
-
-// submit hands in a job. Its client waits from the task's arrival on, a duty's patience begins with the job.
-func (t *task) submit(volume *Volume, class *Product, units float64, key uint64, call node.Call) <-chan gateway.Result {
-	waitsFrom := t.arrived
-	if t.session == nil {
-		waitsFrom = t.front.options.Loop.Now()
-	}
-	if !class.InTurn {
-		key = 0
-	}
-	if call.Op == node.CompareAndSwapRecord && call.IdempotencyKey == "" {
-		call.IdempotencyKey = t.front.uniqueName()
-	}
-	return t.front.options.Loop.Submit(t.session, &gateway.RequestSpec{Volume: &volume.Volume, Class: class.Name, Units: units,
-		Key: int64(key >> 1), HasKey: key != 0, Deadline: waitsFrom + int64(class.Patience), Idempotency: class.Kind, ClientRequest: t.requestID, Call: call})
-}
-
-// waitFor waits for another task's step, as long as the client of a product's job waits.
-func (t *task) waitFor(done <-chan struct{}, class *Product) *failure {
-	select {
-	case <-done:
-		return nil
-	default:
-	}
-	if class == nil { // at the root of all volumes, where no request has jobs to wait for
-		<-done
-		return nil
-	}
-	timer := time.NewTimer(time.Duration(t.arrived + int64(class.Patience) - t.front.options.Loop.Now()))
-	defer timer.Stop()
-	select {
-	case <-done:
-		return nil
-	case <-timer.C:
-		return rejection(0, "an earlier request for the same bytes is still out")
-	}
+// newSessionName returns a new name of a session, unique in the installation.
+func (f *Front) newSessionName() string {
+	return f.options.Name + "/" + f.incarnation + "/" + strconv.FormatInt(f.lastSession.Add(1), 10)
 }
 
-// execute runs a job to its end.
-func (t *task) execute(volume *Volume, class *Product, units float64, key uint64, call node.Call) (node.Reply, *failure) {
-	return t.replyOf(<-t.submit(volume, class, units, key, call), call.Op)
-}
-
-// replyOf turns a job's final answer into an answer or a failure. What each says to the client is in
-// docs/operators.md.
-func (t *task) replyOf(result gateway.Result, op node.Operation) (node.Reply, *failure) {
-	switch result.State {
-	case scheduler.RequestSucceeded:
-		if op == node.CompareAndSwapRecord && result.Reply.Status == node.OK {
-			t.mayHaveChanged = true
-		}
-		return result.Reply, nil
-	case scheduler.RequestClientCancelled:
-		return node.Reply{}, &failure{clientGone: true}
-	case scheduler.RequestRejected:
-		if !t.mayHaveChanged {
-			failure := rejection(result.RetryAfter, result.Reason)
-			failure.mayHaveRun = result.MayHaveRun
-			return node.Reply{}, failure
-		}
-	}
-	if op == node.CompareAndSwapRecord {
-		t.mayHaveChanged = true
-	}
-	text := "written off: it may have been done in part or not at all"
-	if result.Reason != "" {
-		text += "; " + result.Reason
-	}
-	return node.Reply{}, failuref(sftp.Failure, "%s", text)
-}
-
-func rejection(retryAfter time.Duration, reason string) *failure {
-	text := "dismissed: trying again is harmless"
-	if retryAfter > 0 {
-		text += ", come back in " + retryAfter.Round(time.Millisecond).String()
-	}
-	if reason != "" {
-		text += "; " + reason
-	}
-	return &failure{code: sftp.Failure, message: text, rejected: true, retryAfter: retryAfter}
-}
-
-// findVolume finds the volume of a path.
+// findVolume returns the volume of a path.
 func (f *Front) findVolume(path layout.Path) (*Volume, *failure) {
 	if volume := f.options.Volumes[path.Volume]; volume != nil {
 		return volume, nil
@@ -267,7 +92,7 @@
 	return nil, failuref(sftp.NoSuchFile, "there is no volume %q", path.Volume)
 }
 
-// parsePath reads a path as a client sends it.
+// parsePath parses a path as a client sends it.
 func parsePath(text string) (layout.Path, *failure) {
 	path, err := layout.Parse(text)
 	if err != nil {
@@ -275,40 +100,3 @@
 	}
 	return path, nil
 }
-
-// requestCounter counts what is under way, and tells when nothing is. Unlike a WaitGroup it may be waited for while more begins.
-type requestCounter struct {
-	lock    sync.Mutex
-	count   int
-	waiters []chan struct{}
-}
-
-func (t *requestCounter) begin() {
-	t.lock.Lock()
-	t.count++
-	t.lock.Unlock()
-}
-
-func (t *requestCounter) end() {
-	t.lock.Lock()
-	defer t.lock.Unlock()
-	if t.count--; t.count == 0 {
-		for _, waiter := range t.waiters {
-			close(waiter)
-		}
-		t.waiters = nil
-	}
-}
-
-// idle returns what is closed once nothing is under way.
-func (t *requestCounter) idle() <-chan struct{} {
-	t.lock.Lock()
-	defer t.lock.Unlock()
-	waiter := make(chan struct{})
-	if t.count == 0 {
-		close(waiter)
-	} else {
-		t.waiters = append(t.waiters, waiter)
-	}
-	return waiter
-}
--- a/internal/front/golden_test.go
+++ b/internal/front/golden_test.go
@@ -9,9 +9,6 @@
 	"log/slog"
 	"net"
 	"regexp"
-	"slices"
-	"strings"
-	"sync"
 	"testing"
 	"time"
 
@@ -20,157 +17,17 @@
 	"irispost/internal/endpoint"
 	"irispost/internal/front"
 	"irispost/internal/gateway"
-	"irispost/internal/layout"
 	"irispost/internal/sftp"
 	"irispost/internal/testkit"
 	"irispost/internal/testkit/golden"
 )
 
-// fakeNodes stands for the storage nodes of all shards and writes down each call in the order of its arrival.
-type fakeNodes struct {
-	lock    sync.Mutex
-	calls   []string
-	records map[string]node.ListItem
-	objects map[string][]byte
-	version uint64
-}
-
-type doneCall struct{}
-
-func (doneCall) Cancel() {}
-
-func (*fakeNodes) AbortQueued(func(string) bool) {}
-func (*fakeNodes) Retain(map[string]bool)        {}
-func (*fakeNodes) LateReplies() int64            { return 0 }
-func shardOf(address string) int                 { return int(address[len(address)-1] - '0') }
-func nodeOf(shard int) endpoint.Node {
-	return endpoint.Node{Addr: fmt.Sprint("node:", shard), Zone: "z", Shard: shard}
-}
-func sortedNames(m map[string]node.ListItem) (names []string) {
-	for name := range m {
-		names = append(names, name)
-	}
-	slices.Sort(names)
-	return names
-}
-
-func (n *fakeNodes) Start(address string, call *node.Call, done func(node.Reply)) node.Attempt {
-	n.lock.Lock()
-	n.calls = append(n.calls, describe(call))
-	reply := n.execute(shardOf(address), call)
-	n.lock.Unlock()
-	reply.Outcome, reply.Shard = node.Executed, shardOf(address)
-	if call.Shard < 0 {
-		reply.Shard = 1 // where the scheduler places a new object is none of this test's
-	}
-	go done(reply)
-	return doneCall{}
-}
-
-func (n *fakeNodes) execute(shard int, call *node.Call) (reply node.Reply) {
-	switch call.Op {
-	case node.GetRecord:
-		return node.Reply{Version: n.records[call.Name].Version, Data: n.records[call.Name].Data}
-	case node.CompareAndSwapRecord:
-		now := n.records[call.Name]
-		if now.Version != call.Version {
-			return node.Reply{Status: node.VersionConflict, Version: now.Version, Data: now.Data}
-		}
-		n.version++
-		n.records[call.Name] = node.ListItem{Name: call.Name, Version: n.version, Data: slices.Clone(call.Data)}
-		return node.Reply{Version: n.version}
-	case node.ListRecords:
-		var items []node.ListItem
-		for _, name := range sortedNames(n.records) {
-			path, _ := layout.Parse(name)
-			if len(n.records[name].Data) > 0 && path.Parent().String() == call.Name && path.HomeShard(2) == shard && name > call.Owner {
-				items = append(items, n.records[name])
-			}
-		}
-		return node.Reply{Data: node.EncodeItems(items)}
-	case node.PutObject:
-		held := n.objects[call.Name]
-		if end := int(call.Offset) + len(call.Data); end > len(held) {
-			held = append(held, make([]byte, end-len(held))...)
-		}
-		copy(held[call.Offset:], call.Data)
-		n.objects[call.Name] = held
-	case node.GetObject:
-		held := n.objects[call.Name]
-		from := min(int(call.Offset), len(held))
-		return node.Reply{Data: slices.Clone(held[from:min(from+int(call.Length), len(held))])}
-	case node.DeleteObject:
-		delete(n.objects, call.Name)
-	}
-	return node.Reply{}
-}
-
-// started matches the part of a name that says when the gateway was started, counted the number of a request of the
-// loop, which differs between those that go side by side.
-var (
-	started = regexp.MustCompile(`(g[-/])[0-9a-z]{12}([-/])`)
-	counted = regexp.MustCompile(`#\d+ `)
-)
-
-func unstarted(s string) string {
-	return counted.ReplaceAllString(started.ReplaceAllString(s, "${1}start${2}"), "#n ")
-}
-
-// describe writes down a call without what differs from run to run: times, and the start in names.
-func describe(c *node.Call) string {
-	data := hex.EncodeToString(c.Data)
-	if c.Op == node.CompareAndSwapRecord && len(c.Data) > 0 {
-		record, err := layout.Decode(c.Data, 0)
-		if err != nil {
-			return err.Error()
-		}
-		record.ChangeID, record.MovePeer, record.LastMoveID = unstarted(record.ChangeID), unstarted(record.MovePeer), unstarted(record.LastMoveID)
-		record.Modified = 0
-		for i := range record.Extents {
-			record.Extents[i].Object = unstarted(record.Extents[i].Object)
-		}
-		data = hex.EncodeToString(record.Encode())
-	}
-	if len(data) > 300 {
-		data = fmt.Sprintf("%.16s... %d bytes", data, len(data)/2)
-	}
-	return unstarted(fmt.Sprintf("  op %d name %s owner %q shard %d offset %d length %d version %d volume %d units %.3g kind %d keyed %t key %s request %s data %s",
-		c.Op, c.Name, c.Owner, c.Shard, c.Offset, c.Length, c.Version, c.Volume, c.Units, c.Idempotency, c.OrderingKey != 0, c.IdempotencyKey, c.RequestID, data))
-}
-
-// take returns the calls since the last take; those that go side by side are put in the order of their text.
-func (n *fakeNodes) take() string {
-	n.lock.Lock()
-	defer n.lock.Unlock()
-	calls := n.calls
-	n.calls = nil
-	sideBySide := func(call string) string {
-		for _, op := range []node.Operation{node.ListRecords, node.GetObject, node.PutObject} {
-			if prefix := fmt.Sprintf("  op %d ", op); strings.HasPrefix(call, prefix) {
-				return prefix
-			}
-		}
-		return ""
-	}
-	for from := 0; from < len(calls); {
-		to := from + 1
-		for to < len(calls) && sideBySide(calls[from]) != "" && sideBySide(calls[to]) == sideBySide(calls[from]) {
-			to++
-		}
-		slices.Sort(calls[from:to])
-		from = to
-	}
-	if len(calls) == 0 {
-		return ""
-	}
-	return strings.Join(calls, "\n") + "\n"
-}
-
 // bench is a front with its loop, over fakeNodes.
 type bench struct {
 	t     *testing.T
 	nodes *fakeNodes
 	front *front.Front
+	conn  net.Conn
 	out   bytes.Buffer
 }
 
@@ -192,7 +49,12 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(f.Close)
-	return &bench{t: t, nodes: nodes, front: f}
+	conn, err := net.Dial("tcp", f.Addr())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = conn.Close() })
+	return &bench{t: t, nodes: nodes, front: f, conn: conn}
 }
 
 // settle waits until no more calls come, as objects are dropped after the answer.
@@ -223,144 +85,154 @@
 )
 
 // exchange sends one packet and reads the answer.
-func (b *bench) exchange(conn net.Conn, what string, p *sftp.Packet) {
+func (b *bench) exchange(what string, packet *sftp.Packet) {
 	b.t.Helper()
-	if err := p.WriteOut(conn); err != nil {
+	if err := packet.WriteOut(b.conn); err != nil {
 		b.t.Fatal(err)
 	}
 	var head [4]byte
-	if _, err := io.ReadFull(conn, head[:]); err != nil {
+	if _, err := io.ReadFull(b.conn, head[:]); err != nil {
 		b.t.Fatal(err)
 	}
 	body := make([]byte, binary.BigEndian.Uint32(head[:]))
-	if _, err := io.ReadFull(conn, body); err != nil {
+	if _, err := io.ReadFull(b.conn, body); err != nil {
 		b.t.Fatal(err)
 	}
-	text := hex.EncodeToString(body)
-	if body[0] == byte(sftp.Attributes) {
-		text = times.ReplaceAllString(text, "time")
-	}
-	if body[0] == byte(sftp.Status) || body[0] == byte(sftp.Version) {
-		text = fmt.Sprintf("%q", body)
+	b.note(what, describeAnswer(body))
+}
+
+// describeAnswer writes down an answer without the times in it.
+func describeAnswer(body []byte) string {
+	switch sftp.Type(body[0]) {
+	case sftp.Status, sftp.Version:
+		return fmt.Sprintf("%q", body)
+	case sftp.Attributes:
+		return times.ReplaceAllString(hex.EncodeToString(body), "time")
+	case sftp.Name:
+		fields := sftp.NewFields(body[1:])
+		text := fmt.Sprintf("names of %d:", fields.Uint32())
+		for count := fields.Uint32(); count > 0; count-- {
+			name, line, attrs := fields.Text(), fields.Text(), fields.Attrs()
+			line = seconds.ReplaceAllString(line, " time ")
+			text += fmt.Sprintf(" %q %q size %d mode %o", name, line, attrs.Size, attrs.Mode)
+		}
+		return text
+	default:
+		return hex.EncodeToString(body)
 	}
-	if body[0] == byte(sftp.Name) {
-		f := sftp.NewFields(body[1:])
-		id, count := f.Uint32(), f.Uint32()
-		text = fmt.Sprintf("names of %d:", id)
-		for range count {
-			name, long, attrs := f.Text(), f.Text(), f.Attrs()
-			long = seconds.ReplaceAllString(long, " time ")
-			text += fmt.Sprintf(" %q %q size %d mode %o", name, long, attrs.Size, attrs.Mode)
+}
+
+// Fields of requests.
+func text(fields ...string) func(*sftp.Packet) {
+	return func(p *sftp.Packet) {
+		for _, field := range fields {
+			p.Text(field)
 		}
 	}
-	b.note(what, text)
+}
+
+func open(path string, flags uint32) func(*sftp.Packet) {
+	return func(p *sftp.Packet) { p.Text(path).Uint32(flags).Attrs(sftp.Attrs{}) }
+}
+
+func write(handle string, offset uint64, data string) func(*sftp.Packet) {
+	return func(p *sftp.Packet) { p.Text(handle).Uint64(offset).Text(data) }
+}
+
+func read(handle string, offset uint64, length uint32) func(*sftp.Packet) {
+	return func(p *sftp.Packet) { p.Text(handle).Uint64(offset).Uint32(length) }
+}
+
+func attrs(name string, a sftp.Attrs) func(*sftp.Packet) {
+	return func(p *sftp.Packet) { p.Text(name).Attrs(a) }
+}
+
+const readWrite = sftp.FlagRead | sftp.FlagWrite
+
+// requests are sent one after the other; the name says the case. Handles are numbered from 1 as they are opened.
+var requests = []struct {
+	name   string
+	kind   sftp.Type
+	fields func(*sftp.Packet)
+}{
+	{"realpath", sftp.Realpath, text("/meals/a/../b")},
+	{"realpath that climbs", sftp.Realpath, text("/meals/../..")},
+	{"limits", sftp.Extended, text("limits@openssh.com")},
+	{"unknown extension", sftp.Extended, text("other@openssh.com")},
+	{"unknown type", sftp.Readlink, text("/meals/a")},
+	{"short packet", sftp.Open, text("/meals/a")},
+	{"long packet", sftp.Stat, text("/meals/a", "more")},
+	{"unknown volume", sftp.Stat, text("/other/a")},
+	{"mkdir", sftp.Mkdir, attrs("/meals/dir", sftp.Attrs{HasMode: true, Mode: 0o700})},
+	{"mkdir again", sftp.Mkdir, attrs("/meals/dir", sftp.Attrs{})},
+	{"mkdir without parent", sftp.Mkdir, attrs("/meals/none/dir", sftp.Attrs{})},
+	{"mkdir of a volume", sftp.Mkdir, attrs("/meals", sftp.Attrs{})},
+	{"open of nothing", sftp.Open, open("/meals/dir/a", sftp.FlagRead)},
+	{"open of the root", sftp.Open, open("/", sftp.FlagRead)},
+	{"open of a folder", sftp.Open, open("/meals/dir", sftp.FlagRead)},
+	{"create", sftp.Open, open("/meals/dir/a", readWrite|sftp.FlagCreate)},
+	{"create exclusively", sftp.Open, open("/meals/dir/a", readWrite|sftp.FlagCreate|sftp.FlagExcl)},
+	{"write", sftp.Write, write("1", 10, "first")},
+	{"write in place", sftp.Write, write("1", 12, "second")},
+	{"write of the second extent", sftp.Write, write("1", 65536, "third")},
+	{"write over an edge", sftp.Write, write("1", 65534, "fourth")},
+	{"write of nothing", sftp.Write, write("1", 5, "")},
+	{"write beyond the end of all files", sftp.Write, write("1", 1<<51, "x")},
+	{"read", sftp.Read, read("1", 8, 20)},
+	{"read over an edge", sftp.Read, read("1", 65530, 100)},
+	{"read past the end", sftp.Read, read("1", 1<<20, 10)},
+	{"stat before commit", sftp.Stat, text("/meals/dir/a")},
+	{"fsync", sftp.Extended, text("fsync@openssh.com", "1")},
+	{"fsync again", sftp.Extended, text("fsync@openssh.com", "1")},
+	{"fstat", sftp.Fstat, text("1")},
+	{"setstat of mode and time", sftp.Setstat, attrs("/meals/dir/a", sftp.Attrs{HasMode: true, Mode: 0o600, HasTimes: true,
+		Accessed: 1_800_000_000, Modified: 1_800_000_000})},
+	{"fsetstat, shorter", sftp.Fsetstat, attrs("1", sftp.Attrs{HasSize: true, Size: 65535})},
+	{"fsetstat, longer", sftp.Fsetstat, attrs("1", sftp.Attrs{HasSize: true, Size: 200000})},
+	{"setstat of the volume", sftp.Setstat, attrs("/meals", sftp.Attrs{HasMode: true})},
+	{"setstat of size", sftp.Setstat, attrs("/meals/dir/a", sftp.Attrs{HasSize: true, Size: 190000})},
+	{"open for append", sftp.Open, open("/meals/dir/a", sftp.FlagWrite|sftp.FlagAppend)},
+	{"append", sftp.Write, write("2", 0, "end")},
+	{"read of a handle for writing", sftp.Read, read("2", 0, 1)},
+	{"close", sftp.Close, text("2")},
+	{"close again", sftp.Close, text("2")},
+	{"open and cut", sftp.Open, open("/meals/dir/a", sftp.FlagWrite|sftp.FlagTrunc)},
+	{"write anew", sftp.Write, write("3", 0, "anew")},
+	{"close of the cut", sftp.Close, text("3")},
+	{"fsetstat to nothing", sftp.Fsetstat, attrs("1", sftp.Attrs{HasSize: true})},
+	{"close of the first", sftp.Close, text("1")},
+	{"rename", sftp.Rename, text("/meals/dir/a", "/meals/b")},
+	{"rename of nothing", sftp.Rename, text("/meals/dir/a", "/meals/b")},
+	{"rename of a folder", sftp.Rename, text("/meals/dir", "/meals/d")},
+	{"rename to another volume", sftp.Rename, text("/meals/b", "/")},
+	{"create another", sftp.Open, open("/meals/c", readWrite|sftp.FlagCreate)},
+	{"write of the other", sftp.Write, write("4", 0, "other")},
+	{"close of the other", sftp.Close, text("4")},
+	{"rename onto a file", sftp.Rename, text("/meals/b", "/meals/c")},
+	{"posix-rename onto a file", sftp.Extended, text("posix-rename@openssh.com", "/meals/b", "/meals/c")},
+	{"opendir", sftp.Opendir, text("/meals")},
+	{"readdir", sftp.Readdir, text("5")},
+	{"readdir at the end", sftp.Readdir, text("5")},
+	{"opendir of the root", sftp.Opendir, text("/")},
+	{"readdir of the root", sftp.Readdir, text("6")},
+	{"opendir of a file", sftp.Opendir, text("/meals/c")},
+	{"fsync of a folder", sftp.Extended, text("fsync@openssh.com", "5")},
+	{"remove of a folder", sftp.Remove, text("/meals/dir")},
+	{"rmdir", sftp.Rmdir, text("/meals/dir")},
+	{"rmdir of a file", sftp.Rmdir, text("/meals/c")},
+	{"remove", sftp.Remove, text("/meals/c")},
+	{"remove again", sftp.Remove, text("/meals/c")},
 }
 
 // What a client's requests become at the nodes, and what it is answered, stays as it is byte for byte.
 func TestGoldenRequestsOfFilesAndDisks(t *testing.T) {
 	b := newBench(t)
-	conn, err := net.Dial("tcp", b.front.Addr())
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { _ = conn.Close() })
-	id := uint32(0)
-	request := func(what string, kind sftp.Type, fill func(*sftp.Packet)) {
-		t.Helper()
-		id++
-		p := sftp.New(kind, id)
-		fill(p)
-		b.exchange(conn, what, p)
-	}
-	text := func(fields ...string) func(*sftp.Packet) {
-		return func(p *sftp.Packet) {
-			for _, field := range fields {
-				p.Text(field)
-			}
-		}
-	}
-	open := func(path string, flags uint32) func(*sftp.Packet) {
-		return func(p *sftp.Packet) { p.Text(path).Uint32(flags).Attrs(sftp.Attrs{}) }
+	b.exchange("init", sftp.New(sftp.Init, sftp.ProtocolVersion))
+	for i, request := range requests {
+		packet := sftp.New(request.kind, uint32(i+1))
+		request.fields(packet)
+		b.exchange(request.name, packet)
 	}
-	write := func(handle string, offset uint64, data string) func(*sftp.Packet) {
-		return func(p *sftp.Packet) { p.Text(handle).Uint64(offset).Text(data) }
-	}
-	read := func(handle string, offset uint64, length uint32) func(*sftp.Packet) {
-		return func(p *sftp.Packet) { p.Text(handle).Uint64(offset).Uint32(length) }
-	}
-	attrs := func(name string, a sftp.Attrs) func(*sftp.Packet) {
-		return func(p *sftp.Packet) { p.Text(name).Attrs(a) }
-	}
-	const readWrite = sftp.FlagRead | sftp.FlagWrite
-
-	b.exchange(conn, "init", sftp.New(sftp.Init, sftp.ProtocolVersion))
-	request("realpath", sftp.Realpath, text("/meals/a/../b"))
-	request("realpath that climbs", sftp.Realpath, text("/meals/../.."))
-	request("limits", sftp.Extended, text("limits@openssh.com"))
-	request("unknown extension", sftp.Extended, text("other@openssh.com"))
-	request("unknown type", sftp.Readlink, text("/meals/a"))
-	request("short packet", sftp.Open, text("/meals/a"))
-	request("long packet", sftp.Stat, text("/meals/a", "more"))
-	request("unknown volume", sftp.Stat, text("/other/a"))
-	request("mkdir", sftp.Mkdir, attrs("/meals/dir", sftp.Attrs{HasMode: true, Mode: 0o700}))
-	request("mkdir again", sftp.Mkdir, attrs("/meals/dir", sftp.Attrs{}))
-	request("mkdir without parent", sftp.Mkdir, attrs("/meals/none/dir", sftp.Attrs{}))
-	request("mkdir of a volume", sftp.Mkdir, attrs("/meals", sftp.Attrs{}))
-	request("open of nothing", sftp.Open, open("/meals/dir/a", sftp.FlagRead))
-	request("open of the root", sftp.Open, open("/", sftp.FlagRead))
-	request("open of a folder", sftp.Open, open("/meals/dir", sftp.FlagRead))
-	request("create", sftp.Open, open("/meals/dir/a", readWrite|sftp.FlagCreate))
-	request("create exclusively", sftp.Open, open("/meals/dir/a", readWrite|sftp.FlagCreate|sftp.FlagExcl))
-	request("write", sftp.Write, write("1", 10, "first"))
-	request("write in place", sftp.Write, write("1", 12, "second"))
-	request("write of the second extent", sftp.Write, write("1", 65536, "third"))
-	request("write over an edge", sftp.Write, write("1", 65534, "fourth"))
-	request("write of nothing", sftp.Write, write("1", 5, ""))
-	request("write beyond the end of all files", sftp.Write, write("1", 1<<51, "x"))
-	request("read", sftp.Read, read("1", 8, 20))
-	request("read over an edge", sftp.Read, read("1", 65530, 100))
-	request("read past the end", sftp.Read, read("1", 1<<20, 10))
-	request("stat before commit", sftp.Stat, text("/meals/dir/a"))
-	request("fsync", sftp.Extended, text("fsync@openssh.com", "1"))
-	request("fsync again", sftp.Extended, text("fsync@openssh.com", "1"))
-	request("fstat", sftp.Fstat, text("1"))
-	request("setstat of mode and time", sftp.Setstat, attrs("/meals/dir/a",
-		sftp.Attrs{HasMode: true, Mode: 0o600, HasTimes: true, Accessed: 1_800_000_000, Modified: 1_800_000_000}))
-	request("fsetstat, shorter", sftp.Fsetstat, attrs("1", sftp.Attrs{HasSize: true, Size: 65535}))
-	request("fsetstat, longer", sftp.Fsetstat, attrs("1", sftp.Attrs{HasSize: true, Size: 200000}))
-	request("setstat of the volume", sftp.Setstat, attrs("/meals", sftp.Attrs{HasMode: true}))
-	request("setstat of size", sftp.Setstat, attrs("/meals/dir/a", sftp.Attrs{HasSize: true, Size: 190000}))
-	request("open for append", sftp.Open, open("/meals/dir/a", sftp.FlagWrite|sftp.FlagAppend))
-	request("append", sftp.Write, write("2", 0, "end"))
-	request("read of a handle for writing", sftp.Read, read("2", 0, 1))
-	request("close", sftp.Close, text("2"))
-	request("close again", sftp.Close, text("2"))
-	request("open and cut", sftp.Open, open("/meals/dir/a", sftp.FlagWrite|sftp.FlagTrunc))
-	request("write anew", sftp.Write, write("3", 0, "anew"))
-	request("close of the cut", sftp.Close, text("3"))
-	request("fsetstat to nothing", sftp.Fsetstat, attrs("1", sftp.Attrs{HasSize: true}))
-	request("close of the first", sftp.Close, text("1"))
-	request("rename", sftp.Rename, text("/meals/dir/a", "/meals/b"))
-	request("rename of nothing", sftp.Rename, text("/meals/dir/a", "/meals/b"))
-	request("rename of a folder", sftp.Rename, text("/meals/dir", "/meals/d"))
-	request("rename to another volume", sftp.Rename, text("/meals/b", "/"))
-	request("create another", sftp.Open, open("/meals/c", readWrite|sftp.FlagCreate))
-	request("write of the other", sftp.Write, write("4", 0, "other"))
-	request("close of the other", sftp.Close, text("4"))
-	request("rename onto a file", sftp.Rename, text("/meals/b", "/meals/c"))
-	request("posix-rename onto a file", sftp.Extended, text("posix-rename@openssh.com", "/meals/b", "/meals/c"))
-	request("opendir", sftp.Opendir, text("/meals"))
-	request("readdir", sftp.Readdir, text("5"))
-	request("readdir at the end", sftp.Readdir, text("5"))
-	request("opendir of the root", sftp.Opendir, text("/"))
-	request("readdir of the root", sftp.Readdir, text("6"))
-	request("opendir of a file", sftp.Opendir, text("/meals/c"))
-	request("fsync of a folder", sftp.Extended, text("fsync@openssh.com", "5"))
-	request("remove of a folder", sftp.Remove, text("/meals/dir"))
-	request("rmdir", sftp.Rmdir, text("/meals/dir"))
-	request("rmdir of a file", sftp.Rmdir, text("/meals/c"))
-	request("remove", sftp.Remove, text("/meals/c"))
-	request("remove again", sftp.Remove, text("/meals/c"))
 	b.disk()
 	golden.Check(t, "requests.txt", b.out.Bytes())
 }
