--- a/internal/layout/layout_test.go
+++ b/internal/layout/layout_test.go
@@ -10,14 +10,23 @@
 	"pgregory.net/rapid"
 )
 
-func TestParse(t *testing.T) {
+func TestParseCleansAndBoundsPaths(t *testing.T) {
 	for _, c := range []struct {
 		in, out string
 		err     error
 	}{
-		{"/", "/", nil}, {"", "/", nil}, {".", "/", nil}, {"/v", "/v", nil}, {"v/a//b/./c/", "/v/a/b/c", nil},
-		{"/v/a/../b", "/v/b", nil}, {"/v/..", "", ErrOutsideVolume}, {"/v/../w/x", "", ErrOutsideVolume}, {"/v/a/../../w", "", ErrOutsideVolume},
-		{"..", "", ErrOutsideVolume}, {"/v/a\x00b", "", ErrInvalidName}, {"/v/" + strings.Repeat("x", 256), "", ErrInvalidName},
+		{"/", "/", nil},
+		{"", "/", nil},
+		{".", "/", nil},
+		{"/v", "/v", nil},
+		{"v/a//b/./c/", "/v/a/b/c", nil},
+		{"/v/a/../b", "/v/b", nil},
+		{"/v/..", "", ErrOutsideVolume},
+		{"/v/../w/x", "", ErrOutsideVolume},
+		{"/v/a/../../w", "", ErrOutsideVolume},
+		{"..", "", ErrOutsideVolume},
+		{"/v/a\x00b", "", ErrInvalidName},
+		{"/v/" + strings.Repeat("x", 256), "", ErrInvalidName},
 		{"/v/" + strings.Repeat("x/", 2100), "", ErrTooLong},
 	} {
 		p, err := Parse(c.in)
@@ -27,22 +36,31 @@
 	}
 }
 
-func records(t *rapid.T) *Record {
-	r := &Record{Version: rapid.Uint64Min(1).Draw(t, "version"), Kind: Kind(rapid.IntRange(0, 1).Draw(t, "kind")),
-		State: State(rapid.IntRange(0, 3).Draw(t, "state")), Mode: rapid.Uint32().Draw(t, "mode"), Size: rapid.Uint64().Draw(t, "size"),
-		Modified: rapid.Int64().Draw(t, "at"), ExtentSize: rapid.Uint32().Draw(t, "extent"), PeerVersion: rapid.Uint64().Draw(t, "expected"),
-		ChangeID: rapid.String().Draw(t, "mark"), MovePeer: rapid.String().Draw(t, "target"), LastMoveID: rapid.String().Draw(t, "origin")}
+func drawRecord(t *rapid.T) *Record {
+	r := &Record{
+		Version:     rapid.Uint64Min(1).Draw(t, "version"),
+		Kind:        Kind(rapid.IntRange(0, 1).Draw(t, "kind")),
+		State:       State(rapid.IntRange(0, 3).Draw(t, "state")),
+		Mode:        rapid.Uint32().Draw(t, "mode"),
+		Size:        rapid.Uint64().Draw(t, "size"),
+		Modified:    rapid.Int64().Draw(t, "modified"),
+		ExtentSize:  rapid.Uint32().Draw(t, "extent size"),
+		PeerVersion: rapid.Uint64().Draw(t, "peer version"),
+		ChangeID:    rapid.String().Draw(t, "change ID"),
+		MovePeer:    rapid.String().Draw(t, "move peer"),
+		LastMoveID:  rapid.String().Draw(t, "last move ID"),
+	}
 	for range rapid.IntRange(0, 5).Draw(t, "extents") {
 		r.Extents = append(r.Extents, Extent{rapid.IntRange(0, 1<<30).Draw(t, "shard"), rapid.String().Draw(t, "object")})
 	}
 	return r
 }
 
-// A record comes back as it was; one with any byte changed, or cut anywhere, is refused.
-func TestRecordsComeBackWholeOrNotAtAll(t *testing.T) {
+// A record is decoded as it was encoded; one with any byte changed, or cut anywhere, is not.
+func TestDecodeReturnsTheRecordOrFails(t *testing.T) {
 	sameSeeds(t)
 	rapid.Check(t, func(t *rapid.T) {
-		r := records(t)
+		r := drawRecord(t)
 		b := r.Encode()
 		if got, err := Decode(b, r.Version); err != nil || !reflect.DeepEqual(got, r) {
 			t.Fatalf("%+v comes back as %+v, %v", r, got, err)
@@ -58,7 +76,7 @@
 }
 
 // Pieces cover each byte once, in order, and none crosses an extent's edge.
-func TestPieces(t *testing.T) {
+func TestSplitByExtentCoversEachByteOnce(t *testing.T) {
 	sameSeeds(t)
 	rapid.Check(t, func(t *rapid.T) {
 		offset, length := rapid.Uint64Range(0, 1<<40).Draw(t, "offset"), rapid.IntRange(0, 1<<20).Draw(t, "length")
@@ -78,10 +96,11 @@
 }
 
 // When shards are added, a record moves to a new one or stays; each shard holds its part.
-func TestHomesMoveOnlyToNewShards(t *testing.T) {
+func TestHomeShardMovesOnlyToNewShards(t *testing.T) {
 	count := make([]int, 8)
 	for i := range 8000 {
-		p := Path{"v", strings.Repeat("x", i%7) + string(rune('a'+i%26)) + strings.Repeat("y", i/26%99) + string(rune('a'+i/2574))}
+		name := strings.Repeat("x", i%7) + string(rune('a'+i%26)) + strings.Repeat("y", i/26%99) + string(rune('a'+i/2574))
+		p := Path{Volume: "v", Rel: name}
 		a, b := p.HomeShard(7), p.HomeShard(8)
 		if a != b && b != 7 {
 			t.Fatalf("%s moves from shard %d to %d", p, a, b)
@@ -95,8 +114,8 @@
 	}
 }
 
-// What loses in a merge is what is no longer referenced, and nothing else.
-func TestMerge(t *testing.T) {
+// Merge returns the extents that are no longer referenced, and nothing else.
+func TestMergeReturnsReplacedExtents(t *testing.T) {
 	r := &Record{Size: 10, Extents: []Extent{{0, "a"}, {}, {1, "c"}}}
 	lost := r.Merge(map[int]Extent{0: {2, "x"}, 3: {0, "z"}}, 400)
 	if !reflect.DeepEqual(lost, []Extent{{0, "a"}}) || r.Size != 400 ||
@@ -116,8 +135,9 @@
 
 // sameSeeds has the checks draw the same each time.
 func sameSeeds(t *testing.T) {
+	t.Helper()
 	if err := flag.Set("rapid.nofailfile", "true"); err != nil {
-		panic(err)
+		t.Fatal(err)
 	}
 	if err := flag.Set("rapid.seed", "7"); err != nil {
 		t.Fatal(err)
