--- a/internal/front/attributes.go
+++ b/internal/front/attributes.go
@@ -12,7 +12,7 @@
 func (s *session) stat(req *request, volume *Volume, path layout.Path) (*sftp.Packet, *failure) {
 	answer := sftp.New(sftp.Attributes, req.requestID)
 	if path.Rel == "" {
-		return answer.Attrs(sftp.Attrs{HasMode: true, Mode: sftp.ModeFolder | defaultDirectoryMode}), nil
+		return answer.Attrs(sftp.Attrs{HasMode: true, Mode: sftp.ModeDirectory | defaultDirectoryMode}), nil
 	}
 	record, err := req.readRecord(volume, path)
 	if err != nil {
@@ -36,7 +36,7 @@
 	modified := uint32(record.Modified / scheduler.Second)
 	kind := uint32(sftp.ModeFile)
 	if record.Kind == layout.Directory {
-		kind = sftp.ModeFolder
+		kind = sftp.ModeDirectory
 	}
 	return sftp.Attrs{
 		HasSize:  true,
--- a/internal/sftp/bench_test.go
+++ b/internal/sftp/bench_test.go
@@ -8,13 +8,13 @@
 	b.SetBytes(int64(len(data)))
 	b.ReportAllocs()
 	for n := 0; n < b.N; n++ {
-		p := New(Write, uint32(n)).Text("17").Uint64(uint64(n)).Tail(data)
-		head, tail := p.Bytes()
-		r := NewFields(head[5:])
-		r.Uint32()
-		r.Text()
-		r.Uint64()
-		if r.Uint32() != uint32(len(tail)) || r.Done() != nil {
+		packet := New(Write, uint32(n)).Text("17").Uint64(uint64(n)).Tail(data)
+		head, tail := packet.Bytes()
+		fields := NewFields(head[5:])
+		fields.Uint32()
+		fields.Text()
+		fields.Uint64()
+		if fields.Uint32() != uint32(len(tail)) || fields.Done() != nil {
 			b.Fatal("not what was written")
 		}
 	}
--- a/internal/sftp/conn.go
+++ b/internal/sftp/conn.go
@@ -10,10 +10,10 @@
 	"irispost/internal/packetconn"
 )
 
-// Limits are a connection's limits.
+// Limits are the limits of a connection.
 type Limits = packetconn.Limits
 
-// DefaultLimits are used where nothing else is said.
+// DefaultLimits are the limits where none are configured.
 var DefaultLimits = packetconn.DefaultLimits
 
 // ErrPeerClosed tells that the peer has closed the connection.
@@ -25,59 +25,69 @@
 // Server accepts connections.
 type Server = packetconn.Server
 
-// Frame is one packet that has come in. Body is its own memory, copied once out of the connection's buffer.
+// Frame is a packet that was received.
 type Frame struct {
 	Type Type
-	Body []byte // after the type
+	Body []byte // after the type; memory of its own, copied once out of the connection's buffer
 }
 
-// ID reads the request id, which all packets but INIT and VERSION begin with.
+// ID reads the request's ID, with which all packets but INIT and VERSION begin, and returns the fields after it.
 func (f Frame) ID() (uint32, *Fields) {
-	r := NewFields(f.Body)
-	return r.Uint32(), r
+	fields := NewFields(f.Body)
+	return fields.Uint32(), fields
 }
 
-// Peer takes a connection's packets, one after the other.
+// Peer handles a connection's packets, one after the other.
 type Peer interface {
-	Packet(Frame) error // an error closes the connection
-	Closed(why error)
+	// Packet handles a packet. An error closes the connection.
+	Packet(Frame) error
+	// Closed is called once, with the reason, when the connection has ended.
+	Closed(cause error)
 }
 
-// framed takes packets off a connection for a peer.
+// minPacketLength is that of a type and an ID or a version, without the length field, in bytes.
+const minPacketLength = 5
+
+// framed reads packets from a connection for a peer.
 type framed struct {
 	Peer
 	conn *Conn
 }
 
-// ReadPacket takes the next packet. A length out of bounds is ErrLength: what follows cannot be read.
-func (f framed) ReadPacket(r netpoll.Reader) error {
-	head, err := r.Peek(4)
+// ReadPacket reads the next packet. A length out of bounds is ErrLength: what follows cannot be read.
+func (f framed) ReadPacket(reader netpoll.Reader) error {
+	head, err := reader.Peek(lengthSize)
 	if err != nil {
 		return err
 	}
-	n, most := binary.BigEndian.Uint32(head), f.conn.Limits().MaxPacket
-	if n < 5 || uint64(n) > uint64(most) {
-		return fmt.Errorf("%w: %d bytes, from 5 to %d are taken", ErrLength, n, most)
+	length, limit := binary.BigEndian.Uint32(head), f.conn.Limits().MaxPacket
+	if length < minPacketLength || uint64(length) > uint64(limit) {
+		return fmt.Errorf("%w: %d bytes, from %d to %d are taken", ErrLength, length, minPacketLength, limit)
 	}
-	if err := r.Skip(4); err != nil {
+	if err := reader.Skip(lengthSize); err != nil {
 		return err
 	}
-	body, err := r.ReadBinary(int(n))
+	body, err := reader.ReadBinary(int(length))
 	if err != nil {
 		return err
 	}
-	if err := r.Release(); err != nil {
+	if err := reader.Release(); err != nil {
 		return err
 	}
-	return f.Packet(Frame{Type(body[0]), body[1:]})
+	return f.Packet(Frame{Type: Type(body[0]), Body: body[1:]})
 }
 
-// Listen serves connections at an address with a peer made for each, at most so many at a time (0: no limit).
-func Listen(addr string, b Limits, most int, peer func(*Conn) Peer) (*Server, error) {
-	return packetconn.Listen(addr, b, most, func(c *Conn) packetconn.Handler { return framed{peer(c), c} })
+// Listen serves connections at an address, each with a peer that newPeer returns, at most maxConns at a time (0: no
+// limit).
+func Listen(addr string, limits Limits, maxConns int, newPeer func(*Conn) Peer) (*Server, error) {
+	return packetconn.Listen(addr, limits, maxConns, func(conn *Conn) packetconn.Handler {
+		return framed{Peer: newPeer(conn), conn: conn}
+	})
 }
 
-// Dial connects to an address, with a peer made for the connection.
-func Dial(addr string, b Limits, within time.Duration, peer func(*Conn) Peer) (*Conn, error) {
-	return packetconn.Dial(addr, b, within, func(c *Conn) packetconn.Handler { return framed{peer(c), c} })
+// Dial connects to an address within a timeout, with a peer that newPeer returns.
+func Dial(addr string, limits Limits, timeout time.Duration, newPeer func(*Conn) Peer) (*Conn, error) {
+	return packetconn.Dial(addr, limits, timeout, func(conn *Conn) packetconn.Handler {
+		return framed{Peer: newPeer(conn), conn: conn}
+	})
 }
