--- /dev/null
+++ b/internal/scsi/golden_test.go
@@ -0,0 +1,69 @@
+package scsi
+
+import (
+	"bytes"
+	"encoding/hex"
+	"fmt"
+	"testing"
+
+	"irispost/internal/testkit/golden"
+)
+
+// Initiators rest on each byte of what a unit answers: every opcode with several fields is parsed and answered, for a
+// unit that can be written and one that cannot.
+func TestGoldenCommandsAndAnswers(t *testing.T) {
+	var out bytes.Buffer
+	for _, u := range []*Unit{
+		{Serial: "/meals/disk", Block: 4096, Count: 1000, Longest: 256, Extent: 256 << 10},
+		{Serial: "/meals/big", Block: 512, Count: 1 << 40, Longest: 8192, Extent: 64 << 10, Fixed: true},
+	} {
+		for op := range 256 {
+			for _, fields := range [][]uint64{
+				{},
+				{1, 1, 1, 2, 1, 0x80, 3, 2, 255, 7, 2, 24, 10, 4, 64},
+				{1, 1, 8, 2, 4, 7, 6, 4, 64, 10, 4, 3},
+				{1, 1, 0x10, 2, 1, 0x3f, 4, 1, 255, 7, 2, 255, 10, 4, 32},
+				{1, 1, 9, 2, 8, 9, 10, 4, 5, 13, 1, 2},
+				{1, 1, 0x20},
+				{2, 8, 999, 10, 4, 257},
+			} {
+				describe(&out, u, cdb(byte(op), fields...))
+			}
+		}
+		for _, page := range []uint64{0x00, 0x80, 0x83, 0xb0, 0xb1, 0xb2, 0xc0} {
+			describe(&out, u, cdb(opInquiry, 1, 1, 1, 2, 1, page, 3, 2, 255))
+		}
+		for _, page := range []uint64{0x08, 0x0a, 0x1c, 0x3f, 0x48, 0x7f, 0xc8} {
+			describe(&out, u, cdb(opModeSense6, 2, 1, page, 4, 1, 255))
+			describe(&out, u, cdb(opModeSense10, 1, 1, 8, 2, 1, page, 7, 2, 255))
+		}
+	}
+	for _, s := range []*Sense{NoSuchCommand, BadField, BadList, ShortList, OutOfRange, NoSuchUnit, NotReady, Becoming, Unknown,
+		Miscompare, WriteProtected, TooMuchData, BadDigest, {Key: 1, Info: 9, Valid: true}} {
+		fmt.Fprintf(&out, "%s: %x\n", s, s.Bytes())
+	}
+	for lun := range 5 {
+		fmt.Fprintf(&out, "lun %d: %x\n", lun*150, EncodeLun(uint16(lun*150)))
+	}
+	golden.Check(t, "commands.txt", out.Bytes())
+}
+
+// describe writes down what becomes of a command; commands that are not known are left out.
+func describe(out *bytes.Buffer, u *Unit, block []byte) {
+	command, sense := u.Parse(block)
+	if sense != nil {
+		if sense != NoSuchCommand {
+			fmt.Fprintf(out, "%x: %s, info %d %t\n", block, sense, sense.Info, sense.Valid)
+		} else if name := RefusedName(block[0]); name != "" {
+			fmt.Fprintf(out, "%x: %s is refused\n", block, name)
+		}
+		return
+	}
+	in, most := command.Expects(u)
+	fmt.Fprintf(out, "%x: kind %d, block %d, %d blocks, brings %d, answers %d", block, command.Kind, command.Block, command.Blocks, in, most)
+	answer, sense := u.Answer(&command, []uint16{0, 300})
+	if sense != nil {
+		fmt.Fprintf(out, ", %s", sense)
+	}
+	fmt.Fprintf(out, ", %t %s\n", command.Through, hex.EncodeToString(answer))
+}
