--- a/internal/serve/members_test.go
+++ b/internal/serve/members_test.go
@@ -286,13 +286,13 @@
 // A gateway that starts while the management server is down serves with the list that its earlier life kept, as old, and
 // goes over to the server's word when there is one.
 func TestStartsWithKeptList(t *testing.T) {
+	dir := t.TempDir() // before the testbed, so that it is removed after the gateways that write there are stopped
 	w := testkit.Start(t, testkit.Conf, 2, 0, nil)
 	s, err := xdsstandin.Start("127.0.0.1:0", 1, w.List().Nodes...)
 	if err != nil {
 		t.Fatal(err)
 	}
 	feed(w, s, true)
-	dir := t.TempDir()
 	w.Conf += "members {\n  folder = \"" + dir + "\"\n  first = \"20s\"\n}\n"
 	g := w.Gateway("g0")
 	if err := put(w.Client(0), "/meals/f", random(1, 100_000)); err != nil {
