--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -2,135 +2,126 @@
 
 import (
 	"bufio"
+	"errors"
 	"io"
 	"strconv"
 	"strings"
 )
 
-// Framing says how a body is framed.
-type Framing struct {
-	Bytes      int64
-	Chunked    bool
-	UntilClose bool // it goes on to the connection's end, in an answer
-}
+// maxChunkLineBytes is the longest line with the size of a chunk.
+const maxChunkLineBytes = 256
 
-// length reads how the body is framed. stated tells that anything says so.
-func length(f Fields) (l Framing, stated bool, err error) {
-	coded, long := f.Count("transfer-encoding"), f.Count("content-length")
+// ReadBody reads a body of the given framing.
+func ReadBody(reader *bufio.Reader, framing Framing, limits Limits) ([]byte, error) {
 	switch {
-	case coded > 0 && long > 0:
-		return l, false, bad(400, "both Content-Length and Transfer-Encoding")
-	case coded > 0:
-		if v, ok := f.Get("transfer-encoding"); !ok || !strings.EqualFold(v, "chunked") {
-			return l, false, bad(501, "a Transfer-Encoding other than chunked")
-		}
-		return Framing{Chunked: true}, true, nil
-	case long > 0:
-		v, ok := f.Get("content-length")
-		n, fine := digits(v, 18)
-		if !ok || !fine {
-			return l, false, bad(400, "a Content-Length that is no length")
-		}
-		return Framing{Bytes: n}, true, nil
+	case framing.UntilClose:
+		limit := bodyLimit{limits: limits, max: limits.MaxBodyBytes}
+		return readUntilClose(reader, &limit)
+	case framing.Chunked:
+		limit := bodyLimit{limits: limits, max: limits.MaxBodyBytes}
+		return readChunked(reader, &limit)
 	}
-	return l, false, nil
+	return readSized(reader, framing.Bytes, limits)
+}
+
+// bodyLimit is the limit of a body whose length is not stated.
+type bodyLimit struct {
+	limits Limits
+	max    int64 // bytes that are allowed by now
 }
 
-// digits reads a plain decimal number of at most so many digits.
-func digits(s string, most int) (n int64, ok bool) {
-	if len(s) == 0 || len(s) > most {
-		return 0, false
+// check returns an error if a body of so many bytes is over the limit. The first time that it is, AdmitLongBody decides
+// whether the limit is raised to MaxLongBody.
+func (l *bodyLimit) check(bytes int64) error {
+	if bytes > l.max && l.max < l.limits.MaxLongBody && l.limits.AdmitLongBody != nil &&
+		l.limits.AdmitLongBody(l.limits.MaxLongBody) {
+		l.max = l.limits.MaxLongBody
 	}
-	for _, c := range []byte(s) {
-		if c < '0' || c > '9' {
-			return 0, false
-		}
-		n = n*10 + int64(c-'0')
+	if bytes > l.max {
+		return errorf(statusContentTooLarge, "a body of over %d bytes", l.max)
 	}
-	return n, true
+	return nil
 }
 
-// ReadBody reads a body.
-func ReadBody(r *bufio.Reader, l Framing, b Limits) ([]byte, error) {
-	if !l.Chunked && !l.UntilClose {
-		if l.Bytes > b.MaxBodyBytes && (b.AdmitLongBody == nil || !b.AdmitLongBody(l.Bytes)) {
-			return nil, bad(413, "a body of %d bytes, %d may be", l.Bytes, b.MaxBodyBytes)
-		}
-		if l.Bytes == 0 {
-			return nil, nil
-		}
-		body := make([]byte, l.Bytes)
-		if _, err := io.ReadFull(r, body); err != nil {
-			return nil, unexpected(err)
-		}
-		return body, nil
+func errBodyTooLong(bytes int64, limits Limits) error {
+	return errorf(statusContentTooLarge, "a body of %d bytes, %d may be", bytes, limits.MaxBodyBytes)
+}
+
+func readSized(reader *bufio.Reader, bytes int64, limits Limits) ([]byte, error) {
+	if bytes > limits.MaxBodyBytes && (limits.AdmitLongBody == nil || !limits.AdmitLongBody(bytes)) {
+		return nil, errBodyTooLong(bytes, limits)
 	}
-	limit := b.MaxBodyBytes
-	room := func(n int64) error { // past the bound, it is asked once for the most that may be
-		if n > limit && limit < b.MaxLongBody && b.AdmitLongBody != nil && b.AdmitLongBody(b.MaxLongBody) {
-			limit = b.MaxLongBody
-		}
-		if n > limit {
-			return bad(413, "a body of over %d bytes", limit)
-		}
-		return nil
+	if bytes == 0 {
+		return nil, nil
 	}
-	if l.UntilClose {
-		return readOpen(r, room)
+	body := make([]byte, bytes)
+	if _, err := io.ReadFull(reader, body); err != nil {
+		return nil, unexpectedEOF(err)
 	}
-	var body []byte
+	return body, nil
+}
+
+func readChunked(reader *bufio.Reader, limit *bodyLimit) (body []byte, err error) {
 	for {
-		most := 256 // of a chunk's line
-		head, err := line(r, &most, 400)
+		size, err := readChunkSize(reader)
 		if err != nil {
-			return nil, unexpected(err)
-		}
-		size, _, _ := strings.Cut(string(head), ";")
-		n, err := strconv.ParseUint(strings.TrimRight(size, " \t"), 16, 32)
-		if err != nil || strings.HasPrefix(size, "+") {
-			return nil, bad(400, "a chunk whose size is none")
+			return nil, err
 		}
-		if n == 0 {
-			most := b.MaxHeadBytes
-			_, err := fields(r, &most, b.MaxFields) // trailers are read and dropped
+		if size == 0 {
+			remaining := limit.limits.MaxHeadBytes
+			_, err := readFields(reader, &remaining, limit.limits.MaxFields) // trailers are discarded
 			return body, err
 		}
-		if err := room(int64(len(body)) + int64(n)); err != nil {
+		if err := limit.check(int64(len(body)) + size); err != nil {
 			return nil, err
 		}
-		from := len(body)
-		body = append(body, make([]byte, n+2)...)
-		if _, err := io.ReadFull(r, body[from:]); err != nil {
-			return nil, unexpected(err)
-		}
-		if string(body[len(body)-2:]) != "\r\n" {
-			return nil, bad(400, "a chunk that is longer than it says")
+		if body, err = appendChunk(reader, body, size); err != nil {
+			return nil, err
 		}
-		body = body[:len(body)-2]
 	}
 }
 
-// readOpen reads a body that goes on to the connection's end. Only an orderly end is one; a reset is an error.
-func readOpen(r *bufio.Reader, room func(int64) error) (body []byte, err error) {
+func readChunkSize(reader *bufio.Reader) (int64, error) {
+	remaining := maxChunkLineBytes
+	text, err := readLine(reader, &remaining, statusBadRequest)
+	if err != nil {
+		return 0, unexpectedEOF(err)
+	}
+	sizeText, _, _ := strings.Cut(string(text), ";") // extensions are ignored
+	size, err := strconv.ParseUint(strings.TrimRight(sizeText, " \t"), 16, 32)
+	if err != nil || strings.HasPrefix(sizeText, "+") {
+		return 0, errorf(statusBadRequest, "a chunk whose size is none")
+	}
+	return int64(size), nil
+}
+
+func appendChunk(reader *bufio.Reader, body []byte, size int64) ([]byte, error) {
+	start := len(body)
+	end := start + int(size)
+	body = append(body, make([]byte, size+2)...) // with the CR LF behind the chunk
+	if _, err := io.ReadFull(reader, body[start:]); err != nil {
+		return nil, unexpectedEOF(err)
+	}
+	if string(body[end:]) != "\r\n" {
+		return nil, errorf(statusBadRequest, "a chunk that is longer than it says")
+	}
+	return body[:end], nil
+}
+
+// readUntilClose reads a body up to the end of the connection. Only an orderly end is one; a reset is an error.
+func readUntilClose(reader *bufio.Reader, limit *bodyLimit) (body []byte, err error) {
 	for {
-		if _, err := r.Peek(1); err == io.EOF {
+		if _, err := reader.Peek(1); errors.Is(err, io.EOF) {
 			return body, nil
 		} else if err != nil {
 			return nil, err
 		}
-		n := r.Buffered()
-		if err := room(int64(len(body) + n)); err != nil {
+		available := reader.Buffered()
+		if err := limit.check(int64(len(body) + available)); err != nil {
 			return nil, err
 		}
-		part, _ := r.Peek(n)
+		part, _ := reader.Peek(available) // what is buffered is there
 		body = append(body, part...)
-		r.Discard(n)
-	}
-}
-
-func unexpected(err error) error {
-	if err == io.EOF {
-		return io.ErrUnexpectedEOF
+		_, _ = reader.Discard(available)
 	}
-	return err
 }
--- a/internal/http1/request.go
+++ b/internal/http1/request.go
@@ -10,48 +10,56 @@
 	Method, Target string
 	Fields         Fields
 	Framing        Framing
-	Close          bool // the client closes after the answer
+	Close          bool // the client closes the connection after the response
 	ExpectContinue bool // the client waits for 100 Continue before it sends the body
 }
 
-// ReadRequest reads the head of a request. The error is io.EOF when the client closed between two.
-func ReadRequest(r *bufio.Reader, b Limits) (*Request, error) {
-	most := b.MaxHeadBytes
-	l, err := line(r, &most, 414)
+// ReadRequest reads the head of a request. The error is io.EOF if the connection ended between two requests.
+func ReadRequest(reader *bufio.Reader, limits Limits) (*Request, error) {
+	remaining := limits.MaxHeadBytes
+	text, err := readLine(reader, &remaining, statusURITooLong)
 	if err != nil {
 		return nil, err
 	}
-	parts := strings.Split(string(l), " ")
-	if len(parts) != 3 || !isToken([]byte(parts[0])) || !strings.HasPrefix(parts[1], "/") {
-		return nil, bad(400, "no request line")
+	request, err := parseRequestLine(string(text))
+	if err != nil {
+		return nil, err
 	}
-	q := &Request{Method: parts[0], Target: parts[1]}
-	for _, c := range []byte(q.Target) {
-		if c <= ' ' || c >= 0x7f {
-			return nil, bad(400, "a target that is none")
-		}
+	if request.Fields, err = readFields(reader, &remaining, limits.MaxFields); err != nil {
+		return nil, err
 	}
-	if parts[2] != "HTTP/1.1" {
-		return nil, bad(505, "not HTTP/1.1")
+	if request.Fields.Count("host") != 1 {
+		return nil, errorf(statusBadRequest, "not one Host")
 	}
-	if q.Fields, err = fields(r, &most, b.MaxFields); err != nil {
+	if request.Framing, _, err = parseFraming(request.Fields); err != nil {
 		return nil, err
 	}
-	if q.Fields.Count("host") != 1 {
-		return nil, bad(400, "not one Host")
+	if request.Framing.Bytes > limits.MaxBodyBytes {
+		return nil, errBodyTooLong(request.Framing.Bytes, limits)
 	}
-	if q.Framing, _, err = length(q.Fields); err != nil {
-		return nil, err
+	request.Close = request.Fields.HasToken("connection", "close")
+	if expectation, ok := request.Fields.Get("expect"); ok {
+		if !strings.EqualFold(expectation, "100-continue") {
+			return nil, errorf(statusExpectationFailed, "an expectation other than 100-continue")
+		}
+		request.ExpectContinue = request.Framing.Chunked || request.Framing.Bytes > 0
 	}
-	if q.Framing.Bytes > b.MaxBodyBytes {
-		return nil, bad(413, "a body of %d bytes, %d may be", q.Framing.Bytes, b.MaxBodyBytes)
+	return request, nil
+}
+
+func parseRequestLine(text string) (*Request, error) {
+	parts := strings.Split(text, " ")
+	if len(parts) != 3 || !isToken([]byte(parts[0])) || !strings.HasPrefix(parts[1], "/") {
+		return nil, errorf(statusBadRequest, "no request line")
 	}
-	q.Close = q.Fields.HasToken("connection", "close")
-	if e, ok := q.Fields.Get("expect"); ok {
-		if !strings.EqualFold(e, "100-continue") {
-			return nil, bad(417, "an expectation other than 100-continue")
+	request := &Request{Method: parts[0], Target: parts[1]}
+	for _, c := range []byte(request.Target) {
+		if c <= ' ' || c >= 0x7f {
+			return nil, errorf(statusBadRequest, "a target that is none")
 		}
-		q.ExpectContinue = q.Framing.Chunked || q.Framing.Bytes > 0
 	}
-	return q, nil
+	if parts[2] != "HTTP/1.1" {
+		return nil, errorf(statusVersionNotSupported, "not HTTP/1.1")
+	}
+	return request, nil
 }
