--- /dev/null
+++ b/internal/serve/capture.go
@@ -0,0 +1,109 @@
+package serve
+
+import (
+	"errors"
+	"fmt"
+	"runtime/debug"
+	"sync"
+
+	"irispost/internal/admin"
+	"irispost/internal/capture"
+)
+
+// Errors of the admin socket. Their texts are what its clients see.
+var (
+	errNoCapture    = errors.New("no capture is on")
+	errNoCaptureDir = errors.New("no folder for captures is configured, name one")
+)
+
+// captureSession is a gateway's capture; at most one is on at a time.
+type captureSession struct {
+	mu       sync.Mutex        // guards all fields
+	recorder *capture.Recorder // nil while no capture is on
+	status   admin.Capture     // of the present capture, or of the last one
+}
+
+// begin opens a new capture file in dir, or in the configured directory if dir is empty. The caller holds the lock, or
+// is the only one who knows the gateway.
+func (s *captureSession) begin(owner *Gateway, dir string) error {
+	if s.recorder != nil {
+		return fmt.Errorf("a capture is on already: %s", s.status.File)
+	}
+	if dir == "" {
+		dir = owner.Config.CaptureDir
+	}
+	if dir == "" {
+		return errNoCaptureDir
+	}
+	recorder, file, err := capture.CreateInDir(dir, owner.Config.Name, buildVersion(), owner.Config.CaptureLimits)
+	if err != nil {
+		return err
+	}
+	owner.logger.Info("capture started", "gateway", owner.Config.Name, "file", file)
+	s.recorder = recorder
+	s.status = admin.Capture{On: true, File: file}
+	return nil
+}
+
+// end closes the capture, if one is on, and returns its last status.
+func (s *captureSession) end(owner *Gateway) admin.Capture {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.recorder == nil {
+		return s.status
+	}
+	owner.Loop.SetTap(nil) // from here on nothing more is recorded, also where the loop has ended
+	err := s.recorder.Close(owner.Loop.Now())
+	s.refresh()
+	s.recorder = nil
+	s.status.On = false
+	if err != nil {
+		s.status.Error = err.Error()
+	}
+	owner.logger.Info("capture stopped", "gateway", owner.Config.Name, "file", s.status.File,
+		"bytes", s.status.Written, "dropped", s.status.Dropped, "err", s.status.Error)
+	return s.status
+}
+
+// refresh updates the status from the recorder and returns it. The caller holds the lock.
+func (s *captureSession) refresh() admin.Capture {
+	if s.recorder != nil {
+		status := s.recorder.Status()
+		s.status.Written, s.status.Dropped = status.Written, status.Dropped
+	}
+	return s.status
+}
+
+// StartCapture starts a capture in dir, or in the configured directory if dir is empty. It begins with the scheduler's
+// full state, so that it can be replayed from its first record.
+func (g *Gateway) StartCapture(dir string) (admin.Capture, error) {
+	s := &g.capture
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if err := s.begin(g, dir); err != nil {
+		return s.refresh(), err
+	}
+	if !g.Loop.SetTap(s.recorder) {
+		return s.refresh(), errStopping
+	}
+	return s.refresh(), nil
+}
+
+// StopCapture ends the capture and returns when its file is complete.
+func (g *Gateway) StopCapture() (admin.Capture, error) {
+	g.capture.mu.Lock()
+	on := g.capture.recorder != nil
+	g.capture.mu.Unlock()
+	if !on {
+		return admin.Capture{}, errNoCapture
+	}
+	return g.capture.end(g), nil
+}
+
+// buildVersion names the version of the program and of Go, for the head of a capture.
+func buildVersion() string {
+	if info, ok := debug.ReadBuildInfo(); ok {
+		return info.Main.Version + " " + info.GoVersion
+	}
+	return "unknown"
+}
--- /dev/null
+++ b/internal/serve/fleet.go
@@ -0,0 +1,86 @@
+package serve
+
+import (
+	"os"
+
+	"irispost/internal/fleet/client"
+	"irispost/internal/fleet/lease"
+	"irispost/internal/fleet/slowstart/agent"
+	"irispost/internal/gateway"
+)
+
+// maxClockDrift is the rate by which the clocks of two gateways may run apart, for the allocations of slow-start budget
+// that they make to each other.
+const maxClockDrift = 0.01
+
+// startFleetLoop starts the loop of a gateway that takes its configuration from the fleet's replicas and, where other
+// gateways can reach it, the agent that shares the slow-start budget of warming nodes with them. The channel is closed
+// once a version is in force.
+func (g *Gateway) startFleetLoop(opt *gateway.Options) (versionInForce <-chan struct{}, err error) {
+	loopStarted := make(chan struct{}) // the client may want to wake the loop before it exists
+	wake := func() {
+		<-loopStarted
+		g.Loop.Wake()
+	}
+	clientOptions := g.fleetClientOptions(opt, wake)
+	if g.Config.Follow.PeerAddress != "" {
+		if g.slowStart, err = g.listenToPeers(opt, clientOptions.Holder); err != nil {
+			return nil, err
+		}
+		clientOptions.PeerAddr, clientOptions.OnMembership = g.slowStart.Addr(), g.slowStart.HandleMembership
+	}
+	if g.fleetClient, err = client.Start(clientOptions); err != nil {
+		if g.slowStart != nil {
+			g.slowStart.Close()
+		}
+		return nil, err
+	}
+	opt.Config = agent.SettingsForwarder{ConfigSource: g.fleetClient, Agent: g.slowStart}
+	g.Loop = gateway.Start(*opt)
+	close(loopStarted)
+	if g.slowStart != nil {
+		g.slowStart.Start(g.Loop)
+	}
+	return g.fleetClient.Ready(), nil
+}
+
+func (g *Gateway) fleetClientOptions(opt *gateway.Options, wake func()) client.Options {
+	conf := g.Config.Follow
+	return client.Options{
+		Gateway:        g.Config.Name,
+		Replicas:       conf.Replicas,
+		RenewInterval:  conf.PollInterval,
+		Now:            opt.Clock.Now,
+		OnChange:       wake,
+		Seed:           g.Config.Seed,
+		LocalSettings:  g.Config.Settings,
+		LocalConflicts: g.Config.Contradictions,
+		RecordFile:     conf.VersionLog,
+		CacheDir:       conf.CacheDir,
+		Logger:         g.logger,
+		InjectedFaults: injectedFaults(),
+		Holder:         client.NewHolderID(g.Config.Name),
+	}
+}
+
+// listenToPeers starts the agent that other gateways connect to.
+func (g *Gateway) listenToPeers(opt *gateway.Options, incarnation string) (*agent.Agent, error) {
+	return agent.Listen(agent.Options{
+		Gateway:       g.Config.Name,
+		Holder:        incarnation,
+		ListenAddr:    g.Config.Follow.PeerAddress,
+		AddrOverrides: g.Config.Follow.PeerRoutes,
+		Settings:      agent.SettingsFrom(g.Config.Settings, maxClockDrift),
+		Now:           opt.Clock.Now,
+		Logger:        g.logger,
+	})
+}
+
+// injectedFaults are the safety rules that a test of the fleet has switched off to show that its audit notices. Nothing
+// else sets the variable.
+func injectedFaults() lease.InjectedFaults {
+	if os.Getenv("IRISPOST_TEST_NO_LEASES") == "1" {
+		return lease.FaultNoLeaseExpiry
+	}
+	return 0
+}
--- /dev/null
+++ b/internal/serve/sources.go
@@ -0,0 +1,50 @@
+package serve
+
+import (
+	"log/slog"
+	"path/filepath"
+
+	"irispost/internal/config"
+	"irispost/internal/endpoint"
+	"irispost/internal/endpoint/manager"
+	"irispost/internal/endpoint/xds"
+)
+
+// Kinds of endpoint sources, as the configuration names them.
+const (
+	sourceOwnFile = "own"      // a file in the product's own format
+	sourceXDSFile = "xds-file" // files with xDS resources
+	sourceXDS     = "xds"      // an xDS management server
+)
+
+// endpointSources builds the configured sources of endpoint lists. The configuration has been checked, so each is of a
+// known kind.
+func endpointSources(conf *config.Config, baseDir string, logger *slog.Logger) []manager.NamedSource {
+	var sources []manager.NamedSource
+	for _, s := range conf.Sources {
+		named := manager.NamedSource{Name: s.Name}
+		switch s.Kind {
+		case sourceOwnFile:
+			named.Source = endpoint.FileSource{Path: resolvePath(baseDir, s.File)}
+		case sourceXDSFile:
+			named.Source = xds.FileSource{
+				Clusters:  resolvePath(baseDir, s.Clusters),
+				Endpoints: resolvePath(baseDir, s.Endpoints),
+				Log:       logger,
+			}
+		case sourceXDS:
+			opt := s.XDS
+			opt.Seed, opt.Log = conf.Seed, logger
+			named.Source = xds.NewClient(opt)
+		}
+		sources = append(sources, named)
+	}
+	return sources
+}
+
+func resolvePath(baseDir, file string) string {
+	if filepath.IsAbs(file) {
+		return file
+	}
+	return filepath.Join(baseDir, file)
+}
