--- a/internal/frontend/web/conn.go
+++ b/internal/frontend/web/conn.go
@@ -1,10 +1,10 @@
 package web
 
 import (
+	"bufio"
 	"errors"
-	"fmt"
 	"net"
-	"slices"
+	"net/http"
 	"sync"
 	"time"
 
@@ -13,65 +13,44 @@
 	"irispost/scheduler"
 )
 
-// move is the one place where a connection changes state; the lock is held. false tells that it has ended, or is to.
-func (c *conn) move(to connState) bool {
-	f := c.front
-	if c.state == ended || c.state == lingering && to != ended {
-		return false
-	}
-	if to == idle && f.phase >= closing {
-		to = dismissed
-	}
-	switch c.state {
-	case dismissed:
-		f.dismissed--
-	case lingering:
-		f.lingers = slices.DeleteFunc(f.lingers, func(o *conn) bool { return o == c })
-	}
-	c.state, c.since = to, time.Now()
-	switch to {
-	case dismissed:
-		f.dismissed++
-		c.raw.SetReadDeadline(time.Unix(1, 0)) // wakes next
-	case lingering:
-		f.lingers = append(f.lingers, c)
-		if f.phase < deaf && len(f.lingers) > f.opt.Limits.lingering() {
-			f.lingers[0].move(ended) // it has had the longest time
-		}
-	case ended:
-		c.raw.Close()
-		delete(f.conns, c)
-		if f.phase >= deaf && len(f.conns) == 0 {
-			close(f.none)
-		}
-	}
-	return true
-}
+// conn is a client's connection. Its goroutine owns it, except for what is marked.
+type conn struct {
+	server        *Server
+	raw           net.Conn
+	ahead         readAhead
+	in            *bufio.Reader // reads from ahead
+	session       *gateway.Session
+	firstDeadline time.Time // for the first request to be complete; zero afterwards
 
-func (c *conn) to(s connState) bool {
-	c.front.lock.Lock()
-	defer c.front.lock.Unlock()
-	return c.move(s)
+	state connState // guarded by the server's lock
+	since time.Time // of the state; guarded by the server's lock
 }
 
-// serve takes one request after the other, and closes the connection.
+// errLastResponse ends a connection after a response, or because no request arrives.
+var errLastResponse = errors.New("the connection ends")
+
+// continueResponse asks a client for the body of its request (RFC 9110, 15.2.1).
+var continueResponse = []byte("HTTP/1.1 100 Continue\r\n\r\n")
+
+// serve handles one request after the other, and closes the connection.
 func (c *conn) serve() {
-	defer c.ahead.drop()
+	defer c.ahead.discard()
 	for {
-		gone, err := c.next()
+		gone, err := c.awaitRequest()
 		if err == nil {
-			gone, err = c.request()
+			gone, err = c.handleRequest()
 		}
-		var wrong *http1.Error
+		var rejected *http1.Error
 		switch {
-		case errors.As(err, &wrong):
-			c.write(http1.NewResponse(wrong.Status).Field("Connection", "close").Body([]byte(wrong.Reason+"\n"), true))
+		case errors.As(err, &rejected):
+			_ = c.write(rejection(rejected.Status, rejected.Reason)) // the connection ends in any case
 		case err != nil && gone:
-			c.to(ended)
+			c.setState(stateClosed)
 			return
 		case err == nil:
-			c.raw.SetReadDeadline(time.Now().Add(c.front.opt.Limits.IdleTimeout)) // before it is idle: who dismisses it sets another
-			if c.to(idle) {
+			// The deadline is set before the connection is idle, since whoever closes an idle one sets another.
+			_ = c.raw.SetReadDeadline(time.Now().Add(c.server.opt.Limits.IdleTimeout))
+			if c.setState(stateIdle) {
 				continue
 			}
 		}
@@ -80,162 +59,151 @@
 	}
 }
 
-// errLast tells that a connection ends after an answer, or because nothing comes.
-var errLast = errors.New("the connection ends")
-
-// next waits for a request's first byte.
+// awaitRequest waits for the first byte of a request. gone means that the client has closed the connection.
 //
-// Guard: who dismisses an idle connection only wakes this goroutine, which alone knows what it has read. A request that has come in
-// by then is served and answered.
-func (c *conn) next() (gone bool, err error) {
+// Whoever closes an idle connection only wakes this goroutine, which alone knows what it has read: a request that has
+// arrived by then is served and answered.
+func (c *conn) awaitRequest() (gone bool, err error) {
 	if _, err = c.in.Peek(1); err != nil {
 		if !isTimeout(err) {
 			return true, err
 		}
-		if !says(c.raw) {
-			return false, errLast
+		if !hasUnreadBytes(c.raw) {
+			return false, errLastResponse
 		}
 	}
-	if !c.to(reading) {
+	if !c.setState(stateReading) {
 		return true, net.ErrClosed
 	}
 	return false, nil
 }
 
-func (c *conn) write(b []byte) error {
-	c.raw.SetWriteDeadline(time.Now().Add(c.front.opt.Limits.WriteTimeout))
-	_, err := c.raw.Write(b)
-	return err
-}
-
-// request takes one request and answers it. gone tells that there is nobody any more to be told of the error.
-func (c *conn) request() (gone bool, err error) {
-	f := c.front
-	limit := time.Now().Add(f.opt.Limits.RequestTimeout)
-	if !c.until.IsZero() {
-		limit, c.until = c.until, time.Time{}
-		if least := time.Now().Add(lastBytes); limit.Before(least) { // it came at the last moment
-			limit = least
-		}
-	}
-	f.lock.Lock()
-	if f.phase == over {
-		limit = time.Unix(1, 0)
-	}
-	c.raw.SetReadDeadline(limit)
-	f.lock.Unlock()
-	q, err := http1.ReadRequest(c.in, f.opt.Limits.Message)
+// handleRequest reads one request and answers it. gone means that there is no client any more to answer. An error of
+// type *http1.Error is a rejection that the client is still to get, and errLastResponse ends the connection.
+func (c *conn) handleRequest() (gone bool, err error) {
+	s := c.server
+	c.setRequestDeadline()
+	request, err := http1.ReadRequest(c.in, s.opt.Limits.Message)
 	if err != nil {
-		return true, late(err)
+		return true, rejectTimeout(err)
 	}
-	if q.Target == "/healthz" {
-		return c.health(q)
+	if request.Target == healthPath {
+		return c.handleHealth(request)
 	}
-	w, err := f.known.work(q)
+	spec, err := s.catalog.parseSpec(request)
 	if err != nil {
 		return false, err
 	}
-	id := w.Call.IdempotencyKey
-	size := q.Framing.Bytes
-	if q.Framing.Chunked {
-		size = f.opt.Limits.Message.MaxBodyBytes
-	}
-	if err := f.enter(id, size); err != nil {
+	id, bodyBytes := spec.Call.IdempotencyKey, c.maxBodyBytes(request)
+	if err := s.beginRequest(id, bodyBytes); err != nil {
 		return false, err
 	}
-	leave := sync.OnceFunc(func() { f.leave(id, size) })
-	defer leave()
-	if q.ExpectContinue {
-		if err := c.write([]byte("HTTP/1.1 100 Continue\r\n\r\n")); err != nil {
-			return true, err
+	endRequest := sync.OnceFunc(func() { s.endRequest(id, bodyBytes) })
+	defer endRequest()
+	if err := c.readBody(request, spec); err != nil {
+		return true, err
+	}
+	result, err := c.execute(spec)
+	if err != nil {
+		return true, err
+	}
+	endRequest() // before the client can know of the result, since it may use the id again at once
+	s.mu.Lock()
+	last := request.Close || s.phase >= phaseClosing || c.ahead.truncated
+	s.mu.Unlock()
+	return c.respond(resultResponse(result, last), last)
+}
+
+// setRequestDeadline bounds the time in which the request that has begun has to be complete.
+func (c *conn) setRequestDeadline() {
+	s := c.server
+	deadline := time.Now().Add(s.opt.Limits.RequestTimeout)
+	if !c.firstDeadline.IsZero() {
+		deadline, c.firstDeadline = c.firstDeadline, time.Time{}
+		if earliest := time.Now().Add(lingerTimeout); deadline.Before(earliest) { // it began at the last moment
+			deadline = earliest
 		}
 	}
-	if w.Call.Data, err = http1.ReadBody(c.in, q.Framing, f.opt.Limits.Message); err != nil {
-		return true, late(err)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.phase == phaseDeadline {
+		deadline = inThePast
 	}
-	c.raw.SetReadDeadline(time.Time{})
-	if !c.to(waiting) {
-		return true, net.ErrClosed
+	_ = c.raw.SetReadDeadline(deadline)
+}
+
+// maxBodyBytes is the most that a request's body can have.
+func (c *conn) maxBodyBytes(request *http1.Request) int64 {
+	if request.Framing.Chunked {
+		return c.server.opt.Limits.Message.MaxBodyBytes
 	}
-	w.Deadline = f.opt.Loop.Now() + w.Deadline
-	w.OnResult = func() { c.raw.SetReadDeadline(time.Unix(1, 0)) } // wakes the look for the client's end below
-	done := f.opt.Loop.Submit(c.session, w)
-	if err := c.ahead.until(); err != nil {
-		f.opt.Loop.CloseSession(c.session)
+	return request.Framing.Bytes
+}
+
+// readBody reads the body of a request into its spec.
+func (c *conn) readBody(request *http1.Request, spec *gateway.RequestSpec) error {
+	if request.ExpectContinue {
+		if err := c.write(continueResponse); err != nil {
+			return err
+		}
+	}
+	body, err := http1.ReadBody(c.in, request.Framing, c.server.opt.Limits.Message)
+	if err != nil {
+		return rejectTimeout(err)
+	}
+	spec.Call.Data = body
+	return nil
+}
+
+// execute submits the request to the loop and waits for its result, or for the client to close the connection. On an
+// error there is no client any more to answer.
+func (c *conn) execute(spec *gateway.RequestSpec) (result gateway.Result, err error) {
+	loop := c.server.opt.Loop
+	_ = c.raw.SetReadDeadline(time.Time{})
+	if !c.setState(stateWaiting) {
+		return result, net.ErrClosed
+	}
+	spec.Deadline = loop.Now() + spec.Deadline
+	spec.OnResult = func() { _ = c.raw.SetReadDeadline(inThePast) } // ends the read-ahead below
+	done := loop.Submit(c.session, spec)
+	if err := c.ahead.readUntilDeadline(); err != nil {
+		loop.CloseSession(c.session)
 		<-done
-		return true, err
+		return result, err
 	}
-	r := <-done
-	if r.State == scheduler.RequestClientCancelled || !c.to(writing) {
-		return true, net.ErrClosed
+	result = <-done
+	if result.State == scheduler.RequestClientCancelled || !c.setState(stateWriting) {
+		return result, net.ErrClosed
 	}
-	leave() // before the client can know, who may ask again at once
-	f.lock.Lock()
-	last := q.Close || f.phase >= closing || c.ahead.over
-	f.lock.Unlock()
-	return c.answered(answer(r, last), last)
+	return result, nil
 }
 
-// answered sends an answer, after which the connection may end.
-func (c *conn) answered(b []byte, last bool) (gone bool, err error) {
-	if err := c.write(b); err != nil {
+// respond sends a response. The error is errLastResponse if the connection ends with it.
+func (c *conn) respond(response []byte, last bool) (gone bool, err error) {
+	if err := c.write(response); err != nil {
 		return true, err
 	}
 	if last {
-		return false, errLast
+		return false, errLastResponse
 	}
 	return false, nil
 }
 
-func isTimeout(err error) bool {
-	var n net.Error
-	return errors.As(err, &n) && n.Timeout()
-}
-
-// late gives a request that does not come to its end in time its answer.
-func late(err error) error {
-	if isTimeout(err) {
-		return &http1.Error{Status: 408, Reason: "the request did not come to its end in time"}
-	}
+func (c *conn) write(b []byte) error {
+	_ = c.raw.SetWriteDeadline(time.Now().Add(c.server.opt.Limits.WriteTimeout))
+	_, err := c.raw.Write(b)
 	return err
 }
 
-// answer puts a job's result into a message.
-func answer(r gateway.Result, last bool) []byte {
-	var w *http1.MessageBuilder
-	body := r.Reply.Data
-	switch r.State {
-	case scheduler.RequestSucceeded:
-		w = http1.NewResponse(200)
-	case scheduler.RequestRejected:
-		w, body = http1.NewResponse(503), []byte("dismissed: trying again is harmless\n")
-		if r.RetryAfter > 0 {
-			ms := (r.RetryAfter + time.Millisecond - 1) / time.Millisecond
-			w.Field("Retry-After", fmt.Sprintf("%d.%03d", ms/1000, ms%1000))
-		}
-	default:
-		w, body = http1.NewResponse(502), []byte("written off: it may have been done or not\n")
-	}
-	if last {
-		w.Field("Connection", "close")
-	}
-	return w.Body(body, true)
+func isTimeout(err error) bool {
+	var netError net.Error
+	return errors.As(err, &netError) && netError.Timeout()
 }
 
-// health answers whether the gateway can be used.
-func (c *conn) health(q *http1.Request) (bool, error) {
-	if q.Method != "GET" || q.Framing.Bytes > 0 || q.Framing.Chunked {
-		return false, &http1.Error{Status: 405, Reason: "GET alone"}
-	}
-	c.front.lock.Lock()
-	leaves := c.front.phase > open
-	c.front.lock.Unlock()
-	if leaves {
-		return false, &http1.Error{Status: 503, Reason: "the gateway ends"}
-	}
-	w := http1.NewResponse(200)
-	if q.Close {
-		w.Field("Connection", "close")
+// rejectTimeout turns the timeout of a request that did not arrive completely into its rejection.
+func rejectTimeout(err error) error {
+	if isTimeout(err) {
+		return &http1.Error{Status: http.StatusRequestTimeout, Reason: "the request did not come to its end in time"}
 	}
-	return c.answered(w.Body([]byte("ok\n"), true), q.Close)
+	return err
 }
--- /dev/null
+++ b/internal/frontend/web/connstate.go
@@ -0,0 +1,68 @@
+package web
+
+import (
+	"slices"
+	"time"
+)
+
+// connState is the state of a client's connection. Only conn.transition changes it. The order of the constants counts:
+// those up to stateIdle have no request.
+type connState uint8
+
+const (
+	stateNew       connState = iota // no request has come yet
+	stateIdle                       // between requests
+	stateClosing                    // to be closed, unless a request has arrived
+	stateReading                    // a request is being read
+	stateWaiting                    // the request is with the gateway's loop
+	stateWriting                    // the response is being written
+	stateLingering                  // the sending side is closed, and what still arrives is discarded
+	stateClosed
+)
+
+func (s connState) String() string {
+	return [...]string{"new", "idle", "closing", "reading", "waiting", "writing", "lingering", "closed"}[s]
+}
+
+// transition is the one place where a connection changes state. It returns false if the connection is closed or
+// lingers already. The caller holds the server's lock.
+func (c *conn) transition(to connState) bool {
+	s := c.server
+	if c.state == stateClosed || c.state == stateLingering && to != stateClosed {
+		return false
+	}
+	if to == stateIdle && s.phase >= phaseClosing {
+		to = stateClosing
+	}
+	switch c.state {
+	case stateClosing:
+		s.closing--
+	case stateLingering:
+		s.lingering = slices.DeleteFunc(s.lingering, func(other *conn) bool { return other == c })
+	}
+	c.state, c.since = to, time.Now()
+	switch to {
+	case stateClosing:
+		s.closing++
+		_ = c.raw.SetReadDeadline(inThePast) // wakes awaitRequest
+	case stateLingering:
+		s.lingering = append(s.lingering, c)
+		if s.phase < phaseNotAccepting && len(s.lingering) > s.opt.Limits.maxLingering() {
+			s.lingering[0].transition(stateClosed) // it has had the longest time
+		}
+	case stateClosed:
+		_ = c.raw.Close()
+		delete(s.conns, c)
+		if s.phase >= phaseNotAccepting && len(s.conns) == 0 {
+			close(s.drained)
+		}
+	}
+	return true
+}
+
+// setState is transition for callers that don't hold the server's lock.
+func (c *conn) setState(to connState) bool {
+	c.server.mu.Lock()
+	defer c.server.mu.Unlock()
+	return c.transition(to)
+}
--- a/internal/frontend/web/export_test.go
+++ b/internal/frontend/web/export_test.go
@@ -5,64 +5,58 @@
 	"time"
 )
 
-// Says tells whether bytes wait.
-var Says = says
+// HasUnreadBytes is hasUnreadBytes.
+var HasUnreadBytes = hasUnreadBytes
 
-// Spared has a front that holds these connections, the first idle for longest, end one for room: its place, -1 for none.
-func Spared(raws ...net.Conn) int {
-	f := &Server{conns: map[*conn]bool{}, none: make(chan struct{})}
+// Evicted has a server that holds these connections, the first idle for longest, close one to make room: its index, -1
+// for none.
+func Evicted(raws ...net.Conn) int {
+	s := &Server{conns: map[*conn]bool{}, drained: make(chan struct{})}
 	now := time.Now()
 	var all []*conn
 	for i, raw := range raws {
-		c := &conn{front: f, raw: raw, state: idle, since: now.Add(time.Duration(i-len(raws)) * time.Second)}
+		c := &conn{server: s, raw: raw, state: stateIdle, since: now.Add(time.Duration(i-len(raws)) * time.Second)}
 		all = append(all, c)
-		f.conns[c] = true
+		s.conns[c] = true
 	}
-	f.spare(now, 0)
+	s.evict(now, 0)
 	for i, c := range all {
-		if c.state == dismissed {
+		if c.state == stateClosing {
 			return i
 		}
 	}
 	return -1
 }
 
-// StartOn starts a front on a listener.
-var StartOn = startOn
+// ServeListener starts a server on a listener.
+var ServeListener = serveListener
 
-// Dismissed tells how many connections are to go, and how many linger.
-func Dismissed(f *Server) (dismissed, lingering int) {
-	f.lock.Lock()
-	defer f.lock.Unlock()
-	return f.dismissed, len(f.lingers)
+// ClosingCounts returns how many connections are closing, and how many linger.
+func ClosingCounts(s *Server) (closing, lingering int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.closing, len(s.lingering)
 }
 
-// Lingering is how many may linger.
-func Lingering(l Limits) int { return l.lingering() }
+// MaxLingering is how many may linger.
+func MaxLingering(l Limits) int { return l.maxLingering() }
 
-// Idle tells how many connections are idle.
-func Idle(f *Server) (n int) {
-	f.lock.Lock()
-	defer f.lock.Unlock()
-	for c := range f.conns {
-		if c.state == idle {
-			n++
-		}
-	}
-	return n
-}
+// IdleCount returns how many connections are idle.
+func IdleCount(s *Server) int { return countInState(s, stateIdle) }
+
+// IsReading reports whether a request is being read.
+func IsReading(s *Server) bool { return countInState(s, stateReading) > 0 }
 
-// Reading tells whether a request is coming in.
-func Reading(f *Server) bool {
-	f.lock.Lock()
-	defer f.lock.Unlock()
-	for c := range f.conns {
-		if c.state == reading {
-			return true
+func countInState(s *Server, state connState) (count int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for c := range s.conns {
+		if c.state == state {
+			count++
 		}
 	}
-	return false
+	return count
 }
 
-// Answer is the message of a job's result.
-var Answer = answer
+// ResultResponse is the response for a request's result.
+var ResultResponse = resultResponse
--- a/internal/frontend/web/front_test.go
+++ b/internal/frontend/web/front_test.go
@@ -101,7 +101,7 @@
 	n := &nodes{out: map[string]*sent{}, seen: map[string]int{}, more: make(chan string, 1000)}
 	loop := gateway.Start(gateway.Options{Name: "n1", Seed: 1, Settings: c.Settings, QueueSize: 64, Clock: gateway.NewClock(), Nodes: n, Log: log,
 		CachedList: &endpoint.List{Nodes: []endpoint.Node{{Addr: "a:1", Zone: "z", Shard: 0}}}})
-	f := web.StartOn(on, web.Options{GatewayName: "n1", Loop: loop, Settings: c.Settings, Limits: l, Logger: log})
+	f := web.ServeListener(on, web.Options{GatewayName: "n1", Loop: loop, Settings: c.Settings, Limits: l, Logger: log})
 	t.Cleanup(func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
@@ -185,7 +185,7 @@
 			<-w.nodes.out[verb].off
 			continue
 		case "rests":
-			for n, _ := strconv.Atoi(verb); web.Idle(w.Server) < n; time.Sleep(time.Millisecond) {
+			for n, _ := strconv.Atoi(verb); web.IdleCount(w.Server) < n; time.Sleep(time.Millisecond) {
 			}
 			continue
 		case "conns":
@@ -364,7 +364,7 @@
 	never.send("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n")
 	never.expect(503, "health while it ends")
 	half.send(ask("half")[:len(ask("half"))-1])
-	for !web.Reading(w.Server) {
+	for !web.IsReading(w.Server) {
 		time.Sleep(time.Millisecond)
 	}
 	cancel()
@@ -457,14 +457,14 @@
 		defer s.Close()
 	}
 	io.WriteString(theirs[0], "PUT")
-	for !web.Says(ours[0]) {
+	for !web.HasUnreadBytes(ours[0]) {
 		time.Sleep(time.Millisecond)
 	}
-	if got := web.Spared(ours...); got != 1 {
+	if got := web.Evicted(ours...); got != 1 {
 		t.Errorf("the connection that goes is %d", got)
 	}
 	io.WriteString(theirs[1], "PUT") // ours has ended, so that only the first is there
-	if got := web.Spared(ours[0]); got != -1 {
+	if got := web.Evicted(ours[0]); got != -1 {
 		t.Errorf("the connection that goes is %d, where all have something to say", got)
 	}
 }
--- a/internal/frontend/web/golden_test.go
+++ b/internal/frontend/web/golden_test.go
@@ -147,7 +147,7 @@
 		{"completed without data", gateway.Result{State: scheduler.RequestSucceeded}},
 	} {
 		for _, last := range []bool{false, true} {
-			fmt.Fprintf(&record, "--- %s, last %v\n%s\n", c.name, last, web.Answer(c.result, last))
+			fmt.Fprintf(&record, "--- %s, last %v\n%s\n", c.name, last, web.ResultResponse(c.result, last))
 		}
 	}
 	golden(t, "results.txt", record.Bytes())
--- a/internal/frontend/web/linger.go
+++ b/internal/frontend/web/linger.go
@@ -7,42 +7,43 @@
 	"time"
 )
 
-// lastBytes is for how long a client may still send on a connection that has its last answer.
-const lastBytes = 200 * time.Millisecond
+// lingerTimeout is how long a client may still send on a connection that has its last response.
+const lingerTimeout = 200 * time.Millisecond
 
-// lingering is how many connections may linger at a time while others come; they come on top of Connections.
-func (l Limits) lingering() int { return max(l.MaxConnections/8, 1) }
+// lingerMessages is how many of the longest bodies a client may still send then.
+const lingerMessages = 4
 
-// linger is the one way in which the front closes a connection whose client is still there: it stops sending, lets what still comes go
-// by for a bounded time and size, and closes. A close on bytes that nobody has read would reset the connection and take the answer along.
-// Nothing that comes now is sent on.
+// linger closes a connection whose client is still there (lingering close, RFC 9112, 9.6): it closes the sending side,
+// discards what still arrives for a bounded time and size, and closes. Closing a socket with unread bytes would reset
+// the connection and could destroy the response. Nothing that arrives now is passed on.
 func (c *conn) linger() {
-	defer c.to(ended)
-	c.to(lingering)
+	defer c.setState(stateClosed)
+	c.setState(stateLingering)
 	if t, ok := c.raw.(interface{ CloseWrite() error }); ok {
-		t.CloseWrite()
+		_ = t.CloseWrite()
 	}
-	c.raw.SetReadDeadline(time.Now().Add(lastBytes))
-	io.CopyN(io.Discard, onlyReader{c.raw}, 4*c.front.opt.Limits.Message.MaxBodyBytes)
+	_ = c.raw.SetReadDeadline(time.Now().Add(lingerTimeout))
+	_, _ = io.CopyN(io.Discard, onlyReader{c.raw}, lingerMessages*c.server.opt.Limits.Message.MaxBodyBytes)
 }
 
-// onlyReader hides what else a connection can do, so that nothing is spliced.
+// onlyReader hides the other methods of a connection, so that io.Copy does not splice.
 type onlyReader struct{ io.Reader }
 
-// says tells whether a client's bytes wait in a connection's socket: it is neither idle nor silent then, only not read yet.
-func says(raw net.Conn) bool {
-	s, ok := raw.(syscall.Conn)
+// hasUnreadBytes reports whether bytes of the client wait in the connection's socket: it is not idle then, its request
+// has only not been read yet.
+func hasUnreadBytes(raw net.Conn) bool {
+	socket, ok := raw.(syscall.Conn)
 	if !ok {
 		return false
 	}
-	c, err := s.SyscallConn()
+	rawConn, err := socket.SyscallConn()
 	if err != nil {
 		return false
 	}
-	waits := false
-	c.Control(func(fd uintptr) {
+	unread := false
+	err = rawConn.Control(func(fd uintptr) {
 		n, _, err := syscall.Recvfrom(int(fd), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		waits = err == nil && n > 0
+		unread = err == nil && n > 0
 	})
-	return waits
+	return unread && err == nil
 }
--- a/internal/frontend/web/linger_test.go
+++ b/internal/frontend/web/linger_test.go
@@ -110,7 +110,7 @@
 			rests.expect(200, "before")
 			stop := func() {
 				go w.Shutdown(context.Background(), 0, 0)
-				for d, l := 0, 0; d+l == 0; d, l = web.Dismissed(w.Server) {
+				for d, l := 0, 0; d+l == 0; d, l = web.ClosingCounts(w.Server) {
 					time.Sleep(time.Millisecond)
 				}
 			}
@@ -120,7 +120,7 @@
 			} else {
 				on.at(c.step, func() {
 					rests.send(ask("2"))
-					for !web.Says(on.last) {
+					for !web.HasUnreadBytes(on.last) {
 						time.Sleep(time.Millisecond)
 					}
 				})
@@ -150,7 +150,7 @@
 	on.at("late", func() {
 		c := <-ready
 		c.send(ask("1"))
-		for !web.Says(on.last) {
+		for !web.HasUnreadBytes(on.last) {
 			time.Sleep(time.Millisecond)
 		}
 	})
@@ -197,7 +197,7 @@
 		}
 		defer c.Close()
 		(&client{c, bufio.NewReader(c), t}).expect(503, "one too many")
-		if conns, _ := w.Counts(); conns > 8+web.Lingering(l) {
+		if conns, _ := w.Counts(); conns > 8+web.MaxLingering(l) {
 			t.Fatalf("%d connections are held", conns)
 		}
 	}
--- /dev/null
+++ b/internal/frontend/web/response.go
@@ -0,0 +1,72 @@
+package web
+
+import (
+	"fmt"
+	"net/http"
+	"time"
+
+	"irispost/internal/gateway"
+	"irispost/internal/http1"
+	"irispost/scheduler"
+)
+
+// healthPath is where the platform checks a gateway's health.
+const healthPath = "/healthz"
+
+// Bodies of responses. Clients may parse them.
+var (
+	healthyBody  = []byte("ok\n")
+	rejectedBody = []byte("dismissed: trying again is harmless\n")
+	failedBody   = []byte("written off: it may have been done or not\n")
+)
+
+// resultResponse is the response for a request's result. last tells the client that the connection ends with it.
+func resultResponse(result gateway.Result, last bool) []byte {
+	var response *http1.MessageBuilder
+	body := result.Reply.Data
+	switch result.State {
+	case scheduler.RequestSucceeded:
+		response = http1.NewResponse(http.StatusOK)
+	case scheduler.RequestRejected:
+		response, body = http1.NewResponse(http.StatusServiceUnavailable), rejectedBody
+		if result.RetryAfter > 0 {
+			response.Field("Retry-After", retryAfter(result.RetryAfter))
+		}
+	default:
+		response, body = http1.NewResponse(http.StatusBadGateway), failedBody
+	}
+	if last {
+		response.Field("Connection", "close")
+	}
+	return response.Body(body, true)
+}
+
+// retryAfter writes a duration in seconds, rounded up to the millisecond.
+func retryAfter(wait time.Duration) string {
+	millis := (wait + time.Millisecond - 1) / time.Millisecond
+	return fmt.Sprintf("%d.%03d", millis/1000, millis%1000)
+}
+
+// rejection is the response to a request or connection that the front end does not pass on. The connection ends with
+// it.
+func rejection(status int, reason string) []byte {
+	return http1.NewResponse(status).Field("Connection", "close").Body([]byte(reason+"\n"), true)
+}
+
+// handleHealth answers a health check: the gateway is healthy until its shutdown begins.
+func (c *conn) handleHealth(request *http1.Request) (gone bool, err error) {
+	if request.Method != http.MethodGet || request.Framing.Bytes > 0 || request.Framing.Chunked {
+		return false, &http1.Error{Status: http.StatusMethodNotAllowed, Reason: "GET alone"}
+	}
+	c.server.mu.Lock()
+	draining := c.server.phase >= phaseDraining
+	c.server.mu.Unlock()
+	if draining {
+		return false, &http1.Error{Status: http.StatusServiceUnavailable, Reason: "the gateway ends"}
+	}
+	response := http1.NewResponse(http.StatusOK)
+	if request.Close {
+		response.Field("Connection", "close")
+	}
+	return c.respond(response.Body(healthyBody, true), request.Close)
+}
