--- a/internal/backend/webnode/client.go
+++ b/internal/backend/webnode/client.go
@@ -1,8 +1,12 @@
-// Package webnode is how a gateway talks HTTP/1.1 to storage nodes: one execution at a time on a connection, connections that
-// are kept, and what each execution came to. It sends nothing twice.
+// Package webnode is a gateway's client of the storage nodes that speak HTTP/1.1: it keeps connections, sends one
+// attempt at a time on each, and reports the outcome. It never sends an attempt twice. Package serve makes a Client,
+// and the gateway's loop calls it through the interface gateway.NodeClient.
 //
-// It is built on net and not on netpoll, which reads on into memory while nobody takes what it read: an answer that says it
-// has 3 GB has to stay in the socket.
+// A Client owns its connections, with a goroutine each that reads, and the attempts that wait for a connection; one
+// mutex guards them all.
+//
+// It is built on net and not on netpoll, which reads on into memory while nobody takes what it read: a response that
+// claims to have 3 GB has to stay in the socket.
 package webnode
 
 import (
@@ -18,103 +22,105 @@
 
 // Options are what a client is started with.
 type Options struct {
-	Host           string        // named in requests
-	ConnectTimeout time.Duration // a connection that is not up by then has failed
-	IdleTimeout    time.Duration // a connection that nobody has used for so long is closed
-	ReuseDelay     time.Duration // one that has brought an answer is not used again sooner
-	MaxConnections int           // connections open at a time, to all nodes
-	Bounds         http1.Limits
-	MaxLongBody    int64 // the longest body that is taken past the bound, which some nodes send
-	LongBodyBudget int64 // bytes of such bodies in memory at a time
+	Host           string        // Host field of requests
+	ConnectTimeout time.Duration // for a connection to come up, and for an attempt to wait until one may be opened
+	IdleTimeout    time.Duration // an idle connection is closed after it
+	ReuseDelay     time.Duration // a connection that brought a response is not reused sooner
+	MaxConnections int           // open at a time, to all nodes
+	Bounds         http1.Limits  // of one response
+	MaxLongBody    int64         // longest body accepted over Bounds, in bytes; some nodes send such
+	LongBodyBudget int64         // bytes of all such bodies in memory at a time
 }
 
-// Client holds a gateway's connections to its nodes.
+// Client holds a gateway's connections to its storage nodes.
 type Client struct {
-	opt    Options
-	lock   sync.Mutex
-	free   map[string][]*link // idle, the last used at the end
-	open   int                // links that hold a socket
-	coming map[*link]bool     // those that are dialling
-	wait   []*Attempt         // that have no socket yet
-	late   atomic.Int64
-	long   atomic.Int64 // bytes of long bodies in memory
-	closed chan struct{}
-	dial   func(ctx context.Context, network, addr string) (net.Conn, error)
+	opt           Options
+	dial          func(ctx context.Context, network, addr string) (net.Conn, error)
+	closed        chan struct{}
+	lateReplies   atomic.Int64
+	longBodyBytes atomic.Int64 // of long bodies that are in memory
+
+	mu        sync.Mutex         // guards all below, each connection's state and each attempt's
+	idle      map[string][]*conn // by address, the one used last at the end
+	openConns int                // including those that are being dialed
+	dialing   map[*conn]bool
+	waiting   []*Attempt // that have no connection yet, the first one first
 }
 
-// NewClient makes a client.
+// NewClient makes a client and starts its periodic work.
 func NewClient(opt Options) *Client {
-	c := &Client{opt: opt, free: map[string][]*link{}, coming: map[*link]bool{}, closed: make(chan struct{}), dial: (&net.Dialer{}).DialContext}
-	go c.sweep()
+	c := &Client{
+		opt:     opt,
+		dial:    (&net.Dialer{}).DialContext,
+		closed:  make(chan struct{}),
+		idle:    map[string][]*conn{},
+		dialing: map[*conn]bool{},
+	}
+	go c.expireLoop()
 	return c
 }
 
-const (
-	dialling linkState = iota
-	writing            // an execution's bytes are on their way
-	waiting            // they are written; the answer is awaited
-	idle
-	ended
-)
-
-// Start sends an execution. done is called at most once, from elsewhere, and not after CallOff.
+// Start sends an attempt to the node at an address. done is called at most once, on another goroutine, and not after
+// the attempt is cancelled.
 func (c *Client) Start(addr string, call *node.Call, done func(node.Reply)) node.Attempt {
-	s := &Attempt{client: c, addr: addr, call: call, done: done, began: time.Now()}
-	c.lock.Lock()
-	defer c.lock.Unlock()
-	c.start(s)
-	return s
+	a := &Attempt{client: c, addr: addr, call: call, done: done, startedAt: time.Now()}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.startOrWait(a)
+	return a
 }
 
-// start begins an execution, or has it wait for a socket; the lock is held.
-func (c *Client) start(s *Attempt) {
-	if !c.begin(s) {
-		s.until = time.Now().Add(c.opt.ConnectTimeout)
-		c.wait = append(c.wait, s)
+// startOrWait gives an attempt a connection, or has it wait for one. The caller holds the lock.
+func (c *Client) startOrWait(attempt *Attempt) {
+	if !c.assignConn(attempt) {
+		attempt.waitUntil = time.Now().Add(c.opt.ConnectTimeout)
+		c.waiting = append(c.waiting, attempt)
 	}
 }
 
-// begin gives an execution a link, if there is one to be had; the lock is held.
-func (c *Client) begin(s *Attempt) bool {
-	if l := c.rested(s.addr); l != nil {
-		l.move(writing)
-		l.out, l.wrote, s.link = s, make(chan struct{}), l
-		go l.reuse(s)
+// assignConn gives an attempt an idle connection, or else a new one. It returns false if neither can be had. The caller
+// holds the lock.
+func (c *Client) assignConn(attempt *Attempt) bool {
+	if idle := c.reusableConn(attempt.addr); idle != nil {
+		idle.transition(stateWriting)
+		idle.attempt, idle.written, attempt.conn = attempt, make(chan struct{}), idle
+		go idle.reuse(attempt)
 		return true
 	}
-	if c.open >= c.opt.MaxConnections && !c.spare() {
+	if c.openConns >= c.opt.MaxConnections && !c.closeOldestIdle() {
 		return false
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), c.opt.ConnectTimeout)
-	l := &link{client: c, addr: s.addr, out: s, cancel: cancel, wrote: make(chan struct{})}
-	s.link = l
-	c.open++
-	c.coming[l] = true
-	go l.dial(ctx)
+	fresh := &conn{client: c, addr: attempt.addr, attempt: attempt, cancelDial: cancel, written: make(chan struct{})}
+	attempt.conn = fresh
+	c.openConns++
+	c.dialing[fresh] = true
+	go fresh.connect(ctx)
 	return true
 }
 
-// admit starts those that wait for a socket, in order; the lock is held.
-func (c *Client) admit() {
-	for len(c.wait) > 0 && (c.wait[0].over || c.begin(c.wait[0])) {
-		c.wait = c.wait[1:]
+// startWaiting starts attempts that wait for a connection, in order, while there are connections to be had. The caller
+// holds the lock.
+func (c *Client) startWaiting() {
+	for len(c.waiting) > 0 && (c.waiting[0].finished || c.assignConn(c.waiting[0])) {
+		c.waiting = c.waiting[1:]
 	}
 }
 
-// LateReplies counts the answers that came after their execution was given up, and were dropped.
-func (c *Client) LateReplies() int64 { return c.late.Load() }
+// LateReplies returns how many replies arrived after their attempt had timed out, and were discarded.
+func (c *Client) LateReplies() int64 { return c.lateReplies.Load() }
 
-// ConnectionCounts tells how many connections are open or come up, and how many of them are idle.
+// ConnectionCounts returns how many connections are open or being dialed, and how many of them are idle.
 func (c *Client) ConnectionCounts() (open, idle int) {
-	c.lock.Lock()
-	defer c.lock.Unlock()
-	for _, list := range c.free {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, list := range c.idle {
 		idle += len(list)
 	}
-	return c.open, idle
+	return c.openConns, idle
 }
 
-// Close closes what is idle and stops the periodic work; executions that are out go on.
+// Close closes idle connections and stops the periodic work. Attempts in flight go on.
 func (c *Client) Close() {
 	close(c.closed)
 	c.Retain(nil)
--- a/internal/backend/webnode/exchange.go
+++ b/internal/backend/webnode/exchange.go
@@ -4,7 +4,7 @@
 	"bufio"
 	"errors"
 	"fmt"
-	"runtime"
+	"net/http"
 	"strconv"
 	"time"
 
@@ -12,148 +12,147 @@
 	"irispost/internal/http1"
 )
 
-// write sends an execution, unless its time to begin has gone by while the connection came up or was waited for.
-func (l *link) write(s *Attempt) {
-	c, call := l.client, s.call
-	gone := time.Since(s.began)
-	left := call.Timeout - gone
-	if left <= 0 || call.StartWithin > 0 && gone >= call.StartWithin {
-		l.unused()
-		s.finish(node.Reply{Outcome: node.ConnectFailed, Message: "its time to begin has gone by"})
+// Fields of a response that the gateway reads, in lower case.
+const (
+	fieldNotRun          = "x-not-run"
+	fieldServedElsewhere = "x-served-elsewhere"
+)
+
+// maxUnitsElsewhere bounds what a node may report to have served through other gateways.
+const maxUnitsElsewhere = 1e12
+
+// write sends an attempt, unless it is too late for it after the wait for a connection.
+func (c *conn) write(attempt *Attempt) {
+	call := attempt.call
+	elapsed := time.Since(attempt.startedAt)
+	timeLeft := call.Timeout - elapsed
+	if timeLeft <= 0 || call.StartWithin > 0 && elapsed >= call.StartWithin {
+		c.release()
+		attempt.fail(node.ConnectFailed, "too late to send")
 		return
 	}
-	w := http1.NewRequest(method(call.Op), call.Name).Field("Host", c.opt.Host).Field("X-Request-Id", call.IdempotencyKey).
-		Field("X-Deadline-Ms", strconv.FormatInt(max(left.Milliseconds(), 1), 10))
-	for i := 0; i+1 < len(call.Headers); i += 2 {
-		w.Field(call.Headers[i], call.Headers[i+1])
-	}
-	b := w.Body(call.Data, call.Op.Writes())
-	n, err := l.conn.Write(b)
-	defer close(l.wrote)
-	c.lock.Lock()
-	ended := l.state == ended
+	request := c.client.encodeRequest(call, timeLeft)
+	n, err := c.raw.Write(request)
+	defer close(c.written)
+	c.client.mu.Lock()
+	closed := c.state == stateClosed
 	switch {
 	case err != nil:
-		l.end()
-	case !ended:
-		l.move(waiting)
+		c.close()
+	case !closed:
+		c.transition(stateWaiting)
 	}
-	c.lock.Unlock()
+	c.client.mu.Unlock()
 	switch {
-	case err == nil && ended:
-		s.finish(node.Reply{Outcome: node.ConnectionReset, Message: "the connection ended while it was written to"})
-	case err != nil: // its last byte is not written, so it never ran
-		s.finish(node.Reply{Outcome: node.ConnectFailed, Message: fmt.Sprintf("%d of %d bytes written: %v", n, len(b), err)})
+	case err == nil && closed:
+		attempt.fail(node.ConnectionReset, "the connection was closed while the request was written")
+	case err != nil: // the node never got its last byte, so it never ran
+		attempt.fail(node.ConnectFailed, fmt.Sprintf("%d of %d bytes written: %v", n, len(request), err))
 	}
 }
 
-func method(o node.Operation) string {
-	if o.Writes() {
-		return "PUT"
+// encodeRequest writes a call as a request. timeLeft is how long the gateway waits for the response.
+func (c *Client) encodeRequest(call *node.Call, timeLeft time.Duration) []byte {
+	request := http1.NewRequest(method(call.Op), call.Name).
+		Field("Host", c.opt.Host).
+		Field("X-Request-Id", call.IdempotencyKey).
+		Field("X-Deadline-Ms", strconv.FormatInt(max(timeLeft.Milliseconds(), 1), 10))
+	for i := 0; i+1 < len(call.Headers); i += 2 {
+		request.Field(call.Headers[i], call.Headers[i+1])
 	}
-	return "GET"
+	return request.Body(call.Data, call.Op.Writes())
 }
 
-// allow takes a long body in, where there is room.
-func (c *Client) allow(bytes int64) bool {
-	if bytes > c.opt.MaxLongBody {
-		return false
+func method(op node.Operation) string {
+	if op.Writes() {
+		return http.MethodPut
 	}
-	if c.long.Add(bytes) > c.opt.LongBodyBudget {
-		c.long.Add(-bytes)
-		return false
-	}
-	return true
-}
-
-// freed gives a long body's room back once it is out of memory, whoever held it last.
-func (c *Client) freed(body []byte) {
-	runtime.AddCleanup(&body[0], func(n int64) { c.long.Add(-n) }, int64(len(body)))
+	return http.MethodGet
 }
 
-// read takes in what the node sends, for as long as the connection lasts.
-func (l *link) read() {
-	c := l.client
-	r := bufio.NewReaderSize(l.conn, http1.MaxLineBytes)
+// readLoop reads what the node sends, for as long as the connection is open.
+func (c *conn) readLoop() {
+	reader := bufio.NewReaderSize(c.raw, http1.MaxLineBytes)
 	for {
-		_, err := r.Peek(1)
-		c.lock.Lock()
-		if err == nil && l.state == writing { // an answer can be here before who wrote is back from the socket
-			wrote := l.wrote
-			c.lock.Unlock()
-			<-wrote
-			c.lock.Lock()
-		}
-		s, state := l.out, l.state
-		if err != nil || state != waiting { // the end, or bytes that nobody waits for
-			l.end()
-			c.lock.Unlock()
-			if state == waiting { // else who writes finds the link ended
-				s.finish(node.Reply{Outcome: node.ConnectionReset, Message: err.Error()})
-			}
+		attempt, ok := c.awaitResponse(reader)
+		if !ok {
 			return
 		}
-		c.lock.Unlock()
-		asked := int64(0)
-		bounds := c.opt.Bounds
-		bounds.MaxLongBody = c.opt.MaxLongBody
-		bounds.AdmitLongBody = func(bytes int64) bool {
-			ok := c.allow(bytes)
-			if ok {
-				asked = bytes
-			}
-			return ok
-		}
-		a, err := http1.ReadResponse(r, bounds)
-		switch {
-		case asked > 0 && err == nil:
-			c.long.Add(int64(len(a.Body)) - asked) // where its length was not stated, the most was asked for
-			c.freed(a.Body)
-		case asked > 0:
-			c.long.Add(-asked)
-		}
-		answer := outcome(a, err)
-		c.lock.Lock()
-		switch {
-		case l.state == ended:
-		case err != nil || a.Close || r.Buffered() > 0: // what comes after an answer is nobody's
-			l.end()
-		default:
-			l.move(idle)
-			c.admit()
-		}
-		over := l.state == ended
-		c.lock.Unlock()
-		s.finish(answer)
-		if over {
+		response, err := c.client.readResponse(reader)
+		reply := toReply(response, err)
+		reusable := err == nil && !response.Close && reader.Buffered() == 0 // what follows a response belongs to nobody
+		closed := c.endExchange(reusable)
+		attempt.finish(reply)
+		if closed {
 			return
 		}
 	}
 }
 
-// outcome reads what an execution came to.
-func outcome(a *http1.Response, err error) node.Reply {
+// awaitResponse waits for the first byte of a response and returns the attempt that it belongs to. It returns false if
+// the connection ends, or brings bytes that no attempt waits for.
+func (c *conn) awaitResponse(reader *bufio.Reader) (attempt *Attempt, ok bool) {
+	client := c.client
+	_, err := reader.Peek(1)
+	client.mu.Lock()
+	if err == nil && c.state == stateWriting { // a response can be here before the writer is back from the socket
+		written := c.written
+		client.mu.Unlock()
+		<-written
+		client.mu.Lock()
+	}
+	attempt, state := c.attempt, c.state
+	if err == nil && state == stateWaiting {
+		client.mu.Unlock()
+		return attempt, true
+	}
+	c.close()
+	client.mu.Unlock()
+	if state == stateWaiting { // in another state the writer finds the connection closed
+		attempt.fail(node.ConnectionReset, err.Error())
+	}
+	return nil, false
+}
+
+// endExchange makes a connection idle after a response, or closes it. It reports whether it is closed.
+func (c *conn) endExchange(reusable bool) (closed bool) {
+	c.client.mu.Lock()
+	defer c.client.mu.Unlock()
+	switch {
+	case c.state == stateClosed:
+	case !reusable:
+		c.close()
+	default:
+		c.transition(stateIdle)
+		c.client.startWaiting()
+	}
+	return c.state == stateClosed
+}
+
+// toReply translates a response, or the failure to read one, into the outcome of an attempt.
+func toReply(response *http1.Response, err error) node.Reply {
 	if err != nil {
-		var wrong *http1.Error
-		if errors.As(err, &wrong) {
-			return node.Reply{Outcome: node.Failed, Message: "a spoilt answer: " + err.Error()}
+		var malformed *http1.Error
+		if errors.As(err, &malformed) {
+			return node.Reply{Outcome: node.Failed, Message: "malformed response: " + err.Error()}
 		}
 		return node.Reply{Outcome: node.ConnectionReset, Message: err.Error()}
 	}
-	never, _ := a.Fields.Get("x-not-run")
-	n := node.Reply{Outcome: node.Failed, Message: fmt.Sprintf("status %d", a.Status)}
+	notRun, _ := response.Fields.Get(fieldNotRun)
+	reply := node.Reply{Outcome: node.Failed, Message: fmt.Sprintf("status %d", response.Status)}
 	switch {
-	case a.Status == 200:
-		n = node.Reply{Outcome: node.Executed, Data: a.Body}
-	case a.Status == 503 && never == "1":
-		n.Outcome = node.QueueFull
-	case a.Status == 504 && never == "1":
-		n.Outcome = node.WrongShard
+	case response.Status == http.StatusOK:
+		reply = node.Reply{Outcome: node.Executed, Data: response.Body}
+	case response.Status == http.StatusServiceUnavailable && notRun == "1":
+		reply.Outcome = node.QueueFull
+	case response.Status == http.StatusGatewayTimeout && notRun == "1":
+		reply.Outcome = node.WrongShard
 	}
-	if v, ok := a.Fields.Get("x-served-elsewhere"); ok {
-		if f, err := strconv.ParseFloat(v, 64); err == nil && f > 0 && f < 1e12 { // one that can't be read changes nothing
-			n.UnitsElsewhere = f
+	if text, ok := response.Fields.Get(fieldServedElsewhere); ok {
+		units, err := strconv.ParseFloat(text, 64)
+		if err == nil && units > 0 && units < maxUnitsElsewhere { // any other value is ignored
+			reply.UnitsElsewhere = units
 		}
 	}
-	return n
+	return reply
 }
--- a/internal/backend/webnode/order_test.go
+++ b/internal/backend/webnode/order_test.go
@@ -122,7 +122,7 @@
 func TestTimesCountAtTheWrite(t *testing.T) {
 	p, c := newPeer(t), client(t, 10, nil)
 	const late = 20 * time.Millisecond
-	webnode.Dialled(c, func(ctx context.Context, network, addr string) (net.Conn, error) {
+	webnode.SetDial(c, func(ctx context.Context, network, addr string) (net.Conn, error) {
 		time.Sleep(late) // at least
 		return net.Dial(network, addr)
 	})
@@ -152,7 +152,7 @@
 	first := p.accept()
 	first.take()
 	up := make(chan bool)
-	webnode.Dialled(c, func(ctx context.Context, network, addr string) (net.Conn, error) {
+	webnode.SetDial(c, func(ctx context.Context, network, addr string) (net.Conn, error) {
 		<-up // it comes up in the end, whatever the context says
 		return net.Dial(network, addr)
 	})
@@ -183,7 +183,7 @@
 func TestCallOffAgainstWrite(t *testing.T) {
 	p, c := newPeer(t), client(t, 10, nil)
 	off := make(chan node.Attempt)
-	webnode.Dialled(c, func(ctx context.Context, network, addr string) (net.Conn, error) {
+	webnode.SetDial(c, func(ctx context.Context, network, addr string) (net.Conn, error) {
 		conn, err := net.Dial(network, addr)
 		(<-off).Cancel() // between the connection and the write
 		return conn, err
@@ -193,7 +193,7 @@
 	if p.accept().take() != nil {
 		t.Error("called off before the write, it was sent")
 	}
-	webnode.Dialled(c, func(ctx context.Context, network, addr string) (net.Conn, error) { // never comes up
+	webnode.SetDial(c, func(ctx context.Context, network, addr string) (net.Conn, error) { // never comes up
 		<-ctx.Done()
 		return nil, ctx.Err()
 	})
--- a/internal/backend/webnode/reuse_test.go
+++ b/internal/backend/webnode/reuse_test.go
@@ -17,21 +17,21 @@
 	defer l.Close()
 	c := NewClient(Options{ConnectTimeout: time.Minute, IdleTimeout: time.Minute, MaxConnections: 1})
 	defer c.Close()
-	conn, err := net.Dial("tcp", l.Addr().String())
+	raw, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	peer, _ := l.Accept()
-	kept := &link{client: c, addr: l.Addr().String(), conn: conn, state: writing, cancel: func() {}} // with no reader
-	c.lock.Lock()
-	c.open = 1
-	kept.move(idle)
-	c.lock.Unlock()
-	if !kept.clean() {
+	kept := &conn{client: c, addr: l.Addr().String(), raw: raw, state: stateWriting, cancelDial: func() {}} // with no reader
+	c.mu.Lock()
+	c.openConns = 1
+	kept.transition(stateIdle)
+	c.mu.Unlock()
+	if !kept.isQuiet() {
 		t.Error("a quiet connection is not clean")
 	}
 	peer.Write([]byte("HTTP/1.1 200 OK\r\n"))
-	for kept.clean() {
+	for kept.isQuiet() {
 		time.Sleep(time.Millisecond)
 	}
 	c.Start(l.Addr().String(), &node.Call{Op: node.GetObject, Name: "/"}, func(node.Reply) {})
