--- a/internal/backend/webnode/client_test.go
+++ b/internal/backend/webnode/client_test.go
@@ -37,11 +37,8 @@
 // there are never more connections than may be.
 func TestAnyMix(t *testing.T) {
 	testkit.SameSeeds(t)
-	var names []string
-	for _, name := range []string{"served", "held", "close", "elsewhere", "oddreport", "hints", "twice", "error", "full", "over", "busy", "reset", "half",
-		"noise", "huge", "open", "opencut", "halfline", "halfhead"} {
-		names = append(names, name)
-	}
+	names := []string{"served", "held", "close", "elsewhere", "oddreport", "hints", "twice", "error", "full", "over",
+		"busy", "reset", "half", "noise", "huge", "open", "opencut", "halfline", "halfhead"}
 	rapid.Check(t, func(r *rapid.T) {
 		s, most := webstandin.Start(t), rapid.IntRange(1, 4).Draw(r, "most")
 		c := client(t, most, nil)
@@ -114,7 +111,9 @@
 	_, done := ask(idle, s, "served-3")
 	<-done
 	<-s.Gone // it is closed though the node keeps it
-	s.Close()
+	if err := s.Close(); err != nil {
+		t.Error(err)
+	}
 	if _, done := ask(idle, s, "served-4"); (<-done).Outcome != node.ConnectFailed {
 		t.Error("a node that refuses, and the outcome is another")
 	}
--- a/internal/backend/webnode/order_test.go
+++ b/internal/backend/webnode/order_test.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close() })
+	t.Cleanup(func() { _ = l.Close() })
 	return &peer{l, t}
 }
 
@@ -40,7 +40,7 @@
 	if err != nil {
 		p.t.Fatal(err)
 	}
-	p.t.Cleanup(func() { c.Close() })
+	p.t.Cleanup(func() { _ = c.Close() })
 	return &line{c, bufio.NewReader(c)}
 }
 
@@ -54,7 +54,7 @@
 }
 
 func (l *line) answer(text string) {
-	io.WriteString(l, "HTTP/1.1 200 OK\r\nContent-Length: "+strconv.Itoa(len(text))+"\r\n\r\n"+text)
+	_, _ = io.WriteString(l, "HTTP/1.1 200 OK\r\nContent-Length: "+strconv.Itoa(len(text))+"\r\n\r\n"+text)
 }
 
 func send(c *webnode.Client, p *peer, call node.Call) (node.Attempt, chan node.Reply) {
@@ -104,7 +104,7 @@
 		var l *line
 		if i == 0 {
 			l = p.accept()
-			defer func() { p.Close() }()
+			defer func() { _ = p.Close() }()
 			go func() {
 				for l.take() != nil {
 					l.answer("x")
@@ -122,7 +122,7 @@
 func TestTimesCountAtTheWrite(t *testing.T) {
 	p, c := newPeer(t), client(t, 10, nil)
 	const late = 20 * time.Millisecond
-	webnode.SetDial(c, func(ctx context.Context, network, addr string) (net.Conn, error) {
+	webnode.SetDial(c, func(_ context.Context, network, addr string) (net.Conn, error) {
 		time.Sleep(late) // at least
 		return net.Dial(network, addr)
 	})
@@ -152,7 +152,7 @@
 	first := p.accept()
 	first.take()
 	up := make(chan bool)
-	webnode.SetDial(c, func(ctx context.Context, network, addr string) (net.Conn, error) {
+	webnode.SetDial(c, func(_ context.Context, network, addr string) (net.Conn, error) {
 		<-up // it comes up in the end, whatever the context says
 		return net.Dial(network, addr)
 	})
@@ -183,7 +183,7 @@
 func TestCallOffAgainstWrite(t *testing.T) {
 	p, c := newPeer(t), client(t, 10, nil)
 	off := make(chan node.Attempt)
-	webnode.SetDial(c, func(ctx context.Context, network, addr string) (net.Conn, error) {
+	webnode.SetDial(c, func(_ context.Context, network, addr string) (net.Conn, error) {
 		conn, err := net.Dial(network, addr)
 		(<-off).Cancel() // between the connection and the write
 		return conn, err
@@ -193,7 +193,7 @@
 	if p.accept().take() != nil {
 		t.Error("called off before the write, it was sent")
 	}
-	webnode.SetDial(c, func(ctx context.Context, network, addr string) (net.Conn, error) { // never comes up
+	webnode.SetDial(c, func(ctx context.Context, _, _ string) (net.Conn, error) { // never comes up
 		<-ctx.Done()
 		return nil, ctx.Err()
 	})
--- a/internal/backend/webnode/reuse_test.go
+++ b/internal/backend/webnode/reuse_test.go
@@ -14,7 +14,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
+	defer func() { _ = l.Close() }()
 	c := NewClient(Options{ConnectTimeout: time.Minute, IdleTimeout: time.Minute, MaxConnections: 1})
 	defer c.Close()
 	raw, err := net.Dial("tcp", l.Addr().String())
@@ -30,7 +30,9 @@
 	if !kept.isQuiet() {
 		t.Error("a quiet connection is not clean")
 	}
-	peer.Write([]byte("HTTP/1.1 200 OK\r\n"))
+	if _, err := peer.Write([]byte("HTTP/1.1 200 OK\r\n")); err != nil {
+		t.Fatal(err)
+	}
 	for kept.isQuiet() {
 		time.Sleep(time.Millisecond)
 	}
@@ -38,7 +40,7 @@
 	if fresh, err := l.Accept(); err != nil { // it takes another
 		t.Error(err)
 	} else {
-		fresh.Close()
+		_ = fresh.Close()
 	}
 	if n, err := peer.Read(make([]byte, 1)); n > 0 || err == nil {
 		t.Error("the kept connection was written to")
--- a/internal/frontend/web/front_test.go
+++ b/internal/frontend/web/front_test.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"log/slog"
@@ -122,7 +123,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close() })
+	t.Cleanup(func() { _ = c.Close() })
 	return &client{c, bufio.NewReader(c), t}
 }
 
@@ -131,7 +132,8 @@
 		"X-Deadline-Ms: 120000\r\nContent-Length: 4\r\nX-IO: volume=00000003b4d60021,units=2,shard=0,hosts=3\r\n\r\nbody"
 }
 
-func (c *client) send(text string) { io.WriteString(c, text) }
+// send sends a text. The front end may have closed the connection already, which the next read shows.
+func (c *client) send(text string) { _, _ = io.WriteString(c, text) }
 
 // read reads an answer; its status is 0 when the connection ended.
 func (c *client) read() (status int, head http.Header, body string) {
@@ -139,6 +141,7 @@
 	if err != nil {
 		return 0, nil, ""
 	}
+	defer func() { _ = a.Body.Close() }()
 	b, err := io.ReadAll(a.Body)
 	if err != nil {
 		return 0, nil, ""
@@ -222,10 +225,12 @@
 			ids[name] = append(ids[name], "")
 		case "dial":
 		case "close":
-			c.Close()
+			_ = c.Close()
 		case "reset":
-			c.Conn.(*net.TCPConn).SetLinger(0)
-			c.Close()
+			if err := c.Conn.(*net.TCPConn).SetLinger(0); err != nil {
+				t.Fatal(err)
+			}
+			_ = c.Close()
 		case "noise":
 			n, _ := strconv.Atoi(words[2])
 			c.send(strings.Repeat("n", n))
@@ -348,7 +353,7 @@
 		if err != nil {
 			break
 		}
-		conn.Close()
+		_ = conn.Close()
 	}
 	c.send(ask("2"))
 	c.expect(200, "while it ends")
@@ -369,7 +374,7 @@
 	}
 	cancel()
 	half.expect(408, "what has not come in whole")
-	if err := half.end(); err != io.EOF {
+	if err := half.end(); !errors.Is(err, io.EOF) {
 		t.Errorf("its connection ends with %v", err)
 	}
 	late.expect(502, "what is out at the end")
@@ -397,7 +402,7 @@
 			noise := rapid.SliceOfN(rapid.Byte(), 0, 100).Draw(r, "noise")
 			c := w.dial(t)
 			wait.Go(func() {
-				defer c.Close()
+				defer func() { _ = c.Close() }()
 				switch kind {
 				case 0: // in two pieces
 					c.send(ask(id)[:cut])
@@ -408,14 +413,14 @@
 				case 1: // half of it
 					c.send(ask(id)[:cut])
 				case 2: // noise, then an end
-					c.Write(append(noise, "\r\n\r\n"...))
+					c.send(string(noise) + "\r\n\r\n")
 					if status, _, _ := c.read(); status == 200 {
 						t.Errorf("noise %q is served", noise)
 					}
 				case 3: // goes at once
 					c.send(ask(id))
 				default: // a good one, with noise behind it
-					c.Write(append([]byte(ask(id)), "\x00\r\n\r\n"...))
+					c.send(ask(id) + "\x00\r\n\r\n")
 					if status, _, body := c.read(); (status != 200 || body != id+served) && status != 503 {
 						t.Errorf("%s: %d %q", id, status, body)
 					}
@@ -441,7 +446,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
+	defer func() { _ = l.Close() }()
 	var ours, theirs []net.Conn
 	for range 2 {
 		c, err := net.Dial("tcp", l.Addr().String())
@@ -453,18 +458,25 @@
 			t.Fatal(err)
 		}
 		ours, theirs = append(ours, s), append(theirs, c)
-		defer c.Close()
-		defer s.Close()
+		t.Cleanup(func() { _, _ = c.Close(), s.Close() })
 	}
-	io.WriteString(theirs[0], "PUT")
+	write(t, theirs[0], "PUT")
 	for !web.HasUnreadBytes(ours[0]) {
 		time.Sleep(time.Millisecond)
 	}
 	if got := web.Evicted(ours...); got != 1 {
 		t.Errorf("the connection that goes is %d", got)
 	}
-	io.WriteString(theirs[1], "PUT") // ours has ended, so that only the first is there
+	write(t, theirs[1], "PUT") // ours has ended, so that only the first is there
 	if got := web.Evicted(ours[0]); got != -1 {
 		t.Errorf("the connection that goes is %d, where all have something to say", got)
 	}
 }
+
+// write writes to a connection that is open.
+func write(t testing.TB, c net.Conn, text string) {
+	t.Helper()
+	if _, err := io.WriteString(c, text); err != nil {
+		t.Error(err)
+	}
+}
--- a/internal/frontend/web/linger_test.go
+++ b/internal/frontend/web/linger_test.go
@@ -129,7 +129,7 @@
 			if c.served {
 				rests.expect(200, "a request that had come in")
 			}
-			if err := rests.end(); err != io.EOF {
+			if err := rests.end(); !errors.Is(err, io.EOF) {
 				t.Errorf("the connection ends with %v", err)
 			}
 			for conns := 1; conns > 0; conns, _ = w.Counts() {
@@ -172,7 +172,7 @@
 		if status, _, _ := c.read(); status == 0 {
 			t.Errorf("%q: no answer", last[:12])
 		}
-		if err := c.end(); err != io.EOF {
+		if err := c.end(); !errors.Is(err, io.EOF) {
 			t.Errorf("%q: the connection ends with %v", last[:12], err)
 		}
 	}
@@ -195,7 +195,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
+		defer func() { _ = c.Close() }()
 		(&client{c, bufio.NewReader(c), t}).expect(503, "one too many")
 		if conns, _ := w.Counts(); conns > 8+web.MaxLingering(l) {
 			t.Fatalf("%d connections are held", conns)
@@ -217,7 +217,7 @@
 	<-read
 	w.nodes.out["x"].serve()
 	c.expect(200, "what is due")
-	if err := c.end(); err != io.EOF {
+	if err := c.end(); !errors.Is(err, io.EOF) {
 		t.Errorf("the connection ends with %v", err)
 	}
 	w.nodes.lock.Lock()
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -57,10 +57,10 @@
 			t.Errorf("%s: %v, not %d", name, err, c.status)
 		}
 	}
-	if _, err := http1.ReadRequest(reader("GET / HTTP/1.1\r\nHo"), http1.DefaultLimits); err != io.ErrUnexpectedEOF {
+	if _, err := http1.ReadRequest(reader("GET / HTTP/1.1\r\nHo"), http1.DefaultLimits); !errors.Is(err, io.ErrUnexpectedEOF) {
 		t.Errorf("a head that is cut off: %v", err)
 	}
-	if _, err := http1.ReadRequest(reader(""), http1.DefaultLimits); err != io.EOF {
+	if _, err := http1.ReadRequest(reader(""), http1.DefaultLimits); !errors.Is(err, io.EOF) {
 		t.Errorf("an end between two requests: %v", err)
 	}
 }
--- a/internal/serve/admin_test.go
+++ b/internal/serve/admin_test.go
@@ -30,7 +30,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer r.Body.Close()
+	defer func() { _ = r.Body.Close() }()
 	b, err := io.ReadAll(r.Body)
 	if err != nil || r.StatusCode != http.StatusOK {
 		t.Fatalf("%d, %v: %s", r.StatusCode, err, b)
@@ -45,7 +45,7 @@
 	socket := filepath.Join(dir, "admin.sock")
 	conf := strings.Replace(testkit.Conf, "gateways = 2\n", "gateways = 2\n  admin = \""+socket+"\"\n", 1)
 	w := testkit.Start(t, conf, 2, 1, func(o *standin.Options) { o.Unit = 100 * time.Microsecond })
-	w.Nodes[0].Command("fail 0.3")
+	command(t, w.Nodes[0], "fail 0.3")
 	stop := make(chan struct{})
 	var all sync.WaitGroup
 	for i := range 3 {
@@ -59,8 +59,8 @@
 					return
 				default:
 					path := "/meals/f" + string(rune('a'+i))
-					put(c, path, random(n, 100_000))
-					get(c, path)
+					_ = put(c, path, random(n, 100_000)) // may be rejected: a node fails
+					_, _ = get(c, path)
 				}
 			}
 		}()
@@ -113,7 +113,9 @@
 			t.Fatal(err)
 		}
 		report, err := replay.Run(r.Next, replay.Options{})
-		f.Close()
+		if err := f.Close(); err != nil {
+			t.Error(err)
+		}
 		if err != nil || !report.Same() || report.State != replay.Ended || report.Decisions < 100 {
 			t.Errorf("%v after %d decisions, %v, %+v", report.State, report.Decisions, err, report.Difference)
 		}
@@ -124,7 +126,9 @@
 		t.Errorf("a socket that is served: %v", err)
 	}
 	other := filepath.Join(dir, "file")
-	os.WriteFile(other, nil, 0o644)
+	if err := os.WriteFile(other, nil, 0o644); err != nil {
+		t.Fatal(err)
+	}
 	if _, err := admin.Listen(other, w.Gateways[0]); err == nil || !strings.Contains(err.Error(), "another kind") {
 		t.Errorf("a socket in place of a file: %v", err)
 	}
--- a/internal/serve/disk_test.go
+++ b/internal/serve/disk_test.go
@@ -57,7 +57,7 @@
 	return testkit.Start(t, testkit.Conf+disks, shards, gateways, change)
 }
 
-func dialDisk(t testing.TB, w *testkit.Town, gateway int, change func(*initiator.Options)) initiator.Options {
+func dialDisk(_ testing.TB, w *testkit.Town, gateway int, change func(*initiator.Options)) initiator.Options {
 	o := initiator.Options{Address: w.Gateways[gateway].ISCSI.Addr(), Name: "iqn.2026-01.example:host", Target: iqn}
 	if change != nil {
 		change(&o)
@@ -71,7 +71,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { d.Close() })
+	t.Cleanup(func() { _ = d.Close() })
 	return d
 }
 
@@ -187,7 +187,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.Close()
+	defer func() { _ = s.Close() }()
 	for name, c := range map[string]struct {
 		lun   uint16
 		cdb   []byte
@@ -258,7 +258,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.Write(b)
+		_, _ = c.Write(b) // the target may have closed the connection already
 		return c
 	}
 	var silent []net.Conn
@@ -267,13 +267,15 @@
 	}
 	closed := func(what string, c net.Conn) {
 		t.Helper()
-		c.SetReadDeadline(time.Now().Add(farOff))
+		if err := c.SetReadDeadline(time.Now().Add(farOff)); err != nil {
+			t.Fatal(err)
+		}
 		for b := make([]byte, 4096); ; {
 			if _, err := c.Read(b); err != nil {
-				if ne, ok := err.(net.Error); ok && ne.Timeout() {
+				if timeout := net.Error(nil); errors.As(err, &timeout) && timeout.Timeout() {
 					t.Errorf("%s is not closed", what)
 				}
-				c.Close()
+				_ = c.Close()
 				return
 			}
 		}
@@ -342,7 +344,7 @@
 	}
 	for range 5 {
 		time.Sleep(50 * time.Millisecond)
-		w.Nodes[0].Command("reset")
+		command(t, w.Nodes[0], "reset")
 	}
 	all.Wait()
 }
--- a/internal/serve/faults_test.go
+++ b/internal/serve/faults_test.go
@@ -40,7 +40,7 @@
 			path, data := fmt.Sprintf("/meals/f%d", i), random(uint64(i), 50_000*(i+1))
 			testkit.Again(t, "put", func() error { return put(a, path, data) })
 			if i == 3 {
-				w.Nodes[1].Command("reset")
+				command(t, w.Nodes[1], "reset")
 			}
 			testkit.Again(t, "get", func() error {
 				got, err := get(b, path)
@@ -93,7 +93,9 @@
 		}
 	}
 	for _, g := range w.Gateways { // what was dropped is dropped by duties
-		g.Frontend.Drain(context.Background())
+		if err := g.Frontend.Drain(context.Background()); err != nil {
+			t.Error(err)
+		}
 	}
 	if n := w.Stores[0].Objects() + w.Stores[1].Objects(); n != 0 {
 		t.Errorf("%d objects are left over", n)
@@ -153,9 +155,11 @@
 	if err := put(b, "/meals/f", bytes.Repeat([]byte{'2'}, 1000)); err != nil {
 		t.Fatal(err)
 	}
-	w.Gateways[1].Frontend.Drain(context.Background()) // the old object is gone
+	if err := w.Gateways[1].Frontend.Drain(context.Background()); err != nil { // after it the old object is deleted
+		t.Error(err)
+	}
 	got := make([]byte, 1000)
-	if _, err := f.ReadAt(got, 0); err != nil && err != io.EOF || bytes.Count(got, []byte{'2'}) != 1000 {
+	if _, err := f.ReadAt(got, 0); err != nil && !errors.Is(err, io.EOF) || bytes.Count(got, []byte{'2'}) != 1000 {
 		t.Errorf("%q..., %v", got[:10], err)
 	}
 }
@@ -172,7 +176,7 @@
 		}
 	}
 	for _, n := range w.Nodes {
-		n.Command("fail 0.1")
+		command(t, n, "fail 0.1")
 	}
 	var all sync.WaitGroup
 	for c, rename := range clients {
@@ -181,13 +185,13 @@
 			defer all.Done()
 			r := rand.New(rand.NewPCG(uint64(c), 9))
 			for range 60 {
-				rename(fmt.Sprintf("/meals/n%d", r.IntN(names)), fmt.Sprintf("/meals/n%d", r.IntN(names)))
+				_ = rename(fmt.Sprintf("/meals/n%d", r.IntN(names)), fmt.Sprintf("/meals/n%d", r.IntN(names)))
 			}
 		}()
 	}
 	all.Wait()
 	for _, n := range w.Nodes {
-		n.Command("well")
+		command(t, n, "well")
 	}
 	found := map[string]int{}
 	for i := range names {
@@ -227,7 +231,7 @@
 			files[1] = path
 		}
 	}
-	w.Nodes[0].Command("hang")
+	command(t, w.Nodes[0], "hang")
 	if _, err := c.Stat(files[0]); err == nil || !strings.Contains(err.Error(), "dismissed") {
 		t.Errorf("a read at a node that hangs: %v", err)
 	}
@@ -240,8 +244,8 @@
 	l := w.List()
 	l.Nodes[0].Health = endpoint.Draining
 	w.Tell(l)
-	w.Nodes[0].Command("well")
-	c.Stat(files[1]) // the list was told before this
+	command(t, w.Nodes[0], "well")
+	_, _ = c.Stat(files[1]) // the list was told before this
 	before := w.Nodes[0].Got()
 	if _, err := c.Stat(files[0]); err == nil {
 		t.Error("a node that drains serves")
@@ -261,7 +265,7 @@
 		conn.hello()
 		handle := conn.open("/meals/f", sftp.FlagWrite|sftp.FlagCreate)
 		if hang {
-			w.Nodes[0].Command("hang")
+			command(t, w.Nodes[0], "hang")
 		}
 		got := w.Nodes[0].Got()
 		conn.send(sftp.Write, func(p *sftp.Packet) { p.Text(handle).Uint64(0).Tail(make([]byte, 32<<10)) })
@@ -321,7 +325,7 @@
 		if !strings.Contains(name, "INIT") && !strings.Contains(name, "version") {
 			conn.hello()
 		}
-		conn.raw.Write(bytes)
+		_, _ = conn.raw.Write(bytes) // the gateway may have closed the connection already
 		if n, err := conn.raw.Read(make([]byte, 1)); err == nil {
 			t.Errorf("%s: the connection goes on with %d bytes", name, n)
 		}
@@ -336,9 +340,9 @@
 				b[i] = byte(r.Uint32())
 			}
 			b[0], b[1], b[2], b[3] = 0, 0, 0, byte(len(b)-4)
-			conn.raw.Write(b)
+			_, _ = conn.raw.Write(b) // as above
 		}
-		conn.raw.Close()
+		_ = conn.raw.Close()
 	}
 	if err := put(other, "/meals/fine", random(1, 1000)); err != nil {
 		t.Errorf("another connection: %v", err)
@@ -393,7 +397,7 @@
 	if code, text := conn.status(); code != sftp.Failure || !strings.Contains(text, "3 handles") {
 		t.Errorf("a handle too many: %v %q", code, text)
 	}
-	w.Nodes[0].Command("hang")
+	command(t, w.Nodes[0], "hang")
 	got := w.Nodes[0].Got()
 	for range 5 {
 		conn.send(sftp.Stat, func(p *sftp.Packet) { p.Text("/meals/f0") })
@@ -405,7 +409,7 @@
 	if f.InFlight != 2 {
 		t.Errorf("%d jobs are held, 2 requests may be out", f.InFlight)
 	}
-	w.Nodes[0].Command("well")
+	command(t, w.Nodes[0], "well")
 	for range 5 {
 		if f := conn.next(); f.Type != sftp.Attributes {
 			t.Errorf("type %d", f.Type)
@@ -480,7 +484,7 @@
 	ahead := dialRaw(t, w, 0)
 	ahead.hello()
 	handle := ahead.open("/meals/g", sftp.FlagWrite|sftp.FlagCreate)
-	w.Nodes[0].Command("hang")
+	command(t, w.Nodes[0], "hang")
 	packet := sftp.New(sftp.Write, 9).Text(handle).Uint64(0).Tail(make([]byte, 60_000))
 	err := error(nil)
 	for i := 0; err == nil; i++ {
@@ -488,7 +492,7 @@
 			t.Fatal("120 MB are taken ahead of their answers")
 		}
 	}
-	w.Nodes[0].Command("well")
+	command(t, w.Nodes[0], "well")
 	unread := dialRaw(t, w, 0)
 	unread.hello()
 	handle = unread.open("/meals/f", sftp.FlagRead)
@@ -542,14 +546,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.SetDeadline(time.Now().Add(time.Minute))
-	t.Cleanup(func() { c.Close() })
+	if err := c.SetDeadline(time.Now().Add(time.Minute)); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = c.Close() })
 	return &raw{t: t, raw: c}
 }
 
 func (c *raw) hello() {
 	c.t.Helper()
-	c.raw.Write([]byte{0, 0, 0, 5, 1, 0, 0, 0, 3})
+	write(c.t, c.raw, []byte{0, 0, 0, 5, 1, 0, 0, 0, 3})
 	if f := c.next(); f.Type != sftp.Version {
 		c.t.Fatalf("type %d in place of VERSION", f.Type)
 	}
--- a/internal/serve/files_test.go
+++ b/internal/serve/files_test.go
@@ -24,7 +24,7 @@
 		return err
 	}
 	if _, err := f.ReadFrom(bytes.NewReader(data)); err != nil {
-		f.Close()
+		_ = f.Close()
 		return err
 	}
 	return f.Close()
@@ -35,7 +35,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }()
 	var b bytes.Buffer
 	_, err = f.WriteTo(&b)
 	return b.Bytes(), err
@@ -44,7 +44,7 @@
 func random(seed uint64, n int) []byte {
 	b := make([]byte, n)
 	r := rand.NewChaCha8([32]byte{byte(seed), byte(seed >> 8)})
-	r.Read(b)
+	_, _ = r.Read(b) // never fails
 	return b
 }
 
@@ -136,7 +136,7 @@
 		t.Helper()
 		got := make([]byte, len(model)+1)
 		n, err := f.ReadAt(got, 0)
-		if err != io.EOF || !bytes.Equal(got[:n], model) {
+		if !errors.Is(err, io.EOF) || !bytes.Equal(got[:n], model) {
 			t.Fatalf("%s: %d of %d bytes, equal %v, %v", when, n, len(model), bytes.Equal(got[:n], model), err)
 		}
 	}
--- a/internal/serve/follow_test.go
+++ b/internal/serve/follow_test.go
@@ -64,7 +64,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer log.Close()
+	defer func() { _ = log.Close() }()
 	has := func(text string) bool {
 		b, _ := os.ReadFile(file)
 		return strings.Contains(string(b), text)
--- a/internal/serve/fronts_bench_test.go
+++ b/internal/serve/fronts_bench_test.go
@@ -67,8 +67,7 @@
 						b.ReportMetric(float64((cpu()-before).Microseconds())/float64(b.N), "cpu-us/op")
 					})
 				}
-				d.Close()
-				f.Close()
+				_, _ = d.Close(), f.Close()
 			}
 		}
 	}
@@ -77,7 +76,7 @@
 // cpu is the processor time that this process has had.
 func cpu() time.Duration {
 	var u syscall.Rusage
-	syscall.Getrusage(syscall.RUSAGE_SELF, &u)
+	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u) // cannot fail for the process itself
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
--- /dev/null
+++ b/internal/serve/helpers_test.go
@@ -0,0 +1,35 @@
+package serve_test
+
+import (
+	"net"
+	"testing"
+	"time"
+
+	"irispost/internal/standin"
+)
+
+// farOff is a limit that only a test that fails reaches.
+const farOff = 30 * time.Second
+
+// until waits for a condition; the limit is that of the whole test run.
+func until(condition func() bool) {
+	for !condition() {
+		time.Sleep(time.Millisecond)
+	}
+}
+
+// command changes how a stand-in node behaves.
+func command(t testing.TB, n *standin.Node, text string) {
+	t.Helper()
+	if err := n.Command(text); err != nil {
+		t.Error(err)
+	}
+}
+
+// write writes to a connection that is open.
+func write(t testing.TB, c net.Conn, bytes []byte) {
+	t.Helper()
+	if _, err := c.Write(bytes); err != nil {
+		t.Error(err)
+	}
+}
--- a/internal/serve/iscsi_test.go
+++ b/internal/serve/iscsi_test.go
@@ -41,8 +41,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { conn.Close() })
-	conn.SetDeadline(time.Now().Add(farOff))
+	t.Cleanup(func() { _ = conn.Close() })
+	if err := conn.SetDeadline(time.Now().Add(farOff)); err != nil {
+		t.Fatal(err)
+	}
 	w := &wireDisk{t: t, conn: conn, in: bufio.NewReader(conn), next: 100}
 	list := []iscsi.Pair{{Key: "InitiatorName", Value: "iqn.2026-01.example:wire"}, {Key: "TargetName", Value: iqn}}
 	for i := 0; i < len(keys); i += 2 {
@@ -64,7 +66,7 @@
 
 func (w *wireDisk) send(p *iscsi.PDU) {
 	head, tail := p.Seal(w.d).Bytes()
-	w.conn.Write(append(append([]byte{}, head...), tail...))
+	write(w.t, w.conn, append(append([]byte{}, head...), tail...))
 }
 
 func (w *wireDisk) take() *iscsi.PDU {
@@ -192,7 +194,7 @@
 	bad := out(20, r.U32(20), 0, 0, 8192, true)
 	head, tail := bad.Seal(w.d).Bytes()
 	tail[100] ^= 1
-	w.conn.Write(append(append([]byte{}, head...), tail...))
+	write(w.t, w.conn, append(append([]byte{}, head...), tail...))
 	w.wants(iscsi.Reject, iscsi.NoTag)
 	w.sense(w.wants(iscsi.Response, 20), scsi.BadDigest)
 	w.send(out(20, r.U32(20), 0, 0, 8192, true)) // for a command that is over: let be
@@ -203,7 +205,7 @@
 	w.works(23)
 	head, _ = w.read(24, 0, 1).Seal(w.d).Bytes()
 	head[20] ^= 1 // a header's digest that does not fit: nothing that follows can be believed
-	w.conn.Write(head)
+	write(w.t, w.conn, head)
 	if _, err := iscsi.Read(w, w.d, 1<<20); err == nil {
 		t.Error("the connection goes on")
 	}
@@ -218,7 +220,7 @@
 		t.Fatal(err)
 	}
 	w := login(t, town, 1)
-	town.Nodes[0].Command("hang")
+	command(t, town.Nodes[0], "hang")
 	w.send(w.write(7, 1, 1, random(1, 4096)))
 	abort := func(function byte, tag, of uint32) {
 		p := iscsi.New(iscsi.TaskRequest, iscsi.Final|function).Put(16, tag).Put(20, of).Put(24, w.next)
@@ -230,7 +232,7 @@
 	if p := w.wants(iscsi.TaskAnswer, 9); p.Head[2] != 1 {
 		t.Errorf("a task that is not there: %x", p.Head)
 	}
-	town.Nodes[0].Command("well")
+	command(t, town.Nodes[0], "well")
 	if p := w.wants(iscsi.TaskAnswer, 8); p.Head[2] != 0 {
 		t.Errorf("%x", p.Head)
 	}
@@ -245,8 +247,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.Close()
-	town.Nodes[0].Command("hang")
+	defer func() { _ = s.Close() }()
+	command(t, town.Nodes[0], "hang")
 	w.send(w.write(12, 1, 1, random(1, 4096)))
 	w.send(w.write(13, 1, 2, nil)) // its data is asked for, and does not come
 	w.wants(iscsi.ReadyTo, 13)
@@ -261,7 +263,7 @@
 	if p := w.wants(iscsi.Response, 13); p.Head[3] != byte(scsi.Aborted) {
 		t.Errorf("%x", p.Head)
 	}
-	town.Nodes[0].Command("well")
+	command(t, town.Nodes[0], "well")
 	if p := w.wants(iscsi.Response, 12); p.Head[3] != byte(scsi.Aborted) {
 		t.Errorf("%x", p.Head)
 	}
@@ -281,7 +283,7 @@
 	}
 	old := login(t, town, 5)
 	for _, n := range town.Nodes {
-		n.Command("hang")
+		command(t, n, "hang")
 	}
 	for i := range uint32(20) {
 		old.send(old.write(100+i, 16*i, 1, random(1, 4096)))
@@ -293,14 +295,14 @@
 		t.Error("the old connection goes on")
 	}
 	for _, n := range town.Nodes {
-		n.Command("well")
+		command(t, n, "well")
 	}
 	next.works(100) // the same tag, and its own answer
 	if s := town.Gateways[0].ISCSI.Status(); s.Sessions != 2 {
 		t.Errorf("%+v", s)
 	}
-	next.conn.Close()
-	d.Close()
+	_ = next.conn.Close()
+	_ = d.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), farOff)
 	defer cancel()
 	if err := town.Gateways[0].Frontend.Drain(ctx); err != nil { // nothing is counted as under way for ever
@@ -324,14 +326,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.Close()
-	town.Nodes[1].Command("fail 1")
+	defer func() { _ = s.Close() }()
+	command(t, town.Nodes[1], "fail 1")
 	cdb := []byte{0x2a, 0, 0, 0, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0, 0} // 256 blocks
 	r, err := s.Do(context.Background(), 0, cdb, random(2, 1<<20), 0)
 	if err != nil || r.Status == scsi.Good {
 		t.Errorf("%+v, %v", r, err)
 	}
-	town.Nodes[1].Command("well")
+	command(t, town.Nodes[1], "well")
 	next := random(3, 1<<20)
 	if _, err := d.WriteAt(next, 0); err != nil {
 		t.Fatal(err)
--- a/internal/serve/linear_test.go
+++ b/internal/serve/linear_test.go
@@ -95,11 +95,11 @@
 			for {
 				select {
 				case <-stop:
-					n.Command("well")
+					command(t, n, "well")
 					return
 				case <-time.After(time.Duration(r.IntN(20)) * time.Millisecond):
 				}
-				n.Command([]string{"fail 0.3", "slow 5", "reset", "well", "stall 20ms", "drop 0.02"}[r.IntN(6)])
+				command(t, n, []string{"fail 0.3", "slow 5", "reset", "well", "stall 20ms", "drop 0.02"}[r.IntN(6)])
 			}
 		}()
 	}
@@ -109,7 +109,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { d.Close() })
+		t.Cleanup(func() { _ = d.Close() })
 		all.Add(1)
 		go func() {
 			defer all.Done()
--- a/internal/serve/members_test.go
+++ b/internal/serve/members_test.go
@@ -22,8 +22,6 @@
 	"irispost/internal/xdsstandin"
 )
 
-const farOff = 30 * time.Second
-
 // feed has gateways take their list from a management server.
 func feed(w *testkit.Town, s *xdsstandin.Server, delta bool) {
 	w.Feed = func(name string) []manager.NamedSource {
--- a/internal/serve/web_test.go
+++ b/internal/serve/web_test.go
@@ -10,7 +10,6 @@
 	"net/http/httptest"
 	"sync"
 	"testing"
-	"time"
 
 	"irispost/internal/endpoint/discovery"
 	"irispost/internal/platform"
@@ -38,9 +37,9 @@
 		for q.FormValue("from") == fmt.Sprint(l.form.Revision) && q.Context().Err() == nil {
 			l.cond.Wait()
 		}
-		json.NewEncoder(w).Encode(l.form)
+		_ = json.NewEncoder(w).Encode(l.form) // the gateway may have gone
 	}))
-	t.Cleanup(func() { l.say(func(f *discovery.Response) {}); l.CloseClientConnections(); l.Close() })
+	t.Cleanup(func() { l.say(func(*discovery.Response) {}); l.CloseClientConnections(); l.Close() })
 	return l
 }
 
@@ -52,13 +51,6 @@
 	l.cond.Broadcast()
 }
 
-// until waits for a state of things; the test's own end is the limit.
-func until(what func() bool) {
-	for !what() {
-		time.Sleep(time.Millisecond)
-	}
-}
-
 // TestWebGateway runs a whole gateway over stand-ins. What it believes is out, open and held is compared with what its nodes see on
 // their sockets, under load and after; then the list's service moves, a node is taken away, and the gateway ends.
 func TestWebGateway(t *testing.T) {
@@ -98,7 +90,7 @@
 				return
 			}
 			b, _ := io.ReadAll(a.Body)
-			a.Body.Close()
+			_ = a.Body.Close()
 			done <- fmt.Sprint(a.StatusCode, " ", string(b))
 		}()
 		return id, done
