--- a/internal/backend/webnode/client_test.go
+++ b/internal/backend/webnode/client_test.go
@@ -15,10 +15,18 @@
 	"irispost/internal/webstandin"
 )
 
-// client is one with so many sockets; change its options before it starts.
-func client(t testing.TB, most int, change func(*webnode.Options)) *webnode.Client {
-	opt := webnode.Options{Host: "origin.svc", ConnectTimeout: time.Minute, IdleTimeout: time.Minute, MaxConnections: most, Bounds: http1.DefaultLimits,
-		MaxLongBody: 250_000, LongBodyBudget: 300_000}
+// newClient starts a client of at most so many connections, with options that change may alter.
+func newClient(t testing.TB, maxConnections int, change func(*webnode.Options)) *webnode.Client {
+	t.Helper()
+	opt := webnode.Options{
+		Host:           "origin.svc",
+		ConnectTimeout: time.Minute,
+		IdleTimeout:    time.Minute,
+		MaxConnections: maxConnections,
+		Bounds:         http1.DefaultLimits,
+		MaxLongBody:    250_000,
+		LongBodyBudget: 300_000,
+	}
 	if change != nil {
 		change(&opt)
 	}
@@ -27,109 +35,136 @@
 	return c
 }
 
-func ask(c *webnode.Client, s *webstandin.Node, id string) (node.Attempt, chan node.Reply) {
+// startPut starts an attempt at a stand-in node, whose id tells the node what to do.
+func startPut(c *webnode.Client, s *webstandin.Node, id string) (node.Attempt, chan node.Reply) {
 	done := make(chan node.Reply, 2)
-	call := &node.Call{Op: node.PutObject, Name: "/api?extent=00", IdempotencyKey: id, Timeout: time.Second, Data: []byte("+body")}
-	return c.Start(s.Addr().String(), call, func(a node.Reply) { done <- a }), done
+	call := &node.Call{
+		Op:             node.PutObject,
+		Name:           "/api?extent=00",
+		IdempotencyKey: id,
+		Timeout:        time.Second,
+		Data:           []byte("+body"),
+	}
+	return c.Start(s.Addr().String(), call, func(reply node.Reply) { done <- reply }), done
 }
 
-// TestAnyMix has random executions, some called off, over few sockets: each has one outcome, the right one, and is sent once at most, and
-// there are never more connections than may be.
-func TestAnyMix(t *testing.T) {
-	testkit.SameSeeds(t)
-	names := []string{"served", "held", "close", "elsewhere", "oddreport", "hints", "twice", "error", "full", "over",
+// randomAttempt is an attempt with what its node does.
+type randomAttempt struct {
+	kind, id  string
+	attempt   node.Attempt
+	done      chan node.Reply
+	cancelled bool
+}
+
+// check waits for the reply of an attempt, which has to be the one of its kind.
+func (a *randomAttempt) check(r *rapid.T) {
+	reply := <-a.done
+	want := webstandin.Kinds[a.kind].Outcome
+	if reply.Outcome != want {
+		r.Fatalf("%s: %+v, want outcome %d", a.id, reply, want)
+	}
+	unitsElsewhere := 0.0
+	if a.kind == "elsewhere" {
+		unitsElsewhere = 3
+	}
+	if want == node.Executed && (string(reply.Data) != a.id+"+body" || reply.UnitsElsewhere != unitsElsewhere) {
+		r.Fatalf("%s: %+v", a.id, reply)
+	}
+}
+
+// startRandomAttempts starts attempts, cancels some, and checks that there are never more connections than allowed.
+func startRandomAttempts(r *rapid.T, c *webnode.Client, s *webstandin.Node, maxConnections int) (all []*randomAttempt) {
+	kinds := []string{"served", "held", "close", "elsewhere", "oddreport", "hints", "twice", "error", "full", "over",
 		"busy", "reset", "half", "noise", "huge", "open", "opencut", "halfline", "halfhead"}
-	rapid.Check(t, func(r *rapid.T) {
-		s, most := webstandin.Start(t), rapid.IntRange(1, 4).Draw(r, "most")
-		c := client(t, most, nil)
-		type one struct {
-			what, id string
-			sent     node.Attempt
-			done     chan node.Reply
-			off      bool
+	for i := range rapid.IntRange(1, 25).Draw(r, "count") {
+		a := &randomAttempt{kind: rapid.SampledFrom(kinds).Draw(r, "kind")}
+		a.id = fmt.Sprint(a.kind, "-", i)
+		a.attempt, a.done = startPut(c, s, a.id)
+		all = append(all, a)
+		if rapid.IntRange(0, 3).Draw(r, "cancel") == 0 {
+			cancelled := all[rapid.IntRange(0, len(all)-1).Draw(r, "which")]
+			cancelled.attempt.Cancel()
+			cancelled.cancelled = true
 		}
-		var all []*one
-		for i := range rapid.IntRange(1, 25).Draw(r, "count") {
-			o := &one{what: rapid.SampledFrom(names).Draw(r, "kind")}
-			o.id = fmt.Sprint(o.what, "-", i)
-			o.sent, o.done = ask(c, s, o.id)
-			all = append(all, o)
-			if rapid.IntRange(0, 3).Draw(r, "off") == 0 {
-				off := all[rapid.IntRange(0, len(all)-1).Draw(r, "which")]
-				off.sent.Cancel()
-				off.off = true
-			}
-			if open, _ := c.ConnectionCounts(); open > most {
-				r.Fatalf("%d connections are open", open)
-			}
+		if open, _ := c.ConnectionCounts(); open > maxConnections {
+			r.Fatalf("%d connections are open, %d may be", open, maxConnections)
 		}
+	}
+	return all
+}
+
+// TestRandomAttemptsHaveOneOutcome: of random attempts over few connections, some cancelled, each has one outcome, the
+// right one, and is sent once at most.
+func TestRandomAttemptsHaveOneOutcome(t *testing.T) {
+	testkit.SameSeeds(t)
+	rapid.Check(t, func(r *rapid.T) {
+		s := webstandin.Start(t)
+		maxConnections := rapid.IntRange(1, 4).Draw(r, "connections")
+		all := startRandomAttempts(r, newClient(t, maxConnections, nil), s, maxConnections)
 		close(s.Hold)
-		for _, o := range all {
-			if o.off {
-				continue
-			}
-			a, others := <-o.done, map[bool]float64{true: 3}[o.what == "elsewhere"]
-			if k := webstandin.Kinds[o.what]; a.Outcome != k.Outcome || k.Outcome == node.Executed && (string(a.Data) != o.id+"+body" || a.UnitsElsewhere != others) {
-				r.Fatalf("%s: %+v", o.id, a)
+		for _, a := range all {
+			if !a.cancelled {
+				a.check(r)
 			}
 		}
 		s.Lock()
 		defer s.Unlock()
-		for _, o := range all {
-			if len(o.done) > 0 && !o.off || s.Seen[o.id] > 1 {
-				r.Fatalf("%s: sent %d times, %d outcomes more", o.id, s.Seen[o.id], len(o.done))
+		for _, a := range all {
+			if len(a.done) > 0 && !a.cancelled || s.Seen[a.id] > 1 {
+				r.Fatalf("%s: sent %d times, %d further outcomes", a.id, s.Seen[a.id], len(a.done))
 			}
 		}
 	})
 }
 
-// TestCallOffEndsTheConnection: else the attempt would be out still while another is sent.
-func TestCallOffEndsTheConnection(t *testing.T) {
-	s, c := webstandin.Start(t), client(t, 10, nil)
-	sent, done := ask(c, s, "held-1")
+// TestCancelClosesConnection: else the attempt would be in flight still while another is sent.
+func TestCancelClosesConnection(t *testing.T) {
+	s, c := webstandin.Start(t), newClient(t, 10, nil)
+	attempt, done := startPut(c, s, "held-1")
 	<-s.Held
-	sent.Cancel()
+	attempt.Cancel()
 	close(s.Hold)
 	<-s.Gone
 	if open, _ := c.ConnectionCounts(); open != 0 || len(done) != 0 {
-		t.Errorf("%d connections are open, %d answers", open, len(done))
+		t.Errorf("%d connections are open, %d replies", open, len(done))
 	}
 }
 
-// TestLimits: a socket that does not come free, a node that refuses, a connection that nobody uses.
-func TestLimits(t *testing.T) {
+// TestConnectAndIdleTimeouts: an attempt fails if no connection becomes free in time, or if the node refuses one, and a
+// connection that is idle for too long is closed.
+func TestConnectAndIdleTimeouts(t *testing.T) {
 	s := webstandin.Start(t)
-	c := client(t, 1, func(o *webnode.Options) { o.ConnectTimeout = 40 * time.Millisecond })
-	_, first := ask(c, s, "held-1")
+	c := newClient(t, 1, func(o *webnode.Options) { o.ConnectTimeout = 40 * time.Millisecond })
+	_, first := startPut(c, s, "held-1")
 	<-s.Held
-	if _, done := ask(c, s, "served-2"); (<-done).Outcome != node.ConnectFailed {
-		t.Error("no socket came free, and the outcome is another")
+	if _, done := startPut(c, s, "served-2"); (<-done).Outcome != node.ConnectFailed {
+		t.Error("no connection became free, and the outcome is another")
 	}
 	close(s.Hold)
 	<-first
-	idle := client(t, 1, func(o *webnode.Options) { o.IdleTimeout = 20 * time.Millisecond })
-	_, done := ask(idle, s, "served-3")
+	idle := newClient(t, 1, func(o *webnode.Options) { o.IdleTimeout = 20 * time.Millisecond })
+	_, done := startPut(idle, s, "served-3")
 	<-done
 	<-s.Gone // it is closed though the node keeps it
 	if err := s.Close(); err != nil {
 		t.Error(err)
 	}
-	if _, done := ask(idle, s, "served-4"); (<-done).Outcome != node.ConnectFailed {
-		t.Error("a node that refuses, and the outcome is another")
+	if _, done := startPut(idle, s, "served-4"); (<-done).Outcome != node.ConnectFailed {
+		t.Error("the node refuses, and the outcome is another")
 	}
 }
 
-// TestLongAnswers: past the bound, an answer of a stated length is taken while there is room for it, which comes back when it is out
-// of memory.
-func TestLongAnswers(t *testing.T) {
-	s, c := webstandin.Start(t), client(t, 10, nil)
-	get := func(id string) node.Reply { _, done := ask(c, s, id); return <-done }
+// TestLongBodiesWithinBudget: a body over the usual limit is accepted while the budget lasts, and counts against it
+// until it is garbage.
+func TestLongBodiesWithinBudget(t *testing.T) {
+	s, c := webstandin.Start(t), newClient(t, 10, nil)
+	get := func(id string) node.Reply { _, done := startPut(c, s, id); return <-done }
 	first := get("long-1")
 	if first.Outcome != node.Executed || len(first.Data) != 200_000 {
 		t.Fatalf("outcome %d, %d bytes", first.Outcome, len(first.Data))
 	}
-	if a := get("long-2"); a.Outcome != node.Failed {
-		t.Errorf("while there is no room: outcome %d", a.Outcome)
+	if second := get("long-2"); second.Outcome != node.Failed {
+		t.Errorf("over the budget: outcome %d", second.Outcome)
 	}
 	runtime.KeepAlive(first.Data)
 	first = node.Reply{}
--- a/internal/backend/webnode/order_test.go
+++ b/internal/backend/webnode/order_test.go
@@ -14,100 +14,117 @@
 	"irispost/internal/backend/webnode"
 )
 
-// peer is a node whose connections the test plays by hand.
-type peer struct {
+// scriptedNode is a node whose connections the test handles step by step.
+type scriptedNode struct {
 	net.Listener
 	t testing.TB
 }
 
-func newPeer(t testing.TB) *peer {
+func newScriptedNode(t testing.TB) *scriptedNode {
+	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = l.Close() })
-	return &peer{l, t}
+	return &scriptedNode{l, t}
 }
 
-// line is one connection at it.
-type line struct {
+// scriptedConn is the node's side of a connection.
+type scriptedConn struct {
 	net.Conn
 	in *bufio.Reader
 }
 
-func (p *peer) accept() *line {
-	c, err := p.Accept()
+func (n *scriptedNode) accept() *scriptedConn {
+	n.t.Helper()
+	c, err := n.Accept()
 	if err != nil {
-		p.t.Fatal(err)
+		n.t.Fatal(err)
 	}
-	p.t.Cleanup(func() { _ = c.Close() })
-	return &line{c, bufio.NewReader(c)}
+	n.t.Cleanup(func() { _ = c.Close() })
+	return &scriptedConn{c, bufio.NewReader(c)}
 }
 
-// take reads a request; nil: the connection ended without one.
-func (l *line) take() *http.Request {
-	q, err := http.ReadRequest(l.in)
+// readRequest reads a request; it returns nil if the connection ended without one.
+func (c *scriptedConn) readRequest() *http.Request {
+	request, err := http.ReadRequest(c.in)
 	if err != nil {
 		return nil
 	}
-	return q
+	return request
 }
 
-func (l *line) answer(text string) {
-	_, _ = io.WriteString(l, "HTTP/1.1 200 OK\r\nContent-Length: "+strconv.Itoa(len(text))+"\r\n\r\n"+text)
+// respond answers 200. The client may have closed the connection already.
+func (c *scriptedConn) respond(body string) {
+	_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: "+strconv.Itoa(len(body))+"\r\n\r\n"+body)
 }
 
-func send(c *webnode.Client, p *peer, call node.Call) (node.Attempt, chan node.Reply) {
+func startGet(c *webnode.Client, n *scriptedNode, call node.Call) (node.Attempt, chan node.Reply) {
 	done := make(chan node.Reply, 2)
 	call.Op, call.Name = node.GetObject, "/api?extent=00"
-	return c.Start(p.Addr().String(), &call, func(a node.Reply) { done <- a }), done
+	return c.Start(n.Addr().String(), &call, func(reply node.Reply) { done <- reply }), done
 }
 
-// TestLateSecondAnswer: a second answer that comes after the first was taken is not the next execution's. Guard: join days, "a second answer may
-// come some milliseconds late".
-func TestLateSecondAnswer(t *testing.T) {
-	p, c := newPeer(t), client(t, 10, func(o *webnode.Options) { o.ReuseDelay = time.Hour })
-	_, first := send(c, p, node.Call{IdempotencyKey: "a", Timeout: time.Minute})
-	one := p.accept()
-	one.take()
-	one.answer("a's")
-	if a := <-first; string(a.Data) != "a's" {
-		t.Fatalf("%+v", a)
-	}
-	_, second := send(c, p, node.Call{IdempotencyKey: "b", Timeout: time.Minute})
-	two := p.accept() // not on the one that has just brought an answer
-	two.take()
-	one.answer("a's again")
-	if one.take() != nil {
-		t.Error("the connection that brought too much is used again")
-	}
-	two.answer("b's")
-	if a := <-second; string(a.Data) != "b's" {
-		t.Errorf("%+v", a)
+func expectData(t *testing.T, done <-chan node.Reply, data string) {
+	t.Helper()
+	if reply := <-done; string(reply.Data) != data {
+		t.Errorf("%+v, want data %q", reply, data)
 	}
 }
 
-// TestFieldsPassOn: what the call has of further fields reaches the node as it is.
-func TestFieldsPassOn(t *testing.T) {
-	p, c := newPeer(t), client(t, 10, nil)
-	send(c, p, node.Call{IdempotencyKey: "a", Timeout: time.Minute, Headers: []string{"idempotency-key", "k 1", "x-other", ""}})
-	if q := p.accept().take(); q.Header.Get("Idempotency-Key") != "k 1" || len(q.Header["X-Other"]) != 1 || q.Header.Get("X-Request-Id") != "a" {
-		t.Errorf("%v", q.Header)
+func expectConnectFailed(t *testing.T, done <-chan node.Reply, what string) {
+	t.Helper()
+	if reply := <-done; reply.Outcome != node.ConnectFailed {
+		t.Errorf("%s: %+v", what, reply)
 	}
 }
 
-// TestConnectionsThatHaveRested are used again, the one used last first.
-func TestConnectionsThatHaveRested(t *testing.T) {
-	p, c := newPeer(t), client(t, 10, nil)
+// TestSecondResponseIsNotNextAttempts: a node may send a second response some milliseconds after the first, which must
+// not be taken for the next attempt's.
+func TestSecondResponseIsNotNextAttempts(t *testing.T) {
+	n, c := newScriptedNode(t), newClient(t, 10, func(o *webnode.Options) { o.ReuseDelay = time.Hour })
+	_, firstDone := startGet(c, n, node.Call{IdempotencyKey: "a", Timeout: time.Minute})
+	first := n.accept()
+	first.readRequest()
+	first.respond("a's")
+	expectData(t, firstDone, "a's")
+	_, secondDone := startGet(c, n, node.Call{IdempotencyKey: "b", Timeout: time.Minute})
+	second := n.accept() // not on the one that has just brought a response
+	second.readRequest()
+	first.respond("a's again")
+	if first.readRequest() != nil {
+		t.Error("the connection that brought a second response is reused")
+	}
+	second.respond("b's")
+	expectData(t, secondDone, "b's")
+}
+
+// TestHeadersReachNode: further fields of a call reach the node as they are.
+func TestHeadersReachNode(t *testing.T) {
+	n, c := newScriptedNode(t), newClient(t, 10, nil)
+	startGet(c, n, node.Call{
+		IdempotencyKey: "a",
+		Timeout:        time.Minute,
+		Headers:        []string{"idempotency-key", "k 1", "x-other", ""},
+	})
+	header := n.accept().readRequest().Header
+	if header.Get("Idempotency-Key") != "k 1" || len(header["X-Other"]) != 1 || header.Get("X-Request-Id") != "a" {
+		t.Errorf("%v", header)
+	}
+}
+
+// TestIdleConnectionIsReused: attempts one after the other use one connection.
+func TestIdleConnectionIsReused(t *testing.T) {
+	n, c := newScriptedNode(t), newClient(t, 10, nil)
 	for i := range 3 {
-		_, done := send(c, p, node.Call{IdempotencyKey: "a", Timeout: time.Minute})
-		var l *line
+		_, done := startGet(c, n, node.Call{IdempotencyKey: "a", Timeout: time.Minute})
 		if i == 0 {
-			l = p.accept()
-			defer func() { _ = p.Close() }()
+			conn := n.accept()
+			defer func() { _ = n.Close() }()
 			go func() {
-				for l.take() != nil {
-					l.answer("x")
+				for conn.readRequest() != nil {
+					conn.respond("x")
 				}
 			}()
 		}
@@ -118,91 +135,90 @@
 	}
 }
 
-// TestTimesCountAtTheWrite: a connection that comes up late takes its time off what the node is told, and past the time to begin nothing is written.
-func TestTimesCountAtTheWrite(t *testing.T) {
-	p, c := newPeer(t), client(t, 10, nil)
-	const late = 20 * time.Millisecond
+// TestTimeoutsCountFromStart: the time that a connection takes to come up is taken off the deadline that the node gets,
+// and past the timeout nothing is sent.
+func TestTimeoutsCountFromStart(t *testing.T) {
+	const dialTime = 20 * time.Millisecond // at least
+	n, c := newScriptedNode(t), newClient(t, 10, nil)
 	webnode.SetDial(c, func(_ context.Context, network, addr string) (net.Conn, error) {
-		time.Sleep(late) // at least
+		time.Sleep(dialTime)
 		return net.Dial(network, addr)
 	})
-	send(c, p, node.Call{IdempotencyKey: "a", Timeout: time.Hour, StartWithin: time.Minute})
-	q := p.accept().take()
-	if ms, err := strconv.ParseInt(q.Header.Get("X-Deadline-Ms"), 10, 64); err != nil || ms > (time.Hour-late).Milliseconds() || ms < time.Minute.Milliseconds() {
-		t.Errorf("the node is told %d ms, %v", ms, err)
-	}
-	for what, call := range map[string]node.Call{"to begin": {Timeout: time.Hour, StartWithin: late}, "of the client": {Timeout: late}} {
+	startGet(c, n, node.Call{IdempotencyKey: "a", Timeout: time.Hour, StartWithin: time.Minute})
+	request := n.accept().readRequest()
+	millis, err := strconv.ParseInt(request.Header.Get("X-Deadline-Ms"), 10, 64)
+	if err != nil || millis > (time.Hour-dialTime).Milliseconds() || millis < time.Minute.Milliseconds() {
+		t.Errorf("the node's deadline is %d ms, %v", millis, err)
+	}
+	for what, call := range map[string]node.Call{
+		"start":   {Timeout: time.Hour, StartWithin: dialTime},
+		"timeout": {Timeout: dialTime},
+	} {
 		call.IdempotencyKey = "b"
-		_, done := send(c, p, call)
-		l := p.accept()
-		if a := <-done; a.Outcome != node.ConnectFailed {
-			t.Errorf("past the time %s: %+v", what, a)
-		}
-		c.Retain(nil) // closes what is idle
-		if l.take() != nil {
-			t.Errorf("past the time %s: it was sent", what)
+		_, done := startGet(c, n, call)
+		conn := n.accept()
+		expectConnectFailed(t, done, "too late for the "+what)
+		c.Retain(nil) // closes the connection, which is idle
+		if conn.readRequest() != nil {
+			t.Errorf("too late for the %s: it was sent", what)
 		}
 	}
 }
 
-// TestNodeThatIsLeft: what waits for a connection or a socket does not begin once its node is left, and is told at once; what is out goes on.
-func TestNodeThatIsLeft(t *testing.T) {
-	p, c := newPeer(t), client(t, 2, nil)
-	_, out := send(c, p, node.Call{IdempotencyKey: "a", Timeout: time.Minute})
-	first := p.accept()
-	first.take()
-	up := make(chan bool)
+// TestAbortQueuedFailsWhatHasNotBegun: attempts that wait for a connection to a node fail at once when it must get no
+// new requests, and are not sent later; those in flight go on.
+func TestAbortQueuedFailsWhatHasNotBegun(t *testing.T) {
+	n, c := newScriptedNode(t), newClient(t, 2, nil)
+	_, inFlight := startGet(c, n, node.Call{IdempotencyKey: "a", Timeout: time.Minute})
+	first := n.accept()
+	first.readRequest()
+	mayConnect := make(chan bool)
 	webnode.SetDial(c, func(_ context.Context, network, addr string) (net.Conn, error) {
-		<-up // it comes up in the end, whatever the context says
+		<-mayConnect // it comes up in the end, whatever the context says
 		return net.Dial(network, addr)
 	})
-	_, dials := send(c, p, node.Call{IdempotencyKey: "b", Timeout: time.Minute})
-	_, waits := send(c, p, node.Call{IdempotencyKey: "c", Timeout: time.Minute})
-	c.AbortQueued(func(addr string) bool { return addr != p.Addr().String() })
-	if len(dials)+len(waits) > 0 {
-		t.Error("what goes to a node that stays has ended")
-	}
-	c.AbortQueued(func(addr string) bool { return addr == p.Addr().String() })
-	if a := <-waits; a.Outcome != node.ConnectFailed {
-		t.Errorf("what waited for a socket: %+v", a)
-	}
-	close(up)
-	if p.accept().take() != nil {
+	_, dialing := startGet(c, n, node.Call{IdempotencyKey: "b", Timeout: time.Minute})
+	_, waiting := startGet(c, n, node.Call{IdempotencyKey: "c", Timeout: time.Minute})
+	c.AbortQueued(func(addr string) bool { return addr != n.Addr().String() })
+	if len(dialing)+len(waiting) > 0 {
+		t.Error("an attempt at a node that stays has ended")
+	}
+	c.AbortQueued(func(addr string) bool { return addr == n.Addr().String() })
+	expectConnectFailed(t, waiting, "waiting for a free connection")
+	close(mayConnect)
+	if n.accept().readRequest() != nil {
 		t.Error("it was sent on a connection that came up late")
 	}
-	if a := <-dials; a.Outcome != node.ConnectFailed {
-		t.Errorf("what waited for its connection: %+v", a)
-	}
-	first.answer("a's")
-	if a := <-out; string(a.Data) != "a's" {
-		t.Errorf("what was out: %+v", a)
-	}
+	expectConnectFailed(t, dialing, "waiting for its connection")
+	first.respond("a's")
+	expectData(t, inFlight, "a's")
 }
 
-// TestCallOffAgainstWrite calls an execution off at each step before its bytes go out: nothing is written, and nothing is told.
-func TestCallOffAgainstWrite(t *testing.T) {
-	p, c := newPeer(t), client(t, 10, nil)
-	off := make(chan node.Attempt)
+// TestCancelBeforeWriteSendsNothing cancels an attempt at each step before its bytes are sent: nothing is written, and
+// no outcome is reported.
+func TestCancelBeforeWriteSendsNothing(t *testing.T) {
+	n, c := newScriptedNode(t), newClient(t, 10, nil)
+	toCancel := make(chan node.Attempt)
 	webnode.SetDial(c, func(_ context.Context, network, addr string) (net.Conn, error) {
 		conn, err := net.Dial(network, addr)
-		(<-off).Cancel() // between the connection and the write
+		(<-toCancel).Cancel() // between the connection and the write
 		return conn, err
 	})
-	sent, done := send(c, p, node.Call{IdempotencyKey: "a", Timeout: time.Minute})
-	off <- sent
-	if p.accept().take() != nil {
-		t.Error("called off before the write, it was sent")
+	connected, connectedDone := startGet(c, n, node.Call{IdempotencyKey: "a", Timeout: time.Minute})
+	toCancel <- connected
+	if n.accept().readRequest() != nil {
+		t.Error("cancelled before the write, it was sent")
 	}
 	webnode.SetDial(c, func(ctx context.Context, _, _ string) (net.Conn, error) { // never comes up
 		<-ctx.Done()
 		return nil, ctx.Err()
 	})
-	sent, late := send(c, p, node.Call{IdempotencyKey: "b", Timeout: time.Minute})
-	sent.Cancel() // its dial ends with it
+	dialing, dialingDone := startGet(c, n, node.Call{IdempotencyKey: "b", Timeout: time.Minute})
+	dialing.Cancel() // its dial ends with it
 	for open := 1; open > 0; open, _ = c.ConnectionCounts() {
 		time.Sleep(time.Millisecond)
 	}
-	if len(done)+len(late) > 0 {
-		t.Error("what was called off has an outcome")
+	if len(connectedDone)+len(dialingDone) > 0 {
+		t.Error("a cancelled attempt has an outcome")
 	}
 }
--- a/internal/backend/webnode/reuse_test.go
+++ b/internal/backend/webnode/reuse_test.go
@@ -8,8 +8,9 @@
 	"irispost/internal/backend/node"
 )
 
-// TestBytesNobodyAskedFor: a kept connection on which something has come, and that its reader has not got to, is not written to.
-func TestBytesNobodyAskedFor(t *testing.T) {
+// TestConnectionWithUnreadBytesIsNotReused: an idle connection on which something has arrived that its reader has not
+// got to yet is not written to, and the attempt gets another.
+func TestConnectionWithUnreadBytesIsNotReused(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -21,28 +22,32 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	peer, _ := l.Accept()
-	kept := &conn{client: c, addr: l.Addr().String(), raw: raw, state: stateWriting, cancelDial: func() {}} // with no reader
+	peer, err := l.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	addr := l.Addr().String()
+	idle := &conn{client: c, addr: addr, raw: raw, state: stateWriting, cancelDial: func() {}} // without a reader
 	c.mu.Lock()
 	c.openConns = 1
-	kept.transition(stateIdle)
+	idle.transition(stateIdle)
 	c.mu.Unlock()
-	if !kept.isQuiet() {
-		t.Error("a quiet connection is not clean")
+	if !idle.isQuiet() {
+		t.Error("a connection without unread bytes is not quiet")
 	}
 	if _, err := peer.Write([]byte("HTTP/1.1 200 OK\r\n")); err != nil {
 		t.Fatal(err)
 	}
-	for kept.isQuiet() {
+	for idle.isQuiet() {
 		time.Sleep(time.Millisecond)
 	}
-	c.Start(l.Addr().String(), &node.Call{Op: node.GetObject, Name: "/"}, func(node.Reply) {})
-	if fresh, err := l.Accept(); err != nil { // it takes another
+	c.Start(addr, &node.Call{Op: node.GetObject, Name: "/"}, func(node.Reply) {})
+	if fresh, err := l.Accept(); err != nil { // the other connection
 		t.Error(err)
 	} else {
 		_ = fresh.Close()
 	}
 	if n, err := peer.Read(make([]byte, 1)); n > 0 || err == nil {
-		t.Error("the kept connection was written to")
+		t.Error("the idle connection was written to")
 	}
 }
--- a/internal/frontend/web/golden_test.go
+++ b/internal/frontend/web/golden_test.go
@@ -5,8 +5,6 @@
 	"context"
 	"fmt"
 	"io"
-	"os"
-	"path/filepath"
 	"strings"
 	"testing"
 	"time"
@@ -14,30 +12,18 @@
 	"irispost/internal/backend/node"
 	"irispost/internal/frontend/web"
 	"irispost/internal/gateway"
+	"irispost/internal/testkit/golden"
 	"irispost/scheduler"
 )
 
-// golden compares a text with a file of testdata, which UPDATE_GOLDEN=1 writes. Its lines end with LF; a CR shows as \r.
-func golden(t *testing.T, file string, got []byte) {
+// checkGolden compares messages with a file of testdata, whose lines end with LF; a CR shows as \r.
+func checkGolden(t *testing.T, file string, messages []byte) {
 	t.Helper()
-	path := filepath.Join("testdata", file)
-	got = bytes.ReplaceAll(got, []byte("\r"), []byte(`\r`))
-	if os.Getenv("UPDATE_GOLDEN") == "1" {
-		if err := os.WriteFile(path, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s differs:\n%s\nwanted:\n%s", path, got, want)
-	}
+	golden.Check(t, file, bytes.ReplaceAll(messages, []byte("\r"), []byte(`\r`)))
 }
 
 // changed is a request with one part replaced.
-func changed(old, now string) string { return strings.Replace(ask("r"), old, now, 1) }
+func changed(old, now string) string { return strings.Replace(putRequest("r"), old, now, 1) }
 
 // chunked is a request whose chunked body is this text.
 func chunked(body string) string {
@@ -82,7 +68,7 @@
 }
 
 // exchange sends a request on a connection of its own and reads all that comes back.
-func exchange(t *testing.T, w *town, request string) []byte {
+func exchange(t *testing.T, w *testbed, request string) []byte {
 	t.Helper()
 	c := w.dial(t)
 	c.send(request)
@@ -99,21 +85,19 @@
 	write := func(name string, answer []byte) {
 		fmt.Fprintf(&record, "--- %s\n%s\n", name, answer)
 	}
-	w := start(t, limits())
+	w := start(t, generousLimits())
 	for _, c := range goldenRequests {
 		write(c.name, exchange(t, w, c.text))
 	}
 
-	w.nodes.lock.Lock()
-	w.nodes.hold = true
-	w.nodes.lock.Unlock()
-	w.dial(t).send(ask("open"))
-	<-w.nodes.more
-	write("id of an open request", exchange(t, w, ask("open")))
+	w.nodes.setHolding(true)
+	w.dial(t).send(putRequest("open"))
+	<-w.nodes.heldIDs
+	write("id of an open request", exchange(t, w, putRequest("open")))
 
-	few := limits()
+	few := generousLimits()
 	few.RequestTimeout, few.MaxBodyBytes = 30*time.Millisecond, 2
-	write("bodies", exchange(t, start(t, few), ask("r")))
+	write("bodies", exchange(t, start(t, few), putRequest("r")))
 	few.FirstRequestTimeout = few.RequestTimeout
 	write("late", exchange(t, start(t, few), "GET / HT"))
 	few.MaxConnections = 0
@@ -125,10 +109,10 @@
 	for status := 200; status == 200; {
 		c := w.dial(t)
 		c.send("GET /healthz HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n")
-		status, _, _ = c.read()
+		status, _ = c.read()
 	}
 	write("health while it ends", exchange(t, w, "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n"))
-	golden(t, "answers.txt", record.Bytes())
+	checkGolden(t, "answers.txt", record.Bytes())
 }
 
 // TestGoldenResults pins, as bytes, the answer for each result of a job.
@@ -141,7 +125,8 @@
 		{"dismissed, no wait", gateway.Result{State: scheduler.RequestRejected}},
 		{"dismissed, wait of 1 ns", gateway.Result{State: scheduler.RequestRejected, RetryAfter: 1}},
 		{"dismissed, wait of 1 ms", gateway.Result{State: scheduler.RequestRejected, RetryAfter: time.Millisecond}},
-		{"dismissed, wait of 61.005 s", gateway.Result{State: scheduler.RequestRejected, RetryAfter: 61*time.Second + 5*time.Millisecond}},
+		{"dismissed, wait of 61.005 s",
+			gateway.Result{State: scheduler.RequestRejected, RetryAfter: 61*time.Second + 5*time.Millisecond}},
 		{"written off", gateway.Result{State: scheduler.RequestFailed}},
 		{"completed", gateway.Result{State: scheduler.RequestSucceeded, Reply: node.Reply{Data: []byte("data")}}},
 		{"completed without data", gateway.Result{State: scheduler.RequestSucceeded}},
@@ -150,5 +135,5 @@
 			fmt.Fprintf(&record, "--- %s, last %v\n%s\n", c.name, last, web.ResultResponse(c.result, last))
 		}
 	}
-	golden(t, "results.txt", record.Bytes())
+	checkGolden(t, "results.txt", record.Bytes())
 }
--- a/internal/frontend/web/linger_test.go
+++ b/internal/frontend/web/linger_test.go
@@ -1,7 +1,6 @@
 package web_test
 
 import (
-	"bufio"
 	"context"
 	"errors"
 	"io"
@@ -14,215 +13,217 @@
 	"irispost/internal/frontend/web"
 )
 
-// stage is a listener whose connections stop at a step, so that a test can have something happen just there.
-type stage struct {
+// step is a point in the life of a connection at which a test can have something happen.
+type step string
+
+const (
+	stepRead       step = "read"        // bytes were read
+	stepTimeout    step = "timeout"     // a read timed out
+	stepCloseWrite step = "close write" // the sending side is about to be closed
+)
+
+// hookedListener is a listener whose connections run a hook at a step.
+type hookedListener struct {
 	net.Listener
-	lock sync.Mutex
-	step func(what string) // "read": bytes were read; "late": a read timed out; "end": sending is about to end
-	last net.Conn          // the gateway's side of the connection that came last
+	mu   sync.Mutex // guards all below
+	hook func(step)
+	last net.Conn // the server's side of the newest connection
 }
 
-type player struct {
+// hookedConn is a connection of a hookedListener.
+type hookedConn struct {
 	*net.TCPConn
-	stage *stage
+	listener *hookedListener
 }
 
-// staged starts a front on a stage, with other limits than usual.
-func staged(t testing.TB, change func(*web.Limits)) (*town, *stage) {
+// startHooked starts a testbed on a hookedListener, with limits that change may lower.
+func startHooked(t testing.TB, change func(*web.Limits)) (*testbed, *hookedListener) {
+	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	most, on := limits(), &stage{Listener: l}
+	limits := generousLimits()
 	if change != nil {
-		change(&most)
+		change(&limits)
 	}
-	return startOn(t, on, most), on
+	listener := &hookedListener{Listener: l}
+	return startOnListener(t, listener, limits), listener
 }
 
-func (s *stage) Accept() (net.Conn, error) {
-	c, err := s.Listener.Accept()
+func (l *hookedListener) Accept() (net.Conn, error) {
+	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	p := &player{c.(*net.TCPConn), s}
-	s.lock.Lock()
-	defer s.lock.Unlock()
-	s.last = p
-	return p, nil
+	hooked := &hookedConn{c.(*net.TCPConn), l}
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.last = hooked
+	return hooked, nil
 }
 
-// at has the next such step call what, once.
-func (s *stage) at(step string, what func()) {
-	s.lock.Lock()
-	defer s.lock.Unlock()
-	s.step = func(now string) {
-		if now == step {
-			s.step = nil
-			what()
+// onNext has the next connection that reaches a step run a function, once.
+func (l *hookedListener) onNext(at step, run func()) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.hook = func(reached step) {
+		if reached == at {
+			l.hook = nil
+			run()
 		}
 	}
 }
 
-func (s *stage) come(what string) {
-	s.lock.Lock()
-	defer s.lock.Unlock()
-	if s.step != nil {
-		s.step(what)
+func (l *hookedListener) reach(reached step) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.hook != nil {
+		l.hook(reached)
 	}
 }
 
-func (p *player) Read(b []byte) (int, error) {
-	n, err := p.TCPConn.Read(b)
+func (c *hookedConn) Read(b []byte) (int, error) {
+	n, err := c.TCPConn.Read(b)
 	switch {
 	case n > 0:
-		p.stage.come("read")
+		c.listener.reach(stepRead)
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		p.stage.come("late")
+		c.listener.reach(stepTimeout)
 	}
 	return n, err
 }
 
-func (p *player) CloseWrite() error {
-	p.stage.come("end")
-	return p.TCPConn.CloseWrite()
+func (c *hookedConn) CloseWrite() error {
+	c.listener.reach(stepCloseWrite)
+	return c.TCPConn.CloseWrite()
 }
 
-// end tells how a connection ends, after what is left to read.
-func (c *client) end() (err error) {
-	for err == nil {
-		_, err = c.in.ReadByte()
+// TestRequestThatCrossesCloseIsServedOrNotForwarded has a request arrive just when its idle connection is to be closed,
+// in each order. What has arrived by then is served; what arrives after the sending side is closed is not forwarded.
+// The connection is not reset, so that the client knows.
+func TestRequestThatCrossesCloseIsServedOrNotForwarded(t *testing.T) {
+	for _, c := range []struct {
+		at     step
+		served bool
+	}{{stepRead, true}, {stepTimeout, true}, {stepCloseWrite, false}} {
+		t.Run(string(c.at), func(t *testing.T) { testCrossing(t, c.at, c.served) })
 	}
-	return err
 }
 
-// TestEndsThatCross has a request come in just when its resting connection is to go, in each order. Guard: what has come in by then is served; what
-// comes after sending has ended is not sent on, and the connection is not reset, so that its client knows.
-func TestEndsThatCross(t *testing.T) {
-	for _, c := range []struct {
-		step   string
-		served bool
-	}{{"read", true}, {"late", true}, {"end", false}} {
-		t.Run(c.step, func(t *testing.T) {
-			w, on := staged(t, nil)
-			rests := w.dial(t)
-			rests.send(ask("1"))
-			rests.expect(200, "before")
-			stop := func() {
-				go w.Shutdown(context.Background(), 0, 0)
-				for d, l := 0, 0; d+l == 0; d, l = web.ClosingCounts(w.Server) {
-					time.Sleep(time.Millisecond)
-				}
-			}
-			if c.step == "read" { // its bytes are read, and the end comes before anybody knows
-				on.at("read", stop)
-				rests.send(ask("2"))
-			} else {
-				on.at(c.step, func() {
-					rests.send(ask("2"))
-					for !web.HasUnreadBytes(on.last) {
-						time.Sleep(time.Millisecond)
-					}
-				})
-				stop()
-			}
-			if c.served {
-				rests.expect(200, "a request that had come in")
-			}
-			if err := rests.end(); !errors.Is(err, io.EOF) {
-				t.Errorf("the connection ends with %v", err)
-			}
-			for conns := 1; conns > 0; conns, _ = w.Counts() {
+func testCrossing(t *testing.T, at step, served bool) {
+	b, listener := startHooked(t, nil)
+	idle := b.dial(t)
+	idle.send(putRequest("1"))
+	idle.expect(200, "before")
+	shutDown := func() {
+		go b.Shutdown(context.Background(), 0, 0)
+		for closing, lingering := 0, 0; closing+lingering == 0; closing, lingering = web.ClosingCounts(b.Server) {
+			time.Sleep(time.Millisecond)
+		}
+	}
+	if at == stepRead { // the bytes are read, and the shutdown comes before the server knows of them
+		listener.onNext(stepRead, shutDown)
+		idle.send(putRequest("2"))
+	} else {
+		listener.onNext(at, func() {
+			idle.send(putRequest("2"))
+			for !web.HasUnreadBytes(listener.last) {
 				time.Sleep(time.Millisecond)
 			}
-			if w.nodes.lock.Lock(); (w.nodes.seen["2"] == 1) != c.served {
-				t.Errorf("it was sent on %d times", w.nodes.seen["2"])
-			}
-			w.nodes.lock.Unlock()
 		})
+		shutDown()
+	}
+	if served {
+		idle.expect(200, "a request that had arrived")
+	}
+	if err := idle.awaitEnd(); !errors.Is(err, io.EOF) {
+		t.Errorf("the connection ends with %v", err)
+	}
+	for conns := 1; conns > 0; conns, _ = b.Counts() {
+		time.Sleep(time.Millisecond)
+	}
+	if n := b.nodes.count("2"); (n == 1) != served {
+		t.Errorf("the request was forwarded %d times", n)
 	}
 }
 
-// TestFirstRequestAtTheLastMoment: one that comes as its connection has said nothing for too long is served.
-func TestFirstRequestAtTheLastMoment(t *testing.T) {
-	w, on := staged(t, func(l *web.Limits) { l.FirstRequestTimeout = 30 * time.Millisecond })
+// TestFirstRequestAtDeadlineIsServed: a request that arrives as its connection times out without one is served.
+func TestFirstRequestAtDeadlineIsServed(t *testing.T) {
+	b, listener := startHooked(t, func(l *web.Limits) { l.FirstRequestTimeout = 30 * time.Millisecond })
 	ready := make(chan *client, 1)
-	on.at("late", func() {
+	listener.onNext(stepTimeout, func() {
 		c := <-ready
-		c.send(ask("1"))
-		for !web.HasUnreadBytes(on.last) {
+		c.send(putRequest("1"))
+		for !web.HasUnreadBytes(listener.last) {
 			time.Sleep(time.Millisecond)
 		}
 	})
-	c := w.dial(t)
+	c := b.dial(t)
 	ready <- c
 	c.expect(200, "a request at the last moment")
 }
 
-// TestLastAnswerArrives: a connection that ends with an answer does not take it along, whatever its client still sends.
-func TestLastAnswerArrives(t *testing.T) {
-	w := start(t, limits())
+// TestLastResponseIsNotLostByClose: the close of a connection does not destroy its last response, whatever the client
+// still sends.
+func TestLastResponseIsNotLostByClose(t *testing.T) {
+	b := start(t, generousLimits())
 	for _, last := range []string{
 		"GET /healthz HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n",
 		"GET / HTTP/9\r\n\r\n",
 		"PUT /healthz HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\n\r\n",
 	} {
-		c := w.dial(t)
+		c := b.dial(t)
 		c.send(last + string(make([]byte, 20_000))) // more than is read with the head
-		if status, _, _ := c.read(); status == 0 {
-			t.Errorf("%q: no answer", last[:12])
+		if status, _ := c.read(); status == 0 {
+			t.Errorf("%q: no response", last[:12])
 		}
-		if err := c.end(); !errors.Is(err, io.EOF) {
+		if err := c.awaitEnd(); !errors.Is(err, io.EOF) {
 			t.Errorf("%q: the connection ends with %v", last[:12], err)
 		}
 	}
 }
 
-// TestLingeringIsBounded: however many are turned away, only so many connections are held for them; each has its answer.
+// TestLingeringIsBounded: however many connections are rejected, only so many are held open for them; each gets its
+// response.
 func TestLingeringIsBounded(t *testing.T) {
-	l := limits()
-	l.MaxConnections = 8
-	w := start(t, l)
-	w.nodes.hold = true
+	limits := generousLimits()
+	limits.MaxConnections = 8
+	b := start(t, limits)
+	b.nodes.setHolding(true)
 	for i := range 8 {
-		w.dial(t).send(ask(string(rune('a' + i))))
+		b.dial(t).send(putRequest(string(rune('a' + i))))
 	}
-	for requests := 0; requests < 8; _, requests = w.Counts() {
+	for requests := 0; requests < 8; _, requests = b.Counts() {
 		time.Sleep(time.Millisecond)
 	}
 	for range 100 {
-		c, err := net.Dial("tcp", w.Addr())
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer func() { _ = c.Close() }()
-		(&client{c, bufio.NewReader(c), t}).expect(503, "one too many")
-		if conns, _ := w.Counts(); conns > 8+web.MaxLingering(l) {
+		b.dial(t).expect(503, "one too many")
+		if conns, _ := b.Counts(); conns > 8+web.MaxLingering(limits) {
 			t.Fatalf("%d connections are held", conns)
 		}
 	}
 }
 
-// TestNoRoomAhead: what a client sends before its turn is held only while there is room; past that the connection ends with the answer that is due, in order,
-// and what was dropped is not sent on.
-func TestNoRoomAhead(t *testing.T) {
-	w, on := staged(t, func(l *web.Limits) { l.MaxBodyBytes = 6 })
-	w.nodes.hold = true
-	c := w.dial(t)
-	c.send(ask("x"))
-	<-w.nodes.more
+// TestReadAheadWithoutMemoryEndsConnection: what a client sends while its request is in flight is buffered only while
+// there is memory for it. Past that the connection ends with the response that is due, and what was discarded is not
+// forwarded.
+func TestReadAheadWithoutMemoryEndsConnection(t *testing.T) {
+	b, listener := startHooked(t, func(l *web.Limits) { l.MaxBodyBytes = 6 })
+	b.nodes.setHolding(true)
+	c := b.dial(t)
+	c.send(putRequest("x"))
+	<-b.nodes.heldIDs
 	read := make(chan bool)
-	on.at("read", func() { close(read) })
-	c.send(ask("y"))
+	listener.onNext(stepRead, func() { close(read) })
+	c.send(putRequest("y"))
 	<-read
-	w.nodes.out["x"].serve()
-	c.expect(200, "what is due")
-	if err := c.end(); !errors.Is(err, io.EOF) {
+	b.nodes.attempt("x").serve()
+	c.expect(200, "the response that is due")
+	if err := c.awaitEnd(); !errors.Is(err, io.EOF) {
 		t.Errorf("the connection ends with %v", err)
 	}
-	w.nodes.lock.Lock()
-	defer w.nodes.lock.Unlock()
-	if w.nodes.seen["y"] != 0 {
-		t.Error("what was dropped was sent on")
+	if n := b.nodes.count("y"); n > 0 {
+		t.Errorf("what was discarded was forwarded %d times", n)
 	}
 }
--- /dev/null
+++ b/internal/frontend/web/result_test.go
@@ -0,0 +1,37 @@
+package web_test
+
+import (
+	"testing"
+
+	"irispost/internal/backend/node"
+	"irispost/internal/gateway"
+)
+
+// TestOnResultIsCalledBeforeResult: OnResult is called before the result can be had. Called after it, it would cut off
+// the next read of a connection that had gone on with the result: a request in the read-ahead got a 408, and without
+// one the connection was closed.
+func TestOnResultIsCalledBeforeResult(t *testing.T) {
+	b := start(t, generousLimits())
+	session := gateway.NewSession("s")
+	for range 100 {
+		var done <-chan gateway.Result
+		submitted, early := make(chan bool), make(chan bool, 1)
+		spec := &gateway.RequestSpec{
+			Volume:   &gateway.Volume{ServiceLevel: "gold", Gateways: 1},
+			Class:    "read",
+			Units:    1,
+			Deadline: b.loop.Now() + 1e11,
+			Call:     node.Call{Op: node.GetObject, IdempotencyKey: "t", Name: "/"},
+		}
+		spec.OnResult = func() {
+			<-submitted
+			early <- len(done) > 0
+		}
+		done = b.loop.Submit(session, spec)
+		close(submitted)
+		if <-early {
+			t.Fatal("the result could be had before OnResult was called")
+		}
+		<-done
+	}
+}
--- /dev/null
+++ b/internal/frontend/web/testbed_test.go
@@ -0,0 +1,235 @@
+package web_test
+
+import (
+	"bufio"
+	"context"
+	"io"
+	"log/slog"
+	"net"
+	"net/http"
+	"sync"
+	"testing"
+	"time"
+
+	"irispost/internal/backend/node"
+	"irispost/internal/endpoint"
+	"irispost/internal/frontend/web"
+	"irispost/internal/gateway"
+	"irispost/internal/http1"
+	"irispost/internal/platform"
+)
+
+// settings have one service level, gold, and one request class, read, whose requests never time out within a test.
+const settings = `{"name":"n1","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"1",
+	"limits":{"cores":1,"memory_mb":64,"sockets":256},
+	"settings":{"contracts":[{"name":"gold","proportion":1.0,"base_rate":1000.0,"floor_rate":1000.0}],
+	"domain":{"unit_mean":2.0,"largest":8},
+	"lanes":[{"name":"read","effect":"read_like","target_ms":60000.0,"hard_limit_ms":120000.0}],
+	"permissions":{"attempts_cap":3,"second_copies":true,"cancelling":true,"retry_after":true,"max_retry_after_ms":1000.0,
+	"dial_timeout_ms":250.0,"idle_close_ms":30000.0}}}`
+
+// fakeNodes stand for the storage nodes: they answer each attempt at once, or hold it until the test says so.
+type fakeNodes struct {
+	heldIDs chan string // of attempts as they are held
+
+	mu      sync.Mutex // guards all below
+	holding bool
+	held    map[string]*fakeAttempt // by request id
+	counts  map[string]int          // attempts by request id
+}
+
+type fakeAttempt struct {
+	id        string
+	call      node.Call
+	onReply   func(node.Reply)
+	cancelled chan struct{}
+}
+
+func (n *fakeNodes) Start(_ string, call *node.Call, done func(node.Reply)) node.Attempt {
+	a := &fakeAttempt{id: call.IdempotencyKey, call: *call, onReply: done, cancelled: make(chan struct{})}
+	n.mu.Lock()
+	n.counts[a.id]++
+	holding := n.holding
+	if holding {
+		n.held[a.id] = a
+	}
+	n.mu.Unlock()
+	if holding {
+		n.heldIDs <- a.id
+	} else {
+		go a.serve()
+	}
+	return a
+}
+
+func (n *fakeNodes) setHolding(holding bool) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.holding = holding
+}
+
+// attempt returns the attempt that is held for a request.
+func (n *fakeNodes) attempt(id string) *fakeAttempt {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.held[id]
+}
+
+// count returns how many attempts there were for a request.
+func (n *fakeNodes) count(id string) int {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.counts[id]
+}
+
+// total returns how many attempts there were.
+func (n *fakeNodes) total() (total int) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	for _, count := range n.counts {
+		total += count
+	}
+	return total
+}
+
+func (n *fakeNodes) Retain(map[string]bool)        {}
+func (n *fakeNodes) AbortQueued(func(string) bool) {}
+func (n *fakeNodes) LateReplies() int64            { return 0 }
+
+// servedBody follows the request id in the body of a response to putRequest.
+const servedBody = " /api?extent=7f3a9c21e0b4d655 body"
+
+func (a *fakeAttempt) serve() {
+	a.onReply(node.Reply{Outcome: node.Executed, Data: []byte(a.id + " " + a.call.Name + " " + string(a.call.Data))})
+}
+
+func (a *fakeAttempt) Cancel() { close(a.cancelled) }
+
+// testbed is a server with its loop over fake nodes.
+type testbed struct {
+	*web.Server
+	nodes *fakeNodes
+	loop  *gateway.Loop
+}
+
+// generousLimits are limits that no test reaches unless it lowers them.
+func generousLimits() web.Limits {
+	return web.Limits{
+		MaxConnections:      100,
+		CrowdedConnections:  100,
+		MaxBodyBytes:        1 << 20,
+		FirstRequestTimeout: time.Minute,
+		RequestTimeout:      time.Minute,
+		IdleTimeout:         time.Minute,
+		CrowdedIdleTimeout:  time.Minute,
+		WriteTimeout:        time.Minute,
+		Message:             http1.DefaultLimits,
+	}
+}
+
+func start(t testing.TB, limits web.Limits) *testbed {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	return startOnListener(t, listener, limits)
+}
+
+func startOnListener(t testing.TB, listener net.Listener, limits web.Limits) *testbed {
+	t.Helper()
+	conf, err := platform.Parse([]byte(settings), func(string) string { return "" })
+	if err != nil {
+		t.Fatal(err)
+	}
+	logger := slog.New(slog.NewTextHandler(io.Discard, nil))
+	nodes := &fakeNodes{heldIDs: make(chan string, 1000), held: map[string]*fakeAttempt{}, counts: map[string]int{}}
+	loop := gateway.Start(gateway.Options{
+		Name:       "n1",
+		Seed:       1,
+		Settings:   conf.Settings,
+		QueueSize:  64,
+		Clock:      gateway.NewClock(),
+		Nodes:      nodes,
+		Log:        logger,
+		CachedList: &endpoint.List{Nodes: []endpoint.Node{{Addr: "a:1", Zone: "z", Shard: 0}}},
+	})
+	server := web.ServeListener(listener, web.Options{
+		GatewayName: "n1",
+		Loop:        loop,
+		Settings:    conf.Settings,
+		Limits:      limits,
+		Logger:      logger,
+	})
+	t.Cleanup(func() {
+		ctx, cancel := context.WithCancel(context.Background())
+		cancel()
+		server.Shutdown(ctx, 0, 0)
+		loop.Stop()
+	})
+	return &testbed{server, nodes, loop}
+}
+
+// client is a client's connection.
+type client struct {
+	net.Conn
+	in *bufio.Reader
+	t  testing.TB
+}
+
+func (b *testbed) dial(t testing.TB) *client {
+	t.Helper()
+	c, err := net.Dial("tcp", b.Addr())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = c.Close() })
+	return &client{c, bufio.NewReader(c), t}
+}
+
+// putRequest is a valid request.
+func putRequest(id string) string {
+	return "PUT /api?extent=7f3a9c21e0b4d655 HTTP/1.1\r\nHost: origin.svc\r\nX-Request-Id: " + id + "\r\n" +
+		"X-Class: read\r\nX-Plan: gold\r\nX-Deadline-Ms: 120000\r\nContent-Length: 4\r\n" +
+		"X-IO: volume=00000003b4d60021,units=2,shard=0,hosts=3\r\n\r\nbody"
+}
+
+// send sends a text. The server may have closed the connection already, which the next read shows.
+func (c *client) send(text string) { _, _ = io.WriteString(c, text) }
+
+// read reads a response; its status is 0 if the connection has ended.
+func (c *client) read() (status int, body string) {
+	response, err := http.ReadResponse(c.in, nil)
+	if err != nil {
+		return 0, ""
+	}
+	defer func() { _ = response.Body.Close() }()
+	bytes, err := io.ReadAll(response.Body)
+	if err != nil {
+		return 0, ""
+	}
+	return response.StatusCode, string(bytes)
+}
+
+func (c *client) expect(status int, what string) {
+	c.t.Helper()
+	if got, body := c.read(); got != status {
+		c.t.Errorf("%s: status %d, want %d (%q)", what, got, status, body)
+	}
+}
+
+// awaitEnd reads to the end of a connection and returns how it ends.
+func (c *client) awaitEnd() (err error) {
+	for err == nil {
+		_, err = c.in.ReadByte()
+	}
+	return err
+}
+
+// write writes to a connection that is open.
+func write(t testing.TB, c net.Conn, text string) {
+	t.Helper()
+	if _, err := io.WriteString(c, text); err != nil {
+		t.Error(err)
+	}
+}
--- a/internal/serve/disk_test.go
+++ b/internal/serve/disk_test.go
@@ -77,7 +77,7 @@
 
 // Blocks that are written come back, in each way that data can travel: asked for or not, with digests or without, in small
 // and in long PDUs; and the file front sees them.
-func TestDiskComesBack(t *testing.T) {
+func TestDiskReadsBackWrites(t *testing.T) {
 	w := diskTown(t, 3, 1, nil)
 	for i, change := range []func(*initiator.Options){nil, func(o *initiator.Options) { o.Digests = true }, func(o *initiator.Options) { o.Solicit = true },
 		func(o *initiator.Options) { o.Segment = 512; o.Solicit, o.Digests = true, true }} {
@@ -216,7 +216,7 @@
 }
 
 // Discovery tells the targets; a target with a secret lets in who knows it, and proves itself.
-func TestDiskLogins(t *testing.T) {
+func TestDiskLoginIsChecked(t *testing.T) {
 	w := diskTown(t, 1, 1, nil)
 	ctx := context.Background()
 	found, err := initiator.Discover(ctx, dialDisk(t, w, 0, nil))
@@ -250,7 +250,7 @@
 }
 
 // Connections that say nothing, nonsense, lies about lengths, or what is out of place, are closed, and others are served.
-func TestDiskNonsense(t *testing.T) {
+func TestDiskSurvivesMalformedInput(t *testing.T) {
 	w := diskTown(t, 1, 1, nil)
 	addr := w.Gateways[0].ISCSI.Addr()
 	send := func(b []byte) net.Conn {
@@ -305,7 +305,7 @@
 }
 
 // Files and disks under failing, slow and resetting nodes, with sessions that break: what was confirmed is read back.
-func TestDiskUnderFaults(t *testing.T) {
+func TestDiskReadsBackWhileNodesFail(t *testing.T) {
 	w := diskTown(t, 3, 1, func(o *standin.Options) { o.Unit = 50 * time.Microsecond })
 	var all sync.WaitGroup
 	for k := range 4 {
--- a/internal/serve/faults_test.go
+++ b/internal/serve/faults_test.go
@@ -24,7 +24,7 @@
 
 // A file that is written through one gateway is read back equal through another, while nodes fail, are slow, lose
 // answers and break connections.
-func TestEqualThroughAnotherGatewayWhileNodesFail(t *testing.T) {
+func TestFileReadsBackThroughOtherGatewayWhileNodesFail(t *testing.T) {
 	w := testkit.Start(t, testkit.Conf, 3, 2, func(o *standin.Options) { o.Unit = 50 * time.Microsecond })
 	a, b := w.Client(0), w.Client(1)
 	for i, trouble := range []string{"fail 0.3", "slow 10", "stall 50ms"} {
@@ -56,7 +56,7 @@
 
 // Two gateways write the same new file at once: each extent holds what one of them wrote, both read the same, and no
 // object is left over.
-func TestTwoGatewaysWriteOneNewFile(t *testing.T) {
+func TestConcurrentWritesOfNewFileDoNotMix(t *testing.T) {
 	w := testkit.Start(t, testkit.Conf, 2, 2, nil)
 	const run = 64 << 10
 	for round := range 5 {
@@ -103,7 +103,7 @@
 }
 
 // A gateway that is killed between an extent's write and its record leaves an orphan; a sweep finds it, and only it.
-func TestSweepFindsOrphans(t *testing.T) {
+func TestSweepRemovesOnlyOrphans(t *testing.T) {
 	w := testkit.Start(t, testkit.Conf, 2, 2, nil)
 	if err := put(w.Client(1), "/meals/kept", random(1, 100_000)); err != nil {
 		t.Fatal(err)
@@ -142,7 +142,7 @@
 }
 
 // A file that another gateway writes anew while a handle is open is read as it was or as it is, never as a mixture.
-func TestRecordChangedElsewhere(t *testing.T) {
+func TestOpenHandleNeverReadsMixture(t *testing.T) {
 	w := testkit.Start(t, testkit.Conf, 2, 2, nil)
 	a, b := w.Client(0), w.Client(1)
 	if err := put(a, "/meals/f", bytes.Repeat([]byte{'1'}, 1000)); err != nil {
@@ -214,7 +214,7 @@
 
 // A request whose nodes answer nothing gets its answer when its client's patience ends, others at other nodes are not
 // held up, and a node that a list leaves out gets nothing new.
-func TestHangAndDrain(t *testing.T) {
+func TestHungNodeDoesNotDelayOthers(t *testing.T) {
 	conf := strings.ReplaceAll(strings.ReplaceAll(testkit.Conf, `"5s"`, `"1500ms"`), `"3s"`, `"1s"`)
 	w := testkit.Start(t, conf, 2, 1, nil)
 	c := w.Client(0)
@@ -258,7 +258,7 @@
 }
 
 // A stop answers what is out, takes nothing new and says so; at its deadline the rest is written off.
-func TestStop(t *testing.T) {
+func TestShutdownAnswersEveryRequest(t *testing.T) {
 	for _, hang := range []bool{false, true} {
 		w := testkit.Start(t, testkit.Conf, 1, 1, func(o *standin.Options) { o.Unit = 20 * time.Millisecond })
 		conn, g := dialRaw(t, w, 0), w.Gateways[0]
@@ -287,7 +287,7 @@
 }
 
 // Bad input gets a clear answer or the end of its connection, and others notice nothing.
-func TestBadInput(t *testing.T) {
+func TestMalformedInputIsRejectedOrEndsConnection(t *testing.T) {
 	w := testkit.Start(t, testkit.Conf, 1, 1, nil)
 	other := w.Client(0)
 	status := func(name string, code sftp.Code, kind sftp.Type, fields func(*sftp.Packet)) {
@@ -385,7 +385,7 @@
 }
 
 // Limits of a connection have a stated answer.
-func TestLimits(t *testing.T) {
+func TestConnectionLimitsAreReported(t *testing.T) {
 	conf := strings.Replace(testkit.Conf, "gateways = 2\n", "gateways = 2\n  limits {\n    handles = 3\n    entries = 5\n    outstanding = 2\n  }\n", 1)
 	w := testkit.Start(t, conf, 1, 1, nil)
 	conn := dialRaw(t, w, 0)
@@ -426,7 +426,7 @@
 }
 
 // With the smallest queue of events, hundreds of requests from many connections wait at their sockets; none is dropped.
-func TestFullQueuePushesBack(t *testing.T) {
+func TestFullQueueSlowsClients(t *testing.T) {
 	conf := strings.Replace(testkit.Conf, "gateways = 2\n", "gateways = 2\n  limits {\n    queue = 16\n  }\n", 1)
 	w := testkit.Start(t, conf, 2, 1, nil)
 	if err := put(w.Client(0), "/meals/f", nil); err != nil {
@@ -468,7 +468,7 @@
 }
 
 // A client that sends on far ahead of its answers, or leaves far too many unread, loses its connection; others go on.
-func TestClientsThatDoNotKeepStep(t *testing.T) {
+func TestClientFarAheadOrBehindLosesConnection(t *testing.T) {
 	conf := strings.Replace(testkit.Conf, "gateways = 2\n", `gateways = 2
   limits {
     outstanding = 4
@@ -509,7 +509,7 @@
 }
 
 // Requests for the root of all volumes, which has no product, wait for each other as any others do.
-func TestManyOutstandingAtTheRoot(t *testing.T) {
+func TestManyRequestsForRootAreServed(t *testing.T) {
 	w := testkit.Start(t, testkit.Conf, 1, 1, nil)
 	for range 20 {
 		conn := dialRaw(t, w, 0)
--- a/internal/serve/files_test.go
+++ b/internal/serve/files_test.go
@@ -119,7 +119,7 @@
 }
 
 // Holes read as zeros, a file that was cut and grows again has zeros, and appends go to the end.
-func TestSparseCutAndAppend(t *testing.T) {
+func TestSparseTruncateAndAppend(t *testing.T) {
 	w := testkit.Start(t, testkit.Conf, 3, 1, nil)
 	c := w.Client(0)
 	f, err := c.OpenFile("/meals/sparse", os.O_RDWR|os.O_CREATE)
--- a/internal/serve/follow_test.go
+++ b/internal/serve/follow_test.go
@@ -20,7 +20,7 @@
 
 // A gateway that follows serves by the version in force, says what it acts on, and in what its own configuration contradicts it; with
 // its keeper gone and no floor it serves nothing, at once and with an answer; with the keeper back it serves again.
-func TestGatewayFollows(t *testing.T) {
+func TestGatewayServesByVersionInForce(t *testing.T) {
 	w := testkit.Start(t, testkit.Conf, 2, 0, nil)
 	dir, quiet := t.TempDir(), slog.New(slog.NewTextHandler(io.Discard, nil))
 	addr := ""
--- a/internal/serve/fronts_bench_test.go
+++ b/internal/serve/fronts_bench_test.go
@@ -80,9 +80,9 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// TestSharesOfFronts has file clients of one volume and a deep disk session of another, of equal weight, ask for more than a node
+// TestSharesOfFrontends has file clients of one volume and a deep disk session of another, of equal weight, ask for more than a node
 // can do, and tells the shares; a measurement, made with IRISPOST_MEASURE=1, and with IRISPOST_PLAN for another plan.
-func TestSharesOfFronts(t *testing.T) {
+func TestSharesOfFrontends(t *testing.T) {
 	if os.Getenv("IRISPOST_MEASURE") == "" {
 		t.Skip("a measurement: IRISPOST_MEASURE=1")
 	}
--- a/internal/serve/golden_test.go
+++ b/internal/serve/golden_test.go
@@ -8,17 +8,17 @@
 	"io"
 	"net"
 	"net/http"
-	"os"
 	"path/filepath"
 	"regexp"
 	"strings"
 	"testing"
 
 	"irispost/internal/testkit"
+	"irispost/internal/testkit/golden"
 )
 
-// TestGoldenAdmin pins what a gateway itself puts into the answers of its admin socket: names of states, reasons, products, and the texts
-// of errors. Times, addresses, folders and figures that differ from run to run are masked.
+// TestGoldenAdmin pins what a gateway itself puts into the answers of its admin socket: names of states, reasons, request
+// classes, and the texts of errors. Times, addresses, folders and figures that differ from run to run are masked.
 func TestGoldenAdmin(t *testing.T) {
 	dir := t.TempDir()
 	socket := filepath.Join(dir, "admin.sock")
@@ -65,17 +65,5 @@
 	} {
 		got = regexp.MustCompile(pattern).ReplaceAllString(got, mask)
 	}
-	path := filepath.Join("testdata", "admin.txt")
-	if os.Getenv("UPDATE_GOLDEN") == "1" {
-		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got != string(want) {
-		t.Errorf("%s differs:\n%s\nwanted:\n%s", path, got, want)
-	}
+	golden.Check(t, "admin.txt", []byte(got))
 }
--- a/internal/serve/iscsi_test.go
+++ b/internal/serve/iscsi_test.go
@@ -160,7 +160,7 @@
 }
 
 // Data that was not asked for so, or whose digest does not fit, ends its command with a sense, and nothing is written.
-func TestDataOutOfPlace(t *testing.T) {
+func TestDataOutOfSequenceIsRejected(t *testing.T) {
 	town := diskTown(t, 1, 1, nil)
 	openDisk(t, dialDisk(t, town, 0, nil), 0)
 	w := login(t, town, 1, "DataDigest", "CRC32C", "HeaderDigest", "CRC32C", "ImmediateData", "No")
@@ -213,7 +213,7 @@
 
 // A write that is out is aborted: the answer comes when nothing of it can happen any more, and the command gets none. A unit
 // that is reset tells the commands of other sessions.
-func TestAbort(t *testing.T) {
+func TestAbortedWriteGetsNoResponse(t *testing.T) {
 	town := diskTown(t, 1, 1, func(o *standin.Options) { o.Unit = time.Millisecond })
 	d := openDisk(t, dialDisk(t, town, 0, nil), 0)
 	if _, err := d.WriteAt(make([]byte, 16<<12), 0); err != nil {
@@ -275,7 +275,7 @@
 
 // A session that is begun anew while its requests are out: the old connection ends, its requests are left, none of their
 // answers reaches the new one, and none stays behind.
-func TestReinstatement(t *testing.T) {
+func TestSessionReinstatementEndsOldSession(t *testing.T) {
 	town := diskTown(t, 2, 1, nil)
 	d := openDisk(t, dialDisk(t, town, 0, nil), 0)
 	if _, err := d.WriteAt(make([]byte, 1<<20), 0); err != nil {
@@ -315,7 +315,7 @@
 
 // A node dies within a write of several extents: the write is told as not known to be done, and once the node is back the
 // blocks can be written and read.
-func TestNodeDiesWithinWrite(t *testing.T) {
+func TestNodeFailureWithinWriteIsReported(t *testing.T) {
 	town := diskTown(t, 3, 1, nil)
 	d := openDisk(t, dialDisk(t, town, 0, nil), 0)
 	data := random(1, 1<<20)
@@ -345,7 +345,7 @@
 }
 
 // A gateway that stops asks initiators to log out, and takes nothing new.
-func TestDiskDrain(t *testing.T) {
+func TestDiskDrainRequestsLogout(t *testing.T) {
 	town := diskTown(t, 1, 1, nil)
 	d := openDisk(t, dialDisk(t, town, 0, nil), 0)
 	if _, err := d.WriteAt(random(1, 8192), 0); err != nil {
@@ -373,7 +373,7 @@
 
 // An initiator that sends reads and takes no answers is told that its queue is full, past what it may leave unread; each
 // command has its one answer all the same.
-func TestAnswersLeftUnread(t *testing.T) {
+func TestUnreadResponsesFillQueue(t *testing.T) {
 	town := testkit.Start(t, testkit.Conf+strings.Replace(disks, "login  =", "unread = \"64KiB\"\n  login  =", 1), 1, 1, nil)
 	d := openDisk(t, dialDisk(t, town, 0, nil), 0)
 	if _, err := d.WriteAt(make([]byte, 1<<20), 0); err != nil {
--- a/internal/serve/linear_test.go
+++ b/internal/serve/linear_test.go
@@ -69,7 +69,7 @@
 
 // Blocks that several sessions read, write and compare at once behave each as one register, while nodes fail, lose answers
 // and break connections, and sessions are broken off: checked by porcupine, over some seeds here (IRISPOST_SEEDS for more).
-func TestBlocksAreRegisters(t *testing.T) {
+func TestBlocksAreLinearizable(t *testing.T) {
 	seeds := 3
 	if n, err := strconv.Atoi(os.Getenv("IRISPOST_SEEDS")); err == nil {
 		seeds = n
--- a/internal/serve/members_test.go
+++ b/internal/serve/members_test.go
@@ -166,7 +166,7 @@
 
 // After a drain, a removal, or word that it is not healthy, a node with jobs in flight gets no fresh work, jobs go on at its
 // successor, and each request gets its answer: as the nodes' sockets saw it, in both forms of the protocol.
-func TestLetGoByXDS(t *testing.T) {
+func TestNodeRemovedByXDSGetsNoNewRequests(t *testing.T) {
 	for _, delta := range []bool{false, true} {
 		for _, how := range []string{"drain", "remove", "unwell"} {
 			t.Run(fmt.Sprintf("%s,delta=%v", how, delta), func(t *testing.T) {
@@ -188,7 +188,7 @@
 }
 
 // Without a successor, a removed node's jobs are answered all the same, and it serves again once it is back.
-func TestRemovedWithoutSuccessor(t *testing.T) {
+func TestNodeRemovedWithoutSuccessorServesAgain(t *testing.T) {
 	m := manage(t, true, 3, time.Millisecond)
 	since := m.acked(func() { m.command("remove " + m.Nodes[2].Addr()) })
 	time.Sleep(100 * time.Millisecond) // its shard's requests wait meanwhile
@@ -209,7 +209,7 @@
 
 // Broken updates are refused with a reason, the last good list stays in force, and jobs go on; a list of nothing, and one in
 // which all are unwell, is held and shown until somebody confirms it.
-func TestBrokenWorld(t *testing.T) {
+func TestInvalidUpdatesKeepLastGoodList(t *testing.T) {
 	m := manage(t, false, 3, 0)
 	g := m.Gateways[0]
 	view := func() admin.EndpointReport {
@@ -283,7 +283,7 @@
 
 // A gateway that starts while the management server is down serves with the list that its earlier life kept, as old, and
 // goes over to the server's word when there is one.
-func TestStartsWithKeptList(t *testing.T) {
+func TestStartWithCachedListWhileServerIsDown(t *testing.T) {
 	dir := t.TempDir() // before the testbed, so that it is removed after the gateways that write there are stopped
 	w := testkit.Start(t, testkit.Conf, 2, 0, nil)
 	s, err := xdsstandin.Start("127.0.0.1:0", 1, w.List().Nodes...)
--- a/internal/serve/web_test.go
+++ b/internal/serve/web_test.go
@@ -51,9 +51,9 @@
 	l.cond.Broadcast()
 }
 
-// TestWebGateway runs a whole gateway over stand-ins. What it believes is out, open and held is compared with what its nodes see on
+// TestWebGatewayCountsAgreeWithNodes runs a whole gateway over stand-ins. What it believes is out, open and held is compared with what its nodes see on
 // their sockets, under load and after; then the list's service moves, a node is taken away, and the gateway ends.
-func TestWebGateway(t *testing.T) {
+func TestWebGatewayCountsAgreeWithNodes(t *testing.T) {
 	stores := []*webstandin.Node{webstandin.Start(t), webstandin.Start(t), webstandin.Start(t)}
 	form := discovery.Response{Revision: 1, Full: true}
 	for i, s := range stores {
