--- a/internal/serve/admin_test.go
+++ b/internal/serve/admin_test.go
@@ -38,103 +38,136 @@
 	return string(b)
 }
 
-// A capture is started and stopped through the admin socket while clients work and nodes fail; a second one at the same
-// time is refused; what was captured replays to the same decisions.
-func TestCaptureWhileServing(t *testing.T) {
-	dir := t.TempDir()
-	socket := filepath.Join(dir, "admin.sock")
+// startAdminTestbed starts a gateway with an admin socket over slow nodes, one of which fails at times.
+func startAdminTestbed(t *testing.T, socket string) *testkit.Town {
+	t.Helper()
 	conf := strings.Replace(testkit.Conf, "gateways = 2\n", "gateways = 2\n  admin = \""+socket+"\"\n", 1)
-	w := testkit.Start(t, conf, 2, 1, func(o *standin.Options) { o.Unit = 100 * time.Microsecond })
-	command(t, w.Nodes[0], "fail 0.3")
-	stop := make(chan struct{})
-	var all sync.WaitGroup
-	for i := range 3 {
-		c := w.Client(0)
-		all.Add(1)
-		go func() {
-			defer all.Done()
+	b := testkit.Start(t, conf, 2, 1, func(o *standin.Options) { o.Unit = 100 * time.Microsecond })
+	command(t, b.Nodes[0], "fail 0.3")
+	return b
+}
+
+// startClients starts clients that write and read files until the returned function is called.
+func startClients(b *testkit.Town, count int) (stop func()) {
+	done := make(chan struct{})
+	var running sync.WaitGroup
+	for i := range count {
+		client := b.Client(0)
+		path := "/meals/f" + string(rune('a'+i))
+		running.Go(func() {
 			for n := uint64(0); ; n++ {
 				select {
-				case <-stop:
+				case <-done:
 					return
 				default:
-					path := "/meals/f" + string(rune('a'+i))
-					_ = put(c, path, random(n, 100_000)) // may be rejected: a node fails
-					_, _ = get(c, path)
+					_ = put(client, path, random(n, 100_000)) // may fail, as a node does
+					_, _ = get(client, path)
 				}
 			}
-		}()
+		})
 	}
-	a := admin.Dial(socket, time.Minute)
-	for _, line := range []string{"irispost_up 1", `irispost_nodes{state=`, `irispost_jobs_total{outcome="completed",product="read"}`} {
-		until(func() bool { return strings.Contains(scrape(t, socket), line) }) // jobs are there once clients work
+	return func() {
+		close(done)
+		running.Wait()
 	}
-	done := func() int64 { // jobs that are over
-		s, err := a.Status()
-		if err != nil {
-			t.Fatal(err)
-		}
-		n := int64(0)
-		for _, p := range s.RequestClasses {
-			n += p.Succeeded + p.Rejected + p.Failed + p.Cancelled
-		}
-		return n
+}
+
+// finished returns how many requests a gateway has finished.
+func finished(t *testing.T, client *admin.Client) (count int64) {
+	t.Helper()
+	status, err := client.Status()
+	if err != nil {
+		t.Fatal(err)
 	}
-	wait := func(jobs int64) {
-		for until := done() + jobs; done() < until; {
-			time.Sleep(time.Millisecond)
-		}
+	for _, class := range status.RequestClasses {
+		count += class.Succeeded + class.Rejected + class.Failed + class.Cancelled
+	}
+	return count
+}
+
+// awaitFinished waits until so many requests more are finished.
+func awaitFinished(t *testing.T, client *admin.Client, more int64) {
+	t.Helper()
+	target := finished(t, client) + more
+	until(func() bool { return finished(t, client) >= target })
+}
+
+// expectError fails the test if an error is not there or does not contain a text.
+func expectError(t *testing.T, what string, err error, text string) {
+	t.Helper()
+	if err == nil || !strings.Contains(err.Error(), text) {
+		t.Errorf("%s: error %v, want one with %q", what, err, text)
+	}
+}
+
+// expectReplays fails the test if the decisions of a capture don't replay.
+func expectReplays(t *testing.T, file string) {
+	t.Helper()
+	f, err := os.Open(file)
+	if err != nil {
+		t.Fatal(err)
 	}
-	if _, err := a.StopCapture(); err == nil || !strings.Contains(err.Error(), "no capture is on") {
-		t.Errorf("stopping none: %v", err)
+	defer func() { _ = f.Close() }()
+	reader, err := capture.NewReader(f)
+	if err != nil {
+		t.Fatal(err)
 	}
-	if _, err := a.StartCapture(""); err == nil || !strings.Contains(err.Error(), "no folder") {
-		t.Errorf("starting without a folder: %v", err)
+	report, err := replay.Run(reader.Next, replay.Options{})
+	if err != nil || !report.Same() || report.State != replay.Ended || report.Decisions < 100 {
+		t.Errorf("%v after %d decisions, %v, %+v", report.State, report.Decisions, err, report.Difference)
+	}
+}
+
+// TestCaptureWhileServingReplays: a capture is started and stopped through the admin socket while clients work and
+// nodes fail; a second one at the same time is rejected; what was captured replays to the same decisions.
+func TestCaptureWhileServingReplays(t *testing.T) {
+	dir := t.TempDir()
+	socket := filepath.Join(dir, "admin.sock")
+	b := startAdminTestbed(t, socket)
+	stopClients := startClients(b, 3)
+	client := admin.Dial(socket, time.Minute)
+	for _, line := range []string{
+		"irispost_up 1",
+		`irispost_nodes{state=`,
+		`irispost_jobs_total{outcome="completed",product="read"}`, // once clients work
+	} {
+		until(func() bool { return strings.Contains(scrape(t, socket), line) })
 	}
-	wait(100)
+	_, err := client.StopCapture()
+	expectError(t, "stopping none", err, "no capture is on")
+	_, err = client.StartCapture("")
+	expectError(t, "starting without a folder", err, "no folder")
+	awaitFinished(t, client, 100)
 	for range 3 {
-		c, err := a.StartCapture(dir)
-		if err != nil || !c.On {
-			t.Fatal(c, err)
+		status, err := client.StartCapture(dir)
+		if err != nil || !status.On {
+			t.Fatal(status, err)
 		}
-		if _, err := a.StartCapture(dir); err == nil || !strings.Contains(err.Error(), c.File) {
-			t.Errorf("a second capture: %v", err)
+		_, err = client.StartCapture(dir)
+		expectError(t, "a second capture", err, status.File)
+		awaitFinished(t, client, 200)
+		status, err = client.StopCapture()
+		if err != nil || status.On || status.Dropped > 0 || status.Written == 0 {
+			t.Fatal(status, err)
 		}
-		wait(200)
-		if c, err = a.StopCapture(); err != nil || c.On || c.Dropped > 0 || c.Written == 0 {
-			t.Fatal(c, err)
-		}
-		f, err := os.Open(c.File)
-		if err != nil {
-			t.Fatal(err)
-		}
-		r, err := capture.NewReader(f)
-		if err != nil {
-			t.Fatal(err)
-		}
-		report, err := replay.Run(r.Next, replay.Options{})
-		if err := f.Close(); err != nil {
-			t.Error(err)
-		}
-		if err != nil || !report.Same() || report.State != replay.Ended || report.Decisions < 100 {
-			t.Errorf("%v after %d decisions, %v, %+v", report.State, report.Decisions, err, report.Difference)
-		}
-	}
-	close(stop)
-	all.Wait()
-	if _, err := admin.Listen(socket, w.Gateways[0]); err == nil || !strings.Contains(err.Error(), "another gateway") {
-		t.Errorf("a socket that is served: %v", err)
+		expectReplays(t, status.File)
 	}
-	other := filepath.Join(dir, "file")
-	if err := os.WriteFile(other, nil, 0o644); err != nil {
+	stopClients()
+	checkSockets(t, b, socket, filepath.Join(dir, "file"))
+	b.Gateways[0].Kill()
+	b.Gateways = nil
+	_, err = client.Status()
+	expectError(t, "a gateway that is gone", err, "does not answer")
+}
+
+// checkSockets has admin sockets rejected: one that is served, and one in place of another file.
+func checkSockets(t *testing.T, b *testkit.Town, served, file string) {
+	t.Helper()
+	_, err := admin.Listen(served, b.Gateways[0])
+	expectError(t, "a socket that is served", err, "another gateway")
+	if err := os.WriteFile(file, nil, 0o644); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := admin.Listen(other, w.Gateways[0]); err == nil || !strings.Contains(err.Error(), "another kind") {
-		t.Errorf("a socket in place of a file: %v", err)
-	}
-	w.Gateways[0].Kill()
-	w.Gateways = nil
-	if _, err := a.Status(); err == nil || !strings.Contains(err.Error(), "does not answer") {
-		t.Errorf("a gateway that is gone: %v", err)
-	}
+	_, err = admin.Listen(file, b.Gateways[0])
+	expectError(t, "a socket in place of a file", err, "another kind")
 }
--- a/internal/serve/disk_test.go
+++ b/internal/serve/disk_test.go
@@ -53,12 +53,14 @@
 }
 `
 
-func diskTown(t testing.TB, shards, gateways int, change func(*standin.Options)) *testkit.Town {
+// diskTestbed is an installation with these disks.
+func diskTestbed(t testing.TB, shards, gateways int, change func(*standin.Options)) *testkit.Town {
 	return testkit.Start(t, testkit.Conf+disks, shards, gateways, change)
 }
 
-func dialDisk(_ testing.TB, w *testkit.Town, gateway int, change func(*initiator.Options)) initiator.Options {
-	o := initiator.Options{Address: w.Gateways[gateway].ISCSI.Addr(), Name: "iqn.2026-01.example:host", Target: iqn}
+// diskOptions are options of a session with the disks of a gateway, which change may alter.
+func diskOptions(b *testkit.Town, gateway int, change func(*initiator.Options)) initiator.Options {
+	o := initiator.Options{Address: b.Gateways[gateway].ISCSI.Addr(), Name: "iqn.2026-01.example:host", Target: iqn}
 	if change != nil {
 		change(&o)
 	}
@@ -75,44 +77,55 @@
 	return d
 }
 
-// Blocks that are written come back, in each way that data can travel: asked for or not, with digests or without, in small
-// and in long PDUs; and the file front sees them.
+// TestDiskReadsBackWrites: blocks that are written are read back, in each way that data can travel: solicited or not,
+// with digests or without, in small and in long PDUs; and the file front end sees them.
 func TestDiskReadsBackWrites(t *testing.T) {
-	w := diskTown(t, 3, 1, nil)
-	for i, change := range []func(*initiator.Options){nil, func(o *initiator.Options) { o.Digests = true }, func(o *initiator.Options) { o.Solicit = true },
-		func(o *initiator.Options) { o.Segment = 512; o.Solicit, o.Digests = true, true }} {
-		d := openDisk(t, dialDisk(t, w, 0, func(o *initiator.Options) {
+	b := diskTestbed(t, 3, 1, nil)
+	for i, change := range []func(*initiator.Options){
+		func(*initiator.Options) {},
+		func(o *initiator.Options) { o.Digests = true },
+		func(o *initiator.Options) { o.Solicit = true },
+		func(o *initiator.Options) { o.Segment, o.Solicit, o.Digests = 512, true, true },
+	} {
+		d := openDisk(t, diskOptions(b, 0, func(o *initiator.Options) {
 			o.ISID[5] = byte(i)
-			if change != nil {
-				change(o)
-			}
+			change(o)
 		}), 0)
 		if d.Block != 4096 || d.Size() != 16<<20 || !strings.Contains(d.Model, "IRISPOST") {
 			t.Fatalf("%+v", d)
 		}
 		for _, n := range []int{4096, 64 << 10, 300 << 10 &^ 4095, 5 << 20} {
-			data, at := random(uint64(n+i), n), int64(n/3&^4095)
-			if _, err := d.WriteAt(data, at); err != nil {
-				t.Fatal(i, n, err)
-			}
-			got := make([]byte, n)
-			if _, err := d.ReadAt(got, at); err != nil || !bytes.Equal(got, data) {
-				t.Fatalf("way %d, %d bytes at %d: %v", i, n, at, err)
-			}
+			expectReadsBack(t, d, random(uint64(n+i), n), int64(n/3&^4095))
 		}
 		if err := d.Sync(context.Background()); err != nil {
 			t.Fatal(err)
 		}
 	}
-	d := openDisk(t, dialDisk(t, w, 0, nil), 0)
-	whole := make([]byte, d.Size())
-	if _, err := d.ReadAt(whole, 0); err != nil {
+	d := openDisk(t, diskOptions(b, 0, nil), 0)
+	content := make([]byte, d.Size())
+	if _, err := d.ReadAt(content, 0); err != nil {
 		t.Fatal(err)
 	}
-	if got, err := get(w.Client(0), "/meals/disk0"); err != nil || !bytes.Equal(got, whole) {
-		t.Errorf("the file has %d bytes, equal %v, %v", len(got), bytes.Equal(got, whole), err)
+	if got, err := get(b.Client(0), "/meals/disk0"); err != nil || !bytes.Equal(got, content) {
+		t.Errorf("the file has %d bytes, equal %v, %v", len(got), bytes.Equal(got, content), err)
+	}
+}
+
+func expectReadsBack(t *testing.T, d *initiator.Disk, data []byte, offset int64) {
+	t.Helper()
+	if _, err := d.WriteAt(data, offset); err != nil {
+		t.Fatalf("%d bytes at %d: %v", len(data), offset, err)
+	}
+	got := make([]byte, len(data))
+	if _, err := d.ReadAt(got, offset); err != nil || !bytes.Equal(got, data) {
+		t.Fatalf("%d bytes at %d: read back equal %v, %v", len(data), offset, bytes.Equal(got, data), err)
 	}
-	small := openDisk(t, dialDisk(t, w, 0, nil), 3)
+}
+
+// TestDiskRejectsUnalignedAndPastEnd: a disk of blocks of 512 bytes takes whole blocks alone, up to its end.
+func TestDiskRejectsUnalignedAndPastEnd(t *testing.T) {
+	b := diskTestbed(t, 3, 1, nil)
+	small := openDisk(t, diskOptions(b, 0, nil), 3)
 	if small.Block != 512 || small.Count != 2048 {
 		t.Errorf("%+v", small)
 	}
@@ -120,25 +133,24 @@
 		t.Error(err)
 	}
 	for _, c := range []struct {
-		n  int
-		at int64
+		bytes  int
+		offset int64
 	}{{100, 0}, {512, 100}, {512, 1 << 20}, {1024, 1<<20 - 512}} {
-		if _, err := small.ReadAt(make([]byte, c.n), c.at); err == nil {
-			t.Errorf("%d bytes at %d are read", c.n, c.at)
+		if _, err := small.ReadAt(make([]byte, c.bytes), c.offset); err == nil {
+			t.Errorf("%d bytes at %d are read", c.bytes, c.offset)
 		}
 	}
 }
 
-// UNMAP and WRITE SAME leave zeros; COMPARE AND WRITE is one step among many that race.
-func TestDiskCommands(t *testing.T) {
-	w := diskTown(t, 2, 1, nil)
-	d := openDisk(t, dialDisk(t, w, 0, nil), 0)
-	ctx := context.Background()
+// TestDiskUnmapReadsAsZeros: UNMAP leaves zeros, and COMPARE AND WRITE of what is not there changes nothing.
+func TestDiskUnmapReadsAsZeros(t *testing.T) {
+	b := diskTestbed(t, 2, 1, nil)
+	d := openDisk(t, diskOptions(b, 0, nil), 0)
 	data := random(5, 256<<10)
 	if _, err := d.WriteAt(data, 0); err != nil {
 		t.Fatal(err)
 	}
-	if err := d.Unmap(ctx, 8192, 100<<10); err != nil {
+	if err := d.Unmap(t.Context(), 8192, 100<<10); err != nil {
 		t.Fatal(err)
 	}
 	clear(data[8192 : 8192+100<<10])
@@ -146,44 +158,65 @@
 	if _, err := d.ReadAt(got, 0); err != nil || !bytes.Equal(got, data) {
 		t.Errorf("after an unmap: %v", err)
 	}
-	if err := d.Compare(ctx, make([]byte, 4096), random(6, 4096), 0); !errors.Is(err, initiator.ErrDifferent) {
+	err := d.Compare(t.Context(), make([]byte, 4096), random(6, 4096), 0)
+	if !errors.Is(err, initiator.ErrDifferent) {
 		t.Errorf("compared: %v", err)
 	}
-	// Each of many adds one to a counter; none is lost.
-	counter := func(n uint64) []byte {
-		b := make([]byte, 4096)
-		binary.BigEndian.PutUint64(b, n)
-		return b
+}
+
+// counterBlock is a block with a number.
+func counterBlock(n uint64) []byte {
+	b := make([]byte, 4096)
+	binary.BigEndian.PutUint64(b, n)
+	return b
+}
+
+// increment adds one to the number in a block, with COMPARE AND WRITE. It returns false if another one was faster.
+func increment(ctx context.Context, d *initiator.Disk, offset int64) (done bool, err error) {
+	now := make([]byte, 4096)
+	if _, err := d.ReadAt(now, offset); err != nil {
+		return false, err
 	}
-	at := int64(1 << 20)
-	var all sync.WaitGroup
-	for i := range 4 {
-		c := openDisk(t, dialDisk(t, w, 0, func(o *initiator.Options) { o.ISID[5] = byte(10 + i) }), 0)
-		all.Add(1)
-		go func() {
-			defer all.Done()
-			for done := 0; done < 20; {
-				now := make([]byte, 4096)
-				if _, err := c.ReadAt(now, at); err != nil {
+	err = d.Compare(ctx, now, counterBlock(binary.BigEndian.Uint64(now)+1), offset)
+	if errors.Is(err, initiator.ErrDifferent) {
+		return false, nil
+	}
+	return err == nil, err
+}
+
+// TestDiskCompareAndWriteIsAtomic: of many sessions that each add one to a counter, none is lost.
+func TestDiskCompareAndWriteIsAtomic(t *testing.T) {
+	const sessions, increments, offset = 4, 20, 1 << 20
+	b := diskTestbed(t, 2, 1, nil)
+	var running sync.WaitGroup
+	for i := range sessions {
+		d := openDisk(t, diskOptions(b, 0, func(o *initiator.Options) { o.ISID[5] = byte(10 + i) }), 0)
+		running.Go(func() {
+			for count := 0; count < increments; {
+				done, err := increment(t.Context(), d, offset)
+				if err != nil {
 					t.Error(err)
 					return
 				}
-				switch err := c.Compare(ctx, now, counter(binary.BigEndian.Uint64(now)+1), at); {
-				case err == nil:
-					done++
-				case !errors.Is(err, initiator.ErrDifferent):
-					t.Error(err)
-					return
+				if done {
+					count++
 				}
 			}
-		}()
+		})
 	}
-	all.Wait()
+	running.Wait()
 	now := make([]byte, 4096)
-	if _, err := d.ReadAt(now, at); err != nil || binary.BigEndian.Uint64(now) != 80 {
+	_, err := openDisk(t, diskOptions(b, 0, nil), 0).ReadAt(now, offset)
+	if err != nil || binary.BigEndian.Uint64(now) != sessions*increments {
 		t.Errorf("the counter is at %d, %v", binary.BigEndian.Uint64(now), err)
 	}
-	s, err := initiator.Dial(ctx, dialDisk(t, w, 0, func(o *initiator.Options) { o.ISID[5] = 99 }))
+}
+
+// TestDiskCommandsThatFailHaveSense: commands that cannot be done end with their sense, and the session goes on.
+func TestDiskCommandsThatFailHaveSense(t *testing.T) {
+	b := diskTestbed(t, 2, 1, nil)
+	openDisk(t, diskOptions(b, 0, nil), 0) // so that the unit is ready
+	s, err := initiator.Dial(t.Context(), diskOptions(b, 0, func(o *initiator.Options) { o.ISID[5] = 99 }))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -201,12 +234,15 @@
 		"too little data": {0, []byte{0x2a, 0, 0, 0, 0, 0, 0, 0, 2, 0}, make([]byte, 4096), 0, scsi.BadField},
 		"a wrong list":    {0, []byte{0x42, 0, 0, 0, 0, 0, 0, 0, 4, 0}, make([]byte, 4), 0, scsi.ShortList},
 	} {
-		r, err := s.Do(ctx, c.lun, append(c.cdb, make([]byte, 16-len(c.cdb))...), c.out, c.in)
-		if err != nil || r.Status != scsi.CheckCondition || r.Sense == nil || r.Sense.Key != c.sense.Key || r.Sense.Code != c.sense.Code {
+		r, err := s.Do(t.Context(), c.lun, append(c.cdb, make([]byte, 16-len(c.cdb))...), c.out, c.in)
+		if err != nil || r.Status != scsi.CheckCondition || r.Sense == nil {
 			t.Errorf("%s: %+v, %v", name, r, err)
+		} else if r.Sense.Key != c.sense.Key || r.Sense.Code != c.sense.Code {
+			t.Errorf("%s: sense %+v, want %+v", name, r.Sense, c.sense)
 		}
 	}
-	luns, err := s.Do(ctx, 0, append([]byte{0xa0, 0, 0, 0, 0, 0, 0, 0, 0, 64}, 0, 0, 0, 0, 0, 0), nil, 64)
+	reportLUNs := append([]byte{0xa0, 0, 0, 0, 0, 0, 0, 0, 0, 64}, 0, 0, 0, 0, 0, 0)
+	luns, err := s.Do(t.Context(), 0, reportLUNs, nil, 64)
 	if err != nil || len(luns.Data) != 24 || luns.Residual != 40 {
 		t.Errorf("%+v, %v", luns, err)
 	}
@@ -217,9 +253,9 @@
 
 // Discovery tells the targets; a target with a secret lets in who knows it, and proves itself.
 func TestDiskLoginIsChecked(t *testing.T) {
-	w := diskTown(t, 1, 1, nil)
+	w := diskTestbed(t, 1, 1, nil)
 	ctx := context.Background()
-	found, err := initiator.Discover(ctx, dialDisk(t, w, 0, nil))
+	found, err := initiator.Discover(ctx, diskOptions(w, 0, nil))
 	if err != nil || len(found) != 2 || found[0].Name != iqn || found[0].Address != w.Gateways[0].ISCSI.Addr() {
 		t.Errorf("%+v, %v", found, err)
 	}
@@ -237,7 +273,7 @@
 		"no proof":       {negotiate.Account{Name: "host", Secret: good.Secret, OurSecret: "what it is not"}, "iqn.2026-01.example:secret", "does not prove"},
 		"not needed":     {good, iqn, ""},
 	} {
-		s, err := initiator.Dial(ctx, dialDisk(t, w, 0, func(o *initiator.Options) { o.Account, o.Target = c.account, c.target }))
+		s, err := initiator.Dial(ctx, diskOptions(w, 0, func(o *initiator.Options) { o.Account, o.Target = c.account, c.target }))
 		if (err == nil) != (c.want == "") || err != nil && !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v", name, err)
 		}
@@ -249,9 +285,10 @@
 	}
 }
 
-// Connections that say nothing, nonsense, lies about lengths, or what is out of place, are closed, and others are served.
+// Connections that say nothing, nonsense, lies about lengths, or what is out of place, are closed, and others are
+// served.
 func TestDiskSurvivesMalformedInput(t *testing.T) {
-	w := diskTown(t, 1, 1, nil)
+	w := diskTestbed(t, 1, 1, nil)
 	addr := w.Gateways[0].ISCSI.Addr()
 	send := func(b []byte) net.Conn {
 		c, err := net.Dial("tcp", addr)
@@ -292,7 +329,7 @@
 	closed("a command before the login", send(early.Head[:]))
 	half := iscsi.New(iscsi.LoginAsk, 0x80)
 	closed("half a login", send(half.Head[:20]))
-	d := openDisk(t, dialDisk(t, w, 0, nil), 0)
+	d := openDisk(t, diskOptions(w, 0, nil), 0)
 	if _, err := d.WriteAt(random(1, 8192), 0); err != nil {
 		t.Error(err)
 	}
@@ -306,10 +343,10 @@
 
 // Files and disks under failing, slow and resetting nodes, with sessions that break: what was confirmed is read back.
 func TestDiskReadsBackWhileNodesFail(t *testing.T) {
-	w := diskTown(t, 3, 1, func(o *standin.Options) { o.Unit = 50 * time.Microsecond })
+	w := diskTestbed(t, 3, 1, func(o *standin.Options) { o.Unit = 50 * time.Microsecond })
 	var all sync.WaitGroup
 	for k := range 4 {
-		d := openDisk(t, dialDisk(t, w, 0, func(o *initiator.Options) { o.ISID[5] = byte(k); o.Digests = k%2 == 0 }), 0)
+		d := openDisk(t, diskOptions(w, 0, func(o *initiator.Options) { o.ISID[5] = byte(k); o.Digests = k%2 == 0 }), 0)
 		all.Add(1)
 		go func() {
 			defer all.Done()
--- /dev/null
+++ b/internal/serve/fleet_test.go
@@ -0,0 +1,169 @@
+package serve_test
+
+import (
+	"fmt"
+	"io"
+	"log/slog"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"irispost/internal/config"
+	"irispost/internal/fleet/configversion"
+	"irispost/internal/fleet/lease"
+	"irispost/internal/fleet/replica"
+	"irispost/internal/serve"
+	"irispost/internal/testkit"
+)
+
+// fleetTestbed is a gateway that has its configuration from one replica.
+type fleetTestbed struct {
+	*testkit.Town
+	t          *testing.T
+	replicaDir string
+	addr       string // of the replica, once it has started
+	replica    *replica.Replica
+	content    *configversion.Config // proposed last
+	cacheDir   string                // of the gateway
+	logFile    string
+	gateway    *serve.Gateway
+}
+
+// startReplica starts the replica, at the address that it had before.
+func (b *fleetTestbed) startReplica() {
+	opt := replica.Options{
+		ID:            1,
+		Listen:        "127.0.0.1:0",
+		Peers:         map[uint64]string{1: "-"},
+		Dir:           b.replicaDir,
+		LeaseSettings: lease.Settings{LeaseDuration: 5e8, MaxClockDrift: 0.01},
+		TickInterval:  10 * time.Millisecond,
+		Logger:        slog.New(slog.NewTextHandler(io.Discard, nil)),
+	}
+	if b.addr != "" {
+		opt.Listen = b.addr
+	}
+	until(func() bool { // the address may be taken for a moment
+		var err error
+		b.replica, err = replica.Start(opt)
+		return err == nil
+	})
+	b.addr = b.replica.Addr()
+}
+
+// propose makes the content a version after its parent.
+func (b *fleetTestbed) propose(parent uint64) {
+	b.t.Helper()
+	client := &replica.Client{Replicas: []string{b.addr}, Timeout: farOff}
+	proposal := &lease.Proposal{
+		ID:             fmt.Sprint(parent),
+		Parent:         parent,
+		ReplacePending: true,
+		Content:        b.content.Canonical(),
+	}
+	if _, err := client.Propose(proposal); err != nil {
+		b.t.Fatal(err)
+	}
+}
+
+// parseConfig is the gateway's own configuration.
+func (b *fleetTestbed) parseConfig() *config.Config {
+	b.t.Helper()
+	text := strings.Replace(testkit.Conf, `nodes    = "-"`, "", 1) +
+		fmt.Sprintf("follow {\n  keepers = [%q]\n  pause   = \"50ms\"\n  dir     = %q\n}\n", b.addr, b.cacheDir)
+	conf, err := config.Parse("test.hcl", fmt.Appendf(nil, text, "g", 2))
+	if err != nil {
+		b.t.Fatal(err)
+	}
+	return conf
+}
+
+// startFleetTestbed starts the replica with a first version that agrees with the gateway's own configuration, and the
+// gateway.
+func startFleetTestbed(t *testing.T) *fleetTestbed {
+	t.Helper()
+	b := &fleetTestbed{ // folders before the testbed, so that they are removed after its gateways have stopped
+		t:          t,
+		replicaDir: t.TempDir(),
+		cacheDir:   filepath.Join(t.TempDir(), "contents"),
+		logFile:    filepath.Join(t.TempDir(), "log"),
+	}
+	b.Town = testkit.Start(t, testkit.Conf, 2, 0, nil)
+	b.startReplica()
+	t.Cleanup(func() { b.replica.Close() })
+	conf := b.parseConfig()
+	b.content = &configversion.Config{RequiredFormat: 1, Shards: 2, MeanRequestUnits: 1}
+	b.content.SetFromSettings(conf.Settings)
+	for shard, n := range b.Nodes {
+		b.content.Nodes[n.Addr()] = configversion.Node{Shard: shard}
+	}
+	b.propose(0)
+	log, err := os.Create(b.logFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = log.Close() })
+	b.gateway, err = serve.StartWithSources(conf, nil, slog.New(slog.NewTextHandler(log, nil)))
+	if err != nil {
+		t.Fatal(err)
+	}
+	b.Gateways = append(b.Gateways, b.gateway)
+	return b
+}
+
+// logged reports whether the gateway has logged a text.
+func (b *fleetTestbed) logged(text string) bool {
+	b.t.Helper()
+	log, err := os.ReadFile(b.logFile)
+	if err != nil {
+		b.t.Fatal(err)
+	}
+	return strings.Contains(string(log), text)
+}
+
+// awaitVersion waits until the version that the gateway reports begins with a text.
+func (b *fleetTestbed) awaitVersion(prefix string) {
+	b.t.Helper()
+	until(func() bool {
+		status, err := b.gateway.Status()
+		if err != nil {
+			b.t.Fatal(err)
+		}
+		return strings.HasPrefix(status.Version, prefix)
+	})
+}
+
+// TestGatewayServesByVersionInForce: a gateway with replicas serves by the version in force, reports it, and logs where
+// its own configuration contradicts it; without its replica and without a fallback it rejects requests at once; with
+// the replica back it serves again.
+func TestGatewayServesByVersionInForce(t *testing.T) {
+	b := startFleetTestbed(t)
+	client := b.Client(0)
+	if err := client.Mkdir("/meals/week"); err != nil {
+		t.Fatal(err)
+	}
+	b.awaitVersion("acting on 1.")
+	if b.logged("contradicts it") {
+		t.Error("the same settings are said to contradict")
+	}
+	level := b.content.ServiceLevels["basic"]
+	level.RateLimit, level.Burst = 7, 7
+	b.content.ServiceLevels["basic"] = level
+	b.propose(1)
+	b.awaitVersion("acting on 2.")
+	until(func() bool { return b.logged("version 2.") && b.logged("limit none over 7") })
+	b.replica.Close()
+	b.awaitVersion("ended on none")
+	if err := client.Mkdir("/meals/month"); err == nil {
+		t.Error("it serves by a version that may be out of force")
+	}
+	b.startReplica()
+	b.awaitVersion("acting on 2.")
+	until(func() bool { // its last content is on disk
+		list, err := filepath.Glob(filepath.Join(b.cacheDir, "*"))
+		return err == nil && len(list) == 1 && filepath.Base(list[0]) == b.content.Digest()+".rules"
+	})
+	testkit.Again(t, "it serves again", func() error { return client.Mkdir("/meals/year") })
+}
--- a/internal/serve/fronts_bench_test.go
+++ b/internal/serve/fronts_bench_test.go
@@ -18,15 +18,15 @@
 	"irispost/internal/testkit"
 )
 
-// BenchmarkFronts reads and writes through both fronts in one run: client, gateway and node in one process. cpu-us/op is of
-// all three.
+// BenchmarkFronts reads and writes through both fronts in one run: client, gateway and node in one process. cpu-us/op
+// is of all three.
 func BenchmarkFronts(b *testing.B) {
 	for _, size := range []int{4 << 10, 64 << 10} {
 		for _, depth := range []int{1, 16, 128} {
 			for _, write := range []bool{false, true} {
 				what := map[bool]string{false: "read", true: "write"}[write]
 				w := testkit.Start(b, testkit.Conf+disks, 1, 1, nil)
-				d, err := initiator.Open(context.Background(), dialDisk(b, w, 0, nil), 0, initiator.Retry{For: farOff})
+				d, err := initiator.Open(context.Background(), diskOptions(w, 0, nil), 0, initiator.Retry{For: farOff})
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -80,8 +80,9 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// TestSharesOfFrontends has file clients of one volume and a deep disk session of another, of equal weight, ask for more than a node
-// can do, and tells the shares; a measurement, made with IRISPOST_MEASURE=1, and with IRISPOST_PLAN for another plan.
+// TestSharesOfFrontends has file clients of one volume and a deep disk session of another, of equal weight, ask for
+// more than a node can do, and tells the shares; a measurement, made with IRISPOST_MEASURE=1, and with IRISPOST_PLAN
+// for another plan.
 func TestSharesOfFrontends(t *testing.T) {
 	if os.Getenv("IRISPOST_MEASURE") == "" {
 		t.Skip("a measurement: IRISPOST_MEASURE=1")
@@ -118,7 +119,7 @@
 	}
 	conf = strings.Replace(conf, "rate = 1000", plan, 1)
 	w := testkit.Start(t, conf, 1, 1, func(o *standin.Options) { o.Record, o.Unit, o.Cores = record, 2*time.Millisecond, 2 })
-	d := openDisk(t, dialDisk(t, w, 0, nil), 0)
+	d := openDisk(t, diskOptions(w, 0, nil), 0)
 	if _, err := d.WriteAt(make([]byte, 1<<20), 0); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/serve/golden_test.go
+++ b/internal/serve/golden_test.go
@@ -17,8 +17,9 @@
 	"irispost/internal/testkit/golden"
 )
 
-// TestGoldenAdmin pins what a gateway itself puts into the answers of its admin socket: names of states, reasons, request
-// classes, and the texts of errors. Times, addresses, folders and figures that differ from run to run are masked.
+// TestGoldenAdmin pins what a gateway itself puts into the answers of its admin socket: names of states, reasons,
+// request classes, and the texts of errors. Times, addresses, folders and figures that differ from run to run are
+// masked.
 func TestGoldenAdmin(t *testing.T) {
 	dir := t.TempDir()
 	socket := filepath.Join(dir, "admin.sock")
--- a/internal/serve/iscsi_test.go
+++ b/internal/serve/iscsi_test.go
@@ -103,9 +103,9 @@
 	return p
 }
 
-// works checks that the session still serves.
-// works reads a block. Nodes that hung are believed to do so until they have answered again, and a read that is dismissed meanwhile
-// is told BUSY, proof that nothing ran: it is sent again, as an initiator would.
+// works checks that the session still serves. works reads a block. Nodes that hung are believed to do so until they
+// have answered again, and a read that is dismissed meanwhile is told BUSY, proof that nothing ran: it is sent again,
+// as an initiator would.
 func (w *wireDisk) works(tag uint32) {
 	w.t.Helper()
 	for {
@@ -134,8 +134,8 @@
 
 // Command numbers: what comes early waits, what comes again or from beyond the window is let be.
 func TestCommandNumbers(t *testing.T) {
-	town := diskTown(t, 1, 1, nil)
-	openDisk(t, dialDisk(t, town, 0, nil), 0) // so that the unit is ready
+	town := diskTestbed(t, 1, 1, nil)
+	openDisk(t, diskOptions(town, 0, nil), 0) // so that the unit is ready
 	w := login(t, town, 1)
 	first, second := w.read(1, 0, 1), w.read(2, 0, 1)
 	w.send(second)
@@ -161,8 +161,8 @@
 
 // Data that was not asked for so, or whose digest does not fit, ends its command with a sense, and nothing is written.
 func TestDataOutOfSequenceIsRejected(t *testing.T) {
-	town := diskTown(t, 1, 1, nil)
-	openDisk(t, dialDisk(t, town, 0, nil), 0)
+	town := diskTestbed(t, 1, 1, nil)
+	openDisk(t, diskOptions(town, 0, nil), 0)
 	w := login(t, town, 1, "DataDigest", "CRC32C", "HeaderDigest", "CRC32C", "ImmediateData", "No")
 	out := func(tag, transfer, sn, at uint32, n int, final bool) *iscsi.PDU {
 		p := iscsi.New(iscsi.DataOut, 0).Put(16, tag).Put(20, transfer).Put(36, sn).Put(40, at).With(make([]byte, n))
@@ -211,11 +211,11 @@
 	}
 }
 
-// A write that is out is aborted: the answer comes when nothing of it can happen any more, and the command gets none. A unit
-// that is reset tells the commands of other sessions.
+// A write that is out is aborted: the answer comes when nothing of it can happen any more, and the command gets none. A
+// unit that is reset tells the commands of other sessions.
 func TestAbortedWriteGetsNoResponse(t *testing.T) {
-	town := diskTown(t, 1, 1, func(o *standin.Options) { o.Unit = time.Millisecond })
-	d := openDisk(t, dialDisk(t, town, 0, nil), 0)
+	town := diskTestbed(t, 1, 1, func(o *standin.Options) { o.Unit = time.Millisecond })
+	d := openDisk(t, diskOptions(town, 0, nil), 0)
 	if _, err := d.WriteAt(make([]byte, 16<<12), 0); err != nil {
 		t.Fatal(err)
 	}
@@ -242,7 +242,7 @@
 		t.Errorf("a target reset: %x", p.Head)
 	}
 	// Another session's reset.
-	o := dialDisk(t, town, 0, func(o *initiator.Options) { o.ISID[5] = 40 })
+	o := diskOptions(town, 0, func(o *initiator.Options) { o.ISID[5] = 40 })
 	s, err := initiator.Dial(context.Background(), o)
 	if err != nil {
 		t.Fatal(err)
@@ -273,11 +273,11 @@
 	w.works(14)
 }
 
-// A session that is begun anew while its requests are out: the old connection ends, its requests are left, none of their
-// answers reaches the new one, and none stays behind.
+// A session that is begun anew while its requests are out: the old connection ends, its requests are left, none of
+// their answers reaches the new one, and none stays behind.
 func TestSessionReinstatementEndsOldSession(t *testing.T) {
-	town := diskTown(t, 2, 1, nil)
-	d := openDisk(t, dialDisk(t, town, 0, nil), 0)
+	town := diskTestbed(t, 2, 1, nil)
+	d := openDisk(t, diskOptions(town, 0, nil), 0)
 	if _, err := d.WriteAt(make([]byte, 1<<20), 0); err != nil {
 		t.Fatal(err)
 	}
@@ -313,16 +313,16 @@
 	}
 }
 
-// A node dies within a write of several extents: the write is told as not known to be done, and once the node is back the
-// blocks can be written and read.
+// A node dies within a write of several extents: the write is told as not known to be done, and once the node is back
+// the blocks can be written and read.
 func TestNodeFailureWithinWriteIsReported(t *testing.T) {
-	town := diskTown(t, 3, 1, nil)
-	d := openDisk(t, dialDisk(t, town, 0, nil), 0)
+	town := diskTestbed(t, 3, 1, nil)
+	d := openDisk(t, diskOptions(town, 0, nil), 0)
 	data := random(1, 1<<20)
 	if _, err := d.WriteAt(data, 0); err != nil {
 		t.Fatal(err)
 	}
-	s, err := initiator.Dial(context.Background(), dialDisk(t, town, 0, func(o *initiator.Options) { o.ISID[5] = 9 }))
+	s, err := initiator.Dial(context.Background(), diskOptions(town, 0, func(o *initiator.Options) { o.ISID[5] = 9 }))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -346,8 +346,8 @@
 
 // A gateway that stops asks initiators to log out, and takes nothing new.
 func TestDiskDrainRequestsLogout(t *testing.T) {
-	town := diskTown(t, 1, 1, nil)
-	d := openDisk(t, dialDisk(t, town, 0, nil), 0)
+	town := diskTestbed(t, 1, 1, nil)
+	d := openDisk(t, diskOptions(town, 0, nil), 0)
 	if _, err := d.WriteAt(random(1, 8192), 0); err != nil {
 		t.Fatal(err)
 	}
@@ -371,11 +371,11 @@
 	town.Gateways = nil
 }
 
-// An initiator that sends reads and takes no answers is told that its queue is full, past what it may leave unread; each
-// command has its one answer all the same.
+// An initiator that sends reads and takes no answers is told that its queue is full, past what it may leave unread;
+// each command has its one answer all the same.
 func TestUnreadResponsesFillQueue(t *testing.T) {
 	town := testkit.Start(t, testkit.Conf+strings.Replace(disks, "login  =", "unread = \"64KiB\"\n  login  =", 1), 1, 1, nil)
-	d := openDisk(t, dialDisk(t, town, 0, nil), 0)
+	d := openDisk(t, diskOptions(town, 0, nil), 0)
 	if _, err := d.WriteAt(make([]byte, 1<<20), 0); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/serve/leak_test.go
+++ b/internal/serve/leak_test.go
@@ -58,7 +58,7 @@
 	other := startLists(t, discovery.Response{Revision: 1, Full: true})
 	before := goleak.IgnoreCurrent()
 	g, conf := startLeakGateway(t, list)
-	until(func() bool { list.lock.Lock(); defer list.lock.Unlock(); return list.asked >= 2 })
+	list.awaitCalls(2)
 	request := func(id string) string {
 		return "PUT /api?extent=7f3a9c21e0b4d655 HTTP/1.1\r\nHost: a\r\nX-Request-Id: " + id + "\r\nX-Class: read\r\n" +
 			"X-Plan: gold\r\nX-Deadline-Ms: 120000\r\nContent-Length: 0\r\n" +
@@ -81,8 +81,8 @@
 	for _, c := range []net.Conn{served, rubbish, half} {
 		_ = c.Close()
 	}
-	list.say(func(*discovery.Response) {})
-	other.say(func(*discovery.Response) {})
+	list.update(func(*discovery.Response) {})
+	other.update(func(*discovery.Response) {})
 	http.DefaultClient.CloseIdleConnections()
 	goleak.VerifyNone(t, before)
 }
--- a/internal/serve/linear_test.go
+++ b/internal/serve/linear_test.go
@@ -67,8 +67,9 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// Blocks that several sessions read, write and compare at once behave each as one register, while nodes fail, lose answers
-// and break connections, and sessions are broken off: checked by porcupine, over some seeds here (IRISPOST_SEEDS for more).
+// Blocks that several sessions read, write and compare at once behave each as one register, while nodes fail, lose
+// answers and break connections, and sessions are broken off: checked by porcupine, over some seeds here
+// (IRISPOST_SEEDS for more).
 func TestBlocksAreLinearizable(t *testing.T) {
 	seeds := 3
 	if n, err := strconv.Atoi(os.Getenv("IRISPOST_SEEDS")); err == nil {
@@ -81,7 +82,7 @@
 
 func checkBlocks(t *testing.T, seed uint64) {
 	const clients, blocks, steps = 4, 3, 25
-	w := diskTown(t, 2, 1, func(o *standin.Options) { o.Unit, o.Seed = 20*time.Microsecond, seed })
+	w := diskTestbed(t, 2, 1, func(o *standin.Options) { o.Unit, o.Seed = 20*time.Microsecond, seed })
 	began := time.Now()
 	var lock sync.Mutex
 	var history []porcupine.Operation
@@ -104,7 +105,7 @@
 		}()
 	}
 	for k := range clients {
-		d, err := initiator.Open(context.Background(), dialDisk(t, w, 0, func(o *initiator.Options) { o.ISID[5] = byte(k) }), 0,
+		d, err := initiator.Open(context.Background(), diskOptions(w, 0, func(o *initiator.Options) { o.ISID[5] = byte(k) }), 0,
 			initiator.Retry{For: farOff, Once: true})
 		if err != nil {
 			t.Fatal(err)
--- a/internal/serve/members_test.go
+++ b/internal/serve/members_test.go
@@ -164,8 +164,8 @@
 	}
 }
 
-// After a drain, a removal, or word that it is not healthy, a node with jobs in flight gets no fresh work, jobs go on at its
-// successor, and each request gets its answer: as the nodes' sockets saw it, in both forms of the protocol.
+// After a drain, a removal, or word that it is not healthy, a node with jobs in flight gets no fresh work, jobs go on
+// at its successor, and each request gets its answer: as the nodes' sockets saw it, in both forms of the protocol.
 func TestNodeRemovedByXDSGetsNoNewRequests(t *testing.T) {
 	for _, delta := range []bool{false, true} {
 		for _, how := range []string{"drain", "remove", "unwell"} {
@@ -207,8 +207,8 @@
 	t.Error("a node that is back gets no work")
 }
 
-// Broken updates are refused with a reason, the last good list stays in force, and jobs go on; a list of nothing, and one in
-// which all are unwell, is held and shown until somebody confirms it.
+// Broken updates are refused with a reason, the last good list stays in force, and jobs go on; a list of nothing, and
+// one in which all are unwell, is held and shown until somebody confirms it.
 func TestInvalidUpdatesKeepLastGoodList(t *testing.T) {
 	m := manage(t, false, 3, 0)
 	g := m.Gateways[0]
@@ -281,8 +281,8 @@
 	m.more(30)
 }
 
-// A gateway that starts while the management server is down serves with the list that its earlier life kept, as old, and
-// goes over to the server's word when there is one.
+// A gateway that starts while the management server is down serves with the list that its earlier life kept, as old,
+// and goes over to the server's word when there is one.
 func TestStartWithCachedListWhileServerIsDown(t *testing.T) {
 	dir := t.TempDir() // before the testbed, so that it is removed after the gateways that write there are stopped
 	w := testkit.Start(t, testkit.Conf, 2, 0, nil)
--- a/internal/serve/web_test.go
+++ b/internal/serve/web_test.go
@@ -1,13 +1,14 @@
 package serve_test
 
 import (
-	"bytes"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"log/slog"
 	"net/http"
 	"net/http/httptest"
+	"strings"
 	"sync"
 	"testing"
 
@@ -20,133 +21,202 @@
 // lists is a stand-in for discovery: a watch answers when there is something newer.
 type lists struct {
 	*httptest.Server
-	lock  sync.Mutex
-	cond  sync.Cond
-	form  discovery.Response
-	asked int
+	lock     sync.Mutex // guards all below
+	changed  sync.Cond
+	response discovery.Response
+	asked    int // calls
 }
 
-func startLists(t *testing.T, form discovery.Response) *lists {
-	l := &lists{form: form}
-	l.cond.L = &l.lock
-	l.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
+func startLists(t *testing.T, response discovery.Response) *lists {
+	t.Helper()
+	l := &lists{response: response}
+	l.changed.L = &l.lock
+	l.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		l.lock.Lock()
 		defer l.lock.Unlock()
 		l.asked++
-		l.cond.Broadcast()
-		for q.FormValue("from") == fmt.Sprint(l.form.Revision) && q.Context().Err() == nil {
-			l.cond.Wait()
+		l.changed.Broadcast()
+		for r.FormValue("from") == fmt.Sprint(l.response.Revision) && r.Context().Err() == nil {
+			l.changed.Wait()
 		}
-		_ = json.NewEncoder(w).Encode(l.form) // the gateway may have gone
+		_ = json.NewEncoder(w).Encode(l.response) // the gateway may have gone
 	}))
-	t.Cleanup(func() { l.say(func(*discovery.Response) {}); l.CloseClientConnections(); l.Close() })
+	t.Cleanup(func() {
+		l.update(func(*discovery.Response) {}) // ends the watches
+		l.CloseClientConnections()
+		l.Close()
+	})
 	return l
 }
 
-func (l *lists) say(change func(*discovery.Response)) {
+// update makes a new revision of the list.
+func (l *lists) update(change func(*discovery.Response)) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
-	l.form.Revision++
-	change(&l.form)
-	l.cond.Broadcast()
+	l.response.Revision++
+	change(&l.response)
+	l.changed.Broadcast()
 }
 
-// TestWebGatewayCountsAgreeWithNodes runs a whole gateway over stand-ins. What it believes is out, open and held is compared with what its nodes see on
-// their sockets, under load and after; then the list's service moves, a node is taken away, and the gateway ends.
-func TestWebGatewayCountsAgreeWithNodes(t *testing.T) {
-	stores := []*webstandin.Node{webstandin.Start(t), webstandin.Start(t), webstandin.Start(t)}
-	form := discovery.Response{Revision: 1, Full: true}
-	for i, s := range stores {
-		form.Targets = append(form.Targets, discovery.Target{UID: fmt.Sprint("s", i), Endpoint: s.Listener.Addr().String(), Shard: i, State: "ready"})
+// awaitCalls waits until the list has been asked for so often.
+func (l *lists) awaitCalls(n int) {
+	l.lock.Lock()
+	defer l.lock.Unlock()
+	for l.asked < n {
+		l.changed.Wait()
 	}
-	list, other := startLists(t, form), startLists(t, form)
-	conf, err := platform.Parse([]byte(fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:0","discovery":%q,"seed":"1","limits":{"cores":1,"memory_mb":64,"sockets":256},
-		"settings":{"discovery":"ask","contract":{"ask_every_ms":40000.0},"contracts":[{"name":"gold","proportion":1.0,"base_rate":1000.0,"floor_rate":1000.0}],
-		"domain":{"unit_mean":2.0,"largest":8},"lanes":[{"name":"read","effect":"read_like","target_ms":60000.0,"hard_limit_ms":120000.0}],
-		"permissions":{"attempts_cap":3,"second_copies":true,"cancelling":true,"retry_after":true,"max_retry_after_ms":1000.0,"dial_timeout_ms":5000.0,
-		"idle_close_ms":60000.0}}}`, list.Listener.Addr().String())), func(string) string { return "" })
-	if err != nil {
+}
+
+// webTestbed is a gateway behind HTTP over stand-in nodes, one for each shard.
+type webTestbed struct {
+	t       *testing.T
+	nodes   []*webstandin.Node
+	lists   [2]*lists // the gateway is configured with the first
+	conf    *platform.Config
+	gateway *serve.WebGateway
+	client  *http.Client
+	count   int // of requests
+}
+
+func startWebTestbed(t *testing.T) *webTestbed {
+	t.Helper()
+	b := &webTestbed{t: t, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 100}}}
+	t.Cleanup(b.client.CloseIdleConnections)
+	response := discovery.Response{Revision: 1, Full: true}
+	for shard := range 3 {
+		n := webstandin.Start(t)
+		b.nodes = append(b.nodes, n)
+		response.Targets = append(response.Targets, discovery.Target{
+			UID:      fmt.Sprint("s", shard),
+			Endpoint: n.Listener.Addr().String(),
+			Shard:    shard,
+			State:    "ready",
+		})
+	}
+	for i := range b.lists {
+		b.lists[i] = startLists(t, response)
+	}
+	text := fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:0","discovery":%q,"seed":"1",
+		"limits":{"cores":1,"memory_mb":64,"sockets":256},
+		"settings":{"discovery":"ask","contract":{"ask_every_ms":40000.0},
+		"contracts":[{"name":"gold","proportion":1.0,"base_rate":1000.0,"floor_rate":1000.0}],
+		"domain":{"unit_mean":2.0,"largest":8},
+		"lanes":[{"name":"read","effect":"read_like","target_ms":60000.0,"hard_limit_ms":120000.0}],
+		"permissions":{"attempts_cap":3,"second_copies":true,"cancelling":true,"retry_after":true,
+		"max_retry_after_ms":1000.0,"dial_timeout_ms":5000.0,"idle_close_ms":60000.0}}}`, b.lists[0].Listener.Addr().String())
+	var err error
+	if b.conf, err = platform.Parse([]byte(text), func(string) string { return "" }); err != nil {
 		t.Fatal(err)
 	}
-	g, err := serve.StartWebGateway(conf, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	b.gateway, err = serve.StartWebGateway(b.conf, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 100}}
-	defer client.CloseIdleConnections()
-	count := 0
-	ask := func(kind string, shard int) (id string, done chan string) {
-		count++
-		id, done = fmt.Sprintf("%s-%d", kind, count), make(chan string, 1)
-		q, _ := http.NewRequest("PUT", "http://"+g.Frontend.Addr()+"/api?extent=7f3a9c21e0b4d655", bytes.NewReader([]byte("body")))
-		for name, v := range map[string]string{"X-Request-Id": id, "X-Class": "read", "X-Plan": "gold", "X-Deadline-Ms": "120000",
-			"X-IO": fmt.Sprintf("volume=00000003b4d60021,units=2,shard=%d,hosts=1", shard)} {
-			q.Header.Set(name, v)
-		}
-		go func() {
-			a, err := client.Do(q)
-			if err != nil {
-				done <- err.Error()
-				return
-			}
-			b, _ := io.ReadAll(a.Body)
-			_ = a.Body.Close()
-			done <- fmt.Sprint(a.StatusCode, " ", string(b))
-		}()
-		return id, done
+	return b
+}
+
+// put sends a request of a kind of webstandin for a shard. done gets the status and the body of its response.
+func (b *webTestbed) put(kind string, shard int) (id string, done chan string) {
+	b.t.Helper()
+	b.count++
+	id, done = fmt.Sprintf("%s-%d", kind, b.count), make(chan string, 1)
+	url := "http://" + b.gateway.Frontend.Addr() + "/api?extent=7f3a9c21e0b4d655"
+	request, err := http.NewRequest(http.MethodPut, url, strings.NewReader("body"))
+	if err != nil {
+		b.t.Fatal(err)
 	}
-	until(func() bool { list.lock.Lock(); defer list.lock.Unlock(); return list.asked >= 2 }) // the first list is told
-	waits := map[string]chan string{}
-	for i := range 6 {
-		id, done := ask("held", i%3)
-		waits[id] = done
+	request.Header.Set("X-Request-Id", id)
+	request.Header.Set("X-Class", "read")
+	request.Header.Set("X-Plan", "gold")
+	request.Header.Set("X-Deadline-Ms", "120000")
+	request.Header.Set("X-IO", fmt.Sprintf("volume=00000003b4d60021,units=2,shard=%d,hosts=1", shard))
+	go func() { done <- b.do(request) }()
+	return id, done
+}
+
+func (b *webTestbed) do(request *http.Request) string {
+	response, err := b.client.Do(request)
+	if err != nil {
+		return err.Error()
 	}
-	agree := func() bool {
-		f, ok := g.Loop.Stats()
-		open, idle := g.Nodes.ConnectionCounts()
-		sum, conns := 0, 0
-		for _, s := range stores {
-			held, c := s.Counts()
-			sum, conns = sum+held, conns+c
-			if f.AttemptsByNode[s.Listener.Addr().String()] != held {
-				return false
-			}
+	body, err := io.ReadAll(response.Body)
+	if err = errors.Join(err, response.Body.Close()); err != nil {
+		return err.Error()
+	}
+	return fmt.Sprint(response.StatusCode, " ", string(body))
+}
+
+// countsAgree reports whether what the gateway counts agrees with what its nodes see on their sockets.
+func (b *webTestbed) countsAgree() bool {
+	stats, running := b.gateway.Loop.Stats()
+	open, idle := b.gateway.Nodes.ConnectionCounts()
+	_, requests := b.gateway.Frontend.Counts()
+	attempts, conns := 0, 0
+	for _, n := range b.nodes {
+		held, open := n.Counts()
+		attempts, conns = attempts+held, conns+open
+		if stats.AttemptsByNode[n.Listener.Addr().String()] != held {
+			return false
 		}
-		_, requests := g.Frontend.Counts()
-		return ok && f.Attempts == sum && open-idle == sum && open == conns && f.InFlight == requests
 	}
-	until(func() bool { held, _ := stores[0].Counts(); return held > 0 && agree() })
-	for _, s := range stores {
-		close(s.Hold)
+	return running && stats.Attempts == attempts && stats.InFlight == requests && open-idle == attempts && open == conns
+}
+
+// TestWebGatewayCountsAgreeWithNodes: what a gateway counts of attempts, connections and requests agrees with what its
+// nodes see on their sockets, under load and after it, and each request is sent once.
+func TestWebGatewayCountsAgreeWithNodes(t *testing.T) {
+	b := startWebTestbed(t)
+	b.lists[0].awaitCalls(2) // the first list has arrived
+	held := map[string]chan string{}
+	for i := range 6 {
+		id, done := b.put("held", i%3)
+		held[id] = done
+	}
+	until(func() bool { n, _ := b.nodes[0].Counts(); return n > 0 && b.countsAgree() })
+	for _, n := range b.nodes {
+		close(n.Hold)
 	}
-	for id, done := range waits {
+	for id, done := range held {
 		if got := <-done; got != "200 "+id+"body" {
 			t.Errorf("%s: %q", id, got)
 		}
 	}
-	until(func() bool { f, _ := g.Loop.Stats(); return f.Attempts == 0 && f.InFlight == 0 && agree() })
-	for _, s := range stores {
-		for id, n := range s.Seen {
-			if n != 1 {
-				t.Errorf("%s was sent %d times", id, n)
+	until(func() bool {
+		stats, _ := b.gateway.Loop.Stats()
+		return stats.Attempts == 0 && stats.InFlight == 0 && b.countsAgree()
+	})
+	for _, n := range b.nodes {
+		for id, times := range n.Seen {
+			if times != 1 {
+				t.Errorf("%s was sent %d times", id, times)
 			}
 		}
 	}
+	b.checkReload()
+	b.checkShutdown()
+}
 
-	moved := *conf
-	moved.Discovery = other.Listener.Addr().String()
-	g.Reload(&moved)
-	until(func() bool { other.lock.Lock(); defer other.lock.Unlock(); return other.asked >= 1 })
-	other.say(func(f *discovery.Response) { f.Targets = f.Targets[:2] })
-	until(func() bool { other.lock.Lock(); defer other.lock.Unlock(); return other.asked >= 2 })
-	until(func() bool { _, conns := stores[2].Counts(); return conns == 0 }) // its idle connections are closed
-	if _, done := ask("served", 1); (<-done)[:3] != "200" {
-		t.Error("a node that is left does not serve")
+// checkReload has the address of discovery change, and the list that it has there lose a node.
+func (b *webTestbed) checkReload() {
+	b.t.Helper()
+	moved := *b.conf
+	moved.Discovery = b.lists[1].Listener.Addr().String()
+	b.gateway.Reload(&moved)
+	b.lists[1].awaitCalls(1)
+	b.lists[1].update(func(r *discovery.Response) { r.Targets = r.Targets[:2] })
+	b.lists[1].awaitCalls(2)
+	until(func() bool { _, conns := b.nodes[2].Counts(); return conns == 0 }) // its idle connections are closed
+	if _, done := b.put("served", 1); (<-done)[:3] != "200" {
+		b.t.Error("a node that is still listed does not serve")
 	}
-	client.CloseIdleConnections()
-	g.Shutdown()
-	if conns, requests := g.Frontend.Counts(); conns != 0 || requests != 0 {
-		t.Errorf("%d connections and %d requests are left", conns, requests)
+}
+
+func (b *webTestbed) checkShutdown() {
+	b.t.Helper()
+	b.client.CloseIdleConnections()
+	b.gateway.Shutdown()
+	if conns, requests := b.gateway.Frontend.Counts(); conns != 0 || requests != 0 {
+		b.t.Errorf("%d connections and %d requests are left", conns, requests)
 	}
-	until(func() bool { open, _ := g.Nodes.ConnectionCounts(); return open == 0 })
+	until(func() bool { open, _ := b.gateway.Nodes.ConnectionCounts(); return open == 0 })
 }
