--- /dev/null
+++ b/internal/serve/concurrent_test.go
@@ -0,0 +1,196 @@
+package serve_test
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"os"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"irispost/internal/sftp"
+	"irispost/internal/standin"
+	"irispost/internal/testkit"
+)
+
+// TestConcurrentWritesOfNewFileDoNotMix: two gateways write the same new file at once: each extent holds what one of
+// them wrote, both read the same, and no object is left over.
+func TestConcurrentWritesOfNewFileDoNotMix(t *testing.T) {
+	w := testkit.Start(t, testkit.Conf, 2, 2, nil)
+	const run = 64 << 10
+	for round := range 5 {
+		path := fmt.Sprintf("/meals/both%d", round)
+		var all sync.WaitGroup
+		for g := range 2 {
+			all.Add(1)
+			go func() {
+				defer all.Done()
+				f, err := w.Client(g).OpenFile(path, os.O_WRONLY|os.O_CREATE)
+				if err != nil {
+					t.Error(err)
+					return
+				}
+				_, err = f.Write(bytes.Repeat([]byte{byte('a' + g)}, 3*run))
+				if err = errors.Join(err, f.Close()); err != nil {
+					t.Error(err)
+				}
+			}()
+		}
+		all.Wait()
+		x, err1 := get(w.Client(0), path)
+		y, err2 := get(w.Client(1), path)
+		if err1 != nil || err2 != nil || len(x) != 3*run || !bytes.Equal(x, y) {
+			t.Fatalf("%d and %d bytes, equal %v, %v, %v", len(x), len(y), bytes.Equal(x, y), err1, err2)
+		}
+		for at := 0; at < len(x); at += run {
+			if n := bytes.Count(x[at:at+run], x[at:at+1]); n != run || x[at] != 'a' && x[at] != 'b' {
+				t.Errorf("extent at %d mixes writers: %d of %d bytes", at, n, run)
+			}
+		}
+		if err := w.Client(0).Remove(path); err != nil {
+			t.Fatal(err)
+		}
+	}
+	for _, g := range w.Gateways { // what was dropped is dropped by duties
+		if err := g.Frontend.Drain(context.Background()); err != nil {
+			t.Error(err)
+		}
+	}
+	if n := w.Stores[0].Objects() + w.Stores[1].Objects(); n != 0 {
+		t.Errorf("%d objects are left over", n)
+	}
+}
+
+// TestOpenHandleNeverReadsMixture: a file that another gateway rewrites while a handle is open is read as it was or as
+// it is, never as a mixture.
+func TestOpenHandleNeverReadsMixture(t *testing.T) {
+	w := testkit.Start(t, testkit.Conf, 2, 2, nil)
+	a, b := w.Client(0), w.Client(1)
+	if err := put(a, "/meals/f", bytes.Repeat([]byte{'1'}, 1000)); err != nil {
+		t.Fatal(err)
+	}
+	f, err := a.Open("/meals/f")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := put(b, "/meals/f", bytes.Repeat([]byte{'2'}, 1000)); err != nil {
+		t.Fatal(err)
+	}
+	if err := w.Gateways[1].Frontend.Drain(context.Background()); err != nil { // after it the old object is deleted
+		t.Error(err)
+	}
+	got := make([]byte, 1000)
+	if _, err := f.ReadAt(got, 0); err != nil && !errors.Is(err, io.EOF) || bytes.Count(got, []byte{'2'}) != 1000 {
+		t.Errorf("%q..., %v", got[:10], err)
+	}
+}
+
+// TestOverlappingRequestsKeepTheirOrder: writes and reads that overlap have the results that they would have one at a
+// time, however many are in flight.
+func TestOverlappingRequestsKeepTheirOrder(t *testing.T) {
+	w := testkit.Start(t, testkit.Conf, 2, 1, func(o *standin.Options) { o.Unit = 100 * time.Microsecond })
+	conn := dialRaw(t, w, 0)
+	conn.hello()
+	handle := conn.open("/meals/f", sftp.FlagRead|sftp.FlagWrite|sftp.FlagCreate)
+	r := rand.New(rand.NewPCG(1, 2))
+	model := make([]byte, 200_000)
+	want := map[uint32][]byte{}
+	first := conn.id + 1
+	conn.send(sftp.Write, func(p *sftp.Packet) { p.Text(handle).Uint64(0).Tail(model) })
+	for range 150 {
+		from, n := r.IntN(190_000), 1+r.IntN(9000)
+		if r.IntN(2) == 0 {
+			data := random(r.Uint64(), n)
+			copy(model[from:], data)
+			conn.send(sftp.Write, func(p *sftp.Packet) { p.Text(handle).Uint64(uint64(from)).Tail(data) })
+		} else {
+			conn.send(sftp.Read, func(p *sftp.Packet) { p.Text(handle).Uint64(uint64(from)).Uint32(uint32(n)) })
+			want[conn.id] = bytes.Clone(model[from : from+n])
+		}
+	}
+	for range conn.id - first + 1 {
+		f := conn.next()
+		id, fields := f.ID()
+		if data, read := want[id]; read {
+			if f.Type != sftp.Data || !bytes.Equal(fields.Bytes(), data) {
+				t.Errorf("read %d gives other bytes than were written before it (type %d)", id, f.Type)
+			}
+		} else if code := sftp.Code(fields.Uint32()); code != sftp.OK {
+			t.Errorf("write %d: %v %s", id, code, fields.Text())
+		}
+	}
+}
+
+// TestFullQueueSlowsClients: with the smallest event queue, hundreds of requests from many connections wait at their
+// sockets; none is lost.
+func TestFullQueueSlowsClients(t *testing.T) {
+	conf := strings.Replace(testkit.Conf, "gateways = 2\n", "gateways = 2\n  limits {\n    queue = 16\n  }\n", 1)
+	w := testkit.Start(t, conf, 2, 1, nil)
+	if err := put(w.Client(0), "/meals/f", nil); err != nil {
+		t.Fatal(err)
+	}
+	var all sync.WaitGroup
+	for range 8 {
+		conn := dialRaw(t, w, 0)
+		all.Add(1)
+		go func() {
+			defer all.Done()
+			conn.hello()
+			for range 400 {
+				conn.send(sftp.Stat, func(p *sftp.Packet) { p.Text("/meals/f") })
+			}
+			answers := map[uint32]int{}
+			for range 400 {
+				f := conn.next()
+				id, _ := f.ID()
+				answers[id]++
+			}
+			if len(answers) != 400 {
+				t.Errorf("%d of 400 requests have their answer", len(answers))
+			}
+		}()
+	}
+	all.Wait()
+	f, _ := w.Gateways[0].Loop.Stats()
+	sum := int64(0)
+	for _, c := range f.Classes {
+		if c.Accepted != c.Succeeded+c.Rejected+c.Failed+c.Cancelled {
+			t.Errorf("%+v", c)
+		}
+		sum += c.Accepted
+	}
+	if sum < 3200 || f.InFlight != 0 {
+		t.Errorf("%d jobs taken, %d held", sum, f.InFlight)
+	}
+}
+
+// TestManyRequestsForRootAreServed: requests for the root of all volumes, which has no request class, wait for each
+// other as any others do.
+func TestManyRequestsForRootAreServed(t *testing.T) {
+	w := testkit.Start(t, testkit.Conf, 1, 1, nil)
+	for range 20 {
+		conn := dialRaw(t, w, 0)
+		conn.hello()
+		conn.send(sftp.Opendir, func(p *sftp.Packet) { p.Text("/") })
+		_, r := conn.next().ID()
+		handle := r.Text()
+		for range 50 {
+			conn.send(sftp.Readdir, func(p *sftp.Packet) { p.Text(handle) })
+			conn.send(sftp.Stat, func(p *sftp.Packet) { p.Text("/") })
+		}
+		names := 0
+		for range 100 {
+			if conn.next().Type == sftp.Name {
+				names++
+			}
+		}
+		if names != 1 {
+			t.Errorf("the root's names are given %d times", names)
+		}
+	}
+}
--- a/internal/serve/files_test.go
+++ b/internal/serve/files_test.go
@@ -48,58 +48,75 @@
 	return b
 }
 
-// A client that we did not write does all that the front offers.
-func TestFileCommands(t *testing.T) {
-	w := testkit.Start(t, testkit.Conf, 3, 2, nil)
-	a, b := w.Client(0), w.Client(1)
-	must := func(what string, err error) {
-		t.Helper()
-		if err != nil {
-			t.Fatalf("%s: %v", what, err)
-		}
+// must fails the test if a step failed.
+func must(t *testing.T, what string, err error) {
+	t.Helper()
+	if err != nil {
+		t.Fatalf("%s: %v", what, err)
 	}
+}
+
+// TestFileCommands: a client of another make finds the files that it writes through one gateway at another, and can
+// move, replace, list, cut and remove them.
+func TestFileCommands(t *testing.T) {
+	testbed := testkit.Start(t, testkit.Conf, 3, 2, nil)
+	a, b := testbed.Client(0), testbed.Client(1)
 	data := random(1, 300_001)
-	must("mkdir", a.Mkdir("/meals/week"))
-	must("put", put(a, "/meals/week/menu", data))
+	must(t, "mkdir", a.Mkdir("/meals/week"))
+	must(t, "put", put(a, "/meals/week/menu", data))
 	got, err := get(b, "/meals/week/menu")
-	must("get", err)
+	must(t, "get", err)
 	if sha256.Sum256(got) != sha256.Sum256(data) {
-		t.Fatalf("%d bytes come back otherwise through another gateway", len(got))
+		t.Fatalf("%d bytes read through another gateway differ", len(got))
 	}
 	info, err := b.Stat("/meals/week/menu")
-	must("stat", err)
+	must(t, "stat", err)
 	if info.Size() != int64(len(data)) || info.IsDir() {
 		t.Errorf("stat says %d bytes, folder %v", info.Size(), info.IsDir())
 	}
-	must("rename", b.Rename("/meals/week/menu", "/meals/menu"))
+	must(t, "rename", b.Rename("/meals/week/menu", "/meals/menu"))
 	if _, err := a.Stat("/meals/week/menu"); !errors.Is(err, fs.ErrNotExist) {
 		t.Errorf("the old name: %v", err)
 	}
-	must("second", put(a, "/meals/other", []byte("x")))
+	must(t, "second", put(a, "/meals/other", []byte("x")))
 	if err := a.Rename("/meals/other", "/meals/menu"); err == nil {
 		t.Error("RENAME replaces a file")
 	}
-	must("posix-rename", a.PosixRename("/meals/other", "/meals/menu"))
+	must(t, "posix-rename", a.PosixRename("/meals/other", "/meals/menu"))
 	got, err = get(b, "/meals/menu")
-	must("get after replace", err)
+	must(t, "get after replace", err)
 	if string(got) != "x" {
 		t.Errorf("after the replace: %d bytes", len(got))
 	}
+	must(t, "truncate", a.Truncate("/meals/menu", 0))
+	must(t, "chmod", a.Chmod("/meals/menu", 0o600))
+	if info, err = b.Stat("/meals/menu"); err != nil || info.Size() != 0 || info.Mode().Perm() != 0o600 {
+		t.Errorf("after truncate and chmod: %v %v", info, err)
+	}
+}
+
+// TestFolderCommands: folders are listed and removed through another gateway than they were made through, and what must
+// not be done is rejected.
+func TestFolderCommands(t *testing.T) {
+	testbed := testkit.Start(t, testkit.Conf, 3, 2, nil)
+	a, b := testbed.Client(0), testbed.Client(1)
+	must(t, "mkdir", a.Mkdir("/meals/week"))
+	must(t, "put", put(a, "/meals/menu", []byte("x")))
 	list, err := b.ReadDir("/meals")
-	must("list", err)
+	must(t, "list", err)
 	var names []string
-	for _, e := range list {
-		names = append(names, e.Name())
+	for _, entry := range list {
+		names = append(names, entry.Name())
 	}
 	if !slices.Equal(names, []string{"menu", "week"}) {
 		t.Errorf("the folder has %v", names)
 	}
-	must("put in folder", put(a, "/meals/week/x", nil))
+	must(t, "put in folder", put(a, "/meals/week/x", nil))
 	if err := b.RemoveDirectory("/meals/week"); err == nil || !strings.Contains(err.Error(), "not empty") {
 		t.Errorf("rmdir of a full folder: %v", err)
 	}
-	must("remove", b.Remove("/meals/week/x"))
-	must("rmdir", b.RemoveDirectory("/meals/week"))
+	must(t, "remove", b.Remove("/meals/week/x"))
+	must(t, "rmdir", b.RemoveDirectory("/meals/week"))
 	if err := put(a, "/meals/week/y", nil); !errors.Is(err, fs.ErrNotExist) {
 		t.Errorf("a file in a folder that is gone: %v", err)
 	}
@@ -111,14 +128,10 @@
 			t.Errorf("%s is found", path)
 		}
 	}
-	must("truncate", a.Truncate("/meals/menu", 0))
-	must("chmod", a.Chmod("/meals/menu", 0o600))
-	if info, err = b.Stat("/meals/menu"); err != nil || info.Size() != 0 || info.Mode().Perm() != 0o600 {
-		t.Errorf("after truncate and chmod: %v %v", info, err)
-	}
 }
 
-// Holes read as zeros, a file that was cut and grows again has zeros, and appends go to the end.
+// TestSparseTruncateAndAppend: holes read as zeros, a file that was cut and grows again has zeros, and appends go to
+// the end.
 func TestSparseTruncateAndAppend(t *testing.T) {
 	w := testkit.Start(t, testkit.Conf, 3, 1, nil)
 	c := w.Client(0)
--- a/internal/serve/linear_test.go
+++ b/internal/serve/linear_test.go
@@ -67,9 +67,9 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// Blocks that several sessions read, write and compare at once behave each as one register, while nodes fail, lose
-// answers and break connections, and sessions are broken off: checked by porcupine, over some seeds here
-// (IRISPOST_SEEDS for more).
+// TestBlocksAreLinearizable: blocks that several sessions read, write and compare at once behave each as one register,
+// while nodes fail, lose replies and break connections, and sessions are broken off. Porcupine checks it, over some
+// seeds here; IRISPOST_SEEDS sets how many.
 func TestBlocksAreLinearizable(t *testing.T) {
 	seeds := 3
 	if n, err := strconv.Atoi(os.Getenv("IRISPOST_SEEDS")); err == nil {
@@ -80,87 +80,122 @@
 	}
 }
 
+// Size of a run of checkBlocks.
+const (
+	blockClients = 4
+	blockCount   = 3
+	blockSteps   = 25 // of each client
+)
+
+// blockHistory is what the clients of a run did and saw.
+type blockHistory struct {
+	start time.Time
+
+	mu         sync.Mutex // guards operations
+	operations []porcupine.Operation
+}
+
+// record does an operation and records it. What may still happen after it never returns, as far as the model goes.
+func (h *blockHistory) record(client int, o operation, do func() result) result {
+	call := time.Since(h.start)
+	out := do()
+	end := time.Since(h.start)
+	if out.unknown {
+		end = time.Hour
+	}
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.operations = append(h.operations, porcupine.Operation{
+		ClientId: client,
+		Input:    o,
+		Call:     int64(call),
+		Output:   out,
+		Return:   int64(end),
+	})
+	return out
+}
+
+// known returns how many operations have a known outcome.
+func (h *blockHistory) known() (count int) {
+	for _, o := range h.operations {
+		if !o.Output.(result).unknown {
+			count++
+		}
+	}
+	return count
+}
+
+// disturbNode changes how a node behaves until stop is closed.
+func disturbNode(t *testing.T, n *standin.Node, r *rand.Rand, stop <-chan struct{}) {
+	faults := []string{"fail 0.3", "slow 5", "reset", "well", "stall 20ms", "drop 0.02"}
+	for {
+		select {
+		case <-stop:
+			command(t, n, "well")
+			return
+		case <-time.After(time.Duration(r.IntN(20)) * time.Millisecond):
+		}
+		command(t, n, faults[r.IntN(len(faults))])
+	}
+}
+
+// runBlockClient does random operations on a session that is broken off at times.
+func runBlockClient(client int, d *initiator.Disk, r *rand.Rand, history *blockHistory) {
+	last := map[int]uint64{} // read last, by block
+	for step := range blockSteps {
+		value := uint64(client*blockSteps+step) + 1
+		o := operation{kind: "rwc"[r.IntN(3)], block: r.IntN(blockCount), value: value}
+		o.old = last[o.block]
+		offset := int64(o.block) * 40 << 10 &^ 4095 // three blocks in two extents
+		if r.IntN(8) == 0 {
+			go d.Break()
+		}
+		out := history.record(client, o, func() result { return perform(d, &o, offset) })
+		if !out.unknown && o.kind == 'r' {
+			last[o.block] = out.value
+		}
+	}
+}
+
+// byBlock splits a history, since blocks are independent of each other.
+func byBlock(operations []porcupine.Operation) [][]porcupine.Operation {
+	parts := make([][]porcupine.Operation, blockCount)
+	for _, o := range operations {
+		block := o.Input.(operation).block
+		parts[block] = append(parts[block], o)
+	}
+	return parts
+}
+
 func checkBlocks(t *testing.T, seed uint64) {
-	const clients, blocks, steps = 4, 3, 25
-	w := diskTestbed(t, 2, 1, func(o *standin.Options) { o.Unit, o.Seed = 20*time.Microsecond, seed })
-	began := time.Now()
-	var lock sync.Mutex
-	var history []porcupine.Operation
-	var all, nodes sync.WaitGroup
+	b := diskTestbed(t, 2, 1, func(o *standin.Options) { o.Unit, o.Seed = 20*time.Microsecond, seed })
+	history := &blockHistory{start: time.Now()}
+	var clients, disturbers sync.WaitGroup
 	stop := make(chan struct{})
-	for i, n := range w.Nodes {
-		nodes.Add(1)
-		go func() {
-			defer nodes.Done()
-			r := rand.New(rand.NewPCG(seed, uint64(i)))
-			for {
-				select {
-				case <-stop:
-					command(t, n, "well")
-					return
-				case <-time.After(time.Duration(r.IntN(20)) * time.Millisecond):
-				}
-				command(t, n, []string{"fail 0.3", "slow 5", "reset", "well", "stall 20ms", "drop 0.02"}[r.IntN(6)])
-			}
-		}()
+	for i, n := range b.Nodes {
+		r := rand.New(rand.NewPCG(seed, uint64(i)))
+		disturbers.Go(func() { disturbNode(t, n, r, stop) })
 	}
-	for k := range clients {
-		d, err := initiator.Open(context.Background(), diskOptions(w, 0, func(o *initiator.Options) { o.ISID[5] = byte(k) }), 0,
-			initiator.Retry{For: farOff, Once: true})
+	for client := range blockClients {
+		opt := diskOptions(b, 0, func(o *initiator.Options) { o.ISID[5] = byte(client) })
+		d, err := initiator.Open(context.Background(), opt, 0, initiator.Retry{For: farOff, Once: true})
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { _ = d.Close() })
-		all.Add(1)
-		go func() {
-			defer all.Done()
-			r := rand.New(rand.NewPCG(seed, uint64(100+k)))
-			last := map[int]uint64{}
-			for step := range steps {
-				o := operation{kind: "rwc"[r.IntN(3)], block: r.IntN(blocks), value: uint64(k*steps+step) + 1}
-				o.old = last[o.block]
-				// Each of a block's extents: three blocks in two extents.
-				at := int64(o.block) * 40 << 10 &^ 4095
-				if r.IntN(8) == 0 {
-					go d.Break()
-				}
-				begun := time.Since(began)
-				out := perform(d, &o, at)
-				ended := time.Since(began)
-				if out.unknown { // it may still happen
-					ended = time.Hour
-				} else if o.kind == 'r' {
-					last[o.block] = out.value
-				}
-				lock.Lock()
-				history = append(history, porcupine.Operation{ClientId: k, Input: o, Call: int64(begun), Output: out, Return: int64(ended)})
-				lock.Unlock()
-			}
-		}()
+		r := rand.New(rand.NewPCG(seed, uint64(100+client)))
+		clients.Go(func() { runBlockClient(client, d, r, history) })
 	}
-	all.Wait()
+	clients.Wait()
 	close(stop)
-	nodes.Wait()
-	model := register.ToModel()
-	model.Partition = func(list []porcupine.Operation) [][]porcupine.Operation {
-		parts := make([][]porcupine.Operation, blocks)
-		for _, o := range list {
-			b := o.Input.(operation).block
-			parts[b] = append(parts[b], o)
-		}
-		return parts
+	disturbers.Wait()
+	if known := history.known(); known < blockClients*blockSteps/4 {
+		t.Errorf("only %d of %d operations have a known outcome", known, len(history.operations))
 	}
-	known := 0
-	for i := range history {
-		if !history[i].Output.(result).unknown {
-			known++
-		}
-	}
-	if known < clients*steps/4 {
-		t.Errorf("only %d of %d operations have a known outcome", known, len(history))
-	}
-	if r := porcupine.CheckOperationsTimeout(model, history, 20*time.Second); r != porcupine.Ok {
-		t.Errorf("the blocks do not behave as registers (%v): %+v", r, history)
+	model := register.ToModel()
+	model.Partition = byBlock
+	if r := porcupine.CheckOperationsTimeout(model, history.operations, 20*time.Second); r != porcupine.Ok {
+		t.Errorf("the blocks are not linearizable (%v): %+v", r, history.operations)
 	}
 }
 
--- /dev/null
+++ b/internal/serve/malformed_test.go
@@ -0,0 +1,74 @@
+package serve_test
+
+import (
+	"math/rand/v2"
+	"strings"
+	"testing"
+
+	"irispost/internal/sftp"
+	"irispost/internal/testkit"
+)
+
+// TestMalformedInputIsRejectedOrEndsConnection: malformed input gets a clear answer or ends its connection, and other
+// connections go on.
+func TestMalformedInputIsRejectedOrEndsConnection(t *testing.T) {
+	w := testkit.Start(t, testkit.Conf, 1, 1, nil)
+	other := w.Client(0)
+	status := func(name string, code sftp.Code, kind sftp.Type, fields func(*sftp.Packet)) {
+		t.Helper()
+		conn := dialRaw(t, w, 0)
+		conn.hello()
+		conn.send(kind, fields)
+		if got, text := conn.status(); got != code || text == "" {
+			t.Errorf("%s: %v %q, not %v", name, got, text, code)
+		}
+		conn.send(sftp.Stat, func(p *sftp.Packet) { p.Text("/") })
+		if f := conn.next(); f.Type != sftp.Attributes {
+			t.Errorf("%s: the connection does not go on", name)
+		}
+	}
+	text := func(s string) func(*sftp.Packet) { return func(p *sftp.Packet) { p.Text(s) } }
+	status("unknown type", sftp.OpUnsupported, 77, text("x"))
+	status("symlink", sftp.OpUnsupported, sftp.Symlink, func(p *sftp.Packet) { p.Text("/meals/a").Text("/meals/b") })
+	status("unknown extension", sftp.OpUnsupported, sftp.Extended, text("x@y"))
+	status("string past its packet", sftp.BadMessage, sftp.Stat, func(p *sftp.Packet) { p.Uint32(1 << 30).Byte(1) })
+	status("truncated", sftp.BadMessage, sftp.Read, func(p *sftp.Packet) { p.Text("1").Uint32(0) })
+	status("more than its fields", sftp.BadMessage, sftp.Stat, func(p *sftp.Packet) { p.Text("/meals").Byte(1) })
+	status("wrong handle", sftp.Failure, sftp.Read, func(p *sftp.Packet) { p.Text("9").Uint64(0).Uint32(1) })
+	status("climbs", sftp.Denied, sftp.Stat, text("/meals/../other/x"))
+	status("no such volume", sftp.NoSuchFile, sftp.Stat, text("/nothing/x"))
+	status("volume removed", sftp.Denied, sftp.Mkdir, func(p *sftp.Packet) { p.Text("/").Attrs(sftp.Attrs{}) })
+	for name, bytes := range map[string][]byte{
+		"too long":       {0x7f, 0, 0, 0, 3},
+		"too short":      {0, 0, 0, 1, 3},
+		"no id":          {0, 0, 0, 3, 17, 0, 0},
+		"no INIT first":  {0, 0, 0, 5, 17, 0, 0, 0, 1},
+		"an old version": {0, 0, 0, 5, 1, 0, 0, 0, 2},
+	} {
+		conn := dialRaw(t, w, 0)
+		if !strings.Contains(name, "INIT") && !strings.Contains(name, "version") {
+			conn.hello()
+		}
+		_, _ = conn.raw.Write(bytes) // the gateway may have closed the connection already
+		if n, err := conn.raw.Read(make([]byte, 1)); err == nil {
+			t.Errorf("%s: the connection goes on with %d bytes", name, n)
+		}
+	}
+	r := rand.New(rand.NewPCG(3, 3))
+	for range 30 { // noise
+		conn := dialRaw(t, w, 0)
+		conn.hello()
+		for range 20 {
+			b := make([]byte, 4+r.IntN(60))
+			for i := range b {
+				b[i] = byte(r.Uint32())
+			}
+			b[0], b[1], b[2], b[3] = 0, 0, 0, byte(len(b)-4)
+			_, _ = conn.raw.Write(b) // as above
+		}
+		_ = conn.raw.Close()
+	}
+	if err := put(other, "/meals/fine", random(1, 1000)); err != nil {
+		t.Errorf("another connection: %v", err)
+	}
+}
--- a/internal/serve/members_test.go
+++ b/internal/serve/members_test.go
@@ -207,82 +207,95 @@
 	t.Error("a node that is back gets no work")
 }
 
-// Broken updates are refused with a reason, the last good list stays in force, and jobs go on; a list of nothing, and
-// one in which all are unwell, is held and shown until somebody confirms it.
-func TestInvalidUpdatesKeepLastGoodList(t *testing.T) {
-	m := manage(t, false, 3, 0)
-	g := m.Gateways[0]
-	view := func() admin.EndpointReport {
-		v, err := g.Members()
-		if err != nil {
-			t.Fatal(err)
-		}
-		return v
+// report returns the endpoints as the gateway has them.
+func (m *managed) report() admin.EndpointReport {
+	m.t.Helper()
+	report, err := m.Gateways[0].Members()
+	if err != nil {
+		m.t.Fatal(err)
 	}
-	until := func(what string, holds func(admin.EndpointReport) bool) {
-		t.Helper()
-		for end := time.Now().Add(farOff); !holds(view()); time.Sleep(time.Millisecond) {
-			if time.Now().After(end) {
-				t.Fatalf("%s does not come about: %+v", what, view())
-			}
+	return report
+}
+
+// awaitReport waits until the report meets a condition.
+func (m *managed) awaitReport(what string, condition func(admin.EndpointReport) bool) {
+	m.t.Helper()
+	for end := time.Now().Add(farOff); !condition(m.report()); time.Sleep(time.Millisecond) {
+		if time.Now().After(end) {
+			m.t.Fatalf("%s does not come about: %+v", what, m.report())
 		}
 	}
-	serving := func(v admin.EndpointReport) (n int) {
-		for _, node := range v.Nodes {
-			if node.State == "serving" || node.State == "kept" {
-				n++
-			}
+}
+
+// serving returns how many endpoints of a report get requests.
+func serving(report admin.EndpointReport) (count int) {
+	for _, node := range report.Nodes {
+		if node.State == "serving" || node.State == "kept" {
+			count++
 		}
-		return n
 	}
-	version := view().Sources[0].Version
+	return count
+}
+
+// TestInvalidUpdatesKeepLastGoodList: invalid updates are rejected with a reason, the last good list stays in force,
+// and requests go on.
+func TestInvalidUpdatesKeepLastGoodList(t *testing.T) {
+	m := manage(t, false, 3, 0)
+	version := m.report().Sources[0].Version
 	for i, kind := range []string{"endpoints", "clusters"} {
 		m.command("broken " + kind)
-		until("a refusal", func(v admin.EndpointReport) bool { return v.Sources[0].RejectedUpdates > i })
-		v := view()
-		if v.Sources[0].Version != version || serving(v) != 3 || !strings.Contains(v.Sources[0].LastRejection, kind) {
-			t.Errorf("%+v", v)
+		m.awaitReport("a rejection", func(r admin.EndpointReport) bool { return r.Sources[0].RejectedUpdates > i })
+		report := m.report()
+		source := report.Sources[0]
+		if source.Version != version || serving(report) != 3 || !strings.Contains(source.LastRejection, kind) {
+			t.Errorf("%+v", report)
 		}
 		m.more(30)
 	}
-	refused := 0
+	rejections := 0
 	for _, a := range m.server.Answers() {
 		if a.Refusal != "" {
-			refused++
+			rejections++
 		}
 	}
-	if refused != 2 {
-		t.Errorf("%d refusals were sent", refused)
+	if rejections != 2 {
+		t.Errorf("%d rejections were sent, want 2", rejections)
+	}
+}
+
+// TestListWithoutHealthyEndpointsIsHeld: a list of nothing, and one in which all are unhealthy, is held and reported
+// until the source takes it back or an operator confirms it.
+func TestListWithoutHealthyEndpointsIsHeld(t *testing.T) {
+	m := manage(t, false, 3, 0)
+	isHeld := func(r admin.EndpointReport) bool {
+		return r.HeldLoss != nil && r.HeldLoss.LeavesNone && r.HeldLoss.Nodes == 3
 	}
-	m.command("mend")
-	for _, all := range []string{"nothing", "everybody unwell"} {
+	for _, list := range []string{"nothing", "everybody unwell"} {
 		m.command("cut")
-		list := m.server.Nodes()
-		m.command(all)
-		until("held", func(v admin.EndpointReport) bool {
-			return v.HeldLoss != nil && v.HeldLoss.LeavesNone && v.HeldLoss.Nodes == 3
-		})
-		if serving(view()) != 3 {
-			t.Errorf("%s: %+v", all, view())
+		before := m.server.Nodes()
+		m.command(list)
+		m.awaitReport("held", isHeld)
+		if report := m.report(); serving(report) != 3 {
+			t.Errorf("%s: %+v", list, report)
 		}
 		m.more(30)
-		m.server.Set(func([]endpoint.Node) []endpoint.Node { return list })
-		until("as before", func(v admin.EndpointReport) bool { return v.HeldLoss == nil && serving(v) == 3 })
+		m.server.Set(func([]endpoint.Node) []endpoint.Node { return before })
+		m.awaitReport("as before", func(r admin.EndpointReport) bool { return r.HeldLoss == nil && serving(r) == 3 })
 		m.more(30)
 	}
 	m.command("nothing")
-	until("held again", func(v admin.EndpointReport) bool { return v.HeldLoss != nil })
-	if c, err := g.Confirm(); err != nil || c.Nodes != 3 {
-		t.Errorf("%+v, %v", c, err)
+	m.awaitReport("held again", func(r admin.EndpointReport) bool { return r.HeldLoss != nil })
+	if confirmation, err := m.Gateways[0].Confirm(); err != nil || confirmation.Nodes != 3 {
+		t.Errorf("%+v, %v", confirmation, err)
 	}
-	until("confirmed", func(v admin.EndpointReport) bool { return v.HeldLoss == nil && serving(v) == 0 })
+	m.awaitReport("confirmed", func(r admin.EndpointReport) bool { return r.HeldLoss == nil && serving(r) == 0 })
 	m.server.Set(func([]endpoint.Node) []endpoint.Node { return m.List().Nodes })
-	until("back", func(v admin.EndpointReport) bool { return serving(v) == 3 })
+	m.awaitReport("back", func(r admin.EndpointReport) bool { return serving(r) == 3 })
 	m.more(30)
 }
 
-// A gateway that starts while the management server is down serves with the list that its earlier life kept, as old,
-// and goes over to the server's word when there is one.
+// TestStartWithCachedListWhileServerIsDown: a gateway that starts while the management server is down serves with the
+// list that it cached before, and with the server's list once there is one.
 func TestStartWithCachedListWhileServerIsDown(t *testing.T) {
 	dir := t.TempDir() // before the testbed, so that it is removed after the gateways that write there are stopped
 	w := testkit.Start(t, testkit.Conf, 2, 0, nil)
--- /dev/null
+++ b/internal/serve/shutdown_test.go
@@ -0,0 +1,44 @@
+package serve_test
+
+import (
+	"context"
+	"errors"
+	"strings"
+	"testing"
+	"time"
+
+	"irispost/internal/serve"
+	"irispost/internal/sftp"
+	"irispost/internal/standin"
+	"irispost/internal/testkit"
+)
+
+// TestShutdownAnswersEveryRequest: a shutdown waits for the requests in flight and reports success; at its deadline the
+// rest fail, and it says so.
+func TestShutdownAnswersEveryRequest(t *testing.T) {
+	for _, hang := range []bool{false, true} {
+		w := testkit.Start(t, testkit.Conf, 1, 1, func(o *standin.Options) { o.Unit = 20 * time.Millisecond })
+		conn, g := dialRaw(t, w, 0), w.Gateways[0]
+		conn.hello()
+		handle := conn.open("/meals/f", sftp.FlagWrite|sftp.FlagCreate)
+		if hang {
+			command(t, w.Nodes[0], "hang")
+		}
+		got := w.Nodes[0].Got()
+		conn.send(sftp.Write, func(p *sftp.Packet) { p.Text(handle).Uint64(0).Tail(make([]byte, 32<<10)) })
+		for w.Nodes[0].Got() == got {
+			time.Sleep(time.Millisecond)
+		}
+		ctx, cancel := context.WithTimeout(context.Background(), map[bool]time.Duration{false: time.Minute, true: 50 * time.Millisecond}[hang])
+		stopped := make(chan error, 1)
+		go func() { stopped <- g.Shutdown(ctx) }()
+		code, text := conn.status()
+		if !hang && code != sftp.OK || hang && !strings.HasPrefix(text, "written off") {
+			t.Errorf("hang %v: %v %q", hang, code, text)
+		}
+		if err := <-stopped; (err != nil) != hang || hang && !errors.Is(err, serve.ErrRequestsInFlight) {
+			t.Errorf("hang %v: stop says %v", hang, err)
+		}
+		cancel()
+	}
+}
