--- a/internal/serve/admin_test.go
+++ b/internal/serve/admin_test.go
@@ -41,7 +41,7 @@
 // startAdminTestbed starts a gateway with an admin socket over slow nodes, one of which fails at times.
 func startAdminTestbed(t *testing.T, socket string) *testkit.Town {
 	t.Helper()
-	conf := strings.Replace(testkit.Conf, "gateways = 2\n", "gateways = 2\n  admin = \""+socket+"\"\n", 1)
+	conf := withBlock("  admin = \"" + socket + "\"\n")
 	b := testkit.Start(t, conf, 2, 1, func(o *standin.Options) { o.Unit = 100 * time.Microsecond })
 	command(t, b.Nodes[0], "fail 0.3")
 	return b
--- a/internal/serve/bench_test.go
+++ b/internal/serve/bench_test.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"os"
-	"strings"
 	"sync"
 	"testing"
 
@@ -15,7 +14,7 @@
 
 // BenchmarkReadCaptured does the same with a capture on.
 func BenchmarkReadCaptured(b *testing.B) {
-	readThrough(b, strings.Replace(testkit.Conf, "gateways = 2\n", fmt.Sprintf("gateways = 2\n  capture {\n    folder = %q\n  }\n", b.TempDir()), 1))
+	readThrough(b, withBlock(fmt.Sprintf("  capture {\n    folder = %q\n  }\n", b.TempDir())))
 }
 
 func readThrough(b *testing.B, conf string) {
--- a/internal/serve/concurrent_test.go
+++ b/internal/serve/concurrent_test.go
@@ -8,7 +8,6 @@
 	"io"
 	"math/rand/v2"
 	"os"
-	"strings"
 	"sync"
 	"testing"
 	"time"
@@ -129,7 +128,7 @@
 // TestFullQueueSlowsClients: with the smallest event queue, hundreds of requests from many connections wait at their
 // sockets; none is lost.
 func TestFullQueueSlowsClients(t *testing.T) {
-	conf := strings.Replace(testkit.Conf, "gateways = 2\n", "gateways = 2\n  limits {\n    queue = 16\n  }\n", 1)
+	conf := withBlock("  limits {\n    queue = 16\n  }\n")
 	w := testkit.Start(t, conf, 2, 1, nil)
 	if err := put(w.Client(0), "/meals/f", nil); err != nil {
 		t.Fatal(err)
--- a/internal/serve/disk_test.go
+++ b/internal/serve/disk_test.go
@@ -251,7 +251,7 @@
 	}
 }
 
-// Discovery tells the targets; a target with a secret lets in who knows it, and proves itself.
+// TestDiskLoginIsChecked: discovery names the targets; a target with a secret admits who knows it, and proves itself.
 func TestDiskLoginIsChecked(t *testing.T) {
 	w := diskTestbed(t, 1, 1, nil)
 	ctx := context.Background()
@@ -259,21 +259,25 @@
 	if err != nil || len(found) != 2 || found[0].Name != iqn || found[0].Address != w.Gateways[0].ISCSI.Addr() {
 		t.Errorf("%+v, %v", found, err)
 	}
+	const secretTarget = "iqn.2026-01.example:secret"
 	good := negotiate.Account{Name: "host", Secret: "a secret of a host", OurSecret: "another one, ours"}
+	unproven := negotiate.Account{Name: "host", Secret: good.Secret, OurSecret: "what it is not"}
 	for name, c := range map[string]struct {
 		account negotiate.Account
 		target  string
 		want    string
 	}{
-		"good":           {good, "iqn.2026-01.example:secret", ""},
-		"none":           {negotiate.Account{}, "iqn.2026-01.example:secret", "0201"},
-		"wrong":          {negotiate.Account{Name: "host", Secret: "another secret"}, "iqn.2026-01.example:secret", "0201"},
-		"wrong name":     {negotiate.Account{Name: "you", Secret: good.Secret}, "iqn.2026-01.example:secret", "0201"},
+		"good":           {good, secretTarget, ""},
+		"none":           {negotiate.Account{}, secretTarget, "0201"},
+		"wrong":          {negotiate.Account{Name: "host", Secret: "another secret"}, secretTarget, "0201"},
+		"wrong name":     {negotiate.Account{Name: "you", Secret: good.Secret}, secretTarget, "0201"},
 		"another target": {good, "iqn.2026-01.example:nobody", "0203"},
-		"no proof":       {negotiate.Account{Name: "host", Secret: good.Secret, OurSecret: "what it is not"}, "iqn.2026-01.example:secret", "does not prove"},
+		"no proof":       {unproven, secretTarget, "does not prove"},
 		"not needed":     {good, iqn, ""},
 	} {
-		s, err := initiator.Dial(ctx, diskOptions(w, 0, func(o *initiator.Options) { o.Account, o.Target = c.account, c.target }))
+		s, err := initiator.Dial(ctx, diskOptions(w, 0, func(o *initiator.Options) {
+			o.Account, o.Target = c.account, c.target
+		}))
 		if (err == nil) != (c.want == "") || err != nil && !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v", name, err)
 		}
@@ -285,8 +289,8 @@
 	}
 }
 
-// Connections that say nothing, nonsense, lies about lengths, or what is out of place, are closed, and others are
-// served.
+// TestDiskSurvivesMalformedInput: connections that are silent, send what is no PDU, state false lengths or send what is
+// out of sequence are closed, and others are served.
 func TestDiskSurvivesMalformedInput(t *testing.T) {
 	w := diskTestbed(t, 1, 1, nil)
 	addr := w.Gateways[0].ISCSI.Addr()
@@ -341,7 +345,8 @@
 	}
 }
 
-// Files and disks under failing, slow and resetting nodes, with sessions that break: what was confirmed is read back.
+// TestDiskReadsBackWhileNodesFail: under failing, slow and resetting nodes, with sessions that break, what was
+// confirmed is read back.
 func TestDiskReadsBackWhileNodesFail(t *testing.T) {
 	w := diskTestbed(t, 3, 1, func(o *standin.Options) { o.Unit = 50 * time.Microsecond })
 	var all sync.WaitGroup
--- /dev/null
+++ b/internal/serve/frontends_bench_test.go
@@ -0,0 +1,208 @@
+package serve_test
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+
+	"irispost/internal/audit"
+	"irispost/internal/gateway"
+	"irispost/internal/iscsi/initiator"
+	"irispost/internal/standin"
+	"irispost/internal/testkit"
+)
+
+// benchBytes is the size of what the benchmarks read and write.
+const benchBytes = 8 << 20
+
+// blockFunc reads or writes at an offset.
+type blockFunc func(block []byte, offset int64) (int, error)
+
+// BenchmarkFronts reads and writes through the file and the disk front end in one run, with client, gateway and node in
+// one process. cpu-us/op is of all three.
+func BenchmarkFronts(b *testing.B) {
+	for _, size := range []int{4 << 10, 64 << 10} {
+		for _, depth := range []int{1, 16, 128} {
+			for _, write := range []bool{false, true} {
+				benchmarkFronts(b, size, depth, write)
+			}
+		}
+	}
+}
+
+func benchmarkFronts(b *testing.B, size, depth int, write bool) {
+	testbed := testkit.Start(b, testkit.Conf+disks, 1, 1, nil)
+	d, err := initiator.Open(context.Background(), diskOptions(testbed, 0, nil), 0, initiator.Retry{For: farOff})
+	if err != nil {
+		b.Fatal(err)
+	}
+	f, err := testbed.Client(0).OpenFile("/meals/file", os.O_RDWR|os.O_CREATE)
+	if err != nil {
+		b.Fatal(err)
+	}
+	data := make([]byte, benchBytes)
+	if _, err := f.WriteAt(data, 0); err != nil {
+		b.Fatal(err)
+	}
+	if _, err := d.WriteAt(data, 0); err != nil {
+		b.Fatal(err)
+	}
+	operation, file, disk := "read", blockFunc(f.ReadAt), blockFunc(d.ReadAt)
+	if write {
+		operation, file, disk = "write", f.WriteAt, d.WriteAt
+	}
+	name := fmt.Sprintf("%s/%d/%d/", operation, size, depth)
+	b.Run(name+"file", func(b *testing.B) { benchmarkBlocks(b, file, size, depth) })
+	b.Run(name+"disk", func(b *testing.B) { benchmarkBlocks(b, disk, size, depth) })
+	_, _ = d.Close(), f.Close()
+}
+
+// benchmarkBlocks does b.N operations, depth of them at a time.
+func benchmarkBlocks(b *testing.B, do blockFunc, size, depth int) {
+	b.ReportAllocs()
+	before := cpu()
+	b.ResetTimer()
+	var running sync.WaitGroup
+	for i := range depth {
+		running.Go(func() {
+			block := make([]byte, size)
+			for n := i; n < b.N; n += depth {
+				if _, err := do(block, int64(n*size)%benchBytes); err != nil {
+					b.Error(err)
+					return
+				}
+			}
+		})
+	}
+	running.Wait()
+	b.ReportMetric(float64((cpu()-before).Microseconds())/float64(b.N), "cpu-us/op")
+}
+
+// cpu is the processor time that this process has had.
+func cpu() time.Duration {
+	var u syscall.Rusage
+	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u) // cannot fail for the process itself
+	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
+}
+
+// sharesConf has a second volume of the same plan, with a disk.
+const sharesConf = testkit.Conf + `
+volume "blocks" {
+  id   = 2
+  plan = "basic"
+  product "read" {
+    for = ["read", "look"]
+  }
+  product "write" {
+    for = ["write"]
+  }
+  product "change" {
+    for = ["change"]
+  }
+}
+disks {
+  listen = "127.0.0.1:0"
+  target "iqn.2026-01.example:meals" {
+    lun "0" {
+      file = "/blocks/disk0"
+      size = "16MiB"
+    }
+  }
+}
+`
+
+// load has readers read the blocks of a file or a disk until it is stopped.
+type load struct {
+	stop    chan struct{}
+	running sync.WaitGroup
+}
+
+// add starts so many readers, which count the reads that fail.
+func (l *load) add(readers int, failed *atomic.Int64, read blockFunc) {
+	for i := range readers {
+		l.running.Go(func() {
+			block := make([]byte, 16<<10)
+			for n := int64(i); ; n++ {
+				select {
+				case <-l.stop:
+					return
+				default:
+				}
+				if _, err := read(block, n%64*16<<10); err != nil {
+					failed.Add(1)
+					time.Sleep(100 * time.Millisecond) // it was rejected
+				}
+			}
+		})
+	}
+}
+
+// servedUnits returns the units that nodes served between two times, by volume.
+func servedUnits(events []audit.Event, from, to int64) map[int64]float64 {
+	type attempt struct {
+		request string
+		number  int
+	}
+	units, got := map[int64]float64{}, map[attempt]audit.Event{}
+	for _, e := range events {
+		a := attempt{e.Job, e.Number}
+		switch {
+		case e.What == audit.Got:
+			got[a] = e
+		case e.What == audit.Gave && !e.Never && e.At > from && e.At < to:
+			units[got[a].Volume] += got[a].Units
+		}
+	}
+	return units
+}
+
+// TestSharesOfFrontends has file clients of one volume and a deep disk session of another, of equal weight, ask for
+// more than a node can do, and logs the shares; a measurement, made with IRISPOST_MEASURE=1, and with IRISPOST_PLAN
+// for another plan.
+func TestSharesOfFrontends(t *testing.T) {
+	if os.Getenv("IRISPOST_MEASURE") == "" {
+		t.Skip("a measurement: IRISPOST_MEASURE=1")
+	}
+	clock := gateway.NewClock()
+	record := &audit.Record{Clock: clock.Now}
+	plan := os.Getenv("IRISPOST_PLAN")
+	if plan == "" {
+		plan = "rate = 1000\n  reserve = 400"
+	}
+	conf := strings.Replace(sharesConf, "rate = 1000", plan, 1)
+	testbed := testkit.Start(t, conf, 1, 1, func(o *standin.Options) {
+		o.Record, o.Unit, o.Cores = record, 2*time.Millisecond, 2
+	})
+	d := openDisk(t, diskOptions(testbed, 0, nil), 0)
+	if _, err := d.WriteAt(make([]byte, 1<<20), 0); err != nil {
+		t.Fatal(err)
+	}
+	if err := put(testbed.Client(0), "/meals/f", make([]byte, 1<<20)); err != nil {
+		t.Fatal(err)
+	}
+	l := &load{stop: make(chan struct{})}
+	var failedFiles, failedBlocks atomic.Int64
+	for range 4 {
+		f, err := testbed.Client(0).Open("/meals/f")
+		if err != nil {
+			t.Fatal(err)
+		}
+		l.add(32, &failedFiles, f.ReadAt)
+	}
+	l.add(128, &failedBlocks, d.ReadAt)
+	time.Sleep(2 * time.Second)
+	from := clock.Now()
+	time.Sleep(10 * time.Second)
+	to := clock.Now()
+	close(l.stop)
+	l.running.Wait()
+	units := servedUnits(record.Events(), from, to)
+	t.Logf("units served in 10 s: file clients %.0f, disk client %.0f, ratio %.2f; failed: %d of files, %d of the disk",
+		units[1], units[2], units[1]/units[2], failedFiles.Load(), failedBlocks.Load())
+}
--- a/internal/serve/helpers_test.go
+++ b/internal/serve/helpers_test.go
@@ -2,10 +2,12 @@
 
 import (
 	"net"
+	"strings"
 	"testing"
 	"time"
 
 	"irispost/internal/standin"
+	"irispost/internal/testkit"
 )
 
 // farOff is a limit that only a test that fails reaches.
@@ -18,6 +20,11 @@
 	}
 }
 
+// withBlock is the testbed's configuration with a further block of the gateway.
+func withBlock(block string) string {
+	return strings.Replace(testkit.Conf, "gateways = 2\n", "gateways = 2\n"+block, 1)
+}
+
 // command changes how a stand-in node behaves.
 func command(t testing.TB, n *standin.Node, text string) {
 	t.Helper()
--- a/internal/serve/iscsi_test.go
+++ b/internal/serve/iscsi_test.go
@@ -35,9 +35,9 @@
 func (w *wireDisk) Release() error { return nil }
 
 // login logs in at once, with these keys.
-func login(t *testing.T, town *testkit.Town, isid byte, keys ...string) *wireDisk {
+func login(t *testing.T, testbed *testkit.Town, isid byte, keys ...string) *wireDisk {
 	t.Helper()
-	conn, err := net.Dial("tcp", town.Gateways[0].ISCSI.Addr())
+	conn, err := net.Dial("tcp", testbed.Gateways[0].ISCSI.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -83,14 +83,16 @@
 	w.t.Helper()
 	p := w.take()
 	if p.Op() != op || p.Tag() != tag {
-		w.t.Fatalf("a PDU of kind %#x for %d, %#x for %d was expected: %x %x", byte(p.Op()), p.Tag(), byte(op), tag, p.Head, p.Data)
+		w.t.Fatalf("a PDU of kind %#x for %d, want %#x for %d: %x %x",
+			byte(p.Op()), p.Tag(), byte(op), tag, p.Head, p.Data)
 	}
 	return p
 }
 
 // write begins a write of blocks of 4096 bytes.
 func (w *wireDisk) write(tag, block uint32, blocks int, immediate []byte) *iscsi.PDU {
-	p := iscsi.New(iscsi.Command, iscsi.Final|iscsi.Writes|1).Put(16, tag).Put(20, uint32(blocks*4096)).Put(24, w.next).With(immediate)
+	p := iscsi.New(iscsi.Command, iscsi.Final|iscsi.Writes|1).
+		Put(16, tag).Put(20, uint32(blocks*4096)).Put(24, w.next).With(immediate)
 	p.Byte(32, 0x2a).Put(34, block).Put16(39, uint16(blocks))
 	w.next++
 	return p
@@ -127,16 +129,17 @@
 	if len(p.Data) < 3 {
 		w.t.Fatalf("no sense: %x", p.Head)
 	}
-	if s, ok := scsi.ReadSense(p.Data[2:]); !ok || p.Head[3] != byte(scsi.CheckCondition) || s.Key != want.Key || s.Code != want.Code {
-		w.t.Errorf("%v, %v was expected", s, want)
+	got, ok := scsi.ReadSense(p.Data[2:])
+	if !ok || p.Head[3] != byte(scsi.CheckCondition) || got.Key != want.Key || got.Code != want.Code {
+		w.t.Errorf("sense %v, want %v", got, want)
 	}
 }
 
-// Command numbers: what comes early waits, what comes again or from beyond the window is let be.
+// TestCommandNumbers: a command that comes early waits, and one that comes again or from beyond the window is ignored.
 func TestCommandNumbers(t *testing.T) {
-	town := diskTestbed(t, 1, 1, nil)
-	openDisk(t, diskOptions(town, 0, nil), 0) // so that the unit is ready
-	w := login(t, town, 1)
+	testbed := diskTestbed(t, 1, 1, nil)
+	openDisk(t, diskOptions(testbed, 0, nil), 0) // so that the unit is ready
+	w := login(t, testbed, 1)
 	first, second := w.read(1, 0, 1), w.read(2, 0, 1)
 	w.send(second)
 	w.send(first)
@@ -146,12 +149,12 @@
 			t.Errorf("%x", p.Head)
 		}
 	}
-	again := w.read(3, 0, 1)
-	again.Put(24, 100)
-	w.send(again)
-	beyond := w.read(4, 0, 1)
-	beyond.Put(24, 100_000)
-	w.send(beyond)
+	repeated := w.read(3, 0, 1)
+	repeated.Put(24, 100)
+	w.send(repeated)
+	outsideWindow := w.read(4, 0, 1)
+	outsideWindow.Put(24, 100_000)
+	w.send(outsideWindow)
 	w.next -= 2
 	w.works(5) // the first answer that comes is this one's
 	tags := w.read(6, 0, 1)
@@ -159,11 +162,12 @@
 	w.wants(iscsi.DataIn, 6)
 }
 
-// Data that was not asked for so, or whose digest does not fit, ends its command with a sense, and nothing is written.
+// TestDataOutOfSequenceIsRejected: data that was not solicited so, or whose digest does not fit, ends its command with
+// a sense, and nothing is written.
 func TestDataOutOfSequenceIsRejected(t *testing.T) {
-	town := diskTestbed(t, 1, 1, nil)
-	openDisk(t, diskOptions(town, 0, nil), 0)
-	w := login(t, town, 1, "DataDigest", "CRC32C", "HeaderDigest", "CRC32C", "ImmediateData", "No")
+	testbed := diskTestbed(t, 1, 1, nil)
+	openDisk(t, diskOptions(testbed, 0, nil), 0)
+	w := login(t, testbed, 1, "DataDigest", "CRC32C", "HeaderDigest", "CRC32C", "ImmediateData", "No")
 	out := func(tag, transfer, sn, at uint32, n int, final bool) *iscsi.PDU {
 		p := iscsi.New(iscsi.DataOut, 0).Put(16, tag).Put(20, transfer).Put(36, sn).Put(40, at).With(make([]byte, n))
 		if final {
@@ -211,16 +215,16 @@
 	}
 }
 
-// A write that is out is aborted: the answer comes when nothing of it can happen any more, and the command gets none. A
-// unit that is reset tells the commands of other sessions.
+// TestAbortedWriteGetsNoResponse: a write in flight is aborted: the abort is answered when nothing of the write can
+// happen any more, and the write gets no response. The reset of a unit notifies the commands of other sessions.
 func TestAbortedWriteGetsNoResponse(t *testing.T) {
-	town := diskTestbed(t, 1, 1, func(o *standin.Options) { o.Unit = time.Millisecond })
-	d := openDisk(t, diskOptions(town, 0, nil), 0)
+	testbed := diskTestbed(t, 1, 1, func(o *standin.Options) { o.Unit = time.Millisecond })
+	d := openDisk(t, diskOptions(testbed, 0, nil), 0)
 	if _, err := d.WriteAt(make([]byte, 16<<12), 0); err != nil {
 		t.Fatal(err)
 	}
-	w := login(t, town, 1)
-	command(t, town.Nodes[0], "hang")
+	w := login(t, testbed, 1)
+	command(t, testbed.Nodes[0], "hang")
 	w.send(w.write(7, 1, 1, random(1, 4096)))
 	abort := func(function byte, tag, of uint32) {
 		p := iscsi.New(iscsi.TaskRequest, iscsi.Final|function).Put(16, tag).Put(20, of).Put(24, w.next)
@@ -232,7 +236,7 @@
 	if p := w.wants(iscsi.TaskAnswer, 9); p.Head[2] != 1 {
 		t.Errorf("a task that is not there: %x", p.Head)
 	}
-	command(t, town.Nodes[0], "well")
+	command(t, testbed.Nodes[0], "well")
 	if p := w.wants(iscsi.TaskAnswer, 8); p.Head[2] != 0 {
 		t.Errorf("%x", p.Head)
 	}
@@ -242,13 +246,13 @@
 		t.Errorf("a target reset: %x", p.Head)
 	}
 	// Another session's reset.
-	o := diskOptions(town, 0, func(o *initiator.Options) { o.ISID[5] = 40 })
+	o := diskOptions(testbed, 0, func(o *initiator.Options) { o.ISID[5] = 40 })
 	s, err := initiator.Dial(context.Background(), o)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = s.Close() }()
-	command(t, town.Nodes[0], "hang")
+	command(t, testbed.Nodes[0], "hang")
 	w.send(w.write(12, 1, 1, random(1, 4096)))
 	w.send(w.write(13, 1, 2, nil)) // its data is asked for, and does not come
 	w.wants(iscsi.ReadyTo, 13)
@@ -263,7 +267,7 @@
 	if p := w.wants(iscsi.Response, 13); p.Head[3] != byte(scsi.Aborted) {
 		t.Errorf("%x", p.Head)
 	}
-	command(t, town.Nodes[0], "well")
+	command(t, testbed.Nodes[0], "well")
 	if p := w.wants(iscsi.Response, 12); p.Head[3] != byte(scsi.Aborted) {
 		t.Errorf("%x", p.Head)
 	}
@@ -273,16 +277,16 @@
 	w.works(14)
 }
 
-// A session that is begun anew while its requests are out: the old connection ends, its requests are left, none of
-// their answers reaches the new one, and none stays behind.
+// TestSessionReinstatementEndsOldSession: a session is reinstated while its requests are in flight: the old connection
+// ends, its requests are cancelled, none of their responses reaches the new one, and none is left over.
 func TestSessionReinstatementEndsOldSession(t *testing.T) {
-	town := diskTestbed(t, 2, 1, nil)
-	d := openDisk(t, diskOptions(town, 0, nil), 0)
+	testbed := diskTestbed(t, 2, 1, nil)
+	d := openDisk(t, diskOptions(testbed, 0, nil), 0)
 	if _, err := d.WriteAt(make([]byte, 1<<20), 0); err != nil {
 		t.Fatal(err)
 	}
-	old := login(t, town, 5)
-	for _, n := range town.Nodes {
+	old := login(t, testbed, 5)
+	for _, n := range testbed.Nodes {
 		command(t, n, "hang")
 	}
 	for i := range uint32(20) {
@@ -290,50 +294,50 @@
 	}
 	old.send(old.write(150, 0, 2, nil))
 	old.wants(iscsi.ReadyTo, 150)
-	next := login(t, town, 5)
+	next := login(t, testbed, 5)
 	if _, err := iscsi.Read(old, old.d, 1<<20); err == nil {
 		t.Error("the old connection goes on")
 	}
-	for _, n := range town.Nodes {
+	for _, n := range testbed.Nodes {
 		command(t, n, "well")
 	}
 	next.works(100) // the same tag, and its own answer
-	if s := town.Gateways[0].ISCSI.Status(); s.Sessions != 2 {
+	if s := testbed.Gateways[0].ISCSI.Status(); s.Sessions != 2 {
 		t.Errorf("%+v", s)
 	}
 	_ = next.conn.Close()
 	_ = d.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), farOff)
 	defer cancel()
-	if err := town.Gateways[0].Frontend.Drain(ctx); err != nil { // nothing is counted as under way for ever
+	if err := testbed.Gateways[0].Frontend.Drain(ctx); err != nil { // nothing is counted as under way for ever
 		t.Error(err)
 	}
-	if s := town.Gateways[0].ISCSI.Status(); s.Inside != 0 || s.Waiting != 0 {
+	if s := testbed.Gateways[0].ISCSI.Status(); s.Inside != 0 || s.Waiting != 0 {
 		t.Errorf("%+v", s)
 	}
 }
 
-// A node dies within a write of several extents: the write is told as not known to be done, and once the node is back
-// the blocks can be written and read.
+// TestNodeFailureWithinWriteIsReported: a node fails within a write of several extents: the write is reported as not
+// known to be done, and once the node is back the blocks can be written and read.
 func TestNodeFailureWithinWriteIsReported(t *testing.T) {
-	town := diskTestbed(t, 3, 1, nil)
-	d := openDisk(t, diskOptions(town, 0, nil), 0)
+	testbed := diskTestbed(t, 3, 1, nil)
+	d := openDisk(t, diskOptions(testbed, 0, nil), 0)
 	data := random(1, 1<<20)
 	if _, err := d.WriteAt(data, 0); err != nil {
 		t.Fatal(err)
 	}
-	s, err := initiator.Dial(context.Background(), diskOptions(town, 0, func(o *initiator.Options) { o.ISID[5] = 9 }))
+	s, err := initiator.Dial(context.Background(), diskOptions(testbed, 0, func(o *initiator.Options) { o.ISID[5] = 9 }))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = s.Close() }()
-	command(t, town.Nodes[1], "fail 1")
+	command(t, testbed.Nodes[1], "fail 1")
 	cdb := []byte{0x2a, 0, 0, 0, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0, 0} // 256 blocks
 	r, err := s.Do(context.Background(), 0, cdb, random(2, 1<<20), 0)
 	if err != nil || r.Status == scsi.Good {
 		t.Errorf("%+v, %v", r, err)
 	}
-	command(t, town.Nodes[1], "well")
+	command(t, testbed.Nodes[1], "well")
 	next := random(3, 1<<20)
 	if _, err := d.WriteAt(next, 0); err != nil {
 		t.Fatal(err)
@@ -344,15 +348,15 @@
 	}
 }
 
-// A gateway that stops asks initiators to log out, and takes nothing new.
+// TestDiskDrainRequestsLogout: a gateway that shuts down asks initiators to log out, and takes nothing new.
 func TestDiskDrainRequestsLogout(t *testing.T) {
-	town := diskTestbed(t, 1, 1, nil)
-	d := openDisk(t, diskOptions(town, 0, nil), 0)
+	testbed := diskTestbed(t, 1, 1, nil)
+	d := openDisk(t, diskOptions(testbed, 0, nil), 0)
 	if _, err := d.WriteAt(random(1, 8192), 0); err != nil {
 		t.Fatal(err)
 	}
-	w := login(t, town, 3)
-	town.Gateways[0].ISCSI.Drain()
+	w := login(t, testbed, 3)
+	testbed.Gateways[0].ISCSI.Drain()
 	if p := w.wants(iscsi.Async, iscsi.NoTag); p.Head[36] != 1 {
 		t.Errorf("%x", p.Head)
 	}
@@ -365,21 +369,22 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), farOff)
 	defer cancel()
-	if err := town.Gateways[0].Shutdown(ctx); err != nil {
+	if err := testbed.Gateways[0].Shutdown(ctx); err != nil {
 		t.Error(err)
 	}
-	town.Gateways = nil
+	testbed.Gateways = nil
 }
 
-// An initiator that sends reads and takes no answers is told that its queue is full, past what it may leave unread;
-// each command has its one answer all the same.
+// TestUnreadResponsesFillQueue: an initiator that sends reads and takes no responses gets TASK SET FULL past what it
+// may leave unread; each command has its one response all the same.
 func TestUnreadResponsesFillQueue(t *testing.T) {
-	town := testkit.Start(t, testkit.Conf+strings.Replace(disks, "login  =", "unread = \"64KiB\"\n  login  =", 1), 1, 1, nil)
-	d := openDisk(t, diskOptions(town, 0, nil), 0)
+	conf := testkit.Conf + strings.Replace(disks, "login  =", "unread = \"64KiB\"\n  login  =", 1)
+	testbed := testkit.Start(t, conf, 1, 1, nil)
+	d := openDisk(t, diskOptions(testbed, 0, nil), 0)
 	if _, err := d.WriteAt(make([]byte, 1<<20), 0); err != nil {
 		t.Fatal(err)
 	}
-	w := login(t, town, 1, "MaxRecvDataSegmentLength", "1048576")
+	w := login(t, testbed, 1, "MaxRecvDataSegmentLength", "1048576")
 	const reads = 60
 	for i := range uint32(reads) {
 		w.send(w.read(i, 0, 256))
@@ -387,7 +392,7 @@
 			w.last(0)
 		}
 	}
-	for s := town.Gateways[0].ISCSI.Status(); s.Inside+s.Waiting > 0; s = town.Gateways[0].ISCSI.Status() {
+	for s := testbed.Gateways[0].ISCSI.Status(); s.Inside+s.Waiting > 0; s = testbed.Gateways[0].ISCSI.Status() {
 		time.Sleep(time.Millisecond)
 	}
 	full, good := 0, 0
--- a/internal/serve/limits_test.go
+++ b/internal/serve/limits_test.go
@@ -13,7 +13,7 @@
 
 // TestConnectionLimitsAreReported: each limit of a connection has a stated answer.
 func TestConnectionLimitsAreReported(t *testing.T) {
-	conf := strings.Replace(testkit.Conf, "gateways = 2\n", "gateways = 2\n  limits {\n    handles = 3\n    entries = 5\n    outstanding = 2\n  }\n", 1)
+	conf := withBlock("  limits {\n    handles = 3\n    entries = 5\n    outstanding = 2\n  }\n")
 	w := testkit.Start(t, conf, 1, 1, nil)
 	conn := dialRaw(t, w, 0)
 	conn.hello()
@@ -55,14 +55,13 @@
 // TestClientFarAheadOrBehindLosesConnection: a client that sends far ahead of its responses, or leaves far too many
 // unread, loses its connection; others go on.
 func TestClientFarAheadOrBehindLosesConnection(t *testing.T) {
-	conf := strings.Replace(testkit.Conf, "gateways = 2\n", `gateways = 2
-  limits {
+	conf := withBlock(`  limits {
     outstanding = 4
     ahead       = "256KiB"
     unread      = "256KiB"
     packet      = "128KiB"
   }
-`, 1)
+`)
 	w := testkit.Start(t, conf, 1, 1, nil)
 	if err := put(w.Client(0), "/meals/f", random(1, 100_000)); err != nil {
 		t.Fatal(err)
--- a/internal/serve/linear_test.go
+++ b/internal/serve/linear_test.go
@@ -96,7 +96,7 @@
 }
 
 // record does an operation and records it. What may still happen after it never returns, as far as the model goes.
-func (h *blockHistory) record(client int, o operation, do func() result) result {
+func (h *blockHistory) record(client int, op operation, do func() result) result {
 	call := time.Since(h.start)
 	out := do()
 	end := time.Since(h.start)
@@ -107,7 +107,7 @@
 	defer h.mu.Unlock()
 	h.operations = append(h.operations, porcupine.Operation{
 		ClientId: client,
-		Input:    o,
+		Input:    op,
 		Call:     int64(call),
 		Output:   out,
 		Return:   int64(end),
@@ -200,7 +200,7 @@
 }
 
 // perform does an operation once: what is not known to be done is not repeated under the same name.
-func perform(d *initiator.Disk, o *operation, at int64) (out result) {
+func perform(disk *initiator.Disk, op *operation, at int64) (out result) {
 	block := func(v uint64) []byte {
 		b := bytes.Repeat([]byte{byte(v)}, 4096)
 		binary.BigEndian.PutUint64(b, v)
@@ -211,19 +211,19 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), farOff)
 	defer cancel()
-	switch o.kind {
+	switch op.kind {
 	case 'r':
 		b := make([]byte, 4096)
-		_, err := d.Read(ctx, b, at)
+		_, err := disk.Read(ctx, b, at)
 		out.unknown, out.value = err != nil, binary.BigEndian.Uint64(b)
 		if err == nil && !bytes.Equal(b, block(out.value)) {
 			out.value = 1 << 63 // torn: no state has it
 		}
 	case 'w':
-		_, err := d.Write(ctx, block(o.value), at)
+		_, err := disk.Write(ctx, block(op.value), at)
 		out.unknown = err != nil
 	case 'c':
-		err := d.Compare(ctx, block(o.old), block(o.value), at)
+		err := disk.Compare(ctx, block(op.old), block(op.value), at)
 		out.other = errors.Is(err, initiator.ErrDifferent)
 		out.unknown = err != nil && !out.other
 	}
--- a/internal/serve/malformed_test.go
+++ b/internal/serve/malformed_test.go
@@ -1,6 +1,7 @@
 package serve_test
 
 import (
+	"encoding/binary"
 	"math/rand/v2"
 	"strings"
 	"testing"
@@ -63,7 +64,7 @@
 			for i := range b {
 				b[i] = byte(r.Uint32())
 			}
-			b[0], b[1], b[2], b[3] = 0, 0, 0, byte(len(b)-4)
+			binary.BigEndian.PutUint32(b, uint32(len(b)-4))
 			_, _ = conn.raw.Write(b) // as above
 		}
 		_ = conn.raw.Close()
--- a/internal/serve/members_test.go
+++ b/internal/serve/members_test.go
@@ -11,6 +11,8 @@
 	"testing"
 	"time"
 
+	pkgsftp "github.com/pkg/sftp"
+
 	"irispost/internal/admin"
 	"irispost/internal/audit"
 	"irispost/internal/endpoint"
@@ -22,26 +24,35 @@
 	"irispost/internal/xdsstandin"
 )
 
-// feed has gateways take their list from a management server.
-func feed(w *testkit.Town, s *xdsstandin.Server, delta bool) {
+// feedFromServer has gateways take their list from a management server.
+func feedFromServer(w *testkit.Town, s *xdsstandin.Server, delta bool) {
 	w.Feed = func(name string) []manager.NamedSource {
-		return []manager.NamedSource{{Name: "plane", Source: xds.NewClient(xds.Options{Address: s.Addr(), Incremental: delta, NodeID: name,
-			MinBackoff: time.Millisecond, MaxBackoff: 20 * time.Millisecond, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})}}
+		return []manager.NamedSource{{Name: "plane", Source: xds.NewClient(xds.Options{
+			Address:     s.Addr(),
+			Incremental: delta,
+			NodeID:      name,
+			MinBackoff:  time.Millisecond,
+			MaxBackoff:  20 * time.Millisecond,
+			Log:         slog.New(slog.NewTextHandler(io.Discard, nil)),
+		})}}
 	}
 }
 
-// managed is a town whose gateways have their list from a management server, with clients that work until the end.
+// managed is an installation whose gateways have their list from a management server, with clients that work until the
+// end.
 type managed struct {
 	*testkit.Town
-	t      *testing.T
-	server *xdsstandin.Server
-	record *audit.Record
-	served atomic.Int64
-	failed atomic.Int64 // without being dismissed or written off
-	grace  time.Duration
+	t           *testing.T
+	server      *xdsstandin.Server
+	record      *audit.Record
+	servedCount atomic.Int64
+	failedCount atomic.Int64 // with an error that is not the gateway's own answer
+	grace       time.Duration
 }
 
-func manage(t *testing.T, delta bool, shards int, unit time.Duration) *managed {
+// startManaged starts one gateway with clients; delta chooses the incremental form of xDS.
+func startManaged(t *testing.T, delta bool, shards int, unit time.Duration) *managed {
+	t.Helper()
 	clock := gateway.NewClock()
 	m := &managed{t: t, record: &audit.Record{Clock: clock.Now}, grace: 2 * time.Second}
 	m.Town = testkit.Start(t, testkit.Conf, shards, 0, func(o *standin.Options) { o.Record, o.Unit = m.record, unit })
@@ -50,59 +61,61 @@
 		t.Fatal(err)
 	}
 	m.server = s
-	feed(m.Town, s, delta)
+	feedFromServer(m.Town, s, delta)
 	m.Gateway("g0")
 	stop := make(chan struct{})
 	var all sync.WaitGroup
 	for i := range 8 {
-		c := m.Client(0)
-		all.Add(1)
-		go func() {
-			defer all.Done()
-			for n := uint64(0); ; n++ {
-				select {
-				case <-stop:
-					return
-				default:
-				}
-				path := fmt.Sprintf("/meals/f%d.%d", i, n%7)
-				err := put(c, path, random(n, 60_000))
-				if err == nil {
-					_, err = get(c, path)
-				}
-				switch {
-				case err == nil:
-					m.served.Add(1)
-				case !strings.Contains(err.Error(), "dismissed") && !strings.Contains(err.Error(), "written off"):
-					m.failed.Add(1)
-				}
-			}
-		}()
+		client := m.Client(0)
+		all.Go(func() { m.runClient(client, i, stop) })
 	}
 	t.Cleanup(func() {
 		close(stop)
 		all.Wait()
 		s.Close()
-		if m.failed.Load() > 0 {
-			t.Errorf("%d requests have had no answer of the gateway's", m.failed.Load())
+		if m.failedCount.Load() > 0 {
+			t.Errorf("%d requests had no answer of the gateway's own", m.failedCount.Load())
 		}
 	})
-	m.more(20)
+	m.awaitServed(20)
 	return m
 }
 
-// more waits until so many more requests are served.
-func (m *managed) more(n int64) {
+// runClient writes and reads files until stop is closed.
+func (m *managed) runClient(client *pkgsftp.Client, number int, stop <-chan struct{}) {
+	for n := uint64(0); ; n++ {
+		select {
+		case <-stop:
+			return
+		default:
+		}
+		path := fmt.Sprintf("/meals/f%d.%d", number, n%7)
+		err := put(client, path, random(n, 60_000))
+		if err == nil {
+			_, err = get(client, path)
+		}
+		switch {
+		case err == nil:
+			m.servedCount.Add(1)
+		case !strings.Contains(err.Error(), "dismissed") && !strings.Contains(err.Error(), "written off"):
+			m.failedCount.Add(1)
+		}
+	}
+}
+
+// awaitServed waits until so many more requests are served.
+func (m *managed) awaitServed(n int64) {
 	m.t.Helper()
-	for end, until := time.Now().Add(farOff), m.served.Load()+n; m.served.Load() < until; time.Sleep(time.Millisecond) {
+	target := m.servedCount.Load() + n
+	for end := time.Now().Add(farOff); m.servedCount.Load() < target; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			m.t.Fatalf("%d served, %d wanted", m.served.Load(), until)
+			m.t.Fatalf("%d served, want %d", m.servedCount.Load(), target)
 		}
 	}
 }
 
-// acked waits until the gateway has accepted so many updates of endpoints more, done by f, and returns when.
-func (m *managed) acked(f func()) int64 {
+// awaitAccepted makes a change and returns the time at which the gateway has accepted the update of endpoints.
+func (m *managed) awaitAccepted(change func()) int64 {
 	m.t.Helper()
 	count := func(list []xdsstandin.Answer) (n int) {
 		for _, a := range list {
@@ -113,21 +126,21 @@
 		return n
 	}
 	before := count(m.server.Answers())
-	f()
+	change()
 	if err := m.server.Until(farOff, func(list []xdsstandin.Answer) bool { return count(list) > before }); err != nil {
 		m.t.Fatal(err)
 	}
 	return m.record.Clock()
 }
 
-// quiet checks that a node gets nothing fresh later than the grace after a time, and how long it got something.
-func (m *managed) quiet(node *standin.Node, since int64) {
+// expectNoNewRequests fails the test if a node gets a request later than the grace after a time, or got hardly any before.
+func (m *managed) expectNoNewRequests(node *standin.Node, since int64) {
 	m.t.Helper()
 	end := since + int64(m.grace)
 	for m.record.Clock() < end {
-		m.more(1)
+		m.awaitServed(1)
 	}
-	m.more(30)
+	m.awaitServed(30)
 	last, before := since, 0
 	for _, e := range m.record.Events() {
 		if e.What != audit.Got || e.Node != node.Addr() {
@@ -138,18 +151,26 @@
 		}
 	}
 	if before < 20 {
-		m.t.Errorf("%s had only %d executions before", node.Addr(), before)
+		m.t.Errorf("%s got only %d requests before", node.Addr(), before)
 	}
 	if last > end {
-		m.t.Errorf("%s gets work %d ms after it was let go", node.Addr(), (last-since)/1e6)
+		m.t.Errorf("%s gets a request %d ms after it was to get none", node.Addr(), (last-since)/1e6)
 	}
-	m.t.Logf("%d executions before, the last one %.1f ms after the list", before, float64(last-since)/1e6)
+	m.t.Logf("%d requests before, the last one %.1f ms after the list", before, float64(last-since)/1e6)
 }
 
 // successor starts a cold node for a shard and lists it.
 func (m *managed) successor(shard int) *standin.Node {
-	n, err := standin.Start(standin.Options{Addr: "127.0.0.1:0", Shard: shard, Zone: "z", Store: m.Stores[shard], Cores: 2, Queue: 256,
-		Marks: time.Minute, Record: m.record})
+	n, err := standin.Start(standin.Options{
+		Addr:   "127.0.0.1:0",
+		Shard:  shard,
+		Zone:   "z",
+		Store:  m.Stores[shard],
+		Cores:  2,
+		Queue:  256,
+		Marks:  time.Minute,
+		Record: m.record,
+	})
 	if err != nil {
 		m.t.Fatal(err)
 	}
@@ -164,33 +185,35 @@
 	}
 }
 
-// After a drain, a removal, or word that it is not healthy, a node with jobs in flight gets no fresh work, jobs go on
-// at its successor, and each request gets its answer: as the nodes' sockets saw it, in both forms of the protocol.
+// TestNodeRemovedByXDSGetsNoNewRequests: after a drain, a removal, or a report that it is not healthy, a node gets no
+// new requests, those in flight go on at its successor, and each gets its response: as the nodes' sockets saw it, in
+// both forms of the protocol.
 func TestNodeRemovedByXDSGetsNoNewRequests(t *testing.T) {
 	for _, delta := range []bool{false, true} {
 		for _, how := range []string{"drain", "remove", "unwell"} {
 			t.Run(fmt.Sprintf("%s,delta=%v", how, delta), func(t *testing.T) {
 				t.Parallel()
-				m := manage(t, delta, 3, 2*time.Millisecond)
+				m := startManaged(t, delta, 3, 2*time.Millisecond)
 				old := m.Nodes[0]
 				next := m.successor(0)
-				since := m.acked(func() { m.command("add " + next.Addr() + " 0") })
-				m.acked(func() { m.command(how + " " + old.Addr()) })
-				m.quiet(old, since) // the successor's later start is enough
-				if how == "drain" { // undone: the successor still serves, as it started later
-					m.acked(func() { m.command("ready " + old.Addr()) })
-					m.more(30)
-					m.quiet(old, since)
+				since := m.awaitAccepted(func() { m.command("add " + next.Addr() + " 0") })
+				m.awaitAccepted(func() { m.command(how + " " + old.Addr()) })
+				m.expectNoNewRequests(old, since) // the successor's later start is enough
+				if how == "drain" {               // undone: the successor still serves, as it started later
+					m.awaitAccepted(func() { m.command("ready " + old.Addr()) })
+					m.awaitServed(30)
+					m.expectNoNewRequests(old, since)
 				}
 			})
 		}
 	}
 }
 
-// Without a successor, a removed node's jobs are answered all the same, and it serves again once it is back.
+// TestNodeRemovedWithoutSuccessorServesAgain: the requests of a removed node without a successor are answered all the
+// same, and it serves again once it is back.
 func TestNodeRemovedWithoutSuccessorServesAgain(t *testing.T) {
-	m := manage(t, true, 3, time.Millisecond)
-	since := m.acked(func() { m.command("remove " + m.Nodes[2].Addr()) })
+	m := startManaged(t, true, 3, time.Millisecond)
+	since := m.awaitAccepted(func() { m.command("remove " + m.Nodes[2].Addr()) })
 	time.Sleep(100 * time.Millisecond) // its shard's requests wait meanwhile
 	m.server.Set(func(list []endpoint.Node) []endpoint.Node {
 		for i := range list {
@@ -198,7 +221,7 @@
 		}
 		return list
 	})
-	m.more(50)
+	m.awaitServed(50)
 	for _, e := range m.record.Events() {
 		if e.What == audit.Got && e.Node == m.Nodes[2].Addr() && e.At > since+int64(100*time.Millisecond) {
 			return
@@ -240,7 +263,7 @@
 // TestInvalidUpdatesKeepLastGoodList: invalid updates are rejected with a reason, the last good list stays in force,
 // and requests go on.
 func TestInvalidUpdatesKeepLastGoodList(t *testing.T) {
-	m := manage(t, false, 3, 0)
+	m := startManaged(t, false, 3, 0)
 	version := m.report().Sources[0].Version
 	for i, kind := range []string{"endpoints", "clusters"} {
 		m.command("broken " + kind)
@@ -250,7 +273,7 @@
 		if source.Version != version || serving(report) != 3 || !strings.Contains(source.LastRejection, kind) {
 			t.Errorf("%+v", report)
 		}
-		m.more(30)
+		m.awaitServed(30)
 	}
 	rejections := 0
 	for _, a := range m.server.Answers() {
@@ -266,7 +289,7 @@
 // TestListWithoutHealthyEndpointsIsHeld: a list of nothing, and one in which all are unhealthy, is held and reported
 // until the source takes it back or an operator confirms it.
 func TestListWithoutHealthyEndpointsIsHeld(t *testing.T) {
-	m := manage(t, false, 3, 0)
+	m := startManaged(t, false, 3, 0)
 	isHeld := func(r admin.EndpointReport) bool {
 		return r.HeldLoss != nil && r.HeldLoss.LeavesNone && r.HeldLoss.Nodes == 3
 	}
@@ -278,10 +301,10 @@
 		if report := m.report(); serving(report) != 3 {
 			t.Errorf("%s: %+v", list, report)
 		}
-		m.more(30)
+		m.awaitServed(30)
 		m.server.Set(func([]endpoint.Node) []endpoint.Node { return before })
 		m.awaitReport("as before", func(r admin.EndpointReport) bool { return r.HeldLoss == nil && serving(r) == 3 })
-		m.more(30)
+		m.awaitServed(30)
 	}
 	m.command("nothing")
 	m.awaitReport("held again", func(r admin.EndpointReport) bool { return r.HeldLoss != nil })
@@ -291,7 +314,7 @@
 	m.awaitReport("confirmed", func(r admin.EndpointReport) bool { return r.HeldLoss == nil && serving(r) == 0 })
 	m.server.Set(func([]endpoint.Node) []endpoint.Node { return m.List().Nodes })
 	m.awaitReport("back", func(r admin.EndpointReport) bool { return serving(r) == 3 })
-	m.more(30)
+	m.awaitServed(30)
 }
 
 // TestStartWithCachedListWhileServerIsDown: a gateway that starts while the management server is down serves with the
@@ -303,7 +326,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	feed(w, s, true)
+	feedFromServer(w, s, true)
 	w.Conf += "members {\n  folder = \"" + dir + "\"\n  first = \"20s\"\n}\n"
 	g := w.Gateway("g0")
 	if err := put(w.Client(0), "/meals/f", random(1, 100_000)); err != nil {
@@ -324,14 +347,19 @@
 	g = w.Gateway("g0")
 	testkit.Again(t, "get", func() error { _, err := get(w.Client(0), "/meals/f"); return err })
 	v, err := g.Members()
-	if err != nil || v.Sources[0].State != "starting" || v.Sources[0].LastError == "" || v.Sources[0].Nodes != 2 || len(v.Nodes) != 2 {
-		t.Errorf("%+v, %v", v, err)
+	if err != nil {
+		t.Fatal(err)
+	}
+	source := v.Sources[0]
+	if source.State != "starting" || source.LastError == "" || source.Nodes != 2 || len(v.Nodes) != 2 {
+		t.Errorf("%+v", v)
 	}
 	if err := s.Restart(); err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
-	for end := time.Now().Add(farOff); v.Sources[0].State != "current" || v.Sources[0].Version != "c:1 e:1"; time.Sleep(time.Millisecond) {
+	isCurrent := func() bool { return v.Sources[0].State == "current" && v.Sources[0].Version == "c:1 e:1" }
+	for end := time.Now().Add(farOff); !isCurrent(); time.Sleep(time.Millisecond) {
 		if v, _ = g.Members(); time.Now().After(end) {
 			t.Fatalf("%+v", v)
 		}
--- a/internal/serve/shutdown_test.go
+++ b/internal/serve/shutdown_test.go
@@ -29,7 +29,11 @@
 		for w.Nodes[0].Got() == got {
 			time.Sleep(time.Millisecond)
 		}
-		ctx, cancel := context.WithTimeout(context.Background(), map[bool]time.Duration{false: time.Minute, true: 50 * time.Millisecond}[hang])
+		timeout := time.Minute
+		if hang {
+			timeout = 50 * time.Millisecond
+		}
+		ctx, cancel := context.WithTimeout(context.Background(), timeout)
 		stopped := make(chan error, 1)
 		go func() { stopped <- g.Shutdown(ctx) }()
 		code, text := conn.status()
--- a/internal/serve/sweep_test.go
+++ b/internal/serve/sweep_test.go
@@ -18,7 +18,7 @@
 	if err := w.Client(1).Rename("/meals/kept", "/meals/moved"); err != nil {
 		t.Fatal(err)
 	}
-	kept := w.Stores[0].Objects() + w.Stores[1].Objects()
+	inUse := w.Stores[0].Objects() + w.Stores[1].Objects()
 	conn := dialRaw(t, w, 0)
 	conn.hello()
 	handle := conn.open("/meals/lost", sftp.FlagWrite|sftp.FlagCreate)
@@ -26,8 +26,8 @@
 	if code, text := conn.status(); code != sftp.OK {
 		t.Fatal(text)
 	}
-	if n := w.Stores[0].Objects() + w.Stores[1].Objects(); n != kept+1 {
-		t.Fatalf("%d objects, %d were there", n, kept)
+	if n := w.Stores[0].Objects() + w.Stores[1].Objects(); n != inUse+1 {
+		t.Fatalf("%d objects, %d were there", n, inUse)
 	}
 	w.Gateways[0].Loop.Stop() // no commit gets through any more
 	w.Gateways[0].Kill()
@@ -40,8 +40,8 @@
 		}
 		seen, removed = seen+s, removed+r
 	}
-	if seen != kept+1 || removed != 1 {
-		t.Errorf("%d objects seen, %d removed; %d are in use", seen, removed, kept)
+	if seen != inUse+1 || removed != 1 {
+		t.Errorf("%d objects seen, %d removed; %d are in use", seen, removed, inUse)
 	}
 	if got, err := get(w.Client(0), "/meals/moved"); err != nil || !bytes.Equal(got, random(1, 100_000)) {
 		t.Errorf("after the sweep: %d bytes, %v", len(got), err)
--- a/internal/serve/web_test.go
+++ b/internal/serve/web_test.go
@@ -24,7 +24,7 @@
 	lock     sync.Mutex // guards all below
 	changed  sync.Cond
 	response discovery.Response
-	asked    int // calls
+	calls    int // calls
 }
 
 func startLists(t *testing.T, response discovery.Response) *lists {
@@ -34,7 +34,7 @@
 	l.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		l.lock.Lock()
 		defer l.lock.Unlock()
-		l.asked++
+		l.calls++
 		l.changed.Broadcast()
 		for r.FormValue("from") == fmt.Sprint(l.response.Revision) && r.Context().Err() == nil {
 			l.changed.Wait()
@@ -62,7 +62,7 @@
 func (l *lists) awaitCalls(n int) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
-	for l.asked < n {
+	for l.calls < n {
 		l.changed.Wait()
 	}
 }
