--- a/internal/serve/shutdown.go
+++ b/internal/serve/shutdown.go
@@ -7,7 +7,7 @@
 )
 
 // ErrRequestsInFlight is returned by Shutdown when requests were still in flight at its deadline. They have failed.
-var ErrRequestsInFlight = errors.New("requests were still in flight at the deadline of the shutdown")
+var ErrRequestsInFlight = errors.New("requests were still in flight at the deadline")
 
 // lastAnswersTimeout is how long the answers of requests that fail at the deadline may take to go out.
 const lastAnswersTimeout = time.Second
