--- a/internal/backend/webnode/exchange.go
+++ b/internal/backend/webnode/exchange.go
@@ -25,13 +25,13 @@
 func (c *conn) write(attempt *Attempt) {
 	call := attempt.call
 	elapsed := time.Since(attempt.startedAt)
-	timeLeft := call.Timeout - elapsed
-	if timeLeft <= 0 || call.StartWithin > 0 && elapsed >= call.StartWithin {
+	remaining := call.Timeout - elapsed
+	if remaining <= 0 || call.StartWithin > 0 && elapsed >= call.StartWithin {
 		c.release()
 		attempt.fail(node.ConnectFailed, "too late to send")
 		return
 	}
-	request := c.client.encodeRequest(call, timeLeft)
+	request := c.client.encodeRequest(call, remaining)
 	n, err := c.raw.Write(request)
 	defer close(c.written)
 	c.client.mu.Lock()
@@ -51,12 +51,12 @@
 	}
 }
 
-// encodeRequest writes a call as a request. timeLeft is how long the gateway waits for the response.
-func (c *Client) encodeRequest(call *node.Call, timeLeft time.Duration) []byte {
+// encodeRequest writes a call as a request. remaining is how long the gateway waits for the response.
+func (c *Client) encodeRequest(call *node.Call, remaining time.Duration) []byte {
 	request := http1.NewRequest(method(call.Op), call.Name).
 		Field("Host", c.opt.Host).
 		Field("X-Request-Id", call.IdempotencyKey).
-		Field("X-Deadline-Ms", strconv.FormatInt(max(timeLeft.Milliseconds(), 1), 10))
+		Field("X-Deadline-Ms", strconv.FormatInt(max(remaining.Milliseconds(), 1), 10))
 	for i := 0; i+1 < len(call.Headers); i += 2 {
 		request.Field(call.Headers[i], call.Headers[i+1])
 	}
--- a/internal/frontend/web/server.go
+++ b/internal/frontend/web/server.go
@@ -51,11 +51,11 @@
 
 // Server is a running front end.
 type Server struct {
-	opt      Options
-	catalog  catalog
-	listener net.Listener
-	accepted chan struct{} // closed when no connection is accepted any more
-	drained  chan struct{} // closed when no connection is accepted any more and none is left
+	opt        Options
+	catalog    catalog
+	listener   net.Listener
+	acceptDone chan struct{} // closed when no connection is accepted any more
+	drained    chan struct{} // closed when no connection is accepted any more and none is left
 
 	mu           sync.Mutex // guards all below, and each connection's state
 	phase        phase
@@ -81,13 +81,13 @@
 
 func serveListener(listener net.Listener, opt Options) *Server {
 	s := &Server{
-		opt:      opt,
-		catalog:  newCatalog(opt.Settings),
-		listener: listener,
-		accepted: make(chan struct{}),
-		drained:  make(chan struct{}),
-		conns:    map[*conn]bool{},
-		openIDs:  map[string]bool{},
+		opt:        opt,
+		catalog:    newCatalog(opt.Settings),
+		listener:   listener,
+		acceptDone: make(chan struct{}),
+		drained:    make(chan struct{}),
+		conns:      map[*conn]bool{},
+		openIDs:    map[string]bool{},
 	}
 	go s.acceptLoop()
 	go s.evictLoop()
@@ -109,7 +109,7 @@
 const acceptRetryDelay = 10 * time.Millisecond
 
 func (s *Server) acceptLoop() {
-	defer close(s.accepted)
+	defer close(s.acceptDone)
 	for failing := false; ; {
 		raw, err := s.listener.Accept()
 		if errors.Is(err, net.ErrClosed) || isTimeout(err) { // Shutdown sets a deadline, after which nothing waits there
--- a/internal/frontend/web/shutdown.go
+++ b/internal/frontend/web/shutdown.go
@@ -63,7 +63,7 @@
 	if l, ok := s.listener.(interface{ SetDeadline(time.Time) error }); ok {
 		// Connections that wait to be accepted are accepted first: closing the listener would reset them.
 		_ = l.SetDeadline(time.Now().Add(lingerTimeout / 10))
-		<-s.accepted
+		<-s.acceptDone
 	}
 	_ = s.listener.Close()
 	s.mu.Lock()
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -66,7 +66,7 @@
 	}
 }
 
-func TestEndOfConnectionIsToldFromIncompleteRequest(t *testing.T) {
+func TestIncompleteRequestIsNotEndOfConnection(t *testing.T) {
 	_, err := http1.ReadRequest(newReader("GET / HTTP/1.1\r\nHo"), http1.DefaultLimits)
 	if !errors.Is(err, io.ErrUnexpectedEOF) {
 		t.Errorf("a head that is cut off: %v", err)
@@ -160,15 +160,15 @@
 	if _, err := http1.ReadResponse(newReader(long), http1.DefaultLimits); err == nil {
 		t.Error("a body over the limit is read")
 	}
-	limits, asked := http1.DefaultLimits, int64(0)
+	limits, requestedBytes := http1.DefaultLimits, int64(0)
 	limits.MaxLongBody = 80_000
 	limits.AdmitLongBody = func(bytes int64) bool {
-		asked += bytes
+		requestedBytes += bytes
 		return true
 	}
 	response, err := http1.ReadResponse(newReader(long), limits)
-	if err != nil || len(response.Body) != 70_000 || asked != limits.MaxLongBody {
-		t.Errorf("an admitted body: %v, asked for %d", err, asked)
+	if err != nil || len(response.Body) != 70_000 || requestedBytes != limits.MaxLongBody {
+		t.Errorf("an admitted body: %v, asked for %d", err, requestedBytes)
 	}
 	if _, err := http1.ReadResponse(newReader(long+long), limits); err == nil {
 		t.Error("a body over MaxLongBody is read")
--- a/internal/serve/capture.go
+++ b/internal/serve/capture.go
@@ -2,7 +2,6 @@
 
 import (
 	"errors"
-	"fmt"
 	"runtime/debug"
 	"sync"
 
@@ -16,6 +15,11 @@
 	errNoCaptureDir = errors.New("no folder for captures is configured, name one")
 )
 
+// captureOnError says that a capture is on already.
+type captureOnError struct{ file string }
+
+func (e *captureOnError) Error() string { return "a capture is on already: " + e.file }
+
 // captureSession is a gateway's capture; at most one is on at a time.
 type captureSession struct {
 	mu       sync.Mutex        // guards all fields
@@ -27,7 +31,7 @@
 // is the only one who knows the gateway.
 func (s *captureSession) begin(owner *Gateway, dir string) error {
 	if s.recorder != nil {
-		return fmt.Errorf("a capture is on already: %s", s.status.File)
+		return &captureOnError{file: s.status.File}
 	}
 	if dir == "" {
 		dir = owner.Config.CaptureDir
--- a/internal/serve/disk_test.go
+++ b/internal/serve/disk_test.go
@@ -302,9 +302,9 @@
 		_, _ = c.Write(b) // the target may have closed the connection already
 		return c
 	}
-	var silent []net.Conn
+	var unresponsive []net.Conn
 	for range 200 {
-		silent = append(silent, send(nil))
+		unresponsive = append(unresponsive, send(nil))
 	}
 	closed := func(what string, c net.Conn) {
 		t.Helper()
@@ -337,7 +337,7 @@
 	if _, err := d.WriteAt(random(1, 8192), 0); err != nil {
 		t.Error(err)
 	}
-	for _, c := range silent {
+	for _, c := range unresponsive {
 		closed("a silent connection", c)
 	}
 	if _, err := d.ReadAt(make([]byte, 8192), 0); err != nil {
