--- a/internal/iscsi/initiator/disk.go
+++ b/internal/iscsi/initiator/disk.go
@@ -138,11 +138,11 @@
 			}
 		case r.Sense.Key == scsi.Miscompare.Key:
 			return r, ErrDifferent
-		case r.Sense.Key == scsi.OutOfRange.Key && r.Sense.Code == scsi.OutOfRange.Code:
+		case r.Sense.Key == scsi.LBAOutOfRange.Key && r.Sense.Code == scsi.LBAOutOfRange.Code:
 			return r, ErrRange
-		case r.Sense.Key == scsi.Becoming.Key && r.Sense.Qualifier == scsi.Becoming.Qualifier:
+		case r.Sense.Key == scsi.BecomingReady.Key && r.Sense.Qualifier == scsi.BecomingReady.Qualifier:
 			last = r.Sense
-		case r.Sense.Key == scsi.Unknown.Key:
+		case r.Sense.Key == scsi.CommandTimeout.Key:
 			if last = fmt.Errorf("%w: %w", ErrUnknown, r.Sense); !harmless {
 				return r, last
 			}
--- a/internal/iscsi/initiator/session.go
+++ b/internal/iscsi/initiator/session.go
@@ -337,7 +337,7 @@
 		if c != nil {
 			var sense *scsi.Sense
 			if len(p.Data) > 2 {
-				sense, _ = scsi.ReadSense(p.Data[2:])
+				sense, _ = scsi.DecodeSense(p.Data[2:])
 			}
 			s.over(c, p, sense)
 		}
@@ -478,7 +478,7 @@
 		}
 	}
 	p := iscsi.New(iscsi.Command, 0).Put(16, tag).Put(20, expects).Put(24, s.cmdSN).Put(28, s.expStat)
-	copy(p.Head[8:16], scsi.EncodeLun(lun))
+	copy(p.Head[8:16], scsi.EncodeLUN(lun))
 	copy(p.Head[32:48], cdb)
 	immediate := 0
 	if s.params.ImmediateData {
@@ -504,7 +504,7 @@
 		return 0, nil, s.Lost()
 	}
 	if rest > 0 {
-		s.data(tag, iscsi.NoTag, scsi.EncodeLun(lun), uint32(immediate), out[immediate:immediate+rest])
+		s.data(tag, iscsi.NoTag, scsi.EncodeLUN(lun), uint32(immediate), out[immediate:immediate+rest])
 	}
 	return tag, c.done, nil
 }
@@ -540,7 +540,7 @@
 	s.manages[mine] = m
 	p := iscsi.New(iscsi.TaskRequest, iscsi.Final|function).Put(16, mine).Put(20, tag).Put(24, s.cmdSN).Put(28, s.expStat)
 	p.Head[0] |= 0x40
-	copy(p.Head[8:16], scsi.EncodeLun(lun))
+	copy(p.Head[8:16], scsi.EncodeLUN(lun))
 	s.lock.Unlock()
 	if err := s.write(p); err != nil {
 		s.fail(err)
--- a/internal/iscsi/target/session.go
+++ b/internal/iscsi/target/session.go
@@ -424,7 +424,7 @@
 		defer x.lock.Unlock()
 		x.send(iscsi.New(iscsi.TaskAnswer, iscsi.Final).Byte(2, code).Put(16, p.Tag()), true)
 	}
-	lun, known := scsi.DecodeLun(p.Lun())
+	lun, known := scsi.DecodeLUN(p.Lun())
 	unit := x.target.Units[lun]
 	var list []*task
 	switch p.Flags() & 0x7f {
--- a/internal/iscsi/target/task.go
+++ b/internal/iscsi/target/task.go
@@ -72,7 +72,7 @@
 	}
 	x.tasks[t.tag] = t
 	x.lock.Unlock()
-	lun, known := scsi.DecodeLun(t.lun[:])
+	lun, known := scsi.DecodeLUN(t.lun[:])
 	if known {
 		t.unit = x.target.Units[lun]
 	}
@@ -83,7 +83,7 @@
 	}
 	var sense *scsi.Sense
 	if t.command, sense = t.unit.Parse(cdb); sense != nil {
-		if name := scsi.RefusedName(cdb[0]); name != "" {
+		if name := scsi.ReservationName(cdb[0]); name != "" {
 			x.server.opt.Log.Info("refused", "command", name, "initiator", x.identity.initiator)
 		}
 		t.answer(scsi.CheckCondition, sense, nil)
@@ -93,17 +93,17 @@
 		t.answer(scsi.Busy, nil, nil)
 		return
 	}
-	in, _ := t.command.Expects(&t.unit.Unit)
+	in, _ := t.command.DataLengths(&t.unit.Unit)
 	t.disk = t.unit.disk.Load()
 	switch t.command.Kind {
-	case scsi.Ready:
+	case scsi.TestReady:
 		if t.disk == nil {
-			t.answer(scsi.CheckCondition, scsi.Becoming, nil)
+			t.answer(scsi.CheckCondition, scsi.BecomingReady, nil)
 			return
 		}
 		t.answer(scsi.Good, nil, nil)
 		return
-	case scsi.Inquiry, scsi.Luns, scsi.Capacity10, scsi.Capacity16, scsi.Modes, scsi.LastSense:
+	case scsi.Inquiry, scsi.ReportLUNs, scsi.ReadCapacity10, scsi.ReadCapacity16, scsi.ModeSense, scsi.RequestSense:
 		data, sense := t.unit.Answer(&t.command, x.target.luns())
 		if sense != nil {
 			t.answer(scsi.CheckCondition, sense, nil)
@@ -113,12 +113,12 @@
 		return
 	}
 	if t.disk == nil { // its file could not be opened yet
-		t.answer(scsi.CheckCondition, scsi.Becoming, nil)
+		t.answer(scsi.CheckCondition, scsi.BecomingReady, nil)
 		return
 	}
 	if in > 0 {
 		if p.Flags()&iscsi.Writes == 0 || uint64(t.expects) < in {
-			t.answer(scsi.CheckCondition, scsi.BadField, nil) // it says that it brings less than it asks to write
+			t.answer(scsi.CheckCondition, scsi.InvalidField, nil) // it says that it brings less than it asks to write
 			return
 		}
 		t.want = uint32(in)
@@ -126,7 +126,7 @@
 	x.lock.Lock()
 	if len(p.Data) > 0 && (!x.params.ImmediateData || len(p.Data) > x.params.FirstBurst || uint32(len(p.Data)) > t.expects) {
 		x.lock.Unlock()
-		t.answer(scsi.CheckCondition, scsi.TooMuchData, nil)
+		t.answer(scsi.CheckCondition, scsi.NotEnoughUnsolicitedData, nil)
 		return
 	}
 	t.data, t.came = append(t.data, p.Data[:min(len(p.Data), int(t.want))]...), uint32(len(p.Data))
@@ -141,20 +141,20 @@
 
 // without answers a command to a unit that is not there (SPC-4, 6.4.2 and 6.33).
 func (t *task) without(cdb []byte) {
-	none := &scsi.Unit{Block: 512, Count: 1}
+	none := &scsi.Unit{BlockSize: 512, Blocks: 1}
 	c, sense := none.Parse(cdb)
 	switch {
-	case sense == nil && c.Kind == scsi.Luns:
+	case sense == nil && c.Kind == scsi.ReportLUNs:
 		data, _ := none.Answer(&c, t.session.target.luns())
 		t.answer(scsi.Good, nil, data)
-	case sense == nil && c.Kind == scsi.Inquiry && !c.Vital:
+	case sense == nil && c.Kind == scsi.Inquiry && !c.VitalProductData:
 		data, _ := none.Answer(&c, nil)
 		if len(data) > 0 {
 			data[0] = 0x7f // there is none, and cannot be
 		}
 		t.answer(scsi.Good, nil, data)
 	default:
-		t.answer(scsi.CheckCondition, scsi.NoSuchUnit, nil)
+		t.answer(scsi.CheckCondition, scsi.LUNNotSupported, nil)
 	}
 }
 
@@ -187,7 +187,7 @@
 	t.move(queued)
 	cost := int(t.want)
 	if t.command.Kind == scsi.Read || t.command.Kind == scsi.Verify {
-		cost = int(t.command.Blocks * uint64(t.unit.Block))
+		cost = int(t.command.Blocks * uint64(t.unit.BlockSize))
 	}
 	t.item = &pace.Item{Cost: cost, Of: t}
 	x.server.pacing.Lock()
@@ -267,11 +267,11 @@
 		return nil
 	}
 	if p.Bad {
-		return bad(scsi.BadDigest, 0x02)
+		return bad(scsi.CRCError, 0x02)
 	}
 	if t.state == gathering { // unsolicited
 		if p.U32(20) != iscsi.NoTag || sn != t.nextOut || at != t.came && n > 0 || at+n > t.burst || at+n < at {
-			return bad(scsi.TooMuchData, protocolError)
+			return bad(scsi.NotEnoughUnsolicitedData, protocolError)
 		}
 		t.nextOut++
 		t.came += n
@@ -289,7 +289,7 @@
 		}
 	}
 	if tr == nil || tr != t.out[0] || at != tr.at || sn != tr.next || at+n < at || at+n > tr.to || p.Final() != (at+n == tr.to) {
-		return bad(scsi.TooMuchData, protocolError)
+		return bad(scsi.NotEnoughUnsolicitedData, protocolError)
 	}
 	tr.next++
 	tr.at += n
@@ -313,8 +313,8 @@
 // work carries the command out.
 func (t *task) work() {
 	c, u, client := &t.command, t.unit, t.session.client
-	block := uint64(u.Block)
-	at, n := c.Block*block, c.Blocks*block
+	block := uint64(u.BlockSize)
+	at, n := c.LBA*block, c.Blocks*block
 	var r front.Result
 	var data []byte
 	switch c.Kind {
@@ -328,22 +328,22 @@
 		}
 	case scsi.Write:
 		if n > 0 {
-			r = client.Write(t.disk, t.tag, at, t.data, c.Through)
+			r = client.Write(t.disk, t.tag, at, t.data, c.ForceUnitAccess)
 		}
-	case scsi.Sync:
+	case scsi.SynchronizeCache:
 		r = client.Sync(t.disk, t.tag)
-	case scsi.CompareSwap:
-		r = client.CompareAndWrite(t.disk, t.tag, at, t.data[:n], t.data[n:], c.Through)
+	case scsi.CompareAndWrite:
+		r = client.CompareAndWrite(t.disk, t.tag, at, t.data[:n], t.data[n:], c.ForceUnitAccess)
 	case scsi.WriteSame:
 		r = t.same(at, n)
 	case scsi.Unmap:
-		ranges, sense := u.Ranges(t.data)
+		ranges, sense := u.ParseUnmap(t.data)
 		if sense != nil {
 			t.fail(sense)
 			return
 		}
 		for _, g := range ranges {
-			if r = client.Zero(t.disk, t.tag, g.Block*block, g.Blocks*block); r.Outcome != front.Succeeded {
+			if r = client.Zero(t.disk, t.tag, g.LBA*block, g.Blocks*block); r.Outcome != front.Succeeded {
 				break
 			}
 		}
@@ -361,11 +361,11 @@
 	if zeros {
 		return client.Zero(t.disk, t.tag, at, n)
 	}
-	run := uint64(max(u.Extent/u.Block, 1)) * uint64(u.Block)
+	run := uint64(max(u.ExtentSize/u.BlockSize, 1)) * uint64(u.BlockSize)
 	for end := at + n; at < end; {
 		part := min(run-at%run, end-at)
 		data := make([]byte, part)
-		for i := uint64(0); i < part; i += uint64(u.Block) {
+		for i := uint64(0); i < part; i += uint64(u.BlockSize) {
 			copy(data[i:], t.data)
 		}
 		if r := client.Write(t.disk, t.tag, at, data, false); r.Outcome != front.Succeeded {
@@ -394,11 +394,11 @@
 	case front.Rejected:
 		t.answer(scsi.Busy, nil, nil)
 	case front.Mismatch:
-		t.answer(scsi.CheckCondition, &scsi.Sense{Key: scsi.Miscompare.Key, Code: scsi.Miscompare.Code, Info: uint32(r.MismatchOffset), Valid: true}, nil)
+		t.answer(scsi.CheckCondition, &scsi.Sense{Key: scsi.Miscompare.Key, Code: scsi.Miscompare.Code, Information: uint32(r.MismatchOffset), Valid: true}, nil)
 	case front.FileGone:
 		t.answer(scsi.CheckCondition, scsi.NotReady, nil)
 	default:
-		t.answer(scsi.CheckCondition, scsi.Unknown, nil)
+		t.answer(scsi.CheckCondition, scsi.CommandTimeout, nil)
 	}
 	t.session.server.pump()
 }
--- /dev/null
+++ b/internal/scsi/answer.go
@@ -0,0 +1,154 @@
+package scsi
+
+import (
+	"encoding/binary"
+	"fmt"
+	"math"
+
+	"github.com/cespare/xxhash/v2"
+)
+
+// What units say of themselves.
+const (
+	vendor   = "IRISPOST"
+	model    = "VOLUME"
+	revision = "1"
+)
+
+// Lengths of fields in inquiry data, in bytes.
+const (
+	vendorLength          = 8
+	modelLength           = 16
+	revisionLength        = 4
+	standardInquiryLength = 96
+)
+
+// Pages of vital product data (SPC-4, 7.8; SBC-3, 6.5).
+const (
+	pageSupported            = 0x00
+	pageSerialNumber         = 0x80
+	pageIdentification       = 0x83
+	pageBlockLimits          = 0xb0
+	pageCharacteristics      = 0xb1
+	pageLogicalProvisioning  = 0xb2
+	maxCompareAndWriteBlocks = 255
+	maxUnmapDescriptors      = 256
+	naaLocallyAssigned       = 3
+)
+
+// paddedText is a text in a field of a length, filled with spaces.
+func paddedText(text string, length int) []byte {
+	return fmt.Appendf(nil, "%-*.*s", length, length, text)
+}
+
+// Answer returns the answer of a command that needs no data but what the unit is, cut to its allocation length; nil for
+// other commands. luns are the numbers of the target's units.
+func (u *Unit) Answer(command *Command, luns []uint16) ([]byte, *Sense) {
+	var answer []byte
+	var sense *Sense
+	switch command.Kind {
+	case Inquiry:
+		answer, sense = u.inquiry(command)
+	case ReportLUNs:
+		answer = reportLUNs(luns)
+	case RequestSense:
+		answer = (&Sense{}).Bytes()
+	case ReadCapacity10:
+		answer = u.readCapacity10()
+	case ReadCapacity16:
+		answer = u.readCapacity16()
+	case ModeSense:
+		answer, sense = u.modeSense(command)
+	default:
+		return nil, nil
+	}
+	if sense != nil {
+		return nil, sense
+	}
+	return answer[:min(len(answer), command.AllocationLength)], nil
+}
+
+func reportLUNs(luns []uint16) []byte {
+	answer := binary.BigEndian.AppendUint32(nil, uint32(8*len(luns)))
+	answer = append(answer, 0, 0, 0, 0)
+	for _, lun := range luns {
+		answer = append(answer, EncodeLUN(lun)...)
+	}
+	return answer
+}
+
+func (u *Unit) readCapacity10() []byte {
+	answer := binary.BigEndian.AppendUint32(nil, uint32(min(u.Blocks-1, math.MaxUint32)))
+	return binary.BigEndian.AppendUint32(answer, u.BlockSize)
+}
+
+func (u *Unit) readCapacity16() []byte {
+	const thinWithZeros = 0xc0 // LBPME and LBPRZ: space is given as it is written, and reads as zeros before
+	answer := make([]byte, 32)
+	binary.BigEndian.PutUint64(answer, u.Blocks-1)
+	binary.BigEndian.PutUint32(answer[8:], u.BlockSize)
+	answer[14] = thinWithZeros
+	return answer
+}
+
+func (u *Unit) inquiry(command *Command) ([]byte, *Sense) {
+	if !command.VitalProductData {
+		return standardInquiry(), nil
+	}
+	var page []byte
+	switch command.Page {
+	case pageSupported:
+		page = []byte{pageSupported, pageSerialNumber, pageIdentification, pageBlockLimits, pageCharacteristics,
+			pageLogicalProvisioning}
+	case pageSerialNumber:
+		page = []byte(u.Serial)
+	case pageIdentification:
+		page = u.identification()
+	case pageBlockLimits:
+		page = u.blockLimits()
+	case pageCharacteristics:
+		page = make([]byte, 60)
+		page[1] = 1 // a medium that does not rotate
+	case pageLogicalProvisioning:
+		page = []byte{0, 0xc4, 2, 0} // UNMAP and WRITE SAME (16) give space back, which reads as zeros; thin
+	default:
+		return nil, InvalidField
+	}
+	return append([]byte{0, command.Page, 0, byte(len(page))}, page...), nil
+}
+
+// standardInquiry is the same for all units (SPC-4, 6.4.2).
+func standardInquiry() []byte {
+	answer := []byte{0, 0, 6, 0x12, standardInquiryLength - 5, 0, 0, 2} // a disk, SPC-4, format 2, with a queue
+	answer = append(answer, paddedText(vendor, vendorLength)...)
+	answer = append(answer, paddedText(model, modelLength)...)
+	answer = append(answer, paddedText(revision, revisionLength)...)
+	answer = append(answer, make([]byte, 22)...)
+	for _, version := range []uint16{0x00a0, 0x0960, 0x0460, 0x04c0} { // SAM-5, iSCSI, SPC-4, SBC-3
+		answer = binary.BigEndian.AppendUint16(answer, version)
+	}
+	return append(answer, make([]byte, standardInquiryLength-len(answer))...)
+}
+
+// identification has two names of the unit: the vendor's with the serial number, and a binary one.
+func (u *Unit) identification() []byte {
+	name := append(paddedText(vendor, vendorLength), u.Serial...)
+	page := append([]byte{2, 1, 0, byte(len(name))}, name...) // ASCII, by vendor
+	page = append(page, 1, 3, 0, 8)                           // binary, NAA
+	local := xxhash.Sum64String(u.Serial)&(1<<60-1) | naaLocallyAssigned<<60
+	return binary.BigEndian.AppendUint64(page, local)
+}
+
+func (u *Unit) blockLimits() []byte {
+	page := make([]byte, 60)
+	granularity := u.extentBlocks()
+	page[1] = maxCompareAndWriteBlocks
+	binary.BigEndian.PutUint16(page[2:], uint16(min(granularity, math.MaxUint16))) // optimal transfer granularity
+	binary.BigEndian.PutUint32(page[4:], u.MaxTransferBlocks)
+	binary.BigEndian.PutUint32(page[8:], min(granularity, u.MaxTransferBlocks)) // optimal transfer length
+	binary.BigEndian.PutUint32(page[16:], MaxUnmapBlocks)
+	binary.BigEndian.PutUint32(page[20:], maxUnmapDescriptors)
+	binary.BigEndian.PutUint32(page[24:], granularity) // of UNMAP
+	binary.BigEndian.PutUint64(page[32:], MaxUnmapBlocks)
+	return page
+}
--- a/internal/scsi/golden_test.go
+++ b/internal/scsi/golden_test.go
@@ -14,8 +14,8 @@
 func TestGoldenCommandsAndAnswers(t *testing.T) {
 	var out bytes.Buffer
 	for _, u := range []*Unit{
-		{Serial: "/meals/disk", Block: 4096, Count: 1000, Longest: 256, Extent: 256 << 10},
-		{Serial: "/meals/big", Block: 512, Count: 1 << 40, Longest: 8192, Extent: 64 << 10, Fixed: true},
+		{Serial: "/meals/disk", BlockSize: 4096, Blocks: 1000, MaxTransferBlocks: 256, ExtentSize: 256 << 10},
+		{Serial: "/meals/big", BlockSize: 512, Blocks: 1 << 40, MaxTransferBlocks: 8192, ExtentSize: 64 << 10, ReadOnly: true},
 	} {
 		for op := range 256 {
 			for _, fields := range [][]uint64{
@@ -27,43 +27,44 @@
 				{1, 1, 0x20},
 				{2, 8, 999, 10, 4, 257},
 			} {
-				describe(&out, u, cdb(byte(op), fields...))
+				describe(&out, u, buildCDB(byte(op), fields...))
 			}
 		}
 		for _, page := range []uint64{0x00, 0x80, 0x83, 0xb0, 0xb1, 0xb2, 0xc0} {
-			describe(&out, u, cdb(opInquiry, 1, 1, 1, 2, 1, page, 3, 2, 255))
+			describe(&out, u, buildCDB(opInquiry, 1, 1, 1, 2, 1, page, 3, 2, 255))
 		}
 		for _, page := range []uint64{0x08, 0x0a, 0x1c, 0x3f, 0x48, 0x7f, 0xc8} {
-			describe(&out, u, cdb(opModeSense6, 2, 1, page, 4, 1, 255))
-			describe(&out, u, cdb(opModeSense10, 1, 1, 8, 2, 1, page, 7, 2, 255))
+			describe(&out, u, buildCDB(opModeSense6, 2, 1, page, 4, 1, 255))
+			describe(&out, u, buildCDB(opModeSense10, 1, 1, 8, 2, 1, page, 7, 2, 255))
 		}
 	}
-	for _, s := range []*Sense{NoSuchCommand, BadField, BadList, ShortList, OutOfRange, NoSuchUnit, NotReady, Becoming, Unknown,
-		Miscompare, WriteProtected, TooMuchData, BadDigest, {Key: 1, Info: 9, Valid: true}} {
+	for _, s := range []*Sense{InvalidOpcode, InvalidField, InvalidParameterList, ParameterListLength, LBAOutOfRange,
+		LUNNotSupported, NotReady, BecomingReady, CommandTimeout,
+		Miscompare, WriteProtected, NotEnoughUnsolicitedData, CRCError, {Key: 1, Information: 9, Valid: true}} {
 		fmt.Fprintf(&out, "%s: %x\n", s, s.Bytes())
 	}
 	for lun := range 5 {
-		fmt.Fprintf(&out, "lun %d: %x\n", lun*150, EncodeLun(uint16(lun*150)))
+		fmt.Fprintf(&out, "lun %d: %x\n", lun*150, EncodeLUN(uint16(lun*150)))
 	}
 	golden.Check(t, "commands.txt", out.Bytes())
 }
 
 // describe writes down what becomes of a command; commands that are not known are left out.
-func describe(out *bytes.Buffer, u *Unit, block []byte) {
-	command, sense := u.Parse(block)
+func describe(out *bytes.Buffer, unit *Unit, block []byte) {
+	command, sense := unit.Parse(block)
 	if sense != nil {
-		if sense != NoSuchCommand {
-			fmt.Fprintf(out, "%x: %s, info %d %t\n", block, sense, sense.Info, sense.Valid)
-		} else if name := RefusedName(block[0]); name != "" {
+		if sense != InvalidOpcode {
+			fmt.Fprintf(out, "%x: %s, info %d %t\n", block, sense, sense.Information, sense.Valid)
+		} else if name := ReservationName(block[0]); name != "" {
 			fmt.Fprintf(out, "%x: %s is refused\n", block, name)
 		}
 		return
 	}
-	in, most := command.Expects(u)
-	fmt.Fprintf(out, "%x: kind %d, block %d, %d blocks, brings %d, answers %d", block, command.Kind, command.Block, command.Blocks, in, most)
-	answer, sense := u.Answer(&command, []uint16{0, 300})
+	brings, most := command.DataLengths(unit)
+	fmt.Fprintf(out, "%x: kind %d, block %d, %d blocks, brings %d, answers %d", block, command.Kind, command.LBA, command.Blocks, brings, most)
+	answer, sense := unit.Answer(&command, []uint16{0, 300})
 	if sense != nil {
 		fmt.Fprintf(out, ", %s", sense)
 	}
-	fmt.Fprintf(out, ", %t %s\n", command.Through, hex.EncodeToString(answer))
+	fmt.Fprintf(out, ", %t %s\n", command.ForceUnitAccess, hex.EncodeToString(answer))
 }
--- a/internal/scsi/scsi_test.go
+++ b/internal/scsi/scsi_test.go
@@ -5,61 +5,64 @@
 	"testing"
 )
 
-func unit() *Unit {
-	return &Unit{Serial: "orders-1", Block: 4096, Count: 1000, Longest: 256, Extent: 256 << 10}
+func testUnit() *Unit {
+	return &Unit{Serial: "orders-1", BlockSize: 4096, Blocks: 1000, MaxTransferBlocks: 256, ExtentSize: 256 << 10}
 }
 
-// cdb builds a command: opcode, then fields at offsets, of 1, 2, 4 or 8 bytes.
-func cdb(op byte, fields ...uint64) []byte {
-	b := make([]byte, 16)
-	b[0] = op
+// buildCDB builds a command: opcode, then fields at offsets, of 1, 2, 4 or 8 bytes.
+func buildCDB(op byte, fields ...uint64) []byte {
+	block := make([]byte, 16)
+	block[0] = op
 	for i := 0; i+2 < len(fields); i += 3 {
-		at, size, v := fields[i], fields[i+1], fields[i+2]
-		var whole [8]byte
-		binary.BigEndian.PutUint64(whole[:], v)
-		copy(b[at:at+size], whole[8-size:])
+		offset, size, value := fields[i], fields[i+1], fields[i+2]
+		var encoded [8]byte
+		binary.BigEndian.PutUint64(encoded[:], value)
+		copy(block[offset:offset+size], encoded[8-size:])
 	}
-	return b
+	return block
 }
 
-func TestParse(t *testing.T) {
-	u := unit()
+// What is out of bounds for the unit is rejected when it is parsed.
+func TestParseReturnsCommandOrSense(t *testing.T) {
+	unit := testUnit()
 	for name, c := range map[string]struct {
 		cdb   []byte
 		want  Command
 		sense *Sense
 	}{
-		"read 6":            {cdb(opRead6, 1, 3, 5, 4, 1, 2), Command{Kind: Read, Block: 5, Blocks: 2}, nil},
-		"read 6, 0 is 256":  {cdb(opRead6), Command{Kind: Read, Blocks: 256}, nil},
-		"write 6":           {cdb(opWrite6, 1, 3, 999, 4, 1, 1), Command{Kind: Write, Block: 999, Blocks: 1}, nil},
-		"read 10":           {cdb(opRead10, 2, 4, 990, 7, 2, 10), Command{Kind: Read, Block: 990, Blocks: 10}, nil},
-		"write 10, fua":     {cdb(opWrite10, 1, 1, 8, 2, 4, 7, 7, 2, 3), Command{Kind: Write, Block: 7, Blocks: 3, Through: true}, nil},
-		"read 16":           {cdb(opRead16, 2, 8, 1, 10, 4, 256), Command{Kind: Read, Block: 1, Blocks: 256}, nil},
-		"nothing":           {cdb(opRead16, 2, 8, 1000), Command{Kind: Read, Block: 1000}, nil},
-		"past the end":      {cdb(opRead10, 2, 4, 999, 7, 2, 2), Command{}, OutOfRange},
-		"far past":          {cdb(opWrite16, 2, 8, 1<<63, 10, 4, 1), Command{}, OutOfRange},
-		"sums that go over": {cdb(opRead16, 2, 8, 1<<64-1, 10, 4, 2), Command{}, OutOfRange},
-		"too long":          {cdb(opRead16, 2, 8, 0, 10, 4, 257), Command{}, BadField},
-		"protection":        {cdb(opRead10, 1, 1, 0x20, 7, 2, 1), Command{}, BadField},
-		"compare and write": {cdb(opCompareWrite, 2, 8, 9, 13, 1, 1), Command{Kind: CompareSwap, Block: 9, Blocks: 1}, nil},
-		"write same":        {cdb(opWriteSame16, 1, 1, 9, 2, 8, 9, 10, 4, 5), Command{Kind: WriteSame, Block: 9, Blocks: 5, Zeros: true, Loose: true}, nil},
-		"write same to end": {cdb(opWriteSame10, 2, 4, 900), Command{Kind: WriteSame, Block: 900, Blocks: 100}, nil},
-		"loose, no zeros":   {cdb(opWriteSame16, 1, 1, 1, 10, 4, 1), Command{}, BadField},
-		"sync":              {cdb(opSync10), Command{Kind: Sync}, nil},
-		"sync past":         {cdb(opSync16, 2, 8, 1001), Command{}, OutOfRange},
-		"verify":            {cdb(opVerify10, 2, 4, 3, 7, 2, 4), Command{Kind: Verify, Block: 3, Blocks: 4}, nil},
-		"verify with data":  {cdb(opVerify10, 1, 1, 2, 7, 2, 4), Command{}, BadField},
-		"unmap":             {cdb(opUnmap, 7, 2, 24), Command{Kind: Unmap, Alloc: 24}, nil},
-		"reserve":           {cdb(opReserve6), Command{}, NoSuchCommand},
-		"persistent":        {cdb(opPersistentOut), Command{}, NoSuchCommand},
-		"unknown":           {cdb(0xff), Command{}, NoSuchCommand},
-		"inquiry":           {cdb(opInquiry, 3, 2, 96), Command{Kind: Inquiry, Alloc: 96}, nil},
-		"inquiry, odd page": {cdb(opInquiry, 2, 1, 0x80, 3, 2, 96), Command{}, BadField},
-		"capacity 16":       {cdb(opServiceIn16, 1, 1, 0x10, 10, 4, 32), Command{Kind: Capacity16, Alloc: 32}, nil},
-		"other service":     {cdb(opServiceIn16, 1, 1, 0x12), Command{}, NoSuchCommand},
-		"luns, short":       {cdb(opReportLuns, 6, 4, 8), Command{}, BadField},
+		"read 6":           {buildCDB(opRead6, 1, 3, 5, 4, 1, 2), Command{Kind: Read, LBA: 5, Blocks: 2}, nil},
+		"read 6, 0 is 256": {buildCDB(opRead6), Command{Kind: Read, Blocks: 256}, nil},
+		"write 6":          {buildCDB(opWrite6, 1, 3, 999, 4, 1, 1), Command{Kind: Write, LBA: 999, Blocks: 1}, nil},
+		"read 10":          {buildCDB(opRead10, 2, 4, 990, 7, 2, 10), Command{Kind: Read, LBA: 990, Blocks: 10}, nil},
+		"write 10, fua": {buildCDB(opWrite10, 1, 1, 8, 2, 4, 7, 7, 2, 3),
+			Command{Kind: Write, LBA: 7, Blocks: 3, ForceUnitAccess: true}, nil},
+		"read 16":           {buildCDB(opRead16, 2, 8, 1, 10, 4, 256), Command{Kind: Read, LBA: 1, Blocks: 256}, nil},
+		"nothing":           {buildCDB(opRead16, 2, 8, 1000), Command{Kind: Read, LBA: 1000}, nil},
+		"past the end":      {buildCDB(opRead10, 2, 4, 999, 7, 2, 2), Command{}, LBAOutOfRange},
+		"far past":          {buildCDB(opWrite16, 2, 8, 1<<63, 10, 4, 1), Command{}, LBAOutOfRange},
+		"sums that go over": {buildCDB(opRead16, 2, 8, 1<<64-1, 10, 4, 2), Command{}, LBAOutOfRange},
+		"too long":          {buildCDB(opRead16, 2, 8, 0, 10, 4, 257), Command{}, InvalidField},
+		"protection":        {buildCDB(opRead10, 1, 1, 0x20, 7, 2, 1), Command{}, InvalidField},
+		"compare and write": {buildCDB(opCompareWrite, 2, 8, 9, 13, 1, 1), Command{Kind: CompareAndWrite, LBA: 9, Blocks: 1}, nil},
+		"write same": {buildCDB(opWriteSame16, 1, 1, 9, 2, 8, 9, 10, 4, 5),
+			Command{Kind: WriteSame, LBA: 9, Blocks: 5, UnmapBlocks: true, NoDataOut: true}, nil},
+		"write same to end": {buildCDB(opWriteSame10, 2, 4, 900), Command{Kind: WriteSame, LBA: 900, Blocks: 100}, nil},
+		"loose, no zeros":   {buildCDB(opWriteSame16, 1, 1, 1, 10, 4, 1), Command{}, InvalidField},
+		"sync":              {buildCDB(opSync10), Command{Kind: SynchronizeCache}, nil},
+		"sync past":         {buildCDB(opSync16, 2, 8, 1001), Command{}, LBAOutOfRange},
+		"verify":            {buildCDB(opVerify10, 2, 4, 3, 7, 2, 4), Command{Kind: Verify, LBA: 3, Blocks: 4}, nil},
+		"verify with data":  {buildCDB(opVerify10, 1, 1, 2, 7, 2, 4), Command{}, InvalidField},
+		"unmap":             {buildCDB(opUnmap, 7, 2, 24), Command{Kind: Unmap, AllocationLength: 24}, nil},
+		"reserve":           {buildCDB(opReserve6), Command{}, InvalidOpcode},
+		"persistent":        {buildCDB(opPersistentOut), Command{}, InvalidOpcode},
+		"unknown":           {buildCDB(0xff), Command{}, InvalidOpcode},
+		"inquiry":           {buildCDB(opInquiry, 3, 2, 96), Command{Kind: Inquiry, AllocationLength: 96}, nil},
+		"inquiry, odd page": {buildCDB(opInquiry, 2, 1, 0x80, 3, 2, 96), Command{}, InvalidField},
+		"capacity 16":       {buildCDB(opServiceIn16, 1, 1, 0x10, 10, 4, 32), Command{Kind: ReadCapacity16, AllocationLength: 32}, nil},
+		"other service":     {buildCDB(opServiceIn16, 1, 1, 0x12), Command{}, InvalidOpcode},
+		"luns, short":       {buildCDB(opReportLuns, 6, 4, 8), Command{}, InvalidField},
 	} {
-		got, sense := u.Parse(c.cdb)
+		got, sense := unit.Parse(c.cdb)
 		switch {
 		case (sense == nil) != (c.sense == nil) || sense != nil && (sense.Key != c.sense.Key || sense.Code != c.sense.Code):
 			t.Errorf("%s: %v, not %v", name, sense, c.sense)
@@ -67,103 +70,137 @@
 			t.Errorf("%s: %+v, not %+v", name, got, c.want)
 		}
 	}
-	u.Fixed = true
-	for _, b := range [][]byte{cdb(opWrite10, 7, 2, 1), cdb(opUnmap), cdb(opWriteSame10, 7, 2, 1), cdb(opCompareWrite, 13, 1, 1)} {
-		if _, sense := u.Parse(b); sense != WriteProtected {
-			t.Errorf("%x on a unit that cannot be written: %v", b[0], sense)
+}
+
+func TestParseRejectsWritesOfReadOnlyUnits(t *testing.T) {
+	unit := testUnit()
+	unit.ReadOnly = true
+	for _, block := range [][]byte{
+		buildCDB(opWrite10, 7, 2, 1),
+		buildCDB(opUnmap),
+		buildCDB(opWriteSame10, 7, 2, 1),
+		buildCDB(opCompareWrite, 13, 1, 1),
+	} {
+		if _, sense := unit.Parse(block); sense != WriteProtected {
+			t.Errorf("%x on a unit that cannot be written: %v", block[0], sense)
 		}
 	}
-	if _, sense := u.Parse([]byte{opTestUnitReady}); sense != nil {
+}
+
+func TestParsePadsShortBlocks(t *testing.T) {
+	if _, sense := testUnit().Parse([]byte{opTestUnitReady}); sense != nil {
 		t.Errorf("a short block: %v", sense)
 	}
 }
 
-func TestAnswers(t *testing.T) {
-	u := unit()
-	ask := func(b []byte) []byte {
-		t.Helper()
-		c, sense := u.Parse(b)
-		if sense != nil {
-			t.Fatal(sense)
-		}
-		out, sense := u.Answer(&c, []uint16{0, 300})
-		if sense != nil {
-			t.Fatal(sense)
-		}
-		return out
-	}
-	be := binary.BigEndian
-	if b := ask(cdb(opInquiry, 3, 2, 255)); len(b) != 96 || int(b[4])+5 != len(b) || string(b[8:16]) != "IRISPOST" {
-		t.Errorf("inquiry: %x", b)
+// answerTo parses and answers a command.
+func answerTo(t *testing.T, unit *Unit, block []byte) []byte {
+	t.Helper()
+	command, sense := unit.Parse(block)
+	if sense != nil {
+		t.Fatal(sense)
+	}
+	answer, sense := unit.Answer(&command, []uint16{0, 300})
+	if sense != nil {
+		t.Fatal(sense)
+	}
+	return answer
+}
+
+func TestInquiryDescribesTheUnit(t *testing.T) {
+	unit, be := testUnit(), binary.BigEndian
+	answer := answerTo(t, unit, buildCDB(opInquiry, 3, 2, 255))
+	if len(answer) != 96 || int(answer[4])+5 != len(answer) || string(answer[8:16]) != "IRISPOST" {
+		t.Errorf("inquiry: %x", answer)
 	}
-	if b := ask(cdb(opInquiry, 3, 2, 36)); len(b) != 36 {
-		t.Errorf("a short inquiry: %d bytes", len(b))
+	if answer := answerTo(t, unit, buildCDB(opInquiry, 3, 2, 36)); len(answer) != 36 {
+		t.Errorf("a short inquiry: %d bytes", len(answer))
 	}
-	pages := ask(cdb(opInquiry, 1, 1, 1, 3, 2, 255))
+	pages := answerTo(t, unit, buildCDB(opInquiry, 1, 1, 1, 3, 2, 255))
 	for _, page := range pages[4:] {
-		b := ask(cdb(opInquiry, 1, 1, 1, 2, 1, uint64(page), 3, 2, 255))
-		if b[1] != page || int(be.Uint16(b[2:]))+4 != len(b) {
-			t.Errorf("page %x: %x", page, b)
+		answer := answerTo(t, unit, buildCDB(opInquiry, 1, 1, 1, 2, 1, uint64(page), 3, 2, 255))
+		if answer[1] != page || int(be.Uint16(answer[2:]))+4 != len(answer) {
+			t.Errorf("page %x: %x", page, answer)
+		}
+		if page != pageBlockLimits {
+			continue
 		}
-		if page == 0xb0 && (len(b) != 64 || be.Uint32(b[8:]) != 256 || be.Uint32(b[28:]) != 64 || b[5] != 255) {
-			t.Errorf("limits: %x", b)
+		if len(answer) != 64 || be.Uint32(answer[8:]) != 256 || be.Uint32(answer[28:]) != 64 || answer[5] != 255 {
+			t.Errorf("limits: %x", answer)
 		}
 	}
-	if b := ask(cdb(opReadCapacity10)); be.Uint32(b) != 999 || be.Uint32(b[4:]) != 4096 {
-		t.Errorf("capacity: %x", b)
+}
+
+func TestReadCapacity(t *testing.T) {
+	unit, be := testUnit(), binary.BigEndian
+	if answer := answerTo(t, unit, buildCDB(opReadCapacity10)); be.Uint32(answer) != 999 || be.Uint32(answer[4:]) != 4096 {
+		t.Errorf("capacity (10): %x", answer)
+	}
+	answer := answerTo(t, unit, buildCDB(opServiceIn16, 1, 1, 0x10, 10, 4, 32))
+	if be.Uint64(answer) != 999 || be.Uint32(answer[8:]) != 4096 {
+		t.Errorf("capacity (16): %x", answer)
 	}
-	if b := ask(cdb(opServiceIn16, 1, 1, 0x10, 10, 4, 32)); be.Uint64(b) != 999 || be.Uint32(b[8:]) != 4096 {
-		t.Errorf("capacity: %x", b)
+	unit.Blocks = 1 << 40
+	if answer := answerTo(t, unit, buildCDB(opReadCapacity10)); be.Uint32(answer) != 0xffffffff {
+		t.Errorf("capacity (10) of a big unit: %x", answer)
 	}
-	b := ask(cdb(opReportLuns, 6, 4, 64))
-	if be.Uint32(b) != 16 || len(b) != 24 {
-		t.Errorf("luns: %x", b)
+}
+
+func TestReportLUNsIsDecoded(t *testing.T) {
+	answer := answerTo(t, testUnit(), buildCDB(opReportLuns, 6, 4, 64))
+	if binary.BigEndian.Uint32(answer) != 16 || len(answer) != 24 {
+		t.Errorf("luns: %x", answer)
 	}
 	for i, want := range []uint16{0, 300} {
-		if l, ok := DecodeLun(b[8+8*i:]); !ok || l != want {
-			t.Errorf("lun %d comes back as %d, %v", want, l, ok)
+		if lun, ok := DecodeLUN(answer[8+8*i:]); !ok || lun != want {
+			t.Errorf("lun %d is decoded as %d, %v", want, lun, ok)
 		}
 	}
-	if _, ok := DecodeLun([]byte{0xc0, 1, 0, 0, 0, 0, 0, 0}); ok {
-		t.Error("a unit in a form that is not given out")
+	if _, ok := DecodeLUN([]byte{0xc0, 1, 0, 0, 0, 0, 0, 0}); ok {
+		t.Error("a unit in a form that is not given out is decoded")
 	}
-	if b := ask(cdb(opModeSense6, 2, 1, 0x3f, 4, 1, 255)); int(b[0])+1 != len(b) || b[3] != 8 || be.Uint32(b[4:]) != 1000 {
-		t.Errorf("modes: %x", b)
-	}
-	if b := ask(cdb(opModeSense10, 1, 1, 8, 2, 1, 0x08, 7, 2, 255)); int(be.Uint16(b))+2 != len(b) || b[8] != 8 || b[10]&4 == 0 {
-		t.Errorf("caching page: %x", b)
-	}
-	c, _ := u.Parse(cdb(opModeSense6, 2, 1, 0x1c, 4, 1, 255))
-	if _, sense := u.Answer(&c, nil); sense != BadField {
+}
+
+func TestModeSense(t *testing.T) {
+	unit, be := testUnit(), binary.BigEndian
+	answer := answerTo(t, unit, buildCDB(opModeSense6, 2, 1, 0x3f, 4, 1, 255))
+	if int(answer[0])+1 != len(answer) || answer[3] != 8 || be.Uint32(answer[4:]) != 1000 {
+		t.Errorf("modes: %x", answer)
+	}
+	answer = answerTo(t, unit, buildCDB(opModeSense10, 1, 1, 8, 2, 1, 0x08, 7, 2, 255))
+	if int(be.Uint16(answer))+2 != len(answer) || answer[8] != 8 || answer[10]&4 == 0 {
+		t.Errorf("caching page: %x", answer)
+	}
+	command, _ := unit.Parse(buildCDB(opModeSense6, 2, 1, 0x1c, 4, 1, 255))
+	if _, sense := unit.Answer(&command, nil); sense != InvalidField {
 		t.Errorf("a page that is not there: %v", sense)
 	}
-	u.Count = 1 << 40
-	if b := ask(cdb(opReadCapacity10)); be.Uint32(b) != 0xffffffff {
-		t.Errorf("capacity of a big one: %x", b)
-	}
-	s := &Sense{Key: 5, Code: 0x21, Info: 77, Valid: true}
-	if got, ok := ReadSense(s.Bytes()); !ok || *got != *s {
-		t.Errorf("%+v comes back as %+v", s, got)
+}
+
+func TestDecodeSenseReadsWhatBytesWrote(t *testing.T) {
+	sense := &Sense{Key: 5, Code: 0x21, Information: 77, Valid: true}
+	if got, ok := DecodeSense(sense.Bytes()); !ok || *got != *sense {
+		t.Errorf("%+v is decoded as %+v", sense, got)
 	}
 }
 
-func TestRanges(t *testing.T) {
-	u := unit()
+func TestParseUnmapBoundsRanges(t *testing.T) {
+	unit := testUnit()
 	list := func(ranges ...uint64) []byte {
-		b := make([]byte, 8)
+		encoded := make([]byte, 8)
 		for i := 0; i < len(ranges); i += 2 {
-			b = binary.BigEndian.AppendUint64(b, ranges[i])
-			b = binary.BigEndian.AppendUint32(b, uint32(ranges[i+1]))
-			b = append(b, 0, 0, 0, 0)
+			encoded = binary.BigEndian.AppendUint64(encoded, ranges[i])
+			encoded = binary.BigEndian.AppendUint32(encoded, uint32(ranges[i+1]))
+			encoded = append(encoded, 0, 0, 0, 0)
 		}
-		binary.BigEndian.PutUint16(b, uint16(len(b)-2))
-		binary.BigEndian.PutUint16(b[2:], uint16(len(b)-8))
-		return b
+		binary.BigEndian.PutUint16(encoded, uint16(len(encoded)-2))
+		binary.BigEndian.PutUint16(encoded[2:], uint16(len(encoded)-8))
+		return encoded
 	}
-	if got, sense := u.Ranges(list(1, 2, 5, 0, 990, 10)); sense != nil || len(got) != 2 || got[1] != (Range{990, 10}) {
+	if got, sense := unit.ParseUnmap(list(1, 2, 5, 0, 990, 10)); sense != nil || len(got) != 2 || got[1] != (Range{990, 10}) {
 		t.Errorf("%v, %v", got, sense)
 	}
-	u.Count = 1 << 20
+	unit.Blocks = 1 << 20
 	odd := list(1, 2)
 	binary.BigEndian.PutUint16(odd[2:], 17)
 	long := list(1, 2)
@@ -171,9 +208,15 @@
 	for name, c := range map[string]struct {
 		data []byte
 		want *Sense
-	}{"short": {[]byte{1, 2}, ShortList}, "odd": {odd, BadList}, "longer than it is": {long, BadList}, "past": {list(1<<20, 1), OutOfRange},
-		"over": {list(1<<64-1, 2), OutOfRange}, "too much": {list(0, LongestUnmap, 70_000, 1), BadList}} {
-		if _, sense := u.Ranges(c.data); sense != c.want {
+	}{
+		"short":             {[]byte{1, 2}, ParameterListLength},
+		"odd":               {odd, InvalidParameterList},
+		"longer than it is": {long, InvalidParameterList},
+		"past":              {list(1<<20, 1), LBAOutOfRange},
+		"over":              {list(1<<64-1, 2), LBAOutOfRange},
+		"too much":          {list(0, MaxUnmapBlocks, 70_000, 1), InvalidParameterList},
+	} {
+		if _, sense := unit.ParseUnmap(c.data); sense != c.want {
 			t.Errorf("%s: %v, not %v", name, sense, c.want)
 		}
 	}
@@ -181,20 +224,20 @@
 
 // Any bytes are read or refused, and what is read is within the unit.
 func FuzzParse(f *testing.F) {
-	f.Add(cdb(opRead16, 2, 8, 1, 10, 4, 256), []byte{})
-	f.Fuzz(func(t *testing.T, b, data []byte) {
-		u := unit()
-		c, sense := u.Parse(b)
+	f.Add(buildCDB(opRead16, 2, 8, 1, 10, 4, 256), []byte{})
+	f.Fuzz(func(t *testing.T, block, data []byte) {
+		unit := testUnit()
+		command, sense := unit.Parse(block)
 		if sense != nil {
 			return
 		}
-		if in, out := c.Expects(u); in > 1<<31 || out > 1<<31 {
-			t.Errorf("%+v expects %d in, %d out", c, in, out)
+		if in, out := command.DataLengths(unit); in > 1<<31 || out > 1<<31 {
+			t.Errorf("%+v expects %d in, %d out", command, in, out)
 		}
-		if c.Kind >= Read && c.Kind != Unmap && c.Block+c.Blocks > u.Count {
-			t.Errorf("%+v is past the end", c)
+		if command.Kind >= Read && command.Kind != Unmap && command.LBA+command.Blocks > unit.Blocks {
+			t.Errorf("%+v is past the end", command)
 		}
-		_, _ = u.Answer(&c, []uint16{0}) // read or refused
-		_, _ = u.Ranges(data)
+		_, _ = unit.Answer(&command, []uint16{0}) // read or refused
+		_, _ = unit.ParseUnmap(data)
 	})
 }
--- /dev/null
+++ b/internal/scsi/unit.go
@@ -0,0 +1,103 @@
+// Package scsi parses the SCSI commands of a direct-access block device (SPC-4 and SBC-3 of T10, as far as a disk
+// needs them) and answers those that need no data. The iSCSI target (package iscsi/target) calls it and carries out
+// reads and writes; the initiator uses its senses and unit numbers. It is pure: no I/O, no clock, no state.
+package scsi
+
+import "encoding/binary"
+
+// MaxUnmapBlocks bounds the blocks of one UNMAP or WRITE SAME.
+const MaxUnmapBlocks = 1 << 16
+
+// Unit is a disk, as far as answers without its data need it.
+type Unit struct {
+	Serial            string
+	BlockSize         uint32 // bytes
+	Blocks            uint64
+	ReadOnly          bool
+	MaxTransferBlocks uint32 // of one command
+	ExtentSize        uint32 // bytes; the granularity of transfers and of unmapping
+}
+
+// extentBlocks is the number of blocks of an extent, at least one.
+func (u *Unit) extentBlocks() uint32 { return max(u.ExtentSize/u.BlockSize, 1) }
+
+// Addressing methods of a logical unit number (SAM-5, 4.7), in its upper two bits, and their largest numbers.
+const (
+	peripheralAddressing = 0
+	flatAddressing       = 1
+	maxPeripheralLUN     = 1<<8 - 1
+	maxFlatLUN           = 1<<14 - 1
+)
+
+// EncodeLUN returns the 8 bytes of a logical unit number in peripheral or flat addressing.
+func EncodeLUN(number uint16) []byte {
+	b := make([]byte, 8)
+	if number <= maxPeripheralLUN {
+		b[1] = byte(number)
+	} else {
+		binary.BigEndian.PutUint16(b, flatAddressing<<14|number)
+	}
+	return b
+}
+
+// DecodeLUN reads the 8 bytes of a logical unit number; false: it is in a form that EncodeLUN does not give.
+func DecodeLUN(b []byte) (uint16, bool) {
+	first := binary.BigEndian.Uint16(b)
+	for _, lowerLevel := range b[2:8] {
+		if lowerLevel != 0 {
+			return 0, false
+		}
+	}
+	switch first >> 14 {
+	case peripheralAddressing:
+		return first, first <= maxPeripheralLUN
+	case flatAddressing:
+		return first & maxFlatLUN, true
+	}
+	return 0, false
+}
+
+// Range is a run of blocks.
+type Range struct{ LBA, Blocks uint64 }
+
+// Sizes in the parameter list of UNMAP (SBC-3, 5.28.2), in bytes.
+const (
+	unmapHeaderSize     = 8
+	unmapDescriptorSize = 16
+)
+
+// ParseUnmap parses the parameter list of an UNMAP. Empty ranges are left out.
+func (u *Unit) ParseUnmap(list []byte) (ranges []Range, sense *Sense) {
+	if len(list) == 0 {
+		return nil, nil
+	}
+	if len(list) < unmapHeaderSize {
+		return nil, ParameterListLength
+	}
+	length := int(binary.BigEndian.Uint16(list[2:]))
+	if length%unmapDescriptorSize != 0 || length > len(list)-unmapHeaderSize {
+		return nil, InvalidParameterList
+	}
+	descriptors := list[unmapHeaderSize : unmapHeaderSize+length]
+	total := uint64(0)
+	for ; len(descriptors) > 0; descriptors = descriptors[unmapDescriptorSize:] {
+		unmapped := Range{
+			LBA:    binary.BigEndian.Uint64(descriptors),
+			Blocks: uint64(binary.BigEndian.Uint32(descriptors[8:])),
+		}
+		if !u.contains(unmapped.LBA, unmapped.Blocks) {
+			return nil, LBAOutOfRange
+		}
+		total += unmapped.Blocks
+		if total > MaxUnmapBlocks {
+			return nil, InvalidParameterList
+		}
+		if unmapped.Blocks > 0 {
+			ranges = append(ranges, unmapped)
+		}
+	}
+	return ranges, nil
+}
+
+// contains tells whether the unit has all blocks of a range. An empty range may be just behind the last block.
+func (u *Unit) contains(lba, blocks uint64) bool { return lba <= u.Blocks && blocks <= u.Blocks-lba }
--- a/internal/serve/disk_test.go
+++ b/internal/serve/disk_test.go
@@ -228,11 +228,11 @@
 		in    int
 		sense *scsi.Sense
 	}{
-		"reserve":         {0, []byte{0x16}, nil, 0, scsi.NoSuchCommand},
-		"another unit":    {7, []byte{0x00}, nil, 0, scsi.NoSuchUnit},
-		"past the end":    {0, []byte{0x28, 0, 0, 1, 0, 0, 0, 0, 1, 0}, nil, 4096, scsi.OutOfRange},
-		"too little data": {0, []byte{0x2a, 0, 0, 0, 0, 0, 0, 0, 2, 0}, make([]byte, 4096), 0, scsi.BadField},
-		"a wrong list":    {0, []byte{0x42, 0, 0, 0, 0, 0, 0, 0, 4, 0}, make([]byte, 4), 0, scsi.ShortList},
+		"reserve":         {0, []byte{0x16}, nil, 0, scsi.InvalidOpcode},
+		"another unit":    {7, []byte{0x00}, nil, 0, scsi.LUNNotSupported},
+		"past the end":    {0, []byte{0x28, 0, 0, 1, 0, 0, 0, 0, 1, 0}, nil, 4096, scsi.LBAOutOfRange},
+		"too little data": {0, []byte{0x2a, 0, 0, 0, 0, 0, 0, 0, 2, 0}, make([]byte, 4096), 0, scsi.InvalidField},
+		"a wrong list":    {0, []byte{0x42, 0, 0, 0, 0, 0, 0, 0, 4, 0}, make([]byte, 4), 0, scsi.ParameterListLength},
 	} {
 		r, err := s.Do(t.Context(), c.lun, append(c.cdb, make([]byte, 16-len(c.cdb))...), c.out, c.in)
 		if err != nil || r.Status != scsi.CheckCondition || r.Sense == nil {
--- a/internal/serve/iscsi.go
+++ b/internal/serve/iscsi.go
@@ -27,12 +27,12 @@
 		opt.Targets = append(opt.Targets, t)
 		for number, lun := range conf.LUNs {
 			unit := &target.Unit{Unit: scsi.Unit{
-				Serial:  lun.File,
-				Block:   lun.BlockBytes,
-				Count:   lun.Size / uint64(lun.BlockBytes),
-				Fixed:   lun.ReadOnly,
-				Longest: maxTransferBytes / lun.BlockBytes,
-				Extent:  g.Config.ExtentBytes,
+				Serial:            lun.File,
+				BlockSize:         lun.BlockBytes,
+				Blocks:            lun.Size / uint64(lun.BlockBytes),
+				ReadOnly:          lun.ReadOnly,
+				MaxTransferBlocks: maxTransferBytes / lun.BlockBytes,
+				ExtentSize:        g.Config.ExtentBytes,
 			}}
 			t.Units[number] = unit
 			name := fmt.Sprintf("%s, unit %d", conf.Name, number)
--- a/internal/serve/iscsi_test.go
+++ b/internal/serve/iscsi_test.go
@@ -129,7 +129,7 @@
 	if len(p.Data) < 3 {
 		w.t.Fatalf("no sense: %x", p.Head)
 	}
-	got, ok := scsi.ReadSense(p.Data[2:])
+	got, ok := scsi.DecodeSense(p.Data[2:])
 	if !ok || p.Head[3] != byte(scsi.CheckCondition) || got.Key != want.Key || got.Code != want.Code {
 		w.t.Errorf("sense %v, want %v", got, want)
 	}
@@ -191,7 +191,7 @@
 		}
 		w.send(spoil(r.U32(20)))
 		w.wants(iscsi.Reject, iscsi.NoTag)
-		w.sense(w.wants(iscsi.Response, i), scsi.TooMuchData)
+		w.sense(w.wants(iscsi.Response, i), scsi.NotEnoughUnsolicitedData)
 	}
 	w.send(w.write(20, 8, 2, nil))
 	r := w.wants(iscsi.ReadyTo, 20)
@@ -200,7 +200,7 @@
 	tail[100] ^= 1
 	write(w.t, w.conn, append(append([]byte{}, head...), tail...))
 	w.wants(iscsi.Reject, iscsi.NoTag)
-	w.sense(w.wants(iscsi.Response, 20), scsi.BadDigest)
+	w.sense(w.wants(iscsi.Response, 20), scsi.CRCError)
 	w.send(out(20, r.U32(20), 0, 0, 8192, true)) // for a command that is over: let be
 	w.works(21)
 	snack := iscsi.New(iscsi.Snack, iscsi.Final).Put(16, 22)
