--- a/internal/iscsi/initiator/disk.go
+++ b/internal/iscsi/initiator/disk.go
@@ -119,7 +119,7 @@
 		if sent {
 			r, err = s.Do(ctx, d.lun, block, out, in)
 		}
-		var refusal *negotiate.Refusal
+		var refusal *negotiate.Rejection
 		switch {
 		case errors.As(err, &refusal) && refusal.Class == 2: // our own fault: it would be refused again
 			return r, err
--- a/internal/iscsi/initiator/golden_test.go
+++ b/internal/iscsi/initiator/golden_test.go
@@ -94,16 +94,16 @@
 	source := &source{reader: io.TeeReader(from, to)}
 	login := true
 	for {
-		digests := iscsi.Digests{Head: r.digests && !login, Data: r.digests && !login}
+		digests := iscsi.Digests{Header: r.digests && !login, Data: r.digests && !login}
 		p, err := iscsi.Read(source, digests, 1<<20)
 		if err != nil {
 			return
 		}
 		fmt.Fprintf(record, "%s\n", describe(p))
-		if p.Bad {
+		if p.BadDataDigest {
 			r.t.Error("a data digest does not fit")
 		}
-		kind := p.Op()
+		kind := p.Opcode()
 		login = login && (kind == 0x03 || kind == 0x23) && p.Flags()&0x83 != 0x83
 	}
 }
@@ -129,20 +129,20 @@
 // describe writes down a PDU: its header, further headers and data. The length of a login's or a text's data is left
 // out with what differs in it.
 func describe(p *iscsi.PDU) string {
-	head, data := p.Head, p.Data
-	switch p.Op() {
+	head, data := p.Header, p.Data
+	switch p.Opcode() {
 	case 0x03, 0x04, 0x23, 0x24:
 		data = chap.ReplaceAll(data, []byte("CHAP_$1=value"))
 		data = session.ReplaceAll(data, []byte("session=name"))
 		data = address.ReplaceAll(data, []byte("address"))
 		head[5], head[6], head[7] = 0, 0, 0
-		return fmt.Sprintf("  %x %x %q", head, p.More, data)
+		return fmt.Sprintf("  %x %x %q", head, p.AdditionalHeaders, data)
 	}
 	text := hex.EncodeToString(data)
 	if len(text) > 200 {
 		text = fmt.Sprintf("%.16s... %d bytes", text, len(data))
 	}
-	return fmt.Sprintf("  %x %x %s", head, p.More, text)
+	return fmt.Sprintf("  %x %x %s", head, p.AdditionalHeaders, text)
 }
 
 // take waits for the end of the connection and returns what was recorded.
--- a/internal/iscsi/initiator/session.go
+++ b/internal/iscsi/initiator/session.go
@@ -106,7 +106,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Session{opt: opt, conn: conn, params: negotiate.Protocol, cmdSN: 1, maxCmd: 1, calls: map[uint32]*call{}, manages: map[uint32]chan byte{},
+	s := &Session{opt: opt, conn: conn, params: negotiate.Defaults, cmdSN: 1, maxCmd: 1, calls: map[uint32]*call{}, manages: map[uint32]chan byte{},
 		texts: map[uint32]chan []byte{}, pings: map[uint32]chan struct{}{}}
 	s.cond = sync.NewCond(&s.lock)
 	r := plain{bufio.NewReaderSize(conn, 64<<10)}
@@ -138,9 +138,9 @@
 	if now != next {
 		flags |= iscsi.Final
 	}
-	p := iscsi.New(iscsi.LoginAsk, flags).Put(16, 1).Put(24, s.cmdSN).Put(28, s.expStat).With(iscsi.Text(pairs))
-	p.Head[0] |= 0x40
-	copy(p.Head[8:14], s.opt.ISID[:])
+	p := iscsi.New(iscsi.LoginRequest, flags).SetUint32(16, 1).SetUint32(24, s.cmdSN).SetUint32(28, s.expStat).SetData(iscsi.EncodeText(pairs))
+	p.Header[0] |= 0x40
+	copy(p.Header[8:14], s.opt.ISID[:])
 	if err := s.write(p); err != nil {
 		return nil, false, err
 	}
@@ -148,14 +148,14 @@
 	if err != nil {
 		return nil, false, err
 	}
-	if a.Op() != iscsi.LoginTell {
-		return nil, false, fmt.Errorf("iscsi: a login is answered by a PDU of kind %#x", byte(a.Op()))
+	if a.Opcode() != iscsi.LoginResponse {
+		return nil, false, fmt.Errorf("iscsi: a login is answered by a PDU of kind %#x", byte(a.Opcode()))
 	}
-	if class, detail := a.Head[36], a.Head[37]; class != 0 {
-		return nil, false, &negotiate.Refusal{Class: class, Detail: detail, Why: "the target says so"}
+	if class, detail := a.Header[36], a.Header[37]; class != 0 {
+		return nil, false, &negotiate.Rejection{Class: class, Detail: detail, Reason: "the target says so"}
 	}
-	s.expStat, s.maxCmd, s.TSIH = a.U32(24)+1, a.U32(32), a.U16(14)
-	list, err := iscsi.ReadText(a.Data)
+	s.expStat, s.maxCmd, s.TSIH = a.Uint32(24)+1, a.Uint32(32), a.Uint16(14)
+	list, err := iscsi.DecodeText(a.Data)
 	keys := map[string]string{}
 	for _, p := range list {
 		keys[p.Key] = p.Value
@@ -198,7 +198,7 @@
 			iscsi.Pair{Key: "MaxBurstLength", Value: "1048576"}, iscsi.Pair{Key: "FirstBurstLength", Value: "262144"},
 			iscsi.Pair{Key: "MaxOutstandingR2T", Value: "4"}, iscsi.Pair{Key: "MaxConnections", Value: "1"})
 	}
-	keys, over, err = s.exchange(r, negotiate.Operational, negotiate.Full, ask)
+	keys, over, err = s.exchange(r, negotiate.Operational, negotiate.FullFeature, ask)
 	if err != nil {
 		return err
 	}
@@ -206,8 +206,8 @@
 		return errors.New("iscsi: the target does not end the login")
 	}
 	p := &s.params
-	p.OurSegment = o.Segment
-	for key, to := range map[string]*int{"MaxRecvDataSegmentLength": &p.TheirSegment, "MaxBurstLength": &p.MaxBurst, "FirstBurstLength": &p.FirstBurst} {
+	p.OwnMaxSegment = o.Segment
+	for key, to := range map[string]*int{"MaxRecvDataSegmentLength": &p.PeerMaxSegment, "MaxBurstLength": &p.MaxBurst, "FirstBurstLength": &p.FirstBurst} {
 		if v, told := keys[key]; told {
 			if *to, err = strconv.Atoi(v); err != nil || *to < 512 {
 				return fmt.Errorf("iscsi: the target answers %s=%q", key, v)
@@ -219,7 +219,7 @@
 	}
 	p.InitialR2T = keys["InitialR2T"] != "No"
 	p.ImmediateData = keys["ImmediateData"] != "No"
-	s.digests = iscsi.Digests{Head: keys["HeaderDigest"] == "CRC32C", Data: keys["DataDigest"] == "CRC32C"}
+	s.digests = iscsi.Digests{Header: keys["HeaderDigest"] == "CRC32C", Data: keys["DataDigest"] == "CRC32C"}
 	return nil
 }
 
@@ -230,22 +230,22 @@
 	if err != nil {
 		return false, err
 	}
-	challenge, err := negotiate.Binary(keys["CHAP_C"])
+	challenge, err := negotiate.DecodeBinary(keys["CHAP_C"])
 	id, err2 := strconv.Atoi(keys["CHAP_I"])
 	if err = errors.Join(err, err2); err != nil || keys["CHAP_A"] != "5" {
 		return false, fmt.Errorf("iscsi: the target's challenge cannot be read: %w", err)
 	}
-	pairs := []iscsi.Pair{{Key: "CHAP_N", Value: a.Name}, {Key: "CHAP_R", Value: negotiate.Hex(negotiate.Proof(byte(id), a.Secret, challenge))}}
+	pairs := []iscsi.Pair{{Key: "CHAP_N", Value: a.Name}, {Key: "CHAP_R", Value: negotiate.EncodeBinary(negotiate.CHAPResponse(byte(id), a.Secret, challenge))}}
 	var ours []byte
 	if a.OurSecret != "" {
-		ours = binary.BigEndian.AppendUint64(negotiate.Proof(byte(id), a.OurSecret, challenge), uint64(time.Now().UnixNano()))
-		pairs = append(pairs, iscsi.Pair{Key: "CHAP_I", Value: "7"}, iscsi.Pair{Key: "CHAP_C", Value: negotiate.Hex(ours)})
+		ours = binary.BigEndian.AppendUint64(negotiate.CHAPResponse(byte(id), a.OurSecret, challenge), uint64(time.Now().UnixNano()))
+		pairs = append(pairs, iscsi.Pair{Key: "CHAP_I", Value: "7"}, iscsi.Pair{Key: "CHAP_C", Value: negotiate.EncodeBinary(ours)})
 	}
 	keys, over, err := s.exchange(r, negotiate.Security, negotiate.Operational, pairs)
 	if err != nil {
 		return false, err
 	}
-	if ours != nil && keys["CHAP_R"] != negotiate.Hex(negotiate.Proof(7, a.OurSecret, ours)) {
+	if ours != nil && keys["CHAP_R"] != negotiate.EncodeBinary(negotiate.CHAPResponse(7, a.OurSecret, ours)) {
 		return false, errors.New("iscsi: the target does not prove who it is")
 	}
 	return over, nil
@@ -253,7 +253,7 @@
 
 // write sends a PDU as it is.
 func (s *Session) write(p *iscsi.PDU) error {
-	head, tail := p.Seal(s.digests).Bytes()
+	head, tail := p.Encode(s.digests).Bytes()
 	s.writing.Lock()
 	defer s.writing.Unlock()
 	_, err := (&net.Buffers{head, tail}).WriteTo(s.conn)
@@ -292,7 +292,7 @@
 func (s *Session) receive(r plain) {
 	for {
 		p, err := iscsi.Read(r, s.digests, s.opt.Segment)
-		if err == nil && p.Bad {
+		if err == nil && p.BadDataDigest {
 			err = errors.New("a data digest does not fit")
 		}
 		if err == nil {
@@ -311,23 +311,23 @@
 	if s.lost != nil {
 		return s.lost
 	}
-	if top := p.U32(32); int32(top-s.maxCmd) > 0 {
+	if top := p.Uint32(32); int32(top-s.maxCmd) > 0 {
 		s.maxCmd = top
 		s.cond.Broadcast()
 	}
-	ping := p.Op() == iscsi.NopIn && p.Tag() == iscsi.NoTag // asks for an answer, and has no number of its own
-	status := !ping && p.Op() != iscsi.ReadyTo && (p.Op() != iscsi.DataIn || p.Flags()&iscsi.HasStatus != 0)
+	ping := p.Opcode() == iscsi.NopIn && p.Tag() == iscsi.NoTag // asks for an answer, and has no number of its own
+	status := !ping && p.Opcode() != iscsi.ReadyToTransfer && (p.Opcode() != iscsi.DataIn || p.Flags()&iscsi.HasStatus != 0)
 	if status {
-		s.expStat = p.U32(24) + 1
+		s.expStat = p.Uint32(24) + 1
 	}
 	c := s.calls[p.Tag()]
-	switch p.Op() {
+	switch p.Opcode() {
 	case iscsi.DataIn:
 		if c == nil {
 			return nil // it was aborted
 		}
-		if int(p.U32(40)) != len(c.in) || len(c.in)+len(p.Data) > c.limit {
-			return fmt.Errorf("data at %d of %d bytes, %d were expected next", p.U32(40), c.limit, len(c.in))
+		if int(p.Uint32(40)) != len(c.in) || len(c.in)+len(p.Data) > c.limit {
+			return fmt.Errorf("data at %d of %d bytes, %d were expected next", p.Uint32(40), c.limit, len(c.in))
 		}
 		c.in = append(c.in, p.Data...)
 		if status {
@@ -341,25 +341,25 @@
 			}
 			s.over(c, p, sense)
 		}
-	case iscsi.ReadyTo:
+	case iscsi.ReadyToTransfer:
 		if c == nil {
 			return nil
 		}
-		from, n := p.U32(40), p.U32(44)
+		from, n := p.Uint32(40), p.Uint32(44)
 		if uint64(from)+uint64(n) > uint64(len(c.out)) || n == 0 {
 			return fmt.Errorf("%d bytes at %d are asked for, %d are there", n, from, len(c.out))
 		}
-		c.asked = append(c.asked, func() { s.data(p.Tag(), p.U32(20), p.Lun(), from, c.out[from:from+n]) })
+		c.asked = append(c.asked, func() { s.data(p.Tag(), p.Uint32(20), p.LUN(), from, c.out[from:from+n]) })
 		if !c.sending {
 			c.sending = true
 			go s.serveAsked(c)
 		}
-	case iscsi.TaskAnswer:
+	case iscsi.TaskManagementResponse:
 		if m := s.manages[p.Tag()]; m != nil {
-			m <- p.Head[2]
+			m <- p.Header[2]
 			delete(s.manages, p.Tag())
 		}
-	case iscsi.TextTell:
+	case iscsi.TextResponse:
 		if t := s.texts[p.Tag()]; t != nil {
 			t <- p.Data
 			delete(s.texts, p.Tag())
@@ -369,26 +369,26 @@
 			close(ping)
 			delete(s.pings, p.Tag())
 		}
-		if ttt := p.U32(20); ttt != iscsi.NoTag {
-			out := iscsi.New(iscsi.NopOut, iscsi.Final).Put(16, iscsi.NoTag).Put(20, ttt).Put(24, s.cmdSN).Put(28, s.expStat)
-			out.Head[0] |= 0x40
-			copy(out.Head[8:16], p.Lun())
+		if ttt := p.Uint32(20); ttt != iscsi.NoTag {
+			out := iscsi.New(iscsi.NopOut, iscsi.Final).SetUint32(16, iscsi.NoTag).SetUint32(20, ttt).SetUint32(24, s.cmdSN).SetUint32(28, s.expStat)
+			out.Header[0] |= 0x40
+			copy(out.Header[8:16], p.LUN())
 			go func() { _ = s.write(out) }() // a write that fails ends the session
 		}
-	case iscsi.LogoutTell:
+	case iscsi.LogoutResponse:
 		return ErrClosed
-	case iscsi.Async:
+	case iscsi.AsyncMessage:
 		s.asked = true
 	case iscsi.Reject:
-		return fmt.Errorf("the target rejects a PDU, reason %#x", p.Head[2])
+		return fmt.Errorf("the target rejects a PDU, reason %#x", p.Header[2])
 	}
 	return nil
 }
 
 // over ends a command; the lock is held.
 func (s *Session) over(c *call, p *iscsi.PDU, sense *scsi.Sense) {
-	r := Reply{Status: scsi.Status(p.Head[3]), Sense: sense, Data: c.in}
-	switch n := int(p.U32(44)); {
+	r := Reply{Status: scsi.Status(p.Header[3]), Sense: sense, Data: c.in}
+	switch n := int(p.Uint32(44)); {
 	case p.Flags()&iscsi.Underflow != 0:
 		r.Residual = n
 	case p.Flags()&iscsi.Overflow != 0:
@@ -421,11 +421,11 @@
 // data sends what was asked for, or the first burst.
 func (s *Session) data(tag, transfer uint32, lun []byte, at uint32, data []byte) {
 	for sn, from := uint32(0), 0; from < len(data); sn++ {
-		n := min(len(data)-from, s.params.TheirSegment)
-		p := iscsi.New(iscsi.DataOut, 0).Put(16, tag).Put(20, transfer).Put(28, s.expStat).Put(36, sn).Put(40, at+uint32(from)).With(data[from : from+n])
-		copy(p.Head[8:16], lun)
+		n := min(len(data)-from, s.params.PeerMaxSegment)
+		p := iscsi.New(iscsi.DataOut, 0).SetUint32(16, tag).SetUint32(20, transfer).SetUint32(28, s.expStat).SetUint32(36, sn).SetUint32(40, at+uint32(from)).SetData(data[from : from+n])
+		copy(p.Header[8:16], lun)
 		if from += n; from == len(data) {
-			p.Byte(1, iscsi.Final)
+			p.SetByte(1, iscsi.Final)
 		}
 		if err := s.write(p); err != nil {
 			s.fail(err)
@@ -477,26 +477,26 @@
 			first = min(len(out), s.params.FirstBurst)
 		}
 	}
-	p := iscsi.New(iscsi.Command, 0).Put(16, tag).Put(20, expects).Put(24, s.cmdSN).Put(28, s.expStat)
-	copy(p.Head[8:16], scsi.EncodeLUN(lun))
-	copy(p.Head[32:48], cdb)
+	p := iscsi.New(iscsi.Command, 0).SetUint32(16, tag).SetUint32(20, expects).SetUint32(24, s.cmdSN).SetUint32(28, s.expStat)
+	copy(p.Header[8:16], scsi.EncodeLUN(lun))
+	copy(p.Header[32:48], cdb)
 	immediate := 0
 	if s.params.ImmediateData {
-		immediate = min(len(out), s.params.TheirSegment, s.params.FirstBurst)
-		p.With(out[:immediate])
+		immediate = min(len(out), s.params.PeerMaxSegment, s.params.FirstBurst)
+		p.SetData(out[:immediate])
 	}
 	rest := max(first-immediate, 0)
 	if rest == 0 {
 		flags |= iscsi.Final
 	}
-	p.Byte(1, flags)
+	p.SetByte(1, flags)
 	s.cmdSN++
 	if s.opt.Saw != nil {
 		s.opt.Saw(Event{Session: s.name, Tag: tag, Op: c.op, Sent: true})
 	}
 	s.writing.Lock() // in the order of their numbers
 	s.lock.Unlock()
-	head, tail := p.Seal(s.digests).Bytes()
+	head, tail := p.Encode(s.digests).Bytes()
 	_, err := (&net.Buffers{head, tail}).WriteTo(s.conn)
 	s.writing.Unlock()
 	if err != nil {
@@ -538,9 +538,9 @@
 	mine := s.tag
 	m := make(chan byte, 1)
 	s.manages[mine] = m
-	p := iscsi.New(iscsi.TaskRequest, iscsi.Final|function).Put(16, mine).Put(20, tag).Put(24, s.cmdSN).Put(28, s.expStat)
-	p.Head[0] |= 0x40
-	copy(p.Head[8:16], scsi.EncodeLUN(lun))
+	p := iscsi.New(iscsi.TaskManagementRequest, iscsi.Final|function).SetUint32(16, mine).SetUint32(20, tag).SetUint32(24, s.cmdSN).SetUint32(28, s.expStat)
+	p.Header[0] |= 0x40
+	copy(p.Header[8:16], scsi.EncodeLUN(lun))
 	s.lock.Unlock()
 	if err := s.write(p); err != nil {
 		s.fail(err)
@@ -574,8 +574,8 @@
 	s.tag++
 	done := make(chan struct{})
 	s.pings[s.tag] = done
-	p := iscsi.New(iscsi.NopOut, iscsi.Final).Put(16, s.tag).Put(20, iscsi.NoTag).Put(24, s.cmdSN).Put(28, s.expStat).With([]byte("ping"))
-	p.Head[0] |= 0x40
+	p := iscsi.New(iscsi.NopOut, iscsi.Final).SetUint32(16, s.tag).SetUint32(20, iscsi.NoTag).SetUint32(24, s.cmdSN).SetUint32(28, s.expStat).SetData([]byte("ping"))
+	p.Header[0] |= 0x40
 	s.lock.Unlock()
 	if err := s.write(p); err != nil {
 		s.fail(err)
@@ -599,9 +599,9 @@
 	s.tag++
 	t := make(chan []byte, 1)
 	s.texts[s.tag] = t
-	p := iscsi.New(iscsi.TextAsk, iscsi.Final).Put(16, s.tag).Put(20, iscsi.NoTag).Put(24, s.cmdSN).Put(28, s.expStat).
-		With(iscsi.Text([]iscsi.Pair{{Key: "SendTargets", Value: "All"}}))
-	p.Head[0] |= 0x40
+	p := iscsi.New(iscsi.TextRequest, iscsi.Final).SetUint32(16, s.tag).SetUint32(20, iscsi.NoTag).SetUint32(24, s.cmdSN).SetUint32(28, s.expStat).
+		SetData(iscsi.EncodeText([]iscsi.Pair{{Key: "SendTargets", Value: "All"}}))
+	p.Header[0] |= 0x40
 	s.lock.Unlock()
 	if err := s.write(p); err != nil {
 		return nil, err
@@ -616,7 +616,7 @@
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
-	list, err := iscsi.ReadText(data)
+	list, err := iscsi.DecodeText(data)
 	var out []Found
 	for _, pair := range list {
 		switch pair.Key {
@@ -640,8 +640,8 @@
 		return nil
 	}
 	s.tag++
-	p := iscsi.New(iscsi.LogoutAsk, iscsi.Final).Put(16, s.tag).Put(24, s.cmdSN).Put(28, s.expStat)
-	p.Head[0] |= 0x40
+	p := iscsi.New(iscsi.LogoutRequest, iscsi.Final).SetUint32(16, s.tag).SetUint32(24, s.cmdSN).SetUint32(28, s.expStat)
+	p.Header[0] |= 0x40
 	s.lock.Unlock()
 	err := s.write(p)
 	s.lock.Lock()
--- a/internal/iscsi/negotiate/negotiate.go
+++ b/internal/iscsi/negotiate/negotiate.go
@@ -23,7 +23,7 @@
 const (
 	Security    Stage = 0
 	Operational Stage = 1
-	Full        Stage = 3
+	FullFeature Stage = 3
 )
 
 // Params are what a session works with.
@@ -31,20 +31,20 @@
 	HeaderDigest, DataDigest bool
 	InitialR2T               bool
 	ImmediateData            bool
-	TheirSegment             int // bytes of data that the other end takes in a PDU
-	OurSegment               int // and that we take
+	PeerMaxSegment           int // bytes of data that the other end takes in a PDU
+	OwnMaxSegment            int // and that we take
 	MaxBurst                 int // bytes of a Data-In sequence, or of an R2T
 	FirstBurst               int // unsolicited bytes of a write
-	MaxR2T                   int // out for one command
-	Wait, Retain             int // seconds; DefaultTime2Wait, DefaultTime2Retain
+	MaxOutstandingR2T        int // out for one command
+	TimeToWait, TimeToRetain int // seconds; DefaultTime2Wait, DefaultTime2Retain
 }
 
 // Defaults of the protocol (RFC 7143, 13), and what this end asks for.
 var (
-	Protocol = Params{InitialR2T: true, ImmediateData: true, TheirSegment: 8192, OurSegment: 8192, MaxBurst: 262144, FirstBurst: 65536,
-		MaxR2T: 1, Wait: 2, Retain: 20}
-	Ours = Params{InitialR2T: false, ImmediateData: true, OurSegment: 256 << 10, MaxBurst: 1 << 20, FirstBurst: 256 << 10, MaxR2T: 16,
-		Wait: 0, Retain: 0}
+	Defaults = Params{InitialR2T: true, ImmediateData: true, PeerMaxSegment: 8192, OwnMaxSegment: 8192, MaxBurst: 262144, FirstBurst: 65536,
+		MaxOutstandingR2T: 1, TimeToWait: 2, TimeToRetain: 20}
+	Preferred = Params{InitialR2T: false, ImmediateData: true, OwnMaxSegment: 256 << 10, MaxBurst: 1 << 20, FirstBurst: 256 << 10, MaxOutstandingR2T: 16,
+		TimeToWait: 0, TimeToRetain: 0}
 )
 
 // Account is who may log in. Without a secret, everybody may.
@@ -64,49 +64,49 @@
 	Session   func() string // the session's name in logs and records, for initiators that ask
 }
 
-// Refusal is why a login ends (RFC 7143, 11.13.5).
-type Refusal struct {
+// Rejection is why a login ends (RFC 7143, 11.13.5).
+type Rejection struct {
 	Class, Detail byte
-	Why           string
+	Reason        string
 }
 
-func (r *Refusal) Error() string {
-	return fmt.Sprintf("login refused, %02x%02x: %s", r.Class, r.Detail, r.Why)
+func (r *Rejection) Error() string {
+	return fmt.Sprintf("login refused, %02x%02x: %s", r.Class, r.Detail, r.Reason)
 }
 
-func initiatorError(format string, args ...any) *Refusal {
-	return &Refusal{2, 0, fmt.Sprintf(format, args...)}
+func initiatorError(format string, args ...any) *Rejection {
+	return &Rejection{2, 0, fmt.Sprintf(format, args...)}
 }
 
 // Bounds of a login.
 const (
-	mostSteps = 32
-	mostText  = 64 << 10
+	maxRequests   = 32
+	maxTextLength = 64 << 10
 )
 
 // chapState is where the proof of who somebody is stands.
 type chapState uint8
 
 const (
-	noProof chapState = iota // none was asked for yet
-	chosen                   // CHAP was taken
-	asked                    // our challenge is out
-	proven                   // or none is needed
+	chapNotStarted    chapState = iota // none was asked for yet
+	chapSelected                       // CHAP was taken
+	chapChallenged                     // our challenge is out
+	chapAuthenticated                  // or none is needed
 )
 
 // Login is a target's side.
 type Login struct {
-	opt       Options
-	stage     Stage
-	begun     bool
-	chap      chapState
-	challenge []byte
-	id        byte
-	account   Account
-	answered  map[string]bool // keys that were answered: each once
-	text      []byte          // of requests that go on
-	steps     int
-	tellsOurs bool // our segment was told
+	options         Options
+	stage           Stage
+	started         bool
+	chap            chapState
+	challenge       []byte
+	id              byte
+	account         Account
+	answered        map[string]bool // keys that were answered: each once
+	text            []byte          // of requests that go on
+	requests        int
+	segmentDeclared bool // our segment was told
 
 	Params    Params
 	Initiator string
@@ -116,9 +116,9 @@
 
 // NewLogin begins one.
 func NewLogin(opt Options) *Login {
-	p := Protocol
-	p.OurSegment = 8192 // until it is told
-	return &Login{opt: opt, Params: p, answered: map[string]bool{}}
+	p := Defaults
+	p.OwnMaxSegment = 8192 // until it is told
+	return &Login{options: opt, Params: p, answered: map[string]bool{}}
 }
 
 // Stage tells where it stands.
@@ -140,21 +140,21 @@
 }
 
 // Step takes in a request. A refusal ends the login.
-func (l *Login) Step(r Request) (a Answer, refusal *Refusal) {
-	if l.steps++; l.steps > mostSteps {
-		return a, initiatorError("no end after %d requests", mostSteps)
+func (l *Login) Step(r Request) (a Answer, refusal *Rejection) {
+	if l.requests++; l.requests > maxRequests {
+		return a, initiatorError("no end after %d requests", maxRequests)
 	}
-	if !l.begun {
+	if !l.started {
 		if r.Current != Security && r.Current != Operational {
 			return a, initiatorError("it begins in stage %d", r.Current)
 		}
-		l.stage, l.begun = r.Current, true
+		l.stage, l.started = r.Current, true
 	}
 	if r.Current != l.stage {
 		return a, initiatorError("a request of stage %d in stage %d", r.Current, l.stage)
 	}
-	if l.text = append(l.text, r.Text...); len(l.text) > mostText {
-		return a, initiatorError("over %d bytes of text", mostText)
+	if l.text = append(l.text, r.Text...); len(l.text) > maxTextLength {
+		return a, initiatorError("over %d bytes of text", maxTextLength)
 	}
 	a.Current, a.Next = l.stage, r.Next
 	if r.Continue {
@@ -163,33 +163,33 @@
 		}
 		return a, nil // more follows
 	}
-	pairs, err := iscsi.ReadText(l.text)
+	pairs, err := iscsi.DecodeText(l.text)
 	if l.text = nil; err != nil {
 		return a, initiatorError("%v", err)
 	}
-	if refusal = l.names(pairs); refusal != nil {
+	if refusal = l.readNames(pairs); refusal != nil {
 		return a, refusal
 	}
 	for _, p := range pairs {
-		out, refusal := l.pair(p)
+		out, refusal := l.answerKey(p)
 		if refusal != nil {
 			return a, refusal
 		}
 		a.Pairs = append(a.Pairs, out...)
 	}
-	if l.stage == Security && l.chap == noProof && !l.answered["AuthMethod"] && l.account.Secret == "" {
-		l.chap = proven
+	if l.stage == Security && l.chap == chapNotStarted && !l.answered["AuthMethod"] && l.account.Secret == "" {
+		l.chap = chapAuthenticated
 	}
 	if r.Transit {
-		if refusal = l.transit(r.Next, &a); refusal != nil {
+		if refusal = l.transition(r.Next, &a); refusal != nil {
 			return a, refusal
 		}
 	}
 	return a, nil
 }
 
-// names takes in who asks for what, which the first request has to say.
-func (l *Login) names(pairs []iscsi.Pair) *Refusal {
+// readNames takes in who asks for what, which the first request has to say.
+func (l *Login) readNames(pairs []iscsi.Pair) *Rejection {
 	if l.Initiator != "" {
 		return nil
 	}
@@ -211,48 +211,48 @@
 	}
 	switch {
 	case l.Initiator == "" || len(l.Initiator) > 223:
-		return &Refusal{2, 7, "it does not say its InitiatorName"}
+		return &Rejection{2, 7, "it does not say its InitiatorName"}
 	case !l.Discovery && l.Target == "":
-		return &Refusal{2, 7, "it does not say which TargetName"}
-	case !l.Discovery && !l.opt.Target(l.Target):
-		return &Refusal{2, 3, fmt.Sprintf("there is no target %q", l.Target)}
+		return &Rejection{2, 7, "it does not say which TargetName"}
+	case !l.Discovery && !l.options.Target(l.Target):
+		return &Rejection{2, 3, fmt.Sprintf("there is no target %q", l.Target)}
 	}
-	l.account = l.opt.Account(l.Initiator, l.Target)
+	l.account = l.options.Account(l.Initiator, l.Target)
 	if l.stage == Operational && l.account.Secret != "" {
-		return &Refusal{2, 1, "it does not prove who it is"}
+		return &Rejection{2, 1, "it does not prove who it is"}
 	}
 	return nil
 }
 
-// transit ends a stage, where that can be.
-func (l *Login) transit(next Stage, a *Answer) *Refusal {
-	if next != Operational && next != Full || next <= l.stage {
+// transition ends a stage, where that can be.
+func (l *Login) transition(next Stage, a *Answer) *Rejection {
+	if next != Operational && next != FullFeature || next <= l.stage {
 		return initiatorError("stage %d does not follow stage %d", next, l.stage)
 	}
 	if l.stage == Security {
-		if l.account.Secret != "" && l.chap != proven {
-			if l.chap == noProof && l.answered["AuthMethod"] {
-				return &Refusal{2, 1, "it does not prove who it is"}
+		if l.account.Secret != "" && l.chap != chapAuthenticated {
+			if l.chap == chapNotStarted && l.answered["AuthMethod"] {
+				return &Rejection{2, 1, "it does not prove who it is"}
 			}
 			return nil // the stage goes on
 		}
 	}
-	if next == Full && !l.tellsOurs {
-		l.tellsOurs = true
-		l.Params.OurSegment = l.opt.Params.OurSegment
-		a.Pairs = append(a.Pairs, iscsi.Pair{Key: "MaxRecvDataSegmentLength", Value: strconv.Itoa(l.opt.Params.OurSegment)})
+	if next == FullFeature && !l.segmentDeclared {
+		l.segmentDeclared = true
+		l.Params.OwnMaxSegment = l.options.Params.OwnMaxSegment
+		a.Pairs = append(a.Pairs, iscsi.Pair{Key: "MaxRecvDataSegmentLength", Value: strconv.Itoa(l.options.Params.OwnMaxSegment)})
 	}
 	if !l.Discovery && !l.answered["TargetPortalGroupTag"] {
 		l.answered["TargetPortalGroupTag"] = true
-		a.Pairs = append(a.Pairs, iscsi.Pair{Key: "TargetPortalGroupTag", Value: strconv.Itoa(l.opt.Portal)})
+		a.Pairs = append(a.Pairs, iscsi.Pair{Key: "TargetPortalGroupTag", Value: strconv.Itoa(l.options.Portal)})
 	}
 	l.Params.FirstBurst = min(l.Params.FirstBurst, l.Params.MaxBurst)
 	l.stage, a.Transit, a.Next = next, true, next
 	return nil
 }
 
-// pair answers a key.
-func (l *Login) pair(p iscsi.Pair) ([]iscsi.Pair, *Refusal) {
+// answerKey answers a key.
+func (l *Login) answerKey(p iscsi.Pair) ([]iscsi.Pair, *Rejection) {
 	if l.answered[p.Key] && !strings.HasPrefix(p.Key, "CHAP_") {
 		return nil, initiatorError("%s is there twice", p.Key)
 	}
@@ -260,21 +260,21 @@
 		if l.stage != Security {
 			return nil, initiatorError("%s outside of the security stage", p.Key)
 		}
-		return l.secure(p)
+		return l.answerSecurityKey(p)
 	}
 	l.answered[p.Key] = true
 	switch p.Key {
 	case "InitiatorName", "InitiatorAlias", "TargetName", "SessionType":
 		return nil, nil // declared
 	}
-	value, refusal := l.operational(p)
+	value, refusal := l.answerOperationalKey(p)
 	if refusal != nil || value == "" {
 		return nil, refusal
 	}
 	return []iscsi.Pair{{Key: p.Key, Value: value}}, nil
 }
 
-func number(p iscsi.Pair, least, most int) (int, *Refusal) {
+func parseNumber(p iscsi.Pair, least, most int) (int, *Rejection) {
 	n, err := strconv.ParseInt(p.Value, 0, 32)
 	if err != nil || n < int64(least) || n > int64(most) {
 		return 0, initiatorError("%s=%.40s is no number from %d to %d", p.Key, p.Value, least, most)
@@ -282,14 +282,14 @@
 	return int(n), nil
 }
 
-func yes(p iscsi.Pair) (bool, *Refusal) {
+func parseBool(p iscsi.Pair) (bool, *Rejection) {
 	if p.Value != "Yes" && p.Value != "No" {
 		return false, initiatorError("%s=%.40s is neither Yes nor No", p.Key, p.Value)
 	}
 	return p.Value == "Yes", nil
 }
 
-func word(b bool) string {
+func formatBool(b bool) string {
 	if b {
 		return "Yes"
 	}
@@ -299,21 +299,21 @@
 // SessionKey asks how the gateway calls the session (a key of our own, RFC 7143, 13.23).
 const SessionKey = "X-org.irispost.session"
 
-const most24 = 1<<24 - 1
+const max24Bits = 1<<24 - 1
 
-// operational answers a key of RFC 7143, 13; empty: it needs no answer.
-func (l *Login) operational(p iscsi.Pair) (string, *Refusal) {
-	lower := func(ours int, to *int, least, most int) (string, *Refusal) {
-		n, refusal := number(p, least, most)
+// answerOperationalKey answers a key of RFC 7143, 13; empty: it needs no answer.
+func (l *Login) answerOperationalKey(p iscsi.Pair) (string, *Rejection) {
+	lower := func(ours int, to *int, least, most int) (string, *Rejection) {
+		n, refusal := parseNumber(p, least, most)
 		if refusal == nil {
 			*to = min(n, ours)
 		}
 		return strconv.Itoa(*to), refusal
 	}
-	ours := &l.opt.Params
+	ours := &l.options.Params
 	switch p.Key {
 	case "HeaderDigest", "DataDigest":
-		took, refusal := digest(p, l.opt.Digests)
+		took, refusal := selectDigest(p, l.options.Digests)
 		if refusal != nil {
 			return "", refusal
 		}
@@ -324,42 +324,42 @@
 		}
 		return took, nil
 	case "InitialR2T":
-		b, refusal := yes(p)
+		b, refusal := parseBool(p)
 		l.Params.InitialR2T = b || ours.InitialR2T
-		return word(l.Params.InitialR2T), refusal
+		return formatBool(l.Params.InitialR2T), refusal
 	case "ImmediateData":
-		b, refusal := yes(p)
+		b, refusal := parseBool(p)
 		l.Params.ImmediateData = b && ours.ImmediateData
-		return word(l.Params.ImmediateData), refusal
+		return formatBool(l.Params.ImmediateData), refusal
 	case "DataPDUInOrder", "DataSequenceInOrder":
-		_, refusal := yes(p)
+		_, refusal := parseBool(p)
 		return "Yes", refusal
 	case "MaxRecvDataSegmentLength":
-		n, refusal := number(p, 512, most24)
-		l.Params.TheirSegment = n
+		n, refusal := parseNumber(p, 512, max24Bits)
+		l.Params.PeerMaxSegment = n
 		return "", refusal
 	case "MaxBurstLength":
-		return lower(ours.MaxBurst, &l.Params.MaxBurst, 512, most24)
+		return lower(ours.MaxBurst, &l.Params.MaxBurst, 512, max24Bits)
 	case "FirstBurstLength":
-		out, refusal := lower(ours.FirstBurst, &l.Params.FirstBurst, 512, most24)
+		out, refusal := lower(ours.FirstBurst, &l.Params.FirstBurst, 512, max24Bits)
 		return out, refusal
 	case "MaxOutstandingR2T":
-		return lower(ours.MaxR2T, &l.Params.MaxR2T, 1, 65535)
+		return lower(ours.MaxOutstandingR2T, &l.Params.MaxOutstandingR2T, 1, 65535)
 	case "MaxConnections":
-		_, refusal := number(p, 1, 65535)
+		_, refusal := parseNumber(p, 1, 65535)
 		return "1", refusal
 	case "ErrorRecoveryLevel":
-		_, refusal := number(p, 0, 2)
+		_, refusal := parseNumber(p, 0, 2)
 		return "0", refusal
 	case "DefaultTime2Wait":
-		n, refusal := number(p, 0, 3600)
-		l.Params.Wait = max(n, ours.Wait)
-		return strconv.Itoa(l.Params.Wait), refusal
+		n, refusal := parseNumber(p, 0, 3600)
+		l.Params.TimeToWait = max(n, ours.TimeToWait)
+		return strconv.Itoa(l.Params.TimeToWait), refusal
 	case "DefaultTime2Retain":
-		return lower(ours.Retain, &l.Params.Retain, 0, 3600)
+		return lower(ours.TimeToRetain, &l.Params.TimeToRetain, 0, 3600)
 	case SessionKey:
-		if l.opt.Session != nil {
-			return l.opt.Session(), nil
+		if l.options.Session != nil {
+			return l.options.Session(), nil
 		}
 	case "TargetPortalGroupTag", "TargetAddress", "TargetAlias":
 		return "", initiatorError("%s is the target's to say", p.Key)
@@ -367,7 +367,7 @@
 	return "NotUnderstood", nil
 }
 
-func digest(p iscsi.Pair, offered bool) (string, *Refusal) {
+func selectDigest(p iscsi.Pair, offered bool) (string, *Rejection) {
 	for _, v := range strings.Split(p.Value, ",") {
 		if v == "None" || v == "CRC32C" && offered {
 			return v, nil
@@ -376,10 +376,10 @@
 	return "", initiatorError("%s=%.40s has nothing that is spoken here", p.Key, p.Value)
 }
 
-// secure answers a key of the security stage: AuthMethod None or CHAP with MD5 (RFC 7143, 12.1).
-func (l *Login) secure(p iscsi.Pair) ([]iscsi.Pair, *Refusal) {
-	denied := func(format string, args ...any) ([]iscsi.Pair, *Refusal) {
-		return nil, &Refusal{2, 1, fmt.Sprintf(format, args...)}
+// answerSecurityKey answers a key of the security stage: AuthMethod None or CHAP with MD5 (RFC 7143, 12.1).
+func (l *Login) answerSecurityKey(p iscsi.Pair) ([]iscsi.Pair, *Rejection) {
+	denied := func(format string, args ...any) ([]iscsi.Pair, *Rejection) {
+		return nil, &Rejection{2, 1, fmt.Sprintf(format, args...)}
 	}
 	switch p.Key {
 	case "AuthMethod":
@@ -389,66 +389,66 @@
 		l.answered[p.Key] = true
 		offers := strings.Split(p.Value, ",")
 		if l.account.Secret == "" && slices.Contains(offers, "None") {
-			l.chap = proven
+			l.chap = chapAuthenticated
 			return []iscsi.Pair{{Key: p.Key, Value: "None"}}, nil
 		}
 		if l.account.Secret != "" && slices.Contains(offers, "CHAP") {
-			l.chap = chosen
+			l.chap = chapSelected
 			return []iscsi.Pair{{Key: p.Key, Value: "CHAP"}}, nil
 		}
 		return denied("none of %.40q will do", p.Value)
 	case "CHAP_A":
-		if l.chap != chosen || !slices.Contains(strings.Split(p.Value, ","), "5") {
+		if l.chap != chapSelected || !slices.Contains(strings.Split(p.Value, ","), "5") {
 			return denied("CHAP_A=%.40s: MD5 (5) is spoken", p.Value)
 		}
-		l.chap, l.challenge = asked, l.opt.Challenge()
+		l.chap, l.challenge = chapChallenged, l.options.Challenge()
 		l.id = l.challenge[0]
-		return []iscsi.Pair{{Key: "CHAP_A", Value: "5"}, {Key: "CHAP_I", Value: strconv.Itoa(int(l.id))}, {Key: "CHAP_C", Value: Hex(l.challenge)}}, nil
+		return []iscsi.Pair{{Key: "CHAP_A", Value: "5"}, {Key: "CHAP_I", Value: strconv.Itoa(int(l.id))}, {Key: "CHAP_C", Value: EncodeBinary(l.challenge)}}, nil
 	case "CHAP_N":
-		if l.chap != asked || subtle.ConstantTimeCompare([]byte(p.Value), []byte(l.account.Name)) != 1 {
+		if l.chap != chapChallenged || subtle.ConstantTimeCompare([]byte(p.Value), []byte(l.account.Name)) != 1 {
 			return denied("CHAP_N is of nobody known")
 		}
 		l.answered["CHAP_N"] = true
 		return nil, nil
 	case "CHAP_R":
-		got, err := Binary(p.Value)
-		want := Proof(l.id, l.account.Secret, l.challenge)
-		if l.chap != asked || !l.answered["CHAP_N"] || err != nil || subtle.ConstantTimeCompare(got, want) != 1 {
+		got, err := DecodeBinary(p.Value)
+		want := CHAPResponse(l.id, l.account.Secret, l.challenge)
+		if l.chap != chapChallenged || !l.answered["CHAP_N"] || err != nil || subtle.ConstantTimeCompare(got, want) != 1 {
 			return denied("CHAP_R does not prove it")
 		}
-		l.chap = proven
+		l.chap = chapAuthenticated
 		return nil, nil
 	case "CHAP_I":
-		n, refusal := number(p, 0, 255)
-		if l.id = byte(n); refusal != nil || l.chap != proven {
+		n, refusal := parseNumber(p, 0, 255)
+		if l.id = byte(n); refusal != nil || l.chap != chapAuthenticated {
 			return denied("CHAP_I out of its order")
 		}
 		l.answered["CHAP_I"] = true
 		return nil, nil
 	case "CHAP_C":
-		c, err := Binary(p.Value)
-		if err != nil || len(c) == 0 || len(c) > 1024 || l.chap != proven || !l.answered["CHAP_I"] || l.account.OurSecret == "" {
+		c, err := DecodeBinary(p.Value)
+		if err != nil || len(c) == 0 || len(c) > 1024 || l.chap != chapAuthenticated || !l.answered["CHAP_I"] || l.account.OurSecret == "" {
 			return denied("CHAP_C cannot be answered")
 		}
 		if subtle.ConstantTimeCompare(c, l.challenge) == 1 {
 			return denied("our own challenge is sent back")
 		}
-		return []iscsi.Pair{{Key: "CHAP_N", Value: l.account.OurName}, {Key: "CHAP_R", Value: Hex(Proof(l.id, l.account.OurSecret, c))}}, nil
+		return []iscsi.Pair{{Key: "CHAP_N", Value: l.account.OurName}, {Key: "CHAP_R", Value: EncodeBinary(CHAPResponse(l.id, l.account.OurSecret, c))}}, nil
 	}
 	return denied("%s is not known", p.Key)
 }
 
-// Proof is CHAP's answer to a challenge (RFC 1994, 4.1).
-func Proof(id byte, secret string, challenge []byte) []byte {
+// CHAPResponse is CHAP's answer to a challenge (RFC 1994, 4.1).
+func CHAPResponse(id byte, secret string, challenge []byte) []byte {
 	sum := md5.Sum(append(append([]byte{id}, secret...), challenge...))
 	return sum[:]
 }
 
-// Hex writes a binary value.
-func Hex(b []byte) string { return "0x" + hex.EncodeToString(b) }
+// EncodeBinary writes a binary value.
+func EncodeBinary(b []byte) string { return "0x" + hex.EncodeToString(b) }
 
-// Binary reads a binary value, in hexadecimal or base 64 (RFC 7143, 6.1).
-func Binary(s string) ([]byte, error) {
+// DecodeBinary reads a binary value, in hexadecimal or base 64 (RFC 7143, 6.1).
+func DecodeBinary(s string) ([]byte, error) {
 	switch {
 	case strings.HasPrefix(s, "0x"), strings.HasPrefix(s, "0X"):
 		return hex.DecodeString(s[2:])
--- a/internal/iscsi/negotiate/negotiate_test.go
+++ b/internal/iscsi/negotiate/negotiate_test.go
@@ -12,7 +12,7 @@
 const iqn, disk = "iqn.2026-01.example:host", "iqn.2026-01.example:disk"
 
 func options(a Account) Options {
-	return Options{Params: Ours, Digests: true, Portal: 1, Target: func(n string) bool { return n == disk },
+	return Options{Params: Preferred, Digests: true, Portal: 1, Target: func(n string) bool { return n == disk },
 		Account: func(_, _ string) Account { return a }, Challenge: func() []byte { return []byte("0123456789abcdef") }}
 }
 
@@ -22,7 +22,7 @@
 		k, v, _ := strings.Cut(p, "=")
 		list = append(list, iscsi.Pair{Key: k, Value: v})
 	}
-	return iscsi.Text(list)
+	return iscsi.EncodeText(list)
 }
 
 func words(list []iscsi.Pair) (out []string) {
@@ -57,23 +57,23 @@
 func TestPlainLogin(t *testing.T) {
 	l := NewLogin(options(Account{}))
 	step(t, l, Security, Operational, append(slices.Clone(who), "AuthMethod=CHAP,None"), "AuthMethod=None", "TargetPortalGroupTag=1")
-	step(t, l, Operational, Full, []string{"HeaderDigest=CRC32C,None", "DataDigest=None", "InitialR2T=No", "ImmediateData=Yes",
+	step(t, l, Operational, FullFeature, []string{"HeaderDigest=CRC32C,None", "DataDigest=None", "InitialR2T=No", "ImmediateData=Yes",
 		"MaxRecvDataSegmentLength=262144", "MaxBurstLength=16776192", "FirstBurstLength=65536", "MaxOutstandingR2T=1", "MaxConnections=8",
 		"ErrorRecoveryLevel=2", "DefaultTime2Wait=2", "DefaultTime2Retain=20", "DataPDUInOrder=No", "DataSequenceInOrder=Yes", "X-com.example=1"},
 		"HeaderDigest=CRC32C", "DataDigest=None", "InitialR2T=No", "ImmediateData=Yes", "MaxBurstLength=1048576", "FirstBurstLength=65536",
 		"MaxOutstandingR2T=1", "MaxConnections=1", "ErrorRecoveryLevel=0", "DefaultTime2Wait=2", "DefaultTime2Retain=0", "DataPDUInOrder=Yes",
 		"DataSequenceInOrder=Yes", "X-com.example=NotUnderstood", "MaxRecvDataSegmentLength=262144")
-	want := Params{HeaderDigest: true, ImmediateData: true, TheirSegment: 262144, OurSegment: 256 << 10, MaxBurst: 1 << 20, FirstBurst: 65536, MaxR2T: 1, Wait: 2}
-	if l.Params != want || l.Stage() != Full || l.Initiator != iqn || l.Target != disk {
+	want := Params{HeaderDigest: true, ImmediateData: true, PeerMaxSegment: 262144, OwnMaxSegment: 256 << 10, MaxBurst: 1 << 20, FirstBurst: 65536, MaxOutstandingR2T: 1, TimeToWait: 2}
+	if l.Params != want || l.Stage() != FullFeature || l.Initiator != iqn || l.Target != disk {
 		t.Errorf("%+v, not %+v", l.Params, want)
 	}
 	l = NewLogin(options(Account{})) // at once in the second stage, and with nothing asked for
-	step(t, l, Operational, Full, who, "MaxRecvDataSegmentLength=262144", "TargetPortalGroupTag=1")
+	step(t, l, Operational, FullFeature, who, "MaxRecvDataSegmentLength=262144", "TargetPortalGroupTag=1")
 	if l.Params.MaxBurst != 262144 || !l.Params.InitialR2T {
 		t.Errorf("%+v", l.Params)
 	}
 	l = NewLogin(options(Account{}))
-	step(t, l, Operational, Full, []string{"InitiatorName=" + iqn, "SessionType=Discovery"}, "MaxRecvDataSegmentLength=262144")
+	step(t, l, Operational, FullFeature, []string{"InitiatorName=" + iqn, "SessionType=Discovery"}, "MaxRecvDataSegmentLength=262144")
 	if !l.Discovery {
 		t.Error("no discovery session")
 	}
@@ -97,16 +97,16 @@
 		if len(got) != 3 || got[0] != "CHAP_A=5" {
 			t.Fatal(got)
 		}
-		challenge, err := Binary(strings.TrimPrefix(got[2], "CHAP_C="))
+		challenge, err := DecodeBinary(strings.TrimPrefix(got[2], "CHAP_C="))
 		if err != nil {
 			t.Fatal(err)
 		}
-		proof := []string{"CHAP_N=host", "CHAP_R=" + Hex(Proof(challenge[0], a.Secret, challenge))}
+		proof := []string{"CHAP_N=host", "CHAP_R=" + EncodeBinary(CHAPResponse(challenge[0], a.Secret, challenge))}
 		if mutual {
 			proof = append(proof, "CHAP_I=9", "CHAP_C=0bYWJjZGVmZ2g=")
 		}
 		out = step(t, l, Security, Operational, proof)
-		if want := "CHAP_R=" + Hex(Proof(9, a.OurSecret, []byte("abcdefgh"))); slices.Contains(words(out.Pairs), want) != mutual {
+		if want := "CHAP_R=" + EncodeBinary(CHAPResponse(9, a.OurSecret, []byte("abcdefgh"))); slices.Contains(words(out.Pairs), want) != mutual {
 			t.Errorf("mutual %v: %q", mutual, words(out.Pairs))
 		}
 		if !out.Transit || l.Stage() != Operational {
@@ -123,7 +123,7 @@
 		return request{Current: Security, Next: Operational, Transit: true, Text: text(append(slices.Clone(who), pairs...)...)}
 	}
 	second := func(pairs ...string) request {
-		return request{Current: Operational, Next: Full, Transit: true, Text: text(append(slices.Clone(who), pairs...)...)}
+		return request{Current: Operational, Next: FullFeature, Transit: true, Text: text(append(slices.Clone(who), pairs...)...)}
 	}
 	for name, c := range map[string]struct {
 		account       Account
@@ -133,7 +133,7 @@
 		"no name":            {Account{}, []request{{Current: Security, Next: Operational, Transit: true}}, 2, 7},
 		"no target":          {Account{}, []request{{Current: Security, Text: text("InitiatorName=a")}}, 2, 7},
 		"another target":     {Account{}, []request{{Current: Security, Text: text("InitiatorName=a", "TargetName=b")}}, 2, 3},
-		"full at once":       {Account{}, []request{{Current: Full}}, 2, 0},
+		"full at once":       {Account{}, []request{{Current: FullFeature}}, 2, 0},
 		"a stage back":       {Account{}, []request{second(), {Current: Security}}, 2, 0},
 		"to the same stage":  {Account{}, []request{{Current: Operational, Next: Operational, Transit: true, Text: text(who...)}}, 2, 0},
 		"odd text":           {Account{}, []request{{Current: Security, Text: []byte("what")}}, 2, 0},
@@ -149,23 +149,23 @@
 		"chap late":          {Account{}, []request{second("CHAP_A=5")}, 2, 0},
 		"no proof":           {secret, []request{first("AuthMethod=None")}, 2, 1},
 		"past the proof":     {secret, []request{second()}, 2, 1},
-		"chosen, not proven": {secret, []request{first("AuthMethod=CHAP"), {Current: Security, Next: Full, Transit: true, Text: text("CHAP_N=host")}}, 2, 1},
+		"chosen, not proven": {secret, []request{first("AuthMethod=CHAP"), {Current: Security, Next: FullFeature, Transit: true, Text: text("CHAP_N=host")}}, 2, 1},
 		"another algorithm":  {secret, []request{first("AuthMethod=CHAP"), {Current: Security, Text: text("CHAP_A=6")}}, 2, 1},
 		"another's name":     {secret, []request{first("AuthMethod=CHAP"), {Current: Security, Text: text("CHAP_A=5")}, {Current: Security, Text: text("CHAP_N=you")}}, 2, 1},
 		"a wrong proof": {secret, []request{first("AuthMethod=CHAP"), {Current: Security, Text: text("CHAP_A=5")},
 			{Current: Security, Text: text("CHAP_N=host", "CHAP_R=0x00")}}, 2, 1},
 		"a proof without a name": {secret, []request{first("AuthMethod=CHAP"), {Current: Security, Text: text("CHAP_A=5")},
-			{Current: Security, Text: text("CHAP_R=" + Hex(Proof('0', secret.Secret, []byte("0123456789abcdef"))))}}, 2, 1},
+			{Current: Security, Text: text("CHAP_R=" + EncodeBinary(CHAPResponse('0', secret.Secret, []byte("0123456789abcdef"))))}}, 2, 1},
 	} {
 		l := NewLogin(options(c.account))
-		var refusal *Refusal
+		var refusal *Rejection
 		for _, r := range c.requests {
 			if refusal != nil {
 				t.Errorf("%s: refused too early: %v", name, refusal)
 			}
 			_, refusal = l.Step(r)
 		}
-		if refusal == nil || refusal.Class != c.class || refusal.Detail != c.detail || l.Stage() == Full && c.requests[0].Current != Operational {
+		if refusal == nil || refusal.Class != c.class || refusal.Detail != c.detail || l.Stage() == FullFeature && c.requests[0].Current != Operational {
 			t.Errorf("%s: %v, stage %d", name, refusal, l.Stage())
 		}
 	}
@@ -178,13 +178,13 @@
 		}
 	}
 	c := []byte("0123456789abcdef")
-	_, refusal := l.Step(Request{Current: Security, Text: text("CHAP_N=host", "CHAP_R="+Hex(Proof('0', a.Secret, c)), "CHAP_I=1", "CHAP_C="+Hex(c))})
+	_, refusal := l.Step(Request{Current: Security, Text: text("CHAP_N=host", "CHAP_R="+EncodeBinary(CHAPResponse('0', a.Secret, c)), "CHAP_I=1", "CHAP_C="+EncodeBinary(c))})
 	if refusal == nil || refusal.Detail != 1 {
 		t.Errorf("a reflected challenge: %v", refusal)
 	}
 	// A login that never ends, and one that says too much.
 	l = NewLogin(options(Account{}))
-	for range mostSteps {
+	for range maxRequests {
 		if _, refusal = l.Step(Request{Current: Security, Continue: true}); refusal != nil {
 			t.Fatal(refusal)
 		}
@@ -193,7 +193,7 @@
 		t.Error("no end")
 	}
 	l = NewLogin(options(Account{}))
-	if _, refusal = l.Step(Request{Current: Security, Continue: true, Text: bytes.Repeat([]byte{'x'}, mostText+1)}); refusal == nil {
+	if _, refusal = l.Step(Request{Current: Security, Continue: true, Text: bytes.Repeat([]byte{'x'}, maxTextLength+1)}); refusal == nil {
 		t.Error("too much is taken")
 	}
 }
--- a/internal/iscsi/pace/pace_test.go
+++ b/internal/iscsi/pace/pace_test.go
@@ -18,28 +18,28 @@
 		t.Fatal(err)
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		terms := Terms{Least: 2, Most: rapid.IntRange(2, 64).Draw(t, "most"), Start: rapid.IntRange(1, 16).Draw(t, "start"), Inside: 32,
+		terms := Limits{Least: 2, Most: rapid.IntRange(2, 64).Draw(t, "most"), Start: rapid.IntRange(1, 16).Draw(t, "start"), Inside: 32,
 			Bytes: rapid.IntRange(1, 1000).Draw(t, "bytes"), Quantum: rapid.IntRange(1, 200).Draw(t, "quantum")}
 		p := New(terms)
 		var sessions []*Session
-		waits := map[*Session][]*Item{}
-		inside := map[*Item]bool{}
-		var out []*Item
+		waits := map[*Session][]*Command{}
+		inside := map[*Command]bool{}
+		var out []*Command
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0:
-				sessions = append(sessions, p.Join())
+				sessions = append(sessions, p.NewSession())
 			case 1, 2, 3:
 				if len(sessions) > 0 {
 					s := rapid.SampledFrom(sessions).Draw(t, "session")
-					i := &Item{Cost: rapid.IntRange(0, 400).Draw(t, "cost")}
-					s.Want(i)
+					i := &Command{Cost: rapid.IntRange(0, 400).Draw(t, "cost")}
+					s.Enqueue(i)
 					waits[s] = append(waits[s], i)
 				}
 			case 4, 5, 6:
 				if len(out) > 0 {
 					k := rapid.IntRange(0, len(out)-1).Draw(t, "which")
-					p.Done(out[k], End(rapid.IntRange(0, 2).Draw(t, "end")))
+					p.Done(out[k], Outcome(rapid.IntRange(0, 2).Draw(t, "end")))
 					delete(inside, out[k])
 					out = append(out[:k], out[k+1:]...)
 				}
@@ -47,7 +47,7 @@
 				if len(sessions) > 0 {
 					k := rapid.IntRange(0, len(sessions)-1).Draw(t, "session")
 					s := sessions[k]
-					if rest := s.Leave(); len(rest) != len(waits[s]) {
+					if rest := s.Close(); len(rest) != len(waits[s]) {
 						t.Fatalf("%d come back of %d that wait", len(rest), len(waits[s]))
 					}
 					delete(waits, s)
@@ -58,7 +58,7 @@
 					s := rapid.SampledFrom(sessions).Draw(t, "session")
 					if len(waits[s]) > 0 {
 						k := rapid.IntRange(0, len(waits[s])-1).Draw(t, "drop")
-						if !s.Drop(waits[s][k]) || s.Drop(&Item{}) {
+						if !s.Remove(waits[s][k]) || s.Remove(&Command{}) {
 							t.Fatal("a command that waits is not found, or one that does not is")
 						}
 						waits[s] = append(waits[s][:k:k], waits[s][k+1:]...)
@@ -72,17 +72,17 @@
 				}
 			}
 			for i := p.Next(); i != nil; i = p.Next() {
-				if inside[i] || len(waits[i.by]) == 0 || waits[i.by][0] != i {
+				if inside[i] || len(waits[i.session]) == 0 || waits[i.session][0] != i {
 					t.Fatal("a command goes in twice, or out of its session's order")
 				}
 				inside[i] = true
-				waits[i.by] = waits[i.by][1:]
+				waits[i.session] = waits[i.session][1:]
 				out = append(out, i)
 			}
 			all, bytes, busy := 0, 0, 0
 			for _, s := range sessions {
 				all += len(waits[s])
-				if s.Held() > 0 {
+				if s.Outstanding() > 0 {
 					busy++
 				}
 				if w := s.Window(); p.State() == Closed && w != 0 || p.State() != Closed && (w < min(terms.Least, terms.Most) || w > terms.Most) {
@@ -92,10 +92,10 @@
 			for _, i := range out {
 				bytes += i.Cost
 			}
-			if p.Waiting() != all || p.Inside() != len(out) || p.bytes != bytes || p.sessions < busy {
-				t.Fatalf("%d wait of %d, %d inside of %d, %d bytes of %d, %d busy of %d", p.Waiting(), all, p.Inside(), len(out), p.bytes, bytes, p.sessions, busy)
+			if p.Waiting() != all || p.Running() != len(out) || p.runningBytes != bytes || p.sessions < busy {
+				t.Fatalf("%d wait of %d, %d inside of %d, %d bytes of %d, %d busy of %d", p.Waiting(), all, p.Running(), len(out), p.runningBytes, bytes, p.sessions, busy)
 			}
-			if len(out) > p.terms.Inside || len(out) > 1 && bytes > terms.Bytes {
+			if len(out) > p.limits.Inside || len(out) > 1 && bytes > terms.Bytes {
 				t.Fatalf("%d inside with %d bytes", len(out), bytes)
 			}
 			if all > 0 && len(out) == 0 {
@@ -115,14 +115,14 @@
 	served, waits = make([]int, len(depths)), make([]int, len(depths))
 	index := map[*Session]int{}
 	for k := range depths {
-		sessions[k] = p.Join()
+		sessions[k] = p.NewSession()
 		index[sessions[k]] = k
 	}
-	var out []*Item
+	var out []*Command
 	for range rounds {
 		for k, s := range sessions {
-			for s.Held() < min(depths[k], s.Window()) {
-				s.Want(&Item{Cost: cost[k]})
+			for s.Outstanding() < min(depths[k], s.Window()) {
+				s.Enqueue(&Command{Cost: cost[k]})
 			}
 		}
 		for i := p.Next(); i != nil; i = p.Next() {
@@ -134,13 +134,13 @@
 			out = append(out[:k], out[k+1:]...)
 			end := Served
 			if len(out) > 4*slots { // more inside than it can do
-				end = Dismissed
+				end = Rejected
 			}
 			p.Done(i, end)
-			served[index[i.by]]++
+			served[index[i.session]]++
 		}
 		for k, s := range sessions {
-			if s.Held() > 0 {
+			if s.Outstanding() > 0 {
 				waits[k]++
 			}
 		}
@@ -151,15 +151,15 @@
 // A session with one command at a time and one with 256 have what each can use: the first is not starved, and two deep
 // ones of any depths share evenly by bytes.
 func TestFairness(t *testing.T) {
-	served, _ := serve(New(DefaultTerms), []int{1, 256}, []int{4096, 4096}, 4, 10_000, 1)
+	served, _ := serve(New(DefaultLimits), []int{1, 256}, []int{4096, 4096}, 4, 10_000, 1)
 	if served[0] < 800 || served[0]+served[1] < 39_000 { // alone it would have 10,000; with 16 inside it waits about four rounds
 		t.Errorf("served %v", served)
 	}
-	served, _ = serve(New(DefaultTerms), []int{32, 256}, []int{4096, 4096}, 4, 10_000, 2)
+	served, _ = serve(New(DefaultLimits), []int{32, 256}, []int{4096, 4096}, 4, 10_000, 2)
 	if ratio := float64(served[0]) / float64(served[1]); ratio < 0.9 || ratio > 1.1 {
 		t.Errorf("depths 32 and 256: %v, ratio %.2f", served, ratio)
 	}
-	served, _ = serve(New(DefaultTerms), []int{256, 256}, []int{4096, 65536}, 4, 10_000, 3)
+	served, _ = serve(New(DefaultLimits), []int{256, 256}, []int{4096, 65536}, 4, 10_000, 3)
 	if ratio := float64(served[0]) / float64(16*served[1]); ratio < 0.9 || ratio > 1.1 {
 		t.Errorf("4 KiB and 64 KiB: %v, ratio of bytes %.2f", served, ratio)
 	}
@@ -168,11 +168,11 @@
 // The bound falls when commands are dismissed, once for all that were inside together, and comes back by and by; each
 // change of state is told once.
 func TestBound(t *testing.T) {
-	p := New(Terms{Least: 1, Most: 100, Start: 10, Inside: 20, Bytes: 1 << 30, Quantum: 1})
-	s := p.Join()
-	fill := func() (list []*Item) {
+	p := New(Limits{Least: 1, Most: 100, Start: 10, Inside: 20, Bytes: 1 << 30, Quantum: 1})
+	s := p.NewSession()
+	fill := func() (list []*Command) {
 		for range 40 {
-			s.Want(&Item{})
+			s.Enqueue(&Command{})
 		}
 		for i := p.Next(); i != nil; i = p.Next() {
 			list = append(list, i)
@@ -184,12 +184,12 @@
 		t.Fatalf("%d go in, window %d", len(all), s.Window())
 	}
 	for _, i := range all {
-		p.Done(i, Dismissed)
+		p.Done(i, Rejected)
 	}
-	if p.Bound() != 7 || p.State() != Slow || !p.Changed() || p.Changed() {
+	if p.Bound() != 7 || p.State() != Limited || !p.TakeStateChange() || p.TakeStateChange() {
 		t.Errorf("bound %d, %v", p.Bound(), p.State())
 	}
-	for n := 0; p.State() == Slow; n++ {
+	for n := 0; p.State() == Limited; n++ {
 		if n > 200 {
 			t.Fatalf("bound %v does not come back", p.bound)
 		}
@@ -197,7 +197,7 @@
 			p.Done(i, Served)
 		}
 	}
-	if !p.Changed() || p.Bound() < 10 {
+	if !p.TakeStateChange() || p.Bound() < 10 {
 		t.Errorf("bound %d, %v", p.Bound(), p.State())
 	}
 	for range 500 {
--- a/internal/iscsi/pdu.go
+++ b/internal/iscsi/pdu.go
@@ -14,24 +14,24 @@
 
 // Opcodes, the initiator's and then the target's.
 const (
-	NopOut      Opcode = 0x00
-	Command     Opcode = 0x01
-	TaskRequest Opcode = 0x02
-	LoginAsk    Opcode = 0x03
-	TextAsk     Opcode = 0x04
-	DataOut     Opcode = 0x05
-	LogoutAsk   Opcode = 0x06
-	Snack       Opcode = 0x10
-	NopIn       Opcode = 0x20
-	Response    Opcode = 0x21
-	TaskAnswer  Opcode = 0x22
-	LoginTell   Opcode = 0x23
-	TextTell    Opcode = 0x24
-	DataIn      Opcode = 0x25
-	LogoutTell  Opcode = 0x26
-	ReadyTo     Opcode = 0x31 // R2T
-	Async       Opcode = 0x32
-	Reject      Opcode = 0x3f
+	NopOut                 Opcode = 0x00
+	Command                Opcode = 0x01
+	TaskManagementRequest  Opcode = 0x02
+	LoginRequest           Opcode = 0x03
+	TextRequest            Opcode = 0x04
+	DataOut                Opcode = 0x05
+	LogoutRequest          Opcode = 0x06
+	SNACK                  Opcode = 0x10
+	NopIn                  Opcode = 0x20
+	Response               Opcode = 0x21
+	TaskManagementResponse Opcode = 0x22
+	LoginResponse          Opcode = 0x23
+	TextResponse           Opcode = 0x24
+	DataIn                 Opcode = 0x25
+	LogoutResponse         Opcode = 0x26
+	ReadyToTransfer        Opcode = 0x31 // R2T
+	AsyncMessage           Opcode = 0x32
+	Reject                 Opcode = 0x3f
 )
 
 // Flags of a PDU's second byte.
@@ -48,80 +48,80 @@
 // NoTag stands where there is no tag (RFC 7143, 11.2.1.8).
 const NoTag = 0xffffffff
 
-// headSize is that of a basic header segment.
-const headSize = 48
+// headerSize is that of a basic header segment.
+const headerSize = 48
 
 // PDU is a protocol data unit: its basic header, further headers and data. Fields are read and written in place, at the
 // offsets of RFC 7143, 11.
 type PDU struct {
-	Head [headSize]byte
-	More []byte // additional header segments
-	Data []byte
-	Bad  bool // its data's digest does not fit
+	Header            [headerSize]byte
+	AdditionalHeaders []byte // additional header segments
+	Data              []byte
+	BadDataDigest     bool // its data's digest does not fit
 }
 
 // New makes a PDU.
 func New(op Opcode, flags byte) *PDU {
 	p := &PDU{}
-	p.Head[0], p.Head[1] = byte(op), flags
+	p.Header[0], p.Header[1] = byte(op), flags
 	return p
 }
 
-// Op is the opcode, without the mark of an immediate PDU.
-func (p *PDU) Op() Opcode { return Opcode(p.Head[0] & 0x3f) }
+// Opcode is the opcode, without the mark of an immediate PDU.
+func (p *PDU) Opcode() Opcode { return Opcode(p.Header[0] & 0x3f) }
 
 // Immediate tells whether the PDU is marked for immediate delivery.
-func (p *PDU) Immediate() bool { return p.Head[0]&0x40 != 0 }
+func (p *PDU) Immediate() bool { return p.Header[0]&0x40 != 0 }
 
 // Flags are the bits of byte 1.
-func (p *PDU) Flags() byte { return p.Head[1] }
+func (p *PDU) Flags() byte { return p.Header[1] }
 
 // Final tells whether it is the last PDU of its sequence.
-func (p *PDU) Final() bool { return p.Head[1]&Final != 0 }
+func (p *PDU) Final() bool { return p.Header[1]&Final != 0 }
 
 // Tag is the initiator task tag.
-func (p *PDU) Tag() uint32 { return p.U32(16) }
+func (p *PDU) Tag() uint32 { return p.Uint32(16) }
 
-// Lun is the field of the logical unit number, 8 bytes, not copied.
-func (p *PDU) Lun() []byte { return p.Head[8:16] }
+// LUN is the field of the logical unit number, 8 bytes, not copied.
+func (p *PDU) LUN() []byte { return p.Header[8:16] }
 
-// U32 is the big-endian field of 32 bits at an offset of the header.
-func (p *PDU) U32(at int) uint32 { return binary.BigEndian.Uint32(p.Head[at:]) }
+// Uint32 is the big-endian field of 32 bits at an offset of the header.
+func (p *PDU) Uint32(at int) uint32 { return binary.BigEndian.Uint32(p.Header[at:]) }
 
-// U16 is the big-endian field of 16 bits at an offset of the header.
-func (p *PDU) U16(at int) uint16 { return binary.BigEndian.Uint16(p.Head[at:]) }
+// Uint16 is the big-endian field of 16 bits at an offset of the header.
+func (p *PDU) Uint16(at int) uint16 { return binary.BigEndian.Uint16(p.Header[at:]) }
 
-// Put sets a field of 32 bits.
-func (p *PDU) Put(at int, v uint32) *PDU {
-	binary.BigEndian.PutUint32(p.Head[at:], v)
+// SetUint32 sets a field of 32 bits.
+func (p *PDU) SetUint32(at int, v uint32) *PDU {
+	binary.BigEndian.PutUint32(p.Header[at:], v)
 	return p
 }
 
-// Put16 sets a field of 16 bits.
-func (p *PDU) Put16(at int, v uint16) *PDU {
-	binary.BigEndian.PutUint16(p.Head[at:], v)
+// SetUint16 sets a field of 16 bits.
+func (p *PDU) SetUint16(at int, v uint16) *PDU {
+	binary.BigEndian.PutUint16(p.Header[at:], v)
 	return p
 }
 
-// Byte sets a byte.
-func (p *PDU) Byte(at int, v byte) *PDU {
-	p.Head[at] = v
+// SetByte sets a byte.
+func (p *PDU) SetByte(at int, v byte) *PDU {
+	p.Header[at] = v
 	return p
 }
 
-// With gives it data, which is not copied.
-func (p *PDU) With(data []byte) *PDU {
+// SetData gives it data, which is not copied.
+func (p *PDU) SetData(data []byte) *PDU {
 	p.Data = data
 	return p
 }
 
 // Digests tells which digests a connection's PDUs have, in one direction.
-type Digests struct{ Head, Data bool }
+type Digests struct{ Header, Data bool }
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// sum is a digest as it stands on the wire: CRC32C, whose lowest byte goes first (RFC 7143, 13.1, with RFC 3385).
-func sum(b ...[]byte) []byte {
+// crc32c is a digest as it stands on the wire: CRC32C, whose lowest byte goes first (RFC 7143, 13.1, with RFC 3385).
+func crc32c(b ...[]byte) []byte {
 	c := uint32(0)
 	for _, part := range b {
 		c = crc32.Update(c, castagnoli, part)
@@ -131,30 +131,30 @@
 
 func padding(n int) int { return -n & 3 }
 
-// Sealed is a PDU that is ready to be sent. It is a link.Packet.
-type Sealed struct{ head, tail []byte }
+// EncodedPDU is a PDU that is ready to be sent. It is a link.Packet.
+type EncodedPDU struct{ head, tail []byte }
 
 // Size is its bytes.
-func (s *Sealed) Size() int { return len(s.head) + len(s.tail) }
+func (s *EncodedPDU) Size() int { return len(s.head) + len(s.tail) }
 
 // Bytes are they.
-func (s *Sealed) Bytes() (head, tail []byte) { return s.head, s.tail }
+func (s *EncodedPDU) Bytes() (head, tail []byte) { return s.head, s.tail }
 
-// Seal fills in lengths and digests. Data that needs neither padding nor a digest is not copied.
-func (p *PDU) Seal(d Digests) *Sealed {
+// Encode fills in lengths and digests. Data that needs neither padding nor a digest is not copied.
+func (p *PDU) Encode(d Digests) *EncodedPDU {
 	n := len(p.Data)
-	p.Head[4] = byte((len(p.More) + 3) / 4)
-	p.Head[5], p.Head[6], p.Head[7] = byte(n>>16), byte(n>>8), byte(n)
-	s := &Sealed{head: append([]byte{}, p.Head[:]...)}
-	s.head = append(append(s.head, p.More...), make([]byte, padding(len(p.More)))...)
-	if d.Head {
-		s.head = append(s.head, sum(s.head)...)
+	p.Header[4] = byte((len(p.AdditionalHeaders) + 3) / 4)
+	p.Header[5], p.Header[6], p.Header[7] = byte(n>>16), byte(n>>8), byte(n)
+	s := &EncodedPDU{head: append([]byte{}, p.Header[:]...)}
+	s.head = append(append(s.head, p.AdditionalHeaders...), make([]byte, padding(len(p.AdditionalHeaders)))...)
+	if d.Header {
+		s.head = append(s.head, crc32c(s.head)...)
 	}
 	s.tail = p.Data
 	if pad := padding(n); n > 0 && (pad > 0 || d.Data) {
 		s.tail = append(append(make([]byte, 0, n+pad+4), p.Data...), make([]byte, pad)...)
 		if d.Data {
-			s.tail = append(s.tail, sum(s.tail)...)
+			s.tail = append(s.tail, crc32c(s.tail)...)
 		}
 	}
 	return s
@@ -162,8 +162,8 @@
 
 // Errors of Read.
 var (
-	ErrTooLong = errors.New("iscsi: a PDU is longer than was agreed")
-	ErrDigest  = errors.New("iscsi: a header digest does not fit")
+	ErrTooLong      = errors.New("iscsi: a PDU is longer than was agreed")
+	ErrHeaderDigest = errors.New("iscsi: a header digest does not fit")
 )
 
 // Source is where PDUs are read from: a netpoll.Reader, or bytes.
@@ -176,27 +176,27 @@
 // errors: what follows cannot be read. A data digest that does not fit marks the PDU as Bad.
 func Read(r Source, d Digests, most int) (*PDU, error) {
 	p := &PDU{}
-	b, err := r.ReadBinary(headSize)
+	b, err := r.ReadBinary(headerSize)
 	if err != nil {
 		return nil, err
 	}
-	copy(p.Head[:], b)
-	more, n := 4*int(p.Head[4]), int(p.Head[5])<<16|int(p.Head[6])<<8|int(p.Head[7])
+	copy(p.Header[:], b)
+	more, n := 4*int(p.Header[4]), int(p.Header[5])<<16|int(p.Header[6])<<8|int(p.Header[7])
 	if n > most {
 		return nil, fmt.Errorf("%w: %d bytes of data, %d may be", ErrTooLong, n, most)
 	}
 	if more > 0 {
-		if p.More, err = r.ReadBinary(more); err != nil {
+		if p.AdditionalHeaders, err = r.ReadBinary(more); err != nil {
 			return nil, err
 		}
 	}
-	if d.Head {
+	if d.Header {
 		want, err := r.ReadBinary(4)
 		if err != nil {
 			return nil, err
 		}
-		if string(want) != string(sum(p.Head[:], p.More)) {
-			return nil, ErrDigest
+		if string(want) != string(crc32c(p.Header[:], p.AdditionalHeaders)) {
+			return nil, ErrHeaderDigest
 		}
 	}
 	if n > 0 {
@@ -209,7 +209,7 @@
 			if err != nil {
 				return nil, err
 			}
-			p.Bad = string(want) != string(sum(whole))
+			p.BadDataDigest = string(want) != string(crc32c(whole))
 		}
 		p.Data = whole[:n]
 	}
@@ -222,8 +222,8 @@
 // ErrText tells that a text is not made of keys and values.
 var ErrText = errors.New("iscsi: a text is not made of key=value pairs")
 
-// ReadText reads the keys and values of a text (RFC 7143, 6.1).
-func ReadText(b []byte) (list []Pair, err error) {
+// DecodeText reads the keys and values of a text (RFC 7143, 6.1).
+func DecodeText(b []byte) (list []Pair, err error) {
 	for _, part := range strings.Split(string(b), "\x00") {
 		if part == "" {
 			continue
@@ -237,8 +237,8 @@
 	return list, nil
 }
 
-// Text writes keys and values.
-func Text(list []Pair) (b []byte) {
+// EncodeText writes keys and values.
+func EncodeText(list []Pair) (b []byte) {
 	for _, p := range list {
 		b = append(append(append(append(b, p.Key...), '='), p.Value...), 0)
 	}
--- a/internal/iscsi/pdu_test.go
+++ b/internal/iscsi/pdu_test.go
@@ -23,7 +23,7 @@
 func (p plain) Release() error { return nil }
 
 func wire(p *PDU, d Digests) []byte {
-	head, tail := p.Seal(d).Bytes()
+	head, tail := p.Encode(d).Bytes()
 	return append(append([]byte{}, head...), tail...)
 }
 
@@ -31,27 +31,27 @@
 func TestComeBack(t *testing.T) {
 	for n := range 9 {
 		for k := range 16 {
-			d := Digests{Head: k&1 != 0, Data: k&2 != 0}
-			p := New(Command, Final|Reads).Put(16, 77).Put16(20, 5).Byte(2, 9).With(bytes.Repeat([]byte{'x'}, n))
-			p.More = make([]byte, 4*(k>>2))
+			d := Digests{Header: k&1 != 0, Data: k&2 != 0}
+			p := New(Command, Final|Reads).SetUint32(16, 77).SetUint16(20, 5).SetByte(2, 9).SetData(bytes.Repeat([]byte{'x'}, n))
+			p.AdditionalHeaders = make([]byte, 4*(k>>2))
 			if n == 0 {
 				p.Data = nil
 			}
-			if len(p.More) == 0 {
-				p.More = nil
+			if len(p.AdditionalHeaders) == 0 {
+				p.AdditionalHeaders = nil
 			}
 			b := wire(p, d)
 			if len(b)%4 != 0 {
 				t.Errorf("%d bytes", len(b))
 			}
 			got, err := Read(plain{bytes.NewReader(b)}, d, 100)
-			if err != nil || !reflect.DeepEqual(got, p) || got.Op() != Command || got.Tag() != 77 || !got.Final() || got.Immediate() {
+			if err != nil || !reflect.DeepEqual(got, p) || got.Opcode() != Command || got.Tag() != 77 || !got.Final() || got.Immediate() {
 				t.Errorf("%+v comes back as %+v, %v", p, got, err)
 			}
 		}
 	}
 	// RFC 7143 names CRC32C; its value for 32 zero bytes is in RFC 3720, B.4.
-	if got := sum(make([]byte, 32)); !bytes.Equal(got, []byte{0xaa, 0x36, 0x91, 0x8a}) {
+	if got := crc32c(make([]byte, 32)); !bytes.Equal(got, []byte{0xaa, 0x36, 0x91, 0x8a}) {
 		t.Errorf("%x", got)
 	}
 }
@@ -59,13 +59,13 @@
 // Each byte flipped: a header's is an error, data's marks the PDU.
 func TestFlips(t *testing.T) {
 	d := Digests{true, true}
-	p := New(DataOut, Final).Put(16, 1).With([]byte("twelve bytes"))
+	p := New(DataOut, Final).SetUint32(16, 1).SetData([]byte("twelve bytes"))
 	whole := wire(p, d)
 	for at := range whole {
 		b := bytes.Clone(whole)
 		b[at] ^= 0x10
 		got, err := Read(plain{bytes.NewReader(b)}, d, 1<<20)
-		if at < headSize+4 && err == nil || at >= headSize+4 && (err != nil || !got.Bad) {
+		if at < headerSize+4 && err == nil || at >= headerSize+4 && (err != nil || !got.BadDataDigest) {
 			t.Errorf("byte %d flipped: %v", at, err)
 		}
 	}
@@ -73,7 +73,7 @@
 
 // Lengths that lie: longer than was agreed, or than what there is.
 func TestLengths(t *testing.T) {
-	p := New(DataOut, Final).With(make([]byte, 101))
+	p := New(DataOut, Final).SetData(make([]byte, 101))
 	if _, err := Read(plain{bytes.NewReader(wire(p, Digests{}))}, Digests{}, 100); !errors.Is(err, ErrTooLong) {
 		t.Error(err)
 	}
@@ -87,11 +87,11 @@
 
 func TestTexts(t *testing.T) {
 	list := []Pair{{"InitiatorName", "iqn.2026-01.example:a"}, {"Empty", ""}, {"SessionType", "Normal"}}
-	if got, err := ReadText(Text(list)); err != nil || !reflect.DeepEqual(got, list) {
+	if got, err := DecodeText(EncodeText(list)); err != nil || !reflect.DeepEqual(got, list) {
 		t.Errorf("%v, %v", got, err)
 	}
 	for _, bad := range []string{"novalue\x00", "=x\x00", string(bytes.Repeat([]byte{'k'}, 64)) + "=v\x00"} {
-		if _, err := ReadText([]byte(bad)); !errors.Is(err, ErrText) {
+		if _, err := DecodeText([]byte(bad)); !errors.Is(err, ErrText) {
 			t.Errorf("%q: %v", bad, err)
 		}
 	}
@@ -99,17 +99,17 @@
 
 // Any bytes are read or refused; what is read is written again as it was.
 func FuzzRead(f *testing.F) {
-	f.Add(wire(New(Command, Final).With([]byte("abc")), Digests{true, true}), true, true)
+	f.Add(wire(New(Command, Final).SetData([]byte("abc")), Digests{true, true}), true, true)
 	f.Fuzz(func(t *testing.T, b []byte, head, data bool) {
 		d := Digests{head, data}
 		p, err := Read(plain{bytes.NewReader(b)}, d, 1<<16)
-		if err != nil || p.Bad {
+		if err != nil || p.BadDataDigest {
 			return
 		}
 		again, err := Read(plain{bytes.NewReader(wire(p, d))}, d, 1<<16)
-		if err != nil || again.Head != p.Head || !bytes.Equal(again.Data, p.Data) || !bytes.Equal(again.More, p.More) {
+		if err != nil || again.Header != p.Header || !bytes.Equal(again.Data, p.Data) || !bytes.Equal(again.AdditionalHeaders, p.AdditionalHeaders) {
 			t.Errorf("%+v comes back as %+v, %v", p, again, err)
 		}
-		_, _ = ReadText(p.Data) // read or refused
+		_, _ = DecodeText(p.Data) // read or refused
 	})
 }
--- a/internal/iscsi/target/session.go
+++ b/internal/iscsi/target/session.go
@@ -95,10 +95,10 @@
 	}
 	x.client.Close()
 	x.server.pacing.Lock()
-	rest := x.pace.Leave()
+	rest := x.pace.Close()
 	x.server.pacing.Unlock()
 	for _, i := range rest {
-		i.Of.(*task).gone()
+		i.Owner.(*task).gone()
 	}
 	x.lock.Lock()
 	var inside, outside []*task // that will get no data any more
@@ -123,7 +123,7 @@
 // ReadPacket takes a PDU.
 func (x *session) ReadPacket(r netpoll.Reader) error {
 	x.lock.Lock()
-	d, most := x.digests, x.params.OurSegment
+	d, most := x.digests, x.params.OwnMaxSegment
 	if x.state == loggingIn {
 		most = 8192
 	}
@@ -132,7 +132,7 @@
 	if err != nil {
 		return err
 	}
-	if p.Bad && p.Op() != iscsi.DataOut {
+	if p.BadDataDigest && p.Opcode() != iscsi.DataOut {
 		x.reject(p, 0x02)
 		return errors.New("a data digest does not fit")
 	}
@@ -150,33 +150,33 @@
 
 // step takes a login request.
 func (x *session) step(p *iscsi.PDU) error {
-	if p.Op() != iscsi.LoginAsk {
-		return fmt.Errorf("a PDU of kind %#x before the login", byte(p.Op()))
+	if p.Opcode() != iscsi.LoginRequest {
+		return fmt.Errorf("a PDU of kind %#x before the login", byte(p.Opcode()))
 	}
 	x.lock.Lock()
 	if !x.begun {
-		x.begun, x.expCmd, x.maxCmd = true, p.U32(24), p.U32(24)
-		copy(x.identity.isid[:], p.Head[8:14])
+		x.begun, x.expCmd, x.maxCmd = true, p.Uint32(24), p.Uint32(24)
+		copy(x.identity.isid[:], p.Header[8:14])
 	}
 	x.lock.Unlock()
 	var a negotiate.Answer
-	var refusal *negotiate.Refusal
+	var refusal *negotiate.Rejection
 	switch {
-	case p.Head[3] > 0: // the least version that it speaks
-		refusal = &negotiate.Refusal{Class: 2, Detail: 5, Why: "version 0 is spoken"}
-	case p.U16(14) != 0:
-		refusal = &negotiate.Refusal{Class: 2, Detail: 6, Why: "a session has one connection"}
+	case p.Header[3] > 0: // the least version that it speaks
+		refusal = &negotiate.Rejection{Class: 2, Detail: 5, Reason: "version 0 is spoken"}
+	case p.Uint16(14) != 0:
+		refusal = &negotiate.Rejection{Class: 2, Detail: 6, Reason: "a session has one connection"}
 	case x.server.opt.Front.Stopping():
-		refusal = &negotiate.Refusal{Class: 3, Detail: 1, Why: "the gateway is stopping"}
+		refusal = &negotiate.Rejection{Class: 3, Detail: 1, Reason: "the gateway is stopping"}
 	default:
 		a, refusal = x.login.Step(negotiate.Request{Current: negotiate.Stage(p.Flags() >> 2 & 3), Next: negotiate.Stage(p.Flags() & 3),
 			Transit: p.Final(), Continue: p.Flags()&iscsi.Continue != 0, Text: p.Data})
 	}
-	out := iscsi.New(iscsi.LoginTell, 0).Put(16, p.Tag())
-	copy(out.Head[8:14], p.Head[8:14])
+	out := iscsi.New(iscsi.LoginResponse, 0).SetUint32(16, p.Tag())
+	copy(out.Header[8:14], p.Header[8:14])
 	if refusal != nil {
-		x.server.opt.Log.Warn("login refused", "from", x.conn.RemoteAddr(), "initiator", x.login.Initiator, "why", refusal.Why)
-		out.Byte(1, p.Flags()&0x0c).Byte(36, refusal.Class).Byte(37, refusal.Detail)
+		x.server.opt.Log.Warn("login refused", "from", x.conn.RemoteAddr(), "initiator", x.login.Initiator, "why", refusal.Reason)
+		out.SetByte(1, p.Flags()&0x0c).SetByte(36, refusal.Class).SetByte(37, refusal.Detail)
 		x.lock.Lock()
 		x.send(out, true)
 		x.lock.Unlock()
@@ -187,15 +187,15 @@
 	if a.Transit {
 		flags |= iscsi.Final | byte(a.Next)
 	}
-	out.Byte(1, flags).With(iscsi.Text(a.Pairs))
-	done := a.Transit && a.Next == negotiate.Full
+	out.SetByte(1, flags).SetData(iscsi.EncodeText(a.Pairs))
+	done := a.Transit && a.Next == negotiate.FullFeature
 	if done {
 		x.enter(out)
 	}
 	x.lock.Lock()
 	x.send(out, true)
 	if done { // what follows has what was agreed
-		x.digests = iscsi.Digests{Head: x.params.HeaderDigest, Data: x.params.DataDigest}
+		x.digests = iscsi.Digests{Header: x.params.HeaderDigest, Data: x.params.DataDigest}
 	}
 	x.lock.Unlock()
 	return nil
@@ -209,7 +209,7 @@
 	if !l.Discovery {
 		x.target = x.server.targets[l.Target]
 		x.server.pacing.Lock()
-		x.pace = x.server.pacer.Join()
+		x.pace = x.server.pacer.NewSession()
 		x.server.pacing.Unlock()
 	}
 	x.lock.Lock()
@@ -217,7 +217,7 @@
 	x.handle = uint16(x.server.handles.Add(1)%0xffff + 1)
 	x.move(full)
 	x.lock.Unlock()
-	out.Put16(14, x.handle)
+	out.SetUint16(14, x.handle)
 	if !l.Discovery {
 		x.server.enter(x)
 	}
@@ -232,27 +232,27 @@
 		room = 8
 	case x.pace != nil:
 		x.server.pacing.Lock()
-		room = int32(x.pace.Window() - x.pace.Held())
+		room = int32(x.pace.Window() - x.pace.Outstanding())
 		x.server.pacing.Unlock()
 	}
 	if top := x.expCmd + uint32(max(room, 0)) - 1; int32(top-x.maxCmd) > 0 { // a window never shrinks (RFC 7143, 4.2.2.1)
 		x.maxCmd = top
 	}
-	p.Put(28, x.expCmd).Put(32, x.maxCmd)
-	if op := p.Op(); op != iscsi.DataIn || status {
-		p.Put(24, x.statSN)
+	p.SetUint32(28, x.expCmd).SetUint32(32, x.maxCmd)
+	if op := p.Opcode(); op != iscsi.DataIn || status {
+		p.SetUint32(24, x.statSN)
 	}
 	if status {
 		x.statSN++
 	}
-	x.conn.Send(p.Seal(x.digests))
+	x.conn.Send(p.Encode(x.digests))
 }
 
 // reject answers a PDU that cannot be taken (RFC 7143, 11.17).
 func (x *session) reject(p *iscsi.PDU, reason byte) {
 	x.lock.Lock()
 	defer x.lock.Unlock()
-	x.send(iscsi.New(iscsi.Reject, iscsi.Final).Byte(2, reason).Put(16, iscsi.NoTag).With(slices.Clone(p.Head[:])), true)
+	x.send(iscsi.New(iscsi.Reject, iscsi.Final).SetByte(2, reason).SetUint32(16, iscsi.NoTag).SetData(slices.Clone(p.Header[:])), true)
 }
 
 // mostEarly is how many commands are kept whose turn has not come.
@@ -262,21 +262,21 @@
 
 // take takes a PDU of the full feature phase. Requests that have a command number are taken in its order.
 func (x *session) take(p *iscsi.PDU) error {
-	switch p.Op() {
+	switch p.Opcode() {
 	case iscsi.DataOut:
 		return x.data(p)
-	case iscsi.Snack:
+	case iscsi.SNACK:
 		x.reject(p, 0x03) // nothing is kept to be sent again
 		return nil
-	case iscsi.Command, iscsi.TaskRequest, iscsi.TextAsk, iscsi.LogoutAsk, iscsi.NopOut:
+	case iscsi.Command, iscsi.TaskManagementRequest, iscsi.TextRequest, iscsi.LogoutRequest, iscsi.NopOut:
 	default:
 		x.reject(p, protocolError)
-		return fmt.Errorf("a PDU of kind %#x in the full feature phase", byte(p.Op()))
+		return fmt.Errorf("a PDU of kind %#x in the full feature phase", byte(p.Opcode()))
 	}
 	if p.Immediate() {
 		return x.do(p)
 	}
-	number := p.U32(24)
+	number := p.Uint32(24)
 	x.lock.Lock()
 	switch {
 	case int32(number-x.expCmd) < 0 || int32(number-x.maxCmd) > 0: // a repeat, or outside of the window: let be (RFC 7143, 4.2.2.1)
@@ -307,20 +307,20 @@
 
 // do carries out a request whose turn has come.
 func (x *session) do(p *iscsi.PDU) error {
-	switch p.Op() {
+	switch p.Opcode() {
 	case iscsi.NopOut:
 		x.lock.Lock()
 		defer x.lock.Unlock()
 		if p.Tag() != iscsi.NoTag {
-			out := iscsi.New(iscsi.NopIn, iscsi.Final).Put(16, p.Tag()).Put(20, iscsi.NoTag).With(p.Data[:min(len(p.Data), x.params.TheirSegment)])
-			copy(out.Head[8:16], p.Lun())
+			out := iscsi.New(iscsi.NopIn, iscsi.Final).SetUint32(16, p.Tag()).SetUint32(20, iscsi.NoTag).SetData(p.Data[:min(len(p.Data), x.params.PeerMaxSegment)])
+			copy(out.Header[8:16], p.LUN())
 			x.send(out, true)
 		}
-	case iscsi.TextAsk:
+	case iscsi.TextRequest:
 		x.text(p)
-	case iscsi.LogoutAsk:
+	case iscsi.LogoutRequest:
 		return x.logout(p)
-	case iscsi.TaskRequest:
+	case iscsi.TaskManagementRequest:
 		x.manage(p)
 	case iscsi.Command:
 		if x.target == nil {
@@ -342,15 +342,15 @@
 		x.texts = nil
 	}
 	x.lock.Unlock()
-	out := iscsi.New(iscsi.TextTell, iscsi.Final).Put(16, p.Tag()).Put(20, iscsi.NoTag)
+	out := iscsi.New(iscsi.TextResponse, iscsi.Final).SetUint32(16, p.Tag()).SetUint32(20, iscsi.NoTag)
 	if more {
 		if len(whole) > 64<<10 {
 			x.reject(p, protocolError)
 			return
 		}
-		out.Byte(1, 0).Put(20, 1) // go on
+		out.SetByte(1, 0).SetUint32(20, 1) // go on
 	} else {
-		pairs, err := iscsi.ReadText(whole)
+		pairs, err := iscsi.DecodeText(whole)
 		if err != nil {
 			x.reject(p, badField)
 			return
@@ -367,8 +367,8 @@
 				}
 			}
 		}
-		out.With(iscsi.Text(tell))
-		if len(out.Data) > x.params.TheirSegment {
+		out.SetData(iscsi.EncodeText(tell))
+		if len(out.Data) > x.params.PeerMaxSegment {
 			x.reject(p, notSupported) // more targets than one answer holds
 			return
 		}
@@ -380,16 +380,16 @@
 
 // logout ends the session, with an answer.
 func (x *session) logout(p *iscsi.PDU) error {
-	out := iscsi.New(iscsi.LogoutTell, iscsi.Final).Put(16, p.Tag())
+	out := iscsi.New(iscsi.LogoutResponse, iscsi.Final).SetUint32(16, p.Tag())
 	x.lock.Lock()
 	if p.Flags()&0x7f > 1 {
-		out.Byte(2, 2) // connections are not recovered
+		out.SetByte(2, 2) // connections are not recovered
 		x.send(out, true)
 		x.lock.Unlock()
 		return nil
 	}
 	x.move(leaving)
-	out.Put16(40, uint16(x.params.Wait)).Put16(42, uint16(x.params.Retain))
+	out.SetUint16(40, uint16(x.params.TimeToWait)).SetUint16(42, uint16(x.params.TimeToRetain))
 	x.send(out, true)
 	x.lock.Unlock()
 	x.conn.WaitSent(time.Second)
@@ -403,7 +403,7 @@
 	if x.state != full {
 		return
 	}
-	x.send(iscsi.New(iscsi.Async, iscsi.Final).Put(16, iscsi.NoTag).Byte(36, 1).Put16(42, 3), true)
+	x.send(iscsi.New(iscsi.AsyncMessage, iscsi.Final).SetUint32(16, iscsi.NoTag).SetByte(36, 1).SetUint16(42, 3), true)
 }
 
 // Task management functions and answers (RFC 7143, 11.5 and 11.6).
@@ -422,15 +422,15 @@
 	answer := func(code byte) {
 		x.lock.Lock()
 		defer x.lock.Unlock()
-		x.send(iscsi.New(iscsi.TaskAnswer, iscsi.Final).Byte(2, code).Put(16, p.Tag()), true)
+		x.send(iscsi.New(iscsi.TaskManagementResponse, iscsi.Final).SetByte(2, code).SetUint32(16, p.Tag()), true)
 	}
-	lun, known := scsi.DecodeLUN(p.Lun())
+	lun, known := scsi.DecodeLUN(p.LUN())
 	unit := x.target.Units[lun]
 	var list []*task
 	switch p.Flags() & 0x7f {
 	case abortTask:
 		x.lock.Lock()
-		t := x.tasks[p.U32(20)]
+		t := x.tasks[p.Uint32(20)]
 		x.lock.Unlock()
 		if t == nil {
 			answer(noTask)
--- a/internal/iscsi/target/target.go
+++ b/internal/iscsi/target/target.go
@@ -43,13 +43,13 @@
 	Login       time.Duration // a login that takes longer is closed
 	Unread      int           // bytes that an initiator may leave unread; past it commands are answered TASK SET FULL
 	Wire        packetconn.Limits
-	Pace        pace.Terms
+	Pace        pace.Limits
 }
 
 // DefaultLimits are used where nothing else is said.
 var DefaultLimits = Limits{Connections: 1024, Login: 10 * time.Second, Unread: 16 << 20,
 	Wire: packetconn.Limits{MaxPacket: 256 << 10, MaxReadAhead: 32 << 20, MaxUnsent: 64 << 20, WriteTimeout: 10 * time.Second},
-	Pace: pace.Terms{Least: 2, Most: 256, Start: 32, Inside: 512, Bytes: 32 << 20, Quantum: 64 << 10}}
+	Pace: pace.Limits{Least: 2, Most: 256, Start: 32, Inside: 512, Bytes: 32 << 20, Quantum: 64 << 10}}
 
 // Options are what a server is started with.
 type Options struct {
@@ -82,9 +82,9 @@
 // Listen starts a server.
 func Listen(addr string, opt Options) (*Server, error) {
 	if opt.Params == (negotiate.Params{}) {
-		opt.Params = negotiate.Ours
+		opt.Params = negotiate.Preferred
 	}
-	opt.Params.OurSegment = min(opt.Params.OurSegment, opt.Limits.Wire.MaxPacket)
+	opt.Params.OwnMaxSegment = min(opt.Params.OwnMaxSegment, opt.Limits.Wire.MaxPacket)
 	s := &Server{opt: opt, targets: map[string]*Target{}, sessions: map[identity]*session{}, pacer: pace.New(opt.Limits.Pace),
 		ready: make(chan struct{})}
 	for _, t := range opt.Targets {
@@ -154,7 +154,7 @@
 	s.lock.Unlock()
 	s.pacing.Lock()
 	defer s.pacing.Unlock()
-	return Status{s.pacer.State().String(), n, s.pacer.Inside(), s.pacer.Waiting(), s.pacer.Bound()}
+	return Status{s.pacer.State().String(), n, s.pacer.Running(), s.pacer.Waiting(), s.pacer.Bound()}
 }
 
 // login is the options of a session's login.
@@ -201,7 +201,7 @@
 	for {
 		s.pacing.Lock()
 		i := s.pacer.Next()
-		changed, state, bound := s.pacer.Changed(), s.pacer.State(), s.pacer.Bound()
+		changed, state, bound := s.pacer.TakeStateChange(), s.pacer.State(), s.pacer.Bound()
 		s.pacing.Unlock()
 		if changed {
 			s.opt.Log.Info("pace of commands", "state", state.String(), "bound", bound)
@@ -209,7 +209,7 @@
 		if i == nil {
 			return
 		}
-		i.Of.(*task).goIn()
+		i.Owner.(*task).goIn()
 	}
 }
 
--- a/internal/iscsi/target/task.go
+++ b/internal/iscsi/target/task.go
@@ -35,7 +35,7 @@
 	lun     [8]byte
 	command scsi.Command
 	expects uint32 // bytes that the initiator expects to pass, either way
-	item    *pace.Item
+	item    *pace.Command
 	state   taskState // under the session's lock, as are all that follow
 	dead    bool      // aborted: no answer
 	told    bool      // aborted by another session: its answer says so
@@ -60,8 +60,8 @@
 
 // command takes in a SCSI command.
 func (x *session) command(p *iscsi.PDU) {
-	t := &task{session: x, tag: p.Tag(), expects: p.U32(20), done: make(chan struct{})}
-	copy(t.lun[:], p.Lun())
+	t := &task{session: x, tag: p.Tag(), expects: p.Uint32(20), done: make(chan struct{})}
+	copy(t.lun[:], p.LUN())
 	x.server.opt.Front.BeginRequest()
 	x.lock.Lock()
 	if x.tasks[t.tag] != nil {
@@ -76,7 +76,7 @@
 	if known {
 		t.unit = x.target.Units[lun]
 	}
-	cdb := p.Head[32:48]
+	cdb := p.Header[32:48]
 	if t.unit == nil {
 		t.without(cdb)
 		return
@@ -189,9 +189,9 @@
 	if t.command.Kind == scsi.Read || t.command.Kind == scsi.Verify {
 		cost = int(t.command.Blocks * uint64(t.unit.BlockSize))
 	}
-	t.item = &pace.Item{Cost: cost, Of: t}
+	t.item = &pace.Command{Cost: cost, Owner: t}
 	x.server.pacing.Lock()
-	x.pace.Want(t.item)
+	x.pace.Enqueue(t.item)
 	x.server.pacing.Unlock()
 	x.lock.Unlock()
 	x.server.pump()
@@ -230,7 +230,7 @@
 // ask asks for data, as far as may be out at a time; the session's lock is held.
 func (t *task) ask() {
 	x := t.session
-	for t.asked < t.want && len(t.out) < x.params.MaxR2T {
+	for t.asked < t.want && len(t.out) < x.params.MaxOutstandingR2T {
 		n := min(t.want-t.asked, uint32(x.params.MaxBurst))
 		x.transfer++
 		if x.transfer == iscsi.NoTag {
@@ -238,8 +238,8 @@
 		}
 		tr := &transfer{tag: x.transfer, at: t.asked, to: t.asked + n}
 		t.out = append(t.out, tr)
-		p := iscsi.New(iscsi.ReadyTo, iscsi.Final).Put(16, t.tag).Put(20, tr.tag).Put(36, t.r2t).Put(40, tr.at).Put(44, n)
-		copy(p.Head[8:16], t.lun[:])
+		p := iscsi.New(iscsi.ReadyToTransfer, iscsi.Final).SetUint32(16, t.tag).SetUint32(20, tr.tag).SetUint32(36, t.r2t).SetUint32(40, tr.at).SetUint32(44, n)
+		copy(p.Header[8:16], t.lun[:])
 		x.send(p, false)
 		t.asked += n
 		t.r2t++
@@ -254,7 +254,7 @@
 		x.lock.Unlock()
 		return nil
 	}
-	at, n, sn := p.U32(40), uint32(len(p.Data)), p.U32(36)
+	at, n, sn := p.Uint32(40), uint32(len(p.Data)), p.Uint32(36)
 	bad := func(sense *scsi.Sense, reason byte) error {
 		state := t.state
 		x.lock.Unlock()
@@ -266,11 +266,11 @@
 		}
 		return nil
 	}
-	if p.Bad {
+	if p.BadDataDigest {
 		return bad(scsi.CRCError, 0x02)
 	}
 	if t.state == gathering { // unsolicited
-		if p.U32(20) != iscsi.NoTag || sn != t.nextOut || at != t.came && n > 0 || at+n > t.burst || at+n < at {
+		if p.Uint32(20) != iscsi.NoTag || sn != t.nextOut || at != t.came && n > 0 || at+n > t.burst || at+n < at {
 			return bad(scsi.NotEnoughUnsolicitedData, protocolError)
 		}
 		t.nextOut++
@@ -284,7 +284,7 @@
 	}
 	var tr *transfer
 	for _, o := range t.out {
-		if o.tag == p.U32(20) {
+		if o.tag == p.Uint32(20) {
 			tr = o
 		}
 	}
@@ -383,7 +383,7 @@
 	case front.Succeeded, front.Mismatch:
 		end = pace.Served
 	case front.Rejected:
-		end = pace.Dismissed
+		end = pace.Rejected
 	}
 	t.letOut(end)
 	switch r.Outcome {
@@ -411,7 +411,7 @@
 }
 
 // letOut tells the pacer that the command is no longer inside.
-func (t *task) letOut(e pace.End) {
+func (t *task) letOut(e pace.Outcome) {
 	s := t.session.server
 	s.pacing.Lock()
 	s.pacer.Done(t.item, e)
@@ -443,7 +443,7 @@
 		dropped = true
 	case queued:
 		x.server.pacing.Lock()
-		dropped = x.pace.Drop(t.item)
+		dropped = x.pace.Remove(t.item)
 		x.server.pacing.Unlock()
 	}
 	collects := t.state == collecting
@@ -500,27 +500,27 @@
 	sn := uint32(0)
 	if len(data) > 0 && status == scsi.Good {
 		for at, burst := 0, 0; at < len(data); {
-			n := min(len(data)-at, x.params.TheirSegment, x.params.MaxBurst-burst)
-			p := iscsi.New(iscsi.DataIn, 0).Put(16, t.tag).Put(20, iscsi.NoTag).Put(36, sn).Put(40, uint32(at)).With(data[at : at+n])
-			copy(p.Head[8:16], t.lun[:])
+			n := min(len(data)-at, x.params.PeerMaxSegment, x.params.MaxBurst-burst)
+			p := iscsi.New(iscsi.DataIn, 0).SetUint32(16, t.tag).SetUint32(20, iscsi.NoTag).SetUint32(36, sn).SetUint32(40, uint32(at)).SetData(data[at : at+n])
+			copy(p.Header[8:16], t.lun[:])
 			sn++
 			at += n
 			last := at == len(data)
 			if burst += n; burst == x.params.MaxBurst || last {
-				p.Byte(1, iscsi.Final)
+				p.SetByte(1, iscsi.Final)
 				burst = 0
 			}
 			if last {
-				p.Byte(1, iscsi.Final|iscsi.HasStatus|flags).Byte(3, byte(status)).Put(44, residual)
+				p.SetByte(1, iscsi.Final|iscsi.HasStatus|flags).SetByte(3, byte(status)).SetUint32(44, residual)
 			}
 			x.send(p, last)
 		}
 		return
 	}
-	p := iscsi.New(iscsi.Response, iscsi.Final|flags).Byte(3, byte(status)).Put(16, t.tag).Put(36, t.r2t).Put(44, residual)
+	p := iscsi.New(iscsi.Response, iscsi.Final|flags).SetByte(3, byte(status)).SetUint32(16, t.tag).SetUint32(36, t.r2t).SetUint32(44, residual)
 	if sense != nil {
 		b := sense.Bytes()
-		p.With(append([]byte{0, byte(len(b))}, b...))
+		p.SetData(append([]byte{0, byte(len(b))}, b...))
 	}
 	x.send(p, true)
 }
--- a/internal/serve/disk_test.go
+++ b/internal/serve/disk_test.go
@@ -326,13 +326,13 @@
 		b := random(r.Uint64(), 200)
 		closed("nonsense", send(b))
 	}
-	long := iscsi.New(iscsi.LoginAsk, 0x87)
-	long.Head[5] = 0xff
-	closed("a long login", send(long.Head[:]))
+	long := iscsi.New(iscsi.LoginRequest, 0x87)
+	long.Header[5] = 0xff
+	closed("a long login", send(long.Header[:]))
 	early := iscsi.New(iscsi.Command, 0x80)
-	closed("a command before the login", send(early.Head[:]))
-	half := iscsi.New(iscsi.LoginAsk, 0x80)
-	closed("half a login", send(half.Head[:20]))
+	closed("a command before the login", send(early.Header[:]))
+	half := iscsi.New(iscsi.LoginRequest, 0x80)
+	closed("half a login", send(half.Header[:20]))
 	d := openDisk(t, diskOptions(w, 0, nil), 0)
 	if _, err := d.WriteAt(random(1, 8192), 0); err != nil {
 		t.Error(err)
--- a/internal/serve/iscsi_test.go
+++ b/internal/serve/iscsi_test.go
@@ -50,22 +50,22 @@
 	for i := 0; i < len(keys); i += 2 {
 		list = append(list, iscsi.Pair{Key: keys[i], Value: keys[i+1]})
 	}
-	p := iscsi.New(iscsi.LoginAsk, 0x87).Put(16, 1).Put(24, w.next).With(iscsi.Text(list))
-	p.Head[0] |= 0x40
-	p.Head[13] = isid
+	p := iscsi.New(iscsi.LoginRequest, 0x87).SetUint32(16, 1).SetUint32(24, w.next).SetData(iscsi.EncodeText(list))
+	p.Header[0] |= 0x40
+	p.Header[13] = isid
 	w.send(p)
-	if a := w.take(); a.Op() != iscsi.LoginTell || a.Head[36] != 0 || a.Head[1] != 0x87 {
-		t.Fatalf("login: %x", a.Head)
+	if a := w.take(); a.Opcode() != iscsi.LoginResponse || a.Header[36] != 0 || a.Header[1] != 0x87 {
+		t.Fatalf("login: %x", a.Header)
 	}
 	for i := 0; i < len(keys); i += 2 {
-		w.d.Head = w.d.Head || keys[i] == "HeaderDigest"
+		w.d.Header = w.d.Header || keys[i] == "HeaderDigest"
 		w.d.Data = w.d.Data || keys[i] == "DataDigest"
 	}
 	return w
 }
 
 func (w *wireDisk) send(p *iscsi.PDU) {
-	head, tail := p.Seal(w.d).Bytes()
+	head, tail := p.Encode(w.d).Bytes()
 	write(w.t, w.conn, append(append([]byte{}, head...), tail...))
 }
 
@@ -82,9 +82,9 @@
 func (w *wireDisk) wants(op iscsi.Opcode, tag uint32) *iscsi.PDU {
 	w.t.Helper()
 	p := w.take()
-	if p.Op() != op || p.Tag() != tag {
+	if p.Opcode() != op || p.Tag() != tag {
 		w.t.Fatalf("a PDU of kind %#x for %d, want %#x for %d: %x %x",
-			byte(p.Op()), p.Tag(), byte(op), tag, p.Head, p.Data)
+			byte(p.Opcode()), p.Tag(), byte(op), tag, p.Header, p.Data)
 	}
 	return p
 }
@@ -92,15 +92,15 @@
 // write begins a write of blocks of 4096 bytes.
 func (w *wireDisk) write(tag, block uint32, blocks int, immediate []byte) *iscsi.PDU {
 	p := iscsi.New(iscsi.Command, iscsi.Final|iscsi.Writes|1).
-		Put(16, tag).Put(20, uint32(blocks*4096)).Put(24, w.next).With(immediate)
-	p.Byte(32, 0x2a).Put(34, block).Put16(39, uint16(blocks))
+		SetUint32(16, tag).SetUint32(20, uint32(blocks*4096)).SetUint32(24, w.next).SetData(immediate)
+	p.SetByte(32, 0x2a).SetUint32(34, block).SetUint16(39, uint16(blocks))
 	w.next++
 	return p
 }
 
 func (w *wireDisk) read(tag, block uint32, blocks int) *iscsi.PDU {
-	p := iscsi.New(iscsi.Command, iscsi.Final|iscsi.Reads|1).Put(16, tag).Put(20, uint32(blocks*4096)).Put(24, w.next)
-	p.Byte(32, 0x28).Put(34, block).Put16(39, uint16(blocks))
+	p := iscsi.New(iscsi.Command, iscsi.Final|iscsi.Reads|1).SetUint32(16, tag).SetUint32(20, uint32(blocks*4096)).SetUint32(24, w.next)
+	p.SetByte(32, 0x28).SetUint32(34, block).SetUint16(39, uint16(blocks))
 	w.next++
 	return p
 }
@@ -113,12 +113,12 @@
 	for {
 		w.send(w.read(tag, 0, 1))
 		p := w.last(tag)
-		if p.Op() == iscsi.Response && scsi.Status(p.Head[3]) == scsi.Busy {
+		if p.Opcode() == iscsi.Response && scsi.Status(p.Header[3]) == scsi.Busy {
 			time.Sleep(time.Millisecond)
 			continue
 		}
-		if p.Op() != iscsi.DataIn || p.Head[3] != 0 || len(p.Data) != 4096 {
-			w.t.Errorf("%x", p.Head)
+		if p.Opcode() != iscsi.DataIn || p.Header[3] != 0 || len(p.Data) != 4096 {
+			w.t.Errorf("%x", p.Header)
 		}
 		return
 	}
@@ -127,10 +127,10 @@
 func (w *wireDisk) sense(p *iscsi.PDU, want *scsi.Sense) {
 	w.t.Helper()
 	if len(p.Data) < 3 {
-		w.t.Fatalf("no sense: %x", p.Head)
+		w.t.Fatalf("no sense: %x", p.Header)
 	}
 	got, ok := scsi.DecodeSense(p.Data[2:])
-	if !ok || p.Head[3] != byte(scsi.CheckCondition) || got.Key != want.Key || got.Code != want.Code {
+	if !ok || p.Header[3] != byte(scsi.CheckCondition) || got.Key != want.Key || got.Code != want.Code {
 		w.t.Errorf("sense %v, want %v", got, want)
 	}
 }
@@ -145,15 +145,15 @@
 	w.send(first)
 	for _, tag := range []uint32{1, 2} { // in any order
 		_ = tag
-		if p := w.take(); p.Op() != iscsi.DataIn || p.Head[3] != 0 {
-			t.Errorf("%x", p.Head)
+		if p := w.take(); p.Opcode() != iscsi.DataIn || p.Header[3] != 0 {
+			t.Errorf("%x", p.Header)
 		}
 	}
 	repeated := w.read(3, 0, 1)
-	repeated.Put(24, 100)
+	repeated.SetUint32(24, 100)
 	w.send(repeated)
 	outsideWindow := w.read(4, 0, 1)
-	outsideWindow.Put(24, 100_000)
+	outsideWindow.SetUint32(24, 100_000)
 	w.send(outsideWindow)
 	w.next -= 2
 	w.works(5) // the first answer that comes is this one's
@@ -169,9 +169,9 @@
 	openDisk(t, diskOptions(testbed, 0, nil), 0)
 	w := login(t, testbed, 1, "DataDigest", "CRC32C", "HeaderDigest", "CRC32C", "ImmediateData", "No")
 	out := func(tag, transfer, sn, at uint32, n int, final bool) *iscsi.PDU {
-		p := iscsi.New(iscsi.DataOut, 0).Put(16, tag).Put(20, transfer).Put(36, sn).Put(40, at).With(make([]byte, n))
+		p := iscsi.New(iscsi.DataOut, 0).SetUint32(16, tag).SetUint32(20, transfer).SetUint32(36, sn).SetUint32(40, at).SetData(make([]byte, n))
 		if final {
-			p.Byte(1, iscsi.Final)
+			p.SetByte(1, iscsi.Final)
 		}
 		return p
 	}
@@ -185,29 +185,29 @@
 		17: func(uint32) *iscsi.PDU { return out(17, 1<<30, 0, 1<<31, 8192, true) }, // anywhere
 	} {
 		w.send(w.write(i, 8, 2, nil))
-		r := w.wants(iscsi.ReadyTo, i)
-		if r.U32(40) != 0 || r.U32(44) != 8192 {
-			t.Fatalf("%x", r.Head)
+		r := w.wants(iscsi.ReadyToTransfer, i)
+		if r.Uint32(40) != 0 || r.Uint32(44) != 8192 {
+			t.Fatalf("%x", r.Header)
 		}
-		w.send(spoil(r.U32(20)))
+		w.send(spoil(r.Uint32(20)))
 		w.wants(iscsi.Reject, iscsi.NoTag)
 		w.sense(w.wants(iscsi.Response, i), scsi.NotEnoughUnsolicitedData)
 	}
 	w.send(w.write(20, 8, 2, nil))
-	r := w.wants(iscsi.ReadyTo, 20)
-	bad := out(20, r.U32(20), 0, 0, 8192, true)
-	head, tail := bad.Seal(w.d).Bytes()
+	r := w.wants(iscsi.ReadyToTransfer, 20)
+	bad := out(20, r.Uint32(20), 0, 0, 8192, true)
+	head, tail := bad.Encode(w.d).Bytes()
 	tail[100] ^= 1
 	write(w.t, w.conn, append(append([]byte{}, head...), tail...))
 	w.wants(iscsi.Reject, iscsi.NoTag)
 	w.sense(w.wants(iscsi.Response, 20), scsi.CRCError)
-	w.send(out(20, r.U32(20), 0, 0, 8192, true)) // for a command that is over: let be
+	w.send(out(20, r.Uint32(20), 0, 0, 8192, true)) // for a command that is over: let be
 	w.works(21)
-	snack := iscsi.New(iscsi.Snack, iscsi.Final).Put(16, 22)
+	snack := iscsi.New(iscsi.SNACK, iscsi.Final).SetUint32(16, 22)
 	w.send(snack)
 	w.wants(iscsi.Reject, iscsi.NoTag)
 	w.works(23)
-	head, _ = w.read(24, 0, 1).Seal(w.d).Bytes()
+	head, _ = w.read(24, 0, 1).Encode(w.d).Bytes()
 	head[20] ^= 1 // a header's digest that does not fit: nothing that follows can be believed
 	write(w.t, w.conn, head)
 	if _, err := iscsi.Read(w, w.d, 1<<20); err == nil {
@@ -227,23 +227,23 @@
 	command(t, testbed.Nodes[0], "hang")
 	w.send(w.write(7, 1, 1, random(1, 4096)))
 	abort := func(function byte, tag, of uint32) {
-		p := iscsi.New(iscsi.TaskRequest, iscsi.Final|function).Put(16, tag).Put(20, of).Put(24, w.next)
-		p.Head[0] |= 0x40
+		p := iscsi.New(iscsi.TaskManagementRequest, iscsi.Final|function).SetUint32(16, tag).SetUint32(20, of).SetUint32(24, w.next)
+		p.Header[0] |= 0x40
 		w.send(p)
 	}
 	abort(1, 8, 7)
 	abort(1, 9, 1234)
-	if p := w.wants(iscsi.TaskAnswer, 9); p.Head[2] != 1 {
-		t.Errorf("a task that is not there: %x", p.Head)
+	if p := w.wants(iscsi.TaskManagementResponse, 9); p.Header[2] != 1 {
+		t.Errorf("a task that is not there: %x", p.Header)
 	}
 	command(t, testbed.Nodes[0], "well")
-	if p := w.wants(iscsi.TaskAnswer, 8); p.Head[2] != 0 {
-		t.Errorf("%x", p.Head)
+	if p := w.wants(iscsi.TaskManagementResponse, 8); p.Header[2] != 0 {
+		t.Errorf("%x", p.Header)
 	}
 	w.works(10)
 	abort(6, 11, iscsi.NoTag)
-	if p := w.wants(iscsi.TaskAnswer, 11); p.Head[2] != 5 {
-		t.Errorf("a target reset: %x", p.Head)
+	if p := w.wants(iscsi.TaskManagementResponse, 11); p.Header[2] != 5 {
+		t.Errorf("a target reset: %x", p.Header)
 	}
 	// Another session's reset.
 	o := diskOptions(testbed, 0, func(o *initiator.Options) { o.ISID[5] = 40 })
@@ -255,7 +255,7 @@
 	command(t, testbed.Nodes[0], "hang")
 	w.send(w.write(12, 1, 1, random(1, 4096)))
 	w.send(w.write(13, 1, 2, nil)) // its data is asked for, and does not come
-	w.wants(iscsi.ReadyTo, 13)
+	w.wants(iscsi.ReadyToTransfer, 13)
 	done := make(chan byte, 1)
 	go func() {
 		code, err := s.Reset(0)
@@ -264,12 +264,12 @@
 		}
 		done <- code
 	}()
-	if p := w.wants(iscsi.Response, 13); p.Head[3] != byte(scsi.Aborted) {
-		t.Errorf("%x", p.Head)
+	if p := w.wants(iscsi.Response, 13); p.Header[3] != byte(scsi.Aborted) {
+		t.Errorf("%x", p.Header)
 	}
 	command(t, testbed.Nodes[0], "well")
-	if p := w.wants(iscsi.Response, 12); p.Head[3] != byte(scsi.Aborted) {
-		t.Errorf("%x", p.Head)
+	if p := w.wants(iscsi.Response, 12); p.Header[3] != byte(scsi.Aborted) {
+		t.Errorf("%x", p.Header)
 	}
 	if code := <-done; code != 0 {
 		t.Errorf("a reset: %d", code)
@@ -293,7 +293,7 @@
 		old.send(old.write(100+i, 16*i, 1, random(1, 4096)))
 	}
 	old.send(old.write(150, 0, 2, nil))
-	old.wants(iscsi.ReadyTo, 150)
+	old.wants(iscsi.ReadyToTransfer, 150)
 	next := login(t, testbed, 5)
 	if _, err := iscsi.Read(old, old.d, 1<<20); err == nil {
 		t.Error("the old connection goes on")
@@ -357,13 +357,13 @@
 	}
 	w := login(t, testbed, 3)
 	testbed.Gateways[0].ISCSI.Drain()
-	if p := w.wants(iscsi.Async, iscsi.NoTag); p.Head[36] != 1 {
-		t.Errorf("%x", p.Head)
+	if p := w.wants(iscsi.AsyncMessage, iscsi.NoTag); p.Header[36] != 1 {
+		t.Errorf("%x", p.Header)
 	}
-	out := iscsi.New(iscsi.LogoutAsk, iscsi.Final).Put(16, 5).Put(24, w.next)
-	out.Head[0] |= 0x40
+	out := iscsi.New(iscsi.LogoutRequest, iscsi.Final).SetUint32(16, 5).SetUint32(24, w.next)
+	out.Header[0] |= 0x40
 	w.send(out)
-	w.wants(iscsi.LogoutTell, 5)
+	w.wants(iscsi.LogoutResponse, 5)
 	if _, err := iscsi.Read(w, w.d, 1<<20); !errors.Is(err, io.EOF) {
 		t.Error(err)
 	}
@@ -397,13 +397,13 @@
 	}
 	full, good := 0, 0
 	for range reads - 1 {
-		switch p := w.last(iscsi.NoTag); scsi.Status(p.Head[3]) {
+		switch p := w.last(iscsi.NoTag); scsi.Status(p.Header[3]) {
 		case scsi.Good:
 			good++
 		case scsi.TaskSetFull:
 			full++
 		default:
-			t.Errorf("%x", p.Head)
+			t.Errorf("%x", p.Header)
 		}
 	}
 	if full == 0 || good == 0 {
@@ -416,7 +416,7 @@
 func (w *wireDisk) last(tag uint32) *iscsi.PDU {
 	for {
 		p := w.take()
-		if p.Op() == iscsi.Response || p.Op() == iscsi.DataIn && p.Flags()&iscsi.HasStatus != 0 {
+		if p.Opcode() == iscsi.Response || p.Opcode() == iscsi.DataIn && p.Flags()&iscsi.HasStatus != 0 {
 			if tag != iscsi.NoTag && p.Tag() != tag {
 				w.t.Fatalf("an answer to %d", p.Tag())
 			}
