--- /dev/null
+++ b/internal/iscsi/encoding.go
@@ -0,0 +1,137 @@
+package iscsi
+
+import (
+	"bytes"
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"hash/crc32"
+)
+
+// Digests tells which digests a connection's PDUs have, in one direction.
+type Digests struct{ Header, Data bool }
+
+var castagnoli = crc32.MakeTable(crc32.Castagnoli)
+
+// crc32c returns a digest as it is on the wire: CRC32C, lowest byte first (RFC 7143, 13.1, with RFC 3385).
+func crc32c(parts ...[]byte) []byte {
+	sum := uint32(0)
+	for _, part := range parts {
+		sum = crc32.Update(sum, castagnoli, part)
+	}
+	return binary.LittleEndian.AppendUint32(nil, sum)
+}
+
+// padding returns the bytes from a length to the next multiple of 4.
+func padding(length int) int { return -length & 3 }
+
+// Offsets of lengths in a header: additional headers in words of 4 bytes, and 3 bytes for the data.
+const (
+	offsetAdditionalLength = 4
+	offsetDataLength       = 5
+)
+
+// EncodedPDU is a PDU that is ready to be sent. It is a packetconn.Packet.
+type EncodedPDU struct{ head, tail []byte }
+
+// Size returns the PDU's length on the connection, in bytes.
+func (e *EncodedPDU) Size() int { return len(e.head) + len(e.tail) }
+
+// Bytes returns the complete PDU, in two parts.
+func (e *EncodedPDU) Bytes() (head, tail []byte) { return e.head, e.tail }
+
+// Encode fills in the lengths and adds padding and digests. Data that needs neither is not copied, and must stay as it
+// is until the PDU is sent.
+func (p *PDU) Encode(digests Digests) *EncodedPDU {
+	length, pad := len(p.Data), padding(len(p.Data))
+	p.Header[offsetAdditionalLength] = byte((len(p.AdditionalHeaders) + 3) / 4)
+	p.Header[offsetDataLength] = byte(length >> 16)
+	p.Header[offsetDataLength+1] = byte(length >> 8)
+	p.Header[offsetDataLength+2] = byte(length)
+	head := append([]byte{}, p.Header[:]...)
+	head = append(head, p.AdditionalHeaders...)
+	head = append(head, make([]byte, padding(len(p.AdditionalHeaders)))...)
+	if digests.Header {
+		head = append(head, crc32c(head)...)
+	}
+	if length == 0 || pad == 0 && !digests.Data {
+		return &EncodedPDU{head: head, tail: p.Data}
+	}
+	tail := make([]byte, 0, length+pad+digestSize)
+	tail = append(tail, p.Data...)
+	tail = append(tail, make([]byte, pad)...)
+	if digests.Data {
+		tail = append(tail, crc32c(tail)...)
+	}
+	return &EncodedPDU{head: head, tail: tail}
+}
+
+// Errors of Read.
+var (
+	ErrTooLong      = errors.New("iscsi: a PDU is longer than was agreed")
+	ErrHeaderDigest = errors.New("iscsi: a header digest does not fit")
+)
+
+// Source is what PDUs are read from: a netpoll.Reader, or a buffered connection.
+type Source interface {
+	// ReadBinary returns the next n bytes, in memory that later reads do not change.
+	ReadBinary(n int) ([]byte, error)
+	// Release tells that the memory of what was read before may be used again.
+	Release() error
+}
+
+// Read reads a PDU with at most maxData bytes of data. ErrTooLong and ErrHeaderDigest mean that what follows cannot be
+// read. A wrong data digest is no error, but marks the PDU.
+func Read(source Source, digests Digests, maxData int) (*PDU, error) {
+	p := &PDU{}
+	header, err := source.ReadBinary(headerSize)
+	if err != nil {
+		return nil, err
+	}
+	copy(p.Header[:], header)
+	length := p.dataLength()
+	if length > maxData {
+		return nil, fmt.Errorf("%w: %d bytes of data, %d may be", ErrTooLong, length, maxData)
+	}
+	if additional := 4 * int(p.Header[offsetAdditionalLength]); additional > 0 {
+		if p.AdditionalHeaders, err = source.ReadBinary(additional); err != nil {
+			return nil, err
+		}
+	}
+	if digests.Header {
+		digest, err := source.ReadBinary(digestSize)
+		if err != nil {
+			return nil, err
+		}
+		if !bytes.Equal(digest, crc32c(p.Header[:], p.AdditionalHeaders)) {
+			return nil, ErrHeaderDigest
+		}
+	}
+	if length > 0 {
+		if err := p.readData(source, digests.Data, length); err != nil {
+			return nil, err
+		}
+	}
+	return p, source.Release()
+}
+
+func (p *PDU) dataLength() int {
+	b := p.Header[offsetDataLength:]
+	return int(b[0])<<16 | int(b[1])<<8 | int(b[2])
+}
+
+func (p *PDU) readData(source Source, hasDigest bool, length int) error {
+	padded, err := source.ReadBinary(length + padding(length))
+	if err != nil {
+		return err
+	}
+	if hasDigest {
+		digest, err := source.ReadBinary(digestSize)
+		if err != nil {
+			return err
+		}
+		p.BadDataDigest = !bytes.Equal(digest, crc32c(padded))
+	}
+	p.Data = padded[:length]
+	return nil
+}
--- a/internal/iscsi/pace/pace.go
+++ b/internal/iscsi/pace/pace.go
@@ -21,9 +21,9 @@
 
 // The states of a pacer.
 const (
-	Open    State = iota // what comes goes in
-	Limited              // commands were dismissed, the bound is under what it was
-	Closed               // nothing new is taken; what was taken goes on
+	Open   State = iota // what comes goes in
+	Slow                // commands were dismissed, the bound is under what it was
+	Closed              // nothing new is taken; what was taken goes on
 )
 
 func (s State) String() string { return [...]string{"open", "slow", "closed"}[s] }
@@ -193,10 +193,10 @@
 		p.bound = max(1, p.bound*0.7)
 		p.sinceCut = 0
 		if p.state == Open {
-			p.setState(Limited)
+			p.setState(Slow)
 		}
 	case e == Served && full:
-		if p.bound = min(p.bound+1/p.bound, float64(p.limits.Inside)); p.state == Limited && p.bound >= float64(p.limits.Start) {
+		if p.bound = min(p.bound+1/p.bound, float64(p.limits.Inside)); p.state == Slow && p.bound >= float64(p.limits.Start) {
 			p.setState(Open)
 		}
 	}
--- a/internal/iscsi/pace/pace_test.go
+++ b/internal/iscsi/pace/pace_test.go
@@ -186,10 +186,10 @@
 	for _, i := range all {
 		p.Done(i, Rejected)
 	}
-	if p.Bound() != 7 || p.State() != Limited || !p.TakeStateChange() || p.TakeStateChange() {
+	if p.Bound() != 7 || p.State() != Slow || !p.TakeStateChange() || p.TakeStateChange() {
 		t.Errorf("bound %d, %v", p.Bound(), p.State())
 	}
-	for n := 0; p.State() == Limited; n++ {
+	for n := 0; p.State() == Slow; n++ {
 		if n > 200 {
 			t.Fatalf("bound %v does not come back", p.bound)
 		}
--- a/internal/iscsi/pdu_test.go
+++ b/internal/iscsi/pdu_test.go
@@ -27,8 +27,8 @@
 	return append(append([]byte{}, head...), tail...)
 }
 
-// PDUs come back as they were, with and without digests, for all lengths of data and further headers.
-func TestComeBack(t *testing.T) {
+// PDUs are read as they were written, with and without digests, for all lengths of data and further headers.
+func TestReadReturnsWhatEncodeWrote(t *testing.T) {
 	for n := range 9 {
 		for k := range 16 {
 			d := Digests{Header: k&1 != 0, Data: k&2 != 0}
@@ -45,24 +45,28 @@
 				t.Errorf("%d bytes", len(b))
 			}
 			got, err := Read(plain{bytes.NewReader(b)}, d, 100)
-			if err != nil || !reflect.DeepEqual(got, p) || got.Opcode() != Command || got.Tag() != 77 || !got.Final() || got.Immediate() {
-				t.Errorf("%+v comes back as %+v, %v", p, got, err)
+			same := reflect.DeepEqual(got, p) && got.Opcode() == Command && got.Tag() == 77 && got.Final() && !got.Immediate()
+			if err != nil || !same {
+				t.Errorf("%+v is read as %+v, %v", p, got, err)
 			}
 		}
 	}
-	// RFC 7143 names CRC32C; its value for 32 zero bytes is in RFC 3720, B.4.
+}
+
+// RFC 7143 names CRC32C; its value for 32 zero bytes is in RFC 3720, B.4.
+func TestCRC32CHasTheValueOfTheRFC(t *testing.T) {
 	if got := crc32c(make([]byte, 32)); !bytes.Equal(got, []byte{0xaa, 0x36, 0x91, 0x8a}) {
 		t.Errorf("%x", got)
 	}
 }
 
-// Each byte flipped: a header's is an error, data's marks the PDU.
-func TestFlips(t *testing.T) {
+// A flipped bit of a header is an error, one of data marks the PDU.
+func TestReadNoticesFlippedBits(t *testing.T) {
 	d := Digests{true, true}
 	p := New(DataOut, Final).SetUint32(16, 1).SetData([]byte("twelve bytes"))
-	whole := wire(p, d)
-	for at := range whole {
-		b := bytes.Clone(whole)
+	encoded := wire(p, d)
+	for at := range encoded {
+		b := bytes.Clone(encoded)
 		b[at] ^= 0x10
 		got, err := Read(plain{bytes.NewReader(b)}, d, 1<<20)
 		if at < headerSize+4 && err == nil || at >= headerSize+4 && (err != nil || !got.BadDataDigest) {
@@ -71,8 +75,8 @@
 	}
 }
 
-// Lengths that lie: longer than was agreed, or than what there is.
-func TestLengths(t *testing.T) {
+// Lengths that are longer than was agreed, or than what there is.
+func TestReadRejectsWrongLengths(t *testing.T) {
 	p := New(DataOut, Final).SetData(make([]byte, 101))
 	if _, err := Read(plain{bytes.NewReader(wire(p, Digests{}))}, Digests{}, 100); !errors.Is(err, ErrTooLong) {
 		t.Error(err)
@@ -85,7 +89,7 @@
 	}
 }
 
-func TestTexts(t *testing.T) {
+func TestDecodeTextReadsPairsOrFails(t *testing.T) {
 	list := []Pair{{"InitiatorName", "iqn.2026-01.example:a"}, {"Empty", ""}, {"SessionType", "Normal"}}
 	if got, err := DecodeText(EncodeText(list)); err != nil || !reflect.DeepEqual(got, list) {
 		t.Errorf("%v, %v", got, err)
@@ -97,7 +101,7 @@
 	}
 }
 
-// Any bytes are read or refused; what is read is written again as it was.
+// Any bytes are read or rejected; what is read is written second as it was.
 func FuzzRead(f *testing.F) {
 	f.Add(wire(New(Command, Final).SetData([]byte("abc")), Digests{true, true}), true, true)
 	f.Fuzz(func(t *testing.T, b []byte, head, data bool) {
@@ -106,10 +110,12 @@
 		if err != nil || p.BadDataDigest {
 			return
 		}
-		again, err := Read(plain{bytes.NewReader(wire(p, d))}, d, 1<<16)
-		if err != nil || again.Header != p.Header || !bytes.Equal(again.Data, p.Data) || !bytes.Equal(again.AdditionalHeaders, p.AdditionalHeaders) {
-			t.Errorf("%+v comes back as %+v, %v", p, again, err)
+		second, err := Read(plain{bytes.NewReader(wire(p, d))}, d, 1<<16)
+		same := second != nil && second.Header == p.Header && bytes.Equal(second.Data, p.Data) &&
+			bytes.Equal(second.AdditionalHeaders, p.AdditionalHeaders)
+		if err != nil || !same {
+			t.Errorf("%+v is read as %+v, %v", p, second, err)
 		}
-		_, _ = DecodeText(p.Data) // read or refused
+		_, _ = DecodeText(p.Data) // read or rejected
 	})
 }
--- /dev/null
+++ b/internal/iscsi/text.go
@@ -0,0 +1,42 @@
+package iscsi
+
+import (
+	"errors"
+	"fmt"
+	"strings"
+)
+
+// maxKeyLength is the longest key of a text, in bytes (RFC 7143, 6.1).
+const maxKeyLength = 63
+
+// Pair is a key of a text with its value.
+type Pair struct{ Key, Value string }
+
+// ErrText tells that a text is not made of keys and values.
+var ErrText = errors.New("iscsi: a text is not made of key=value pairs")
+
+// DecodeText reads the keys and values of a text (RFC 7143, 6.1). It fails with ErrText.
+func DecodeText(text []byte) (pairs []Pair, err error) {
+	for _, part := range strings.Split(string(text), "\x00") {
+		if part == "" {
+			continue
+		}
+		key, value, found := strings.Cut(part, "=")
+		if !found || key == "" || len(key) > maxKeyLength {
+			return nil, fmt.Errorf("%w: %.40q", ErrText, part)
+		}
+		pairs = append(pairs, Pair{Key: key, Value: value})
+	}
+	return pairs, nil
+}
+
+// EncodeText writes keys and values as a text.
+func EncodeText(pairs []Pair) (text []byte) {
+	for _, pair := range pairs {
+		text = append(text, pair.Key...)
+		text = append(text, '=')
+		text = append(text, pair.Value...)
+		text = append(text, 0)
+	}
+	return text
+}
