--- a/internal/iscsi/pace/pace.go
+++ b/internal/iscsi/pace/pace.go
@@ -1,219 +1,248 @@
-// Package pace decides how fast sessions of a target may send commands, and whose goes next: a bound on commands inside the
-// gateway that is learned from what becomes of them, turns between sessions by bytes, and each session's command window.
-// It is pure: no I/O, no clock. The decision module behind it decides what goes to which node when; this one only keeps
-// commands waiting at the initiator, who can be made to wait, instead of inside, where they would be dismissed.
+// Package pace decides how fast the sessions of a target may send commands, and whose goes next: a bound on running
+// commands that is learned from how they end, turns between sessions by bytes, and each session's command window.
+//
+// The target (package iscsi/target) calls it under one lock. It owns the queues of commands that wait; it knows neither
+// nodes nor request classes. The scheduler behind it decides what goes to which node when; this package only keeps
+// commands waiting at the initiator, who can be made to wait, instead of in the scheduler, which would reject them. It
+// is pure: no I/O, no clock.
 package pace
 
-// Limits are its figures.
+import "slices"
+
+const (
+	boundCut    = 0.7 // what is left of the bound after a rejection
+	windowShare = 2   // a session's window in a crowd, in even shares of the bound
+)
+
+// Limits are the bounds of a Pacer.
 type Limits struct {
-	Least, Most int // commands without an answer that a session may have, where there is a crowd and where there is none
-	Start       int // commands inside to begin with
+	Least, Most int // the window of a session, in commands: in a crowd at least, without one at most
+	Start       int // the bound on running commands to begin with
 	Inside      int // and at most
-	Bytes       int // of data that commands inside may hold, at most; one command is always let in
+	Bytes       int // of data that running commands may hold; one command always runs
 	Quantum     int // bytes of a session's turn
 }
 
-// DefaultLimits are used where nothing else is said.
+// DefaultLimits are the limits where none are configured.
 var DefaultLimits = Limits{Least: 2, Most: 256, Start: 32, Inside: 512, Bytes: 64 << 20, Quantum: 64 << 10}
 
-// State is how a pacer stands.
+// State is the state of a Pacer.
 type State uint8
 
-// The states of a pacer.
+// The states of a Pacer.
 const (
-	Open   State = iota // what comes goes in
-	Slow                // commands were dismissed, the bound is under what it was
-	Closed              // nothing new is taken; what was taken goes on
+	Open   State = iota // commands run as they come
+	Slow                // commands were rejected, and the bound is lower than it was
+	Closed              // windows are closed; commands that were taken run
 )
 
+// String returns the state's name in logs.
 func (s State) String() string { return [...]string{"open", "slow", "closed"}[s] }
 
-// Outcome is how a command came back.
+// Outcome is how a command has ended, as far as it tells of load.
 type Outcome uint8
 
-// The ways in which a command comes back.
+// The outcomes of commands.
 const (
 	Served Outcome = iota
 	Rejected
-	Failed // by anything that says nothing of load
+	Failed // for a reason that tells nothing of load
 )
 
-// Command is a command that waits or is inside.
+// Command is a command that waits or runs.
 type Command struct {
 	Cost    int // bytes
 	Owner   any // the caller's
 	session *Session
 }
 
-// Session is one of a target's sessions.
-type Session struct {
-	pacer   *Pacer
-	queue   []*Command
-	running int
-	deficit int
-	inRound bool // it is in the round
-	closed  bool
-}
-
-// Pacer is one target's.
+// Pacer paces the sessions of a target. It is not safe for concurrent use.
 type Pacer struct {
 	limits       Limits
 	state        State
+	stateChanged bool // since TakeStateChange
 	bound        float64
+	sinceCut     int // commands that ended since the bound was cut
 	running      int
 	runningBytes int
 	waiting      int
-	sessions     int        // with anything waiting or inside
+	sessions     int        // with anything waiting or running
 	round        []*Session // with something waiting, in the order of their turns
-	sinceCut     int        // answers since the bound was cut
-	stateChanged bool       // the state has
 }
 
-// New makes one.
-func New(t Limits) *Pacer { return &Pacer{limits: t, bound: float64(t.Start)} }
+// New returns a Pacer.
+func New(limits Limits) *Pacer { return &Pacer{limits: limits, bound: float64(limits.Start)} }
 
-// State tells how it stands.
+// State returns the pacer's state.
 func (p *Pacer) State() State { return p.state }
 
-// Bound is how many commands may be inside.
+// Bound returns how many commands may run.
 func (p *Pacer) Bound() int { return max(int(p.bound), 1) }
 
-// Running is the number of commands that are carried out.
+// Running returns the number of commands that run.
 func (p *Pacer) Running() int { return p.running }
 
-// Waiting is the number of commands that wait.
+// Waiting returns the number of commands that wait.
 func (p *Pacer) Waiting() int { return p.waiting }
 
-// TakeStateChange tells once that the state has changed.
+// TakeStateChange tells whether the state has changed since the last call.
 func (p *Pacer) TakeStateChange() bool {
-	c := p.stateChanged
+	changed := p.stateChanged
 	p.stateChanged = false
-	return c
+	return changed
 }
 
 // setState is the one place where the state changes.
-func (p *Pacer) setState(to State) {
-	if p.state != to {
-		p.state, p.stateChanged = to, true
+func (p *Pacer) setState(state State) {
+	if p.state != state {
+		p.state = state
+		p.stateChanged = true
 	}
 }
 
-// NewSession adds a session.
-func (p *Pacer) NewSession() *Session { return &Session{pacer: p} }
-
-// Close takes a session away, and returns what it still had waiting. What it has inside still has to be told as done.
-func (s *Session) Close() []*Command {
-	rest := s.queue
-	s.closed = true
-	p := s.pacer
-	if len(rest) > 0 && s.running == 0 {
-		p.sessions--
-	}
-	p.waiting -= len(rest)
-	s.queue = nil
-	return rest
-}
-
-// Enqueue has a command wait for its turn.
-func (s *Session) Enqueue(i *Command) {
-	p := s.pacer
-	if len(s.queue) == 0 && s.running == 0 {
-		p.sessions++
-	}
-	i.session = s
-	s.queue = append(s.queue, i)
-	p.waiting++
-	if !s.inRound {
-		s.inRound, s.deficit = true, 0
-		p.round = append(p.round, s)
-	}
-}
-
-// Remove takes a command away that waits; false: it does not.
-func (s *Session) Remove(i *Command) bool {
-	for k, o := range s.queue {
-		if o != i {
-			continue
-		}
-		s.queue = append(s.queue[:k:k], s.queue[k+1:]...)
-		s.pacer.waiting--
-		if len(s.queue) == 0 && s.running == 0 {
-			s.pacer.sessions--
-		}
-		return true
-	}
-	return false
-}
-
-// Next is the command that goes in now; nil: none may. Each session's turn has a quantum of bytes, and what is left of it
-// is kept for its next one as long as it has something waiting: deficit round robin (Shreedhar and Varghese, 1995).
+// Next returns the command that runs now; nil: none may. Each session's turn has a quantum of bytes, and what is left
+// of it is kept for its next turn as long as it has something waiting: deficit round robin (Shreedhar and Varghese,
+// 1995).
 func (p *Pacer) Next() *Command {
 	if p.running >= p.Bound() {
 		return nil
 	}
 	for len(p.round) > 0 {
-		s := p.round[0]
-		if len(s.queue) == 0 {
-			p.round, s.inRound = p.round[1:], false
+		session := p.round[0]
+		if len(session.queue) == 0 {
+			session.inRound = false
+			p.round = p.round[1:]
 			continue
 		}
-		i := s.queue[0]
-		if i.Cost > s.deficit {
-			s.deficit += p.limits.Quantum
-			p.round = append(p.round[1:], s)
+		command := session.queue[0]
+		if command.Cost > session.deficit {
+			session.deficit += p.limits.Quantum
+			p.round = append(p.round[1:], session)
 			continue
 		}
-		if p.running > 0 && p.runningBytes+i.Cost > p.limits.Bytes {
-			return nil // it waits for room, and nobody passes it
+		if p.running > 0 && p.runningBytes+command.Cost > p.limits.Bytes {
+			return nil // it waits for bytes, and no other passes it
 		}
-		s.deficit -= i.Cost
-		s.queue = s.queue[1:]
-		s.running++
-		p.waiting--
-		p.running++
-		p.runningBytes += i.Cost
-		return i
+		p.start(command)
+		return command
 	}
 	return nil
 }
 
-// Done tells how a command came back.
-func (p *Pacer) Done(i *Command, e Outcome) {
-	s := i.session
-	full := p.running >= p.Bound()
-	s.running--
-	if s.running == 0 && len(s.queue) == 0 {
+// start moves the first command of its session's queue to those that run.
+func (p *Pacer) start(command *Command) {
+	session := command.session
+	session.deficit -= command.Cost
+	session.queue = session.queue[1:]
+	session.running++
+	p.waiting--
+	p.running++
+	p.runningBytes += command.Cost
+}
+
+// Done ends a command that ran, and adapts the bound to the outcome: it is cut by a rejection, once for all commands
+// that ran together, and grows by one for each round of served commands while it is reached.
+func (p *Pacer) Done(command *Command, outcome Outcome) {
+	session := command.session
+	atBound := p.running >= p.Bound()
+	session.running--
+	if session.idle() {
 		p.sessions--
 	}
 	p.running--
-	p.runningBytes -= i.Cost
+	p.runningBytes -= command.Cost
 	p.sinceCut++
 	switch {
-	case e == Rejected && p.sinceCut >= p.Bound(): // once for all that were inside together
-		p.bound = max(1, p.bound*0.7)
-		p.sinceCut = 0
-		if p.state == Open {
-			p.setState(Slow)
-		}
-	case e == Served && full:
-		if p.bound = min(p.bound+1/p.bound, float64(p.limits.Inside)); p.state == Slow && p.bound >= float64(p.limits.Start) {
-			p.setState(Open)
-		}
+	case outcome == Rejected && p.sinceCut >= p.Bound():
+		p.cutBound()
+	case outcome == Served && atBound:
+		p.raiseBound()
+	}
+}
+
+func (p *Pacer) cutBound() {
+	p.bound = max(1, p.bound*boundCut)
+	p.sinceCut = 0
+	if p.state == Open {
+		p.setState(Slow)
 	}
 }
 
-// Close has nothing new taken from now on.
+func (p *Pacer) raiseBound() {
+	p.bound = min(p.bound+1/p.bound, float64(p.limits.Inside))
+	if p.state == Slow && p.bound >= float64(p.limits.Start) {
+		p.setState(Open)
+	}
+}
+
+// Close closes all windows. Commands that were taken run.
 func (p *Pacer) Close() { p.setState(Closed) }
 
-// Reopen takes that back.
+// Reopen ends what Close began.
 func (p *Pacer) Reopen() {
 	if p.state == Closed {
 		p.setState(Open)
 	}
 }
 
-// Window is how many commands without an answer a session may have: all it wants while there is no crowd; else its part
-// of what goes in soon.
+// Session is one of a target's sessions.
+type Session struct {
+	pacer   *Pacer
+	queue   []*Command
+	running int
+	deficit int  // bytes that it may still start in this turn
+	inRound bool // of the pacer
+}
+
+// NewSession adds a session.
+func (p *Pacer) NewSession() *Session { return &Session{pacer: p} }
+
+// idle tells whether a session has nothing waiting or running.
+func (s *Session) idle() bool { return len(s.queue) == 0 && s.running == 0 }
+
+// Close removes a session, and returns its commands that waited. Those that run still have to be Done.
+func (s *Session) Close() []*Command {
+	waiting := s.queue
+	s.queue = nil
+	if len(waiting) > 0 && s.running == 0 {
+		s.pacer.sessions--
+	}
+	s.pacer.waiting -= len(waiting)
+	return waiting
+}
+
+// Enqueue has a command wait for its turn.
+func (s *Session) Enqueue(command *Command) {
+	p := s.pacer
+	if s.idle() {
+		p.sessions++
+	}
+	command.session = s
+	s.queue = append(s.queue, command)
+	p.waiting++
+	if !s.inRound {
+		s.inRound = true
+		s.deficit = 0
+		p.round = append(p.round, s)
+	}
+}
+
+// Remove removes a command that waits; false: it does not.
+func (s *Session) Remove(command *Command) bool {
+	index := slices.Index(s.queue, command)
+	if index < 0 {
+		return false
+	}
+	s.queue = append(s.queue[:index:index], s.queue[index+1:]...) // a copy: the array may be shared
+	s.pacer.waiting--
+	if s.idle() {
+		s.pacer.sessions--
+	}
+	return true
+}
+
+// Window returns how many unanswered commands a session may have: all that it wants while there is no crowd, else its
+// share of those that run soon.
 func (s *Session) Window() int {
 	p := s.pacer
 	switch {
@@ -222,8 +251,9 @@
 	case p.waiting < p.Bound():
 		return p.limits.Most
 	}
-	return min(max(2*p.Bound()/max(p.sessions, 1), p.limits.Least), p.limits.Most)
+	share := windowShare * p.Bound() / max(p.sessions, 1)
+	return min(max(share, p.limits.Least), p.limits.Most)
 }
 
-// Outstanding is how many commands a session has without an answer.
+// Outstanding returns how many unanswered commands a session has.
 func (s *Session) Outstanding() int { return len(s.queue) + s.running }
--- a/internal/iscsi/pace/pace_test.go
+++ b/internal/iscsi/pace/pace_test.go
@@ -3,213 +3,240 @@
 import (
 	"flag"
 	"math/rand/v2"
+	"slices"
 	"testing"
 
 	"pgregory.net/rapid"
 )
 
-// Random arrivals, ends, leaves and closings: nothing is lost or comes twice, the bounds hold, the order within a session
-// is kept, and nothing waits while there is room.
-func TestModel(t *testing.T) {
+// model is a pacer with what it should hold.
+type model struct {
+	t        *rapid.T
+	limits   Limits
+	pacer    *Pacer
+	sessions []*Session
+	waiting  map[*Session][]*Command
+	running  []*Command
+}
+
+// Random arrivals, ends, closed sessions and closings: nothing is lost or comes twice, the bounds hold, the order within
+// a session is kept, and nothing waits while there is room.
+func TestPacerKeepsItsBoundsAndOrder(t *testing.T) {
 	if err := flag.Set("rapid.nofailfile", "true"); err != nil {
-		panic(err)
+		t.Fatal(err)
 	}
 	if err := flag.Set("rapid.seed", "7"); err != nil { // the same verdict every time
 		t.Fatal(err)
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		terms := Limits{Least: 2, Most: rapid.IntRange(2, 64).Draw(t, "most"), Start: rapid.IntRange(1, 16).Draw(t, "start"), Inside: 32,
-			Bytes: rapid.IntRange(1, 1000).Draw(t, "bytes"), Quantum: rapid.IntRange(1, 200).Draw(t, "quantum")}
-		p := New(terms)
-		var sessions []*Session
-		waits := map[*Session][]*Command{}
-		inside := map[*Command]bool{}
-		var out []*Command
+		limits := Limits{
+			Least:   2,
+			Most:    rapid.IntRange(2, 64).Draw(t, "most"),
+			Start:   rapid.IntRange(1, 16).Draw(t, "start"),
+			Inside:  32,
+			Bytes:   rapid.IntRange(1, 1000).Draw(t, "bytes"),
+			Quantum: rapid.IntRange(1, 200).Draw(t, "quantum"),
+		}
+		m := &model{t: t, limits: limits, pacer: New(limits), waiting: map[*Session][]*Command{}}
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
-			switch rapid.IntRange(0, 9).Draw(t, "what") {
-			case 0:
-				sessions = append(sessions, p.NewSession())
-			case 1, 2, 3:
-				if len(sessions) > 0 {
-					s := rapid.SampledFrom(sessions).Draw(t, "session")
-					i := &Command{Cost: rapid.IntRange(0, 400).Draw(t, "cost")}
-					s.Enqueue(i)
-					waits[s] = append(waits[s], i)
-				}
-			case 4, 5, 6:
-				if len(out) > 0 {
-					k := rapid.IntRange(0, len(out)-1).Draw(t, "which")
-					p.Done(out[k], Outcome(rapid.IntRange(0, 2).Draw(t, "end")))
-					delete(inside, out[k])
-					out = append(out[:k], out[k+1:]...)
-				}
-			case 7:
-				if len(sessions) > 0 {
-					k := rapid.IntRange(0, len(sessions)-1).Draw(t, "session")
-					s := sessions[k]
-					if rest := s.Close(); len(rest) != len(waits[s]) {
-						t.Fatalf("%d come back of %d that wait", len(rest), len(waits[s]))
-					}
-					delete(waits, s)
-					sessions = append(sessions[:k], sessions[k+1:]...)
-				}
-			case 8:
-				if len(sessions) > 0 {
-					s := rapid.SampledFrom(sessions).Draw(t, "session")
-					if len(waits[s]) > 0 {
-						k := rapid.IntRange(0, len(waits[s])-1).Draw(t, "drop")
-						if !s.Remove(waits[s][k]) || s.Remove(&Command{}) {
-							t.Fatal("a command that waits is not found, or one that does not is")
-						}
-						waits[s] = append(waits[s][:k:k], waits[s][k+1:]...)
-					}
-				}
-			case 9:
-				if p.State() == Closed {
-					p.Reopen()
-				} else {
-					p.Close()
-				}
-			}
-			for i := p.Next(); i != nil; i = p.Next() {
-				if inside[i] || len(waits[i.session]) == 0 || waits[i.session][0] != i {
-					t.Fatal("a command goes in twice, or out of its session's order")
-				}
-				inside[i] = true
-				waits[i.session] = waits[i.session][1:]
-				out = append(out, i)
-			}
-			all, bytes, busy := 0, 0, 0
-			for _, s := range sessions {
-				all += len(waits[s])
-				if s.Outstanding() > 0 {
-					busy++
-				}
-				if w := s.Window(); p.State() == Closed && w != 0 || p.State() != Closed && (w < min(terms.Least, terms.Most) || w > terms.Most) {
-					t.Fatalf("a window of %d while %v", w, p.State())
-				}
-			}
-			for _, i := range out {
-				bytes += i.Cost
-			}
-			if p.Waiting() != all || p.Running() != len(out) || p.runningBytes != bytes || p.sessions < busy {
-				t.Fatalf("%d wait of %d, %d inside of %d, %d bytes of %d, %d busy of %d", p.Waiting(), all, p.Running(), len(out), p.runningBytes, bytes, p.sessions, busy)
-			}
-			if len(out) > p.limits.Inside || len(out) > 1 && bytes > terms.Bytes {
-				t.Fatalf("%d inside with %d bytes", len(out), bytes)
-			}
-			if all > 0 && len(out) == 0 {
-				t.Fatal("all wait, and nothing is inside")
-			}
-			if p.bound < 1 || p.bound > float64(terms.Inside) {
-				t.Fatalf("a bound of %v", p.bound)
-			}
+			m.step(rapid.IntRange(0, 9).Draw(t, "what"))
+			m.startAll()
+			m.check()
 		}
 	})
 }
 
-// serve has a gateway of so many slots serve sessions that keep their depths, and counts by session.
-func serve(p *Pacer, depths []int, cost []int, slots, rounds int, seed uint64) (served []int, waits []int) {
-	r := rand.New(rand.NewPCG(seed, 1))
+func (m *model) step(what int) {
+	switch {
+	case what == 0:
+		m.sessions = append(m.sessions, m.pacer.NewSession())
+	case what <= 3 && len(m.sessions) > 0:
+		session := rapid.SampledFrom(m.sessions).Draw(m.t, "session")
+		command := &Command{Cost: rapid.IntRange(0, 400).Draw(m.t, "cost")}
+		session.Enqueue(command)
+		m.waiting[session] = append(m.waiting[session], command)
+	case what >= 4 && what <= 6 && len(m.running) > 0:
+		index := rapid.IntRange(0, len(m.running)-1).Draw(m.t, "which")
+		m.pacer.Done(m.running[index], Outcome(rapid.IntRange(0, 2).Draw(m.t, "outcome")))
+		m.running = slices.Delete(m.running, index, index+1)
+	case what == 7 && len(m.sessions) > 0:
+		m.closeSession(rapid.IntRange(0, len(m.sessions)-1).Draw(m.t, "session"))
+	case what == 8 && len(m.sessions) > 0:
+		m.remove(rapid.SampledFrom(m.sessions).Draw(m.t, "session"))
+	case what == 9 && m.pacer.State() == Closed:
+		m.pacer.Reopen()
+	case what == 9:
+		m.pacer.Close()
+	}
+}
+
+func (m *model) closeSession(index int) {
+	session := m.sessions[index]
+	if returned := session.Close(); len(returned) != len(m.waiting[session]) {
+		m.t.Fatalf("%d are returned of %d that wait", len(returned), len(m.waiting[session]))
+	}
+	delete(m.waiting, session)
+	m.sessions = slices.Delete(m.sessions, index, index+1)
+}
+
+func (m *model) remove(session *Session) {
+	waiting := m.waiting[session]
+	if len(waiting) == 0 {
+		return
+	}
+	index := rapid.IntRange(0, len(waiting)-1).Draw(m.t, "remove")
+	if !session.Remove(waiting[index]) || session.Remove(&Command{}) {
+		m.t.Fatal("a command that waits is not found, or one that does not is")
+	}
+	m.waiting[session] = slices.Delete(slices.Clone(waiting), index, index+1)
+}
+
+// startAll starts what may run.
+func (m *model) startAll() {
+	for command := m.pacer.Next(); command != nil; command = m.pacer.Next() {
+		waiting := m.waiting[command.session]
+		if slices.Contains(m.running, command) || len(waiting) == 0 || waiting[0] != command {
+			m.t.Fatal("a command runs twice, or out of its session's order")
+		}
+		m.waiting[command.session] = waiting[1:]
+		m.running = append(m.running, command)
+	}
+}
+
+func (m *model) check() {
+	p := m.pacer
+	waiting, bytes, busy := 0, 0, 0
+	for _, session := range m.sessions {
+		waiting += len(m.waiting[session])
+		if session.Outstanding() > 0 {
+			busy++
+		}
+		m.checkWindow(session.Window())
+	}
+	for _, command := range m.running {
+		bytes += command.Cost
+	}
+	if p.Waiting() != waiting || p.Running() != len(m.running) || p.runningBytes != bytes || p.sessions < busy {
+		m.t.Fatalf("%d wait of %d, %d run of %d, %d bytes of %d, %d busy of %d",
+			p.Waiting(), waiting, p.Running(), len(m.running), p.runningBytes, bytes, p.sessions, busy)
+	}
+	if len(m.running) > p.limits.Inside || len(m.running) > 1 && bytes > m.limits.Bytes {
+		m.t.Fatalf("%d run with %d bytes", len(m.running), bytes)
+	}
+	if waiting > 0 && len(m.running) == 0 {
+		m.t.Fatal("all wait, and nothing runs")
+	}
+	if p.bound < 1 || p.bound > float64(m.limits.Inside) {
+		m.t.Fatalf("a bound of %v", p.bound)
+	}
+}
+
+func (m *model) checkWindow(window int) {
+	least, most := min(m.limits.Least, m.limits.Most), m.limits.Most
+	if m.pacer.State() == Closed {
+		least, most = 0, 0
+	}
+	if window < least || window > most {
+		m.t.Fatalf("a window of %d while %v", window, m.pacer.State())
+	}
+}
+
+// serve has a gateway of some slots serve sessions that keep their depths for some rounds, and counts what is served by
+// session.
+func serve(pacer *Pacer, depths []int, cost []int, slots, rounds int, seed uint64) (served []int) {
+	random := rand.New(rand.NewPCG(seed, 1))
 	sessions := make([]*Session, len(depths))
-	served, waits = make([]int, len(depths)), make([]int, len(depths))
-	index := map[*Session]int{}
+	served = make([]int, len(depths))
 	for k := range depths {
-		sessions[k] = p.NewSession()
-		index[sessions[k]] = k
+		sessions[k] = pacer.NewSession()
 	}
-	var out []*Command
+	var running []*Command
 	for range rounds {
-		for k, s := range sessions {
-			for s.Outstanding() < min(depths[k], s.Window()) {
-				s.Enqueue(&Command{Cost: cost[k]})
+		for k, session := range sessions {
+			for session.Outstanding() < min(depths[k], session.Window()) {
+				session.Enqueue(&Command{Cost: cost[k]})
 			}
 		}
-		for i := p.Next(); i != nil; i = p.Next() {
-			out = append(out, i)
-		}
-		for n := min(slots, len(out)); n > 0; n-- {
-			k := r.IntN(len(out))
-			i := out[k]
-			out = append(out[:k], out[k+1:]...)
-			end := Served
-			if len(out) > 4*slots { // more inside than it can do
-				end = Rejected
-			}
-			p.Done(i, end)
-			served[index[i.session]]++
+		for command := pacer.Next(); command != nil; command = pacer.Next() {
+			running = append(running, command)
 		}
-		for k, s := range sessions {
-			if s.Outstanding() > 0 {
-				waits[k]++
+		for n := min(slots, len(running)); n > 0; n-- {
+			k := random.IntN(len(running))
+			command := running[k]
+			running = slices.Delete(running, k, k+1)
+			outcome := Served
+			if len(running) > 4*slots { // more than it can do
+				outcome = Rejected
 			}
+			pacer.Done(command, outcome)
+			served[slices.Index(sessions, command.session)]++
 		}
 	}
-	return served, waits
+	return served
 }
 
-// A session with one command at a time and one with 256 have what each can use: the first is not starved, and two deep
-// ones of any depths share evenly by bytes.
-func TestFairness(t *testing.T) {
-	served, _ := serve(New(DefaultLimits), []int{1, 256}, []int{4096, 4096}, 4, 10_000, 1)
+// A session with one command at a time is not starved by one with 256, and two with more than their share have even
+// shares of the bytes.
+func TestSessionsShareByBytes(t *testing.T) {
+	served := serve(New(DefaultLimits), []int{1, 256}, []int{4096, 4096}, 4, 10_000, 1)
 	if served[0] < 800 || served[0]+served[1] < 39_000 { // alone it would have 10,000; with 16 inside it waits about four rounds
 		t.Errorf("served %v", served)
 	}
-	served, _ = serve(New(DefaultLimits), []int{32, 256}, []int{4096, 4096}, 4, 10_000, 2)
+	served = serve(New(DefaultLimits), []int{32, 256}, []int{4096, 4096}, 4, 10_000, 2)
 	if ratio := float64(served[0]) / float64(served[1]); ratio < 0.9 || ratio > 1.1 {
 		t.Errorf("depths 32 and 256: %v, ratio %.2f", served, ratio)
 	}
-	served, _ = serve(New(DefaultLimits), []int{256, 256}, []int{4096, 65536}, 4, 10_000, 3)
+	served = serve(New(DefaultLimits), []int{256, 256}, []int{4096, 65536}, 4, 10_000, 3)
 	if ratio := float64(served[0]) / float64(16*served[1]); ratio < 0.9 || ratio > 1.1 {
 		t.Errorf("4 KiB and 64 KiB: %v, ratio of bytes %.2f", served, ratio)
 	}
 }
 
-// The bound falls when commands are dismissed, once for all that were inside together, and comes back by and by; each
-// change of state is told once.
-func TestBound(t *testing.T) {
-	p := New(Limits{Least: 1, Most: 100, Start: 10, Inside: 20, Bytes: 1 << 30, Quantum: 1})
-	s := p.NewSession()
-	fill := func() (list []*Command) {
+// The bound falls when commands are rejected, once for all that ran together, and grows again step by step; each change
+// of state is reported once.
+func TestBoundFollowsRejections(t *testing.T) {
+	pacer := New(Limits{Least: 1, Most: 100, Start: 10, Inside: 20, Bytes: 1 << 30, Quantum: 1})
+	session := pacer.NewSession()
+	fill := func() (started []*Command) {
 		for range 40 {
-			s.Enqueue(&Command{})
+			session.Enqueue(&Command{})
 		}
-		for i := p.Next(); i != nil; i = p.Next() {
-			list = append(list, i)
+		for command := pacer.Next(); command != nil; command = pacer.Next() {
+			started = append(started, command)
 		}
-		return list
+		return started
 	}
-	all := fill()
-	if len(all) != 10 || s.Window() != 20 {
-		t.Fatalf("%d go in, window %d", len(all), s.Window())
+	first := fill()
+	if len(first) != 10 || session.Window() != 20 {
+		t.Fatalf("%d run, window %d", len(first), session.Window())
 	}
-	for _, i := range all {
-		p.Done(i, Rejected)
+	for _, command := range first {
+		pacer.Done(command, Rejected)
 	}
-	if p.Bound() != 7 || p.State() != Slow || !p.TakeStateChange() || p.TakeStateChange() {
-		t.Errorf("bound %d, %v", p.Bound(), p.State())
+	if pacer.Bound() != 7 || pacer.State() != Slow || !pacer.TakeStateChange() || pacer.TakeStateChange() {
+		t.Errorf("bound %d, %v", pacer.Bound(), pacer.State())
 	}
-	for n := 0; p.State() == Slow; n++ {
+	for n := 0; pacer.State() == Slow; n++ {
 		if n > 200 {
-			t.Fatalf("bound %v does not come back", p.bound)
+			t.Fatalf("bound %v does not come back", pacer.bound)
 		}
-		for _, i := range fill() {
-			p.Done(i, Served)
+		for _, command := range fill() {
+			pacer.Done(command, Served)
 		}
 	}
-	if !p.TakeStateChange() || p.Bound() < 10 {
-		t.Errorf("bound %d, %v", p.Bound(), p.State())
+	if !pacer.TakeStateChange() || pacer.Bound() < 10 {
+		t.Errorf("bound %d, %v", pacer.Bound(), pacer.State())
 	}
 	for range 500 {
-		for _, i := range fill() {
-			p.Done(i, Served)
+		for _, command := range fill() {
+			pacer.Done(command, Served)
 		}
 	}
-	if p.Bound() != 20 {
-		t.Errorf("bound %d, 20 is the most", p.Bound())
+	if pacer.Bound() != 20 {
+		t.Errorf("bound %d, 20 is the most", pacer.Bound())
 	}
-	p.Close()
-	if s.Window() != 0 || p.Next() == nil {
+	pacer.Close()
+	if session.Window() != 0 || pacer.Next() == nil {
 		t.Error("closed, what was taken goes on and nothing new is taken")
 	}
 }
