--- /dev/null
+++ b/internal/iscsi/negotiate/login.go
@@ -0,0 +1,228 @@
+package negotiate
+
+import (
+	"fmt"
+	"strconv"
+	"strings"
+
+	"irispost/internal/iscsi"
+)
+
+// Limits of a login.
+const (
+	maxRequests   = 32
+	maxTextLength = 64 << 10 // bytes of the text of one request in parts
+	maxNameLength = 223      // bytes of an iSCSI name
+)
+
+// Keys that the login itself acts on.
+const (
+	keyInitiatorName = "InitiatorName"
+	keyTargetName    = "TargetName"
+	keySessionType   = "SessionType"
+	keyAuthMethod    = "AuthMethod"
+	keyPortalGroup   = "TargetPortalGroupTag"
+	keyMaxSegment    = "MaxRecvDataSegmentLength"
+	chapPrefix       = "CHAP_"
+)
+
+// Login is a target's side of a login. Params, Initiator, Target and Discovery are final when it has reached
+// FullFeature.
+type Login struct {
+	options         Options
+	stage           Stage
+	started         bool
+	requests        int
+	text            []byte          // of a request whose rest follows
+	answered        map[string]bool // keys that were answered, each once
+	segmentDeclared bool            // ours
+
+	account   Account
+	chap      chapState
+	challenge []byte
+	id        byte // of the challenge, ours and then the initiator's
+
+	Params    Params
+	Initiator string
+	Target    string
+	Discovery bool // no target: the initiator asks for the list of targets only
+}
+
+// NewLogin returns a login that has not begun.
+func NewLogin(options Options) *Login {
+	return &Login{options: options, Params: Defaults, answered: map[string]bool{}}
+}
+
+// Stage returns the login's stage.
+func (l *Login) Stage() Stage { return l.stage }
+
+// Request is what a login request says.
+type Request struct {
+	Current, Next Stage
+	Transit       bool // to stage Next
+	Continue      bool // the text goes on in the next request
+	Text          []byte
+}
+
+// Answer is what the answer to a login request says.
+type Answer struct {
+	Current, Next Stage
+	Transit       bool
+	Pairs         []iscsi.Pair
+}
+
+// Step handles a request. A rejection ends the login.
+func (l *Login) Step(request Request) (answer Answer, rejection *Rejection) {
+	if rejection := l.begin(request); rejection != nil {
+		return answer, rejection
+	}
+	l.text = append(l.text, request.Text...)
+	if len(l.text) > maxTextLength {
+		return answer, initiatorError("over %d bytes of text", maxTextLength)
+	}
+	answer.Current, answer.Next = l.stage, request.Next
+	if request.Continue {
+		if request.Transit {
+			return answer, initiatorError("a text that goes on and a stage that ends")
+		}
+		return answer, nil
+	}
+	pairs, err := iscsi.DecodeText(l.text)
+	l.text = nil
+	if err != nil {
+		return answer, initiatorError("%v", err)
+	}
+	if rejection := l.answerAll(pairs, &answer); rejection != nil {
+		return answer, rejection
+	}
+	if request.Transit {
+		rejection = l.transition(request.Next, &answer)
+	}
+	return answer, rejection
+}
+
+// begin checks that a request comes in its stage.
+func (l *Login) begin(request Request) *Rejection {
+	l.requests++
+	if l.requests > maxRequests {
+		return initiatorError("no end after %d requests", maxRequests)
+	}
+	if !l.started {
+		if request.Current != Security && request.Current != Operational {
+			return initiatorError("it begins in stage %d", request.Current)
+		}
+		l.stage = request.Current
+		l.started = true
+	}
+	if request.Current != l.stage {
+		return initiatorError("a request of stage %d in stage %d", request.Current, l.stage)
+	}
+	return nil
+}
+
+// answerAll answers the keys of a complete text.
+func (l *Login) answerAll(pairs []iscsi.Pair, answer *Answer) *Rejection {
+	if rejection := l.readNames(pairs); rejection != nil {
+		return rejection
+	}
+	for _, pair := range pairs {
+		answers, rejection := l.answerKey(pair)
+		if rejection != nil {
+			return rejection
+		}
+		answer.Pairs = append(answer.Pairs, answers...)
+	}
+	if l.stage == Security && l.chap == chapNotStarted && !l.answered[keyAuthMethod] && l.account.Secret == "" {
+		l.chap = chapAuthenticated
+	}
+	return nil
+}
+
+// readNames reads who logs in at which target, which the first text has to say.
+func (l *Login) readNames(pairs []iscsi.Pair) *Rejection {
+	if l.Initiator != "" {
+		return nil
+	}
+	for _, pair := range pairs {
+		switch pair.Key {
+		case keyInitiatorName:
+			l.Initiator = pair.Value
+		case keyTargetName:
+			l.Target = pair.Value
+		case keySessionType:
+			if pair.Value != "Discovery" && pair.Value != "Normal" {
+				return initiatorError("SessionType=%s", pair.Value)
+			}
+			l.Discovery = l.Discovery || pair.Value == "Discovery"
+		}
+	}
+	switch {
+	case l.Initiator == "" || len(l.Initiator) > maxNameLength:
+		return missingParameter("it does not say its InitiatorName")
+	case !l.Discovery && l.Target == "":
+		return missingParameter("it does not say which TargetName")
+	case !l.Discovery && !l.options.Target(l.Target):
+		reason := fmt.Sprintf("there is no target %q", l.Target)
+		return &Rejection{Class: ClassInitiatorError, Detail: DetailTargetNotFound, Reason: reason}
+	}
+	l.account = l.options.Account(l.Initiator, l.Target)
+	if l.stage == Operational && l.account.Secret != "" {
+		return authenticationFailure("it does not prove who it is")
+	}
+	return nil
+}
+
+// transition ends a stage. The security stage goes on, without a rejection, while the initiator has not authenticated.
+func (l *Login) transition(next Stage, answer *Answer) *Rejection {
+	if next != Operational && next != FullFeature || next <= l.stage {
+		return initiatorError("stage %d does not follow stage %d", next, l.stage)
+	}
+	if l.stage == Security && l.account.Secret != "" && l.chap != chapAuthenticated {
+		if l.chap == chapNotStarted && l.answered[keyAuthMethod] {
+			return authenticationFailure("it does not prove who it is")
+		}
+		return nil
+	}
+	if next == FullFeature && !l.segmentDeclared {
+		l.segmentDeclared = true
+		l.Params.OwnMaxSegment = l.options.Params.OwnMaxSegment
+		answer.add(keyMaxSegment, strconv.Itoa(l.options.Params.OwnMaxSegment))
+	}
+	if !l.Discovery && !l.answered[keyPortalGroup] {
+		l.answered[keyPortalGroup] = true
+		answer.add(keyPortalGroup, strconv.Itoa(l.options.Portal))
+	}
+	l.Params.FirstBurst = min(l.Params.FirstBurst, l.Params.MaxBurst)
+	l.stage = next
+	answer.Transit = true
+	answer.Next = next
+	return nil
+}
+
+func (a *Answer) add(key, value string) {
+	a.Pairs = append(a.Pairs, iscsi.Pair{Key: key, Value: value})
+}
+
+// answerKey answers a key, with none or several. Only keys of CHAP may come twice.
+func (l *Login) answerKey(pair iscsi.Pair) ([]iscsi.Pair, *Rejection) {
+	isCHAP := strings.HasPrefix(pair.Key, chapPrefix)
+	if l.answered[pair.Key] && !isCHAP {
+		return nil, initiatorError("%s is there twice", pair.Key)
+	}
+	if isCHAP || pair.Key == keyAuthMethod {
+		if l.stage != Security {
+			return nil, initiatorError("%s outside of the security stage", pair.Key)
+		}
+		return l.answerSecurityKey(pair)
+	}
+	l.answered[pair.Key] = true
+	switch pair.Key {
+	case keyInitiatorName, "InitiatorAlias", keyTargetName, keySessionType:
+		return nil, nil // declared
+	}
+	value, rejection := l.answerOperationalKey(pair)
+	if rejection != nil || value == "" {
+		return nil, rejection
+	}
+	return []iscsi.Pair{{Key: pair.Key, Value: value}}, nil
+}
--- /dev/null
+++ b/internal/iscsi/negotiate/operational.go
@@ -0,0 +1,122 @@
+package negotiate
+
+import (
+	"strconv"
+	"strings"
+
+	"irispost/internal/iscsi"
+)
+
+// SessionKey asks for the gateway's name of the session (a key of our own, RFC 7143, 13.23).
+const SessionKey = "X-org.irispost.session"
+
+const (
+	notUnderstood = "NotUnderstood"
+	digestCRC32C  = "CRC32C"
+	digestNone    = "None"
+)
+
+// Bounds of numbers (RFC 7143, 13).
+const (
+	minSegment = 512
+	max24Bits  = 1<<24 - 1
+	max16Bits  = 1<<16 - 1
+	maxSeconds = 3600
+	maxLevel   = 2 // of error recovery
+)
+
+// answerOperationalKey answers a key of RFC 7143, 13; empty: it needs no answer.
+func (l *Login) answerOperationalKey(pair iscsi.Pair) (string, *Rejection) {
+	ours := &l.options.Params
+	switch pair.Key {
+	case "HeaderDigest":
+		return l.answerDigest(pair, &l.Params.HeaderDigest)
+	case "DataDigest":
+		return l.answerDigest(pair, &l.Params.DataDigest)
+	case "InitialR2T":
+		theirs, rejection := parseBool(pair)
+		l.Params.InitialR2T = theirs || ours.InitialR2T
+		return formatBool(l.Params.InitialR2T), rejection
+	case "ImmediateData":
+		theirs, rejection := parseBool(pair)
+		l.Params.ImmediateData = theirs && ours.ImmediateData
+		return formatBool(l.Params.ImmediateData), rejection
+	case "DataPDUInOrder", "DataSequenceInOrder":
+		_, rejection := parseBool(pair)
+		return formatBool(true), rejection
+	case keyMaxSegment:
+		theirs, rejection := parseNumber(pair, minSegment, max24Bits)
+		l.Params.PeerMaxSegment = theirs
+		return "", rejection
+	case "MaxBurstLength":
+		return answerMinimum(pair, ours.MaxBurst, &l.Params.MaxBurst, minSegment, max24Bits)
+	case "FirstBurstLength":
+		return answerMinimum(pair, ours.FirstBurst, &l.Params.FirstBurst, minSegment, max24Bits)
+	case "MaxOutstandingR2T":
+		return answerMinimum(pair, ours.MaxOutstandingR2T, &l.Params.MaxOutstandingR2T, 1, max16Bits)
+	case "MaxConnections":
+		_, rejection := parseNumber(pair, 1, max16Bits)
+		return "1", rejection
+	case "ErrorRecoveryLevel":
+		_, rejection := parseNumber(pair, 0, maxLevel)
+		return "0", rejection
+	case "DefaultTime2Wait":
+		theirs, rejection := parseNumber(pair, 0, maxSeconds)
+		l.Params.TimeToWait = max(theirs, ours.TimeToWait)
+		return strconv.Itoa(l.Params.TimeToWait), rejection
+	case "DefaultTime2Retain":
+		return answerMinimum(pair, ours.TimeToRetain, &l.Params.TimeToRetain, 0, maxSeconds)
+	case SessionKey:
+		if l.options.Session != nil {
+			return l.options.Session(), nil
+		}
+	case keyPortalGroup, "TargetAddress", "TargetAlias":
+		return "", initiatorError("%s is the target's to say", pair.Key)
+	}
+	return notUnderstood, nil
+}
+
+// answerMinimum answers a number with the smaller one of both ends, and sets the parameter to it.
+func answerMinimum(pair iscsi.Pair, ours int, parameter *int, least, most int) (string, *Rejection) {
+	theirs, rejection := parseNumber(pair, least, most)
+	if rejection == nil {
+		*parameter = min(theirs, ours)
+	}
+	return strconv.Itoa(*parameter), rejection
+}
+
+// answerDigest answers a list of digests with the first that is offered here.
+func (l *Login) answerDigest(pair iscsi.Pair, parameter *bool) (string, *Rejection) {
+	for _, digest := range strings.Split(pair.Value, ",") {
+		if digest == digestNone || digest == digestCRC32C && l.options.Digests {
+			*parameter = digest == digestCRC32C
+			return digest, nil
+		}
+	}
+	return "", initiatorError("%s=%.40s has nothing that is spoken here", pair.Key, pair.Value)
+}
+
+func parseNumber(pair iscsi.Pair, least, most int) (int, *Rejection) {
+	number, err := strconv.ParseInt(pair.Value, 0, 32)
+	if err != nil || number < int64(least) || number > int64(most) {
+		return 0, initiatorError("%s=%.40s is no number from %d to %d", pair.Key, pair.Value, least, most)
+	}
+	return int(number), nil
+}
+
+func parseBool(pair iscsi.Pair) (bool, *Rejection) {
+	switch pair.Value {
+	case "Yes":
+		return true, nil
+	case "No":
+		return false, nil
+	}
+	return false, initiatorError("%s=%.40s is neither Yes nor No", pair.Key, pair.Value)
+}
+
+func formatBool(value bool) string {
+	if value {
+		return "Yes"
+	}
+	return "No"
+}
