--- /dev/null
+++ b/internal/iscsi/target/management.go
@@ -0,0 +1,101 @@
+package target
+
+import (
+	"maps"
+	"slices"
+
+	"irispost/internal/iscsi"
+	"irispost/internal/scsi"
+)
+
+// Task management functions (RFC 7143, 11.5.1).
+const (
+	functionMask         = 0x7f
+	functionAbortTask    = 1
+	functionAbortTaskSet = 2
+	functionClearTaskSet = 4
+	functionLUNReset     = 5
+	functionTaskReassign = 8
+)
+
+// Answers to task management functions (RFC 7143, 11.6.1).
+const (
+	responseComplete       = 0
+	responseNoTask         = 1
+	responseNoLUN          = 2
+	responseNoReassignment = 4
+	responseNotSupported   = 5
+)
+
+// manageTasks executes a task management function. It is answered when what it aborts has ended: after that, no effect
+// of the aborted tasks comes any more.
+func (x *session) manageTasks(pdu *iscsi.PDU) {
+	if x.target == nil {
+		x.reject(pdu, rejectProtocolError)
+		return
+	}
+	tasks, response := x.selectTasks(pdu)
+	if response != responseComplete {
+		x.answerManagement(pdu, response)
+		return
+	}
+	var ends []<-chan struct{}
+	for _, t := range tasks {
+		ends = append(ends, t.abort(t.session == x))
+	}
+	go func() {
+		for _, end := range ends {
+			<-end
+		}
+		x.answerManagement(pdu, responseComplete)
+	}()
+}
+
+func (x *session) answerManagement(pdu *iscsi.PDU, response byte) {
+	x.sendLocked(iscsi.New(iscsi.TaskManagementResponse, iscsi.Final).
+		SetByte(iscsi.OffsetResponse, response).
+		SetUint32(iscsi.OffsetTag, pdu.Tag()), true)
+}
+
+// selectTasks returns the tasks that a function aborts, or why it aborts none.
+func (x *session) selectTasks(pdu *iscsi.PDU) (tasks []*task, response byte) {
+	switch function := pdu.Flags() & functionMask; function {
+	case functionAbortTask:
+		x.lock.Lock()
+		defer x.lock.Unlock()
+		t := x.tasks[pdu.Uint32(iscsi.OffsetReferencedTag)]
+		if t == nil {
+			return nil, responseNoTask
+		}
+		return []*task{t}, responseComplete
+	case functionAbortTaskSet, functionClearTaskSet, functionLUNReset:
+		lun, known := scsi.DecodeLUN(pdu.LUN())
+		unit := x.target.Units[lun]
+		if !known || unit == nil {
+			return nil, responseNoLUN
+		}
+		tasks = x.tasksOf(unit)
+		if function == functionAbortTaskSet {
+			return tasks, responseComplete
+		}
+		for _, other := range x.server.otherSessions(x) {
+			tasks = append(tasks, other.tasksOf(unit)...)
+		}
+		return tasks, responseComplete
+	case functionTaskReassign:
+		return nil, responseNoReassignment
+	}
+	return nil, responseNotSupported
+}
+
+// tasksOf returns the session's tasks at a unit.
+func (x *session) tasksOf(unit *Unit) (tasks []*task) {
+	x.lock.Lock()
+	defer x.lock.Unlock()
+	for _, tag := range slices.Sorted(maps.Keys(x.tasks)) {
+		if t := x.tasks[tag]; t.unit == unit {
+			tasks = append(tasks, t)
+		}
+	}
+	return tasks
+}
--- a/internal/serve/iscsi.go
+++ b/internal/serve/iscsi.go
@@ -47,7 +47,7 @@
 	for backoff := minOpenBackoff; ; backoff = min(2*backoff, maxOpenBackoff) {
 		disk, err := g.Frontend.Disk(lun.File, lun.Size)
 		if err == nil {
-			unit.Set(disk)
+			unit.SetDisk(disk)
 			return
 		}
 		g.logger.Warn("logical unit not ready, retrying",
--- a/internal/serve/iscsi_test.go
+++ b/internal/serve/iscsi_test.go
@@ -312,7 +312,7 @@
 	if err := testbed.Gateways[0].Frontend.Drain(ctx); err != nil { // nothing is counted as under way for ever
 		t.Error(err)
 	}
-	if s := testbed.Gateways[0].ISCSI.Status(); s.Inside != 0 || s.Waiting != 0 {
+	if s := testbed.Gateways[0].ISCSI.Status(); s.Running != 0 || s.Waiting != 0 {
 		t.Errorf("%+v", s)
 	}
 }
@@ -392,7 +392,7 @@
 			w.last(0)
 		}
 	}
-	for s := testbed.Gateways[0].ISCSI.Status(); s.Inside+s.Waiting > 0; s = testbed.Gateways[0].ISCSI.Status() {
+	for s := testbed.Gateways[0].ISCSI.Status(); s.Running+s.Waiting > 0; s = testbed.Gateways[0].ISCSI.Status() {
 		time.Sleep(time.Millisecond)
 	}
 	full, good := 0, 0
