--- /dev/null
+++ b/internal/endpoint/filesource/source_test.go
@@ -0,0 +1,59 @@
+package filesource
+
+import (
+	"context"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"irispost/internal/endpoint"
+)
+
+// recorder is a Subscriber that hands on what it receives.
+type recorder struct {
+	lists    chan endpoint.List
+	rejected chan error
+}
+
+func (r recorder) OnUpdate(l endpoint.List) { r.lists <- l }
+func (r recorder) OnRejected(err error)     { r.rejected <- err }
+func (r recorder) OnLink(bool, string)      {}
+
+// A file that is renamed into place is read again; an invalid one is rejected, and the next valid one accepted.
+func TestChangedFileIsReadAgain(t *testing.T) {
+	file := filepath.Join(t.TempDir(), "nodes.hcl")
+	write := func(text string) {
+		next := file + ".next"
+		if err := os.WriteFile(next, []byte(text), 0o644); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.Rename(next, file); err != nil {
+			t.Fatal(err)
+		}
+	}
+	ctx, cancel := context.WithCancel(t.Context())
+	lists, rejected, done := make(chan endpoint.List, 10), make(chan error, 10), make(chan error, 1)
+	go func() {
+		done <- Source{file}.Run(ctx, recorder{lists, rejected})
+	}()
+	if err := <-rejected; !os.IsNotExist(err) {
+		t.Errorf("no file: %v", err)
+	}
+	write("node \"a\" {\n  shard = 1\n}\n")
+	if l := <-lists; len(l.Nodes) != 1 || l.Nodes[0].Addr != "a" {
+		t.Errorf("%+v", l)
+	}
+	write("node \"a\" {\n")
+	if err := <-rejected; !strings.Contains(err.Error(), "nodes.hcl:1") {
+		t.Error(err)
+	}
+	write("node \"b\" {\n  shard = 1\n}\n")
+	if l := <-lists; len(l.Nodes) != 1 || l.Nodes[0].Addr != "b" {
+		t.Errorf("%+v", l)
+	}
+	cancel()
+	if err := <-done; err != nil || len(lists) > 0 {
+		t.Errorf("%v, %d lists more", err, len(lists))
+	}
+}
--- /dev/null
+++ b/internal/endpoint/golden_test.go
@@ -0,0 +1,62 @@
+package endpoint
+
+import (
+	"bytes"
+	"encoding/json"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"irispost/internal/testkit/golden"
+)
+
+// formOf returns a list as JSON under names of the test's own.
+func formOf(t *testing.T, list List) []byte {
+	t.Helper()
+	nodes := []map[string]any{}
+	for _, n := range list.Nodes {
+		nodes = append(nodes, map[string]any{
+			"addr":     n.Addr,
+			"name":     n.Name,
+			"zone":     n.Zone,
+			"shard":    n.Shard,
+			"weight":   n.Weight,
+			"born":     n.StartedAt,
+			"standing": int(n.Health),
+			"priority": n.Priority,
+		})
+	}
+	form := map[string]any{"version": list.Version, "stale": list.Stale, "part": list.Partial, "nodes": nodes}
+	b, err := json.MarshalIndent(form, "", "  ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	return append(b, '\n')
+}
+
+// The list file in our own form: what is read of it, how it is written, and the version of one that names none.
+func TestGoldenListFile(t *testing.T) {
+	src, err := os.ReadFile(filepath.Join("testdata", "read.nodes.hcl"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	named, err := ParseList("read.nodes.hcl", src)
+	if err != nil {
+		t.Fatal(err)
+	}
+	unnamed, err := ParseList("read.nodes.hcl", bytes.Replace(src, []byte(`version = "7"`), nil, 1))
+	if err != nil {
+		t.Fatal(err)
+	}
+	named.Stale, named.Partial = true, true // neither is written
+	for _, c := range []struct {
+		file string
+		got  []byte
+	}{
+		{"read.json", formOf(t, named)},
+		{"read-unnamed.json", formOf(t, unnamed)},
+		{"written.nodes.hcl", FormatList(named)},
+	} {
+		golden.Check(t, c.file, c.got)
+	}
+}
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -15,7 +15,7 @@
 	"irispost/internal/admin"
 	"irispost/internal/backend/node"
 	"irispost/internal/config"
-	"irispost/internal/endpoint"
+	"irispost/internal/endpoint/filesource"
 	"irispost/internal/endpoint/manager"
 	"irispost/internal/endpoint/xds"
 	"irispost/internal/fleet/client"
@@ -58,7 +58,7 @@
 		n := manager.NamedSource{Name: s.Name}
 		switch s.Kind {
 		case "own":
-			n.Source = endpoint.FileSource{Path: from(s.File)}
+			n.Source = filesource.Source{Path: from(s.File)}
 		case "xds-file":
 			n.Source = xds.FileSource{Clusters: from(s.Clusters), Endpoints: from(s.Endpoints), Log: log}
 		case "xds":
