--- /dev/null
+++ b/internal/endpoint/discovery/client.go
@@ -0,0 +1,242 @@
+// Package discovery brings the list of storage nodes from a discovery service over HTTP/1.1: the complete list first,
+// then its changes by long polls.
+//
+// The scheduler decides when to watch, and when to try again after a failure; the Client makes the requests and hands
+// lists on at once. It tells a poll that the service left without a response from one that failed: changes that such a
+// poll missed count as delivered some time after the service stopped responding. A Client owns its connection and its
+// Table; it keeps nothing on disk.
+package discovery
+
+import (
+	"bufio"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"log/slog"
+	"net"
+	"net/http"
+	"sync"
+	"time"
+
+	"irispost/internal/endpoint"
+	"irispost/internal/http1"
+)
+
+// errNoResponse tells that the service took a request and did not respond in time.
+var errNoResponse = errors.New("no response from the discovery service")
+
+// Options are what a Client is made with.
+type Options struct {
+	Gateway  string
+	Address  string        // host:port of the service
+	Cached   *Response     // the list as this gateway had it last; nil: none
+	LongPoll time.Duration // how long the service may wait for a change
+	Timeout  time.Duration // limit of a dial, and how much longer than LongPoll a response may take
+	Log      *slog.Logger
+}
+
+// Client watches the list of one service. Run is called once; the other methods may be called from any goroutine.
+type Client struct {
+	opt  Options
+	dial func(ctx context.Context, network, addr string) (net.Conn, error)
+	wake chan struct{} // holds a wish to watch
+
+	// Owned by Run.
+	table      Table
+	onUpdate   func(list endpoint.List)
+	noResponse bool // the last poll had none: the next does not wait for changes, so that a response shows at once
+
+	lock       sync.Mutex // guards what follows
+	addr       string
+	moved      bool // addr changed since the last poll began
+	conn       net.Conn
+	in         *bufio.Reader
+	cancelDial context.CancelFunc // of the last poll
+}
+
+// New makes a Client. It returns the cached list as well, marked stale, or nil if there is none.
+func New(opt Options) (*Client, *endpoint.List, error) {
+	c := &Client{
+		opt:        opt,
+		dial:       (&net.Dialer{}).DialContext,
+		wake:       make(chan struct{}, 1),
+		addr:       opt.Address,
+		cancelDial: func() {},
+	}
+	if opt.Cached == nil {
+		return c, nil, nil
+	}
+	cached := *opt.Cached
+	cached.Full = true
+	list, err := c.table.Apply(&cached, true)
+	return c, &list, err
+}
+
+// Watch has Run watch the list until a poll fails. It does not wait.
+func (c *Client) Watch() {
+	select {
+	case c.wake <- struct{}{}:
+	default:
+	}
+}
+
+// SetAddress changes the service's address. A poll under way at the old one is given up and made at the new one at
+// once: its failure says nothing of the new one.
+func (c *Client) SetAddress(addr string) {
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	if addr == c.addr {
+		return
+	}
+	c.addr, c.moved = addr, true
+	c.cancelDial()
+	c.closeConn()
+	c.Watch()
+}
+
+// Run watches until the context ends. It hands lists to onUpdate, and calls onFailure when a poll failed: noResponse
+// tells that the service took the request and did not respond.
+func (c *Client) Run(ctx context.Context, onUpdate func(list endpoint.List), onFailure func(noResponse bool)) {
+	c.onUpdate = onUpdate
+	stop := context.AfterFunc(ctx, func() {
+		c.lock.Lock()
+		defer c.lock.Unlock()
+		c.closeConn()
+	})
+	defer stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-c.wake:
+		}
+		if err := c.pollUntilFailure(ctx); err != nil {
+			c.opt.Log.Info("endpoint list watch ended", "gateway", c.opt.Gateway, "revision", c.table.revision, "err", err)
+			onFailure(c.noResponse)
+		}
+	}
+}
+
+// pollUntilFailure polls until a poll fails, and returns why; nil: the context ended.
+func (c *Client) pollUntilFailure(ctx context.Context) error {
+	for ctx.Err() == nil {
+		err := c.poll(ctx)
+		c.noResponse = errors.Is(err, errNoResponse)
+		if err == nil {
+			continue
+		}
+		if moved := c.disconnect(); moved {
+			continue
+		}
+		if ctx.Err() == nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// poll makes one request, and hands its list on.
+func (c *Client) poll(ctx context.Context) error {
+	dialCtx, cancelDial := context.WithTimeout(ctx, c.opt.Timeout)
+	defer cancelDial()
+	addr, conn, in := c.begin(cancelDial)
+	if conn == nil {
+		var err error
+		if conn, in, err = c.connect(dialCtx, addr); err != nil {
+			return err
+		}
+	}
+	answer, err := c.exchange(conn, in, addr)
+	if err != nil {
+		return err
+	}
+	if answer.Status != http.StatusOK {
+		return StatusError(answer.Status)
+	}
+	var response Response
+	if err := json.Unmarshal(answer.Body, &response); err != nil {
+		return fmt.Errorf("response of the discovery service: %w", err)
+	}
+	list, err := c.table.Apply(&response, false)
+	if err != nil {
+		return err
+	}
+	c.onUpdate(list)
+	if answer.Close {
+		c.disconnect()
+	}
+	return nil
+}
+
+// begin begins a poll: at the present address, over the connection if there is one.
+func (c *Client) begin(cancelDial context.CancelFunc) (addr string, conn net.Conn, in *bufio.Reader) {
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	if c.moved {
+		c.moved = false
+		c.dropConn()
+		select { // this is the poll that SetAddress wished for; the wish would follow the next failure undecided
+		case <-c.wake:
+		default:
+		}
+	}
+	c.cancelDial = cancelDial
+	return c.addr, c.conn, c.in
+}
+
+// connect opens a connection.
+func (c *Client) connect(ctx context.Context, addr string) (net.Conn, *bufio.Reader, error) {
+	conn, err := c.dial(ctx, "tcp", addr)
+	if err != nil {
+		return nil, nil, err
+	}
+	in := bufio.NewReaderSize(conn, http1.MaxLineBytes)
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	c.conn, c.in = conn, in
+	if c.moved {
+		return nil, nil, net.ErrClosed
+	}
+	return conn, in, nil
+}
+
+// exchange sends a request and reads the answer.
+func (c *Client) exchange(conn net.Conn, in *bufio.Reader, addr string) (*http1.Response, error) {
+	longPoll, limit := c.opt.LongPoll, c.opt.LongPoll+c.opt.Timeout
+	if c.noResponse { // the service may be busy with all gateways that come back
+		longPoll, limit = min(longPoll, time.Millisecond), 2*c.opt.Timeout
+	}
+	// It fails on a closed connection only, where the write fails as well.
+	_ = conn.SetDeadline(time.Now().Add(limit))
+	path := target(c.table.nodes != nil, c.table.revision, longPoll)
+	if _, err := conn.Write(http1.NewRequest("GET", path).Field("Host", addr).Body(nil, false)); err != nil {
+		return nil, err
+	}
+	answer, err := http1.ReadResponse(in, limits)
+	if netErr := net.Error(nil); errors.As(err, &netErr) && netErr.Timeout() {
+		return nil, fmt.Errorf("%w: %w", errNoResponse, err)
+	}
+	return answer, err
+}
+
+// disconnect drops the connection, and tells whether the address has changed since the poll began.
+func (c *Client) disconnect() (moved bool) {
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	c.dropConn()
+	return c.moved
+}
+
+// dropConn closes the connection and forgets it; the lock is held.
+func (c *Client) dropConn() {
+	c.closeConn()
+	c.conn, c.in = nil, nil
+}
+
+// closeConn ends what is under way on the connection; the lock is held.
+func (c *Client) closeConn() {
+	if c.conn != nil {
+		_ = c.conn.Close() // its polls fail by themselves
+	}
+}
