--- /dev/null
+++ b/internal/platform/check.go
@@ -0,0 +1,170 @@
+package platform
+
+import (
+	"fmt"
+	"strconv"
+
+	"irispost/internal/wire"
+)
+
+// maxNumber bounds all numbers of settings.
+const maxNumber = 1e15
+
+// SettingError tells that a setting is missing or not valid.
+type SettingError struct {
+	Path    string
+	Problem string
+}
+
+// Error implements error.
+func (e *SettingError) Error() string { return "settings: " + e.Path + " " + e.Problem }
+
+// optionalNumbers are the settings that have to be numbers from 0 on where they are given.
+var optionalNumbers = []string{
+	"contract.drain_grace_ms",
+	"contract.cold_ms",
+	"contract.cold_from",
+	"contract.fall_multiple",
+	"contract.overload_for_ms",
+	"contract.ask_every_ms",
+	"contract.free_resends",
+	"contract.repeat_ratio",
+	"contract.look_back_ms",
+	"contract.key_rest_ms",
+	"domain.unit_mean",
+	"domain.largest",
+	"domain.young_limit",
+}
+
+// optionalPermissions are checked after them.
+var optionalPermissions = []string{
+	"permissions.max_retry_after_ms",
+	"permissions.dial_timeout_ms",
+	"permissions.idle_close_ms",
+}
+
+// check rejects settings that nobody could act on, and names the first by its path, with its value.
+func (s settings) check() error {
+	if s.isEmptyList("lanes") {
+		return &SettingError{"lanes", "names none"}
+	}
+	if err := s.checkItems("lanes", s.checkRequestClass); err != nil {
+		return err
+	}
+	if err := s.checkItems("contracts", s.checkServiceLevel); err != nil {
+		return err
+	}
+	if err := s.checkNumbers(optionalNumbers); err != nil {
+		return err
+	}
+	if err := s.checkNumber("permissions.attempts_cap", 1, false); err != nil {
+		return err
+	}
+	return s.checkNumbers(optionalPermissions)
+}
+
+func (s settings) checkRequestClass(item string) error {
+	if err := s.checkNumber(item+".target_ms", 0, false); err != nil {
+		return err
+	}
+	if err := s.checkNumber(item+".hard_limit_ms", 0, true); err != nil {
+		return err
+	}
+	if err := s.checkNumber(item+".repeat_window_ms", 0, false); err != nil {
+		return err
+	}
+	if err := s.checkWord(item+".effect", wire.KnownEffect, true); err != nil {
+		return err
+	}
+	return s.checkWord(item+".group", wire.KnownGroup, false)
+}
+
+func (s settings) checkServiceLevel(item string) error {
+	for _, field := range []string{".proportion", ".base_rate", ".floor_rate", ".never_over"} {
+		if err := s.checkNumber(item+field, 0, false); err != nil {
+			return err
+		}
+	}
+	limit := s[item+".never_over"]
+	limited := limit != "" && !isZero(limit)
+	return s.checkNumber(item+".burst", 0, limited)
+}
+
+// checkNumbers checks optional settings that have to be numbers from 0 on.
+func (s settings) checkNumbers(paths []string) error {
+	for _, path := range paths {
+		if err := s.checkNumber(path, 0, false); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// checkNumber checks that a setting is a number between least and maxNumber.
+func (s settings) checkNumber(path string, least float64, required bool) error {
+	value, given := s[path]
+	if !given && !required {
+		return nil
+	}
+	number, err := strconv.ParseFloat(value, 64)
+	if given && err == nil && number >= least && number <= maxNumber {
+		return nil
+	}
+	return &SettingError{path, fmt.Sprintf("is %s, and has to be a number from %g on", s.quoted(path), least)}
+}
+
+// checkWord checks that a setting is one of the known words.
+func (s settings) checkWord(path string, known func(word string) bool, required bool) error {
+	value, given := s[path]
+	if given && known(value) || !given && !required {
+		return nil
+	}
+	return &SettingError{path, fmt.Sprintf("is %s, which is not known", s.quoted(path))}
+}
+
+// isEmptyList tells whether a list has no items, or is missing.
+func (s settings) isEmptyList(path string) bool {
+	count, err := strconv.Atoi(s[path+".count"])
+	return err != nil || count == 0
+}
+
+// checkItems checks each item of a list of objects, whose names have to differ.
+func (s settings) checkItems(path string, check func(item string) error) error {
+	if s[path+".count"] == "" {
+		return nil
+	}
+	count, err := strconv.Atoi(s[path+".count"])
+	if err != nil {
+		return &SettingError{path, "names none"}
+	}
+	numbers := map[string]int{} // by name
+	for i := range count {
+		item := path + "." + strconv.Itoa(i)
+		name := s[item+".name"]
+		if name == "" {
+			return &SettingError{item + ".name", "is " + s.quoted(item+".name")}
+		}
+		if other, taken := numbers[name]; taken {
+			return &SettingError{item + ".name", fmt.Sprintf("is %q, as that of %s.%d", name, path, other)}
+		}
+		numbers[name] = i
+		if err := check(item); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// quoted returns a setting's value for an error.
+func (s settings) quoted(path string) string {
+	value, given := s[path]
+	if !given {
+		return "missing"
+	}
+	return strconv.Quote(value)
+}
+
+func isZero(text string) bool {
+	number, err := strconv.ParseFloat(text, 64)
+	return err == nil && number == 0
+}
