--- a/internal/endpoint/xds/bench_test.go
+++ b/internal/endpoint/xds/bench_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 	"testing"
 	"time"
 
@@ -11,102 +12,124 @@
 	"irispost/internal/xdsstandin"
 )
 
-// BenchmarkUpdate takes in an update in which one endpoint has changed, from its bytes to what the module is told: 50
-// endpoints in each cluster; the whole form sends all clusters' endpoints, the incremental one the changed cluster's.
+// clusterSize is how many endpoints each cluster of a benchmark has.
+const clusterSize = 50
+
+// installation is a number of nodes in clusters, for a benchmark.
+type installation struct {
+	names []string
+	lists [][]endpoint.Node
+}
+
+func newInstallation(size int) *installation {
+	in := &installation{}
+	for i := range size / clusterSize {
+		in.names = append(in.names, fmt.Sprint("c", i))
+		var list []endpoint.Node
+		for j := range clusterSize {
+			addr := fmt.Sprintf("127.0.%d.%d:7000", i, j+1)
+			list = append(list, endpoint.Node{Addr: addr, Shard: i*clusterSize + j, Zone: "z"})
+		}
+		in.lists = append(in.lists, list)
+	}
+	return in
+}
+
+// endpoints returns a response with the endpoints of all clusters, or in the incremental form of one; below 0: of all.
+func (in *installation) endpoints(b *testing.B, incremental bool, only int, version string) xds.Response {
+	b.Helper()
+	r := xds.Response{Type: xds.EndpointType, Version: version, Nonce: version}
+	for i, name := range in.names {
+		if only < 0 || !incremental || i == only {
+			add(&r, incremental, name, pack(b, xdsstandin.Assignment(name, in.lists[i])))
+		}
+	}
+	return r
+}
+
+// wireBytes returns the size of a response's resources.
+func wireBytes(r xds.Response) (bytes int) {
+	for _, body := range r.Resources {
+		bytes += len(body.Value)
+	}
+	for _, wrapper := range r.Changed {
+		bytes += len(wrapper.Resource.Value)
+	}
+	return bytes
+}
+
+// BenchmarkUpdate takes in a response in which one endpoint has changed, from its bytes to the list for the scheduler.
+// In the state of the world that has all clusters' endpoints, in the incremental form the changed cluster's.
 func BenchmarkUpdate(b *testing.B) {
 	for _, size := range []int{50, 500, 5000} {
-		for _, delta := range []bool{false, true} {
-			b.Run(fmt.Sprintf("%d/%s", size, map[bool]string{false: "whole", true: "delta"}[delta]), func(b *testing.B) {
-				s, f := xds.NewSession(delta, nil, time.Minute), membership.New(membership.DefaultSettings, "plane")
-				s.OpenStream(sec)
-				var names []string
-				var lists [][]endpoint.Node
-				for i := range size / 50 {
-					names = append(names, fmt.Sprint("c", i))
-					var list []endpoint.Node
-					for j := range 50 {
-						list = append(list, endpoint.Node{Addr: fmt.Sprintf("127.0.%d.%d:7000", i, j+1), Shard: i*50 + j, Zone: "z"})
-					}
-					lists = append(lists, list)
-				}
-				now := sec
-				s.HandleResponse(now, clusters(b, delta, "1", "n", names...))
-				make1 := func(only int, version string) xds.Response {
-					u := xds.Response{Type: xds.EndpointType, Version: version, Nonce: version}
-					for i, name := range names {
-						if only < 0 || !delta || i == only {
-							add(b, &u, delta, name, pack(b, xdsstandin.Assignment(name, lists[i])))
-						}
-					}
-					return u
-				}
-				src := f.Sources()[0]
-				src.LinkUp(now)
-				src.Receive(now, *s.HandleResponse(now, make1(-1, "1")).List)
-				f.Reconcile(now)
-				var updates [2]xds.Response
-				for k := range updates {
-					lists[0][0].Zone = fmt.Sprint("zone", k)
-					updates[k] = make1(0, fmt.Sprint(k+2))
-				}
-				bytes := 0
-				for _, r := range updates[0].Resources {
-					bytes += len(r.Value)
-				}
-				for _, r := range updates[0].Changed {
-					bytes += len(r.Resource.Value)
-				}
-				b.ReportAllocs()
-				b.ResetTimer()
-				for i := range b.N {
-					now += sec
-					out := s.HandleResponse(now, updates[i%2])
-					src.Receive(now, *out.List)
-					if told := f.Reconcile(now); !told.Changed || len(told.List.Nodes) != size {
-						b.Fatalf("changed %v, %d nodes", told.Changed, len(told.List.Nodes))
-					}
-				}
-				b.ReportMetric(float64(bytes), "wire-B/op")
+		for _, incremental := range []bool{false, true} {
+			b.Run(fmt.Sprintf("%d/%s", size, formName(incremental)), func(b *testing.B) {
+				benchmarkUpdate(b, size, incremental)
 			})
 		}
 	}
 }
 
-// BenchmarkFleet changes one of 50 nodes at one stand-in until all of 200 clients have the list, over loopback sockets.
+func benchmarkUpdate(b *testing.B, size int, incremental bool) {
+	s, tracker := xds.NewSession(incremental, nil, time.Minute), membership.New(membership.DefaultSettings, "plane")
+	in := newInstallation(size)
+	now := sec
+	s.OpenStream(now)
+	s.HandleResponse(now, clusters(b, incremental, "1", "n", in.names...))
+	source := tracker.Sources()[0]
+	source.LinkUp(now)
+	source.Receive(now, *s.HandleResponse(now, in.endpoints(b, incremental, -1, "1")).List)
+	tracker.Reconcile(now)
+	var responses [2]xds.Response
+	for i := range responses {
+		in.lists[0][0].Zone = fmt.Sprint("zone", i)
+		responses[i] = in.endpoints(b, incremental, 0, fmt.Sprint(i+2))
+	}
+	b.ReportAllocs()
+	b.ResetTimer()
+	for i := range b.N {
+		now += sec
+		out := s.HandleResponse(now, responses[i%2])
+		source.Receive(now, *out.List)
+		update := tracker.Reconcile(now)
+		if !update.Changed || len(update.List.Nodes) != size {
+			b.Fatalf("changed %v, %d nodes", update.Changed, len(update.List.Nodes))
+		}
+	}
+	b.ReportMetric(float64(wireBytes(responses[0])), "wire-B/op")
+}
+
+// BenchmarkFleet changes one of 50 nodes at one server until all of 200 clients have the list, over loopback sockets.
 func BenchmarkFleet(b *testing.B) {
-	for _, delta := range []bool{false, true} {
-		b.Run(map[bool]string{false: "whole", true: "delta"}[delta], func(b *testing.B) {
-			var list []endpoint.Node
-			for i := range 50 {
-				list = append(list, nodes(fmt.Sprint(1000+i))...)
-			}
-			s, err := xdsstandin.Start("127.0.0.1:0", 10, list...)
-			if err != nil {
-				b.Fatal(err)
-			}
-			b.Cleanup(s.Close)
-			var ears []*recorder
-			for i := range 200 {
-				ears = append(ears, listen(b, s, delta, fmt.Sprint("g", i)))
-			}
-			for _, e := range ears {
-				e.until(b, "50 nodes", func(e *recorder) bool { return len(e.list.Nodes) == 50 })
-			}
-			b.ResetTimer()
-			for i := range b.N {
-				weight := float64(i + 1)
-				s.Set(func(list []endpoint.Node) []endpoint.Node { list[0].Weight = weight; return list })
-				for _, e := range ears {
-					e.until(b, "a change", func(e *recorder) bool {
-						for _, n := range e.list.Nodes {
-							if n.Addr == "127.0.0.1:1000" {
-								return n.Weight == weight
-							}
-						}
-						return false
-					})
-				}
-			}
-		})
+	for _, incremental := range []bool{false, true} {
+		b.Run(formName(incremental), func(b *testing.B) { benchmarkFleet(b, incremental) })
+	}
+}
+
+func benchmarkFleet(b *testing.B, incremental bool) {
+	var list []endpoint.Node
+	for i := range 50 {
+		list = append(list, nodes(fmt.Sprint(1000+i))...)
+	}
+	s := startServer(b, 10, list...)
+	var clients []*recorder
+	for i := range 200 {
+		clients = append(clients, listen(b, s, incremental, fmt.Sprint("g", i)))
+	}
+	for _, r := range clients {
+		r.await(b, "50 nodes", func(r *recorder) bool { return len(r.list.Nodes) == 50 })
+	}
+	b.ResetTimer()
+	for i := range b.N {
+		weight := float64(i + 1)
+		s.Set(func(list []endpoint.Node) []endpoint.Node { list[0].Weight = weight; return list })
+		changed := endpoint.Node{Addr: "127.0.0.1:1000", Weight: weight}
+		for _, r := range clients {
+			r.await(b, "a change", func(r *recorder) bool {
+				return slices.ContainsFunc(r.list.Nodes, func(n endpoint.Node) bool {
+					return n.Addr == changed.Addr && n.Weight == changed.Weight
+				})
+			})
+		}
 	}
 }
--- /dev/null
+++ b/internal/endpoint/xds/cluster.go
@@ -0,0 +1,113 @@
+package xds
+
+import (
+	"fmt"
+
+	clusterv3 "github.com/envoyproxy/go-control-plane/envoy/config/cluster/v3"
+	corev3 "github.com/envoyproxy/go-control-plane/envoy/config/core/v3"
+	"google.golang.org/protobuf/reflect/protoreflect"
+)
+
+// MaxClusters is the most clusters that are taken in.
+const MaxClusters = 4096
+
+// Cluster is what was read of a cluster.
+type Cluster struct {
+	Name        string
+	ServiceName string      // the name of its assignment; empty where it has one of its own
+	Inline      *Assignment // of a static cluster
+	Notes       []string    // fields that have no effect here
+}
+
+var (
+	clusterFields = map[protoreflect.Name]support{
+		"name":                              read,
+		"type":                              read,
+		"eds_cluster_config":                read,
+		"load_assignment":                   read,
+		"connect_timeout":                   ignored,
+		"lb_policy":                         ignored,
+		"alt_stat_name":                     ignored,
+		"metadata":                          ignored,
+		"per_connection_buffer_limit_bytes": ignored,
+	}
+	edsClusterConfigFields = map[protoreflect.Name]support{
+		"eds_config":   read,
+		"service_name": read,
+	}
+	configSourceFields = map[protoreflect.Name]support{
+		"ads":                   read,
+		"self":                  read,
+		"resource_api_version":  read,
+		"initial_fetch_timeout": ignored,
+	}
+)
+
+// ReadCluster reads a cluster (envoy.config.cluster.v3.Cluster). With ValidationErrors it returns what could be read.
+func ReadCluster(message *clusterv3.Cluster) (*Cluster, error) {
+	r := &reading{}
+	out := &Cluster{Name: message.GetName()}
+	at := fmt.Sprintf("cluster %q", message.GetName())
+	if message.GetName() == "" {
+		r.addError("a cluster", "it has no name")
+	}
+	r.fields(at, message, clusterFields)
+	switch message.GetType() {
+	case clusterv3.Cluster_EDS:
+		out.ServiceName = r.edsCluster(at, message)
+	case clusterv3.Cluster_STATIC:
+		out.Inline = r.staticCluster(at, message)
+	default:
+		r.addError(at, "type %v is not supported, EDS and STATIC are", message.GetType())
+	}
+	out.Notes = r.notes
+	return out, r.err()
+}
+
+// edsCluster reads a cluster of type EDS, and returns the name of its assignment.
+func (r *reading) edsCluster(at string, message *clusterv3.Cluster) (serviceName string) {
+	config := message.GetEdsClusterConfig()
+	if config == nil {
+		r.addError(at, "type EDS without eds_cluster_config")
+		return ""
+	}
+	r.fields(at+" eds_cluster_config", config, edsClusterConfigFields)
+	r.configSource(at, config.GetEdsConfig())
+	if message.GetLoadAssignment() != nil {
+		r.addError(at, "load_assignment with type EDS")
+	}
+	if config.GetServiceName() == "" {
+		return message.GetName()
+	}
+	return config.GetServiceName()
+}
+
+// configSource checks that a cluster's endpoints come over the same stream.
+func (r *reading) configSource(at string, source *corev3.ConfigSource) {
+	if source == nil {
+		r.addError(at, "eds_cluster_config without eds_config")
+		return
+	}
+	r.fields(at+" eds_config", source, configSourceFields)
+	if v := source.GetResourceApiVersion(); v != corev3.ApiVersion_V3 && v != corev3.ApiVersion_AUTO {
+		r.addError(at, "resource_api_version %v: only V3 is spoken here", v)
+	}
+}
+
+// staticCluster reads a cluster of type STATIC, and returns its assignment; nil: it has no valid one.
+func (r *reading) staticCluster(at string, message *clusterv3.Cluster) *Assignment {
+	if message.GetLoadAssignment() == nil {
+		r.addError(at, "type STATIC without load_assignment")
+		return nil
+	}
+	a, err := ReadAssignment(message.GetLoadAssignment())
+	if err != nil {
+		r.addError(at, "%v", err)
+		return nil
+	}
+	r.notes = append(r.notes, a.Notes...)
+	if message.GetEdsClusterConfig() != nil {
+		r.addError(at, "eds_cluster_config with type STATIC")
+	}
+	return a
+}
--- /dev/null
+++ b/internal/endpoint/xds/endpoint.go
@@ -0,0 +1,166 @@
+package xds
+
+import (
+	"math"
+	"net/netip"
+	"time"
+
+	corev3 "github.com/envoyproxy/go-control-plane/envoy/config/core/v3"
+	endpointv3 "github.com/envoyproxy/go-control-plane/envoy/config/endpoint/v3"
+	"google.golang.org/protobuf/reflect/protoreflect"
+	"google.golang.org/protobuf/types/known/structpb"
+
+	"irispost/internal/endpoint"
+)
+
+// MetadataKey is the key in an endpoint's filter_metadata under which its shard and its start time stand.
+const MetadataKey = "irispost"
+
+// Fields under MetadataKey.
+const (
+	shardField = "shard" // a whole number from 0 to maxShard
+	startField = "born"  // a time in RFC 3339 form; it may be left out
+
+	maxShard = 1<<16 - 1
+)
+
+var (
+	lbEndpointFields = map[protoreflect.Name]support{
+		"endpoint":              read,
+		"health_status":         read,
+		"metadata":              read,
+		"load_balancing_weight": read,
+	}
+	endpointFields = map[protoreflect.Name]support{
+		"address":  read,
+		"hostname": read,
+	}
+	addressFields = map[protoreflect.Name]support{
+		"socket_address": read,
+	}
+	socketAddressFields = map[protoreflect.Name]support{
+		"protocol":   read,
+		"address":    read,
+		"port_value": read,
+	}
+	metadataFields = map[protoreflect.Name]support{
+		"filter_metadata":       read,
+		"typed_filter_metadata": ignored,
+	}
+)
+
+// healthOf maps the protocol's health statuses. A degraded node is ready: the scheduler measures how slow it is.
+var healthOf = map[corev3.HealthStatus]endpoint.Health{
+	corev3.HealthStatus_UNKNOWN:   endpoint.Ready,
+	corev3.HealthStatus_HEALTHY:   endpoint.Ready,
+	corev3.HealthStatus_DEGRADED:  endpoint.Ready,
+	corev3.HealthStatus_DRAINING:  endpoint.Draining,
+	corev3.HealthStatus_UNHEALTHY: endpoint.Unhealthy,
+	corev3.HealthStatus_TIMEOUT:   endpoint.Unhealthy,
+}
+
+// endpoint reads one endpoint; false: it is not valid.
+func (r *reading) endpoint(at string, message *endpointv3.LbEndpoint) (node endpoint.Node, ok bool) {
+	before := len(r.errors)
+	if message == nil || message.GetEndpoint() == nil && message.GetEndpointName() == "" {
+		r.addError(at, "an endpoint is empty")
+		return node, false
+	}
+	r.fields(at, message, lbEndpointFields)
+	host := message.GetEndpoint()
+	if host == nil {
+		return node, false
+	}
+	node.Addr = r.address(at, host.GetAddress())
+	if node.Addr != "" {
+		at += " " + node.Addr
+	}
+	r.fields(at, host, endpointFields)
+	node.Name = host.GetHostname()
+	health, known := healthOf[message.GetHealthStatus()]
+	if !known {
+		r.addError(at, "health_status %v is not known", message.GetHealthStatus())
+	}
+	node.Health = health
+	if weight := message.GetLoadBalancingWeight(); weight != nil {
+		node.Weight = float64(weight.GetValue())
+		if weight.GetValue() == 0 {
+			r.addError(at, "load_balancing_weight 0: it counts from 1")
+		}
+	}
+	r.metadata(at, message.GetMetadata(), &node)
+	return node, len(r.errors) == before
+}
+
+// address reads a host:port; empty: there is none.
+func (r *reading) address(at string, message *corev3.Address) string {
+	if message == nil {
+		r.addError(at, "an endpoint has no address")
+		return ""
+	}
+	r.fields(at+" address", message, addressFields)
+	s := message.GetSocketAddress()
+	if s == nil {
+		return ""
+	}
+	r.fields(at+" socket_address", s, socketAddressFields)
+	if s.GetProtocol() != corev3.SocketAddress_TCP {
+		r.addError(at, "protocol %v: only TCP is spoken", s.GetProtocol())
+	}
+	ip, err := netip.ParseAddr(s.GetAddress())
+	if err != nil {
+		r.addError(at, "address %q is no IP address", s.GetAddress())
+	}
+	if s.GetPortValue() == 0 || s.GetPortValue() > math.MaxUint16 {
+		r.addError(at, "port_value %d is not between 1 and 65535", s.GetPortValue())
+	}
+	if err != nil {
+		return ""
+	}
+	return netip.AddrPortFrom(ip, uint16(s.GetPortValue())).String()
+}
+
+// metadata reads a node's shard and start time.
+func (r *reading) metadata(at string, message *corev3.Metadata, node *endpoint.Node) {
+	if message != nil {
+		r.fields(at+" metadata", message, metadataFields)
+	}
+	own := message.GetFilterMetadata()[MetadataKey]
+	if own == nil {
+		r.addError(at, "its metadata has no %q: which shard it holds is not known", MetadataKey)
+		return
+	}
+	for key := range own.GetFields() {
+		if key != shardField && key != startField {
+			r.addError(at, "metadata %s.%s is not known", MetadataKey, key)
+		}
+	}
+	r.shard(at, own.GetFields()[shardField], node)
+	if start := own.GetFields()[startField]; start != nil {
+		r.start(at, start, node)
+	}
+}
+
+func (r *reading) shard(at string, v *structpb.Value, n *endpoint.Node) {
+	number, isNumber := v.GetKind().(*structpb.Value_NumberValue)
+	if !isNumber {
+		r.addError(at, "metadata %s.%s is no number", MetadataKey, shardField)
+		return
+	}
+	shard := number.NumberValue
+	if shard != math.Trunc(shard) || shard < 0 || shard > maxShard {
+		r.addError(at, "metadata %s.%s is %v: shards are whole numbers from 0 to %d",
+			MetadataKey, shardField, shard, maxShard)
+		return
+	}
+	n.Shard = int(shard)
+}
+
+func (r *reading) start(at string, v *structpb.Value, n *endpoint.Node) {
+	start, err := time.Parse(time.RFC3339Nano, v.GetStringValue())
+	if err != nil || start.UnixNano() <= 0 {
+		r.addError(at, "metadata %s.%s is no time such as \"2026-01-02T15:04:05Z\"", MetadataKey, startField)
+		return
+	}
+	n.StartedAt = start.UnixNano()
+}
--- a/internal/endpoint/xds/file.go
+++ b/internal/endpoint/xds/file.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"log/slog"
 	"os"
@@ -11,22 +12,28 @@
 
 	"github.com/cespare/xxhash/v2"
 	discoveryv3 "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
-	"github.com/fsnotify/fsnotify"
 	"google.golang.org/protobuf/encoding/protojson"
 	"google.golang.org/protobuf/proto"
 
 	"irispost/internal/endpoint"
+	"irispost/internal/endpoint/filesource"
 )
 
-// FileSource is a source of lists: files that each hold a DiscoveryResponse, as JSON (.json) or in its binary form (.pb), read
-// again when they change.
+// fileFetchTimeout is the fetch timeout of files: one that is not there now is not waited for.
+const fileFetchTimeout = time.Nanosecond
+
+// errFileForm tells that a file's name does not say its form.
+var errFileForm = errors.New("a file in xDS form ends in .json or .pb")
+
+// FileSource is an endpoint.Source of two files that each hold a DiscoveryResponse, as JSON (.json) or in its binary
+// form (.pb). They are read again when they change.
 type FileSource struct {
-	Clusters  string
-	Endpoints string
+	Clusters  string // path
+	Endpoints string // path
 	Log       *slog.Logger
 }
 
-// ReadResponse reads a DiscoveryResponse.
+// ReadResponse reads a file with a DiscoveryResponse.
 func ReadResponse(file string) (*discoveryv3.DiscoveryResponse, error) {
 	src, err := os.ReadFile(file)
 	if err != nil {
@@ -35,7 +42,8 @@
 	return DecodeResponse(file, src)
 }
 
-// DecodeResponse reads a DiscoveryResponse by its file's ending.
+// DecodeResponse decodes a DiscoveryResponse in the form that the file's name says. Without a version it gets one of
+// its content.
 func DecodeResponse(file string, src []byte) (*discoveryv3.DiscoveryResponse, error) {
 	m := &discoveryv3.DiscoveryResponse{}
 	var err error
@@ -45,7 +53,7 @@
 	case ".pb":
 		err = proto.Unmarshal(src, m)
 	default:
-		return nil, fmt.Errorf("%s: a file in xDS form ends in .json or .pb, not %q", file, ext)
+		err = fmt.Errorf("%w, not %q", errFileForm, ext)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", file, err)
@@ -56,19 +64,33 @@
 	return m, nil
 }
 
-// CheckFiles checks two files as a gateway would take them, and tells what has no effect.
+// typedFile is a file with the type of the resources that it has to hold.
+type typedFile struct{ path, typeURL string }
+
+// typedFiles returns the files in the order in which they are read.
+func typedFiles(clusters, endpoints string) []typedFile {
+	return []typedFile{{clusters, ClusterType}, {endpoints, EndpointType}}
+}
+
+// response returns a file's content for a session.
+func (f typedFile) response(m *discoveryv3.DiscoveryResponse) Response {
+	return Response{Type: f.typeURL, Version: m.VersionInfo, Resources: m.Resources}
+}
+
+// CheckFiles checks two files as a FileSource would take them. It returns how many nodes they have, and notes on what
+// has no effect.
 func CheckFiles(clusters, endpoints string) (nodes int, notes []string, err error) {
-	s := NewSession(false, nil, time.Nanosecond)
+	s := NewSession(false, nil, fileFetchTimeout)
 	s.OpenStream(1)
-	for _, f := range []struct{ file, kind string }{{clusters, ClusterType}, {endpoints, EndpointType}} {
-		m, err := ReadResponse(f.file)
+	for _, f := range typedFiles(clusters, endpoints) {
+		m, err := ReadResponse(f.path)
 		if err != nil {
 			return 0, nil, err
 		}
-		out := s.HandleResponse(1, Response{Type: f.kind, Version: m.VersionInfo, Resources: m.Resources})
+		out := s.HandleResponse(1, f.response(m))
 		notes = append(notes, out.Notes...)
 		if out.Rejected != nil {
-			return 0, notes, fmt.Errorf("%s: %w", f.file, out.Rejected)
+			return 0, notes, fmt.Errorf("%s: %w", f.path, out.Rejected)
 		}
 		if out.List != nil {
 			nodes = len(out.List.Nodes)
@@ -81,90 +103,107 @@
 	return nodes, append(notes, out.Notes...), out.Rejected
 }
 
-// Run reads the files, clusters before endpoints, and watches their folders.
+// Run implements endpoint.Source.
 func (f FileSource) Run(ctx context.Context, to endpoint.Subscriber) error {
-	watcher, err := fsnotify.NewWatcher()
+	watcher, err := filesource.Watch(f.Clusters, f.Endpoints)
 	if err != nil {
 		return err
 	}
 	defer watcher.Close()
-	for _, dir := range []string{filepath.Dir(f.Clusters), filepath.Dir(f.Endpoints)} {
-		if err := watcher.Add(dir); err != nil {
-			return err
-		}
-	}
 	to.OnLink(true, "")
-	start := time.Now()
-	now := func() int64 { return start.UnixNano() + int64(time.Since(start)) }
-	session := NewSession(false, nil, time.Nanosecond) // a file that is not there now is not waited for
-	session.OpenStream(now())
-	last := map[string]uint64{}
-	tell := func(out Outcome) {
-		for _, n := range out.Notes {
-			f.Log.Info("xds: "+n, "file", f.Endpoints)
-		}
-		if out.Rejected != nil {
-			to.OnRejected(out.Rejected)
-		}
-	}
-	read := func() {
-		var list *endpoint.List
-		changed := false
-		for _, part := range []struct{ file, kind string }{{f.Clusters, ClusterType}, {f.Endpoints, EndpointType}} {
-			src, err := os.ReadFile(part.file)
-			if err != nil {
-				to.OnRejected(err)
-				return
-			}
-			sum := xxhash.Sum64(src)
-			if last[part.kind] == sum && !changed {
-				continue
-			}
-			last[part.kind], changed = sum, true // endpoints are read again with their clusters
-			m, err := DecodeResponse(part.file, src)
+	r := newFileReader(f, to)
+	r.read()
+	timer := time.NewTimer(maxWait)
+	defer timer.Stop()
+	for {
+		timer.Reset(untilDue(r.session, r.now(), maxWait))
+		event, err := watcher.Wait(ctx, timer.C)
+		switch event {
+		case filesource.Ended:
+			return nil
+		case filesource.TimerFired:
+			r.tick()
+		case filesource.Changed:
 			if err != nil {
 				to.OnRejected(err)
-				continue
-			}
-			out := session.HandleResponse(now(), Response{Type: part.kind, Version: m.VersionInfo, Resources: m.Resources})
-			if tell(out); out.List != nil {
-				list = out.List
 			}
-		}
-		if list != nil {
-			to.OnUpdate(*list)
+			r.read()
 		}
 	}
-	read()
-	timer := time.NewTimer(time.Hour)
-	defer timer.Stop()
-	for {
-		wait := time.Hour
-		if at := session.NextDeadline(); at > 0 {
-			wait = min(wait, max(time.Duration(at-now()), 0)+time.Microsecond)
+}
+
+// fileReader feeds a session from files.
+type fileReader struct {
+	files   []typedFile
+	log     *slog.Logger
+	name    string // in the log
+	to      endpoint.Subscriber
+	now     func() int64
+	session *Session
+	sums    map[string]uint64 // of the files' contents read last, by type
+}
+
+func newFileReader(f FileSource, to endpoint.Subscriber) *fileReader {
+	r := &fileReader{
+		files:   typedFiles(f.Clusters, f.Endpoints),
+		log:     f.Log,
+		name:    f.Endpoints,
+		to:      to,
+		now:     monotonicClock(),
+		session: NewSession(false, nil, fileFetchTimeout),
+		sums:    map[string]uint64{},
+	}
+	r.session.OpenStream(r.now())
+	return r
+}
+
+// read reads the files that have changed, clusters before endpoints; endpoints are read again with their clusters. The
+// list after both is reported.
+func (r *fileReader) read() {
+	var list *endpoint.List
+	changed := false
+	for _, f := range r.files {
+		src, err := os.ReadFile(f.path)
+		if err != nil {
+			r.to.OnRejected(err)
+			return
 		}
-		timer.Reset(wait)
-		select {
-		case <-ctx.Done():
-			return nil
-		case <-timer.C:
-			out := session.Tick(now())
-			if tell(out); out.List != nil {
-				to.OnUpdate(*out.List)
-			}
-		case e, ok := <-watcher.Events:
-			if !ok {
-				return nil
-			}
-			if name := filepath.Clean(e.Name); name == filepath.Clean(f.Clusters) || name == filepath.Clean(f.Endpoints) {
-				read()
-			}
-		case err, ok := <-watcher.Errors:
-			if !ok {
-				return nil
-			}
-			to.OnRejected(err) // events may have been lost
-			read()
+		sum := xxhash.Sum64(src)
+		if r.sums[f.typeURL] == sum && !changed {
+			continue
 		}
+		r.sums[f.typeURL], changed = sum, true
+		m, err := DecodeResponse(f.path, src)
+		if err != nil {
+			r.to.OnRejected(err)
+			continue
+		}
+		out := r.session.HandleResponse(r.now(), f.response(m))
+		r.report(out)
+		if out.List != nil {
+			list = out.List
+		}
+	}
+	if list != nil {
+		r.to.OnUpdate(*list)
+	}
+}
+
+// tick does what time alone does.
+func (r *fileReader) tick() {
+	out := r.session.Tick(r.now())
+	r.report(out)
+	if out.List != nil {
+		r.to.OnUpdate(*out.List)
+	}
+}
+
+// report hands on notes and errors.
+func (r *fileReader) report(out Outcome) {
+	for _, note := range out.Notes {
+		r.log.Info("xds note", "file", r.name, "note", note)
+	}
+	if out.Rejected != nil {
+		r.to.OnRejected(out.Rejected)
 	}
 }
--- a/internal/endpoint/xds/golden_test.go
+++ b/internal/endpoint/xds/golden_test.go
@@ -1,86 +1,85 @@
 package xds
 
 import (
-	"bytes"
 	"encoding/json"
-	"flag"
-	"os"
-	"path/filepath"
 	"testing"
 
-	corev3 "github.com/envoyproxy/go-control-plane/envoy/config/core/v3"
 	discoveryv3 "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
 	"google.golang.org/grpc"
 	"google.golang.org/protobuf/encoding/protojson"
 	"google.golang.org/protobuf/proto"
-)
 
-var update = flag.Bool("update", false, "write the golden files anew")
+	"irispost/internal/testkit/golden"
+)
 
-// sent notes what is sent on a stream, in a form that does not change from run to run.
-type sent struct {
+// sentMessages are the messages sent on streams, as JSON.
+type sentMessages struct {
 	t   *testing.T
 	all []json.RawMessage
 }
 
-func (s *sent) note(m proto.Message) {
+func (s *sentMessages) add(m proto.Message) error {
 	s.t.Helper()
 	b, err := protojson.Marshal(m)
 	if err != nil {
 		s.t.Fatal(err)
 	}
 	s.all = append(s.all, b)
+	return nil
 }
 
-type wholeStream struct {
+type sotwStream struct {
 	grpc.BidiStreamingClient[discoveryv3.DiscoveryRequest, discoveryv3.DiscoveryResponse]
-	*sent
+	sent *sentMessages
 }
 
-func (s wholeStream) Send(m *discoveryv3.DiscoveryRequest) error { s.note(m); return nil }
+func (s sotwStream) Send(m *discoveryv3.DiscoveryRequest) error { return s.sent.add(m) }
 
 type deltaStream struct {
 	grpc.BidiStreamingClient[discoveryv3.DeltaDiscoveryRequest, discoveryv3.DeltaDiscoveryResponse]
-	*sent
+	sent *sentMessages
 }
 
-func (s deltaStream) Send(m *discoveryv3.DeltaDiscoveryRequest) error { s.note(m); return nil }
+func (s deltaStream) Send(m *discoveryv3.DeltaDiscoveryRequest) error { return s.sent.add(m) }
 
-// Requests of both forms as they go to a management server: the first of a stream, one that accepts, one that refuses.
+// Requests of both forms as they go to a management server: the first of a stream, an ACK and a NACK.
 func TestGoldenRequests(t *testing.T) {
-	node := &corev3.Node{Id: "g0", Cluster: "irispost", Locality: &corev3.Locality{Zone: "a"}, UserAgentName: "irispost"}
-	s := &sent{t: t}
-	for _, form := range []wire{whole{wholeStream{sent: s}}, incremental{deltaStream{sent: s}}} {
-		for i, r := range []Request{
-			{Type: ClusterType, ResourceNames: []string{"storage"}, Subscribe: []string{"storage"}, KnownNames: []string{"storage"}},
-			{Type: EndpointType, Version: "3", Nonce: "n3", ResourceNames: []string{"a", "b"}, Subscribe: []string{"b"}, Unsubscribe: []string{"c"}},
-			{Type: EndpointType, Version: "3", Nonce: "n4", ResourceNames: []string{"a", "b"}, RejectReason: "endpoints, version \"4\": it is wrong"},
-		} {
-			first := node
-			if i > 0 {
-				first = nil
-			}
-			if err := form.send(&r, first); err != nil {
-				t.Fatal(err)
-			}
-		}
-	}
-	got, err := json.MarshalIndent(s.all, "", "  ")
-	if err != nil {
-		t.Fatal(err)
-	}
-	got = append(got, '\n')
-	file := filepath.Join("testdata", "requests.json")
-	if *update {
-		if err := os.WriteFile(file, got, 0o644); err != nil {
+	sent := &sentMessages{t: t}
+	for _, transport := range []transport{
+		sotwTransport{sotwStream{sent: sent}},
+		incrementalTransport{deltaStream{sent: sent}},
+	} {
+		requests := &sender{transport: transport, node: (&Options{NodeID: "g0", NodeCluster: "irispost", Zone: "a"}).node()}
+		err := requests.send([]Request{
+			{
+				Type:          ClusterType,
+				ResourceNames: []string{"storage"},
+				Subscribe:     []string{"storage"},
+				KnownNames:    []string{"storage"},
+			},
+			{
+				Type:          EndpointType,
+				Version:       "3",
+				Nonce:         "n3",
+				ResourceNames: []string{"a", "b"},
+				Subscribe:     []string{"b"},
+				Unsubscribe:   []string{"c"},
+			},
+			{
+				Type:          EndpointType,
+				Version:       "3",
+				Nonce:         "n4",
+				ResourceNames: []string{"a", "b"},
+				RejectReason:  "endpoints, version \"4\": it is wrong",
+			},
+		})
+		if err != nil {
 			t.Fatal(err)
 		}
 	}
-	want, err := os.ReadFile(file)
+	got, err := json.MarshalIndent(sent.all, "", "  ")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s: got\n%s\nwant\n%s", file, got, want)
-	}
+	golden.Check(t, "requests.json", append(got, '\n'))
 }
--- /dev/null
+++ b/internal/endpoint/xds/helper_test.go
@@ -0,0 +1,205 @@
+package xds_test
+
+import (
+	"context"
+	"log/slog"
+	"slices"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	discoveryv3 "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
+	"google.golang.org/protobuf/proto"
+	"google.golang.org/protobuf/types/known/anypb"
+
+	"irispost/internal/endpoint"
+	"irispost/internal/endpoint/xds"
+	"irispost/internal/xdsstandin"
+)
+
+// timeout is far longer than anything that a test waits for.
+const timeout = 20 * time.Second
+
+var discard = slog.New(slog.DiscardHandler)
+
+// formName is the name of a form of the protocol, as the configuration has it.
+func formName(incremental bool) string {
+	if incremental {
+		return "delta"
+	}
+	return "whole"
+}
+
+// recorder is an endpoint.Subscriber that keeps what it receives, for a test that waits for it.
+type recorder struct {
+	lock     sync.Mutex // guards what follows
+	changed  *sync.Cond
+	list     endpoint.List // the last
+	lists    int
+	rejected []string
+	links    []bool
+}
+
+func newRecorder() *recorder {
+	r := &recorder{}
+	r.changed = sync.NewCond(&r.lock)
+	return r
+}
+
+func (r *recorder) update(f func()) {
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	f()
+	r.changed.Broadcast()
+}
+
+func (r *recorder) OnUpdate(list endpoint.List) {
+	r.update(func() { r.list = list; r.lists++ })
+}
+
+func (r *recorder) OnRejected(err error) {
+	r.update(func() { r.rejected = append(r.rejected, err.Error()) })
+}
+
+func (r *recorder) OnLink(up bool, _ string) {
+	r.update(func() { r.links = append(r.links, up) })
+}
+
+// await waits until a condition holds.
+func (r *recorder) await(t testing.TB, what string, holds func(*recorder) bool) {
+	t.Helper()
+	overdue := time.AfterFunc(timeout, func() { r.update(func() {}) })
+	defer overdue.Stop()
+	end := time.Now().Add(timeout)
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	for !holds(r) {
+		if time.Now().After(end) {
+			t.Fatalf("%s does not come about: %+v, %d lists, rejected %q, links %v", what, r.list, r.lists, r.rejected, r.links)
+		}
+		r.changed.Wait()
+	}
+}
+
+// awaitList waits for a list in the form of ports.
+func (r *recorder) awaitList(t testing.TB, want string) {
+	t.Helper()
+	r.await(t, want, func(r *recorder) bool { return ports(r.list) == want })
+}
+
+// awaitRejection waits for a rejection after those before, with a text.
+func (r *recorder) awaitRejection(t testing.TB, before int, text string) {
+	t.Helper()
+	r.await(t, "a rejection with "+text, func(r *recorder) bool {
+		return len(r.rejected) > before && strings.Contains(r.rejected[before], text)
+	})
+}
+
+// ports writes a list's ports with their health, sorted: "1000 1001/draining".
+func ports(list endpoint.List) string {
+	suffix := map[endpoint.Health]string{endpoint.Draining: "/draining", endpoint.Unhealthy: "/unwell"}
+	var out []string
+	for _, n := range list.Nodes {
+		out = append(out, strings.TrimPrefix(n.Addr, "127.0.0.1:")+suffix[n.Health])
+	}
+	slices.Sort(out)
+	return strings.Join(out, " ")
+}
+
+// nodes returns a node for each port, whose first digit is its shard.
+func nodes(ports ...string) (list []endpoint.Node) {
+	for _, port := range ports {
+		list = append(list, endpoint.Node{Addr: "127.0.0.1:" + port, Shard: int(port[0] - '0')})
+	}
+	return list
+}
+
+// startServer starts a management server whose nodes are in so many clusters.
+func startServer(t testing.TB, clusters int, list ...endpoint.Node) *xdsstandin.Server {
+	t.Helper()
+	s, err := xdsstandin.Start("127.0.0.1:0", clusters, list...)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(s.Close)
+	return s
+}
+
+// startClient runs a client until the test ends.
+func startClient(t testing.TB, opt xds.Options) *recorder {
+	t.Helper()
+	opt.InitialFetchTimeout = timeout
+	opt.MinBackoff = time.Millisecond
+	opt.Log = discard
+	r := newRecorder()
+	ctx, cancel := context.WithCancel(context.Background())
+	done := make(chan error, 1)
+	client := xds.NewClient(opt)
+	go func() { done <- client.Run(ctx, r) }()
+	t.Cleanup(func() {
+		cancel()
+		if err := <-done; err != nil {
+			t.Error(err)
+		}
+	})
+	return r
+}
+
+// listen runs a client of a server until the test ends.
+func listen(t testing.TB, s *xdsstandin.Server, incremental bool, name string) *recorder {
+	t.Helper()
+	return startClient(t, xds.Options{
+		Address:     s.Addr(),
+		Incremental: incremental,
+		NodeID:      name,
+		MaxBackoff:  20 * time.Millisecond,
+	})
+}
+
+// do has a server carry out commands.
+func do(t testing.TB, s *xdsstandin.Server, commands ...string) {
+	t.Helper()
+	for _, command := range commands {
+		if err := s.Command(command); err != nil {
+			t.Fatal(command, err)
+		}
+	}
+}
+
+// pack packs a message into an Any.
+func pack(t testing.TB, m proto.Message) *anypb.Any {
+	t.Helper()
+	a, err := anypb.New(m)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return a
+}
+
+// clusters returns a response with clusters of these names.
+func clusters(t testing.TB, incremental bool, version, nonce string, names ...string) xds.Response {
+	t.Helper()
+	r := xds.Response{Type: xds.ClusterType, Version: version, Nonce: nonce}
+	for _, name := range names {
+		add(&r, incremental, name, pack(t, xdsstandin.Cluster(name)))
+	}
+	return r
+}
+
+// endpoints returns a response with the endpoints of one cluster.
+func endpoints(t testing.TB, incremental bool, version, nonce, name string, ports ...string) xds.Response {
+	t.Helper()
+	r := xds.Response{Type: xds.EndpointType, Version: version, Nonce: nonce}
+	add(&r, incremental, name, pack(t, xdsstandin.Assignment(name, nodes(ports...))))
+	return r
+}
+
+// add adds a resource to a response of either form.
+func add(r *xds.Response, incremental bool, name string, body *anypb.Any) {
+	if incremental {
+		r.Changed = append(r.Changed, &discoveryv3.Resource{Name: name, Version: r.Version, Resource: body})
+	} else {
+		r.Resources = append(r.Resources, body)
+	}
+}
--- /dev/null
+++ b/internal/endpoint/xds/list.go
@@ -0,0 +1,155 @@
+package xds
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+
+	"irispost/internal/endpoint"
+)
+
+// checkConsistency checks whether resources fit to the others in force: each address is in one cluster, and there are
+// not too many of anything.
+func (s *Session) checkConsistency(sub *subscription, next resources) error {
+	clusters, assignments := next, s.assignments
+	if sub == &s.endpointSub {
+		clusters, assignments = s.clusters, next
+	}
+	if len(clusters) > MaxClusters {
+		return fmt.Errorf("%d clusters, more than %d", len(clusters), MaxClusters)
+	}
+	clusterOf, count := map[string]string{}, 0
+	for _, name := range slices.Sorted(maps.Keys(clusters)) {
+		a := clusters[name].cluster.assignment(assignments)
+		if a == nil {
+			continue
+		}
+		count += len(a.Nodes)
+		if count > MaxEndpoints {
+			return fmt.Errorf("more than %d endpoints", MaxEndpoints)
+		}
+		for _, n := range a.Nodes {
+			if other := clusterOf[n.Addr]; other != "" {
+				return fmt.Errorf("endpoint %s is in clusters %q and %q", n.Addr, other, name)
+			}
+			clusterOf[n.Addr] = name
+		}
+	}
+	return nil
+}
+
+// assignment returns a cluster's assignment, its own or that of its service; nil: there is none yet.
+func (c *Cluster) assignment(assignments resources) *Assignment {
+	if c.Inline != nil {
+		return c.Inline
+	}
+	if r := assignments[c.ServiceName]; r != nil {
+		return r.assignment
+	}
+	return nil
+}
+
+// replaceClusters puts clusters in force. Those that were removed stay until each of the others has its endpoints.
+func (s *Session) replaceClusters(now int64, next resources) {
+	for name, r := range s.clusters {
+		if next[name] == nil {
+			s.removed[name] = r
+		}
+	}
+	for name := range next {
+		delete(s.removed, name)
+		if s.clusters[name] == nil {
+			s.addedAt[name] = now
+		}
+	}
+	s.clusters = next
+}
+
+// warming tells whether a cluster still waits for its first endpoints.
+func (s *Session) warming(now int64) bool {
+	for name, r := range s.clusters {
+		if r.cluster.assignment(s.assignments) == nil && now < s.addedAt[name]+s.fetchTimeout {
+			return true
+		}
+	}
+	return false
+}
+
+// update does what follows from a change of resources: it drops what is not needed any more, requests the endpoints of
+// the clusters, and makes the list.
+func (s *Session) update(now int64, out *Outcome) {
+	if !s.warming(now) {
+		clear(s.removed)
+	}
+	names := s.serviceNames()
+	s.dropUnused(names)
+	if !slices.Equal(names, s.endpointSub.names) && (len(names) > 0 || s.endpointSub.state != Idle) {
+		out.Requests = append(out.Requests, s.request(now, &s.endpointSub, names, ""))
+	}
+	if !s.clusterSub.answered || !s.listed && s.warming(now) {
+		return
+	}
+	list := s.list(now, out)
+	if !s.listed && len(list.Nodes) == 0 && len(s.clusters) > 0 && len(s.assignments) == 0 {
+		return // there never were endpoints: that does not mean that there are none
+	}
+	out.List, s.listed = list, true
+}
+
+// dropUnused drops the assignments of other services than these, and the times of clusters that are gone.
+func (s *Session) dropUnused(services []string) {
+	for name := range s.assignments {
+		if !slices.Contains(services, name) {
+			delete(s.assignments, name)
+		}
+	}
+	for name := range s.addedAt {
+		if s.clusters[name] == nil {
+			delete(s.addedAt, name)
+		}
+	}
+}
+
+// list makes the list of all nodes, in the order of clusters and endpoints. Clusters that were removed come last: where
+// one has an address of another, that counts.
+func (s *Session) list(now int64, out *Outcome) *endpoint.List {
+	list := &endpoint.List{Version: fmt.Sprintf("c:%s e:%s", s.clusterSub.version, s.endpointSub.version)}
+	seen := map[string]bool{}
+	for _, clusters := range []resources{s.clusters, s.removed} {
+		for _, name := range slices.Sorted(maps.Keys(clusters)) {
+			c := clusters[name].cluster
+			a := c.assignment(s.assignments)
+			if a == nil {
+				continue
+			}
+			for _, n := range a.Nodes {
+				if !seen[n.Addr] {
+					list.Nodes = append(list.Nodes, n)
+				}
+				seen[n.Addr] = true
+			}
+			if c.Inline == nil && s.assignments[c.ServiceName].isStale(now) {
+				list.Stale = true
+			}
+			s.noteOnce(out, c.Notes)
+			s.noteOnce(out, a.Notes)
+		}
+	}
+	return list
+}
+
+// isStale tells whether an assignment was not updated for longer than it says.
+func (r *resource) isStale(now int64) bool {
+	after := int64(r.assignment.StaleAfter)
+	return after > 0 && now >= r.receivedAt+after
+}
+
+// noteOnce adds the notes that were not logged before.
+func (s *Session) noteOnce(out *Outcome, notes []string) {
+	for _, note := range notes {
+		if !s.noted[note] && len(s.noted) < maxNoted {
+			s.noted[note] = true
+			out.addNote(note)
+		}
+	}
+}
--- /dev/null
+++ b/internal/endpoint/xds/random_test.go
@@ -0,0 +1,106 @@
+package xds_test
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"testing"
+
+	discoveryv3 "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
+	"google.golang.org/protobuf/types/known/anypb"
+
+	"irispost/internal/endpoint/xds"
+)
+
+// drawResponse draws a response, and tells whether it is valid.
+func drawResponse(t *testing.T, rng *rand.Rand, incremental bool, version, nonce string) (r xds.Response, valid bool) {
+	t.Helper()
+	names := []string{"a", "b", "c"}[:rng.IntN(4)]
+	name := string(rune('a' + rng.IntN(3)))
+	port := fmt.Sprint(int(name[0]-'a'+1)*1000 + rng.IntN(3))
+	switch rng.IntN(6) {
+	case 0, 1:
+		r = clusters(t, incremental, version, nonce, names...)
+		if incremental {
+			r.Removed = []string{name}
+			r.Changed = slices.DeleteFunc(r.Changed, func(c *discoveryv3.Resource) bool { return c.Name == name })
+		}
+		return r, true
+	case 2:
+		return endpoints(t, incremental, version, nonce, name, "0"), false
+	case 3:
+		r = clusters(t, incremental, version, nonce, "a")
+		add(&r, incremental, "b", &anypb.Any{TypeUrl: xds.ClusterType, Value: []byte{0xff, 0xff}})
+		return r, false
+	}
+	return endpoints(t, incremental, version, nonce, name, port), true
+}
+
+// countAnswers returns how many requests answer a response only.
+func countAnswers(out xds.Outcome, r xds.Response) (answers int) {
+	for _, q := range out.Requests {
+		if q.Type == r.Type && q.Nonce == r.Nonce && len(q.Subscribe)+len(q.Unsubscribe) == 0 {
+			answers++
+		}
+	}
+	return answers
+}
+
+// checkOutcome checks what follows from a response: it is ignored, or answered as what it is; a rejected one gives no
+// list; no address is there twice.
+func checkOutcome(out xds.Outcome, r xds.Response, valid bool) error {
+	rejected := out.Rejected != nil
+	for _, q := range out.Requests {
+		if (q.RejectReason != "") != rejected && q.Type == r.Type && q.Nonce == r.Nonce {
+			return fmt.Errorf("rejected %t, answered %+v", rejected, q)
+		}
+	}
+	ignored := len(out.Requests) == 0
+	if !ignored && countAnswers(out, r) == 0 {
+		return fmt.Errorf("no answer: %+v", out.Requests)
+	}
+	if valid && rejected || !valid && !ignored && !rejected {
+		return fmt.Errorf("valid %t, rejected %t, %+v", valid, rejected, out.Requests)
+	}
+	if out.List == nil {
+		return nil
+	}
+	if rejected {
+		return fmt.Errorf("a rejected response gives a list: %+v", out.List)
+	}
+	seen := map[string]bool{}
+	for _, n := range out.List.Nodes {
+		if seen[n.Addr] {
+			return fmt.Errorf("%s is there twice", n.Addr)
+		}
+		seen[n.Addr] = true
+	}
+	return nil
+}
+
+// In any order of valid and other responses, new streams and time, each response gets one answer with its nonce, and
+// one that is rejected changes nothing.
+func TestRandomResponses(t *testing.T) {
+	const seeds, steps = 300, 100
+	for seed := range uint64(seeds) {
+		rng := rand.New(rand.NewPCG(seed, 1))
+		incremental := seed%2 == 0
+		s := xds.NewSession(incremental, nil, fetch)
+		now := sec
+		s.OpenStream(now)
+		for step := range steps {
+			now += rng.Int64N(2 * sec)
+			switch rng.IntN(8) {
+			case 0:
+				s.OpenStream(now)
+			case 1:
+				s.Tick(now)
+			default:
+				r, valid := drawResponse(t, rng, incremental, fmt.Sprint(step), fmt.Sprint("n", step))
+				if err := checkOutcome(s.HandleResponse(now, r), r, valid); err != nil {
+					t.Fatalf("seed %d, step %d: %v", seed, step, err)
+				}
+			}
+		}
+	}
+}
