--- a/internal/endpoint/filesource/source_test.go
+++ b/internal/endpoint/filesource/source_test.go
@@ -2,10 +2,13 @@
 
 import (
 	"context"
+	"errors"
+	"io/fs"
 	"os"
 	"path/filepath"
 	"strings"
 	"testing"
+	"time"
 
 	"irispost/internal/endpoint"
 )
@@ -57,3 +60,30 @@
 		t.Errorf("%v, %d lists more", err, len(lists))
 	}
 }
+
+func TestMissingDirectoryEndsTheSource(t *testing.T) {
+	file := filepath.Join(t.TempDir(), "none", "nodes.hcl")
+	err := Source{file}.Run(t.Context(), recorder{})
+	if !errors.Is(err, fs.ErrNotExist) || !strings.Contains(err.Error(), file) {
+		t.Error(err)
+	}
+}
+
+// Without a change a wait ends with the timer or the context.
+func TestWaitEndsWithTimerOrContext(t *testing.T) {
+	w, err := Watch(filepath.Join(t.TempDir(), "nodes.hcl"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer w.Close()
+	fired := make(chan time.Time, 1)
+	fired <- time.Now()
+	if event, err := w.Wait(t.Context(), fired); event != TimerFired || err != nil {
+		t.Errorf("timer: %v, %v", event, err)
+	}
+	ctx, cancel := context.WithCancel(t.Context())
+	cancel()
+	if event, err := w.Wait(ctx, nil); event != Ended || err != nil {
+		t.Errorf("context: %v, %v", event, err)
+	}
+}
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -2,6 +2,9 @@
 
 import (
 	"errors"
+	"io/fs"
+	"os"
+	"path/filepath"
 	"strings"
 	"testing"
 	"time"
@@ -98,6 +101,14 @@
 		"negative rate":         {`"base_rate":4.2`, `"base_rate":-4.2`, `contracts.0.base_rate is "-4.2"`},
 		"limit without a burst": {`,"burst":8`, "", "contracts.0.burst is missing"},
 		"no classes":            {`"lanes":[`, `"other":[`, "lanes names none"},
+		"word for a target":     {`"name":"c"`, `"name":"c","target_ms":"x"`, `lanes.1.target_ms is "x"`},
+		"word for a window":     {`"name":"c"`, `"name":"c","repeat_window_ms":"x"`, `lanes.1.repeat_window_ms is "x"`},
+		"infinite rate":         {`"base_rate":4.2`, `"base_rate":1e16`, `contracts.0.base_rate is "1e16"`},
+		"level without a name":  {`{"name":"gold",`, `{"name":"",`, `contracts.0.name is ""`},
+		"no list of levels":     {`"contracts":[`, `"contracts":{"count":"x"},"other":[`, "contracts names none"},
+		"no attempts":           {`"dial_timeout_ms"`, `"attempts_cap":0,"dial_timeout_ms"`, `permissions.attempts_cap is "0"`},
+		"negative retry time":   {`"dial_timeout_ms"`, `"max_retry_after_ms":-1,"dial_timeout_ms"`, `max_retry_after_ms is "-1"`},
+		"settings not JSON":     {`"settings":{`, `"settings":[`, "invalid character"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := platform.Parse(replaced(t, c.old, c.new), emptyEnv)
@@ -106,7 +117,30 @@
 			}
 		})
 	}
+}
+
+func TestLoadNamesTheFileOfAnError(t *testing.T) {
 	if _, err := platform.Load(emptyEnv); !errors.Is(err, platform.ErrNoConfig) {
 		t.Errorf("no configuration: %v", err)
 	}
+	file := filepath.Join(t.TempDir(), "config.json")
+	env := func(string) string { return file }
+	if _, err := platform.Load(env); !errors.Is(err, fs.ErrNotExist) {
+		t.Errorf("no file: %v", err)
+	}
+	if err := os.WriteFile(file, []byte("{}"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := platform.Load(env); err == nil || !strings.HasPrefix(err.Error(), file+": ") {
+		t.Errorf("invalid file: %v", err)
+	}
+}
+
+// An error of a setting names its path.
+func TestSettingErrorNamesThePath(t *testing.T) {
+	_, err := platform.Parse(replaced(t, `"base_rate":4.2`, `"base_rate":"many"`), emptyEnv)
+	var setting *platform.SettingError
+	if !errors.As(err, &setting) || setting.Path != "contracts.0.base_rate" {
+		t.Error(err)
+	}
 }
