--- /dev/null
+++ b/internal/fleet/client/endpoints_test.go
@@ -0,0 +1,65 @@
+package client
+
+import (
+	"flag"
+	"maps"
+	"slices"
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"irispost/internal/endpoint"
+)
+
+// TestEndpointChangesAddUpToTheList: who applies the changes alone knows the same endpoints as who reads each
+// list in full.
+func TestEndpointChangesAddUpToTheList(t *testing.T) {
+	for name, value := range map[string]string{"rapid.nofailfile": "true", "rapid.seed": "7"} { // the same draws each time
+		if err := flag.Set(name, value); err != nil {
+			t.Fatal(err)
+		}
+	}
+	rapid.Check(t, func(t *rapid.T) {
+		var previous []endpoint.Node
+		known := map[string]endpoint.Node{}
+		for range 8 {
+			current := drawEndpoints(t)
+			change := endpointChange(previous, current)
+			previous = current
+			if !change.Partial {
+				clear(known)
+			} else if slices.ContainsFunc(current, func(n endpoint.Node) bool { return newlyRemoved(known, n) }) {
+				t.Fatalf("an endpoint is removed, and its connections stay: %+v", change)
+			}
+			for _, node := range change.Nodes {
+				known[node.Addr] = node
+			}
+			byAddr := func(a, b endpoint.Node) int { return int(a.Addr[0]) - int(b.Addr[0]) }
+			if got := slices.SortedFunc(maps.Values(known), byAddr); !slices.Equal(got, current) {
+				t.Fatalf("known is %v, not %v", got, current)
+			}
+			if again := endpointChange(current, current); !again.Partial || len(again.Nodes) > 0 {
+				t.Fatalf("nothing has changed: %+v", again)
+			}
+		}
+	})
+}
+
+// drawEndpoints draws a list of endpoints, by address.
+func drawEndpoints(t *rapid.T) []endpoint.Node {
+	list := []endpoint.Node{}
+	for _, addr := range []string{"a", "b", "c", "d", "e"} {
+		if rapid.IntRange(0, 3).Draw(t, addr) > 0 {
+			startedAt := rapid.Int64Range(0, 1).Draw(t, "started at")
+			health := endpoint.Health(rapid.IntRange(0, 2).Draw(t, "health"))
+			list = append(list, endpoint.Node{Addr: addr, StartedAt: startedAt, Health: health})
+		}
+	}
+	return list
+}
+
+// newlyRemoved tells whether an endpoint is removed that was known and was not.
+func newlyRemoved(known map[string]endpoint.Node, node endpoint.Node) bool {
+	before, exists := known[node.Addr]
+	return node.Health == endpoint.Removed && exists && before.Health != endpoint.Removed
+}
--- a/internal/fleet/client/golden_test.go
+++ b/internal/fleet/client/golden_test.go
@@ -17,10 +17,11 @@
 	"time"
 
 	"irispost/internal/fleet/delta"
+	"irispost/internal/testkit/golden"
 )
 
-// spoolDigest names the content file under testdata/spool, as a gateway of 3aa21cb wrote it.
-const spoolDigest = "5b1cbe1664cde7a14c102c56924fb8d4f926097fc0fc30c6e5081fe52ad2c983"
+// cachedDigest names the content file under testdata/cache, as a gateway of an earlier build wrote it.
+const cachedDigest = "5b1cbe1664cde7a14c102c56924fb8d4f926097fc0fc30c6e5081fe52ad2c983"
 
 // goldenFile reads a file under testdata.
 func goldenFile(t *testing.T, name ...string) []byte {
@@ -32,33 +33,34 @@
 	return b
 }
 
-// TestGoldenContentFile: the folder with the last content, as an earlier build left it, is read, and the same file is written.
+// TestGoldenContentFile: the folder with the last content, as an earlier build left it, is read, and the same
+// file is written.
 func TestGoldenContentFile(t *testing.T) {
-	want := goldenFile(t, "spool", spoolDigest+".rules")
-	if !bytes.Equal(want, large(3, 1)) {
-		t.Errorf("the content itself is now\n%s\nnot\n%s", large(3, 1), want)
+	want := goldenFile(t, "cache", cachedDigest+".rules")
+	if !bytes.Equal(want, largeContent(3, 1)) {
+		t.Errorf("the content itself is now\n%s\nnot\n%s", largeContent(3, 1), want)
 	}
 	dir := t.TempDir()
-	if err := os.CopyFS(dir, os.DirFS(filepath.Join("testdata", "spool"))); err != nil {
+	if err := os.CopyFS(dir, os.DirFS(filepath.Join("testdata", "cache"))); err != nil {
 		t.Fatal(err)
 	}
-	s, got, err := openSpool(dir, "g", slog.New(slog.DiscardHandler))
+	file, got, err := openCacheFile(dir, "g", slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.close()
+	file.close()
 	if !bytes.Equal(got, want) {
 		t.Errorf("read %d bytes of %d", len(got), len(want))
 	}
 
 	dir = t.TempDir()
-	if s, got, err = openSpool(dir, "g", slog.New(slog.DiscardHandler)); err != nil || got != nil {
+	if file, got, err = openCacheFile(dir, "g", slog.New(slog.DiscardHandler)); err != nil || got != nil {
 		t.Fatalf("%d bytes in an empty folder, %v", len(got), err)
 	}
-	s.put(want)
-	s.close()
+	file.write(want)
+	file.close()
 	list, err := os.ReadDir(dir)
-	if err != nil || len(list) != 1 || list[0].Name() != spoolDigest+".rules" {
+	if err != nil || len(list) != 1 || list[0].Name() != cachedDigest+".rules" {
 		t.Fatalf("the folder has %v, %v", list, err)
 	}
 	info, err := list[0].Info()
@@ -81,9 +83,14 @@
 }
 
 func (g *goldenReplica) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	body, _ := io.ReadAll(r.Body)
+	body, err := io.ReadAll(r.Body)
+	if err != nil {
+		http.Error(w, err.Error(), http.StatusBadRequest)
+		return
+	}
 	call := r.Method + " " + r.URL.RequestURI() + "\n"
-	for _, name := range []string{"Accept-Encoding", "Available-Dictionary", "Dictionary-Id", "User-Agent", "Content-Type"} {
+	headers := []string{"Accept-Encoding", "Available-Dictionary", "Dictionary-Id", "User-Agent", "Content-Type"}
+	for _, name := range headers {
 		if v := r.Header.Values(name); len(v) > 0 {
 			call += fmt.Sprintf("%s: %q\n", name, v)
 		}
@@ -91,10 +98,10 @@
 	renewals := g.note(r.URL.Path, call+string(body))
 	switch {
 	case r.URL.Path == "/renew":
-		w.Write(bytes.Replace(g.grant, []byte(`"seq":1`), fmt.Appendf(nil, `"seq":%d`, renewals), 1))
+		_, _ = w.Write(bytes.Replace(g.grant, []byte(`"seq":1`), fmt.Appendf(nil, `"seq":%d`, renewals), 1))
 	case strings.HasPrefix(r.URL.Path, "/content/"):
 		w.Header().Set("Content-Encoding", "dcz")
-		w.Write(g.content)
+		_, _ = w.Write(g.content)
 	case r.URL.Path == "/news":
 		<-r.Context().Done()
 	default:
@@ -132,9 +139,10 @@
 	return list
 }
 
-// TestGoldenCalls: what a gateway sends to a replica, route by route, and the record of what it acted on, are those of 3aa21cb.
+// TestGoldenCalls: what a gateway sends to a replica, route by route, and the record of what it acted on, are
+// those of an earlier build.
 func TestGoldenCalls(t *testing.T) {
-	coded, err := delta.Encode(goldenFile(t, "spool", spoolDigest+".rules"), large(3, 2))
+	coded, err := delta.Encode(goldenFile(t, "cache", cachedDigest+".rules"), largeContent(3, 2))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -142,29 +150,30 @@
 	server := httptest.NewServer(replica)
 	t.Cleanup(server.Close)
 	dir, record := t.TempDir(), filepath.Join(t.TempDir(), "acts")
-	if err := os.CopyFS(dir, os.DirFS(filepath.Join("testdata", "spool"))); err != nil {
+	if err := os.CopyFS(dir, os.DirFS(filepath.Join("testdata", "cache"))); err != nil {
 		t.Fatal(err)
 	}
-	f, err := Start(Options{Gateway: "g", Holder: "g/1.2", PeerAddr: "10.0.0.5:7200", Replicas: []string{strings.TrimPrefix(server.URL, "http://")}, CacheDir: dir,
-		RecordFile: record, RenewInterval: 100 * time.Millisecond, Now: func() int64 { return time.Now().UnixNano() }, OnChange: func() {}, Logger: slog.New(slog.DiscardHandler)})
+	client, err := Start(Options{
+		Gateway: "g", Holder: "g/1.2", PeerAddr: "10.0.0.5:7200",
+		Replicas: []string{strings.TrimPrefix(server.URL, "http://")}, RenewInterval: 100 * time.Millisecond,
+		CacheDir: dir, RecordFile: record, Now: wallClock, OnChange: func() {}, Logger: slog.New(slog.DiscardHandler),
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for deadline := time.Now().Add(time.Minute); len(replica.first()) < 4 && time.Now().Before(deadline); time.Sleep(time.Millisecond) {
-		f.At(time.Now().UnixNano())
-	}
-	f.At(time.Now().UnixNano())
-	f.Close()
-	got, want := strings.Join(replica.first(), "\n\n")+"\n", string(goldenFile(t, "calls.txt"))
-	if got != want {
-		t.Errorf("calls are now\n%s\nnot\n%s", got, want)
+	for deadline := time.Now().Add(waitLimit); len(replica.first()) < 4 && time.Now().Before(deadline); {
+		client.At(wallClock())
+		time.Sleep(time.Millisecond)
 	}
+	client.At(wallClock())
+	client.Close()
+	golden.Check(t, "calls.txt", []byte(strings.Join(replica.first(), "\n\n")+"\n"))
 	b, err := os.ReadFile(record)
-	if line := regexp.MustCompile(`^\d+ (.*)\n$`).FindStringSubmatch(string(b)); err != nil || line == nil || line[1] != "false [7]" {
+	if err != nil || !regexp.MustCompile(`^\d+ false \[7\]\n$`).Match(b) {
 		t.Errorf("the record is %q, %v", b, err)
 	}
 	list, err := filepath.Glob(filepath.Join(dir, "*"))
-	if err != nil || len(list) != 1 || filepath.Base(list[0]) == spoolDigest+".rules" {
+	if err != nil || len(list) != 1 || filepath.Base(list[0]) == cachedDigest+".rules" {
 		t.Errorf("%q in the folder after a change, %v", list, err)
 	}
 }
--- a/internal/serve/follow_test.go
+++ b/internal/serve/follow_test.go
@@ -88,7 +88,7 @@
 		})
 	}
 	stands("acting on 1.")
-	if has("contradicts it") {
+	if has("local configuration conflicts with a version") {
 		t.Error("the same settings are said to contradict")
 	}
 	p := r.ServiceLevels["basic"]
@@ -96,7 +96,7 @@
 	r.ServiceLevels["basic"] = p
 	propose(1)
 	stands("acting on 2.")
-	until(func() bool { return has("version 2.") && has("limit none over 7") })
+	until(func() bool { return has("version=2.") && has("limit none over 7") })
 	k.Close()
 	stands("ended on none")
 	if err := sftp.Mkdir("/meals/month"); err == nil {
