--- a/internal/fleet/client/client.go
+++ b/internal/fleet/client/client.go
@@ -1,6 +1,6 @@
-// Package client is a gateway's client of the configuration replicas. It renews the gateway's lease, waits for
-// news of the replicas' log, fetches the contents of versions, and tells the gateway's loop which configuration
-// is in effect. The gateway and the test fleets call it.
+// Package client is a gateway's client of the configuration replicas. It renews the gateway's lease, watches for
+// changes of the replicas' log, fetches the contents of versions, and tells the gateway's loop which
+// configuration is in effect. The gateway and the test fleets call it.
 //
 // What may be acted on is decided by the pure package lease; this package has the clock, the sockets, the
 // goroutines and two files: the last content (cacheFile) and the record of what was in effect (activationLog).
@@ -24,31 +24,36 @@
 // Client renews a gateway's lease at the replicas and knows which configuration is in effect. Start makes one,
 // Close ends it.
 type Client struct {
-	opt         Options
-	replicas    *replica.Client // for renewals and contents; the watch has connections of its own
-	fetcher     *fetcher        // owned by the renewal goroutine
-	activations *activationLog
-	current     atomic.Int64 // index of the replica that is called, modulo their number
-
-	// mutex guards the state machine, what was taken from it last, and cancelWatch.
-	mutex           sync.Mutex
-	stateMachine    *lease.Client
-	effectiveName   string
-	effectiveUntil  int64
-	cancelWatch     context.CancelFunc // ends the call that waits for news
-	unchangedUntil  atomic.Int64       // effectiveName holds until then unless a response comes; 0: to be looked at
-	endpoints       []endpoint.Node    // as the loop has them; nil: none. Owned by the loop, which alone calls At
+	opt      Options
+	replicas *replica.Client // for renewals and contents; the watch has connections of its own
+	current  atomic.Int64    // index of the replica that is called, modulo their number
+
+	mutex          sync.Mutex         // guards these four
+	stateMachine   *lease.Client      // what may be acted on
+	effectiveName  string             // what the loop was told last; "none": nothing is in effect
+	effectiveUntil int64              // until when it is; 0: until a response
+	cancelWatch    context.CancelFunc // ends the long poll
+
+	// Owned by the renewal goroutine.
+	fetcher        *fetcher
+	checkedVersion *configversion.Version // its conflicts with the local configuration were logged
+
+	// Owned by the loop's goroutine, which alone calls At.
+	endpoints   []endpoint.Node // as the loop has them; nil: none
+	activations *activationLog  // nil: none
+	ready       chan struct{}   // closed once something is in effect
+
+	// Between those goroutines.
+	unchangedUntil  atomic.Int64 // what is in effect stays until then; 0: the state machine has to be looked at
 	preparedList    atomic.Pointer[preparedList]
-	checkedVersion  *configversion.Version // its conflicts with the local configuration were logged; owned by the renewal goroutine
-	ready           chan struct{}          // closed by the loop's goroutine
-	renewNow        chan struct{}          // a renewal is due at once
-	responseApplied chan struct{}
+	renewNow        chan struct{} // a renewal is due at once
+	responseApplied chan struct{} // for the watch
 
 	cancel     context.CancelFunc
 	goroutines sync.WaitGroup
 }
 
-// Start begins to renew a lease and to watch for news. It fails if the record or the cache folder cannot be
+// Start begins to renew a lease and to watch for changes. It fails if the record or the cache folder cannot be
 // opened.
 func Start(opt Options) (*Client, error) {
 	opt.setDefaults()
--- a/internal/fleet/client/watch.go
+++ b/internal/fleet/client/watch.go
@@ -10,12 +10,13 @@
 	"irispost/internal/fleet/replica"
 )
 
-// newsHoldTime is how long a replica may hold a call for news open. Correctness does not depend on hearing of
-// news in time.
-const newsHoldTime = 10 * time.Second
+// watchHoldTime is how long a replica may hold a long poll open. Correctness does not depend on hearing of a
+// change in time.
+const watchHoldTime = 10 * time.Second
 
-// watchLoop keeps a call for news open at the current replica, so that the gateway calls for renewals of its
-// lease alone. While the call fails, is silent or is rejected, the gateway renews as often as without it.
+// watchLoop keeps a long poll open at the current replica, which responds once the log's state has changed, so
+// that the gateway calls for renewals of its lease alone. While the poll fails, is silent or is rejected, the
+// gateway renews as often as without it.
 func (c *Client) watchLoop(ctx context.Context) {
 	replicas := newReplicaClient(c.opt.Dial)
 	random := rand.New(rand.NewPCG(c.opt.Seed, watchRandomStream))
@@ -23,7 +24,7 @@
 		if c.watch(ctx, replicas) {
 			continue
 		}
-		select { // the next call needs the state that the renewal brings
+		select { // the next poll needs the state that the renewal brings
 		case <-ctx.Done():
 		case <-c.responseApplied:
 		case <-time.After(jitter(random, c.opt.RenewInterval)):
@@ -31,36 +32,36 @@
 	}
 }
 
-// watch makes one call for news of what is not known here. It is true where the call ended without news, and
-// false where there is something to renew first: news, an error, or no known state yet.
-func (c *Client) watch(ctx context.Context, replicas *replica.Client) (nothingNew bool) {
+// watch makes one long poll for changes of the state that is known here. It is true where the poll ended without
+// one, and false where there is something to renew first: a change, an error, or no known state yet.
+func (c *Client) watch(ctx context.Context, replicas *replica.Client) (unchanged bool) {
 	c.mutex.Lock()
 	term, inForce, announced := c.stateMachine.KnownState()
 	c.mutex.Unlock()
 	if term == 0 {
 		return false
 	}
-	callCtx, cancel := context.WithTimeout(ctx, newsHoldTime+c.opt.RenewInterval)
+	pollCtx, cancel := context.WithTimeout(ctx, watchHoldTime+c.opt.RenewInterval)
 	c.mutex.Lock()
 	c.cancelWatch = cancel
 	c.stateMachine.SetWatching(true)
 	c.mutex.Unlock()
 
 	path := fmt.Sprintf("/news?term=%d&in_force=%d&announced=%d&hold_ms=%d",
-		term, inForce, announced, newsHoldTime.Milliseconds())
-	news := false
-	err := replicas.Call(callCtx, c.replicaAddr(), http.MethodGet, path, nil, &news)
+		term, inForce, announced, watchHoldTime.Milliseconds())
+	changed := false
+	err := replicas.Call(pollCtx, c.replicaAddr(), http.MethodGet, path, nil, &changed)
 	cancel()
 	if err != nil {
 		replicas.HTTPClient.CloseIdleConnections()
 	}
-	c.watchEnded(news, err)
-	return err == nil && !news
+	c.watchEnded(changed, err)
+	return err == nil && !changed
 }
 
-// watchEnded has the gateway renew at once if a call for news failed or brought some.
-func (c *Client) watchEnded(news bool, err error) {
-	renew := news || err != nil
+// watchEnded has the gateway renew at once if a long poll failed or told of a change.
+func (c *Client) watchEnded(changed bool, err error) {
+	renew := changed || err != nil
 	c.mutex.Lock()
 	c.stateMachine.SetWatching(err == nil)
 	if renew {
@@ -71,7 +72,7 @@
 		return
 	}
 	select {
-	case <-c.responseApplied: // of a response from before the news
+	case <-c.responseApplied: // of a response from before the change
 	default:
 	}
 	notify(c.renewNow)
