--- a/internal/fleet/slowstart/budget/model_test.go
+++ b/internal/fleet/slowstart/budget/model_test.go
@@ -7,220 +7,282 @@
 	"testing"
 )
 
-// A small model of one node's budget, gone through whole: a dealer whose place another may take once, two holders, each with at most so
-// many asks, and every order of ticks, asks, deliveries, losses, repeats and uses. Clocks are one; drift is the simulation's.
+// A small model of one node's budget, searched exhaustively: an allocator whose place another may take once, two
+// holders, two requests in all, and every order of ticks, requests, deliveries, losses, duplicates and uses. All
+// clocks are one; the simulation of package slowstart has the drift.
 
-const modelTick = Time(1e6)
+const (
+	modelTick      = Time(1e6)
+	modelTicks     = Time(4)
+	longModelTicks = Time(6) // with IRISPOST_MODEL set, and to find injected faults
+	modelRequests  = 2
+	maxModelStates = 1 << 20
+	modelTolerance = 1e-6 // of units, as floating-point sums
+)
 
-var modelTerms = Settings{InitialFraction: 1, WarmupTime: 1e15, OverloadMultiple: 1, Window: 4 * modelTick, MinUnits: 16, AllocatedShare: 1, AllocationTime: 3 * modelTick}
+var modelSettings = Settings{
+	InitialFraction: 1, WarmupTime: 1e15, OverloadMultiple: 1, Window: 4 * modelTick, MinUnits: 16,
+	AllocatedShare: 1, AllocationTime: 3 * modelTick,
+}
 
-type modelAsk struct {
+// modelRequest is a request on its way.
+type modelRequest struct {
 	Request
-	copied bool
+	duplicated bool
 }
 
-type modelLoan struct {
+// modelAllocation is an allocation on its way.
+type modelAllocation struct {
 	Allocation
-	asked Time
+	requestedAt Time
 }
 
 type modelHolder struct {
-	seq   uint64
-	asked Time
-	purse float64
-	until Time
-	waits bool
+	seq         uint64
+	requestedAt Time
+	units       float64
+	validUntil  Time
+	waits       bool // for an allocation
+}
+
+// canUse tells whether an allocation that arrives now is for the latest request, and in time.
+func (h *modelHolder) canUse(now, requestedAt Time, allocation Allocation) bool {
+	return allocation.Seq == h.seq && h.waits && now < requestedAt+modelSettings.AllocationTime
+}
+
+type modelSend struct {
+	at    Time
+	units float64
 }
 
 type modelState struct {
-	now     Time
-	dealer  *Allocator
-	moved   Time // when another took the dealer's place; -1: none has
-	holders [2]modelHolder
-	asks    []modelAsk
-	loans   []modelLoan
-	sent    []struct {
-		at    Time
-		units float64
-	}
-	left int // asks that may still be made
-	ends Time
-	path string
+	now          Time
+	end          Time
+	allocator    *Allocator
+	movedAt      Time // when another took the allocator's place; -1: none has
+	holders      [2]modelHolder
+	requests     []modelRequest
+	allocations  []modelAllocation
+	sends        []modelSend
+	requestsLeft int
+	path         string // the steps to this state
 }
 
+// clone is a copy of a state, for a step from it.
 func (s *modelState) clone(step string) *modelState {
 	c := *s
-	d := *s.dealer
-	d.holders = map[string]*holder{}
-	for who, h := range s.dealer.holders {
-		o := *h
-		d.holders[who] = &o
-	}
-	c.dealer = &d
-	c.asks, c.loans, c.sent = slices.Clone(s.asks), slices.Clone(s.loans), slices.Clone(s.sent)
+	allocator := *s.allocator
+	allocator.holders = map[string]*holder{}
+	for id, h := range s.allocator.holders {
+		copied := *h
+		allocator.holders[id] = &copied
+	}
+	c.allocator = &allocator
+	c.requests = slices.Clone(s.requests)
+	c.allocations = slices.Clone(s.allocations)
+	c.sends = slices.Clone(s.sends)
 	c.path = s.path + " " + step
 	return &c
 }
 
+// key is the same for equal states.
 func (s *modelState) key() string {
-	k := fmt.Sprintf("%d %d %d %v %v %v|%.3f %.3f %d|", s.now, s.moved, s.left, s.holders, s.asks, s.loans, s.dealer.ready, s.dealer.out, s.dealer.at)
-	for _, who := range []string{"0", "1"} {
-		if h := s.dealer.holders[who]; h != nil {
-			k += fmt.Sprintf("%d %.3f %d %t|", h.seq, h.units, h.until, h.ask != nil)
+	key := fmt.Sprintf("%d %d %d %v %v %v|", s.now, s.movedAt, s.requestsLeft, s.holders, s.requests, s.allocations)
+	key += fmt.Sprintf("%.3f %.3f %d|", s.allocator.available, s.allocator.outstanding, s.allocator.updatedAt)
+	for _, id := range []string{"0", "1"} {
+		if h := s.allocator.holders[id]; h != nil {
+			key += fmt.Sprintf("%d %.3f %d %t|", h.seq, h.units, h.expiresAt, h.pending != nil)
 		}
 	}
-	return k + fmt.Sprint(s.sent)
+	return key + fmt.Sprint(s.sends)
 }
 
-// broken holds what can be sent at once, and what was sent in a window, against what is dealt out.
-func (s *modelState) broken() string {
-	ready, _ := s.dealer.Usage(s.now)
-	could := ready
-	for _, h := range s.holders {
-		if s.now < h.until {
-			could += h.purse
-		}
-	}
-	for _, l := range s.loans {
-		if h := s.holders[int(l.Holder[0]-'0')]; l.Seq == h.seq && h.waits && s.now < l.asked+modelTerms.AllocationTime {
-			could += l.Units
-		}
-	}
+func (s *modelState) holder(id string) *modelHolder { return &s.holders[int(id[0]-'0')] }
+
+// violation tells how a state breaks what is allocated; "": it does not.
+func (s *modelState) violation() string {
 	moved := Time(0)
-	if s.moved >= 0 && s.now-s.moved <= modelTerms.longer() {
-		moved = s.now - s.moved
+	if s.movedAt >= 0 && s.now-s.movedAt <= modelSettings.outstandingTime() {
+		moved = s.now - s.movedAt
 	}
-	if most := modelTerms.MaxOutstanding(s.now, 1, moved); could > most+1e-6 {
-		return fmt.Sprintf("%.2f units can be sent at once, %.2f may be", could, most)
+	sendable, limit := s.sendable(), modelSettings.MaxOutstanding(s.now, 1, moved)
+	if sendable > limit+modelTolerance {
+		return fmt.Sprintf("%.2f units can be sent at once, %.2f may be", sendable, limit)
 	}
-	sum := 0.0
-	for _, e := range s.sent {
-		if e.at > s.now-modelTerms.Window {
-			sum += e.units
+	sent := 0.0
+	for _, send := range s.sends {
+		if send.at > s.now-modelSettings.Window {
+			sent += send.units
 		}
 	}
-	if most := modelTerms.AllocatedShare * modelTerms.Capacity(s.now, 1); sum > most+1e-6 {
-		return fmt.Sprintf("%.2f units in a window, %.2f are dealt out", sum, most)
+	allocated := modelSettings.AllocatedShare * modelSettings.Capacity(s.now, 1)
+	if sent > allocated+modelTolerance {
+		return fmt.Sprintf("%.2f units in a window, %.2f are allocated", sent, allocated)
 	}
 	return ""
 }
 
+// sendable is how many units can be sent at once: available, at a holder, or on their way.
+func (s *modelState) sendable() float64 {
+	units, _ := s.allocator.Usage(s.now)
+	for _, h := range s.holders {
+		if s.now < h.validUntil {
+			units += h.units
+		}
+	}
+	for _, allocation := range s.allocations {
+		if s.holder(allocation.Holder).canUse(s.now, allocation.requestedAt, allocation.Allocation) {
+			units += allocation.Units
+		}
+	}
+	return units
+}
+
 // next are the states that can follow.
-func (s *modelState) next(f InjectedFaults) (list []*modelState) {
-	if s.now < s.ends {
+func (s *modelState) next(faults InjectedFaults) (states []*modelState) {
+	if s.now < s.end {
 		c := s.clone("tick")
 		c.now += modelTick
-		list = append(list, c)
+		states = append(states, c)
 	}
 	for i := range s.holders {
-		h := &s.holders[i]
-		if s.left > 0 && len(s.asks)+len(s.loans) < 2 {
-			c := s.clone(fmt.Sprint("ask", i))
-			o := &c.holders[i]
-			o.seq++
-			a := Request{Holder: fmt.Sprint(i), Seq: o.seq, Demand: 8, SmallestRequest: 1, PriorityWeight: 1}
-			if s.now < h.until {
-				a.Returned = h.purse
-			}
-			if o.asked, o.waits = s.now, true; !f.Has(FaultUseReturned) {
-				o.purse = 0
-			}
-			c.left--
-			c.asks = append(c.asks, modelAsk{Request: a})
-			list = append(list, c)
+		states = append(states, s.nextOfHolder(i, faults)...)
+	}
+	for i := range s.requests {
+		states = append(states, s.nextOfRequest(i)...)
+	}
+	for i := range s.allocations {
+		states = append(states, s.deliverAllocation(i))
+	}
+	if s.movedAt < 0 && s.now > 0 {
+		c := s.clone("moved")
+		c.movedAt = s.now
+		c.allocator = NewAllocator(s.now, modelSettings, s.now, 1, faults)
+		states = append(states, c)
+	}
+	return states
+}
+
+// nextOfHolder has a holder make a request, or use what it has.
+func (s *modelState) nextOfHolder(i int, faults InjectedFaults) (states []*modelState) {
+	valid := s.now < s.holders[i].validUntil
+	if s.requestsLeft > 0 && len(s.requests)+len(s.allocations) < 2 {
+		c := s.clone(fmt.Sprint("request", i))
+		h := &c.holders[i]
+		h.seq++
+		request := Request{Holder: fmt.Sprint(i), Seq: h.seq, Demand: 8, SmallestRequest: 1, PriorityWeight: 1}
+		if valid {
+			request.Returned = h.units
 		}
-		if h.purse > 0 && s.now < h.until {
-			c := s.clone(fmt.Sprint("use", i))
-			c.sent = append(c.sent, struct {
-				at    Time
-				units float64
-			}{s.now, h.purse})
-			c.holders[i].purse = 0
-			list = append(list, c)
+		h.requestedAt, h.waits = s.now, true
+		if !faults.Has(FaultUseReturned) {
+			h.units = 0
 		}
+		c.requestsLeft--
+		c.requests = append(c.requests, modelRequest{Request: request})
+		states = append(states, c)
 	}
-	for i, a := range s.asks {
-		for _, again := range []bool{false, true} {
-			if again && a.copied {
-				continue
-			}
-			c := s.clone(fmt.Sprintf("asked%s(%t)", a.Holder, again))
-			if again {
-				c.asks[i].copied = true
-			} else {
-				c.asks = slices.Delete(c.asks, i, i+1)
-			}
-			ask := a.Request
-			if c.dealer.HandleRequest(c.now, &ask) {
-				for _, l := range c.dealer.Allocate(c.now) {
-					c.loans = append(c.loans, modelLoan{l, s.holders[int(a.Holder[0]-'0')].asked})
-				}
-			}
-			list = append(list, c)
+	if s.holders[i].units > 0 && valid {
+		c := s.clone(fmt.Sprint("use", i))
+		c.sends = append(c.sends, modelSend{s.now, s.holders[i].units})
+		c.holders[i].units = 0
+		states = append(states, c)
+	}
+	return states
+}
+
+// nextOfRequest delivers a request on its way, delivers it once more, or loses it.
+func (s *modelState) nextOfRequest(i int) (states []*modelState) {
+	request := s.requests[i]
+	for _, duplicate := range []bool{false, true} {
+		if duplicate && request.duplicated {
+			continue
 		}
-		c := s.clone("lost ask")
-		c.asks = slices.Delete(c.asks, i, i+1)
-		list = append(list, c)
-	}
-	for i, l := range s.loans {
-		c := s.clone("loan" + l.Holder)
-		c.loans = slices.Delete(c.loans, i, i+1)
-		if h := &c.holders[int(l.Holder[0]-'0')]; l.Seq == h.seq && h.waits && c.now < h.asked+modelTerms.AllocationTime {
-			h.purse, h.until, h.waits = l.Units, h.asked+modelTerms.AllocationTime, false
+		c := s.clone(fmt.Sprintf("delivered%s(%t)", request.Holder, duplicate))
+		if duplicate {
+			c.requests[i].duplicated = true
+		} else {
+			c.requests = slices.Delete(c.requests, i, i+1)
 		}
-		list = append(list, c)
+		c.handleRequest(request.Request)
+		states = append(states, c)
 	}
-	if s.moved < 0 && s.now > 0 {
-		c := s.clone("moved")
-		c.moved = s.now
-		c.dealer = NewAllocator(s.now, modelTerms, s.now, 1, f)
-		list = append(list, c)
+	c := s.clone("lost request")
+	c.requests = slices.Delete(c.requests, i, i+1)
+	return append(states, c)
+}
+
+func (s *modelState) handleRequest(request Request) {
+	if !s.allocator.HandleRequest(s.now, &request) {
+		return
+	}
+	for _, allocation := range s.allocator.Allocate(s.now) {
+		sent := modelAllocation{allocation, s.holder(request.Holder).requestedAt}
+		s.allocations = append(s.allocations, sent)
 	}
-	return list
 }
 
-// search goes through all states, and returns how one breaks.
-func search(f InjectedFaults, ticks Time, most int) (states int, how string) {
-	first := &modelState{moved: -1, left: 2, ends: ticks * modelTick, dealer: NewAllocator(0, modelTerms, 0, 1, f)}
-	first.dealer.ready, _ = modelTerms.dealt(0, 1) // it has had the budget for long
+func (s *modelState) deliverAllocation(i int) *modelState {
+	allocation := s.allocations[i]
+	c := s.clone("allocation" + allocation.Holder)
+	c.allocations = slices.Delete(c.allocations, i, i+1)
+	h := c.holder(allocation.Holder)
+	if h.canUse(c.now, h.requestedAt, allocation.Allocation) {
+		h.units, h.validUntil, h.waits = allocation.Units, h.requestedAt+modelSettings.AllocationTime, false
+	}
+	return c
+}
+
+// search goes through all states, and returns their number, or a violation with the steps to it.
+func search(faults InjectedFaults, ticks Time) (states int, violation string) {
+	first := &modelState{
+		movedAt: -1, requestsLeft: modelRequests, end: ticks * modelTick,
+		allocator: NewAllocator(0, modelSettings, 0, 1, faults),
+	}
+	first.allocator.available, _ = modelSettings.limits(0, 1) // it has had the budget for long
 	seen := map[string]bool{first.key(): true}
-	for queue := []*modelState{first}; len(queue) > 0 && len(seen) < most; queue = queue[1:] {
-		for _, s := range queue[0].next(f) {
-			if why := s.broken(); why != "" {
-				return len(seen), why + ":" + s.path
+	for queue := []*modelState{first}; len(queue) > 0 && len(seen) < maxModelStates; queue = queue[1:] {
+		for _, state := range queue[0].next(faults) {
+			if violation := state.violation(); violation != "" {
+				return len(seen), violation + ":" + state.path
 			}
-			if k := s.key(); !seen[k] {
-				seen[k] = true
-				queue = append(queue, s)
+			if key := state.key(); !seen[key] {
+				seen[key] = true
+				queue = append(queue, state)
 			}
 		}
 	}
 	return len(seen), ""
 }
 
-func TestModel(t *testing.T) {
-	ticks := Time(4)
+func TestModelHasNoViolation(t *testing.T) {
+	ticks := modelTicks
 	if os.Getenv("IRISPOST_MODEL") != "" {
-		ticks = 6
+		ticks = longModelTicks
 	}
-	states, how := search(0, ticks, 1<<20)
-	if how != "" {
-		t.Fatal(how)
+	states, violation := search(0, ticks)
+	if violation != "" {
+		t.Fatal(violation)
 	}
-	if states >= 1<<20 {
+	if states >= maxModelStates {
 		t.Error("the search was broken off")
 	}
-	t.Logf("%d states, none breaks", states)
+	t.Logf("%d states, no violation", states)
 }
 
-func TestModelFindsDefects(t *testing.T) {
-	for name, f := range map[string]InjectedFaults{"all ready at the start": FaultFullStart, "what is out takes no room": FaultIgnoreOutstanding, "an ask counts twice": FaultAcceptDuplicates | FaultTrustReturned,
-		"a loan over too soon": FaultEarlyExpiry, "units used after they were given back": FaultUseReturned} {
-		states, how := search(f, 6, 1<<20)
-		if how == "" {
+func TestModelFindsInjectedFaults(t *testing.T) {
+	for name, faults := range map[string]InjectedFaults{
+		"all available at the start":     FaultFullStart,
+		"outstanding units take no room": FaultIgnoreOutstanding,
+		"a request counts twice":         FaultAcceptDuplicates | FaultTrustReturned,
+		"an allocation expires early":    FaultEarlyExpiry,
+		"returned units are used":        FaultUseReturned,
+	} {
+		states, violation := search(faults, longModelTicks)
+		if violation == "" {
 			t.Errorf("%s: not found in %d states", name, states)
-		} else {
-			t.Logf("%s, after %d states: %s", name, states, how)
+			continue
 		}
+		t.Logf("%s, after %d states: %s", name, states, violation)
 	}
 }
