--- a/internal/fleet/slowstart/agent/agent.go
+++ b/internal/fleet/slowstart/agent/agent.go
@@ -1,10 +1,15 @@
-// Package agent is a gateway's part in dealing out what cold nodes bear: one duty borrows for its own work, another deals out the budgets
-// that are its own. What is lent to whom is decided by the pure packages budget and tenure, and what is done with it by the decision
-// module; this package brings clock, sockets and goroutines. The gateway's loop never waits for it.
+// Package agent is a gateway's part in allocating what nodes in slow start may be sent. It has two duties: it
+// requests allocations for the requests that wait in its own gateway, and allocates the budgets of the nodes
+// that it owns to all gateways. The program that assembles a gateway starts it, next to the client of the
+// replicas.
+//
+// Who owns which budget is decided by the pure package epoch, who gets what by the pure package budget, and what
+// an allocation is used for by the scheduler. This package has the clock, the sockets and the goroutines. All of
+// its state is in memory; an owner that restarts begins with nothing available. The gateway's loop never waits
+// for it.
 package agent
 
 import (
-	"cmp"
 	"context"
 	"log/slog"
 	"net"
@@ -19,129 +24,145 @@
 	"irispost/scheduler"
 )
 
-// Loop is what an agent needs of its gateway's loop.
+// Loop is what an agent needs of its gateway's loop. Both methods are false when the loop has ended.
 type Loop interface {
+	// SlowStartDemand is the units that wait for nodes in slow start, and the rate of nodes that are not.
 	SlowStartDemand() (gateway.SlowStartDemand, bool)
-	Allocate(addr string, born scheduler.Time, units float64, till scheduler.Time) (left float64, ok bool)
+	// Allocate lets units, and no more, be sent to a node until a time; startedAt says to which start of it. It
+	// returns what was left of the allocation before. A time of 0 ends the allocation: the scheduler's own rules
+	// apply.
+	Allocate(addr string, startedAt scheduler.Time, units float64, until scheduler.Time) (left float64, ok bool)
 }
 
-// Options are what an agent is started with.
+// Options are the settings that an agent starts with.
 type Options struct {
-	Gateway       string
-	Holder        string            // its name as the keepers have it: with its start
+	Gateway       string            // the gateway's name, for logs
+	Holder        string            // names this start of the gateway, as to the replicas
 	ListenAddr    string            // where other gateways reach it
-	AddrOverrides map[string]string // where this gateway reaches another, by the address that it gives; what is not there is reached as given
+	AddrOverrides map[string]string // where this gateway reaches another, by the address that the other states
 	Settings      budget.Settings
 	Now           func() scheduler.Time // the loop's clock
 	Logger        *slog.Logger
 }
 
-// Paces, as parts of a loan's time.
+// Limits of the sockets.
 const (
-	paceParts  = 12 // a gateway looks for work that waits so often
-	holdParts  = 3  // an ask is left waiting for this part at most
-	asksAtOnce = 32 // asks of others that are out at a time; one more is made at the next look
-	sureFor    = 8  // so many loans' times after its last word a dealer is taken to be there, where there is no work to ask for
-	restMost   = 16 // the longest rest after asks that failed, in loans' times
+	readHeaderTimeout = 5 * time.Second
+	idleTimeout       = time.Minute
+	idleConnTimeout   = 30 * time.Second
+	maxIdleConns      = 4 // to each gateway
+	maxMessageBytes   = 1 << 16
 )
 
-// Agent is a running one.
+// Agent requests allocations for its gateway, and allocates the budgets that it owns. Listen makes one.
 type Agent struct {
-	opt      Options
+	opt      Options // Settings are guarded by mutex
 	loop     Loop
 	listener net.Listener
 	server   *http.Server
 	client   *http.Client
-	each     scheduler.Time // how long a loan counts: it stays as it was at the start, so that who asks and who deals mean the same
-	lock     sync.Mutex
-	tenure   *epoch.Ownership
-	peers    map[string]string // addresses of members
-	seen     map[string]scheduler.SlowStartDemand
-	rate     float64
-	desks    map[string]*desk // by node, of budgets that are its own
-	debts    map[string]*debt // by node
-	empty    []debtOf
-	free     chan struct{}
-	cancel   context.CancelFunc
-	done     sync.WaitGroup
+	// allocationTime is how long allocations are valid. It stays as it was at the start, so that holders and
+	// allocators mean the same.
+	allocationTime scheduler.Time
+	requestSlots   chan struct{} // has an element for each request that is in flight
+
+	mutex        sync.Mutex // guards what follows, and opt.Settings
+	ownership    *epoch.Ownership
+	peerAddrs    map[string]string // by member
+	demands      map[string]scheduler.SlowStartDemand
+	rate         float64                 // units a second of a node that is not in slow start; 0: not known
+	budgets      map[string]*nodeBudget  // by node, of the nodes that are owned
+	reservations map[string]*reservation // by node
+	suspensions  []suspension            // that the loop is to be told of
+
+	cancel     context.CancelFunc // nil: not started
+	goroutines sync.WaitGroup
 }
 
-// Listen opens an agent's socket. It serves once it is begun.
+// Listen opens an agent's socket. It serves once it is started.
 func Listen(opt Options) (*Agent, error) {
-	l, err := net.Listen("tcp", opt.ListenAddr)
+	listener, err := net.Listen("tcp", opt.ListenAddr)
 	if err != nil {
 		return nil, err
 	}
-	a := &Agent{opt: opt, listener: l, tenure: epoch.NewOwnership(opt.Holder, 0), peers: map[string]string{}, seen: map[string]scheduler.SlowStartDemand{},
-		desks: map[string]*desk{}, debts: map[string]*debt{}, free: make(chan struct{}, asksAtOnce)}
-	a.each = opt.Settings.AllocationTime
-	each := time.Duration(a.each)
-	a.client = &http.Client{Timeout: each, Transport: &http.Transport{DialContext: (&net.Dialer{Timeout: each / 2}).DialContext, MaxIdleConnsPerHost: 4,
-		IdleConnTimeout: 30 * time.Second}}
-	mux := http.NewServeMux()
-	mux.HandleFunc("POST /cold/ask", a.serve)
-	a.server = &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second, IdleTimeout: time.Minute}
+	a := &Agent{
+		opt:            opt,
+		listener:       listener,
+		client:         newPeerClient(time.Duration(opt.Settings.AllocationTime)),
+		allocationTime: opt.Settings.AllocationTime,
+		requestSlots:   make(chan struct{}, maxConcurrentRequests),
+		ownership:      epoch.NewOwnership(opt.Holder, 0),
+		peerAddrs:      map[string]string{},
+		demands:        map[string]scheduler.SlowStartDemand{},
+		budgets:        map[string]*nodeBudget{},
+		reservations:   map[string]*reservation{},
+	}
+	a.server = &http.Server{Handler: a.handler(), ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout}
 	return a, nil
 }
 
+// newPeerClient makes the client of other gateways; a call takes no longer than the timeout.
+func newPeerClient(timeout time.Duration) *http.Client {
+	dialer := &net.Dialer{Timeout: timeout / 2}
+	transport := &http.Transport{
+		DialContext:         dialer.DialContext,
+		MaxIdleConnsPerHost: maxIdleConns,
+		IdleConnTimeout:     idleConnTimeout,
+	}
+	return &http.Client{Timeout: timeout, Transport: transport}
+}
+
 // Addr is where other gateways reach it.
 func (a *Agent) Addr() string { return a.listener.Addr().String() }
 
-// Start starts the duties.
+// Start begins to serve, and to request allocations for a loop.
 func (a *Agent) Start(loop Loop) {
 	a.loop = loop
 	var ctx context.Context
 	ctx, a.cancel = context.WithCancel(context.Background())
-	a.done.Add(2)
-	go func() { defer a.done.Done(); a.server.Serve(a.listener) }()
-	go func() { defer a.done.Done(); a.borrow(ctx) }()
+	a.goroutines.Add(2)
+	go func() {
+		defer a.goroutines.Done()
+		_ = a.server.Serve(a.listener) // ends with Close
+	}()
+	go func() {
+		defer a.goroutines.Done()
+		a.requestLoop(ctx)
+	}()
 }
 
-// Close ends them.
+// Close ends the agent, and returns once its goroutines have ended.
 func (a *Agent) Close() {
 	if a.cancel == nil {
-		a.listener.Close()
+		_ = a.listener.Close()
 		return
 	}
 	a.cancel()
-	a.server.Close()
-	a.done.Wait()
+	_ = a.server.Close() // its connections' errors are their peers' to see
+	a.goroutines.Wait()
 	a.client.CloseIdleConnections()
 }
 
-// HandleMembership takes in who is present, as a lease from the keepers told.
-func (a *Agent) HandleMembership(m *lease.MembershipUpdate) {
-	a.lock.Lock()
-	defer a.lock.Unlock()
-	before := a.tenure.Epoch()
-	a.tenure.HandleMembership(m.RequestedAt, a.opt.Now(), m.Membership)
-	if a.tenure.Epoch() != before {
-		a.peers = m.PeerAddrs
+// HandleMembership takes the members that came with a lease.
+func (a *Agent) HandleMembership(update *lease.MembershipUpdate) {
+	a.mutex.Lock()
+	defer a.mutex.Unlock()
+	before := a.ownership.Epoch()
+	a.ownership.HandleMembership(update.RequestedAt, a.opt.Now(), update.Membership)
+	if a.ownership.Epoch() != before {
+		a.peerAddrs = update.PeerAddrs
 	}
 }
 
-// UpdateSettings has other terms count, which the module acts on from now on. What was dealt out goes on; new desks begin with nothing ready.
-func (a *Agent) UpdateSettings(t scheduler.Settings) {
-	terms := SettingsFrom(t, a.opt.Settings.MaxClockDrift)
-	a.lock.Lock()
-	defer a.lock.Unlock()
-	if terms.AllocationTime = a.each; terms != a.opt.Settings {
-		a.opt.Settings = terms
-		clear(a.desks)
+// UpdateSettings takes the scheduler's settings that are in effect from now on. Allocations stay valid; if the
+// budget's settings differ, the nodes' budgets begin anew with nothing available.
+func (a *Agent) UpdateSettings(settings scheduler.Settings) {
+	updated := SettingsFrom(settings, a.opt.Settings.MaxClockDrift)
+	updated.AllocationTime = a.allocationTime
+	a.mutex.Lock()
+	defer a.mutex.Unlock()
+	if updated != a.opt.Settings {
+		a.opt.Settings = updated
+		clear(a.budgets)
 	}
 }
-
-// SettingsFrom are a budget's, from what the module acts on.
-func SettingsFrom(t scheduler.Settings, drift float64) budget.Settings {
-	number, span := reader(t)
-	window := span("cold.window")
-	return budget.Settings{InitialFraction: number("cold.from"), WarmupTime: span("cold.time"), OverloadMultiple: number("cold.multiple"), Window: window, MinUnits: number("cold.units"),
-		AllocatedShare: share, AllocationTime: min(cmp.Or(window/6, longestLoan), longestLoan), MaxClockDrift: drift}
-}
-
-// What is dealt out of what a node bears. The rest is for gateways that reach no dealer: by the module's own ways they send half of it at
-// most, all together.
-const (
-	share       = 0.5
-	longestLoan = scheduler.Second / 2
-)
--- a/internal/fleet/slowstart/agent/agent_test.go
+++ b/internal/fleet/slowstart/agent/agent_test.go
@@ -2,8 +2,7 @@
 
 import (
 	"fmt"
-	"io"
-	"log/slog"
+	"slices"
 	"sync"
 	"testing"
 	"time"
@@ -15,128 +14,160 @@
 	"irispost/scheduler"
 )
 
-// thirsty is a loop whose module always has work for one cold node, and sends all that it is lent.
-type thirsty struct {
-	lock  sync.Mutex
-	now   func() scheduler.Time
-	born  scheduler.Time
+const (
+	testNode  = "10.0.0.9:7000" // in slow start
+	waitLimit = time.Minute
+)
+
+// demandingLoop is a loop whose scheduler always has requests for one node, and sends all that is allocated.
+type demandingLoop struct {
+	now       func() scheduler.Time
+	startedAt scheduler.Time
+
+	mutex sync.Mutex // guards what follows
 	units float64
-	till  scheduler.Time
+	until scheduler.Time
 	sent  float64
-	alone int // times that it was sent back to its own ways
+	ended int // allocations that ended with the scheduler's own rules
 }
 
-const cold = "10.0.0.9:7000"
-
-func (l *thirsty) SlowStartDemand() (gateway.SlowStartDemand, bool) {
-	l.lock.Lock()
-	defer l.lock.Unlock()
-	if l.now() < l.till {
+func (l *demandingLoop) SlowStartDemand() (gateway.SlowStartDemand, bool) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	if l.now() < l.until {
 		l.sent += l.units
 	}
 	l.units = 0
-	return gateway.SlowStartDemand{Demands: []scheduler.SlowStartDemand{{Addr: cold, StartedAt: l.born, Units: 8, SmallestRequest: 1, PriorityWeight: 1}}, Rate: 1000}, true
+	demand := scheduler.SlowStartDemand{
+		Addr: testNode, StartedAt: l.startedAt, Units: 8, SmallestRequest: 1, PriorityWeight: 1,
+	}
+	return gateway.SlowStartDemand{Demands: []scheduler.SlowStartDemand{demand}, Rate: 1000}, true
 }
 
-func (l *thirsty) Allocate(_ string, born scheduler.Time, units float64, till scheduler.Time) (left float64, ok bool) {
-	l.lock.Lock()
-	defer l.lock.Unlock()
-	if l.now() < l.till {
+func (l *demandingLoop) Allocate(_ string, _ scheduler.Time, units float64, until scheduler.Time) (left float64, ok bool) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	if l.now() < l.until {
 		left = l.units
 	}
-	if till == 0 {
-		l.alone++
+	if until == 0 {
+		l.ended++
 	}
-	l.units, l.till = units, till
+	l.units, l.until = units, until
 	return left, true
 }
 
-// Three agents over loopback: the one that has the node's budget deals it out to all, more than once; when it is gone and the set says so,
-// another does, and the third of them goes on by it.
-func TestBudgetIsDealtOut(t *testing.T) {
+func (l *demandingLoop) sentUnits() float64 {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	return l.sent
+}
+
+func (l *demandingLoop) endedAllocations() int {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	return l.ended
+}
+
+// agentGroup is agents over loopback, each with a demanding loop.
+type agentGroup struct {
+	t      *testing.T
+	now    func() scheduler.Time
+	agents map[string]*Agent
+	loops  map[string]*demandingLoop
+	addrs  map[string]string
+}
+
+// newAgentGroup makes agents that are not started yet.
+func newAgentGroup(t *testing.T, names []string) *agentGroup {
+	t.Helper()
 	clock := gateway.NewClock()
-	born := clock.Now()
-	terms := budget.Settings{InitialFraction: 1, WarmupTime: int64(time.Hour), OverloadMultiple: 2, Window: 3e8, MinUnits: 5, AllocatedShare: 0.5, AllocationTime: 1e8, MaxClockDrift: 0.01}
-	agents, loops := map[string]*Agent{}, map[string]*thirsty{}
-	var names []string
-	peers := map[string]string{}
-	for i := range 3 {
-		name := fmt.Sprint("g", i)
-		a, err := Listen(Options{Gateway: name, Holder: name, ListenAddr: "127.0.0.1:0", Settings: terms, Now: clock.Now, Logger: slog.New(slog.NewTextHandler(io.Discard, nil))})
-		if err != nil {
-			t.Fatal(err)
-		}
-		names, agents[name], peers[name], loops[name] = append(names, name), a, a.Addr(), &thirsty{now: clock.Now, born: born}
+	startedAt := clock.Now()
+	settings := budget.Settings{
+		InitialFraction: 1, WarmupTime: int64(time.Hour), OverloadMultiple: 2, Window: 3e8, MinUnits: 5,
+		AllocatedShare: 0.5, AllocationTime: 1e8, MaxClockDrift: 0.01,
 	}
-	grant := func(number, parts uint64, members []string) {
-		for _, name := range members {
-			agents[name].HandleMembership(&lease.MembershipUpdate{RequestedAt: clock.Now(), PeerAddrs: peers,
-				Membership: epoch.Membership{Epoch: number, Departures: parts, Age: int64(2 * time.Hour), Members: members, LeaseDuration: int64(time.Hour), MaxClockDrift: 0.01}})
-		}
+	g := &agentGroup{
+		t: t, now: clock.Now,
+		agents: map[string]*Agent{}, loops: map[string]*demandingLoop{}, addrs: map[string]string{},
 	}
-	grant(1, 0, names)
 	for _, name := range names {
-		agents[name].Start(loops[name])
-	}
-	fed := func(members []string) {
-		t.Helper()
-		was := map[string]float64{}
-		for _, name := range members {
-			loops[name].lock.Lock()
-			was[name] = loops[name].sent
-			loops[name].lock.Unlock()
-		}
-		for _, name := range members {
-			for until := time.Now().Add(time.Minute); ; time.Sleep(time.Millisecond) {
-				loops[name].lock.Lock()
-				more := loops[name].sent > was[name]+20
-				loops[name].lock.Unlock()
-				if more {
-					break
-				}
-				if time.Now().After(until) {
-					t.Fatalf("%s is lent nothing", name)
-				}
-			}
+		a := listen(t, Options{Gateway: name, Holder: name, Settings: settings, Now: clock.Now})
+		g.agents[name], g.addrs[name] = a, a.Addr()
+		g.loops[name] = &demandingLoop{now: clock.Now, startedAt: startedAt}
+	}
+	return g
+}
+
+// setMembers begins an epoch, of which all its members know.
+func (g *agentGroup) setMembers(number, departures uint64, members []string) {
+	for _, name := range members {
+		membership := epoch.Membership{
+			Epoch: number, Departures: departures, Age: int64(2 * time.Hour), Members: members,
+			LeaseDuration: int64(time.Hour), MaxClockDrift: 0.01,
 		}
+		update := &lease.MembershipUpdate{RequestedAt: g.now(), PeerAddrs: g.addrs, Membership: membership}
+		g.agents[name].HandleMembership(update)
 	}
-	fed(names)
-	first := epoch.Owner(cold, names)
-	agents[first].lock.Lock()
-	if len(agents[first].desks) != 1 {
-		t.Errorf("%d desks at the owner", len(agents[first].desks))
+}
+
+// waitForUnits waits until the loops of all of these have sent more than once.
+func (g *agentGroup) waitForUnits(names []string) {
+	g.t.Helper()
+	before := map[string]float64{}
+	for _, name := range names {
+		before[name] = g.loops[name].sentUnits()
 	}
-	agents[first].lock.Unlock()
-	agents[first].Close()
-	var left []string
 	for _, name := range names {
-		if name != first {
-			left = append(left, name)
-		}
+		g.waitUntil(name+" is allocated nothing", func() bool { return g.loops[name].sentUnits() > before[name]+20 })
 	}
-	for _, name := range left { // nobody is reached: each goes by its own ways
-		for until := time.Now().Add(time.Minute); ; time.Sleep(time.Millisecond) {
-			loops[name].lock.Lock()
-			alone := loops[name].alone
-			loops[name].lock.Unlock()
-			if alone > 0 {
-				break
-			}
-			if time.Now().After(until) {
-				t.Fatalf("%s waits for a dealer that is gone", name)
-			}
+}
+
+// waitUntil waits for a condition; failure says what is wrong without it.
+func (g *agentGroup) waitUntil(failure string, condition func() bool) {
+	g.t.Helper()
+	for deadline := time.Now().Add(waitLimit); !condition(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			g.t.Fatal(failure)
 		}
 	}
-	grant(2, 1, left)
-	fed(left)
-	for _, name := range left {
-		agents[name].Close()
+}
+
+// TestBudgetIsAllocatedToAll: of three agents, the one that owns the node allocates its budget to all, more than
+// once; when it is gone and the members say so, another does, and the third goes on by it.
+func TestBudgetIsAllocatedToAll(t *testing.T) {
+	names := []string{"g0", "g1", "g2"}
+	g := newAgentGroup(t, names)
+	g.setMembers(1, 0, names)
+	for _, name := range names {
+		g.agents[name].Start(g.loops[name])
+	}
+	g.waitForUnits(names)
+
+	owner := epoch.Owner(testNode, names)
+	g.agents[owner].mutex.Lock()
+	if count := len(g.agents[owner].budgets); count != 1 {
+		t.Errorf("%d budgets at the owner", count)
+	}
+	g.agents[owner].mutex.Unlock()
+	g.agents[owner].Close()
+
+	others := slices.DeleteFunc(slices.Clone(names), func(name string) bool { return name == owner })
+	for _, name := range others {
+		ended := func() bool { return g.loops[name].endedAllocations() > 0 }
+		g.waitUntil(fmt.Sprintf("%s waits for an allocator that is gone", name), ended)
+	}
+	g.setMembers(2, 1, others)
+	g.waitForUnits(others)
+	for _, name := range others {
+		g.agents[name].Close()
 	}
 }
 
-// Guard: where no window is stated a loan's time still is one, or the duty's clock could not run.
-func TestTermsWithoutAWindow(t *testing.T) {
-	if terms := SettingsFrom(scheduler.Settings{}, 0.01); terms.AllocationTime <= 0 {
-		t.Errorf("%+v", terms)
+// TestSettingsWithoutWindowHaveAllocationTime: where no window is stated an allocation still has a time, without
+// which the requests would have no pace.
+func TestSettingsWithoutWindowHaveAllocationTime(t *testing.T) {
+	if settings := SettingsFrom(scheduler.Settings{}, 0.01); settings.AllocationTime <= 0 {
+		t.Errorf("%+v", settings)
 	}
 }
--- a/internal/fleet/slowstart/agent/golden_test.go
+++ b/internal/fleet/slowstart/agent/golden_test.go
@@ -1,7 +1,7 @@
 package agent
 
 import (
-	"context"
+	"bytes"
 	"encoding/json"
 	"fmt"
 	"io"
@@ -17,65 +17,82 @@
 	"irispost/internal/fleet/lease"
 	"irispost/internal/fleet/slowstart/budget"
 	"irispost/internal/fleet/slowstart/epoch"
+	"irispost/internal/testkit/golden"
 	"irispost/scheduler"
 )
 
-// goldenFile reads a file under testdata.
-func goldenFile(t *testing.T, name string) string {
+// goldenRequest is the request in testdata/request.json.
+func goldenRequest() request {
+	return request{
+		Node: "10.0.0.9:7000", StartedAt: 1764650723000000000, Rate: 187.5,
+		Request: budget.Request{
+			Holder: "g/1.2", Seq: 41, Demand: 12.5, SmallestRequest: 2, PriorityWeight: 4, Returned: 0.25,
+		},
+	}
+}
+
+// readGolden reads a file under testdata.
+func readGolden(t *testing.T, name string) []byte {
 	t.Helper()
 	b, err := os.ReadFile(filepath.Join("testdata", name))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return string(b)
+	return b
 }
 
-// TestGoldenRequest: the message from one gateway to another is that of 3aa21cb, as written and as read.
+// TestGoldenRequest: the message from one gateway to another is written and read as by an earlier build.
 func TestGoldenRequest(t *testing.T) {
-	want := goldenFile(t, "request.json")
-	q := request{Node: "10.0.0.9:7000", Born: 1764650723000000000, Rate: 187.5,
-		Request: budget.Request{Holder: "g/1.2", Seq: 41, Demand: 12.5, SmallestRequest: 2, PriorityWeight: 4, Returned: 0.25}}
-	got, err := json.Marshal(&q)
-	if err != nil || string(got)+"\n" != want {
-		t.Errorf("written as %s, not %s: %v", got, want, err)
+	want := goldenRequest()
+	b, err := json.Marshal(&want)
+	if err != nil {
+		t.Fatal(err)
 	}
+	golden.Check(t, "request.json", append(b, '\n'))
 	var read request
-	if err := json.Unmarshal([]byte(want), &read); err != nil || read != q {
-		t.Errorf("read as %+v, not %+v: %v", read, q, err)
+	if err := json.Unmarshal(readGolden(t, "request.json"), &read); err != nil || read != want {
+		t.Errorf("read as %+v, not %+v: %v", read, want, err)
 	}
 }
 
-// TestGoldenRoutes: each route of a gateway's peer address answers as that of 3aa21cb does.
+// TestGoldenRoutes: each route of a gateway's peer address answers as that of an earlier build does.
 func TestGoldenRoutes(t *testing.T) {
 	now := scheduler.Time(time.Hour)
-	terms := budget.Settings{InitialFraction: 1, WarmupTime: int64(2 * time.Hour), OverloadMultiple: 2, Window: 3e8, MinUnits: 5, AllocatedShare: 0.5, AllocationTime: 3e7, MaxClockDrift: 0.01}
-	a, err := Listen(Options{Gateway: "g", Holder: "g/1.2", ListenAddr: "127.0.0.1:0", Settings: terms, Now: func() scheduler.Time { return now }, Logger: slog.New(slog.DiscardHandler)})
-	if err != nil {
-		t.Fatal(err)
-	}
+	a := listen(t, Options{
+		Gateway: "g", Holder: "g/1.2", Now: func() scheduler.Time { return now },
+		Settings: budget.Settings{
+			InitialFraction: 1, WarmupTime: int64(2 * time.Hour), OverloadMultiple: 2, Window: 3e8, MinUnits: 5,
+			AllocatedShare: 0.5, AllocationTime: 3e7, MaxClockDrift: 0.01,
+		},
+	})
 	t.Cleanup(a.Close)
-	granted := func(number uint64, member string) {
-		a.HandleMembership(&lease.MembershipUpdate{RequestedAt: now, Membership: epoch.Membership{Epoch: number, Age: int64(3 * time.Hour), Members: []string{member}, LeaseDuration: int64(time.Hour), MaxClockDrift: 0.01}})
+	setOwner := func(number uint64, member string) {
+		a.HandleMembership(&lease.MembershipUpdate{RequestedAt: now, Membership: epoch.Membership{
+			Epoch: number, Age: int64(3 * time.Hour), Members: []string{member},
+			LeaseDuration: int64(time.Hour), MaxClockDrift: 0.01,
+		}})
 	}
-	granted(1, "g/1.2")
-	a.seen["known:1"] = scheduler.SlowStartDemand{Addr: "known:1", StartedAt: now - 5}
-	body := func(node string, born scheduler.Time, rate float64, seq uint64, want float64) string {
-		return fmt.Sprintf(`{"node":%q,"born":%d,"rate":%v,"who":"h/1.2","seq":%d,"want":%v,"least":0,"worth":1,"back":0}`, node, born, rate, seq, want)
+	minutePasses := func() { now += int64(time.Minute) }
+	ownerChanges := func() { setOwner(2, "h/1.2") }
+	setOwner(1, "g/1.2")
+	a.demands["known:1"] = scheduler.SlowStartDemand{Addr: "known:1", StartedAt: now - 5}
+	body := func(node string, startedAt scheduler.Time, rate float64, seq uint64, demand float64) string {
+		const form = `{"node":%q,"born":%d,"rate":%v,"who":"h/1.2","seq":%d,"want":%v,"least":0,"worth":1,"back":0}`
+		return fmt.Sprintf(form, node, startedAt, rate, seq, demand)
 	}
-	var got strings.Builder
-
+	var got bytes.Buffer
 	for _, c := range []struct {
 		name, method, path, body string
 		before                   func()
 	}{
 		{"nothing is wanted", "POST", "/cold/ask", body("n:1", now, 100, 1, 0), nil},
 		{"units are wanted, none is ready", "POST", "/cold/ask", body("n:1", now, 100, 2, 8), nil},
-		{"units are wanted and ready", "POST", "/cold/ask", body("n:1", now, 100, 3, 8), func() { now += int64(time.Minute) }},
+		{"units are wanted and ready", "POST", "/cold/ask", body("n:1", now, 100, 3, 8), minutePasses},
 		{"older than the last", "POST", "/cold/ask", body("n:1", now, 100, 3, 8), nil},
 		{"no rate is known", "POST", "/cold/ask", body("n:2", now, 0, 1, 8), nil},
 		{"another start of the node", "POST", "/cold/ask", body("known:1", now-6, 100, 1, 8), nil},
 		{"no JSON", "POST", "/cold/ask", "x", nil},
-		{"another's node", "POST", "/cold/ask", body("n:1", now, 100, 4, 8), func() { granted(2, "h/1.2") }},
+		{"another's node", "POST", "/cold/ask", body("n:1", now, 100, 4, 8), ownerChanges},
 		{"another method", "GET", "/cold/ask", "", nil},
 		{"another path", "POST", "/cold", "", nil},
 	} {
@@ -83,33 +100,46 @@
 			c.before()
 		}
 		w := httptest.NewRecorder()
-		a.server.Handler.ServeHTTP(w, httptest.NewRequestWithContext(t.Context(), c.method, c.path, strings.NewReader(c.body)))
-		fmt.Fprintf(&got, "%s: %s %s\n%d %s %s\n\n", c.name, c.method, c.path, w.Code, w.Header().Get("Content-Type"), strings.TrimSpace(w.Body.String()))
-	}
-	if want := goldenFile(t, "routes.txt"); got.String() != want {
-		t.Errorf("routes answer\n%s\nnot\n%s", got.String(), want)
+		r := httptest.NewRequestWithContext(t.Context(), c.method, c.path, strings.NewReader(c.body))
+		a.server.Handler.ServeHTTP(w, r)
+		fmt.Fprintf(&got, "%s: %s %s\n%d %s %s\n\n",
+			c.name, c.method, c.path, w.Code, w.Header().Get("Content-Type"), strings.TrimSpace(w.Body.String()))
 	}
+	golden.Check(t, "routes.txt", got.Bytes())
 }
 
-// TestGoldenCall: a gateway asks another by the route of 3aa21cb.
+// TestGoldenCall: a gateway makes its request to another by the route of an earlier build, and reads its
+// response.
 func TestGoldenCall(t *testing.T) {
 	var call string
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		b, _ := io.ReadAll(r.Body)
+		b, err := io.ReadAll(r.Body)
+		if err != nil {
+			t.Error(err)
+		}
 		call = fmt.Sprintf("%s %s %s\n", r.Method, r.URL.RequestURI(), b)
-		io.WriteString(w, goldenFile(t, "loan.json"))
+		_, _ = w.Write(readGolden(t, "allocation.json")) // the caller checks what has come
 	}))
 	t.Cleanup(server.Close)
 	a := &Agent{client: server.Client()}
-	q := &request{}
-	if err := json.Unmarshal([]byte(goldenFile(t, "request.json")), q); err != nil {
-		t.Fatal(err)
-	}
-	l, err := a.post(context.Background(), strings.TrimPrefix(server.URL, "http://"), q)
-	if want := (budget.Allocation{Holder: "g/1.2", Seq: 41, Units: 7.5}); err != nil || *l != want {
-		t.Errorf("read as %+v, not %+v: %v", l, want, err)
+	request := goldenRequest()
+	got, err := a.call(t.Context(), strings.TrimPrefix(server.URL, "http://"), &request)
+	if want := (budget.Allocation{Holder: "g/1.2", Seq: 41, Units: 7.5}); err != nil || *got != want {
+		t.Errorf("read as %+v, not %+v: %v", got, want, err)
 	}
-	if want := "POST /cold/ask " + goldenFile(t, "request.json"); call != want {
+	if want := "POST /cold/ask " + string(readGolden(t, "request.json")); call != want {
 		t.Errorf("called %s, not %s", call, want)
 	}
 }
+
+// listen makes an agent at a free address.
+func listen(t *testing.T, options Options) *Agent {
+	t.Helper()
+	options.ListenAddr = "127.0.0.1:0"
+	options.Logger = slog.New(slog.DiscardHandler)
+	a, err := Listen(options)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return a
+}
--- a/internal/fleet/slowstart/epoch/golden_test.go
+++ b/internal/fleet/slowstart/epoch/golden_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"fmt"
 	"os"
 	"path/filepath"
 	"reflect"
@@ -45,9 +46,9 @@
 // TestGoldenOwners: the owner of a node has to be the same in every build, or two would allocate one budget.
 func TestGoldenOwners(t *testing.T) {
 	members := []string{"g/1.2", "h/3.4", "i/5.6"}
-	nodes := []string{"10.0.0.1:7000", "10.0.0.2:7000", "10.0.0.3:7000", "10.0.0.4:7000", "10.0.0.5:7000", "10.0.0.6:7000", ""}
-	owners := map[string]string{}
-	for _, node := range nodes {
+	owners := map[string]string{"": Owner("", members)}
+	for i := range 6 {
+		node := fmt.Sprintf("10.0.0.%d:7000", i+1)
 		owners[node] = Owner(node, members)
 	}
 	golden.Check(t, "owners.json", marshalLine(t, owners))
