--- /dev/null
+++ b/internal/fleet/slowstart/firstseconds_play_test.go
@@ -0,0 +1,269 @@
+package slowstart
+
+import (
+	"container/heap"
+	"fmt"
+	"math/rand/v2"
+	"strconv"
+
+	"irispost/internal/fleet/slowstart/agent"
+	"irispost/internal/fleet/slowstart/budget"
+	"irispost/scheduler"
+)
+
+// attempt is one in flight.
+type attempt struct {
+	gateway int
+	attempt *scheduler.Attempt
+	doneAt  scheduler.Time
+}
+
+type windowSend struct {
+	at    scheduler.Time
+	units float64
+}
+
+// firstSeconds plays the seconds around a node's start.
+type firstSeconds struct {
+	mode      dispatchMode
+	load      float64 // offered, as a part of the node's full rate
+	random    *rand.Rand
+	now       scheduler.Time
+	startedAt scheduler.Time // the node's start
+	end       scheduler.Time // of what is offered
+
+	schedulers []*scheduler.Scheduler
+	validUntil []scheduler.Time // each gateway's allocation
+	seq        []uint64
+	settings   budget.Settings
+	allocator  *budget.Allocator // nil: the node has not started
+
+	requests     int // so far, for their IDs
+	inFlight     []attempt
+	coldBusyTill scheduler.Time
+	warmBusyTill scheduler.Time
+	paced        pacerQueue
+	window       []windowSend
+	outcome      outcome
+}
+
+// playFirstSeconds plays the seconds around a node's start, and returns what came of the first ones after it.
+func playFirstSeconds(gateways int, load float64, mode dispatchMode, seed uint64) outcome {
+	now := 100 * scheduler.Second
+	settings := fleetSettings(gateways)
+	f := &firstSeconds{
+		mode: mode, load: load, random: rand.New(rand.NewPCG(seed, 3)),
+		now: now, startedAt: now + scheduler.Second, end: now + scheduler.Second + measured,
+		validUntil: make([]scheduler.Time, gateways), seq: make([]uint64, gateways),
+		settings:     agent.SettingsFrom(settings, 0.01),
+		coldBusyTill: now, warmBusyTill: now,
+	}
+	for i := range gateways {
+		s := scheduler.New(now, seed*1000+uint64(i), settings)
+		s.BeginEndpointList(now, true, false)
+		s.UpdateEndpoint(coldNode, "z", 0, 0, scheduler.EndpointReady)
+		s.UpdateEndpoint(warmNode, "z", 1, 0, scheduler.EndpointReady)
+		s.FinishEndpointList()
+		f.schedulers = append(f.schedulers, s)
+	}
+	for ; f.now < f.end+scheduler.Second; f.now += tick {
+		f.step()
+	}
+	return f.outcome
+}
+
+func (f *firstSeconds) step() {
+	if f.now == f.startedAt {
+		f.startNode()
+	}
+	f.offerRequests()
+	if f.mode == withPacer {
+		f.pace()
+		return
+	}
+	f.offerOtherRequests()
+	if f.mode == withAllocator && f.now >= f.startedAt {
+		f.allocate()
+	}
+	f.finishAttempts()
+	f.dispatch()
+	f.measureWindow()
+}
+
+// startNode tells all gateways of the node's start.
+func (f *firstSeconds) startNode() {
+	for _, s := range f.schedulers {
+		s.BeginEndpointList(f.now, false, false)
+		s.UpdateEndpoint(coldNode, "z", 0, f.startedAt, scheduler.EndpointReady)
+		s.FinishEndpointList()
+	}
+	f.allocator = budget.NewAllocator(f.now, f.settings, 0, nodeRate, 0)
+}
+
+// rateAt is what the node can do at a time, in units a second.
+func (f *firstSeconds) rateAt(at scheduler.Time) float64 {
+	if at < f.startedAt {
+		return nodeRate
+	}
+	return nodeRate * (initialFraction + (1-initialFraction)*float64(at-f.startedAt)/float64(warmupTime))
+}
+
+// offerRequests draws the requests of a tick for the node.
+func (f *firstSeconds) offerRequests() {
+	expected := f.load * nodeRate / requestUnits * float64(tick) / 1e9
+	for ; expected > 0 && f.now < f.end; expected-- {
+		if f.random.Float64() >= expected {
+			break
+		}
+		f.requests++
+		f.offerRequest()
+	}
+}
+
+func (f *firstSeconds) offerRequest() {
+	volume := int64(f.random.IntN(volumes))
+	weight := []float64{1, 4}[volume%2]
+	counted := 0.0
+	if f.now >= f.startedAt {
+		counted = weight
+	}
+	f.outcome.offered += counted
+	if f.mode == withPacer {
+		heap.Push(&f.paced, &pacedRequest{counted, requestUnits, f.now})
+		return
+	}
+	gateway := (int(volume)*7 + f.random.IntN(hostsPerVolume)) % len(f.schedulers)
+	f.submit(gateway, 0, volume, fmt.Sprintf("p%.0f", weight))
+}
+
+// offerOtherRequests draws a few requests for the other node, so that its rate is known.
+func (f *firstSeconds) offerOtherRequests() {
+	for range len(f.schedulers) / 4 {
+		if f.random.Float64() < 0.02 {
+			f.requests++
+			gateway := f.random.IntN(len(f.schedulers))
+			f.submit(gateway, 1, int64(100+gateway%10), "p1")
+		}
+	}
+}
+
+func (f *firstSeconds) submit(gateway, shard int, volume int64, level string) {
+	request := &scheduler.Request{
+		ID: strconv.Itoa(f.requests), Units: requestUnits, Shard: shard, Deadline: f.now + clientTimeout,
+	}
+	f.schedulers[gateway].Submit(f.now, request, volume, level, "read", hostsPerVolume, false)
+}
+
+// pace serves what the pacer has, as far as the node can in a tick.
+func (f *firstSeconds) pace() {
+	f.coldBusyTill = max(f.coldBusyTill, f.now)
+	for len(f.paced) > 0 && f.coldBusyTill < f.now+tick {
+		request := heap.Pop(&f.paced).(*pacedRequest)
+		done := f.coldBusyTill + scheduler.Time(request.units/f.rateAt(f.coldBusyTill)*1e9)
+		if done <= request.at+objective {
+			f.coldBusyTill = done
+			f.outcome.served += request.weight
+		}
+	}
+}
+
+// allocate has gateways request allocations, a fifth of them in each tick, and serves them.
+func (f *firstSeconds) allocate() {
+	for gateway := range f.schedulers {
+		if f.now%pollInterval == scheduler.Time(gateway%5)*tick {
+			f.poll(gateway)
+		}
+	}
+	for _, allocation := range f.allocator.Allocate(f.now) {
+		gateway, err := strconv.Atoi(allocation.Holder)
+		if err != nil {
+			panic(err) // it is one of poll's
+		}
+		f.setAllocation(gateway, allocation.Units)
+	}
+}
+
+// poll has a gateway request an allocation for what waits there.
+func (f *firstSeconds) poll(gateway int) {
+	holder, until := strconv.Itoa(gateway), f.now+f.settings.AllocationTime
+	demands, _ := f.schedulers[gateway].SlowStartDemands(f.now)
+	if len(demands) == 0 || demands[0].Units <= 0 {
+		f.allocator.CancelRequest(holder)
+		if f.now >= f.validUntil[gateway] { // what comes waits for an allocation
+			f.validUntil[gateway] = until
+			f.setAllocation(gateway, 0)
+		}
+		return
+	}
+	f.validUntil[gateway] = until
+	returned := f.setAllocation(gateway, 0)
+	f.seq[gateway]++
+	f.outcome.requests++
+	f.allocator.HandleRequest(f.now, &budget.Request{
+		Holder: holder, Seq: f.seq[gateway], Demand: demands[0].Units, SmallestRequest: demands[0].SmallestRequest,
+		PriorityWeight: demands[0].PriorityWeight, Returned: returned,
+	})
+}
+
+func (f *firstSeconds) setAllocation(gateway int, units float64) (left float64) {
+	return f.schedulers[gateway].AllocateSlowStart(f.now, coldNode, f.startedAt, units, f.validUntil[gateway])
+}
+
+// finishAttempts tells the schedulers of the attempts that are done.
+func (f *firstSeconds) finishAttempts() {
+	remaining := f.inFlight[:0]
+	for _, a := range f.inFlight {
+		if a.doneAt > f.now {
+			remaining = append(remaining, a)
+			continue
+		}
+		request := a.attempt.Request
+		took := f.now - a.attempt.SentAt
+		f.schedulers[a.gateway].AttemptFinished(f.now, request.ID, a.attempt.Number, scheduler.OutcomeServed, took, true, 0)
+		isCounted := request.Shard == 0 && request.ReceivedAt >= f.startedAt
+		if isCounted && f.now <= request.ReceivedAt+objective {
+			f.outcome.served += request.Volume.ServiceLevel.Weight
+		}
+	}
+	f.inFlight = remaining
+}
+
+// dispatch sends what the schedulers decide.
+func (f *firstSeconds) dispatch() {
+	for gateway, s := range f.schedulers {
+		for _, a := range s.Decide(f.now).Dispatch {
+			done := f.serve(a)
+			f.inFlight = append(f.inFlight, attempt{gateway, a, done})
+		}
+	}
+}
+
+// serve is when an attempt that is sent now will be done.
+func (f *firstSeconds) serve(a *scheduler.Attempt) scheduler.Time {
+	units := a.Request.Units
+	if a.Node.Addr == warmNode {
+		f.warmBusyTill = max(f.warmBusyTill, f.now) + scheduler.Time(units/(warmNodeParallel*nodeRate)*1e9)
+		return max(f.warmBusyTill, f.now+scheduler.Time(units/nodeRate*1e9))
+	}
+	start := max(f.coldBusyTill, f.now)
+	f.coldBusyTill = start + scheduler.Time(units/f.rateAt(start)*1e9)
+	if f.now >= f.startedAt {
+		f.window = append(f.window, windowSend{f.now, units})
+	}
+	return f.coldBusyTill
+}
+
+// measureWindow holds what was sent in the last window against what the node bore when it began.
+func (f *firstSeconds) measureWindow() {
+	begin := f.now - overloadWindow
+	for len(f.window) > 0 && f.window[0].at <= begin {
+		f.window = f.window[1:]
+	}
+	sent := 0.0
+	for _, send := range f.window {
+		sent += send.units
+	}
+	windowSeconds := float64(overloadWindow) / float64(scheduler.Second)
+	borne := max(overloadMultiple*f.rateAt(max(begin, f.startedAt))*windowSeconds, minWindowUnits)
+	f.outcome.peakShare = max(f.outcome.peakShare, sent/borne)
+}
