--- a/internal/fleet/client/cachefile.go
+++ b/internal/fleet/client/cachefile.go
@@ -122,11 +122,11 @@
 }
 
 // removeOthers removes all cache files but one.
-func (f *cacheFile) removeOthers(kept string) error {
+func (f *cacheFile) removeOthers(except string) error {
 	entries, err := os.ReadDir(f.dir)
 	for _, entry := range entries {
 		name := filepath.Join(f.dir, entry.Name())
-		if name == kept || !cacheFileName.MatchString(entry.Name()) {
+		if name == except || !cacheFileName.MatchString(entry.Name()) {
 			continue
 		}
 		_ = os.Remove(name) // the next write tries again
--- a/internal/fleet/client/endpoints_test.go
+++ b/internal/fleet/client/endpoints_test.go
@@ -38,8 +38,8 @@
 			if got := slices.SortedFunc(maps.Values(known), byAddr); !slices.Equal(got, current) {
 				t.Fatalf("known is %v, not %v", got, current)
 			}
-			if again := endpointChange(current, current); !again.Partial || len(again.Nodes) > 0 {
-				t.Fatalf("nothing has changed: %+v", again)
+			if none := endpointChange(current, current); !none.Partial || len(none.Nodes) > 0 {
+				t.Fatalf("nothing has changed: %+v", none)
 			}
 		}
 	})
--- a/internal/fleet/slowstart/agent/agent.go
+++ b/internal/fleet/slowstart/agent/agent.go
@@ -29,9 +29,9 @@
 	// SlowStartDemand is the units that wait for nodes in slow start, and the rate of nodes that are not.
 	SlowStartDemand() (gateway.SlowStartDemand, bool)
 	// Allocate lets units, and no more, be sent to a node until a time; startedAt says to which start of it. It
-	// returns what was left of the allocation before. A time of 0 ends the allocation: the scheduler's own rules
+	// returns what remained of the allocation before. A time of 0 ends the allocation: the scheduler's own rules
 	// apply.
-	Allocate(addr string, startedAt scheduler.Time, units float64, until scheduler.Time) (left float64, ok bool)
+	Allocate(addr string, startedAt scheduler.Time, units float64, until scheduler.Time) (remaining float64, ok bool)
 }
 
 // Options are the settings that an agent starts with.
--- a/internal/fleet/slowstart/agent/agent_test.go
+++ b/internal/fleet/slowstart/agent/agent_test.go
@@ -44,17 +44,17 @@
 	return gateway.SlowStartDemand{Demands: []scheduler.SlowStartDemand{demand}, Rate: 1000}, true
 }
 
-func (l *demandingLoop) Allocate(_ string, _ scheduler.Time, units float64, until scheduler.Time) (left float64, ok bool) {
+func (l *demandingLoop) Allocate(_ string, _ scheduler.Time, units float64, until scheduler.Time) (remaining float64, ok bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.now() < l.until {
-		left = l.units
+		remaining = l.units
 	}
 	if until == 0 {
 		l.ended++
 	}
 	l.units, l.until = units, until
-	return left, true
+	return remaining, true
 }
 
 func (l *demandingLoop) sentUnits() float64 {
--- a/internal/fleet/slowstart/budget/allocator.go
+++ b/internal/fleet/slowstart/budget/allocator.go
@@ -69,11 +69,11 @@
 		a.available += unitsPerSecond * float64(elapsed) / float64(second)
 		a.updatedAt = now
 	}
-	room := maxUnits - a.outstanding
+	maxAvailable := maxUnits - a.outstanding
 	if a.faults.Has(FaultIgnoreOutstanding) {
-		room = maxUnits
+		maxAvailable = maxUnits
 	}
-	a.available = max(min(a.available, room), 0)
+	a.available = max(min(a.available, maxAvailable), 0)
 }
 
 // HandleRequest takes a holder's request, which waits for Allocate in place of its earlier one. It is false if
--- a/internal/fleet/slowstart/budget/faults.go
+++ b/internal/fleet/slowstart/budget/faults.go
@@ -6,7 +6,7 @@
 // The defects.
 const (
 	FaultFullStart         InjectedFaults = 1 << iota // an allocator starts with all units available
-	FaultIgnoreOutstanding                            // outstanding units take no room
+	FaultIgnoreOutstanding                            // outstanding units do not count
 	FaultAcceptDuplicates                             // a request that comes twice counts twice
 	FaultTrustReturned                                // more is taken back than was allocated
 	FaultEarlyExpiry                                  // an allocation expires at its allocator before it does at its holder
--- a/internal/fleet/slowstart/firstseconds_play_test.go
+++ b/internal/fleet/slowstart/firstseconds_play_test.go
@@ -205,7 +205,7 @@
 	})
 }
 
-func (f *firstSeconds) setAllocation(gateway int, units float64) (left float64) {
+func (f *firstSeconds) setAllocation(gateway int, units float64) (returned float64) {
 	return f.schedulers[gateway].AllocateSlowStart(f.now, coldNode, f.startedAt, units, f.validUntil[gateway])
 }
 
