--- a/cmd/irispost/fleet_test.go
+++ b/cmd/irispost/fleet_test.go
@@ -8,6 +8,7 @@
 	"net/http/httptest"
 	"os"
 	"path/filepath"
+	"strconv"
 	"strings"
 	"testing"
 	"time"
@@ -31,6 +32,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
+	return playFleetWith(t, name, seed, day.Options{Program: self, Note: t.Logf})
+}
+
+func playFleetWith(t *testing.T, name string, seed uint64, options day.Options) *day.Report {
+	t.Helper()
 	s, err := day.Load("../../examples/fleet-" + name + ".hcl")
 	if err != nil {
 		t.Fatal(err)
@@ -47,7 +53,7 @@
 			s.Clients[i].Rate /= 2
 		}
 	}
-	r, err := day.Play(context.Background(), s, day.Options{Program: self, Note: t.Logf})
+	r, err := day.Play(context.Background(), s, options)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -117,7 +123,7 @@
 			asked <- struct{}{}
 			<-quit
 		}
-		fmt.Fprint(w, `{"rev":1,"all":true,"targets":[]}`)
+		_, _ = fmt.Fprint(w, `{"rev":1,"all":true,"targets":[]}`)
 	}))
 	defer list.Close()
 	defer close(quit)
@@ -125,13 +131,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer trap.Close()
+	defer func() { _ = trap.Close() }()
 	w := startWeb(t, list.Listener.Addr().String(), "", "IRISPOST_KEEPERS="+trap.Addr().String())
 	<-asked // by now it watches its list
 	listen, to, others := sockets(t, w.Process.Pid)
 	_, port, _ := net.SplitHostPort(list.Listener.Addr().String())
-	var number int
-	fmt.Sscan(port, &number)
+	number, err := strconv.Atoi(port)
+	if err != nil {
+		t.Fatal(err)
+	}
 	delete(to, fmt.Sprintf("%04X", number))
 	if listen != 1 || len(to) > 0 || others > 0 {
 		t.Errorf("%d sockets listen, others go to %v, and %d are none of TCP's", listen, to, others)
--- a/internal/serve/iscsi_test.go
+++ b/internal/serve/iscsi_test.go
@@ -35,14 +35,16 @@
 func (w *wireDisk) Release() error { return nil }
 
 // login logs in at once, with these keys.
-func login(t *testing.T, town *testkit.Town, isid byte, keys ...string) *wireDisk {
+func login(t *testing.T, testbed *testkit.Town, isid byte, keys ...string) *wireDisk {
 	t.Helper()
-	conn, err := net.Dial("tcp", town.Gateways[0].ISCSI.Addr())
+	conn, err := net.Dial("tcp", testbed.Gateways[0].ISCSI.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { conn.Close() })
-	conn.SetDeadline(time.Now().Add(farOff))
+	t.Cleanup(func() { _ = conn.Close() })
+	if err := conn.SetDeadline(time.Now().Add(farOff)); err != nil {
+		t.Fatal(err)
+	}
 	w := &wireDisk{t: t, conn: conn, in: bufio.NewReader(conn), next: 100}
 	list := []iscsi.Pair{{Key: "InitiatorName", Value: "iqn.2026-01.example:wire"}, {Key: "TargetName", Value: iqn}}
 	for i := 0; i < len(keys); i += 2 {
@@ -64,7 +66,7 @@
 
 func (w *wireDisk) send(p *iscsi.PDU) {
 	head, tail := p.Seal(w.d).Bytes()
-	w.conn.Write(append(append([]byte{}, head...), tail...))
+	write(w.t, w.conn, append(append([]byte{}, head...), tail...))
 }
 
 func (w *wireDisk) take() *iscsi.PDU {
@@ -81,14 +83,16 @@
 	w.t.Helper()
 	p := w.take()
 	if p.Op() != op || p.Tag() != tag {
-		w.t.Fatalf("a PDU of kind %#x for %d, %#x for %d was expected: %x %x", byte(p.Op()), p.Tag(), byte(op), tag, p.Head, p.Data)
+		w.t.Fatalf("a PDU of kind %#x for %d, want %#x for %d: %x %x",
+			byte(p.Op()), p.Tag(), byte(op), tag, p.Head, p.Data)
 	}
 	return p
 }
 
 // write begins a write of blocks of 4096 bytes.
 func (w *wireDisk) write(tag, block uint32, blocks int, immediate []byte) *iscsi.PDU {
-	p := iscsi.New(iscsi.Command, iscsi.Final|iscsi.Writes|1).Put(16, tag).Put(20, uint32(blocks*4096)).Put(24, w.next).With(immediate)
+	p := iscsi.New(iscsi.Command, iscsi.Final|iscsi.Writes|1).
+		Put(16, tag).Put(20, uint32(blocks*4096)).Put(24, w.next).With(immediate)
 	p.Byte(32, 0x2a).Put(34, block).Put16(39, uint16(blocks))
 	w.next++
 	return p
@@ -101,9 +105,9 @@
 	return p
 }
 
-// works checks that the session still serves.
-// works reads a block. Nodes that hung are believed to do so until they have answered again, and a read that is dismissed meanwhile
-// is told BUSY, proof that nothing ran: it is sent again, as an initiator would.
+// works checks that the session still serves. works reads a block. Nodes that hung are believed to do so until they
+// have answered again, and a read that is dismissed meanwhile is told BUSY, proof that nothing ran: it is sent again,
+// as an initiator would.
 func (w *wireDisk) works(tag uint32) {
 	w.t.Helper()
 	for {
@@ -125,16 +129,17 @@
 	if len(p.Data) < 3 {
 		w.t.Fatalf("no sense: %x", p.Head)
 	}
-	if s, ok := scsi.ReadSense(p.Data[2:]); !ok || p.Head[3] != byte(scsi.CheckCondition) || s.Key != want.Key || s.Code != want.Code {
-		w.t.Errorf("%v, %v was expected", s, want)
+	got, ok := scsi.ReadSense(p.Data[2:])
+	if !ok || p.Head[3] != byte(scsi.CheckCondition) || got.Key != want.Key || got.Code != want.Code {
+		w.t.Errorf("sense %v, want %v", got, want)
 	}
 }
 
-// Command numbers: what comes early waits, what comes again or from beyond the window is let be.
+// TestCommandNumbers: a command that comes early waits, and one that comes again or from beyond the window is ignored.
 func TestCommandNumbers(t *testing.T) {
-	town := diskTown(t, 1, 1, nil)
-	openDisk(t, dialDisk(t, town, 0, nil), 0) // so that the unit is ready
-	w := login(t, town, 1)
+	testbed := diskTestbed(t, 1, 1, nil)
+	openDisk(t, diskOptions(testbed, 0, nil), 0) // so that the unit is ready
+	w := login(t, testbed, 1)
 	first, second := w.read(1, 0, 1), w.read(2, 0, 1)
 	w.send(second)
 	w.send(first)
@@ -144,12 +149,12 @@
 			t.Errorf("%x", p.Head)
 		}
 	}
-	again := w.read(3, 0, 1)
-	again.Put(24, 100)
-	w.send(again)
-	beyond := w.read(4, 0, 1)
-	beyond.Put(24, 100_000)
-	w.send(beyond)
+	repeated := w.read(3, 0, 1)
+	repeated.Put(24, 100)
+	w.send(repeated)
+	outsideWindow := w.read(4, 0, 1)
+	outsideWindow.Put(24, 100_000)
+	w.send(outsideWindow)
 	w.next -= 2
 	w.works(5) // the first answer that comes is this one's
 	tags := w.read(6, 0, 1)
@@ -157,11 +162,12 @@
 	w.wants(iscsi.DataIn, 6)
 }
 
-// Data that was not asked for so, or whose digest does not fit, ends its command with a sense, and nothing is written.
-func TestDataOutOfPlace(t *testing.T) {
-	town := diskTown(t, 1, 1, nil)
-	openDisk(t, dialDisk(t, town, 0, nil), 0)
-	w := login(t, town, 1, "DataDigest", "CRC32C", "HeaderDigest", "CRC32C", "ImmediateData", "No")
+// TestDataOutOfSequenceIsRejected: data that was not solicited so, or whose digest does not fit, ends its command with
+// a sense, and nothing is written.
+func TestDataOutOfSequenceIsRejected(t *testing.T) {
+	testbed := diskTestbed(t, 1, 1, nil)
+	openDisk(t, diskOptions(testbed, 0, nil), 0)
+	w := login(t, testbed, 1, "DataDigest", "CRC32C", "HeaderDigest", "CRC32C", "ImmediateData", "No")
 	out := func(tag, transfer, sn, at uint32, n int, final bool) *iscsi.PDU {
 		p := iscsi.New(iscsi.DataOut, 0).Put(16, tag).Put(20, transfer).Put(36, sn).Put(40, at).With(make([]byte, n))
 		if final {
@@ -192,7 +198,7 @@
 	bad := out(20, r.U32(20), 0, 0, 8192, true)
 	head, tail := bad.Seal(w.d).Bytes()
 	tail[100] ^= 1
-	w.conn.Write(append(append([]byte{}, head...), tail...))
+	write(w.t, w.conn, append(append([]byte{}, head...), tail...))
 	w.wants(iscsi.Reject, iscsi.NoTag)
 	w.sense(w.wants(iscsi.Response, 20), scsi.BadDigest)
 	w.send(out(20, r.U32(20), 0, 0, 8192, true)) // for a command that is over: let be
@@ -203,22 +209,22 @@
 	w.works(23)
 	head, _ = w.read(24, 0, 1).Seal(w.d).Bytes()
 	head[20] ^= 1 // a header's digest that does not fit: nothing that follows can be believed
-	w.conn.Write(head)
+	write(w.t, w.conn, head)
 	if _, err := iscsi.Read(w, w.d, 1<<20); err == nil {
 		t.Error("the connection goes on")
 	}
 }
 
-// A write that is out is aborted: the answer comes when nothing of it can happen any more, and the command gets none. A unit
-// that is reset tells the commands of other sessions.
-func TestAbort(t *testing.T) {
-	town := diskTown(t, 1, 1, func(o *standin.Options) { o.Unit = time.Millisecond })
-	d := openDisk(t, dialDisk(t, town, 0, nil), 0)
+// TestAbortedWriteGetsNoResponse: a write in flight is aborted: the abort is answered when nothing of the write can
+// happen any more, and the write gets no response. The reset of a unit notifies the commands of other sessions.
+func TestAbortedWriteGetsNoResponse(t *testing.T) {
+	testbed := diskTestbed(t, 1, 1, func(o *standin.Options) { o.Unit = time.Millisecond })
+	d := openDisk(t, diskOptions(testbed, 0, nil), 0)
 	if _, err := d.WriteAt(make([]byte, 16<<12), 0); err != nil {
 		t.Fatal(err)
 	}
-	w := login(t, town, 1)
-	town.Nodes[0].Command("hang")
+	w := login(t, testbed, 1)
+	command(t, testbed.Nodes[0], "hang")
 	w.send(w.write(7, 1, 1, random(1, 4096)))
 	abort := func(function byte, tag, of uint32) {
 		p := iscsi.New(iscsi.TaskRequest, iscsi.Final|function).Put(16, tag).Put(20, of).Put(24, w.next)
@@ -230,7 +236,7 @@
 	if p := w.wants(iscsi.TaskAnswer, 9); p.Head[2] != 1 {
 		t.Errorf("a task that is not there: %x", p.Head)
 	}
-	town.Nodes[0].Command("well")
+	command(t, testbed.Nodes[0], "well")
 	if p := w.wants(iscsi.TaskAnswer, 8); p.Head[2] != 0 {
 		t.Errorf("%x", p.Head)
 	}
@@ -240,13 +246,13 @@
 		t.Errorf("a target reset: %x", p.Head)
 	}
 	// Another session's reset.
-	o := dialDisk(t, town, 0, func(o *initiator.Options) { o.ISID[5] = 40 })
+	o := diskOptions(testbed, 0, func(o *initiator.Options) { o.ISID[5] = 40 })
 	s, err := initiator.Dial(context.Background(), o)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.Close()
-	town.Nodes[0].Command("hang")
+	defer func() { _ = s.Close() }()
+	command(t, testbed.Nodes[0], "hang")
 	w.send(w.write(12, 1, 1, random(1, 4096)))
 	w.send(w.write(13, 1, 2, nil)) // its data is asked for, and does not come
 	w.wants(iscsi.ReadyTo, 13)
@@ -261,7 +267,7 @@
 	if p := w.wants(iscsi.Response, 13); p.Head[3] != byte(scsi.Aborted) {
 		t.Errorf("%x", p.Head)
 	}
-	town.Nodes[0].Command("well")
+	command(t, testbed.Nodes[0], "well")
 	if p := w.wants(iscsi.Response, 12); p.Head[3] != byte(scsi.Aborted) {
 		t.Errorf("%x", p.Head)
 	}
@@ -271,67 +277,67 @@
 	w.works(14)
 }
 
-// A session that is begun anew while its requests are out: the old connection ends, its requests are left, none of their
-// answers reaches the new one, and none stays behind.
-func TestReinstatement(t *testing.T) {
-	town := diskTown(t, 2, 1, nil)
-	d := openDisk(t, dialDisk(t, town, 0, nil), 0)
+// TestSessionReinstatementEndsOldSession: a session is reinstated while its requests are in flight: the old connection
+// ends, its requests are cancelled, none of their responses reaches the new one, and none is left over.
+func TestSessionReinstatementEndsOldSession(t *testing.T) {
+	testbed := diskTestbed(t, 2, 1, nil)
+	d := openDisk(t, diskOptions(testbed, 0, nil), 0)
 	if _, err := d.WriteAt(make([]byte, 1<<20), 0); err != nil {
 		t.Fatal(err)
 	}
-	old := login(t, town, 5)
-	for _, n := range town.Nodes {
-		n.Command("hang")
+	old := login(t, testbed, 5)
+	for _, n := range testbed.Nodes {
+		command(t, n, "hang")
 	}
 	for i := range uint32(20) {
 		old.send(old.write(100+i, 16*i, 1, random(1, 4096)))
 	}
 	old.send(old.write(150, 0, 2, nil))
 	old.wants(iscsi.ReadyTo, 150)
-	next := login(t, town, 5)
+	next := login(t, testbed, 5)
 	if _, err := iscsi.Read(old, old.d, 1<<20); err == nil {
 		t.Error("the old connection goes on")
 	}
-	for _, n := range town.Nodes {
-		n.Command("well")
+	for _, n := range testbed.Nodes {
+		command(t, n, "well")
 	}
 	next.works(100) // the same tag, and its own answer
-	if s := town.Gateways[0].ISCSI.Status(); s.Sessions != 2 {
+	if s := testbed.Gateways[0].ISCSI.Status(); s.Sessions != 2 {
 		t.Errorf("%+v", s)
 	}
-	next.conn.Close()
-	d.Close()
+	_ = next.conn.Close()
+	_ = d.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), farOff)
 	defer cancel()
-	if err := town.Gateways[0].Frontend.Drain(ctx); err != nil { // nothing is counted as under way for ever
+	if err := testbed.Gateways[0].Frontend.Drain(ctx); err != nil { // nothing is counted as under way for ever
 		t.Error(err)
 	}
-	if s := town.Gateways[0].ISCSI.Status(); s.Inside != 0 || s.Waiting != 0 {
+	if s := testbed.Gateways[0].ISCSI.Status(); s.Inside != 0 || s.Waiting != 0 {
 		t.Errorf("%+v", s)
 	}
 }
 
-// A node dies within a write of several extents: the write is told as not known to be done, and once the node is back the
-// blocks can be written and read.
-func TestNodeDiesWithinWrite(t *testing.T) {
-	town := diskTown(t, 3, 1, nil)
-	d := openDisk(t, dialDisk(t, town, 0, nil), 0)
+// TestNodeFailureWithinWriteIsReported: a node fails within a write of several extents: the write is reported as not
+// known to be done, and once the node is back the blocks can be written and read.
+func TestNodeFailureWithinWriteIsReported(t *testing.T) {
+	testbed := diskTestbed(t, 3, 1, nil)
+	d := openDisk(t, diskOptions(testbed, 0, nil), 0)
 	data := random(1, 1<<20)
 	if _, err := d.WriteAt(data, 0); err != nil {
 		t.Fatal(err)
 	}
-	s, err := initiator.Dial(context.Background(), dialDisk(t, town, 0, func(o *initiator.Options) { o.ISID[5] = 9 }))
+	s, err := initiator.Dial(context.Background(), diskOptions(testbed, 0, func(o *initiator.Options) { o.ISID[5] = 9 }))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.Close()
-	town.Nodes[1].Command("fail 1")
+	defer func() { _ = s.Close() }()
+	command(t, testbed.Nodes[1], "fail 1")
 	cdb := []byte{0x2a, 0, 0, 0, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0, 0} // 256 blocks
 	r, err := s.Do(context.Background(), 0, cdb, random(2, 1<<20), 0)
 	if err != nil || r.Status == scsi.Good {
 		t.Errorf("%+v, %v", r, err)
 	}
-	town.Nodes[1].Command("well")
+	command(t, testbed.Nodes[1], "well")
 	next := random(3, 1<<20)
 	if _, err := d.WriteAt(next, 0); err != nil {
 		t.Fatal(err)
@@ -342,15 +348,15 @@
 	}
 }
 
-// A gateway that stops asks initiators to log out, and takes nothing new.
-func TestDiskDrain(t *testing.T) {
-	town := diskTown(t, 1, 1, nil)
-	d := openDisk(t, dialDisk(t, town, 0, nil), 0)
+// TestDiskDrainRequestsLogout: a gateway that shuts down asks initiators to log out, and takes nothing new.
+func TestDiskDrainRequestsLogout(t *testing.T) {
+	testbed := diskTestbed(t, 1, 1, nil)
+	d := openDisk(t, diskOptions(testbed, 0, nil), 0)
 	if _, err := d.WriteAt(random(1, 8192), 0); err != nil {
 		t.Fatal(err)
 	}
-	w := login(t, town, 3)
-	town.Gateways[0].ISCSI.Drain()
+	w := login(t, testbed, 3)
+	testbed.Gateways[0].ISCSI.Drain()
 	if p := w.wants(iscsi.Async, iscsi.NoTag); p.Head[36] != 1 {
 		t.Errorf("%x", p.Head)
 	}
@@ -363,21 +369,22 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), farOff)
 	defer cancel()
-	if err := town.Gateways[0].Shutdown(ctx); err != nil {
+	if err := testbed.Gateways[0].Shutdown(ctx); err != nil {
 		t.Error(err)
 	}
-	town.Gateways = nil
+	testbed.Gateways = nil
 }
 
-// An initiator that sends reads and takes no answers is told that its queue is full, past what it may leave unread; each
-// command has its one answer all the same.
-func TestAnswersLeftUnread(t *testing.T) {
-	town := testkit.Start(t, testkit.Conf+strings.Replace(disks, "login  =", "unread = \"64KiB\"\n  login  =", 1), 1, 1, nil)
-	d := openDisk(t, dialDisk(t, town, 0, nil), 0)
+// TestUnreadResponsesFillQueue: an initiator that sends reads and takes no responses gets TASK SET FULL past what it
+// may leave unread; each command has its one response all the same.
+func TestUnreadResponsesFillQueue(t *testing.T) {
+	conf := testkit.Conf + strings.Replace(disks, "login  =", "unread = \"64KiB\"\n  login  =", 1)
+	testbed := testkit.Start(t, conf, 1, 1, nil)
+	d := openDisk(t, diskOptions(testbed, 0, nil), 0)
 	if _, err := d.WriteAt(make([]byte, 1<<20), 0); err != nil {
 		t.Fatal(err)
 	}
-	w := login(t, town, 1, "MaxRecvDataSegmentLength", "1048576")
+	w := login(t, testbed, 1, "MaxRecvDataSegmentLength", "1048576")
 	const reads = 60
 	for i := range uint32(reads) {
 		w.send(w.read(i, 0, 256))
@@ -385,7 +392,7 @@
 			w.last(0)
 		}
 	}
-	for s := town.Gateways[0].ISCSI.Status(); s.Inside+s.Waiting > 0; s = town.Gateways[0].ISCSI.Status() {
+	for s := testbed.Gateways[0].ISCSI.Status(); s.Inside+s.Waiting > 0; s = testbed.Gateways[0].ISCSI.Status() {
 		time.Sleep(time.Millisecond)
 	}
 	full, good := 0, 0
