--- /dev/null
+++ b/internal/scale/meter/bytes_test.go
@@ -0,0 +1,114 @@
+package meter
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"sync"
+	"testing"
+)
+
+// Requests of TestClientServerAndRelayCountTheSame: in each round a body of bodyUnit bytes more, and a response that is
+// responseText for each byte of it.
+const (
+	clients      = 8
+	rounds       = 5
+	bodyUnit     = 3000
+	responseText = "answer"
+)
+
+// countedListener counts all bytes of the connections that it accepts.
+type countedListener struct {
+	net.Listener
+	counter *Bytes
+}
+
+func (l countedListener) Accept() (net.Conn, error) {
+	conn, err := l.Listener.Accept()
+	if err != nil {
+		return nil, err
+	}
+	return Count(conn, l.counter), nil
+}
+
+// startCountedServer starts a server of the requests, whose bytes are counted.
+func startCountedServer(t *testing.T, counter *Bytes) *httptest.Server {
+	t.Helper()
+	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		n, err := io.Copy(io.Discard, r.Body)
+		if err != nil {
+			t.Error(err)
+		}
+		if _, err := fmt.Fprint(w, strings.Repeat(responseText, int(n))); err != nil {
+			t.Error(err)
+		}
+	}))
+	server.Listener = countedListener{server.Listener, counter}
+	server.Start()
+	t.Cleanup(server.Close)
+	return server
+}
+
+// makeRequests makes all rounds of a client.
+func makeRequests(t *testing.T, addr string, dial Dial) {
+	t.Helper()
+	transport := &http.Transport{DialContext: dial}
+	defer transport.CloseIdleConnections()
+	for round := range rounds {
+		body := strings.Repeat("x", bodyUnit*round)
+		response, err := (&http.Client{Transport: transport}).Post("http://"+addr, "text/plain", strings.NewReader(body))
+		if err != nil {
+			t.Error(err)
+			return
+		}
+		n, err := io.Copy(io.Discard, response.Body)
+		if n != int64(len(responseText)*len(body)) || err != nil {
+			t.Errorf("%d bytes of a response, %v", n, err)
+		}
+		_ = response.Body.Close() // it was read to its end
+	}
+}
+
+// TestClientServerAndRelayCountTheSame: what the clients' sockets count is what the server's do, directly and through a
+// relay, and the relay counts the same.
+func TestClientServerAndRelayCountTheSame(t *testing.T) {
+	var serverBytes, clientBytes Bytes
+	server := startCountedServer(t, &serverBytes)
+	serverAddr := server.Listener.Addr().String()
+	relay, err := NewRelay("127.0.0.1", serverAddr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer relay.Close()
+	direct, relayed := &Bytes{}, &Bytes{}
+	byAddr := map[string]*Bytes{serverAddr: direct, relay.Addr(): relayed}
+	dial := Dialer(nil, func(addr string) []*Bytes { return []*Bytes{&clientBytes, byAddr[addr]} })
+	var running sync.WaitGroup
+	for range clients {
+		for addr := range byAddr {
+			running.Go(func() { makeRequests(t, addr, dial) })
+		}
+	}
+	running.Wait()
+	server.Close() // all connections have ended
+	relay.Close()
+
+	if clientBytes.Out() != serverBytes.In() || clientBytes.In() != serverBytes.Out() {
+		t.Errorf("clients %d and %d, server %d and %d",
+			clientBytes.Out(), clientBytes.In(), serverBytes.In(), serverBytes.Out())
+	}
+	if sum := direct.Both() + relayed.Both(); clientBytes.Both() != sum {
+		t.Errorf("all clients %d, by address %d", clientBytes.Both(), sum)
+	}
+	if relay.In() != relayed.Out() || relay.Out() != relayed.In() {
+		t.Errorf("relay %d and %d, its clients %d and %d", relay.In(), relay.Out(), relayed.Out(), relayed.In())
+	}
+	const bodies = bodyUnit * rounds * (rounds - 1) / 2
+	least := int64(clients * bodies * (1 + len(responseText)))
+	if direct.Both() < least || relayed.Both() < least {
+		t.Errorf("%d and %d bytes, of which %d are content", direct.Both(), relayed.Both(), least)
+	}
+}
--- a/internal/scale/meter/process.go
+++ b/internal/scale/meter/process.go
@@ -13,66 +13,92 @@
 	"golang.org/x/sys/unix"
 )
 
-// Spent is what a process has used: time of the processor so far, its own and the kernel's for it, in whole hundredths of a second,
-// and memory that is resident now, in MB (millions of bytes).
+// Spent is what a process has used: processor time so far, of its own and of the kernel for it, in whole hundredths of
+// a second, and the memory that is resident now, in MB (millions of bytes).
 type Spent struct {
 	CPU time.Duration
 	MB  float64
 }
 
-// tick is the unit of /proc/PID/stat: the kernel tells all programs 100 a second, whatever its own is.
-const tick = 10 * time.Millisecond
+// clockTick is the unit of time in /proc/PID/stat: the kernel tells all programs 100 a second, whatever its own is.
+const clockTick = 10 * time.Millisecond
 
-// Process is what a process has used, by its id.
+// Fields of /proc/PID/stat, counted after the program's name, and of /proc/PID/statm.
+const (
+	statUserTime   = 11
+	statSystemTime = 12
+	statmResident  = 1
+)
+
+// errFewFields is of a file under /proc that has fewer fields than the kernel documents.
+var errFewFields = errors.New("too few fields")
+
+// Process is what a process has used, by its ID.
 func Process(pid int) (Spent, error) {
-	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
+	cpu, err := readProc(pid, "stat", parseStat)
 	if err != nil {
 		return Spent{}, err
 	}
-	cpu, err := parseStat(string(stat))
+	pages, err := readProc(pid, "statm", parseStatm)
 	if err != nil {
-		return Spent{}, fmt.Errorf("/proc/%d/stat: %w", pid, err)
+		return Spent{}, err
 	}
-	statm, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
+	return Spent{CPU: cpu, MB: float64(pages) * float64(os.Getpagesize()) / 1e6}, nil
+}
+
+// readProc reads and parses a file of a process under /proc.
+func readProc[T any](pid int, name string, parse func(text string) (T, error)) (value T, err error) {
+	file := fmt.Sprintf("/proc/%d/%s", pid, name)
+	text, err := os.ReadFile(file)
 	if err != nil {
-		return Spent{}, err
+		return value, err
 	}
-	pages, err := parseStatm(string(statm))
+	value, err = parse(string(text))
 	if err != nil {
-		return Spent{}, fmt.Errorf("/proc/%d/statm: %w", pid, err)
+		return value, fmt.Errorf("%s: %w", file, err)
 	}
-	return Spent{CPU: cpu, MB: float64(pages) * float64(os.Getpagesize()) / 1e6}, nil
+	return value, nil
 }
 
-// parseStat reads user and system time. The program's name, in brackets, may hold anything.
+// parseStat parses the user and system time. The program's name, in brackets, may contain anything.
 func parseStat(text string) (time.Duration, error) {
-	f := strings.Fields(text[strings.LastIndexByte(text, ')')+1:])
-	if len(f) < 13 {
-		return 0, fmt.Errorf("%d fields after the name, at least 13 are told", len(f))
+	afterName := text[strings.LastIndexByte(text, ')')+1:]
+	fields := strings.Fields(afterName)
+	if len(fields) <= statSystemTime {
+		return 0, fmt.Errorf("%w after the name: %d", errFewFields, len(fields))
 	}
-	user, err := strconv.ParseInt(f[11], 10, 64)
+	user, err := strconv.ParseInt(fields[statUserTime], 10, 64)
 	if err != nil {
 		return 0, err
 	}
-	system, err := strconv.ParseInt(f[12], 10, 64)
-	return time.Duration(user+system) * tick, err
+	system, err := strconv.ParseInt(fields[statSystemTime], 10, 64)
+	return time.Duration(user+system) * clockTick, err
 }
 
-// parseStatm reads the resident pages.
+// parseStatm parses the number of resident pages.
 func parseStatm(text string) (int64, error) {
-	f := strings.Fields(text)
-	if len(f) < 2 {
-		return 0, fmt.Errorf("%d fields, at least 2 are told", len(f))
+	fields := strings.Fields(text)
+	if len(fields) <= statmResident {
+		return 0, fmt.Errorf("%w: %d", errFewFields, len(fields))
 	}
-	return strconv.ParseInt(f[1], 10, 64)
+	return strconv.ParseInt(fields[statmResident], 10, 64)
 }
 
-// Folder is the bytes of all files in a folder and below. A file that goes meanwhile counts as none.
+// Self is the processor time of this process so far, to the microsecond.
+func Self() (time.Duration, error) {
+	var usage unix.Rusage
+	if err := unix.Getrusage(unix.RUSAGE_SELF, &usage); err != nil {
+		return 0, err
+	}
+	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano()), nil
+}
+
+// Folder is the number of bytes of all files in a folder and below. A file that is removed meanwhile counts as none.
 func Folder(dir string) (total int64, err error) {
-	err = filepath.WalkDir(dir, func(path string, d fs.DirEntry, err error) error {
-		if err == nil && d.Type().IsRegular() {
+	err = filepath.WalkDir(dir, func(path string, entry fs.DirEntry, err error) error {
+		if err == nil && entry.Type().IsRegular() {
 			var info fs.FileInfo
-			if info, err = d.Info(); err == nil {
+			if info, err = entry.Info(); err == nil {
 				total += info.Size()
 			}
 		}
@@ -83,12 +109,3 @@
 	})
 	return total, err
 }
-
-// Self is this process's time of the processor so far, to the microsecond.
-func Self() (time.Duration, error) {
-	var u unix.Rusage
-	if err := unix.Getrusage(unix.RUSAGE_SELF, &u); err != nil {
-		return 0, err
-	}
-	return time.Duration(u.Utime.Nano() + u.Stime.Nano()), nil
-}
--- a/internal/scale/meter/relay.go
+++ b/internal/scale/meter/relay.go
@@ -6,98 +6,100 @@
 	"sync"
 )
 
-// Relay passes the bytes of connections on to an address and counts them: In is what went there, Out what came back.
+// Relay forwards the bytes of connections to an address and counts them: In is what went there, Out what came back.
 type Relay struct {
 	Bytes
-	listener net.Listener
-	to       string
-	lock     sync.Mutex
-	open     map[net.Conn]bool
-	closed   bool
-	done     sync.WaitGroup
+	listener   net.Listener
+	target     string
+	goroutines sync.WaitGroup
+
+	mutex  sync.Mutex // guards what follows
+	open   map[net.Conn]bool
+	closed bool
 }
 
-// NewRelay starts a relay to an address; host is where it listens, at a port that is free.
-func NewRelay(host, to string) (*Relay, error) {
-	l, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
+// NewRelay starts a relay to an address; host is where it listens, at a free port.
+func NewRelay(host, target string) (*Relay, error) {
+	listener, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
 	if err != nil {
 		return nil, err
 	}
-	r := &Relay{listener: l, to: to, open: map[net.Conn]bool{}}
-	r.done.Go(r.accept)
+	r := &Relay{listener: listener, target: target, open: map[net.Conn]bool{}}
+	r.goroutines.Go(r.accept)
 	return r, nil
 }
 
-// Addr is where the relay is entered.
+// Addr is the address at which the relay listens.
 func (r *Relay) Addr() string { return r.listener.Addr().String() }
 
-// Close ends it, and its connections.
+// Close ends the relay and its connections, and returns once its goroutines have ended.
 func (r *Relay) Close() {
-	r.lock.Lock()
+	r.mutex.Lock()
 	r.closed = true
 	_ = r.listener.Close()
-	for c := range r.open {
-		_ = c.Close()
+	for conn := range r.open {
+		_ = conn.Close()
 	}
-	r.lock.Unlock()
-	r.done.Wait()
+	r.mutex.Unlock()
+	r.goroutines.Wait()
 }
 
 func (r *Relay) accept() {
 	for {
-		c, err := r.listener.Accept()
+		conn, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
-		r.done.Go(func() { r.serve(c) })
+		r.goroutines.Go(func() { r.serve(conn) })
 	}
 }
 
-// hold keeps a connection for Close to end; false: it is closed already.
-func (r *Relay) hold(c net.Conn) bool {
-	r.lock.Lock()
-	defer r.lock.Unlock()
+// track has Close close a connection too. If the relay is closed already, the connection is, and it returns false.
+func (r *Relay) track(conn net.Conn) bool {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
 	if r.closed {
-		_ = c.Close()
+		_ = conn.Close()
 		return false
 	}
-	r.open[c] = true
+	r.open[conn] = true
 	return true
 }
 
-func (r *Relay) drop(c net.Conn) {
-	_ = c.Close()
-	r.lock.Lock()
-	delete(r.open, c)
-	r.lock.Unlock()
+// closeTracked closes a connection that was tracked.
+func (r *Relay) closeTracked(conn net.Conn) {
+	_ = conn.Close()
+	r.mutex.Lock()
+	delete(r.open, conn)
+	r.mutex.Unlock()
 }
 
 func (r *Relay) serve(in net.Conn) {
-	if !r.hold(in) {
+	if !r.track(in) {
 		return
 	}
-	defer r.drop(in)
-	out, err := net.Dial("tcp", r.to)
-	if err != nil || !r.hold(out) {
+	defer r.closeTracked(in)
+	out, err := net.Dial("tcp", r.target)
+	if err != nil || !r.track(out) {
 		return
 	}
-	defer r.drop(out)
+	defer r.closeTracked(out)
 	counted := Count(in, &r.Bytes)
-	var both sync.WaitGroup
-	both.Go(func() { pass(out, counted) })
-	both.Go(func() { pass(counted, out) })
-	both.Wait()
+	var directions sync.WaitGroup
+	directions.Go(func() { forward(out, counted) })
+	directions.Go(func() { forward(counted, out) })
+	directions.Wait()
 }
 
-// pass passes one direction on: its end as an end, a break as a break of both.
-func pass(to, from net.Conn) {
+// forward forwards one direction: its end as an end, an error as one of both directions.
+func forward(to, from net.Conn) {
 	if _, err := io.Copy(onlyWriter{to}, onlyReader{from}); err != nil {
 		_ = to.Close()
 		_ = from.Close()
 		return
 	}
-	if c, is := to.(*Conn); is {
-		to = c.Conn
+	if counted, ok := to.(*Conn); ok {
+		to = counted.Conn
 	}
 	_ = to.(*net.TCPConn).CloseWrite()
 }
