--- a/internal/fleet/client/client.go
+++ b/internal/fleet/client/client.go
@@ -30,7 +30,7 @@
 
 	mutex          sync.Mutex         // guards these four
 	stateMachine   *lease.Client      // what may be acted on
-	effectiveName  string             // what the loop was told last; "none": nothing is in effect
+	effectiveName  string             // what the loop has; "none": nothing is in effect
 	effectiveUntil int64              // until when it is; 0: until a response
 	cancelWatch    context.CancelFunc // ends the long poll
 
--- a/internal/fleet/client/effective.go
+++ b/internal/fleet/client/effective.go
@@ -9,7 +9,7 @@
 // At tells the gateway's loop what has changed of what is in effect: the list of endpoints and the settings;
 // nil: nothing has. The loop calls it before it decides, with the time in nanoseconds that it decides by. until
 // is when to call again at the latest, 0 for no need.
-func (c *Client) At(now int64) (acts *gateway.ActiveConfig, until int64) {
+func (c *Client) At(now int64) (active *gateway.ActiveConfig, until int64) {
 	if until := c.unchangedUntil.Load(); now < until {
 		return nil, until
 	}
@@ -54,17 +54,17 @@
 
 // activate is what the loop has to act on after a change.
 func (c *Client) activate(change effectiveChange) *gateway.ActiveConfig {
-	acts := &gateway.ActiveConfig{}
+	active := &gateway.ActiveConfig{}
 	var endpoints []endpoint.Node
 	if change.config != nil {
 		endpoints = c.endpointsOf(change.config)
-		acts.List = endpointChange(c.endpoints, endpoints)
-		acts.Settings = change.config.Settings(c.opt.LocalSettings)
+		active.List = endpointChange(c.endpoints, endpoints)
+		active.Settings = change.config.Settings(c.opt.LocalSettings)
 		c.markReady()
 	}
-	acts.List.Version = change.name
+	active.List.Version = change.name
 	c.endpoints = endpoints
-	return acts
+	return active
 }
 
 // markReady closes ready, once.
--- a/internal/fleet/client/watch.go
+++ b/internal/fleet/client/watch.go
@@ -59,7 +59,7 @@
 	return err == nil && !changed
 }
 
-// watchEnded has the gateway renew at once if a long poll failed or told of a change.
+// watchEnded has the gateway renew at once if a long poll failed or found a change.
 func (c *Client) watchEnded(changed bool, err error) {
 	renew := changed || err != nil
 	c.mutex.Lock()
--- a/internal/fleet/slowstart/agent/agent.go
+++ b/internal/fleet/slowstart/agent/agent.go
@@ -73,7 +73,7 @@
 	rate         float64                 // units a second of a node that is not in slow start; 0: not known
 	budgets      map[string]*nodeBudget  // by node, of the nodes that are owned
 	reservations map[string]*reservation // by node
-	suspensions  []suspension            // that the loop is to be told of
+	suspensions  []suspension            // for the loop, at the next poll
 
 	cancel     context.CancelFunc // nil: not started
 	goroutines sync.WaitGroup
--- a/internal/fleet/slowstart/agent/requester.go
+++ b/internal/fleet/slowstart/agent/requester.go
@@ -149,7 +149,7 @@
 	a.mutex.Lock()
 	renewing := r.state == stateRenewing
 	a.mutex.Unlock()
-	if renewing { // what is left is returned, and nothing is sent until the response
+	if renewing { // what remains is returned, and nothing is sent until the response
 		request.Returned, _ = a.loop.Allocate(request.Node, request.StartedAt, 0, until)
 	}
 	allocation, err := a.requestFrom(ctx, owner, addr, request)
--- a/internal/fleet/slowstart/epoch/ownership.go
+++ b/internal/fleet/slowstart/epoch/ownership.go
@@ -29,7 +29,7 @@
 }
 
 // HandleMembership takes the membership of a lease that was requested at one time and received at another, both
-// on the gateway's clock. One of an earlier epoch is left.
+// on the gateway's clock. One of an earlier epoch is ignored.
 func (o *Ownership) HandleMembership(requestedAt, now Time, membership Membership) {
 	if membership.Epoch < o.membership.Epoch {
 		return
