--- a/cmd/irispost/capture.go
+++ b/cmd/irispost/capture.go
@@ -110,28 +110,28 @@
 	} else {
 		w := tabwriter.NewWriter(c.OutOrStdout(), 0, 4, 2, ' ', 0)
 		writef(w, "product\tjobs\tin goal\tlate\tdismissed\twritten off\tleft\n")
-		for _, name := range slices.Sorted(maps.Keys(report.Was)) {
+		for _, name := range slices.Sorted(maps.Keys(report.Captured)) {
 			for _, side := range []struct {
 				name  string
-				shape *relive.Shape
-			}{{"captured", report.Was[name]}, {"now", report.Is[name]}} {
+				shape *relive.ClassOutcome
+			}{{"captured", report.Captured[name]}, {"now", report.Replayed[name]}} {
 				if s := side.shape; s != nil {
-					n := float64(max(s.Jobs, 1)) / 100
-					writef(w, "%s %s\t%d\t%.1f%%\t%.1f%%\t%.1f%%\t%.1f%%\t%.1f%%\n", name, side.name, s.Jobs, float64(s.InGoal)/n,
-						float64(s.Late)/n, float64(s.Dismissed)/n, float64(s.WrittenOff)/n, float64(s.Left)/n)
+					n := float64(max(s.Requests, 1)) / 100
+					writef(w, "%s %s\t%d\t%.1f%%\t%.1f%%\t%.1f%%\t%.1f%%\t%.1f%%\n", name, side.name, s.Requests, float64(s.WithinObjective)/n,
+						float64(s.Late)/n, float64(s.Rejected)/n, float64(s.Failed)/n, float64(s.ClientCancelled)/n)
 				}
 			}
 		}
 		writef(w, "\nrule\tchecked\tbroken\n")
 		for _, rule := range report.Rules {
-			writef(w, "%s\t%d\t%d\n", rule.Name, rule.Checked, rule.Broken)
-			for _, first := range rule.First {
+			writef(w, "%s\t%d\t%d\n", rule.Name, rule.Checked, rule.Violations)
+			for _, first := range rule.Examples {
 				writef(w, "    %s\n", first)
 			}
 		}
 		_ = w.Flush()
 	}
-	if !report.Good() {
+	if !report.Passed() {
 		return errors.New("a rule is broken, or nothing was checked")
 	}
 	return nil
--- a/cmd/irispost/check.go
+++ b/cmd/irispost/check.go
@@ -76,10 +76,10 @@
 	scripted, _ := filepath.Match("day*.hcl", base)
 	if fleet, _ := filepath.Match("fleet-*.hcl", base); fleet || scripted {
 		s, err := day.Load(file)
-		if err != nil || s.Fleet.Keepers == 0 {
+		if err != nil || s.Fleet.Replicas == 0 {
 			return "", err
 		}
-		return stated(lease.Settings{LeaseDuration: int64(s.Fleet.Lease), MaxClockDrift: s.Fleet.Drift}, int64(s.Fleet.Floor)), nil
+		return stated(lease.Settings{LeaseDuration: int64(s.Fleet.LeaseDuration), MaxClockDrift: s.Fleet.MaxClockDrift}, int64(s.Fleet.Fallback)), nil
 	}
 	c, err := config.Load(file)
 	if err != nil {
--- a/cmd/irispost/fleet_test.go
+++ b/cmd/irispost/fleet_test.go
@@ -32,7 +32,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return playFleetWith(t, name, seed, day.Options{Program: self, Note: t.Logf})
+	return playFleetWith(t, name, seed, day.Options{Program: self, Logf: t.Logf})
 }
 
 func playFleetWith(t *testing.T, name string, seed uint64, options day.Options) *day.Report {
@@ -43,10 +43,10 @@
 	}
 	s.Seed = seed
 	s.Slack, s.Transit = 5*time.Second, 2*time.Second // a slow machine is late; that it answers at all, and once, is what is checked
-	s.Length, s.Fleet.Lease = s.Length/2, s.Fleet.Lease/2
-	for i := range s.Troubles {
-		s.Troubles[i].At /= 2
-		s.Troubles[i].For /= 2
+	s.Length, s.Fleet.LeaseDuration = s.Length/2, s.Fleet.LeaseDuration/2
+	for i := range s.Faults {
+		s.Faults[i].At /= 2
+		s.Faults[i].For /= 2
 	}
 	for i := range s.Clients {
 		if !s.Fleet.Peers { // what cold nodes bear has to be asked for
@@ -64,7 +64,7 @@
 	t.Setenv("IRISPOST_TEST_AS_PROGRAM", "1")
 	for _, name := range []string{"agree-split", "agree-stopped", "cold-oneway"} {
 		r := playFleet(t, name, 7)
-		if !r.Good() || r.Agreement.Versions < 4 || r.Agreement.Pairs != 66 || r.Completed == 0 {
+		if !r.Passed() || r.Agreement.Versions < 4 || r.Agreement.Pairs != 66 || r.Succeeded == 0 {
 			t.Errorf("%s: %+v, %+v", name, r, r.Agreement)
 		}
 	}
--- a/cmd/irispost/main_test.go
+++ b/cmd/irispost/main_test.go
@@ -85,7 +85,7 @@
 	if err != nil || strings.Count(out, "serving") != 2 || !strings.Contains(out, w.Nodes[0].Addr()) {
 		t.Errorf("%q, %v", out, err)
 	}
-	w.Tell(endpoint.List{})
+	w.UpdateEndpoints(endpoint.List{})
 	for !strings.Contains(out, "HELD") { // the list comes by and by
 		if out, err = run("members", "--socket", socket); err != nil {
 			t.Fatal(err)
--- a/cmd/irispost/members.go
+++ b/cmd/irispost/members.go
@@ -143,7 +143,7 @@
 					case <-time.After(d):
 					}
 				case "answers":
-					for _, a := range s.Answers() {
+					for _, a := range s.Acks() {
 						writef(c.OutOrStdout(), "%+v\n", a)
 					}
 				default:
--- a/cmd/irispost/mixed_test.go
+++ b/cmd/irispost/mixed_test.go
@@ -41,8 +41,8 @@
 			if err := os.WriteFile(program, []byte(script), 0o700); err != nil {
 				t.Fatal(err)
 			}
-			report := playFleetWith(t, name, 7, day.Options{Program: program, Note: t.Logf})
-			if !report.Good() || report.Agreement.Violations > 0 || report.Agreement.Versions < 4 || report.Completed == 0 {
+			report := playFleetWith(t, name, 7, day.Options{Program: program, Logf: t.Logf})
+			if !report.Passed() || report.Agreement.Violations > 0 || report.Agreement.Versions < 4 || report.Succeeded == 0 {
 				t.Errorf("%+v, %+v", report, report.Agreement)
 			}
 			started, err := os.ReadFile(notes)
--- a/cmd/irispost/run.go
+++ b/cmd/irispost/run.go
@@ -78,14 +78,14 @@
 
 func nodeCommand() *cobra.Command {
 	c := &cobra.Command{Use: "node", Short: "Run a stand-in storage node", Args: cobra.NoArgs}
-	o := standin.Options{Marks: time.Minute}
+	o := standin.Options{DedupWindow: time.Minute}
 	c.Flags().StringVar(&o.Addr, "listen", "127.0.0.1:7000", "address to serve at")
 	c.Flags().IntVar(&o.Shard, "shard", 0, "shard that it holds")
 	c.Flags().StringVar(&o.Zone, "zone", "", "zone that it stands in")
 	c.Flags().IntVar(&o.Cores, "cores", 2, "executions carried out at a time")
-	c.Flags().DurationVar(&o.Unit, "unit", 0, "time of a core for a unit")
+	c.Flags().DurationVar(&o.UnitTime, "unit", 0, "time of a core for a unit")
 	c.Flags().IntVar(&o.Queue, "queue", 256, "executions that may wait")
-	c.Flags().BoolVar(&o.Orca, "orca", false, "send load reports in ORCA form")
+	c.Flags().BoolVar(&o.ORCA, "orca", false, "send load reports in ORCA form")
 	dir := c.Flags().String("dir", "", "folder for the data; empty: in memory")
 	c.RunE = func(c *cobra.Command, _ []string) (err error) {
 		if o.Store, err = standin.NewStore(*dir); err != nil {
@@ -131,7 +131,7 @@
 				return err
 			}
 			n, err := standin.Start(standin.Options{Addr: "127.0.0.1:0", Shard: shard, Store: store, Cores: 2,
-				Unit: 2 * time.Millisecond, Queue: 256, Marks: time.Minute, Seed: uint64(shard)})
+				UnitTime: 2 * time.Millisecond, Queue: 256, DedupWindow: time.Minute, Seed: uint64(shard)})
 			if err != nil {
 				return err
 			}
@@ -188,7 +188,7 @@
 		if *seed > 0 {
 			s.Seed = *seed
 		}
-		opt := day.Options{List: *source, Note: func(format string, a ...any) { writef(c.ErrOrStderr(), format+"\n", a...) }}
+		opt := day.Options{EndpointSource: *source, Logf: func(format string, a ...any) { writef(c.ErrOrStderr(), format+"\n", a...) }}
 		if !*inside {
 			if opt.Program, err = os.Executable(); err != nil {
 				return err
@@ -200,7 +200,7 @@
 			}
 		}
 		if *verbose {
-			opt.Log = c.ErrOrStderr()
+			opt.GatewayLog = c.ErrOrStderr()
 		}
 		ctx, cancel := untilSignal()
 		defer cancel()
@@ -218,7 +218,7 @@
 				return err
 			}
 		}
-		if !r.Good() {
+		if !r.Passed() {
 			return errors.New("a rule is broken, or nothing was checked")
 		}
 		return nil
@@ -229,20 +229,20 @@
 func table(c *cobra.Command, r *day.Report) {
 	w := tabwriter.NewWriter(c.OutOrStdout(), 0, 4, 2, ' ', 0)
 	writef(w, "jobs\t%d\tcompleted %d, dismissed %d, written off %d, left %d, lost %d, answered twice %d, torn reads %d\n",
-		r.Jobs, r.Completed, r.Dismissed, r.WrittenOff, r.Left, r.Lost, r.Twice, r.TornReads)
-	writef(w, "service\t%.3f\tof %d requests, with their further tries folded into the first\n", r.Service, r.Requests)
+		r.Sent, r.Succeeded, r.Rejected, r.Failed, r.ClientCancelled, r.Lost, r.AnsweredTwice, r.TornReads)
+	writef(w, "service\t%.3f\tof %d requests, with their further tries folded into the first\n", r.ServedShare, r.Requests)
 	if a := r.Agreement; a != nil {
 		writef(w, "agreement\t%d\tpairs of gateways over %d versions, longest contradiction %.1f ms of %.0f stated, broken %d %s\n", a.Pairs, a.Versions, a.WorstMillis,
 			a.BoundMillis, a.Violations, a.FirstViolation)
 	}
 	writef(w, "\nproduct\tjobs\tin goal\tp50 ms\tp99 ms\n")
-	for _, p := range r.Products {
-		writef(w, "%s\t%d\t%d\t%.1f\t%.1f\n", p.Name, p.Jobs, p.InGoal, p.P50, p.P99)
+	for _, p := range r.Classes {
+		writef(w, "%s\t%d\t%d\t%.1f\t%.1f\n", p.Name, p.Sent, p.WithinObjective, p.P50, p.P99)
 	}
 	writef(w, "\nrule\tchecked\tbroken\n")
 	for _, rule := range r.Rules {
-		writef(w, "%s\t%d\t%d\n", rule.Name, rule.Checked, rule.Broken)
-		for _, first := range rule.First {
+		writef(w, "%s\t%d\t%d\n", rule.Name, rule.Checked, rule.Violations)
+		for _, first := range rule.Examples {
 			writef(w, "    %s\n", first)
 		}
 	}
--- a/internal/adapter/story_test.go
+++ b/internal/adapter/story_test.go
@@ -395,7 +395,7 @@
 // TestOneStoryToBoth tells a story to the gateway's loop, and to the adapter as the bench would put it. Both modules have to be told
 // the same, and so decide the same.
 func TestOneStoryToBoth(t *testing.T) {
-	testkit.SameSeeds(t)
+	testkit.FixSeeds(t)
 	rapid.Check(t, func(t *rapid.T) {
 		conf, err := platform.Parse([]byte(nested), func(string) string { return "" })
 		if err != nil {
--- a/internal/audit/check.go
+++ b/internal/audit/check.go
@@ -7,51 +7,51 @@
 	"strings"
 )
 
-// Terms are the figures of the rules. Times are nanoseconds.
-type Terms struct {
-	Slack         int64   // after a client's limit during which an answer still counts
-	Transit       int64   // longest way of an execution from a gateway to a node's record
-	Grace         int64   // of drains
-	ListDelay     int64   // from a list's hand-out until a gateway has it, at most
-	Window        int64   // how long the nodes of a group know a referenced job's repeats
-	KeyRest       int64   // after an execution that may still run
-	FurtherFree   float64 // further executions in a window
-	FurtherShare  float64
-	FurtherWindow int64 // 0: no budget is stated
-	ColdFrom      float64
-	ColdTime      int64
-	ColdMultiple  float64
-	ColdWindow    int64
-	ColdUnits     float64
-	Limits        map[int64]Limit // by volume
+// Parameters are the figures of the rules. Times are nanoseconds.
+type Parameters struct {
+	Slack              int64   // after a client's limit during which an answer still counts
+	Transit            int64   // longest way of an execution from a gateway to a node's record
+	DrainGrace         int64   // of drains
+	ListDelay          int64   // from a list's hand-out until a gateway has it, at most
+	DedupWindow        int64   // how long the nodes of a group know a referenced job's repeats
+	KeyRest            int64   // after an execution that may still run
+	FreeRetries        float64 // further executions in a window
+	RetryShare         float64
+	RetryWindow        int64 // 0: no budget is stated
+	SlowStartFrom      float64
+	SlowStartTime      int64
+	SlowStartMultiple  float64
+	SlowStartWindow    int64
+	SlowStartFreeUnits float64
+	VolumeLimits       map[int64]VolumeLimit // by volume
 }
 
-// Limit is a volume's limit, in units a second and units.
-type Limit struct{ Rate, Burst, Slack float64 }
+// VolumeLimit is a volume's limit, in units a second and units.
+type VolumeLimit struct{ Rate, Burst, Slack float64 }
 
-// Rule is what was found of one rule.
-type Rule struct {
-	Name    string   `json:"name"`
-	Checked int      `json:"checked"` // how often it could have been broken
-	Broken  int      `json:"broken"`
-	First   []string `json:"first,omitempty"` // the first few breaks
+// RuleResult is what was found of one rule.
+type RuleResult struct {
+	Name       string   `json:"name"`
+	Checked    int      `json:"checked"` // how often it could have been broken
+	Violations int      `json:"broken"`
+	Examples   []string `json:"first,omitempty"` // the first few breaks
 }
 
-func (r *Rule) breaks(format string, args ...any) {
-	if r.Broken++; len(r.First) < 5 {
-		r.First = append(r.First, fmt.Sprintf(format, args...))
+func (r *RuleResult) breaks(format string, args ...any) {
+	if r.Violations++; len(r.Examples) < 5 {
+		r.Examples = append(r.Examples, fmt.Sprintf(format, args...))
 	}
 }
 
 // Names of the seven rules, as the brief has them.
 const (
-	NoneLost   = "no job is lost"
-	NoneTwice  = "no effect happens twice"
-	Drains     = "drains are kept"
-	Cold       = "a cold node is not pushed over"
-	Order      = "order is kept"
-	Budget     = "further executions stay within the budget"
-	LimitsKept = "limits are kept"
+	RuleNoRequestLost     = "no job is lost"
+	RuleNoDuplicateEffect = "no effect happens twice"
+	RuleDraining          = "drains are kept"
+	RuleSlowStart         = "a cold node is not pushed over"
+	RuleOrdering          = "order is kept"
+	RuleRetryBudget       = "further executions stay within the budget"
+	RuleVolumeLimits      = "limits are kept"
 )
 
 // execution is one sending of a job, as a node's socket saw it.
@@ -64,7 +64,7 @@
 
 // day is a record, put in order.
 type day struct {
-	terms    Terms
+	terms    Parameters
 	events   []Event
 	execs    []*execution
 	jobs     map[string][]*execution
@@ -76,12 +76,12 @@
 // limit is until when a request's answer counts: a gateway that stood still could not give it before it went on.
 func (d *day) limit(a Event) int64 {
 	gateway, _, _ := strings.Cut(a.Session, "/")
-	limit := a.Limit
+	limit := a.Deadline
 	for _, s := range d.stood[gateway] {
 		switch {
-		case s[0] > a.Limit || a.At > s[1]:
+		case s[0] > a.Deadline || a.At > s[1]:
 		case a.At+d.terms.Transit >= s[0]: // it was read once the gateway went on
-			limit = max(limit, s[1]+a.Limit-a.At)
+			limit = max(limit, s[1]+a.Deadline-a.At)
 		default:
 			limit = max(limit, s[1])
 		}
@@ -90,7 +90,7 @@
 }
 
 // Check checks the rules.
-func Check(events []Event, t Terms) []Rule {
+func Check(events []Event, t Parameters) []RuleResult {
 	d := &day{terms: t, events: slices.Clone(events), jobs: map[string][]*execution{},
 		requests: map[requestKey][]*execution{}, killed: map[string][]int64{}, stood: map[string][][2]int64{}}
 	slices.SortStableFunc(d.events, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
@@ -100,42 +100,42 @@
 	}
 	byNumber, byConn := map[number]*execution{}, map[int64][]*execution{}
 	for _, e := range d.events {
-		switch e.What {
-		case Got:
+		switch e.Type {
+		case AttemptReceived:
 			x := &execution{Event: e}
 			d.execs = append(d.execs, x)
-			d.jobs[e.Job] = append(d.jobs[e.Job], x)
-			byNumber[number{e.Job, e.Number}] = x
-			byConn[e.Conn] = append(byConn[e.Conn], x)
-			if session, id, _ := partsOf(e.Job); id > 0 {
+			d.jobs[e.RequestID] = append(d.jobs[e.RequestID], x)
+			byNumber[number{e.RequestID, e.Attempt}] = x
+			byConn[e.Connection] = append(byConn[e.Connection], x)
+			if session, id, _ := partsOf(e.RequestID); id > 0 {
 				k := requestKey{session, id}
 				d.requests[k] = append(d.requests[k], x)
 			}
-		case Gave:
-			if x := byNumber[number{e.Job, e.Number}]; x != nil {
-				x.answered, x.never = e.At, e.Never
+		case AttemptAnswered:
+			if x := byNumber[number{e.RequestID, e.Attempt}]; x != nil {
+				x.answered, x.never = e.At, e.NotExecuted
 			}
-		case Called:
-			if x := byNumber[number{e.Job, e.Number}]; x != nil {
+		case AttemptCancelled:
+			if x := byNumber[number{e.RequestID, e.Attempt}]; x != nil {
 				x.off = e.At
 			}
-		case Broke:
-			for _, x := range byConn[e.Conn] {
+		case NodeConnectionEnded:
+			for _, x := range byConn[e.Connection] {
 				if x.off == 0 && x.answered == 0 {
 					x.off = e.At
 				}
 			}
-		case Killed:
+		case GatewayKilled:
 			d.killed[e.Gateway] = append(d.killed[e.Gateway], e.At)
-		case Stood:
+		case GatewayPaused:
 			d.stood[e.Gateway] = append(d.stood[e.Gateway], [2]int64{e.At, e.At})
-		case WentOn:
+		case GatewayResumed:
 			if n := len(d.stood[e.Gateway]); n > 0 {
 				d.stood[e.Gateway][n-1][1] = e.At
 			}
 		}
 	}
-	return []Rule{d.lost(), d.twice(), d.drains(), d.cold(), d.order(), d.budget(), d.limits()}
+	return []RuleResult{d.lost(), d.twice(), d.drains(), d.cold(), d.order(), d.budget(), d.limits()}
 }
 
 type requestKey struct {
@@ -144,43 +144,43 @@
 }
 
 // lost: each request that a running gateway has taken gets one answer in time, and none after its client has gone.
-func (d *day) lost() Rule {
-	r := Rule{Name: NoneLost}
+func (d *day) lost() RuleResult {
+	r := RuleResult{Name: RuleNoRequestLost}
 	asked, told, gone := map[requestKey]Event{}, map[requestKey]int{}, map[string]int64{}
 	broke := map[string]bool{} // connections that broke while their gateway ran
 	end := int64(0)
 	var order []requestKey
 	for _, e := range d.events {
 		end = max(end, e.At)
-		k := requestKey{e.Session, e.ID}
-		switch e.What {
-		case Asked:
+		k := requestKey{e.Session, e.ClientRequest}
+		switch e.Type {
+		case RequestSent:
 			asked[k] = e
 			order = append(order, k)
-		case ClientGo:
+		case ClientDisconnected:
 			gone[e.Session] = e.At
 			gateway, _, _ := strings.Cut(e.Session, "/")
-			broke[e.Session] = e.Word == "broke" && !slices.ContainsFunc(d.killed[gateway], func(at int64) bool {
+			broke[e.Session] = e.State == "broke" && !slices.ContainsFunc(d.killed[gateway], func(at int64) bool {
 				return at <= e.At+d.terms.Slack && e.At <= at+int64(5e9)
 			})
-		case Told:
+		case ResponseReceived:
 			a, known := asked[k]
 			if told[k]++; told[k] > 1 {
-				r.breaks("request %d of %s has %d answers", e.ID, e.Session, told[k])
+				r.breaks("request %d of %s has %d answers", e.ClientRequest, e.Session, told[k])
 			}
 			for _, x := range d.requests[k] {
 				if x.At > e.At+d.terms.Slack {
-					r.breaks("execution %d of %s is sent %d ms after its final answer", x.Number, x.Job, (x.At-e.At)/1e6)
+					r.breaks("execution %d of %s is sent %d ms after its final answer", x.Attempt, x.RequestID, (x.At-e.At)/1e6)
 				}
 			}
 			if told[k] > 1 {
 				continue
 			}
 			if !known {
-				r.breaks("an answer to request %d of %s, which was never asked", e.ID, e.Session)
+				r.breaks("an answer to request %d of %s, which was never asked", e.ClientRequest, e.Session)
 			} else if e.At > d.limit(a) {
-				r.breaks("request %d of %s (%s) is answered %d ms after its client's limit", e.ID, e.Session, a.Product,
-					(e.At-a.Limit)/1e6)
+				r.breaks("request %d of %s (%s) is answered %d ms after its client's limit", e.ClientRequest, e.Session, a.RequestClass,
+					(e.At-a.Deadline)/1e6)
 			}
 		}
 	}
@@ -190,21 +190,21 @@
 		left, went := gone[k.session]
 		leftInTime := went && !broke[k.session] && left <= d.limit(a)
 		if told[k] == 0 && !leftInTime && end > d.limit(a) {
-			r.breaks("request %d of %s (%s) has no answer", k.id, k.session, a.Product)
+			r.breaks("request %d of %s (%s) has no answer", k.id, k.session, a.RequestClass)
 		}
 	}
 	return r
 }
 
 // twice: the effects of a mark are there once, and executions are added and jobs dismissed only where that is sure.
-func (d *day) twice() Rule {
-	r := Rule{Name: NoneTwice}
+func (d *day) twice() RuleResult {
+	r := RuleResult{Name: RuleNoDuplicateEffect}
 	ran := map[string]int{}
 	for _, e := range d.events {
-		if e.What == Ran && e.Change && e.Kind != 0 {
+		if e.Type == AttemptExecuted && e.Writes && e.Idempotency != 0 {
 			r.Checked++
-			if ran[e.Mark]++; ran[e.Mark] > 1 {
-				r.breaks("the effect of %s is there %d times", e.Mark, ran[e.Mark])
+			if ran[e.IdempotencyKey]++; ran[e.IdempotencyKey] > 1 {
+				r.breaks("the effect of %s is there %d times", e.IdempotencyKey, ran[e.IdempotencyKey])
 			}
 		}
 	}
@@ -214,26 +214,26 @@
 			for _, o := range list[:i+1] {
 				proven := o.never && o.answered <= x.At
 				switch {
-				case proven || x.Kind == 0:
-				case x.Kind == 2:
-					r.breaks("single-use job %s is sent again while execution %d may have run", job, o.Number)
+				case proven || x.Idempotency == 0:
+				case x.Idempotency == 2:
+					r.breaks("single-use job %s is sent again while execution %d may have run", job, o.Attempt)
 				case o.Shard != x.Shard:
 					r.breaks("referenced job %s is sent to shard %d after %d", job, x.Shard, o.Shard)
-				case x.At-o.At > d.terms.Window:
+				case x.At-o.At > d.terms.DedupWindow:
 					r.breaks("referenced job %s is sent again after %d ms", job, (x.At-o.At)/1e6)
 				}
 			}
 		}
 	}
 	for _, e := range d.events { // a dismissal promises that trying again is harmless
-		if e.What != Told || e.Answer != Dismissed {
+		if e.Type != ResponseReceived || e.Outcome != Rejected {
 			continue
 		}
 		r.Checked++
-		for _, x := range d.requests[requestKey{e.Session, e.ID}] {
+		for _, x := range d.requests[requestKey{e.Session, e.ClientRequest}] {
 			neverRan := x.never && x.answered <= e.At
-			if x.Kind != 0 && x.Change && !neverRan {
-				r.breaks("request %d of %s is dismissed while execution %d of %s may have run", e.ID, e.Session, x.Number, x.Job)
+			if x.Idempotency != 0 && x.Writes && !neverRan {
+				r.breaks("request %d of %s is dismissed while execution %d of %s may have run", e.ClientRequest, e.Session, x.Attempt, x.RequestID)
 			}
 		}
 	}
@@ -241,21 +241,21 @@
 }
 
 // drains: nothing new to a node later than the grace after the list said that it drains or is gone.
-func (d *day) drains() Rule {
-	r := Rule{Name: Drains}
+func (d *day) drains() RuleResult {
+	r := RuleResult{Name: RuleDraining}
 	since := map[string]int64{}
 	for _, e := range d.events {
-		switch e.What {
-		case Listed:
-			if e.Word == "ready" {
+		switch e.Type {
+		case NodeListed:
+			if e.State == "ready" {
 				delete(since, e.Node)
 			} else if _, known := since[e.Node]; !known {
 				since[e.Node] = e.At
 				r.Checked++
 			}
-		case Got:
-			if at, out := since[e.Node]; out && e.At > at+d.terms.ListDelay+d.terms.Grace {
-				r.breaks("%s gets execution %d of %s %d ms after it was listed as leaving", e.Node, e.Number, e.Job, (e.At-at)/1e6)
+		case AttemptReceived:
+			if at, out := since[e.Node]; out && e.At > at+d.terms.ListDelay+d.terms.DrainGrace {
+				r.breaks("%s gets execution %d of %s %d ms after it was listed as leaving", e.Node, e.Attempt, e.RequestID, (e.At-at)/1e6)
 			}
 		}
 	}
@@ -264,29 +264,29 @@
 
 // order: nothing is sent for a job while an earlier one of its key, taken by the same gateway, is out, nor before the
 // key has rested after one that may still run.
-func (d *day) order() Rule {
-	r := Rule{Name: Order}
+func (d *day) order() RuleResult {
+	r := RuleResult{Name: RuleOrdering}
 	type line struct {
 		gateway string
 		key     int64
 	}
 	lines := map[line][]*execution{}
 	for _, x := range d.execs {
-		if x.Key == 0 {
+		if x.OrderingKey == 0 {
 			continue
 		}
-		session, _, count := partsOf(x.Job)
+		session, _, count := partsOf(x.RequestID)
 		gateway := session // with its boot: a gateway that was started anew does not know what it had sent
 		if i := strings.LastIndexByte(session, '/'); i > 0 {
 			gateway = session[:i]
 		}
-		k := line{gateway, x.Key}
+		k := line{gateway, x.OrderingKey}
 		for _, o := range lines[k] {
-			if o.Job == x.Job {
+			if o.RequestID == x.RequestID {
 				continue
 			}
 			r.Checked++
-			over := o.At + o.Left + d.terms.KeyRest // if it timed out at the gateway
+			over := o.At + o.Timeout + d.terms.KeyRest // if it timed out at the gateway
 			if o.off > 0 {
 				over = min(over, o.off+d.terms.KeyRest)
 			}
@@ -295,10 +295,10 @@
 				over = min(over, o.answered)
 			}
 			if x.At < over {
-				r.breaks("%s is sent for key %d while %s may run, %d ms early", x.Job, x.Key, o.Job, (over-x.At)/1e6)
+				r.breaks("%s is sent for key %d while %s may run, %d ms early", x.RequestID, x.OrderingKey, o.RequestID, (over-x.At)/1e6)
 			}
-			if _, _, n := partsOf(o.Job); n > count && x.Number == 0 {
-				r.breaks("%s is sent for key %d after the later %s", x.Job, x.Key, o.Job)
+			if _, _, n := partsOf(o.RequestID); n > count && x.Attempt == 0 {
+				r.breaks("%s is sent for key %d after the later %s", x.RequestID, x.OrderingKey, o.RequestID)
 			}
 		}
 		list := lines[k]
@@ -311,30 +311,30 @@
 }
 
 // budget: the further executions of a gateway in any window stay under a few plus a share of the jobs taken in it.
-func (d *day) budget() Rule {
-	r := Rule{Name: Budget}
-	if d.terms.FurtherWindow == 0 {
+func (d *day) budget() RuleResult {
+	r := RuleResult{Name: RuleRetryBudget}
+	if d.terms.RetryWindow == 0 {
 		return r
 	}
 	taken, further := map[string][]int64{}, map[string][]int64{}
 	for _, e := range d.events {
-		switch e.What {
-		case Asked:
+		switch e.Type {
+		case RequestSent:
 			gateway, _, _ := strings.Cut(e.Session, "/")
 			taken[gateway] = append(taken[gateway], e.At)
-		case Got:
-			if e.Number == 0 {
+		case AttemptReceived:
+			if e.Attempt == 0 {
 				taken[e.Gateway+" jobs"] = append(taken[e.Gateway+" jobs"], e.At)
 				continue
 			}
 			further[e.Gateway] = append(further[e.Gateway], e.At)
 			within := func(list []int64) (n float64) {
-				for i := len(list) - 1; i >= 0 && list[i] > e.At-d.terms.FurtherWindow; i-- {
+				for i := len(list) - 1; i >= 0 && list[i] > e.At-d.terms.RetryWindow; i-- {
 					n++
 				}
 				return n
 			}
-			most := d.terms.FurtherFree + d.terms.FurtherShare*max(within(taken[e.Gateway]), within(taken[e.Gateway+" jobs"]))
+			most := d.terms.FreeRetries + d.terms.RetryShare*max(within(taken[e.Gateway]), within(taken[e.Gateway+" jobs"]))
 			if r.Checked++; within(further[e.Gateway]) > most+1 { // an edge of the window may lie between two clocks
 				r.breaks("%s sends %.0f further executions in a window, %.1f are allowed", e.Gateway, within(further[e.Gateway]), most)
 			}
@@ -344,16 +344,16 @@
 }
 
 // limits: what all gateways send of a volume's jobs, at their first sending, stays in the volume's store.
-func (d *day) limits() Rule {
-	r := Rule{Name: LimitsKept}
+func (d *day) limits() RuleResult {
+	r := RuleResult{Name: RuleVolumeLimits}
 	type store struct {
 		level float64
 		at    int64
 	}
 	stores := map[int64]*store{}
 	for _, x := range d.execs {
-		l, limited := d.terms.Limits[x.Volume]
-		if !limited || x.Number > 0 {
+		l, limited := d.terms.VolumeLimits[x.Volume]
+		if !limited || x.Attempt > 0 {
 			continue
 		}
 		s := stores[x.Volume]
--- a/internal/audit/golden_test.go
+++ b/internal/audit/golden_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestGoldenJSON(t *testing.T) {
-	for name, record := range map[string]any{"rule.json": &Rule{}, "summary.json": &Summary{}, "coldness.json": &Coldness{}} {
+	for name, record := range map[string]any{"rule.json": &RuleResult{}, "summary.json": &Summary{}, "coldness.json": &SlowStartSummary{}} {
 		t.Run(name, func(t *testing.T) { golden.CheckJSON(t, name, record) })
 	}
 }
--- a/internal/audit/record.go
+++ b/internal/audit/record.go
@@ -8,78 +8,78 @@
 	"sync"
 )
 
-// What is what an event tells.
-type What uint8
+// EventType is what an event tells.
+type EventType uint8
 
 // The kinds of events.
 const (
-	Asked    What = iota // a client has sent a request
-	Told                 // a client has got its answer
-	ClientUp             // a client's connection stands; Session is its name
-	ClientGo             // a client has closed its connection, or it broke
-	Got                  // a node has got an execution
-	Gave                 // a node has answered one
-	Called               // a node is told that an execution is called off
-	Broke                // a connection to a node has ended; Conn names it
-	Ran                  // a node has carried one out: its effect is there
-	Born                 // a node has started
-	Fell                 // a node was pushed over
-	Listed               // a list that names a node so was handed out
-	Killed               // a gateway was killed
-	Stood                // a gateway was stopped (SIGSTOP)
-	WentOn               // and goes on
+	RequestSent         EventType = iota // a client has sent a request
+	ResponseReceived                     // a client has got its answer
+	ClientConnected                      // a client's connection stands; Session is its name
+	ClientDisconnected                   // a client has closed its connection, or it broke
+	AttemptReceived                      // a node has got an execution
+	AttemptAnswered                      // a node has answered one
+	AttemptCancelled                     // a node is told that an execution is called off
+	NodeConnectionEnded                  // a connection to a node has ended; Conn names it
+	AttemptExecuted                      // a node has carried one out: its effect is there
+	NodeStarted                          // a node has started
+	NodeOverloaded                       // a node was pushed over
+	NodeListed                           // a list that names a node so was handed out
+	GatewayKilled                        // a gateway was killed
+	GatewayPaused                        // a gateway was stopped (SIGSTOP)
+	GatewayResumed                       // and goes on
 )
 
-// Answer is the kind of a final answer.
-type Answer uint8
+// Outcome is the kind of a final answer.
+type Outcome uint8
 
 // The kinds of final answers.
 const (
-	Completed Answer = iota
-	Dismissed
-	WrittenOff
+	Succeeded Outcome = iota
+	Rejected
+	Failed
 )
 
 // Event is one thing that passed. Times are nanoseconds on one clock.
 type Event struct {
-	At      int64
-	What    What
-	Session string // of a client
-	ID      uint32 // of a client's request, or a connection's execution
-	Product string // by the client's account
-	Goal    int64  // Asked: answered by then, it is in its goal; 0: no goal
-	Limit   int64  // Asked: the last time for an answer
-	Try     int    // Asked: 0 for the first, then the client's own further tries
-	First   uint32 // Asked: the ID of the first try
-	Answer  Answer
-	Gateway string
-	Node    string
-	Zone    string
-	Shard   int
-	Job     string
-	Number  int
-	Volume  int64
-	Units   float64
-	Kind    uint8 // 0 replayable, 1 referenced, 2 single-use
-	Key     int64
-	Conn    int64 // of a gateway to a node
-	Left    int64 // Got: the time-out that came with it
-	Mark    string
-	Change  bool   // it changes something
-	Never   bool   // Gave: the answer proves that it never ran
-	Word    string // Listed: ready, draining or gone
-	Rate    float64
+	At             int64
+	Type           EventType
+	Session        string // of a client
+	ClientRequest  uint32 // of a client's request, or a connection's execution
+	RequestClass   string // by the client's account
+	ObjectiveBy    int64  // Asked: answered by then, it is in its goal; 0: no goal
+	Deadline       int64  // Asked: the last time for an answer
+	Try            int    // Asked: 0 for the first, then the client's own further tries
+	First          uint32 // Asked: the ID of the first try
+	Outcome        Outcome
+	Gateway        string
+	Node           string
+	Zone           string
+	Shard          int
+	RequestID      string
+	Attempt        int
+	Volume         int64
+	Units          float64
+	Idempotency    uint8 // 0 replayable, 1 referenced, 2 single-use
+	OrderingKey    int64
+	Connection     int64 // of a gateway to a node
+	Timeout        int64 // Got: the time-out that came with it
+	IdempotencyKey string
+	Writes         bool   // it changes something
+	NotExecuted    bool   // Gave: the answer proves that it never ran
+	State          string // Listed: ready, draining or gone
+	Rate           float64
 }
 
-// Record collects events, from anywhere.
-type Record struct {
+// Recorder collects events, from anywhere.
+type Recorder struct {
 	lock   sync.Mutex
 	events []Event
 	Clock  func() int64
 }
 
 // Add adds an event, with its time.
-func (r *Record) Add(e Event) {
+func (r *Recorder) Add(e Event) {
 	if r == nil {
 		return
 	}
@@ -92,7 +92,7 @@
 }
 
 // Events are what was recorded, in order.
-func (r *Record) Events() []Event {
+func (r *Recorder) Events() []Event {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	return append([]Event(nil), r.events...)
--- a/internal/backend/node/node_test.go
+++ b/internal/backend/node/node_test.go
@@ -19,7 +19,7 @@
 
 func start(t *testing.T, o standin.Options) *standin.Node {
 	t.Helper()
-	o.Addr, o.Marks = "127.0.0.1:0", time.Minute
+	o.Addr, o.DedupWindow = "127.0.0.1:0", time.Minute
 	if o.Store == nil {
 		o.Store, _ = standin.NewStore("")
 	}
@@ -79,7 +79,7 @@
 // Each way for an execution to end is told as what it is; only what is proven is told as never run.
 func TestOutcomes(t *testing.T) {
 	c := client(t)
-	n := start(t, standin.Options{Cores: 1, Unit: time.Millisecond, Queue: 1})
+	n := start(t, standin.Options{Cores: 1, UnitTime: time.Millisecond, Queue: 1})
 	if a := run(c, n.Addr(), node.Call{Op: node.GetObject, Name: "none", Shard: 0, Units: 1}); a.Outcome != node.Executed || a.Status != node.NotFound {
 		t.Errorf("an object that is not there: %+v", a)
 	}
--- a/internal/backend/node/orca_test.go
+++ b/internal/backend/node/orca_test.go
@@ -71,7 +71,7 @@
 
 // A stand-in's reports come through in either form, with the units that others were served.
 func TestOrcaFromNode(t *testing.T) {
-	n := start(t, standin.Options{Orca: true})
+	n := start(t, standin.Options{ORCA: true})
 	c := client(t)
 	call := node.Call{Gateway: "g1", Volume: 4, Units: 2, RequestID: "a", IdempotencyKey: "a", Op: node.PutObject, Name: "o", Data: []byte("x"), Length: 1}
 	run(c, n.Addr(), call)
--- a/internal/backend/webnode/client_test.go
+++ b/internal/backend/webnode/client_test.go
@@ -36,7 +36,7 @@
 // TestAnyMix has random executions, some called off, over few sockets: each has one outcome, the right one, and is sent once at most, and
 // there are never more connections than may be.
 func TestAnyMix(t *testing.T) {
-	testkit.SameSeeds(t)
+	testkit.FixSeeds(t)
 	var names []string
 	for _, name := range []string{"served", "held", "close", "elsewhere", "oddreport", "hints", "twice", "error", "full", "over", "busy", "reset", "half",
 		"noise", "huge", "open", "opencut", "halfline", "halfhead"} {
@@ -66,13 +66,13 @@
 				r.Fatalf("%d connections are open", open)
 			}
 		}
-		close(s.Hold)
+		close(s.Release)
 		for _, o := range all {
 			if o.off {
 				continue
 			}
 			a, others := <-o.done, map[bool]float64{true: 3}[o.what == "elsewhere"]
-			if k := webstandin.Kinds[o.what]; a.Outcome != k.Outcome || k.Outcome == node.Executed && (string(a.Data) != o.id+"+body" || a.UnitsElsewhere != others) {
+			if k := webstandin.Behaviors[o.what]; a.Outcome != k.Outcome || k.Outcome == node.Executed && (string(a.Data) != o.id+"+body" || a.UnitsElsewhere != others) {
 				r.Fatalf("%s: %+v", o.id, a)
 			}
 		}
@@ -90,10 +90,10 @@
 func TestCallOffEndsTheConnection(t *testing.T) {
 	s, c := webstandin.Start(t), client(t, 10, nil)
 	sent, done := ask(c, s, "held-1")
-	<-s.Held
+	<-s.WaitingIDs
 	sent.Cancel()
-	close(s.Hold)
-	<-s.Gone
+	close(s.Release)
+	<-s.Disconnected
 	if open, _ := c.ConnectionCounts(); open != 0 || len(done) != 0 {
 		t.Errorf("%d connections are open, %d answers", open, len(done))
 	}
@@ -104,16 +104,16 @@
 	s := webstandin.Start(t)
 	c := client(t, 1, func(o *webnode.Options) { o.ConnectTimeout = 40 * time.Millisecond })
 	_, first := ask(c, s, "held-1")
-	<-s.Held
+	<-s.WaitingIDs
 	if _, done := ask(c, s, "served-2"); (<-done).Outcome != node.ConnectFailed {
 		t.Error("no socket came free, and the outcome is another")
 	}
-	close(s.Hold)
+	close(s.Release)
 	<-first
 	idle := client(t, 1, func(o *webnode.Options) { o.IdleTimeout = 20 * time.Millisecond })
 	_, done := ask(idle, s, "served-3")
 	<-done
-	<-s.Gone // it is closed though the node keeps it
+	<-s.Disconnected // it is closed though the node keeps it
 	s.Close()
 	if _, done := ask(idle, s, "served-4"); (<-done).Outcome != node.ConnectFailed {
 		t.Error("a node that refuses, and the outcome is another")
--- a/internal/bench/bench.go
+++ b/internal/bench/bench.go
@@ -23,7 +23,7 @@
 	if err != nil {
 		return err
 	}
-	n, err := standin.Start(standin.Options{Addr: "127.0.0.1:0", Store: store, Cores: 2, Queue: 4096, Marks: time.Minute})
+	n, err := standin.Start(standin.Options{Addr: "127.0.0.1:0", Store: store, Cores: 2, Queue: 4096, DedupWindow: time.Minute})
 	if err != nil {
 		return err
 	}
--- a/internal/capacity/record_test.go
+++ b/internal/capacity/record_test.go
@@ -91,7 +91,7 @@
 
 // TestAnyLine: points on any line are found to be on it, whatever their order, and a record reads back as it was written.
 func TestAnyLine(t *testing.T) {
-	testkit.SameSeeds(t)
+	testkit.FixSeeds(t)
 	rapid.Check(t, func(r *rapid.T) {
 		base, slope := rapid.Float64Range(0, 1e4).Draw(r, "base"), rapid.Float64Range(1, 1e4).Draw(r, "slope")
 		x := &capacity.Record{Name: "x", Unit: "us", Over: "nodes", How: capacity.Simulated, Command: "none", Commit: "0"}
--- a/internal/day/client.go
+++ b/internal/day/client.go
@@ -49,7 +49,7 @@
 // link is a client's connection. It records what it asks and is told.
 type link struct {
 	conn    *sftp.Conn
-	record  *audit.Record
+	record  *audit.Recorder
 	session string
 	ready   chan struct{}
 	lock    sync.Mutex
@@ -70,7 +70,7 @@
 var errBroken = errors.New("the connection broke")
 
 // connect connects and waits for the gateway's greeting.
-func connect(addr string, record *audit.Record) (*link, error) {
+func connect(addr string, record *audit.Recorder) (*link, error) {
 	l := &link{record: record, ready: make(chan struct{}), out: map[uint32]chan reply{}}
 	conn, err := sftp.Dial(addr, sftp.DefaultLimits, time.Second, func(c *sftp.Conn) sftp.Peer { l.conn = c; return l })
 	if err != nil {
@@ -98,19 +98,19 @@
 				l.session = data
 			}
 		}
-		l.record.Add(audit.Event{What: audit.ClientUp, Session: l.session})
+		l.record.Add(audit.Event{Type: audit.ClientConnected, Session: l.session})
 		close(l.ready)
 		return nil
 	}
 	r := reply{kind: f.Type, body: body}
-	told := audit.Event{What: audit.Told, Session: l.session, ID: id}
+	told := audit.Event{Type: audit.ResponseReceived, Session: l.session, ClientRequest: id}
 	if f.Type == sftp.Status {
 		r.code, r.text = sftp.Code(body.Uint32()), body.Text()
 		switch {
 		case strings.HasPrefix(r.text, "dismissed"):
-			told.Answer = audit.Dismissed
+			told.Outcome = audit.Rejected
 		case strings.HasPrefix(r.text, "written off"):
-			told.Answer = audit.WrittenOff
+			told.Outcome = audit.Failed
 		}
 	}
 	l.record.Add(told)
@@ -130,9 +130,9 @@
 	l.over = true
 	out := l.out
 	l.out = map[uint32]chan reply{}
-	e := audit.Event{What: audit.ClientGo, Session: l.session, Word: "broke"}
+	e := audit.Event{Type: audit.ClientDisconnected, Session: l.session, State: "broke"}
 	if l.closing {
-		e.Word = "closed"
+		e.State = "closed"
 	}
 	l.lock.Unlock()
 	if e.Session != "" {
@@ -166,8 +166,8 @@
 	p := sftp.New(t, id)
 	fields(p)
 	now := l.record.Clock()
-	l.record.Add(audit.Event{At: now, What: audit.Asked, Session: l.session, ID: id, Product: product,
-		Goal: now + int64(goal), Limit: now + int64(limit)})
+	l.record.Add(audit.Event{At: now, Type: audit.RequestSent, Session: l.session, ClientRequest: id, RequestClass: product,
+		ObjectiveBy: now + int64(goal), Deadline: now + int64(limit)})
 	l.conn.Send(p)
 	time.AfterFunc(limit+patience, func() { // the check finds it lost; the client must not wait for ever
 		l.lock.Lock()
@@ -199,7 +199,7 @@
 	addr   func() string // of its gateway, which may change
 	volume *front.Volume
 	conf   *config.Config
-	record *audit.Record
+	record *audit.Recorder
 	totals *totals
 	rand   *rand.Rand
 	lock   sync.Mutex
@@ -326,7 +326,7 @@
 		}
 		c.count++
 		file, at, data, tag := c.rand.IntN(len(c.files)), c.rand.IntN(c.plan.Blocks), []byte(nil), c.count
-		if c.plan.Do == "write" || c.plan.Do == "create" || c.plan.Do == "disk-write" {
+		if c.plan.Operation == "write" || c.plan.Operation == "create" || c.plan.Operation == "disk-write" {
 			data = fill(c.plan.Bytes, c.rand)
 		}
 		mine.Add(1)
@@ -340,15 +340,15 @@
 // request does one request with its further tries, and counts it once.
 func (c *client) request(file, at, tag int, data []byte) {
 	_, goal, _ := c.product(map[string]front.Sort{"read": front.Read, "write": front.Write, "create": front.Write,
-		"look": front.Look, "disk-read": front.Read, "disk-write": front.Write}[c.plan.Do])
-	if c.plan.Do == "create" { // open, write and close each have their goal
+		"look": front.Look, "disk-read": front.Read, "disk-write": front.Write}[c.plan.Operation])
+	if c.plan.Operation == "create" { // open, write and close each have their goal
 		_, change, _ := c.product(front.Change)
 		goal += 2 * change
 	}
 	began, served := time.Now(), false
 	for try := 0; try <= c.plan.Retries && !served; try++ {
 		if try > 0 {
-			time.Sleep(c.plan.Pause)
+			time.Sleep(c.plan.RetryDelay)
 		}
 		c.lock.Lock()
 		l, d := c.link, c.disk
@@ -363,7 +363,7 @@
 		}
 		var err error
 		if d != nil {
-			err = c.diskTry(d, c.plan.Do == "disk-write", at, data)
+			err = c.diskTry(d, c.plan.Operation == "disk-write", at, data)
 		} else {
 			err = c.try(l, handle, at, tag, data)
 		}
@@ -406,7 +406,7 @@
 func (c *client) try(l *link, handle string, at, tag int, data []byte) error {
 	offset := uint64(at * c.plan.Bytes)
 	var wait <-chan reply
-	switch c.plan.Do {
+	switch c.plan.Operation {
 	case "read":
 		name, goal, limit := c.product(front.Read, front.Look)
 		wait = l.ask(sftp.Read, name, goal, limit, func(p *sftp.Packet) { p.Text(handle).Uint64(offset).Uint32(uint32(c.plan.Bytes)) })
@@ -433,10 +433,10 @@
 		return end.failed()
 	}
 	var r reply
-	if c.plan.Leaves > 0 {
+	if c.plan.CancelAfter > 0 {
 		select {
 		case r = <-wait:
-		case <-time.After(c.plan.Leaves):
+		case <-time.After(c.plan.CancelAfter):
 			l.close()
 			return errBroken
 		}
@@ -446,7 +446,7 @@
 	if err := r.failed(); err != nil {
 		return err
 	}
-	if c.plan.Do == "read" {
+	if c.plan.Operation == "read" {
 		if got := r.body.Bytes(); !whole(got) || len(got) != c.plan.Bytes {
 			c.totals.torn.Add(1)
 			return fmt.Errorf("%d bytes that nobody wrote", len(got))
--- a/internal/day/day_test.go
+++ b/internal/day/day_test.go
@@ -68,22 +68,22 @@
 			s.Slack = 5 * time.Second // a slow machine is late; that it answers at all, and once, is what is checked
 			s.Transit = 2 * time.Second
 			s.Length /= 3
-			for i := range s.Troubles {
-				s.Troubles[i].At /= 3
-				s.Troubles[i].For /= 3
+			for i := range s.Faults {
+				s.Faults[i].At /= 3
+				s.Faults[i].For /= 3
 			}
 			for i := range s.Clients {
 				s.Clients[i].Rate /= 2
 			}
 			o := Options{}
 			if name == "rolling" { // under a management server, until it has begun anew
-				s.Length, o.List = 7*time.Second, "delta"
+				s.Length, o.EndpointSource = 7*time.Second, "delta"
 			}
 			r, err := Play(context.Background(), s, o)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if !r.Good() || r.Jobs == 0 || r.Completed == 0 {
+			if !r.Passed() || r.Sent == 0 || r.Succeeded == 0 {
 				t.Errorf("%+v", r)
 			}
 		})
--- a/internal/day/disk.go
+++ b/internal/day/disk.go
@@ -21,7 +21,7 @@
 const diskWait = 20 * time.Second
 
 // onDisk tells whether a plan's clients use disks.
-func (p *ClientPlan) onDisk() bool { return strings.HasPrefix(p.Do, "disk-") }
+func (p *ClientPlan) onDisk() bool { return strings.HasPrefix(p.Operation, "disk-") }
 
 // disks writes the block that shows a disk of each volume with disk clients, and notes where each client's part begins.
 func (s *Script) disks() string {
@@ -93,7 +93,7 @@
 		if errors.Is(e.Lost, initiator.ErrClosed) {
 			word = "closed"
 		}
-		c.record.Add(audit.Event{What: audit.ClientGo, Session: e.Session, Word: word})
+		c.record.Add(audit.Event{Type: audit.ClientDisconnected, Session: e.Session, State: word})
 	case e.Sent:
 		sort := map[byte]front.Sort{0x28: front.Read, 0x2a: front.Write}[e.Op]
 		if sort == "" {
@@ -101,16 +101,16 @@
 		}
 		name, goal, limit := c.product(sort)
 		now := c.record.Clock()
-		c.record.Add(audit.Event{At: now, What: audit.Asked, Session: e.Session, ID: e.Tag, Product: name, Goal: now + int64(goal),
-			Limit: now + int64(limit+diskWait)})
+		c.record.Add(audit.Event{At: now, Type: audit.RequestSent, Session: e.Session, ClientRequest: e.Tag, RequestClass: name, ObjectiveBy: now + int64(goal),
+			Deadline: now + int64(limit+diskWait)})
 	default:
-		told := audit.Event{What: audit.Told, Session: e.Session, ID: e.Tag}
+		told := audit.Event{Type: audit.ResponseReceived, Session: e.Session, ClientRequest: e.Tag}
 		switch e.Status {
 		case scsi.Good:
 		case scsi.Busy, scsi.TaskSetFull:
-			told.Answer = audit.Dismissed
+			told.Outcome = audit.Rejected
 		default:
-			told.Answer = audit.WrittenOff
+			told.Outcome = audit.Failed
 		}
 		c.record.Add(told)
 	}
--- a/internal/day/fleet.go
+++ b/internal/day/fleet.go
@@ -27,20 +27,20 @@
 
 // FleetPlan is the keepers of a day; none where Keepers is 0.
 type FleetPlan struct {
-	Keepers int
-	Lease   Span
-	Drift   float64
-	Floor   Span // how long a gateway whose lease has run out serves on
-	Peers   bool // gateways reach each other, and deal out what cold nodes bear
-	Changes []ChangePlan
+	Replicas      int
+	LeaseDuration Span
+	MaxClockDrift float64
+	Fallback      Span // how long a gateway whose lease has run out serves on
+	Peers         bool // gateways reach each other, and deal out what cold nodes bear
+	Changes       []ChangePlan
 }
 
 // ChangePlan is a change of the settings at a time, made again and again where Every is set.
 type ChangePlan struct {
-	At, Every Span
-	Plan      string
-	Limit     float64
-	Race      int // operators who propose at the same time, each another limit
+	At, Every    Span
+	ServiceLevel string
+	RateLimit    float64
+	Proposers    int // operators who propose at the same time, each another limit
 }
 
 // rounds is how often a change is made again within a day.
@@ -86,14 +86,14 @@
 	if t.opt.Program == "" {
 		return errors.New("a day with keepers needs gateways as processes of their own")
 	}
-	f.base = &configversion.Config{RequiredFormat: configversion.Format, Shards: t.conf.Shards, FallbackPolicy: configversion.FallbackPolicy{Duration: int64(f.plan.Floor), LimitFraction: 1, AllowWrites: true}}
+	f.base = &configversion.Config{RequiredFormat: configversion.Format, Shards: t.conf.Shards, FallbackPolicy: configversion.FallbackPolicy{Duration: int64(f.plan.Fallback), LimitFraction: 1, AllowWrites: true}}
 	if t.script.Shards > 0 {
 		f.base.Shards = t.script.Shards
 	}
 	f.base.SetFromSettings(t.conf.Settings)
 	var names []string
 	held := map[string]net.Listener{}
-	for i := range f.plan.Keepers {
+	for i := range f.plan.Replicas {
 		name := fmt.Sprintf("k%d", i+1)
 		l, err := net.Listen("tcp", loopback.Own()+":0")
 		if err != nil {
@@ -170,7 +170,7 @@
 // startKeeper starts a keeper as a process; one that was there before finds its folder again.
 func (f *fleet) startKeeper(name string) error {
 	args := []string{"keeper", "--number", name[1:], "--listen", f.addrs[name], "--dir", filepath.Join(f.town.dir, name),
-		"--lease", f.plan.Lease.String(), "--drift", fmt.Sprint(f.plan.Drift), "--tick", "30ms", "--compact", "100"}
+		"--lease", f.plan.LeaseDuration.String(), "--drift", fmt.Sprint(f.plan.MaxClockDrift), "--tick", "30ms", "--compact", "100"}
 	for other := range f.addrs {
 		if other[0] != 'k' {
 			continue
@@ -183,7 +183,7 @@
 	}
 	for range 40 { // its address may be taken for a moment by a connection that somebody makes
 		cmd := exec.Command(f.town.opt.Program, args...)
-		cmd.Stderr = f.town.opt.Log
+		cmd.Stderr = f.town.opt.GatewayLog
 		out, err := cmd.StdoutPipe()
 		if err != nil {
 			return err
@@ -222,7 +222,7 @@
 // configure has a gateway's configuration follow the keepers, each at the address of their pair.
 func (f *fleet) configure(h *host, text string) string {
 	var list []string
-	for i := range f.plan.Keepers {
+	for i := range f.plan.Replicas {
 		list = append(list, fmt.Sprintf("%q", f.links[[2]string{h.name, fmt.Sprintf("k%d", i+1)}].Addr()))
 	}
 	more := ""
@@ -236,7 +236,7 @@
 		more += "  }\n"
 	}
 	return nodesLine.ReplaceAllString(text, "") + fmt.Sprintf("\nfollow {\n  keepers = [%s]\n  pause = %q\n  record = %q\n%s}\n",
-		strings.Join(list, ", "), (f.plan.Lease/5).String(), f.record(h), more)
+		strings.Join(list, ", "), (f.plan.LeaseDuration/5).String(), f.record(h), more)
 }
 
 func (f *fleet) record(h *host) string { return filepath.Join(f.town.dir, h.name+".acts") }
@@ -251,7 +251,7 @@
 	defer func() { _ = os.Remove(f.record(h)) }()
 	list, err := rig.ReadActivations(file)
 	if err != nil {
-		f.town.opt.Note("%s: %v", h.name, err)
+		f.town.opt.Logf("%s: %v", h.name, err)
 		return
 	}
 	f.lock.Lock()
@@ -272,20 +272,20 @@
 	}
 	a, err := rig.AuditPairs(f.gone, versions, f.stated(), end)
 	f.lock.Lock()
-	f.town.opt.Note("%d versions were announced, %d proposals refused", f.changes, f.refused)
+	f.town.opt.Logf("%d versions were announced, %d proposals refused", f.changes, f.refused)
 	f.lock.Unlock()
 	return &a, err
 }
 
 // stated is the time that docs/fleet.md states for this day's lease and drift.
 func (f *fleet) stated() int64 {
-	return replica.ConvergenceBound(lease.Settings{LeaseDuration: int64(f.plan.Lease), MaxClockDrift: f.plan.Drift})
+	return replica.ConvergenceBound(lease.Settings{LeaseDuration: int64(f.plan.LeaseDuration), MaxClockDrift: f.plan.MaxClockDrift})
 }
 
 // announce notes that a list is announced.
 func (t *town) announce(l endpoint.List) {
 	words := map[endpoint.Health]string{endpoint.Ready: "ready", endpoint.Draining: "draining", endpoint.Removed: "gone"}
 	for _, n := range l.Nodes {
-		t.record.Add(audit.Event{What: audit.Listed, Node: n.Addr, Word: words[n.Health]})
+		t.record.Add(audit.Event{Type: audit.NodeListed, Node: n.Addr, State: words[n.Health]})
 	}
 }
--- a/internal/day/fleetacts.go
+++ b/internal/day/fleetacts.go
@@ -10,11 +10,11 @@
 )
 
 // acts are the steps of a trouble between processes, or with one of them.
-func (f *fleet) acts(tr TroublePlan) []act {
+func (f *fleet) acts(tr FaultPlan) []act {
 	end := tr.At + tr.For
-	note := f.town.opt.Note
+	note := f.town.opt.Logf
 	if len(tr.Between) > 0 {
-		fault, _ := rig.ParseFault(tr.Do) // checked when the script was read
+		fault, _ := rig.ParseFault(tr.Action) // checked when the script was read
 		set := func(to rig.Fault, word string) func() {
 			return func() {
 				note("%s: %s", strings.Join(tr.Between, " - "), word)
@@ -25,14 +25,14 @@
 				}
 			}
 		}
-		return []act{{tr.At, set(fault, tr.Do)}, {end, set(rig.Fault{}, "well")}}
+		return []act{{tr.At, set(fault, tr.Action)}, {end, set(rig.Fault{}, "well")}}
 	}
-	if tr.Do == "stop" {
-		return []act{{tr.At, func() { f.signal(tr.Keeper+tr.Gateway, syscall.SIGSTOP) }}, {end, func() { f.signal(tr.Keeper+tr.Gateway, syscall.SIGCONT) }}}
+	if tr.Action == "stop" {
+		return []act{{tr.At, func() { f.signal(tr.Replica+tr.Gateway, syscall.SIGSTOP) }}, {end, func() { f.signal(tr.Replica+tr.Gateway, syscall.SIGCONT) }}}
 	}
 	var names []string
 	for name := range f.addrs {
-		if tr.Keeper == name || tr.Keeper == "all" && name[0] == 'k' {
+		if tr.Replica == name || tr.Replica == "all" && name[0] == 'k' {
 			names = append(names, name)
 		}
 	}
@@ -63,7 +63,7 @@
 }
 
 func (f *fleet) signal(name string, s syscall.Signal) {
-	f.town.opt.Note("%s: %v", name, s)
+	f.town.opt.Logf("%s: %v", name, s)
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	if cmd := f.keepers[name]; cmd != nil {
@@ -75,11 +75,11 @@
 			h.lock.Lock()
 			if h.out != nil {
 				if s == syscall.SIGSTOP {
-					f.town.record.Add(audit.Event{What: audit.Stood, Gateway: name})
+					f.town.record.Add(audit.Event{Type: audit.GatewayPaused, Gateway: name})
 				}
 				_ = h.out.Process.Signal(s)
 				if s == syscall.SIGCONT {
-					f.town.record.Add(audit.Event{What: audit.WentOn, Gateway: name})
+					f.town.record.Add(audit.Event{Type: audit.GatewayResumed, Gateway: name})
 				}
 			}
 			h.lock.Unlock()
--- a/internal/day/operator.go
+++ b/internal/day/operator.go
@@ -88,11 +88,11 @@
 		}
 		f.lock.Unlock()
 		if err == nil {
-			f.town.opt.Note("version %s is announced", v.Name())
+			f.town.opt.Logf("version %s is announced", v.Name())
 			return true
 		}
 		if errors.As(err, &refused) {
-			f.town.opt.Note("a proposal is refused: %v", err)
+			f.town.opt.Logf("a proposal is refused: %v", err)
 			return false
 		}
 	}
@@ -102,9 +102,9 @@
 // change makes a change of the script.
 func (f *fleet) change(c ChangePlan, round int) {
 	f.lock.Lock()
-	f.limits[c.Plan] = c.Limit + float64(round)
+	f.limits[c.ServiceLevel] = c.RateLimit + float64(round)
 	f.lock.Unlock()
-	if c.Race < 2 {
+	if c.Proposers < 2 {
 		_ = f.town.list() // it fails where it writes a file, which a day with keepers does not
 		return
 	}
@@ -116,11 +116,11 @@
 	if err != nil {
 		return
 	}
-	for i := range c.Race {
+	for i := range c.Proposers {
 		own := configversion.Intersect(r, r)
-		p := own.ServiceLevels[c.Plan]
-		p.RateLimit = c.Limit + float64(i)
-		own.ServiceLevels[c.Plan] = p
+		p := own.ServiceLevels[c.ServiceLevel]
+		p.RateLimit = c.RateLimit + float64(i)
+		own.ServiceLevels[c.ServiceLevel] = p
 		f.done.Add(1)
 		go func() {
 			defer f.done.Done()
--- a/internal/day/play.go
+++ b/internal/day/play.go
@@ -27,19 +27,19 @@
 	Seed    uint64 `json:"seed"`
 	Seconds int    `json:"seconds"`
 	audit.Summary
-	Requests  int            `json:"requests"` // with their clients' further tries folded into the first
-	Service   float64        `json:"service"`  // the part of them that was served in its goal
-	TornReads int64          `json:"torn_reads"`
-	Rules     []audit.Rule   `json:"rules"`
-	Agreement *rig.Agreement `json:"agreement,omitempty"` // of a day with keepers
-	Cold      audit.Coldness `json:"cold"`
+	Requests    int                    `json:"requests"` // with their clients' further tries folded into the first
+	ServedShare float64                `json:"service"`  // the part of them that was served in its goal
+	TornReads   int64                  `json:"torn_reads"`
+	Rules       []audit.RuleResult     `json:"rules"`
+	Agreement   *rig.Agreement         `json:"agreement,omitempty"` // of a day with keepers
+	SlowStart   audit.SlowStartSummary `json:"cold"`
 }
 
-// Good tells whether rules were checked and none was broken.
-func (r *Report) Good() bool {
+// Passed tells whether rules were checked and none was broken.
+func (r *Report) Passed() bool {
 	checked := false
 	for _, rule := range r.Rules {
-		if rule.Broken > 0 {
+		if rule.Violations > 0 {
 			return false
 		}
 		checked = checked || rule.Checked > 0
@@ -47,16 +47,16 @@
 	if a := r.Agreement; a != nil && (a.Violations > 0 || a.Pairs == 0 || a.Versions == 0) {
 		return false
 	}
-	return checked && r.Lost == 0 && r.Twice == 0 && r.TornReads == 0
+	return checked && r.Lost == 0 && r.AnsweredTwice == 0 && r.TornReads == 0
 }
 
 // Options are how a day is played.
 type Options struct {
-	Program string    // the irispost program, for gateways as processes of their own; empty: in this process
-	Log     io.Writer // of the gateways
-	Note    func(format string, args ...any)
-	List    string // where gateways have their list from: own or empty (a file), delta or whole (a management server)
-	Capture string // folder for the gateways' captures; empty: none
+	Program        string    // the irispost program, for gateways as processes of their own; empty: in this process
+	GatewayLog     io.Writer // of the gateways
+	Logf           func(format string, args ...any)
+	EndpointSource string // where gateways have their list from: own or empty (a file), delta or whole (a management server)
+	Capture        string // folder for the gateways' captures; empty: none
 }
 
 // noticed is how long after a change at a node the list tells of it, and delay how long until gateways have it.
@@ -73,7 +73,7 @@
 	conf   *config.Config
 	source string // the configuration as it stands in the file
 	dir    string
-	record *audit.Record
+	record *audit.Recorder
 	clock  gateway.Clock
 	lock   sync.Mutex
 	nodes  map[string]*place
@@ -116,15 +116,15 @@
 		return nil, err
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
-	if opt.Note == nil {
-		opt.Note = func(string, ...any) {}
+	if opt.Logf == nil {
+		opt.Logf = func(string, ...any) {}
 	}
-	if opt.Log == nil {
-		opt.Log = io.Discard
+	if opt.GatewayLog == nil {
+		opt.GatewayLog = io.Discard
 	}
 	clock := gateway.NewClock()
 	t := &town{script: s, opt: opt, conf: conf, source: string(src), dir: dir, clock: clock, nodes: map[string]*place{},
-		record: &audit.Record{Clock: clock.Now}}
+		record: &audit.Recorder{Clock: clock.Now}}
 	defer t.close()
 	if err := t.open(); err != nil {
 		return nil, err
@@ -133,7 +133,7 @@
 	if err != nil {
 		return nil, err
 	}
-	opt.Note("%d nodes, %d gateways and %d clients stand; the day lasts %v", len(t.nodes), len(t.hosts), len(clients), s.Length)
+	opt.Logf("%d nodes, %d gateways and %d clients stand; the day lasts %v", len(t.nodes), len(t.hosts), len(clients), s.Length)
 	var all sync.WaitGroup
 	for _, c := range clients {
 		all.Add(1)
@@ -144,40 +144,40 @@
 		close(c.stop)
 	}
 	all.Wait()
-	t.record.Add(audit.Event{What: audit.Listed, Word: "ready", At: t.clock.Now() + int64(time.Minute)}) // past all limits
+	t.record.Add(audit.Event{Type: audit.NodeListed, State: "ready", At: t.clock.Now() + int64(time.Minute)}) // past all limits
 	events := t.record.Events()
-	report := &Report{Seed: s.Seed, Seconds: int(s.Length / time.Second), Summary: audit.Summarise(events),
+	report := &Report{Seed: s.Seed, Seconds: int(s.Length / time.Second), Summary: audit.Summarize(events),
 		Requests: totals.requests, TornReads: totals.torn.Load(), Rules: audit.Check(events, t.terms())}
-	report.Cold = audit.ColdNodes(events, t.terms())
+	report.SlowStart = audit.SummarizeSlowStart(events, t.terms())
 	if t.fleet != nil {
 		if report.Agreement, err = t.fleet.agreement(); err != nil {
 			return nil, err
 		}
 	}
-	report.Service = float64(totals.inGoal) / max(float64(totals.requests), 1)
+	report.ServedShare = float64(totals.inGoal) / max(float64(totals.requests), 1)
 	return report, nil
 }
 
 // terms are the figures of the rules, for the check.
-func (t *town) terms() audit.Terms {
-	terms := audit.TermsOf(t.conf.Settings)
+func (t *town) terms() audit.Parameters {
+	terms := audit.ParametersFromSettings(t.conf.Settings)
 	terms.Slack, terms.Transit = int64(t.script.Slack), int64(t.script.Transit)
-	terms.Grace, terms.ListDelay = int64(t.script.Grace), int64(listDelay)
+	terms.DrainGrace, terms.ListDelay = int64(t.script.DrainGrace), int64(listDelay)
 	if f := t.fleet; f != nil { // a gateway that is cut off learns of a drain by its lease's end, or its floor's
-		terms.ListDelay = f.stated() + int64(f.plan.Floor) + int64(listDelay)
+		terms.ListDelay = f.stated() + int64(f.plan.Fallback) + int64(listDelay)
 	}
 	plans := map[int64]string{}
 	for _, v := range t.conf.Volumes {
 		plans[v.ID] = v.ServiceLevel
 	}
 	for id, c := range t.conf.VolumeLimits {
-		limit := audit.Limit(c)
+		limit := audit.VolumeLimit(c)
 		for _, change := range t.script.Fleet.Changes { // gateways act on limits by versions: the highest that there ever was is what is sure
-			if change.Plan == plans[id] {
-				limit.Rate = max(limit.Rate, change.Limit+float64(max(change.Race-1, 0)+change.rounds(t.script.Length)))
+			if change.ServiceLevel == plans[id] {
+				limit.Rate = max(limit.Rate, change.RateLimit+float64(max(change.Proposers-1, 0)+change.rounds(t.script.Length)))
 			}
 		}
-		terms.Limits[id] = limit
+		terms.VolumeLimits[id] = limit
 	}
 	return terms
 }
--- a/internal/day/script.go
+++ b/internal/day/script.go
@@ -92,58 +92,58 @@
 
 // NodePlan is a stand-in node of a script.
 type NodePlan struct {
-	Name   string
-	Shard  int
-	Zone   string
-	Cores  int
-	Unit   Span
-	Queue  int
-	PutOff float64
+	Name               string
+	Shard              int
+	Zone               string
+	Cores              int
+	UnitTime           Span
+	Queue              int
+	DeferredWriteShare float64
 }
 
 // ClientPlan is a group of clients that do the same.
 type ClientPlan struct {
-	Name    string
-	Count   int
-	Volume  string
-	Do      string  // read, write (in place), create, look; disk-read or disk-write of a volume's disk
-	Rate    float64 // requests a second of each
-	Bytes   int     // of a request
-	Files   int     // of each client
-	Blocks  int     // requests that fill a file
-	Retries int     // further tries after an answer that is not what was asked for
-	Pause   Span    // before such a try, if the answer gives no time
-	Leaves  Span    // closes its connection with what is out when a request takes longer; 0: never
-	Gateway string  // that they use; empty: spread over all
-	From    Span    // of the day, when they begin
-	Until   Span    // and when they end; 0: at the day's end
+	Name        string
+	Count       int
+	Volume      string
+	Operation   string  // read, write (in place), create, look; disk-read or disk-write of a volume's disk
+	Rate        float64 // requests a second of each
+	Bytes       int     // of a request
+	Files       int     // of each client
+	Blocks      int     // requests that fill a file
+	Retries     int     // further tries after an answer that is not what was asked for
+	RetryDelay  Span    // before such a try, if the answer gives no time
+	CancelAfter Span    // closes its connection with what is out when a request takes longer; 0: never
+	Gateway     string  // that they use; empty: spread over all
+	From        Span    // of the day, when they begin
+	Until       Span    // and when they end; 0: at the day's end
 }
 
-// TroublePlan is something that happens at a time.
-type TroublePlan struct {
-	At, For Span
-	Keeper  string   // or all
-	Between []string // two sides: names of keepers and gateways, with commas between
-	Node    string
-	Gateway string
-	Plane   string // a command to the management server, where gateways have their list from one
-	Do      string
+// FaultPlan is something that happens at a time.
+type FaultPlan struct {
+	At, For          Span
+	Replica          string   // or all
+	Between          []string // two sides: names of keepers and gateways, with commas between
+	Node             string
+	Gateway          string
+	ManagementServer string // a command to the management server, where gateways have their list from one
+	Action           string
 }
 
 // Script is a day.
 type Script struct {
-	Seed     uint64
-	Length   Span
-	Config   string // the gateways' configuration
-	Gateways int
-	Shards   int  // in place of the configuration's; 0: as it has them
-	Grace    Span // of drains
-	Slack    Span // after a client's limit during which an answer counts
-	Transit  Span // longest way of an execution from a gateway to a node
-	Fleet    FleetPlan
-	Nodes    []NodePlan
-	Clients  []ClientPlan
-	Troubles []TroublePlan
+	Seed       uint64
+	Length     Span
+	Config     string // the gateways' configuration
+	Gateways   int
+	Shards     int  // in place of the configuration's; 0: as it has them
+	DrainGrace Span // of drains
+	Slack      Span // after a client's limit during which an answer counts
+	Transit    Span // longest way of an execution from a gateway to a node
+	Fleet      FleetPlan
+	Nodes      []NodePlan
+	Clients    []ClientPlan
+	Faults     []FaultPlan
 }
 
 // Load reads a script.
@@ -185,11 +185,11 @@
 		return d
 	}
 	s := &Script{Seed: form.Seed, Transit: span(top, "transit", form.Transit, 50*time.Millisecond), Length: span(top, "length", form.Length, 0), Config: form.Config, Gateways: form.Gateways, Shards: form.Shards,
-		Grace: span(top, "grace", form.Grace, 2*time.Second), Slack: span(top, "slack", form.Slack, 250*time.Millisecond)}
+		DrainGrace: span(top, "grace", form.Grace, 2*time.Second), Slack: span(top, "slack", form.Slack, 250*time.Millisecond)}
 	if s.Gateways < 1 || s.Gateways > 64 || s.Length <= 0 || s.Length > time.Hour {
 		refuse(top, "a day has 1 to 64 gateways and lasts up to an hour")
 	}
-	s.Fleet = FleetPlan{Keepers: form.Keepers, Lease: span(top, "lease", form.Lease, time.Second), Drift: form.Drift, Floor: span(top, "floor", form.Floor, 0),
+	s.Fleet = FleetPlan{Replicas: form.Keepers, LeaseDuration: span(top, "lease", form.Lease, time.Second), MaxClockDrift: form.Drift, Fallback: span(top, "floor", form.Floor, 0),
 		Peers: form.Peers}
 	if form.Peers && (form.Keepers == 0 || s.Gateways > 16) {
 		refuse(top, "peers = true: a day with keepers and up to 16 gateways, as each pair has a link")
@@ -268,7 +268,7 @@
 			"die", "replace"}, word):
 			refuse(t.Range, "do = %q: no such trouble", t.Do)
 		}
-		s.Troubles = append(s.Troubles, TroublePlan{span(t.Range, "at", t.At, 0), span(t.Range, "for", t.For, 0), t.Keeper, t.Between,
+		s.Faults = append(s.Faults, FaultPlan{span(t.Range, "at", t.At, 0), span(t.Range, "for", t.For, 0), t.Keeper, t.Between,
 			t.Node, t.Gateway, t.Plane, t.Do})
 	}
 	if len(problems) > 0 {
--- a/internal/day/town.go
+++ b/internal/day/town.go
@@ -39,7 +39,7 @@
 			return err
 		}
 	}
-	switch t.opt.List {
+	switch t.opt.EndpointSource {
 	case "", "own":
 	case "delta", "whole":
 		plane, err := xdsstandin.Start("127.0.0.1:0", 2)
@@ -48,9 +48,9 @@
 		}
 		t.plane = plane
 	default:
-		return fmt.Errorf("a list comes from own, delta or whole, not %q", t.opt.List)
+		return fmt.Errorf("a list comes from own, delta or whole, not %q", t.opt.EndpointSource)
 	}
-	if t.script.Fleet.Keepers > 0 {
+	if t.script.Fleet.Replicas > 0 {
 		if err := t.openFleet(); err != nil {
 			return err
 		}
@@ -92,10 +92,10 @@
 func (t *town) startNode(p *place, cold bool) error {
 	terms := t.terms()
 	n, err := standin.Start(standin.Options{Addr: "127.0.0.1:0", Zone: p.plan.Zone, Shard: p.plan.Shard, Store: p.store,
-		Cores: p.plan.Cores, Unit: p.plan.Unit, Queue: p.plan.Queue, PutOff: p.plan.PutOff,
-		Marks: time.Duration(terms.Window) * 2, Cold: cold, ColdFrom: terms.ColdFrom, ColdTime: time.Duration(terms.ColdTime),
-		Multiple: terms.ColdMultiple, Window: time.Duration(terms.ColdWindow), Bears: terms.ColdUnits, Seed: t.script.Seed,
-		Record: t.record})
+		Cores: p.plan.Cores, UnitTime: p.plan.UnitTime, Queue: p.plan.Queue, DeferredWriteShare: p.plan.DeferredWriteShare,
+		DedupWindow: time.Duration(terms.DedupWindow) * 2, SlowStart: cold, SlowStartFrom: terms.SlowStartFrom, SlowStartTime: time.Duration(terms.SlowStartTime),
+		SlowStartMultiple: terms.SlowStartMultiple, SlowStartWindow: time.Duration(terms.SlowStartWindow), SlowStartFreeUnits: terms.SlowStartFreeUnits, Seed: t.script.Seed,
+		Recorder: t.record})
 	if err != nil {
 		return err
 	}
@@ -104,7 +104,7 @@
 	p.node = n
 	entry := endpoint.Node{Addr: n.Addr(), Zone: p.plan.Zone, Shard: p.plan.Shard}
 	if cold {
-		entry.StartedAt = n.Born().UnixNano()
+		entry.StartedAt = n.StartedAt().UnixNano()
 	}
 	p.listed = append(p.listed, entry)
 	return nil
@@ -123,7 +123,7 @@
 		return nil
 	}
 	if t.plane != nil {
-		t.plane.Set(func([]endpoint.Node) []endpoint.Node { return slices.Clone(l.Nodes) })
+		t.plane.UpdateNodes(func([]endpoint.Node) []endpoint.Node { return slices.Clone(l.Nodes) })
 	} else if err := renameio.WriteFile(filepath.Join(t.dir, "nodes.hcl"), endpoint.FormatList(l), 0o644); err != nil {
 		return err
 	}
@@ -141,7 +141,7 @@
 	}
 	t.lock.Unlock()
 	if err := t.list(); err != nil {
-		t.opt.Note("the list cannot be written: %v", err)
+		t.opt.Logf("the list cannot be written: %v", err)
 	}
 }
 
@@ -160,7 +160,7 @@
 	text := head + fmt.Sprintf("gateway %q", h.name) + rest
 	text = strings.Replace(text, fmt.Sprintf("%q", t.conf.Sources[0].File), fmt.Sprintf("%q", filepath.Join(t.dir, "nodes.hcl")), 1)
 	if t.plane != nil {
-		text = nodesLine.ReplaceAllString(text, "") + fmt.Sprintf("\nsource \"xds\" \"plane\" {\n  address = %q\n  form = %q\n}\n", t.plane.Addr(), t.opt.List)
+		text = nodesLine.ReplaceAllString(text, "") + fmt.Sprintf("\nsource \"xds\" \"plane\" {\n  address = %q\n  form = %q\n}\n", t.plane.Addr(), t.opt.EndpointSource)
 	}
 	if t.fleet != nil {
 		text = t.fleet.configure(h, text)
@@ -183,7 +183,7 @@
 		if err != nil {
 			return err
 		}
-		g, err := serve.Start(c, t.dir, slog.New(slog.NewTextHandler(t.opt.Log, nil)))
+		g, err := serve.Start(c, t.dir, slog.New(slog.NewTextHandler(t.opt.GatewayLog, nil)))
 		if err != nil {
 			return err
 		}
@@ -211,7 +211,7 @@
 // launch starts a gateway's process, and waits until it says where it serves.
 func (t *town) launch(h *host) error {
 	cmd := exec.Command(t.opt.Program, "serve", "--config", h.file)
-	cmd.Stderr = t.opt.Log
+	cmd.Stderr = t.opt.GatewayLog
 	out, err := cmd.StdoutPipe()
 	if err != nil {
 		return err
--- a/internal/day/troubles.go
+++ b/internal/day/troubles.go
@@ -20,7 +20,7 @@
 // troubles lets the day go by with what happens in it.
 func (t *town) troubles(ctx context.Context) {
 	acts := []act{{t.script.Length, func() {}}}
-	for _, trouble := range t.script.Troubles {
+	for _, trouble := range t.script.Faults {
 		acts = append(acts, t.acts(trouble)...)
 	}
 	for _, c := range t.script.Fleet.Changes {
@@ -44,19 +44,19 @@
 }
 
 // acts are the steps of a trouble.
-func (t *town) acts(tr TroublePlan) []act {
+func (t *town) acts(tr FaultPlan) []act {
 	end := tr.At + tr.For
-	if tr.Keeper != "" || len(tr.Between) > 0 || tr.Do == "stop" {
+	if tr.Replica != "" || len(tr.Between) > 0 || tr.Action == "stop" {
 		return t.fleet.acts(tr)
 	}
-	if tr.Plane != "" {
+	if tr.ManagementServer != "" {
 		return []act{{tr.At, func() {
 			if t.plane == nil {
 				return // a file has none of its troubles
 			}
-			t.opt.Note("management server: %s", tr.Plane)
-			if err := t.plane.Command(tr.Plane); err != nil {
-				t.opt.Note("management server: %v", err)
+			t.opt.Logf("management server: %s", tr.ManagementServer)
+			if err := t.plane.Command(tr.ManagementServer); err != nil {
+				t.opt.Logf("management server: %v", err)
 			}
 		}}}
 	}
@@ -70,12 +70,12 @@
 		return p.node
 	}
 	var old *standin.Node
-	switch tr.Do {
+	switch tr.Action {
 	case "die": // the list notices; a cold one comes at the end
 		return []act{
 			{tr.At, func() {
 				old = now()
-				t.opt.Note("%s dies", tr.Node)
+				t.opt.Logf("%s dies", tr.Node)
 				old.Close()
 			}},
 			{tr.At + noticed, func() { t.stand(p, old.Addr(), endpoint.Removed) }},
@@ -85,9 +85,9 @@
 		return []act{
 			{tr.At, func() {
 				old = now()
-				t.opt.Note("%s starts anew, cold", tr.Node)
+				t.opt.Logf("%s starts anew, cold", tr.Node)
 				if err := t.startNode(p, true); err != nil {
-					t.opt.Note("%s does not start: %v", tr.Node, err)
+					t.opt.Logf("%s does not start: %v", tr.Node, err)
 					return
 				}
 				t.stand(p, old.Addr(), endpoint.Draining) // the list has both at once
@@ -98,13 +98,13 @@
 	}
 	command := func(text string) func() {
 		return func() {
-			t.opt.Note("%s: %s", tr.Node, text)
+			t.opt.Logf("%s: %s", tr.Node, text)
 			if err := now().Command(text); err != nil {
-				t.opt.Note("%s: %v", tr.Node, err)
+				t.opt.Logf("%s: %v", tr.Node, err)
 			}
 		}
 	}
-	acts := []act{{tr.At, command(tr.Do)}}
+	acts := []act{{tr.At, command(tr.Action)}}
 	if tr.For > 0 {
 		acts = append(acts, act{end, command("well")})
 	}
@@ -113,33 +113,33 @@
 
 // fresh starts a cold node in a place and lists it.
 func (t *town) fresh(name string, p *place) {
-	t.opt.Note("%s starts anew, cold", name)
+	t.opt.Logf("%s starts anew, cold", name)
 	if err := t.startNode(p, true); err != nil {
-		t.opt.Note("%s does not start: %v", name, err)
+		t.opt.Logf("%s does not start: %v", name, err)
 		return
 	}
 	if err := t.list(); err != nil {
-		t.opt.Note("the list cannot be written: %v", err)
+		t.opt.Logf("the list cannot be written: %v", err)
 	}
 }
 
 // kill kills a gateway outright, and starts it again at the end.
-func (t *town) kill(tr TroublePlan, end Span) []act {
+func (t *town) kill(tr FaultPlan, end Span) []act {
 	i := slices.IndexFunc(t.hosts, func(h *host) bool { return h.name == tr.Gateway })
 	h := t.hosts[i]
 	return []act{
 		{tr.At, func() {
-			t.opt.Note("%s is killed", h.name)
-			t.record.Add(audit.Event{What: audit.Killed, Gateway: h.name})
+			t.opt.Logf("%s is killed", h.name)
+			t.record.Add(audit.Event{Type: audit.GatewayKilled, Gateway: h.name})
 			h.stop()
 			if t.fleet != nil {
 				t.fleet.ended(h)
 			}
 		}},
 		{end, func() {
-			t.opt.Note("%s starts again", h.name)
+			t.opt.Logf("%s starts again", h.name)
 			if err := t.startGateway(h); err != nil {
-				t.opt.Note("%s does not start: %v", h.name, err)
+				t.opt.Logf("%s does not start: %v", h.name, err)
 			}
 		}},
 	}
--- a/internal/endpoint/discovery/discovery_test.go
+++ b/internal/endpoint/discovery/discovery_test.go
@@ -24,7 +24,7 @@
 // TestPartsAndWholes tells one table of each change and another of the whole list: who applies them knows the same nodes, by address,
 // though ids and addresses come and go.
 func TestPartsAndWholes(t *testing.T) {
-	testkit.SameSeeds(t)
+	testkit.FixSeeds(t)
 	rapid.Check(t, func(t *rapid.T) {
 		var parts, wholes discovery.Table
 		truth := map[string]discovery.Target{}
--- a/internal/endpoint/xds/bench_test.go
+++ b/internal/endpoint/xds/bench_test.go
@@ -95,7 +95,7 @@
 			b.ResetTimer()
 			for i := range b.N {
 				weight := float64(i + 1)
-				s.Set(func(list []endpoint.Node) []endpoint.Node { list[0].Weight = weight; return list })
+				s.UpdateNodes(func(list []endpoint.Node) []endpoint.Node { list[0].Weight = weight; return list })
 				for _, e := range ears {
 					e.until(b, "a change", func(e *recorder) bool {
 						for _, n := range e.list.Nodes {
--- a/internal/endpoint/xds/client_test.go
+++ b/internal/endpoint/xds/client_test.go
@@ -154,7 +154,7 @@
 			for i, kind := range []string{"endpoints", "clusters"} {
 				do(t, s, "broken "+kind)
 				e.until(t, "a refusal", func(e *recorder) bool { return len(e.refused) > i })
-				if err := s.Until(farOff, func(list []xdsstandin.Answer) bool {
+				if err := s.WaitForAcks(farOff, func(list []xdsstandin.Ack) bool {
 					last := list[len(list)-1]
 					return last.Refusal != "" && strings.Contains(last.Refusal, map[string]string{"endpoints": "which shard", "clusters": "eds_cluster_config"}[kind])
 				}); err != nil {
@@ -216,12 +216,12 @@
 // Signs of life keep resources; without them they go.
 func TestSignsOfLife(t *testing.T) {
 	bothForms(t, 1, func(t *testing.T, s *xdsstandin.Server, e *recorder) {
-		s.Live(xds.EndpointType, time.Hour)
+		s.SetTTL(xds.EndpointType, time.Hour)
 		before := e.lists
-		s.Beat(xds.EndpointType)
+		s.SendHeartbeats(xds.EndpointType)
 		e.until(t, "a beat", func(e *recorder) bool { return e.lists > before })
 		e.has(t, "1000 1001 2000 3000")
-		s.Live(xds.EndpointType, 50*time.Millisecond)
+		s.SetTTL(xds.EndpointType, 50*time.Millisecond)
 		e.has(t, "")
 	})
 }
@@ -239,9 +239,9 @@
 	c := xds.NewClient(xds.Options{Address: s.Addr(), NodeID: "g", MinBackoff: time.Millisecond, MaxBackoff: time.Millisecond, MaxMessageBytes: 2000, Log: quiet})
 	go c.Run(ctx, e)
 	e.has(t, "1000")
-	s.Set(func([]endpoint.Node) []endpoint.Node { return nodes(strings.Fields(strings.Repeat("2000 ", 1))...) })
+	s.UpdateNodes(func([]endpoint.Node) []endpoint.Node { return nodes(strings.Fields(strings.Repeat("2000 ", 1))...) })
 	e.has(t, "2000")
-	s.Set(func(list []endpoint.Node) []endpoint.Node {
+	s.UpdateNodes(func(list []endpoint.Node) []endpoint.Node {
 		for i := range 100 {
 			list = append(list, nodes(fmt.Sprint(3000+i))...)
 		}
--- a/internal/frontend/web/front_test.go
+++ b/internal/frontend/web/front_test.go
@@ -386,7 +386,7 @@
 func TestAnyClients(t *testing.T) {
 	w := start(t, limits())
 	count := 0
-	testkit.SameSeeds(t)
+	testkit.FixSeeds(t)
 	rapid.Check(t, func(r *rapid.T) {
 		var wait sync.WaitGroup
 		for range rapid.IntRange(1, 8).Draw(r, "clients") {
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -145,7 +145,7 @@
 
 // TestWhatIsWrittenIsRead has any request and answer come back as it was, however the bytes are cut.
 func TestWhatIsWrittenIsRead(t *testing.T) {
-	testkit.SameSeeds(t)
+	testkit.FixSeeds(t)
 	rapid.Check(t, func(t *rapid.T) {
 		body := rapid.SliceOfN(rapid.Byte(), 0, 300).Draw(t, "body")
 		target := "/" + rapid.StringMatching(`[a-z0-9?=&%]{0,40}`).Draw(t, "target")
@@ -174,7 +174,7 @@
 func TestAnyBytes(t *testing.T) {
 	pieces := []string{"GET / HTTP/1.1\r\n", "HTTP/1.1 200 OK\r\n", "Host: a\r\n", "Content-Length: 5\r\n", "Content-Length: 3000000000\r\n",
 		"Transfer-Encoding: chunked\r\n", "\r\n", "5\r\n", "abcde", "0\r\n", "\n", "\x00", ":", " ", "HTTP/1.1 100 C\r\n\r\n", "Connection: close\r\n"}
-	testkit.SameSeeds(t)
+	testkit.FixSeeds(t)
 	rapid.Check(t, func(t *rapid.T) {
 		text := strings.Join(rapid.SliceOfN(rapid.SampledFrom(pieces), 0, 30).Draw(t, "pieces"), "")
 		b := http1.DefaultLimits
--- a/internal/relive/relive.go
+++ b/internal/relive/relive.go
@@ -28,18 +28,23 @@
 
 // Script is what a capture says happened, as far as it can be played.
 type Script struct {
-	Gateway string
-	Seed    uint64
-	Terms   scheduler.Settings
-	From    scheduler.Time // the module's start
-	acts    []act
-	nodes   map[string]*behaviour
-	Was     map[string]*Shape // by product
+	Gateway   string
+	Seed      uint64
+	Settings  scheduler.Settings
+	StartedAt scheduler.Time // the module's start
+	acts      []act
+	nodes     map[string]*behaviour
+	Captured  map[string]*ClassOutcome // by product
 }
 
-// Shape is how a product's jobs fared.
-type Shape struct {
-	Jobs, InGoal, Late, Dismissed, WrittenOff, Left int
+// ClassOutcome is how a product's jobs fared.
+type ClassOutcome struct {
+	Requests        int `json:"Jobs"`
+	WithinObjective int `json:"InGoal"`
+	Late            int `json:"Late"`
+	Rejected        int `json:"Dismissed"`
+	Failed          int `json:"WrittenOff"`
+	ClientCancelled int `json:"Left"`
 }
 
 // act is something from outside that happens at a time after the start.
@@ -68,7 +73,7 @@
 // Read makes a script of a capture. One that is cut off is played as far as it goes; one with a gap, or that begins with a
 // state, is not: what was before it is not known.
 func Read(next func() (*capture.Record, error)) (*Script, error) {
-	s := &Script{nodes: map[string]*behaviour{}, Was: map[string]*Shape{}}
+	s := &Script{nodes: map[string]*behaviour{}, Captured: map[string]*ClassOutcome{}}
 	type execution struct {
 		job    string
 		number int
@@ -82,15 +87,15 @@
 		if err != nil {
 			return nil, err
 		}
-		at := r.At - s.From
+		at := r.At - s.StartedAt
 		switch r.Kind {
 		case capture.Header:
 			s.Gateway = r.Name
 		case capture.Start:
-			if s.Terms != nil {
+			if s.Settings != nil {
 				return s, s.check() // a second life: the first is what is played
 			}
-			s.From, s.Seed, s.Terms = r.At, r.Seed, r.Terms
+			s.StartedAt, s.Seed, s.Settings = r.At, r.Seed, r.Terms
 			for i := range count(r.Terms, "products.count") {
 				goals[r.Terms[item(i, "name")]] = scheduler.Time(float(r.Terms, item(i, "goal")) * 1e6)
 			}
@@ -104,18 +109,18 @@
 		case capture.Take:
 			s.acts = append(s.acts, act{at: at, take: r})
 			taken[r.Job] = r
-			s.shape(r.Product).Jobs++
+			s.shape(r.Product).Requests++
 		case capture.Left:
 			s.acts = append(s.acts, act{at: at, left: r.Job})
 			if t := taken[r.Job]; t != nil {
-				s.shape(t.Product).Left++
+				s.shape(t.Product).ClientCancelled++
 				delete(taken, r.Job)
 			}
 		case capture.Ended:
 			s.outcome(r, at, sent[execution{r.Job, r.Number}], taken[r.Job])
 			if t := taken[r.Job]; t != nil && r.Final && r.Outcome == scheduler.OutcomeServed {
 				if r.At-t.At <= goals[t.Product] {
-					s.shape(t.Product).InGoal++
+					s.shape(t.Product).WithinObjective++
 				} else {
 					s.shape(t.Product).Late++
 				}
@@ -126,9 +131,9 @@
 			}
 			for _, a := range r.Decision.Ended {
 				if t := taken[a.Job]; t != nil && a.State == scheduler.RequestRejected {
-					s.shape(t.Product).Dismissed++
+					s.shape(t.Product).Rejected++
 				} else if t != nil {
-					s.shape(t.Product).WrittenOff++
+					s.shape(t.Product).Failed++
 				}
 			}
 		}
@@ -137,17 +142,17 @@
 }
 
 func (s *Script) check() error {
-	if s.Terms == nil || len(s.acts) == 0 {
+	if s.Settings == nil || len(s.acts) == 0 {
 		return errors.New("the capture holds no start and no arrivals to play")
 	}
 	return nil
 }
 
-func (s *Script) shape(product string) *Shape {
-	p := s.Was[product]
+func (s *Script) shape(product string) *ClassOutcome {
+	p := s.Captured[product]
 	if p == nil {
-		p = &Shape{}
-		s.Was[product] = p
+		p = &ClassOutcome{}
+		s.Captured[product] = p
 	}
 	return p
 }
@@ -213,23 +218,23 @@
 
 // Report is what came of it.
 type Report struct {
-	Was   map[string]*Shape `json:"was"`
-	Is    map[string]*Shape `json:"is"`
-	Rules []audit.Rule      `json:"rules"`
-	Lost  int               `json:"lost"`
-	Twice int               `json:"answered_twice"`
+	Captured      map[string]*ClassOutcome `json:"was"`
+	Replayed      map[string]*ClassOutcome `json:"is"`
+	Rules         []audit.RuleResult       `json:"rules"`
+	Lost          int                      `json:"lost"`
+	AnsweredTwice int                      `json:"answered_twice"`
 }
 
-// Good tells whether no rule was broken and something was checked.
-func (r *Report) Good() bool {
+// Passed tells whether no rule was broken and something was checked.
+func (r *Report) Passed() bool {
 	checked := false
 	for _, rule := range r.Rules {
-		if rule.Broken > 0 {
+		if rule.Violations > 0 {
 			return false
 		}
 		checked = checked || rule.Checked > 0
 	}
-	return checked && r.Lost == 0 && r.Twice == 0
+	return checked && r.Lost == 0 && r.AnsweredTwice == 0
 }
 
 // play is a script on its way.
@@ -237,7 +242,7 @@
 	script *Script
 	opt    Options
 	clock  gateway.Clock
-	record *audit.Record
+	record *audit.Recorder
 	loop   *gateway.Loop
 	store  map[int]*standin.Store
 	nodes  map[string]*standin.Node // by captured address
@@ -263,19 +268,19 @@
 		opt.Log = slog.New(slog.NewTextHandler(io.Discard, nil))
 	}
 	clock := gateway.NewClock()
-	p := &play{script: s, opt: opt, clock: clock, record: &audit.Record{Clock: clock.Now}, store: map[int]*standin.Store{},
+	p := &play{script: s, opt: opt, clock: clock, record: &audit.Recorder{Clock: clock.Now}, store: map[int]*standin.Store{},
 		nodes: map[string]*standin.Node{}, lists: map[string]endpoint.Node{}, vols: map[int64]*gateway.Volume{}, kinds: map[string]uint8{}, inTurn: map[string]bool{},
-		goals: map[string]scheduler.Time{}, jobs: map[string]*gateway.Session{}, report: &Report{Was: s.Was, Is: map[string]*Shape{}}}
+		goals: map[string]scheduler.Time{}, jobs: map[string]*gateway.Session{}, report: &Report{Captured: s.Captured, Replayed: map[string]*ClassOutcome{}}}
 	defer p.close()
 	words := map[string]uint8{"referenced": 1, "single-use": 2}
-	for i := range count(s.Terms, "products.count") {
-		name := s.Terms[item(i, "name")]
-		p.kinds[name] = words[s.Terms[item(i, "kind")]]
-		p.inTurn[name] = s.Terms[item(i, "in_turn")] == "true" || s.Terms[item(i, "in_turn")] == "1"
-		p.goals[name] = scheduler.Time(float(s.Terms, item(i, "goal")) * 1e6)
+	for i := range count(s.Settings, "products.count") {
+		name := s.Settings[item(i, "name")]
+		p.kinds[name] = words[s.Settings[item(i, "kind")]]
+		p.inTurn[name] = s.Settings[item(i, "in_turn")] == "true" || s.Settings[item(i, "in_turn")] == "1"
+		p.goals[name] = scheduler.Time(float(s.Settings, item(i, "goal")) * 1e6)
 	}
 	terms := scheduler.Settings{}
-	for name, v := range s.Terms {
+	for name, v := range s.Settings {
 		terms[name] = v
 	}
 	terms["discovery"] = "told" // lists come at their captured times, whoever asked for them
@@ -287,13 +292,13 @@
 		return nil, err
 	}
 	p.over.Wait()
-	p.record.Add(audit.Event{What: audit.Listed, Word: "ready", At: clock.Now() + int64(time.Minute)}) // past all limits
-	rules := audit.TermsOf(s.Terms)
+	p.record.Add(audit.Event{Type: audit.NodeListed, State: "ready", At: clock.Now() + int64(time.Minute)}) // past all limits
+	rules := audit.ParametersFromSettings(s.Settings)
 	rules.Slack, rules.Transit = int64(opt.Slack), int64(opt.Slack)
-	rules.Grace, rules.ListDelay = int64(float(s.Terms, "drain.grace")*1e6), int64(opt.Slack)
+	rules.DrainGrace, rules.ListDelay = int64(float(s.Settings, "drain.grace")*1e6), int64(opt.Slack)
 	events := p.record.Events()
-	sum := audit.Summarise(events)
-	p.report.Rules, p.report.Lost, p.report.Twice = audit.Check(events, rules), sum.Lost, sum.Twice
+	sum := audit.Summarize(events)
+	p.report.Rules, p.report.Lost, p.report.AnsweredTwice = audit.Check(events, rules), sum.Lost, sum.AnsweredTwice
 	return p.report, nil
 }
 
@@ -349,7 +354,7 @@
 		delete(p.jobs, a.left)
 		p.lock.Unlock()
 		if s != nil { // else it has its answer here already
-			p.record.Add(audit.Event{What: audit.ClientGo, Session: s.Name, Word: "closed"})
+			p.record.Add(audit.Event{Type: audit.ClientDisconnected, Session: s.Name, State: "closed"})
 			p.loop.CloseSession(s)
 		}
 	}
@@ -378,13 +383,13 @@
 	for _, addr := range sorted(p.lists) {
 		n := p.lists[addr]
 		n.Addr = p.nodes[addr].Addr()
-		if n.StartedAt > p.script.From { // on this run's clock
-			n.StartedAt = p.nodes[addr].Born().UnixNano()
+		if n.StartedAt > p.script.StartedAt { // on this run's clock
+			n.StartedAt = p.nodes[addr].StartedAt().UnixNano()
 		} else {
 			n.StartedAt = 0
 		}
 		l.Nodes = append(l.Nodes, n)
-		p.record.Add(audit.Event{What: audit.Listed, Node: n.Addr, Word: words[n.Health]})
+		p.record.Add(audit.Event{Type: audit.NodeListed, Node: n.Addr, State: words[n.Health]})
 	}
 	p.loop.UpdateEndpoints(l)
 	return nil
@@ -413,7 +418,7 @@
 		old.Close()
 	}
 	stand, err := standin.Start(standin.Options{Addr: "127.0.0.1:0", Zone: n.Zone, Shard: n.Shard, Store: p.store[n.Shard], Cores: 64,
-		Unit: usual, Queue: 4096, Marks: time.Minute, Seed: p.script.Seed, Record: p.record})
+		UnitTime: usual, Queue: 4096, DedupWindow: time.Minute, Seed: p.script.Seed, Recorder: p.record})
 	if err == nil {
 		p.nodes[n.Addr] = stand
 	}
@@ -434,7 +439,7 @@
 	p.lock.Unlock()
 	now := p.loop.Now()
 	goal, stop := now+p.goals[r.Product], now+r.StopBy-r.At
-	p.record.Add(audit.Event{At: now, What: audit.Asked, Session: s.Name, ID: 1, Product: r.Product, Goal: goal, Limit: stop})
+	p.record.Add(audit.Event{At: now, Type: audit.RequestSent, Session: s.Name, ClientRequest: 1, RequestClass: r.Product, ObjectiveBy: goal, Deadline: stop})
 	call := node.Call{Op: node.GetObject, Name: "none", Shard: r.Shard}
 	if r.Write {
 		call = node.Call{Op: node.PutObject, Name: r.Job, Shard: r.Shard, Data: []byte("x")}
@@ -449,29 +454,29 @@
 		p.lock.Lock()
 		defer p.lock.Unlock()
 		delete(p.jobs, r.Job)
-		shape := p.report.Is[r.Product]
+		shape := p.report.Replayed[r.Product]
 		if shape == nil {
-			shape = &Shape{}
-			p.report.Is[r.Product] = shape
+			shape = &ClassOutcome{}
+			p.report.Replayed[r.Product] = shape
 		}
-		shape.Jobs++
-		told := audit.Event{At: at, What: audit.Told, Session: s.Name, ID: 1}
+		shape.Requests++
+		told := audit.Event{At: at, Type: audit.ResponseReceived, Session: s.Name, ClientRequest: 1}
 		switch result.State {
 		case scheduler.RequestSucceeded:
 			if at <= goal {
-				shape.InGoal++
+				shape.WithinObjective++
 			} else {
 				shape.Late++
 			}
 		case scheduler.RequestRejected:
-			told.Answer = audit.Dismissed
-			shape.Dismissed++
+			told.Outcome = audit.Rejected
+			shape.Rejected++
 		case scheduler.RequestClientCancelled:
-			shape.Left++
+			shape.ClientCancelled++
 			return
 		default:
-			told.Answer = audit.WrittenOff
-			shape.WrittenOff++
+			told.Outcome = audit.Failed
+			shape.Failed++
 		}
 		p.record.Add(told)
 	}()
--- a/internal/relive/relive_test.go
+++ b/internal/relive/relive_test.go
@@ -39,12 +39,12 @@
 				t.Fatal(err)
 			}
 			r, err := Play(context.Background(), s, Options{Speed: 2, Slack: 5 * time.Second})
-			if err != nil || !r.Good() {
+			if err != nil || !r.Passed() {
 				t.Fatalf("%+v, %v", r, err)
 			}
-			for product, was := range r.Was {
-				is := r.Is[product]
-				if is == nil || is.Jobs != was.Jobs || is.InGoal+is.Late+is.Dismissed+is.WrittenOff+is.Left != is.Jobs {
+			for product, was := range r.Captured {
+				is := r.Replayed[product]
+				if is == nil || is.Requests != was.Requests || is.WithinObjective+is.Late+is.Rejected+is.Failed+is.ClientCancelled != is.Requests {
 					t.Errorf("%s: %+v were, %+v are", product, was, is)
 				}
 			}
--- a/internal/serve/admin_test.go
+++ b/internal/serve/admin_test.go
@@ -44,7 +44,7 @@
 	dir := t.TempDir()
 	socket := filepath.Join(dir, "admin.sock")
 	conf := strings.Replace(testkit.Conf, "gateways = 2\n", "gateways = 2\n  admin = \""+socket+"\"\n", 1)
-	w := testkit.Start(t, conf, 2, 1, func(o *standin.Options) { o.Unit = 100 * time.Microsecond })
+	w := testkit.Start(t, conf, 2, 1, func(o *standin.Options) { o.UnitTime = 100 * time.Microsecond })
 	w.Nodes[0].Command("fail 0.3")
 	stop := make(chan struct{})
 	var all sync.WaitGroup
--- a/internal/serve/disk_test.go
+++ b/internal/serve/disk_test.go
@@ -53,11 +53,11 @@
 }
 `
 
-func diskTown(t testing.TB, shards, gateways int, change func(*standin.Options)) *testkit.Town {
+func diskTown(t testing.TB, shards, gateways int, change func(*standin.Options)) *testkit.Testbed {
 	return testkit.Start(t, testkit.Conf+disks, shards, gateways, change)
 }
 
-func dialDisk(t testing.TB, w *testkit.Town, gateway int, change func(*initiator.Options)) initiator.Options {
+func dialDisk(t testing.TB, w *testkit.Testbed, gateway int, change func(*initiator.Options)) initiator.Options {
 	o := initiator.Options{Address: w.Gateways[gateway].ISCSI.Addr(), Name: "iqn.2026-01.example:host", Target: iqn}
 	if change != nil {
 		change(&o)
@@ -304,7 +304,7 @@
 
 // Files and disks under failing, slow and resetting nodes, with sessions that break: what was confirmed is read back.
 func TestDiskUnderFaults(t *testing.T) {
-	w := diskTown(t, 3, 1, func(o *standin.Options) { o.Unit = 50 * time.Microsecond })
+	w := diskTown(t, 3, 1, func(o *standin.Options) { o.UnitTime = 50 * time.Microsecond })
 	var all sync.WaitGroup
 	for k := range 4 {
 		d := openDisk(t, dialDisk(t, w, 0, func(o *initiator.Options) { o.ISID[5] = byte(k); o.Digests = k%2 == 0 }), 0)
--- a/internal/serve/faults_test.go
+++ b/internal/serve/faults_test.go
@@ -25,7 +25,7 @@
 // A file that is written through one gateway is read back equal through another, while nodes fail, are slow, lose
 // answers and break connections.
 func TestEqualThroughAnotherGatewayWhileNodesFail(t *testing.T) {
-	w := testkit.Start(t, testkit.Conf, 3, 2, func(o *standin.Options) { o.Unit = 50 * time.Microsecond })
+	w := testkit.Start(t, testkit.Conf, 3, 2, func(o *standin.Options) { o.UnitTime = 50 * time.Microsecond })
 	a, b := w.Client(0), w.Client(1)
 	for i, trouble := range []string{"fail 0.3", "slow 10", "stall 50ms"} {
 		if err := w.Nodes[i].Command(trouble); err != nil {
@@ -38,11 +38,11 @@
 		go func() {
 			defer all.Done()
 			path, data := fmt.Sprintf("/meals/f%d", i), random(uint64(i), 50_000*(i+1))
-			testkit.Again(t, "put", func() error { return put(a, path, data) })
+			testkit.RetryUntilDone(t, "put", func() error { return put(a, path, data) })
 			if i == 3 {
 				w.Nodes[1].Command("reset")
 			}
-			testkit.Again(t, "get", func() error {
+			testkit.RetryUntilDone(t, "get", func() error {
 				got, err := get(b, path)
 				if err == nil && sha256.Sum256(got) != sha256.Sum256(data) {
 					t.Errorf("%s comes back otherwise", path)
@@ -163,7 +163,7 @@
 // Files are renamed by many at once, through two gateways, amid failures: none vanishes and none is there twice. One
 // whose move was cut off half way is brought to its end by whoever meets it.
 func TestRenamesLoseNothing(t *testing.T) {
-	w := testkit.Start(t, testkit.Conf, 3, 2, func(o *standin.Options) { o.Unit = 20 * time.Microsecond })
+	w := testkit.Start(t, testkit.Conf, 3, 2, func(o *standin.Options) { o.UnitTime = 20 * time.Microsecond })
 	clients := []func(string, string) error{w.Client(0).Rename, w.Client(1).Rename, w.Client(0).Rename}
 	const files, names = 4, 7
 	for i := range files {
@@ -217,11 +217,11 @@
 	var files [2]string // one whose record is at each shard
 	for i := 0; files[0] == "" || files[1] == ""; i++ {
 		path := fmt.Sprintf("/meals/f%d", i)
-		before := w.Nodes[0].Got()
+		before := w.Nodes[0].AttemptsReceived()
 		if err := put(c, path, nil); err != nil {
 			t.Fatal(err)
 		}
-		if w.Nodes[0].Got() > before {
+		if w.Nodes[0].AttemptsReceived() > before {
 			files[0] = path
 		} else {
 			files[1] = path
@@ -239,33 +239,33 @@
 	}
 	l := w.List()
 	l.Nodes[0].Health = endpoint.Draining
-	w.Tell(l)
+	w.UpdateEndpoints(l)
 	w.Nodes[0].Command("well")
 	c.Stat(files[1]) // the list was told before this
-	before := w.Nodes[0].Got()
+	before := w.Nodes[0].AttemptsReceived()
 	if _, err := c.Stat(files[0]); err == nil {
 		t.Error("a node that drains serves")
 	}
-	if n := w.Nodes[0].Got() - before; n != 0 {
+	if n := w.Nodes[0].AttemptsReceived() - before; n != 0 {
 		t.Errorf("a node that drains gets %d executions", n)
 	}
-	w.Tell(w.List())
-	testkit.Again(t, "stat", func() error { _, err := c.Stat(files[0]); return err })
+	w.UpdateEndpoints(w.List())
+	testkit.RetryUntilDone(t, "stat", func() error { _, err := c.Stat(files[0]); return err })
 }
 
 // A stop answers what is out, takes nothing new and says so; at its deadline the rest is written off.
 func TestStop(t *testing.T) {
 	for _, hang := range []bool{false, true} {
-		w := testkit.Start(t, testkit.Conf, 1, 1, func(o *standin.Options) { o.Unit = 20 * time.Millisecond })
+		w := testkit.Start(t, testkit.Conf, 1, 1, func(o *standin.Options) { o.UnitTime = 20 * time.Millisecond })
 		conn, g := dialRaw(t, w, 0), w.Gateways[0]
 		conn.hello()
 		handle := conn.open("/meals/f", sftp.FlagWrite|sftp.FlagCreate)
 		if hang {
 			w.Nodes[0].Command("hang")
 		}
-		got := w.Nodes[0].Got()
+		got := w.Nodes[0].AttemptsReceived()
 		conn.send(sftp.Write, func(p *sftp.Packet) { p.Text(handle).Uint64(0).Tail(make([]byte, 32<<10)) })
-		for w.Nodes[0].Got() == got {
+		for w.Nodes[0].AttemptsReceived() == got {
 			time.Sleep(time.Millisecond)
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), map[bool]time.Duration{false: time.Minute, true: 50 * time.Millisecond}[hang])
@@ -347,7 +347,7 @@
 
 // Writes and reads that overlap have the results that they would have one at a time, however many are out.
 func TestOverlappingRequestsKeepTheirOrder(t *testing.T) {
-	w := testkit.Start(t, testkit.Conf, 2, 1, func(o *standin.Options) { o.Unit = 100 * time.Microsecond })
+	w := testkit.Start(t, testkit.Conf, 2, 1, func(o *standin.Options) { o.UnitTime = 100 * time.Microsecond })
 	conn := dialRaw(t, w, 0)
 	conn.hello()
 	handle := conn.open("/meals/f", sftp.FlagRead|sftp.FlagWrite|sftp.FlagCreate)
@@ -394,11 +394,11 @@
 		t.Errorf("a handle too many: %v %q", code, text)
 	}
 	w.Nodes[0].Command("hang")
-	got := w.Nodes[0].Got()
+	got := w.Nodes[0].AttemptsReceived()
 	for range 5 {
 		conn.send(sftp.Stat, func(p *sftp.Packet) { p.Text("/meals/f0") })
 	}
-	for w.Nodes[0].Got() < got+2 {
+	for w.Nodes[0].AttemptsReceived() < got+2 {
 		time.Sleep(time.Millisecond)
 	}
 	f, _ := w.Gateways[0].Loop.Stats()
@@ -501,7 +501,7 @@
 	if n, _ := io.Copy(io.Discard, unread.raw); n > 200<<20 {
 		t.Errorf("%d bytes were kept for a client that does not read", n)
 	}
-	testkit.Again(t, "another's", func() error { _, err := w.Client(0).Stat("/meals/f"); return err })
+	testkit.RetryUntilDone(t, "another's", func() error { _, err := w.Client(0).Stat("/meals/f"); return err })
 }
 
 // Requests for the root of all volumes, which has no product, wait for each other as any others do.
@@ -536,7 +536,7 @@
 	id  uint32
 }
 
-func dialRaw(t *testing.T, w *testkit.Town, gateway int) *raw {
+func dialRaw(t *testing.T, w *testkit.Testbed, gateway int) *raw {
 	t.Helper()
 	c, err := net.Dial("tcp", w.Gateways[gateway].Frontend.Addr())
 	if err != nil {
--- a/internal/serve/follow_test.go
+++ b/internal/serve/follow_test.go
@@ -108,5 +108,5 @@
 		list, _ := filepath.Glob(filepath.Join(contents, "*"))
 		return len(list) == 1 && filepath.Base(list[0]) == r.Digest()+".rules"
 	})
-	testkit.Again(t, "it serves again", func() error { return sftp.Mkdir("/meals/year") })
+	testkit.RetryUntilDone(t, "it serves again", func() error { return sftp.Mkdir("/meals/year") })
 }
--- a/internal/serve/fronts_bench_test.go
+++ b/internal/serve/fronts_bench_test.go
@@ -88,7 +88,7 @@
 		t.Skip("a measurement: IRISPOST_MEASURE=1")
 	}
 	clock := gateway.NewClock()
-	record := &audit.Record{Clock: clock.Now}
+	record := &audit.Recorder{Clock: clock.Now}
 	conf := testkit.Conf + `
 volume "blocks" {
   id   = 2
@@ -118,7 +118,7 @@
 		plan = "rate = 1000\n  reserve = 400"
 	}
 	conf = strings.Replace(conf, "rate = 1000", plan, 1)
-	w := testkit.Start(t, conf, 1, 1, func(o *standin.Options) { o.Record, o.Unit, o.Cores = record, 2*time.Millisecond, 2 })
+	w := testkit.Start(t, conf, 1, 1, func(o *standin.Options) { o.Recorder, o.UnitTime, o.Cores = record, 2*time.Millisecond, 2 })
 	d := openDisk(t, dialDisk(t, w, 0, nil), 0)
 	if _, err := d.WriteAt(make([]byte, 1<<20), 0); err != nil {
 		t.Fatal(err)
@@ -169,10 +169,10 @@
 	}
 	units, got := map[int64]float64{}, map[number]audit.Event{}
 	for _, e := range record.Events() {
-		switch k := (number{e.Job, e.Number}); {
-		case e.What == audit.Got:
+		switch k := (number{e.RequestID, e.Attempt}); {
+		case e.Type == audit.AttemptReceived:
 			got[k] = e
-		case e.What == audit.Gave && !e.Never && e.At > from && e.At < to:
+		case e.Type == audit.AttemptAnswered && !e.NotExecuted && e.At > from && e.At < to:
 			units[got[k].Volume] += got[k].Units
 		}
 	}
--- a/internal/serve/iscsi_test.go
+++ b/internal/serve/iscsi_test.go
@@ -35,7 +35,7 @@
 func (w *wireDisk) Release() error { return nil }
 
 // login logs in at once, with these keys.
-func login(t *testing.T, town *testkit.Town, isid byte, keys ...string) *wireDisk {
+func login(t *testing.T, town *testkit.Testbed, isid byte, keys ...string) *wireDisk {
 	t.Helper()
 	conn, err := net.Dial("tcp", town.Gateways[0].ISCSI.Addr())
 	if err != nil {
@@ -212,7 +212,7 @@
 // A write that is out is aborted: the answer comes when nothing of it can happen any more, and the command gets none. A unit
 // that is reset tells the commands of other sessions.
 func TestAbort(t *testing.T) {
-	town := diskTown(t, 1, 1, func(o *standin.Options) { o.Unit = time.Millisecond })
+	town := diskTown(t, 1, 1, func(o *standin.Options) { o.UnitTime = time.Millisecond })
 	d := openDisk(t, dialDisk(t, town, 0, nil), 0)
 	if _, err := d.WriteAt(make([]byte, 16<<12), 0); err != nil {
 		t.Fatal(err)
--- a/internal/serve/leak_test.go
+++ b/internal/serve/leak_test.go
@@ -50,14 +50,14 @@
 	io.ReadFull(served, make([]byte, 12)) // and rests
 	rubbish := ask(strings.Repeat("x y", 100))
 	left := ask("held-1")
-	<-store.Held
+	<-store.WaitingIDs
 	left.Close()
 	half, err := net.Dial("tcp", g.Frontend.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
 	io.WriteString(half, "PUT /api HTTP/1.1\r\nHost")
-	close(store.Hold)
+	close(store.Release)
 	moved := *conf
 	moved.Discovery = other.Listener.Addr().String()
 	g.Reload(&moved)
--- a/internal/serve/linear_test.go
+++ b/internal/serve/linear_test.go
@@ -81,7 +81,7 @@
 
 func checkBlocks(t *testing.T, seed uint64) {
 	const clients, blocks, steps = 4, 3, 25
-	w := diskTown(t, 2, 1, func(o *standin.Options) { o.Unit, o.Seed = 20*time.Microsecond, seed })
+	w := diskTown(t, 2, 1, func(o *standin.Options) { o.UnitTime, o.Seed = 20*time.Microsecond, seed })
 	began := time.Now()
 	var lock sync.Mutex
 	var history []porcupine.Operation
--- a/internal/serve/members_test.go
+++ b/internal/serve/members_test.go
@@ -25,8 +25,8 @@
 const farOff = 30 * time.Second
 
 // feed has gateways take their list from a management server.
-func feed(w *testkit.Town, s *xdsstandin.Server, delta bool) {
-	w.Feed = func(name string) []manager.NamedSource {
+func feed(w *testkit.Testbed, s *xdsstandin.Server, delta bool) {
+	w.EndpointSources = func(name string) []manager.NamedSource {
 		return []manager.NamedSource{{Name: "plane", Source: xds.NewClient(xds.Options{Address: s.Addr(), Incremental: delta, NodeID: name,
 			MinBackoff: time.Millisecond, MaxBackoff: 20 * time.Millisecond, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})}}
 	}
@@ -34,10 +34,10 @@
 
 // managed is a town whose gateways have their list from a management server, with clients that work until the end.
 type managed struct {
-	*testkit.Town
+	*testkit.Testbed
 	t      *testing.T
 	server *xdsstandin.Server
-	record *audit.Record
+	record *audit.Recorder
 	served atomic.Int64
 	failed atomic.Int64 // without being dismissed or written off
 	grace  time.Duration
@@ -45,14 +45,14 @@
 
 func manage(t *testing.T, delta bool, shards int, unit time.Duration) *managed {
 	clock := gateway.NewClock()
-	m := &managed{t: t, record: &audit.Record{Clock: clock.Now}, grace: 2 * time.Second}
-	m.Town = testkit.Start(t, testkit.Conf, shards, 0, func(o *standin.Options) { o.Record, o.Unit = m.record, unit })
+	m := &managed{t: t, record: &audit.Recorder{Clock: clock.Now}, grace: 2 * time.Second}
+	m.Testbed = testkit.Start(t, testkit.Conf, shards, 0, func(o *standin.Options) { o.Recorder, o.UnitTime = m.record, unit })
 	s, err := xdsstandin.Start("127.0.0.1:0", 2, m.List().Nodes...)
 	if err != nil {
 		t.Fatal(err)
 	}
 	m.server = s
-	feed(m.Town, s, delta)
+	feed(m.Testbed, s, delta)
 	m.Gateway("g0")
 	stop := make(chan struct{})
 	var all sync.WaitGroup
@@ -106,7 +106,7 @@
 // acked waits until the gateway has accepted so many updates of endpoints more, done by f, and returns when.
 func (m *managed) acked(f func()) int64 {
 	m.t.Helper()
-	count := func(list []xdsstandin.Answer) (n int) {
+	count := func(list []xdsstandin.Ack) (n int) {
 		for _, a := range list {
 			if a.Type == xds.EndpointType && a.Refusal == "" {
 				n++
@@ -114,9 +114,9 @@
 		}
 		return n
 	}
-	before := count(m.server.Answers())
+	before := count(m.server.Acks())
 	f()
-	if err := m.server.Until(farOff, func(list []xdsstandin.Answer) bool { return count(list) > before }); err != nil {
+	if err := m.server.WaitForAcks(farOff, func(list []xdsstandin.Ack) bool { return count(list) > before }); err != nil {
 		m.t.Fatal(err)
 	}
 	return m.record.Clock()
@@ -132,7 +132,7 @@
 	m.more(30)
 	last, before := since, 0
 	for _, e := range m.record.Events() {
-		if e.What != audit.Got || e.Node != node.Addr() {
+		if e.Type != audit.AttemptReceived || e.Node != node.Addr() {
 			continue
 		}
 		if last = max(last, e.At); e.At < since {
@@ -151,7 +151,7 @@
 // successor starts a cold node for a shard and lists it.
 func (m *managed) successor(shard int) *standin.Node {
 	n, err := standin.Start(standin.Options{Addr: "127.0.0.1:0", Shard: shard, Zone: "z", Store: m.Stores[shard], Cores: 2, Queue: 256,
-		Marks: time.Minute, Record: m.record})
+		DedupWindow: time.Minute, Recorder: m.record})
 	if err != nil {
 		m.t.Fatal(err)
 	}
@@ -194,7 +194,7 @@
 	m := manage(t, true, 3, time.Millisecond)
 	since := m.acked(func() { m.command("remove " + m.Nodes[2].Addr()) })
 	time.Sleep(100 * time.Millisecond) // its shard's requests wait meanwhile
-	m.server.Set(func(list []endpoint.Node) []endpoint.Node {
+	m.server.UpdateNodes(func(list []endpoint.Node) []endpoint.Node {
 		for i := range list {
 			list[i].Health = endpoint.Ready
 		}
@@ -202,7 +202,7 @@
 	})
 	m.more(50)
 	for _, e := range m.record.Events() {
-		if e.What == audit.Got && e.Node == m.Nodes[2].Addr() && e.At > since+int64(100*time.Millisecond) {
+		if e.Type == audit.AttemptReceived && e.Node == m.Nodes[2].Addr() && e.At > since+int64(100*time.Millisecond) {
 			return
 		}
 	}
@@ -248,7 +248,7 @@
 		m.more(30)
 	}
 	refused := 0
-	for _, a := range m.server.Answers() {
+	for _, a := range m.server.Acks() {
 		if a.Refusal != "" {
 			refused++
 		}
@@ -268,7 +268,7 @@
 			t.Errorf("%s: %+v", all, view())
 		}
 		m.more(30)
-		m.server.Set(func([]endpoint.Node) []endpoint.Node { return list })
+		m.server.UpdateNodes(func([]endpoint.Node) []endpoint.Node { return list })
 		until("as before", func(v admin.EndpointReport) bool { return v.HeldLoss == nil && serving(v) == 3 })
 		m.more(30)
 	}
@@ -278,7 +278,7 @@
 		t.Errorf("%+v, %v", c, err)
 	}
 	until("confirmed", func(v admin.EndpointReport) bool { return v.HeldLoss == nil && serving(v) == 0 })
-	m.server.Set(func([]endpoint.Node) []endpoint.Node { return m.List().Nodes })
+	m.server.UpdateNodes(func([]endpoint.Node) []endpoint.Node { return m.List().Nodes })
 	until("back", func(v admin.EndpointReport) bool { return serving(v) == 3 })
 	m.more(30)
 }
@@ -311,7 +311,7 @@
 	s.Close()
 	w.Conf = strings.Replace(w.Conf, "20s", "10ms", 1)
 	g = w.Gateway("g0")
-	testkit.Again(t, "get", func() error { _, err := get(w.Client(0), "/meals/f"); return err })
+	testkit.RetryUntilDone(t, "get", func() error { _, err := get(w.Client(0), "/meals/f"); return err })
 	v, err := g.Members()
 	if err != nil || v.Sources[0].State != "starting" || v.Sources[0].LastError == "" || v.Sources[0].Nodes != 2 || len(v.Nodes) != 2 {
 		t.Errorf("%+v, %v", v, err)
@@ -325,5 +325,5 @@
 			t.Fatalf("%+v", v)
 		}
 	}
-	testkit.Again(t, "get", func() error { _, err := get(w.Client(0), "/meals/f"); return err })
+	testkit.RetryUntilDone(t, "get", func() error { _, err := get(w.Client(0), "/meals/f"); return err })
 }
--- a/internal/serve/web_test.go
+++ b/internal/serve/web_test.go
@@ -125,7 +125,7 @@
 	}
 	until(func() bool { held, _ := stores[0].Counts(); return held > 0 && agree() })
 	for _, s := range stores {
-		close(s.Hold)
+		close(s.Release)
 	}
 	for id, done := range waits {
 		if got := <-done; got != "200 "+id+"body" {
--- a/internal/standin/node.go
+++ b/internal/standin/node.go
@@ -20,24 +20,24 @@
 
 // Options are what a node is made of.
 type Options struct {
-	Addr     string
-	Zone     string
-	Shard    int
-	Store    *Store
-	Cores    int           // executions carried out at a time
-	Unit     time.Duration // time of a core for a unit; 0: none, and no queue
-	Queue    int           // executions that may wait
-	PutOff   float64       // part of a write's time that is put off and done in one go
-	Marks    time.Duration // how long the marks of referenced jobs are remembered
-	Cold     bool          // it starts cold
-	ColdFrom float64       // the part of its speed that it starts with
-	ColdTime time.Duration
-	Multiple float64 // sent more than this multiple of what it can do for the window, while cold, it falls over
-	Window   time.Duration
-	Bears    float64 // units in a window that it bears in any case
-	Orca     bool    // load reports go out in ORCA form
-	Seed     uint64
-	Record   *audit.Record
+	Addr               string
+	Zone               string
+	Shard              int
+	Store              *Store
+	Cores              int           // executions carried out at a time
+	UnitTime           time.Duration // time of a core for a unit; 0: none, and no queue
+	Queue              int           // executions that may wait
+	DeferredWriteShare float64       // part of a write's time that is put off and done in one go
+	DedupWindow        time.Duration // how long the marks of referenced jobs are remembered
+	SlowStart          bool          // it starts cold
+	SlowStartFrom      float64       // the part of its speed that it starts with
+	SlowStartTime      time.Duration
+	SlowStartMultiple  float64 // sent more than this multiple of what it can do for the window, while cold, it falls over
+	SlowStartWindow    time.Duration
+	SlowStartFreeUnits float64 // units in a window that it bears in any case
+	ORCA               bool    // load reports go out in ORCA form
+	Seed               uint64
+	Recorder           *audit.Recorder
 }
 
 // Node is a running stand-in.
@@ -112,15 +112,15 @@
 		return nil, err
 	}
 	n.server, n.addr = s, s.Addr()
-	born := audit.Event{What: audit.Born, Node: n.addr, Shard: opt.Shard}
-	if opt.Cold && opt.Unit > 0 {
-		born.Rate = float64(opt.Cores) / opt.Unit.Seconds()
+	born := audit.Event{Type: audit.NodeStarted, Node: n.addr, Shard: opt.Shard}
+	if opt.SlowStart && opt.UnitTime > 0 {
+		born.Rate = float64(opt.Cores) / opt.UnitTime.Seconds()
 	}
-	opt.Record.Add(born)
+	opt.Recorder.Add(born)
 	for range max(opt.Cores, 1) {
 		go n.core()
 	}
-	if opt.PutOff > 0 {
+	if opt.DeferredWriteShare > 0 {
 		go n.catchUp()
 	}
 	return n, nil
@@ -129,8 +129,8 @@
 // Addr is the address that it serves at.
 func (n *Node) Addr() string { return n.addr }
 
-// Born is when it started.
-func (n *Node) Born() time.Time { return n.born }
+// StartedAt is when it started.
+func (n *Node) StartedAt() time.Time { return n.born }
 
 // Close stops it at once: what it holds is lost.
 func (n *Node) Close() {
@@ -189,10 +189,10 @@
 // part is what a cold node can do of its full speed.
 func (n *Node) part(now time.Time) float64 {
 	age := now.Sub(n.born)
-	if !n.opt.Cold || age >= n.opt.ColdTime {
+	if !n.opt.SlowStart || age >= n.opt.SlowStartTime {
 		return 1
 	}
-	return n.opt.ColdFrom + (1-n.opt.ColdFrom)*float64(age)/float64(n.opt.ColdTime)
+	return n.opt.SlowStartFrom + (1-n.opt.SlowStartFrom)*float64(age)/float64(n.opt.SlowStartTime)
 }
 
 // take takes in an execution: it is turned away, or queued, or with cores that cost nothing carried out at once.
@@ -204,22 +204,22 @@
 		return
 	}
 	n.count++
-	n.opt.Record.Add(audit.Event{What: audit.Got, Node: n.addr, Zone: n.opt.Zone, Shard: n.opt.Shard, Gateway: c.Gateway,
-		Job: c.RequestID, Number: c.Attempt, Volume: c.Volume, Units: c.Units, Kind: c.Idempotency, Key: c.OrderingKey, Mark: c.IdempotencyKey,
-		Left: int64(c.Timeout), Conn: w.peer.number, Change: c.Op.Writes()})
-	if n.opt.Cold && n.part(now) < 1 && n.opt.Multiple > 0 && n.opt.Unit > 0 {
+	n.opt.Recorder.Add(audit.Event{Type: audit.AttemptReceived, Node: n.addr, Zone: n.opt.Zone, Shard: n.opt.Shard, Gateway: c.Gateway,
+		RequestID: c.RequestID, Attempt: c.Attempt, Volume: c.Volume, Units: c.Units, Idempotency: c.Idempotency, OrderingKey: c.OrderingKey, IdempotencyKey: c.IdempotencyKey,
+		Timeout: int64(c.Timeout), Connection: w.peer.number, Writes: c.Op.Writes()})
+	if n.opt.SlowStart && n.part(now) < 1 && n.opt.SlowStartMultiple > 0 && n.opt.UnitTime > 0 {
 		n.got = append(n.got, spent{now, c.Units})
 		sum := 0.0
-		for len(n.got) > 0 && now.Sub(n.got[0].at) > n.opt.Window {
+		for len(n.got) > 0 && now.Sub(n.got[0].at) > n.opt.SlowStartWindow {
 			n.got = n.got[1:]
 		}
 		for _, s := range n.got {
 			sum += s.units
 		}
-		can := float64(n.opt.Cores) / n.opt.Unit.Seconds() * n.part(now) * n.opt.Window.Seconds()
-		if sum > max(n.opt.Multiple*can, n.opt.Bears) {
+		can := float64(n.opt.Cores) / n.opt.UnitTime.Seconds() * n.part(now) * n.opt.SlowStartWindow.Seconds()
+		if sum > max(n.opt.SlowStartMultiple*can, n.opt.SlowStartFreeUnits) {
 			n.lock.Unlock()
-			n.opt.Record.Add(audit.Event{What: audit.Fell, Node: n.addr})
+			n.opt.Recorder.Add(audit.Event{Type: audit.NodeOverloaded, Node: n.addr})
 			go n.Close()
 			return
 		}
@@ -228,7 +228,7 @@
 	switch {
 	case c.Shard >= 0 && c.Shard != n.opt.Shard:
 		turnedAway = node.Reply{Outcome: node.WrongShard, Message: fmt.Sprintf("shard %d is not here", c.Shard)}
-	case n.opt.Unit > 0 && len(n.queue) >= n.opt.Queue:
+	case n.opt.UnitTime > 0 && len(n.queue) >= n.opt.Queue:
 		turnedAway = node.Reply{Outcome: node.QueueFull, Message: "the node's queue is full"}
 	}
 	if turnedAway.Outcome != node.Executed {
@@ -237,7 +237,7 @@
 		return
 	}
 	n.held++
-	if n.opt.Unit == 0 && !n.fault.hang && len(n.queue) == 0 {
+	if n.opt.UnitTime == 0 && !n.fault.hang && len(n.queue) == 0 {
 		n.lock.Unlock()
 		n.carryOut(w, 0)
 		return
@@ -267,9 +267,9 @@
 			n.lock.Unlock()
 			continue
 		}
-		took := time.Duration(w.call.Units * float64(n.opt.Unit) * n.fault.slow / n.part(now))
-		if w.call.Op.Writes() && n.opt.PutOff > 0 {
-			off := time.Duration(float64(took) * n.opt.PutOff)
+		took := time.Duration(w.call.Units * float64(n.opt.UnitTime) * n.fault.slow / n.part(now))
+		if w.call.Op.Writes() && n.opt.DeferredWriteShare > 0 {
+			off := time.Duration(float64(took) * n.opt.DeferredWriteShare)
 			n.late += off
 			took -= off
 		}
@@ -309,10 +309,10 @@
 	n.lock.Unlock()
 	a := node.Reply{Outcome: node.Failed, Message: "the node failed it"}
 	if !fails || effect {
-		done, ran := n.opt.Store.do(c, time.Now(), n.opt.Marks)
+		done, ran := n.opt.Store.do(c, time.Now(), n.opt.DedupWindow)
 		if ran {
-			n.opt.Record.Add(audit.Event{What: audit.Ran, Node: n.addr, Shard: n.opt.Shard, Job: c.RequestID, Number: c.Attempt,
-				Kind: c.Idempotency, Mark: c.IdempotencyKey, Change: c.Op.Writes()})
+			n.opt.Recorder.Add(audit.Event{Type: audit.AttemptExecuted, Node: n.addr, Shard: n.opt.Shard, RequestID: c.RequestID, Attempt: c.Attempt,
+				Idempotency: c.Idempotency, IdempotencyKey: c.IdempotencyKey, Writes: c.Op.Writes()})
 		}
 		if !fails {
 			a = done
@@ -346,10 +346,10 @@
 // answer sends an answer with the load report.
 func (n *Node) answer(w *work, a node.Reply) {
 	n.lock.Lock()
-	a.InFlight, a.Latency, a.Shard, a.ORCA = n.held, n.spent, n.opt.Shard, n.opt.Orca
+	a.InFlight, a.Latency, a.Shard, a.ORCA = n.held, n.spent, n.opt.Shard, n.opt.ORCA
 	n.lock.Unlock()
-	n.opt.Record.Add(audit.Event{What: audit.Gave, Node: n.addr, Gateway: w.call.Gateway, Job: w.call.RequestID,
-		Number: w.call.Attempt, Never: a.Outcome == node.QueueFull || a.Outcome == node.WrongShard})
+	n.opt.Recorder.Add(audit.Event{Type: audit.AttemptAnswered, Node: n.addr, Gateway: w.call.Gateway, RequestID: w.call.RequestID,
+		Attempt: w.call.Attempt, NotExecuted: a.Outcome == node.QueueFull || a.Outcome == node.WrongShard})
 	w.conn.Send(a.Packet(w.id))
 }
 
@@ -392,7 +392,7 @@
 			}
 		}
 		p.node.lock.Unlock()
-		p.node.opt.Record.Add(audit.Event{What: audit.Called, Node: p.node.addr, Job: r.Text(), Number: int(r.Uint32())})
+		p.node.opt.Recorder.Add(audit.Event{Type: audit.AttemptCancelled, Node: p.node.addr, RequestID: r.Text(), Attempt: int(r.Uint32())})
 	case FaultExtension:
 		if err := p.node.Command(r.Text()); err != nil {
 			p.conn.Send(sftp.StatusOf(id, sftp.Failure, err.Error()))
@@ -410,7 +410,7 @@
 
 // Closed is called when the connection has ended; what it asked for goes on.
 func (p *peer) Closed(error) {
-	p.node.opt.Record.Add(audit.Event{What: audit.Broke, Node: p.node.addr, Conn: p.number})
+	p.node.opt.Recorder.Add(audit.Event{Type: audit.NodeConnectionEnded, Node: p.node.addr, Connection: p.number})
 }
 
 // plain serves files by name, each one object.
@@ -473,8 +473,8 @@
 	}
 }
 
-// Got counts the executions that have come in, whatever became of them.
-func (n *Node) Got() int64 {
+// AttemptsReceived counts the executions that have come in, whatever became of them.
+func (n *Node) AttemptsReceived() int64 {
 	n.lock.Lock()
 	defer n.lock.Unlock()
 	return n.count
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -23,8 +23,8 @@
 	"irispost/internal/standin"
 )
 
-// SameSeeds has the checks of a test draw the same each time.
-func SameSeeds(t testing.TB) {
+// FixSeeds has the checks of a test draw the same each time.
+func FixSeeds(t testing.TB) {
 	t.Helper()
 	for name, value := range map[string]string{"rapid.nofailfile": "true", "rapid.seed": "7"} {
 		if err := flag.Set(name, value); err != nil {
@@ -33,15 +33,15 @@
 	}
 }
 
-// Lists is a source of lists for tests.
-type Lists struct {
+// ListSource is a source of lists for tests.
+type ListSource struct {
 	lock sync.Mutex
 	last *endpoint.List
 	news chan endpoint.List
 }
 
 // Run hands out the lists that are set.
-func (l *Lists) Run(ctx context.Context, to endpoint.Subscriber) error {
+func (l *ListSource) Run(ctx context.Context, to endpoint.Subscriber) error {
 	l.lock.Lock()
 	last := *l.last
 	l.lock.Unlock()
@@ -57,15 +57,15 @@
 	}
 }
 
-// Town is a small installation.
-type Town struct {
-	T        testing.TB
-	Conf     string
-	Stores   []*standin.Store
-	Nodes    []*standin.Node
-	Feed     func(gateway string) []manager.NamedSource // of the gateways that are started from now on; nil: lists by Tell
-	Sources  []*Lists
-	Gateways []*serve.Gateway
+// Testbed is a small installation.
+type Testbed struct {
+	T               testing.TB
+	Conf            string
+	Stores          []*standin.Store
+	Nodes           []*standin.Node
+	EndpointSources func(gateway string) []manager.NamedSource // of the gateways that are started from now on; nil: lists by Tell
+	Sources         []*ListSource
+	Gateways        []*serve.Gateway
 }
 
 // Conf is a configuration that fits tests; %s is the gateway's name, %d the number of shards. Spans are long, so that
@@ -119,15 +119,15 @@
 `
 
 // Start sets up nodes, one for each shard, and gateways. change may alter each node's options.
-func Start(t testing.TB, conf string, shards, gateways int, change func(*standin.Options)) *Town {
-	w := &Town{T: t, Conf: conf}
+func Start(t testing.TB, conf string, shards, gateways int, change func(*standin.Options)) *Testbed {
+	w := &Testbed{T: t, Conf: conf}
 	for i := range shards {
 		store, err := standin.NewStore("")
 		if err != nil {
 			t.Fatal(err)
 		}
 		o := standin.Options{Addr: "127.0.0.1:0", Shard: i, Zone: "z", Store: store, Cores: 2, Queue: 256,
-			Marks: time.Minute, Seed: uint64(i)}
+			DedupWindow: time.Minute, Seed: uint64(i)}
 		if change != nil {
 			change(&o)
 		}
@@ -152,7 +152,7 @@
 }
 
 // List is the list of all nodes as they are.
-func (w *Town) List() endpoint.List {
+func (w *Testbed) List() endpoint.List {
 	var l endpoint.List
 	for i, n := range w.Nodes {
 		l.Nodes = append(l.Nodes, endpoint.Node{Addr: n.Addr(), Zone: "z", Shard: i})
@@ -161,7 +161,7 @@
 }
 
 // Gateway adds a gateway.
-func (w *Town) Gateway(name string) *serve.Gateway {
+func (w *Testbed) Gateway(name string) *serve.Gateway {
 	w.T.Helper()
 	c, err := config.Parse("test.hcl", fmt.Appendf(nil, w.Conf, name, len(w.Nodes)))
 	if err != nil {
@@ -169,10 +169,10 @@
 	}
 	list := w.List()
 	var sources []manager.NamedSource
-	if w.Feed != nil {
-		sources = w.Feed(name)
+	if w.EndpointSources != nil {
+		sources = w.EndpointSources(name)
 	} else {
-		s := &Lists{last: &list, news: make(chan endpoint.List)}
+		s := &ListSource{last: &list, news: make(chan endpoint.List)}
 		w.Sources = append(w.Sources, s)
 		sources = []manager.NamedSource{{Name: "test", Source: s}}
 	}
@@ -188,15 +188,15 @@
 	return g
 }
 
-// Tell gives all gateways a list.
-func (w *Town) Tell(l endpoint.List) {
+// UpdateEndpoints gives all gateways a list.
+func (w *Testbed) UpdateEndpoints(l endpoint.List) {
 	for _, s := range w.Sources {
 		s.news <- l
 	}
 }
 
 // Client connects pkg/sftp's client, which this project did not write, to a gateway.
-func (w *Town) Client(gateway int) *pkgsftp.Client {
+func (w *Testbed) Client(gateway int) *pkgsftp.Client {
 	w.T.Helper()
 	c, err := Dial(w.Gateways[gateway].Frontend.Addr())
 	if err != nil {
@@ -215,9 +215,9 @@
 	return pkgsftp.NewClientPipe(conn, conn, pkgsftp.UseConcurrentWrites(true))
 }
 
-// Again does something until it works, as a client does that is told that trying again is harmless. It gives up
+// RetryUntilDone does something until it works, as a client does that is told that trying again is harmless. It gives up
 // after many tries.
-func Again(t testing.TB, what string, f func() error) {
+func RetryUntilDone(t testing.TB, what string, f func() error) {
 	t.Helper()
 	var err error
 	for range 200 {
--- a/internal/webstandin/node.go
+++ b/internal/webstandin/node.go
@@ -25,8 +25,8 @@
 	cut         // resets
 )
 
-// Kinds are what a stand-in node does with a request, by the first part of its id, and what the attempt comes to.
-var Kinds = map[string]struct {
+// Behaviors are what a stand-in node does with a request, by the first part of its id, and what the attempt comes to.
+var Behaviors = map[string]struct {
 	say     string
 	then    int
 	Outcome node.Outcome
@@ -50,11 +50,11 @@
 type Node struct {
 	net.Listener
 	sync.Mutex
-	Out, Conns int            // requests that are held, and connections that are open
-	Seen       map[string]int // whole requests by id
-	Hold       chan struct{}  // closed to let those go on that are held
-	Held       chan string    // ids of those
-	Gone       chan bool      // a connection has ended
+	Waiting, Connections int            // requests that are held, and connections that are open
+	Seen                 map[string]int // whole requests by id
+	Release              chan struct{}  // closed to let those go on that are held
+	WaitingIDs           chan string    // ids of those
+	Disconnected         chan bool      // a connection has ended
 }
 
 // Start starts one on loopback, until the test ends.
@@ -63,7 +63,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &Node{Listener: l, Seen: map[string]int{}, Hold: make(chan struct{}), Held: make(chan string, 1000), Gone: make(chan bool, 1000)}
+	s := &Node{Listener: l, Seen: map[string]int{}, Release: make(chan struct{}), WaitingIDs: make(chan string, 1000), Disconnected: make(chan bool, 1000)}
 	t.Cleanup(func() { _ = l.Close() })
 	go func() {
 		for c, err := l.Accept(); err == nil; c, err = l.Accept() {
@@ -78,7 +78,7 @@
 	defer func() {
 		_ = c.Close()
 		s.count(0, -1)
-		s.Gone <- true
+		s.Disconnected <- true
 	}()
 	for in := bufio.NewReader(c); ; {
 		q, err := http.ReadRequest(in)
@@ -96,14 +96,14 @@
 		what, _, _ := strings.Cut(id, "-")
 		if what == "held" {
 			s.count(1, 0)
-			s.Held <- id
-			<-s.Hold
+			s.WaitingIDs <- id
+			<-s.Release
 			s.count(-1, 0)
 		}
 		text := id + string(body)
-		answer := strings.NewReplacer("LEN", strconv.Itoa(len(text)), "BODY", text).Replace(Kinds[what].say)
+		answer := strings.NewReplacer("LEN", strconv.Itoa(len(text)), "BODY", text).Replace(Behaviors[what].say)
 		_, _ = io.WriteString(c, answer) // the client may have gone
-		switch Kinds[what].then {
+		switch Behaviors[what].then {
 		case stay:
 			_, _ = io.Copy(io.Discard, in) // until the client goes
 			return
@@ -119,12 +119,12 @@
 func (s *Node) count(out, conns int) {
 	s.Lock()
 	defer s.Unlock()
-	s.Out, s.Conns = s.Out+out, s.Conns+conns
+	s.Waiting, s.Connections = s.Waiting+out, s.Connections+conns
 }
 
 // Counts tells how many requests are held, and how many connections are open.
 func (s *Node) Counts() (out, conns int) {
 	s.Lock()
 	defer s.Unlock()
-	return s.Out, s.Conns
+	return s.Waiting, s.Connections
 }
--- a/internal/xdsstandin/command.go
+++ b/internal/xdsstandin/command.go
@@ -39,7 +39,7 @@
 	w := append(strings.Fields(text), "", "", "", "")
 	one := func(f func(*endpoint.Node)) error {
 		err := fmt.Errorf("there is no node %q", w[1])
-		s.Set(func(list []endpoint.Node) []endpoint.Node {
+		s.UpdateNodes(func(list []endpoint.Node) []endpoint.Node {
 			for i := range list {
 				if list[i].Addr == w[1] {
 					f(&list[i])
@@ -66,7 +66,7 @@
 		if err != nil {
 			return fmt.Errorf("shard %q is no number", w[2])
 		}
-		s.Set(func(list []endpoint.Node) []endpoint.Node {
+		s.UpdateNodes(func(list []endpoint.Node) []endpoint.Node {
 			return append(list, endpoint.Node{Addr: w[1], Shard: shard, Zone: w[3], StartedAt: time.Now().UnixNano()})
 		})
 	case "drain", "unwell", "ready":
@@ -74,13 +74,13 @@
 	case "remove":
 		return one(func(n *endpoint.Node) { n.Health = endpoint.Removed })
 	case "nothing":
-		s.Set(func([]endpoint.Node) []endpoint.Node { return nil })
+		s.UpdateNodes(func([]endpoint.Node) []endpoint.Node { return nil })
 	case "everybody":
 		to, known := standings[w[1]]
 		if !known {
 			return fmt.Errorf("a standing is ready, draining or unwell, not %q", w[1])
 		}
-		s.Set(func(list []endpoint.Node) []endpoint.Node {
+		s.UpdateNodes(func(list []endpoint.Node) []endpoint.Node {
 			for i := range list {
 				if list[i].Health != endpoint.Removed {
 					list[i].Health = to
@@ -93,11 +93,11 @@
 		case "endpoints":
 			a := Assignment(s.name(0), []endpoint.Node{{Addr: "127.0.0.1:1"}})
 			a.Endpoints[0].LbEndpoints[0].Metadata = nil
-			s.Put(xds.EndpointType, map[string]proto.Message{s.name(0): a})
+			s.PutResources(xds.EndpointType, map[string]proto.Message{s.name(0): a})
 		case "clusters":
 			c := Cluster(s.name(0))
 			c.EdsClusterConfig = nil
-			s.Put(xds.ClusterType, map[string]proto.Message{s.name(0): c})
+			s.PutResources(xds.ClusterType, map[string]proto.Message{s.name(0): c})
 		default:
 			return fmt.Errorf("endpoints or clusters can be broken, not %q", w[1])
 		}
@@ -119,9 +119,9 @@
 		s.lock.Unlock()
 		s.cond.Broadcast()
 	case "old":
-		s.Old()
+		s.Revert()
 	case "cut":
-		s.Cut()
+		s.CutStreams()
 	case "refuse":
 		return set(&s.fault.refuse)
 	case "mute":
@@ -137,7 +137,7 @@
 		s.fault.slow = d
 		s.lock.Unlock()
 	case "blurt":
-		s.Blurt(xds.EndpointType)
+		s.SendUnrequested(xds.EndpointType)
 	case "restart":
 		return s.Restart()
 	default:
--- a/internal/xdsstandin/server.go
+++ b/internal/xdsstandin/server.go
@@ -26,8 +26,8 @@
 	"irispost/internal/endpoint/xds"
 )
 
-// Answer is a client's word on an update.
-type Answer struct {
+// Ack is a client's word on an update.
+type Ack struct {
 	Client  string // Node.id
 	Type    string
 	Version string // whole form: that the client has in force
@@ -54,7 +54,7 @@
 	versions  map[string]int // by type
 	seen      map[string]int // largest version given to anything of a type, so that a restart can begin anew
 	earlier   []state
-	answers   []Answer
+	answers   []Ack
 	streams   map[*client]bool
 	opened    int
 	fault     faults
@@ -131,8 +131,8 @@
 	return s.listen(addr)
 }
 
-// Set changes the nodes.
-func (s *Server) Set(change func([]endpoint.Node) []endpoint.Node) {
+// UpdateNodes changes the nodes.
+func (s *Server) UpdateNodes(change func([]endpoint.Node) []endpoint.Node) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	s.nodes = change(slices.Clone(s.nodes))
@@ -199,20 +199,20 @@
 	}
 }
 
-// Old goes back to what was served before the last change, with the versions that it had, and cuts the streams: as a
+// Revert goes back to what was served before the last change, with the versions that it had, and cuts the streams: as a
 // replica does that lags behind.
-func (s *Server) Old() {
+func (s *Server) Revert() {
 	s.lock.Lock()
 	if n := len(s.earlier); n > 0 {
 		s.resources, s.versions = s.earlier[n-1].resources, s.earlier[n-1].versions
 		s.earlier = s.earlier[:n-1]
 	}
 	s.lock.Unlock()
-	s.Cut()
+	s.CutStreams()
 }
 
-// Blurt sends all resources of a type to each stream, whether it wants them or not.
-func (s *Server) Blurt(kind string) {
+// SendUnrequested sends all resources of a type to each stream, whether it wants them or not.
+func (s *Server) SendUnrequested(kind string) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	for c := range s.streams {
@@ -281,9 +281,9 @@
 	return e
 }
 
-// Put puts resources of a type in force as they are, right or wrong; those that it does not name stay. A message of nil
+// PutResources puts resources of a type in force as they are, right or wrong; those that it does not name stay. A message of nil
 // removes one.
-func (s *Server) Put(kind string, list map[string]proto.Message) {
+func (s *Server) PutResources(kind string, list map[string]proto.Message) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	s.remember()
@@ -303,8 +303,8 @@
 	s.cond.Broadcast()
 }
 
-// Live gives all resources of a type a time to live. Those that are renewed get signs of life.
-func (s *Server) Live(kind string, ttl time.Duration) {
+// SetTTL gives all resources of a type a time to live. Those that are renewed get signs of life.
+func (s *Server) SetTTL(kind string, ttl time.Duration) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	s.seen[kind]++
@@ -316,8 +316,8 @@
 	s.cond.Broadcast()
 }
 
-// Beat sends signs of life of all resources of a type to each stream.
-func (s *Server) Beat(kind string) {
+// SendHeartbeats sends signs of life of all resources of a type to each stream.
+func (s *Server) SendHeartbeats(kind string) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	for c := range s.streams {
@@ -326,15 +326,15 @@
 	s.cond.Broadcast()
 }
 
-// Answers are the clients' words so far.
-func (s *Server) Answers() []Answer {
+// Acks are the clients' words so far.
+func (s *Server) Acks() []Ack {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return slices.Clone(s.answers)
 }
 
-// Until waits until a condition holds of the clients' words.
-func (s *Server) Until(within time.Duration, holds func([]Answer) bool) error {
+// WaitForAcks waits until a condition holds of the clients' words.
+func (s *Server) WaitForAcks(within time.Duration, holds func([]Ack) bool) error {
 	late := time.AfterFunc(within, func() { s.lock.Lock(); s.cond.Broadcast(); s.lock.Unlock() })
 	defer late.Stop()
 	end := time.Now().Add(within)
--- a/internal/xdsstandin/stream.go
+++ b/internal/xdsstandin/stream.go
@@ -95,7 +95,7 @@
 		s.hear(c, m.GetNode().GetId(), func() {
 			b := c.sub(m.GetTypeUrl())
 			if m.GetResponseNonce() != "" {
-				s.answers = append(s.answers, Answer{c.node, m.GetTypeUrl(), m.GetVersionInfo(), m.GetResponseNonce(), m.GetErrorDetail().GetMessage()})
+				s.answers = append(s.answers, Ack{c.node, m.GetTypeUrl(), m.GetVersionInfo(), m.GetResponseNonce(), m.GetErrorDetail().GetMessage()})
 			}
 			if m.GetResponseNonce() != b.nonce && !s.fault.nonce {
 				return // it answers something older than what was sent last
@@ -145,7 +145,7 @@
 			first := c.subs[m.GetTypeUrl()] == nil
 			b := c.sub(m.GetTypeUrl())
 			if m.GetResponseNonce() != "" {
-				s.answers = append(s.answers, Answer{c.node, m.GetTypeUrl(), "", m.GetResponseNonce(), m.GetErrorDetail().GetMessage()})
+				s.answers = append(s.answers, Ack{c.node, m.GetTypeUrl(), "", m.GetResponseNonce(), m.GetErrorDetail().GetMessage()})
 			}
 			if first {
 				b.all = m.GetTypeUrl() == xds.ClusterType && len(m.GetResourceNamesSubscribe()) == 0
@@ -263,8 +263,8 @@
 	}
 }
 
-// Cut ends all streams in the middle.
-func (s *Server) Cut() {
+// CutStreams ends all streams in the middle.
+func (s *Server) CutStreams() {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	for c := range s.streams {
