--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -7,125 +7,326 @@
 
 const ms = int64(1e6)
 
-var terms = Parameters{Slack: 100 * ms, Transit: 5 * ms, DrainGrace: 2000 * ms, ListDelay: 500 * ms, DedupWindow: 1000 * ms, KeyRest: 100 * ms,
-	FreeRetries: 1, RetryShare: 0.5, RetryWindow: 1000 * ms, SlowStartFrom: 0.2, SlowStartTime: 5000 * ms, SlowStartMultiple: 2,
-	SlowStartWindow: 1000 * ms, SlowStartFreeUnits: 4, VolumeLimits: map[int64]VolumeLimit{7: {Rate: 10, Burst: 10, Slack: 1}}}
+var parameters = Parameters{
+	Slack:              100 * ms,
+	Transit:            5 * ms,
+	DrainGrace:         2000 * ms,
+	ListDelay:          500 * ms,
+	DedupWindow:        1000 * ms,
+	KeyRest:            100 * ms,
+	FreeRetries:        1,
+	RetryShare:         0.5,
+	RetryWindow:        1000 * ms,
+	SlowStartFrom:      0.2,
+	SlowStartTime:      5000 * ms,
+	SlowStartMultiple:  2,
+	SlowStartWindow:    1000 * ms,
+	SlowStartFreeUnits: 4,
+	VolumeLimits:       map[int64]VolumeLimit{7: {Rate: 10, Burst: 10, Slack: 1}},
+}
+
+// The functions that make events take milliseconds.
+
+func sent(at int64, request uint32) Event {
+	return Event{At: at * ms, Type: RequestSent, Session: "g/b/1", ClientRequest: request, RequestClass: "p",
+		ObjectiveBy: (at + 100) * ms, Deadline: (at + 1000) * ms}
+}
+
+func answered(at int64, request uint32, outcome Outcome) Event {
+	return Event{At: at * ms, Type: ResponseReceived, Session: "g/b/1", ClientRequest: request, Outcome: outcome}
+}
+
+func disconnected(at int64, state string) Event {
+	return Event{At: at * ms, Type: ClientDisconnected, Session: "g/b/1", State: state}
+}
+
+func received(at int64, requestID string, attempt int, change func(*Event)) Event {
+	event := Event{At: at * ms, Type: AttemptReceived, Gateway: "g", Node: "n", RequestID: requestID, Attempt: attempt,
+		Units: 1, Timeout: 1000 * ms, IdempotencyKey: requestID, Connection: 1}
+	if change != nil {
+		change(&event)
+	}
+	return event
+}
+
+func attemptAnswered(at int64, requestID string, attempt int, notExecuted bool) Event {
+	return Event{At: at * ms, Type: AttemptAnswered, RequestID: requestID, Attempt: attempt, NotExecuted: notExecuted}
+}
+
+func executed(at int64, idempotencyKey string) Event {
+	return Event{At: at * ms, Type: AttemptExecuted, Idempotency: Keyed, Writes: true, IdempotencyKey: idempotencyKey}
+}
+
+func gatewayEvent(at int64, eventType EventType, gateway string) Event {
+	return Event{At: at * ms, Type: eventType, Gateway: gateway}
+}
+
+func listed(at int64, state string) Event {
+	return Event{At: at * ms, Type: NodeListed, Node: "n", State: state}
+}
 
-// Shorthands: a client's request and its answer, an execution at a node and its answer. Times are milliseconds.
-func asked(at int64, id uint32) Event {
-	return Event{At: at * ms, Type: RequestSent, Session: "g/b/1", ClientRequest: id, RequestClass: "p", ObjectiveBy: (at + 100) * ms, Deadline: (at + 1000) * ms}
+func withIdempotency(idempotency uint8) func(*Event) {
+	return func(event *Event) {
+		event.Idempotency = idempotency
+		event.Writes = true
+	}
 }
-func told(at int64, id uint32, a Outcome) Event {
-	return Event{At: at * ms, Type: ResponseReceived, Session: "g/b/1", ClientRequest: id, Outcome: a}
+
+func withKey(key int64) func(*Event) { return func(event *Event) { event.OrderingKey = key } }
+
+func withUnits(units float64) func(*Event) {
+	return func(event *Event) {
+		event.Volume = 7
+		event.Units = units
+	}
 }
-func got(at int64, job string, number int, more func(*Event)) Event {
-	e := Event{At: at * ms, Type: AttemptReceived, Gateway: "g", Node: "n", RequestID: job, Attempt: number, Units: 1, Timeout: 1000 * ms, IdempotencyKey: job, Connection: 1}
-	if more != nil {
-		more(&e)
+
+func keyedAt(node string, shard int) func(*Event) {
+	return func(event *Event) {
+		event.Node = node
+		event.Shard = shard
+		event.Idempotency = Keyed
+		event.Writes = true
 	}
-	return e
-}
-func gave(at int64, job string, number int, never bool) Event {
-	return Event{At: at * ms, Type: AttemptAnswered, RequestID: job, Attempt: number, NotExecuted: never}
-}
-func ran(at int64, mark string) Event {
-	return Event{At: at * ms, Type: AttemptExecuted, Idempotency: 1, Writes: true, IdempotencyKey: mark}
-}
-
-func kind(k uint8) func(*Event) { return func(e *Event) { e.Idempotency, e.Writes = k, true } }
-func key(k int64) func(*Event)  { return func(e *Event) { e.OrderingKey = k } }
-func vol(units float64) func(*Event) {
-	return func(e *Event) { e.Volume, e.Units = 7, units }
-}
-func at(node string, shard int, k uint8) func(*Event) {
-	return func(e *Event) { e.Node, e.Shard, e.Idempotency, e.Writes = node, shard, k, true }
-}
-
-const end = 1_000_000 // a day's last moment
-
-var last = Event{At: end * ms, Type: NodeListed, Node: "x", State: "ready"}
-
-// Each rule finds each way of breaking it, and no other; and what only looks like it is let be.
-func TestEachRuleCanBreak(t *testing.T) {
-	a, b := "g/b/1:1#1", "g/b/1:2#2"
-	for _, c := range []struct {
-		name, rule string // rule is empty where none is broken
-		events     []Event
-	}{
-		{"in order", "", []Event{asked(0, 1), got(1, a, 0, nil), gave(9, a, 0, false), told(10, 1, Succeeded)}},
-		{"no answer", RuleNoRequestLost, []Event{asked(0, 1)}},
-		{"late", RuleNoRequestLost, []Event{asked(0, 1), told(1200, 1, Succeeded)}},
-		{"a little late", "", []Event{asked(0, 1), told(1050, 1, Succeeded)}},
-		{"late, as its gateway stood still", "", []Event{asked(0, 1), {At: 500 * ms, Type: GatewayPaused, Gateway: "g"}, {At: 3000 * ms, Type: GatewayResumed, Gateway: "g"},
-			told(3050, 1, Succeeded)}},
-		{"late, after its gateway went on", RuleNoRequestLost, []Event{asked(0, 1), {At: 500 * ms, Type: GatewayPaused, Gateway: "g"}, {At: 3000 * ms, Type: GatewayResumed, Gateway: "g"},
-			told(3200, 1, Succeeded)}},
-		{"asked while its gateway stood still", "", []Event{{At: 1 * ms, Type: GatewayPaused, Gateway: "g"}, asked(10, 1), {At: 3000 * ms, Type: GatewayResumed, Gateway: "g"},
-			told(3900, 1, Succeeded)}},
-		{"late, and another gateway stood still", RuleNoRequestLost, []Event{asked(0, 1), {At: 500 * ms, Type: GatewayPaused, Gateway: "h"},
-			{At: 3000 * ms, Type: GatewayResumed, Gateway: "h"}, told(3050, 1, Succeeded)}},
-		{"two answers", RuleNoRequestLost, []Event{asked(0, 1), told(5, 1, Succeeded), told(6, 1, Rejected)}},
-		{"an answer nobody asked", RuleNoRequestLost, []Event{told(5, 1, Succeeded)}},
-		{"sent after the answer", RuleNoRequestLost, []Event{asked(0, 1), told(5, 1, Rejected), got(300, a, 0, nil)}},
-		{"the client left", "", []Event{asked(0, 1), {At: 5 * ms, Type: ClientDisconnected, Session: "g/b/1", State: "closed"}}},
-		{"left after its limit", RuleNoRequestLost, []Event{asked(0, 1), {At: 2000 * ms, Type: ClientDisconnected, Session: "g/b/1", State: "closed"}}},
-		{"the gateway hangs up", RuleNoRequestLost, []Event{asked(0, 1), {At: 5 * ms, Type: ClientDisconnected, Session: "g/b/1", State: "broke"}}},
-		{"the gateway is killed", "", []Event{asked(0, 1), {At: 4 * ms, Type: GatewayKilled, Gateway: "g"},
-			{At: 5 * ms, Type: ClientDisconnected, Session: "g/b/1", State: "broke"}}},
-
-		{"an effect twice", RuleNoDuplicateEffect, []Event{ran(1, "m"), ran(2, "m")}},
-		{"two effects", "", []Event{ran(1, "m"), ran(2, "n")}},
-		{"single-use again", RuleNoDuplicateEffect, []Event{asked(0, 1), got(1, a, 0, kind(2)), got(50, a, 1, kind(2)), told(60, 1, Failed)}},
-		{"single-use again, never run", "", []Event{asked(0, 1), got(1, a, 0, kind(2)), gave(2, a, 0, true), got(50, a, 1, kind(2)), told(60, 1, Succeeded)}},
-		{"referenced at another shard", RuleNoDuplicateEffect, []Event{got(1, a, 0, at("n", 0, 1)), got(50, a, 1, at("m", 1, 1))}},
-		{"referenced at its shard", "", []Event{got(1, a, 0, at("n", 0, 1)), got(50, a, 1, at("m", 0, 1))}},
-		{"referenced too late", RuleNoDuplicateEffect, []Event{got(1, a, 0, kind(1)), got(1500, a, 1, kind(1))}},
-		{"dismissed though it may have run", RuleNoDuplicateEffect, []Event{asked(0, 1), got(1, a, 0, kind(1)), told(5, 1, Rejected)}},
-		{"dismissed, never run", "", []Event{asked(0, 1), got(1, a, 0, kind(1)), gave(2, a, 0, true), told(5, 1, Rejected)}},
-		{"written off", "", []Event{asked(0, 1), got(1, a, 0, kind(1)), told(5, 1, Failed)}},
-
-		{"sent to a node that drains", RuleDraining, []Event{{At: 0, Type: NodeListed, Node: "n", State: "draining"}, got(2600, a, 0, nil)}},
-		{"within the grace", "", []Event{{At: 0, Type: NodeListed, Node: "n", State: "draining"}, got(2400, a, 0, nil)}},
-		{"gone after draining", RuleDraining, []Event{{At: 0, Type: NodeListed, Node: "n", State: "draining"},
-			{At: 2000 * ms, Type: NodeListed, Node: "n", State: "gone"}, got(2600, a, 0, nil)}},
-		{"back again", "", []Event{{At: 0, Type: NodeListed, Node: "n", State: "gone"}, {At: 9 * ms, Type: NodeListed, Node: "n", State: "ready"}, got(2600, a, 0, nil)}},
-
-		{"cold and pushed", RuleSlowStart, []Event{{At: 1, Type: NodeStarted, Node: "n", Rate: 10}, got(10, a, 0, vol(3)), got(20, b, 0, vol(3))}},
-		{"cold and borne", "", []Event{{At: 1, Type: NodeStarted, Node: "n", Rate: 10}, got(10, a, 0, nil), got(20, b, 0, nil)}},
-		{"fell", RuleSlowStart, []Event{{At: 1, Type: NodeOverloaded, Node: "n"}}},
-
-		{"overtaken", RuleOrdering, []Event{got(1, a, 0, key(3)), got(5, b, 0, key(3)), gave(9, a, 0, false)}},
-		{"one after the other", "", []Event{got(1, a, 0, key(3)), gave(4, a, 0, false), got(5, b, 0, key(3))}},
-		{"out of turn", RuleOrdering, []Event{got(1, b, 0, key(3)), gave(4, b, 0, false), got(5, a, 0, key(3))}},
-		{"no rest", RuleOrdering, []Event{got(1, a, 0, key(3)), got(1050, b, 0, key(3))}},
-		{"rested", "", []Event{got(1, a, 0, key(3)), got(1102, b, 0, key(3))}},
-		{"no rest after a call-off", RuleOrdering, []Event{got(1, a, 0, key(3)), {At: 9 * ms, Type: AttemptCancelled, RequestID: a}, got(60, b, 0, key(3))}},
-		{"rested after a break", "", []Event{got(1, a, 0, key(3)), {At: 9 * ms, Type: NodeConnectionEnded, Connection: 1}, got(110, b, 0, key(3))}},
-		{"another key", "", []Event{got(1, a, 0, key(3)), got(5, b, 0, key(4))}},
-
-		{"over the budget", RuleRetryBudget, []Event{got(1, a, 0, nil), got(2, a, 1, nil), got(3, a, 2, nil), got(4, a, 3, nil)}},
-		{"within the budget", "", []Event{got(1, a, 0, nil), got(2, a, 1, nil)}},
-
-		{"over the limit", RuleVolumeLimits, []Event{got(1, a, 0, vol(8)), got(2, b, 0, vol(4))}},
-		{"filled again", "", []Event{got(1, a, 0, vol(8)), got(500, b, 0, vol(4))}},
-		{"a further execution", "", []Event{got(1, a, 0, vol(8)), gave(2, a, 0, false), got(3, a, 1, vol(8))}},
+}
+
+// end is the time of a record's last event, after all deadlines.
+const end = 1_000_000
+
+var lastEvent = Event{At: end * ms, Type: NodeListed, Node: "x", State: StateReady}
+
+const (
+	firstID  = "g/b/1:1#1"
+	secondID = "g/b/1:2#2"
+)
+
+// ruleCase is a record that violates one rule, or none where rule is empty.
+type ruleCase struct {
+	name, rule string
+	events     []Event
+}
+
+var deliveryCases = []ruleCase{
+	{"answered in time", "", []Event{
+		sent(0, 1),
+		received(1, firstID, 0, nil),
+		attemptAnswered(9, firstID, 0, false),
+		answered(10, 1, Succeeded),
+	}},
+	{"no answer", RuleNoRequestLost, []Event{sent(0, 1)}},
+	{"answered late", RuleNoRequestLost, []Event{sent(0, 1), answered(1200, 1, Succeeded)}},
+	{"late within the slack", "", []Event{sent(0, 1), answered(1050, 1, Succeeded)}},
+	{"late as its gateway was paused", "", []Event{
+		sent(0, 1),
+		gatewayEvent(500, GatewayPaused, "g"),
+		gatewayEvent(3000, GatewayResumed, "g"),
+		answered(3050, 1, Succeeded),
+	}},
+	{"late after its gateway resumed", RuleNoRequestLost, []Event{
+		sent(0, 1),
+		gatewayEvent(500, GatewayPaused, "g"),
+		gatewayEvent(3000, GatewayResumed, "g"),
+		answered(3200, 1, Succeeded),
+	}},
+	{"sent while its gateway was paused", "", []Event{
+		gatewayEvent(1, GatewayPaused, "g"),
+		sent(10, 1),
+		gatewayEvent(3000, GatewayResumed, "g"),
+		answered(3900, 1, Succeeded),
+	}},
+	{"late while another gateway was paused", RuleNoRequestLost, []Event{
+		sent(0, 1),
+		gatewayEvent(500, GatewayPaused, "h"),
+		gatewayEvent(3000, GatewayResumed, "h"),
+		answered(3050, 1, Succeeded),
+	}},
+	{"two answers", RuleNoRequestLost, []Event{sent(0, 1), answered(5, 1, Succeeded), answered(6, 1, Rejected)}},
+	{"answer without a request", RuleNoRequestLost, []Event{answered(5, 1, Succeeded)}},
+	{"attempt after the answer", RuleNoRequestLost, []Event{
+		sent(0, 1),
+		answered(5, 1, Rejected),
+		received(300, firstID, 0, nil),
+	}},
+	{"client closed its connection", "", []Event{sent(0, 1), disconnected(5, StateClosed)}},
+	{"client closed after the deadline", RuleNoRequestLost, []Event{
+		sent(0, 1),
+		disconnected(2000, StateClosed),
+	}},
+	{"gateway closed the connection", RuleNoRequestLost, []Event{sent(0, 1), disconnected(5, StateBroken)}},
+	{"gateway was killed", "", []Event{
+		sent(0, 1),
+		gatewayEvent(4, GatewayKilled, "g"),
+		disconnected(5, StateBroken),
+	}},
+}
+
+var effectCases = []ruleCase{
+	{"effect twice", RuleNoDuplicateEffect, []Event{executed(1, "m"), executed(2, "m")}},
+	{"two effects", "", []Event{executed(1, "m"), executed(2, "n")}},
+	{"retry of a non-idempotent request", RuleNoDuplicateEffect, []Event{
+		sent(0, 1),
+		received(1, firstID, 0, withIdempotency(NonIdempotent)),
+		received(50, firstID, 1, withIdempotency(NonIdempotent)),
+		answered(60, 1, Failed),
+	}},
+	{"retry of a non-idempotent request that was not executed", "", []Event{
+		sent(0, 1),
+		received(1, firstID, 0, withIdempotency(NonIdempotent)),
+		attemptAnswered(2, firstID, 0, true),
+		received(50, firstID, 1, withIdempotency(NonIdempotent)),
+		answered(60, 1, Succeeded),
+	}},
+	{"keyed retry at another shard", RuleNoDuplicateEffect, []Event{
+		received(1, firstID, 0, keyedAt("n", 0)),
+		received(50, firstID, 1, keyedAt("m", 1)),
+	}},
+	{"keyed retry at its shard", "", []Event{
+		received(1, firstID, 0, keyedAt("n", 0)),
+		received(50, firstID, 1, keyedAt("m", 0)),
+	}},
+	{"keyed retry after the deduplication window", RuleNoDuplicateEffect, []Event{
+		received(1, firstID, 0, withIdempotency(Keyed)),
+		received(1500, firstID, 1, withIdempotency(Keyed)),
+	}},
+	{"rejected though it may have been executed", RuleNoDuplicateEffect, []Event{
+		sent(0, 1),
+		received(1, firstID, 0, withIdempotency(Keyed)),
+		answered(5, 1, Rejected),
+	}},
+	{"rejected and not executed", "", []Event{
+		sent(0, 1),
+		received(1, firstID, 0, withIdempotency(Keyed)),
+		attemptAnswered(2, firstID, 0, true),
+		answered(5, 1, Rejected),
+	}},
+	{"failed", "", []Event{sent(0, 1), received(1, firstID, 0, withIdempotency(Keyed)), answered(5, 1, Failed)}},
+}
+
+var drainingCases = []ruleCase{
+	{"attempt at a draining node", RuleDraining, []Event{
+		listed(0, StateDraining),
+		received(2600, firstID, 0, nil),
+	}},
+	{"attempt within the grace", "", []Event{listed(0, StateDraining), received(2400, firstID, 0, nil)}},
+	{"removed after draining", RuleDraining, []Event{
+		listed(0, StateDraining),
+		listed(2000, StateRemoved),
+		received(2600, firstID, 0, nil),
+	}},
+	{"ready again", "", []Event{
+		listed(0, StateRemoved),
+		listed(9, StateReady),
+		received(2600, firstID, 0, nil),
+	}},
+}
+
+var slowStartCases = []ruleCase{
+	{"over the capacity of a node that warms up", RuleSlowStart, []Event{
+		{At: 1, Type: NodeStarted, Node: "n", Rate: 10},
+		received(10, firstID, 0, withUnits(3)),
+		received(20, secondID, 0, withUnits(3)),
+	}},
+	{"within the capacity of a node that warms up", "", []Event{
+		{At: 1, Type: NodeStarted, Node: "n", Rate: 10},
+		received(10, firstID, 0, nil),
+		received(20, secondID, 0, nil),
+	}},
+	{"node overloaded", RuleSlowStart, []Event{{At: 1, Type: NodeOverloaded, Node: "n"}}},
+}
+
+var orderingCases = []ruleCase{
+	{"next of a key while the first runs", RuleOrdering, []Event{
+		received(1, firstID, 0, withKey(3)),
+		received(5, secondID, 0, withKey(3)),
+		attemptAnswered(9, firstID, 0, false),
+	}},
+	{"next of a key after the first", "", []Event{
+		received(1, firstID, 0, withKey(3)),
+		attemptAnswered(4, firstID, 0, false),
+		received(5, secondID, 0, withKey(3)),
+	}},
+	{"older of a key after the newer", RuleOrdering, []Event{
+		received(1, secondID, 0, withKey(3)),
+		attemptAnswered(4, secondID, 0, false),
+		received(5, firstID, 0, withKey(3)),
+	}},
+	{"no rest after a timeout", RuleOrdering, []Event{
+		received(1, firstID, 0, withKey(3)),
+		received(1050, secondID, 0, withKey(3)),
+	}},
+	{"rested after a timeout", "", []Event{
+		received(1, firstID, 0, withKey(3)),
+		received(1102, secondID, 0, withKey(3)),
+	}},
+	{"no rest after a cancellation", RuleOrdering, []Event{
+		received(1, firstID, 0, withKey(3)),
+		{At: 9 * ms, Type: AttemptCancelled, RequestID: firstID},
+		received(60, secondID, 0, withKey(3)),
+	}},
+	{"rested after a broken connection", "", []Event{
+		received(1, firstID, 0, withKey(3)),
+		{At: 9 * ms, Type: NodeConnectionEnded, Connection: 1},
+		received(110, secondID, 0, withKey(3)),
+	}},
+	{"another key", "", []Event{received(1, firstID, 0, withKey(3)), received(5, secondID, 0, withKey(4))}},
+}
+
+var retryBudgetCases = []ruleCase{
+	{"over the retry budget", RuleRetryBudget, []Event{
+		received(1, firstID, 0, nil),
+		received(2, firstID, 1, nil),
+		received(3, firstID, 2, nil),
+		received(4, firstID, 3, nil),
+	}},
+	{"within the retry budget", "", []Event{received(1, firstID, 0, nil), received(2, firstID, 1, nil)}},
+}
+
+var volumeLimitCases = []ruleCase{
+	{"over the volume's limit", RuleVolumeLimits, []Event{
+		received(1, firstID, 0, withUnits(8)),
+		received(2, secondID, 0, withUnits(4)),
+	}},
+	{"token bucket refilled", "", []Event{
+		received(1, firstID, 0, withUnits(8)),
+		received(500, secondID, 0, withUnits(4)),
+	}},
+	{"retry does not count for the limit", "", []Event{
+		received(1, firstID, 0, withUnits(8)),
+		attemptAnswered(2, firstID, 0, false),
+		received(3, firstID, 1, withUnits(8)),
+	}},
+}
+
+func TestEachRuleFindsItsViolationsOnly(t *testing.T) {
+	for _, cases := range [][]ruleCase{
+		deliveryCases, effectCases, drainingCases, slowStartCases, orderingCases, retryBudgetCases, volumeLimitCases,
 	} {
-		for _, r := range Check(append(c.events, last), terms) {
-			if want := r.Name == c.rule; (r.Violations > 0) != want {
-				t.Errorf("%s: %q broken %d times: %s", c.name, r.Name, r.Violations, strings.Join(r.Examples, "; "))
-			}
-			if r.Violations > r.Checked && r.Name != RuleSlowStart && r.Name != RuleNoRequestLost {
-				t.Errorf("%s: %q broken %d times, checked %d", c.name, r.Name, r.Violations, r.Checked)
+		for _, c := range cases {
+			for _, result := range Check(append(c.events, lastEvent), parameters) {
+				if want := result.Name == c.rule; (result.Violations > 0) != want {
+					t.Errorf("%s: %q violated %d times: %s", c.name, result.Name, result.Violations,
+						strings.Join(result.Examples, "; "))
+				}
+				if result.Violations > result.Checked && result.Name != RuleSlowStart && result.Name != RuleNoRequestLost {
+					t.Errorf("%s: %q violated %d times, checked %d", c.name, result.Name, result.Violations, result.Checked)
+				}
 			}
 		}
 	}
 }
 
-func TestSummary(t *testing.T) {
-	s := Summarize([]Event{asked(0, 1), asked(0, 2), asked(0, 3), asked(0, 4), asked(0, 5), told(50, 1, Succeeded), told(200, 2, Succeeded),
-		told(5, 3, Rejected), told(6, 3, Succeeded), told(5, 4, Failed)})
-	if s.Sent != 5 || s.Succeeded != 2 || s.Rejected != 1 || s.Failed != 1 || s.Lost != 1 || s.AnsweredTwice != 1 || s.ClientCancelled != 0 ||
-		s.Classes[0].WithinObjective != 1 || s.Classes[0].Sent != 5 {
-		t.Errorf("%+v", s)
+func TestSummarizeCountsEachOutcome(t *testing.T) {
+	summary := Summarize([]Event{
+		sent(0, 1), sent(0, 2), sent(0, 3), sent(0, 4), sent(0, 5),
+		answered(50, 1, Succeeded),
+		answered(200, 2, Succeeded),
+		answered(5, 3, Rejected),
+		answered(6, 3, Succeeded),
+		answered(5, 4, Failed),
+	})
+	if summary.Sent != 5 || summary.Succeeded != 2 || summary.Rejected != 1 || summary.Failed != 1 || summary.Lost != 1 ||
+		summary.AnsweredTwice != 1 || summary.ClientCancelled != 0 ||
+		summary.Classes[0].WithinObjective != 1 || summary.Classes[0].Sent != 5 {
+		t.Errorf("%+v", summary)
 	}
 }
--- /dev/null
+++ b/internal/audit/rule_retry_budget.go
@@ -0,0 +1,45 @@
+package audit
+
+// checkRetryBudget: the retries of a gateway in any window stay under the free ones plus a share of the requests that
+// came in it.
+func (t *trace) checkRetryBudget() RuleResult {
+	result := RuleResult{Name: RuleRetryBudget}
+	if t.parameters.RetryWindow == 0 {
+		return result
+	}
+	clientRequests := map[string][]int64{} // times, by gateway
+	firstAttempts := map[string][]int64{}  // they count requests that gateways have made themselves too
+	retries := map[string][]int64{}
+	for _, event := range t.events {
+		switch event.Type {
+		case RequestSent:
+			gateway := gatewayOf(event.Session)
+			clientRequests[gateway] = append(clientRequests[gateway], event.At)
+		case AttemptReceived:
+			gateway := event.Gateway
+			if event.Attempt == 0 {
+				firstAttempts[gateway] = append(firstAttempts[gateway], event.At)
+				continue
+			}
+			retries[gateway] = append(retries[gateway], event.At)
+			after := event.At - t.parameters.RetryWindow
+			requests := max(countAfter(clientRequests[gateway], after), countAfter(firstAttempts[gateway], after))
+			allowed := t.parameters.FreeRetries + t.parameters.RetryShare*requests
+			count := countAfter(retries[gateway], after)
+			result.Checked++
+			if count > allowed+1 { // an edge of the window may lie between two clocks
+				result.violated("%s sends %.0f further executions in a window, %.1f are allowed", gateway, count, allowed)
+			}
+		}
+	}
+	return result
+}
+
+// countAfter counts the times after a moment. They are in ascending order.
+func countAfter(times []int64, moment int64) float64 {
+	count := 0.0
+	for i := len(times) - 1; i >= 0 && times[i] > moment; i-- {
+		count++
+	}
+	return count
+}
--- a/internal/audit/summary.go
+++ b/internal/audit/summary.go
@@ -8,85 +8,128 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Summary counts a day's requests by what became of them, as their clients saw it.
+// Summary counts the requests of a record by how they ended, as their clients saw it.
 type Summary struct {
 	Sent            int            `json:"jobs"`
 	Succeeded       int            `json:"completed"`
 	Rejected        int            `json:"dismissed"`
 	Failed          int            `json:"written_off"`
-	ClientCancelled int            `json:"left"`
-	Lost            int            `json:"lost"`
+	ClientCancelled int            `json:"left"` // in flight when the client's connection ended
+	Lost            int            `json:"lost"` // without an answer otherwise
 	AnsweredTwice   int            `json:"answered_twice"`
-	Classes         []ClassSummary `json:"products"`
+	Classes         []ClassSummary `json:"products"` // in the order of their names
 }
 
-// ClassSummary is a summary of one product.
+// ClassSummary is the summary of one request class.
 type ClassSummary struct {
 	Name            string  `json:"name"`
 	Sent            int     `json:"jobs"`
-	WithinObjective int     `json:"in_goal"`
-	P50             float64 `json:"p50_ms"` // of the completed
+	WithinObjective int     `json:"in_goal"` // succeeded within the latency objective
+	P50             float64 `json:"p50_ms"`  // latency of those that succeeded, milliseconds
 	P99             float64 `json:"p99_ms"`
 }
 
-// Summarize counts. A request that is out when its client goes, or its gateway is killed, is left; one that has no
-// answer otherwise is lost.
+// Latencies are recorded in microseconds, with so many significant figures. A scenario lasts an hour at most.
+const (
+	maxLatency                = int64(time.Hour / time.Microsecond)
+	latencySignificantFigures = 3
+	nanosPerMicrosecond       = 1000
+	microsPerMillisecond      = 1000
+)
+
+// Summarize counts the requests of a record.
 func Summarize(events []Event) Summary {
-	var s Summary
-	asked, told, gone := map[requestKey]Event{}, map[requestKey]int{}, map[string]bool{}
-	products := map[string]*ClassSummary{}
-	times := map[string]*hdrhistogram.Histogram{}
-	for _, e := range events {
-		k := requestKey{e.Session, e.ClientRequest}
-		switch e.Type {
+	s := summarizer{
+		requests:     map[clientRequestKey]Event{},
+		answers:      map[clientRequestKey]int{},
+		disconnected: map[string]bool{},
+		classes:      map[string]*classTotals{},
+	}
+	for _, event := range events {
+		switch event.Type {
 		case RequestSent:
-			asked[k] = e
-			if products[e.RequestClass] == nil {
-				products[e.RequestClass] = &ClassSummary{Name: e.RequestClass}
-				times[e.RequestClass] = hdrhistogram.New(1, int64(time.Hour/time.Microsecond), 3)
-			}
-			products[e.RequestClass].Sent++
-			s.Sent++
+			s.addRequest(event)
 		case ClientDisconnected:
-			gone[e.Session] = true
+			s.disconnected[event.Session] = true
 		case ResponseReceived:
-			if told[k]++; told[k] > 1 {
-				s.AnsweredTwice++
-				continue
-			}
-			a, known := asked[k]
-			if !known {
-				continue
-			}
-			switch e.Outcome {
-			case Succeeded:
-				s.Succeeded++
-				// An answer that took more than an hour is out of the histogram; a day lasts an hour at most.
-				_ = times[a.RequestClass].RecordValue(max(1, (e.At-a.At)/1000))
-				if e.At <= a.ObjectiveBy {
-					products[a.RequestClass].WithinObjective++
-				}
-			case Rejected:
-				s.Rejected++
-			case Failed:
-				s.Failed++
-			}
+			s.addAnswer(event)
 		}
 	}
-	for k := range asked {
+	return s.finish()
+}
+
+// classTotals are a request class's summary and latencies.
+type classTotals struct {
+	ClassSummary
+	latencies *hdrhistogram.Histogram // microseconds
+}
+
+// summarizer is the state of a summary that is being made.
+type summarizer struct {
+	summary      Summary
+	requests     map[clientRequestKey]Event
+	answers      map[clientRequestKey]int
+	disconnected map[string]bool // by session
+	classes      map[string]*classTotals
+}
+
+func (s *summarizer) addRequest(request Event) {
+	s.requests[clientRequestKey{request.Session, request.ClientRequest}] = request
+	class := s.classes[request.RequestClass]
+	if class == nil {
+		class = &classTotals{
+			ClassSummary: ClassSummary{Name: request.RequestClass},
+			latencies:    hdrhistogram.New(1, maxLatency, latencySignificantFigures),
+		}
+		s.classes[request.RequestClass] = class
+	}
+	class.Sent++
+	s.summary.Sent++
+}
+
+func (s *summarizer) addAnswer(answer Event) {
+	key := clientRequestKey{answer.Session, answer.ClientRequest}
+	s.answers[key]++
+	if s.answers[key] > 1 {
+		s.summary.AnsweredTwice++
+		return
+	}
+	request, known := s.requests[key]
+	if !known {
+		return
+	}
+	switch answer.Outcome {
+	case Succeeded:
+		s.summary.Succeeded++
+		class := s.classes[request.RequestClass]
+		latency := max(1, (answer.At-request.At)/nanosPerMicrosecond)
+		_ = class.latencies.RecordValue(latency) // it fails over maxLatency, which no scenario reaches
+		if answer.At <= request.ObjectiveBy {
+			class.WithinObjective++
+		}
+	case Rejected:
+		s.summary.Rejected++
+	case Failed:
+		s.summary.Failed++
+	}
+}
+
+// finish counts the requests without an answer and computes the latencies.
+func (s *summarizer) finish() Summary {
+	for key := range s.requests {
 		switch {
-		case told[k] > 0:
-		case gone[k.session]:
-			s.ClientCancelled++
+		case s.answers[key] > 0:
+		case s.disconnected[key.session]:
+			s.summary.ClientCancelled++
 		default:
-			s.Lost++
+			s.summary.Lost++
 		}
 	}
-	for name, p := range products {
-		p.P50 = float64(times[name].ValueAtQuantile(50)) / 1000
-		p.P99 = float64(times[name].ValueAtQuantile(99)) / 1000
-		s.Classes = append(s.Classes, *p)
+	for _, class := range s.classes {
+		class.P50 = float64(class.latencies.ValueAtQuantile(50)) / microsPerMillisecond
+		class.P99 = float64(class.latencies.ValueAtQuantile(99)) / microsPerMillisecond
+		s.summary.Classes = append(s.summary.Classes, class.ClassSummary)
 	}
-	slices.SortFunc(s.Classes, func(a, b ClassSummary) int { return cmp.Compare(a.Name, b.Name) })
-	return s
+	slices.SortFunc(s.summary.Classes, func(a, b ClassSummary) int { return cmp.Compare(a.Name, b.Name) })
+	return s.summary
 }
