--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -1,53 +1,56 @@
 package standin
 
 import (
-	"encoding/binary"
-	"errors"
 	"os"
 	"path/filepath"
-	"slices"
-	"strings"
 	"sync"
 	"time"
 
-	"github.com/cespare/xxhash/v2"
-	"github.com/google/renameio/v2"
-
+	"irispost/internal/audit"
 	"irispost/internal/backend/node"
 )
 
-// Store is a shard's data: it outlives the nodes that serve it, as drives that are moved to another machine do. In a
-// folder each object and record is a file of its own, written whole; marks are kept in memory.
+// forgetInterval is after how many versions idempotency keys and removed records are forgotten.
+const forgetInterval = 1024
+
+// Store is a shard's data. It outlives the nodes that serve it, as drives that are moved to another machine do. In a
+// folder each object and record is a file of its own, replaced atomically; idempotency keys are in memory only.
 type Store struct {
-	lock    sync.Mutex
-	dir     string
+	dir string // empty: in memory
+
+	lock    sync.Mutex // guards what follows
 	objects map[string]*object
 	records map[string]*record
-	marks   map[string]mark
-	version uint64
+	replies map[string]keyedReply // by idempotency key
+	version uint64                // the latest of a record
 }
 
 type object struct {
-	owner   string
-	written time.Time
-	data    []byte
+	owner     string
+	writtenAt time.Time
+	data      []byte
 }
 
 type record struct {
-	version uint64
-	data    []byte // none: it was removed, and the version is that of its removal
-	removed time.Time
+	version   uint64
+	data      []byte // empty: it was removed, and the version is that of its removal
+	changedAt time.Time
 }
 
-// mark is an effect that was done, and its answer.
-type mark struct {
-	at     time.Time
-	answer node.Reply
+// keyedReply is the answer to a request with an idempotency key.
+type keyedReply struct {
+	at    time.Time
+	reply node.Reply
 }
 
-// NewStore makes a store, in memory or in a folder (dir is not empty).
+// NewStore makes a store in a folder, with what is there already; an empty path makes one in memory.
 func NewStore(dir string) (*Store, error) {
-	s := &Store{dir: dir, objects: map[string]*object{}, records: map[string]*record{}, marks: map[string]mark{}}
+	s := &Store{
+		dir:     dir,
+		objects: map[string]*object{},
+		records: map[string]*record{},
+		replies: map[string]keyedReply{},
+	}
 	if dir == "" {
 		return s, nil
 	}
@@ -58,191 +61,66 @@
 	if err != nil {
 		return nil, err
 	}
-	for _, f := range files {
-		b, err := os.ReadFile(filepath.Join(dir, f.Name()))
+	for _, file := range files {
+		content, err := os.ReadFile(filepath.Join(dir, file.Name()))
 		if err != nil {
 			return nil, err
 		}
-		s.load(f.Name(), b)
+		s.loadFile(file.Name(), content)
 	}
 	return s, nil
 }
 
-// load reads a file of the folder: kind, version, written, the lengths of name and owner, and the data.
-func (s *Store) load(file string, b []byte) {
-	if len(b) < 21 || !strings.HasSuffix(file, ".irispost") {
-		return
-	}
-	version, at := binary.BigEndian.Uint64(b[1:]), int64(binary.BigEndian.Uint64(b[9:]))
-	n, m := int(binary.BigEndian.Uint16(b[17:])), int(binary.BigEndian.Uint16(b[19:]))
-	if len(b) < 21+n+m {
-		return
-	}
-	name, owner, data := string(b[21:21+n]), string(b[21+n:21+n+m]), b[21+n+m:]
-	if b[0] == 'r' {
-		s.records[name] = &record{version: version, data: data}
-		s.version = max(s.version, version)
-	} else {
-		s.objects[name] = &object{owner, time.Unix(0, at), data}
-	}
-}
-
-// keep writes a file of the folder, or removes it.
-func (s *Store) keep(kind byte, name string, version uint64, at time.Time, owner string, data []byte, there bool) error {
-	if s.dir == "" {
-		return nil
-	}
-	file := filepath.Join(s.dir, string(kind)+strings.Map(hexOnly, name[max(0, len(name)-40):])+
-		"-"+hex(xxhash.Sum64String(name))+".irispost")
-	if !there {
-		return os.Remove(file)
-	}
-	b := append([]byte{kind}, make([]byte, 20)...)
-	binary.BigEndian.PutUint64(b[1:], version)
-	binary.BigEndian.PutUint64(b[9:], uint64(at.UnixNano()))
-	binary.BigEndian.PutUint16(b[17:], uint16(len(name)))
-	binary.BigEndian.PutUint16(b[19:], uint16(len(owner)))
-	b = append(append(append(b, name...), owner...), data...)
-	return renameio.WriteFile(file, b, 0o644)
-}
-
-func hexOnly(r rune) rune {
-	if r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || r == '-' {
-		return r
-	}
-	return '_'
+// Objects counts the objects that exist.
+func (s *Store) Objects() int {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	return len(s.objects)
 }
 
-func hex(n uint64) string {
-	const digits = "0123456789abcdef"
-	var b [16]byte
-	for i := range b {
-		b[15-i] = digits[n&15]
-		n >>= 4
+// objectSize returns an object's size in bytes, and whether it exists.
+func (s *Store) objectSize(name string) (size uint64, exists bool) {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	o := s.objects[name]
+	if o == nil {
+		return 0, false
 	}
-	return string(b[:])
+	return uint64(len(o.data)), true
 }
 
-// do carries a call out, once for each mark that is known. ran tells whether its effect came now.
-func (s *Store) do(c *node.Call, now time.Time, remember time.Duration) (a node.Reply, ran bool) {
+// execute executes a call, or returns the answer to an earlier one with its idempotency key. hadEffect says whether the
+// call was executed now, and successfully.
+func (s *Store) execute(call *node.Call, now time.Time, dedupWindow time.Duration) (reply node.Reply, hadEffect bool) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	keyed := c.Idempotency == 1 && c.Op.Writes() && c.IdempotencyKey != ""
+	keyed := call.Idempotency == audit.Keyed && call.Op.Writes() && call.IdempotencyKey != ""
 	if keyed {
-		if m, known := s.marks[c.IdempotencyKey]; known && now.Sub(m.at) < remember {
-			return m.answer, false
+		earlier, known := s.replies[call.IdempotencyKey]
+		if known && now.Sub(earlier.at) < dedupWindow {
+			return earlier.reply, false
 		}
 	}
-	a = s.apply(c, now)
+	reply = s.apply(call, now)
 	if keyed {
-		s.marks[c.IdempotencyKey] = mark{now, a}
-		if s.version%1024 == 1 { // marks and removals are forgotten together
-			for name, m := range s.marks {
-				if now.Sub(m.at) >= remember {
-					delete(s.marks, name)
-				}
-			}
-			for name, r := range s.records {
-				if len(r.data) == 0 && now.Sub(r.removed) >= remember {
-					delete(s.records, name)
-				}
-			}
+		s.replies[call.IdempotencyKey] = keyedReply{now, reply}
+		if s.version%forgetInterval == 1 {
+			s.forget(now, dedupWindow)
 		}
 	}
-	return a, a.Outcome == node.Executed && a.Status == node.OK
+	return reply, reply.Outcome == node.Executed && reply.Status == node.OK
 }
 
-func (s *Store) apply(c *node.Call, now time.Time) node.Reply {
-	done := node.Reply{Outcome: node.Executed}
-	fail := func(err error) node.Reply { return node.Reply{Outcome: node.Failed, Message: err.Error()} }
-	switch c.Op {
-	case node.GetObject:
-		o := s.objects[c.Name]
-		if o == nil {
-			return node.Reply{Outcome: node.Executed, Status: node.NotFound}
+// forget forgets idempotency keys and removed records that are older than the window. The lock is held.
+func (s *Store) forget(now time.Time, dedupWindow time.Duration) {
+	for key, earlier := range s.replies {
+		if now.Sub(earlier.at) >= dedupWindow {
+			delete(s.replies, key)
 		}
-		if from := min(c.Offset, uint64(len(o.data))); true {
-			done.Data = slices.Clone(o.data[from:min(from+uint64(c.Length), uint64(len(o.data)))])
-		}
-	case node.PutObject:
-		if c.Offset > 1<<30 {
-			return fail(errors.New("an object ends at 2^30 bytes at most"))
-		}
-		o := s.objects[c.Name]
-		if o == nil {
-			if c.Version > 0 { // it has to be there
-				return node.Reply{Outcome: node.Executed, Status: node.NotFound}
-			}
-			o = &object{owner: c.Owner}
-			s.objects[c.Name] = o
-		}
-		if end := int(c.Offset) + len(c.Data); end > len(o.data) {
-			o.data = append(o.data, make([]byte, end-len(o.data))...)
-		}
-		copy(o.data[c.Offset:], c.Data)
-		o.written = now
-		if err := s.keep('o', c.Name, 0, now, o.owner, o.data, true); err != nil {
-			return fail(err)
-		}
-	case node.DeleteObject:
-		if s.objects[c.Name] != nil {
-			delete(s.objects, c.Name)
-			if err := s.keep('o', c.Name, 0, now, "", nil, false); err != nil {
-				return fail(err)
-			}
-		}
-	case node.GetRecord:
-		if r := s.records[c.Name]; r != nil {
-			done.Version, done.Data = r.version, r.data
-		}
-	case node.CompareAndSwapRecord:
-		r := s.records[c.Name]
-		if r == nil {
-			r = &record{}
-		}
-		if r.version != c.Version {
-			return node.Reply{Outcome: node.Executed, Status: node.VersionConflict, Version: r.version, Data: r.data}
-		}
-		s.version++
-		s.records[c.Name] = &record{s.version, slices.Clone(c.Data), now}
-		done.Version = s.version
-		if err := s.keep('r', c.Name, s.version, now, "", c.Data, len(c.Data) > 0); err != nil {
-			return fail(err)
-		}
-	case node.ListRecords:
-		prefix := strings.TrimSuffix(c.Name, "/") + "/"
-		done.Data = node.EncodeItems(page(s.records, c.Owner, int(c.Length), func(name string, r *record) (node.ListItem, bool) {
-			rest, in := strings.CutPrefix(name, prefix)
-			return node.ListItem{Name: name, Version: r.version, Data: r.data}, in && len(r.data) > 0 && !strings.Contains(rest, "/")
-		}))
-	case node.ListObjects:
-		done.Data = node.EncodeItems(page(s.objects, c.Owner, int(c.Length), func(name string, o *object) (node.ListItem, bool) {
-			return node.ListItem{Name: name, Owner: o.owner, Age: uint32(now.Sub(o.written) / time.Second)}, true
-		}))
 	}
-	return done
-}
-
-// page lists what fits, in order of names, from after a name on.
-func page[T any](all map[string]T, after string, most int, item func(string, T) (node.ListItem, bool)) (list []node.ListItem) {
-	var names []string
-	for name := range all {
-		if name > after {
-			names = append(names, name)
+	for name, r := range s.records {
+		if len(r.data) == 0 && now.Sub(r.changedAt) >= dedupWindow {
+			delete(s.records, name)
 		}
 	}
-	slices.Sort(names)
-	for _, name := range names {
-		if it, fits := item(name, all[name]); fits && len(list) < most {
-			list = append(list, it)
-		}
-	}
-	return list
-}
-
-// Objects counts the objects that are there.
-func (s *Store) Objects() int {
-	s.lock.Lock()
-	defer s.lock.Unlock()
-	return len(s.objects)
 }
--- /dev/null
+++ b/internal/standin/store_test.go
@@ -0,0 +1,107 @@
+package standin
+
+import (
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"irispost/internal/audit"
+	"irispost/internal/backend/node"
+)
+
+func execute(t *testing.T, store *Store, call node.Call) node.Reply {
+	t.Helper()
+	reply, _ := store.execute(&call, time.Unix(1, 2), time.Minute)
+	if reply.Outcome != node.Executed {
+		t.Fatalf("%v of %q: %+v", call.Op, call.Name, reply)
+	}
+	return reply
+}
+
+func newStore(t *testing.T, dir string) *Store {
+	t.Helper()
+	store, err := NewStore(dir)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return store
+}
+
+func TestStoreReadsItsFolderAgain(t *testing.T) {
+	dir := t.TempDir()
+	before := newStore(t, dir)
+	execute(t, before, node.Call{Op: node.PutObject, Name: "object", Owner: "owner", Data: []byte("abc")})
+	swapped := execute(t, before, node.Call{Op: node.CompareAndSwapRecord, Name: "folder/record", Data: []byte("r")})
+
+	after := newStore(t, dir)
+	if got := execute(t, after, node.Call{Op: node.GetObject, Name: "object", Length: 9}); string(got.Data) != "abc" {
+		t.Errorf("the object has %q", got.Data)
+	}
+	if owner := after.objects["object"].owner; owner != "owner" {
+		t.Errorf("the object's owner is %q", owner)
+	}
+	record := execute(t, after, node.Call{Op: node.GetRecord, Name: "folder/record"})
+	if string(record.Data) != "r" || record.Version != swapped.Version {
+		t.Errorf("the record has %q in version %d, not %d", record.Data, record.Version, swapped.Version)
+	}
+}
+
+// Folders of earlier builds are read: the form of a file stays.
+func TestStoreFileFormIsKept(t *testing.T) {
+	dir := t.TempDir()
+	execute(t, newStore(t, dir), node.Call{Op: node.PutObject, Name: "dir/a", Owner: "me", Data: []byte("abc")})
+	content, err := os.ReadFile(filepath.Join(dir, "odir_a-a758dbd03e87210e.irispost"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	const (
+		version   = "\x00\x00\x00\x00\x00\x00\x00\x00"
+		writtenAt = "\x00\x00\x00\x00\x3b\x9a\xca\x02"
+		lengths   = "\x00\x05\x00\x02"
+	)
+	want := "o" + version + writtenAt + lengths + "dir/a" + "me" + "abc"
+	if string(content) != want {
+		t.Errorf("got %q, want %q", content, want)
+	}
+}
+
+func TestStoreHasTheEffectOfAKeyOnce(t *testing.T) {
+	store := newStore(t, "")
+	call := node.Call{Op: node.CompareAndSwapRecord, Name: "record", Idempotency: audit.Keyed, IdempotencyKey: "key",
+		Data: []byte("r")}
+	now := time.Unix(1, 0)
+	first, hadEffect := store.execute(&call, now, time.Minute)
+	if !hadEffect || first.Status != node.OK {
+		t.Fatalf("%+v, effect %t", first, hadEffect)
+	}
+	again, hadEffect := store.execute(&call, now.Add(time.Second), time.Minute)
+	if hadEffect || again.Status != node.OK || again.Version != first.Version {
+		t.Errorf("%+v, effect %t, within the window", again, hadEffect)
+	}
+	late, hadEffect := store.execute(&call, now.Add(time.Hour), time.Minute)
+	if hadEffect || late.Status != node.VersionConflict {
+		t.Errorf("%+v, effect %t, after the window", late, hadEffect)
+	}
+}
+
+func TestCommandRejectsWhatItDoesNotKnow(t *testing.T) {
+	n, err := Start(Options{Addr: "127.0.0.1:0", Store: newStore(t, "")})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(n.Close)
+	for _, text := range []string{"", "sulk", "fail", "slow x", "drop -1", "stall 5"} {
+		if err := n.Command(text); err == nil {
+			t.Errorf("%q is taken", text)
+		}
+	}
+	for _, text := range []string{"fail 0.5", "slow 2", "drop 1", "hang", "stall 1ms", "cut g1", "refuse", "reset", "well"} {
+		if err := n.Command(text); err != nil {
+			t.Errorf("%q: %v", text, err)
+		}
+	}
+	if n.faults != noFaults {
+		t.Errorf("%+v is in force after the end of all faults", n.faults)
+	}
+}
