--- a/internal/webstandin/node.go
+++ b/internal/webstandin/node.go
@@ -1,4 +1,6 @@
-// Package webstandin is a storage node that speaks HTTP/1.1, for tests: what it does with a request is told by the request's id.
+// Package webstandin is a storage node that speaks HTTP/1.1, for tests: the ID of a request says what the node does
+// with it (Behaviors). Tests of the HTTP node client and of the web gateway start it; it ends with the test. Each
+// connection has a goroutine of its own; the counts are under the node's lock.
 package webstandin
 
 import (
@@ -10,121 +12,113 @@
 	"strings"
 	"sync"
 	"testing"
-
-	"irispost/internal/backend/node"
-)
-
-func whole(extra string) string {
-	return "HTTP/1.1 200 OK\r\n" + extra + "Content-Length: LEN\r\n\r\nBODY"
-}
-
-const (
-	keep = iota // goes on with the next request
-	stay        // takes what comes, and says nothing any more
-	end         // closes
-	cut         // resets
 )
 
-// Behaviors are what a stand-in node does with a request, by the first part of its id, and what the attempt comes to.
-var Behaviors = map[string]struct {
-	say     string
-	then    int
-	Outcome node.Outcome
-}{
-	"served": {whole(""), keep, node.Executed}, "held": {whole(""), keep, node.Executed}, "close": {whole("Connection: close\r\n"), end, node.Executed},
-	"elsewhere": {whole("X-Served-Elsewhere: 3\r\nX-Load: inflight=7,latency_ms=2\r\n"), keep, node.Executed},
-	"oddreport": {whole("X-Served-Elsewhere: many\r\nX-Load: ???\r\nX-Volume-Use: NaN\r\n"), keep, node.Executed},
-	"hints":     {"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nLink: x\r\n\r\n" + whole(""), keep, node.Executed},
-	"twice":     {whole("") + whole(""), keep, node.Executed}, "error": {"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", keep, node.Failed},
-	"full": {"HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", keep, node.QueueFull},
-	"over": {"HTTP/1.1 504 Over\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", keep, node.WrongShard},
-	"busy": {"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", keep, node.Failed}, "reset": {"", end, node.ConnectionReset},
-	"half": {"HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\nabc", end, node.ConnectionReset}, "noise": {"\x00\x01\x02\x03\r\n\r\n", stay, node.Failed},
-	"huge": {"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nxxx", stay, node.Failed},
-	"open": {"HTTP/1.1 200 OK\r\n\r\nBODY", end, node.Executed}, "opencut": {"HTTP/1.1 200 OK\r\n\r\nBODY", cut, node.ConnectionReset},
-	"halfline": {"HTTP/1.1 200 O", cut, node.ConnectionReset}, "halfhead": {"HTTP/1.1 200 OK\r\nContent-Le", end, node.ConnectionReset},
-	"long": {"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + strings.Repeat("l", 200_000), keep, node.Executed},
-}
+// eventBuffer is how many events a test may leave unread before connections wait for it.
+const eventBuffer = 1000
 
-// Node is a stand-in storage node.
+// Node is a test node.
 type Node struct {
 	net.Listener
-	sync.Mutex
-	Waiting, Connections int            // requests that are held, and connections that are open
-	Seen                 map[string]int // whole requests by id
-	Release              chan struct{}  // closed to let those go on that are held
-	WaitingIDs           chan string    // ids of those
-	Disconnected         chan bool      // a connection has ended
+	Release      chan struct{} // closed to let the requests go on that wait
+	WaitingIDs   chan string   // IDs of requests that wait
+	Disconnected chan bool     // gets a value when a connection has ended
+
+	sync.Mutex                 // guards what follows
+	Waiting     int            // requests that wait for Release
+	Connections int            // that are open
+	Seen        map[string]int // requests that were read completely, by ID
 }
 
-// Start starts one on loopback, until the test ends.
+// Start starts a node on loopback, until the test ends.
 func Start(t testing.TB) *Node {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &Node{Listener: l, Seen: map[string]int{}, Release: make(chan struct{}), WaitingIDs: make(chan string, 1000), Disconnected: make(chan bool, 1000)}
-	t.Cleanup(func() { _ = l.Close() })
+	n := &Node{
+		Listener:     listener,
+		Seen:         map[string]int{},
+		Release:      make(chan struct{}),
+		WaitingIDs:   make(chan string, eventBuffer),
+		Disconnected: make(chan bool, eventBuffer),
+	}
+	t.Cleanup(func() { _ = listener.Close() }) // a test may have closed it before
 	go func() {
-		for c, err := l.Accept(); err == nil; c, err = l.Accept() {
-			go s.serve(c)
+		for {
+			conn, err := listener.Accept()
+			if err != nil {
+				return // the listener is closed
+			}
+			go n.serve(conn)
 		}
 	}()
-	return s
+	return n
 }
 
-func (s *Node) serve(c net.Conn) {
-	s.count(0, 1)
+// Counts returns how many requests wait for Release, and how many connections are open.
+func (n *Node) Counts() (waiting, connections int) {
+	n.Lock()
+	defer n.Unlock()
+	return n.Waiting, n.Connections
+}
+
+func (n *Node) serve(conn net.Conn) {
+	n.count(0, 1)
 	defer func() {
-		_ = c.Close()
-		s.count(0, -1)
-		s.Disconnected <- true
+		_ = conn.Close() // the client may have closed it
+		n.count(0, -1)
+		n.Disconnected <- true
 	}()
-	for in := bufio.NewReader(c); ; {
-		q, err := http.ReadRequest(in)
+	reader := bufio.NewReader(conn)
+	for {
+		request, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
-		body, err := io.ReadAll(q.Body)
+		body, err := io.ReadAll(request.Body)
 		if err != nil {
 			return
 		}
-		id := q.Header.Get("X-Request-Id")
-		s.Lock()
-		s.Seen[id]++
-		s.Unlock()
-		what, _, _ := strings.Cut(id, "-")
-		if what == "held" {
-			s.count(1, 0)
-			s.WaitingIDs <- id
-			<-s.Release
-			s.count(-1, 0)
-		}
-		text := id + string(body)
-		answer := strings.NewReplacer("LEN", strconv.Itoa(len(text)), "BODY", text).Replace(Behaviors[what].say)
-		_, _ = io.WriteString(c, answer) // the client may have gone
-		switch Behaviors[what].then {
-		case stay:
-			_, _ = io.Copy(io.Discard, in) // until the client goes
-			return
-		case end:
-			return
-		case cut:
-			_ = c.(*net.TCPConn).SetLinger(0)
+		if !n.respond(conn, reader, request.Header.Get("X-Request-Id"), body) {
 			return
 		}
 	}
 }
 
-func (s *Node) count(out, conns int) {
-	s.Lock()
-	defer s.Unlock()
-	s.Waiting, s.Connections = s.Waiting+out, s.Connections+conns
+// respond does with a request what its ID says, and says whether the connection goes on.
+func (n *Node) respond(conn net.Conn, reader io.Reader, id string, body []byte) bool {
+	n.Lock()
+	n.Seen[id]++
+	n.Unlock()
+	name, _, _ := strings.Cut(id, "-")
+	if name == waitingBehavior {
+		n.count(1, 0)
+		n.WaitingIDs <- id
+		<-n.Release
+		n.count(-1, 0)
+	}
+	behavior := Behaviors[name]
+	text := id + string(body)
+	placeholders := strings.NewReplacer(lengthPlaceholder, strconv.Itoa(len(text)), bodyPlaceholder, text)
+	_, _ = io.WriteString(conn, placeholders.Replace(behavior.response)) // the client may have gone
+	switch behavior.then {
+	case stopReplying:
+		_, _ = io.Copy(io.Discard, reader) // until the client goes
+		return false
+	case closeConn:
+		return false
+	case resetConn:
+		_ = conn.(*net.TCPConn).SetLinger(0) // it fails where the client has reset the connection
+		return false
+	}
+	return true
 }
 
-// Counts tells how many requests are held, and how many connections are open.
-func (s *Node) Counts() (out, conns int) {
-	s.Lock()
-	defer s.Unlock()
-	return s.Waiting, s.Connections
+func (n *Node) count(waiting, connections int) {
+	n.Lock()
+	defer n.Unlock()
+	n.Waiting += waiting
+	n.Connections += connections
 }
