--- a/internal/xdsstandin/command.go
+++ b/internal/xdsstandin/command.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"slices"
 	"strconv"
 	"strings"
 	"time"
@@ -13,7 +12,7 @@
 	"irispost/internal/endpoint/xds"
 )
 
-// Commands tells what Command understands.
+// Commands lists what Command understands.
 const Commands = `add ADDR SHARD [ZONE]     a node, started now
 drain ADDR                one is draining
 unwell ADDR               one is not healthy
@@ -32,110 +31,67 @@
 blurt                     endpoints go out without being asked for
 restart                   the server starts anew, with its versions`
 
-var standings = map[string]endpoint.Health{"drain": endpoint.Draining, "unwell": endpoint.Unhealthy, "ready": endpoint.Ready, "draining": endpoint.Draining}
+// maxArguments is how many arguments a command has at most.
+const maxArguments = 3
 
-// Command does one of the things that Commands tells.
-func (s *Server) Command(text string) error {
-	w := append(strings.Fields(text), "", "", "", "")
-	one := func(f func(*endpoint.Node)) error {
-		err := fmt.Errorf("there is no node %q", w[1])
-		s.UpdateNodes(func(list []endpoint.Node) []endpoint.Node {
-			for i := range list {
-				if list[i].Addr == w[1] {
-					f(&list[i])
-					err = nil
-				}
-			}
-			return list
-		})
-		return err
-	}
-	set := func(flag *bool) error {
-		if w[1] != "on" && w[1] != "off" {
-			return fmt.Errorf("%s is on or off, not %q", w[0], w[1])
-		}
-		s.lock.Lock()
-		*flag = w[1] == "on"
-		s.lock.Unlock()
-		s.cond.Broadcast()
-		return nil
+// malformedAddress is that of the node in a broken update.
+const malformedAddress = "127.0.0.1:1"
+
+// command is a command with its arguments; those that are not given are empty.
+type command struct {
+	name      string
+	arguments [maxArguments]string
+}
+
+func parseCommand(text string) command {
+	words := strings.Fields(text)
+	if len(words) == 0 {
+		return command{}
 	}
-	switch w[0] {
+	parsed := command{name: words[0]}
+	copy(parsed.arguments[:], words[1:])
+	return parsed
+}
+
+// healthOfCommand is the health that a word in a command stands for.
+var healthOfCommand = map[string]endpoint.Health{
+	"drain":    endpoint.Draining,
+	"draining": endpoint.Draining,
+	"unwell":   endpoint.Unhealthy,
+	"ready":    endpoint.Ready,
+}
+
+// Command executes one of the commands that Commands lists.
+func (s *Server) Command(text string) error {
+	parsed := parseCommand(text)
+	argument := parsed.arguments[0]
+	switch parsed.name {
 	case "add":
-		shard, err := strconv.Atoi(w[2])
-		if err != nil {
-			return fmt.Errorf("shard %q is no number", w[2])
-		}
-		s.UpdateNodes(func(list []endpoint.Node) []endpoint.Node {
-			return append(list, endpoint.Node{Addr: w[1], Shard: shard, Zone: w[3], StartedAt: time.Now().UnixNano()})
-		})
+		return s.addNode(parsed)
 	case "drain", "unwell", "ready":
-		return one(func(n *endpoint.Node) { n.Health = standings[w[0]] })
+		return s.setHealth(argument, healthOfCommand[parsed.name])
 	case "remove":
-		return one(func(n *endpoint.Node) { n.Health = endpoint.Removed })
+		return s.setHealth(argument, endpoint.Removed)
 	case "nothing":
 		s.UpdateNodes(func([]endpoint.Node) []endpoint.Node { return nil })
 	case "everybody":
-		to, known := standings[w[1]]
-		if !known {
-			return fmt.Errorf("a standing is ready, draining or unwell, not %q", w[1])
-		}
-		s.UpdateNodes(func(list []endpoint.Node) []endpoint.Node {
-			for i := range list {
-				if list[i].Health != endpoint.Removed {
-					list[i].Health = to
-				}
-			}
-			return list
-		})
+		return s.setHealthOfAll(argument)
 	case "broken":
-		switch w[1] {
-		case "endpoints":
-			a := Assignment(s.name(0), []endpoint.Node{{Addr: "127.0.0.1:1"}})
-			a.Endpoints[0].LbEndpoints[0].Metadata = nil
-			s.PutResources(xds.EndpointType, map[string]proto.Message{s.name(0): a})
-		case "clusters":
-			c := Cluster(s.name(0))
-			c.EdsClusterConfig = nil
-			s.PutResources(xds.ClusterType, map[string]proto.Message{s.name(0): c})
-		default:
-			return fmt.Errorf("endpoints or clusters can be broken, not %q", w[1])
-		}
+		return s.putBroken(argument)
 	case "mend":
-		s.lock.Lock()
-		for kind := range s.resources {
-			s.seen[kind]--
-		}
-		s.build()
-		for kind, v := range s.versions {
-			s.seen[kind] = max(s.seen[kind], v) // what was not wrong keeps its version
-		}
-		for c := range s.streams {
-			for _, b := range c.subs {
-				b.news = true // the version is the same, what it stands for is not
-				clear(b.sent)
-			}
-		}
-		s.lock.Unlock()
-		s.cond.Broadcast()
+		s.repair()
 	case "old":
 		s.Revert()
 	case "cut":
 		s.CutStreams()
 	case "refuse":
-		return set(&s.fault.refuse)
+		return s.switchFault(parsed, &s.faults.refuseStreams)
 	case "mute":
-		return set(&s.fault.muted)
+		return s.switchFault(parsed, &s.faults.silent)
 	case "nonces":
-		return set(&s.fault.nonce)
+		return s.switchFault(parsed, &s.faults.sameNonce)
 	case "slow":
-		d, err := time.ParseDuration(w[1])
-		if err != nil {
-			return fmt.Errorf("slow %q: a span such as 500ms is expected", w[1])
-		}
-		s.lock.Lock()
-		s.fault.slow = d
-		s.lock.Unlock()
+		return s.setDelay(argument)
 	case "blurt":
 		s.SendUnrequested(xds.EndpointType)
 	case "restart":
@@ -146,9 +102,109 @@
 	return nil
 }
 
-// Nodes are the nodes as they are served.
-func (s *Server) Nodes() []endpoint.Node {
+func (s *Server) addNode(c command) error {
+	address, shardText, zone := c.arguments[0], c.arguments[1], c.arguments[2]
+	shard, err := strconv.Atoi(shardText)
+	if err != nil {
+		return fmt.Errorf("shard %q is no number", shardText)
+	}
+	s.UpdateNodes(func(nodes []endpoint.Node) []endpoint.Node {
+		added := endpoint.Node{Addr: address, Shard: shard, Zone: zone, StartedAt: time.Now().UnixNano()}
+		return append(nodes, added)
+	})
+	return nil
+}
+
+func (s *Server) setHealth(address string, health endpoint.Health) error {
+	err := fmt.Errorf("there is no node %q", address)
+	s.UpdateNodes(func(nodes []endpoint.Node) []endpoint.Node {
+		for i := range nodes {
+			if nodes[i].Addr == address {
+				nodes[i].Health = health
+				err = nil
+			}
+		}
+		return nodes
+	})
+	return err
+}
+
+// setHealthOfAll sets the health of all nodes that are not removed.
+func (s *Server) setHealthOfAll(word string) error {
+	health, known := healthOfCommand[word]
+	if !known {
+		return fmt.Errorf("a standing is ready, draining or unwell, not %q", word)
+	}
+	s.UpdateNodes(func(nodes []endpoint.Node) []endpoint.Node {
+		for i := range nodes {
+			if nodes[i].Health != endpoint.Removed {
+				nodes[i].Health = health
+			}
+		}
+		return nodes
+	})
+	return nil
+}
+
+// putBroken puts a malformed resource of the first cluster in force.
+func (s *Server) putBroken(what string) error {
+	name := s.clusterName(0)
+	switch what {
+	case "endpoints":
+		assignment := Assignment(name, []endpoint.Node{{Addr: malformedAddress}})
+		assignment.Endpoints[0].LbEndpoints[0].Metadata = nil
+		s.PutResources(xds.EndpointType, map[string]proto.Message{name: assignment})
+	case "clusters":
+		cluster := Cluster(name)
+		cluster.EdsClusterConfig = nil
+		s.PutResources(xds.ClusterType, map[string]proto.Message{name: cluster})
+	default:
+		return fmt.Errorf("endpoints or clusters can be broken, not %q", what)
+	}
+	return nil
+}
+
+// repair puts the resources of the nodes in force again, with the version that the broken ones had.
+func (s *Server) repair() {
+	s.lock.Lock()
+	for resourceType := range s.resources {
+		s.lastVersions[resourceType]--
+	}
+	s.rebuild()
+	for resourceType, version := range s.versions {
+		// What was not broken keeps its version.
+		s.lastVersions[resourceType] = max(s.lastVersions[resourceType], version)
+	}
+	for st := range s.streams {
+		for _, sub := range st.subscriptions {
+			sub.changed = true // the version is the same, its content is not
+			clear(sub.sentVersions)
+		}
+	}
+	s.lock.Unlock()
+	s.changed.Broadcast()
+}
+
+// switchFault switches a fault on or off.
+func (s *Server) switchFault(c command, fault *bool) error {
+	argument := c.arguments[0]
+	if argument != "on" && argument != "off" {
+		return fmt.Errorf("%s is on or off, not %q", c.name, argument)
+	}
+	s.lock.Lock()
+	*fault = argument == "on"
+	s.lock.Unlock()
+	s.changed.Broadcast()
+	return nil
+}
+
+func (s *Server) setDelay(text string) error {
+	delay, err := time.ParseDuration(text)
+	if err != nil {
+		return fmt.Errorf("slow %q: a span such as 500ms is expected", text)
+	}
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	return slices.Clone(s.nodes)
+	s.faults.delay = delay
+	return nil
 }
--- /dev/null
+++ b/internal/xdsstandin/state_of_the_world.go
@@ -0,0 +1,100 @@
+package xdsstandin
+
+import (
+	"strconv"
+
+	discoveryv3 "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
+	"google.golang.org/grpc"
+	"google.golang.org/protobuf/types/known/anypb"
+
+	"irispost/internal/endpoint/xds"
+)
+
+type stateOfTheWorldStream = grpc.BidiStreamingServer[discoveryv3.DiscoveryRequest, discoveryv3.DiscoveryResponse]
+
+// StreamAggregatedResources serves the state-of-the-world form.
+func (s *Server) StreamAggregatedResources(wire stateOfTheWorldStream) error {
+	return s.serveStream(func(st *stream) protocol {
+		return protocol{
+			receive: func() error {
+				request, err := wire.Recv()
+				if err != nil {
+					return err
+				}
+				s.received(st, request.GetNode().GetId(), func() { s.applyRequest(st, request) })
+				return nil
+			},
+			prepare: func(resourceType string, sub *subscription) func() error {
+				response := s.prepareResponse(st, resourceType, sub)
+				if response == nil {
+					return nil
+				}
+				return func() error { return wire.Send(response) }
+			},
+		}
+	})
+}
+
+// applyRequest takes in a request. The lock is held.
+func (s *Server) applyRequest(st *stream, request *discoveryv3.DiscoveryRequest) {
+	resourceType := request.GetTypeUrl()
+	nonce := request.GetResponseNonce()
+	sub := st.subscription(resourceType)
+	if nonce != "" {
+		s.acks = append(s.acks, Ack{
+			Client:  st.nodeID,
+			Type:    resourceType,
+			Version: request.GetVersionInfo(),
+			Nonce:   nonce,
+			Refusal: request.GetErrorDetail().GetMessage(),
+		})
+	}
+	if nonce != sub.nonce && !s.faults.sameNonce {
+		return // it answers an older response than the last
+	}
+	sub.wildcard = resourceType == xds.ClusterType && len(request.GetResourceNames()) == 0
+	before := sub.names
+	sub.names = map[string]bool{}
+	for _, name := range request.GetResourceNames() {
+		sub.names[name] = true
+		sub.changed = sub.changed || !before[name]
+	}
+	if nonce == "" { // the stream's first of the type: what the client has counts if it is the same
+		version := s.versions[resourceType]
+		sub.changed = request.GetVersionInfo() != strconv.Itoa(version)
+		sub.sentVersion = version
+	}
+}
+
+// prepareResponse makes the response that a stream has to get of a type; nil: none. The lock is held.
+func (s *Server) prepareResponse(st *stream, resourceType string, sub *subscription) *discoveryv3.DiscoveryResponse {
+	version := s.versions[resourceType]
+	upToDate := sub.sentVersion == version && !sub.changed && st.heartbeatType != resourceType
+	if upToDate || !sub.wildcard && len(sub.names) == 0 {
+		return nil
+	}
+	response := &discoveryv3.DiscoveryResponse{
+		VersionInfo: strconv.Itoa(version),
+		TypeUrl:     resourceType,
+		Nonce:       s.nextNonce(st),
+	}
+	sub.sentVersion = version
+	sub.changed = false
+	sub.nonce = response.Nonce
+	for _, name := range s.wantedNames(resourceType, sub) {
+		heartbeat := st.heartbeatType == resourceType
+		response.Resources = append(response.Resources, s.resources[resourceType][name].wireForm(name, heartbeat))
+	}
+	return response
+}
+
+// wireForm is a resource as a response has it: wrapped where it has a time to live, without its body in a heartbeat.
+func (r resource) wireForm(name string, heartbeat bool) *anypb.Any {
+	switch {
+	case heartbeat:
+		return pack(&discoveryv3.Resource{Name: name, Ttl: protoTTL(r.ttl)})
+	case r.ttl > 0:
+		return pack(&discoveryv3.Resource{Name: name, Resource: r.body, Ttl: protoTTL(r.ttl)})
+	}
+	return r.body
+}
