--- a/internal/relive/golden_test.go
+++ b/internal/relive/golden_test.go
@@ -6,6 +6,6 @@
 	"irispost/internal/testkit/golden"
 )
 
-func TestGoldenJSON(t *testing.T) {
+func TestReportMatchesGolden(t *testing.T) {
 	golden.CheckJSON(t, "report.json", &Report{})
 }
--- a/internal/relive/relive_test.go
+++ b/internal/relive/relive_test.go
@@ -2,7 +2,7 @@
 
 import (
 	"bytes"
-	"context"
+	"errors"
 	"io"
 	"os"
 	"strings"
@@ -12,62 +12,75 @@
 	"irispost/internal/capture"
 )
 
-func script(t *testing.T, b []byte) (*Script, error) {
+// readScript reads a script from the bytes of a capture.
+func readScript(t *testing.T, content []byte) *Script {
 	t.Helper()
-	r, err := capture.NewReader(bytes.NewReader(b))
+	reader, err := capture.NewReader(bytes.NewReader(content))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return Read(r.Next)
+	script, err := Read(reader.Next)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return script
 }
 
-// Captures of past failures, one of them cut off, are played through a real gateway at twice their pace: all arrivals come,
-// each gets one answer, and no rule breaks. How many were in their goal is not judged here.
-func TestPastFailuresThroughARealGateway(t *testing.T) {
+// Captures of past failures, one of them cut off, are played through a real gateway at twice their pace: all requests
+// arrive, each gets one answer, and no rule is violated. How many are within their objective is not judged here.
+func TestPlayAnswersAllCapturedRequests(t *testing.T) {
 	for _, name := range []string{"failing", "cold"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			b, err := os.ReadFile("../replay/testdata/" + name + ".iriscap")
+			content, err := os.ReadFile("../replay/testdata/" + name + ".iriscap")
 			if err != nil {
 				t.Fatal(err)
 			}
 			if name == "cold" {
-				b = b[:len(b)*3/4]
+				content = content[:len(content)*3/4]
 			}
-			s, err := script(t, b)
+			script := readScript(t, content)
+			report, err := Play(t.Context(), script, Options{Speed: 2, Slack: 5 * time.Second})
 			if err != nil {
 				t.Fatal(err)
 			}
-			r, err := Play(context.Background(), s, Options{Speed: 2, Slack: 5 * time.Second})
-			if err != nil || !r.Passed() {
-				t.Fatalf("%+v, %v", r, err)
+			if !report.Passed() {
+				t.Fatalf("%+v", report)
 			}
-			for product, was := range r.Captured {
-				is := r.Replayed[product]
-				if is == nil || is.Requests != was.Requests || is.WithinObjective+is.Late+is.Rejected+is.Failed+is.ClientCancelled != is.Requests {
-					t.Errorf("%s: %+v were, %+v are", product, was, is)
+			for class, captured := range report.Captured {
+				replayed := report.Replayed[class]
+				if replayed == nil || replayed.Requests != captured.Requests || ended(replayed) != replayed.Requests {
+					t.Errorf("%s: captured %+v, replayed %+v", class, captured, replayed)
 				}
 			}
 		})
 	}
 }
 
-// What a script cannot be made of is refused by name.
-func TestWhatCannotBePlayed(t *testing.T) {
+// ended counts the requests that ended in one of the ways.
+func ended(o *ClassOutcome) int {
+	return o.WithinObjective + o.Late + o.Rejected + o.Failed + o.ClientCancelled
+}
+
+func TestReadRejectsWhatCannotBePlayed(t *testing.T) {
 	for want, records := range map[string][]*capture.Record{
 		"no start": {{Kind: capture.Header, Name: "g"}},
 		"a gap":    {{Kind: capture.Start, At: 1}, {Kind: capture.Gap, Dropped: 3}},
 		"a state":  {{Kind: capture.State, At: 1}},
 	} {
-		n := 0
+		next := 0
 		_, err := Read(func() (*capture.Record, error) {
-			if n++; n > len(records) {
+			next++
+			if next > len(records) {
 				return nil, io.EOF
 			}
-			return records[n-1], nil
+			return records[next-1], nil
 		})
 		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", want, err)
 		}
+		if incomplete := new(IncompleteError); !errors.As(err, &incomplete) && !errors.Is(err, errNothingToPlay) {
+			t.Errorf("%s: %T", want, err)
+		}
 	}
 }
