--- a/internal/testkit/golden/golden.go
+++ b/internal/testkit/golden/golden.go
@@ -1,5 +1,6 @@
-// Package golden holds forms that scripts and stored files rest on against files under testdata. Only tests import it.
-// go test -update writes the files anew; a change of a file is a change of the form.
+// Package golden compares forms that scripts and stored files rely on with files under testdata. Only tests import it.
+// It owns no state but the flag -update, with which go test writes the files anew: a change of a file is a change of
+// the form.
 package golden
 
 import (
@@ -16,7 +17,7 @@
 
 var update = flag.Bool("update", false, "write the golden files anew")
 
-// Check fails the test where got is not what testdata/name has.
+// Check fails the test where got differs from testdata/name.
 func Check(t *testing.T, name string, got []byte) {
 	t.Helper()
 	file := filepath.Join("testdata", name)
@@ -36,87 +37,104 @@
 	if bytes.Equal(got, want) {
 		return
 	}
-	gotLines, wantLines := strings.Split(string(got), "\n"), strings.Split(string(want), "\n")
+	gotLines := strings.Split(string(got), "\n")
+	wantLines := strings.Split(string(want), "\n")
 	for i := range max(len(gotLines), len(wantLines)) {
-		if g, w := line(gotLines, i), line(wantLines, i); g != w {
-			t.Fatalf("%s, line %d: got %s, want %s", file, i+1, g, w)
+		gotLine, wantLine := quotedLine(gotLines, i), quotedLine(wantLines, i)
+		if gotLine != wantLine {
+			t.Fatalf("%s, line %d: got %s, want %s", file, i+1, gotLine, wantLine)
 		}
 	}
 }
 
-func line(lines []string, i int) string {
-	if i >= len(lines) {
+// quotedLine returns a line for a message, or that there is none.
+func quotedLine(lines []string, index int) string {
+	if index >= len(lines) {
 		return "nothing"
 	}
-	return fmt.Sprintf("%q", lines[i])
+	return fmt.Sprintf("%q", lines[index])
 }
 
-// CheckJSON fills a record, which is a pointer to its zero value, with values that all differ, and holds its JSON form
-// against testdata/name. The file read into another such record has to be written the same.
+// CheckJSON fills a record, which is a pointer to its zero value, with values that all differ, and compares its JSON
+// form with testdata/name. The file, read into another such record, has to be written the same.
 func CheckJSON(t *testing.T, name string, record any) {
 	t.Helper()
-	n := 0
-	fill(t, reflect.ValueOf(record).Elem(), &n)
+	count := 0
+	fill(t, reflect.ValueOf(record).Elem(), &count)
 	Check(t, name, marshal(t, record))
 	want, err := os.ReadFile(filepath.Join("testdata", name))
 	if err != nil {
 		t.Fatal(err)
 	}
-	again := reflect.New(reflect.TypeOf(record).Elem()).Interface()
+	decoded := reflect.New(reflect.TypeOf(record).Elem()).Interface()
 	decoder := json.NewDecoder(bytes.NewReader(want))
 	decoder.DisallowUnknownFields()
-	if err := decoder.Decode(again); err != nil {
+	if err := decoder.Decode(decoded); err != nil {
 		t.Fatalf("%s: %v", name, err)
 	}
-	if !bytes.Equal(marshal(t, again), want) {
+	if !bytes.Equal(marshal(t, decoded), want) {
 		t.Fatalf("%s is read, and written otherwise", name)
 	}
 }
 
 func marshal(t *testing.T, record any) []byte {
 	t.Helper()
-	b, err := json.MarshalIndent(record, "", "  ")
+	text, err := json.MarshalIndent(record, "", "  ")
 	if err != nil {
 		t.Fatal(err)
 	}
-	return append(b, '\n')
+	return append(text, '\n')
 }
 
-// fill gives each part of a value a value of its own; n counts them.
-func fill(t *testing.T, v reflect.Value, n *int) {
+// fill gives each part of a value a value of its own; count counts them.
+func fill(t *testing.T, value reflect.Value, count *int) {
 	t.Helper()
-	*n++
-	switch v.Kind() {
+	*count++
+	switch value.Kind() {
 	case reflect.Struct:
-		for i := range v.NumField() {
-			if v.Type().Field(i).IsExported() && v.Type().Field(i).Tag.Get("json") != "-" {
-				fill(t, v.Field(i), n)
-			}
-		}
+		fillStruct(t, value, count)
 	case reflect.Pointer:
-		v.Set(reflect.New(v.Type().Elem()))
-		fill(t, v.Elem(), n)
+		value.Set(reflect.New(value.Type().Elem()))
+		fill(t, value.Elem(), count)
 	case reflect.Slice:
-		v.Set(reflect.MakeSlice(v.Type(), 2, 2))
-		fill(t, v.Index(0), n)
-		fill(t, v.Index(1), n)
+		value.Set(reflect.MakeSlice(value.Type(), 2, 2))
+		fill(t, value.Index(0), count)
+		fill(t, value.Index(1), count)
 	case reflect.Map:
-		key, value := reflect.New(v.Type().Key()).Elem(), reflect.New(v.Type().Elem()).Elem()
-		fill(t, key, n)
-		fill(t, value, n)
-		v.Set(reflect.MakeMap(v.Type()))
-		v.SetMapIndex(key, value)
+		fillMap(t, value, count)
 	case reflect.String:
-		v.SetString(fmt.Sprint("text ", *n))
+		value.SetString(fmt.Sprint("text ", *count))
 	case reflect.Bool:
-		v.SetBool(true)
+		value.SetBool(true)
 	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
-		v.SetInt(int64(*n))
+		value.SetInt(int64(*count))
 	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
-		v.SetUint(uint64(*n))
+		value.SetUint(uint64(*count))
 	case reflect.Float32, reflect.Float64:
-		v.SetFloat(float64(*n) + 0.5)
+		value.SetFloat(float64(*count) + 0.5)
 	default:
-		t.Fatalf("a %s cannot be filled", v.Type())
+		t.Fatalf("a %s cannot be filled", value.Type())
 	}
 }
+
+// fillStruct fills the fields of a struct that JSON has.
+func fillStruct(t *testing.T, value reflect.Value, count *int) {
+	t.Helper()
+	for i := range value.NumField() {
+		field := value.Type().Field(i)
+		if field.IsExported() && field.Tag.Get("json") != "-" {
+			fill(t, value.Field(i), count)
+		}
+	}
+}
+
+// fillMap gives a map one entry.
+func fillMap(t *testing.T, value reflect.Value, count *int) {
+	t.Helper()
+	key := reflect.New(value.Type().Key()).Elem()
+	element := reflect.New(value.Type().Elem()).Elem()
+	fill(t, key, count)
+	fill(t, element, count)
+	value.Set(reflect.MakeMap(value.Type()))
+	value.SetMapIndex(key, element)
+}
--- /dev/null
+++ b/internal/testkit/list_source.go
@@ -0,0 +1,31 @@
+package testkit
+
+import (
+	"context"
+
+	"irispost/internal/endpoint"
+)
+
+// ListSource is an endpoint source for tests.
+type ListSource struct {
+	first   endpoint.List
+	updates chan endpoint.List // unbuffered: a test goes on when the gateway has the list
+}
+
+func newListSource(first endpoint.List) *ListSource {
+	return &ListSource{first: first, updates: make(chan endpoint.List)}
+}
+
+// Run passes on the first list and then the updates, until the context is done.
+func (s *ListSource) Run(ctx context.Context, to endpoint.Subscriber) error {
+	to.OnLink(true, "")
+	to.OnUpdate(s.first)
+	for {
+		select {
+		case <-ctx.Done():
+			return nil
+		case list := <-s.updates:
+			to.OnUpdate(list)
+		}
+	}
+}
