--- a/internal/frontend/web/random_test.go
+++ b/internal/frontend/web/random_test.go
@@ -67,7 +67,7 @@
 func TestRandomClientsAreServedTheirOwn(t *testing.T) {
 	b := start(t, generousLimits())
 	count := 0
-	testkit.SameSeeds(t)
+	testkit.FixSeeds(t)
 	rapid.Check(t, func(draw *rapid.T) {
 		var running sync.WaitGroup
 		for range rapid.IntRange(1, 8).Draw(draw, "clients") {
--- a/internal/serve/admin_test.go
+++ b/internal/serve/admin_test.go
@@ -39,16 +39,16 @@
 }
 
 // startAdminTestbed starts a gateway with an admin socket over slow nodes, one of which fails at times.
-func startAdminTestbed(t *testing.T, socket string) *testkit.Town {
+func startAdminTestbed(t *testing.T, socket string) *testkit.Testbed {
 	t.Helper()
 	conf := withBlock("  admin = \"" + socket + "\"\n")
-	b := testkit.Start(t, conf, 2, 1, func(o *standin.Options) { o.Unit = 100 * time.Microsecond })
+	b := testkit.Start(t, conf, 2, 1, func(o *standin.Options) { o.UnitTime = 100 * time.Microsecond })
 	command(t, b.Nodes[0], "fail 0.3")
 	return b
 }
 
 // startClients starts clients that write and read files until the returned function is called.
-func startClients(b *testkit.Town, count int) (stop func()) {
+func startClients(b *testkit.Testbed, count int) (stop func()) {
 	done := make(chan struct{})
 	var running sync.WaitGroup
 	for i := range count {
@@ -161,7 +161,7 @@
 }
 
 // checkSockets has admin sockets rejected: one that is served, and one in place of another file.
-func checkSockets(t *testing.T, b *testkit.Town, served, file string) {
+func checkSockets(t *testing.T, b *testkit.Testbed, served, file string) {
 	t.Helper()
 	_, err := admin.Listen(served, b.Gateways[0])
 	expectError(t, "a socket that is served", err, "another gateway")
--- a/internal/serve/disk_test.go
+++ b/internal/serve/disk_test.go
@@ -54,12 +54,12 @@
 `
 
 // diskTestbed is an installation with these disks.
-func diskTestbed(t testing.TB, shards, gateways int, change func(*standin.Options)) *testkit.Town {
+func diskTestbed(t testing.TB, shards, gateways int, change func(*standin.Options)) *testkit.Testbed {
 	return testkit.Start(t, testkit.Conf+disks, shards, gateways, change)
 }
 
 // diskOptions are options of a session with the disks of a gateway, which change may alter.
-func diskOptions(b *testkit.Town, gateway int, change func(*initiator.Options)) initiator.Options {
+func diskOptions(b *testkit.Testbed, gateway int, change func(*initiator.Options)) initiator.Options {
 	o := initiator.Options{Address: b.Gateways[gateway].ISCSI.Addr(), Name: "iqn.2026-01.example:host", Target: iqn}
 	if change != nil {
 		change(&o)
@@ -348,7 +348,7 @@
 // TestDiskReadsBackWhileNodesFail: under failing, slow and resetting nodes, with sessions that break, what was
 // confirmed is read back.
 func TestDiskReadsBackWhileNodesFail(t *testing.T) {
-	w := diskTestbed(t, 3, 1, func(o *standin.Options) { o.Unit = 50 * time.Microsecond })
+	w := diskTestbed(t, 3, 1, func(o *standin.Options) { o.UnitTime = 50 * time.Microsecond })
 	var all sync.WaitGroup
 	for k := range 4 {
 		d := openDisk(t, diskOptions(w, 0, func(o *initiator.Options) { o.ISID[5] = byte(k); o.Digests = k%2 == 0 }), 0)
--- a/internal/serve/members_test.go
+++ b/internal/serve/members_test.go
@@ -25,8 +25,8 @@
 )
 
 // feedFromServer has gateways take their list from a management server.
-func feedFromServer(w *testkit.Town, s *xdsstandin.Server, delta bool) {
-	w.Feed = func(name string) []manager.NamedSource {
+func feedFromServer(w *testkit.Testbed, s *xdsstandin.Server, delta bool) {
+	w.EndpointSources = func(name string) []manager.NamedSource {
 		return []manager.NamedSource{{Name: "plane", Source: xds.NewClient(xds.Options{
 			Address:     s.Addr(),
 			Incremental: delta,
@@ -41,10 +41,10 @@
 // managed is an installation whose gateways have their list from a management server, with clients that work until the
 // end.
 type managed struct {
-	*testkit.Town
+	*testkit.Testbed
 	t           *testing.T
 	server      *xdsstandin.Server
-	record      *audit.Record
+	record      *audit.Recorder
 	servedCount atomic.Int64
 	failedCount atomic.Int64 // with an error that is not the gateway's own answer
 	grace       time.Duration
@@ -54,14 +54,17 @@
 func startManaged(t *testing.T, delta bool, shards int, unit time.Duration) *managed {
 	t.Helper()
 	clock := gateway.NewClock()
-	m := &managed{t: t, record: &audit.Record{Clock: clock.Now}, grace: 2 * time.Second}
-	m.Town = testkit.Start(t, testkit.Conf, shards, 0, func(o *standin.Options) { o.Record, o.Unit = m.record, unit })
+	m := &managed{t: t, record: &audit.Recorder{Clock: clock.Now}, grace: 2 * time.Second}
+	m.Testbed = testkit.Start(t, testkit.Conf, shards, 0, func(o *standin.Options) {
+		o.Recorder = m.record
+		o.UnitTime = unit
+	})
 	s, err := xdsstandin.Start("127.0.0.1:0", 2, m.List().Nodes...)
 	if err != nil {
 		t.Fatal(err)
 	}
 	m.server = s
-	feedFromServer(m.Town, s, delta)
+	feedFromServer(m.Testbed, s, delta)
 	m.Gateway("g0")
 	stop := make(chan struct{})
 	var all sync.WaitGroup
@@ -117,7 +120,7 @@
 // awaitAccepted makes a change and returns the time at which the gateway has accepted the update of endpoints.
 func (m *managed) awaitAccepted(change func()) int64 {
 	m.t.Helper()
-	count := func(list []xdsstandin.Answer) (n int) {
+	count := func(list []xdsstandin.Ack) (n int) {
 		for _, a := range list {
 			if a.Type == xds.EndpointType && a.Refusal == "" {
 				n++
@@ -125,9 +128,9 @@
 		}
 		return n
 	}
-	before := count(m.server.Answers())
+	before := count(m.server.Acks())
 	change()
-	if err := m.server.Until(farOff, func(list []xdsstandin.Answer) bool { return count(list) > before }); err != nil {
+	if err := m.server.WaitForAcks(farOff, func(list []xdsstandin.Ack) bool { return count(list) > before }); err != nil {
 		m.t.Fatal(err)
 	}
 	return m.record.Clock()
@@ -143,7 +146,7 @@
 	m.awaitServed(30)
 	last, before := since, 0
 	for _, e := range m.record.Events() {
-		if e.What != audit.Got || e.Node != node.Addr() {
+		if e.Type != audit.AttemptReceived || e.Node != node.Addr() {
 			continue
 		}
 		if last = max(last, e.At); e.At < since {
@@ -162,14 +165,14 @@
 // successor starts a cold node for a shard and lists it.
 func (m *managed) successor(shard int) *standin.Node {
 	n, err := standin.Start(standin.Options{
-		Addr:   "127.0.0.1:0",
-		Shard:  shard,
-		Zone:   "z",
-		Store:  m.Stores[shard],
-		Cores:  2,
-		Queue:  256,
-		Marks:  time.Minute,
-		Record: m.record,
+		Addr:        "127.0.0.1:0",
+		Shard:       shard,
+		Zone:        "z",
+		Store:       m.Stores[shard],
+		Cores:       2,
+		Queue:       256,
+		DedupWindow: time.Minute,
+		Recorder:    m.record,
 	})
 	if err != nil {
 		m.t.Fatal(err)
@@ -215,7 +218,7 @@
 	m := startManaged(t, true, 3, time.Millisecond)
 	since := m.awaitAccepted(func() { m.command("remove " + m.Nodes[2].Addr()) })
 	time.Sleep(100 * time.Millisecond) // its shard's requests wait meanwhile
-	m.server.Set(func(list []endpoint.Node) []endpoint.Node {
+	m.server.UpdateNodes(func(list []endpoint.Node) []endpoint.Node {
 		for i := range list {
 			list[i].Health = endpoint.Ready
 		}
@@ -223,7 +226,7 @@
 	})
 	m.awaitServed(50)
 	for _, e := range m.record.Events() {
-		if e.What == audit.Got && e.Node == m.Nodes[2].Addr() && e.At > since+int64(100*time.Millisecond) {
+		if e.Type == audit.AttemptReceived && e.Node == m.Nodes[2].Addr() && e.At > since+int64(100*time.Millisecond) {
 			return
 		}
 	}
@@ -276,7 +279,7 @@
 		m.awaitServed(30)
 	}
 	rejections := 0
-	for _, a := range m.server.Answers() {
+	for _, a := range m.server.Acks() {
 		if a.Refusal != "" {
 			rejections++
 		}
@@ -302,7 +305,7 @@
 			t.Errorf("%s: %+v", list, report)
 		}
 		m.awaitServed(30)
-		m.server.Set(func([]endpoint.Node) []endpoint.Node { return before })
+		m.server.UpdateNodes(func([]endpoint.Node) []endpoint.Node { return before })
 		m.awaitReport("as before", func(r admin.EndpointReport) bool { return r.HeldLoss == nil && serving(r) == 3 })
 		m.awaitServed(30)
 	}
@@ -312,7 +315,7 @@
 		t.Errorf("%+v, %v", confirmation, err)
 	}
 	m.awaitReport("confirmed", func(r admin.EndpointReport) bool { return r.HeldLoss == nil && serving(r) == 0 })
-	m.server.Set(func([]endpoint.Node) []endpoint.Node { return m.List().Nodes })
+	m.server.UpdateNodes(func([]endpoint.Node) []endpoint.Node { return m.List().Nodes })
 	m.awaitReport("back", func(r admin.EndpointReport) bool { return serving(r) == 3 })
 	m.awaitServed(30)
 }
@@ -345,7 +348,7 @@
 	s.Close()
 	w.Conf = strings.Replace(w.Conf, "20s", "10ms", 1)
 	g = w.Gateway("g0")
-	testkit.Again(t, "get", func() error { _, err := get(w.Client(0), "/meals/f"); return err })
+	testkit.RetryUntilDone(t, "get", func() error { _, err := get(w.Client(0), "/meals/f"); return err })
 	v, err := g.Members()
 	if err != nil {
 		t.Fatal(err)
@@ -364,5 +367,5 @@
 			t.Fatalf("%+v", v)
 		}
 	}
-	testkit.Again(t, "get", func() error { _, err := get(w.Client(0), "/meals/f"); return err })
+	testkit.RetryUntilDone(t, "get", func() error { _, err := get(w.Client(0), "/meals/f"); return err })
 }
--- a/internal/serve/nodefaults_test.go
+++ b/internal/serve/nodefaults_test.go
@@ -19,7 +19,7 @@
 // TestFileReadsBackThroughOtherGatewayWhileNodesFail: a file that is written through one gateway is read back equal
 // through another, while nodes fail, are slow, lose answers and break connections.
 func TestFileReadsBackThroughOtherGatewayWhileNodesFail(t *testing.T) {
-	w := testkit.Start(t, testkit.Conf, 3, 2, func(o *standin.Options) { o.Unit = 50 * time.Microsecond })
+	w := testkit.Start(t, testkit.Conf, 3, 2, func(o *standin.Options) { o.UnitTime = 50 * time.Microsecond })
 	a, b := w.Client(0), w.Client(1)
 	for i, trouble := range []string{"fail 0.3", "slow 10", "stall 50ms"} {
 		if err := w.Nodes[i].Command(trouble); err != nil {
@@ -32,11 +32,11 @@
 		go func() {
 			defer all.Done()
 			path, data := fmt.Sprintf("/meals/f%d", i), random(uint64(i), 50_000*(i+1))
-			testkit.Again(t, "put", func() error { return put(a, path, data) })
+			testkit.RetryUntilDone(t, "put", func() error { return put(a, path, data) })
 			if i == 3 {
 				command(t, w.Nodes[1], "reset")
 			}
-			testkit.Again(t, "get", func() error {
+			testkit.RetryUntilDone(t, "get", func() error {
 				got, err := get(b, path)
 				if err == nil && sha256.Sum256(got) != sha256.Sum256(data) {
 					t.Errorf("%s comes back otherwise", path)
@@ -51,7 +51,7 @@
 // TestRenamesLoseNothing: files are renamed by many clients at once, through two gateways, amid failures: none vanishes
 // and none is there twice. A rename that was cut off half way is completed by whoever meets it.
 func TestRenamesLoseNothing(t *testing.T) {
-	w := testkit.Start(t, testkit.Conf, 3, 2, func(o *standin.Options) { o.Unit = 20 * time.Microsecond })
+	w := testkit.Start(t, testkit.Conf, 3, 2, func(o *standin.Options) { o.UnitTime = 20 * time.Microsecond })
 	clients := []func(string, string) error{w.Client(0).Rename, w.Client(1).Rename, w.Client(0).Rename}
 	const files, names = 4, 7
 	for i := range files {
@@ -105,11 +105,11 @@
 	var files [2]string // one whose record is at each shard
 	for i := 0; files[0] == "" || files[1] == ""; i++ {
 		path := fmt.Sprintf("/meals/f%d", i)
-		before := w.Nodes[0].Got()
+		before := w.Nodes[0].AttemptsReceived()
 		if err := put(c, path, nil); err != nil {
 			t.Fatal(err)
 		}
-		if w.Nodes[0].Got() > before {
+		if w.Nodes[0].AttemptsReceived() > before {
 			files[0] = path
 		} else {
 			files[1] = path
@@ -127,16 +127,16 @@
 	}
 	l := w.List()
 	l.Nodes[0].Health = endpoint.Draining
-	w.Tell(l)
+	w.UpdateEndpoints(l)
 	command(t, w.Nodes[0], "well")
 	_, _ = c.Stat(files[1]) // the list was told before this
-	before := w.Nodes[0].Got()
+	before := w.Nodes[0].AttemptsReceived()
 	if _, err := c.Stat(files[0]); err == nil {
 		t.Error("a node that drains serves")
 	}
-	if n := w.Nodes[0].Got() - before; n != 0 {
+	if n := w.Nodes[0].AttemptsReceived() - before; n != 0 {
 		t.Errorf("a node that drains gets %d executions", n)
 	}
-	w.Tell(w.List())
-	testkit.Again(t, "stat", func() error { _, err := c.Stat(files[0]); return err })
+	w.UpdateEndpoints(w.List())
+	testkit.RetryUntilDone(t, "stat", func() error { _, err := c.Stat(files[0]); return err })
 }
