--- a/cmd/irispost/check.go
+++ b/cmd/irispost/check.go
@@ -28,10 +28,10 @@
 		terms.LeaseDuration = int64(*lease)
 		for _, file := range files {
 			if note, err := check(file, terms); err != nil {
-				fmt.Fprintln(c.ErrOrStderr(), err)
+				writeln(c.ErrOrStderr(), err)
 				bad++
 			} else {
-				fmt.Fprintln(c.OutOrStdout(), file, "is in order"+note)
+				writeln(c.OutOrStdout(), file, "is in order"+note)
 			}
 		}
 		if bad > 0 {
@@ -76,10 +76,10 @@
 	scripted, _ := filepath.Match("day*.hcl", base)
 	if fleet, _ := filepath.Match("fleet-*.hcl", base); fleet || scripted {
 		s, err := day.Load(file)
-		if err != nil || s.Fleet.Keepers == 0 {
+		if err != nil || s.Fleet.Replicas == 0 {
 			return "", err
 		}
-		return stated(lease.Settings{LeaseDuration: int64(s.Fleet.Lease), MaxClockDrift: s.Fleet.Drift}, int64(s.Fleet.Floor)), nil
+		return stated(lease.Settings{LeaseDuration: int64(s.Fleet.LeaseDuration), MaxClockDrift: s.Fleet.MaxClockDrift}, int64(s.Fleet.Fallback)), nil
 	}
 	c, err := config.Load(file)
 	if err != nil {
--- a/cmd/irispost/fleet_test.go
+++ b/cmd/irispost/fleet_test.go
@@ -8,6 +8,7 @@
 	"net/http/httptest"
 	"os"
 	"path/filepath"
+	"strconv"
 	"strings"
 	"testing"
 	"time"
@@ -31,23 +32,28 @@
 	if err != nil {
 		t.Fatal(err)
 	}
+	return playFleetWith(t, name, seed, day.Options{Program: self, Logf: t.Logf})
+}
+
+func playFleetWith(t *testing.T, name string, seed uint64, options day.Options) *day.Report {
+	t.Helper()
 	s, err := day.Load("../../examples/fleet-" + name + ".hcl")
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.Seed = seed
 	s.Slack, s.Transit = 5*time.Second, 2*time.Second // a slow machine is late; that it answers at all, and once, is what is checked
-	s.Length, s.Fleet.Lease = s.Length/2, s.Fleet.Lease/2
-	for i := range s.Troubles {
-		s.Troubles[i].At /= 2
-		s.Troubles[i].For /= 2
+	s.Length, s.Fleet.LeaseDuration = s.Length/2, s.Fleet.LeaseDuration/2
+	for i := range s.Faults {
+		s.Faults[i].At /= 2
+		s.Faults[i].For /= 2
 	}
 	for i := range s.Clients {
 		if !s.Fleet.Peers { // what cold nodes bear has to be asked for
 			s.Clients[i].Rate /= 2
 		}
 	}
-	r, err := day.Play(context.Background(), s, day.Options{Program: self, Note: t.Logf})
+	r, err := day.Play(context.Background(), s, options)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -58,7 +64,7 @@
 	t.Setenv("IRISPOST_TEST_AS_PROGRAM", "1")
 	for _, name := range []string{"agree-split", "agree-stopped", "cold-oneway"} {
 		r := playFleet(t, name, 7)
-		if !r.Good() || r.Agreement.Versions < 4 || r.Agreement.Pairs != 66 || r.Completed == 0 {
+		if !r.Passed() || r.Agreement.Versions < 4 || r.Agreement.Pairs != 66 || r.Succeeded == 0 {
 			t.Errorf("%s: %+v, %+v", name, r, r.Agreement)
 		}
 	}
@@ -117,7 +123,7 @@
 			asked <- struct{}{}
 			<-quit
 		}
-		fmt.Fprint(w, `{"rev":1,"all":true,"targets":[]}`)
+		_, _ = fmt.Fprint(w, `{"rev":1,"all":true,"targets":[]}`)
 	}))
 	defer list.Close()
 	defer close(quit)
@@ -125,13 +131,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer trap.Close()
+	defer func() { _ = trap.Close() }()
 	w := startWeb(t, list.Listener.Addr().String(), "", "IRISPOST_KEEPERS="+trap.Addr().String())
 	<-asked // by now it watches its list
 	listen, to, others := sockets(t, w.Process.Pid)
 	_, port, _ := net.SplitHostPort(list.Listener.Addr().String())
-	var number int
-	fmt.Sscan(port, &number)
+	number, err := strconv.Atoi(port)
+	if err != nil {
+		t.Fatal(err)
+	}
 	delete(to, fmt.Sprintf("%04X", number))
 	if listen != 1 || len(to) > 0 || others > 0 {
 		t.Errorf("%d sockets listen, others go to %v, and %d are none of TCP's", listen, to, others)
--- a/internal/backend/webnode/reuse_test.go
+++ b/internal/backend/webnode/reuse_test.go
@@ -8,39 +8,46 @@
 	"irispost/internal/backend/node"
 )
 
-// TestBytesNobodyAskedFor: a kept connection on which something has come, and that its reader has not got to, is not written to.
-func TestBytesNobodyAskedFor(t *testing.T) {
+// TestConnectionWithUnreadBytesIsNotReused: an idle connection on which something has arrived that its reader has not
+// got to yet is not written to, and the attempt gets another.
+func TestConnectionWithUnreadBytesIsNotReused(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
+	defer func() { _ = l.Close() }()
 	c := NewClient(Options{ConnectTimeout: time.Minute, IdleTimeout: time.Minute, MaxConnections: 1})
 	defer c.Close()
-	conn, err := net.Dial("tcp", l.Addr().String())
+	raw, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	peer, _ := l.Accept()
-	kept := &link{client: c, addr: l.Addr().String(), conn: conn, state: writing, cancel: func() {}} // with no reader
-	c.lock.Lock()
-	c.open = 1
-	kept.move(idle)
-	c.lock.Unlock()
-	if !kept.clean() {
-		t.Error("a quiet connection is not clean")
-	}
-	peer.Write([]byte("HTTP/1.1 200 OK\r\n"))
-	for kept.clean() {
+	peer, err := l.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	addr := l.Addr().String()
+	idle := &conn{client: c, addr: addr, raw: raw, state: stateWriting, cancelDial: func() {}} // without a reader
+	c.mu.Lock()
+	c.openConns = 1
+	idle.transition(stateIdle)
+	c.mu.Unlock()
+	if !idle.isQuiet() {
+		t.Error("a connection without unread bytes is not quiet")
+	}
+	if _, err := peer.Write([]byte("HTTP/1.1 200 OK\r\n")); err != nil {
+		t.Fatal(err)
+	}
+	for idle.isQuiet() {
 		time.Sleep(time.Millisecond)
 	}
-	c.Start(l.Addr().String(), &node.Call{Op: node.GetObject, Name: "/"}, func(node.Reply) {})
-	if fresh, err := l.Accept(); err != nil { // it takes another
+	c.Start(addr, &node.Call{Op: node.GetObject, Name: "/"}, func(node.Reply) {})
+	if fresh, err := l.Accept(); err != nil { // the other connection
 		t.Error(err)
 	} else {
-		fresh.Close()
+		_ = fresh.Close()
 	}
 	if n, err := peer.Read(make([]byte, 1)); n > 0 || err == nil {
-		t.Error("the kept connection was written to")
+		t.Error("the idle connection was written to")
 	}
 }
--- a/internal/endpoint/discovery/table_test.go
+++ b/internal/endpoint/discovery/table_test.go
@@ -57,7 +57,7 @@
 // A table that takes the changes and one that takes complete lists give the same nodes by address, though UIDs and
 // addresses come and go.
 func TestChangesAndCompleteListsAgree(t *testing.T) {
-	testkit.SameSeeds(t)
+	testkit.FixSeeds(t)
 	rapid.Check(t, func(t *rapid.T) {
 		var byChanges, byLists discovery.Table
 		targets := map[string]discovery.Target{} // all there are, by UID
--- a/internal/endpoint/xds/bench_test.go
+++ b/internal/endpoint/xds/bench_test.go
@@ -122,7 +122,7 @@
 	b.ResetTimer()
 	for i := range b.N {
 		weight := float64(i + 1)
-		s.Set(func(list []endpoint.Node) []endpoint.Node { list[0].Weight = weight; return list })
+		s.UpdateNodes(func(list []endpoint.Node) []endpoint.Node { list[0].Weight = weight; return list })
 		changed := endpoint.Node{Addr: "127.0.0.1:1000", Weight: weight}
 		for _, r := range clients {
 			r.await(b, "a change", func(r *recorder) bool {
--- a/internal/endpoint/xds/client_test.go
+++ b/internal/endpoint/xds/client_test.go
@@ -47,7 +47,7 @@
 // awaitNACK waits until the last request that a server got is a rejection with a text.
 func awaitNACK(t *testing.T, s *xdsstandin.Server, text string) {
 	t.Helper()
-	err := s.Until(timeout, func(answers []xdsstandin.Answer) bool {
+	err := s.WaitForAcks(timeout, func(answers []xdsstandin.Ack) bool {
 		last := answers[len(answers)-1]
 		return last.Refusal != "" && strings.Contains(last.Refusal, text)
 	})
@@ -134,12 +134,12 @@
 // Heartbeats keep resources with a time to live; without them they expire.
 func TestHeartbeatsKeepResources(t *testing.T) {
 	bothForms(t, 1, func(t *testing.T, s *xdsstandin.Server, r *recorder) {
-		s.Live(xds.EndpointType, time.Hour)
+		s.SetTTL(xds.EndpointType, time.Hour)
 		before := r.lists
-		s.Beat(xds.EndpointType)
+		s.SendHeartbeats(xds.EndpointType)
 		r.await(t, "a heartbeat", func(r *recorder) bool { return r.lists > before })
 		r.awaitList(t, "1000 1001 2000 3000")
-		s.Live(xds.EndpointType, 50*time.Millisecond)
+		s.SetTTL(xds.EndpointType, 50*time.Millisecond)
 		r.awaitList(t, "")
 	})
 }
@@ -154,9 +154,9 @@
 		MaxMessageBytes: 2000,
 	})
 	r.awaitList(t, "1000")
-	s.Set(func([]endpoint.Node) []endpoint.Node { return nodes("2000") })
+	s.UpdateNodes(func([]endpoint.Node) []endpoint.Node { return nodes("2000") })
 	r.awaitList(t, "2000")
-	s.Set(func(list []endpoint.Node) []endpoint.Node {
+	s.UpdateNodes(func(list []endpoint.Node) []endpoint.Node {
 		for i := range 100 {
 			list = append(list, nodes(fmt.Sprint(3000+i))...)
 		}
