--- a/internal/endpoint/membership/member.go
+++ b/internal/endpoint/membership/member.go
@@ -14,7 +14,7 @@
 	Addr   string
 	State  State
 	Since  Time    // when it entered State
-	Reason string  // why it is in State, for people
+	Reason string  // why it is in State, as the admin socket shows it
 	Source *Source // the source whose report counts; once no source lists the node, the last that did
 
 	reported   endpoint.Node // by Source, last
--- a/internal/endpoint/membership/transition.go
+++ b/internal/endpoint/membership/transition.go
@@ -8,6 +8,17 @@
 	"irispost/internal/endpoint"
 )
 
+// Reasons of states. The admin socket shows them, so their texts stay as they are.
+const (
+	reasonHeldDown   = "its loss is held"
+	reasonReassigned = "its address now stands for shard %d"
+	reasonUnlisted   = "no source has it"
+	reasonGraceOver  = "the grace is over"
+	reasonReported   = "said by " // and the source
+	reasonFlapped    = "ready again %d times of late"
+	reasonStandby    = "its shard is served by " // and the address
+)
+
 // updateMembers derives each member's state from the reports in force.
 func (t *Tracker) updateMembers(now Time) {
 	t.mergeReports()
@@ -143,14 +154,14 @@
 	reassigned := m.reassigned()
 	switch {
 	case held:
-		t.setState(now, m, HeldDown, "loss held down")
+		t.setState(now, m, HeldDown, reasonHeldDown)
 	case reassigned:
 		if m.State != Removing {
-			t.setState(now, m, Removing, fmt.Sprintf("address reassigned to shard %d", m.reported.Shard))
+			t.setState(now, m, Removing, fmt.Sprintf(reasonReassigned, m.reported.Shard))
 		}
 	case !m.listed:
 		if m.State != Removing && m.State != Absent {
-			t.setState(now, m, Removing, "not listed by any source")
+			t.setState(now, m, Removing, reasonUnlisted)
 		}
 	default:
 		t.transitionListed(now, m, elected)
@@ -162,12 +173,12 @@
 		t.wakeAt(graceEnd)
 		return
 	}
-	t.setState(now, m, Absent, "removal grace elapsed")
+	t.setState(now, m, Absent, reasonGraceOver)
 }
 
 // transitionListed is transition for a member that is listed for the shard that it is in use for.
 func (t *Tracker) transitionListed(now Time, m, elected *Member) {
-	reported := "reported by " + m.Source.Name
+	reported := reasonReported + m.Source.Name
 	switch {
 	case m.reported.Health == endpoint.Draining:
 		t.setState(now, m, Draining, reported)
@@ -176,9 +187,9 @@
 	case elected == m:
 		t.setState(now, m, Serving, reported)
 	case t.damped(now, m):
-		t.setState(now, m, Damped, fmt.Sprintf("ready again %d times within the flap window", len(m.readyAgain)))
+		t.setState(now, m, Damped, fmt.Sprintf(reasonFlapped, len(m.readyAgain)))
 	default:
-		t.setState(now, m, Standby, "shard served by "+elected.Addr)
+		t.setState(now, m, Standby, reasonStandby+elected.Addr)
 	}
 }
 
