--- a/internal/endpoint/membership/golden_test.go
+++ b/internal/endpoint/membership/golden_test.go
@@ -8,8 +8,7 @@
 	"irispost/internal/testkit/golden"
 )
 
-// shown is what the admin socket shows of a tracker, under names of the test's own. Of a reason it says whether there
-// is one.
+// shown is what the admin socket shows of a tracker, under names of the test's own.
 func (w *world) shown(name string) map[string]any {
 	sources, nodes := []map[string]any{}, []map[string]any{}
 	for _, s := range w.tracker.Sources() {
@@ -35,7 +34,7 @@
 			"zone":   m.Reported().Zone,
 			"state":  m.State.String(),
 			"since":  m.Since,
-			"why":    m.Reason != "",
+			"why":    m.Reason,
 			"source": m.Source.Name,
 			"weight": m.Reported().Weight,
 		})
