--- a/internal/endpoint/endpoint.go
+++ b/internal/endpoint/endpoint.go
@@ -32,16 +32,18 @@
 	return "Health(" + strconv.Itoa(int(h)) + ")"
 }
 
-// Node is one entry of a list.
+// Node is one entry of a list. Reports of replays have it as JSON, under the names of its fields or those of their
+// tags.
 type Node struct {
-	Addr      string // host:port, the node's identity
-	Name      string // for people; empty: none
-	Zone      string
-	Shard     int     // from 0
-	Weight    float64 // relative capacity as the source puts it; 0: not given
-	StartedAt int64   // when the node's process started, in nanoseconds since 1970; 0: long ago, or not given
-	Health    Health
-	Priority  int // among nodes of one shard: 0 before 1
+	Addr   string // host:port, the node's identity
+	Name   string // for people; empty: none
+	Zone   string
+	Shard  int     // from 0
+	Weight float64 // relative capacity as the source puts it; 0: not given
+	// StartedAt is when the node's process started, in nanoseconds since 1970; 0: long ago, or not given.
+	StartedAt int64  `json:"Born"`
+	Health    Health `json:"Standing"`
+	Priority  int    // among nodes of one shard: 0 before 1
 }
 
 // List is a list of nodes. In a complete one, a node that it leaves out is removed.
