--- a/internal/architecture/architecture_test.go
+++ b/internal/architecture/architecture_test.go
@@ -37,7 +37,7 @@
 	}},
 	{"state and connections", []string{
 		"internal/gateway", "internal/backend", "internal/capture", "internal/fleet/replica", "internal/fleet/client",
-		"internal/fleet/slowstart", "internal/endpoint/manager", "internal/endpoint/discovery", "internal/endpoint/xds",
+		"internal/fleet/slowstart", "internal/endpoint/manager", "internal/endpoint/discovery", "internal/endpoint/filesource", "internal/endpoint/xds",
 		"internal/platform", "internal/admin",
 	}},
 	{"front ends", []string{"internal/frontend", "internal/front", "internal/iscsi/target"}},
