--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,11 +1,12 @@
-// Package config reads a gateway's configuration (HCL), checks it, and makes of it what the gateway is started with.
-// What it refuses it names with file, line and column. docs/operators.md lists every key with its unit and default.
+// Package config reads the files that operators write in HCL: a gateway's configuration and the content of a
+// configuration version. It checks them and returns the values that a gateway is started with, or the version itself.
+// Command-line tools, tests and the scenario player call it. It owns no state; Load alone reads a file.
+//
+// What it rejects it names with file, line and column. docs/operators.md lists every key with its unit and default.
 package config
 
 import (
-	"math"
 	"os"
-	"strconv"
 	"strings"
 	"time"
 
@@ -19,36 +20,78 @@
 	"irispost/internal/front"
 	"irispost/internal/iscsi/negotiate"
 	"irispost/internal/iscsi/target"
-	"irispost/internal/sftp"
 	"irispost/scheduler"
 )
 
-// RequestClass is a kind of job, as its clients know it.
+// Config is a gateway's configuration, checked. Paths are relative to the folder of its file.
+type Config struct {
+	Name               string
+	Listen             string   // address of the file front end
+	Sources            []Source // of the endpoint list, by precedence; empty for a gateway that follows replicas
+	Membership         membership.Settings
+	Follow             *FleetClient  // nil: the gateway follows no replicas
+	EndpointCacheDir   string        // for the last accepted list of each source; empty: none is cached
+	FirstListTimeout   time.Duration // how long the start waits for the first list of every source
+	Shards             int
+	ExtentBytes        uint32 // of a new file
+	Seed               uint64 // of the scheduler's random draws
+	ConnectTimeout     time.Duration
+	ConnectionsPerNode int
+	ShutdownTimeout    time.Duration
+	EventQueueLength   int
+	Limits             front.Limits
+	Units              front.Units
+	SweepInterval      time.Duration // 0: orphaned objects are not swept
+	SweepMinAge        time.Duration // since the last write of an object that a sweep may remove
+	AdminSocket        string        // path of the Unix socket; empty: none
+	CaptureDir         string        // empty: a capture needs a folder of its own
+	CaptureAtStart     bool
+	CaptureLimits      capture.Limits
+	Disks              *Disks // nil: none
+	RequestClasses     map[string]*RequestClass
+	Volumes            map[string]*front.Volume
+	VolumeLimits       map[int64]Limit    // by volume ID, for volumes whose service level has a rate limit
+	Settings           scheduler.Settings // the same values as the scheduler's start values
+}
+
+// RequestClass is a class of requests, as front ends and clients know it.
 type RequestClass struct {
 	front.Product
 	LatencyObjective time.Duration
-	DedupWindow      time.Duration
+	DedupWindow      time.Duration // for which nodes recognise a repeat; 0: they do not
 }
 
-// Limit is a volume's limit, in units a second and units.
+// Limit is a volume's token bucket: units a second, units, and units that a check tolerates on top.
 type Limit struct{ Rate, Burst, Slack float64 }
 
-// Source is where lists of nodes come from. Files are as they stand in the configuration.
+// SourceKind is where an endpoint source has its list from, as the configuration names it.
+type SourceKind string
+
+// The kinds of endpoint sources.
+const (
+	SourceOwnFile SourceKind = "own"      // a file in the form of package endpoint
+	SourceXDSFile SourceKind = "xds-file" // files with Envoy clusters and endpoints
+	SourceXDS     SourceKind = "xds"      // an xDS management server
+)
+
+// Source is a source of the endpoint list. Its files are as the configuration names them.
 type Source struct {
-	Name                      string
-	Kind                      string // own, xds-file or xds
-	File, Clusters, Endpoints string
-	XDS                       xds.Options // of kind xds; whoever runs it adds seed and log
+	Name      string
+	Kind      SourceKind
+	File      string      // of SourceOwnFile
+	Clusters  string      // of SourceXDSFile
+	Endpoints string      // of SourceXDSFile
+	XDS       xds.Options // of SourceXDS; whoever runs it adds seed and log
 }
 
-// FleetClient is where a gateway has its list of nodes from that follows versions.
+// FleetClient is how a gateway follows the replicas of the configuration log.
 type FleetClient struct {
-	Replicas     []string
-	PollInterval time.Duration     // between asks for a lease
-	VersionLog   string            // file for what was acted on from when; empty: none
-	CacheDir     string            // folder for the last content, its own; empty: none
-	PeerAddress  string            // where other gateways reach it, to deal out what cold nodes bear; empty: they do not
-	PeerRoutes   map[string]string // where it reaches others, by the addresses that they give
+	Replicas     []string          // addresses
+	PollInterval time.Duration     // between two renewals of the lease
+	VersionLog   string            // file that records which versions were acted on; empty: none
+	CacheDir     string            // for the last content; empty: it is not cached
+	PeerAddress  string            // where other gateways reach this one for slow-start budgets; empty: they do not
+	PeerRoutes   map[string]string // from the addresses that other gateways give to those that reach them
 }
 
 // Disks are a gateway's iSCSI targets.
@@ -58,10 +101,10 @@
 	Targets []Target
 }
 
-// Target is a target with its units.
+// Target is an iSCSI target with its logical units.
 type Target struct {
 	Name    string
-	Account negotiate.Account
+	Account negotiate.Account // empty: no CHAP
 	LUNs    map[uint16]LUN
 }
 
@@ -73,38 +116,7 @@
 	ReadOnly   bool
 }
 
-// Config is a configuration that was read and checked.
-type Config struct {
-	Name               string
-	Listen             string
-	Sources            []Source // of the list of nodes, by precedence
-	Membership         membership.Settings
-	Follow             *FleetClient  // nil: it follows nobody
-	EndpointCacheDir   string        // for the last lists; empty: they are not kept
-	FirstListTimeout   time.Duration // the longest wait for all sources' first words before clients are served
-	Shards             int
-	ExtentBytes        uint32
-	Seed               uint64
-	ConnectTimeout     time.Duration
-	ConnectionsPerNode int
-	ShutdownTimeout    time.Duration
-	EventQueueLength   int
-	Limits             front.Limits
-	Units              front.Units
-	SweepInterval      time.Duration // 0: no sweeps
-	SweepMinAge        time.Duration // objects that nobody wrote for so long are swept, where nothing refers to them
-	AdminSocket        string        // the socket for the command-line tool; empty: none
-	CaptureDir         string        // the folder for captures; empty: none unless one is asked for
-	CaptureAtStart     bool          // a capture begins with the gateway
-	CaptureLimits      capture.Limits
-	Disks              *Disks // nil: none
-	RequestClasses     map[string]*RequestClass
-	Volumes            map[string]*front.Volume
-	VolumeLimits       map[int64]Limit // by volume, where its plan has a limit
-	Settings           scheduler.Settings
-}
-
-// Load reads a file.
+// Load reads and checks a gateway's configuration file. A configuration that is rejected is an error of type Problems.
 func Load(file string) (*Config, error) {
 	src, err := os.ReadFile(file)
 	if err != nil {
@@ -113,92 +125,42 @@
 	return Parse(file, src)
 }
 
-// Parse reads a configuration.
+// Parse checks the text of a gateway's configuration; file is its name in errors of type Problems.
 func Parse(file string, src []byte) (*Config, error) {
-	f, diags := hclparse.NewParser().ParseHCL(src, file)
-	if diags.HasErrors() {
-		return nil, problems(diags)
+	var blocks gatewayFile
+	if _, err := decode(file, src, &blocks); err != nil {
+		return nil, err
+	}
+	d := &decoder{}
+	c := d.config(&blocks)
+	if d.diags.HasErrors() {
+		return nil, problemsOf(d.diags)
 	}
-	var form fileForm
-	if diags := gohcl.DecodeBody(f.Body, nil, &form); diags.HasErrors() {
-		return nil, problems(diags)
+	return c, nil
+}
+
+// decode parses HCL into a struct of blocks.
+func decode(file string, src []byte, blocks any) (hcl.Body, error) {
+	parsed, diags := hclparse.NewParser().ParseHCL(src, file)
+	if diags.HasErrors() {
+		return nil, problemsOf(diags)
 	}
-	r := &reader{}
-	g := r.gateway(&form)
-	if r.diags.HasErrors() {
-		return nil, problems(r.diags)
+	if diags := gohcl.DecodeBody(parsed.Body, nil, blocks); diags.HasErrors() {
+		return nil, problemsOf(diags)
 	}
-	return g, nil
+	return parsed.Body, nil
 }
 
-// Problems is what was found wrong, one line each: file:line,column: what.
+// Problems are the reasons why a file is rejected, one line each: file:line,column: reason.
 type Problems []string
 
+// Error joins the lines.
 func (p Problems) Error() string { return strings.Join(p, "\n") }
 
-func problems(diags hcl.Diagnostics) Problems {
+func problemsOf(diags hcl.Diagnostics) Problems {
 	var p Problems
-	for _, d := range diags.Errs() {
-		p = append(p, d.Error())
+	for _, err := range diags.Errs() {
+		p = append(p, err.Error())
 	}
 	return p
 }
-
-// gateway reads everything.
-func (r *reader) gateway(f *fileForm) *Config {
-	b := &f.Gateway
-	if b.Limits == nil {
-		b.Limits = &limitsForm{}
-	}
-	if f.Units == nil {
-		f.Units = &unitsForm{}
-	}
-	g := &Config{Name: b.Name, Listen: b.Listen,
-		Shards: r.count(b.Shards, 1, 1<<16, 1), ExtentBytes: uint32(r.size(b.Extent, 4<<10, 16<<20, 256<<10)),
-		Seed: uint64(r.count(b.Seed, 0, math.MaxInt32, 1)), ConnectTimeout: r.span(b.Connect, time.Millisecond, 60*second, 250*time.Millisecond),
-		ConnectionsPerNode: r.count(b.Each, 1, 64, 2), ShutdownTimeout: r.span(b.StopBy, 0, time.Hour, 10*second),
-		EventQueueLength: r.count(b.Limits.Queue, 16, 1<<20, 4096),
-		RequestClasses:   map[string]*RequestClass{}, Volumes: map[string]*front.Volume{}, VolumeLimits: map[int64]Limit{}}
-	if b.Name == "" || strings.ContainsAny(b.Name, "/:# ") {
-		r.refuse(b.Range, "Bad name", "A gateway's name is not empty and has no space, slash, colon or number sign.")
-	}
-	wire := sftp.DefaultLimits
-	wire.MaxPacket = int(r.size(b.Limits.Packet, 34<<10, 16<<20, int64(wire.MaxPacket)))
-	wire.MaxReadAhead = int(r.size(b.Limits.Ahead, int64(wire.MaxPacket), 1<<30, int64(max(wire.MaxReadAhead, wire.MaxPacket))))
-	wire.MaxUnsent = int(r.size(b.Limits.Unread, int64(wire.MaxPacket), 1<<30, int64(max(wire.MaxUnsent, wire.MaxPacket))))
-	g.Limits = front.Limits{Connections: r.count(b.Limits.Connections, 1, 1<<20, 1024),
-		Outstanding: r.count(b.Limits.Outstanding, 1, 1<<16, 256), Handles: r.count(b.Limits.Handles, 1, 1<<20, 1024),
-		Entries: r.count(b.Limits.Entries, 1, 1<<24, 100_000), Wire: wire}
-	if b.Sweep != nil {
-		g.SweepInterval = r.span(b.Sweep.Every, second, 24*time.Hour, 10*time.Minute)
-		g.SweepMinAge = r.span(b.Sweep.Idle, second, 30*24*time.Hour, time.Hour)
-	}
-	l := capture.DefaultLimits
-	if c := b.Capture; c != nil {
-		g.CaptureAtStart = c.First == nil || *c.First
-		g.CaptureDir = r.text(c.Folder, "")
-		if g.CaptureDir == "" {
-			r.refuse(c.Folder.Range(), "No folder", "A capture needs a folder to lie in.")
-		}
-		l.FileBytes = r.size(c.Most, 1<<20, 1<<40, l.FileBytes)
-		l.FileAge = r.span(c.Age, time.Second, 30*24*time.Hour, l.FileAge)
-		l.KeptFiles = r.count(c.Keep, 1, 1<<20, l.KeptFiles)
-		l.FlushInterval = r.span(c.Flush, 10*time.Millisecond, time.Minute, l.FlushInterval)
-		l.QueuedBlocks = r.count(c.Behind, 1, 4096, l.QueuedBlocks)
-	}
-	g.CaptureLimits, g.AdminSocket = l, b.Admin
-	g.Units = front.Units{Bytes: float64(r.size(f.Units.Bytes, 1, 1<<30, 16<<10)), Least: r.number(f.Units.Least, 1e-3, 1e6, 0.25)}
-	t := scheduler.Settings{"number": "0", "discovery": "told", "tells.others": "true"}
-	t["gateways"] = strconv.Itoa(r.count(b.Gateways, 1, 1<<20, 1))
-	t["units.mean"] = plain(r.number(f.Units.Mean, 1e-3, 1e6, 1))
-	t["units.largest"] = plain(r.number(f.Units.Largest, 1e-3, 1e6, max(g.Units.Of(int(g.ExtentBytes)), 1)))
-	g.Settings = t
-	r.sources(f, g)
-	r.members(f.Members, g)
-	r.rules(f, t)
-	r.plans(f, g)
-	r.products(f, g)
-	r.volumes(f, g)
-	r.disks(f.Disks, g)
-	return g
-}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -13,6 +13,7 @@
 )
 
 func example(t *testing.T) string {
+	t.Helper()
 	b, err := os.ReadFile("../../examples/canteen.hcl")
 	if err != nil {
 		t.Fatal(err)
@@ -20,19 +21,22 @@
 	return string(b)
 }
 
-func TestExample(t *testing.T) {
+func TestParseFillsTheSchedulersSettings(t *testing.T) {
 	g, err := Parse("canteen.hcl", []byte(example(t)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, want := range map[string]string{"gateways": "2", "cold.time": "5000", "further.share": "0.2", "key.rest": "100",
-		"plans.count": "3", "plans.2.limit": "60", "products.count": "4", "products.2.kind": "referenced", "products.2.group": "shard",
-		"products.0.goal": "300", "units.mean": "1", "retry_after.most": "1000", "second_copies": "true"} {
+	for name, want := range map[string]string{
+		"gateways": "2", "cold.time": "5000", "further.share": "0.2", "key.rest": "100", "units.mean": "1",
+		"plans.count": "3", "plans.2.limit": "60", "retry_after.most": "1000", "second_copies": "true",
+		"products.count": "4", "products.2.kind": "referenced", "products.2.group": "shard", "products.0.goal": "300",
+	} {
 		if g.Settings[name] != want {
 			t.Errorf("%s is %q, not %q", name, g.Settings[name], want)
 		}
 	}
-	if g.VolumeLimits[3] != (Limit{60, 60, 2}) || len(g.VolumeLimits) != 1 || g.ShutdownTimeout != 10*time.Second || g.ExtentBytes != 256<<10 {
+	if g.VolumeLimits[3] != (Limit{60, 60, 2}) || len(g.VolumeLimits) != 1 ||
+		g.ShutdownTimeout != 10*time.Second || g.ExtentBytes != 256<<10 {
 		t.Errorf("%+v", g)
 	}
 	if u := g.Units.Of(32 << 10); u != 2 {
@@ -41,7 +45,7 @@
 }
 
 // The first rule that fits names the product: by operation, pattern and size.
-func TestRules(t *testing.T) {
+func TestFirstVolumeRuleThatFitsNamesTheClass(t *testing.T) {
 	g, err := Parse("c.hcl", []byte(strings.Replace(example(t), "volume \"orders\" {", `volume "orders" {
   product "bulk-read" {
     for   = ["read"]
@@ -59,8 +63,13 @@
 		rel  string
 		size uint64
 		want string
-	}{{front.Read, "exports/may", 1, "bulk-read"}, {front.Read, "a", 1 << 20, "order-read"}, {front.Read, "a", 1<<20 + 1, "bulk-read"},
-		{front.Write, "exports/may", 1 << 30, "order-write"}, {front.Change, "a", 0, "order-change"}} {
+	}{
+		{front.Read, "exports/may", 1, "bulk-read"},
+		{front.Read, "a", 1 << 20, "order-read"},
+		{front.Read, "a", 1<<20 + 1, "bulk-read"},
+		{front.Write, "exports/may", 1 << 30, "order-write"},
+		{front.Change, "a", 0, "order-change"},
+	} {
 		if p := g.Volumes["orders"].Product(c.sort, layout.Path{Volume: "orders", Rel: c.rel}, c.size); p.Name != c.want {
 			t.Errorf("%s of %s with %d bytes is %s", c.sort, c.rel, c.size, p.Name)
 		}
@@ -68,7 +77,7 @@
 }
 
 // What is wrong is refused, with its place and a hint.
-func TestRefusals(t *testing.T) {
+func TestWrongValuesAreRejectedWithTheirPlace(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{`listen   = "127.0.0.1:2022"`, ``, "listen"},
 		{`shards   = 3`, `shards = 0`, "not between 1 and 65536"},
@@ -103,7 +112,7 @@
 }
 
 // Every example in the repository is in order.
-func TestExamplesAreInOrder(t *testing.T) {
+func TestExamplesAreAccepted(t *testing.T) {
 	files, _ := filepath.Glob("../../examples/*.hcl")
 	checked := 0
 	for _, f := range files {
@@ -120,9 +129,14 @@
 	}
 }
 
-// Sources of the list: one file by its short form, or blocks in their order of precedence.
-func TestSources(t *testing.T) {
-	text := strings.Replace(example(t), "  nodes    = \"nodes.hcl\"\n", "", 1)
+// withoutEndpointFile is the example without the short form of its one source.
+func withoutEndpointFile(t *testing.T) string {
+	t.Helper()
+	return strings.Replace(example(t), "  nodes    = \"nodes.hcl\"\n", "", 1)
+}
+
+func TestSourcesAreReadInTheirOrder(t *testing.T) {
+	text := withoutEndpointFile(t)
 	g, err := Parse("c.hcl", []byte(text+`
 source "own" "by-hand" {
   file = "hand.hcl"
@@ -150,16 +164,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(g.Sources) != 3 || g.Sources[0].File != "hand.hcl" || g.Sources[2].Endpoints != "endpoints.json" || g.EndpointCacheDir != "kept" || g.FirstListTimeout != 5*time.Second {
+	if len(g.Sources) != 3 || g.Sources[0].File != "hand.hcl" || g.Sources[2].Endpoints != "endpoints.json" ||
+		g.EndpointCacheDir != "kept" || g.FirstListTimeout != 5*time.Second {
 		t.Errorf("%+v", g.Sources)
 	}
 	x := g.Sources[1].XDS
-	if x.Address != "127.0.0.1:18000" || x.Incremental || len(x.Clusters) != 2 || x.NodeID != "canteen" || x.InitialFetchTimeout != 3*time.Second || x.MaxBackoff != 5*time.Second {
+	if x.Address != "127.0.0.1:18000" || x.Incremental || len(x.Clusters) != 2 || x.NodeID != "canteen" ||
+		x.InitialFetchTimeout != 3*time.Second || x.MaxBackoff != 5*time.Second {
 		t.Errorf("%+v", x)
 	}
-	if m := g.Membership; m.MaxLossRatio != 0.3 || m.HoldDown != 20e9 || m.RemovalGrace != 1e9 || m.MaxFlaps != 2 || m.StaleAfter != 60e9 {
+	if m := g.Membership; m.MaxLossRatio != 0.3 || m.HoldDown != 20e9 || m.RemovalGrace != 1e9 ||
+		m.MaxFlaps != 2 || m.StaleAfter != 60e9 {
 		t.Errorf("%+v", m)
 	}
+}
+
+func TestWrongSourcesAreRejectedWithTheirPlace(t *testing.T) {
+	text := withoutEndpointFile(t)
 	for more, want := range map[string]string{
 		"":                            "No list of nodes",
 		"source \"xds\" \"p\" {\n}\n": "needs address",
@@ -176,17 +197,19 @@
 		"source \"own\" \"p\" {\n file = \"x\"\n}\nmembers {\n hold = \"2\"\n}\n":              "no unit",
 		"source \"own\" \"p\" {\n file = \"x\"\n}\nmembers {\n flaps = 1.5\n}\n":               "whole number",
 	} {
-		if _, err := Parse("c.hcl", []byte(text+more)); err == nil || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), "c.hcl:") {
+		_, err := Parse("c.hcl", []byte(text+more))
+		if err == nil || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), "c.hcl:") {
 			t.Errorf("%s: %v", more, err)
 		}
 	}
-	if _, err := Parse("c.hcl", []byte(example(t)+"source \"own\" \"p\" {\n file = \"x\"\n}\n")); err == nil || !strings.Contains(err.Error(), "Two ways") {
+	_, err := Parse("c.hcl", []byte(example(t)+"source \"own\" \"p\" {\n file = \"x\"\n}\n"))
+	if err == nil || !strings.Contains(err.Error(), "Two ways") {
 		t.Error(err)
 	}
 }
 
 // Targets and their units; what is wrong is refused with its line.
-func TestDisks(t *testing.T) {
+func TestDisksAreReadOrRejected(t *testing.T) {
 	text := example(t) + `
 disks {
   listen = "127.0.0.1:3260"
@@ -214,17 +237,25 @@
 		t.Fatal(err)
 	}
 	d := g.Disks
-	if d.Limits.Pace.Most != 64 || len(d.Targets) != 1 || d.Targets[0].Account.Name != "host" ||
-		d.Targets[0].LUNs[0] != (LUN{File: "/orders/disk", Size: 10 << 30, BlockBytes: 4096}) || !d.Targets[0].LUNs[7].ReadOnly {
+	if d.Limits.Pace.Most != 64 || len(d.Targets) != 1 || d.Targets[0].Account.Name != "host" || !d.Targets[0].LUNs[7].ReadOnly ||
+		d.Targets[0].LUNs[0] != (LUN{File: "/orders/disk", Size: 10 << 30, BlockBytes: 4096}) {
 		t.Errorf("%+v", d)
 	}
 	for _, c := range []struct{ old, new, want string }{
-		{"iqn.2026", "disk.2026", "Bad name"}, {"twelve or more", "short", "Bad secret"}, {`lun "7"`, `lun "0"`, "Bad number"},
-		{`lun "7"`, `lun "x"`, "Bad number"}, {`"512B"`, `"1024B"`, "Bad block"}, {`"1MiB"`, `"1000B"`, "Bad size"},
-		{"/exports/disk", "/nowhere/disk", "No such file"}, {"/exports/disk", "/orders/disk", "File twice"}, {"/exports/disk", "/exports", "No such file"},
-		{`"10GiB"`, `"9000000000GiB"`, "Out of bounds"}, {"queue  = 64", "queue = 0", "Out of bounds"},
+		{"iqn.2026", "disk.2026", "Bad name"},
+		{"twelve or more", "short", "Bad secret"},
+		{`lun "7"`, `lun "0"`, "Bad number"},
+		{`lun "7"`, `lun "x"`, "Bad number"},
+		{`"512B"`, `"1024B"`, "Bad block"},
+		{`"1MiB"`, `"1000B"`, "Bad size"},
+		{"/exports/disk", "/nowhere/disk", "No such file"},
+		{"/exports/disk", "/orders/disk", "File twice"},
+		{"/exports/disk", "/exports", "No such file"},
+		{`"10GiB"`, `"9000000000GiB"`, "Out of bounds"},
+		{"queue  = 64", "queue = 0", "Out of bounds"},
 	} {
-		if _, err := Parse("c.hcl", []byte(strings.Replace(text, c.old, c.new, 1))); err == nil || !strings.Contains(err.Error(), c.want) {
+		_, err := Parse("c.hcl", []byte(strings.Replace(text, c.old, c.new, 1)))
+		if err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v", c.new, err)
 		}
 	}
--- /dev/null
+++ b/internal/config/disks.go
@@ -0,0 +1,98 @@
+package config
+
+import (
+	"strconv"
+	"strings"
+	"time"
+
+	"irispost/internal/iscsi/negotiate"
+	"irispost/internal/iscsi/target"
+	"irispost/internal/layout"
+)
+
+const (
+	maxTargetNameBytes = 223 // RFC 7143, 4.2.7.1
+	minSecretBytes     = 12  // RFC 7143, 9.2.1
+	lunBits            = 14  // of a flat logical unit number
+
+	smallBlock = 512
+	largeBlock = 4096
+)
+
+// disks reads the iSCSI targets.
+func (d *decoder) disks(block *disksBlock, config *Config) {
+	if block == nil {
+		return
+	}
+	disks := &Disks{Listen: block.Listen, Limits: target.DefaultLimits}
+	limits := &disks.Limits
+	limits.Connections = d.count(block.Connections, 1, 1<<20, limits.Connections)
+	limits.Login = d.duration(block.LoginTimeout, 100*time.Millisecond, time.Hour, limits.Login)
+	limits.Pace.Most = d.count(block.SessionQueue, 1, 1<<16, limits.Pace.Most)
+	limits.Pace.Inside = d.count(block.InFlight, 1, 1<<16, limits.Pace.Inside)
+	limits.Pace.Start = min(limits.Pace.Start, limits.Pace.Inside)
+	limits.Unread = int(d.bytes(block.UnsentBytes, 64<<10, 1<<30, int64(limits.Unread)))
+	limits.Wire.MaxUnsent = max(limits.Wire.MaxUnsent, limits.Unread+2*limits.Pace.Bytes)
+	shownBy := map[string]string{} // which logical unit shows a file, by the file's path
+	for _, targetBlock := range block.Targets {
+		disks.Targets = append(disks.Targets, d.target(&targetBlock, config, shownBy))
+	}
+	config.Disks = disks
+}
+
+func (d *decoder) target(block *targetBlock, config *Config, shownBy map[string]string) Target {
+	if !validTargetName(block.Name) {
+		d.reject(block.Range, "Bad name", "A target's name begins with iqn., eui. or naa. and has up to %d bytes "+
+			"(RFC 7143, 4.2.7): \"iqn.2026-01.example:disk\".", maxTargetNameBytes)
+	}
+	t := Target{Name: block.Name, LUNs: map[uint16]LUN{}}
+	if chap := block.CHAP; chap != nil {
+		if len(chap.Secret) < minSecretBytes || chap.Secret == chap.TargetSecret {
+			d.reject(chap.Range, "Bad secret",
+				"A CHAP secret has at least %d bytes (RFC 7143, 9.2.1), and each side has its own.", minSecretBytes)
+		}
+		t.Account = negotiate.Account{Name: chap.Name, Secret: chap.Secret,
+			OurName: chap.TargetName, OurSecret: chap.TargetSecret}
+	}
+	for _, lunBlock := range block.LUNs {
+		number, err := strconv.ParseUint(lunBlock.Number, 10, lunBits)
+		if _, twice := t.LUNs[uint16(number)]; err != nil || twice {
+			d.reject(lunBlock.Range, "Bad number", "A unit's number is its own, from 0 to 16383, not %q.", lunBlock.Number)
+		}
+		t.LUNs[uint16(number)] = d.lun(&lunBlock, block.Name, config, shownBy)
+	}
+	if len(t.LUNs) == 0 {
+		d.reject(block.Range, "No unit", "A target has at least one lun block.")
+	}
+	return t
+}
+
+func validTargetName(name string) bool {
+	if len(name) > maxTargetNameBytes {
+		return false
+	}
+	return strings.HasPrefix(name, "iqn.") || strings.HasPrefix(name, "eui.") || strings.HasPrefix(name, "naa.")
+}
+
+func (d *decoder) lun(block *lunBlock, targetName string, config *Config, shownBy map[string]string) LUN {
+	lun := LUN{
+		File:       block.File,
+		Size:       uint64(d.bytes(block.Size, smallBlock, 1<<50, 0)),
+		BlockBytes: uint32(d.bytes(block.BlockBytes, smallBlock, largeBlock, largeBlock)),
+		ReadOnly:   block.ReadOnly,
+	}
+	if lun.BlockBytes != smallBlock && lun.BlockBytes != largeBlock {
+		d.reject(block.Range, "Bad block", "A block has %d or %d bytes, not %d.", smallBlock, largeBlock, lun.BlockBytes)
+	} else if lun.Size%uint64(lun.BlockBytes) != 0 || lun.Size == 0 {
+		d.reject(block.Range, "Bad size", "%d bytes are not whole blocks of %d.", lun.Size, lun.BlockBytes)
+	}
+	file, err := layout.Parse(block.File)
+	if err != nil || file.Rel == "" || config.Volumes[file.Volume] == nil {
+		d.reject(block.Range, "No such file", "%q is no file of a volume of this gateway.", block.File)
+	}
+	if other := shownBy[file.String()]; other != "" {
+		d.reject(block.Range, "File twice", "%s is shown by %s already.", block.File, other)
+	}
+	shownBy[file.String()] = targetName + " lun " + block.Number
+	return lun
+}
--- /dev/null
+++ b/internal/config/scheduling.go
@@ -0,0 +1,168 @@
+package config
+
+import (
+	"strconv"
+	"time"
+
+	"github.com/hashicorp/hcl/v2"
+
+	"irispost/scheduler"
+)
+
+// schedulingBlocks are the blocks of scheduling settings, which a gateway's file and a configuration version share.
+type schedulingBlocks struct {
+	SlowStart      *slowStartBlock
+	Retries        *retriesBlock
+	Attempts       *attemptsBlock
+	Rejections     *rejectionsBlock
+	KeyOrder       *keyOrderBlock
+	ServiceLevels  []serviceLevelBlock
+	RequestClasses []requestClassBlock
+	Missing        hcl.Range // what a missing block is reported at
+}
+
+func (f *gatewayFile) scheduling() schedulingBlocks {
+	return schedulingBlocks{SlowStart: f.SlowStart, Retries: f.Retries, Attempts: f.Attempts, Rejections: f.Rejections,
+		KeyOrder: f.KeyOrder, ServiceLevels: f.ServiceLevels, RequestClasses: f.RequestClasses, Missing: f.Gateway.Range}
+}
+
+// scheduling reads the settings of slow start, retries, attempts, rejections and key queues. Blocks that are missing
+// have defaults, but for slow start and the retry budget: without their blocks there is neither.
+func (d *decoder) scheduling(blocks *schedulingBlocks, settings scheduler.Settings) {
+	if block := blocks.SlowStart; block != nil {
+		settings["cold.from"] = formatNumber(d.number(block.StartShare, 0.001, 1, 1))
+		settings["cold.time"] = formatMillis(d.duration(block.Duration, 0, time.Hour, 0))
+		settings["cold.multiple"] = formatNumber(d.number(block.Multiple, 0.1, 100, 2))
+		settings["cold.window"] = formatMillis(d.duration(block.Window, time.Millisecond, time.Hour, time.Second))
+		settings["cold.units"] = formatNumber(d.number(block.FreeUnits, 0, maxUnits, 0))
+	}
+	if block := blocks.Retries; block != nil {
+		settings["further.window"] = formatMillis(d.duration(block.Window, time.Millisecond, time.Hour, time.Second))
+		settings["further.free"] = formatNumber(d.number(block.FreeRetries, 0, maxUnits, 0))
+		settings["further.share"] = formatNumber(d.number(block.Ratio, 0, 100, 0))
+	}
+	attempts := orDefault(blocks.Attempts)
+	settings["executions.most"] = strconv.Itoa(d.count(attempts.MaxAttempts, 1, 100, 3))
+	settings["second_copies"] = formatFlag(attempts.Hedging)
+	settings["calling_off"] = formatFlag(attempts.Cancelling)
+	rejections := orDefault(blocks.Rejections)
+	settings["retry_after"] = formatFlag(rejections.RetryAfter)
+	settings["retry_after.most"] = formatMillis(d.duration(rejections.MaxRetryAfter, 0, time.Hour, time.Second))
+	keyOrder := orDefault(blocks.KeyOrder)
+	settings["key.rest"] = formatMillis(d.duration(keyOrder.BlockedTime, 0, time.Minute, 50*time.Millisecond))
+}
+
+// orDefault is a block, or one with nothing set where it is missing.
+func orDefault[Block any](block *Block) *Block {
+	if block == nil {
+		return new(Block)
+	}
+	return block
+}
+
+// serviceLevelKey is the name of a value of the service level at an index, among the scheduler's settings.
+func serviceLevelKey(index int, value string) string {
+	return "plans." + strconv.Itoa(index) + "." + value
+}
+
+func (d *decoder) serviceLevels(blocks *schedulingBlocks, settings scheduler.Settings) {
+	names := map[string]bool{}
+	for i, block := range blocks.ServiceLevels {
+		if names[block.Name] {
+			d.reject(block.Range, "Plan twice", "There is a plan %q already.", block.Name)
+		}
+		names[block.Name] = true
+		set := func(name, value string) { settings[serviceLevelKey(i, name)] = value }
+		set("name", block.Name)
+		set("weight", formatNumber(d.number(block.Weight, 1e-3, 1e6, 1)))
+		set("rate", formatNumber(d.number(block.NominalRate, 0, maxUnits, 0)))
+		set("reserve", formatNumber(d.number(block.Reserve, 0, maxUnits, 0)))
+		limit := d.number(block.RateLimit, 0, maxUnits, 0)
+		set("limit", formatNumber(limit))
+		set("burst", formatNumber(d.number(block.Burst, 0, maxUnits, limit)))
+		set("slack", formatNumber(d.number(block.Slack, 0, maxUnits, 0)))
+	}
+	settings["plans.count"] = strconv.Itoa(len(blocks.ServiceLevels))
+	if len(blocks.ServiceLevels) == 0 {
+		d.reject(blocks.Missing, "No plan", "At least one plan block is needed.")
+	}
+}
+
+// The words of a request class's idempotency and dedup scope, in the file and in the scheduler's settings.
+const (
+	wordIdempotent    = "replayable"
+	wordKeyed         = "referenced"
+	wordNonIdempotent = "single-use"
+
+	wordDedupAllNodes  = "all"
+	wordDedupSameZone  = "zone"
+	wordDedupSameShard = "shard"
+)
+
+// idempotencies are the numbers that front ends and nodes know the words by.
+var idempotencies = map[string]scheduler.Idempotency{
+	wordIdempotent:    scheduler.Idempotent,
+	wordKeyed:         scheduler.IdempotencyKeyed,
+	wordNonIdempotent: scheduler.NonIdempotent,
+}
+
+// requestClassKey is the name of a value of the request class at an index, among the scheduler's settings.
+func requestClassKey(index int, value string) string {
+	return "products." + strconv.Itoa(index) + "." + value
+}
+
+func (d *decoder) requestClasses(blocks *schedulingBlocks, config *Config) {
+	for i, block := range blocks.RequestClasses {
+		d.requestClass(i, &block, config)
+	}
+	config.Settings["products.count"] = strconv.Itoa(len(blocks.RequestClasses))
+}
+
+func (d *decoder) requestClass(index int, block *requestClassBlock, config *Config) {
+	if config.RequestClasses[block.Name] != nil {
+		d.reject(block.Range, "Product twice", "There is a product %q already.", block.Name)
+	}
+	idempotency := d.text(block.Idempotency, wordIdempotent)
+	if _, known := idempotencies[idempotency]; !known {
+		d.reject(block.Idempotency.Range(), "No such kind",
+			"A product is \"replayable\", \"referenced\" or \"single-use\", not %q.", idempotency)
+	}
+	scope := d.text(block.DedupScope, wordDedupAllNodes)
+	if scope != wordDedupAllNodes && scope != wordDedupSameZone && scope != wordDedupSameShard {
+		d.reject(block.DedupScope.Range(), "No such group",
+			"The nodes that know a repeat are \"all\", those of a \"zone\" or of a \"shard\", not %q.", scope)
+	}
+	class := &RequestClass{LatencyObjective: d.duration(block.LatencyObjective, time.Millisecond, time.Hour, time.Second)}
+	class.Name = block.Name
+	class.Kind = uint8(idempotencies[idempotency])
+	class.InTurn = block.Ordered
+	class.Patience = d.duration(block.ClientTimeout, time.Millisecond, time.Hour, time.Second)
+	if class.Patience < class.LatencyObjective {
+		d.reject(block.ClientTimeout.Range(), "Patience under the goal",
+			"A client that waits %v cannot have its answer after %v.", class.Patience, class.LatencyObjective)
+	}
+	class.DedupWindow = d.duration(block.DedupWindow, 0, time.Hour, 0)
+	if idempotency == wordKeyed && class.DedupWindow == 0 {
+		d.reject(block.Range, "No window", "A referenced product needs a window: how long the nodes know a repeat.")
+	}
+	config.RequestClasses[block.Name] = class
+
+	set := func(name, value string) { config.Settings[requestClassKey(index, name)] = value }
+	set("name", class.Name)
+	set("kind", idempotency)
+	set("group", scope)
+	set("goal", formatMillis(class.LatencyObjective))
+	set("patience", formatMillis(class.Patience))
+	set("window", formatMillis(class.DedupWindow))
+	set("in_turn", strconv.FormatBool(class.InTurn))
+}
+
+// dedupScope is the dedup scope of a request class; empty where there is no such class.
+func (c *Config) dedupScope(class string) string {
+	for i := range len(c.RequestClasses) {
+		if c.Settings[requestClassKey(i, "name")] == class {
+			return c.Settings[requestClassKey(i, "group")]
+		}
+	}
+	return ""
+}
