--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -92,10 +92,10 @@
 }
 
 // serve serves a gateway at a socket, and writes down each request that comes there.
-func serve(t *testing.T, g gateway, record *bytes.Buffer) string {
+func serve(t *testing.T, stub gateway, record *bytes.Buffer) string {
 	t.Helper()
 	dir := t.TempDir()
-	s, err := admin.Listen(filepath.Join(dir, "inner"), g)
+	s, err := admin.Listen(filepath.Join(dir, "inner"), stub)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -106,11 +106,11 @@
 	}
 	inner := transport(filepath.Join(dir, "inner"))
 	outer := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		asked, err := io.ReadAll(r.Body)
+		body, err := io.ReadAll(r.Body)
 		if err != nil {
 			t.Error(err)
 		}
-		q, err := http.NewRequest(r.Method, "http://gateway"+r.URL.Path, bytes.NewReader(asked))
+		q, err := http.NewRequest(r.Method, "http://gateway"+r.URL.Path, bytes.NewReader(body))
 		if err != nil {
 			t.Error(err)
 			return
@@ -125,7 +125,7 @@
 		if err != nil {
 			t.Error(err)
 		}
-		fmt.Fprintf(record, "%s %s\n%s\n", r.Method, r.URL.Path, asked)
+		fmt.Fprintf(record, "%s %s\n%s\n", r.Method, r.URL.Path, body)
 		fmt.Fprintf(record, "%d %s\n%s\n", a.StatusCode, a.Header.Get("Content-Type"), answer)
 		w.WriteHeader(a.StatusCode)
 		if _, err := w.Write(answer); err != nil {
@@ -163,7 +163,8 @@
 	}
 }
 
-// TestGoldenSocket pins each request and answer of the socket, what the client makes of them, and the metrics with help and type.
+// TestGoldenSocket pins each request and answer of the socket, what the client makes of them, and the metrics with
+// help and type.
 func TestGoldenSocket(t *testing.T) {
 	for _, c := range []struct {
 		file string
--- a/internal/admin/metrics.go
+++ b/internal/admin/metrics.go
@@ -7,58 +7,72 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// collector tells a gateway's status in Prometheus' form. It keeps no counts of its own: each scrape asks the gateway.
+// collector reports a gateway's status as Prometheus metrics. It keeps no counts: each scrape asks the gateway.
 type collector struct{ gateway Gateway }
 
+// desc describes a metric irispost_NAME.
 func desc(name, help string, labels ...string) *prometheus.Desc {
 	return prometheus.NewDesc("irispost_"+name, help, labels, nil)
 }
 
 var (
-	descJobs    = desc("jobs_total", "Jobs since the gateway's start, by product and by what became of them.", "product", "outcome")
-	descHeld    = desc("jobs_held", "Jobs without their final answer.")
-	descOut     = desc("executions_out", "Executions that are out at nodes.")
-	descLate    = desc("late_answers_total", "Answers of nodes that came after their execution was given up.")
-	descNodes   = desc("nodes", "Nodes, by their state.", "state")
-	descDropped = desc("capture_dropped_records", "Records that the present or last capture dropped.")
-	descActs    = desc("rules_acting", "1 for the state in which the gateway stands with the keepers, and what it acts on.", "rules")
-	descUp      = desc("up", "1 where the gateway's loop answers.")
+	descResults = desc("jobs_total", "Jobs since the gateway's start, by product and by what became of them.",
+		"product", "outcome")
+	descRequests    = desc("jobs_held", "Jobs without their final answer.")
+	descAttempts    = desc("executions_out", "Executions that are out at nodes.")
+	descLateAnswers = desc("late_answers_total", "Answers of nodes that came after their execution was given up.")
+	descNodes       = desc("nodes", "Nodes, by their state.", "state")
+	descDropped     = desc("capture_dropped_records", "Records that the present or last capture dropped.")
+	descVersion     = desc("rules_acting", "1 for the state in which the gateway stands with the keepers, and what it acts on.",
+		"rules")
+	descUp = desc("up", "1 where the gateway's loop answers.")
 )
 
-// Describe is empty: what there is hangs on the gateway.
+// Describe sends nothing: which metrics there are depends on the gateway's status.
 func (c collector) Describe(chan<- *prometheus.Desc) {}
 
-// Collect asks the gateway once.
+// Collect asks the gateway once. A gateway that does not answer has the metric up alone.
 func (c collector) Collect(to chan<- prometheus.Metric) {
 	gauge := func(d *prometheus.Desc, v float64, labels ...string) {
 		to <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, v, labels...)
 	}
-	s, err := c.gateway.Status()
+	status, err := c.gateway.Status()
 	if err != nil {
 		gauge(descUp, 0)
 		return
 	}
 	gauge(descUp, 1)
-	gauge(descHeld, float64(s.Requests))
-	gauge(descOut, float64(s.AttemptsInFlight))
-	to <- prometheus.MustNewConstMetric(descLate, prometheus.CounterValue, float64(s.LateAnswers))
-	for name, p := range s.RequestClasses {
-		for outcome, n := range map[string]int64{"taken": p.Accepted, "completed": p.Succeeded, "dismissed": p.Rejected, "written_off": p.Failed, "left": p.Cancelled} {
-			to <- prometheus.MustNewConstMetric(descJobs, prometheus.CounterValue, float64(n), name, outcome)
+	gauge(descRequests, float64(status.Requests))
+	gauge(descAttempts, float64(status.AttemptsInFlight))
+	to <- prometheus.MustNewConstMetric(descLateAnswers, prometheus.CounterValue, float64(status.LateAnswers))
+	for class, counts := range status.RequestClasses {
+		for outcome, n := range counts.byOutcome() {
+			to <- prometheus.MustNewConstMetric(descResults, prometheus.CounterValue, float64(n), class, outcome)
 		}
 	}
-	for state, n := range s.Nodes {
+	for state, n := range status.Nodes {
 		gauge(descNodes, float64(n), state)
 	}
-	gauge(descDropped, float64(s.Capture.Dropped))
-	if s.Version != "" {
-		gauge(descActs, 1, s.Version)
+	gauge(descDropped, float64(status.Capture.Dropped))
+	if status.Version != "" {
+		gauge(descVersion, 1, status.Version)
 	}
 }
 
-// metrics serves them.
-func metrics(g Gateway) http.Handler {
-	r := prometheus.NewRegistry()
-	r.MustRegister(collector{g})
-	return promhttp.HandlerFor(r, promhttp.HandlerOpts{})
+// byOutcome are the counts by the values of the label outcome.
+func (c RequestCounts) byOutcome() map[string]int64 {
+	return map[string]int64{
+		"taken":       c.Accepted,
+		"completed":   c.Succeeded,
+		"dismissed":   c.Rejected,
+		"written_off": c.Failed,
+		"left":        c.Cancelled,
+	}
+}
+
+// metricsHandler serves the metrics of a gateway.
+func metricsHandler(gateway Gateway) http.Handler {
+	registry := prometheus.NewRegistry()
+	registry.MustRegister(collector{gateway})
+	return promhttp.HandlerFor(registry, promhttp.HandlerOpts{})
 }
