--- a/cmd/irispost/main.go
+++ b/cmd/irispost/main.go
@@ -2,10 +2,13 @@
 package main
 
 import (
+	"context"
 	"fmt"
 	"log/slog"
 	"os"
+	"os/signal"
 	"runtime/debug"
+	"syscall"
 
 	"github.com/spf13/cobra"
 )
@@ -59,3 +62,8 @@
 		return slog.New(slog.NewTextHandler(os.Stderr, opt))
 	}
 }
+
+// untilSignal ends with SIGINT or SIGTERM.
+func untilSignal() (context.Context, context.CancelFunc) {
+	return signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
+}
