--- /dev/null
+++ b/internal/snapshot/decode.go
@@ -0,0 +1,185 @@
+package snapshot
+
+import (
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"math"
+	"reflect"
+
+	"github.com/cespare/xxhash/v2"
+)
+
+// ErrDamaged says that a snapshot is not as it was written, or is of other types.
+var ErrDamaged = errors.New("the snapshot is damaged, or of another build")
+
+// headerBytes and checksumBytes frame the objects of a snapshot.
+const (
+	headerBytes   = 8
+	checksumBytes = 8
+)
+
+// Restore decodes the graph of a snapshot, whose root points to a T. A snapshot of another type, by the names that are
+// stored, or one that has been changed is ErrDamaged.
+func Restore[T any](b []byte, names Names) (*T, error) {
+	root := reflect.TypeFor[*T]()
+	if len(b) < headerBytes+checksumBytes {
+		return nil, ErrDamaged
+	}
+	content, checksum := b[:len(b)-checksumBytes], b[len(b)-checksumBytes:]
+	if xxhash.Sum64(content) != binary.BigEndian.Uint64(checksum) || binary.BigEndian.Uint64(content) != Shape(root, names) {
+		return nil, ErrDamaged
+	}
+	d := &decoder{rest: content[headerBytes:]}
+	first := d.object(1, root)
+	for at := 0; at < len(d.objects) && d.err == nil; at++ {
+		if !d.objects[at].IsValid() {
+			return nil, ErrDamaged
+		}
+		d.value(d.objects[at].Elem())
+	}
+	if d.err == nil && len(d.rest) > 0 {
+		d.err = ErrDamaged
+	}
+	if d.err != nil {
+		return nil, d.err
+	}
+	return first.Interface().(*T), nil
+}
+
+type decoder struct {
+	rest    []byte
+	objects []reflect.Value // pointers to them, by number from 1; one that was not met yet is not valid
+	err     error
+}
+
+// object is the object of a number, made when it is first met.
+func (d *decoder) object(n uint64, t reflect.Type) reflect.Value {
+	if n == 0 {
+		return reflect.Zero(t)
+	}
+	if n > uint64(len(d.objects))+uint64(len(d.rest))+1 {
+		d.err = ErrDamaged
+		return reflect.Zero(t)
+	}
+	for uint64(len(d.objects)) < n {
+		d.objects = append(d.objects, reflect.Value{})
+	}
+	if !d.objects[n-1].IsValid() {
+		d.objects[n-1] = reflect.New(t.Elem())
+	}
+	if d.objects[n-1].Type() != t {
+		d.err = ErrDamaged
+		return reflect.Zero(t)
+	}
+	return d.objects[n-1]
+}
+
+func (d *decoder) uint() uint64 {
+	n, used := binary.Uvarint(d.rest)
+	if used <= 0 {
+		d.err = ErrDamaged
+		return 0
+	}
+	d.rest = d.rest[used:]
+	return n
+}
+
+func (d *decoder) int() int64 {
+	n, used := binary.Varint(d.rest)
+	if used <= 0 {
+		d.err = ErrDamaged
+		return 0
+	}
+	d.rest = d.rest[used:]
+	return n
+}
+
+func (d *decoder) text() string {
+	n := d.uint()
+	if n > uint64(len(d.rest)) {
+		d.err = ErrDamaged
+		return ""
+	}
+	text := string(d.rest[:n])
+	d.rest = d.rest[n:]
+	return text
+}
+
+// length reads the length of a slice or map, which is written plus one; 0 is nil. Each item has a byte at least, but for
+// empty structs.
+func (d *decoder) length() (n int, present bool) {
+	written := d.uint()
+	if written > uint64(len(d.rest))+1 {
+		d.err = ErrDamaged
+		return 0, false
+	}
+	return int(written) - 1, written > 0
+}
+
+func (d *decoder) slice(v reflect.Value) {
+	n, present := d.length()
+	if !present {
+		return
+	}
+	v.Set(reflect.MakeSlice(v.Type(), n, n))
+	for i := range n {
+		d.value(v.Index(i))
+	}
+}
+
+func (d *decoder) mapping(v reflect.Value) {
+	n, present := d.length()
+	if !present {
+		return
+	}
+	v.Set(reflect.MakeMapWithSize(v.Type(), n))
+	for range n {
+		key := reflect.New(v.Type().Key()).Elem()
+		value := reflect.New(v.Type().Elem()).Elem()
+		d.value(key)
+		d.value(value)
+		if d.err != nil {
+			return
+		}
+		v.SetMapIndex(key, value)
+	}
+}
+
+// value reads into a value that is zero.
+func (d *decoder) value(v reflect.Value) {
+	if d.err != nil {
+		return
+	}
+	if v.CanAddr() { // fields that are not exported may be set this way only
+		v = reflect.NewAt(v.Type(), v.Addr().UnsafePointer()).Elem()
+	}
+	switch v.Kind() {
+	case reflect.Bool:
+		v.SetBool(d.uint() == 1)
+	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
+		v.SetInt(d.int())
+	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
+		v.SetUint(d.uint())
+	case reflect.Float32, reflect.Float64:
+		v.SetFloat(math.Float64frombits(d.uint()))
+	case reflect.String:
+		v.SetString(d.text())
+	case reflect.Pointer:
+		v.Set(d.object(d.uint(), v.Type()))
+	case reflect.Slice:
+		d.slice(v)
+	case reflect.Array:
+		for i := range v.Len() {
+			d.value(v.Index(i))
+		}
+	case reflect.Struct:
+		for i := range v.NumField() {
+			d.value(v.Field(i))
+		}
+	case reflect.Map:
+		d.mapping(v)
+	default:
+		d.err = fmt.Errorf("a snapshot cannot hold a %v", v.Type())
+	}
+}
--- /dev/null
+++ b/internal/snapshot/encode.go
@@ -0,0 +1,126 @@
+package snapshot
+
+import (
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"math"
+	"reflect"
+	"slices"
+	"unsafe"
+
+	"github.com/cespare/xxhash/v2"
+)
+
+// Take encodes the object that root points to, and all that it reaches. A type that has no place in a snapshot is an
+// error.
+func Take(root any, names Names) ([]byte, error) {
+	v := reflect.ValueOf(root)
+	if v.Kind() != reflect.Pointer || v.IsNil() {
+		return nil, errors.New("a snapshot begins with a pointer")
+	}
+	e := &encoder{numbers: map[unsafe.Pointer]map[reflect.Type]uint64{}}
+	e.out = binary.BigEndian.AppendUint64(nil, Shape(v.Type(), names))
+	e.number(v)
+	for at := 0; at < len(e.objects); at++ { // objects are written in the order in which they are first met
+		e.value(e.objects[at].Elem())
+	}
+	return binary.BigEndian.AppendUint64(e.out, xxhash.Sum64(e.out)), e.err
+}
+
+type encoder struct {
+	out     []byte
+	numbers map[unsafe.Pointer]map[reflect.Type]uint64 // of objects, from 1
+	objects []reflect.Value                            // pointers to them, by number
+	err     error                                      // the last type that was rejected
+}
+
+// number is a pointer's object, counted from 1; 0 is nil. A struct and its first field share an address, so the type
+// counts as well.
+func (e *encoder) number(p reflect.Value) uint64 {
+	if p.IsNil() {
+		return 0
+	}
+	byType := e.numbers[p.UnsafePointer()]
+	if byType == nil {
+		byType = map[reflect.Type]uint64{}
+		e.numbers[p.UnsafePointer()] = byType
+	}
+	if byType[p.Type()] == 0 {
+		e.objects = append(e.objects, p)
+		byType[p.Type()] = uint64(len(e.objects))
+	}
+	return byType[p.Type()]
+}
+
+func (e *encoder) uint(n uint64) { e.out = binary.AppendUvarint(e.out, n) }
+
+func (e *encoder) value(v reflect.Value) {
+	switch v.Kind() {
+	case reflect.Bool:
+		if v.Bool() {
+			e.uint(1)
+		} else {
+			e.uint(0)
+		}
+	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
+		e.out = binary.AppendVarint(e.out, v.Int())
+	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
+		e.uint(v.Uint())
+	case reflect.Float32, reflect.Float64:
+		e.uint(math.Float64bits(v.Float()))
+	case reflect.String:
+		e.uint(uint64(v.Len()))
+		e.out = append(e.out, v.String()...)
+	case reflect.Pointer:
+		e.uint(e.number(v))
+	case reflect.Slice:
+		if v.IsNil() {
+			e.uint(0)
+			return
+		}
+		e.uint(uint64(v.Len()) + 1)
+		for i := range v.Len() {
+			e.value(v.Index(i))
+		}
+	case reflect.Array:
+		for i := range v.Len() {
+			e.value(v.Index(i))
+		}
+	case reflect.Struct:
+		for i := range v.NumField() {
+			e.value(v.Field(i))
+		}
+	case reflect.Map:
+		e.mapping(v)
+	default:
+		e.err = fmt.Errorf("a snapshot cannot hold a %v", v.Type())
+	}
+}
+
+// mapping writes a map in the order of its encoded keys, so that equal graphs are equal snapshots. Objects that are met
+// first as keys have their numbers by the map's own order, so such maps may differ between two snapshots of one graph.
+func (e *encoder) mapping(v reflect.Value) {
+	if v.IsNil() {
+		e.uint(0)
+		return
+	}
+	e.uint(uint64(v.Len()) + 1)
+	type entry struct {
+		key   []byte // encoded
+		value reflect.Value
+	}
+	var entries []entry
+	written := e.out
+	for pairs := v.MapRange(); pairs.Next(); {
+		e.out = nil
+		e.value(pairs.Key())
+		entries = append(entries, entry{e.out, pairs.Value()})
+	}
+	e.out = written
+	slices.SortFunc(entries, func(a, b entry) int { return slices.Compare(a.key, b.key) })
+	for _, entry := range entries {
+		e.out = append(e.out, entry.key...)
+		e.value(entry.value)
+	}
+}
