--- a/internal/capture/bench_test.go
+++ b/internal/capture/bench_test.go
@@ -8,15 +8,15 @@
 	"irispost/scheduler"
 )
 
-type nowhere struct{ io.Writer }
+type discard struct{ io.Writer }
 
-func (nowhere) Close() error { return nil }
+func (discard) Close() error { return nil }
 
 // BenchmarkJob writes down one job: taken, sent, answered, with the two decisions.
 func BenchmarkJob(b *testing.B) {
 	l := DefaultLimits
 	l.QueuedBlocks = 1 << 12
-	r := NewRecorder(nowhere{io.Discard}, "g", "b", l)
+	r := NewRecorder(discard{io.Discard}, "g", "b", l)
 	n := &scheduler.Node{Addr: "127.0.0.1:7000"}
 	b.ReportAllocs()
 	for i := range b.N {
--- /dev/null
+++ b/internal/capture/events.go
@@ -0,0 +1,123 @@
+package capture
+
+import (
+	"irispost/internal/endpoint"
+	"irispost/internal/snapshot"
+	"irispost/scheduler"
+)
+
+// The recorder's calls by the event loop follow. Each is made at the moment and with the arguments of a call of the
+// scheduler. Those that come with each request use one record again, so that they need no memory.
+
+// Start records the scheduler's start.
+func (r *Recorder) Start(now scheduler.Time, seed uint64, settings scheduler.Settings) {
+	r.add(&Record{Kind: Start, At: now, Seed: seed, Terms: settings})
+}
+
+// EndpointList records a complete endpoint list.
+func (r *Recorder) EndpointList(now scheduler.Time, endpoints endpoint.List) {
+	r.EndpointUpdate(now, endpoints, true)
+}
+
+// EndpointUpdate records an endpoint list, which leaves out what has not changed unless it is complete.
+func (r *Recorder) EndpointUpdate(now scheduler.Time, endpoints endpoint.List, complete bool) {
+	kind := ListedPart
+	if complete {
+		kind = Listed
+	}
+	r.add(&Record{Kind: kind, At: now, Stale: endpoints.Stale, Nodes: endpoints.Nodes})
+}
+
+// EndpointListFailed records that a list could not be had; unanswered: the call ended without an answer.
+func (r *Recorder) EndpointListFailed(now scheduler.Time, unanswered bool) {
+	kind := ListFailed
+	if unanswered {
+		kind = ListSilent
+	}
+	r.add(&Record{Kind: kind, At: now})
+}
+
+// SettingsChanged records other settings.
+func (r *Recorder) SettingsChanged(now scheduler.Time, settings scheduler.Settings) {
+	r.add(&Record{Kind: Agreed, At: now, Terms: settings})
+}
+
+// Allocated records slow-start budget for a node, of the life that began at startedAt.
+func (r *Recorder) Allocated(
+	now scheduler.Time, addr string, startedAt scheduler.Time, units float64, expiresAt scheduler.Time,
+) {
+	r.add(&Record{Kind: Lent, At: now, Node: addr, Born: startedAt, Units: units, Till: expiresAt})
+}
+
+// StreamStarted records that an attempt's response has started.
+func (r *Recorder) StreamStarted(now scheduler.Time, request string, number int) {
+	r.add(&Record{Kind: Begun, At: now, Job: request, Number: number})
+}
+
+// Submitted records a request with its volume, service level and class, and how many gateways serve the volume.
+func (r *Recorder) Submitted(
+	now scheduler.Time, request *scheduler.Request, volume int64, level, class string, gateways float64, keyed bool,
+) {
+	record := &r.scratch
+	record.Kind = Take
+	record.At = now
+	record.Job = request.ID
+	record.Volume = volume
+	record.Plan = level
+	record.Product = class
+	record.Hosts = gateways
+	record.Keyed = keyed
+	record.Units = request.Units
+	record.Shard = request.Shard
+	record.Key = request.Key
+	record.Write = request.Write
+	record.StopBy = request.Deadline
+	r.add(record)
+}
+
+// AttemptEnded records an attempt's outcome, with what the node has served of other gateways and its load report.
+func (r *Recorder) AttemptEnded(
+	now scheduler.Time, request string, number int, outcome scheduler.Outcome, took scheduler.Time, final bool,
+	others float64, inflight int, latency scheduler.Time,
+) {
+	record := &r.scratch
+	record.Kind = Ended
+	record.At = now
+	record.Job = request
+	record.Number = number
+	record.Outcome = outcome
+	record.Took = took
+	record.Final = final
+	record.Others = others
+	record.Inflight = inflight
+	record.Latency = latency
+	r.add(record)
+}
+
+// NeedsSnapshot tells whether records were dropped, so that a replay needs a snapshot of the scheduler to go on.
+func (r *Recorder) NeedsSnapshot() bool { return r.needsSnapshot.Load() }
+
+// Snapshot records the scheduler's full state.
+func (r *Recorder) Snapshot(now scheduler.Time, s *scheduler.Scheduler) {
+	r.needsSnapshot.Store(false)
+	state, err := snapshot.Take(s, scheduler.StoredNames)
+	if err != nil {
+		r.add(&Record{Kind: Gap, At: now}) // a replay cannot begin here
+		return
+	}
+	r.add(&Record{Kind: State, At: now, State: string(state)})
+}
+
+// ClientCancelled records that a request's client has gone.
+func (r *Recorder) ClientCancelled(now scheduler.Time, request string) {
+	r.add(&Record{Kind: Left, At: now, Job: request})
+}
+
+// Decided records what the scheduler decided.
+func (r *Recorder) Decided(now scheduler.Time, decision *scheduler.Decision) {
+	record := &r.scratch
+	record.Kind = Decided
+	record.At = now
+	record.Decision.fill(decision)
+	r.add(record)
+}
--- a/internal/capture/reader.go
+++ b/internal/capture/reader.go
@@ -10,27 +10,30 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// Reader reads a capture, block by block: one that is longer than memory is no trouble.
+// Reader reads a capture, block by block, so that one may be longer than memory. One goroutine uses it.
 type Reader struct {
-	in      *bufio.Reader
-	unpack  *zstd.Decoder
-	rest    []byte
-	offset  int64 // of the block that is read next
-	records int64
-	ended   string // of the End record
-	begun   bool
+	in       *bufio.Reader
+	unpacker *zstd.Decoder
+	rest     []byte // of the present block
+	offset   int64  // of the block that is read next
+	records  int64  // that were read
+	ended    string // the reason of the End record; empty: there was none
+	started  bool   // the header was read
 }
 
-// ErrCut tells that a capture stops without its end; what was read until then is whole.
+// ErrCut says that a capture stops without its end; what was read until then is complete.
 var ErrCut = errors.New("the capture is cut off")
 
-// NewReader reads a capture.
+// readBufferBytes is how much is read from a capture at a time.
+const readBufferBytes = 1 << 20
+
+// NewReader reads a capture from its start. One of another version of the format is an error.
 func NewReader(in io.Reader) (*Reader, error) {
-	unpack, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(mostBlock))
+	unpacker, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxBlockBytes))
 	if err != nil {
 		return nil, err
 	}
-	r := &Reader{in: bufio.NewReaderSize(in, 1<<20), unpack: unpack}
+	r := &Reader{in: bufio.NewReaderSize(in, readBufferBytes), unpacker: unpacker}
 	head := make([]byte, len(magic))
 	if _, err := io.ReadFull(r.in, head); err != nil {
 		return nil, fmt.Errorf("%w before its first block", ErrCut)
@@ -39,7 +42,8 @@
 		return nil, errors.New("this is no capture")
 	}
 	if string(head) != magic {
-		return nil, fmt.Errorf("the capture has version %q, this build reads %q", head[len(magicName):], magic[len(magicName):])
+		return nil, fmt.Errorf("the capture has version %q, this build reads %q",
+			head[len(magicName):], magic[len(magicName):])
 	}
 	r.offset = int64(len(magic))
 	return r, nil
@@ -52,28 +56,30 @@
 			return nil, err
 		}
 	}
-	rec, rest, err := nextRecord(r.rest)
+	record, rest, err := nextRecord(r.rest)
 	if err != nil {
 		return nil, r.stopped(err)
 	}
-	if !r.begun && rec.Kind != Header {
-		return nil, r.stopped(fmt.Errorf("%w: it begins with %v", ErrDamaged, rec.Kind))
+	if !r.started && record.Kind != Header {
+		return nil, r.stopped(fmt.Errorf("%w: it begins with %v", ErrDamaged, record.Kind))
 	}
-	r.begun, r.rest = true, rest
+	r.started = true
+	r.rest = rest
 	r.records++
-	if rec.Kind == End {
-		r.ended = rec.Name
+	if record.Kind == End {
+		r.ended = record.Name
 	}
-	return rec, nil
+	return record, nil
 }
 
+// stopped adds to an error how far the capture was read.
 func (r *Reader) stopped(err error) error {
 	return fmt.Errorf("%w (after %d whole records, in the block at byte %d)", err, r.records, r.offset)
 }
 
 // block reads the next block.
 func (r *Reader) block() error {
-	head := make([]byte, blockHead)
+	head := make([]byte, blockHeadBytes)
 	n, err := io.ReadFull(r.in, head)
 	switch {
 	case errors.Is(err, io.EOF) && r.ended != "":
@@ -83,25 +89,25 @@
 	case err != nil:
 		return r.stopped(fmt.Errorf("%w inside the head of a block", ErrCut))
 	}
-	raw, packed := binary.BigEndian.Uint32(head), binary.BigEndian.Uint32(head[4:])
-	if raw > mostBlock || packed > mostBlock {
+	raw, packed := binary.BigEndian.Uint32(head), binary.BigEndian.Uint32(head[blockPackedAt:])
+	if raw > maxBlockBytes || packed > maxBlockBytes {
 		return r.stopped(fmt.Errorf("%w: a block of %d bytes", ErrDamaged, raw))
 	}
-	body := make([]byte, packed)
-	if _, err := io.ReadFull(r.in, body); err != nil {
+	frame := make([]byte, packed)
+	if _, err := io.ReadFull(r.in, frame); err != nil {
 		return r.stopped(fmt.Errorf("%w inside a block", ErrCut))
 	}
-	if sum(head[:20], body) != binary.BigEndian.Uint64(head[20:]) {
+	if checksum(head[:blockChecksumAt], frame) != binary.BigEndian.Uint64(head[blockChecksumAt:]) {
 		return r.stopped(fmt.Errorf("%w: a block's checksum does not fit", ErrDamaged))
 	}
-	out, err := r.unpack.DecodeAll(body, make([]byte, 0, raw))
+	records, err := r.unpacker.DecodeAll(frame, make([]byte, 0, raw))
 	if err != nil {
 		return r.stopped(fmt.Errorf("%w: a block does not unpack: %w", ErrDamaged, err))
 	}
-	if len(out) != int(raw) {
-		return r.stopped(fmt.Errorf("%w: a block unpacks to %d bytes, not to %d", ErrDamaged, len(out), raw))
+	if len(records) != int(raw) {
+		return r.stopped(fmt.Errorf("%w: a block unpacks to %d bytes, not to %d", ErrDamaged, len(records), raw))
 	}
-	r.rest = out
-	r.offset += int64(blockHead) + int64(packed)
+	r.rest = records
+	r.offset += int64(blockHeadBytes) + int64(packed)
 	return nil
 }
--- /dev/null
+++ b/internal/capture/recordcodec.go
@@ -0,0 +1,172 @@
+package capture
+
+import (
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"slices"
+
+	"github.com/cespare/xxhash/v2"
+
+	"irispost/internal/endpoint"
+	"irispost/scheduler"
+)
+
+// ErrDamaged says that bytes are not as they were written.
+var ErrDamaged = errors.New("the capture is damaged")
+
+// A record stands in a block as its length, a checksum of the rest, its kind and its fields.
+const (
+	recordLengthBytes = 4
+	recordHeadBytes   = recordLengthBytes + 4
+)
+
+// appendRecord appends a record to a block.
+func appendRecord(out []byte, record *Record) []byte {
+	start := len(out)
+	var head [recordHeadBytes]byte // filled in below
+	c := codec{out: append(append(out, head[:]...), byte(record.Kind))}
+	c.record(record) // it only reads the record
+	body := c.out[start+recordHeadBytes:]
+	binary.BigEndian.PutUint32(c.out[start:], uint32(len(body)))
+	binary.BigEndian.PutUint32(c.out[start+recordLengthBytes:], uint32(xxhash.Sum64(body)))
+	return c.out
+}
+
+// nextRecord reads a record and returns the bytes after it.
+func nextRecord(in []byte) (record *Record, rest []byte, err error) {
+	if len(in) < recordHeadBytes+1 {
+		return nil, in, fmt.Errorf("%w: a record ends after %d bytes", ErrDamaged, len(in))
+	}
+	length, available := int(binary.BigEndian.Uint32(in)), len(in)-recordHeadBytes
+	if length < 1 || length > available {
+		return nil, in, fmt.Errorf("%w: a record of %d bytes, %d are there", ErrDamaged, length, available)
+	}
+	body, rest := in[recordHeadBytes:recordHeadBytes+length], in[recordHeadBytes+length:]
+	if uint32(xxhash.Sum64(body)) != binary.BigEndian.Uint32(in[recordLengthBytes:]) {
+		return nil, in, fmt.Errorf("%w: a record's checksum does not fit", ErrDamaged)
+	}
+	record = &Record{Kind: Kind(body[0])}
+	c := codec{in: body[1:], reading: true}
+	c.record(record)
+	if c.invalid || len(c.in) > 0 {
+		return nil, in, fmt.Errorf("%w: a record of kind %d does not hold what it should", ErrDamaged, body[0])
+	}
+	return record, rest, nil
+}
+
+// record walks over the fields of a record's kind.
+func (c *codec) record(r *Record) {
+	c.signed(&r.At)
+	switch r.Kind {
+	case Header:
+		c.text(&r.Name)
+		c.text(&r.Build)
+		c.number(&r.Digest)
+	case Start:
+		c.number(&r.Seed)
+		c.settings(&r.Terms)
+	case Lent:
+		c.text(&r.Node)
+		c.signed(&r.Born)
+		c.float(&r.Units)
+		c.signed(&r.Till)
+	case Agreed:
+		c.settings(&r.Terms)
+	case Listed, ListedPart:
+		c.flag(&r.Stale)
+		list(c, &r.Nodes, c.node)
+	case Take:
+		c.submission(r)
+	case Ended:
+		c.attemptEnd(r)
+	case Left:
+		c.text(&r.Job)
+	case Decided:
+		c.decision(&r.Decision)
+	case Gap:
+		c.count(&r.Dropped)
+	case End:
+		c.text(&r.Name)
+	case State:
+		c.text(&r.State)
+	case ListFailed, ListSilent:
+	case Begun:
+		c.text(&r.Job)
+		c.count(&r.Number)
+	default:
+		c.invalid = true
+	}
+}
+
+func (c *codec) node(n *endpoint.Node) {
+	c.text(&n.Addr)
+	c.text(&n.Zone)
+	c.count(&n.Shard)
+	c.float(&n.Weight)
+	c.signed(&n.StartedAt)
+	enumeration(c, &n.Health)
+}
+
+func (c *codec) submission(r *Record) {
+	c.text(&r.Job)
+	c.signed(&r.Volume)
+	c.text(&r.Plan)
+	c.text(&r.Product)
+	c.float(&r.Hosts)
+	c.flag(&r.Keyed)
+	c.float(&r.Units)
+	c.count(&r.Shard)
+	c.signed(&r.Key)
+	c.flag(&r.Write)
+	c.signed(&r.StopBy)
+}
+
+func (c *codec) attemptEnd(r *Record) {
+	c.text(&r.Job)
+	c.count(&r.Number)
+	enumeration(c, &r.Outcome)
+	c.signed(&r.Took)
+	c.flag(&r.Final)
+	c.float(&r.Others)
+	c.count(&r.Inflight)
+	c.signed(&r.Latency)
+}
+
+func (c *codec) decision(d *Decision) {
+	list(c, &d.Ended, func(answer *Answer) {
+		c.text(&answer.Job)
+		enumeration(c, &answer.State)
+		c.signed(&answer.Wait)
+	})
+	for _, attempts := range []*[]Execution{&d.CallOff, &d.Sent} {
+		list(c, attempts, func(attempt *Execution) {
+			c.text(&attempt.Job)
+			c.count(&attempt.Number)
+			c.text(&attempt.Node)
+			c.signed(&attempt.Limit)
+		})
+	}
+	list(c, &d.Log, c.text)
+	c.flag(&d.Watch)
+	c.signed(&d.NextWake)
+}
+
+// settings are written in the order of their names, so that equal captures are equal files.
+func (c *codec) settings(settings *scheduler.Settings) {
+	var names []string
+	for name := range *settings {
+		names = append(names, name)
+	}
+	slices.Sort(names)
+	values := scheduler.Settings{}
+	list(c, &names, func(name *string) {
+		c.text(name)
+		value := (*settings)[*name]
+		c.text(&value)
+		values[*name] = value
+	})
+	if c.reading {
+		*settings = values
+	}
+}
--- a/internal/capture/redact.go
+++ b/internal/capture/redact.go
@@ -5,121 +5,148 @@
 	"errors"
 	"fmt"
 	"io"
+	"slices"
 	"strings"
 
-	"github.com/klauspost/compress/zstd"
 	"github.com/zeebo/blake3"
 
 	"irispost/scheduler"
 )
 
-// Redactor replaces names by keyed hashes (BLAKE3): addresses and zones of nodes, plans, products, and the gateway. The
-// same name gets the same hash under one key, so a replay decides the same. Jobs' names stay: ties are ordered by them,
-// and they hold only the gateway's name, which is replaced in them, and numbers.
+// Redactor replaces names by keyed hashes (BLAKE3): addresses and zones of nodes, service levels, request classes, and
+// the gateway. The same name gets the same hash under one key, so a replay decides the same. Names of requests stay: ties
+// are ordered by them, and they hold only the gateway's name, which is replaced in them, and numbers.
 type Redactor struct {
 	key     [32]byte
 	gateway string
-	known   map[string]string
-	order   []string // names in log lines, the longest first
+	hashes  map[string]string // by the name that they replace
+	names   []string          // that were replaced, the longest first, as log lines may hold one within another
 }
 
-// NewRedactor makes a redactor with a key of any length.
+const (
+	minKeyBytes = 16
+	hashBytes   = 8
+	keyContext  = "irispost 2026 redaction of captures"
+)
+
+// ErrStateNotRedactable says that a capture holds a snapshot of the scheduler, whose names cannot be replaced.
+var ErrStateNotRedactable = errors.New("the capture holds a state, which has names that cannot be replaced")
+
+// NewRedactor makes a redactor with a key of 16 bytes or more.
 func NewRedactor(key []byte) (*Redactor, error) {
-	if len(key) < 16 {
-		return nil, fmt.Errorf("the key has %d bytes, 16 are needed", len(key))
+	if len(key) < minKeyBytes {
+		return nil, fmt.Errorf("the key has %d bytes, %d are needed", len(key), minKeyBytes)
 	}
-	r := &Redactor{known: map[string]string{}}
-	blake3.DeriveKey("irispost 2026 redaction of captures", key, r.key[:])
+	r := &Redactor{hashes: map[string]string{}}
+	blake3.DeriveKey(keyContext, key, r.key[:])
 	return r, nil
 }
 
-// name is what stands for a name.
-func (r *Redactor) name(s *string) {
-	if *s == "" {
+// replaceName replaces a name; an empty one stays.
+func (r *Redactor) replaceName(name *string) {
+	if *name == "" {
 		return
 	}
-	h, seen := r.known[*s]
+	hash, seen := r.hashes[*name]
 	if !seen {
-		k, _ := blake3.NewKeyed(r.key[:]) // fails only for a key of another length
-		_, _ = k.Write([]byte(*s))        // a hash takes all
-		h = "x" + hex.EncodeToString(k.Sum(nil)[:8])
-		r.known[*s] = h
-		at := 0
-		for at < len(r.order) && len(r.order[at]) >= len(*s) {
-			at++
-		}
-		r.order = append(r.order[:at], append([]string{*s}, r.order[at:]...)...)
+		hash = r.hash(*name)
+		r.hashes[*name] = hash
+		r.insertName(*name)
+	}
+	*name = hash
+}
+
+func (r *Redactor) hash(name string) string {
+	digest, _ := blake3.NewKeyed(r.key[:]) // fails only for a key of another length
+	_, _ = digest.Write([]byte(name))      // a hash takes all
+	return "x" + hex.EncodeToString(digest.Sum(nil)[:hashBytes])
+}
+
+// insertName puts a name behind those that are as long or longer.
+func (r *Redactor) insertName(name string) {
+	at := 0
+	for at < len(r.names) && len(r.names[at]) >= len(name) {
+		at++
 	}
-	*s = h
+	r.names = slices.Insert(r.names, at, name)
 }
 
-// job replaces the gateway's name in a job's. All jobs of a gateway begin alike, so their order stays.
-func (r *Redactor) job(s *string) {
-	if rest, ok := strings.CutPrefix(*s, r.gateway); ok && r.gateway != "" {
-		*s = r.known[r.gateway] + rest
+// replaceInRequest replaces the gateway's name in a request's. All requests of a gateway begin alike, so their order
+// stays.
+func (r *Redactor) replaceInRequest(request *string) {
+	if rest, ok := strings.CutPrefix(*request, r.gateway); ok && r.gateway != "" {
+		*request = r.hashes[r.gateway] + rest
 	}
 }
 
-// Record replaces a record's names in place.
-func (r *Redactor) Record(rec *Record) {
-	switch rec.Kind {
+// Record replaces a record's names in place. Records come in the order of their capture, the header first.
+func (r *Redactor) Record(record *Record) {
+	switch record.Kind {
 	case Header:
-		r.gateway = rec.Name
-		r.name(&rec.Name)
+		r.gateway = record.Name
+		r.replaceName(&record.Name)
 	case Start, Agreed:
-		t := scheduler.Settings{}
-		for key, v := range rec.Terms {
-			if strings.HasSuffix(key, ".name") {
-				r.name(&v)
-			}
-			t[key] = v
-		}
-		rec.Terms = t
+		record.Terms = r.settings(record.Terms)
 	case Listed, ListedPart:
-		for i := range rec.Nodes {
-			r.name(&rec.Nodes[i].Addr)
-			r.name(&rec.Nodes[i].Zone)
+		for i := range record.Nodes {
+			r.replaceName(&record.Nodes[i].Addr)
+			r.replaceName(&record.Nodes[i].Zone)
 		}
 	case Lent:
-		r.name(&rec.Node)
+		r.replaceName(&record.Node)
 	case Take:
-		r.name(&rec.Plan)
-		r.name(&rec.Product)
+		r.replaceName(&record.Plan)
+		r.replaceName(&record.Product)
 	case Decided:
-		d := &rec.Decision
-		for i := range d.Ended {
-			r.job(&d.Ended[i].Job)
+		r.decision(&record.Decision)
+	}
+	r.replaceInRequest(&record.Job)
+}
+
+// settings are settings with the names of service levels and request classes replaced.
+func (r *Redactor) settings(settings scheduler.Settings) scheduler.Settings {
+	redacted := scheduler.Settings{}
+	for key, value := range settings {
+		if strings.HasSuffix(key, ".name") {
+			r.replaceName(&value)
 		}
-		for _, list := range [][]Execution{d.CallOff, d.Sent} {
-			for i := range list {
-				r.job(&list[i].Job)
-				r.name(&list[i].Node)
-			}
+		redacted[key] = value
+	}
+	return redacted
+}
+
+func (r *Redactor) decision(d *Decision) {
+	for i := range d.Ended {
+		r.replaceInRequest(&d.Ended[i].Job)
+	}
+	for _, attempts := range [][]Execution{d.CallOff, d.Sent} {
+		for i := range attempts {
+			r.replaceInRequest(&attempts[i].Job)
+			r.replaceName(&attempts[i].Node)
 		}
-		for i := range d.Log {
-			for _, name := range r.order {
-				d.Log[i] = strings.ReplaceAll(d.Log[i], name, r.known[name])
-			}
+	}
+	for i := range d.Log {
+		for _, name := range r.names {
+			d.Log[i] = strings.ReplaceAll(d.Log[i], name, r.hashes[name])
 		}
 	}
-	r.job(&rec.Job)
 }
 
 // Redact copies a capture with its names replaced. What it could not read to its end is copied as far as it goes, and
-// told.
+// the reader's error is returned.
 func Redact(in *Reader, out io.Writer, key []byte) error {
-	r, err := NewRedactor(key)
+	redactor, err := NewRedactor(key)
 	if err != nil {
 		return err
 	}
-	w, err := newWriter(out)
+	writer, err := newSyncWriter(out)
 	if err != nil {
 		return err
 	}
 	for {
-		rec, stopped := in.Next()
+		record, stopped := in.Next()
 		if stopped != nil {
-			if err := w.flush(); err != nil {
+			if err := writer.flush(); err != nil {
 				return err
 			}
 			if errors.Is(stopped, io.EOF) {
@@ -127,49 +154,12 @@
 			}
 			return stopped
 		}
-		if rec.Kind == State {
-			return errors.New("the capture holds a state, which has names that cannot be replaced")
+		if record.Kind == State {
+			return ErrStateNotRedactable
 		}
-		r.Record(rec)
-		if err := w.add(rec); err != nil {
+		redactor.Record(record)
+		if err := writer.add(record); err != nil {
 			return err
 		}
 	}
 }
-
-// writer writes a capture that waits for its disk.
-type writer struct {
-	out  io.Writer
-	pack *zstd.Encoder
-	open block
-}
-
-func newWriter(out io.Writer) (*writer, error) {
-	pack, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1))
-	if err != nil {
-		return nil, err
-	}
-	_, err = io.WriteString(out, magic)
-	return &writer{out: out, pack: pack}, err
-}
-
-func (w *writer) add(rec *Record) error {
-	if w.open.count == 0 {
-		w.open.first = rec.At
-	}
-	w.open.raw = appendRecord(w.open.raw, rec)
-	w.open.count++
-	if len(w.open.raw) < DefaultLimits.BlockBytes {
-		return nil
-	}
-	return w.flush()
-}
-
-func (w *writer) flush() error {
-	if w.open.count == 0 {
-		return nil
-	}
-	_, err := w.out.Write(packBlock(w.pack, w.open, nil))
-	w.open = block{raw: w.open.raw[:0]}
-	return err
-}
