--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -1,10 +1,13 @@
-// Package replay feeds a capture to a fresh module and compares what it decides. It does no I/O of its own: records come
-// from whoever reads them.
+// Package replay feeds a capture to a fresh scheduler and compares what it decides. Command-line tools and tests call
+// it. It does no I/O of its own: records come from whoever reads them, one goroutine feeds them, and a Replay owns the
+// scheduler that it feeds.
 package replay
 
 import (
+	"cmp"
 	"errors"
 	"io"
+	"slices"
 
 	"irispost/internal/capture"
 	"irispost/scheduler"
@@ -15,102 +18,79 @@
 
 // The states of a replay, in their order: from Parted on it is over.
 const (
-	Waiting State = iota // for the module's start
+	Waiting State = iota // for the scheduler's start
 	Running
-	Gapped // records are missing; it goes on at the next full state
-	Parted // the module decided otherwise than in the capture
+	Gapped // records are missing; it goes on at the next snapshot
+	Parted // the scheduler decided otherwise than in the capture
 	Ended  // the capture was read to its end
 	Cut    // the capture stops without its end; all that was there has been replayed
 )
 
-func (s State) String() string {
-	return [...]string{"waiting", "running", "gapped", "parted", "ended", "cut"}[s]
-}
+var stateNames = [...]string{"waiting", "running", "gapped", "parted", "ended", "cut"}
 
-// Product counts a product's jobs by what became of them.
-type Product struct {
-	Name       string `json:"name"`
-	Jobs       int    `json:"jobs"`
-	Completed  int    `json:"completed"`
-	InGoal     int    `json:"in_goal"`
-	Dismissed  int    `json:"dismissed"`
-	WrittenOff int    `json:"written_off"`
-	Left       int    `json:"left"`
-}
+// String is the name of a state, as reports have it.
+func (s State) String() string { return stateNames[s] }
 
-// Difference is the first place where the module decided otherwise.
-type Difference struct {
-	Record   int64
-	At       scheduler.Time
-	Captured capture.Decision
-	Now      capture.Decision
-	Before   []capture.Record // the latest records before it
-	Job      string           // the first job that is decided on otherwise
-	Story    []string         // of that job
-}
+// defaultKeep is how many records before a difference are kept where the options do not say.
+const defaultKeep = 20
 
 // Options narrow a replay.
 type Options struct {
-	Until scheduler.Time // stop there, counted from the module's start; 0: at the end
-	Job   string         // keep the story of this job
-	Node  string         // and what passed at this node
-	All   bool           // go on after a difference: the counts then say how far the module parts, not what would have been
-	Keep  int            // records to keep before a difference
-}
-
-// Report is what a replay came to.
-type Report struct {
-	State      State          `json:"-"`
-	How        string         `json:"state"`
-	Why        string         `json:"why,omitempty"` // of a cut or gap
-	Gateway    string         `json:"gateway"`
-	Build      string         `json:"build"`
-	SameModule bool           `json:"same_module"` // the capture's module has this build's text
-	Records    int64          `json:"records"`
-	Decisions  int64          `json:"decisions"`
-	Gaps       int            `json:"gaps"`
-	Span       scheduler.Time `json:"span_ns"`
-	Products   []*Product     `json:"products"`
-	Difference *Difference    `json:"difference,omitempty"`
-	Differing  int64          `json:"differing"` // decisions
-	Story      []string       `json:"story,omitempty"`
-	from       scheduler.Time
+	Until scheduler.Time // stop there, counted from the scheduler's start; 0: at the end
+	Job   string         // keep the story of this request
+	Node  string         // and what passed at the node of this address
+	All   bool           // go on after a difference: the counts say how far decisions part, not what would have been
+	Keep  int            // records to keep before a difference; 0: 20
 }
 
 // Replay is a replay under way.
 type Replay struct {
-	opt      Options
-	report   Report
-	module   *scheduler.Scheduler
-	products map[string]*Product
-	jobs     map[string]*job
-	goals    map[string]scheduler.Time
-	before   []capture.Record
-	nodes    map[string]string // of executions that are out
-	seen     map[string]*seen  // by address
+	opt       Options
+	report    Report
+	start     scheduler.Time       // of the scheduler, or of its first snapshot; times in reports count from it
+	scheduler *scheduler.Scheduler // nil: until the next start or snapshot
+	classes   map[string]*Product  // by name
+	requests  map[string]*request  // that have no final answer yet, by ID
+	goals     map[string]scheduler.Time
+	before    []capture.Record    // the latest records
+	nodes     map[attempt]string  // addresses of attempts in flight
+	observed  map[string]*observe // nodes, by address
 }
 
-// job is what the replay knows of a job that is not over.
-type job struct {
-	product *Product
-	goalBy  scheduler.Time
-	story   []string
+// request is what the replay knows of a request without its final answer.
+type request struct {
+	class     *Product
+	objective scheduler.Time // when its latency objective is missed
+	story     []string
+}
+
+// attempt names an attempt.
+type attempt struct {
+	request string
+	number  int
 }
 
 // New begins a replay.
 func New(opt Options) *Replay {
 	if opt.Keep == 0 {
-		opt.Keep = 20
+		opt.Keep = defaultKeep
+	}
+	return &Replay{
+		opt:      opt,
+		classes:  map[string]*Product{},
+		requests: map[string]*request{},
+		goals:    map[string]scheduler.Time{},
+		nodes:    map[attempt]string{},
+		observed: map[string]*observe{},
 	}
-	return &Replay{opt: opt, products: map[string]*Product{}, jobs: map[string]*job{}, goals: map[string]scheduler.Time{},
-		nodes: map[string]string{}, seen: map[string]*seen{}}
 }
 
-// Run replays all records that next brings, until the end, a difference or a gap.
+// Run replays all records that next brings, until the end, a difference, or a capture that cannot be read on. Other
+// errors of next, and of a snapshot that cannot be restored, are returned.
 func Run(next func() (*capture.Record, error), opt Options) (*Report, error) {
 	r := New(opt)
 	for r.report.State < Parted { // waiting, running or gapped
-		rec, err := next()
+		record, err := next()
 		switch {
 		case errors.Is(err, io.EOF) && r.report.State == Gapped:
 			return r.Report(), nil
@@ -121,7 +101,7 @@
 		case err != nil:
 			return nil, err
 		default:
-			if err := r.Feed(rec); err != nil {
+			if err := r.Feed(record); err != nil {
 				return nil, err
 			}
 		}
@@ -131,5 +111,13 @@
 
 // move is the one place where the replay changes state.
 func (r *Replay) move(to State, why string) {
-	r.report.State, r.report.Why = to, why
+	r.report.State = to
+	r.report.Why = why
+}
+
+// Report is what the replay has come to. It may be called while it goes on.
+func (r *Replay) Report() *Report {
+	r.report.How = r.report.State.String()
+	slices.SortFunc(r.report.Products, func(a, b *Product) int { return cmp.Compare(a.Name, b.Name) })
+	return &r.report
 }
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -5,7 +5,6 @@
 	"errors"
 	"fmt"
 	"io"
-	"maps"
 	"math/rand/v2"
 	"os"
 	"path/filepath"
@@ -14,7 +13,6 @@
 	"time"
 
 	"irispost/internal/capture"
-	"irispost/internal/endpoint"
 	"irispost/scheduler"
 )
 
@@ -27,7 +25,7 @@
 	return r.Next
 }
 
-// The captures of past failures replay to the same decisions, ten times over. If the module was changed on purpose,
+// The captures of past failures replay to the same decisions, ten times over. If the scheduler was changed on purpose,
 // testdata/make.sh makes them anew.
 func TestPastFailuresReplay(t *testing.T) {
 	files, _ := filepath.Glob("testdata/*.iriscap")
@@ -60,112 +58,30 @@
 
 func (*memory) Close() error { return nil }
 
-// drive lets chance drive a module with a recorder for so many events, as a gateway would. It returns the time at the
-// end.
-func drive(seed uint64, events int, rec *capture.Recorder) scheduler.Time {
-	return driveFrom(seed, events, 0, rec)
+// drive makes so many calls at random of a scheduler and a recorder, as a gateway would. It returns the time at the end.
+func drive(seed uint64, events int, recorder *capture.Recorder) scheduler.Time {
+	return driveFrom(seed, events, 0, recorder)
 }
 
 // driveFrom has the recorder listen only after some events, as when a capture is started while serving.
 func driveFrom(seed uint64, events, from int, later *capture.Recorder) scheduler.Time {
-	var deaf memory
-	rec := later
+	recorder := later
 	if from > 0 {
-		rec = capture.NewRecorder(&deaf, "g", "b", limits())
-	}
-	r := rand.New(rand.NewPCG(seed, 5))
-	terms := scheduler.Settings{"gateways": "2", "units.mean": "1", "units.largest": "4", "executions.most": "3", "calling_off": "true",
-		"second_copies": "true", "retry_after": "true", "retry_after.most": "500", "key.rest": "20", "plans.count": "2",
-		"plans.0.name": "p", "plans.0.rate": "200", "plans.0.reserve": "50", "plans.1.name": "q", "plans.1.limit": "40",
-		"plans.1.burst": "40", "products.count": "2", "products.0.name": "read", "products.0.goal": "100", "products.0.patience": "400",
-		"products.1.name": "write", "products.1.goal": "100", "products.1.patience": "400", "products.1.in_turn": "true"}
-	now := scheduler.Second
-	rec.Start(now, seed, terms)
-	g := scheduler.New(now, seed, terms)
-	list := func() {
-		l := endpoint.List{}
-		for i := range 4 {
-			if r.IntN(8) > 0 {
-				l.Nodes = append(l.Nodes, endpoint.Node{Addr: fmt.Sprint("n", i), Shard: i, StartedAt: int64(r.IntN(2)) * now})
-			}
-		}
-		rec.EndpointList(now, l)
-		g.BeginEndpointList(now, true, false)
-		for _, n := range l.Nodes {
-			g.UpdateEndpoint(n.Addr, n.Zone, n.Shard, n.StartedAt, scheduler.EndpointReady)
-		}
-		g.FinishEndpointList()
+		var unread memory
+		recorder = capture.NewRecorder(&unread, "g", "b", limits())
 	}
-	list()
-	var out []*scheduler.Attempt
+	d := newDriver(seed, recorder)
 	for n := range events {
 		if n == from && from > 0 {
-			rec = later
-			rec.Snapshot(now, g)
-		}
-		now += scheduler.Time(r.IntN(int(4 * scheduler.Millisecond)))
-		switch p := r.IntN(100); {
-		case p < 50:
-			product := []string{"read", "write"}[r.IntN(2)]
-			j := &scheduler.Request{ID: fmt.Sprintf("j%d", n), Units: 0.25 + 2*r.Float64(), Shard: r.IntN(5) - 1, Key: int64(r.IntN(3)),
-				Write: product == "write", Deadline: now + 400*scheduler.Millisecond}
-			volume, plan := int64(r.IntN(4)), []string{"p", "q"}[r.IntN(2)]
-			rec.Submitted(now, j, volume, plan, product, 2, product == "write")
-			g.Submit(now, j, volume, plan, product, 2, product == "write")
-		case p < 97 && len(out) > 0:
-			i := r.IntN(len(out))
-			e := out[i]
-			out = append(out[:i], out[i+1:]...)
-			o := []scheduler.Outcome{scheduler.OutcomeServed, scheduler.OutcomeServed, scheduler.OutcomeServed, scheduler.OutcomeError, scheduler.OutcomeTimeout, scheduler.OutcomeOverloaded}[r.IntN(6)]
-			final := e.Request.State.Terminal() || o == scheduler.OutcomeServed
-			rec.AttemptEnded(now, e.Request.ID, e.Number, o, now-e.SentAt, final, 0.5, 1, 2)
-			g.AttemptFinished(now, e.Request.ID, e.Number, o, now-e.SentAt, final, 0.5)
-		case p == 97:
-			switch r.IntN(3) {
-			case 0:
-				other := maps.Clone(terms)
-				other["plans.0.rate"], other["plans.1.name"] = fmt.Sprint(50+r.IntN(200)), []string{"q", "z"}[r.IntN(2)]
-				rec.SettingsChanged(now, other)
-				g.ApplySettings(now, other)
-			case 1:
-				silent := r.IntN(2) == 0
-				rec.EndpointListFailed(now, silent)
-				g.EndpointListFailed(now, silent)
-			default:
-				addr, units, till := fmt.Sprint("n", r.IntN(4)), 4*r.Float64(), now+scheduler.Time(r.IntN(int(scheduler.Second)))
-				rec.Allocated(now, addr, 0, units, till)
-				g.AllocateSlowStart(now, addr, 0, units, till)
-			}
-		case p == 98:
-			list()
-		case len(out) > 0:
-			id := out[0].Request.ID
-			rec.ClientCancelled(now, id)
-			g.ClientLeft(now, id)
+			d.recorder = later
+			d.recorder.Snapshot(d.now, d.scheduler)
 		}
-		if r.IntN(3) > 0 {
-			d := g.Decide(now)
-			rec.Decided(now, d)
-			if rec.NeedsSnapshot() {
-				rec.Snapshot(now, g)
-			}
-			out = append(out, d.Dispatch...)
-			for _, e := range d.Cancel {
-				if e.Outcome == scheduler.OutcomePending {
-					rec.AttemptEnded(now, e.Request.ID, e.Number, scheduler.OutcomeCancelled, now-e.SentAt, e.Request.State.Terminal(), 0, 0, 0)
-					g.AttemptFinished(now, e.Request.ID, e.Number, scheduler.OutcomeCancelled, now-e.SentAt, e.Request.State.Terminal(), 0)
-				}
-			}
-			kept := out[:0]
-			for _, e := range out {
-				if e.Outcome == scheduler.OutcomePending {
-					kept = append(kept, e)
-				}
-			}
-			out = kept
+		d.event(n)
+		if d.random.IntN(3) > 0 {
+			d.decide()
 		}
 	}
-	return now
+	return d.now
 }
 
 func limits() capture.Limits {
@@ -177,7 +93,7 @@
 
 // A capture of a gateway that was killed at any moment, cut at any byte, replays to the same decisions up to its last
 // whole block, and says where it stops.
-func TestKilledAtAnyMoment(t *testing.T) {
+func TestCaptureOfAKilledGatewayReplaysToItsLastBlock(t *testing.T) {
 	for seed := range uint64(100) {
 		var m memory
 		rec := capture.NewRecorder(&m, "g", "b", limits())
@@ -200,7 +116,7 @@
 
 // Each record that can be read is as it was written: with the capture cut at each byte of its last block, and with each
 // byte flipped.
-func TestCutsAndFlips(t *testing.T) {
+func TestCutAndFlippedBytesAreNoticed(t *testing.T) {
 	var m memory
 	l := limits()
 	l.BlockBytes = 1 << 10
@@ -239,9 +155,9 @@
 	}
 }
 
-// A module that decides otherwise is noticed at the first place, with the job and its story; a capture of another module
-// text says so.
-func TestDifferencesAreFound(t *testing.T) {
+// A scheduler that decides otherwise is noticed at the first place, with the request and its story; a capture of another
+// source text says so.
+func TestFirstDifferenceIsReported(t *testing.T) {
 	b, err := os.ReadFile("testdata/failing.iriscap")
 	if err != nil {
 		t.Fatal(err)
@@ -282,7 +198,8 @@
 		},
 	} {
 		r := change(alter)
-		if r.State != Parted || r.Difference == nil || r.Same() || r.Difference.Captured.Equal(r.Difference.Now) || r.Difference.Record < 3 {
+		if r.State != Parted || r.Difference == nil || r.Same() || r.Difference.Record < 3 ||
+			r.Difference.Captured.Equal(r.Difference.Now) {
 			t.Errorf("%s: %v %+v", name, r.State, r.Difference)
 		}
 	}
@@ -303,7 +220,7 @@
 }
 
 // A replay stops at a gap, and says how much is missing; it tells a job's story; it stops at a time asked for.
-func TestGapStoryAndUntil(t *testing.T) {
+func TestReplayStopsAtAGapAndAtATime(t *testing.T) {
 	b, err := os.ReadFile("testdata/failing.iriscap")
 	if err != nil {
 		t.Fatal(err)
@@ -338,13 +255,14 @@
 			t.Errorf("no %q in\n%s (%v)", want, story, err)
 		}
 	}
-	if r, err := Run(open(t, b), Options{Until: scheduler.Second}); err != nil || r.Span > scheduler.Second || r.Decisions == 0 || r.State != Ended {
+	r, err = Run(open(t, b), Options{Until: scheduler.Second})
+	if err != nil || r.Span > scheduler.Second || r.Decisions == 0 || r.State != Ended {
 		t.Errorf("%v after %d ms, %v", r.State, r.Span/scheduler.Millisecond, err)
 	}
 }
 
 // A capture that begins while the gateway serves, at any moment, replays from the module's state to the same decisions.
-func TestBegunWhileServing(t *testing.T) {
+func TestCaptureThatStartsWhileServingReplays(t *testing.T) {
 	for seed := range uint64(30) {
 		var m memory
 		rec := capture.NewRecorder(&m, "g", "b", limits())
@@ -359,9 +277,10 @@
 }
 
 // A capture goes on in the next file when one is full; each file replays by itself, and so many are kept.
-func TestFilesThatFollow(t *testing.T) {
+func TestEachFileOfACaptureReplaysByItself(t *testing.T) {
 	decisions := int64(0)
-	for seed := uint64(9); decisions == 0 && seed < 40; seed++ { // how many are kept is up to how far the writer is behind the driver
+	// How many records are kept is up to how far the writer is behind the driver.
+	for seed := uint64(9); decisions == 0 && seed < 40; seed++ {
 		decisions = filesThatFollow(t, seed)
 	}
 	if decisions == 0 {
@@ -399,7 +318,7 @@
 }
 
 // Records that are missing are passed over, and the replay goes on at the next state.
-func TestOverAGap(t *testing.T) {
+func TestReplayGoesOnAfterAGapAtTheNextSnapshot(t *testing.T) {
 	var m memory
 	rec := capture.NewRecorder(&m, "g", "b", limits())
 	if err := rec.Close(driveFrom(7, 600, 300, rec)); err != nil {
@@ -439,7 +358,7 @@
 
 // A disk that stands still holds up nobody: blocks are dropped and counted, and the capture says where. A capture that
 // is full ends, and says so.
-func TestSlowAndFullDisks(t *testing.T) {
+func TestSlowAndFullDisksHoldUpNobody(t *testing.T) {
 	l := limits()
 	l.QueuedBlocks = 2
 	disk := &slow{free: make(chan struct{})}
@@ -480,7 +399,7 @@
 }
 
 // A redacted capture holds none of the names, and replays to the same decisions.
-func TestRedacted(t *testing.T) {
+func TestRedactedCaptureHoldsNoNamesAndReplays(t *testing.T) {
 	b, err := os.ReadFile("testdata/cold.iriscap")
 	if err != nil {
 		t.Fatal(err)
@@ -533,7 +452,7 @@
 	}
 }
 
-func TestNoCapture(t *testing.T) {
+func TestOtherFilesAreRejected(t *testing.T) {
 	for text, want := range map[string]string{"": "cut off", "IRIS": "cut off", "some other file": "no capture", "IRISCAP7....": `"7"`} {
 		if _, err := capture.NewReader(strings.NewReader(text)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v", text, err)
