--- a/cmd/irispost/check.go
+++ b/cmd/irispost/check.go
@@ -87,11 +87,11 @@
 
 func checkScenario(file string) (note string, err error) {
 	script, err := day.Load(file)
-	if err != nil || script.Fleet.Keepers == 0 {
+	if err != nil || script.Fleet.Replicas == 0 {
 		return "", err
 	}
-	settings := lease.Settings{LeaseDuration: int64(script.Fleet.Lease), MaxClockDrift: script.Fleet.Drift}
-	return convergenceNote(settings, int64(script.Fleet.Floor)), nil
+	settings := lease.Settings{LeaseDuration: int64(script.Fleet.LeaseDuration), MaxClockDrift: script.Fleet.MaxClockDrift}
+	return convergenceNote(settings, int64(script.Fleet.Fallback)), nil
 }
 
 // convergenceNote tells for how long after its announcement not all gateways may act on a version alone. fallback is
--- a/cmd/irispost/demo.go
+++ b/cmd/irispost/demo.go
@@ -96,7 +96,7 @@
 			return list, closeNodes, err
 		}
 		node, err := standin.Start(standin.Options{Addr: "127.0.0.1:0", Shard: shard, Store: store, Cores: 2,
-			Unit: 2 * time.Millisecond, Queue: 256, Marks: time.Minute, Seed: uint64(shard)})
+			UnitTime: 2 * time.Millisecond, Queue: 256, DedupWindow: time.Minute, Seed: uint64(shard)})
 		if err != nil {
 			return list, closeNodes, err
 		}
--- a/cmd/irispost/replaylive.go
+++ b/cmd/irispost/replaylive.go
@@ -34,7 +34,7 @@
 	} else if err := writeJSON(out, report); err != nil {
 		return err
 	}
-	if !report.Good() {
+	if !report.Passed() {
 		return errRuleBroken
 	}
 	return nil
@@ -43,20 +43,20 @@
 func writeLiveReplay(out io.Writer, report *relive.Report) {
 	table := newTable(out)
 	writef(table, "product\tjobs\tin goal\tlate\tdismissed\twritten off\tleft\n")
-	for _, name := range slices.Sorted(maps.Keys(report.Was)) {
-		writeShape(table, name+" captured", report.Was[name])
-		writeShape(table, name+" now", report.Is[name])
+	for _, name := range slices.Sorted(maps.Keys(report.Captured)) {
+		writeShape(table, name+" captured", report.Captured[name])
+		writeShape(table, name+" now", report.Replayed[name])
 	}
 	writeRules(table, report.Rules)
 	_ = table.Flush()
 }
 
 // writeShape writes a class's results as percentages of its requests; nil: it had none.
-func writeShape(out io.Writer, name string, shape *relive.Shape) {
+func writeShape(out io.Writer, name string, shape *relive.ClassOutcome) {
 	if shape == nil {
 		return
 	}
-	percent := func(count int) float64 { return float64(count) / (float64(max(shape.Jobs, 1)) / 100) }
-	writef(out, "%s\t%d\t%.1f%%\t%.1f%%\t%.1f%%\t%.1f%%\t%.1f%%\n", name, shape.Jobs, percent(shape.InGoal),
-		percent(shape.Late), percent(shape.Dismissed), percent(shape.WrittenOff), percent(shape.Left))
+	percent := func(count int) float64 { return float64(count) / (float64(max(shape.Requests, 1)) / 100) }
+	writef(out, "%s\t%d\t%.1f%%\t%.1f%%\t%.1f%%\t%.1f%%\t%.1f%%\n", name, shape.Requests, percent(shape.WithinObjective),
+		percent(shape.Late), percent(shape.Rejected), percent(shape.Failed), percent(shape.ClientCancelled))
 }
--- a/cmd/irispost/scenario.go
+++ b/cmd/irispost/scenario.go
@@ -36,7 +36,7 @@
 		if *seed > 0 {
 			script.Seed = *seed
 		}
-		options := day.Options{List: *source, Note: func(format string, args ...any) {
+		options := day.Options{EndpointSource: *source, Logf: func(format string, args ...any) {
 			writef(command.ErrOrStderr(), format+"\n", args...)
 		}}
 		if !*inside {
@@ -50,7 +50,7 @@
 			}
 		}
 		if *verbose {
-			options.Log = command.ErrOrStderr()
+			options.GatewayLog = command.ErrOrStderr()
 		}
 		ctx, cancel := untilSignal()
 		defer cancel()
@@ -62,7 +62,7 @@
 		if err := saveScenario(*reportFile, report); err != nil {
 			return err
 		}
-		if !report.Good() {
+		if !report.Passed() {
 			return errRuleBroken
 		}
 		return nil
@@ -85,10 +85,10 @@
 // writeScenario writes a report as tables.
 func writeScenario(out io.Writer, report *day.Report) {
 	table := newTable(out)
-	writef(table, "jobs\t%d\tcompleted %d, dismissed %d, written off %d, left %d, ", report.Jobs, report.Completed,
-		report.Dismissed, report.WrittenOff, report.Left)
-	writef(table, "lost %d, answered twice %d, torn reads %d\n", report.Lost, report.Twice, report.TornReads)
-	writef(table, "service\t%.3f\tof %d requests, with their further tries folded into the first\n", report.Service,
+	writef(table, "jobs\t%d\tcompleted %d, dismissed %d, written off %d, left %d, ", report.Sent, report.Succeeded,
+		report.Rejected, report.Failed, report.ClientCancelled)
+	writef(table, "lost %d, answered twice %d, torn reads %d\n", report.Lost, report.AnsweredTwice, report.TornReads)
+	writef(table, "service\t%.3f\tof %d requests, with their further tries folded into the first\n", report.ServedShare,
 		report.Requests)
 	if a := report.Agreement; a != nil {
 		writef(table, "agreement\t%d\tpairs of gateways over %d versions, ", a.Pairs, a.Versions)
@@ -96,19 +96,19 @@
 			a.Violations, a.FirstViolation)
 	}
 	writef(table, "\nproduct\tjobs\tin goal\tp50 ms\tp99 ms\n")
-	for _, class := range report.Products {
-		writef(table, "%s\t%d\t%d\t%.1f\t%.1f\n", class.Name, class.Jobs, class.InGoal, class.P50, class.P99)
+	for _, class := range report.Classes {
+		writef(table, "%s\t%d\t%d\t%.1f\t%.1f\n", class.Name, class.Sent, class.WithinObjective, class.P50, class.P99)
 	}
 	writeRules(table, report.Rules)
 	_ = table.Flush()
 }
 
 // writeRules writes what the rule checker found, after an empty line.
-func writeRules(out io.Writer, rules []audit.Rule) {
+func writeRules(out io.Writer, rules []audit.RuleResult) {
 	writef(out, "\nrule\tchecked\tbroken\n")
 	for _, rule := range rules {
-		writef(out, "%s\t%d\t%d\n", rule.Name, rule.Checked, rule.Broken)
-		for _, violation := range rule.First {
+		writef(out, "%s\t%d\t%d\n", rule.Name, rule.Checked, rule.Violations)
+		for _, violation := range rule.Examples {
 			writef(out, "    %s\n", violation)
 		}
 	}
--- a/cmd/irispost/xdsserver.go
+++ b/cmd/irispost/xdsserver.go
@@ -82,7 +82,7 @@
 		case <-time.After(pause):
 		}
 	case "answers":
-		for _, answer := range server.Answers() {
+		for _, answer := range server.Acks() {
 			writef(command.OutOrStdout(), "%+v\n", answer)
 		}
 	default:
--- a/internal/backend/webnode/client_test.go
+++ b/internal/backend/webnode/client_test.go
@@ -59,7 +59,7 @@
 // check waits for the reply of an attempt, which has to be the one of its kind.
 func (a *randomAttempt) check(r *rapid.T) {
 	reply := <-a.done
-	want := webstandin.Kinds[a.kind].Outcome
+	want := webstandin.Behaviors[a.kind].Outcome
 	if reply.Outcome != want {
 		r.Fatalf("%s: %+v, want outcome %d", a.id, reply, want)
 	}
@@ -96,12 +96,12 @@
 // TestRandomAttemptsHaveOneOutcome: of random attempts over few connections, some cancelled, each has one outcome, the
 // right one, and is sent once at most.
 func TestRandomAttemptsHaveOneOutcome(t *testing.T) {
-	testkit.SameSeeds(t)
+	testkit.FixSeeds(t)
 	rapid.Check(t, func(r *rapid.T) {
 		s := webstandin.Start(t)
 		maxConnections := rapid.IntRange(1, 4).Draw(r, "connections")
 		all := startRandomAttempts(r, newClient(t, maxConnections, nil), s, maxConnections)
-		close(s.Hold)
+		close(s.Release)
 		for _, a := range all {
 			if !a.cancelled {
 				a.check(r)
@@ -121,10 +121,10 @@
 func TestCancelClosesConnection(t *testing.T) {
 	s, c := webstandin.Start(t), newClient(t, 10, nil)
 	attempt, done := startPut(c, s, "held-1")
-	<-s.Held
+	<-s.WaitingIDs
 	attempt.Cancel()
-	close(s.Hold)
-	<-s.Gone
+	close(s.Release)
+	<-s.Disconnected
 	if open, _ := c.ConnectionCounts(); open != 0 || len(done) != 0 {
 		t.Errorf("%d connections are open, %d replies", open, len(done))
 	}
@@ -136,16 +136,16 @@
 	s := webstandin.Start(t)
 	c := newClient(t, 1, func(o *webnode.Options) { o.ConnectTimeout = 40 * time.Millisecond })
 	_, first := startPut(c, s, "held-1")
-	<-s.Held
+	<-s.WaitingIDs
 	if _, done := startPut(c, s, "served-2"); (<-done).Outcome != node.ConnectFailed {
 		t.Error("no connection became free, and the outcome is another")
 	}
-	close(s.Hold)
+	close(s.Release)
 	<-first
 	idle := newClient(t, 1, func(o *webnode.Options) { o.IdleTimeout = 20 * time.Millisecond })
 	_, done := startPut(idle, s, "served-3")
 	<-done
-	<-s.Gone // it is closed though the node keeps it
+	<-s.Disconnected // it is closed though the node keeps it
 	if err := s.Close(); err != nil {
 		t.Error(err)
 	}
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -184,7 +184,7 @@
 
 // TestWrittenMessagesReadBack: any request and response reads back as it was written, however the bytes arrive.
 func TestWrittenMessagesReadBack(t *testing.T) {
-	testkit.SameSeeds(t)
+	testkit.FixSeeds(t)
 	rapid.Check(t, func(t *rapid.T) {
 		body := rapid.SliceOfN(rapid.Byte(), 0, 300).Draw(t, "body")
 		target := "/" + rapid.StringMatching(`[a-z0-9?=&%]{0,40}`).Draw(t, "target")
@@ -219,7 +219,7 @@
 		"Content-Length: 3000000000\r\n", "Transfer-Encoding: chunked\r\n", "\r\n", "5\r\n", "abcde", "0\r\n", "\n",
 		"\x00", ":", " ", "HTTP/1.1 100 C\r\n\r\n", "Connection: close\r\n"}
 	limits := http1.DefaultLimits
-	testkit.SameSeeds(t)
+	testkit.FixSeeds(t)
 	rapid.Check(t, func(t *rapid.T) {
 		text := strings.Join(rapid.SliceOfN(rapid.SampledFrom(pieces), 0, 30).Draw(t, "pieces"), "")
 		reader := newReader(text)
--- a/internal/serve/rawsftp_test.go
+++ b/internal/serve/rawsftp_test.go
@@ -17,7 +17,7 @@
 	id  uint32
 }
 
-func dialRaw(t *testing.T, w *testkit.Town, gateway int) *raw {
+func dialRaw(t *testing.T, w *testkit.Testbed, gateway int) *raw {
 	t.Helper()
 	c, err := net.Dial("tcp", w.Gateways[gateway].Frontend.Addr())
 	if err != nil {
--- a/internal/serve/shutdown_test.go
+++ b/internal/serve/shutdown_test.go
@@ -17,16 +17,16 @@
 // rest fail, and it says so.
 func TestShutdownAnswersEveryRequest(t *testing.T) {
 	for _, hang := range []bool{false, true} {
-		w := testkit.Start(t, testkit.Conf, 1, 1, func(o *standin.Options) { o.Unit = 20 * time.Millisecond })
+		w := testkit.Start(t, testkit.Conf, 1, 1, func(o *standin.Options) { o.UnitTime = 20 * time.Millisecond })
 		conn, g := dialRaw(t, w, 0), w.Gateways[0]
 		conn.hello()
 		handle := conn.open("/meals/f", sftp.FlagWrite|sftp.FlagCreate)
 		if hang {
 			command(t, w.Nodes[0], "hang")
 		}
-		got := w.Nodes[0].Got()
+		got := w.Nodes[0].AttemptsReceived()
 		conn.send(sftp.Write, func(p *sftp.Packet) { p.Text(handle).Uint64(0).Tail(make([]byte, 32<<10)) })
-		for w.Nodes[0].Got() == got {
+		for w.Nodes[0].AttemptsReceived() == got {
 			time.Sleep(time.Millisecond)
 		}
 		timeout := time.Minute
