--- a/internal/serve/concurrent_test.go
+++ b/internal/serve/concurrent_test.go
@@ -92,7 +92,7 @@
 // TestOverlappingRequestsKeepTheirOrder: writes and reads that overlap have the results that they would have one at a
 // time, however many are in flight.
 func TestOverlappingRequestsKeepTheirOrder(t *testing.T) {
-	w := testkit.Start(t, testkit.Conf, 2, 1, func(o *standin.Options) { o.Unit = 100 * time.Microsecond })
+	w := testkit.Start(t, testkit.Conf, 2, 1, func(o *standin.Options) { o.UnitTime = 100 * time.Microsecond })
 	conn := dialRaw(t, w, 0)
 	conn.hello()
 	handle := conn.open("/meals/f", sftp.FlagRead|sftp.FlagWrite|sftp.FlagCreate)
--- a/internal/serve/fleet_test.go
+++ b/internal/serve/fleet_test.go
@@ -20,7 +20,7 @@
 
 // fleetTestbed is a gateway that has its configuration from one replica.
 type fleetTestbed struct {
-	*testkit.Town
+	*testkit.Testbed
 	t          *testing.T
 	replicaDir string
 	addr       string // of the replica, once it has started
@@ -90,7 +90,7 @@
 		cacheDir:   filepath.Join(t.TempDir(), "contents"),
 		logFile:    filepath.Join(t.TempDir(), "log"),
 	}
-	b.Town = testkit.Start(t, testkit.Conf, 2, 0, nil)
+	b.Testbed = testkit.Start(t, testkit.Conf, 2, 0, nil)
 	b.startReplica()
 	t.Cleanup(func() { b.replica.Close() })
 	conf := b.parseConfig()
@@ -145,7 +145,7 @@
 		t.Fatal(err)
 	}
 	b.awaitVersion("acting on 1.")
-	if b.logged("contradicts it") {
+	if b.logged("local configuration conflicts with a version") {
 		t.Error("the same settings are said to contradict")
 	}
 	level := b.content.ServiceLevels["basic"]
@@ -153,7 +153,7 @@
 	b.content.ServiceLevels["basic"] = level
 	b.propose(1)
 	b.awaitVersion("acting on 2.")
-	until(func() bool { return b.logged("version 2.") && b.logged("limit none over 7") })
+	until(func() bool { return b.logged("version=2.") && b.logged("limit none over 7") })
 	b.replica.Close()
 	b.awaitVersion("ended on none")
 	if err := client.Mkdir("/meals/month"); err == nil {
@@ -165,5 +165,5 @@
 		list, err := filepath.Glob(filepath.Join(b.cacheDir, "*"))
 		return err == nil && len(list) == 1 && filepath.Base(list[0]) == b.content.Digest()+".rules"
 	})
-	testkit.Again(t, "it serves again", func() error { return client.Mkdir("/meals/year") })
+	testkit.RetryUntilDone(t, "it serves again", func() error { return client.Mkdir("/meals/year") })
 }
--- a/internal/serve/frontends_bench_test.go
+++ b/internal/serve/frontends_bench_test.go
@@ -151,11 +151,11 @@
 	}
 	units, got := map[int64]float64{}, map[attempt]audit.Event{}
 	for _, e := range events {
-		a := attempt{e.Job, e.Number}
+		a := attempt{e.RequestID, e.Attempt}
 		switch {
-		case e.What == audit.Got:
+		case e.Type == audit.AttemptReceived:
 			got[a] = e
-		case e.What == audit.Gave && !e.Never && e.At > from && e.At < to:
+		case e.Type == audit.AttemptAnswered && !e.NotExecuted && e.At > from && e.At < to:
 			units[got[a].Volume] += got[a].Units
 		}
 	}
@@ -170,14 +170,14 @@
 		t.Skip("a measurement: IRISPOST_MEASURE=1")
 	}
 	clock := gateway.NewClock()
-	record := &audit.Record{Clock: clock.Now}
+	record := &audit.Recorder{Clock: clock.Now}
 	plan := os.Getenv("IRISPOST_PLAN")
 	if plan == "" {
 		plan = "rate = 1000\n  reserve = 400"
 	}
 	conf := strings.Replace(sharesConf, "rate = 1000", plan, 1)
 	testbed := testkit.Start(t, conf, 1, 1, func(o *standin.Options) {
-		o.Record, o.Unit, o.Cores = record, 2*time.Millisecond, 2
+		o.Recorder, o.UnitTime, o.Cores = record, 2*time.Millisecond, 2
 	})
 	d := openDisk(t, diskOptions(testbed, 0, nil), 0)
 	if _, err := d.WriteAt(make([]byte, 1<<20), 0); err != nil {
--- a/internal/serve/iscsi_test.go
+++ b/internal/serve/iscsi_test.go
@@ -35,7 +35,7 @@
 func (w *wireDisk) Release() error { return nil }
 
 // login logs in at once, with these keys.
-func login(t *testing.T, testbed *testkit.Town, isid byte, keys ...string) *wireDisk {
+func login(t *testing.T, testbed *testkit.Testbed, isid byte, keys ...string) *wireDisk {
 	t.Helper()
 	conn, err := net.Dial("tcp", testbed.Gateways[0].ISCSI.Addr())
 	if err != nil {
@@ -218,7 +218,7 @@
 // TestAbortedWriteGetsNoResponse: a write in flight is aborted: the abort is answered when nothing of the write can
 // happen any more, and the write gets no response. The reset of a unit notifies the commands of other sessions.
 func TestAbortedWriteGetsNoResponse(t *testing.T) {
-	testbed := diskTestbed(t, 1, 1, func(o *standin.Options) { o.Unit = time.Millisecond })
+	testbed := diskTestbed(t, 1, 1, func(o *standin.Options) { o.UnitTime = time.Millisecond })
 	d := openDisk(t, diskOptions(testbed, 0, nil), 0)
 	if _, err := d.WriteAt(make([]byte, 16<<12), 0); err != nil {
 		t.Fatal(err)
--- a/internal/serve/leak_test.go
+++ b/internal/serve/leak_test.go
@@ -70,10 +70,10 @@
 	}
 	rubbish := dialWeb(t, g, request(strings.Repeat("x y", 100)))
 	gone := dialWeb(t, g, request("held-1"))
-	<-store.Held
+	<-store.WaitingIDs
 	_ = gone.Close()
 	half := dialWeb(t, g, "PUT /api HTTP/1.1\r\nHost")
-	close(store.Hold)
+	close(store.Release)
 	moved := *conf
 	moved.Discovery = other.Listener.Addr().String()
 	g.Reload(&moved)
--- a/internal/serve/limits_test.go
+++ b/internal/serve/limits_test.go
@@ -25,11 +25,11 @@
 		t.Errorf("a handle too many: %v %q", code, text)
 	}
 	command(t, w.Nodes[0], "hang")
-	got := w.Nodes[0].Got()
+	got := w.Nodes[0].AttemptsReceived()
 	for range 5 {
 		conn.send(sftp.Stat, func(p *sftp.Packet) { p.Text("/meals/f0") })
 	}
-	for w.Nodes[0].Got() < got+2 {
+	for w.Nodes[0].AttemptsReceived() < got+2 {
 		time.Sleep(time.Millisecond)
 	}
 	f, _ := w.Gateways[0].Loop.Stats()
@@ -90,5 +90,5 @@
 	if n, _ := io.Copy(io.Discard, unread.raw); n > 200<<20 {
 		t.Errorf("%d bytes were kept for a client that does not read", n)
 	}
-	testkit.Again(t, "another's", func() error { _, err := w.Client(0).Stat("/meals/f"); return err })
+	testkit.RetryUntilDone(t, "another's", func() error { _, err := w.Client(0).Stat("/meals/f"); return err })
 }
--- a/internal/serve/linear_test.go
+++ b/internal/serve/linear_test.go
@@ -168,7 +168,7 @@
 }
 
 func checkBlocks(t *testing.T, seed uint64) {
-	b := diskTestbed(t, 2, 1, func(o *standin.Options) { o.Unit, o.Seed = 20*time.Microsecond, seed })
+	b := diskTestbed(t, 2, 1, func(o *standin.Options) { o.UnitTime, o.Seed = 20*time.Microsecond, seed })
 	history := &blockHistory{start: time.Now()}
 	var clients, disturbers sync.WaitGroup
 	stop := make(chan struct{})
--- a/internal/serve/web_test.go
+++ b/internal/serve/web_test.go
@@ -174,7 +174,7 @@
 	}
 	until(func() bool { n, _ := b.nodes[0].Counts(); return n > 0 && b.countsAgree() })
 	for _, n := range b.nodes {
-		close(n.Hold)
+		close(n.Release)
 	}
 	for id, done := range held {
 		if got := <-done; got != "200 "+id+"body" {
