--- /dev/null
+++ b/internal/iscsi/initiator/command.go
@@ -0,0 +1,161 @@
+package initiator
+
+import (
+	"context"
+
+	"irispost/internal/iscsi"
+	"irispost/internal/scsi"
+)
+
+// attributeSimple is the task attribute of a command, in its flags (RFC 7143, 11.3.1).
+const attributeSimple = 0x01
+
+// Task management functions (RFC 7143, 11.5.1).
+const (
+	functionAbortTask = 1
+	functionLUNReset  = 5
+)
+
+// Start sends a command as soon as the command window allows, and returns its tag and the channel of its answer, which
+// is closed without one if the session is lost. out is what the command brings, in how many bytes it is answered with
+// at most.
+func (s *Session) Start(lun uint16, cdb, out []byte, in int) (uint32, <-chan Reply, error) {
+	s.lock.Lock()
+	for s.err == nil && int32(s.cmdSN-s.maxCmdSN) > 0 {
+		s.changed.Wait()
+	}
+	if s.err != nil {
+		defer s.lock.Unlock()
+		return 0, nil, s.err
+	}
+	tag := s.newTag()
+	started := &call{opcode: cdb[0], out: out, maxIn: in, done: make(chan Reply, 1)}
+	s.calls[tag] = started
+	immediate, unsolicited := s.splitFirstBurst(len(out))
+	pdu := s.newCommand(tag, lun, cdb, len(out), in).SetData(out[:immediate])
+	if unsolicited == 0 {
+		pdu.SetByte(iscsi.OffsetFlags, pdu.Flags()|iscsi.Final)
+	}
+	s.cmdSN++
+	s.report(Event{Session: s.name, Tag: tag, Op: started.opcode, Sent: true})
+	s.writeLock.Lock() // before lock is released: commands are sent in the order of their numbers
+	s.lock.Unlock()
+	err := s.writeLocked(pdu)
+	s.writeLock.Unlock()
+	if err != nil {
+		s.fail(err)
+		return 0, nil, s.Err()
+	}
+	if unsolicited > 0 {
+		data := out[immediate : immediate+unsolicited]
+		s.sendData(tag, iscsi.NoTag, scsi.EncodeLUN(lun), uint32(immediate), data)
+	}
+	return tag, started.done, nil
+}
+
+// newCommand returns a command without its data. The caller holds the lock.
+func (s *Session) newCommand(tag uint32, lun uint16, cdb []byte, out, in int) *iscsi.PDU {
+	flags, expected := byte(attributeSimple), in
+	if in > 0 {
+		flags |= iscsi.Reads
+	}
+	if out > 0 {
+		flags |= iscsi.Writes
+		expected = out
+	}
+	pdu := s.newRequest(iscsi.Command, flags, tag).
+		SetLUN(scsi.EncodeLUN(lun)).
+		SetUint32(iscsi.OffsetExpectedLength, uint32(expected))
+	copy(pdu.CDB(), cdb)
+	return pdu
+}
+
+// splitFirstBurst returns how many of a command's bytes go with the command, and how many after it before they are
+// asked for.
+func (s *Session) splitFirstBurst(out int) (immediate, unsolicited int) {
+	burst := min(out, s.params.FirstBurst)
+	if s.params.ImmediateData {
+		immediate = min(burst, s.params.PeerMaxSegment)
+	}
+	if !s.params.InitialR2T {
+		unsolicited = burst - immediate
+	}
+	return immediate, unsolicited
+}
+
+// Do sends a command and waits for its answer. If the context ends before, the command is aborted.
+func (s *Session) Do(ctx context.Context, lun uint16, cdb, out []byte, in int) (Reply, error) {
+	tag, done, err := s.Start(lun, cdb, out, in)
+	if err != nil {
+		return Reply{}, err
+	}
+	select {
+	case reply, answered := <-done:
+		if !answered {
+			return Reply{}, s.Err()
+		}
+		return reply, nil
+	case <-ctx.Done():
+		_, _ = s.Abort(lun, tag) // the caller has given up either way
+		return Reply{}, ctx.Err()
+	}
+}
+
+// manageTask sends a task management function and waits for its answer.
+func (s *Session) manageTask(function byte, lun uint16, referenced uint32) (byte, error) {
+	s.lock.Lock()
+	if s.err != nil {
+		defer s.lock.Unlock()
+		return 0, s.err
+	}
+	tag := s.newTag()
+	answer := make(chan byte, 1)
+	s.managements[tag] = answer
+	pdu := s.newRequest(iscsi.TaskManagementRequest, iscsi.Final|function, tag).
+		SetImmediate().
+		SetLUN(scsi.EncodeLUN(lun)).
+		SetUint32(iscsi.OffsetReferencedTag, referenced)
+	s.lock.Unlock()
+	s.writeOrFail(pdu)
+	response, answered := <-answer
+	if !answered {
+		return 0, s.Err()
+	}
+	return response, nil
+}
+
+// Abort aborts a command: after this, no effect of it comes any more. It returns the target's response (RFC 7143,
+// 11.6.1).
+func (s *Session) Abort(lun uint16, tag uint32) (byte, error) {
+	response, err := s.manageTask(functionAbortTask, lun, tag)
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	delete(s.calls, tag)
+	return response, err
+}
+
+// Reset resets a unit: all commands at it are aborted, of all sessions. It returns the target's response (RFC 7143,
+// 11.6.1).
+func (s *Session) Reset(lun uint16) (byte, error) {
+	return s.manageTask(functionLUNReset, lun, iscsi.NoTag)
+}
+
+// Ping sends a ping and waits for its answer.
+func (s *Session) Ping() error {
+	s.lock.Lock()
+	if s.err != nil {
+		defer s.lock.Unlock()
+		return s.err
+	}
+	tag := s.newTag()
+	answer := make(chan struct{})
+	s.pings[tag] = answer
+	pdu := s.newRequest(iscsi.NopOut, iscsi.Final, tag).
+		SetImmediate().
+		SetUint32(iscsi.OffsetTransferTag, iscsi.NoTag).
+		SetData([]byte("ping"))
+	s.lock.Unlock()
+	s.writeOrFail(pdu)
+	<-answer
+	return s.Err()
+}
--- a/internal/iscsi/initiator/disk.go
+++ b/internal/iscsi/initiator/disk.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"cmp"
 	"context"
 	"encoding/binary"
 	"errors"
@@ -9,176 +10,142 @@
 	"io"
 	"sync"
 	"time"
-
-	"irispost/internal/iscsi/negotiate"
-	"irispost/internal/scsi"
 )
 
 // Errors of disks.
 var (
-	ErrUnknown   = errors.New("iscsi: it may have been done in part or not at all")
-	ErrDifferent = errors.New("iscsi: the blocks hold something else")
-	ErrBusy      = errors.New("iscsi: the target is busy, trying again is harmless")
-	ErrRange     = errors.New("iscsi: past the end of the disk")
+	ErrUnknown    = errors.New("iscsi: it may have been done in part or not at all")
+	ErrDifferent  = errors.New("iscsi: the blocks hold something else")
+	ErrBusy       = errors.New("iscsi: the target is busy, trying again is harmless")
+	ErrOutOfRange = errors.New("iscsi: past the end of the disk")
 )
 
-// Retry says how long a disk goes on trying.
+// Retry says how long a disk retries.
 type Retry struct {
 	For   time.Duration // from a request's beginning; 0: 30 s
-	Least time.Duration // pause after BUSY, or before connecting anew; doubled; 0: 20 ms
-	Most  time.Duration // 0: 1 s
-	Once  bool          // writes are repeated only where they never ran: for blocks that others write as well, see Disk
+	Least time.Duration // first backoff after BUSY, or before a reconnect; doubled each time; 0: 20 ms
+	Most  time.Duration // longest backoff; 0: 1 s
+	Once  bool          // writes are retried only where they never ran: for blocks that others write as well, see Disk
 }
 
-// Disk is a logical unit. It may be used from many goroutines. A session that is lost is begun anew. What is harmless to
-// repeat is repeated: reads, and writes of given blocks. A write whose outcome is not known may have been done, and is done
-// once more then: where others write the same blocks, theirs in between is lost, so Retry.Once is for them. A compare with
-// its write is repeated only if it never ran.
+// Defaults of Retry.
+const (
+	defaultRetryFor   = 30 * time.Second
+	defaultMinBackoff = 20 * time.Millisecond
+	defaultMaxBackoff = time.Second
+)
+
+// Lengths of transfers, in bytes.
+const (
+	defaultTransfer = 256 << 10 // of a disk that does not say what it takes
+	maxTransfer     = 4 << 20
+)
+
+// Disk is a logical unit. Its methods may be called concurrently. A session that is lost is replaced by a new one.
+//
+// What is harmless to repeat is retried: reads, and writes of given blocks. A write whose outcome is not known may have
+// been done, and is then done again: where others write the same blocks, what they wrote in between is lost, so
+// Retry.Once is for them. A compare with its write is retried only if it never ran.
 type Disk struct {
-	opt   Options
-	retry Retry
-	lun   uint16
-	lock  sync.Mutex
-	s     *Session
 	Block uint32 // bytes of a block
 	Count uint64 // blocks
 	Model string
-	most  int // bytes of a transfer
+
+	options     Options
+	retry       Retry
+	lun         uint16
+	maxTransfer int // bytes of a READ or WRITE
+
+	lock    sync.Mutex // guards current
+	current *Session
 }
 
-// Open opens a unit.
-func Open(ctx context.Context, opt Options, lun uint16, retry Retry) (*Disk, error) {
-	set := func(d *time.Duration, otherwise time.Duration) {
-		if *d == 0 {
-			*d = otherwise
-		}
-	}
-	set(&retry.For, 30*time.Second)
-	set(&retry.Least, 20*time.Millisecond)
-	set(&retry.Most, time.Second)
-	d := &Disk{opt: opt, retry: retry, lun: lun}
-	r, err := d.command(ctx, cdb(0x12, 0, 0, 0, 255), nil, 255, true)
+// Open opens a unit, and waits until it is ready.
+func Open(ctx context.Context, options Options, lun uint16, retry Retry) (*Disk, error) {
+	retry.For = cmp.Or(retry.For, defaultRetryFor)
+	retry.Least = cmp.Or(retry.Least, defaultMinBackoff)
+	retry.Most = cmp.Or(retry.Most, defaultMaxBackoff)
+	d := &Disk{options: options, retry: retry, lun: lun}
+	inquiry, err := d.command(ctx, newCDB(opInquiry, 0, 0, 0, 255), nil, 255, true)
 	if err != nil {
 		return nil, err
 	}
-	if len(r.Data) < 36 || r.Data[0] != 0 {
-		_ = d.Close()
-		return nil, fmt.Errorf("iscsi: %s has no disk %d", opt.Target, lun)
-	}
-	if _, err = d.command(ctx, cdb(0x00), nil, 0, true); err != nil { // it may have to become ready
-		_ = d.Close()
+	if err := d.identify(ctx, inquiry.Data); err != nil {
+		_ = d.Close() // the error of the unit counts
 		return nil, err
 	}
-	d.Model = string(bytes.TrimSpace(r.Data[8:32]))
-	size := cdb(0x9e, 0x10)
-	binary.BigEndian.PutUint32(size[10:], 32)
-	if r, err = d.command(ctx, size, nil, 32, true); err != nil || len(r.Data) < 12 {
-		_ = d.Close()
-		return nil, fmt.Errorf("iscsi: the size of disk %d is not told: %w", lun, err)
+	return d, nil
+}
+
+// identify reads what the disk is.
+func (d *Disk) identify(ctx context.Context, inquiry []byte) error {
+	const minInquiryLength, minCapacityLength = 36, 12
+	if len(inquiry) < minInquiryLength || inquiry[0] != 0 {
+		return fmt.Errorf("iscsi: %s has no disk %d", d.options.Target, d.lun)
 	}
-	d.Count, d.Block = binary.BigEndian.Uint64(r.Data)+1, binary.BigEndian.Uint32(r.Data[8:])
-	if r, err = d.command(ctx, cdb(0x12, 1, 0xb0, 0, 64), nil, 64, true); err == nil && len(r.Data) >= 12 {
-		d.most = int(binary.BigEndian.Uint32(r.Data[8:])) * int(d.Block)
+	if _, err := d.command(ctx, newCDB(opTestUnitReady), nil, 0, true); err != nil {
+		return err
 	}
-	if d.most <= 0 {
-		d.most = 256 << 10
+	d.Model = string(bytes.TrimSpace(inquiry[8:32])) // vendor and product
+	capacity, err := d.command(ctx, readCapacityCDB(), nil, readCapacityLength, true)
+	if err != nil || len(capacity.Data) < minCapacityLength {
+		return fmt.Errorf("iscsi: the size of disk %d is not told: %w", d.lun, err)
 	}
-	d.most = min(d.most, 4<<20)
-	return d, nil
+	d.Count = binary.BigEndian.Uint64(capacity.Data) + 1
+	d.Block = binary.BigEndian.Uint32(capacity.Data[8:])
+	d.readTransferLimit(ctx)
+	return nil
 }
 
-// cdb is a command descriptor block of 16 bytes that begins so.
-func cdb(b ...byte) []byte { return append(b, make([]byte, 16-len(b))...) }
-
-// session is the present one, begun anew where it is lost.
-func (d *Disk) session(ctx context.Context) (*Session, error) {
-	d.lock.Lock()
-	defer d.lock.Unlock()
-	if d.s != nil && d.s.Lost() == nil && !d.s.Asked() {
-		return d.s, nil
+// readTransferLimit reads the longest transfer from the page of block limits, which a disk need not have.
+func (d *Disk) readTransferLimit(ctx context.Context) {
+	const minLimitsLength = 12
+	limits, err := d.command(ctx, newCDB(opInquiry, 1, pageBlockLimits, 0, 64), nil, 64, true)
+	if err == nil && len(limits.Data) >= minLimitsLength {
+		d.maxTransfer = int(binary.BigEndian.Uint32(limits.Data[8:])) * int(d.Block)
 	}
-	if d.s != nil && d.s.Asked() {
-		go func() { _ = d.s.Close() }()
+	if d.maxTransfer <= 0 {
+		d.maxTransfer = defaultTransfer
 	}
-	s, err := Dial(ctx, d.opt)
-	if err == nil {
-		d.s = s
-	}
-	return s, err
+	d.maxTransfer = min(d.maxTransfer, maxTransfer)
 }
 
-// command does a command until it has an answer that counts, or its time is up. harmless: to repeat, whatever became of it.
-func (d *Disk) command(ctx context.Context, block, out []byte, in int, harmless bool) (Reply, error) {
-	ctx, cancel := context.WithTimeout(ctx, d.retry.For)
-	defer cancel()
-	pause, last := d.retry.Least, error(nil)
-	for {
-		r, err := Reply{}, error(nil)
-		s, err := d.session(ctx)
-		sent := err == nil
-		if sent {
-			r, err = s.Do(ctx, d.lun, block, out, in)
-		}
-		var refusal *negotiate.Rejection
-		switch {
-		case errors.As(err, &refusal) && refusal.Class == 2: // our own fault: it would be refused again
-			return r, err
-		case err != nil && sent && !harmless:
-			return r, fmt.Errorf("%w: %w", ErrUnknown, err)
-		case err != nil:
-			last = err
-		case r.Status == scsi.Good:
-			return r, nil
-		case r.Status == scsi.Busy || r.Status == scsi.TaskSetFull:
-			last = ErrBusy
-		case r.Sense == nil:
-			last = fmt.Errorf("%w: status %#02x", ErrUnknown, byte(r.Status))
-			if !harmless {
-				return r, last
-			}
-		case r.Sense.Key == scsi.Miscompare.Key:
-			return r, ErrDifferent
-		case r.Sense.Key == scsi.LBAOutOfRange.Key && r.Sense.Code == scsi.LBAOutOfRange.Code:
-			return r, ErrRange
-		case r.Sense.Key == scsi.BecomingReady.Key && r.Sense.Qualifier == scsi.BecomingReady.Qualifier:
-			last = r.Sense
-		case r.Sense.Key == scsi.CommandTimeout.Key:
-			if last = fmt.Errorf("%w: %w", ErrUnknown, r.Sense); !harmless {
-				return r, last
-			}
-		default:
-			return r, r.Sense
+// session returns the current session, or a new one where that is lost or has to log out.
+func (d *Disk) session(ctx context.Context) (*Session, error) {
+	d.lock.Lock()
+	defer d.lock.Unlock()
+	if d.current != nil {
+		logoutRequested := d.current.LogoutRequested()
+		if d.current.Err() == nil && !logoutRequested {
+			return d.current, nil
 		}
-		select {
-		case <-ctx.Done():
-			return r, errors.Join(last, ctx.Err())
-		case <-time.After(pause):
+		if logoutRequested {
+			go func() { _ = d.current.Close() }()
 		}
-		pause = min(2*pause, d.retry.Most)
 	}
+	session, err := Dial(ctx, d.options)
+	if err == nil {
+		d.current = session
+	}
+	return session, err
 }
 
-// blocks makes READ (16), WRITE (16) and their like.
-func blocks(op byte, at uint64, n int) []byte {
-	b := cdb(op)
-	binary.BigEndian.PutUint64(b[2:], at)
-	binary.BigEndian.PutUint32(b[10:], uint32(n))
-	return b
-}
-
-// aligned tells whether a range is whole blocks within the disk.
-func (d *Disk) aligned(offset int64, n int) error {
+// checkRange checks that a range is whole blocks within the disk.
+func (d *Disk) checkRange(offset int64, length int) error {
 	size := int64(d.Block)
-	if offset < 0 || offset%size != 0 || int64(n)%size != 0 {
-		return fmt.Errorf("iscsi: %d bytes at %d are not whole blocks of %d", n, offset, d.Block)
+	if offset < 0 || offset%size != 0 || int64(length)%size != 0 {
+		return fmt.Errorf("iscsi: %d bytes at %d are not whole blocks of %d", length, offset, d.Block)
 	}
-	if uint64(offset)/uint64(size)+uint64(n)/uint64(size) > d.Count {
-		return ErrRange
+	if uint64(offset)/uint64(size)+uint64(length)/uint64(size) > d.Count {
+		return ErrOutOfRange
 	}
 	return nil
 }
 
-// Size is the disk's bytes.
+// lba returns the number of the block at an offset.
+func (d *Disk) lba(offset int64) uint64 { return uint64(offset) / uint64(d.Block) }
+
+// Size returns the disk's size in bytes.
 func (d *Disk) Size() int64 { return int64(d.Count) * int64(d.Block) }
 
 // ReadAt reads whole blocks (io.ReaderAt).
@@ -186,21 +153,22 @@
 	return d.Read(context.Background(), p, offset)
 }
 
-// Read reads whole blocks.
+// Read reads whole blocks, and returns how many bytes it has read.
 func (d *Disk) Read(ctx context.Context, p []byte, offset int64) (done int, err error) {
-	if err := d.aligned(offset, len(p)); err != nil {
+	if err := d.checkRange(offset, len(p)); err != nil {
 		return 0, err
 	}
 	for done < len(p) {
-		n := min(len(p)-done, d.most)
-		r, err := d.command(ctx, blocks(0x88, uint64(offset+int64(done))/uint64(d.Block), n/int(d.Block)), nil, n, true)
+		length := min(len(p)-done, d.maxTransfer)
+		cdb := blockCDB(opRead16, d.lba(offset+int64(done)), length/int(d.Block))
+		reply, err := d.command(ctx, cdb, nil, length, true)
 		if err != nil {
 			return done, err
 		}
-		if len(r.Data) != n {
+		if len(reply.Data) != length {
 			return done, io.ErrUnexpectedEOF
 		}
-		done += copy(p[done:], r.Data)
+		done += copy(p[done:], reply.Data)
 	}
 	return done, nil
 }
@@ -210,67 +178,63 @@
 	return d.Write(context.Background(), p, offset)
 }
 
-// Write writes whole blocks. An error tells that they may be there in part.
+// Write writes whole blocks, and returns how many bytes it has written. With an error, more may be there in part.
 func (d *Disk) Write(ctx context.Context, p []byte, offset int64) (done int, err error) {
-	if err := d.aligned(offset, len(p)); err != nil {
+	if err := d.checkRange(offset, len(p)); err != nil {
 		return 0, err
 	}
 	for done < len(p) {
-		n := min(len(p)-done, d.most)
-		if _, err := d.command(ctx, blocks(0x8a, uint64(offset+int64(done))/uint64(d.Block), n/int(d.Block)), p[done:done+n], 0, !d.retry.Once); err != nil {
+		length := min(len(p)-done, d.maxTransfer)
+		cdb := blockCDB(opWrite16, d.lba(offset+int64(done)), length/int(d.Block))
+		if _, err := d.command(ctx, cdb, p[done:done+length], 0, !d.retry.Once); err != nil {
 			return done, err
 		}
-		done += n
+		done += length
 	}
 	return done, nil
 }
 
-// Compare compares blocks, and writes others in their place if they are the same, as one step. ErrDifferent: they are not.
-// ErrUnknown: it may have been done; whether it was, reading tells.
+// maxCompareBlocks is how many blocks a COMPARE AND WRITE has at most.
+const maxCompareBlocks = 255
+
+// Compare compares blocks, and writes others in their place if they are equal, atomically. It fails with ErrDifferent
+// where they are not equal, and with ErrUnknown where it may have been done; reading tells whether it was.
 func (d *Disk) Compare(ctx context.Context, want, next []byte, offset int64) error {
-	if err := d.aligned(offset, len(want)); err != nil {
+	if err := d.checkRange(offset, len(want)); err != nil {
 		return err
 	}
-	n := len(want) / int(d.Block)
-	if len(next) != len(want) || n > 255 {
+	blocks := len(want) / int(d.Block)
+	if len(next) != len(want) || blocks > maxCompareBlocks {
 		return fmt.Errorf("iscsi: %d and %d bytes cannot be compared and written", len(want), len(next))
 	}
-	b := cdb(0x89)
-	binary.BigEndian.PutUint64(b[2:], uint64(offset)/uint64(d.Block))
-	b[13] = byte(n)
-	_, err := d.command(ctx, b, append(append([]byte{}, want...), next...), 0, false)
+	data := append(append([]byte{}, want...), next...)
+	_, err := d.command(ctx, compareAndWriteCDB(d.lba(offset), blocks), data, 0, false)
 	return err
 }
 
-// Sync puts on record what was written.
+// Sync has the disk commit what was written.
 func (d *Disk) Sync(ctx context.Context) error {
-	_, err := d.command(ctx, cdb(0x91), nil, 0, true)
+	_, err := d.command(ctx, newCDB(opSynchronizeCache16), nil, 0, true)
 	return err
 }
 
 // Unmap gives blocks back, which then read as zeros.
-func (d *Disk) Unmap(ctx context.Context, offset int64, n int) error {
-	if err := d.aligned(offset, n); err != nil {
+func (d *Disk) Unmap(ctx context.Context, offset int64, length int) error {
+	if err := d.checkRange(offset, length); err != nil {
 		return err
 	}
-	list := make([]byte, 24)
-	binary.BigEndian.PutUint16(list, 22)
-	binary.BigEndian.PutUint16(list[2:], 16)
-	binary.BigEndian.PutUint64(list[8:], uint64(offset)/uint64(d.Block))
-	binary.BigEndian.PutUint32(list[16:], uint32(n/int(d.Block)))
-	b := cdb(0x42)
-	binary.BigEndian.PutUint16(b[7:], uint16(len(list)))
-	_, err := d.command(ctx, b, list, 0, true)
+	list := unmapList(d.lba(offset), length/int(d.Block))
+	_, err := d.command(ctx, unmapCDB(len(list)), list, 0, true)
 	return err
 }
 
 // Break breaks the session off, as a crash does; the next request begins another.
 func (d *Disk) Break() {
 	d.lock.Lock()
-	s := d.s
+	session := d.current
 	d.lock.Unlock()
-	if s != nil {
-		s.Break()
+	if session != nil {
+		session.Break()
 	}
 }
 
@@ -278,10 +242,10 @@
 func (d *Disk) Close() error {
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	if d.s == nil {
+	if d.current == nil {
 		return nil
 	}
-	s := d.s
-	d.s = nil
-	return s.Close()
+	session := d.current
+	d.current = nil
+	return session.Close()
 }
--- a/internal/iscsi/initiator/example_test.go
+++ b/internal/iscsi/initiator/example_test.go
@@ -10,21 +10,25 @@
 	"irispost/internal/iscsi/negotiate"
 )
 
-// A disk is opened, a block changed only if nobody else has, and put on record.
+// A disk is opened, a block changed only if nobody else has, and committed.
 func ExampleOpen() {
 	ctx := context.Background()
-	d, err := initiator.Open(ctx, initiator.Options{Address: "127.0.0.1:3260", Name: "iqn.2026-01.example:host", Target: "iqn.2026-01.example:orders",
-		Account: negotiate.Account{Name: "host", Secret: "twelve bytes or more"}}, 0, initiator.Retry{Once: true})
+	disk, err := initiator.Open(ctx, initiator.Options{
+		Address: "127.0.0.1:3260",
+		Name:    "iqn.2026-01.example:host",
+		Target:  "iqn.2026-01.example:orders",
+		Account: negotiate.Account{Name: "host", Secret: "twelve bytes or more"},
+	}, 0, initiator.Retry{Once: true})
 	if err != nil {
 		log.Fatal(err)
 	}
-	defer func() { _ = d.Close() }()
-	old := make([]byte, d.Block)
-	if _, err := d.ReadAt(old, 0); err != nil {
+	defer func() { _ = disk.Close() }()
+	old := make([]byte, disk.Block)
+	if _, err := disk.ReadAt(old, 0); err != nil {
 		log.Fatal(err)
 	}
 	next := append([]byte("changed"), old[7:]...)
-	switch err := d.Compare(ctx, old, next, 0); {
+	switch err := disk.Compare(ctx, old, next, 0); {
 	case errors.Is(err, initiator.ErrDifferent):
 		fmt.Println("somebody else was first")
 	case errors.Is(err, initiator.ErrUnknown):
@@ -32,18 +36,21 @@
 	case err != nil:
 		log.Fatal(err)
 	}
-	if err := d.Sync(ctx); err != nil {
+	if err := disk.Sync(ctx); err != nil {
 		log.Fatal(err)
 	}
 }
 
 // A portal's targets.
 func ExampleDiscover() {
-	list, err := initiator.Discover(context.Background(), initiator.Options{Address: "127.0.0.1:3260", Name: "iqn.2026-01.example:host"})
+	targets, err := initiator.Discover(context.Background(), initiator.Options{
+		Address: "127.0.0.1:3260",
+		Name:    "iqn.2026-01.example:host",
+	})
 	if err != nil {
 		log.Fatal(err)
 	}
-	for _, t := range list {
-		fmt.Println(t.Name, t.Address)
+	for _, target := range targets {
+		fmt.Println(target.Name, target.Address)
 	}
 }
--- a/internal/iscsi/initiator/golden_test.go
+++ b/internal/iscsi/initiator/golden_test.go
@@ -171,7 +171,8 @@
 		{"session", nil, runSession},
 		{"CHAP", func(o *initiator.Options) {
 			o.Target = "iqn.2026-01.example:secret"
-			o.Account = negotiate.Account{Name: "host", Secret: "a secret of a host", OurName: "meals", OurSecret: "another one, ours"}
+			o.Account = negotiate.Account{Name: "host", Secret: "a secret of a host", OurName: "meals",
+				OurSecret: "another one, ours"}
 		}, runDisk},
 		{"no secret", func(o *initiator.Options) { o.Target = "iqn.2026-01.example:secret" }, runDisk},
 		{"no such target", func(o *initiator.Options) { o.Target = "iqn.2026-01.example:none" }, runDisk},
@@ -278,5 +279,5 @@
 	result += fmt.Sprintf(", reset %d %v", code, err)
 	code, err = s.Reset(9)
 	result += fmt.Sprintf(", reset of no unit %d %v", code, err)
-	return result + fmt.Sprintf(", close %v, %v", s.Close(), s.Lost())
+	return result + fmt.Sprintf(", close %v, %v", s.Close(), s.Err())
 }
--- /dev/null
+++ b/internal/iscsi/initiator/receive.go
@@ -0,0 +1,207 @@
+package initiator
+
+import (
+	"fmt"
+
+	"irispost/internal/iscsi"
+	"irispost/internal/scsi"
+)
+
+// senseLengthSize is the size of the length before sense data, in bytes.
+const senseLengthSize = 2
+
+// receive handles what the target sends, until the session is lost.
+func (s *Session) receive(reader connReader) {
+	for {
+		pdu, err := iscsi.Read(reader, s.digests, s.options.Segment)
+		if err == nil && pdu.BadDataDigest {
+			err = errDataDigest
+		}
+		if err == nil {
+			err = s.handle(pdu)
+		}
+		if err != nil {
+			s.fail(err)
+			return
+		}
+	}
+}
+
+// handle handles a PDU. An error loses the session.
+func (s *Session) handle(pdu *iscsi.PDU) error {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	if s.err != nil {
+		return s.err
+	}
+	if maxCmdSN := pdu.Uint32(iscsi.OffsetMaxCmdSN); int32(maxCmdSN-s.maxCmdSN) > 0 {
+		s.maxCmdSN = maxCmdSN
+		s.changed.Broadcast()
+	}
+	if hasStatus(pdu) {
+		s.expStatSN = pdu.Uint32(iscsi.OffsetStatSN) + 1
+	}
+	switch pdu.Opcode() {
+	case iscsi.DataIn:
+		return s.handleData(pdu)
+	case iscsi.Response:
+		s.handleResponse(pdu)
+	case iscsi.ReadyToTransfer:
+		return s.handleR2T(pdu)
+	case iscsi.TaskManagementResponse:
+		if answer := s.managements[pdu.Tag()]; answer != nil {
+			answer <- pdu.Header[iscsi.OffsetResponse]
+			delete(s.managements, pdu.Tag())
+		}
+	case iscsi.TextResponse:
+		if answer := s.texts[pdu.Tag()]; answer != nil {
+			answer <- pdu.Data
+			delete(s.texts, pdu.Tag())
+		}
+	case iscsi.NopIn:
+		s.handleNop(pdu)
+	case iscsi.LogoutResponse:
+		return ErrClosed
+	case iscsi.AsyncMessage:
+		s.logoutRequested = true
+	case iscsi.Reject:
+		return fmt.Errorf("the target rejects a PDU, reason %#x", pdu.Header[iscsi.OffsetResponse])
+	}
+	return nil
+}
+
+// hasStatus tells whether a PDU has a status number of its own.
+func hasStatus(pdu *iscsi.PDU) bool {
+	switch pdu.Opcode() {
+	case iscsi.NopIn:
+		return pdu.Tag() != iscsi.NoTag // without a tag it asks for an answer
+	case iscsi.DataIn:
+		return pdu.Flags()&iscsi.HasStatus != 0
+	}
+	return pdu.Opcode() != iscsi.ReadyToTransfer
+}
+
+// handleData handles a Data-In. One of an aborted command is ignored. The caller holds the lock.
+func (s *Session) handleData(pdu *iscsi.PDU) error {
+	call := s.calls[pdu.Tag()]
+	if call == nil {
+		return nil
+	}
+	offset := pdu.Uint32(iscsi.OffsetBufferOffset)
+	if int(offset) != len(call.in) || len(call.in)+len(pdu.Data) > call.maxIn {
+		return fmt.Errorf("data at %d of %d bytes, %d were expected next", offset, call.maxIn, len(call.in))
+	}
+	call.in = append(call.in, pdu.Data...)
+	if hasStatus(pdu) {
+		s.finish(call, pdu, nil)
+	}
+	return nil
+}
+
+// handleResponse handles the answer to a command without data. The caller holds the lock.
+func (s *Session) handleResponse(pdu *iscsi.PDU) {
+	call := s.calls[pdu.Tag()]
+	if call == nil {
+		return
+	}
+	var sense *scsi.Sense
+	if len(pdu.Data) > senseLengthSize {
+		sense, _ = scsi.DecodeSense(pdu.Data[senseLengthSize:])
+	}
+	s.finish(call, pdu, sense)
+}
+
+// finish ends a command with its answer. The caller holds the lock.
+func (s *Session) finish(call *call, pdu *iscsi.PDU, sense *scsi.Sense) {
+	reply := Reply{Status: scsi.Status(pdu.Header[iscsi.OffsetStatus]), Sense: sense, Data: call.in}
+	residual := int(pdu.Uint32(iscsi.OffsetResidual))
+	switch {
+	case pdu.Flags()&iscsi.Underflow != 0:
+		reply.Residual = residual
+	case pdu.Flags()&iscsi.Overflow != 0:
+		reply.Residual = -residual
+	}
+	delete(s.calls, pdu.Tag())
+	s.report(Event{Session: s.name, Tag: pdu.Tag(), Op: call.opcode, Status: reply.Status})
+	call.done <- reply
+	close(call.done)
+}
+
+// handleR2T has the data that the target asks for sent, after that of earlier R2Ts (DataSequenceInOrder). The caller
+// holds the lock.
+func (s *Session) handleR2T(pdu *iscsi.PDU) error {
+	call := s.calls[pdu.Tag()]
+	if call == nil {
+		return nil
+	}
+	offset, length := pdu.Uint32(iscsi.OffsetBufferOffset), pdu.Uint32(iscsi.OffsetDesiredLength)
+	if uint64(offset)+uint64(length) > uint64(len(call.out)) || length == 0 {
+		return fmt.Errorf("%d bytes at %d are asked for, %d are there", length, offset, len(call.out))
+	}
+	data := call.out[offset : offset+length]
+	call.solicited = append(call.solicited, func() {
+		s.sendData(pdu.Tag(), pdu.Uint32(iscsi.OffsetTransferTag), pdu.LUN(), offset, data)
+	})
+	if !call.sending {
+		call.sending = true
+		go s.sendSolicited(call)
+	}
+	return nil
+}
+
+// sendSolicited answers a command's R2Ts, one after the other.
+func (s *Session) sendSolicited(call *call) {
+	for {
+		s.lock.Lock()
+		if len(call.solicited) == 0 {
+			call.sending = false
+			s.lock.Unlock()
+			return
+		}
+		send := call.solicited[0]
+		call.solicited = call.solicited[1:]
+		s.lock.Unlock()
+		send()
+	}
+}
+
+// sendData sends data of a command from an offset on: what an R2T has asked for, or unsolicited.
+func (s *Session) sendData(tag, transferTag uint32, lun []byte, offset uint32, data []byte) {
+	dataSN := uint32(0)
+	for sent := 0; sent < len(data); dataSN++ {
+		length := min(len(data)-sent, s.params.PeerMaxSegment)
+		pdu := iscsi.New(iscsi.DataOut, 0).
+			SetLUN(lun).
+			SetUint32(iscsi.OffsetTag, tag).
+			SetUint32(iscsi.OffsetTransferTag, transferTag).
+			SetUint32(iscsi.OffsetExpStatSN, s.expStatSN).
+			SetUint32(iscsi.OffsetDataSN, dataSN).
+			SetUint32(iscsi.OffsetBufferOffset, offset+uint32(sent)).
+			SetData(data[sent : sent+length])
+		sent += length
+		if sent == len(data) {
+			pdu.SetByte(iscsi.OffsetFlags, iscsi.Final)
+		}
+		if err := s.write(pdu); err != nil {
+			s.fail(err)
+			return
+		}
+	}
+}
+
+// handleNop handles the answer to a ping, and answers the target's ping. The caller holds the lock.
+func (s *Session) handleNop(pdu *iscsi.PDU) {
+	if answer := s.pings[pdu.Tag()]; answer != nil {
+		close(answer)
+		delete(s.pings, pdu.Tag())
+	}
+	transferTag := pdu.Uint32(iscsi.OffsetTransferTag)
+	if transferTag == iscsi.NoTag {
+		return
+	}
+	answer := s.newRequest(iscsi.NopOut, iscsi.Final, iscsi.NoTag).
+		SetImmediate().
+		SetLUN(pdu.LUN()).
+		SetUint32(iscsi.OffsetTransferTag, transferTag)
+	go func() { _ = s.write(answer) }() // the reader notices a connection that has failed
+}
