--- a/cmd/irispost/fleet_test.go
+++ b/cmd/irispost/fleet_test.go
@@ -10,6 +10,7 @@
 	"path/filepath"
 	"strconv"
 	"strings"
+	"sync"
 	"testing"
 	"time"
 
@@ -118,11 +119,12 @@
 // The gateway on the platform has nothing of a fleet: one socket that listens, one way to its list, and no other, even
 // where replicas are named all around it.
 func TestWebOpensNothingOfAFleet(t *testing.T) {
-	asked := make(chan struct{}, 16)
+	watched := make(chan struct{})
+	var first sync.Once
 	quit := make(chan struct{})
 	list := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		if q.FormValue("from") == "1" {
-			asked <- struct{}{}
+			first.Do(func() { close(watched) }) // it watches on when quit is closed, and nobody counts
 			<-quit
 		}
 		_, _ = fmt.Fprint(w, `{"rev":1,"all":true,"targets":[]}`)
@@ -135,7 +137,7 @@
 	}
 	defer func() { _ = trap.Close() }()
 	w := startWeb(t, list.Listener.Addr().String(), "", "IRISPOST_KEEPERS="+trap.Addr().String())
-	<-asked // by now it watches its list
+	<-watched // by now it watches its list
 	listen, to, others := sockets(t, w.Process.Pid)
 	_, port, _ := net.SplitHostPort(list.Listener.Addr().String())
 	number, err := strconv.Atoi(port)
