--- a/internal/adapter/golden_test.go
+++ b/internal/adapter/golden_test.go
@@ -10,26 +10,9 @@
 	"testing"
 
 	"irispost/internal/adapter"
+	"irispost/internal/testkit/golden"
 )
 
-// compareGolden compares a text with a file of testdata. With UPDATE_GOLDEN set it writes the file instead.
-func compareGolden(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if os.Getenv("UPDATE_GOLDEN") != "" {
-		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got != string(want) {
-		t.Errorf("%s differs; got:\n%s", path, got)
-	}
-}
-
 // logText finds the texts of the module's log lines: they are for people and not part of the form.
 var logText = regexp.MustCompile(`(?m)^(TRACE\|[0-9]+\||[0-9]+ log ).+$`)
 
@@ -48,7 +31,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	compareGolden(t, "session.out", logText.ReplaceAllString(strings.ReplaceAll(replies.String(), "\t", "|"), "${1}TEXT"))
+	golden.Check(t, "session.out", []byte(logText.ReplaceAllString(strings.ReplaceAll(replies.String(), "\t", "|"), "${1}TEXT")))
 	records := strings.Join(slices.Concat(taps[3].lines, taps[5].lines, taps[7].lines), "\n") + "\n"
-	compareGolden(t, "session.tap", logText.ReplaceAllString(records, "${1}TEXT"))
+	golden.Check(t, "session.tap", []byte(logText.ReplaceAllString(records, "${1}TEXT")))
 }
--- a/internal/backend/node/golden_test.go
+++ b/internal/backend/node/golden_test.go
@@ -2,34 +2,15 @@
 
 import (
 	"fmt"
-	"os"
-	"path/filepath"
 	"strings"
 	"testing"
 	"time"
 
 	"irispost/internal/backend/node"
 	"irispost/internal/sftp"
+	"irispost/internal/testkit/golden"
 )
 
-// compareGolden compares a text with a file of testdata. With UPDATE_GOLDEN set it writes the file instead.
-func compareGolden(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if os.Getenv("UPDATE_GOLDEN") != "" {
-		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got != string(want) {
-		t.Errorf("%s differs; got:\n%s", path, got)
-	}
-}
-
 // packetHex writes out a packet as it goes to the connection, 32 bytes a line.
 func packetHex(t *testing.T, p *sftp.Packet) string {
 	t.Helper()
@@ -75,5 +56,5 @@
 	fmt.Fprintf(&out, "outcomes %d\n", []node.Outcome{node.Failed, node.Executed, node.QueueFull, node.WrongShard, node.ConnectFailed, node.ConnectionReset})
 	fmt.Fprintf(&out, "extensions %s %s\n", node.ExecExtension, node.CancelExtension)
 	fmt.Fprintf(&out, "metrics %s %s %s\n", node.InflightMetric, node.LatencyMetric, node.ElsewhereMetric)
-	compareGolden(t, "messages.txt", out.String())
+	golden.Check(t, "messages.txt", []byte(out.String()))
 }
--- /dev/null
+++ b/internal/gateway/attempt.go
@@ -0,0 +1,145 @@
+package gateway
+
+import (
+	"container/heap"
+	"time"
+
+	"irispost/internal/backend/node"
+	"irispost/scheduler"
+)
+
+// attempt is one attempt of a request with its connection.
+type attempt struct {
+	request   *request
+	scheduled *scheduler.Attempt
+	sent      node.Attempt
+	timeoutAt scheduler.Time
+	neverRan  bool // it is proven that it never ran
+	heapIndex int  // its place in the heap of timeouts, counted from 1; 0: it has ended
+}
+
+// inFlight tells whether the attempt has no outcome yet.
+func (a *attempt) inFlight() bool { return a.heapIndex > 0 }
+
+// unsent stands for an attempt that went to no connection.
+type unsent struct{}
+
+// Cancel implements node.Attempt.
+func (unsent) Cancel() {}
+
+// outcomes are the scheduler's for those of the node clients. A node that carried an operation out has served the request,
+// whatever the operation's status.
+var outcomes = [...]scheduler.Outcome{
+	node.Failed:          scheduler.OutcomeError,
+	node.Executed:        scheduler.OutcomeServed,
+	node.QueueFull:       scheduler.OutcomeOverloaded,
+	node.WrongShard:      scheduler.OutcomeMisdirected,
+	node.ConnectFailed:   scheduler.OutcomeConnectFailed,
+	node.ConnectionReset: scheduler.OutcomeReset,
+}
+
+// dispatch sends an attempt to its node.
+func (l *Loop) dispatch(now scheduler.Time, scheduled *scheduler.Attempt) {
+	r := l.requests[scheduled.Request]
+	a := &attempt{request: r, scheduled: scheduled, timeoutAt: r.spec.Deadline}
+	if scheduled.Timeout > 0 {
+		a.timeoutAt = min(a.timeoutAt, now+scheduled.Timeout)
+	}
+	r.attempts = append(r.attempts, a)
+	call := l.callFor(r.spec, scheduled, time.Duration(a.timeoutAt-now), now)
+	heap.Push(&l.timeouts, a)
+	if l.expired(scheduled) {
+		l.failExpired(a)
+		return
+	}
+	a.sent = l.opt.Nodes.Start(scheduled.Node.Addr, call, func(reply node.Reply) {
+		l.post(func(now scheduler.Time) { l.attemptEnded(now, a, outcomes[reply.Outcome], reply) })
+	})
+}
+
+// callFor builds the call to a node that carries an attempt.
+func (l *Loop) callFor(spec *RequestSpec, scheduled *scheduler.Attempt, timeout time.Duration, now scheduler.Time) *node.Call {
+	call := new(node.Call)
+	*call = spec.Call
+	call.Gateway = l.opt.Name
+	call.RequestID = scheduled.Request.ID
+	call.Attempt = scheduled.Number
+	call.Volume = spec.Volume.ID
+	call.Units = spec.Units
+	call.Timeout = timeout
+	call.Idempotency = spec.Idempotency
+	if scheduled.SendBefore > 0 {
+		call.StartWithin = time.Duration(max(scheduled.SendBefore-now, 1))
+	}
+	if spec.HasKey {
+		call.OrderingKey = spec.Key
+	}
+	if call.IdempotencyKey == "" {
+		call.IdempotencyKey = scheduled.Request.ID
+	}
+	return call
+}
+
+// expired tells whether a decision must not be carried out any more, because the process stood still since the loop has read
+// the clock.
+func (l *Loop) expired(scheduled *scheduler.Attempt) bool {
+	now := l.opt.Clock.Now()
+	return l.configValidUntil > 0 && now >= l.configValidUntil || scheduled.SendBefore > 0 && now >= scheduled.SendBefore
+}
+
+// failExpired ends an attempt that was decided too long ago to be sent.
+func (l *Loop) failExpired(a *attempt) {
+	a.sent = unsent{}
+	l.clockOutdated = true
+	l.followUps = append(l.followUps, func(now scheduler.Time) {
+		l.attemptEnded(now, a, scheduler.OutcomeConnectFailed, node.Reply{Message: "what was decided is out of date"})
+	})
+}
+
+// cancel gives an attempt up. Its outcome reaches the scheduler in the same turn.
+func (l *Loop) cancel(scheduled *scheduler.Attempt) {
+	a := l.attemptOf(scheduled)
+	if a == nil || !a.inFlight() {
+		return
+	}
+	a.sent.Cancel()
+	l.followUps = append(l.followUps, func(now scheduler.Time) {
+		l.attemptEnded(now, a, scheduler.OutcomeCancelled, node.Reply{})
+	})
+}
+
+// attemptOf returns what the loop holds for an attempt, nil if its request is forgotten.
+func (l *Loop) attemptOf(scheduled *scheduler.Attempt) *attempt {
+	if r := l.requests[scheduled.Request]; r != nil && scheduled.Number < len(r.attempts) {
+		return r.attempts[scheduled.Number]
+	}
+	return nil
+}
+
+// attemptEnded reports to the scheduler how an attempt ended. One that has ended already is left alone.
+func (l *Loop) attemptEnded(now scheduler.Time, ended *attempt, outcome scheduler.Outcome, reply node.Reply) {
+	if !ended.inFlight() {
+		return
+	}
+	heap.Remove(&l.timeouts, ended.heapIndex-1)
+	r := ended.request
+	ended.neverRan = outcome.NeverExecuted()
+	if outcome != scheduler.OutcomeServed && outcome != scheduler.OutcomeCancelled {
+		r.reason = reply.Message
+	}
+	succeeded := outcome == scheduler.OutcomeServed && !r.finished
+	l.scheduler.attemptFinished(now, ended.scheduled, outcome, succeeded || r.finished, reply)
+	if succeeded {
+		l.finish(r, Result{State: scheduler.RequestSucceeded, Reply: reply})
+	}
+	l.forget(r)
+}
+
+// expireAttempts gives up the attempts whose timeout has passed.
+func (l *Loop) expireAttempts(now scheduler.Time) {
+	for len(l.timeouts) > 0 && l.timeouts[0].timeoutAt <= now {
+		a := l.timeouts[0]
+		a.sent.Cancel()
+		l.attemptEnded(now, a, scheduler.OutcomeTimeout, node.Reply{Message: "no answer in time"})
+	}
+}
--- a/internal/gateway/clock.go
+++ b/internal/gateway/clock.go
@@ -6,16 +6,18 @@
 	"irispost/scheduler"
 )
 
-// Clock tells the gateway's time.
+// Clock is the gateway's time source.
 type Clock interface {
-	Now() scheduler.Time // nanoseconds since 1970; it never goes back
+	// Now returns nanoseconds since 1970. Successive calls never go back.
+	Now() scheduler.Time
 }
 
-// steady counts on from the wall clock at its start by the monotonic clock, so that a step of the wall clock is none
-// of the gateway's.
-type steady struct{ start time.Time }
+// steadyClock counts on from the wall clock at its start by the monotonic clock, so that a later step of the wall clock does
+// not reach the gateway.
+type steadyClock struct{ start time.Time }
 
-// NewClock starts a clock.
-func NewClock() Clock { return steady{time.Now()} }
+// NewClock returns a clock that starts at the wall clock's present time and then follows the monotonic clock.
+func NewClock() Clock { return steadyClock{time.Now()} }
 
-func (s steady) Now() scheduler.Time { return s.start.UnixNano() + int64(time.Since(s.start)) }
+// Now implements Clock.
+func (c steadyClock) Now() scheduler.Time { return c.start.UnixNano() + int64(time.Since(c.start)) }
--- a/internal/gateway/golden_test.go
+++ b/internal/gateway/golden_test.go
@@ -4,52 +4,33 @@
 	"fmt"
 	"io"
 	"log/slog"
-	"os"
-	"path/filepath"
 	"strings"
 	"testing"
 	"time"
 
 	"irispost/internal/backend/node"
 	"irispost/internal/endpoint"
+	"irispost/internal/testkit/golden"
 	"irispost/scheduler"
 )
 
-// compareGolden compares a text with a file of testdata. With UPDATE_GOLDEN set it writes the file instead.
-func compareGolden(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if os.Getenv("UPDATE_GOLDEN") != "" {
-		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got != string(want) {
-		t.Errorf("%s differs; got:\n%s", path, got)
-	}
-}
-
-// TestNamesMatchGolden compares which outcome of the connections and which standing of a list the module is told, and which
-// states of a job are counted.
-func TestNamesMatchGolden(t *testing.T) {
+// TestTranslationsMatchGolden compares which outcome and endpoint state the scheduler gets for those of the node clients and
+// endpoint lists, and which request states are counted.
+func TestTranslationsMatchGolden(t *testing.T) {
 	var out strings.Builder
 	for outcome := node.Failed; outcome <= node.ConnectionReset; outcome++ {
 		fmt.Fprintf(&out, "outcome %d is %d\n", outcome, outcomes[outcome])
 	}
-	for standing := endpoint.Health(0); standing < 5; standing++ {
-		module, known := standings[standing]
-		fmt.Fprintf(&out, "standing %d is %d, %t\n", standing, module, known)
+	for health := endpoint.Health(0); health < 5; health++ {
+		state, known := endpointStates[health]
+		fmt.Fprintf(&out, "standing %d is %d, %t\n", health, state, known)
 	}
 	for state := scheduler.RequestState(0); state < 12; state++ {
 		counts := Counts{}
 		counts.count(state)
 		fmt.Fprintf(&out, "state %d counts %d\n", state, counts)
 	}
-	compareGolden(t, "names.txt", out.String())
+	golden.Check(t, "names.txt", []byte(out.String()))
 }
 
 // fixedClock stands still.
@@ -68,36 +49,37 @@
 func (recordingNodes) Retain(map[string]bool)        {}
 func (recordingNodes) LateReplies() int64            { return 7 }
 
-// TestCallsMatchGolden compares what the loop fills in of calls to nodes: whose they are, their name, mark, key and the time
-// that is left.
+// TestCallsMatchGolden compares what the loop fills in of calls to nodes: sender, request ID, keys and the time that is left.
 func TestCallsMatchGolden(t *testing.T) {
 	const now = fixedClock(1_790_000_000_000_000_000)
 	nodes, log := make(recordingNodes, 1), slog.New(slog.NewTextHandler(io.Discard, nil))
 	list := &endpoint.List{Nodes: []endpoint.Node{{Addr: "10.0.0.1:5"}, {Addr: "10.0.0.2:5", Shard: 1}, {Addr: "10.0.0.3:5", Shard: 2}}}
 	l := Start(Options{Name: "gateway-1", Seed: 1, QueueSize: 4, Clock: now, Nodes: nodes, Log: log, CachedList: list})
 	t.Cleanup(l.Stop)
-	works := []struct {
+	submissions := []struct {
 		session *Session
-		work    RequestSpec
+		spec    RequestSpec
 	}{
 		{nil, RequestSpec{Units: 1, Call: node.Call{Op: node.GetObject, Name: "a"}}},
 		{NewSession("gateway-1/2"), RequestSpec{Units: 1.5, Key: 9, ClientRequest: 3, Call: node.Call{Op: node.GetObject, Name: "b"}}},
-		{NewSession("gateway-1/3"), RequestSpec{Units: 2, Key: 9, HasKey: true, Idempotency: 2, Call: node.Call{Op: node.PutObject, Name: "c", IdempotencyKey: "mark"}}},
+		{NewSession("gateway-1/3"), RequestSpec{Units: 2, Key: 9, HasKey: true, Idempotency: 2,
+			Call: node.Call{Op: node.PutObject, Name: "c", IdempotencyKey: "mark"}}},
 	}
 	var out strings.Builder
-	for i := range works {
-		w := &works[i].work
-		w.Call.Shard = i // a node for each, since nodes that nothing is known of are sent one request at a time
-		w.Volume, w.Class, w.Deadline = &Volume{ID: int64(i), ServiceLevel: "basic", Gateways: 1}, "read", l.Now()+int64(time.Second)
-		l.Submit(works[i].session, w)
+	for i := range submissions {
+		spec := &submissions[i].spec
+		spec.Call.Shard = i // a node for each, since nodes that nothing is known of are sent one request at a time
+		spec.Volume, spec.Class, spec.Deadline = &Volume{ID: int64(i), ServiceLevel: "basic", Gateways: 1}, "read", l.Now()+int64(time.Second)
+		l.Submit(submissions[i].session, spec)
 		select {
 		case call := <-nodes:
 			out.WriteString(call)
 		case <-time.After(10 * time.Second):
-			t.Fatalf("work %d is not sent", i)
+			t.Fatalf("request %d is not sent", i)
 		}
 	}
-	f, ok := l.Stats()
-	fmt.Fprintf(&out, "figures %t: counts %d, held %d, out %d, by node %v, late %d\n", ok, *f.Classes["read"], f.InFlight, f.Attempts, f.AttemptsByNode, f.LateReplies)
-	compareGolden(t, "calls.txt", out.String())
+	stats, ok := l.Stats()
+	fmt.Fprintf(&out, "figures %t: counts %d, held %d, out %d, by node %v, late %d\n", ok, *stats.Classes["read"], stats.InFlight,
+		stats.Attempts, stats.AttemptsByNode, stats.LateReplies)
+	golden.Check(t, "calls.txt", []byte(out.String()))
 }
--- a/internal/gateway/options.go
+++ b/internal/gateway/options.go
@@ -2,86 +2,49 @@
 
 import (
 	"log/slog"
-	"time"
 
 	"irispost/internal/backend/node"
 	"irispost/internal/endpoint"
 	"irispost/scheduler"
 )
 
-// Volume is what the module is told of a job's volume.
-type Volume struct {
-	ID           int64
-	ServiceLevel string
-	Gateways     float64 // gateways that its jobs come through
-}
-
-// RequestSpec is a job before the module has it.
-type RequestSpec struct {
-	Volume        *Volume
-	Class         string
-	Units         float64
-	Key           int64
-	HasKey        bool
-	Deadline      scheduler.Time // the client waits until then
-	OnResult      func()         // called on the loop just before the result is there; it must not wait. nil: nobody
-	ClientRequest uint32         // the client's request that it belongs to
-	Idempotency   uint8          // as in node.Call
-	Call          node.Call      // what to do at the node; the loop fills in whose it is and the time left
-}
-
-// Result is a job's one final answer.
-type Result struct {
-	State      scheduler.RequestState // Completed, Dismissed, WrittenOff or Withdrawn
-	RetryAfter time.Duration          // of a dismissal: when to come back
-	Reply      node.Reply             // of a completed job
-	Reason     string                 // the last execution's trouble, of a job that was given up
-	MayHaveRun bool                   // of one that was not completed: an execution of it may have run
-}
-
-// Session is a client's connection, as far as the loop is concerned: when it closes, its jobs are left.
-type Session struct {
-	Name string
-	jobs map[*job]bool // the loop's
-	gone bool          // the loop's
+// Options are what a loop is started with.
+type Options struct {
+	Name       string // of the gateway; it begins the IDs of the gateway's own requests
+	Seed       uint64 // of the scheduler's random draws
+	Settings   scheduler.Settings
+	QueueSize  int // events that may wait for the loop; at least 1
+	Clock      Clock
+	Nodes      NodeClient
+	CachedList *endpoint.List // the endpoint list as it was last held, applied before anything else; nil: none
+	Config     ConfigSource   // nil: endpoint lists come by UpdateEndpoints
+	Watch      func()         // the scheduler wants the endpoint list watched; it must not block. nil: lists come unasked
+	Log        *slog.Logger
+	Tap        Tap // nil: no observer
 }
 
-// NewSession names a session. The name has to be unique in the installation.
-func NewSession(name string) *Session { return &Session{Name: name, jobs: map[*job]bool{}} }
-
-// NodeClient are the connections to the storage nodes, in whatever protocol those speak.
+// NodeClient holds the connections to the storage nodes, in whatever protocol those speak.
 type NodeClient interface {
-	// Start sends an execution. done is called at most once, from elsewhere, and not after CallOff.
+	// Start sends an attempt to the node at an address. done is called at most once, from another goroutine, and not after
+	// Cancel.
 	Start(addr string, c *node.Call, done func(node.Reply)) node.Attempt
-	// AbortQueued has nothing begin any more at nodes that are left, for which it has been handed in and waits. It does not wait.
-	AbortQueued(left func(addr string) bool)
-	Retain(addrs map[string]bool) // connections to others may go
-	LateReplies() int64           // answers that came after their execution was given up
+	// AbortQueued fails the attempts that still wait for a connection to a node for which unavailable is true. It does not block.
+	AbortQueued(unavailable func(addr string) bool)
+	// Retain allows the client to close its connections to all nodes but these.
+	Retain(addrs map[string]bool)
+	// LateReplies counts the replies that came after their attempt was given up.
+	LateReplies() int64
 }
 
-// ActiveConfig is what a gateway that follows versions acts on: the list of nodes, and the terms; nil: those that it has.
+// ActiveConfig is what a gateway acts on that follows configuration versions.
 type ActiveConfig struct {
 	List     endpoint.List
-	Settings scheduler.Settings
+	Settings scheduler.Settings // nil: the present ones stay in force
 }
 
-// ConfigSource tell what a gateway that follows versions acts on at the time that the loop has read, where it has changed, nil
-// where not, and when to ask again at the latest, 0 for no need. What is decided by that reading is decided under it.
+// ConfigSource tells a gateway that follows configuration versions what is in force.
 type ConfigSource interface {
+	// At returns what is in force at the time that the loop has read, nil if it has not changed, and when to ask again at the
+	// latest (0: no need). Everything the scheduler decides by that reading is decided under it.
 	At(now scheduler.Time) (*ActiveConfig, scheduler.Time)
 }
-
-// Options are what a loop is started with.
-type Options struct {
-	Name       string
-	Seed       uint64
-	Settings   scheduler.Settings
-	QueueSize  int // events that may wait
-	Clock      Clock
-	Nodes      NodeClient
-	CachedList *endpoint.List // the list as it was last held, told before anything else; nil: none
-	Config     ConfigSource   // nil: lists come by List
-	Watch      func()         // the module wants the list watched; it must not wait. nil: lists come unasked
-	Log        *slog.Logger
-	Tap        Tap // nil: nobody listens
-}
--- /dev/null
+++ b/internal/gateway/session.go
@@ -0,0 +1,29 @@
+package gateway
+
+import "irispost/scheduler"
+
+// Session is a client's connection, as far as the loop is concerned: when it closes, its requests are cancelled.
+type Session struct {
+	Name     string
+	requests map[*request]bool // in flight; owned by the loop
+	closed   bool              // owned by the loop
+}
+
+// NewSession returns a session of that name, which has to be unique in the installation.
+func NewSession(name string) *Session { return &Session{Name: name, requests: map[*request]bool{}} }
+
+// CloseSession cancels the requests of a session whose client has gone.
+func (l *Loop) CloseSession(s *Session) {
+	l.post(func(now scheduler.Time) {
+		s.closed = true
+		cancelled := make([]*request, 0, len(s.requests))
+		for r := range s.requests {
+			cancelled = append(cancelled, r)
+		}
+		sortRequests(cancelled)
+		for _, r := range cancelled {
+			l.scheduler.clientCancelled(now, r.scheduled)
+			l.finish(r, Result{State: scheduler.RequestClientCancelled})
+		}
+	})
+}
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -5,33 +5,14 @@
 	"fmt"
 	"maps"
 	"math"
-	"os"
-	"path/filepath"
 	"slices"
 	"strings"
 	"testing"
 
+	"irispost/internal/testkit/golden"
 	"irispost/scheduler"
 )
 
-// compareGolden compares a text with a file of testdata. With UPDATE_GOLDEN set it writes the file instead.
-func compareGolden(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if os.Getenv("UPDATE_GOLDEN") != "" {
-		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got != string(want) {
-		t.Errorf("%s differs; got:\n%s", path, got)
-	}
-}
-
 // TestNamesMatchGolden compares what each setting, word, completion code and availability of the wire is called by us.
 func TestNamesMatchGolden(t *testing.T) {
 	var out strings.Builder
@@ -64,7 +45,7 @@
 		standing := f.Availability("availability")
 		fmt.Fprintf(&out, "availability %s -> %d, %v\n", word, standing, f.Err)
 	}
-	compareGolden(t, "names.txt", out.String())
+	golden.Check(t, "names.txt", []byte(out.String()))
 }
 
 // TestValuesMatchGolden compares how each value is read from a line and written to one.
@@ -106,5 +87,5 @@
 	if err := w.Flush(); err != nil {
 		t.Fatal(err)
 	}
-	compareGolden(t, "values.txt", out.String())
+	golden.Check(t, "values.txt", []byte(out.String()))
 }
