--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,4 +1,5 @@
-// Command adapter lets the decision module drive the bench on standard input and output.
+// Command adapter lets the scheduler drive the operators' bench on standard input and output. It exits with status 1 when a
+// line of the input cannot be read.
 package main
 
 import (
--- a/internal/adapter/adapter_test.go
+++ b/internal/adapter/adapter_test.go
@@ -9,22 +9,22 @@
 	"irispost/scheduler"
 )
 
-// talk plays lines, with "|" for the tab, to an adapter and returns its replies and its error.
-func talk(lines ...string) (string, error) {
+// exchange plays lines, with "|" for the tab, to an adapter and returns its replies in the same form, and its error.
+func exchange(lines ...string) (string, error) {
 	in := strings.ReplaceAll(strings.Join(lines, "\n")+"\n", "|", "\t")
 	var out bytes.Buffer
 	err := Run(strings.NewReader(in), &out, nil)
 	return strings.ReplaceAll(out.String(), "\t", "|"), err
 }
 
-const start = "INIT|3|77|contract.unheard_of=1|discovery=ask|lanes.count=1|lanes.0.name=read|lanes.0.target_ms=200.0|" +
+const initLine = "INIT|3|77|contract.unheard_of=1|discovery=ask|lanes.count=1|lanes.0.name=read|lanes.0.target_ms=200.0|" +
 	"lanes.0.hard_limit_ms=500.0|lanes.0.effect=read_like|lanes.0.group=all|domain.unit_mean=2.0|" +
 	"permissions.retry_after=true|permissions.max_retry_after_ms=1000.0|permissions.attempts_cap=3"
 
-var opening = []string{"MARK|100.25", start, "BACKENDS_CHANGED|3|restored|1|1", "ENTRY|1|k|z|10.0.0.1:5|-|0|ready", "EOF_BATCH"}
+var startBatch = []string{"MARK|100.25", initLine, "BACKENDS_CHANGED|3|restored|1|1", "ENTRY|1|k|z|10.0.0.1:5|-|0|ready", "EOF_BATCH"}
 
-func TestJobFromArrivalToAnswer(t *testing.T) {
-	out, err := talk(append(opening,
+func TestRequestFromArrivalToAnswer(t *testing.T) {
+	out, err := exchange(append(startBatch,
 		"MARK|110.5", "REQ|3|r-a|0|2|9|2|0|basic|610.5|7|read|0|later|fields", "EOF_BATCH",
 		"MARK|120.125", "ANSWER|3|r-a|0|10.0.0.1:5|1|9.625|1|-|-|-", "ANSWER|3|r-none|0|10.0.0.1:5|1|9|1", "WITHDRAWN|3|r-a", "EOF_BATCH",
 		"MARK|130", "DOWN|3", "RING|3|1", "REQ|3|r-b|0|2|9|2|0|basic|610.5|7|read|0", "EOF_BATCH")...)
@@ -47,18 +47,18 @@
 		"NOISE|3":                                     `line 7: no such event: "NOISE"`,
 		"BACKENDS_CHANGED|3|update|2|1":               `line 7: BACKENDS_CHANGED: "EOF_BATCH" where an ENTRY is due`,
 	} {
-		_, err := talk(append(opening, "MARK|110.5", line, "EOF_BATCH")...)
+		_, err := exchange(append(startBatch, "MARK|110.5", line, "EOF_BATCH")...)
 		if err == nil || !strings.HasPrefix(err.Error(), says) {
 			t.Errorf("%q gives %v, not %s", line, err, says)
 		}
 	}
 }
 
-func TestPanicBecomesFault(t *testing.T) {
+func TestSchedulerPanicIsReportedAsInternalError(t *testing.T) {
 	i := &instance{number: 4}
 	var out bytes.Buffer
 	a := adapter{out: wire.NewWriter(&out)}
-	a.decide(i, 5) // it has no gateway
+	a.decide(i, 5) // it has no scheduler
 	if err := a.out.Flush(); err != nil || !strings.HasPrefix(out.String(), "INTERNAL_ERROR\t4\t") {
 		t.Errorf("%v: %q", err, out.String())
 	}
--- /dev/null
+++ b/internal/adapter/equivalence_test.go
@@ -0,0 +1,41 @@
+package adapter_test
+
+import (
+	"io"
+	"strings"
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"irispost/internal/adapter"
+	"irispost/internal/testkit"
+)
+
+// TestLoopAndAdapterCallSchedulerAlike plays random scenarios to the gateway's loop, and to the adapter as the bench would send
+// them. Both schedulers have to be called alike, and so decide alike.
+func TestLoopAndAdapterCallSchedulerAlike(t *testing.T) {
+	testkit.SameSeeds(t)
+	rapid.Check(t, func(t *rapid.T) {
+		ofLoop, ofAdapter := &callTrace{}, &callTrace{}
+		s := newScenario(t, ofLoop)
+		defer s.loop.Stop()
+		for range rapid.IntRange(5, 60).Draw(t, "steps") {
+			s.step()
+		}
+		s.loop.Stop()
+		input := strings.NewReader(strings.ReplaceAll(s.wire.String(), "|", "\t"))
+		if err := adapter.Run(input, io.Discard, func(int64) adapter.Tap { return ofAdapter }); err != nil {
+			t.Fatal(err)
+		}
+		common := min(len(ofLoop.lines), len(ofAdapter.lines))
+		for i := range common {
+			if ofLoop.lines[i] != ofAdapter.lines[i] {
+				t.Fatalf("line %d:\ngateway %s\nadapter %s", i, ofLoop.lines[i], ofAdapter.lines[i])
+			}
+		}
+		if len(ofLoop.lines) != len(ofAdapter.lines) {
+			t.Fatalf("%d lines of the gateway, %d of the adapter; then\ngateway %q\nadapter %q", len(ofLoop.lines), len(ofAdapter.lines),
+				ofLoop.lines[common:], ofAdapter.lines[common:])
+		}
+	})
+}
--- a/internal/adapter/golden_test.go
+++ b/internal/adapter/golden_test.go
@@ -24,7 +24,7 @@
 		t.Fatal(err)
 	}
 	var replies bytes.Buffer
-	taps := map[int64]*trace{3: {}, 5: {}, 7: {}}
+	taps := map[int64]*callTrace{3: {}, 5: {}, 7: {}}
 	err = adapter.Run(strings.NewReader(strings.ReplaceAll(string(input), "|", "\t")), &replies, func(number int64) adapter.Tap {
 		return taps[number]
 	})
--- /dev/null
+++ b/internal/adapter/tapfile_test.go
@@ -0,0 +1,124 @@
+package adapter
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"strings"
+	"testing"
+
+	"irispost/internal/capture"
+	"irispost/internal/replay"
+)
+
+// memoryFile is a capture file in memory.
+type memoryFile struct{ bytes.Buffer }
+
+func (*memoryFile) Close() error { return nil }
+
+// tapFileOf is a tap file of batches, with what this build replies.
+func tapFileOf(t *testing.T, batches ...[]string) string {
+	t.Helper()
+	var file strings.Builder
+	file.WriteString(">> process 0, 1 bytes\n\n")
+	var lines []string
+	replied := 0
+	for _, batch := range batches {
+		lines = append(lines, batch...)
+		out, err := exchange(lines...)
+		if err != nil {
+			t.Fatal(err)
+		}
+		input := strings.ReplaceAll(strings.Join(batch, "\n")+"\n", "|", "\t")
+		reply := strings.ReplaceAll(out[replied:], "|", "\t")
+		replied = len(out)
+		fmt.Fprintf(&file, ">> process 1, %d bytes\n%s<< process 1, %d bytes\n%s", len(input), input, len(reply), reply)
+	}
+	return file.String()
+}
+
+// importedBatches are the batches of the tap file that the tests import.
+func importedBatches() [][]string {
+	return [][]string{
+		startBatch,
+		{"MARK|110.5", "REQ|3|r-a|0|2|9|2|0|basic|610.5|7|read|0", "EOF_BATCH"},
+		{"MARK|111", "BACKENDS_CHANGED|3|update|2|1", "ENTRY|1|k|z|10.0.0.2:5|105.0|1|ready",
+			"REQ|3|r-c|0|2|9|2|0|basic|610.5|7|read|-1", "EOF_BATCH"},
+		{"MARK|112", "BACKENDS_CHANGED|3|unavailable|2|0", "ACCEPTED|3|r-a|1.0|10.0.0.1:5|0", "EOF_BATCH"},
+		{"MARK|120.125", "ANSWER|3|r-a|0|10.0.0.1:5|1|9.625|1|-|-|-", "WITHDRAWN|3|r-c", "EOF_BATCH"},
+		{"MARK|300", "RING|3|1", "EOF_BATCH"},
+	}
+}
+
+// TestImportedCaptureReplaysAlike imports an instance of a tap file into a capture, which then replays without a difference.
+func TestImportedCaptureReplaysAlike(t *testing.T) {
+	file := tapFileOf(t, importedBatches()...)
+	process, err := FindProcess(strings.NewReader(file), 3)
+	if err != nil || process != 1 {
+		t.Fatal(process, err)
+	}
+	var captured memoryFile
+	recorder := capture.NewRecorder(&captured, "bench-3", "tap", capture.DefaultLimits)
+	batches, err := Import(strings.NewReader(file), process, 3, recorder)
+	if err := errors.Join(err, recorder.Close(0)); err != nil || batches != 6 {
+		t.Fatal(batches, err)
+	}
+	reader, err := capture.NewReader(&captured)
+	if err != nil {
+		t.Fatal(err)
+	}
+	kinds := map[capture.Kind]int{}
+	report, err := replay.Run(func() (*capture.Record, error) {
+		record, err := reader.Next()
+		if err == nil {
+			kinds[record.Kind]++
+		}
+		return record, err
+	}, replay.Options{})
+	if err != nil || !report.Same() || report.Decisions != 6 {
+		t.Errorf("%+v, %v", report, err)
+	}
+	if class := report.Products[0]; class.Completed != 1 || class.Left != 1 {
+		t.Errorf("%+v", class)
+	}
+	for _, kind := range []capture.Kind{capture.Listed, capture.ListedPart, capture.ListFailed, capture.Begun, capture.Take, capture.Left} {
+		if kinds[kind] == 0 {
+			t.Errorf("the capture has no record of %v", kind)
+		}
+	}
+}
+
+// TestImportReportsOtherReplies imports a tap file with a reply that this build does not give.
+func TestImportReportsOtherReplies(t *testing.T) {
+	file := strings.Replace(tapFileOf(t, importedBatches()...), "ROUTE\t3\tr-a", "ROUTE\t3\tr-z", 1)
+	recorder := capture.NewRecorder(&memoryFile{}, "g", "b", capture.DefaultLimits)
+	t.Cleanup(func() {
+		if err := recorder.Close(0); err != nil {
+			t.Error(err)
+		}
+	})
+	_, err := Import(strings.NewReader(file), 1, 3, recorder)
+	if !errors.Is(err, ErrRepliesDiffer) || !strings.Contains(err.Error(), "1 of 6") {
+		t.Error(err)
+	}
+}
+
+// TestInvalidTapFileFails reads files that are no tap files, cut off, or without the instance.
+func TestInvalidTapFileFails(t *testing.T) {
+	file := tapFileOf(t, importedBatches()...)
+	for text, want := range map[string]string{
+		"hello\n":                        "no tap",
+		file[:len(file)-3]:               "cut off",
+		file + ">> process 1, 5 bytes\n": "cut off",
+		file:                             "no instance 9",
+	} {
+		if _, err := FindProcess(strings.NewReader(text), 9); err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("%q: %v", want, err)
+		}
+		if strings.Contains(want, "cut off") {
+			if _, err := Import(strings.NewReader(text), 1, 9, nil); err == nil || !strings.Contains(err.Error(), want) {
+				t.Errorf("import, %q: %v", want, err)
+			}
+		}
+	}
+}
