--- /dev/null
+++ b/internal/wire/fields.go
@@ -0,0 +1,156 @@
+package wire
+
+import (
+	"bytes"
+	"fmt"
+	"math"
+	"strconv"
+
+	"irispost/scheduler"
+)
+
+// FieldError says what is wrong with a part of a line.
+type FieldError struct {
+	Field   string // its name
+	Problem string
+}
+
+// Error implements error.
+func (e *FieldError) Error() string { return e.Field + ": " + e.Problem }
+
+// Fields are the parts of a line, read from the left. Each method that reads one takes its name for errors.
+type Fields struct {
+	rest []byte
+	more bool
+	Err  error // about the first part that is missing or malformed, a *FieldError; nil: none is
+}
+
+// More tells whether parts are left.
+func (f *Fields) More() bool { return f.more }
+
+// fail keeps an error unless there is one already.
+func (f *Fields) fail(name, problem string) {
+	if f.Err == nil {
+		f.Err = &FieldError{Field: name, Problem: problem}
+	}
+}
+
+// failNotInteger keeps the error that a part is no whole number.
+func (f *Fields) failNotInteger(name string, part []byte) {
+	f.fail(name, fmt.Sprintf("%q is not a whole number", part))
+}
+
+// optional reads a part that may be absent; nil if it is. An absent part is "-", or not there at the end of the line.
+func (f *Fields) optional() []byte {
+	if !f.more {
+		return nil
+	}
+	part := f.rest
+	if i := bytes.IndexByte(f.rest, '\t'); i >= 0 {
+		part = f.rest[:i]
+		f.rest = f.rest[i+1:]
+	} else {
+		f.more = false
+	}
+	if len(part) == 1 && part[0] == '-' {
+		return nil
+	}
+	return part
+}
+
+// Bytes reads a part that has to be there. It is valid until the reader's next line.
+func (f *Fields) Bytes(name string) []byte {
+	part := f.optional()
+	if part == nil {
+		f.fail(name, "missing")
+	}
+	return part
+}
+
+// Text reads a part that has to be there as a string.
+func (f *Fields) Text(name string) string { return string(f.Bytes(name)) }
+
+// Skip passes over a part.
+func (f *Fields) Skip() { f.optional() }
+
+// Int reads a whole number that has to be there.
+func (f *Fields) Int(name string) int64 {
+	part := f.Bytes(name)
+	if part == nil {
+		return 0
+	}
+	v, ok := parseInteger(part)
+	if !ok {
+		f.failNotInteger(name, part)
+	}
+	return v
+}
+
+// Key reads a whole number that may be absent, and tells whether it is there.
+func (f *Fields) Key(name string) (int64, bool) {
+	part := f.optional()
+	if part == nil {
+		return 0, false
+	}
+	v, ok := parseInteger(part)
+	if !ok {
+		f.failNotInteger(name, part)
+	}
+	return v, ok
+}
+
+// Seed reads a whole number of up to 64 bits without a sign that has to be there.
+func (f *Fields) Seed(name string) uint64 {
+	part := f.Bytes(name)
+	if part == nil {
+		return 0
+	}
+	v, err := strconv.ParseUint(string(part), 10, 64)
+	if err != nil {
+		f.failNotInteger(name, part)
+	}
+	return v
+}
+
+// Number reads a finite number; one that is absent is 0.
+func (f *Fields) Number(name string) float64 {
+	part := f.optional()
+	if part == nil {
+		return 0
+	}
+	if v, ok := parseInteger(part); ok {
+		return float64(v)
+	}
+	v, err := strconv.ParseFloat(string(part), 64)
+	if err != nil || math.IsNaN(v) || math.IsInf(v, 0) {
+		f.fail(name, fmt.Sprintf("%q is not a number", part))
+		return 0
+	}
+	return v
+}
+
+// Bool reads a part that has to be 0 or 1.
+func (f *Fields) Bool(name string) bool {
+	part := f.Bytes(name)
+	switch {
+	case part == nil:
+		return false
+	case len(part) != 1 || part[0] != '0' && part[0] != '1':
+		f.fail(name, fmt.Sprintf("%q is neither 0 nor 1", part))
+		return false
+	}
+	return part[0] == '1'
+}
+
+// Time reads milliseconds with fractions as whole nanoseconds; a time that is absent is 0.
+func (f *Fields) Time(name string) scheduler.Time {
+	part := f.optional()
+	if part == nil {
+		return 0
+	}
+	t, ok := ParseTime(part)
+	if !ok {
+		f.fail(name, fmt.Sprintf("%q is not a time", part))
+	}
+	return t
+}
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -13,26 +13,26 @@
 	"irispost/scheduler"
 )
 
-// TestNamesMatchGolden compares what each setting, word, completion code and availability of the wire is called by us.
+// TestNamesMatchGolden compares what the scheduler gets for each setting, word, completion code and availability of the wire.
 func TestNamesMatchGolden(t *testing.T) {
 	var out strings.Builder
-	rename := func(path, value string) {
+	translate := func(path, value string) {
 		settings := scheduler.Settings{}
 		TranslateSetting(settings, path, value)
 		fmt.Fprintf(&out, "%s=%s -> %v\n", path, value, settings)
 	}
-	for _, path := range slices.Sorted(maps.Keys(names)) {
-		rename(strings.Replace(path, "#", "12", 1), "1.5")
+	for _, path := range slices.Sorted(maps.Keys(settingNames)) {
+		translate(strings.Replace(path, "#", "12", 1), "1.5")
 	}
-	rename("lanes.#.name", "read")
-	rename("lanes.x.name", "read")
-	rename("unknown.key", "1")
+	translate("lanes.#.name", "read")
+	translate("lanes.x.name", "read")
+	translate("unknown.key", "1")
 	for _, value := range []string{"read_like", "idempotency_key", "non_idempotent", "other"} {
-		rename("lanes.0.effect", value)
+		translate("lanes.0.effect", value)
 		fmt.Fprintf(&out, "effect %s known: %t\n", value, KnownEffect(value))
 	}
 	for _, value := range []string{"all", "zone", "cell", "other"} {
-		rename("lanes.0.group", value)
+		translate("lanes.0.group", value)
 		fmt.Fprintf(&out, "group %s known: %t\n", value, KnownGroup(value))
 	}
 	for code := -1; code <= 8; code++ {
@@ -42,8 +42,8 @@
 	}
 	for _, word := range []string{"ready", "draining", "gone", "other", "-"} {
 		f := Fields{rest: []byte(word), more: true}
-		standing := f.Availability("availability")
-		fmt.Fprintf(&out, "availability %s -> %d, %v\n", word, standing, f.Err)
+		state := f.Availability("availability")
+		fmt.Fprintf(&out, "availability %s -> %d, %v\n", word, state, f.Err)
 	}
 	golden.Check(t, "names.txt", []byte(out.String()))
 }
@@ -87,5 +87,5 @@
 	if err := w.Flush(); err != nil {
 		t.Fatal(err)
 	}
-	golden.Check(t, "values.txt", []byte(out.String()))
+	golden.Check(t, "values.txt", out.Bytes())
 }
--- a/internal/wire/names.go
+++ b/internal/wire/settings.go
@@ -6,8 +6,9 @@
 	"irispost/scheduler"
 )
 
-// names tells what the module calls a start value. "#" stands for an item's number. Others are left out.
-var names = map[string]string{
+// settingNames gives each setting's name at the scheduler for its path on the wire. "#" stands for the number of a list's item.
+// Settings that are not here are left out.
+var settingNames = map[string]string{
 	"balancers":                      "gateways",
 	"slot_no":                        "number",
 	"discovery":                      "discovery",
@@ -58,76 +59,57 @@
 	"resolution_ms":                  "tick",
 }
 
-// words are the wire's words for the values of two start values.
-var words = map[string]map[string]string{
+// settingValues gives the scheduler's words for the wire's, by the last part of the setting's name at the scheduler. Words that
+// are not here are the same at both.
+var settingValues = map[string]map[string]string{
 	"kind":  {"read_like": "replayable", "idempotency_key": "referenced", "non_idempotent": "single-use"},
 	"group": {"cell": "shard"},
 }
 
-// KnownEffect tells whether the wire has such a word for what a repeat of a product's job may do, Group whether it has one for the nodes that know it.
-func KnownEffect(word string) bool { return words["kind"][word] != "" }
+// KnownEffect tells whether the wire has such a word for the idempotency of a class's requests.
+func KnownEffect(word string) bool { return settingValues["kind"][word] != "" }
 
-// KnownGroup is told of with Kind.
+// KnownGroup tells whether the wire has such a word for the nodes that recognise a repeat by its idempotency key.
 func KnownGroup(word string) bool {
-	return word == "all" || word == "zone" || words["group"][word] != ""
+	return word == "all" || word == "zone" || settingValues["group"][word] != ""
 }
 
-// ReadSettings reads the start values that are left on the line.
+// ReadSettings reads the settings that are left on the line, PATH=VALUE each. Parts of another form are left out.
 func ReadSettings(f *Fields) scheduler.Settings {
-	terms := scheduler.Settings{}
+	settings := scheduler.Settings{}
 	for f.More() {
-		if path, value, ok := strings.Cut(string(f.optional()), "="); ok {
-			TranslateSetting(terms, path, value)
+		path, value, ok := strings.Cut(string(f.optional()), "=")
+		if ok {
+			TranslateSetting(settings, path, value)
 		}
 	}
-	return terms
+	return settings
 }
 
-// TranslateSetting adds a start value to the terms by the name that the module knows it by. One that it does not know is left out.
-func TranslateSetting(terms scheduler.Settings, path, value string) {
-	list, rest, _ := strings.Cut(path, ".")
-	number, field, isItem := strings.Cut(rest, ".")
-	isItem = isItem && number != "" && strings.Trim(number, "0123456789") == ""
-	if isItem {
-		path = list + ".#." + field
-	}
-	name, known := names[path]
+// TranslateSetting adds a setting of the wire to the settings by the scheduler's name and word. One that the scheduler does not
+// know is left out.
+func TranslateSetting(settings scheduler.Settings, path, value string) {
+	path, item, isItem := cutItem(path)
+	name, known := settingNames[path]
 	if !known {
 		return
 	}
 	if isItem {
-		name = strings.Replace(name, "#", number, 1)
-	}
-	if ours, ok := words[name[strings.LastIndexByte(name, '.')+1:]][value]; ok {
-		value = ours
+		name = strings.Replace(name, "#", item, 1)
 	}
-	terms[name] = value
-}
-
-// outcomes by completion code.
-var outcomes = [...]scheduler.Outcome{scheduler.OutcomeError, scheduler.OutcomeServed, scheduler.OutcomeOverloaded, scheduler.OutcomeTimeout, scheduler.OutcomeConnectFailed,
-	scheduler.OutcomeReset, scheduler.OutcomeCancelled, scheduler.OutcomeMisdirected}
-
-// Outcome reads a completion code.
-func (f *Fields) Outcome(name string) scheduler.Outcome {
-	code := f.Int(name)
-	if code < 0 || code >= int64(len(outcomes)) {
-		f.fail(name, "no such completion code")
-		return scheduler.OutcomePending
+	lastPart := name[strings.LastIndexByte(name, '.')+1:]
+	if word, ok := settingValues[lastPart][value]; ok {
+		value = word
 	}
-	return outcomes[code]
+	settings[name] = value
 }
 
-// Availability reads what the list says of a node.
-func (f *Fields) Availability(name string) scheduler.EndpointState {
-	switch s := f.Text(name); s {
-	case "ready":
-		return scheduler.EndpointReady
-	case "draining":
-		return scheduler.EndpointDraining
-	case "gone":
-	default:
-		f.fail(name, "no such availability: "+s)
+// cutItem takes the item's number out of the path LIST.NUMBER.FIELD and puts "#" in its place. Other paths stay as they are.
+func cutItem(path string) (general, item string, isItem bool) {
+	list, rest, _ := strings.Cut(path, ".")
+	item, field, hasField := strings.Cut(rest, ".")
+	if !hasField || item == "" || strings.Trim(item, "0123456789") != "" {
+		return path, "", false
 	}
-	return scheduler.EndpointRemoved
+	return list + ".#." + field, item, true
 }
