--- /dev/null
+++ b/internal/backend/node/client_test.go
@@ -0,0 +1,228 @@
+package node_test
+
+import (
+	"testing"
+	"time"
+
+	"irispost/internal/backend/node"
+	"irispost/internal/sftp"
+	"irispost/internal/standin"
+)
+
+// newClient returns a client with one connection to a node.
+func newClient(t *testing.T) *node.Client {
+	t.Helper()
+	c := node.NewClient(2*time.Second, 1, sftp.DefaultLimits, nil)
+	t.Cleanup(c.Close)
+	return c
+}
+
+// startNode starts a stand-in node on loopback.
+func startNode(t *testing.T, o standin.Options) *standin.Node {
+	t.Helper()
+	o.Addr, o.Marks = "127.0.0.1:0", time.Minute
+	if o.Store == nil {
+		o.Store = openStore(t, "")
+	}
+	n, err := standin.Start(o)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(n.Close)
+	return n
+}
+
+// openStore opens a stand-in's store in a folder; empty: in memory.
+func openStore(t *testing.T, dir string) *standin.Store {
+	t.Helper()
+	store, err := standin.NewStore(dir)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return store
+}
+
+// startBusyNode starts a node that runs one call at a time and queues one.
+func startBusyNode(t *testing.T) *standin.Node {
+	t.Helper()
+	return startNode(t, standin.Options{Cores: 1, Unit: time.Millisecond, Queue: 1})
+}
+
+// setFault gives a stand-in node a fault; "well" ends all.
+func setFault(t *testing.T, n *standin.Node, fault string) {
+	t.Helper()
+	if err := n.Command(fault); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// send starts a call, and returns the attempt with a channel for its reply.
+func send(c *node.Client, addr string, call node.Call) (node.Attempt, chan node.Reply) {
+	done := make(chan node.Reply, 1)
+	if call.Timeout == 0 {
+		call.Timeout = time.Minute
+	}
+	return c.Start(addr, &call, func(reply node.Reply) { done <- reply }), done
+}
+
+// run starts a call and waits for its reply.
+func run(c *node.Client, addr string, call node.Call) node.Reply {
+	_, done := send(c, addr, call)
+	return <-done
+}
+
+// runWithRetries runs a call again while the node's queue is full.
+func runWithRetries(c *node.Client, addr string, call node.Call) node.Reply {
+	for {
+		if reply := run(c, addr, call); reply.Outcome != node.QueueFull {
+			return reply
+		}
+	}
+}
+
+// settle returns when all that was sent before has reached the node.
+func settle(c *node.Client, addr string) { run(c, addr, node.Call{Op: node.GetObject, Shard: 9}) }
+
+// oneByte is a call that writes an object x.
+var oneByte = node.Call{Op: node.PutObject, Name: "x", Shard: 0, Units: 1, Timeout: time.Minute, Data: []byte("1")}
+
+func TestOutcomesThatANodeReplies(t *testing.T) {
+	c, n := newClient(t), startBusyNode(t)
+	for name, test := range map[string]struct {
+		call    node.Call
+		outcome node.Outcome
+		status  node.Status
+	}{
+		"object that does not exist": {node.Call{Op: node.GetObject, Name: "none", Shard: 0, Units: 1}, node.Executed, node.NotFound},
+		"another shard's object":     {node.Call{Op: node.GetObject, Shard: 5}, node.WrongShard, node.OK},
+		"offset too far out":         {node.Call{Op: node.PutObject, Name: "far", Shard: 0, Offset: 1 << 63}, node.Failed, node.OK},
+	} {
+		if reply := run(c, n.Addr(), test.call); reply.Outcome != test.outcome || reply.Status != test.status {
+			t.Errorf("%s: %+v", name, reply)
+		}
+	}
+	setFault(t, n, "fail 1")
+	if reply := run(c, n.Addr(), node.Call{Op: node.GetObject, Name: "none", Shard: 0}); reply.Outcome != node.Failed {
+		t.Errorf("node that fails all: %+v", reply)
+	}
+}
+
+func TestFullQueueIsReplied(t *testing.T) {
+	c, n := newClient(t), startBusyNode(t)
+	setFault(t, n, "hang")
+	send(c, n.Addr(), oneByte)
+	settle(c, n.Addr())
+	if reply := run(c, n.Addr(), node.Call{Op: node.GetObject, Shard: 0}); reply.Outcome != node.QueueFull {
+		t.Errorf("%+v", reply)
+	}
+}
+
+func TestCancelledCallDoesNotRun(t *testing.T) {
+	c, n := newClient(t), startBusyNode(t)
+	setFault(t, n, "hang")
+	attempt, done := send(c, n.Addr(), oneByte)
+	settle(c, n.Addr())
+	attempt.Cancel()
+	settle(c, n.Addr())
+	setFault(t, n, "well")
+	if reply := runWithRetries(c, n.Addr(), node.Call{Op: node.GetObject, Name: "x", Shard: 0}); reply.Status != node.NotFound {
+		t.Errorf("what was cancelled before it began has run: %+v", reply)
+	}
+	if c.LateReplies() != 0 || len(done) != 0 {
+		t.Errorf("%d late replies counted, %d handed on", c.LateReplies(), len(done))
+	}
+}
+
+func TestAbandonedCallRunsAndItsReplyIsLate(t *testing.T) {
+	c, n := newClient(t), startBusyNode(t)
+	setFault(t, n, "hang")
+	attempt, done := send(c, n.Addr(), oneByte)
+	settle(c, n.Addr())
+	attempt.(*node.PendingCall).Abandon()
+	settle(c, n.Addr())
+	setFault(t, n, "well")
+	for c.LateReplies() == 0 {
+		settle(c, n.Addr())
+	}
+	if reply := runWithRetries(c, n.Addr(), node.Call{Op: node.GetObject, Name: "x", Shard: 0, Length: 9}); string(reply.Data) != "1" {
+		t.Errorf("what was only abandoned has not run: %+v", reply)
+	}
+	if c.LateReplies() != 1 || len(done) != 0 {
+		t.Errorf("%d late replies counted, %d handed on", c.LateReplies(), len(done))
+	}
+}
+
+func TestBrokenConnectionEndsItsCall(t *testing.T) {
+	c, n := newClient(t), startBusyNode(t)
+	setFault(t, n, "hang")
+	_, done := send(c, n.Addr(), oneByte)
+	settle(c, n.Addr())
+	setFault(t, n, "reset")
+	if reply := <-done; reply.Outcome != node.ConnectionReset {
+		t.Errorf("%+v", reply)
+	}
+}
+
+func TestConnectionThatIsClosedAtOnceProvesThatNothingRan(t *testing.T) {
+	c, n := newClient(t), startBusyNode(t)
+	setFault(t, n, "refuse")
+	for range 50 { // at whatever moment of the connection's beginning it is closed
+		if reply := run(c, n.Addr(), node.Call{Op: node.GetObject, Shard: 0}); reply.Outcome != node.ConnectFailed {
+			t.Errorf("%+v", reply)
+		}
+	}
+}
+
+func TestNodeThatDoesNotListenIsConnectFailed(t *testing.T) {
+	c, n := newClient(t), startBusyNode(t)
+	n.Close()
+	if reply := run(c, n.Addr(), node.Call{Op: node.GetObject, Shard: 0}); reply.Outcome != node.ConnectFailed {
+		t.Errorf("%+v", reply)
+	}
+}
+
+func TestNodeThatDoesNotOfferTheExtensionIsConnectFailed(t *testing.T) {
+	listener := listen(t)
+	go func() {
+		for {
+			conn, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			_, _ = conn.Write([]byte{0, 0, 0, 5, 2, 0, 0, 0, 3}) // VERSION without extensions; the client may have gone
+		}
+	}()
+	if reply := run(newClient(t), listener.Addr().String(), node.Call{Op: node.GetObject}); reply.Outcome != node.ConnectFailed {
+		t.Errorf("%+v", reply)
+	}
+}
+
+func TestRepeatWithItsIdempotencyKeyChangesNothing(t *testing.T) {
+	c, n := newClient(t), startNode(t, standin.Options{})
+	swap := node.Call{Op: node.CompareAndSwapRecord, Idempotency: 1, IdempotencyKey: "m", Name: "/v/x", Shard: 0, Data: []byte("one")}
+	first, second := run(c, n.Addr(), swap), run(c, n.Addr(), swap)
+	if first.Status != node.OK || first.Version == 0 || second.Version != first.Version || second.Status != node.OK {
+		t.Errorf("%+v, again %+v", first, second)
+	}
+	swap.IdempotencyKey = "other"
+	if reply := run(c, n.Addr(), swap); reply.Status != node.VersionConflict || reply.Version != first.Version || string(reply.Data) != "one" {
+		t.Errorf("another change: %+v", reply)
+	}
+}
+
+func TestStoreComesBackFromItsFolder(t *testing.T) {
+	dir := t.TempDir()
+	c, n := newClient(t), startNode(t, standin.Options{Store: openStore(t, dir)})
+	swap := node.Call{Op: node.CompareAndSwapRecord, Idempotency: 1, IdempotencyKey: "m", Name: "/v/x", Shard: 0, Data: []byte("one")}
+	swapped := run(c, n.Addr(), swap)
+	run(c, n.Addr(), node.Call{Op: node.PutObject, Name: "o", Owner: "/v/x", Shard: 0, Offset: 2, Data: []byte("zz")})
+	restarted := startNode(t, standin.Options{Store: openStore(t, dir)})
+	record := run(c, restarted.Addr(), node.Call{Op: node.GetRecord, Name: "/v/x", Shard: 0})
+	if swapped.Version == 0 || record.Version != swapped.Version || string(record.Data) != "one" {
+		t.Errorf("the record comes back as %+v", record)
+	}
+	object := run(c, restarted.Addr(), node.Call{Op: node.GetObject, Name: "o", Shard: 0, Length: 10})
+	if string(object.Data) != "\x00\x00zz" {
+		t.Errorf("the object comes back as %+v", object)
+	}
+}
--- /dev/null
+++ b/internal/backend/node/loadreport_test.go
@@ -0,0 +1,106 @@
+package node_test
+
+import (
+	"math"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	orcav3 "github.com/cncf/xds/go/xds/data/orca/v3"
+	"google.golang.org/protobuf/proto"
+
+	"irispost/internal/backend/node"
+	"irispost/internal/sftp"
+	"irispost/internal/standin"
+)
+
+// encode returns a packet's bytes after its length, type and ID.
+func encode(t *testing.T, p *sftp.Packet) []byte {
+	t.Helper()
+	var b strings.Builder
+	if err := p.WriteOut(&b); err != nil {
+		t.Fatal(err)
+	}
+	return []byte(b.String())[9:]
+}
+
+// decode decodes a reply.
+func decode(t *testing.T, b []byte) node.Reply {
+	t.Helper()
+	reply, err := node.DecodeReply(sftp.NewFields(b))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return reply
+}
+
+// encodeMetrics encodes a load report in ORCA form.
+func encodeMetrics(t *testing.T, metrics map[string]float64) []byte {
+	t.Helper()
+	b, err := proto.Marshal(&orcav3.OrcaLoadReport{NamedMetrics: metrics, CpuUtilization: 0.5})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return b
+}
+
+// replyWithReport encodes a reply with a load report in ORCA form.
+func replyWithReport(t *testing.T, report, data []byte) []byte {
+	t.Helper()
+	const orcaFlag = 0x80
+	p := sftp.New(sftp.ExtendedReply, 1).Byte(orcaFlag | byte(node.Executed)).Byte(byte(node.OK)).Uint64(1).Uint32(2)
+	return encode(t, p.Text(string(report)).Text("").Tail(data))
+}
+
+func TestReplyIsDecodedAsItWasEncodedInEitherForm(t *testing.T) {
+	reply := node.Reply{Outcome: node.Executed, Status: node.NotFound, Version: 7, Shard: 3, InFlight: 5, Latency: 1500 * time.Microsecond,
+		UnitsElsewhere: 2.25, Message: "why", Data: []byte("data")}
+	for _, orca := range []bool{false, true} {
+		reply.ORCA = orca
+		got := decode(t, encode(t, reply.Packet(9)))
+		got.ORCA = orca
+		if !reflect.DeepEqual(got, reply) {
+			t.Errorf("%+v comes back as %+v", reply, got)
+		}
+	}
+}
+
+func TestInvalidReportIsIgnoredAndItsReplyCounts(t *testing.T) {
+	for want, report := range map[string][]byte{
+		"cannot parse": {0xff},
+		"NaN":          encodeMetrics(t, map[string]float64{node.ElsewhereMetric: math.NaN()}),
+		"-1":           encodeMetrics(t, map[string]float64{node.InflightMetric: -1}),
+		"+Inf":         encodeMetrics(t, map[string]float64{"anything": math.Inf(1)}),
+		"bytes":        make([]byte, 17<<10),
+	} {
+		reply := decode(t, replyWithReport(t, report, []byte("x")))
+		if reply.ReportErr == nil || !strings.Contains(reply.ReportErr.Error(), want) {
+			t.Errorf("%s: %v", want, reply.ReportErr)
+		}
+		if reply.Outcome != node.Executed || string(reply.Data) != "x" || reply.UnitsElsewhere+float64(reply.InFlight) != 0 {
+			t.Errorf("%s: %+v", want, reply)
+		}
+	}
+}
+
+func TestReportWithoutMetricsIsZero(t *testing.T) {
+	reply := decode(t, replyWithReport(t, encodeMetrics(t, nil), nil))
+	if reply.ReportErr != nil || reply.UnitsElsewhere != 0 {
+		t.Errorf("%+v", reply)
+	}
+}
+
+// TestReportOfAStandInNode: the report tells of the units that others were served.
+func TestReportOfAStandInNode(t *testing.T) {
+	n := startNode(t, standin.Options{Orca: true})
+	c := newClient(t)
+	call := node.Call{Gateway: "g1", Volume: 4, Units: 2, RequestID: "a", IdempotencyKey: "a", Op: node.PutObject, Name: "o",
+		Data: []byte("x"), Length: 1}
+	run(c, n.Addr(), call)
+	call.Gateway, call.RequestID, call.IdempotencyKey = "g2", "b", "b"
+	reply := run(c, n.Addr(), call)
+	if reply.Outcome != node.Executed || reply.UnitsElsewhere != 2 || reply.ReportErr != nil {
+		t.Errorf("%+v", reply)
+	}
+}
