--- /dev/null
+++ b/internal/packetconn/dial.go
@@ -0,0 +1,27 @@
+package packetconn
+
+import (
+	"context"
+	"time"
+
+	"github.com/cloudwego/netpoll"
+)
+
+// Dial connects to a TCP address, with a handler made for the connection.
+func Dial(addr string, limits Limits, timeout time.Duration, newHandler func(*Conn) Handler) (*Conn, error) {
+	raw, err := netpoll.DialConnection("tcp", addr, timeout)
+	if err != nil {
+		return nil, err
+	}
+	c := newConn(raw, limits)
+	handler := newHandler(c)
+	c.start(handler.Closed)
+	err = raw.SetOnRequest(func(context.Context, netpoll.Connection) error {
+		c.readLoop(handler)
+		return nil
+	})
+	if err != nil {
+		c.Close(err) // the handler learns of it by Closed
+	}
+	return c, nil
+}
