--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,5 +1,5 @@
-// Command adapter lets the scheduler drive the operators' bench on standard input and output. It exits with status 1 when a
-// line of the input cannot be read.
+// Command adapter lets the scheduler drive the operators' bench on standard input and output. It exits with status 1
+// when a line of the input cannot be read.
 package main
 
 import (
--- a/internal/adapter/actions.go
+++ b/internal/adapter/actions.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// setTimer sets a timer for the next decision, if that is due before the timer that is set already. A timer cannot be taken
-// back; one that comes too early only leads to a decision that changes nothing.
+// setTimer sets a timer for the next decision, if that is due before the timer that is set already. A timer cannot be
+// taken back; one that comes too early only leads to a decision that changes nothing.
 func (a *adapter) setTimer(i *instance, now, nextWake scheduler.Time) {
 	if nextWake <= 0 || i.wakeAt != 0 && nextWake >= i.wakeAt {
 		return
--- a/internal/adapter/adapter.go
+++ b/internal/adapter/adapter.go
@@ -1,9 +1,9 @@
-// Package adapter lets the scheduler drive the operators' bench: it reads batches of events, turns each into a call of its
-// instance's scheduler, and writes the decisions as actions. Command adapter calls it, and the capture command to import a
-// tap file of the bench.
+// Package adapter lets the scheduler drive the operators' bench: it reads batches of events, turns each into a call
+// of its instance's scheduler, and writes the decisions as actions. Command adapter calls it, and the capture command
+// to import a tap file of the bench.
 //
-// Its instances share no state. It decides nothing, knows no time but that of a batch, and does no I/O but on the reader and
-// writer that it is given.
+// Its instances share no state. It decides nothing, knows no time but that of a batch, and does no I/O but on the
+// reader and writer that it is given.
 package adapter
 
 import (
--- a/internal/adapter/adapter_test.go
+++ b/internal/adapter/adapter_test.go
@@ -16,16 +16,18 @@
 	return strings.ReplaceAll(out.String(), "\t", "|"), err
 }
 
-const initLine = "INIT|3|77|contract.unheard_of=1|discovery=ask|lanes.count=1|lanes.0.name=read|lanes.0.target_ms=200.0|" +
-	"lanes.0.hard_limit_ms=500.0|lanes.0.effect=read_like|lanes.0.group=all|domain.unit_mean=2.0|" +
+const initLine = "INIT|3|77|contract.unheard_of=1|discovery=ask|lanes.count=1|lanes.0.name=read|" +
+	"lanes.0.target_ms=200.0|lanes.0.hard_limit_ms=500.0|lanes.0.effect=read_like|lanes.0.group=all|domain.unit_mean=2.0|" +
 	"permissions.retry_after=true|permissions.max_retry_after_ms=1000.0|permissions.attempts_cap=3"
 
-var startBatch = []string{"MARK|100.25", initLine, "BACKENDS_CHANGED|3|restored|1|1", "ENTRY|1|k|z|10.0.0.1:5|-|0|ready", "EOF_BATCH"}
+var startBatch = []string{"MARK|100.25", initLine, "BACKENDS_CHANGED|3|restored|1|1",
+	"ENTRY|1|k|z|10.0.0.1:5|-|0|ready", "EOF_BATCH"}
 
 func TestRequestFromArrivalToAnswer(t *testing.T) {
 	out, err := exchange(append(startBatch,
 		"MARK|110.5", "REQ|3|r-a|0|2|9|2|0|basic|610.5|7|read|0|later|fields", "EOF_BATCH",
-		"MARK|120.125", "ANSWER|3|r-a|0|10.0.0.1:5|1|9.625|1|-|-|-", "ANSWER|3|r-none|0|10.0.0.1:5|1|9|1", "WITHDRAWN|3|r-a", "EOF_BATCH",
+		"MARK|120.125", "ANSWER|3|r-a|0|10.0.0.1:5|1|9.625|1|-|-|-", "ANSWER|3|r-none|0|10.0.0.1:5|1|9|1",
+		"WITHDRAWN|3|r-a", "EOF_BATCH",
 		"MARK|130", "DOWN|3", "RING|3|1", "REQ|3|r-b|0|2|9|2|0|basic|610.5|7|read|0", "EOF_BATCH")...)
 	replies := strings.Split(out, "ACK\n")
 	if err != nil || len(replies) != 5 || replies[3] != "" {
--- a/internal/adapter/endpoints.go
+++ b/internal/adapter/endpoints.go
@@ -8,8 +8,8 @@
 	"irispost/scheduler"
 )
 
-// backendsChanged reads an endpoint list event with its entries and applies it. For an instance that is down it is read and
-// dropped.
+// backendsChanged reads an endpoint list event with its entries and applies it. For an instance that is down it is
+// read and dropped.
 func (a *adapter) backendsChanged(target *instance, now scheduler.Time, fields *wire.Fields) {
 	mode := fields.Text("mode")
 	fields.Int("rev")
--- a/internal/adapter/equivalence_test.go
+++ b/internal/adapter/equivalence_test.go
@@ -11,8 +11,8 @@
 	"irispost/internal/testkit"
 )
 
-// TestLoopAndAdapterCallSchedulerAlike plays random scenarios to the gateway's loop, and to the adapter as the bench would send
-// them. Both schedulers have to be called alike, and so decide alike.
+// TestLoopAndAdapterCallSchedulerAlike plays random scenarios to the gateway's loop, and to the adapter as the bench
+// would send them. Both schedulers have to be called alike, and so decide alike.
 func TestLoopAndAdapterCallSchedulerAlike(t *testing.T) {
 	testkit.SameSeeds(t)
 	rapid.Check(t, func(t *rapid.T) {
@@ -34,8 +34,8 @@
 			}
 		}
 		if len(ofLoop.lines) != len(ofAdapter.lines) {
-			t.Fatalf("%d lines of the gateway, %d of the adapter; then\ngateway %q\nadapter %q", len(ofLoop.lines), len(ofAdapter.lines),
-				ofLoop.lines[common:], ofAdapter.lines[common:])
+			t.Fatalf("%d lines of the gateway, %d of the adapter; then\ngateway %q\nadapter %q",
+				len(ofLoop.lines), len(ofAdapter.lines), ofLoop.lines[common:], ofAdapter.lines[common:])
 		}
 	})
 }
--- a/internal/adapter/fixtures_test.go
+++ b/internal/adapter/fixtures_test.go
@@ -31,7 +31,8 @@
 		"permissions.retry_after=true|permissions.max_retry_after_ms=1000.0|permissions.dial_timeout_ms=250.0|permissions.idle_close_ms=30000.0"
 )
 
-// settingsVariant is a change of the settings: what is replaced by what, in the platform's file and as the bench sends it.
+// settingsVariant is a change of the settings: what is replaced by what, in the platform's file and as the bench
+// sends it.
 type settingsVariant struct{ platformOld, platformNew, wireOld, wireNew string }
 
 var settingsVariants = []settingsVariant{
@@ -60,15 +61,15 @@
 	return c.next.Swap(nil), 0
 }
 
-// heldNodes is a node client that holds what is sent until the scenario ends it.
-type heldNodes struct {
+// fakeNodes is a node client that holds what is sent until the scenario ends it.
+type fakeNodes struct {
 	mutex sync.Mutex
-	sent  []*heldAttempt
+	sent  []*fakeAttempt
 }
 
-// heldAttempt is an attempt that was sent.
-type heldAttempt struct {
-	nodes     *heldNodes
+// fakeAttempt is an attempt that was sent.
+type fakeAttempt struct {
+	nodes     *fakeNodes
 	call      node.Call
 	addr      string
 	sentAt    scheduler.Time
@@ -77,26 +78,26 @@
 	ended     bool
 }
 
-func (n *heldNodes) Start(addr string, call *node.Call, done func(node.Reply)) node.Attempt {
+func (n *fakeNodes) Start(addr string, call *node.Call, done func(node.Reply)) node.Attempt {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	a := &heldAttempt{nodes: n, call: *call, addr: addr, done: done}
+	a := &fakeAttempt{nodes: n, call: *call, addr: addr, done: done}
 	n.sent = append(n.sent, a)
 	return a
 }
 
-func (a *heldAttempt) Cancel() {
+func (a *fakeAttempt) Cancel() {
 	a.nodes.mutex.Lock()
 	defer a.nodes.mutex.Unlock()
 	a.cancelled = true
 }
 
-func (n *heldNodes) Retain(map[string]bool)        {}
-func (n *heldNodes) AbortQueued(func(string) bool) {}
-func (n *heldNodes) LateReplies() int64            { return 0 }
+func (n *fakeNodes) Retain(map[string]bool)        {}
+func (n *fakeNodes) AbortQueued(func(string) bool) {}
+func (n *fakeNodes) LateReplies() int64            { return 0 }
 
 // inFlight lists the attempts that have neither ended nor been cancelled.
-func (n *heldNodes) inFlight() (list []*heldAttempt) {
+func (n *fakeNodes) inFlight() (list []*fakeAttempt) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	for _, a := range n.sent {
--- a/internal/adapter/instance.go
+++ b/internal/adapter/instance.go
@@ -24,7 +24,8 @@
 	}
 }
 
-// handle turns an event into a call of the scheduler. Errors of the line are left in the fields; such an event is not passed on.
+// handle turns an event into a call of the scheduler. Errors of the line are left in the fields; such an event is not
+// passed on.
 func (i *instance) handle(name string, now scheduler.Time, fields *wire.Fields) {
 	switch name {
 	case eventInit:
--- a/internal/adapter/protocol.go
+++ b/internal/adapter/protocol.go
@@ -21,7 +21,8 @@
 	eventPeerMessage      = "PEER"
 )
 
-// Events that the bench does not send. They carry what an installation that follows configuration versions tells a gateway.
+// Events that the bench does not send. They carry what an installation that follows configuration versions tells a
+// gateway.
 const (
 	eventSettingsChanged = "AGREED"
 	eventAllocated       = "LENT"
@@ -54,8 +55,8 @@
 // isEvent tells whether a line's name is that of an event.
 func isEvent(name string) bool {
 	switch name {
-	case eventInit, eventDown, eventBackendsChanged, eventRequest, eventStreamStarted, eventAttemptEnded, eventClientCancelled,
-		eventTimer, eventHealthCheckEnded, eventPeerMessage, eventSettingsChanged, eventAllocated:
+	case eventInit, eventDown, eventBackendsChanged, eventRequest, eventStreamStarted, eventAttemptEnded,
+		eventClientCancelled, eventTimer, eventHealthCheckEnded, eventPeerMessage, eventSettingsChanged, eventAllocated:
 		return true
 	}
 	return false
--- a/internal/adapter/tapfile.go
+++ b/internal/adapter/tapfile.go
@@ -35,9 +35,9 @@
 	}
 }
 
-// Import plays the input of a process in a tap file to this build's schedulers, with a tap on one instance. It returns how many
-// batches there were. The error is ErrRepliesDiffer where the replies are not those of the file; what the tap observed is then
-// this build's behaviour.
+// Import plays the input of a process in a tap file to this build's schedulers, with a tap on one instance. It
+// returns how many batches there were. The error is ErrRepliesDiffer where the replies are not those of the file;
+// what the tap observed is then this build's behaviour.
 func Import(tapFile io.Reader, process int, instance int64, t Tap) (batches int, err error) {
 	p := &playback{in: bufio.NewReaderSize(tapFile, tapBufferSize), process: process}
 	err = Run(p, p, func(number int64) Tap {
@@ -47,13 +47,14 @@
 		return nil
 	})
 	if err == nil && p.differing > 0 {
-		err = fmt.Errorf("%w in %d of %d batches, first in batch %d", ErrRepliesDiffer, p.differing, p.batches, p.firstDiffering)
+		err = fmt.Errorf("%w in %d of %d batches, first in batch %d",
+			ErrRepliesDiffer, p.differing, p.batches, p.firstDiffering)
 	}
 	return p.batches, err
 }
 
-// section is a part of a tap file: what the bench sent to a process, or what the process replied. It is preceded by a line
-// ">> process N, B bytes" or "<< process N, B bytes" with the length of its body.
+// section is a part of a tap file: what the bench sent to a process, or what the process replied. It is preceded by a
+// line ">> process N, B bytes" or "<< process N, B bytes" with the length of its body.
 type section struct {
 	input   bool // sent to the process
 	process int
@@ -85,7 +86,8 @@
 	return s, nil
 }
 
-// playback hands the recorded input of a process to an adapter and compares the adapter's replies with the recorded ones.
+// playback hands the recorded input of a process to an adapter and compares the adapter's replies with the recorded
+// ones.
 type playback struct {
 	in             *bufio.Reader
 	process        int
@@ -96,7 +98,8 @@
 	firstDiffering int // number of the first of them, from 1
 }
 
-// Read hands out the recorded input. It compares the recorded replies that it passes with what has been written by then.
+// Read hands out the recorded input. It compares the recorded replies that it passes with what has been written by
+// then.
 func (p *playback) Read(b []byte) (int, error) {
 	for len(p.input) == 0 {
 		s, err := readSection(p.in)
--- a/internal/adapter/tapfile_test.go
+++ b/internal/adapter/tapfile_test.go
@@ -50,7 +50,8 @@
 	}
 }
 
-// TestImportedCaptureReplaysAlike imports an instance of a tap file into a capture, which then replays without a difference.
+// TestImportedCaptureReplaysAlike imports an instance of a tap file into a capture, which then replays without a
+// difference.
 func TestImportedCaptureReplaysAlike(t *testing.T) {
 	file := tapFileOf(t, importedBatches()...)
 	process, err := FindProcess(strings.NewReader(file), 3)
@@ -81,7 +82,8 @@
 	if class := report.Products[0]; class.Completed != 1 || class.Left != 1 {
 		t.Errorf("%+v", class)
 	}
-	for _, kind := range []capture.Kind{capture.Listed, capture.ListedPart, capture.ListFailed, capture.Begun, capture.Take, capture.Left} {
+	for _, kind := range []capture.Kind{capture.Listed, capture.ListedPart, capture.ListFailed, capture.Begun, capture.Take,
+		capture.Left} {
 		if kinds[kind] == 0 {
 			t.Errorf("the capture has no record of %v", kind)
 		}
--- a/internal/adapter/trace_test.go
+++ b/internal/adapter/trace_test.go
@@ -7,8 +7,8 @@
 	"irispost/scheduler"
 )
 
-// callTrace is a tap that writes down what a scheduler is told and what it decides, in a form that does not depend on whether the
-// gateway's loop or the adapter calls it. Golden files hold that form.
+// callTrace is a tap that writes down what a scheduler is told and what it decides, in a form that does not depend on
+// whether the gateway's loop or the adapter calls it. Golden files hold that form.
 type callTrace struct{ lines []string }
 
 func (t *callTrace) add(now scheduler.Time, format string, args ...any) {
@@ -39,23 +39,25 @@
 	t.add(now, "agreed %v", settings)
 }
 
-func (t *callTrace) Allocated(now scheduler.Time, addr string, startedAt scheduler.Time, units float64, expiresAt scheduler.Time) {
+func (t *callTrace) Allocated(now scheduler.Time, addr string, startedAt scheduler.Time, units float64,
+	expiresAt scheduler.Time) {
 	t.add(now, "lent %s of %d %v till %d", addr, startedAt, units, expiresAt)
 }
 
-func (t *callTrace) Submitted(now scheduler.Time, r *scheduler.Request, volume int64, serviceLevel, class string, gateways float64,
-	hasKey bool) {
-	t.add(now, "take %s units=%v shard=%d key=%d write=%t stop=%d volume=%d %s %s %v %t", r.ID, r.Units, r.Shard, r.Key, r.Write,
-		r.Deadline, volume, serviceLevel, class, gateways, hasKey)
+func (t *callTrace) Submitted(now scheduler.Time, r *scheduler.Request, volume int64, serviceLevel, class string,
+	gateways float64, hasKey bool) {
+	t.add(now, "take %s units=%v shard=%d key=%d write=%t stop=%d volume=%d %s %s %v %t",
+		r.ID, r.Units, r.Shard, r.Key, r.Write, r.Deadline, volume, serviceLevel, class, gateways, hasKey)
 }
 
 func (t *callTrace) StreamStarted(now scheduler.Time, requestID string, number int) {
 	t.add(now, "begun %s %d", requestID, number)
 }
 
-func (t *callTrace) AttemptEnded(now scheduler.Time, requestID string, number int, outcome scheduler.Outcome, took scheduler.Time,
-	final bool, unitsElsewhere float64, _ int, _ scheduler.Time) {
-	t.add(now, "ended %s %d outcome=%d took=%d final=%t others=%v", requestID, number, outcome, took, final, unitsElsewhere)
+func (t *callTrace) AttemptEnded(now scheduler.Time, requestID string, number int, outcome scheduler.Outcome,
+	took scheduler.Time, final bool, unitsElsewhere float64, _ int, _ scheduler.Time) {
+	t.add(now, "ended %s %d outcome=%d took=%d final=%t others=%v",
+		requestID, number, outcome, took, final, unitsElsewhere)
 }
 
 func (t *callTrace) ClientCancelled(now scheduler.Time, requestID string) {
--- a/internal/backend/node/abort_test.go
+++ b/internal/backend/node/abort_test.go
@@ -39,8 +39,8 @@
 	return got
 }
 
-// TestQueuedCallIsAbortedAtUnavailableNode: what waits for a connection to be greeted is not sent once its node is unavailable;
-// what is started after that is.
+// TestQueuedCallIsAbortedAtUnavailableNode: what waits for a connection to be greeted is not sent once its node is
+// unavailable; what is started after that is.
 func TestQueuedCallIsAbortedAtUnavailableNode(t *testing.T) {
 	listener := listen(t)
 	addr := listener.Addr().String()
--- a/internal/backend/node/call.go
+++ b/internal/backend/node/call.go
@@ -82,8 +82,8 @@
 	return c, nil
 }
 
-// CancelPacket encodes the request that asks a node to drop an attempt that it has not begun. It has no reply. The attempt's call
-// was sent under callID on the same connection.
+// CancelPacket encodes the request that asks a node to drop an attempt that it has not begun. It has no reply. The
+// attempt's call was sent under callID on the same connection.
 func CancelPacket(id, callID uint32, c *Call) *sftp.Packet {
 	return sftp.New(sftp.Extended, id).
 		Text(CancelExtension).
--- a/internal/backend/node/call_test.go
+++ b/internal/backend/node/call_test.go
@@ -10,8 +10,9 @@
 )
 
 func TestCallIsDecodedAsItWasEncoded(t *testing.T) {
-	call := node.Call{Gateway: "g", RequestID: "g/1:2#3", Attempt: 2, Volume: 9, Units: 1.25, Timeout: 70 * time.Millisecond, Idempotency: 1,
-		OrderingKey: 77, Shard: -1, IdempotencyKey: "m", Op: node.PutObject, Name: "o", Owner: "/v/x", Offset: 5, Length: 6, Version: 7}
+	call := node.Call{Gateway: "g", RequestID: "g/1:2#3", Attempt: 2, Volume: 9, Units: 1.25,
+		Timeout: 70 * time.Millisecond, Idempotency: 1, OrderingKey: 77, Shard: -1, IdempotencyKey: "m",
+		Op: node.PutObject, Name: "o", Owner: "/v/x", Offset: 5, Length: 6, Version: 7}
 	fields := sftp.NewFields(call.Packet(4).Body())
 	fields.Uint32() // request ID
 	fields.Text()   // extension
--- a/internal/backend/node/client.go
+++ b/internal/backend/node/client.go
@@ -26,7 +26,8 @@
 	invalidReportLogged atomic.Bool
 }
 
-// NewClient returns a client that waits connectTimeout for a connection at most, and has up to perNode connections to a node.
+// NewClient returns a client that waits connectTimeout for a connection at most, and has up to perNode connections to
+// a node.
 func NewClient(connectTimeout time.Duration, perNode int, limits sftp.Limits, log *slog.Logger) *Client {
 	return &Client{
 		limits:         limits,
@@ -40,8 +41,8 @@
 // LateReplies counts the replies that came after their call was given up, and were dropped.
 func (c *Client) LateReplies() int64 { return c.lateReplies.Load() }
 
-// Start sends a call to the node at an address. done is called once, from another goroutine, unless the call is cancelled or
-// abandoned first.
+// Start sends a call to the node at an address. done is called once, from another goroutine, unless the call is
+// cancelled or abandoned first.
 func (c *Client) Start(addr string, call *Call, done func(Reply)) Attempt {
 	p := &PendingCall{call: call, done: done}
 	conn := c.connectionTo(addr)
@@ -51,8 +52,8 @@
 	return p
 }
 
-// connectionTo returns the connection for the next call to a node, a new one while there are fewer than may be; nil if the client
-// is closed.
+// connectionTo returns the connection for the next call to a node, a new one while there are fewer than may be; nil
+// if the client is closed.
 func (c *Client) connectionTo(addr string) *connection {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/backend/node/client_test.go
+++ b/internal/backend/node/client_test.go
@@ -86,6 +86,10 @@
 // oneByte is a call that writes an object x.
 var oneByte = node.Call{Op: node.PutObject, Name: "x", Shard: 0, Units: 1, Timeout: time.Minute, Data: []byte("1")}
 
+// swapRecord is a call that writes a record which does not exist.
+var swapRecord = node.Call{Op: node.CompareAndSwapRecord, Idempotency: 1, IdempotencyKey: "m", Name: "/v/x", Shard: 0,
+	Data: []byte("one")}
+
 func TestOutcomesThatANodeReplies(t *testing.T) {
 	c, n := newClient(t), startBusyNode(t)
 	for name, test := range map[string]struct {
@@ -93,9 +97,9 @@
 		outcome node.Outcome
 		status  node.Status
 	}{
-		"object that does not exist": {node.Call{Op: node.GetObject, Name: "none", Shard: 0, Units: 1}, node.Executed, node.NotFound},
+		"object that does not exist": {node.Call{Op: node.GetObject, Name: "none", Units: 1}, node.Executed, node.NotFound},
 		"another shard's object":     {node.Call{Op: node.GetObject, Shard: 5}, node.WrongShard, node.OK},
-		"offset too far out":         {node.Call{Op: node.PutObject, Name: "far", Shard: 0, Offset: 1 << 63}, node.Failed, node.OK},
+		"offset too far out":         {node.Call{Op: node.PutObject, Name: "far", Offset: 1 << 63}, node.Failed, node.OK},
 	} {
 		if reply := run(c, n.Addr(), test.call); reply.Outcome != test.outcome || reply.Status != test.status {
 			t.Errorf("%s: %+v", name, reply)
@@ -125,7 +129,8 @@
 	attempt.Cancel()
 	settle(c, n.Addr())
 	setFault(t, n, "well")
-	if reply := runWithRetries(c, n.Addr(), node.Call{Op: node.GetObject, Name: "x", Shard: 0}); reply.Status != node.NotFound {
+	reply := runWithRetries(c, n.Addr(), node.Call{Op: node.GetObject, Name: "x", Shard: 0})
+	if reply.Status != node.NotFound {
 		t.Errorf("what was cancelled before it began has run: %+v", reply)
 	}
 	if c.LateReplies() != 0 || len(done) != 0 {
@@ -144,7 +149,8 @@
 	for c.LateReplies() == 0 {
 		settle(c, n.Addr())
 	}
-	if reply := runWithRetries(c, n.Addr(), node.Call{Op: node.GetObject, Name: "x", Shard: 0, Length: 9}); string(reply.Data) != "1" {
+	reply := runWithRetries(c, n.Addr(), node.Call{Op: node.GetObject, Name: "x", Shard: 0, Length: 9})
+	if string(reply.Data) != "1" {
 		t.Errorf("what was only abandoned has not run: %+v", reply)
 	}
 	if c.LateReplies() != 1 || len(done) != 0 {
@@ -192,20 +198,22 @@
 			_, _ = conn.Write([]byte{0, 0, 0, 5, 2, 0, 0, 0, 3}) // VERSION without extensions; the client may have gone
 		}
 	}()
-	if reply := run(newClient(t), listener.Addr().String(), node.Call{Op: node.GetObject}); reply.Outcome != node.ConnectFailed {
+	reply := run(newClient(t), listener.Addr().String(), node.Call{Op: node.GetObject})
+	if reply.Outcome != node.ConnectFailed {
 		t.Errorf("%+v", reply)
 	}
 }
 
 func TestRepeatWithItsIdempotencyKeyChangesNothing(t *testing.T) {
 	c, n := newClient(t), startNode(t, standin.Options{})
-	swap := node.Call{Op: node.CompareAndSwapRecord, Idempotency: 1, IdempotencyKey: "m", Name: "/v/x", Shard: 0, Data: []byte("one")}
+	swap := swapRecord
 	first, second := run(c, n.Addr(), swap), run(c, n.Addr(), swap)
 	if first.Status != node.OK || first.Version == 0 || second.Version != first.Version || second.Status != node.OK {
 		t.Errorf("%+v, again %+v", first, second)
 	}
 	swap.IdempotencyKey = "other"
-	if reply := run(c, n.Addr(), swap); reply.Status != node.VersionConflict || reply.Version != first.Version || string(reply.Data) != "one" {
+	reply := run(c, n.Addr(), swap)
+	if reply.Status != node.VersionConflict || reply.Version != first.Version || string(reply.Data) != "one" {
 		t.Errorf("another change: %+v", reply)
 	}
 }
@@ -213,7 +221,7 @@
 func TestStoreComesBackFromItsFolder(t *testing.T) {
 	dir := t.TempDir()
 	c, n := newClient(t), startNode(t, standin.Options{Store: openStore(t, dir)})
-	swap := node.Call{Op: node.CompareAndSwapRecord, Idempotency: 1, IdempotencyKey: "m", Name: "/v/x", Shard: 0, Data: []byte("one")}
+	swap := swapRecord
 	swapped := run(c, n.Addr(), swap)
 	run(c, n.Addr(), node.Call{Op: node.PutObject, Name: "o", Owner: "/v/x", Shard: 0, Offset: 2, Data: []byte("zz")})
 	restarted := startNode(t, standin.Options{Store: openStore(t, dir)})
--- a/internal/backend/node/golden_test.go
+++ b/internal/backend/node/golden_test.go
@@ -31,11 +31,12 @@
 	var out strings.Builder
 	calls := []node.Call{
 		{},
-		{Gateway: "g", RequestID: "g/1:2#3", Attempt: 2, Volume: 9, Units: 1.25, Timeout: 70 * time.Millisecond, StartWithin: time.Second,
-			Idempotency: 1, OrderingKey: 77, Shard: -1, IdempotencyKey: "m", Headers: []string{"a", "b"}, Op: node.PutObject, Name: "o",
-			Owner: "/v/x", Offset: 5, Length: 6, Version: 7, Data: []byte("data")},
-		{Gateway: "gateway-2", RequestID: "j", Attempt: 1, Volume: -1, Units: 0.0005, Timeout: time.Microsecond, Idempotency: 2,
-			OrderingKey: -1, Shard: 1 << 20, Op: node.CompareAndSwapRecord, Name: "/v/x"},
+		{Gateway: "g", RequestID: "g/1:2#3", Attempt: 2, Volume: 9, Units: 1.25, Timeout: 70 * time.Millisecond,
+			StartWithin: time.Second, Idempotency: 1, OrderingKey: 77, Shard: -1, IdempotencyKey: "m",
+			Headers: []string{"a", "b"}, Op: node.PutObject, Name: "o", Owner: "/v/x", Offset: 5, Length: 6, Version: 7,
+			Data: []byte("data")},
+		{Gateway: "gateway-2", RequestID: "j", Attempt: 1, Volume: -1, Units: 0.0005, Timeout: time.Microsecond,
+			Idempotency: 2, OrderingKey: -1, Shard: 1 << 20, Op: node.CompareAndSwapRecord, Name: "/v/x"},
 	}
 	for i, call := range calls {
 		fmt.Fprintf(&out, "call %d\n%s", i, packetHex(t, call.Packet(uint32(4+i))))
@@ -49,15 +50,15 @@
 	}
 	items := []node.ListItem{{Name: "/v/x", Version: 3, Data: []byte("record")}, {Name: "o", Owner: "/v/x", Age: 60}}
 	fmt.Fprintf(&out, "items\n  % x\n", node.EncodeItems(items))
-	operations := []node.Operation{node.GetObject, node.PutObject, node.DeleteObject, node.GetRecord, node.CompareAndSwapRecord,
-		node.ListRecords, node.ListObjects}
+	operations := []node.Operation{node.GetObject, node.PutObject, node.DeleteObject, node.GetRecord,
+		node.CompareAndSwapRecord, node.ListRecords, node.ListObjects}
 	for _, op := range operations {
 		fmt.Fprintf(&out, "operation %d writes %t\n", op, op.Writes())
 	}
 	fmt.Fprintf(&out, "operations %d\n", operations)
 	fmt.Fprintf(&out, "codes %d\n", []node.Status{node.OK, node.NotFound, node.VersionConflict})
-	fmt.Fprintf(&out, "outcomes %d\n", []node.Outcome{node.Failed, node.Executed, node.QueueFull, node.WrongShard, node.ConnectFailed,
-		node.ConnectionReset})
+	fmt.Fprintf(&out, "outcomes %d\n", []node.Outcome{node.Failed, node.Executed, node.QueueFull, node.WrongShard,
+		node.ConnectFailed, node.ConnectionReset})
 	fmt.Fprintf(&out, "extensions %s %s\n", node.ExecExtension, node.CancelExtension)
 	fmt.Fprintf(&out, "metrics %s %s %s\n", node.InflightMetric, node.LatencyMetric, node.ElsewhereMetric)
 	golden.Check(t, "messages.txt", []byte(out.String()))
--- a/internal/backend/node/loadreport.go
+++ b/internal/backend/node/loadreport.go
@@ -9,12 +9,12 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Names of the metrics of a load report in ORCA form, in its named_metrics (xds.data.orca.v3.OrcaLoadReport). What else such a
-// report holds is not used: the scheduler measures nodes itself.
+// Names of the metrics of a load report in ORCA form, in its named_metrics (xds.data.orca.v3.OrcaLoadReport). What
+// else such a report holds is not used: the scheduler measures nodes itself.
 const (
 	InflightMetric  = "irispost.inflight"   // requests that the node holds
 	LatencyMetric   = "irispost.latency_us" // its recent service time in microseconds, without waiting
-	ElsewhereMetric = "irispost.others"     // units served the volume through other gateways since the last reply to this one
+	ElsewhereMetric = "irispost.others"     // as Reply.UnitsElsewhere
 )
 
 const (
--- a/internal/backend/node/loadreport_test.go
+++ b/internal/backend/node/loadreport_test.go
@@ -54,8 +54,8 @@
 }
 
 func TestReplyIsDecodedAsItWasEncodedInEitherForm(t *testing.T) {
-	reply := node.Reply{Outcome: node.Executed, Status: node.NotFound, Version: 7, Shard: 3, InFlight: 5, Latency: 1500 * time.Microsecond,
-		UnitsElsewhere: 2.25, Message: "why", Data: []byte("data")}
+	reply := node.Reply{Outcome: node.Executed, Status: node.NotFound, Version: 7, Shard: 3, InFlight: 5,
+		Latency: 1500 * time.Microsecond, UnitsElsewhere: 2.25, Message: "why", Data: []byte("data")}
 	for _, orca := range []bool{false, true} {
 		reply.ORCA = orca
 		got := decode(t, encode(t, reply.Packet(9)))
@@ -95,8 +95,8 @@
 func TestReportOfAStandInNode(t *testing.T) {
 	n := startNode(t, standin.Options{Orca: true})
 	c := newClient(t)
-	call := node.Call{Gateway: "g1", Volume: 4, Units: 2, RequestID: "a", IdempotencyKey: "a", Op: node.PutObject, Name: "o",
-		Data: []byte("x"), Length: 1}
+	call := node.Call{Gateway: "g1", Volume: 4, Units: 2, RequestID: "a", IdempotencyKey: "a", Op: node.PutObject,
+		Name: "o", Data: []byte("x"), Length: 1}
 	run(c, n.Addr(), call)
 	call.Gateway, call.RequestID, call.IdempotencyKey = "g2", "b", "b"
 	reply := run(c, n.Addr(), call)
--- a/internal/backend/node/protocol.go
+++ b/internal/backend/node/protocol.go
@@ -1,12 +1,12 @@
-// Package node is a gateway's client of the storage nodes that speak the node protocol: its messages, the connections, and the
-// outcome of each attempt. The gateway's loop calls the client; stand-in nodes use the messages. docs/node-protocol.md describes
-// the protocol.
+// Package node is a gateway's client of the storage nodes that speak the node protocol: its messages, the
+// connections, and the outcome of each attempt. The gateway's loop calls the client; stand-in nodes use the messages.
+// docs/node-protocol.md describes the protocol.
 //
 // Nodes speak SFTP version 3. What that lacks, one stateless attempt of a request with its idempotency key, travels in
 // SSH_FXP_EXTENDED requests that a node offers in its VERSION packet.
 //
-// A Client owns its connections, each with a goroutine to connect and those of package packetconn. Nothing persists. The
-// messages are pure.
+// A Client owns its connections, each with a goroutine to connect and those of package packetconn. Nothing persists.
+// The messages are pure.
 package node
 
 import "errors"
@@ -28,7 +28,7 @@
 // Operations on objects, which hold bytes, and on records, which are replaced as a whole.
 const (
 	GetObject            Operation = iota + 1 // reads bytes of an object
-	PutObject                                 // writes bytes of an object at an offset; creates the object if there is none
+	PutObject                                 // writes bytes of an object at an offset; creates one if there is none
 	DeleteObject                              // removes an object
 	GetRecord                                 // reads a record
 	CompareAndSwapRecord                      // replaces a record if it has the version; without data it is removed
@@ -51,7 +51,8 @@
 	VersionConflict        // the record has another version, which the reply holds
 )
 
-// Outcome is how an attempt ended, as far as node and connection can tell. The numbers up to WrongShard are the protocol's.
+// Outcome is how an attempt ended, as far as node and connection can tell. The numbers up to WrongShard are the
+// protocol's.
 type Outcome uint8
 
 // Outcomes of an attempt.
--- a/internal/backend/node/reply.go
+++ b/internal/backend/node/reply.go
@@ -95,7 +95,13 @@
 func DecodeItems(data []byte) (items []ListItem, err error) {
 	f := sftp.NewFields(data)
 	for n := f.Uint32(); n > 0 && f.Err == nil; n-- {
-		items = append(items, ListItem{Name: f.Text(), Owner: f.Text(), Version: f.Uint64(), Age: f.Uint32(), Data: f.Bytes()})
+		items = append(items, ListItem{
+			Name:    f.Text(),
+			Owner:   f.Text(),
+			Version: f.Uint64(),
+			Age:     f.Uint32(),
+			Data:    f.Bytes(),
+		})
 	}
 	return items, f.Done()
 }
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -27,8 +27,8 @@
 // Cancel implements node.Attempt.
 func (unsent) Cancel() {}
 
-// outcomes are the scheduler's for those of the node clients. A node that carried an operation out has served the request,
-// whatever the operation's status.
+// outcomes are the scheduler's for those of the node clients. A node that carried an operation out has served the
+// request, whatever the operation's status.
 var outcomes = [...]scheduler.Outcome{
 	node.Failed:          scheduler.OutcomeError,
 	node.Executed:        scheduler.OutcomeServed,
@@ -58,7 +58,8 @@
 }
 
 // callFor builds the call to a node that carries an attempt.
-func (l *Loop) callFor(spec *RequestSpec, scheduled *scheduler.Attempt, timeout time.Duration, now scheduler.Time) *node.Call {
+func (l *Loop) callFor(spec *RequestSpec, scheduled *scheduler.Attempt, timeout time.Duration,
+	now scheduler.Time) *node.Call {
 	call := new(node.Call)
 	*call = spec.Call
 	call.Gateway = l.opt.Name
@@ -80,8 +81,8 @@
 	return call
 }
 
-// expired tells whether a decision must not be carried out any more, because the process stood still since the loop has read
-// the clock.
+// expired tells whether a decision must not be carried out any more, because the process stood still since the loop
+// has read the clock.
 func (l *Loop) expired(scheduled *scheduler.Attempt) bool {
 	now := l.opt.Clock.Now()
 	return l.configValidUntil > 0 && now >= l.configValidUntil || scheduled.SendBefore > 0 && now >= scheduled.SendBefore
--- a/internal/gateway/clock.go
+++ b/internal/gateway/clock.go
@@ -12,8 +12,8 @@
 	Now() scheduler.Time
 }
 
-// steadyClock counts on from the wall clock at its start by the monotonic clock, so that a later step of the wall clock does
-// not reach the gateway.
+// steadyClock counts on from the wall clock at its start by the monotonic clock, so that a later step of the wall
+// clock does not reach the gateway.
 type steadyClock struct{ start time.Time }
 
 // NewClock returns a clock that starts at the wall clock's present time and then follows the monotonic clock.
--- a/internal/gateway/endpoints.go
+++ b/internal/gateway/endpoints.go
@@ -27,7 +27,8 @@
 	l.post(func(now scheduler.Time) { l.updateEndpoints(now, list) })
 }
 
-// EndpointListFailed reports that the endpoint list could not be had; unresponsive that its service has not answered at all.
+// EndpointListFailed reports that the endpoint list could not be had; unresponsive that its service has not answered
+// at all.
 func (l *Loop) EndpointListFailed(unresponsive bool) {
 	l.post(func(now scheduler.Time) { l.scheduler.endpointListFailed(now, unresponsive) })
 }
@@ -41,8 +42,8 @@
 		retained[n.Addr] = n.Health != endpoint.Removed
 		ready[n.Addr] = endpointStates[n.Health] == scheduler.EndpointReady
 	}
-	// What was decided before may still wait for its connection; sent once that is up, it could come after the grace period of
-	// a drain.
+	// What was decided before may still wait for its connection; sent once that is up, it could come after the grace
+	// period of a drain.
 	l.opt.Nodes.AbortQueued(func(addr string) bool {
 		isReady, listed := ready[addr]
 		return !isReady && (listed || !list.Partial)
--- a/internal/gateway/golden_test.go
+++ b/internal/gateway/golden_test.go
@@ -14,8 +14,8 @@
 	"irispost/scheduler"
 )
 
-// TestTranslationsMatchGolden compares which outcome and endpoint state the scheduler gets for those of the node clients and
-// endpoint lists, and which request states are counted.
+// TestTranslationsMatchGolden compares which outcome and endpoint state the scheduler gets for those of the node
+// clients and endpoint lists, and which request states are counted.
 func TestTranslationsMatchGolden(t *testing.T) {
 	var out strings.Builder
 	for outcome := node.Failed; outcome <= node.ConnectionReset; outcome++ {
@@ -49,11 +49,13 @@
 func (recordingNodes) Retain(map[string]bool)        {}
 func (recordingNodes) LateReplies() int64            { return 7 }
 
-// TestCallsMatchGolden compares what the loop fills in of calls to nodes: sender, request ID, keys and the time that is left.
+// TestCallsMatchGolden compares what the loop fills in of calls to nodes: sender, request ID, keys and the time that
+// is left.
 func TestCallsMatchGolden(t *testing.T) {
 	const now = fixedClock(1_790_000_000_000_000_000)
 	nodes, log := make(recordingNodes, 1), slog.New(slog.NewTextHandler(io.Discard, nil))
-	list := &endpoint.List{Nodes: []endpoint.Node{{Addr: "10.0.0.1:5"}, {Addr: "10.0.0.2:5", Shard: 1}, {Addr: "10.0.0.3:5", Shard: 2}}}
+	list := &endpoint.List{Nodes: []endpoint.Node{{Addr: "10.0.0.1:5"}, {Addr: "10.0.0.2:5", Shard: 1},
+		{Addr: "10.0.0.3:5", Shard: 2}}}
 	l := Start(Options{Name: "gateway-1", Seed: 1, QueueSize: 4, Clock: now, Nodes: nodes, Log: log, CachedList: list})
 	t.Cleanup(l.Stop)
 	submissions := []struct {
@@ -61,7 +63,8 @@
 		spec    RequestSpec
 	}{
 		{nil, RequestSpec{Units: 1, Call: node.Call{Op: node.GetObject, Name: "a"}}},
-		{NewSession("gateway-1/2"), RequestSpec{Units: 1.5, Key: 9, ClientRequest: 3, Call: node.Call{Op: node.GetObject, Name: "b"}}},
+		{NewSession("gateway-1/2"), RequestSpec{Units: 1.5, Key: 9, ClientRequest: 3,
+			Call: node.Call{Op: node.GetObject, Name: "b"}}},
 		{NewSession("gateway-1/3"), RequestSpec{Units: 2, Key: 9, HasKey: true, Idempotency: 2,
 			Call: node.Call{Op: node.PutObject, Name: "c", IdempotencyKey: "mark"}}},
 	}
@@ -69,7 +72,9 @@
 	for i := range submissions {
 		spec := &submissions[i].spec
 		spec.Call.Shard = i // a node for each, since nodes that nothing is known of are sent one request at a time
-		spec.Volume, spec.Class, spec.Deadline = &Volume{ID: int64(i), ServiceLevel: "basic", Gateways: 1}, "read", l.Now()+int64(time.Second)
+		spec.Volume = &Volume{ID: int64(i), ServiceLevel: "basic", Gateways: 1}
+		spec.Class = "read"
+		spec.Deadline = l.Now() + int64(time.Second)
 		l.Submit(submissions[i].session, spec)
 		select {
 		case call := <-nodes:
@@ -79,7 +84,7 @@
 		}
 	}
 	stats, ok := l.Stats()
-	fmt.Fprintf(&out, "figures %t: counts %d, held %d, out %d, by node %v, late %d\n", ok, *stats.Classes["read"], stats.InFlight,
-		stats.Attempts, stats.AttemptsByNode, stats.LateReplies)
+	fmt.Fprintf(&out, "figures %t: counts %d, held %d, out %d, by node %v, late %d\n",
+		ok, *stats.Classes["read"], stats.InFlight, stats.Attempts, stats.AttemptsByNode, stats.LateReplies)
 	golden.Check(t, "calls.txt", []byte(out.String()))
 }
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -1,8 +1,9 @@
-// Package gateway runs one scheduler in real time. The front ends, the configuration client and the endpoint manager call it.
+// Package gateway runs one scheduler in real time. The front ends, the configuration client and the endpoint manager
+// call it.
 //
-// One goroutine, the event loop, owns the scheduler, the clock reading and all requests and attempts in flight. It takes events
-// from a bounded queue, passes them to the scheduler, and carries out what the scheduler decides. The package decides nothing
-// itself and keeps nothing after its end.
+// One goroutine, the event loop, owns the scheduler, the clock reading and all requests and attempts in flight. It
+// takes events from a bounded queue, passes them to the scheduler, and carries out what the scheduler decides. The
+// package decides nothing itself and keeps nothing after its end.
 package gateway
 
 import (
@@ -59,7 +60,8 @@
 	return l
 }
 
-// Stop ends the loop and waits for its end. A request that it still holds fails if it may have run, and is rejected if not.
+// Stop ends the loop and waits for its end. A request that it still holds fails if it may have run, and is rejected
+// if not.
 func (l *Loop) Stop() {
 	l.stopOnce.Do(func() { close(l.stop) })
 	<-l.ended
@@ -73,8 +75,8 @@
 	go l.post(func(scheduler.Time) {})
 }
 
-// post hands in an event. It waits while the queue is full, so that the caller stops reading its socket; false when the loop
-// has ended.
+// post hands in an event. It waits while the queue is full, so that the caller stops reading its socket; false when
+// the loop has ended.
 func (l *Loop) post(e event) bool {
 	l.posting.RLock()
 	defer l.posting.RUnlock()
@@ -145,8 +147,8 @@
 	}
 }
 
-// turn times attempts out, asks the scheduler for its decision and carries that out, until nothing follows from it. It returns
-// when the next turn is due.
+// turn times attempts out, asks the scheduler for its decision and carries that out, until nothing follows from it.
+// It returns when the next turn is due.
 func (l *Loop) turn(now scheduler.Time) scheduler.Time {
 	l.followConfig(now)
 	for {
--- a/internal/gateway/options.go
+++ b/internal/gateway/options.go
@@ -28,7 +28,8 @@
 	// Start sends an attempt to the node at an address. done is called at most once, from another goroutine, and not after
 	// Cancel.
 	Start(addr string, c *node.Call, done func(node.Reply)) node.Attempt
-	// AbortQueued fails the attempts that still wait for a connection to a node for which unavailable is true. It does not block.
+	// AbortQueued fails the attempts that still wait for a connection to a node for which unavailable is true. It does
+	// not block.
 	AbortQueued(unavailable func(addr string) bool)
 	// Retain allows the client to close its connections to all nodes but these.
 	Retain(addrs map[string]bool)
@@ -44,7 +45,7 @@
 
 // ConfigSource tells a gateway that follows configuration versions what is in force.
 type ConfigSource interface {
-	// At returns what is in force at the time that the loop has read, nil if it has not changed, and when to ask again at the
-	// latest (0: no need). Everything the scheduler decides by that reading is decided under it.
+	// At returns what is in force at the time that the loop has read, nil if it has not changed, and when to ask again
+	// at the latest (0: no need). Everything the scheduler decides by that reading is decided under it.
 	At(now scheduler.Time) (*ActiveConfig, scheduler.Time)
 }
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -26,7 +26,7 @@
 	Key           int64
 	HasKey        bool
 	Deadline      scheduler.Time // the client waits until then
-	OnResult      func()         // called on the loop just before the result can be received; it must not block. nil: nobody
+	OnResult      func()         // called on the loop before the result can be received; must not block; may be nil
 	ClientRequest uint32         // number of the client's request that it belongs to
 	Idempotency   uint8          // as in node.Call
 	Call          node.Call      // what to do at the node; the loop fills in who sends it and the time left
@@ -59,7 +59,8 @@
 
 // deliver hands out a request's final answer.
 //
-// OnResult comes before the result can be received: called after, it could wake a wait of a receiver that has already gone on.
+// OnResult comes before the result can be received: called after, it could wake a wait of a receiver that has already
+// gone on.
 func (r *request) deliver(result Result) {
 	if r.spec.OnResult != nil {
 		r.spec.OnResult()
@@ -119,7 +120,8 @@
 	l.scheduler.submit(now, submitted.scheduled, spec)
 }
 
-// requestID names the request that was submitted last: SESSION:CLIENT REQUEST#COUNT, or GATEWAY#COUNT for the gateway's own.
+// requestID names the request that was submitted last: SESSION:CLIENT REQUEST#COUNT, or GATEWAY#COUNT for the
+// gateway's own.
 func (l *Loop) requestID(r *request) string {
 	origin := l.opt.Name
 	if r.session != nil {
@@ -149,8 +151,8 @@
 	}
 }
 
-// sortRequests puts requests of one session in the order in which they were submitted, so that the scheduler's calls do not
-// depend on the iteration order of a map.
+// sortRequests puts requests of one session in the order in which they were submitted, so that the scheduler's calls
+// do not depend on the iteration order of a map.
 func sortRequests(list []*request) {
 	slices.SortFunc(list, func(a, b *request) int {
 		x, y := a.scheduled.ID, b.scheduled.ID
--- a/internal/gateway/scheduler.go
+++ b/internal/gateway/scheduler.go
@@ -6,9 +6,9 @@
 	"irispost/scheduler"
 )
 
-// tappedScheduler is the one place through which the scheduler is called. Nothing else of the loop calls it, and it is handed
-// nothing that does not pass here: no clock, no random source, no order but that of these calls. An observer sees each call
-// before the scheduler does.
+// tappedScheduler is the one place through which the scheduler is called. Nothing else of the loop calls it, and it
+// is handed nothing that does not pass here: no clock, no random source, no order but that of these calls. An
+// observer sees each call before the scheduler does.
 type tappedScheduler struct {
 	inner *scheduler.Scheduler
 	tap   Tap // nil: none
@@ -69,8 +69,8 @@
 	s.inner.Submit(now, r, volume.ID, volume.ServiceLevel, spec.Class, volume.Gateways, spec.HasKey)
 }
 
-func (s *tappedScheduler) attemptFinished(now scheduler.Time, a *scheduler.Attempt, outcome scheduler.Outcome, final bool,
-	reply node.Reply) {
+func (s *tappedScheduler) attemptFinished(now scheduler.Time, a *scheduler.Attempt, outcome scheduler.Outcome,
+	final bool, reply node.Reply) {
 	took := now - a.SentAt
 	if s.tap != nil {
 		s.tap.AttemptEnded(now, a.Request.ID, a.Number, outcome, took, final, reply.UnitsElsewhere, reply.InFlight,
--- a/internal/gateway/slowstart.go
+++ b/internal/gateway/slowstart.go
@@ -2,16 +2,17 @@
 
 import "irispost/scheduler"
 
-// Allocate hands the scheduler the units that were allocated to it for a warming node, which started at startedAt, to be sent
-// until expiresAt. It returns what remained of the last allocation; false when the loop has ended.
-func (l *Loop) Allocate(addr string, startedAt scheduler.Time, units float64, expiresAt scheduler.Time) (remaining float64, ok bool) {
+// Allocate hands the scheduler the units that were allocated to it for a warming node, which started at startedAt, to
+// be sent until expiresAt. It returns what remained of the last allocation; false when the loop has ended.
+func (l *Loop) Allocate(addr string, startedAt scheduler.Time, units float64, expiresAt scheduler.Time) (
+	remaining float64, ok bool) {
 	return callLoop(l, func(now scheduler.Time) float64 {
 		return l.scheduler.allocateSlowStart(now, addr, startedAt, units, expiresAt)
 	})
 }
 
-// SlowStartDemand is the work that waits at warming nodes, and the rate of the others that the scheduler knows of, in units a
-// second.
+// SlowStartDemand is the work that waits at warming nodes, and the rate of the others that the scheduler knows of, in
+// units a second.
 type SlowStartDemand struct {
 	Demands []scheduler.SlowStartDemand
 	Rate    float64
--- a/internal/gateway/tap.go
+++ b/internal/gateway/tap.go
@@ -13,9 +13,10 @@
 	EndpointListFailed(now scheduler.Time, unresponsive bool)
 	SettingsChanged(now scheduler.Time, settings scheduler.Settings)
 	Allocated(now scheduler.Time, addr string, startedAt scheduler.Time, units float64, expiresAt scheduler.Time)
-	Submitted(now scheduler.Time, r *scheduler.Request, volume int64, serviceLevel, class string, gateways float64, hasKey bool)
-	AttemptEnded(now scheduler.Time, requestID string, number int, outcome scheduler.Outcome, took scheduler.Time, final bool,
-		unitsElsewhere float64, inFlight int, latency scheduler.Time)
+	Submitted(now scheduler.Time, r *scheduler.Request, volume int64, serviceLevel, class string, gateways float64,
+		hasKey bool)
+	AttemptEnded(now scheduler.Time, requestID string, number int, outcome scheduler.Outcome, took scheduler.Time,
+		final bool, unitsElsewhere float64, inFlight int, latency scheduler.Time)
 	ClientCancelled(now scheduler.Time, requestID string)
 	Decided(now scheduler.Time, d *scheduler.Decision)
 	// Snapshot is called when the tap is set, and after a decision when NeedsSnapshot is true.
@@ -23,7 +24,8 @@
 	NeedsSnapshot() bool
 }
 
-// SetTap sets the observer, in place of another; nil: none. It returns when that is in effect, false when the loop has ended.
+// SetTap sets the observer, in place of another; nil: none. It returns when that is in effect, false when the loop
+// has ended.
 func (l *Loop) SetTap(t Tap) bool {
 	_, ok := callLoop(l, func(now scheduler.Time) struct{} {
 		l.scheduler.setTap(now, t)
--- a/internal/gateway/timeouts.go
+++ b/internal/gateway/timeouts.go
@@ -1,7 +1,7 @@
 package gateway
 
-// timeoutHeap is a heap of the attempts in flight by their timeouts, ties by request ID and attempt number. It keeps their
-// heapIndex. It implements heap.Interface.
+// timeoutHeap is a heap of the attempts in flight by their timeouts, ties by request ID and attempt number. It keeps
+// their heapIndex. It implements heap.Interface.
 type timeoutHeap []*attempt
 
 // Len implements heap.Interface.
--- a/internal/packetconn/conn.go
+++ b/internal/packetconn/conn.go
@@ -30,7 +30,8 @@
 	Closed(reason error)
 }
 
-// Conn is a connection that carries packets. Its methods may be called from any goroutine; packets are read by one caller.
+// Conn is a connection that carries packets. Its methods may be called from any goroutine; packets are read by one
+// caller.
 type Conn struct {
 	raw    netpoll.Connection
 	limits Limits
@@ -124,8 +125,8 @@
 	}
 }
 
-// ReadAheadExceeded tells whether the peer has sent more ahead of what is read than it may. netpoll reads on while its handler
-// waits, so a handler that waits has to look.
+// ReadAheadExceeded tells whether the peer has sent more ahead of what is read than it may. netpoll reads on while
+// its handler waits, so a handler that waits has to look.
 func (c *Conn) ReadAheadExceeded() bool { return c.raw.Reader().Len() > c.limits.MaxReadAhead }
 
 // readLoop hands the packets that have come to the handler.
--- a/internal/packetconn/limits.go
+++ b/internal/packetconn/limits.go
@@ -1,6 +1,6 @@
-// Package packetconn carries packets over netpoll connections: a queue to send from, limits in both directions, and one end for
-// each connection, in whatever way that comes. What a packet is, is its handler's concern. The SFTP and iSCSI front ends and the
-// node client are built on it.
+// Package packetconn carries packets over netpoll connections: a queue to send from, limits in both directions, and
+// one end for each connection, in whatever way that comes. What a packet is, is its handler's concern. The SFTP and
+// iSCSI front ends and the node client are built on it.
 //
 // A Conn owns its netpoll connection and one goroutine that sends; packets are read on netpoll's goroutines.
 package packetconn
@@ -26,4 +26,9 @@
 }
 
 // DefaultLimits are used where the configuration has none.
-var DefaultLimits = Limits{MaxPacket: 256<<10 + 1024, MaxReadAhead: 32 << 20, MaxUnsent: 64 << 20, WriteTimeout: 10 * time.Second}
+var DefaultLimits = Limits{
+	MaxPacket:    256<<10 + 1024,
+	MaxReadAhead: 32 << 20,
+	MaxUnsent:    64 << 20,
+	WriteTimeout: 10 * time.Second,
+}
--- a/internal/packetconn/server.go
+++ b/internal/packetconn/server.go
@@ -25,7 +25,8 @@
 	conns map[*Conn]bool
 }
 
-// Listen serves connections at a TCP address with a handler made for each, up to maxConnections at a time (0: no limit).
+// Listen serves connections at a TCP address with a handler made for each, up to maxConnections at a time (0: no
+// limit).
 func Listen(addr string, limits Limits, maxConnections int, newHandler func(*Conn) Handler) (*Server, error) {
 	listener, err := netpoll.CreateListener("tcp", addr)
 	if err != nil {
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -13,7 +13,8 @@
 	"irispost/scheduler"
 )
 
-// TestNamesMatchGolden compares what the scheduler gets for each setting, word, completion code and availability of the wire.
+// TestNamesMatchGolden compares what the scheduler gets for each setting, word, completion code and availability of
+// the wire.
 func TestNamesMatchGolden(t *testing.T) {
 	var out strings.Builder
 	translate := func(path, value string) {
@@ -63,7 +64,8 @@
 		{"text", func(f *Fields) any { return f.Text("v") }},
 		{"time", func(f *Fields) any { return f.Time("v") }},
 	}
-	values := []string{"-", "", "1", "-1", "007", "0.0000019", "-2.5", "5.", ".5", "1e3", "NaN", "9223372036854775807", "18446744073709551615"}
+	values := []string{"-", "", "1", "-1", "007", "0.0000019", "-2.5", "5.", ".5", "1e3", "NaN",
+		"9223372036854775807", "18446744073709551615"}
 	for _, reader := range readers {
 		for _, value := range values {
 			f := Fields{rest: []byte(value), more: true}
--- a/internal/wire/numbers.go
+++ b/internal/wire/numbers.go
@@ -11,8 +11,8 @@
 // maxMilliseconds is the longest time that is read; more would not fit in nanoseconds.
 const maxMilliseconds = math.MaxInt64/scheduler.Millisecond - 1
 
-// ParseTime turns a decimal number of milliseconds into whole nanoseconds, without floating-point arithmetic. Digits below them
-// are dropped. It returns false for text that is no such number.
+// ParseTime turns a decimal number of milliseconds into whole nanoseconds, without floating-point arithmetic. Digits
+// below them are dropped. It returns false for text that is no such number.
 func ParseTime(part []byte) (scheduler.Time, bool) {
 	head, tail, _ := bytes.Cut(part, []byte{'.'})
 	minus := len(head) > 0 && head[0] == '-'
--- a/internal/wire/reader.go
+++ b/internal/wire/reader.go
@@ -1,6 +1,6 @@
-// Package wire reads and writes the lines of the bench's protocol and translates its names to the scheduler's. The adapter calls
-// it, and package platform for the names of settings. It decides nothing and keeps no state but the buffers of a reader or
-// writer.
+// Package wire reads and writes the lines of the bench's protocol and translates its names to the scheduler's. The
+// adapter calls it, and package platform for the names of settings. It decides nothing and keeps no state but the
+// buffers of a reader or writer.
 package wire
 
 import (
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -6,8 +6,8 @@
 	"irispost/scheduler"
 )
 
-// settingNames gives each setting's name at the scheduler for its path on the wire. "#" stands for the number of a list's item.
-// Settings that are not here are left out.
+// settingNames gives each setting's name at the scheduler for its path on the wire. "#" stands for the number of a
+// list's item. Settings that are not here are left out.
 var settingNames = map[string]string{
 	"balancers":                      "gateways",
 	"slot_no":                        "number",
@@ -59,8 +59,8 @@
 	"resolution_ms":                  "tick",
 }
 
-// settingValues gives the scheduler's words for the wire's, by the last part of the setting's name at the scheduler. Words that
-// are not here are the same at both.
+// settingValues gives the scheduler's words for the wire's, by the last part of the setting's name at the scheduler.
+// Words that are not here are the same at both.
 var settingValues = map[string]map[string]string{
 	"kind":  {"read_like": "replayable", "idempotency_key": "referenced", "non_idempotent": "single-use"},
 	"group": {"cell": "shard"},
@@ -86,8 +86,8 @@
 	return settings
 }
 
-// TranslateSetting adds a setting of the wire to the settings by the scheduler's name and word. One that the scheduler does not
-// know is left out.
+// TranslateSetting adds a setting of the wire to the settings by the scheduler's name and word. One that the
+// scheduler does not know is left out.
 func TranslateSetting(settings scheduler.Settings, path, value string) {
 	path, item, isItem := cutItem(path)
 	name, known := settingNames[path]
@@ -104,7 +104,8 @@
 	settings[name] = value
 }
 
-// cutItem takes the item's number out of the path LIST.NUMBER.FIELD and puts "#" in its place. Other paths stay as they are.
+// cutItem takes the item's number out of the path LIST.NUMBER.FIELD and puts "#" in its place. Other paths stay as
+// they are.
 func cutItem(path string) (general, item string, isItem bool) {
 	list, rest, _ := strings.Cut(path, ".")
 	item, field, hasField := strings.Cut(rest, ".")
--- a/internal/wire/writer.go
+++ b/internal/wire/writer.go
@@ -10,7 +10,8 @@
 // replyEnd is the line that ends a reply.
 const replyEnd = "ACK\n"
 
-// Writer builds a reply of action lines and sends it in one write. Its methods for parts return it, so that calls can be chained.
+// Writer builds a reply of action lines and sends it in one write. Its methods for parts return it, so that calls can
+// be chained.
 type Writer struct {
 	out io.Writer
 	buf []byte // the reply as far as it is built
