--- a/cmd/irispost/check.go
+++ b/cmd/irispost/check.go
@@ -78,7 +78,7 @@
 	if err != nil {
 		return "", err
 	}
-	version, err := config.ParseRules(file, src)
+	version, err := config.ParseVersion(file, src)
 	if err != nil {
 		return "", err
 	}
--- a/cmd/irispost/versions.go
+++ b/cmd/irispost/versions.go
@@ -40,7 +40,7 @@
 		if err != nil {
 			return err
 		}
-		content, err := config.ParseRules(args[0], src)
+		content, err := config.ParseVersion(args[0], src)
 		if err != nil {
 			return err
 		}
--- a/internal/adapter/instance.go
+++ b/internal/adapter/instance.go
@@ -136,7 +136,7 @@
 	if i.tap != nil {
 		i.tap.ClientCancelled(now, string(requestID))
 	}
-	i.scheduler.ClientLeft(now, string(requestID))
+	i.scheduler.ClientCancelled(now, string(requestID))
 }
 
 func (i *instance) timer(now scheduler.Time, fields *wire.Fields) {
--- a/internal/adapter/steps_test.go
+++ b/internal/adapter/steps_test.go
@@ -22,7 +22,7 @@
 		Volume: &gateway.Volume{
 			ID:           int64(rapid.IntRange(1, 4).Draw(s.t, "volume")),
 			ServiceLevel: rapid.SampledFrom([]string{"basic", "gold"}).Draw(s.t, "service level"),
-			Gateways:     2,
+			GatewayCount: 2,
 		},
 		Class:    rapid.SampledFrom([]string{"read", "write"}).Draw(s.t, "class"),
 		Units:    float64(rapid.IntRange(1, 8).Draw(s.t, "units")),
@@ -162,7 +162,7 @@
 	startedAt := rapid.SampledFrom([]scheduler.Time{s.startedAt[addr], s.clock.Now()}).Draw(s.t, "start")
 	units := float64(rapid.IntRange(0, 20).Draw(s.t, "units"))
 	expiresAt := s.clock.Now() + 1e6*scheduler.Time(rapid.IntRange(0, 400).Draw(s.t, "expiry"))
-	s.loop.Allocate(addr, startedAt, units, expiresAt)
+	s.loop.AllocateSlowStart(addr, startedAt, units, expiresAt)
 	s.writeBatch("LENT|3|%s|%s|%v|%s", addr, wireTime(startedAt), units, wireTime(expiresAt))
 }
 
--- a/internal/adapter/tapfile_test.go
+++ b/internal/adapter/tapfile_test.go
@@ -82,8 +82,8 @@
 	if class := report.Products[0]; class.Completed != 1 || class.Left != 1 {
 		t.Errorf("%+v", class)
 	}
-	for _, kind := range []capture.Kind{capture.Listed, capture.ListedPart, capture.ListFailed, capture.Begun, capture.Take,
-		capture.Left} {
+	for _, kind := range []capture.Kind{capture.KindEndpointList, capture.KindEndpointUpdate, capture.KindEndpointListFailed, capture.KindStreamStarted, capture.KindSubmitted,
+		capture.KindClientCancelled} {
 		if kinds[kind] == 0 {
 			t.Errorf("the capture has no record of %v", kind)
 		}
--- a/internal/capture/events.go
+++ b/internal/capture/events.go
@@ -11,7 +11,7 @@
 
 // Start records the scheduler's start.
 func (r *Recorder) Start(now scheduler.Time, seed uint64, settings scheduler.Settings) {
-	r.add(&Record{Kind: Start, At: now, Seed: seed, Terms: settings})
+	r.add(&Record{Kind: KindStart, At: now, Seed: seed, Terms: settings})
 }
 
 // EndpointList records a complete endpoint list.
@@ -21,37 +21,37 @@
 
 // EndpointUpdate records an endpoint list, which leaves out what has not changed unless it is complete.
 func (r *Recorder) EndpointUpdate(now scheduler.Time, endpoints endpoint.List, complete bool) {
-	kind := ListedPart
+	kind := KindEndpointUpdate
 	if complete {
-		kind = Listed
+		kind = KindEndpointList
 	}
 	r.add(&Record{Kind: kind, At: now, Stale: endpoints.Stale, Nodes: endpoints.Nodes})
 }
 
 // EndpointListFailed records that a list could not be had; unanswered: the call ended without an answer.
 func (r *Recorder) EndpointListFailed(now scheduler.Time, unanswered bool) {
-	kind := ListFailed
+	kind := KindEndpointListFailed
 	if unanswered {
-		kind = ListSilent
+		kind = KindEndpointListSilent
 	}
 	r.add(&Record{Kind: kind, At: now})
 }
 
 // SettingsChanged records other settings.
 func (r *Recorder) SettingsChanged(now scheduler.Time, settings scheduler.Settings) {
-	r.add(&Record{Kind: Agreed, At: now, Terms: settings})
+	r.add(&Record{Kind: KindSettingsChanged, At: now, Terms: settings})
 }
 
 // Allocated records slow-start budget for a node, of the life that began at startedAt.
 func (r *Recorder) Allocated(
 	now scheduler.Time, addr string, startedAt scheduler.Time, units float64, expiresAt scheduler.Time,
 ) {
-	r.add(&Record{Kind: Lent, At: now, Node: addr, Born: startedAt, Units: units, Till: expiresAt})
+	r.add(&Record{Kind: KindAllocated, At: now, Node: addr, Born: startedAt, Units: units, Till: expiresAt})
 }
 
 // StreamStarted records that an attempt's response has started.
 func (r *Recorder) StreamStarted(now scheduler.Time, request string, number int) {
-	r.add(&Record{Kind: Begun, At: now, Job: request, Number: number})
+	r.add(&Record{Kind: KindStreamStarted, At: now, Job: request, Number: number})
 }
 
 // Submitted records a request with its volume, service level and class, and how many gateways serve the volume.
@@ -59,7 +59,7 @@
 	now scheduler.Time, request *scheduler.Request, volume int64, level, class string, gateways float64, keyed bool,
 ) {
 	record := &r.scratch
-	record.Kind = Take
+	record.Kind = KindSubmitted
 	record.At = now
 	record.Job = request.ID
 	record.Volume = volume
@@ -81,7 +81,7 @@
 	others float64, inflight int, latency scheduler.Time,
 ) {
 	record := &r.scratch
-	record.Kind = Ended
+	record.Kind = KindAttemptEnded
 	record.At = now
 	record.Job = request
 	record.Number = number
@@ -102,21 +102,21 @@
 	r.needsSnapshot.Store(false)
 	state, err := snapshot.Take(s, scheduler.StoredNames)
 	if err != nil {
-		r.add(&Record{Kind: Gap, At: now}) // a replay cannot begin here
+		r.add(&Record{Kind: KindGap, At: now}) // a replay cannot begin here
 		return
 	}
-	r.add(&Record{Kind: State, At: now, State: string(state)})
+	r.add(&Record{Kind: KindSnapshot, At: now, State: string(state)})
 }
 
 // ClientCancelled records that a request's client has gone.
 func (r *Recorder) ClientCancelled(now scheduler.Time, request string) {
-	r.add(&Record{Kind: Left, At: now, Job: request})
+	r.add(&Record{Kind: KindClientCancelled, At: now, Job: request})
 }
 
 // Decided records what the scheduler decided.
 func (r *Recorder) Decided(now scheduler.Time, decision *scheduler.Decision) {
 	record := &r.scratch
-	record.Kind = Decided
+	record.Kind = KindDecided
 	record.At = now
 	record.Decision.fill(decision)
 	r.add(record)
--- a/internal/capture/filewriter.go
+++ b/internal/capture/filewriter.go
@@ -67,7 +67,7 @@
 	if w.next == nil {
 		reason = fmt.Sprintf("it has reached %d bytes, the most that it may have", limits.FileBytes)
 	}
-	end := blockOf(&Record{Kind: End, At: b.first, Name: reason}, b.first)
+	end := blockOf(&Record{Kind: KindEnd, At: b.first, Name: reason}, b.first)
 	_, _ = out.Write(packBlock(w.packer, end, nil)) // a file without its End record is read as cut off
 	if w.next == nil {
 		return out, errors.New(reason)
--- a/internal/capture/reader.go
+++ b/internal/capture/reader.go
@@ -61,13 +61,13 @@
 	if err != nil {
 		return nil, r.stopped(err)
 	}
-	if !r.started && record.Kind != Header {
+	if !r.started && record.Kind != KindHeader {
 		return nil, r.stopped(fmt.Errorf("%w: it begins with %v", ErrDamaged, record.Kind))
 	}
 	r.started = true
 	r.rest = rest
 	r.records++
-	if record.Kind == End {
+	if record.Kind == KindEnd {
 		r.ended = record.Name
 	}
 	return record, nil
--- a/internal/capture/record.go
+++ b/internal/capture/record.go
@@ -17,22 +17,22 @@
 
 // The kinds of records. Their numbers and names are stored and shown; they stay.
 const (
-	Header     Kind = iota + 1 // what is captured: always the first record
-	Start                      // the scheduler was started
-	Listed                     // a complete endpoint list
-	Take                       // a request was submitted
-	Ended                      // an attempt has ended
-	Left                       // a client has cancelled
-	Decided                    // the scheduler was asked, and decided
-	Gap                        // records were dropped here
-	End                        // the capture was closed; without it, it was cut off
-	State                      // a snapshot of the scheduler: a replay may begin here
-	ListedPart                 // an endpoint list that leaves out what has not changed
-	ListFailed                 // an endpoint list could not be had
-	Begun                      // an attempt's response has started
-	ListSilent                 // a call for the endpoint list ended without an answer
-	Agreed                     // the scheduler acts on other settings from here on
-	Lent                       // slow-start budget was allocated for a node
+	KindHeader             Kind = iota + 1 // what is captured: always the first record
+	KindStart                              // the scheduler was started
+	KindEndpointList                       // a complete endpoint list
+	KindSubmitted                          // a request was submitted
+	KindAttemptEnded                       // an attempt has ended
+	KindClientCancelled                    // a client has cancelled
+	KindDecided                            // the scheduler was asked, and decided
+	KindGap                                // records were dropped here
+	KindEnd                                // the capture was closed; without it, it was cut off
+	KindSnapshot                           // a snapshot of the scheduler: a replay may begin here
+	KindEndpointUpdate                     // an endpoint list that leaves out what has not changed
+	KindEndpointListFailed                 // an endpoint list could not be had
+	KindStreamStarted                      // an attempt's response has started
+	KindEndpointListSilent                 // a call for the endpoint list ended without an answer
+	KindSettingsChanged                    // the scheduler acts on other settings from here on
+	KindAllocated                          // slow-start budget was allocated for a node
 )
 
 var kindNames = [...]string{"", "header", "start", "list", "take", "ended", "left", "decided", "gap", "end", "state",
--- a/internal/capture/recordcodec.go
+++ b/internal/capture/recordcodec.go
@@ -59,39 +59,39 @@
 func (c *codec) record(r *Record) {
 	c.signed(&r.At)
 	switch r.Kind {
-	case Header:
+	case KindHeader:
 		c.text(&r.Name)
 		c.text(&r.Build)
 		c.number(&r.Digest)
-	case Start:
+	case KindStart:
 		c.number(&r.Seed)
 		c.settings(&r.Terms)
-	case Lent:
+	case KindAllocated:
 		c.text(&r.Node)
 		c.signed(&r.Born)
 		c.float(&r.Units)
 		c.signed(&r.Till)
-	case Agreed:
+	case KindSettingsChanged:
 		c.settings(&r.Terms)
-	case Listed, ListedPart:
+	case KindEndpointList, KindEndpointUpdate:
 		c.flag(&r.Stale)
 		list(c, &r.Nodes, c.node)
-	case Take:
+	case KindSubmitted:
 		c.submission(r)
-	case Ended:
+	case KindAttemptEnded:
 		c.attemptEnd(r)
-	case Left:
+	case KindClientCancelled:
 		c.text(&r.Job)
-	case Decided:
+	case KindDecided:
 		c.decision(&r.Decision)
-	case Gap:
+	case KindGap:
 		c.count(&r.Dropped)
-	case End:
+	case KindEnd:
 		c.text(&r.Name)
-	case State:
+	case KindSnapshot:
 		c.text(&r.State)
-	case ListFailed, ListSilent:
-	case Begun:
+	case KindEndpointListFailed, KindEndpointListSilent:
+	case KindStreamStarted:
 		c.text(&r.Job)
 		c.count(&r.Number)
 	default:
--- a/internal/capture/recorder.go
+++ b/internal/capture/recorder.go
@@ -75,7 +75,7 @@
 func newRecorder(out io.WriteCloser, next openFile, name, build string, limits Limits) *Recorder {
 	r := &Recorder{
 		limits: limits,
-		header: Record{Kind: Header, Name: name, Build: build, Digest: xxhash.Sum64(scheduler.PolicySource)},
+		header: Record{Kind: KindHeader, Name: name, Build: build, Digest: xxhash.Sum64(scheduler.PolicySource)},
 		blocks: make(chan block, max(limits.QueuedBlocks, 1)),
 		spare:  make(chan []byte, spareBuffers),
 		stop:   make(chan struct{}),
@@ -165,7 +165,7 @@
 	if r.lost == 0 {
 		return block{r.raw, r.first, r.count}
 	}
-	gap := appendRecord(nil, &Record{Kind: Gap, At: r.first, Dropped: r.lost})
+	gap := appendRecord(nil, &Record{Kind: KindGap, At: r.first, Dropped: r.lost})
 	return block{append(gap, r.raw...), r.first, r.count + 1}
 }
 
@@ -198,7 +198,7 @@
 func (r *Recorder) Close(now scheduler.Time) error {
 	r.close.Do(func() {
 		close(r.stop)
-		r.add(&Record{Kind: End, At: now, Name: "closed"})
+		r.add(&Record{Kind: KindEnd, At: now, Name: "closed"})
 		r.lock.Lock()
 		defer r.lock.Unlock()
 		if r.count > 0 {
--- a/internal/capture/redact.go
+++ b/internal/capture/redact.go
@@ -82,22 +82,22 @@
 // Record replaces a record's names in place. Records come in the order of their capture, the header first.
 func (r *Redactor) Record(record *Record) {
 	switch record.Kind {
-	case Header:
+	case KindHeader:
 		r.gateway = record.Name
 		r.replaceName(&record.Name)
-	case Start, Agreed:
+	case KindStart, KindSettingsChanged:
 		record.Terms = r.settings(record.Terms)
-	case Listed, ListedPart:
+	case KindEndpointList, KindEndpointUpdate:
 		for i := range record.Nodes {
 			r.replaceName(&record.Nodes[i].Addr)
 			r.replaceName(&record.Nodes[i].Zone)
 		}
-	case Lent:
+	case KindAllocated:
 		r.replaceName(&record.Node)
-	case Take:
+	case KindSubmitted:
 		r.replaceName(&record.Plan)
 		r.replaceName(&record.Product)
-	case Decided:
+	case KindDecided:
 		r.decision(&record.Decision)
 	}
 	r.replaceInRequest(&record.Job)
@@ -154,7 +154,7 @@
 			}
 			return stopped
 		}
-		if record.Kind == State {
+		if record.Kind == KindSnapshot {
 			return ErrStateNotRedactable
 		}
 		redactor.Record(record)
--- a/internal/config/version.go
+++ b/internal/config/version.go
@@ -38,9 +38,9 @@
 		KeyOrder: f.KeyOrder, ServiceLevels: f.ServiceLevels, RequestClasses: f.RequestClasses, Missing: missing}
 }
 
-// ParseRules checks the text of a configuration version; file is its name in errors, which are of type Problems where
+// ParseVersion checks the text of a configuration version; file is its name in errors, which are of type Problems where
 // a key or value is at fault.
-func ParseRules(file string, src []byte) (*configversion.Config, error) {
+func ParseVersion(file string, src []byte) (*configversion.Config, error) {
 	var blocks versionFile
 	body, err := decode(file, src, &blocks)
 	if err != nil {
--- a/internal/config/volumes.go
+++ b/internal/config/volumes.go
@@ -51,7 +51,7 @@
 	return &front.Volume{Name: name, Volume: gateway.Volume{
 		ID:           int64(d.count(block.ID, 0, 1<<31, 0)),
 		ServiceLevel: d.text(block.ServiceLevel, ""),
-		Gateways:     d.number(block.GatewayCount, 1, 1e6, 1),
+		GatewayCount: d.number(block.GatewayCount, 1, 1e6, 1),
 	}}
 }
 
--- a/internal/fleet/slowstart/agent/agent.go
+++ b/internal/fleet/slowstart/agent/agent.go
@@ -28,10 +28,10 @@
 type Loop interface {
 	// SlowStartDemand is the units that wait for nodes in slow start, and the rate of nodes that are not.
 	SlowStartDemand() (gateway.SlowStartDemand, bool)
-	// Allocate lets units, and no more, be sent to a node until a time; startedAt says to which start of it. It
+	// AllocateSlowStart lets units, and no more, be sent to a node until a time; startedAt says to which start of it. It
 	// returns what remained of the allocation before. A time of 0 ends the allocation: the scheduler's own rules
 	// apply.
-	Allocate(addr string, startedAt scheduler.Time, units float64, until scheduler.Time) (remaining float64, ok bool)
+	AllocateSlowStart(addr string, startedAt scheduler.Time, units float64, until scheduler.Time) (remaining float64, ok bool)
 }
 
 // Options are the settings that an agent starts with.
--- a/internal/fleet/slowstart/agent/agent_test.go
+++ b/internal/fleet/slowstart/agent/agent_test.go
@@ -44,7 +44,7 @@
 	return gateway.SlowStartDemand{Demands: []scheduler.SlowStartDemand{demand}, Rate: 1000}, true
 }
 
-func (l *demandingLoop) Allocate(_ string, _ scheduler.Time, units float64, until scheduler.Time) (remaining float64, ok bool) {
+func (l *demandingLoop) AllocateSlowStart(_ string, _ scheduler.Time, units float64, until scheduler.Time) (remaining float64, ok bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.now() < l.until {
--- a/internal/fleet/slowstart/agent/requester.go
+++ b/internal/fleet/slowstart/agent/requester.go
@@ -47,7 +47,7 @@
 			return
 		}
 		for _, s := range a.poll(ctx, demand.Demands, demand.Rate) {
-			a.loop.Allocate(s.node, s.startedAt, 0, s.until) // no request is in flight for these
+			a.loop.AllocateSlowStart(s.node, s.startedAt, 0, s.until) // no request is in flight for these
 		}
 	}
 }
@@ -150,7 +150,7 @@
 	renewing := r.state == stateRenewing
 	a.mutex.Unlock()
 	if renewing { // what remains is returned, and nothing is sent until the response
-		request.Returned, _ = a.loop.Allocate(request.Node, request.StartedAt, 0, until)
+		request.Returned, _ = a.loop.AllocateSlowStart(request.Node, request.StartedAt, 0, until)
 	}
 	allocation, err := a.requestFrom(ctx, owner, addr, request)
 	now := a.opt.Now()
@@ -158,9 +158,9 @@
 		err = errLateResponse
 	}
 	if err == nil {
-		a.loop.Allocate(request.Node, request.StartedAt, allocation.Units, until)
+		a.loop.AllocateSlowStart(request.Node, request.StartedAt, allocation.Units, until)
 	} else if renewing {
-		a.loop.Allocate(request.Node, request.StartedAt, 0, 0)
+		a.loop.AllocateSlowStart(request.Node, request.StartedAt, 0, 0)
 	}
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
--- a/internal/frontend/web/request.go
+++ b/internal/frontend/web/request.go
@@ -83,7 +83,7 @@
 		return nil, err
 	}
 	spec := &gateway.RequestSpec{
-		Volume:   &gateway.Volume{ServiceLevel: serviceLevel, Gateways: 1},
+		Volume:   &gateway.Volume{ServiceLevel: serviceLevel, GatewayCount: 1},
 		Class:    class,
 		Key:      int64(extent),
 		HasKey:   true,
@@ -197,7 +197,7 @@
 		return err == nil && shard >= -1
 	case "hosts":
 		hosts, err := strconv.ParseUint(value, 10, 16)
-		spec.Volume.Gateways = float64(hosts)
+		spec.Volume.GatewayCount = float64(hosts)
 		return err == nil && hosts > 0
 	}
 	return true
--- a/internal/frontend/web/result_test.go
+++ b/internal/frontend/web/result_test.go
@@ -17,7 +17,7 @@
 		var done <-chan gateway.Result
 		submitted, early := make(chan bool), make(chan bool, 1)
 		spec := &gateway.RequestSpec{
-			Volume:   &gateway.Volume{ServiceLevel: "gold", Gateways: 1},
+			Volume:   &gateway.Volume{ServiceLevel: "gold", GatewayCount: 1},
 			Class:    "read",
 			Units:    1,
 			Deadline: b.loop.Now() + 1e11,
--- a/internal/gateway/golden_test.go
+++ b/internal/gateway/golden_test.go
@@ -72,7 +72,7 @@
 	for i := range submissions {
 		spec := &submissions[i].spec
 		spec.Call.Shard = i // a node for each, since nodes that nothing is known of are sent one request at a time
-		spec.Volume = &Volume{ID: int64(i), ServiceLevel: "basic", Gateways: 1}
+		spec.Volume = &Volume{ID: int64(i), ServiceLevel: "basic", GatewayCount: 1}
 		spec.Class = "read"
 		spec.Deadline = l.Now() + int64(time.Second)
 		l.Submit(submissions[i].session, spec)
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -15,7 +15,7 @@
 type Volume struct {
 	ID           int64
 	ServiceLevel string
-	Gateways     float64 // number of gateways that its requests come through
+	GatewayCount float64 // number of gateways that its requests come through
 }
 
 // RequestSpec is a request as it is submitted.
--- a/internal/gateway/scheduler.go
+++ b/internal/gateway/scheduler.go
@@ -64,9 +64,9 @@
 func (s *tappedScheduler) submit(now scheduler.Time, r *scheduler.Request, spec *RequestSpec) {
 	volume := spec.Volume
 	if s.tap != nil {
-		s.tap.Submitted(now, r, volume.ID, volume.ServiceLevel, spec.Class, volume.Gateways, spec.HasKey)
+		s.tap.Submitted(now, r, volume.ID, volume.ServiceLevel, spec.Class, volume.GatewayCount, spec.HasKey)
 	}
-	s.inner.Submit(now, r, volume.ID, volume.ServiceLevel, spec.Class, volume.Gateways, spec.HasKey)
+	s.inner.Submit(now, r, volume.ID, volume.ServiceLevel, spec.Class, volume.GatewayCount, spec.HasKey)
 }
 
 func (s *tappedScheduler) attemptFinished(now scheduler.Time, a *scheduler.Attempt, outcome scheduler.Outcome,
@@ -83,7 +83,7 @@
 	if s.tap != nil {
 		s.tap.ClientCancelled(now, r.ID)
 	}
-	s.inner.ClientLeft(now, r.ID)
+	s.inner.ClientCancelled(now, r.ID)
 }
 
 func (s *tappedScheduler) decide(now scheduler.Time) *scheduler.Decision {
--- a/internal/gateway/slowstart.go
+++ b/internal/gateway/slowstart.go
@@ -2,9 +2,9 @@
 
 import "irispost/scheduler"
 
-// Allocate hands the scheduler the units that were allocated to it for a warming node, which started at startedAt, to
+// AllocateSlowStart hands the scheduler the units that were allocated to it for a warming node, which started at startedAt, to
 // be sent until expiresAt. It returns what remained of the last allocation; false when the loop has ended.
-func (l *Loop) Allocate(addr string, startedAt scheduler.Time, units float64, expiresAt scheduler.Time) (
+func (l *Loop) AllocateSlowStart(addr string, startedAt scheduler.Time, units float64, expiresAt scheduler.Time) (
 	remaining float64, ok bool) {
 	return callLoop(l, func(now scheduler.Time) float64 {
 		return l.scheduler.allocateSlowStart(now, addr, startedAt, units, expiresAt)
--- a/internal/relive/nodes.go
+++ b/internal/relive/nodes.go
@@ -26,7 +26,7 @@
 
 // updateEndpoints starts the nodes that are new and gives the gateway the list, with the addresses of the test nodes.
 func (p *play) updateEndpoints(record *capture.Record) error {
-	if record.Kind == capture.Listed { // a full list: nodes that it does not name are gone
+	if record.Kind == capture.KindEndpointList { // a full list: nodes that it does not name are gone
 		for address, listed := range p.listed {
 			listed.Health = endpoint.Removed
 			p.listed[address] = listed
--- a/internal/relive/relive_test.go
+++ b/internal/relive/relive_test.go
@@ -64,9 +64,9 @@
 
 func TestReadRejectsWhatCannotBePlayed(t *testing.T) {
 	for want, records := range map[string][]*capture.Record{
-		"no start": {{Kind: capture.Header, Name: "g"}},
-		"a gap":    {{Kind: capture.Start, At: 1}, {Kind: capture.Gap, Dropped: 3}},
-		"a state":  {{Kind: capture.State, At: 1}},
+		"no start": {{Kind: capture.KindHeader, Name: "g"}},
+		"a gap":    {{Kind: capture.KindStart, At: 1}, {Kind: capture.KindGap, Dropped: 3}},
+		"a state":  {{Kind: capture.KindSnapshot, At: 1}},
 	} {
 		next := 0
 		_, err := Read(func() (*capture.Record, error) {
--- a/internal/relive/requests.go
+++ b/internal/relive/requests.go
@@ -56,7 +56,7 @@
 		p.volumes[arrival.Volume] = &gateway.Volume{
 			ID:           arrival.Volume,
 			ServiceLevel: arrival.Plan,
-			Gateways:     arrival.Hosts,
+			GatewayCount: arrival.Hosts,
 		}
 	}
 	return p.volumes[arrival.Volume]
--- a/internal/relive/script.go
+++ b/internal/relive/script.go
@@ -92,7 +92,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if record.Kind == capture.Start && r.script.Settings != nil {
+		if record.Kind == capture.KindStart && r.script.Settings != nil {
 			break // a second start of the scheduler: what came before is what is played
 		}
 		if err := r.add(record); err != nil {
@@ -123,30 +123,30 @@
 func (r *scriptReader) add(record *capture.Record) error {
 	at := record.At - r.script.StartedAt
 	switch record.Kind {
-	case capture.Header:
+	case capture.KindHeader:
 		r.script.Gateway = record.Name
-	case capture.Start:
+	case capture.KindStart:
 		r.start(record)
-	case capture.State, capture.Gap:
+	case capture.KindSnapshot, capture.KindGap:
 		return &IncompleteError{record.Kind, at}
-	case capture.Listed, capture.ListedPart:
+	case capture.KindEndpointList, capture.KindEndpointUpdate:
 		r.script.events = append(r.script.events, event{at: at, list: record})
 		for _, node := range record.Nodes {
 			r.script.nodes[node.Addr] = &nodeBehavior{windows: map[int64]*window{}}
 		}
-	case capture.Take:
+	case capture.KindSubmitted:
 		r.script.events = append(r.script.events, event{at: at, arrival: record})
 		r.arrivals[record.Job] = record
 		r.outcome(record).Requests++
-	case capture.Left:
+	case capture.KindClientCancelled:
 		r.script.events = append(r.script.events, event{at: at, cancelled: record.Job})
 		if arrival := r.arrivals[record.Job]; arrival != nil {
 			r.outcome(arrival).ClientCancelled++
 			delete(r.arrivals, record.Job)
 		}
-	case capture.Ended:
+	case capture.KindAttemptEnded:
 		r.attemptEnded(record, at)
-	case capture.Decided:
+	case capture.KindDecided:
 		r.decided(record)
 	}
 	return nil
--- a/internal/replay/decide.go
+++ b/internal/replay/decide.go
@@ -15,7 +15,7 @@
 	if !now.Equal(record.Decision) {
 		r.differ(record, now)
 		if !r.opt.All {
-			r.move(Parted, "")
+			r.move(Diverged, "")
 			return
 		}
 	}
--- a/internal/replay/driver_test.go
+++ b/internal/replay/driver_test.go
@@ -53,7 +53,7 @@
 	case len(d.inFlight) > 0:
 		request := d.inFlight[0].Request.ID
 		d.recorder.ClientCancelled(d.now, request)
-		d.scheduler.ClientLeft(d.now, request)
+		d.scheduler.ClientCancelled(d.now, request)
 	}
 }
 
--- a/internal/replay/feed.go
+++ b/internal/replay/feed.go
@@ -19,23 +19,23 @@
 		return nil
 	}
 	r.report.Records++
-	if r.scheduler != nil && record.Kind != capture.End {
+	if r.scheduler != nil && record.Kind != capture.KindEnd {
 		r.report.Span = record.At - r.start
 	}
 	switch record.Kind {
-	case capture.Header:
+	case capture.KindHeader:
 		r.report.Gateway = record.Name
 		r.report.Build = record.Build
 		r.report.SameModule = record.Digest == xxhash.Sum64(scheduler.PolicySource)
-	case capture.Start:
+	case capture.KindStart:
 		r.startScheduler(record)
-	case capture.Gap:
+	case capture.KindGap:
 		r.report.Gaps++
 		r.move(Gapped, fmt.Sprintf("%d records were dropped, %.3f s after the start", record.Dropped, seconds(r.report.Span)))
 		r.scheduler = nil
-	case capture.State:
+	case capture.KindSnapshot:
 		return r.restore(record)
-	case capture.End:
+	case capture.KindEnd:
 	default:
 		if r.scheduler != nil { // otherwise the record is of a time that cannot be replayed
 			r.call(record)
@@ -97,26 +97,26 @@
 func (r *Replay) call(record *capture.Record) {
 	now := record.At
 	switch record.Kind {
-	case capture.Listed, capture.ListedPart:
+	case capture.KindEndpointList, capture.KindEndpointUpdate:
 		list := endpoint.List{Stale: record.Stale, Nodes: record.Nodes}
-		gateway.ApplyEndpointList(r.scheduler, now, list, record.Kind == capture.Listed)
-	case capture.ListFailed, capture.ListSilent:
-		r.scheduler.EndpointListFailed(now, record.Kind == capture.ListSilent)
-	case capture.Agreed:
+		gateway.ApplyEndpointList(r.scheduler, now, list, record.Kind == capture.KindEndpointList)
+	case capture.KindEndpointListFailed, capture.KindEndpointListSilent:
+		r.scheduler.EndpointListFailed(now, record.Kind == capture.KindEndpointListSilent)
+	case capture.KindSettingsChanged:
 		r.learnObjectives(record.Terms)
 		r.scheduler.ApplySettings(now, record.Terms)
-	case capture.Lent:
+	case capture.KindAllocated:
 		r.scheduler.AllocateSlowStart(now, record.Node, record.Born, record.Units, record.Till)
-	case capture.Begun:
+	case capture.KindStreamStarted:
 		r.addToStory(record.Job, now, "execution %d: its answer begins to flow", record.Number)
 		r.scheduler.ResponseStarted(now, record.Job, record.Number)
-	case capture.Take:
+	case capture.KindSubmitted:
 		r.submit(record)
-	case capture.Ended:
+	case capture.KindAttemptEnded:
 		r.endAttempt(record)
-	case capture.Left:
+	case capture.KindClientCancelled:
 		r.cancel(record)
-	case capture.Decided:
+	case capture.KindDecided:
 		r.decide(record)
 	}
 }
@@ -158,5 +158,5 @@
 		r.addToStory(record.Job, record.At, "its client has gone")
 		delete(r.requests, record.Job)
 	}
-	r.scheduler.ClientLeft(record.At, record.Job)
+	r.scheduler.ClientCancelled(record.At, record.Job)
 }
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -20,10 +20,10 @@
 const (
 	Waiting State = iota // for the scheduler's start
 	Running
-	Gapped // records are missing; it goes on at the next snapshot
-	Parted // the scheduler decided otherwise than in the capture
-	Ended  // the capture was read to its end
-	Cut    // the capture stops without its end; all that was there has been replayed
+	Gapped    // records are missing; it goes on at the next snapshot
+	Diverged  // the scheduler decided otherwise than in the capture
+	Ended     // the capture was read to its end
+	Truncated // the capture stops without its end; all that was there has been replayed
 )
 
 var stateNames = [...]string{"waiting", "running", "gapped", "parted", "ended", "cut"}
@@ -89,7 +89,7 @@
 // errors of next, and of a snapshot that cannot be restored, are returned.
 func Run(next func() (*capture.Record, error), opt Options) (*Report, error) {
 	r := New(opt)
-	for r.report.State < Parted { // waiting, running or gapped
+	for r.report.State < Diverged { // waiting, running or gapped
 		record, err := next()
 		switch {
 		case errors.Is(err, io.EOF) && r.report.State == Gapped:
@@ -97,7 +97,7 @@
 		case errors.Is(err, io.EOF):
 			r.move(Ended, "")
 		case errors.Is(err, capture.ErrCut), errors.Is(err, capture.ErrDamaged):
-			r.move(Cut, err.Error())
+			r.move(Truncated, err.Error())
 		case err != nil:
 			return nil, err
 		default:
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -108,7 +108,7 @@
 		}
 		cut := 8 + rand.New(rand.NewPCG(seed, 6)).IntN(m.Len()-8)
 		part, err := Run(open(t, m.Bytes()[:cut]), Options{})
-		if err != nil || part.State != Cut || part.Difference != nil || part.Records > whole.Records ||
+		if err != nil || part.State != Truncated || part.Difference != nil || part.Records > whole.Records ||
 			!strings.Contains(part.Why, "whole records") {
 			t.Fatalf("seed %d, cut at %d of %d: %v %v %q %s", seed, cut, m.Len(), part.State, err, part.Why, place(part))
 		}
@@ -182,24 +182,24 @@
 	}
 	for name, alter := range map[string]func(*capture.Record){
 		"a shorter goal": func(r *capture.Record) {
-			if r.Kind == capture.Start {
+			if r.Kind == capture.KindStart {
 				r.Terms["products.0.goal"] = "60"
 			}
 		},
 		"another seed": func(r *capture.Record) { r.Seed++ },
 		"a node that is missing": func(r *capture.Record) {
-			if r.Kind == capture.Listed {
+			if r.Kind == capture.KindEndpointList {
 				r.Nodes = r.Nodes[1:]
 			}
 		},
 		"a sending that was not": func(r *capture.Record) {
-			if r.Kind == capture.Decided && len(r.Decision.Sent) > 0 && r.At%7 == 0 {
+			if r.Kind == capture.KindDecided && len(r.Decision.Sent) > 0 && r.At%7 == 0 {
 				r.Decision.Sent = r.Decision.Sent[1:]
 			}
 		},
 	} {
 		r := change(alter)
-		if r.State != Parted || r.Difference == nil || r.Same() || r.Difference.Record < 3 ||
+		if r.State != Diverged || r.Difference == nil || r.Same() || r.Difference.Record < 3 ||
 			r.Difference.Captured.Equal(r.Difference.Now) {
 			t.Errorf("%s: %v %+v", name, r.State, r.Difference)
 		}
@@ -207,7 +207,7 @@
 	next := open(t, b) // going on after differences, to the end
 	r, err := Run(func() (*capture.Record, error) {
 		rec, err := next()
-		if err == nil && rec.Kind == capture.Start {
+		if err == nil && rec.Kind == capture.KindStart {
 			rec.Terms["products.0.goal"] = "60"
 		}
 		return rec, err
@@ -229,7 +229,7 @@
 	next, n := open(t, b), 0
 	r, err := Run(func() (*capture.Record, error) {
 		if n++; n == 300 {
-			return &capture.Record{Kind: capture.Gap, Dropped: 17}, nil
+			return &capture.Record{Kind: capture.KindGap, Dropped: 17}, nil
 		}
 		return next()
 	}, Options{})
@@ -336,7 +336,7 @@
 		case n < 200:
 			return first()
 		case n == 200:
-			return &capture.Record{Kind: capture.Gap, Dropped: 5}, nil
+			return &capture.Record{Kind: capture.KindGap, Dropped: 5}, nil
 		case n < 220:
 			return first()
 		}
@@ -417,7 +417,7 @@
 			names[n.Addr] = true
 		}
 		for _, name := range []string{rec.Product, rec.Plan, rec.Name} {
-			names[name] = rec.Kind != capture.End && name != ""
+			names[name] = rec.Kind != capture.KindEnd && name != ""
 		}
 	}
 	in, err := capture.NewReader(bytes.NewReader(b))
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -274,7 +274,7 @@
 	loop, nodes := h.loop, h.nodes
 	h.lock.Unlock()
 	mark := fmt.Sprintf("%s probe %d", h.Name, probes.Add(1))
-	w := &gateway.RequestSpec{Volume: &gateway.Volume{ID: 1, ServiceLevel: "basic", Gateways: 1}, Class: "read", Units: 1, Deadline: loop.Now() + int64(h.fleet.Size.Patience),
+	w := &gateway.RequestSpec{Volume: &gateway.Volume{ID: 1, ServiceLevel: "basic", GatewayCount: 1}, Class: "read", Units: 1, Deadline: loop.Now() + int64(h.fleet.Size.Patience),
 		Call: node.Call{IdempotencyKey: mark, Shard: shard, Op: node.GetObject, Name: "probe"}}
 	<-loop.Submit(nil, w)
 	addr, _ := nodes.begun.LoadAndDelete(mark)
--- a/scheduler/dispatch_test.go
+++ b/scheduler/dispatch_test.go
@@ -49,7 +49,7 @@
 	h.scheduler.AttemptFinished(h.now, request.ID, 0, OutcomePending, Millisecond, true, 0)
 	h.scheduler.AttemptFinished(h.now, "unknown", 0, OutcomeServed, Millisecond, true, 0)
 	h.scheduler.ResponseStarted(h.now, "unknown", 0)
-	h.scheduler.ClientLeft(h.now, "unknown")
+	h.scheduler.ClientCancelled(h.now, "unknown")
 	expectEqual(t, h, "state", request.State, RequestInFlight)
 	expectEqual(t, h, "in flight at its node", h.node("a0").AttemptsInFlight, 1)
 }
--- a/scheduler/random_runs_test.go
+++ b/scheduler/random_runs_test.go
@@ -73,7 +73,7 @@
 	request := h.requests[len(h.requests)-1]
 	if !h.finished[request] && !request.State.Terminal() {
 		h.finished[request] = true
-		h.scheduler.ClientLeft(h.now, request.ID)
+		h.scheduler.ClientCancelled(h.now, request.ID)
 	}
 }
 
--- a/scheduler/requests.go
+++ b/scheduler/requests.go
@@ -205,8 +205,8 @@
 	return !slices.ContainsFunc(r.Attempts, (*Attempt).mayHaveExecuted)
 }
 
-// ClientLeft records that a request's client has gone. It gets no answer, and its pending attempts are cancelled.
-func (s *Scheduler) ClientLeft(now Time, id string) {
+// ClientCancelled records that a request's client has gone. It gets no answer, and its pending attempts are cancelled.
+func (s *Scheduler) ClientCancelled(now Time, id string) {
 	s.now = now
 	request := s.requests[id]
 	if request == nil || request.State.Terminal() {
--- a/scheduler/requests_test.go
+++ b/scheduler/requests_test.go
@@ -37,7 +37,7 @@
 			h.advance(c.after * Millisecond)
 			if i%c.every == c.every-1 {
 				h.finished[request] = true
-				h.scheduler.ClientLeft(h.now, request.ID)
+				h.scheduler.ClientCancelled(h.now, request.ID)
 			}
 			h.advanceInSteps(10 * Millisecond)
 			h.finishAll(OutcomeServed)
