--- a/internal/adapter/tapfile_test.go
+++ b/internal/adapter/tapfile_test.go
@@ -82,8 +82,14 @@
 	if class := report.Products[0]; class.Completed != 1 || class.Left != 1 {
 		t.Errorf("%+v", class)
 	}
-	for _, kind := range []capture.Kind{capture.KindEndpointList, capture.KindEndpointUpdate, capture.KindEndpointListFailed, capture.KindStreamStarted, capture.KindSubmitted,
-		capture.KindClientCancelled} {
+	for _, kind := range []capture.Kind{
+		capture.KindEndpointList,
+		capture.KindEndpointUpdate,
+		capture.KindEndpointListFailed,
+		capture.KindStreamStarted,
+		capture.KindSubmitted,
+		capture.KindClientCancelled,
+	} {
 		if kinds[kind] == 0 {
 			t.Errorf("the capture has no record of %v", kind)
 		}
--- a/internal/endpoint/xds/assignment_test.go
+++ b/internal/endpoint/xds/assignment_test.go
@@ -113,72 +113,75 @@
 }
 
 // So is each field of an endpoint.
+// invalidEndpoints has changes that make an endpoint invalid, by what the rejection says of each.
+var invalidEndpoints = map[string]func(*assignmentMessage){
+	"an endpoint is empty": func(a *assignmentMessage) { a.Endpoints[0].LbEndpoints[0] = &endpointv3.LbEndpoint{} },
+	"endpoint_name is not supported": func(a *assignmentMessage) {
+		lbEndpoint(a).HostIdentifier = &endpointv3.LbEndpoint_EndpointName{EndpointName: "x"}
+	},
+	"is there twice": func(a *assignmentMessage) {
+		a.Endpoints[0].LbEndpoints = append(a.Endpoints[0].LbEndpoints, lbEndpoint(a))
+	},
+	"health_status 77 is not known": func(a *assignmentMessage) { lbEndpoint(a).HealthStatus = 77 },
+	"load_balancing_weight 0": func(a *assignmentMessage) {
+		lbEndpoint(a).LoadBalancingWeight = wrapperspb.UInt32(0)
+	},
+	"has no address": func(a *assignmentMessage) { lbEndpoint(a).GetEndpoint().Address = nil },
+	"pipe is not supported": func(a *assignmentMessage) {
+		lbEndpoint(a).GetEndpoint().Address.Address = &corev3.Address_Pipe{Pipe: &corev3.Pipe{Path: "/x"}}
+	},
+	"health_check_config is not": func(a *assignmentMessage) {
+		lbEndpoint(a).GetEndpoint().HealthCheckConfig = &endpointv3.Endpoint_HealthCheckConfig{PortValue: 1}
+	},
+	"additional_addresses is not": func(a *assignmentMessage) {
+		lbEndpoint(a).GetEndpoint().AdditionalAddresses = []*endpointv3.Endpoint_AdditionalAddress{{}}
+	},
+	"protocol UDP":              func(a *assignmentMessage) { socketAddress(a).Protocol = corev3.SocketAddress_UDP },
+	"\"node.example\" is no IP": func(a *assignmentMessage) { socketAddress(a).Address = "node.example" },
+	"\"\" is no IP":             func(a *assignmentMessage) { socketAddress(a).Address = "" },
+	"port_value 0": func(a *assignmentMessage) {
+		socketAddress(a).PortSpecifier = &corev3.SocketAddress_PortValue{}
+	},
+	"port_value 70000": func(a *assignmentMessage) {
+		socketAddress(a).PortSpecifier = &corev3.SocketAddress_PortValue{PortValue: 70000}
+	},
+	"named_port is not supported": func(a *assignmentMessage) {
+		socketAddress(a).PortSpecifier = &corev3.SocketAddress_NamedPort{NamedPort: "x"}
+	},
+	"resolver_name is not supported": func(a *assignmentMessage) { socketAddress(a).ResolverName = "x" },
+	"metadata has no \"irispost\"":   func(a *assignmentMessage) { lbEndpoint(a).Metadata = nil },
+	"irispost.colour is not known": func(a *assignmentMessage) {
+		ownMetadata(a)["colour"] = structpb.NewNumberValue(1)
+	},
+	"irispost.shard is no number": func(a *assignmentMessage) {
+		ownMetadata(a)["shard"] = structpb.NewStringValue("1")
+	},
+	"irispost.shard is -1": func(a *assignmentMessage) {
+		ownMetadata(a)["shard"] = structpb.NewNumberValue(-1)
+	},
+	"irispost.shard is 0.5": func(a *assignmentMessage) {
+		ownMetadata(a)["shard"] = structpb.NewNumberValue(0.5)
+	},
+	"irispost.shard is 65536": func(a *assignmentMessage) {
+		ownMetadata(a)["shard"] = structpb.NewNumberValue(65536)
+	},
+	"irispost.shard is NaN": func(a *assignmentMessage) {
+		ownMetadata(a)["shard"] = structpb.NewNumberValue(nan)
+	},
+	"irispost.born is no time": func(a *assignmentMessage) {
+		ownMetadata(a)["born"] = structpb.NewStringValue("yesterday")
+	},
+	"a field that is not known here": func(a *assignmentMessage) {
+		socketAddress(a).ProtoReflect().SetUnknown([]byte{0xf8, 0x7f, 1})
+	},
+	"and 1 more": func(a *assignmentMessage) {
+		ownMetadata(a)["a"], ownMetadata(a)["b"], ownMetadata(a)["c"] = nil, nil, nil
+		spoilMany(a)
+	},
+}
+
 func TestInvalidEndpointIsRejected(t *testing.T) {
-	for text, spoil := range map[string]func(*assignmentMessage){
-		"an endpoint is empty": func(a *assignmentMessage) { a.Endpoints[0].LbEndpoints[0] = &endpointv3.LbEndpoint{} },
-		"endpoint_name is not supported": func(a *assignmentMessage) {
-			lbEndpoint(a).HostIdentifier = &endpointv3.LbEndpoint_EndpointName{EndpointName: "x"}
-		},
-		"is there twice": func(a *assignmentMessage) {
-			a.Endpoints[0].LbEndpoints = append(a.Endpoints[0].LbEndpoints, lbEndpoint(a))
-		},
-		"health_status 77 is not known": func(a *assignmentMessage) { lbEndpoint(a).HealthStatus = 77 },
-		"load_balancing_weight 0": func(a *assignmentMessage) {
-			lbEndpoint(a).LoadBalancingWeight = wrapperspb.UInt32(0)
-		},
-		"has no address": func(a *assignmentMessage) { lbEndpoint(a).GetEndpoint().Address = nil },
-		"pipe is not supported": func(a *assignmentMessage) {
-			lbEndpoint(a).GetEndpoint().Address.Address = &corev3.Address_Pipe{Pipe: &corev3.Pipe{Path: "/x"}}
-		},
-		"health_check_config is not": func(a *assignmentMessage) {
-			lbEndpoint(a).GetEndpoint().HealthCheckConfig = &endpointv3.Endpoint_HealthCheckConfig{PortValue: 1}
-		},
-		"additional_addresses is not": func(a *assignmentMessage) {
-			lbEndpoint(a).GetEndpoint().AdditionalAddresses = []*endpointv3.Endpoint_AdditionalAddress{{}}
-		},
-		"protocol UDP":              func(a *assignmentMessage) { socketAddress(a).Protocol = corev3.SocketAddress_UDP },
-		"\"node.example\" is no IP": func(a *assignmentMessage) { socketAddress(a).Address = "node.example" },
-		"\"\" is no IP":             func(a *assignmentMessage) { socketAddress(a).Address = "" },
-		"port_value 0": func(a *assignmentMessage) {
-			socketAddress(a).PortSpecifier = &corev3.SocketAddress_PortValue{}
-		},
-		"port_value 70000": func(a *assignmentMessage) {
-			socketAddress(a).PortSpecifier = &corev3.SocketAddress_PortValue{PortValue: 70000}
-		},
-		"named_port is not supported": func(a *assignmentMessage) {
-			socketAddress(a).PortSpecifier = &corev3.SocketAddress_NamedPort{NamedPort: "x"}
-		},
-		"resolver_name is not supported": func(a *assignmentMessage) { socketAddress(a).ResolverName = "x" },
-		"metadata has no \"irispost\"":   func(a *assignmentMessage) { lbEndpoint(a).Metadata = nil },
-		"irispost.colour is not known": func(a *assignmentMessage) {
-			ownMetadata(a)["colour"] = structpb.NewNumberValue(1)
-		},
-		"irispost.shard is no number": func(a *assignmentMessage) {
-			ownMetadata(a)["shard"] = structpb.NewStringValue("1")
-		},
-		"irispost.shard is -1": func(a *assignmentMessage) {
-			ownMetadata(a)["shard"] = structpb.NewNumberValue(-1)
-		},
-		"irispost.shard is 0.5": func(a *assignmentMessage) {
-			ownMetadata(a)["shard"] = structpb.NewNumberValue(0.5)
-		},
-		"irispost.shard is 65536": func(a *assignmentMessage) {
-			ownMetadata(a)["shard"] = structpb.NewNumberValue(65536)
-		},
-		"irispost.shard is NaN": func(a *assignmentMessage) {
-			ownMetadata(a)["shard"] = structpb.NewNumberValue(nan)
-		},
-		"irispost.born is no time": func(a *assignmentMessage) {
-			ownMetadata(a)["born"] = structpb.NewStringValue("yesterday")
-		},
-		"a field that is not known here": func(a *assignmentMessage) {
-			socketAddress(a).ProtoReflect().SetUnknown([]byte{0xf8, 0x7f, 1})
-		},
-		"and 1 more": func(a *assignmentMessage) {
-			ownMetadata(a)["a"], ownMetadata(a)["b"], ownMetadata(a)["c"] = nil, nil, nil
-			spoilMany(a)
-		},
-	} {
+	for text, spoil := range invalidEndpoints {
 		wantInvalidAssignment(t, text, spoil)
 	}
 }
