--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -315,6 +315,21 @@
 	}
 }
 
+func TestPassedNeedsACheckAndNoViolation(t *testing.T) {
+	for name, c := range map[string]struct {
+		results []RuleResult
+		want    bool
+	}{
+		"nothing checked": {[]RuleResult{{}, {}}, false},
+		"one checked":     {[]RuleResult{{}, {Checked: 1}}, true},
+		"one violated":    {[]RuleResult{{Checked: 9}, {Checked: 1, Violations: 1}}, false},
+	} {
+		if got := Passed(c.results); got != c.want {
+			t.Errorf("%s: %t", name, got)
+		}
+	}
+}
+
 func TestSummarizeCountsEachOutcome(t *testing.T) {
 	summary := Summarize([]Event{
 		sent(0, 1), sent(0, 2), sent(0, 3), sent(0, 4), sent(0, 5),
--- a/internal/audit/check.go
+++ b/internal/audit/check.go
@@ -36,6 +36,18 @@
 	}
 }
 
+// Passed says whether rules were checked and none was violated.
+func Passed(results []RuleResult) bool {
+	checked := false
+	for _, result := range results {
+		if result.Violations > 0 {
+			return false
+		}
+		checked = checked || result.Checked > 0
+	}
+	return checked
+}
+
 // Check checks all rules against the recorded events and returns a result for each, in a fixed order.
 func Check(events []Event, parameters Parameters) []RuleResult {
 	t := newTrace(events, parameters)
--- a/internal/audit/golden_test.go
+++ b/internal/audit/golden_test.go
@@ -7,7 +7,11 @@
 )
 
 func TestReportsMatchGolden(t *testing.T) {
-	for name, record := range map[string]any{"rule.json": &RuleResult{}, "summary.json": &Summary{}, "coldness.json": &SlowStartSummary{}} {
+	for name, record := range map[string]any{
+		"rule.json":     &RuleResult{},
+		"summary.json":  &Summary{},
+		"coldness.json": &SlowStartSummary{},
+	} {
 		t.Run(name, func(t *testing.T) { golden.CheckJSON(t, name, record) })
 	}
 }
--- a/internal/day/client.go
+++ b/internal/day/client.go
@@ -149,7 +149,7 @@
 	}
 }
 
-// drawRequest draws the next request. The order of the draws is part of what a seed stands for.
+// drawRequest draws the next request. The order of the draws is fixed, so that a seed gives the same requests again.
 func (c *client) drawRequest(number int) scriptedRequest {
 	request := scriptedRequest{number: number}
 	request.file = c.random.IntN(len(c.files))
--- a/internal/day/connection.go
+++ b/internal/day/connection.go
@@ -186,7 +186,8 @@
 	return waiter
 }
 
-// giveUp ends the wait for an answer that does not come: the audit finds it lost, and the client must not wait for ever.
+// giveUp ends the wait for an answer that does not come: the audit finds it lost, and the client must not wait for
+// ever.
 func (c *connection) giveUp(id uint32) {
 	c.lock.Lock()
 	waiter := c.waiting[id]
--- a/internal/day/day.go
+++ b/internal/day/day.go
@@ -34,17 +34,10 @@
 
 // Passed says whether rules were checked and none was violated.
 func (r *Report) Passed() bool {
-	checked := false
-	for _, rule := range r.Rules {
-		if rule.Violations > 0 {
-			return false
-		}
-		checked = checked || rule.Checked > 0
-	}
 	if a := r.Agreement; a != nil && (a.Violations > 0 || a.Pairs == 0 || a.Versions == 0) {
 		return false
 	}
-	return checked && r.Lost == 0 && r.AnsweredTwice == 0 && r.TornReads == 0
+	return audit.Passed(r.Rules) && r.Lost == 0 && r.AnsweredTwice == 0 && r.TornReads == 0
 }
 
 // Options are how a scenario is played.
--- a/internal/day/gateway_instance.go
+++ b/internal/day/gateway_instance.go
@@ -118,7 +118,8 @@
 	return nil
 }
 
-// startGatewayProcess starts a gateway's process, and waits until it prints its addresses: the last word of a line each.
+// startGatewayProcess starts a gateway's process, and waits until it prints its addresses: the last word of a line
+// each.
 func (t *testbed) startGatewayProcess(instance *gatewayInstance) error {
 	command := exec.Command(t.options.Program, "serve", "--config", instance.configFile)
 	command.Stderr = t.options.GatewayLog
--- a/internal/day/parse.go
+++ b/internal/day/parse.go
@@ -68,7 +68,7 @@
 // parser turns a script's form into a Script and collects what is wrong with it.
 type parser struct {
 	form     *scriptForm
-	top      hcl.Range       // the place of problems of the whole script
+	top      hcl.Range       // place of problems that concern no single block
 	nodes    map[string]bool // names so far
 	problems []string
 }
--- a/internal/day/timeline.go
+++ b/internal/day/timeline.go
@@ -131,7 +131,8 @@
 	}
 }
 
-// startReplacement starts a node that warms up in a slot, and says whether it runs. It is not in the published list yet.
+// startReplacement starts a node that warms up in a slot, and says whether it runs. The published list does not have
+// it yet.
 func (t *testbed) startReplacement(name string, slot *nodeSlot) bool {
 	t.options.Logf("%s starts anew, cold", name)
 	if err := t.startNode(slot, true); err != nil {
--- a/internal/relive/play.go
+++ b/internal/relive/play.go
@@ -47,14 +47,7 @@
 
 // Passed says whether no rule was violated and something was checked.
 func (r *Report) Passed() bool {
-	checked := false
-	for _, rule := range r.Rules {
-		if rule.Violations > 0 {
-			return false
-		}
-		checked = checked || rule.Checked > 0
-	}
-	return checked && r.Lost == 0 && r.AnsweredTwice == 0
+	return audit.Passed(r.Rules) && r.Lost == 0 && r.AnsweredTwice == 0
 }
 
 // play is a script that is being played. Its timeline runs on the goroutine of Play; each request has one that waits
--- a/internal/standin/store_calls.go
+++ b/internal/standin/store_calls.go
@@ -138,7 +138,9 @@
 }
 
 // page lists up to limit items in the order of their names, from after a name on. item says whether one is listed.
-func page[T any](all map[string]T, after string, limit int, item func(string, T) (node.ListItem, bool)) []node.ListItem {
+func page[T any](
+	all map[string]T, after string, limit int, item func(string, T) (node.ListItem, bool),
+) []node.ListItem {
 	var names []string
 	for name := range all {
 		if name > after {
--- a/internal/standin/store_test.go
+++ b/internal/standin/store_test.go
@@ -96,7 +96,9 @@
 			t.Errorf("%q is taken", text)
 		}
 	}
-	for _, text := range []string{"fail 0.5", "slow 2", "drop 1", "hang", "stall 1ms", "cut g1", "refuse", "reset", "well"} {
+	for _, text := range []string{
+		"fail 0.5", "slow 2", "drop 1", "hang", "stall 1ms", "cut g1", "refuse", "reset", "well",
+	} {
 		if err := n.Command(text); err != nil {
 			t.Errorf("%q: %v", text, err)
 		}
