--- a/internal/relive/relive_test.go
+++ b/internal/relive/relive_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"context"
 	"errors"
 	"io"
 	"os"
@@ -62,6 +63,18 @@
 	return o.WithinObjective + o.Late + o.Rejected + o.Failed + o.ClientCancelled
 }
 
+func TestPlayEndsWithItsContext(t *testing.T) {
+	content, err := os.ReadFile("../replay/testdata/failing.iriscap")
+	if err != nil {
+		t.Fatal(err)
+	}
+	ctx, cancel := context.WithCancel(t.Context())
+	cancel()
+	if _, err := Play(ctx, readScript(t, content), Options{}); !errors.Is(err, context.Canceled) {
+		t.Errorf("%v", err)
+	}
+}
+
 func TestReadRejectsWhatCannotBePlayed(t *testing.T) {
 	for want, records := range map[string][]*capture.Record{
 		"no start": {{Kind: capture.Header, Name: "g"}},
--- a/internal/standin/store_test.go
+++ b/internal/standin/store_test.go
@@ -28,7 +28,7 @@
 	return store
 }
 
-func TestStoreReadsItsFolderAgain(t *testing.T) {
+func TestStoreReopensItsFolder(t *testing.T) {
 	dir := t.TempDir()
 	before := newStore(t, dir)
 	execute(t, before, node.Call{Op: node.PutObject, Name: "object", Owner: "owner", Data: []byte("abc")})
@@ -48,7 +48,7 @@
 }
 
 // Folders of earlier builds are read: the form of a file stays.
-func TestStoreFileFormIsKept(t *testing.T) {
+func TestStoreFileMatchesEarlierBuilds(t *testing.T) {
 	dir := t.TempDir()
 	execute(t, newStore(t, dir), node.Call{Op: node.PutObject, Name: "dir/a", Owner: "me", Data: []byte("abc")})
 	content, err := os.ReadFile(filepath.Join(dir, "odir_a-a758dbd03e87210e.irispost"))
@@ -75,9 +75,9 @@
 	if !hadEffect || first.Status != node.OK {
 		t.Fatalf("%+v, effect %t", first, hadEffect)
 	}
-	again, hadEffect := store.execute(&call, now.Add(time.Second), time.Minute)
-	if hadEffect || again.Status != node.OK || again.Version != first.Version {
-		t.Errorf("%+v, effect %t, within the window", again, hadEffect)
+	repeated, hadEffect := store.execute(&call, now.Add(time.Second), time.Minute)
+	if hadEffect || repeated.Status != node.OK || repeated.Version != first.Version {
+		t.Errorf("%+v, effect %t, within the window", repeated, hadEffect)
 	}
 	late, hadEffect := store.execute(&call, now.Add(time.Hour), time.Minute)
 	if hadEffect || late.Status != node.VersionConflict {
