--- a/internal/endpoint/golden_test.go
+++ b/internal/endpoint/golden_test.go
@@ -3,41 +3,31 @@
 import (
 	"bytes"
 	"encoding/json"
-	"flag"
 	"os"
 	"path/filepath"
 	"testing"
-)
-
-var update = flag.Bool("update", false, "write the golden files anew")
 
-// checkGolden fails the test if got differs from testdata/name.
-func checkGolden(t *testing.T, name string, got []byte) {
-	t.Helper()
-	file := filepath.Join("testdata", name)
-	if *update {
-		if err := os.WriteFile(file, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(file)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s: got\n%s\nwant\n%s", file, got, want)
-	}
-}
+	"irispost/internal/testkit/golden"
+)
 
-// formOf is a list in a form of the test's own, whatever the fields are called in code.
-func formOf(t *testing.T, l List) []byte {
+// formOf returns a list as JSON under names of the test's own.
+func formOf(t *testing.T, list List) []byte {
 	t.Helper()
 	nodes := []map[string]any{}
-	for _, n := range l.Nodes {
-		nodes = append(nodes, map[string]any{"addr": n.Addr, "name": n.Name, "zone": n.Zone, "shard": n.Shard, "weight": n.Weight,
-			"born": n.StartedAt, "standing": int(n.Health), "priority": n.Priority})
-	}
-	b, err := json.MarshalIndent(map[string]any{"version": l.Version, "stale": l.Stale, "part": l.Partial, "nodes": nodes}, "", "  ")
+	for _, n := range list.Nodes {
+		nodes = append(nodes, map[string]any{
+			"addr":     n.Addr,
+			"name":     n.Name,
+			"zone":     n.Zone,
+			"shard":    n.Shard,
+			"weight":   n.Weight,
+			"born":     n.StartedAt,
+			"standing": int(n.Health),
+			"priority": n.Priority,
+		})
+	}
+	form := map[string]any{"version": list.Version, "stale": list.Stale, "part": list.Partial, "nodes": nodes}
+	b, err := json.MarshalIndent(form, "", "  ")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -67,6 +57,6 @@
 		{"read-unnamed.json", formOf(t, unnamed)},
 		{"written.nodes.hcl", FormatList(named)},
 	} {
-		checkGolden(t, c.file, c.got)
+		golden.Check(t, c.file, c.got)
 	}
 }
--- a/internal/serve/fleet_test.go
+++ b/internal/serve/fleet_test.go
@@ -145,7 +145,7 @@
 		t.Fatal(err)
 	}
 	b.awaitVersion("acting on 1.")
-	if b.logged("contradicts it") {
+	if b.logged("local configuration conflicts with a version") {
 		t.Error("the same settings are said to contradict")
 	}
 	level := b.content.ServiceLevels["basic"]
@@ -153,7 +153,7 @@
 	b.content.ServiceLevels["basic"] = level
 	b.propose(1)
 	b.awaitVersion("acting on 2.")
-	until(func() bool { return b.logged("version 2.") && b.logged("limit none over 7") })
+	until(func() bool { return b.logged("version=2.") && b.logged("limit none over 7") })
 	b.replica.Close()
 	b.awaitVersion("ended on none")
 	if err := client.Mkdir("/meals/month"); err == nil {
--- a/internal/serve/sources.go
+++ b/internal/serve/sources.go
@@ -5,7 +5,7 @@
 	"path/filepath"
 
 	"irispost/internal/config"
-	"irispost/internal/endpoint"
+	"irispost/internal/endpoint/filesource"
 	"irispost/internal/endpoint/manager"
 	"irispost/internal/endpoint/xds"
 )
@@ -25,7 +25,7 @@
 		named := manager.NamedSource{Name: s.Name}
 		switch s.Kind {
 		case sourceOwnFile:
-			named.Source = endpoint.FileSource{Path: resolvePath(baseDir, s.File)}
+			named.Source = filesource.Source{Path: resolvePath(baseDir, s.File)}
 		case sourceXDSFile:
 			named.Source = xds.FileSource{
 				Clusters:  resolvePath(baseDir, s.Clusters),
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -5,53 +5,35 @@
 	"fmt"
 	"maps"
 	"math"
-	"os"
-	"path/filepath"
 	"slices"
 	"strings"
 	"testing"
 
+	"irispost/internal/testkit/golden"
 	"irispost/scheduler"
 )
 
-// compareGolden compares a text with a file of testdata. With UPDATE_GOLDEN set it writes the file instead.
-func compareGolden(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if os.Getenv("UPDATE_GOLDEN") != "" {
-		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got != string(want) {
-		t.Errorf("%s differs; got:\n%s", path, got)
-	}
-}
-
-// TestNamesMatchGolden compares what each setting, word, completion code and availability of the wire is called by us.
+// TestNamesMatchGolden compares what the scheduler gets for each setting, word, completion code and availability of
+// the wire.
 func TestNamesMatchGolden(t *testing.T) {
 	var out strings.Builder
-	rename := func(path, value string) {
+	translate := func(path, value string) {
 		settings := scheduler.Settings{}
 		TranslateSetting(settings, path, value)
 		fmt.Fprintf(&out, "%s=%s -> %v\n", path, value, settings)
 	}
-	for _, path := range slices.Sorted(maps.Keys(names)) {
-		rename(strings.Replace(path, "#", "12", 1), "1.5")
+	for _, path := range slices.Sorted(maps.Keys(settingNames)) {
+		translate(strings.Replace(path, "#", "12", 1), "1.5")
 	}
-	rename("lanes.#.name", "read")
-	rename("lanes.x.name", "read")
-	rename("unknown.key", "1")
+	translate("lanes.#.name", "read")
+	translate("lanes.x.name", "read")
+	translate("unknown.key", "1")
 	for _, value := range []string{"read_like", "idempotency_key", "non_idempotent", "other"} {
-		rename("lanes.0.effect", value)
+		translate("lanes.0.effect", value)
 		fmt.Fprintf(&out, "effect %s known: %t\n", value, KnownEffect(value))
 	}
 	for _, value := range []string{"all", "zone", "cell", "other"} {
-		rename("lanes.0.group", value)
+		translate("lanes.0.group", value)
 		fmt.Fprintf(&out, "group %s known: %t\n", value, KnownGroup(value))
 	}
 	for code := -1; code <= 8; code++ {
@@ -61,10 +43,10 @@
 	}
 	for _, word := range []string{"ready", "draining", "gone", "other", "-"} {
 		f := Fields{rest: []byte(word), more: true}
-		standing := f.Availability("availability")
-		fmt.Fprintf(&out, "availability %s -> %d, %v\n", word, standing, f.Err)
+		state := f.Availability("availability")
+		fmt.Fprintf(&out, "availability %s -> %d, %v\n", word, state, f.Err)
 	}
-	compareGolden(t, "names.txt", out.String())
+	golden.Check(t, "names.txt", []byte(out.String()))
 }
 
 // TestValuesMatchGolden compares how each value is read from a line and written to one.
@@ -82,7 +64,8 @@
 		{"text", func(f *Fields) any { return f.Text("v") }},
 		{"time", func(f *Fields) any { return f.Time("v") }},
 	}
-	values := []string{"-", "", "1", "-1", "007", "0.0000019", "-2.5", "5.", ".5", "1e3", "NaN", "9223372036854775807", "18446744073709551615"}
+	values := []string{"-", "", "1", "-1", "007", "0.0000019", "-2.5", "5.", ".5", "1e3", "NaN",
+		"9223372036854775807", "18446744073709551615"}
 	for _, reader := range readers {
 		for _, value := range values {
 			f := Fields{rest: []byte(value), more: true}
@@ -106,5 +89,5 @@
 	if err := w.Flush(); err != nil {
 		t.Fatal(err)
 	}
-	compareGolden(t, "values.txt", out.String())
+	golden.Check(t, "values.txt", out.Bytes())
 }
