--- a/cmd/irispost/scale.go
+++ b/cmd/irispost/scale.go
@@ -27,24 +27,24 @@
 	f.IntVar(&s.Restarts, "restarts", s.Restarts, "restarts of the ordinary day")
 	f.IntVar(&s.Kills, "kills", s.Kills, "kills of the ordinary day, one of them a keeper's")
 	f.IntVar(&s.Replacements, "replacements", s.Replacements, "nodes that are replaced, one after another")
-	f.IntVar(&s.Rounds, "rounds", s.Rounds, "changes under each fault")
-	f.IntVar(&s.Wave, "wave", s.Wave, "gateways that a rolling restart has away at once")
-	f.IntVar(&s.Parts, "parts", s.Parts, "parts of the ordinary day, after each of which is weighed what is held")
-	f.IntSliceVar(&s.Keepers, "keepers-in", s.Keepers, "the region, 0 or 1, of each keeper")
-	f.StringSliceVar(&s.Faults, "faults", nil, "faults of the case in-force: "+strings.Join(scale.Faults(), ", ")+"; all if none is named")
+	f.IntVar(&s.ChangesPerFault, "rounds", s.ChangesPerFault, "changes under each fault")
+	f.IntVar(&s.RestartBatch, "wave", s.RestartBatch, "gateways that a rolling restart has away at once")
+	f.IntVar(&s.Phases, "parts", s.Phases, "parts of the ordinary day, after each of which is weighed what is held")
+	f.IntSliceVar(&s.ReplicaRegions, "keepers-in", s.ReplicaRegions, "the region, 0 or 1, of each keeper")
+	f.StringSliceVar(&s.Faults, "faults", nil, "faults of the case in-force: "+strings.Join(scale.FaultNames(), ", ")+"; all if none is named")
 	f.DurationVar(&s.Latency, "latency", s.Latency, "one way, between regions")
 	f.DurationVar(&s.Lease, "lease", s.Lease, "how long a gateway acts on what it was told")
-	f.DurationVar(&s.Floor, "floor", s.Floor, "how long a gateway that is cut off serves on")
-	f.DurationVar(&s.Rest, "rest", s.Rest, "how long the fleet is watched at rest")
-	f.DurationVar(&s.Patience, "patience", s.Patience, "how long an end state is waited for at most")
-	f.BoolVar(&s.Cold, "cold", s.Cold, "gateways reach each other, and deal out what cold nodes bear")
-	f.BoolVar(&s.Timed, "timed", s.Timed, "hold the times against their bounds too")
+	f.DurationVar(&s.FallbackDuration, "floor", s.FallbackDuration, "how long a gateway that is cut off serves on")
+	f.DurationVar(&s.IdleTime, "rest", s.IdleTime, "how long the fleet is watched at rest")
+	f.DurationVar(&s.Timeout, "patience", s.Timeout, "how long an end state is waited for at most")
+	f.BoolVar(&s.SlowStart, "cold", s.SlowStart, "gateways reach each other, and deal out what cold nodes bear")
+	f.BoolVar(&s.EnforceTimeBounds, "timed", s.EnforceTimeBounds, "hold the times against their bounds too")
 	file := f.String("json", "", "file for the result")
 	c.RunE = func(c *cobra.Command, args []string) error {
 		out := c.OutOrStdout()
 		if len(args) == 0 {
 			for _, one := range scale.Cases {
-				writef(out, "%-10s %s\n", one.Name, one.About)
+				writef(out, "%-10s %s\n", one.Name, one.Description)
 			}
 			return nil
 		}
@@ -62,8 +62,8 @@
 		}
 		defer func() { _ = os.RemoveAll(dir) }()
 		r, err := scale.Run(one, s, scale.Options{Program: func(args ...string) *exec.Cmd { return exec.Command(self, args...) }, Dir: dir,
-			Log:  slog.New(slog.NewTextHandler(io.Discard, nil)),
-			Note: func(format string, args ...any) { writef(out, format+"\n", args...) }})
+			Logger: slog.New(slog.NewTextHandler(io.Discard, nil)),
+			Note:   func(format string, args ...any) { writef(out, format+"\n", args...) }})
 		if err != nil {
 			return err
 		}
@@ -87,8 +87,8 @@
 	if r.NotRun != "" {
 		return fmt.Errorf("%s was not run: %s", r.Case, r.NotRun)
 	}
-	if len(r.Broken) > 0 {
-		return fmt.Errorf("%s: %d do not hold:\n%s", r.Case, len(r.Broken), strings.Join(r.Broken, "\n"))
+	if len(r.Violations) > 0 {
+		return fmt.Errorf("%s: %d do not hold:\n%s", r.Case, len(r.Violations), strings.Join(r.Violations, "\n"))
 	}
 	return nil
 }
--- a/internal/scale/apart.go
+++ b/internal/scale/apart.go
@@ -40,7 +40,7 @@
 	}
 	size := Short()
 	size.Nodes = 3
-	size.Floor = 0
+	size.FallbackDuration = 0
 	r := first(&size)
 	r.FallbackPolicy.Duration = a.Floor
 	l := lease.NewStateMachine()
--- a/internal/scale/cases.go
+++ b/internal/scale/cases.go
@@ -12,9 +12,9 @@
 
 // Case is something that happens to a fleet, with what has to hold at its end.
 type Case struct {
-	Name  string
-	About string
-	run   func(*Fleet, *Result) error
+	Name        string
+	Description string
+	run         func(*Fleet, *Result) error
 }
 
 // Cases are all, in the order in which the size would meet them.
@@ -41,19 +41,19 @@
 
 // Result is what a case came to.
 type Result struct {
-	Case    string                     `json:"case"`
-	Size    Size                       `json:"size"`
-	Figures map[string]float64         `json:"figures,omitempty"` // units are in the names
-	Spread  map[string]meter.Quantiles `json:"spread,omitempty"`
-	Parts   map[string][]float64       `json:"parts,omitempty"` // MB after each part of the run
-	Audits  []rig.Agreement            `json:"audits,omitempty"`
-	Broken  []string                   `json:"broken"` // what does not hold; none: all does
-	NotRun  string                     `json:"not_run,omitempty"`
+	Case          string                     `json:"case"`
+	Size          Size                       `json:"size"`
+	Figures       map[string]float64         `json:"figures,omitempty"` // units are in the names
+	Distributions map[string]meter.Quantiles `json:"spread,omitempty"`
+	MemoryByPhase map[string][]float64       `json:"parts,omitempty"` // MB after each part of the run
+	Audits        []rig.Agreement            `json:"audits,omitempty"`
+	Violations    []string                   `json:"broken"` // what does not hold; none: all does
+	NotRun        string                     `json:"not_run,omitempty"`
 }
 
 // broke notes what does not hold.
 func (r *Result) broke(format string, args ...any) {
-	r.Broken = append(r.Broken, fmt.Sprintf(format, args...))
+	r.Violations = append(r.Violations, fmt.Sprintf(format, args...))
 }
 
 // audit audits what was acted on since the last one.
@@ -71,21 +71,21 @@
 
 // ends holds the end state, unless something is broken already that would be waited for in vain.
 func (r *Result) ends(f *Fleet, shards ...int) {
-	if len(r.Broken) == 0 {
-		r.Broken = append(r.Broken, f.ends(shards...)...)
+	if len(r.Violations) == 0 {
+		r.Violations = append(r.Violations, f.ends(shards...)...)
 	}
 }
 
 // bound holds a time against its bound, where times count.
 func (r *Result) bound(what string, ms, most float64) {
-	if r.Size.Timed && ms > most {
+	if r.Size.EnforceTimeBounds && ms > most {
 		r.broke("%s: %.0f ms, over %.0f", what, ms, most)
 	}
 }
 
 // Run opens a fleet and has a case run on it.
 func Run(c Case, s Size, opt Options) (r *Result, err error) {
-	r = &Result{Case: c.Name, Size: s, Figures: map[string]float64{}, Spread: map[string]meter.Quantiles{}, Parts: map[string][]float64{}, Broken: []string{}}
+	r = &Result{Case: c.Name, Size: s, Figures: map[string]float64{}, Distributions: map[string]meter.Quantiles{}, MemoryByPhase: map[string][]float64{}, Violations: []string{}}
 	f, err := Open(s, opt)
 	if err != nil {
 		return r, err
@@ -101,6 +101,6 @@
 	}
 	me, err := meter.Process(os.Getpid())
 	r.Figures["gateways_process_mb"] = me.MB
-	f.opt.Note("%s: %d broken; %v", c.Name, len(r.Broken), slices.Sorted(maps.Keys(r.Figures)))
+	f.opt.Note("%s: %d broken; %v", c.Name, len(r.Violations), slices.Sorted(maps.Keys(r.Figures)))
 	return r, err
 }
--- a/internal/scale/content.go
+++ b/internal/scale/content.go
@@ -17,7 +17,7 @@
 		SlowStart:      configversion.SlowStart{InitialShare: 0.2, Duration: 8e9, FairShareMultiple: 2, Window: 1500e6, MinimumUnits: 6},
 		RetryBudget:    configversion.RetryBudget{Window: 10e9, FreeRetries: 10, RequestShare: 0.1},
 		Dispatch:       configversion.DispatchPolicy{MaxAttempts: 3, Hedging: true, Cancellation: true, RetryAfter: true, MaxRetryAfter: 5e9},
-		FallbackPolicy: configversion.FallbackPolicy{Duration: int64(s.Floor), LimitFraction: 1, AllowWrites: true}, Nodes: map[string]configversion.Node{}}
+		FallbackPolicy: configversion.FallbackPolicy{Duration: int64(s.FallbackDuration), LimitFraction: 1, AllowWrites: true}, Nodes: map[string]configversion.Node{}}
 	for i := range s.Nodes {
 		r.Nodes[address(i, 0)] = entry(s, i, 0)
 	}
--- a/internal/scale/fleet.go
+++ b/internal/scale/fleet.go
@@ -21,9 +21,9 @@
 type Options struct {
 	Program func(args ...string) *exec.Cmd // the program, as a process: `irispost keeper ...`
 	Dir     string                         // folder for what keepers and gateways write
-	Log     *slog.Logger
+	Logger  *slog.Logger
 	Note    func(format string, args ...any) // told of each step
-	Flaw    Flaw                             // a defect at one gateway, of tests
+	Defects Flaw                             // a defect at one gateway, of tests
 }
 
 // Fleet is keepers and gateways that run.
@@ -47,7 +47,7 @@
 const victim = 0
 
 // flawed is the gateway that a test's defect is put into: one of the second region.
-func (f *Fleet) flawed() *Hollow { return f.Gateways[f.Size.Home] }
+func (f *Fleet) flawed() *Hollow { return f.Gateways[f.Size.FirstRegionZones] }
 
 // Open starts a fleet and waits until all its gateways act on its first version.
 func Open(s Size, opt Options) (f *Fleet, err error) {
@@ -90,8 +90,8 @@
 			}
 			h.private = f.links[before:len(f.links):len(f.links)]
 		}
-		if i == s.Home || opt.Flaw&Leak != 0 {
-			h.flaw = opt.Flaw
+		if i == s.FirstRegionZones || opt.Defects&Leak != 0 {
+			h.flaw = opt.Defects
 		}
 		f.Gateways = append(f.Gateways, h)
 	}
@@ -176,7 +176,7 @@
 	p := &lease.Proposal{ID: fmt.Sprintf("scale %d %d", c.At, f.newest+1), Parent: f.newest, Author: "scale", Reason: why,
 		CreatedAt: time.Now().UTC().Format(time.RFC3339), Content: r.Canonical()}
 	v, err := by.Propose(p)
-	for end := time.Now().Add(f.Size.Patience); err != nil && by == f.operator && time.Now().Before(end); v, err = by.Propose(p) {
+	for end := time.Now().Add(f.Size.Timeout); err != nil && by == f.operator && time.Now().Before(end); v, err = by.Propose(p) {
 		var refused *replica.RejectedError
 		if errors.As(err, &refused) {
 			break
@@ -213,7 +213,7 @@
 
 // poll waits until there is nothing wrong any more, and tells what is when patience is over.
 func (f *Fleet) poll(wrong func() []string) (list []string) {
-	for end := time.Now().Add(f.Size.Patience); ; time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(f.Size.Timeout); ; time.Sleep(5 * time.Millisecond) {
 		if list = wrong(); len(list) == 0 || time.Now().After(end) {
 			return list
 		}
--- a/internal/scale/form.go
+++ b/internal/scale/form.go
@@ -23,7 +23,7 @@
 	if err := f.start(f.Gateways); err != nil {
 		return err
 	}
-	for i := range f.Size.Rounds + 1 {
+	for i := range f.Size.ChangesPerFault + 1 {
 		c, err := f.propose("a change for both forms", tune)
 		if err != nil {
 			return err
@@ -32,7 +32,7 @@
 			h.lost.Store(c.Version)
 		}
 		if list := f.await(c.Version, nobody); len(list) > 0 {
-			r.Broken = append(r.Broken, list...)
+			r.Violations = append(r.Violations, list...)
 			return nil
 		}
 	}
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -169,8 +169,8 @@
 	stands := make(chan struct{})
 	var loop *gateway.Loop
 	who := client.NewHolderID(h.Name)
-	o := client.Options{Gateway: h.Name, Holder: who, Replicas: h.reach, RenewInterval: s.Pause, Now: clock.Now, OnChange: func() { <-stands; loop.Wake() },
-		Seed: uint64(h.number), LocalSettings: h.fleet.own, RecordFile: h.record, Logger: h.fleet.opt.Log, Dial: h.dial()}
+	o := client.Options{Gateway: h.Name, Holder: who, Replicas: h.reach, RenewInterval: s.RenewInterval, Now: clock.Now, OnChange: func() { <-stands; loop.Wake() },
+		Seed: uint64(h.number), LocalSettings: h.fleet.own, RecordFile: h.record, Logger: h.fleet.opt.Logger, Dial: h.dial()}
 	if h.flaw&NoLease != 0 {
 		o.InjectedFaults = lease.FaultNoLeaseExpiry
 	}
@@ -178,9 +178,9 @@
 		formBefore(&o)
 	}
 	h.cold = nil
-	if s.Cold {
+	if s.SlowStart {
 		if h.cold, err = agent.Listen(agent.Options{Gateway: h.Name, Holder: who, ListenAddr: "127.0.0.1:0", Settings: agent.SettingsFrom(h.fleet.own, 0.01), Now: clock.Now,
-			Logger: h.fleet.opt.Log}); err != nil {
+			Logger: h.fleet.opt.Logger}); err != nil {
 			return err
 		}
 		o.PeerAddr, o.OnMembership = h.cold.Addr(), h.cold.HandleMembership
@@ -189,7 +189,7 @@
 		return err
 	}
 	loop = gateway.Start(gateway.Options{Name: h.Name, Seed: uint64(h.number), Settings: h.fleet.own, QueueSize: 256, Clock: clock, Nodes: h.nodes,
-		Config: agent.SettingsForwarder{ConfigSource: &looks{ConfigSource: h.follow, h: h}, Agent: h.cold}, Log: h.fleet.opt.Log, Tap: h.witness})
+		Config: agent.SettingsForwarder{ConfigSource: &looks{ConfigSource: h.follow, h: h}, Agent: h.cold}, Log: h.fleet.opt.Logger, Tap: h.witness})
 	h.loop = loop
 	close(stands)
 	if h.cold != nil {
@@ -201,7 +201,7 @@
 
 // dial opens its connections to keepers: what passes is counted, and stands still with it.
 func (h *Hollow) dial() client.Dial {
-	plain := (&net.Dialer{Timeout: h.fleet.Size.Pause}).DialContext
+	plain := (&net.Dialer{Timeout: h.fleet.Size.RenewInterval}).DialContext
 	counted := meter.Dialer(plain, func(string) []*meter.Bytes { return []*meter.Bytes{&h.bytes, &h.fleet.bytes} })
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := counted(ctx, network, addr)
@@ -274,7 +274,7 @@
 	loop, nodes := h.loop, h.nodes
 	h.lock.Unlock()
 	mark := fmt.Sprintf("%s probe %d", h.Name, probes.Add(1))
-	w := &gateway.RequestSpec{Volume: &gateway.Volume{ID: 1, ServiceLevel: "basic", Gateways: 1}, Class: "read", Units: 1, Deadline: loop.Now() + int64(h.fleet.Size.Patience),
+	w := &gateway.RequestSpec{Volume: &gateway.Volume{ID: 1, ServiceLevel: "basic", Gateways: 1}, Class: "read", Units: 1, Deadline: loop.Now() + int64(h.fleet.Size.Timeout),
 		Call: node.Call{IdempotencyKey: mark, Shard: shard, Op: node.GetObject, Name: "probe"}}
 	<-loop.Submit(nil, w)
 	addr, _ := nodes.begun.LoadAndDelete(mark)
--- a/internal/scale/inforce.go
+++ b/internal/scale/inforce.go
@@ -22,7 +22,9 @@
 	{"rack_killed", func(f *Fleet) (func(*Hollow) bool, func() error, error) { // 1/28 of the fleet
 		return f.killed(f.Gateways[victim:][:max((len(f.Gateways)+27)/28, 1)])
 	}},
-	{"zone_killed", func(f *Fleet) (func(*Hollow) bool, func() error, error) { return f.killed(f.in(f.Size.Home - 1)) }},
+	{"zone_killed", func(f *Fleet) (func(*Hollow) bool, func() error, error) {
+		return f.killed(f.in(f.Size.FirstRegionZones - 1))
+	}},
 	{"keeper_killed", func(f *Fleet) (func(*Hollow) bool, func() error, error) {
 		_, other, err := f.leader()
 		return f.keeperKilled(other, err)
@@ -61,8 +63,8 @@
 	{"gateway_deaf", func(f *Fleet) (func(*Hollow) bool, func() error, error) { return f.faulty(rig.Fault{DropReturn: true}) }},
 }
 
-// Faults are their names.
-func Faults() (list []string) {
+// FaultNames are their names.
+func FaultNames() (list []string) {
 	for _, t := range troubles {
 		list = append(list, t.name)
 	}
@@ -116,7 +118,7 @@
 // minority is the region that has fewer keepers.
 func (f *Fleet) minority() int {
 	count := [2]int{}
-	for _, region := range f.Size.Keepers {
+	for _, region := range f.Size.ReplicaRegions {
 		count[region]++
 	}
 	if count[0] < count[1] {
@@ -132,7 +134,7 @@
 			continue
 		}
 		var each, last, announced []float64
-		for round := range f.Size.Rounds {
+		for round := range f.Size.ChangesPerFault {
 			out, end, err := t.begin(f)
 			if err != nil {
 				return err
@@ -158,10 +160,10 @@
 			f.forget()
 			time.Sleep(f.Size.Lease / 10) // what the end of a fault has set off is over
 		}
-		r.Spread["in_force_ms."+t.name], r.Spread["last_ms."+t.name] = meter.QuantilesOf(each), meter.QuantilesOf(last)
-		r.Spread["announced_ms."+t.name] = meter.QuantilesOf(announced)
-		r.bound("in force under "+t.name, r.Spread["last_ms."+t.name].Worst, float64(inForceBound.Milliseconds()))
-		f.opt.Note("under %s, ms: %+v", t.name, r.Spread["in_force_ms."+t.name])
+		r.Distributions["in_force_ms."+t.name], r.Distributions["last_ms."+t.name] = meter.QuantilesOf(each), meter.QuantilesOf(last)
+		r.Distributions["announced_ms."+t.name] = meter.QuantilesOf(announced)
+		r.bound("in force under "+t.name, r.Distributions["last_ms."+t.name].Worst, float64(inForceBound.Milliseconds()))
+		f.opt.Note("under %s, ms: %+v", t.name, r.Distributions["in_force_ms."+t.name])
 		if err := r.audit(f); err != nil {
 			return err
 		}
--- a/internal/scale/keepers.go
+++ b/internal/scale/keepers.go
@@ -44,7 +44,7 @@
 		}
 	}()
 	host := ownHost()
-	for i, region := range f.Size.Keepers {
+	for i, region := range f.Size.ReplicaRegions {
 		l, err := net.Listen("tcp", host+":0")
 		if err != nil {
 			return err
--- a/internal/scale/ordinary.go
+++ b/internal/scale/ordinary.go
@@ -75,7 +75,7 @@
 			keeperAway = nil
 		}
 		f.forget()
-		if i >= part*s.Changes/s.Parts {
+		if i >= part*s.Changes/s.Phases {
 			part++
 			if err := r.audit(f); err != nil {
 				return err
@@ -83,7 +83,7 @@
 			if err := f.weigh(r); err != nil {
 				return err
 			}
-			f.opt.Note("%d of %d changes, the slowest %.0f ms; MB: %v", i, s.Changes, meter.QuantilesOf(took).Worst, r.Parts)
+			f.opt.Note("%d of %d changes, the slowest %.0f ms; MB: %v", i, s.Changes, meter.QuantilesOf(took).Worst, r.MemoryByPhase)
 		}
 	}
 	after, err := f.spent()
@@ -91,8 +91,8 @@
 		return err
 	}
 	changes := float64(len(took))
-	r.Spread["in_force_ms"], r.Spread["in_force_undisturbed_ms"] = meter.QuantilesOf(took), meter.QuantilesOf(quiet)
-	r.bound("in force on an ordinary day", r.Spread["in_force_ms"].Worst, float64(inForceBound.Milliseconds()))
+	r.Distributions["in_force_ms"], r.Distributions["in_force_undisturbed_ms"] = meter.QuantilesOf(took), meter.QuantilesOf(quiet)
+	r.bound("in force on an ordinary day", r.Distributions["in_force_ms"].Worst, float64(inForceBound.Milliseconds()))
 	span := float64(monotonic()-began) / 1e9
 	perChange := float64(f.bytes.Both()-before) / float64(len(f.Gateways))
 	perChange -= r.Figures["rest_bytes_s"] * span
@@ -111,9 +111,9 @@
 			r.Figures[name] = float64((after[i].CPU - spent[i].CPU).Milliseconds()) / max(changes, 1)
 		}
 	}
-	for what, parts := range r.Parts {
+	for what, parts := range r.MemoryByPhase {
 		if text := grown(what, parts); text != "" {
-			r.Broken = append(r.Broken, text)
+			r.Violations = append(r.Violations, text)
 		}
 	}
 	r.ends(f, 0)
@@ -130,7 +130,7 @@
 
 // watch has a look at what the fleet costs while nothing happens.
 func (f *Fleet) watch(r *Result, what string) error {
-	time.Sleep(f.Size.Rest / 4) // what the start has left to do
+	time.Sleep(f.Size.IdleTime / 4) // what the start has left to do
 	me, err := meter.Process(os.Getpid())
 	if err != nil {
 		return err
@@ -140,7 +140,7 @@
 		return err
 	}
 	bytes, at := f.bytes.Both(), time.Now()
-	time.Sleep(f.Size.Rest)
+	time.Sleep(f.Size.IdleTime)
 	span := time.Since(at).Seconds()
 	meNow, err := meter.Process(os.Getpid())
 	if err != nil {
@@ -182,12 +182,12 @@
 		if err != nil {
 			return err
 		}
-		r.Parts[name] = append(r.Parts[name], spent[i].MB)
-		r.Parts[name+", folder"] = append(r.Parts[name+", folder"], float64(folder)/1e6)
+		r.MemoryByPhase[name] = append(r.MemoryByPhase[name], spent[i].MB)
+		r.MemoryByPhase[name+", folder"] = append(r.MemoryByPhase[name+", folder"], float64(folder)/1e6)
 	}
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&m)
-	r.Parts["gateways"] = append(r.Parts["gateways"], float64(m.HeapAlloc)/1e6)
+	r.MemoryByPhase["gateways"] = append(r.MemoryByPhase["gateways"], float64(m.HeapAlloc)/1e6)
 	return nil
 }
--- a/internal/scale/regions.go
+++ b/internal/scale/regions.go
@@ -30,15 +30,15 @@
 	if err != nil {
 		return err
 	}
-	r.Broken = append(r.Broken, f.await(c.Version, away)...)
-	r.Spread["in_force_cut_ms"] = meter.QuantilesOf(f.took(c, away))
+	r.Violations = append(r.Violations, f.await(c.Version, away)...)
+	r.Distributions["in_force_cut_ms"] = meter.QuantilesOf(f.took(c, away))
 	shard := f.Size.Nodes / 2
 	old, successor, change := replace(&f.Size, shard, 1)
 	if c, err = f.propose("a node replaced while the regions are cut", change); err != nil {
 		return err
 	}
-	r.Broken = append(r.Broken, f.await(c.Version, away)...)
-	r.Spread["replaced_cut_ms"] = meter.QuantilesOf(f.took(c, away))
+	r.Violations = append(r.Violations, f.await(c.Version, away)...)
+	r.Distributions["replaced_cut_ms"] = meter.QuantilesOf(f.took(c, away))
 	held := f.rules
 	if _, err := f.proposeBy(&replica.Client{Replicas: there, Timeout: 2 * f.Size.Lease}, "a change without a majority", tune); err == nil {
 		r.broke("a change was announced where no majority of the keepers is")
@@ -58,12 +58,12 @@
 		}
 		return list
 	}); len(list) > 0 {
-		r.Broken = append(r.Broken, list...)
+		r.Violations = append(r.Violations, list...)
 	}
 	r.Figures["told_late_that_nothing_is_left"] = float64(serving)
 	at := monotonic()
 	f.cut(rig.Fault{})
-	r.Broken = append(r.Broken, f.await(c.Version, nobody)...)
+	r.Violations = append(r.Violations, f.await(c.Version, nobody)...)
 	r.Figures["together_again_ms"] = float64(monotonic()-at) / 1e6
 	for _, h := range f.Gateways {
 		turns, _ := h.seen()
@@ -75,7 +75,7 @@
 	if c, err = f.propose("a change together again", tune); err != nil {
 		return err
 	}
-	r.Broken = append(r.Broken, f.await(c.Version, nobody)...)
+	r.Violations = append(r.Violations, f.await(c.Version, nobody)...)
 	time.Sleep(f.Size.Lease / 10)
 	r.ends(f, shard)
 	return nil
--- a/internal/scale/replaced.go
+++ b/internal/scale/replaced.go
@@ -21,7 +21,7 @@
 			h.lost.Store(c.Version)
 		}
 		if list := f.await(c.Version, nobody); len(list) > 0 {
-			r.Broken = append(r.Broken, list...)
+			r.Violations = append(r.Violations, list...)
 			break
 		}
 		latest := 0.0
@@ -37,8 +37,8 @@
 		}
 		last = append(last, latest)
 	}
-	r.Spread["last_turned_ms"], r.Spread["each_turned_ms"] = meter.QuantilesOf(last), meter.QuantilesOf(each)
-	r.bound("the last gateway that turned to a successor", r.Spread["last_turned_ms"].Worst, float64(replacedBound.Milliseconds()))
+	r.Distributions["last_turned_ms"], r.Distributions["each_turned_ms"] = meter.QuantilesOf(last), meter.QuantilesOf(each)
+	r.bound("the last gateway that turned to a successor", r.Distributions["last_turned_ms"].Worst, float64(replacedBound.Milliseconds()))
 	r.ends(f, shards...)
 	for i, shard := range shards { // once more over all: nobody may have turned back since
 		old, successor, _ := replace(&f.Size, shard, 1)
--- a/internal/scale/restarts.go
+++ b/internal/scale/restarts.go
@@ -8,7 +8,7 @@
 
 // zoneBack kills the gateways of the first region's last zone at once, makes a change, and has them back at once.
 func zoneBack(f *Fleet, r *Result) error {
-	return back(f, r, f.in(f.Size.Home-1))
+	return back(f, r, f.in(f.Size.FirstRegionZones-1))
 }
 
 // allBack does it with all gateways.
@@ -33,15 +33,15 @@
 	}
 	gone := func(h *Hollow) bool { return slices.Contains(list, h) }
 	if len(list) < len(f.Gateways) {
-		r.Broken = append(r.Broken, f.await(c.Version, gone)...)
-		r.Spread["in_force_meanwhile_ms"] = meter.QuantilesOf(f.took(c, gone))
-		r.bound("a change while they are not there", r.Spread["in_force_meanwhile_ms"].Worst, float64(inForceBound.Milliseconds()))
+		r.Violations = append(r.Violations, f.await(c.Version, gone)...)
+		r.Distributions["in_force_meanwhile_ms"] = meter.QuantilesOf(f.took(c, gone))
+		r.bound("a change while they are not there", r.Distributions["in_force_meanwhile_ms"].Worst, float64(inForceBound.Milliseconds()))
 	}
 	at := monotonic()
 	if err := f.start(f.startable(list)); err != nil {
 		return err
 	}
-	r.Broken = append(r.Broken, f.await(c.Version, nobody)...)
+	r.Violations = append(r.Violations, f.await(c.Version, nobody)...)
 	var took []float64
 	for _, h := range list {
 		turns, _ := h.seen()
@@ -49,8 +49,8 @@
 			took = append(took, float64(t-at)/1e6)
 		}
 	}
-	r.Spread["acts_after_start_ms"] = meter.QuantilesOf(took)
-	r.bound("the last gateway that is back", r.Spread["acts_after_start_ms"].Worst, float64(inForceBound.Milliseconds()))
+	r.Distributions["acts_after_start_ms"] = meter.QuantilesOf(took)
+	r.bound("the last gateway that is back", r.Distributions["acts_after_start_ms"].Worst, float64(inForceBound.Milliseconds()))
 	r.ends(f, 0, f.Size.Nodes-1)
 	return nil
 }
@@ -64,7 +64,7 @@
 func rolling(f *Fleet, r *Result) error {
 	at, waves := monotonic(), 0.0
 	var c Change
-	for wave := range slices.Chunk(f.Gateways, f.Size.Wave) {
+	for wave := range slices.Chunk(f.Gateways, f.Size.RestartBatch) {
 		f.kill(wave)
 		var err error
 		if c, err = f.propose("a change in the middle of a rolling restart", tune); err != nil {
@@ -74,7 +74,7 @@
 			return err
 		}
 		if list := f.await(c.Version, nobody); len(list) > 0 {
-			r.Broken = append(r.Broken, list...)
+			r.Violations = append(r.Violations, list...)
 			break
 		}
 		waves++
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -23,7 +23,7 @@
 		return nil, err
 	}
 	return Run(c, s, Options{Program: func(args ...string) *exec.Cmd { return exec.Command(self, args...) }, Dir: dir,
-		Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Note: note, Flaw: flaw})
+		Logger: slog.New(slog.NewTextHandler(io.Discard, nil)), Note: note, Defects: flaw})
 }
 
 // slots are fleets that run at once: with all of them, a machine that others use too comes to stand still over their starts.
@@ -104,7 +104,7 @@
 			t.Run(c.Name+strings.Join(append([]string{""}, s.Faults...), " "), func(t *testing.T) {
 				t.Parallel()
 				r := run(t, c.Name, s, 0)
-				for _, text := range r.Broken {
+				for _, text := range r.Violations {
 					t.Error(text)
 				}
 				if r.NotRun != "" {
@@ -114,11 +114,11 @@
 				if len(r.Audits) == 0 || r.Audits[0].Intervals == 0 || r.Audits[0].Versions == 0 {
 					t.Errorf("nothing was audited: %+v", r.Audits)
 				}
-				t.Logf("%+v %+v %+v", r.Figures, r.Spread, r.Parts)
+				t.Logf("%+v %+v %+v", r.Figures, r.Distributions, r.MemoryByPhase)
 			})
 		}
 	}
-	for _, name := range Faults() {
+	for _, name := range FaultNames() {
 		if !covered[name] {
 			t.Errorf("no test has the fault %s", name)
 		}
@@ -128,7 +128,7 @@
 // A defect that is put in is seen by each case that it is put into, and told of the gateway that has it or of what it breaks.
 func TestDefectsAreSeen(t *testing.T) {
 	small := Short()
-	small.Gateways, small.Nodes, small.Patience = 14, 30, 8*time.Second
+	small.Gateways, small.Nodes, small.Timeout = 14, 30, 8*time.Second
 	single := small
 	single.Faults = []string{"none"}
 	big := large()
@@ -151,7 +151,7 @@
 		t.Run(c.name+" on "+c.on, func(t *testing.T) {
 			t.Parallel()
 			r := run(t, c.on, c.size, c.flaw)
-			if text := strings.Join(r.Broken, "\n"); !strings.Contains(text, c.says) {
+			if text := strings.Join(r.Violations, "\n"); !strings.Contains(text, c.says) {
 				t.Errorf("nothing says %q of it: %s", c.says, text)
 			}
 		})
@@ -161,8 +161,8 @@
 // large is few gateways, contents of which a keeper that keeps all shows it soon, and a first part after which a bounded history is full.
 func large() Size {
 	s := Short()
-	s.Gateways, s.Nodes, s.Changes, s.Restarts, s.Kills, s.Cold = 7, 700, 160, 0, 0, false
-	s.Latency, s.Pause = time.Millisecond, 50*time.Millisecond
+	s.Gateways, s.Nodes, s.Changes, s.Restarts, s.Kills, s.SlowStart = 7, 700, 160, 0, 0, false
+	s.Latency, s.RenewInterval = time.Millisecond, 50*time.Millisecond
 	return s
 }
 
@@ -170,8 +170,8 @@
 func TestNothingGrowsWithTheChangesMade(t *testing.T) {
 	t.Parallel()
 	r := run(t, "ordinary", large(), 0)
-	for _, text := range r.Broken {
+	for _, text := range r.Violations {
 		t.Error(text)
 	}
-	t.Log(fmt.Sprint(r.Parts))
+	t.Log(fmt.Sprint(r.MemoryByPhase))
 }
--- a/internal/scale/size.go
+++ b/internal/scale/size.go
@@ -14,27 +14,27 @@
 
 // Size is how large a fleet is, and what happens to it.
 type Size struct {
-	Gateways     int           `json:"gateways"`
-	Nodes        int           `json:"nodes"` // each has a shard
-	Zones        int           `json:"zones"` // gateways and nodes are dealt out to them in turn
-	Home         int           `json:"home"`  // so many zones are the first region, the others the second
-	Keepers      []int         `json:"keepers"`
-	Latency      time.Duration `json:"latency_ns"` // one way, between regions
-	Lease        time.Duration `json:"lease_ns"`
-	Pause        time.Duration `json:"pause_ns"` // between a gateway's asks
-	Floor        time.Duration `json:"floor_ns"` // for how long a gateway that is cut off serves on
-	Cold         bool          `json:"cold"`     // gateways reach each other, and deal out what cold nodes bear
-	Changes      int           `json:"changes"`
-	Restarts     int           `json:"restarts"`
-	Kills        int           `json:"kills"` // one of them a keeper's
-	Replacements int           `json:"replacements"`
-	Rounds       int           `json:"rounds"`           // changes under each fault
-	Faults       []string      `json:"faults,omitempty"` // of the case "in-force"; none named: all
-	Wave         int           `json:"wave"`             // gateways that a rolling restart has away at once
-	Parts        int           `json:"parts"`            // of the ordinary day, after each of which is weighed what is held
-	Rest         time.Duration `json:"rest_ns"`          // for which the fleet is watched at rest
-	Patience     time.Duration `json:"patience_ns"`
-	Timed        bool          `json:"timed"` // the letter's times are held against what is measured, and not the end state alone
+	Gateways          int           `json:"gateways"`
+	Nodes             int           `json:"nodes"` // each has a shard
+	Zones             int           `json:"zones"` // gateways and nodes are dealt out to them in turn
+	FirstRegionZones  int           `json:"home"`  // so many zones are the first region, the others the second
+	ReplicaRegions    []int         `json:"keepers"`
+	Latency           time.Duration `json:"latency_ns"` // one way, between regions
+	Lease             time.Duration `json:"lease_ns"`
+	RenewInterval     time.Duration `json:"pause_ns"` // between a gateway's asks
+	FallbackDuration  time.Duration `json:"floor_ns"` // for how long a gateway that is cut off serves on
+	SlowStart         bool          `json:"cold"`     // gateways reach each other, and deal out what cold nodes bear
+	Changes           int           `json:"changes"`
+	Restarts          int           `json:"restarts"`
+	Kills             int           `json:"kills"` // one of them a keeper's
+	Replacements      int           `json:"replacements"`
+	ChangesPerFault   int           `json:"rounds"`           // changes under each fault
+	Faults            []string      `json:"faults,omitempty"` // of the case "in-force"; none named: all
+	RestartBatch      int           `json:"wave"`             // gateways that a rolling restart has away at once
+	Phases            int           `json:"parts"`            // of the ordinary day, after each of which is weighed what is held
+	IdleTime          time.Duration `json:"rest_ns"`          // for which the fleet is watched at rest
+	Timeout           time.Duration `json:"patience_ns"`
+	EnforceTimeBounds bool          `json:"timed"` // the letter's times are held against what is measured, and not the end state alone
 }
 
 // Bounds that a Timed run is held against.
@@ -45,16 +45,16 @@
 
 // Full is the size in two years.
 func Full() Size {
-	return Size{Gateways: 780, Nodes: 1800, Zones: 7, Home: 4, Keepers: []int{0, 0, 1}, Latency: 30 * time.Millisecond, Lease: 2 * time.Second,
-		Pause: 400 * time.Millisecond, Floor: 4 * time.Second, Cold: true, Changes: 950, Restarts: 150, Kills: 5, Replacements: 40, Rounds: 3, Wave: 26,
-		Parts: 8, Rest: 20 * time.Second, Patience: 2 * time.Minute, Timed: true}
+	return Size{Gateways: 780, Nodes: 1800, Zones: 7, FirstRegionZones: 4, ReplicaRegions: []int{0, 0, 1}, Latency: 30 * time.Millisecond, Lease: 2 * time.Second,
+		RenewInterval: 400 * time.Millisecond, FallbackDuration: 4 * time.Second, SlowStart: true, Changes: 950, Restarts: 150, Kills: 5, Replacements: 40, ChangesPerFault: 3, RestartBatch: 26,
+		Phases: 8, IdleTime: 20 * time.Second, Timeout: 2 * time.Minute, EnforceTimeBounds: true}
 }
 
 // Short is a size for tests: verdicts by the end state alone.
 func Short() Size {
 	s := Full()
-	s.Gateways, s.Nodes, s.Changes, s.Restarts, s.Kills, s.Replacements, s.Rounds, s.Wave = 60, 140, 16, 4, 2, 4, 1, 20
-	s.Parts, s.Rest, s.Timed = 4, 200*time.Millisecond, false
+	s.Gateways, s.Nodes, s.Changes, s.Restarts, s.Kills, s.Replacements, s.ChangesPerFault, s.RestartBatch = 60, 140, 16, 4, 2, 4, 1, 20
+	s.Phases, s.IdleTime, s.EnforceTimeBounds = 4, 200*time.Millisecond, false
 	return s
 }
 
@@ -63,24 +63,24 @@
 	switch {
 	case s.Gateways < 2 || s.Nodes < 1 || s.Gateways > 5000 || s.Nodes > 1<<16:
 		return fmt.Errorf("%d gateways and %d nodes: 2 to 5,000 and 1 to 65,536", s.Gateways, s.Nodes)
-	case s.Home < 1 || s.Home >= s.Zones || s.Gateways < s.Zones:
-		return fmt.Errorf("%d zones, %d of them in the first region, %d gateways: two regions, and a gateway in each zone", s.Zones, s.Home, s.Gateways)
-	case len(s.Keepers)%2 == 0:
-		return fmt.Errorf("%d keepers: one, three or five", len(s.Keepers))
-	case s.Parts < 3 || s.Changes < s.Parts || s.Rounds < 1 || s.Wave < 1 || s.Replacements < 1 || s.Replacements > s.Nodes:
-		return fmt.Errorf("%d changes in %d parts (3 at least), %d rounds, waves of %d, %d replacements of %d nodes", s.Changes, s.Parts, s.Rounds, s.Wave,
+	case s.FirstRegionZones < 1 || s.FirstRegionZones >= s.Zones || s.Gateways < s.Zones:
+		return fmt.Errorf("%d zones, %d of them in the first region, %d gateways: two regions, and a gateway in each zone", s.Zones, s.FirstRegionZones, s.Gateways)
+	case len(s.ReplicaRegions)%2 == 0:
+		return fmt.Errorf("%d keepers: one, three or five", len(s.ReplicaRegions))
+	case s.Phases < 3 || s.Changes < s.Phases || s.ChangesPerFault < 1 || s.RestartBatch < 1 || s.Replacements < 1 || s.Replacements > s.Nodes:
+		return fmt.Errorf("%d changes in %d parts (3 at least), %d rounds, waves of %d, %d replacements of %d nodes", s.Changes, s.Phases, s.ChangesPerFault, s.RestartBatch,
 			s.Replacements, s.Nodes)
 	case s.Restarts < 0 || s.Kills < 0 || s.Restarts > s.Changes || s.Kills > s.Changes:
 		return errors.New("at most one restart and one kill come with a change")
-	case s.Lease < 100*time.Millisecond || s.Pause <= 0 || s.Pause > s.Lease/2 || s.Floor < 0 || s.Latency < 0 || s.Rest <= 0 || s.Patience <= 0:
-		return fmt.Errorf("lease %v, pause %v, floor %v, latency %v, rest %v, patience %v", s.Lease, s.Pause, s.Floor, s.Latency, s.Rest, s.Patience)
+	case s.Lease < 100*time.Millisecond || s.RenewInterval <= 0 || s.RenewInterval > s.Lease/2 || s.FallbackDuration < 0 || s.Latency < 0 || s.IdleTime <= 0 || s.Timeout <= 0:
+		return fmt.Errorf("lease %v, pause %v, floor %v, latency %v, rest %v, patience %v", s.Lease, s.RenewInterval, s.FallbackDuration, s.Latency, s.IdleTime, s.Timeout)
 	}
 	for _, name := range s.Faults {
 		if !slices.ContainsFunc(troubles, func(t trouble) bool { return t.name == name }) {
-			return fmt.Errorf("there is no fault %q: %s", name, strings.Join(Faults(), ", "))
+			return fmt.Errorf("there is no fault %q: %s", name, strings.Join(FaultNames(), ", "))
 		}
 	}
-	for _, region := range s.Keepers {
+	for _, region := range s.ReplicaRegions {
 		if region != 0 && region != 1 {
 			return fmt.Errorf("a keeper in region %d: there are 0 and 1", region)
 		}
@@ -92,7 +92,7 @@
 func (s *Size) zone(number int) int { return number % s.Zones }
 
 func (s *Size) region(zone int) int {
-	if zone < s.Home {
+	if zone < s.FirstRegionZones {
 		return 0
 	}
 	return 1
--- a/internal/scale/verdict_test.go
+++ b/internal/scale/verdict_test.go
@@ -84,9 +84,9 @@
 	}
 	for says, change := range map[string]func(*Size){
 		"1 gateways":                func(s *Size) { s.Gateways = 1 },
-		"2 keepers":                 func(s *Size) { s.Keepers = []int{0, 1} },
-		"a keeper in region 2":      func(s *Size) { s.Keepers = []int{0, 1, 2} },
-		"two regions":               func(s *Size) { s.Home = s.Zones },
+		"2 keepers":                 func(s *Size) { s.ReplicaRegions = []int{0, 1} },
+		"a keeper in region 2":      func(s *Size) { s.ReplicaRegions = []int{0, 1, 2} },
+		"two regions":               func(s *Size) { s.FirstRegionZones = s.Zones },
 		"lease 0s":                  func(s *Size) { s.Lease = 0 },
 		`there is no fault "flood"`: func(s *Size) { s.Faults = []string{"flood"} },
 		"at most one restart":       func(s *Size) { s.Restarts = s.Changes + 1 },
