--- a/internal/capacity/figure.go
+++ b/internal/capacity/figure.go
@@ -6,155 +6,161 @@
 	"strings"
 )
 
-// Figure is one figure of the page, and the formula that works it out from records at a size.
+// Figure is one figure of the page, and the formula that computes it from records at a size.
 type Figure struct {
-	Name  string
-	Unit  string
-	Bound float64 // of the letter, not to be passed; 0: none
-	Goal  float64 // set with the letter, not to be passed either; 0: none
-	Work  func(c *Calc)
+	Name    string
+	Unit    string
+	Bound   float64 // of the operators, not to be exceeded; 0: none
+	Target  float64 // of this project, not to be exceeded either; 0: none
+	Compute func(c *Computation) float64
 }
 
-// Calc is the working out of one figure. A formula calls its methods and sets its Value.
-type Calc struct {
+// Computation is the computation of one figure. It notes which records the formula reads.
+type Computation struct {
 	Size
-	Value   float64
-	records Records
-	used    []string
-	lacks   map[string]string // records that do not tell, and why
-	read    float64           // the last that was read at a measured size
-	at      How               // how that was had; empty: not at a measured size
+	records    Records
+	used       []string
+	problems   map[string]string // of records that do not have what the formula reads, by name
+	lastValue  float64           // the last that At returned
+	lastOrigin Origin            // of that value if its size was measured; else empty
 }
 
-func (c *Calc) get(name string) *Record {
+// record returns a record and notes that it is used; nil: it is missing.
+func (c *Computation) record(name string) *Record {
 	if !slices.Contains(c.used, name) {
 		c.used = append(c.used, name)
 	}
-	r := c.records[name]
-	if r == nil {
-		c.lacks[name] = "missing"
+	record := c.records[name]
+	if record == nil {
+		c.problems[name] = "missing"
 	}
-	return r
+	return record
 }
 
-// At reads what a record comes to at a size.
-func (c *Calc) At(name string, size float64) float64 {
-	r := c.get(name)
-	if r == nil {
+// At returns what a record amounts to at a size, or 0 and notes the problem.
+func (c *Computation) At(name string, size float64) float64 {
+	record := c.record(name)
+	if record == nil {
 		return 0
 	}
-	v, point, err := r.At(size)
+	value, measured, err := record.At(size)
 	if err != nil {
-		c.lacks[name] = fmt.Sprintf("says nothing of %s %s", number(size), r.Over)
+		c.problems[name] = fmt.Sprintf("says nothing of %s %s", formatNumber(size), record.Over)
 	}
-	if c.read, c.at = v, ""; point {
-		c.at = r.How
+	c.lastValue = value
+	c.lastOrigin = ""
+	if measured {
+		c.lastOrigin = record.Origin
 	}
-	return v
+	return value
 }
 
-// Slope reads what one more of what a record counts costs.
-func (c *Calc) Slope(name string) float64 {
-	r := c.get(name)
-	if r == nil {
+// Slope returns what one more of what a record is over costs, or notes the problem.
+func (c *Computation) Slope(name string) float64 {
+	record := c.record(name)
+	if record == nil {
 		return 0
 	}
-	c.at = ""
-	if r.Form == Flat {
+	c.lastOrigin = ""
+	if record.Form == Flat {
 		return 0
 	}
-	if r.Form != Line {
-		c.lacks[name] = "is no line"
+	if record.Form != Line {
+		c.problems[name] = "is no line"
 	}
-	return r.Value
+	return record.Value
 }
 
-// Result is a figure as it was worked out.
+// Result is a figure that was computed.
 type Result struct {
 	Figure
-	Value float64
-	How   How               // empty: not measured
-	Used  []string          // records, in the order of the formula
-	Lacks map[string]string // of them, those that do not tell, and why
+	Value    float64
+	Origin   Origin            // empty: not measured
+	Used     []string          // names of records, in the order of the formula
+	Problems map[string]string // of the records that do not have what the formula reads, by name
 }
 
-// Result works a figure out. A figure with a record that is missing, or does not reach so far, is not measured.
-func (f Figure) Result(all Records, s Size) Result {
-	c := &Calc{Size: s, records: all, lacks: map[string]string{}}
-	f.Work(c)
-	r := Result{Figure: f, Value: six(c.Value), Used: c.used, Lacks: c.lacks}
+// Result computes a figure. It is not measured if a record is missing or does not reach to the size.
+func (f Figure) Result(records Records, size Size) Result {
+	computation := &Computation{Size: size, records: records, problems: map[string]string{}}
+	value := f.Compute(computation)
+	result := Result{Figure: f, Value: sixDigits(value), Used: computation.used, Problems: computation.problems}
 	switch {
-	case len(c.lacks) > 0:
-		r.Value = 0
-	case len(c.used) == 1 && c.at != "" && c.read == c.Value:
-		r.How = c.at
+	case len(computation.problems) > 0:
+		result.Value = 0
+	case len(computation.used) == 1 && computation.lastOrigin != "" && computation.lastValue == value:
+		result.Origin = computation.lastOrigin
 	default:
-		r.How = WorkedOut
+		result.Origin = Computed
 	}
-	return r
+	return result
 }
 
-// Passed tells whether a figure that is known passes its bound or goal.
-func (r Result) Passed() bool {
-	return r.How != "" && (r.Bound > 0 && r.Value > r.Bound || r.Goal > 0 && r.Value > r.Goal)
+// Results computes all figures, by name.
+func Results(records Records, size Size) map[string]Result {
+	results := map[string]Result{}
+	for _, figure := range Figures {
+		results[figure.Name] = figure.Result(records, size)
+	}
+	return results
 }
 
-// Texts are a figure's cells on the page.
+// Known tells whether the figure could be computed.
+func (r Result) Known() bool { return r.Origin != "" }
+
+// HasLimit tells whether the figure has a bound or a target.
+func (r Result) HasLimit() bool { return r.Bound+r.Target > 0 }
+
+// Exceeded tells whether a known figure exceeds its bound or target.
+func (r Result) Exceeded() bool {
+	return r.Known() && (r.Bound > 0 && r.Value > r.Bound || r.Target > 0 && r.Value > r.Target)
+}
 
-// Said is its value and how it was had.
-func (r Result) Said() string {
-	if r.How == "" {
+// ValueText returns the page's cell with the value and its origin.
+func (r Result) ValueText() string {
+	if !r.Known() {
 		return "not measured"
 	}
 	space := " "
 	if strings.HasPrefix(r.Unit, "%") {
 		space = ""
 	}
-	return number(r.Value) + space + r.Unit + ", " + string(r.How)
+	return formatNumber(r.Value) + space + r.Unit + ", " + string(r.Origin)
 }
 
-// Limit is what it is held against.
-func (r Result) Limit() string {
+// LimitText returns the page's cell with bound and target, and whether they are exceeded.
+func (r Result) LimitText() string {
 	var parts []string
 	if r.Bound > 0 {
-		parts = append(parts, number(r.Bound))
+		parts = append(parts, formatNumber(r.Bound))
 	}
-	if r.Goal > 0 {
-		parts = append(parts, "goal "+number(r.Goal))
+	if r.Target > 0 {
+		parts = append(parts, "goal "+formatNumber(r.Target))
 	}
 	if len(parts) == 0 {
 		return "none stated"
 	}
 	text := strings.Join(parts, ", ")
 	switch {
-	case r.How == "":
+	case !r.Known():
 		return text + ": not known"
-	case r.Passed():
+	case r.Exceeded():
 		return text + ": **passed**"
 	}
 	return text + ": kept"
 }
 
-// From names the records that it was worked out from; those that are missing say so.
-func (r Result) From() string {
+// SourcesText returns the page's cell with the records that the figure was computed from, and their problems.
+func (r Result) SourcesText() string {
 	if len(r.Used) == 0 {
 		return "the letter's sizes and the program's settings"
 	}
 	var parts []string
 	for _, name := range r.Used {
-		if why := r.Lacks[name]; why != "" {
-			name += " (" + why + ")"
+		if problem := r.Problems[name]; problem != "" {
+			name += " (" + problem + ")"
 		}
 		parts = append(parts, name)
 	}
 	return strings.Join(parts, ", ")
 }
-
-// Results works all figures out, by name.
-func Results(all Records, s Size) map[string]Result {
-	out := map[string]Result{}
-	for _, f := range Figures {
-		out[f.Name] = f.Result(all, s)
-	}
-	return out
-}
--- /dev/null
+++ b/internal/capacity/fromruns.go
@@ -0,0 +1,163 @@
+package capacity
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"strings"
+)
+
+// FromRuns makes records of what `irispost fleet bench --json` and `irispost fleet scale --json` wrote, by file name.
+// Each file is one run, or a list of them.
+//
+// Runs of one kind that differ in one size alone are the points of a slope: by followers and nodes of the bench, by
+// gateways of the scale tests, and by changes of one run's marks. leftOut describes what has fewer than three sizes;
+// figures without a unit are ignored. A run with violations is an error that wraps ErrBadRun.
+func FromRuns(files map[string][]byte, command, commit string) (records []*Record, leftOut []string, err error) {
+	var runs []run
+	for _, name := range slices.Sorted(maps.Keys(files)) {
+		parsed, err := parseRuns(files[name])
+		if err != nil {
+			return nil, nil, fmt.Errorf("%s: %w", name, err)
+		}
+		runs = append(runs, parsed...)
+	}
+	collector := &runCollector{runs: runs, byName: map[string]*Record{}, command: command, commit: commit}
+	for _, r := range runs {
+		if err := collector.addRun(r); err != nil {
+			return nil, nil, err
+		}
+	}
+	return collector.fitted()
+}
+
+// runCollector collects the points of records from runs.
+type runCollector struct {
+	runs    []run
+	byName  map[string]*Record
+	command string
+	commit  string
+}
+
+// addRun adds a run's figures along each axis on which it is a point, and those of its marks.
+func (c *runCollector) addRun(r run) error {
+	for _, axis := range []axis{followersAxis, nodesAxis, gatewaysAxis} {
+		size, ok := r.sizes[axis]
+		if !ok || !c.isPoint(r, axis) {
+			continue
+		}
+		if err := c.addFigures(r.kind, r.figures, axis, size); err != nil {
+			return err
+		}
+	}
+	if r.sizes[nodesAxis] != c.largest(r.kind, nodesAxis) {
+		return nil
+	}
+	for _, mark := range r.marks {
+		if err := c.addFigures(r.kind, mark.figures, changesAxis, mark.sizes[changesAxis]); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// isPoint tells whether a run is a point of the slope along an axis: its other size is the largest of all runs.
+func (c *runCollector) isPoint(r run, along axis) bool {
+	var other axis
+	switch along {
+	case followersAxis:
+		other = nodesAxis
+	case nodesAxis:
+		other = followersAxis
+	default:
+		return true
+	}
+	return r.sizes[other] == c.largest(r.kind, other)
+}
+
+// largest returns the largest size among the runs of one kind.
+func (c *runCollector) largest(kind string, along axis) (largest float64) {
+	for _, r := range c.runs {
+		if r.kind == kind {
+			largest = max(largest, r.sizes[along])
+		}
+	}
+	return largest
+}
+
+func (c *runCollector) addFigures(kind string, figures map[string]float64, along axis, size float64) error {
+	for name, value := range figures {
+		if err := c.addPoint(kind+"_"+name, along, size, value); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// addPoint adds a figure at a size to its record. Of runs of one size the largest value counts.
+func (c *runCollector) addPoint(name string, along axis, size, value float64) error {
+	unit := unitOf(name)
+	if unit == "" {
+		return nil
+	}
+	name += "_by_" + string(along)
+	record := c.byName[name]
+	if record == nil {
+		record = &Record{
+			Name:    name,
+			Unit:    unit,
+			Over:    string(along),
+			Origin:  Measured,
+			Command: c.command,
+			Commit:  c.commit,
+		}
+		c.byName[name] = record
+	}
+	for i, point := range record.Points {
+		if point.Size == size {
+			record.Points[i].Measured = max(point.Measured, value)
+			return nil
+		}
+	}
+	if !(size > 0) {
+		return fmt.Errorf("%s: a size of %v: %w", name, size, ErrBadRun)
+	}
+	record.Points = append(record.Points, Point{size, value})
+	return nil
+}
+
+// fitted returns the records with enough sizes, sorted by name, and a description of the others.
+func (c *runCollector) fitted() (records []*Record, leftOut []string, err error) {
+	for _, name := range slices.Sorted(maps.Keys(c.byName)) {
+		record := c.byName[name]
+		if count := len(record.Points); count < minimumSizes {
+			text := fmt.Sprintf("%s: %d sizes, and a slope takes %d at least", name, count, minimumSizes)
+			leftOut = append(leftOut, text)
+			continue
+		}
+		if err := record.Fit(); err != nil {
+			return nil, nil, err
+		}
+		records = append(records, record)
+	}
+	return records, leftOut, nil
+}
+
+// units are the units of figures by a part of their names; the first that matches counts.
+var units = []struct{ part, unit string }{
+	{"bytes_s", "bytes a second"},
+	{"bytes", "bytes"},
+	{"_core", "cores"},
+	{"_mb", "MB"},
+	{"_ms", "ms"},
+}
+
+// unitOf returns the unit of a figure; "": it is a count of the run itself and no cost.
+func unitOf(name string) string {
+	for _, candidate := range units {
+		if strings.Contains(name, candidate.part) {
+			return candidate.unit
+		}
+	}
+	return ""
+}
--- /dev/null
+++ b/internal/capacity/listservice_test.go
@@ -0,0 +1,157 @@
+package capacity_test
+
+import (
+	"encoding/json"
+	"fmt"
+	"net"
+	"net/http"
+	"strconv"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"irispost/internal/endpoint/discovery"
+)
+
+// listService is a discovery service. It holds a poll until the list has another revision than the caller knows.
+type listService struct {
+	net.Listener
+	server *http.Server
+	bytes  atomic.Int64 // that have passed, in both directions
+
+	lock    sync.Mutex // guards all below
+	changed chan struct{}
+	list    discovery.Response
+	polls   []time.Time
+}
+
+// startListService starts a service with a list of as many nodes, until the end of the test.
+func startListService(t *testing.T, nodes int) *listService {
+	t.Helper()
+	s := &listService{list: discovery.Response{Revision: 1, Full: true}, changed: make(chan struct{})}
+	for i := range nodes {
+		s.list.Targets = append(s.list.Targets, target(i, fmt.Sprintf("10.0.%d.%d:7000", i/250, i%250)))
+	}
+	s.listen(t, "127.0.0.1:0")
+	t.Cleanup(s.stop)
+	return s
+}
+
+// target returns the entry of a node.
+func target(i int, addr string) discovery.Target {
+	return discovery.Target{
+		UID:           fmt.Sprintf("store-%06d", i),
+		Endpoint:      addr,
+		Zone:          fmt.Sprint("zone-", i%7),
+		Model:         "m",
+		Shard:         i,
+		State:         "ready",
+		Weight:        1,
+		StartedMillis: 1_700_000_000_000 + int64(i),
+	}
+}
+
+// listen begins to serve at an address.
+func (s *listService) listen(t *testing.T, addr string) {
+	t.Helper()
+	listener, err := net.Listen("tcp", addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	s.Listener = listener
+	s.server = &http.Server{Handler: s}
+	go func() { _ = s.server.Serve(s) }() // it ends with the error that the server is closed
+}
+
+// stop closes listener and connections. The list stays.
+func (s *listService) stop() {
+	_ = s.server.Close() // a second Close returns an error
+}
+
+// Accept counts the bytes of connections.
+func (s *listService) Accept() (net.Conn, error) {
+	conn, err := s.Listener.Accept()
+	if err != nil {
+		return nil, err
+	}
+	return countingConn{conn, &s.bytes}, nil
+}
+
+// ServeHTTP answers a poll: with the full list, or with one change if the caller knows a revision.
+func (s *listService) ServeHTTP(w http.ResponseWriter, request *http.Request) {
+	from, _ := strconv.ParseInt(request.FormValue("from"), 10, 64) // 0: it knows none
+	holdMillis, _ := strconv.Atoi(request.FormValue("hold_ms"))    // 0: it does not wait
+	s.lock.Lock()
+	s.polls = append(s.polls, time.Now())
+	revision, changed := s.list.Revision, s.changed
+	s.lock.Unlock()
+	if from == revision {
+		select {
+		case <-changed:
+		case <-time.After(time.Duration(holdMillis) * time.Millisecond):
+		case <-request.Context().Done():
+			return
+		}
+	}
+	s.lock.Lock()
+	response := s.list
+	s.lock.Unlock()
+	if from > 0 {
+		response.Full = false
+		response.Targets = response.Targets[:min(1, int(response.Revision-from))]
+	}
+	encoded, err := json.Marshal(response)
+	if err != nil {
+		http.Error(w, err.Error(), http.StatusInternalServerError)
+		return
+	}
+	_, _ = w.Write(encoded) // a client that has gone polls again
+}
+
+// change gives the list another revision.
+func (s *listService) change() {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	s.list.Revision++
+	close(s.changed)
+	s.changed = make(chan struct{})
+}
+
+// reset sets the revision and forgets all polls.
+func (s *listService) reset(revision int64) {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	s.list.Revision = revision
+	s.polls = nil
+}
+
+// pollsWithin returns the number of polls in the second after a time.
+func (s *listService) pollsWithin(span time.Duration, after time.Time) (count int) {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	for _, poll := range s.polls {
+		if poll.Sub(after) < span {
+			count++
+		}
+	}
+	return count
+}
+
+// countingConn counts the bytes of a connection, in both directions.
+type countingConn struct {
+	net.Conn
+	bytes *atomic.Int64
+}
+
+func (c countingConn) Read(b []byte) (int, error) {
+	n, err := c.Conn.Read(b)
+	c.bytes.Add(int64(n))
+	return n, err
+}
+
+func (c countingConn) Write(b []byte) (int, error) {
+	n, err := c.Conn.Write(b)
+	c.bytes.Add(int64(n))
+	return n, err
+}
--- /dev/null
+++ b/internal/capacity/measure_connections_test.go
@@ -0,0 +1,98 @@
+package capacity_test
+
+import (
+	"bufio"
+	"io"
+	"net"
+	"net/http"
+	"strconv"
+	"testing"
+	"time"
+
+	"irispost/internal/backend/node"
+	"irispost/internal/backend/webnode"
+	"irispost/internal/http1"
+	"irispost/internal/scale/meter"
+)
+
+// TestMeasureNodeConnections measures an attempt over a new connection and over one that is open: processor time of
+// gateway and node together.
+func TestMeasureNodeConnections(t *testing.T) {
+	m := begin(t)
+	for _, nodes := range []int{200, 900, 1800} {
+		client := webnode.NewClient(webnode.Options{
+			Host:           "origin.svc",
+			ConnectTimeout: time.Minute,
+			IdleTimeout:    time.Minute,
+			MaxConnections: 4000,
+			Bounds:         http1.DefaultLimits,
+			MaxLongBody:    1,
+			LongBodyBudget: 1,
+		})
+		var addrs []string
+		for range nodes {
+			addrs = append(addrs, startOKNode(t))
+		}
+		m.addMeasured("node_open_us_by_nodes", "us", "nodes", float64(nodes), attemptMicros(t, client, addrs))
+		attemptMicros(t, client, addrs)
+		m.addMeasured("node_reuse_us_by_nodes", "us", "nodes", float64(nodes), attemptMicros(t, client, addrs))
+		client.Close()
+	}
+	m.save()
+}
+
+// startOKNode starts a node that answers each request with two bytes, until the end of the test, and returns its
+// address.
+func startOKNode(t *testing.T) string {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = listener.Close() })
+	go func() {
+		for conn, err := listener.Accept(); err == nil; conn, err = listener.Accept() {
+			go answerOK(conn)
+		}
+	}()
+	return listener.Addr().String()
+}
+
+// answerOK answers requests until the connection ends.
+func answerOK(conn net.Conn) {
+	defer func() { _ = conn.Close() }()
+	for reader := bufio.NewReader(conn); ; {
+		if _, err := http.ReadRequest(reader); err != nil {
+			return
+		}
+		if _, err := io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"); err != nil {
+			return
+		}
+	}
+}
+
+// attemptMicros starts an attempt at each node, one after another, and returns the mean processor time in
+// microseconds.
+func attemptMicros(t *testing.T, client *webnode.Client, addrs []string) float64 {
+	t.Helper()
+	replies := make(chan node.Reply, 1)
+	before := selfCPU(t)
+	for i, addr := range addrs {
+		call := &node.Call{Op: node.GetObject, Name: "/api", IdempotencyKey: strconv.Itoa(i), Timeout: time.Minute}
+		client.Start(addr, call, func(reply node.Reply) { replies <- reply })
+		if reply := <-replies; reply.Outcome != node.Executed {
+			t.Fatalf("%+v", reply)
+		}
+	}
+	return float64((selfCPU(t) - before).Nanoseconds()) / 1e3 / float64(len(addrs))
+}
+
+// selfCPU returns this process's processor time so far.
+func selfCPU(t *testing.T) time.Duration {
+	t.Helper()
+	used, err := meter.SelfCPU()
+	if err != nil {
+		t.Fatal(err)
+	}
+	return used
+}
--- a/internal/capacity/measure_list_test.go
+++ b/internal/capacity/measure_list_test.go
@@ -1,383 +1,237 @@
 package capacity_test
 
 import (
-	"bufio"
 	"context"
 	"encoding/json"
-	"fmt"
-	"io"
-	"log/slog"
-	"net"
-	"net/http"
-	"os"
-	"os/exec"
-	"regexp"
-	"strconv"
 	"sync"
 	"sync/atomic"
-	"syscall"
 	"testing"
 	"time"
 
 	"irispost/internal/backend/node"
-	"irispost/internal/backend/webnode"
-	"irispost/internal/capacity"
 	"irispost/internal/endpoint"
 	"irispost/internal/endpoint/discovery"
-	"irispost/internal/fleet/configversion"
 	"irispost/internal/gateway"
-	"irispost/internal/http1"
 	"irispost/scheduler"
 )
 
-// desk is a list service: it holds a call until the list is another than the call knows.
-type desk struct {
-	net.Listener
-	server *http.Server
-	lock   sync.Mutex
-	news   chan struct{}
-	form   discovery.Response
-	calls  []time.Time
-	bytes  atomic.Int64
-}
-
-func openDesk(t *testing.T, nodes int) *desk {
-	d := &desk{form: discovery.Response{Revision: 1, Full: true}, news: make(chan struct{})}
-	for i := range nodes {
-		d.form.Targets = append(d.form.Targets, target(i, fmt.Sprintf("10.0.%d.%d:7000", i/250, i%250)))
+// TestMeasureList measures endpoint lists by nodes: their bytes, encoding and decoding.
+func TestMeasureList(t *testing.T) {
+	m := begin(t)
+	for _, nodes := range []int{200, 900, 1800} {
+		service := startListService(t, nodes)
+		measureListCoding(t, m, service, float64(nodes))
+		measureListBytes(t, m, service, float64(nodes))
+		service.stop()
 	}
-	d.open(t, "127.0.0.1:0")
-	t.Cleanup(func() { _ = d.server.Close() })
-	return d
+	m.save()
 }
 
-func (d *desk) open(t *testing.T, addr string) {
-	l, err := net.Listen("tcp", addr)
-	if err != nil {
-		t.Fatal(err)
+// measureListCoding measures the full list's bytes, and the time to encode it, to decode it and to decode a change.
+func measureListCoding(t *testing.T, m *measurement, service *listService, nodes float64) {
+	t.Helper()
+	full := encode(t, service.list)
+	m.addMeasured("list_whole_bytes_by_nodes", "bytes", "nodes", nodes, float64(len(full)))
+	encodeMicros := meanMicros(50, func(int) { _, _ = json.Marshal(service.list) }) // it was encoded before
+	m.addMeasured("list_make_ms_by_nodes", "ms", "nodes", nodes, encodeMicros/1e3)
+	var table discovery.Table
+	apply := func(encoded []byte) {
+		var response discovery.Response
+		if err := json.Unmarshal(encoded, &response); err != nil {
+			t.Fatal(err)
+		}
+		if _, err := table.Apply(&response, false); err != nil {
+			t.Fatal(err)
+		}
 	}
-	d.Listener = l
-	d.server = &http.Server{Handler: d}
-	go func() { _ = d.server.Serve(d) }()
+	m.addMeasured("list_whole_take_ms_by_nodes", "ms", "nodes", nodes, meanMicros(50, func(int) { apply(full) })/1e3)
+	change := encode(t, discovery.Response{Revision: 2, Targets: service.list.Targets[:1]})
+	m.addMeasured("list_take_us_by_nodes", "us", "nodes", nodes, meanMicros(300, func(int) { apply(change) }))
 }
 
-// Accept counts what passes.
-func (d *desk) Accept() (net.Conn, error) {
-	c, err := d.Listener.Accept()
+// encode returns the JSON form of a response.
+func encode(t *testing.T, response discovery.Response) []byte {
+	t.Helper()
+	encoded, err := json.Marshal(response)
 	if err != nil {
-		return nil, err
-	}
-	return counted{c, &d.bytes}, nil
-}
-
-func (d *desk) ServeHTTP(w http.ResponseWriter, q *http.Request) {
-	from, _ := strconv.ParseInt(q.FormValue("from"), 10, 64)
-	ms, _ := strconv.Atoi(q.FormValue("hold_ms"))
-	d.lock.Lock()
-	d.calls = append(d.calls, time.Now())
-	rev, news := d.form.Revision, d.news
-	d.lock.Unlock()
-	if from == rev {
-		select {
-		case <-news:
-		case <-time.After(time.Duration(ms) * time.Millisecond):
-		case <-q.Context().Done():
-			return
-		}
-	}
-	d.lock.Lock()
-	form := d.form
-	d.lock.Unlock()
-	if from > 0 {
-		form.Full, form.Targets = false, form.Targets[:min(1, int(form.Revision-from))]
+		t.Fatal(err)
 	}
-	b, _ := json.Marshal(form)
-	_, _ = w.Write(b) // a client that has gone asks again
-}
-
-// change has the list be another.
-func (d *desk) change() {
-	d.lock.Lock()
-	defer d.lock.Unlock()
-	d.form.Revision++
-	close(d.news)
-	d.news = make(chan struct{})
+	return encoded
 }
 
-// TestMeasureList measures lists by nodes: their bytes, making and reading them.
-func TestMeasureList(t *testing.T) {
-	s := begin(t)
-	for _, nodes := range []int{200, 900, 1800} {
-		size := float64(nodes)
-		d := openDesk(t, nodes)
-		whole, _ := json.Marshal(d.form)
-		s.add(capacity.Measured, "list_whole_bytes_by_nodes", "bytes", "nodes", size, float64(len(whole)))
-		s.add(capacity.Measured, "list_make_ms_by_nodes", "ms", "nodes", size, each(50, func(int) { _, _ = json.Marshal(d.form) })/1e3)
-		var table discovery.Table
-		read := func(b []byte) {
-			var f discovery.Response
-			if err := json.Unmarshal(b, &f); err != nil {
-				t.Fatal(err)
-			}
-			if _, err := table.Apply(&f, false); err != nil {
-				t.Fatal(err)
-			}
-		}
-		s.add(capacity.Measured, "list_whole_take_ms_by_nodes", "ms", "nodes", size, each(50, func(int) { read(whole) })/1e3)
-		part, _ := json.Marshal(discovery.Response{Revision: 2, Targets: d.form.Targets[:1]})
-		s.add(capacity.Measured, "list_take_us_by_nodes", "us", "nodes", size, each(300, func(int) { read(part) }))
-		heard := make(chan endpoint.List)
-		c, _, err := discovery.New(discovery.Options{Gateway: "g", Address: d.Addr().String(), LongPoll: 2 * time.Millisecond, Timeout: time.Minute, Log: quiet()})
-		if err != nil {
-			t.Fatal(err)
-		}
-		ctx, cancel := context.WithCancel(context.Background())
-		go c.Run(ctx, func(l endpoint.List) {
-			select {
-			case heard <- l:
-			case <-ctx.Done():
-			}
-		}, func(bool) {})
-		c.Watch()
-		<-heard
-		<-heard
-		const count = 200
-		before := d.bytes.Load()
-		for range count {
-			<-heard
-		}
-		empty := float64(d.bytes.Load()-before) / count
-		s.add(capacity.Measured, "list_call_bytes_by_nodes", "bytes", "nodes", size, empty)
-		before = d.bytes.Load()
-		seen := 0
-		for range count {
-			d.change()
-			for l := <-heard; len(l.Nodes) == 0; l = <-heard {
-				seen++
-			}
+// measureListBytes measures the bytes of a poll that ends without a change, and of a change.
+func measureListBytes(t *testing.T, m *measurement, service *listService, nodes float64) {
+	t.Helper()
+	const count = 200
+	ctx, cancel := context.WithCancel(t.Context())
+	defer cancel()
+	lists := watchLists(ctx, t, service)
+	<-lists
+	<-lists
+	before := service.bytes.Load()
+	for range count {
+		<-lists
+	}
+	emptyPoll := float64(service.bytes.Load()-before) / count
+	m.addMeasured("list_call_bytes_by_nodes", "bytes", "nodes", nodes, emptyPoll)
+	before = service.bytes.Load()
+	emptyPolls := 0
+	for range count {
+		service.change()
+		for list := <-lists; len(list.Nodes) == 0; list = <-lists {
+			emptyPolls++
 		}
-		s.add(capacity.Measured, "list_change_bytes_by_nodes", "bytes", "nodes", size, (float64(d.bytes.Load()-before)-float64(seen)*empty)/count)
-		cancel()
-		_ = d.server.Close()
 	}
-	s.keep()
+	changes := float64(service.bytes.Load()-before) - float64(emptyPolls)*emptyPoll
+	m.addMeasured("list_change_bytes_by_nodes", "bytes", "nodes", nodes, changes/count)
 }
 
-// each is the time in microseconds that something takes.
-func each(count int, do func(i int)) float64 {
-	at := time.Now()
-	for i := range count {
-		do(i)
+// watchLists runs a client of the service, with polls of 2 ms, and returns the channel of all lists that it gets.
+func watchLists(ctx context.Context, t *testing.T, service *listService) <-chan endpoint.List {
+	t.Helper()
+	client, _, err := discovery.New(discovery.Options{
+		Gateway:  "g",
+		Address:  service.Addr().String(),
+		LongPoll: 2 * time.Millisecond,
+		Timeout:  time.Minute,
+		Log:      discardLogger(),
+	})
+	if err != nil {
+		t.Fatal(err)
 	}
-	return float64(time.Since(at).Nanoseconds()) / float64(count) / 1e3
+	lists := make(chan endpoint.List)
+	go client.Run(ctx, func(list endpoint.List) {
+		select {
+		case lists <- list:
+		case <-ctx.Done():
+		}
+	}, func(bool) {})
+	client.Watch()
+	return lists
 }
 
-func quiet() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
+// noNodes is a client of storage nodes that is never used.
+type noNodes struct{}
 
-// nowhere are nodes that nothing is sent to.
-type nowhere struct{}
+func (noNodes) Start(string, *node.Call, func(node.Reply)) node.Attempt { return nil }
+func (noNodes) Retain(map[string]bool)                                  {}
+func (noNodes) AbortQueued(func(string) bool)                           {}
+func (noNodes) LateReplies() int64                                      { return 0 }
 
-func (nowhere) Start(string, *node.Call, func(node.Reply)) node.Attempt { return nil }
-func (nowhere) Retain(map[string]bool)                                  {}
-func (nowhere) AbortQueued(func(string) bool)                           {}
-func (nowhere) LateReplies() int64                                      { return 0 }
-
-// TestMeasureListReturns has the list service be away for 4 s, and measures when the last gateway has its list again, and the calls of the first
-// second. The list has 16 nodes: what a large one costs is in TestMeasureList.
+// TestMeasureListReturns stops the list service for 4 s. It measures when the last gateway has its list again, and
+// the polls of the first second. The list has 16 nodes: the cost of a large one is in TestMeasureList.
 func TestMeasureListReturns(t *testing.T) {
-	s := begin(t)
+	m := begin(t)
 	for _, gateways := range []int{100, 300, 780} {
-		d := openDesk(t, 16)
-		addr := d.Addr().String()
-		var there atomic.Int64
-		var back atomic.Pointer[string]
-		all := make(chan struct{}, 1)
-		ctx, cancel := context.WithCancel(context.Background())
-		var running sync.WaitGroup
-		var loops []*gateway.Loop
-		expect := func(rev string) { there.Store(0); back.Store(&rev) }
-		expect("1")
-		for i := range gateways {
-			c, _, err := discovery.New(discovery.Options{Gateway: "g", Address: addr, LongPoll: 3 * time.Second, Timeout: time.Second, Log: quiet()})
-			if err != nil {
-				t.Fatal(err)
-			}
-			loop := gateway.Start(gateway.Options{Name: "g", Seed: uint64(i), QueueSize: 64, Clock: gateway.NewClock(), Nodes: nowhere{}, Watch: c.Watch, Log: quiet(),
-				Settings: scheduler.Settings{"discovery": "ask", "units.mean": "1", "products.count": "1", "products.0.name": "r", "products.0.goal": "300"}})
-			loops = append(loops, loop)
-			last := ""
-			running.Go(func() {
-				c.Run(ctx, func(l endpoint.List) {
-					loop.UpdateEndpoints(l)
-					if want := *back.Load(); l.Version == want && last != want {
-						if last = want; there.Add(1) == int64(gateways) {
-							all <- struct{}{}
-						}
-					}
-				}, loop.EndpointListFailed)
-			})
-		}
-		<-all
-		_ = d.server.Close()
-		time.Sleep(4 * time.Second)
-		expect("2")
-		d.lock.Lock()
-		d.form.Revision, d.calls = 2, nil
-		d.lock.Unlock()
-		at := time.Now()
-		d.open(t, addr)
-		<-all
-		took := time.Since(at)
-		time.Sleep(max(0, time.Second-took))
-		d.lock.Lock()
-		first := 0
-		for _, call := range d.calls {
-			if call.Sub(at) < time.Second {
-				first++
-			}
-		}
-		d.lock.Unlock()
-		s.add(capacity.Measured, "list_return_ms_by_gateways", "ms", "gateways", float64(gateways), float64(took.Milliseconds()))
-		s.add(capacity.Measured, "list_return_calls_by_gateways", "calls", "gateways", float64(gateways), float64(first))
-		cancel()
-		_ = d.server.Close()
-		running.Wait()
-		for _, loop := range loops {
-			loop.Stop()
-		}
+		measureListReturn(t, m, gateways)
 	}
-	s.keep()
+	m.save()
 }
 
-// TestMeasureVersion measures the content of versions, with names, zones and ages, by nodes.
-func TestMeasureVersion(t *testing.T) {
-	s := begin(t)
-	for _, nodes := range []int{200, 900, 1800} {
-		size := float64(nodes)
-		a, b := content(nodes, 10), content(nodes, 9)
-		text := a.Canonical()
-		s.add(capacity.Measured, "version_bytes_by_nodes", "bytes", "nodes", size, float64(len(text)))
-		s.add(capacity.Measured, "version_make_ms_by_nodes", "ms", "nodes", size, each(30, func(int) { a.Digest() })/1e3)
-		s.add(capacity.Measured, "version_read_ms_by_nodes", "ms", "nodes", size, each(30, func(int) {
-			if _, err := configversion.Parse(text); err != nil {
-				t.Fatal(err)
-			}
-		})/1e3)
-		s.add(capacity.Measured, "version_compare_ms_by_nodes", "ms", "nodes", size, each(30, func(int) { configversion.Conflicts(a, b) })/1e3)
-	}
-	s.keep()
+func measureListReturn(t *testing.T, m *measurement, gateways int) {
+	t.Helper()
+	const outage = 4 * time.Second
+	service := startListService(t, 16)
+	addr := service.Addr().String()
+	group := startListGateways(t, addr, gateways)
+	defer group.stop()
+	<-group.allHave
+	service.stop()
+	time.Sleep(outage)
+	group.expect("2")
+	service.reset(2)
+	startedAt := time.Now()
+	service.listen(t, addr)
+	<-group.allHave
+	took := time.Since(startedAt)
+	time.Sleep(max(0, time.Second-took))
+	polls := service.pollsWithin(time.Second, startedAt)
+	size := float64(gateways)
+	m.addMeasured("list_return_ms_by_gateways", "ms", "gateways", size, float64(took.Milliseconds()))
+	m.addMeasured("list_return_calls_by_gateways", "calls", "gateways", size, float64(polls))
+	group.cancel()
+	service.stop()
 }
 
-// TestMeasureVersionMemory measures what a version that was read holds, over fifty of them.
-func TestMeasureVersionMemory(t *testing.T) {
-	s := begin(t)
-	for _, nodes := range []int{200, 900, 1800} {
-		text := content(nodes, 10).Canonical()
-		list := make([]*configversion.Config, 50)
-		before := heap()
-		for i := range list {
-			list[i], _ = configversion.Parse(text)
-		}
-		s.add(capacity.Measured, "version_kb_by_nodes", "KB", "nodes", float64(nodes), (heap()-before)/float64(len(list)))
-		for _, r := range list { // held until here
-			if len(r.Nodes) != nodes || len(text) == 0 {
-				t.Fatal("another version")
-			}
-		}
-	}
-	s.keep()
+// listGateways is a number of gateways that poll a list service, each with a client and an event loop.
+type listGateways struct {
+	count    int64
+	cancel   context.CancelFunc
+	running  sync.WaitGroup
+	loops    []*gateway.Loop
+	expected atomic.Pointer[string] // version of the list that is awaited
+	have     atomic.Int64           // number of gateways that have it
+	allHave  chan struct{}          // receives once all have it
 }
 
-// content is a version's, with names, zones and ages.
-func content(nodes int, limit float64) *configversion.Config {
-	r := &configversion.Config{RequiredFormat: configversion.Format, Shards: nodes, MeanRequestUnits: 1, ServiceLevels: map[string]configversion.ServiceLevel{"gold": {Weight: 1, RateLimit: limit}}, RequestClasses: map[string]configversion.RequestClass{},
-		Dispatch: configversion.DispatchPolicy{MaxAttempts: 1}, Nodes: map[string]configversion.Node{}}
-	for i := range nodes {
-		r.Nodes[fmt.Sprintf("10.0.%d.%d:7000", i/250, i%250)] = configversion.Node{Name: fmt.Sprintf("store-%04d.zone%d.example.net", i, i%7), Zone: fmt.Sprint("zone", i%7), Shard: i,
-			StartedAt: 1_700_000_000_000_000_000 + int64(i)*1_000_003, Weight: 1}
+// startListGateways starts gateways that expect version 1.
+func startListGateways(t *testing.T, addr string, count int) *listGateways {
+	t.Helper()
+	ctx, cancel := context.WithCancel(t.Context())
+	group := &listGateways{count: int64(count), cancel: cancel, allHave: make(chan struct{}, 1)}
+	group.expect("1")
+	for i := range count {
+		group.start(ctx, t, addr, uint64(i))
 	}
-	return r
+	return group
 }
 
-// TestMeasureNodeConnections measures an execution over a new connection and over one that is kept: processor time of gateway and node together.
-func TestMeasureNodeConnections(t *testing.T) {
-	s := begin(t)
-	for _, nodes := range []int{200, 900, 1800} {
-		c := webnode.NewClient(webnode.Options{Host: "origin.svc", ConnectTimeout: time.Minute, IdleTimeout: time.Minute, MaxConnections: 4000, Bounds: http1.DefaultLimits, MaxLongBody: 1, LongBodyBudget: 1})
-		var addrs []string
-		for range nodes {
-			l, err := net.Listen("tcp", "127.0.0.1:0")
-			if err != nil {
-				t.Fatal(err)
-			}
-			defer func() { _ = l.Close() }()
-			addrs = append(addrs, l.Addr().String())
-			go func() {
-				for raw, err := l.Accept(); err == nil; raw, err = l.Accept() {
-					go func() {
-						for in := bufio.NewReader(raw); ; {
-							if _, err := http.ReadRequest(in); err != nil {
-								_ = raw.Close()
-								return
-							}
-							_, _ = io.WriteString(raw, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
-						}
-					}()
-				}
-			}()
-		}
-		done := make(chan node.Reply, 1)
-		pass := func() float64 {
-			at := used(t)
-			for i, addr := range addrs {
-				c.Start(addr, &node.Call{Op: node.GetObject, Name: "/api", IdempotencyKey: strconv.Itoa(i), Timeout: time.Minute}, func(a node.Reply) { done <- a })
-				if a := <-done; a.Outcome != node.Executed {
-					t.Fatalf("%+v", a)
-				}
-			}
-			return float64((used(t) - at).Nanoseconds()) / 1e3 / float64(nodes)
-		}
-		s.add(capacity.Measured, "node_open_us_by_nodes", "us", "nodes", float64(nodes), pass())
-		pass()
-		s.add(capacity.Measured, "node_reuse_us_by_nodes", "us", "nodes", float64(nodes), pass())
-		c.Close()
-	}
-	s.keep()
+// expect sets the version that allHave is about.
+func (g *listGateways) expect(version string) {
+	g.have.Store(0)
+	g.expected.Store(&version)
 }
 
-// used is this process's processor time so far.
-func used(t *testing.T) time.Duration {
-	var u syscall.Rusage
-	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
+func (g *listGateways) start(ctx context.Context, t *testing.T, addr string, seed uint64) {
+	t.Helper()
+	client, _, err := discovery.New(discovery.Options{
+		Gateway:  "g",
+		Address:  addr,
+		LongPoll: 3 * time.Second,
+		Timeout:  time.Second,
+		Log:      discardLogger(),
+	})
+	if err != nil {
 		t.Fatal(err)
 	}
-	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
+	loop := gateway.Start(gateway.Options{
+		Name:      "g",
+		Seed:      seed,
+		QueueSize: 64,
+		Clock:     gateway.NewClock(),
+		Nodes:     noNodes{},
+		Watch:     client.Watch,
+		Log:       discardLogger(),
+		Settings: scheduler.Settings{
+			"discovery":       "ask",
+			"units.mean":      "1",
+			"products.count":  "1",
+			"products.0.name": "r",
+			"products.0.goal": "300",
+		},
+	})
+	g.loops = append(g.loops, loop)
+	last := ""
+	g.running.Go(func() {
+		client.Run(ctx, func(list endpoint.List) {
+			loop.UpdateEndpoints(list)
+			expected := *g.expected.Load()
+			if list.Version != expected || last == expected {
+				return
+			}
+			last = expected
+			if g.have.Add(1) == g.count {
+				g.allHave <- struct{}{}
+			}
+		}, loop.EndpointListFailed)
+	})
 }
 
-var coldLine = regexp.MustCompile(`(\d+) gateways, ([^:]+): (\d+) calls in 4 s, at worst (-?[0-9.]+)`)
-
-// TestMeasureCold takes what TestFleetStaysWithinTheBudgetOfAWarmingNode says of each fleet, with 780 gateways too: the worst of its cases, and the fewest calls.
-func TestMeasureCold(t *testing.T) {
-	s := begin(t)
-	cmd := exec.Command("go", "test", "-count=1", "-v", "-run", "TestFleetStaysWithinTheBudgetOfAWarmingNode$", "irispost/scheduler")
-	cmd.Env = append(os.Environ(), "IRISPOST_MEASURE=1")
-	out, err := cmd.CombinedOutput()
-	if err != nil {
-		t.Fatalf("%v\n%s", err, out)
-	}
-	worst, least, order := map[string]float64{}, map[string]float64{}, []string{}
-	for _, m := range coldLine.FindAllStringSubmatch(string(out), -1) {
-		calls, _ := strconv.ParseFloat(m[3], 64)
-		past, _ := strconv.ParseFloat(m[4], 64)
-		if _, known := worst[m[1]]; !known {
-			worst[m[1]], least[m[1]], order = past, calls, append(order, m[1])
-		}
-		worst[m[1]], least[m[1]] = max(worst[m[1]], past), min(least[m[1]], calls)
-	}
-	for _, name := range order {
-		size, _ := strconv.ParseFloat(name, 64)
-		s.add(capacity.Simulated, "cold_worst_by_gateways", "of the way from N calls to the bound", "gateways", size, worst[name])
-		s.add(capacity.Simulated, "cold_calls_by_gateways", "calls in 4 s", "gateways", size, least[name])
+// stop ends all clients and loops.
+func (g *listGateways) stop() {
+	g.cancel()
+	g.running.Wait()
+	for _, loop := range g.loops {
+		loop.Stop()
 	}
-	s.keep()
 }
--- a/internal/capacity/measure_module_test.go
+++ b/internal/capacity/measure_module_test.go
@@ -2,147 +2,218 @@
 
 import (
 	"math/rand/v2"
-	"os"
 	"runtime"
 	"slices"
 	"strconv"
 	"testing"
 	"time"
 
-	"irispost/internal/capacity"
 	"irispost/scheduler"
 )
 
-// module is a decision module with a list, driven in virtual time as the loop drives it: a decision after what was taken, and one after what ended.
-type module struct {
-	g     *scheduler.Scheduler
-	now   scheduler.Time
-	nodes int
-	count int
-	rand  *rand.Rand
-}
+const (
+	// requestInterval is that of 1,269 requests a second.
+	requestInterval = 788 * scheduler.Microsecond
+
+	requestTimeout = 2500 * scheduler.Millisecond
+)
 
-const pace = 788 * scheduler.Microsecond // 1,269 requests a second
+// placement chooses the volume and the shard of a request.
+type placement func() (volume, shard int)
+
+// simulatedScheduler is a scheduler with an endpoint list, driven in virtual time as the event loop drives it: it
+// decides after each batch of requests, and after their attempts have ended.
+type simulatedScheduler struct {
+	scheduler    *scheduler.Scheduler
+	now          scheduler.Time
+	nodes        int
+	requestCount int
+	random       *rand.Rand
+}
 
-func newModule(nodes int) *module {
-	m := &module{now: scheduler.Second, nodes: nodes, rand: rand.New(rand.NewPCG(1, 2))}
-	m.g = scheduler.New(m.now, 1, scheduler.Settings{"units.mean": "1", "plans.count": "1", "plans.0.name": "p", "plans.0.rate": "100000", "products.count": "1",
-		"products.0.name": "r", "products.0.goal": "300", "products.0.patience": "2500", "executions.most": "3", "tells.others": "true"})
-	m.list(-1)
-	return m
+func newSimulatedScheduler(nodes int) *simulatedScheduler {
+	s := &simulatedScheduler{now: scheduler.Second, nodes: nodes, random: rand.New(rand.NewPCG(1, 2))}
+	s.scheduler = scheduler.New(s.now, 1, scheduler.Settings{
+		"units.mean":          "1",
+		"plans.count":         "1",
+		"plans.0.name":        "p",
+		"plans.0.rate":        "100000",
+		"products.count":      "1",
+		"products.0.name":     "r",
+		"products.0.goal":     "300",
+		"products.0.patience": "2500",
+		"executions.most":     "3",
+		"tells.others":        "true",
+	})
+	s.updateList(-1)
+	return s
 }
 
-// list tells a whole list, in which one node has started anew.
-func (m *module) list(anew int) {
-	m.g.BeginEndpointList(m.now, true, false)
-	for i := range m.nodes {
-		born := scheduler.Time(1)
-		if i == anew {
-			born = m.now
+// updateList passes a full list in which one node has restarted; -1: none has.
+func (s *simulatedScheduler) updateList(restarted int) {
+	s.scheduler.BeginEndpointList(s.now, true, false)
+	for i := range s.nodes {
+		startedAt := scheduler.Time(1)
+		if i == restarted {
+			startedAt = s.now
 		}
-		m.g.UpdateEndpoint("10.0.0."+strconv.Itoa(i)+":7000", "zone-"+strconv.Itoa(i%7), i, born, scheduler.EndpointReady)
+		addr, zone := "10.0.0."+strconv.Itoa(i)+":7000", "zone-"+strconv.Itoa(i%7)
+		s.scheduler.UpdateEndpoint(addr, zone, i, startedAt, scheduler.EndpointReady)
 	}
-	m.g.FinishEndpointList()
-	m.g.Decide(m.now)
+	s.scheduler.FinishEndpointList()
+	s.scheduler.Decide(s.now)
 }
 
-// requests takes so many through to their answers, gathered in decisions of so many.
-func (m *module) requests(t *testing.T, count, gathered int, pick func() (volume, shard int)) {
-	for done := 0; done < count; {
-		for range gathered {
-			m.now += pace
-			volume, shard := pick()
-			m.count++
-			j := &scheduler.Request{ID: strconv.Itoa(m.count), Units: 1, Shard: shard, Deadline: m.now + 2500*scheduler.Millisecond}
-			m.g.Submit(m.now, j, int64(volume), "p", "r", 1, false)
+// serve takes a number of requests through to their answers, in batches with one decision each.
+func (s *simulatedScheduler) serve(t *testing.T, count, batch int, place placement) {
+	t.Helper()
+	for done := 0; done < count; done += batch {
+		for range batch {
+			s.now += requestInterval
+			volume, shard := place()
+			s.requestCount++
+			id := strconv.Itoa(s.requestCount)
+			request := &scheduler.Request{ID: id, Units: 1, Shard: shard, Deadline: s.now + requestTimeout}
+			s.scheduler.Submit(s.now, request, int64(volume), "p", "r", 1, false)
 		}
-		d := m.g.Decide(m.now)
-		if len(d.Dispatch) != gathered || len(d.Finished) != 0 {
-			t.Fatalf("%d of %d requests were sent, %d given up", len(d.Dispatch), gathered, len(d.Finished))
+		decision := s.scheduler.Decide(s.now)
+		if len(decision.Dispatch) != batch || len(decision.Finished) != 0 {
+			t.Fatalf("%d of %d requests were sent, %d given up", len(decision.Dispatch), batch, len(decision.Finished))
 		}
-		start := slices.Clone(d.Dispatch)
-		for _, e := range start {
-			m.g.AttemptFinished(m.now+pace/2, e.Request.ID, e.Number, scheduler.OutcomeServed, pace/2, true, 0)
+		const served = requestInterval / 2
+		endedAt := s.now + served
+		for _, attempt := range slices.Clone(decision.Dispatch) { // the scheduler uses the slice again
+			id := attempt.Request.ID
+			s.scheduler.AttemptFinished(endedAt, id, attempt.Number, scheduler.OutcomeServed, served, true, 0)
 		}
-		m.g.Decide(m.now + pace/2)
-		done += gathered
+		s.scheduler.Decide(endedAt)
 	}
 }
 
-// eachUS is the time of a request in microseconds, the middle one of three.
-func (m *module) eachUS(t *testing.T, gathered int, pick func() (volume, shard int)) float64 {
-	var took []float64
-	m.requests(t, 8000, gathered, pick)
-	for range 3 {
+// requestMicros returns the time of a request in microseconds, the median of three runs.
+func (s *simulatedScheduler) requestMicros(t *testing.T, batch int, place placement) float64 {
+	t.Helper()
+	const warmUp, requests, runs = 8000, 16000, 3
+	var times []float64
+	s.serve(t, warmUp, batch, place)
+	for range runs {
 		runtime.GC()
-		at := time.Now()
-		m.requests(t, 16000, gathered, pick)
-		took = append(took, float64(time.Since(at).Nanoseconds())/16000/1e3)
+		startedAt := time.Now()
+		s.serve(t, requests, batch, place)
+		times = append(times, float64(time.Since(startedAt).Nanoseconds())/requests/1e3)
 	}
-	slices.Sort(took)
-	return took[1]
+	slices.Sort(times)
+	return times[runs/2]
 }
 
-// TestMeasureModule measures the decision module alone: a request, a list, and its memory, by nodes, volumes and flows.
+// randomNode returns a placement on any node, by the volume of the same number.
+func (s *simulatedScheduler) randomNode() placement {
+	return func() (int, int) {
+		node := s.random.IntN(s.nodes)
+		return node, node
+	}
+}
+
+// TestMeasureModule measures the scheduler alone: a request, a list, and its memory, by nodes, volumes and flows.
 func TestMeasureModule(t *testing.T) {
-	s := begin(t)
+	m := begin(t)
 	for _, nodes := range []int{16, 200, 900, 1800} {
-		size := float64(nodes)
-		before := heap()
-		m := newModule(nodes)
-		s.add(capacity.Measured, "module_kb_by_nodes", "KB", "nodes", size, heap()-before)
-		pick := func() (int, int) { v := m.rand.IntN(nodes); return v, v }
-		s.add(capacity.Measured, "module_request_us_by_nodes", "us", "nodes", size, m.eachUS(t, 1, pick))
-		s.add(capacity.Measured, "module_gathered_us_by_nodes", "us", "nodes", size, m.eachUS(t, 16, pick))
-		at := time.Now()
-		for i := range 200 {
-			m.now += scheduler.Second
-			m.list(i % nodes)
-		}
-		s.add(capacity.Measured, "module_list_us_by_nodes", "us", "nodes", size, float64(time.Since(at).Microseconds())/200)
+		measureSchedulerByNodes(t, m, nodes)
 	}
 	for _, volumes := range []int{1024, 4096, 16384} {
-		before := heap()
-		m := newModule(1800)
-		next := 0
-		m.requests(t, volumes, 1, func() (int, int) { next++; return next, next % m.nodes }) // each once
-		s.add(capacity.Measured, "module_kb_by_volumes", "KB", "volumes", float64(volumes), heap()-before)
-		pick := func() (int, int) { v := m.rand.IntN(volumes); return v, v % m.nodes }
-		s.add(capacity.Measured, "module_request_us_by_volumes", "us", "volumes", float64(volumes), m.eachUS(t, 1, pick))
+		measureSchedulerByVolumes(t, m, volumes)
 	}
-	for _, volumes := range []int{16, 64, 256, 1024} { // each of them has met each node
-		before := heap()
-		m := newModule(50)
-		next := -1
-		m.requests(t, volumes*m.nodes, 1, func() (int, int) { next++; return next / m.nodes, next % m.nodes })
-		s.add(capacity.Measured, "module_kb_by_flows", "KB", "flows", float64(volumes*m.nodes), heap()-before)
-		pick := func() (int, int) { return m.rand.IntN(volumes), m.rand.IntN(m.nodes) }
-		s.add(capacity.Measured, "module_request_us_by_flows", "us", "flows at a node", float64(volumes), m.eachUS(t, 1, pick))
+	for _, volumes := range []int{16, 64, 256, 1024} {
+		measureSchedulerByFlows(t, m, volumes)
 	}
-	if os.Getenv("IRISPOST_TRIAL") == "" {
-		s.keep()
+	if !isTrial() {
+		m.save()
 	}
 }
 
-// TestMeasureWalks measures the walks over all nodes that a decision makes where nothing waits: a decision between rounds, and one with a round.
+func measureSchedulerByNodes(t *testing.T, m *measurement, nodes int) {
+	t.Helper()
+	const lists = 200
+	size := float64(nodes)
+	before := heapKB()
+	s := newSimulatedScheduler(nodes)
+	m.addMeasured("module_kb_by_nodes", "KB", "nodes", size, heapKB()-before)
+	m.addMeasured("module_request_us_by_nodes", "us", "nodes", size, s.requestMicros(t, 1, s.randomNode()))
+	m.addMeasured("module_gathered_us_by_nodes", "us", "nodes", size, s.requestMicros(t, 16, s.randomNode()))
+	startedAt := time.Now()
+	for i := range lists {
+		s.now += scheduler.Second
+		s.updateList(i % nodes)
+	}
+	m.addMeasured("module_list_us_by_nodes", "us", "nodes", size, float64(time.Since(startedAt).Microseconds())/lists)
+}
+
+// measureSchedulerByVolumes measures a scheduler in which each volume has had one request.
+func measureSchedulerByVolumes(t *testing.T, m *measurement, volumes int) {
+	t.Helper()
+	size := float64(volumes)
+	before := heapKB()
+	s := newSimulatedScheduler(1800)
+	next := 0
+	s.serve(t, volumes, 1, func() (int, int) {
+		next++
+		return next, next % s.nodes
+	})
+	m.addMeasured("module_kb_by_volumes", "KB", "volumes", size, heapKB()-before)
+	randomVolume := func() (int, int) {
+		volume := s.random.IntN(volumes)
+		return volume, volume % s.nodes
+	}
+	m.addMeasured("module_request_us_by_volumes", "us", "volumes", size, s.requestMicros(t, 1, randomVolume))
+}
+
+// measureSchedulerByFlows measures a scheduler in which each volume has had one request at each node.
+func measureSchedulerByFlows(t *testing.T, m *measurement, volumes int) {
+	t.Helper()
+	before := heapKB()
+	s := newSimulatedScheduler(50)
+	flows := volumes * s.nodes
+	next := -1
+	s.serve(t, flows, 1, func() (int, int) {
+		next++
+		return next / s.nodes, next % s.nodes
+	})
+	m.addMeasured("module_kb_by_flows", "KB", "flows", float64(flows), heapKB()-before)
+	randomFlow := func() (int, int) { return s.random.IntN(volumes), s.random.IntN(s.nodes) }
+	micros := s.requestMicros(t, 1, randomFlow)
+	m.addMeasured("module_request_us_by_flows", "us", "flows at a node", float64(volumes), micros)
+}
+
+// TestMeasureWalks measures the walks over all nodes that a decision makes where no request waits: a decision between
+// rounds, and one with a round.
 func TestMeasureWalks(t *testing.T) {
-	s := begin(t)
+	m := begin(t)
 	for _, nodes := range []int{16, 200, 900, 1800} {
-		m := newModule(nodes)
-		m.requests(t, 4*nodes, 1, func() (int, int) { v := m.count % nodes; return v, v }) // all nodes are known
-		decision := func(int) { m.now += 1000; m.g.Decide(m.now) }
-		each(2, decision)
-		s.add(capacity.Measured, "module_decision_us_by_nodes", "us", "nodes", float64(nodes), each(10_000, decision))
-		s.add(capacity.Measured, "module_round_us_by_nodes", "us", "nodes", float64(nodes), each(2000, func(int) { m.now += 40 * scheduler.Millisecond; m.g.Decide(m.now) }))
+		size := float64(nodes)
+		s := newSimulatedScheduler(nodes)
+		s.serve(t, 4*nodes, 1, func() (int, int) { // after which all nodes are known
+			node := s.requestCount % nodes
+			return node, node
+		})
+		decide := func(after scheduler.Time) func(int) {
+			return func(int) {
+				s.now += after
+				s.scheduler.Decide(s.now)
+			}
+		}
+		meanMicros(2, decide(1000))
+		m.addMeasured("module_decision_us_by_nodes", "us", "nodes", size, meanMicros(10_000, decide(1000)))
+		round := meanMicros(2000, decide(40*scheduler.Millisecond))
+		m.addMeasured("module_round_us_by_nodes", "us", "nodes", size, round)
 	}
-	s.keep()
+	m.save()
 }
 
-// TestMeasureWalk runs requests at 1,800 nodes for a processor profile: go test -run MeasureWalk -cpuprofile FILE, then go tool pprof -list.
+// TestMeasureWalk serves requests at 1,800 nodes for a processor profile: go test -run MeasureWalk -cpuprofile FILE,
+// then go tool pprof -list.
 func TestMeasureWalk(t *testing.T) {
-	measured(t)
-	m := newModule(1800)
-	pick := func() (int, int) { v := m.rand.IntN(m.nodes); return v, v }
-	t.Logf("%.1f us a request", m.eachUS(t, 1, pick))
-	m.requests(t, 100_000, 1, pick)
+	skipUnlessMeasuring(t)
+	s := newSimulatedScheduler(1800)
+	t.Logf("%.1f us a request", s.requestMicros(t, 1, s.randomNode()))
+	s.serve(t, 100_000, 1, s.randomNode())
 }
--- /dev/null
+++ b/internal/capacity/measure_slowstart_test.go
@@ -0,0 +1,70 @@
+package capacity_test
+
+import (
+	"os"
+	"os/exec"
+	"regexp"
+	"strconv"
+	"testing"
+
+	"irispost/internal/capacity"
+)
+
+// budgetTest is the scheduler's test whose log lines are read.
+const budgetTest = "TestFleetStaysWithinTheBudgetOfAWarmingNode"
+
+// budgetLine is a log line of that test: gateways, name of the case, calls, and the part of the way from them to the
+// bound.
+var budgetLine = regexp.MustCompile(`(\d+) gateways, ([^:]+): (\d+) calls in 4 s, at worst (-?[0-9.]+)`)
+
+// budgetUse is the worst of the cases of one fleet.
+type budgetUse struct {
+	gateways    float64
+	worstExcess float64
+	fewestCalls float64
+}
+
+// TestMeasureCold takes over what a test of the scheduler logs of each fleet, with 780 gateways too: the worst of its
+// cases, and the fewest calls.
+func TestMeasureCold(t *testing.T) {
+	m := begin(t)
+	command := exec.Command("go", "test", "-count=1", "-v", "-run", budgetTest+"$", "irispost/scheduler")
+	command.Env = append(os.Environ(), "IRISPOST_MEASURE=1")
+	output, err := command.CombinedOutput()
+	if err != nil {
+		t.Fatalf("%v\n%s", err, output)
+	}
+	for _, use := range parseBudgetUse(t, string(output)) {
+		const unit = "of the way from N calls to the bound"
+		m.add(capacity.Simulated, "cold_worst_by_gateways", unit, "gateways", use.gateways, use.worstExcess)
+		m.add(capacity.Simulated, "cold_calls_by_gateways", "calls in 4 s", "gateways", use.gateways, use.fewestCalls)
+	}
+	m.save()
+}
+
+// parseBudgetUse returns the use of each fleet, in the order of the log.
+func parseBudgetUse(t *testing.T, log string) (uses []*budgetUse) {
+	t.Helper()
+	byGateways := map[float64]*budgetUse{}
+	for _, match := range budgetLine.FindAllStringSubmatch(log, -1) {
+		gateways, calls, excess := parseFloat(t, match[1]), parseFloat(t, match[3]), parseFloat(t, match[4])
+		use := byGateways[gateways]
+		if use == nil {
+			use = &budgetUse{gateways: gateways, worstExcess: excess, fewestCalls: calls}
+			byGateways[gateways] = use
+			uses = append(uses, use)
+		}
+		use.worstExcess = max(use.worstExcess, excess)
+		use.fewestCalls = min(use.fewestCalls, calls)
+	}
+	return uses
+}
+
+func parseFloat(t *testing.T, text string) float64 {
+	t.Helper()
+	value, err := strconv.ParseFloat(text, 64)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return value
+}
--- a/internal/capacity/measure_test.go
+++ b/internal/capacity/measure_test.go
@@ -1,11 +1,14 @@
 package capacity_test
 
 import (
+	"io"
+	"log/slog"
 	"os"
 	"os/exec"
 	"runtime"
 	"strings"
 	"testing"
+	"time"
 
 	"github.com/google/renameio/v2"
 
@@ -17,42 +20,49 @@
 	pageFile   = "../../docs/CAPACITY.md"
 )
 
+// readPage returns the page as it is committed.
 func readPage(t *testing.T) string {
 	t.Helper()
-	b, err := os.ReadFile(pageFile)
+	text, err := os.ReadFile(pageFile)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return string(b)
+	return string(text)
 }
 
+// readRecords returns the records as they are committed.
 func readRecords(t *testing.T) capacity.Records {
 	t.Helper()
-	all, err := capacity.Read(recordFile)
+	records, err := capacity.Read(recordFile)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return all
+	return records
 }
 
-// measured skips a measurement unless one is asked for.
-func measured(t *testing.T) {
+// skipUnlessMeasuring skips a measurement unless one is asked for.
+func skipUnlessMeasuring(t *testing.T) {
 	t.Helper()
 	if os.Getenv("IRISPOST_MEASURE") == "" {
 		t.Skip("a measurement: IRISPOST_MEASURE=1")
 	}
 }
 
-// set is a measurement's records, by name.
-type set struct {
+// isTrial tells whether the figures are not to be saved.
+func isTrial() bool { return os.Getenv("IRISPOST_TRIAL") != "" }
+
+// measurement collects the records of one measurement.
+type measurement struct {
 	t       *testing.T
 	command string
 	commit  string
-	list    []*capacity.Record
+	records []*capacity.Record
 }
 
-func begin(t *testing.T) *set {
-	measured(t)
+// begin begins the measurement of a test, or skips the test.
+func begin(t *testing.T) *measurement {
+	t.Helper()
+	skipUnlessMeasuring(t)
 	commit, err := exec.Command("git", "rev-parse", "--short", "HEAD").Output()
 	if err != nil {
 		t.Fatalf("no commit to name: %v", err)
@@ -65,47 +75,76 @@
 	if len(changed) > 0 {
 		name += " and changes"
 	}
-	return &set{t: t, commit: name, command: "IRISPOST_MEASURE=1 go test -run '" + t.Name() + "$' ./internal/capacity"}
+	command := "IRISPOST_MEASURE=1 go test -run '" + t.Name() + "$' ./internal/capacity"
+	return &measurement{t: t, commit: name, command: command}
 }
 
-// add notes what one size came to.
-func (s *set) add(how capacity.How, name, unit, over string, size, value float64) {
-	s.t.Logf("%s: %g %s at %g %s", name, value, unit, size, over)
-	for _, r := range s.list {
-		if r.Name == name {
-			r.Points = append(r.Points, capacity.Point{Size: size, Measured: value})
+// add adds the value at one size to the record of a name.
+func (m *measurement) add(origin capacity.Origin, name, unit, over string, size, value float64) {
+	m.t.Helper()
+	m.t.Logf("%s: %g %s at %g %s", name, value, unit, size, over)
+	point := capacity.Point{Size: size, Measured: value}
+	for _, record := range m.records {
+		if record.Name == name {
+			record.Points = append(record.Points, point)
 			return
 		}
 	}
-	s.list = append(s.list, &capacity.Record{Name: name, Unit: unit, Over: over, How: how, Command: s.command, Commit: s.commit,
-		Points: []capacity.Point{{Size: size, Measured: value}}})
+	m.records = append(m.records, &capacity.Record{
+		Name:    name,
+		Unit:    unit,
+		Over:    over,
+		Origin:  origin,
+		Command: m.command,
+		Commit:  m.commit,
+		Points:  []capacity.Point{point},
+	})
+}
+
+// addMeasured adds a value that was measured on sockets, processes or the processor's clock.
+func (m *measurement) addMeasured(name, unit, over string, size, value float64) {
+	m.t.Helper()
+	m.add(capacity.Measured, name, unit, over, size, value)
 }
 
-// keep takes the measurement into the file.
-func (s *set) keep() {
-	s.t.Helper()
-	if err := capacity.Merge(recordFile, s.list...); err != nil {
-		s.t.Fatal(err)
+// save merges the records into the file.
+func (m *measurement) save() {
+	m.t.Helper()
+	if err := capacity.Merge(recordFile, m.records...); err != nil {
+		m.t.Fatal(err)
 	}
-	for _, r := range s.list {
-		s.t.Logf("%s: %s", r.Name, r)
+	for _, record := range m.records {
+		m.t.Logf("%s: %s", record.Name, record)
 	}
 }
 
-// heap is what is in use, in KB.
-func heap() float64 {
-	for range 3 { // what pools hold goes with the second after its last use
+// heapKB returns the live heap in KB.
+func heapKB() float64 {
+	for range 3 { // a pool drops its content at the second collection after its last use
 		runtime.GC()
 	}
-	var m runtime.MemStats
-	runtime.ReadMemStats(&m)
-	return float64(m.HeapAlloc) / 1e3
+	var stats runtime.MemStats
+	runtime.ReadMemStats(&stats)
+	return float64(stats.HeapAlloc) / 1e3
 }
 
-// TestMeasurePage writes the page's figures from the records. What is missing stays as it was written; TestPage tells what has to change there.
+// meanMicros returns the mean time of a call in microseconds.
+func meanMicros(count int, call func(i int)) float64 {
+	startedAt := time.Now()
+	for i := range count {
+		call(i)
+	}
+	return float64(time.Since(startedAt).Nanoseconds()) / float64(count) / 1e3
+}
+
+// discardLogger returns a logger that writes nothing.
+func discardLogger() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
+
+// TestMeasurePage writes the page's figures from the records. The list of what is missing stays; TestPage tells what
+// has to change there.
 func TestMeasurePage(t *testing.T) {
-	measured(t)
-	page, err := capacity.Fill(readPage(t), readRecords(t), capacity.Letter)
+	skipUnlessMeasuring(t)
+	page, err := capacity.Fill(readPage(t), readRecords(t), capacity.PlannedSize)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -1,6 +1,7 @@
 package capacity
 
 import (
+	"errors"
 	"fmt"
 	"maps"
 	"regexp"
@@ -8,160 +9,100 @@
 	"strings"
 )
 
-// The page is Markdown, written by hand but for what stands between marks:
+// The page is Markdown, written by hand but for the text between marks:
 //
-//	<!-- NAME -->text<!-- / -->        the figure of this name
-//	<!-- NAME.limit -->text<!-- / -->  what it is held against
-//	<!-- NAME.from -->text<!-- / -->   the records that it was worked out from
+//	<!-- NAME -->text<!-- / -->        the value of the figure of this name
+//	<!-- NAME.limit -->text<!-- / -->  its bound and target
+//	<!-- NAME.from -->text<!-- / -->   the records that it was computed from
 //	<!-- slopes --> ... <!-- /slopes -->          a table of all records
-//	<!-- unmeasured --> ... <!-- /unmeasured -->  figures with a bound that nothing is known of
+//	<!-- unmeasured --> ... <!-- /unmeasured -->  figures with a limit that could not be computed
 //	1. <!-- missing NAME NAME --> text            an entry of the list of what is missing
 var (
-	mark    = regexp.MustCompile(`<!-- ([a-z0-9_]+)(?:\.(from|limit))? -->([^|\n]*?)<!-- / -->`)
-	missing = regexp.MustCompile(`^\d+\. <!-- missing ([a-z0-9_ ]+?) -->(.*)$`)
-	blocks  = map[string]func(Records, map[string]Result) string{"slopes": slopes, "unmeasured": unmeasured}
+	markPattern  = regexp.MustCompile(`<!-- ([a-z0-9_]+)(?:\.(from|limit))? -->([^|\n]*?)<!-- / -->`)
+	entryPattern = regexp.MustCompile(`^\d+\. <!-- missing ([a-z0-9_ ]+?) -->(.*)$`)
 )
 
-func block(name string) *regexp.Regexp {
-	return regexp.MustCompile(`(?s)<!-- ` + name + ` -->\n(.*?)<!-- /` + name + ` -->`)
+// ErrUnknownFigure is wrapped by the error for a mark that names no figure.
+var ErrUnknownFigure = errors.New("no such figure")
+
+// mark is a mark of a figure on the page, with the text that it has.
+type mark struct {
+	figure string
+	part   string // "", "limit" or "from"
+	text   string
 }
 
-// text is what stands between the marks of a figure's cell.
+// label returns the name of the mark as the page has it.
+func (m mark) label() string { return strings.Trim(m.figure+"."+m.part, ".") }
+
+// parseMark returns the mark of a match of markPattern.
+func parseMark(match []string) mark { return mark{figure: match[1], part: match[2], text: match[3]} }
+
+// text returns the text of a figure's part.
 func (r Result) text(part string) string {
 	switch part {
 	case "from":
-		return r.From()
+		return r.SourcesText()
 	case "limit":
-		return r.Limit()
+		return r.LimitText()
 	}
-	return r.Said()
+	return r.ValueText()
 }
 
-// Fill writes a page anew with what the records come to. What stands outside of marks stays; marks that name no figure are an error.
-func Fill(page string, all Records, s Size) (string, error) {
-	results := Results(all, s)
-	var wrong error
-	page = mark.ReplaceAllStringFunc(page, func(m string) string {
-		p := mark.FindStringSubmatch(m)
-		r, ok := results[p[1]]
-		if !ok {
-			wrong = fmt.Errorf("the page names %s, and there is no such figure", p[1])
-			return m
-		}
-		return strings.Replace(m, "-->"+p[3]+"<!--", "-->"+r.text(p[2])+"<!--", 1)
-	})
-	for name, make := range blocks {
-		page = block(name).ReplaceAllLiteralString(page, "<!-- "+name+" -->\n"+make(all, results)+"<!-- /"+name+" -->")
-	}
-	return page, wrong
+// block is a part of the page that is written from all records.
+type block struct {
+	name    string
+	content func(Records, map[string]Result) string
 }
 
-// Check holds a page against the records, and tells all that is wrong, a line each: a figure that is another, is not there or is not in a row
-// with its limit and its records; a row without a figure or with an empty cell; a bound that is passed without an entry in the list of what is
-// missing, an entry for a bound that is kept, a failure in front of an ordinary day.
-func Check(page string, all Records, s Size) (wrong []string) {
-	say := func(format string, args ...any) { wrong = append(wrong, fmt.Sprintf(format, args...)) }
-	results := Results(all, s)
-	for name, make := range blocks {
-		m := block(name).FindStringSubmatch(page)
-		if m == nil || m[1] != make(all, results) {
-			say("the block %s is not what the records come to", name)
-		}
-		page = block(name).ReplaceAllLiteralString(page, "")
-	}
-	rows := map[string]bool{}
-	named := map[string]bool{}
-	rare := map[string]bool{}
-	for _, f := range failures {
-		rare[f.Name] = true
-	}
-	failing := "" // the first entry of the list that is of a failure
-	for i, line := range strings.Split(page, "\n") {
-		at := i + 1
-		cells := map[string]bool{}
-		for _, m := range mark.FindAllStringSubmatch(line, -1) {
-			r, ok := results[m[1]]
-			switch {
-			case !ok:
-				say("line %d: there is no figure %s", at, m[1])
-			case m[3] != r.text(m[2]):
-				say("line %d: %s says %q, and the records come to %q", at, strings.Trim(m[1]+"."+m[2], "."), m[3], r.text(m[2]))
-			}
-			cells[strings.Trim(m[1]+"."+m[2], ".")] = true
-		}
-		if m := missing.FindStringSubmatch(line); m != nil {
-			if strings.TrimSpace(m[2]) == "" {
-				say("line %d: an entry of what is missing says nothing", at)
-			}
-			for name := range strings.FieldsSeq(m[1]) {
-				r, ok := results[name]
-				switch {
-				case !ok:
-					say("line %d: what is missing names %s, and there is no such figure", at, name)
-				case r.How != "" && r.Bound+r.Goal > 0 && !r.Passed():
-					say("line %d: what is missing names %s, whose bound is kept", at, name)
-				case rare[name] && failing == "":
-					failing = name
-				case !rare[name] && failing != "":
-					say("line %d: %s is of an ordinary day, and comes after %s, a failure", at, name, failing)
-				}
-				named[name] = true
-			}
-		}
-		if !strings.HasPrefix(line, "|") || strings.HasPrefix(line, "| ---") {
-			continue
-		}
-		if next := strings.Split(page, "\n"); at < len(next) && strings.HasPrefix(next[at], "| ---") {
-			continue // the table's head
-		}
-		for _, cell := range strings.Split(strings.Trim(line, "|"), "|") {
-			if strings.TrimSpace(mark.ReplaceAllString(cell, "$3")) == "" {
-				say("line %d: a cell is empty", at)
-			}
-		}
-		of := 0
-		for name := range results {
-			if !cells[name] {
-				continue
-			}
-			of++
-			if rows[name] = rows[name] || cells[name+".limit"] && cells[name+".from"]; !rows[name] {
-				say("line %d: the row of %s has not both its limit and its records", at, name)
-			}
-		}
-		if of == 0 {
-			say("line %d: a row without a figure", at)
-		}
-	}
-	for _, name := range slices.Sorted(maps.Keys(results)) {
-		if !rows[name] {
-			say("no row has the figure %s", name)
-		}
-		if results[name].Passed() && !named[name] {
-			say("%s is %s (%s), and the list of what is missing does not name it", name, results[name].Said(), results[name].Limit())
+var blocks = []block{{"slopes", slopesTable}, {"unmeasured", unmeasuredList}}
+
+func (b block) pattern() *regexp.Regexp {
+	return regexp.MustCompile(`(?s)<!-- ` + b.name + ` -->\n(.*?)<!-- /` + b.name + ` -->`)
+}
+
+// Fill returns the page with the texts between marks written anew. A mark that names no figure is an error that wraps
+// ErrUnknownFigure.
+func Fill(page string, records Records, size Size) (string, error) {
+	results := Results(records, size)
+	var failure error
+	page = markPattern.ReplaceAllStringFunc(page, func(match string) string {
+		found := parseMark(markPattern.FindStringSubmatch(match))
+		result, ok := results[found.figure]
+		if !ok {
+			failure = fmt.Errorf("the page names %s: %w", found.figure, ErrUnknownFigure)
+			return match
 		}
+		return strings.Replace(match, "-->"+found.text+"<!--", "-->"+result.text(found.part)+"<!--", 1)
+	})
+	for _, b := range blocks {
+		text := "<!-- " + b.name + " -->\n" + b.content(records, results) + "<!-- /" + b.name + " -->"
+		page = b.pattern().ReplaceAllLiteralString(page, text)
 	}
-	return wrong
+	return page, failure
 }
 
-// slopes is the table of all records.
-func slopes(all Records, _ map[string]Result) string {
+// slopesTable returns the table of all records.
+func slopesTable(records Records, _ map[string]Result) string {
 	var b strings.Builder
 	b.WriteString("| record | what it came to | command | commit |\n| --- | --- | --- | --- |\n")
-	for _, name := range slices.Sorted(maps.Keys(all)) {
-		r := all[name]
-		fmt.Fprintf(&b, "| %s | %s | `%s` | %s |\n", name, r, r.Command, r.Commit)
+	for _, name := range slices.Sorted(maps.Keys(records)) {
+		record := records[name]
+		fmt.Fprintf(&b, "| %s | %s | `%s` | %s |\n", name, record, record.Command, record.Commit)
 	}
 	return b.String()
 }
 
-// unmeasured lists figures with a bound that nothing is known of.
-func unmeasured(_ Records, results map[string]Result) string {
+// unmeasuredList returns the list of figures with a limit that could not be computed.
+func unmeasuredList(_ Records, results map[string]Result) string {
 	var b strings.Builder
 	for _, name := range slices.Sorted(maps.Keys(results)) {
-		if r := results[name]; r.How == "" && r.Bound+r.Goal > 0 {
-			fmt.Fprintf(&b, "- %s: held against %s; lacks %s\n", name, r.Limit(), strings.Join(slices.Sorted(maps.Keys(r.Lacks)), ", "))
+		result := results[name]
+		if result.Known() || !result.HasLimit() {
+			continue
 		}
+		lacks := strings.Join(slices.Sorted(maps.Keys(result.Problems)), ", ")
+		fmt.Fprintf(&b, "- %s: held against %s; lacks %s\n", name, result.LimitText(), lacks)
 	}
 	if b.Len() == 0 {
 		return "None.\n"
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -1,6 +1,7 @@
 package capacity_test
 
 import (
+	"errors"
 	"fmt"
 	"maps"
 	"regexp"
@@ -11,87 +12,135 @@
 	"irispost/internal/capacity"
 )
 
-// TestPage works the page's figures out again from the records. `IRISPOST_MEASURE=1 go test -run MeasurePage ./internal/capacity` writes them.
+// TestPage computes the page's figures again from the records. `IRISPOST_MEASURE=1 go test -run MeasurePage
+// ./internal/capacity` writes them.
 func TestPage(t *testing.T) {
-	for _, line := range capacity.Check(readPage(t), readRecords(t), capacity.Letter) {
-		t.Error(line)
+	for _, problem := range capacity.Check(readPage(t), readRecords(t), capacity.PlannedSize) {
+		t.Error(problem)
 	}
 }
 
-// TestPageIsHeld spoils a copy of the page or of the records in one place at a time: each is seen, and by the line that tells of it.
-func TestPageIsHeld(t *testing.T) {
-	page, all := readPage(t), readRecords(t)
-	known := capacity.Records{}
-	for name, r := range all {
-		c := *r
-		c.Points = slices.Clone(r.Points)
-		known[name] = &c
-	}
-	once := func(pattern, with string) func(string) string { // the first match changed
-		return func(s string) string {
-			at := regexp.MustCompile(pattern).FindStringSubmatchIndex(s)
-			if at == nil {
-				return s
+// pageDefect is a defect put into a copy of the page or of the records, and the problem that has to be reported.
+type pageDefect struct {
+	name    string
+	page    string
+	records capacity.Records
+	want    string
+}
+
+// TestCheckReportsEachDefectOfAPage puts one defect at a time into a copy of the page or of the records.
+func TestCheckReportsEachDefectOfAPage(t *testing.T) {
+	page, records := readPage(t), readRecords(t)
+	defects := textDefects(page, records)
+	defects = append(defects, recordDefects(t, page, records)...)
+	defects = append(defects, entryDefects(t, page, records)...)
+	for _, c := range defects {
+		t.Run(c.name, func(t *testing.T) {
+			if c.page == page && fmt.Sprint(c.records) == fmt.Sprint(records) {
+				t.Fatal("neither page nor records differ")
+			}
+			problems := capacity.Check(c.page, c.records, capacity.PlannedSize)
+			if !slices.ContainsFunc(problems, func(s string) bool { return strings.Contains(s, c.want) }) {
+				t.Errorf("%q is not among %q", c.want, problems)
 			}
-			return s[:at[0]] + string(regexp.MustCompile(pattern).ExpandString(nil, with, s, at)) + s[at[1]:]
-		}
+		})
 	}
-	slower := func(name string) capacity.Records { // the same slope, measured ten times as dear
-		spoilt := maps.Clone(known)
-		r := *known[name]
-		r.Points = slices.Clone(r.Points)
-		for i := range r.Points {
-			r.Points[i].Measured *= 10
-		}
-		if err := r.Fit(); err != nil {
-			t.Fatal(err)
-		}
-		spoilt[name] = &r
-		return spoilt
+}
+
+// textDefects are defects of the page's texts.
+func textDefects(page string, records capacity.Records) []pageDefect {
+	edit := func(pattern, replacement string) string { return replaceFirst(page, pattern, replacement) }
+	return []pageDefect{
+		{"a figure of the page changed", edit(`(<!-- serving_module_us -->)[0-9.]+`, "${1}1"), records,
+			"serving_module_us says"},
+		{"a limit changed", edit(`(<!-- control_day_bytes_s\.limit -->)3,000`, "${1}4,000"), records,
+			"control_day_bytes_s.limit says"},
+		{"the records of a figure changed", edit(`(<!-- serving_module_us\.from -->)[a-z_]+`, "${1}other"), records,
+			"serving_module_us.from says"},
+		{"a row gone", edit(`\n\|[^\n]*<!-- storage_connections -->[^\n]*`, ""), records,
+			"no row has the figure storage_connections"},
+		{"a row without a figure", edit(`\n(\| --- [^\n]*)\n`, "\n$1\n| memory | 12 MB | none | all | here |\n"), records,
+			"a row without a figure"},
+		{"an empty cell", edit(`\n(\|[^\n]*<!-- serving_core -->[^\n]*)\|[^|\n]*\|\n`, "\n${1}| |\n"), records,
+			"a cell is empty"},
+		{"a mark that names nothing", page + "<!-- serving_luck -->12 MB<!-- / -->\n", records,
+			"there is no figure serving_luck"},
+		{"a slope's row gone", edit(`\n\| module_request_us_by_nodes \|[^\n]*`, ""), records,
+			"the block slopes"},
 	}
-	without := maps.Clone(known)
-	delete(without, "module_request_us_by_nodes")
-	past := maps.Clone(known)
-	past["control_follower_mb_by_followers"] = fitted(t, "control_follower_mb_by_followers", "MB", "followers", 100, 200, 300, 200, 780, 200)
-	kept := maps.Clone(known)
-	kept["control_follower_mb_by_followers"] = fitted(t, "control_follower_mb_by_followers", "MB", "followers", 100, 2, 300, 2, 780, 2)
-	fill := func(s string, all capacity.Records) string {
-		s, err := capacity.Fill(s, all, capacity.Letter)
-		if err != nil {
-			t.Fatal(err)
-		}
-		return s
+}
+
+// recordDefects are records that differ from those of the page.
+func recordDefects(t *testing.T, page string, records capacity.Records) []pageDefect {
+	t.Helper()
+	const name = "module_request_us_by_nodes"
+	without := maps.Clone(records)
+	delete(without, name)
+	slower := maps.Clone(records)
+	slower[name] = tenTimes(t, records[name])
+	return []pageDefect{
+		{"a record measured dearer", page, slower, "serving_module_us says"},
+		{"a record gone", page, without, "serving_module_us says"},
 	}
-	unlisted := func(s string) string { return strings.ReplaceAll(s, " control_mb ", " ") }
-	listed := func(s string) string { return s + "\n1. <!-- missing control_mb --> memory\n" }
-	for name, c := range map[string]struct {
-		page    string
-		records capacity.Records
-		want    string
-	}{
-		"a figure of the page changed":         {once(`(<!-- serving_module_us -->)[0-9.]+`, "${1}1")(page), known, "serving_module_us says"},
-		"a limit changed":                      {once(`(<!-- control_day_bytes_s\.limit -->)3,000`, "${1}4,000")(page), known, "control_day_bytes_s.limit says"},
-		"the records of a figure changed":      {once(`(<!-- serving_module_us\.from -->)[a-z_]+`, "${1}other")(page), known, "serving_module_us.from says"},
-		"a record measured dearer":             {page, slower("module_request_us_by_nodes"), "serving_module_us says"},
-		"a record gone":                        {page, without, "serving_module_us says"},
-		"a row gone":                           {once(`\n\|[^\n]*<!-- storage_connections -->[^\n]*`, "")(page), known, "no row has the figure storage_connections"},
-		"a row without a figure":               {once(`\n(\| --- [^\n]*)\n`, "\n$1\n| memory | 12 MB | none | all | here |\n")(page), known, "a row without a figure"},
-		"an empty cell":                        {once(`\n(\|[^\n]*<!-- serving_core -->[^\n]*)\|[^|\n]*\|\n`, "\n${1}| |\n")(page), known, "a cell is empty"},
-		"a mark that names nothing":            {page + "<!-- serving_luck -->12 MB<!-- / -->\n", known, "there is no figure serving_luck"},
-		"a slope's row gone":                   {once(`\n\| module_request_us_by_nodes \|[^\n]*`, "")(page), known, "the block slopes"},
-		"a bound passed without an entry":      {unlisted(fill(page, past)), past, "control_mb is 200 MB"},
-		"an entry for a bound that is kept":    {listed(fill(page, kept)), kept, "whose bound is kept"},
-		"an entry that names nothing":          {page + "\n1. <!-- missing luck --> luck\n", known, "no such figure"},
-		"an ordinary day after a rare failure": {page + "\n1. <!-- missing zone_core --> a zone\n2. <!-- missing serving_core --> a day\n", known, "comes after"},
-	} {
-		t.Run(name, func(t *testing.T) {
-			if c.page == page && fmt.Sprint(c.records) == fmt.Sprint(known) {
-				t.Fatal("nothing was spoilt")
-			}
-			wrong := capacity.Check(c.page, c.records, capacity.Letter)
-			if !slices.ContainsFunc(wrong, func(s string) bool { return strings.Contains(s, c.want) }) {
-				t.Errorf("not seen: %q is wanted among %q", c.want, wrong)
-			}
-		})
+}
+
+// entryDefects are defects of the list of what is missing.
+func entryDefects(t *testing.T, page string, records capacity.Records) []pageDefect {
+	t.Helper()
+	const name = "control_follower_mb_by_followers"
+	exceeded := maps.Clone(records)
+	exceeded[name] = fitted(t, name, "MB", "followers", 100, 200, 300, 200, 780, 200)
+	unlisted := strings.ReplaceAll(fill(t, page, exceeded), " control_mb ", " ")
+	kept := maps.Clone(records)
+	kept[name] = fitted(t, name, "MB", "followers", 100, 2, 300, 2, 780, 2)
+	listed := fill(t, page, kept) + "\n1. <!-- missing control_mb --> memory\n"
+	ordinaryLast := page + "\n1. <!-- missing zone_core --> a zone\n2. <!-- missing serving_core --> a day\n"
+	return []pageDefect{
+		{"a bound exceeded without an entry", unlisted, exceeded, "control_mb is 200 MB"},
+		{"an entry for a bound that is kept", listed, kept, "whose bound is kept"},
+		{"an entry that names nothing", page + "\n1. <!-- missing luck --> luck\n", records, "no such figure"},
+		{"an ordinary day after a rare failure", ordinaryLast, records, "comes after"},
+	}
+}
+
+// replaceFirst replaces the first match of a pattern.
+func replaceFirst(text, pattern, replacement string) string {
+	expression := regexp.MustCompile(pattern)
+	match := expression.FindStringSubmatchIndex(text)
+	if match == nil {
+		return text
+	}
+	expanded := expression.ExpandString(nil, replacement, text, match)
+	return text[:match[0]] + string(expanded) + text[match[1]:]
+}
+
+// tenTimes returns the record of the same slope, measured at ten times the cost.
+func tenTimes(t *testing.T, record *capacity.Record) *capacity.Record {
+	t.Helper()
+	slower := *record
+	slower.Points = slices.Clone(record.Points)
+	for i := range slower.Points {
+		slower.Points[i].Measured *= 10
+	}
+	if err := slower.Fit(); err != nil {
+		t.Fatal(err)
+	}
+	return &slower
+}
+
+// fill fills a page from records.
+func fill(t *testing.T, page string, records capacity.Records) string {
+	t.Helper()
+	filled, err := capacity.Fill(page, records, capacity.PlannedSize)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return filled
+}
+
+func TestFillRejectsAnUnknownFigure(t *testing.T) {
+	_, err := capacity.Fill("<!-- luck -->1<!-- / -->", capacity.Records{}, capacity.PlannedSize)
+	if !errors.Is(err, capacity.ErrUnknownFigure) {
+		t.Error(err)
 	}
 }
