--- a/internal/capacity/fromruns_test.go
+++ b/internal/capacity/fromruns_test.go
@@ -107,7 +107,8 @@
 	if err != nil || len(leftOut) != 1 || len(records) != 2 {
 		t.Fatalf("%v, %v, %v", records, leftOut, err)
 	}
-	if records[0].Name != "history_keeper_mb_by_changes" || fmt.Sprint(records[0].Points) != "[{10 4} {500 6} {900 8}]" {
+	points := fmt.Sprint(records[0].Points)
+	if records[0].Name != "history_keeper_mb_by_changes" || points != "[{10 4} {500 6} {900 8}]" {
 		t.Errorf("%v", records[0])
 	}
 }
--- a/internal/capacity/webgateway_test.go
+++ b/internal/capacity/webgateway_test.go
@@ -40,12 +40,14 @@
 	if program == "" {
 		t.Fatal("IRISPOST_BIN names no program: go build -o FILE ./cmd/irispost")
 	}
-	g := &webGateway{t: t, nodes: nodes, addr: freeAddr(t)}
+	g := &webGateway{t: t, nodes: nodes}
 	list := discovery.Response{Revision: 1, Full: true}
 	for i := range nodes {
 		list.Targets = append(list.Targets, target(i, g.startEchoNode()))
 	}
-	config := g.writeConfig(g.startDiscovery(list))
+	discoveryAddr := g.startDiscovery(list)
+	g.addr = freeAddr(t) // after all listeners of this process, none of which may take the port
+	config := g.writeConfig(discoveryAddr)
 	g.command = exec.Command(program, "web")
 	g.command.Env = append(os.Environ(), "PROXY_CONFIG="+config)
 	if err := g.command.Start(); err != nil {
