--- /dev/null
+++ b/internal/bench/table.go
@@ -0,0 +1,73 @@
+package bench
+
+import (
+	"fmt"
+	"io"
+	"slices"
+	"strings"
+	"text/tabwriter"
+)
+
+// table is the table of all cases. What cannot be written is reported by Flush.
+type table struct {
+	*tabwriter.Writer
+}
+
+var columns = []string{
+	"request", "bytes", "out", "straight/s", "through/s", "ratio", "p50 added us", "p99 added us", "gateway cpu us",
+	"captured/through", "followed/through", "failed",
+}
+
+func newTable(out io.Writer) table {
+	t := table{tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)}
+	t.writeRow(columns...)
+	return t
+}
+
+func (t table) writeRow(cells ...string) {
+	_, _ = fmt.Fprintln(t, strings.Join(cells, "\t")+"\t") // Flush reports the error
+}
+
+// writeCase writes the row of a case: medians over its rounds.
+func (t table) writeCase(c testCase, m caseResults) {
+	rate := func(r loadResult) float64 { return r.rate }
+	p50 := func(r loadResult) float64 { return r.p50 }
+	p99 := func(r loadResult) float64 { return r.p99 }
+	cpu := func(r loadResult) float64 { return r.cpu }
+	directRate, throughRate := median(m.direct, rate), median(m.through, rate)
+	t.writeRow(
+		c.name,
+		fmt.Sprint(c.bytes),
+		fmt.Sprint(c.outstanding),
+		fmt.Sprintf("%.0f", directRate),
+		fmt.Sprintf("%.0f", throughRate),
+		fmt.Sprintf("%.2f", throughRate/directRate),
+		fmt.Sprintf("%.0f", median(m.through, p50)-median(m.direct, p50)),
+		fmt.Sprintf("%.0f", median(m.through, p99)-median(m.direct, p99)),
+		fmt.Sprintf("%.1f", median(m.through, cpu)),
+		fmt.Sprintf("%.2f", medianRatio(m.captured, m.through)),
+		fmt.Sprintf("%.2f", medianRatio(m.following, m.through)),
+		fmt.Sprint(m.failed()),
+	)
+}
+
+// median returns the median of a value over results.
+func median(results []loadResult, value func(loadResult) float64) float64 {
+	var values []float64
+	for _, result := range results {
+		values = append(values, value(result))
+	}
+	slices.Sort(values)
+	return values[len(values)/2]
+}
+
+// medianRatio returns the median of the ratios of rates, each of two measurements that followed each other: a machine
+// that gets slower meanwhile hardly changes it.
+func medianRatio(results, base []loadResult) float64 {
+	var ratios []float64
+	for i := range results {
+		ratios = append(ratios, results[i].rate/base[i].rate)
+	}
+	slices.Sort(ratios)
+	return ratios[len(ratios)/2]
+}
--- /dev/null
+++ b/internal/bench/testbed.go
@@ -0,0 +1,185 @@
+package bench
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"time"
+
+	"irispost/internal/endpoint"
+	"irispost/internal/standin"
+)
+
+// Options of the test node.
+const (
+	nodeCores     = 2
+	nodeQueue     = 4096
+	nodeKeyWindow = time.Minute // for which it knows idempotency keys
+)
+
+// testbed is a test node with the gateways that are compared.
+type testbed struct {
+	dir       string
+	node      *standin.Node
+	direct    *load // at the node
+	through   *gatewayProcess
+	captured  *gatewayProcess
+	replicas  *replicaGroup
+	following *gatewayProcess
+}
+
+// startTestbed starts the node, the gateways and the replicas.
+func startTestbed(program, profile string) (*testbed, error) {
+	bed := &testbed{}
+	if err := bed.start(program, profile); err != nil {
+		bed.close()
+		return nil, err
+	}
+	return bed, nil
+}
+
+func (b *testbed) start(program, profile string) (err error) {
+	store, err := standin.NewStore("")
+	if err != nil {
+		return err
+	}
+	options := standin.Options{
+		Addr:  "127.0.0.1:0",
+		Store: store,
+		Cores: nodeCores,
+		Queue: nodeQueue,
+		Marks: nodeKeyWindow,
+	}
+	if b.node, err = standin.Start(options); err != nil {
+		return err
+	}
+	if b.dir, err = os.MkdirTemp("", "irispost-bench"); err != nil {
+		return err
+	}
+	list := endpoint.FormatList(endpoint.List{Nodes: []endpoint.Node{{Addr: b.node.Addr()}}})
+	if err := os.WriteFile(filepath.Join(b.dir, "nodes.hcl"), list, 0o644); err != nil {
+		return err
+	}
+	if err := b.startGateways(program, profile); err != nil {
+		return err
+	}
+	b.direct, err = openLoad(b.node.Addr(), "plain")
+	return err
+}
+
+func (b *testbed) startGateways(program, profile string) (err error) {
+	if b.through, err = startGateway(b.dir, "bench", gatewayConfig, program, profile); err != nil {
+		return err
+	}
+	if b.captured, err = startGateway(b.dir, "captured", captureConfig(b.dir), program, ""); err != nil {
+		return err
+	}
+	if b.replicas, err = startReplicas(program, b.dir, b.node.Addr()); err != nil {
+		return err
+	}
+	b.following, err = startGateway(b.dir, "followed", followConfig(b.replicas.addrs), program, "")
+	return err
+}
+
+// close ends what was started.
+func (b *testbed) close() {
+	b.following.stop()
+	b.replicas.stop()
+	b.captured.stop()
+	b.through.stop()
+	if b.dir != "" {
+		_ = os.RemoveAll(b.dir) // a folder in the system's temporary one may stay
+	}
+	if b.node != nil {
+		b.node.Close()
+	}
+}
+
+// caseResults are the results of a case, one for each round.
+type caseResults struct {
+	direct, through, captured, following []loadResult
+}
+
+// failed returns the number of requests that failed.
+func (r caseResults) failed() (count int) {
+	for _, results := range [][]loadResult{r.direct, r.through, r.captured, r.following} {
+		for _, result := range results {
+			count += result.failed
+		}
+	}
+	return count
+}
+
+// measure measures a case at the node and at all gateways in turn, in a number of rounds.
+func (b *testbed) measure(c testCase, each time.Duration, rounds int) (results caseResults) {
+	for range rounds {
+		results.direct = append(results.direct, b.direct.measure(c, each, 0))
+		results.through = append(results.through, b.through.measure(c, each))
+		results.captured = append(results.captured, b.captured.measure(c, each))
+		results.following = append(results.following, b.following.measure(c, each))
+	}
+	return results
+}
+
+// captureConfig returns the configuration of a gateway that writes a capture.
+func captureConfig(dir string) string {
+	config := strings.Replace(gatewayConfig, `"bench"`, `"captured"`, 1)
+	capture := fmt.Sprintf("  capture {\n    folder = %q\n  }\n", dir)
+	return strings.Replace(config, "  limits {", capture+"  limits {", 1)
+}
+
+// followConfig returns the configuration of a gateway that follows replicas in place of a list of nodes.
+func followConfig(replicaAddrs []string) string {
+	config := strings.Replace(gatewayConfig, `"bench"`, `"followed"`, 1)
+	config = strings.Replace(config, `  nodes  = "nodes.hcl"`+"\n", "", 1)
+	return config + fmt.Sprintf("follow {\n  keepers = [\"%s\"]\n}\n", strings.Join(replicaAddrs, `", "`))
+}
+
+// gatewayConfig is the configuration of the plain gateway.
+const gatewayConfig = `
+gateway "bench" {
+  listen = "127.0.0.1:0"
+  nodes  = "nodes.hcl"
+  shards = 1
+  extent = "1MiB"
+  limits {
+    outstanding = 512
+  }
+}
+plan "basic" {
+  rate = 1000000
+}
+product "read" {
+  goal     = "1s"
+  patience = "5s"
+}
+product "write" {
+  goal     = "1s"
+  patience = "5s"
+  in_turn  = true
+}
+product "change" {
+  kind     = "referenced"
+  group    = "shard"
+  window   = "30s"
+  goal     = "1s"
+  patience = "5s"
+}
+volume "v" {
+  id   = 1
+  plan = "basic"
+  product "read" {
+    for = ["read", "look"]
+  }
+  product "write" {
+    for = ["write"]
+  }
+  product "change" {
+    for = ["change"]
+  }
+}
+`
+
+// volumePrefix is the path of the configured volume at a gateway.
+const volumePrefix = "/v/"
