--- /dev/null
+++ b/cmd/irispost/replaylive.go
@@ -0,0 +1,62 @@
+package main
+
+import (
+	"io"
+	"maps"
+	"slices"
+	"time"
+
+	"irispost/internal/capture"
+	"irispost/internal/relive"
+)
+
+// liveSlack is how long after a client's deadline an answer still counts.
+const liveSlack = 250 * time.Millisecond
+
+// replayLive plays a capture through a real gateway, and fails where a rule is broken.
+func replayLive(out io.Writer, file string, speed float64, asJSON bool) error {
+	var report *relive.Report
+	err := readCapture(file, func(reader *capture.Reader) error {
+		script, err := relive.Read(reader.Next)
+		if err != nil {
+			return err
+		}
+		ctx, cancel := untilSignal()
+		defer cancel()
+		report, err = relive.Play(ctx, script, relive.Options{Speed: speed, Slack: liveSlack})
+		return err
+	})
+	if err != nil {
+		return err
+	}
+	if !asJSON {
+		writeLiveReplay(out, report)
+	} else if err := writeJSON(out, report); err != nil {
+		return err
+	}
+	if !report.Passed() {
+		return errRuleBroken
+	}
+	return nil
+}
+
+func writeLiveReplay(out io.Writer, report *relive.Report) {
+	table := newTable(out)
+	writef(table, "product\tjobs\tin goal\tlate\tdismissed\twritten off\tleft\n")
+	for _, name := range slices.Sorted(maps.Keys(report.Captured)) {
+		writeShape(table, name+" captured", report.Captured[name])
+		writeShape(table, name+" now", report.Replayed[name])
+	}
+	writeRules(table, report.Rules)
+	_ = table.Flush()
+}
+
+// writeShape writes a class's results as percentages of its requests; nil: it had none.
+func writeShape(out io.Writer, name string, shape *relive.ClassOutcome) {
+	if shape == nil {
+		return
+	}
+	percent := func(count int) float64 { return float64(count) / (float64(max(shape.Requests, 1)) / 100) }
+	writef(out, "%s\t%d\t%.1f%%\t%.1f%%\t%.1f%%\t%.1f%%\t%.1f%%\n", name, shape.Requests, percent(shape.WithinObjective),
+		percent(shape.Late), percent(shape.Rejected), percent(shape.Failed), percent(shape.ClientCancelled))
+}
--- a/internal/bench/testbed.go
+++ b/internal/bench/testbed.go
@@ -45,11 +45,11 @@
 		return err
 	}
 	options := standin.Options{
-		Addr:  "127.0.0.1:0",
-		Store: store,
-		Cores: nodeCores,
-		Queue: nodeQueue,
-		Marks: nodeKeyWindow,
+		Addr:        "127.0.0.1:0",
+		Store:       store,
+		Cores:       nodeCores,
+		Queue:       nodeQueue,
+		DedupWindow: nodeKeyWindow,
 	}
 	if b.node, err = standin.Start(options); err != nil {
 		return err
--- a/internal/endpoint/discovery/export_test.go
+++ b/internal/endpoint/discovery/export_test.go
@@ -5,10 +5,10 @@
 	"net"
 )
 
-// Pending tells how many wishes to ask wait.
-func (c *Client) Pending() int { return len(c.wake) }
+// PendingWatches returns how many wishes to watch wait.
+func (c *Client) PendingWatches() int { return len(c.wake) }
 
-// Dialled has a client's connections come up by a function of the test's, until it runs.
-func Dialled(c *Client, dial func(ctx context.Context, network, addr string) (net.Conn, error)) {
+// SetDial has a client that does not run yet open its connections by another function.
+func (c *Client) SetDial(dial func(ctx context.Context, network, addr string) (net.Conn, error)) {
 	c.dial = dial
 }
--- a/internal/endpoint/discovery/golden_test.go
+++ b/internal/endpoint/discovery/golden_test.go
@@ -2,12 +2,8 @@
 
 import (
 	"bufio"
-	"bytes"
 	"encoding/json"
-	"flag"
 	"fmt"
-	"io"
-	"log/slog"
 	"net"
 	"os"
 	"path/filepath"
@@ -17,34 +13,31 @@
 
 	"irispost/internal/endpoint"
 	"irispost/internal/endpoint/discovery"
+	"irispost/internal/testkit/golden"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+// connection is one that a service accepted.
+type connection struct {
+	net.Conn
+	in *bufio.Reader
+}
 
-// checkGolden fails the test if got differs from testdata/name.
-func checkGolden(t *testing.T, name string, got []byte) {
+func accept(t *testing.T, l net.Listener) *connection {
 	t.Helper()
-	file := filepath.Join("testdata", name)
-	if *update {
-		if err := os.WriteFile(file, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(file)
+	conn, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s: got\n%s\nwant\n%s", file, got, want)
-	}
+	t.Cleanup(func() { _ = conn.Close() })
+	return &connection{conn, bufio.NewReader(conn)}
 }
 
-// head reads a request as it is on the wire, up to its empty line.
-func head(t *testing.T, in *bufio.Reader) string {
+// request reads a request as it is on the wire, up to its empty line.
+func (c *connection) request(t *testing.T) string {
 	t.Helper()
 	var all strings.Builder
 	for {
-		line, err := in.ReadString('\n')
+		line, err := c.in.ReadString('\n')
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -55,7 +48,42 @@
 	}
 }
 
-// Requests on the wire (the first, two watches, one after a call that ended without a word) and what their answers are read as.
+func (c *connection) answer(t *testing.T, body []byte) {
+	t.Helper()
+	if _, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// formOf returns a list under names of the test's own.
+func formOf(list endpoint.List) map[string]any {
+	nodes := []map[string]any{}
+	for _, n := range list.Nodes {
+		nodes = append(nodes, map[string]any{
+			"addr":     n.Addr,
+			"name":     n.Name,
+			"zone":     n.Zone,
+			"shard":    n.Shard,
+			"weight":   n.Weight,
+			"born":     n.StartedAt,
+			"standing": int(n.Health),
+		})
+	}
+	return map[string]any{"version": list.Version, "stale": list.Stale, "part": list.Partial, "nodes": nodes}
+}
+
+// checkJSON holds a value's JSON form against a file under testdata.
+func checkJSON(t *testing.T, file string, value any) {
+	t.Helper()
+	b, err := json.MarshalIndent(value, "", "  ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Check(t, file, append(b, '\n'))
+}
+
+// Requests on the wire (the first, polls for changes, one after a poll without a response) and the lists of their
+// responses.
 func TestGoldenExchange(t *testing.T) {
 	src, err := os.ReadFile(filepath.Join("testdata", "answers.json"))
 	if err != nil {
@@ -70,56 +98,42 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = l.Close() })
-	c, _, err := discovery.New(discovery.Options{Gateway: "g", Address: l.Addr().String(), LongPoll: 500 * time.Millisecond, Timeout: 1500 * time.Millisecond,
-		Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
-	if err != nil {
-		t.Fatal(err)
-	}
-	told, failed := make(chan endpoint.List, 8), make(chan bool, 1)
-	go c.Run(t.Context(), func(l endpoint.List) { told <- l }, func(silent bool) { failed <- silent })
-	c.Watch()
-	conn, err := l.Accept()
-	if err != nil {
-		t.Fatal(err)
-	}
-	in := bufio.NewReader(conn)
+	addr := l.Addr().String()
+	w := startWatcher(t, discovery.Options{
+		Gateway:  "g",
+		Address:  addr,
+		LongPoll: 500 * time.Millisecond,
+		Timeout:  1500 * time.Millisecond,
+	})
+
+	w.Watch()
+	conn := accept(t, l)
 	var requests strings.Builder
-	read := []map[string]any{}
+	var lists []map[string]any
 	for _, body := range answers {
-		requests.WriteString(head(t, in))
-		if _, err := fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body); err != nil {
-			t.Fatal(err)
-		}
-		l := <-told
-		nodes := []map[string]any{}
-		for _, n := range l.Nodes {
-			nodes = append(nodes, map[string]any{"addr": n.Addr, "name": n.Name, "zone": n.Zone, "shard": n.Shard, "weight": n.Weight,
-				"born": n.StartedAt, "standing": int(n.Health)})
-		}
-		read = append(read, map[string]any{"version": l.Version, "stale": l.Stale, "part": l.Partial, "nodes": nodes})
-	}
-	requests.WriteString(head(t, in)) // left without an answer
-	if silent := <-failed; !silent {
-		t.Error("a call without an answer counts as one that failed")
+		requests.WriteString(conn.request(t))
+		conn.answer(t, body)
+		lists = append(lists, formOf(<-w.lists))
 	}
-	c.Watch()
-	if conn, err = l.Accept(); err != nil {
-		t.Fatal(err)
+	requests.WriteString(conn.request(t)) // left without an answer
+	if noResponse := <-w.failed; !noResponse {
+		t.Error("a poll without a response counts as one that ended")
 	}
-	requests.WriteString(head(t, bufio.NewReader(conn)))
-	form, err := json.MarshalIndent(read, "", "  ")
+	w.Watch()
+	requests.WriteString(accept(t, l).request(t))
+
+	golden.Check(t, "requests.http", []byte(strings.ReplaceAll(requests.String(), addr, "ADDRESS")))
+	checkJSON(t, "read.json", lists)
+}
+
+func TestGoldenResponses(t *testing.T) {
+	src, err := os.ReadFile(filepath.Join("testdata", "answers.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	var forms []discovery.Response
-	if err := json.Unmarshal(src, &forms); err != nil {
-		t.Fatal(err)
-	}
-	written, err := json.MarshalIndent(forms, "", "  ")
-	if err != nil {
+	var responses []discovery.Response
+	if err := json.Unmarshal(src, &responses); err != nil {
 		t.Fatal(err)
 	}
-	checkGolden(t, "requests.http", []byte(strings.ReplaceAll(requests.String(), l.Addr().String(), "ADDRESS")))
-	checkGolden(t, "read.json", append(form, '\n'))
-	checkGolden(t, "written.json", append(written, '\n'))
+	checkJSON(t, "written.json", responses)
 }
--- a/internal/endpoint/discovery/reach_test.go
+++ b/internal/endpoint/discovery/reach_test.go
@@ -23,28 +23,39 @@
 	"irispost/scheduler"
 )
 
-// nowhere is nodes that nothing is sent to.
-type nowhere struct{}
-
-func (nowhere) Start(string, *node.Call, func(node.Reply)) node.Attempt { return nil }
-func (nowhere) AbortQueued(func(string) bool)                           {}
-func (nowhere) Retain(map[string]bool)                                  {}
-func (nowhere) LateReplies() int64                                      { return 0 }
-
-// ills are what becomes of a call while the service is ill.
-var ills = []string{"refused", "no connection", "busy", "busy late", "reset", "reset late", "silent", "cut off", "trickle", "spoilt"}
-
-// illService answers calls over pipes: until a time each comes to some ill, and from then on each new one is answered. What was lost stays lost.
-type illService struct {
-	lock sync.Mutex
-	draw *rand.Rand
-	well time.Time
-	only string // the one ill; empty: any
-	out  sync.WaitGroup
+// noNodes are backends that nothing is sent to.
+type noNodes struct{}
+
+func (noNodes) Start(string, *node.Call, func(node.Reply)) node.Attempt { return nil }
+func (noNodes) AbortQueued(func(string) bool)                           {}
+func (noNodes) Retain(map[string]bool)                                  {}
+func (noNodes) LateReplies() int64                                      { return 0 }
+
+// faults are what may become of a poll while the service is faulty.
+var faults = []string{
+	"refused", "no connection", "busy", "busy late", "reset", "reset late", "no response", "cut off", "trickle",
+	"malformed",
+}
+
+const (
+	answerHead = "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s"
+	emptyList  = `{"rev":2,"all":true,"targets":[]}`
+)
+
+// faultyService answers polls over pipes: until a time each comes to a fault, and from then on each new one is
+// answered. Polls and connections lost before stay lost.
+type faultyService struct {
+	wellAt time.Time
+	only   string // the one fault; empty: any
+	serves sync.WaitGroup
+
+	lock sync.Mutex // guards random
+	rng  *rand.Rand
 }
 
-func (s *illService) ill() string {
-	if !time.Now().Before(s.well) {
+// fault returns what becomes of the next poll or connection; empty: it is answered.
+func (s *faultyService) fault() string {
+	if !time.Now().Before(s.wellAt) {
 		return ""
 	}
 	if s.only != "" {
@@ -52,109 +63,151 @@
 	}
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	return ills[s.draw.IntN(len(ills))]
+	return faults[s.rng.IntN(len(faults))]
 }
 
-func (s *illService) dial(ctx context.Context, _, _ string) (net.Conn, error) {
-	switch s.ill() {
+func (s *faultyService) dial(ctx context.Context, _, _ string) (net.Conn, error) {
+	switch s.fault() {
 	case "refused":
 		return nil, errors.New("refused")
 	case "no connection":
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	ours, theirs := net.Pipe()
-	s.out.Go(func() { s.serve(theirs) })
-	return ours, nil
+	client, server := net.Pipe()
+	s.serves.Go(func() { s.serve(server) })
+	return client, nil
 }
 
-func (s *illService) serve(c net.Conn) {
-	defer c.Close()
-	for in := bufio.NewReader(c); ; {
+// serve answers the polls of a connection until it ends.
+func (s *faultyService) serve(conn net.Conn) {
+	defer func() { _ = conn.Close() }()
+	in := bufio.NewReader(conn)
+	for open := true; open; {
 		if _, err := http.ReadRequest(in); err != nil {
 			return
 		}
-		const head, list = "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", `{"rev":2,"all":true,"targets":[]}`
-		switch s.ill() {
-		case "":
-			time.Sleep(500 * time.Millisecond) // it handles calls in turn
-			fmt.Fprintf(c, head, len(list), list)
-		case "busy late":
-			time.Sleep(time.Second)
-			fallthrough
-		case "busy":
-			io.WriteString(c, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
-		case "reset late":
-			time.Sleep(time.Second)
-			return
-		case "cut off":
-			fmt.Fprintf(c, head, len(list), list[:10])
-			io.Copy(io.Discard, in)
-			return
-		case "trickle":
-			for _, b := range []byte(fmt.Sprintf(head, 1<<20, list)) {
-				time.Sleep(300 * time.Millisecond)
-				if _, err := c.Write([]byte{b}); err != nil {
-					return
-				}
+		open = s.answer(conn, in)
+	}
+}
+
+// answer answers one poll, and tells whether the connection stays open.
+func (s *faultyService) answer(conn net.Conn, in io.Reader) (open bool) {
+	switch s.fault() {
+	case "":
+		time.Sleep(500 * time.Millisecond) // it handles polls in turn
+		return write(conn, answerHead, len(emptyList), emptyList)
+	case "busy late":
+		time.Sleep(time.Second)
+		return write(conn, busy)
+	case "busy":
+		return write(conn, busy)
+	case "reset late":
+		time.Sleep(time.Second)
+	case "cut off":
+		write(conn, answerHead, len(emptyList), emptyList[:10])
+		_, _ = io.Copy(io.Discard, in) // until the client closes
+	case "trickle":
+		for _, b := range []byte(fmt.Sprintf(answerHead, 1<<20, emptyList)) {
+			time.Sleep(300 * time.Millisecond)
+			if !write(conn, "%c", b) {
+				return false
 			}
-		case "spoilt":
-			fmt.Fprintf(c, head, 5, `{"rev`)
-		case "silent":
-			io.Copy(io.Discard, in)
-			return
-		default: // reset, and what befalls connections alone
-			return
 		}
+		return true
+	case "malformed":
+		return write(conn, answerHead, 5, `{"rev`)
+	case "no response":
+		_, _ = io.Copy(io.Discard, in) // until the client closes
 	}
+	return false // reset, and what befalls dials alone
 }
 
-// TestWhatCanBeReachedIsHeardInTime: whatever becomes of calls before, and of the one that is out, what the service has is heard within six seconds from when it
-// can be reached: by then it counts as told. In the bubble's time, over pipes, with the module's own waits.
-func TestWhatCanBeReachedIsHeardInTime(t *testing.T) {
-	const within = 6 * time.Second
-	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	play := func(t *testing.T, seed uint64, only, every, goal string) (took time.Duration) {
-		synctest.Test(t, func(t *testing.T) {
-			draw := rand.New(rand.NewPCG(seed, 1))
-			terms := scheduler.Settings{"discovery": "ask", "products.count": "1", "products.0.name": "read", "products.0.goal": goal}
-			if every != "" {
-				terms["list.every"] = every
-			}
-			c, _, err := discovery.New(discovery.Options{Gateway: "n", Address: "a", LongPoll: (&platform.Config{Settings: terms}).LongPoll(), Timeout: time.Second, Log: log})
-			if err != nil {
-				t.Fatal(err)
-			}
-			s := &illService{draw: draw, only: only, well: time.Now().Add(time.Duration(draw.Int64N(int64(30 * time.Second))))}
-			discovery.Dialled(c, s.dial)
-			loop := gateway.Start(gateway.Options{Name: "n", Seed: seed, Settings: terms, QueueSize: 10, Clock: gateway.NewClock(), Nodes: nowhere{}, Watch: c.Watch, Log: log})
-			ctx, cancel := context.WithCancel(t.Context())
-			heard, ended := make(chan bool, 100), make(chan bool)
-			go func() {
-				c.Run(ctx, func(l endpoint.List) { loop.UpdateEndpoints(l); heard <- true }, loop.EndpointListFailed)
-				close(ended)
-			}()
-			<-heard
-			took = time.Since(s.well)
-			cancel()
-			<-ended
-			loop.Stop()
-			s.out.Wait()
+const busy = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
+
+// write writes to a connection, and tells whether its client is still there.
+func write(conn net.Conn, format string, args ...any) bool {
+	_, err := fmt.Fprintf(conn, format, args...)
+	return err == nil
+}
+
+// timing is what sets the pace of polls: the scheduler's settings, in milliseconds.
+type timing struct {
+	list      string // list.every; empty: not set
+	objective string // the latency objective of requests, of which a round of the scheduler is an eighth
+}
+
+// listReceivedAfter plays one faulty service until a gateway has its list, in the time of a synctest bubble, and
+// returns how long that was after the service was well.
+func listReceivedAfter(t *testing.T, seed uint64, fault string, timing timing) (took time.Duration) {
+	t.Helper()
+	log := slog.New(slog.DiscardHandler)
+	synctest.Test(t, func(t *testing.T) {
+		rng := rand.New(rand.NewPCG(seed, 1))
+		settings := scheduler.Settings{
+			"discovery":       "ask",
+			"products.count":  "1",
+			"products.0.name": "read",
+			"products.0.goal": timing.objective,
+		}
+		if timing.list != "" {
+			settings["list.every"] = timing.list
+		}
+		longPoll := (&platform.Config{Settings: settings}).LongPoll()
+		opt := discovery.Options{Gateway: "n", Address: "a", LongPoll: longPoll, Timeout: time.Second, Log: log}
+		c, _, err := discovery.New(opt)
+		if err != nil {
+			t.Fatal(err)
+		}
+		wellAt := time.Now().Add(time.Duration(rng.Int64N(int64(30 * time.Second))))
+		s := &faultyService{rng: rng, only: fault, wellAt: wellAt}
+		c.SetDial(s.dial)
+		loop := gateway.Start(gateway.Options{
+			Name:      "n",
+			Seed:      seed,
+			Settings:  settings,
+			QueueSize: 10,
+			Clock:     gateway.NewClock(),
+			Nodes:     noNodes{},
+			Watch:     c.Watch,
+			Log:       log,
 		})
-		return took
-	}
-	for _, times := range [][2]string{{"", "300"}, {"10000", "300"}, {"4000", "300"}, {"", "60000"}} { // a round of the module's is an eighth of the goal
-		every, goal := times[0], times[1]
+		ctx, cancel := context.WithCancel(t.Context())
+		received, ended := make(chan bool, 100), make(chan bool)
+		go func() {
+			defer close(ended)
+			c.Run(ctx, func(l endpoint.List) { loop.UpdateEndpoints(l); received <- true }, loop.EndpointListFailed)
+		}()
+		<-received
+		took = time.Since(s.wellAt)
+		cancel()
+		<-ended
+		loop.Stop()
+		s.serves.Wait()
+	})
+	return took
+}
+
+// Whatever became of polls before, and of the one under way, a gateway has the list within six seconds from when the
+// service can be reached: by then it counts as delivered.
+func TestListIsReceivedInTimeAfterFaults(t *testing.T) {
+	const within = 6 * time.Second
+	const seedsOfAny, seedsOfOne = 200, 10
+	for _, timing := range []timing{{"", "300"}, {"10000", "300"}, {"4000", "300"}, {"", "60000"}} {
 		worst := map[string]time.Duration{}
-		for _, only := range append([]string{""}, ills...) {
-			for seed := range map[bool]uint64{true: 200, false: 10}[only == ""] {
-				if took := play(t, seed, only, every, goal); took > within {
-					t.Errorf("asked every %q ms, goal %s ms, ill %q, seed %d: heard after %v", every, goal, only, seed, took)
-				} else {
-					worst[only] = max(worst[only], took)
+		for _, fault := range append([]string{""}, faults...) {
+			seeds := uint64(seedsOfOne)
+			if fault == "" {
+				seeds = seedsOfAny
+			}
+			for seed := range seeds {
+				took := listReceivedAfter(t, seed, fault, timing)
+				if took > within {
+					t.Errorf("%+v, fault %q, seed %d: received after %v", timing, fault, seed, took)
 				}
+				worst[fault] = max(worst[fault], took)
 			}
 		}
-		t.Logf("asked every %q ms, goal %s ms: heard after at most %v", every, goal, worst)
+		t.Logf("%+v: received after at most %v", timing, worst)
 	}
 }
--- a/internal/platform/check.go
+++ b/internal/platform/check.go
@@ -7,79 +7,164 @@
 	"irispost/internal/wire"
 )
 
-// check refuses settings that nobody could act on. It tells of the first by its name in the configuration, with its value.
-func check(settings map[string]string) error {
-	number := func(name string, least float64, needed bool) error {
-		v, ok := settings[name]
-		if !ok && !needed {
-			return nil
-		}
-		if f, err := strconv.ParseFloat(v, 64); !ok || err != nil || !(f >= least) || f > 1e15 {
-			return fmt.Errorf("settings: %s is %s, and has to be a number from %g on", name, told(v, ok), least)
-		}
-		return nil
+// maxNumber bounds all numbers of settings.
+const maxNumber = 1e15
+
+// SettingError tells that a setting is missing or not valid.
+type SettingError struct {
+	Path    string
+	Problem string
+}
+
+// Error implements error.
+func (e *SettingError) Error() string { return "settings: " + e.Path + " " + e.Problem }
+
+// optionalNumbers are the settings that have to be numbers from 0 on where they are given.
+var optionalNumbers = []string{
+	"contract.drain_grace_ms",
+	"contract.cold_ms",
+	"contract.cold_from",
+	"contract.fall_multiple",
+	"contract.overload_for_ms",
+	"contract.ask_every_ms",
+	"contract.free_resends",
+	"contract.repeat_ratio",
+	"contract.look_back_ms",
+	"contract.key_rest_ms",
+	"domain.unit_mean",
+	"domain.largest",
+	"domain.young_limit",
+}
+
+// optionalPermissions are checked after them.
+var optionalPermissions = []string{
+	"permissions.max_retry_after_ms",
+	"permissions.dial_timeout_ms",
+	"permissions.idle_close_ms",
+}
+
+// check rejects settings that nobody could act on, and names the first by its path, with its value.
+func (s settings) check() error {
+	if s.isEmptyList("lanes") {
+		return &SettingError{"lanes", "names none"}
 	}
-	list := func(name string, item func(at string) error) error {
-		count, err := strconv.Atoi(settings[name+".count"])
-		if err != nil && settings[name+".count"] != "" || count == 0 && name == "lanes" {
-			return fmt.Errorf("settings: %s names none", name)
+	if err := s.checkItems("lanes", s.checkRequestClass); err != nil {
+		return err
+	}
+	if err := s.checkItems("contracts", s.checkServiceLevel); err != nil {
+		return err
+	}
+	if err := s.checkNumbers(optionalNumbers); err != nil {
+		return err
+	}
+	if err := s.checkNumber("permissions.attempts_cap", 1, false); err != nil {
+		return err
+	}
+	return s.checkNumbers(optionalPermissions)
+}
+
+func (s settings) checkRequestClass(item string) error {
+	if err := s.checkNumber(item+".target_ms", 0, false); err != nil {
+		return err
+	}
+	if err := s.checkNumber(item+".hard_limit_ms", 0, true); err != nil {
+		return err
+	}
+	if err := s.checkNumber(item+".repeat_window_ms", 0, false); err != nil {
+		return err
+	}
+	if err := s.checkWord(item+".effect", wire.KnownEffect, true); err != nil {
+		return err
+	}
+	return s.checkWord(item+".group", wire.KnownGroup, false)
+}
+
+func (s settings) checkServiceLevel(item string) error {
+	for _, field := range []string{".proportion", ".base_rate", ".floor_rate", ".never_over"} {
+		if err := s.checkNumber(item+field, 0, false); err != nil {
+			return err
 		}
-		seen := map[string]int{}
-		for i := range count {
-			at := name + "." + strconv.Itoa(i)
-			called, ok := settings[at+".name"]
-			if o, twice := seen[called]; twice || !ok || called == "" {
-				if !twice {
-					return fmt.Errorf("settings: %s.name is %s", at, told(called, ok))
-				}
-				return fmt.Errorf("settings: %s.name is %q, as that of %s.%d", at, called, name, o)
-			}
-			seen[called] = i
-			if err := item(at); err != nil {
-				return err
-			}
+	}
+	limit := s[item+".never_over"]
+	limited := limit != "" && !isZero(limit)
+	return s.checkNumber(item+".burst", 0, limited)
+}
+
+// checkNumbers checks optional settings that have to be numbers from 0 on.
+func (s settings) checkNumbers(paths []string) error {
+	for _, path := range paths {
+		if err := s.checkNumber(path, 0, false); err != nil {
+			return err
 		}
+	}
+	return nil
+}
+
+// checkNumber checks that a setting is a number between least and maxNumber.
+func (s settings) checkNumber(path string, least float64, required bool) error {
+	value, given := s[path]
+	if !given && !required {
 		return nil
 	}
-	word := func(name string, known func(string) bool, needed bool) error {
-		if v, ok := settings[name]; ok && !known(v) || !ok && needed {
-			return fmt.Errorf("settings: %s is %s, which is not known", name, told(v, ok))
-		}
+	number, err := strconv.ParseFloat(value, 64)
+	if given && err == nil && number >= least && number <= maxNumber {
 		return nil
 	}
-	first := func(errs ...error) error {
-		for _, err := range errs {
-			if err != nil {
-				return err
-			}
-		}
+	return &SettingError{path, fmt.Sprintf("is %s, and has to be a number from %g on", s.quoted(path), least)}
+}
+
+// checkWord checks that a setting is one of the known words.
+func (s settings) checkWord(path string, known func(word string) bool, required bool) error {
+	value, given := s[path]
+	if given && known(value) || !given && !required {
 		return nil
 	}
-	classes := list("lanes", func(at string) error {
-		return first(number(at+".target_ms", 0, false), number(at+".hard_limit_ms", 0, true), number(at+".repeat_window_ms", 0, false),
-			word(at+".effect", wire.KnownEffect, true), word(at+".group", wire.KnownGroup, false))
-	})
-	plans := list("contracts", func(at string) error {
-		return first(number(at+".proportion", 0, false), number(at+".base_rate", 0, false), number(at+".floor_rate", 0, false),
-			number(at+".never_over", 0, false), number(at+".burst", 0, settings[at+".never_over"] != "" && !zero(settings[at+".never_over"])))
-	})
-	return first(classes, plans,
-		number("contract.drain_grace_ms", 0, false), number("contract.cold_ms", 0, false), number("contract.cold_from", 0, false),
-		number("contract.fall_multiple", 0, false), number("contract.overload_for_ms", 0, false), number("contract.ask_every_ms", 0, false),
-		number("contract.free_resends", 0, false), number("contract.repeat_ratio", 0, false), number("contract.look_back_ms", 0, false),
-		number("contract.key_rest_ms", 0, false), number("domain.unit_mean", 0, false), number("domain.largest", 0, false), number("domain.young_limit", 0, false),
-		number("permissions.attempts_cap", 1, false), number("permissions.max_retry_after_ms", 0, false),
-		number("permissions.dial_timeout_ms", 0, false), number("permissions.idle_close_ms", 0, false))
+	return &SettingError{path, fmt.Sprintf("is %s, which is not known", s.quoted(path))}
 }
 
-func zero(v string) bool {
-	f, err := strconv.ParseFloat(v, 64)
-	return err == nil && f == 0
+// isEmptyList tells whether a list has no items, or is missing.
+func (s settings) isEmptyList(path string) bool {
+	count, err := strconv.Atoi(s[path+".count"])
+	return err != nil || count == 0
 }
 
-func told(v string, ok bool) string {
-	if !ok {
+// checkItems checks each item of a list of objects, whose names have to differ.
+func (s settings) checkItems(path string, check func(item string) error) error {
+	if s[path+".count"] == "" {
+		return nil
+	}
+	count, err := strconv.Atoi(s[path+".count"])
+	if err != nil {
+		return &SettingError{path, "names none"}
+	}
+	numbers := map[string]int{} // by name
+	for i := range count {
+		item := path + "." + strconv.Itoa(i)
+		name := s[item+".name"]
+		if name == "" {
+			return &SettingError{item + ".name", "is " + s.quoted(item+".name")}
+		}
+		if other, taken := numbers[name]; taken {
+			return &SettingError{item + ".name", fmt.Sprintf("is %q, as that of %s.%d", name, path, other)}
+		}
+		numbers[name] = i
+		if err := check(item); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// quoted returns a setting's value for an error.
+func (s settings) quoted(path string) string {
+	value, given := s[path]
+	if !given {
 		return "missing"
 	}
-	return strconv.Quote(v)
+	return strconv.Quote(value)
+}
+
+func isZero(text string) bool {
+	number, err := strconv.ParseFloat(text, 64)
+	return err == nil && number == 0
 }
--- a/internal/platform/golden_test.go
+++ b/internal/platform/golden_test.go
@@ -3,61 +3,74 @@
 import (
 	"bytes"
 	"encoding/json"
-	"flag"
 	"os"
 	"path/filepath"
 	"testing"
 
 	"irispost/internal/platform"
+	"irispost/internal/testkit/golden"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
-
-// checkGolden fails the test if got differs from testdata/name.
-func checkGolden(t *testing.T, name string, got []byte) {
+// formOf returns a configuration as JSON under names of the test's own.
+func formOf(t *testing.T, c *platform.Config) []byte {
 	t.Helper()
-	file := filepath.Join("testdata", name)
-	if *update {
-		if err := os.WriteFile(file, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(file)
+	form, err := json.MarshalIndent(map[string]any{
+		"name":      c.Name,
+		"listen":    c.Listen,
+		"discovery": c.Discovery,
+		"seed":      c.Seed,
+		"cores":     c.Cores,
+		"memory":    c.MemoryBytes,
+		"sockets":   c.MaxSockets,
+		"known":     c.CachedEndpoints,
+		"terms":     c.Settings,
+		"connect":   c.DialTimeout,
+		"idle":      c.IdleTimeout,
+		"grace":     c.ShutdownGrace(),
+		"hold":      c.LongPoll(),
+	}, "", "  ")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s: got\n%s\nwant\n%s", file, got, want)
-	}
+	return append(form, '\n')
 }
 
-// Settings as read: from the file alone, and with what the file leaves out from the environment.
-func TestGoldenSettings(t *testing.T) {
-	env := map[string]string{"PROXY_CONFIG": filepath.Join("testdata", "config.json"), "PROXY_NAME": "of the environment",
-		"PROXY_LISTEN": "10.0.0.5:8080", "PROXY_DISCOVERY": "10.2.0.2:8500"}
-	src, err := os.ReadFile(env["PROXY_CONFIG"])
+// withoutKeys writes a configuration without these texts to a file of its own.
+func withoutKeys(t *testing.T, config string, keys ...string) string {
+	t.Helper()
+	src, err := os.ReadFile(config)
 	if err != nil {
 		t.Fatal(err)
 	}
-	short := filepath.Join(t.TempDir(), "config.json")
-	for _, key := range []string{`"name": "n3",`, `"listen": "10.0.0.4:8080",`, `"discovery": "10.2.0.1:8500",`, `"ask_every_ms": 10000.0,`} {
+	for _, key := range keys {
 		src = bytes.Replace(src, []byte(key), nil, 1)
 	}
-	if err := os.WriteFile(short, src, 0o644); err != nil {
+	file := filepath.Join(t.TempDir(), "config.json")
+	if err := os.WriteFile(file, src, 0o644); err != nil {
 		t.Fatal(err)
 	}
-	for _, c := range []struct{ file, from string }{{"settings.json", env["PROXY_CONFIG"]}, {"settings-of-environment.json", short}} {
-		env["PROXY_CONFIG"] = c.from
-		got, err := platform.Load(func(name string) string { return env[name] })
-		if err != nil {
-			t.Fatal(err)
-		}
-		form, err := json.MarshalIndent(map[string]any{"name": got.Name, "listen": got.Listen, "discovery": got.Discovery, "seed": got.Seed,
-			"cores": got.Cores, "memory": got.MemoryBytes, "sockets": got.MaxSockets, "known": got.CachedEndpoints, "terms": got.Settings, "connect": got.DialTimeout,
-			"idle": got.IdleTimeout, "grace": got.ShutdownGrace(), "hold": got.LongPoll()}, "", "  ")
+	return file
+}
+
+// A configuration is read from its file alone, and with what the file leaves out from the environment.
+func TestGoldenSettings(t *testing.T) {
+	complete := filepath.Join("testdata", "config.json")
+	short := withoutKeys(t, complete, `"name": "n3",`, `"listen": "10.0.0.4:8080",`, `"discovery": "10.2.0.1:8500",`,
+		`"ask_every_ms": 10000.0,`)
+	env := map[string]string{
+		"PROXY_NAME":      "of the environment",
+		"PROXY_LISTEN":    "10.0.0.5:8080",
+		"PROXY_DISCOVERY": "10.2.0.2:8500",
+	}
+	for _, c := range []struct{ want, config string }{
+		{"settings.json", complete},
+		{"settings-of-environment.json", short},
+	} {
+		env["PROXY_CONFIG"] = c.config
+		config, err := platform.Load(func(name string) string { return env[name] })
 		if err != nil {
 			t.Fatal(err)
 		}
-		checkGolden(t, c.file, append(form, '\n'))
+		golden.Check(t, c.want, formOf(t, config))
 	}
 }
--- a/internal/scale/gateway.go
+++ b/internal/scale/gateway.go
@@ -225,7 +225,7 @@
 	h.lock.Unlock()
 	key := fmt.Sprintf("%s probe %d", h.Name, probeCount.Add(1))
 	request := &gateway.RequestSpec{
-		Volume:   &gateway.Volume{ID: 1, ServiceLevel: probeLevel, Gateways: 1},
+		Volume:   &gateway.Volume{ID: 1, ServiceLevel: probeLevel, GatewayCount: 1},
 		Class:    probeClass,
 		Units:    1,
 		Deadline: loop.Now() + int64(h.fleet.Size.Timeout),
--- a/internal/scale/meter/process.go
+++ b/internal/scale/meter/process.go
@@ -13,103 +13,99 @@
 	"golang.org/x/sys/unix"
 )
 
-// Usage is what a process has used.
+// Usage is what a process has used: processor time so far, of its own and of the kernel for it, in whole hundredths of
+// a second, and the memory that is resident now, in MB (millions of bytes).
 type Usage struct {
-	CPU time.Duration // processor time so far, in user and kernel mode, in whole hundredths of a second
-	MB  float64       // memory that is resident now, in millions of bytes
+	CPU time.Duration
+	MB  float64
 }
 
-const (
-	// clockTick is the unit of times in /proc/PID/stat: USER_HZ is 100 on all of Linux's architectures that matter
-	// here.
-	clockTick = 10 * time.Millisecond
-
-	// Indexes of fields of /proc/PID/stat after the program's name.
-	userTimeField   = 11
-	systemTimeField = 12
+// clockTick is the unit of time in /proc/PID/stat: the kernel tells all programs 100 a second, whatever its own is.
+const clockTick = 10 * time.Millisecond
 
-	// residentField is the index of the resident pages in /proc/PID/statm.
-	residentField = 1
-
-	bytesPerMB = 1e6
+// Fields of /proc/PID/stat, counted after the program's name, and of /proc/PID/statm.
+const (
+	statUserTime   = 11
+	statSystemTime = 12
+	statmResident  = 1
 )
 
-// ErrTooFewFields is returned for a file of /proc that lacks the fields that are read.
-var ErrTooFewFields = errors.New("too few fields")
+// errFewFields is of a file under /proc that has fewer fields than the kernel documents.
+var errFewFields = errors.New("too few fields")
 
-// Process returns what a process has used, by its ID.
+// Process is what a process has used, by its ID.
 func Process(pid int) (Usage, error) {
-	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
+	cpu, err := readProc(pid, "stat", parseStat)
 	if err != nil {
 		return Usage{}, err
 	}
-	cpu, err := parseStat(string(stat))
+	pages, err := readProc(pid, "statm", parseStatm)
 	if err != nil {
-		return Usage{}, fmt.Errorf("/proc/%d/stat: %w", pid, err)
+		return Usage{}, err
 	}
-	statm, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
+	return Usage{CPU: cpu, MB: float64(pages) * float64(os.Getpagesize()) / 1e6}, nil
+}
+
+// readProc reads and parses a file of a process under /proc.
+func readProc[T any](pid int, name string, parse func(text string) (T, error)) (value T, err error) {
+	file := fmt.Sprintf("/proc/%d/%s", pid, name)
+	text, err := os.ReadFile(file)
 	if err != nil {
-		return Usage{}, err
+		return value, err
 	}
-	pages, err := parseStatm(string(statm))
+	value, err = parse(string(text))
 	if err != nil {
-		return Usage{}, fmt.Errorf("/proc/%d/statm: %w", pid, err)
+		return value, fmt.Errorf("%s: %w", file, err)
 	}
-	return Usage{CPU: cpu, MB: float64(pages) * float64(os.Getpagesize()) / bytesPerMB}, nil
+	return value, nil
 }
 
-// parseStat returns the user and system time. The program's name, in parentheses, may contain anything.
+// parseStat parses the user and system time. The program's name, in brackets, may contain anything.
 func parseStat(text string) (time.Duration, error) {
-	fields := strings.Fields(text[strings.LastIndexByte(text, ')')+1:])
-	if len(fields) <= systemTimeField {
-		return 0, fmt.Errorf("%w: %d after the name", ErrTooFewFields, len(fields))
+	afterName := text[strings.LastIndexByte(text, ')')+1:]
+	fields := strings.Fields(afterName)
+	if len(fields) <= statSystemTime {
+		return 0, fmt.Errorf("%w after the name: %d", errFewFields, len(fields))
 	}
-	user, err := strconv.ParseInt(fields[userTimeField], 10, 64)
+	user, err := strconv.ParseInt(fields[statUserTime], 10, 64)
 	if err != nil {
 		return 0, err
 	}
-	system, err := strconv.ParseInt(fields[systemTimeField], 10, 64)
+	system, err := strconv.ParseInt(fields[statSystemTime], 10, 64)
 	return time.Duration(user+system) * clockTick, err
 }
 
-// parseStatm returns the number of resident pages.
+// parseStatm parses the number of resident pages.
 func parseStatm(text string) (int64, error) {
 	fields := strings.Fields(text)
-	if len(fields) <= residentField {
-		return 0, fmt.Errorf("%w: %d", ErrTooFewFields, len(fields))
+	if len(fields) <= statmResident {
+		return 0, fmt.Errorf("%w: %d", errFewFields, len(fields))
 	}
-	return strconv.ParseInt(fields[residentField], 10, 64)
+	return strconv.ParseInt(fields[statmResident], 10, 64)
 }
 
-// Folder returns the bytes of all files in a folder and below. A file that is removed meanwhile counts as none.
+// SelfCPU is the processor time of this process so far, to the microsecond.
+func SelfCPU() (time.Duration, error) {
+	var usage unix.Rusage
+	if err := unix.Getrusage(unix.RUSAGE_SELF, &usage); err != nil {
+		return 0, err
+	}
+	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano()), nil
+}
+
+// Folder is the number of bytes of all files in a folder and below. A file that is removed meanwhile counts as none.
 func Folder(dir string) (total int64, err error) {
 	err = filepath.WalkDir(dir, func(path string, entry fs.DirEntry, err error) error {
-		var size int64
 		if err == nil && entry.Type().IsRegular() {
-			size, err = fileSize(entry)
+			var info fs.FileInfo
+			if info, err = entry.Info(); err == nil {
+				total += info.Size()
+			}
 		}
 		if errors.Is(err, fs.ErrNotExist) && path != dir {
 			return nil
 		}
-		total += size
 		return err
 	})
 	return total, err
 }
-
-func fileSize(entry fs.DirEntry) (int64, error) {
-	info, err := entry.Info()
-	if err != nil {
-		return 0, err
-	}
-	return info.Size(), nil
-}
-
-// SelfCPU returns this process's processor time so far, to the microsecond.
-func SelfCPU() (time.Duration, error) {
-	var usage unix.Rusage
-	if err := unix.Getrusage(unix.RUSAGE_SELF, &usage); err != nil {
-		return 0, err
-	}
-	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano()), nil
-}
--- a/internal/scale/meter/relay.go
+++ b/internal/scale/meter/relay.go
@@ -9,39 +9,39 @@
 // Relay forwards the bytes of connections to an address and counts them: In is what went there, Out what came back.
 type Relay struct {
 	Bytes
-	listener net.Listener
-	target   string
-	running  sync.WaitGroup // the goroutines that accept and serve
+	listener   net.Listener
+	target     string
+	goroutines sync.WaitGroup
 
-	lock   sync.Mutex // guards all below
+	mutex  sync.Mutex // guards what follows
 	open   map[net.Conn]bool
 	closed bool
 }
 
-// NewRelay starts a relay to an address. It listens on a free port of a host.
+// NewRelay starts a relay to an address; host is where it listens, at a free port.
 func NewRelay(host, target string) (*Relay, error) {
 	listener, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
 	if err != nil {
 		return nil, err
 	}
-	relay := &Relay{listener: listener, target: target, open: map[net.Conn]bool{}}
-	relay.running.Go(relay.accept)
-	return relay, nil
+	r := &Relay{listener: listener, target: target, open: map[net.Conn]bool{}}
+	r.goroutines.Go(r.accept)
+	return r, nil
 }
 
-// Addr returns the address at which the relay listens.
+// Addr is the address at which the relay listens.
 func (r *Relay) Addr() string { return r.listener.Addr().String() }
 
-// Close ends the relay and its connections, and waits until its goroutines have ended.
+// Close ends the relay and its connections, and returns once its goroutines have ended.
 func (r *Relay) Close() {
-	r.lock.Lock()
+	r.mutex.Lock()
 	r.closed = true
-	_ = r.listener.Close() // a second Close returns an error that says so
+	_ = r.listener.Close()
 	for conn := range r.open {
-		_ = conn.Close() // its goroutine sees the end
+		_ = conn.Close()
 	}
-	r.lock.Unlock()
-	r.running.Wait()
+	r.mutex.Unlock()
+	r.goroutines.Wait()
 }
 
 func (r *Relay) accept() {
@@ -50,14 +50,14 @@
 		if err != nil {
 			return
 		}
-		r.running.Go(func() { r.serve(conn) })
+		r.goroutines.Go(func() { r.serve(conn) })
 	}
 }
 
-// track registers a connection for Close to end. After Close it closes the connection and returns false.
+// track has Close close a connection too. If the relay is closed already, the connection is, and it returns false.
 func (r *Relay) track(conn net.Conn) bool {
-	r.lock.Lock()
-	defer r.lock.Unlock()
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
 	if r.closed {
 		_ = conn.Close()
 		return false
@@ -66,32 +66,32 @@
 	return true
 }
 
-// untrack closes a connection and forgets it.
-func (r *Relay) untrack(conn net.Conn) {
+// closeTracked closes a connection that was tracked.
+func (r *Relay) closeTracked(conn net.Conn) {
 	_ = conn.Close()
-	r.lock.Lock()
+	r.mutex.Lock()
 	delete(r.open, conn)
-	r.lock.Unlock()
+	r.mutex.Unlock()
 }
 
-func (r *Relay) serve(incoming net.Conn) {
-	if !r.track(incoming) {
+func (r *Relay) serve(in net.Conn) {
+	if !r.track(in) {
 		return
 	}
-	defer r.untrack(incoming)
-	outgoing, err := net.Dial("tcp", r.target)
-	if err != nil || !r.track(outgoing) {
+	defer r.closeTracked(in)
+	out, err := net.Dial("tcp", r.target)
+	if err != nil || !r.track(out) {
 		return
 	}
-	defer r.untrack(outgoing)
-	counted := Count(incoming, &r.Bytes)
-	var both sync.WaitGroup
-	both.Go(func() { forward(outgoing, counted) })
-	both.Go(func() { forward(counted, outgoing) })
-	both.Wait()
+	defer r.closeTracked(out)
+	counted := Count(in, &r.Bytes)
+	var directions sync.WaitGroup
+	directions.Go(func() { forward(out, counted) })
+	directions.Go(func() { forward(counted, out) })
+	directions.Wait()
 }
 
-// forward copies one direction. The end of a stream is passed on as an end; an error breaks both connections.
+// forward forwards one direction: its end as an end, an error as one of both directions.
 func forward(to, from net.Conn) {
 	if _, err := io.Copy(onlyWriter{to}, onlyReader{from}); err != nil {
 		_ = to.Close()
@@ -101,10 +101,10 @@
 	if counted, ok := to.(*Conn); ok {
 		to = counted.Conn
 	}
-	_ = to.(*net.TCPConn).CloseWrite() // it fails where the other side has broken the connection
+	_ = to.(*net.TCPConn).CloseWrite()
 }
 
-// onlyReader and onlyWriter hide the methods by which io.Copy would let the kernel copy, past the counters.
+// onlyReader and onlyWriter hide that the kernel could copy by itself, past the counters.
 type (
 	onlyReader struct{ io.Reader }
 	onlyWriter struct{ io.Writer }
