--- a/cmd/irispost/fleetscale.go
+++ b/cmd/irispost/fleetscale.go
@@ -29,7 +29,7 @@
 		out := command.OutOrStdout()
 		if len(args) == 0 {
 			for _, c := range scale.Cases {
-				writef(out, "%-10s %s\n", c.Name, c.About)
+				writef(out, "%-10s %s\n", c.Name, c.Description)
 			}
 			return nil
 		}
@@ -53,19 +53,20 @@
 	flags.IntVar(&size.Restarts, "restarts", size.Restarts, "restarts of the ordinary day")
 	flags.IntVar(&size.Kills, "kills", size.Kills, "kills of the ordinary day, one of them a replica's")
 	flags.IntVar(&size.Replacements, "replacements", size.Replacements, "nodes that are replaced, one after another")
-	flags.IntVar(&size.Rounds, "rounds", size.Rounds, "changes under each fault")
-	flags.IntVar(&size.Wave, "wave", size.Wave, "gateways that a rolling restart has away at once")
-	flags.IntVar(&size.Parts, "parts", size.Parts, "parts of the ordinary day, after each of which memory is measured")
-	flags.IntSliceVar(&size.Keepers, "keepers-in", size.Keepers, "the region, 0 or 1, of each replica")
+	flags.IntVar(&size.ChangesPerFault, "rounds", size.ChangesPerFault, "changes under each fault")
+	flags.IntVar(&size.RestartBatch, "wave", size.RestartBatch, "gateways that a rolling restart has away at once")
+	flags.IntVar(&size.Phases, "parts", size.Phases, "parts of the ordinary day, after each of which memory is measured")
+	flags.IntSliceVar(&size.ReplicaRegions, "keepers-in", size.ReplicaRegions, "the region, 0 or 1, of each replica")
 	flags.StringSliceVar(&size.Faults, "faults", nil,
-		"faults of the case in-force: "+strings.Join(scale.Faults(), ", ")+"; all if none is named")
+		"faults of the case in-force: "+strings.Join(scale.FaultNames(), ", ")+"; all if none is named")
 	flags.DurationVar(&size.Latency, "latency", size.Latency, "one way, between regions")
 	flags.DurationVar(&size.Lease, "lease", size.Lease, "how long a gateway acts on a version without a renewal")
-	flags.DurationVar(&size.Floor, "floor", size.Floor, "how long a gateway that is cut off serves on")
-	flags.DurationVar(&size.Rest, "rest", size.Rest, "how long the fleet is watched at rest")
-	flags.DurationVar(&size.Patience, "patience", size.Patience, "how long an end state is waited for at most")
-	flags.BoolVar(&size.Cold, "cold", size.Cold, "gateways reach each other, and allocate slow-start budgets")
-	flags.BoolVar(&size.Timed, "timed", size.Timed, "hold the times against their bounds too")
+	flags.DurationVar(&size.FallbackDuration, "floor", size.FallbackDuration,
+		"how long a gateway that is cut off serves on")
+	flags.DurationVar(&size.IdleTime, "rest", size.IdleTime, "how long the fleet is watched at rest")
+	flags.DurationVar(&size.Timeout, "patience", size.Timeout, "how long an end state is waited for at most")
+	flags.BoolVar(&size.SlowStart, "cold", size.SlowStart, "gateways reach each other, and allocate slow-start budgets")
+	flags.BoolVar(&size.EnforceTimeBounds, "timed", size.EnforceTimeBounds, "hold the times against their bounds too")
 }
 
 // runScaleCase runs a case with replicas as processes of this program, in a folder that is removed after it.
@@ -86,7 +87,7 @@
 	return scale.Run(scaleCase, size, scale.Options{
 		Program: func(args ...string) *exec.Cmd { return exec.Command(self, args...) },
 		Dir:     dir,
-		Log:     slog.New(slog.NewTextHandler(io.Discard, nil)),
+		Logger:  slog.New(slog.NewTextHandler(io.Discard, nil)),
 		Note:    func(format string, args ...any) { writef(out, format+"\n", args...) },
 	})
 }
@@ -108,8 +109,9 @@
 	if result.NotRun != "" {
 		return fmt.Errorf("%s was not run: %s", result.Case, result.NotRun)
 	}
-	if len(result.Broken) > 0 {
-		return fmt.Errorf("%s: %d do not hold:\n%s", result.Case, len(result.Broken), strings.Join(result.Broken, "\n"))
+	if len(result.Violations) > 0 {
+		violations := strings.Join(result.Violations, "\n")
+		return fmt.Errorf("%s: %d do not hold:\n%s", result.Case, len(result.Violations), violations)
 	}
 	return nil
 }
--- a/internal/scale/meter/process.go
+++ b/internal/scale/meter/process.go
@@ -13,9 +13,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// Spent is what a process has used: processor time so far, of its own and of the kernel for it, in whole hundredths of
+// Usage is what a process has used: processor time so far, of its own and of the kernel for it, in whole hundredths of
 // a second, and the memory that is resident now, in MB (millions of bytes).
-type Spent struct {
+type Usage struct {
 	CPU time.Duration
 	MB  float64
 }
@@ -34,16 +34,16 @@
 var errFewFields = errors.New("too few fields")
 
 // Process is what a process has used, by its ID.
-func Process(pid int) (Spent, error) {
+func Process(pid int) (Usage, error) {
 	cpu, err := readProc(pid, "stat", parseStat)
 	if err != nil {
-		return Spent{}, err
+		return Usage{}, err
 	}
 	pages, err := readProc(pid, "statm", parseStatm)
 	if err != nil {
-		return Spent{}, err
+		return Usage{}, err
 	}
-	return Spent{CPU: cpu, MB: float64(pages) * float64(os.Getpagesize()) / 1e6}, nil
+	return Usage{CPU: cpu, MB: float64(pages) * float64(os.Getpagesize()) / 1e6}, nil
 }
 
 // readProc reads and parses a file of a process under /proc.
@@ -84,8 +84,8 @@
 	return strconv.ParseInt(fields[statmResident], 10, 64)
 }
 
-// Self is the processor time of this process so far, to the microsecond.
-func Self() (time.Duration, error) {
+// SelfCPU is the processor time of this process so far, to the microsecond.
+func SelfCPU() (time.Duration, error) {
 	var usage unix.Rusage
 	if err := unix.Getrusage(unix.RUSAGE_SELF, &usage); err != nil {
 		return 0, err
