--- a/cmd/irispost/disk.go
+++ b/cmd/irispost/disk.go
@@ -36,7 +36,7 @@
 	flags.Uint16Var(&f.lun, "lun", 0, "number of the unit")
 	flags.BoolVar(&f.options.Digests, "digests", false, "ask for CRC32C digests")
 	flags.StringVar(&f.options.Account.Name, "user", "", "CHAP name; the secret is read from IRISPOST_SECRET")
-	flags.DurationVar(&f.retry.For, "for", 30*time.Second, "how long to go on trying")
+	flags.DurationVar(&f.retry.Timeout, "for", 30*time.Second, "how long to go on trying")
 }
 
 func (f *diskFlags) open(ctx context.Context) (*initiator.Disk, error) {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -56,7 +56,7 @@
 
 // RequestClass is a class of requests, as front ends and clients know it.
 type RequestClass struct {
-	front.Product
+	front.RequestClass
 	LatencyObjective time.Duration
 	DedupWindow      time.Duration // for which nodes recognise a repeat; 0: they do not
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -59,7 +59,7 @@
 		t.Fatal(err)
 	}
 	for _, c := range []struct {
-		sort front.Sort
+		sort front.OperationKind
 		rel  string
 		size uint64
 		want string
@@ -70,7 +70,7 @@
 		{front.Write, "exports/may", 1 << 30, "order-write"},
 		{front.Change, "a", 0, "order-change"},
 	} {
-		if p := g.Volumes["orders"].Product(c.sort, layout.Path{Volume: "orders", Rel: c.rel}, c.size); p.Name != c.want {
+		if p := g.Volumes["orders"].ClassOf(c.sort, layout.Path{Volume: "orders", Rel: c.rel}, c.size); p.Name != c.want {
 			t.Errorf("%s of %s with %d bytes is %s", c.sort, c.rel, c.size, p.Name)
 		}
 	}
@@ -237,7 +237,7 @@
 		t.Fatal(err)
 	}
 	d := g.Disks
-	if d.Limits.Pace.Most != 64 || len(d.Targets) != 1 || d.Targets[0].Account.Name != "host" ||
+	if d.Limits.Pace.MaxWindow != 64 || len(d.Targets) != 1 || d.Targets[0].Account.Name != "host" ||
 		!d.Targets[0].LUNs[7].ReadOnly || d.Targets[0].LUNs[0] != (LUN{File: "/orders/disk", Size: 10 << 30, BlockBytes: 4096}) {
 		t.Errorf("%+v", d)
 	}
--- a/internal/config/disks.go
+++ b/internal/config/disks.go
@@ -28,11 +28,11 @@
 	limits := &disks.Limits
 	limits.Connections = d.count(block.Connections, 1, 1<<20, limits.Connections)
 	limits.Login = d.duration(block.LoginTimeout, 100*time.Millisecond, time.Hour, limits.Login)
-	limits.Pace.Most = d.count(block.SessionQueue, 1, 1<<16, limits.Pace.Most)
-	limits.Pace.Inside = d.count(block.InFlight, 1, 1<<16, limits.Pace.Inside)
-	limits.Pace.Start = min(limits.Pace.Start, limits.Pace.Inside)
+	limits.Pace.MaxWindow = d.count(block.SessionQueue, 1, 1<<16, limits.Pace.MaxWindow)
+	limits.Pace.MaxBound = d.count(block.InFlight, 1, 1<<16, limits.Pace.MaxBound)
+	limits.Pace.InitialBound = min(limits.Pace.InitialBound, limits.Pace.MaxBound)
 	limits.Unread = int(d.bytes(block.UnsentBytes, 64<<10, 1<<30, int64(limits.Unread)))
-	limits.Wire.MaxUnsent = max(limits.Wire.MaxUnsent, limits.Unread+2*limits.Pace.Bytes)
+	limits.Wire.MaxUnsent = max(limits.Wire.MaxUnsent, limits.Unread+2*limits.Pace.MaxBytes)
 	shownBy := map[string]string{} // which logical unit shows a file, by the file's path
 	for _, targetBlock := range block.Targets {
 		disks.Targets = append(disks.Targets, d.target(&targetBlock, config, shownBy))
@@ -52,7 +52,7 @@
 				"A CHAP secret has at least %d bytes (RFC 7143, 9.2.1), and each side has its own.", minSecretBytes)
 		}
 		t.Account = negotiate.Account{Name: chap.Name, Secret: chap.Secret,
-			OurName: chap.TargetName, OurSecret: chap.TargetSecret}
+			TargetName: chap.TargetName, TargetSecret: chap.TargetSecret}
 	}
 	for _, lunBlock := range block.LUNs {
 		number, err := strconv.ParseUint(lunBlock.Number, 10, lunBits)
--- a/internal/config/gateway.go
+++ b/internal/config/gateway.go
@@ -37,8 +37,8 @@
 	d.capture(block.Capture, c)
 	c.AdminSocket = block.AdminSocket
 	c.Units = front.Units{
-		Bytes: float64(d.bytes(blocks.Units.BytesPerUnit, 1, 1<<30, 16<<10)),
-		Least: d.number(blocks.Units.Minimum, 1e-3, 1e6, 0.25),
+		Bytes:   float64(d.bytes(blocks.Units.BytesPerUnit, 1, 1<<30, 16<<10)),
+		Minimum: d.number(blocks.Units.Minimum, 1e-3, 1e6, 0.25),
 	}
 	c.Settings = scheduler.Settings{"number": "0", "discovery": "told", "tells.others": "true"}
 	c.Settings["gateways"] = strconv.Itoa(d.count(block.GatewayCount, 1, 1<<20, 1))
--- a/internal/config/scheduling.go
+++ b/internal/config/scheduling.go
@@ -134,12 +134,12 @@
 	}
 	class := &RequestClass{LatencyObjective: d.duration(block.LatencyObjective, time.Millisecond, time.Hour, time.Second)}
 	class.Name = block.Name
-	class.Kind = uint8(idempotencies[idempotency])
-	class.InTurn = block.Ordered
-	class.Patience = d.duration(block.ClientTimeout, time.Millisecond, time.Hour, time.Second)
-	if class.Patience < class.LatencyObjective {
+	class.Idempotency = uint8(idempotencies[idempotency])
+	class.Ordered = block.Ordered
+	class.Timeout = d.duration(block.ClientTimeout, time.Millisecond, time.Hour, time.Second)
+	if class.Timeout < class.LatencyObjective {
 		d.reject(block.ClientTimeout.Range(), "Patience under the goal",
-			"A client that waits %v cannot have its answer after %v.", class.Patience, class.LatencyObjective)
+			"A client that waits %v cannot have its answer after %v.", class.Timeout, class.LatencyObjective)
 	}
 	class.DedupWindow = d.duration(block.DedupWindow, 0, time.Hour, 0)
 	if idempotency == wordKeyed && class.DedupWindow == 0 {
@@ -152,9 +152,9 @@
 	set("kind", idempotency)
 	set("group", scope)
 	set("goal", formatMillis(class.LatencyObjective))
-	set("patience", formatMillis(class.Patience))
+	set("patience", formatMillis(class.Timeout))
 	set("window", formatMillis(class.DedupWindow))
-	set("in_turn", strconv.FormatBool(class.InTurn))
+	set("in_turn", strconv.FormatBool(class.Ordered))
 }
 
 // dedupScope is the dedup scope of a request class; empty where there is no such class.
--- a/internal/config/volumes.go
+++ b/internal/config/volumes.go
@@ -68,11 +68,11 @@
 // volumeRules reads which requests of a volume are of which class. Each operation has a rule that fits all of its
 // requests.
 func (d *decoder) volumeRules(block *volumeBlock, volume *front.Volume, config *Config) {
-	covered := map[front.Sort]bool{}
+	covered := map[front.OperationKind]bool{}
 	for _, rule := range block.Rules {
 		d.volumeRule(&rule, volume, config, covered)
 	}
-	for _, operation := range []front.Sort{front.Read, front.Write, front.Look, front.Change} {
+	for _, operation := range []front.OperationKind{front.Read, front.Write, front.Lookup, front.Change} {
 		if !covered[operation] {
 			d.reject(block.Range, "Operations without a product",
 				"Volume %q has no product block for %q without match and larger.", block.Name, operation)
@@ -81,40 +81,40 @@
 }
 
 func (d *decoder) volumeRule(
-	block *volumeRuleBlock, volume *front.Volume, config *Config, covered map[front.Sort]bool,
+	block *volumeRuleBlock, volume *front.Volume, config *Config, covered map[front.OperationKind]bool,
 ) {
 	class := config.RequestClasses[block.RequestClass]
 	if class == nil {
 		d.reject(block.Range, "No such product", "There is no product %q.", block.RequestClass)
 		return
 	}
-	rule := front.Rule{Match: block.Match, Larger: uint64(d.bytes(block.LargerThan, 0, 1<<40, 0)), Product: &class.Product}
+	rule := front.Rule{Match: block.Match, LargerThan: uint64(d.bytes(block.LargerThan, 0, 1<<40, 0)), Class: &class.RequestClass}
 	if _, err := path.Match(block.Match, "x"); err != nil {
 		d.reject(block.Range, "Bad pattern", "%q: %v.", block.Match, err)
 	}
 	for _, word := range block.Operations {
-		operation := front.Sort(word)
+		operation := front.OperationKind(word)
 		d.checkIdempotency(block, operation, class, config)
-		if rule.Match == "" && rule.Larger == 0 {
+		if rule.Match == "" && rule.LargerThan == 0 {
 			covered[operation] = true
 		}
-		rule.Sorts = append(rule.Sorts, operation)
+		rule.Kinds = append(rule.Kinds, operation)
 	}
 	volume.Rules = append(volume.Rules, rule)
 }
 
 // checkIdempotency rejects a class that promises another effect of repeats than the operation has.
-func (d *decoder) checkIdempotency(block *volumeRuleBlock, operation front.Sort, class *RequestClass, config *Config) {
+func (d *decoder) checkIdempotency(block *volumeRuleBlock, operation front.OperationKind, class *RequestClass, config *Config) {
 	const summary = "Kind does not fit"
-	idempotency := scheduler.Idempotency(class.Kind)
+	idempotency := scheduler.Idempotency(class.Idempotency)
 	switch operation {
-	case front.Read, front.Look:
+	case front.Read, front.Lookup:
 		if idempotency != scheduler.Idempotent {
 			d.reject(block.Range, summary,
 				"%q operations change nothing, so product %q has to be replayable.", operation, class.Name)
 		}
 	case front.Write:
-		if idempotency != scheduler.Idempotent || !class.InTurn {
+		if idempotency != scheduler.Idempotent || !class.Ordered {
 			d.reject(block.Range, summary,
 				"%q operations put bytes at their place: product %q has to be replayable and in_turn, "+
 					"so that an old write never comes after a new one.", operation, class.Name)
--- a/internal/day/client.go
+++ b/internal/day/client.go
@@ -93,16 +93,16 @@
 
 // class returns the request class of operations that are served as one request. The first names it; the longest
 // objective and timeout hold.
-func (c *client) class(sorts ...front.Sort) requestClass {
+func (c *client) class(sorts ...front.OperationKind) requestClass {
 	var class requestClass
 	for i, sort := range sorts {
 		path := layout.Path{Volume: c.plan.Volume, Rel: c.files[0]}
-		configured := c.volume.Product(sort, path, uint64(c.plan.Bytes*c.plan.Blocks))
+		configured := c.volume.ClassOf(sort, path, uint64(c.plan.Bytes*c.plan.Blocks))
 		if i == 0 {
 			class.name = configured.Name
 		}
 		class.objective = max(class.objective, c.config.RequestClasses[configured.Name].LatencyObjective)
-		class.timeout = max(class.timeout, configured.Patience)
+		class.timeout = max(class.timeout, configured.Timeout)
 	}
 	return class
 }
@@ -179,7 +179,7 @@
 	case OperationRead, OperationDiskRead:
 		return c.class(front.Read).objective
 	case OperationStat:
-		return c.class(front.Look).objective
+		return c.class(front.Lookup).objective
 	case OperationCreate: // open, write and close each have their objective
 		return c.class(front.Write).objective + 2*c.class(front.Change).objective
 	default:
--- a/internal/day/disk_client.go
+++ b/internal/day/disk_client.go
@@ -89,7 +89,7 @@
 		Address: c.targetAddress(),
 		Name:    iscsiPrefix + c.name,
 		Target:  diskTarget,
-		Saw:     c.recordDiskEvent,
+		OnEvent: c.recordDiskEvent,
 	})
 	if err != nil {
 		return err
@@ -149,7 +149,7 @@
 	}
 }
 
-func sortOfCommand(operation byte) front.Sort {
+func sortOfCommand(operation byte) front.OperationKind {
 	switch operation {
 	case opRead10:
 		return front.Read
--- a/internal/day/file_client.go
+++ b/internal/day/file_client.go
@@ -17,7 +17,7 @@
 
 // roundTrip does one request and waits for its answer.
 func (c *client) roundTrip(
-	connection *connection, packetType sftp.Type, fields func(*sftp.Packet), sorts ...front.Sort,
+	connection *connection, packetType sftp.Type, fields func(*sftp.Packet), sorts ...front.OperationKind,
 ) response {
 	return <-connection.send(packetType, c.class(sorts...), fields)
 }
@@ -26,7 +26,7 @@
 func (c *client) openFile(connection *connection, path string, flags uint32) (handle string, err error) {
 	opened := c.roundTrip(connection, sftp.Open, func(packet *sftp.Packet) {
 		packet.Text(path).Uint32(flags).Attrs(sftp.Attrs{})
-	}, front.Change, front.Look)
+	}, front.Change, front.Lookup)
 	if err := opened.failure(); err != nil {
 		return "", err
 	}
@@ -72,7 +72,7 @@
 	}
 	synced := c.roundTrip(connection, sftp.Extended, func(packet *sftp.Packet) {
 		packet.Text(syncExtension).Text(handle)
-	}, front.Change, front.Look)
+	}, front.Change, front.Lookup)
 	return synced.failure()
 }
 
@@ -103,7 +103,7 @@
 	offset := uint64(request.block * c.plan.Bytes)
 	switch c.plan.Operation {
 	case OperationRead:
-		return connection.send(sftp.Read, c.class(front.Read, front.Look), func(packet *sftp.Packet) {
+		return connection.send(sftp.Read, c.class(front.Read, front.Lookup), func(packet *sftp.Packet) {
 			packet.Text(handle).Uint64(offset).Uint32(uint32(c.plan.Bytes))
 		})
 	case OperationWrite:
@@ -111,7 +111,7 @@
 			packet.Text(handle).Uint64(offset).Tail(request.data)
 		})
 	default: // OperationStat
-		return connection.send(sftp.Stat, c.class(front.Look, front.Change), func(packet *sftp.Packet) {
+		return connection.send(sftp.Stat, c.class(front.Lookup, front.Change), func(packet *sftp.Packet) {
 			packet.Text("/" + c.plan.Volume + "/" + c.files[0])
 		})
 	}
@@ -143,7 +143,7 @@
 	}, front.Write)
 	closeResult := c.roundTrip(connection, sftp.Close, func(packet *sftp.Packet) {
 		packet.Text(handle)
-	}, front.Change, front.Look)
+	}, front.Change, front.Lookup)
 	if err := writeResult.failure(); err != nil {
 		return err
 	}
--- a/internal/front/block.go
+++ b/internal/front/block.go
@@ -52,8 +52,8 @@
 // EndRequest ends a request that BeginRequest has counted.
 func (f *Front) EndRequest() { f.inFlight.end() }
 
-// Stopping tells whether the gateway is draining and takes no new requests.
-func (f *Front) Stopping() bool { return f.draining.Load() }
+// Draining tells whether the gateway is draining and takes no new requests.
+func (f *Front) Draining() bool { return f.draining.Load() }
 
 func (c *Client) task(number uint32) *task {
 	return &task{
--- a/internal/front/commit.go
+++ b/internal/front/commit.go
@@ -134,7 +134,7 @@
 	if cut%extentSize == 0 {
 		return nil
 	}
-	class := file.volume.Product(Write, file.path, oldSize)
+	class := file.volume.ClassOf(Write, file.path, oldSize)
 	index := cut / extentSize
 	end := min(oldSize, (index+1)*extentSize)
 	for offset := cut; offset < end; {
--- a/internal/front/directory.go
+++ b/internal/front/directory.go
@@ -193,7 +193,7 @@
 			continue
 		}
 		shards = append(shards, shard)
-		results = append(results, t.submit(volume, volume.Product(Look, path, 0), t.front.options.Units.Of(0), 0, node.Call{
+		results = append(results, t.submit(volume, volume.ClassOf(Lookup, path, 0), t.front.options.Units.Of(0), 0, node.Call{
 			Op:     node.ListRecords,
 			Name:   path.String(),
 			Owner:  listing.lastName[shard],
--- a/internal/front/disk.go
+++ b/internal/front/disk.go
@@ -31,9 +31,9 @@
 	return (l.exclusive || other.exclusive) && l.from < other.to && other.from < l.to
 }
 
-// Disk opens the file of a path as a disk of a size in bytes, and creates it where there is none. It fails where the
+// OpenDisk opens the file of a path as a disk of a size in bytes, and creates it where there is none. It fails where the
 // file is longer, as its end would not be seen. The caller closes the disk.
-func (f *Front) Disk(path string, size uint64) (*Disk, error) {
+func (f *Front) OpenDisk(path string, size uint64) (*Disk, error) {
 	filePath, failure := parsePath(path)
 	if failure != nil {
 		return nil, failure
@@ -80,7 +80,7 @@
 // lockRange locks bytes, waiting for conflicting locks at most to the task's deadline.
 func (d *Disk) lockRange(t *task, from, to uint64, exclusive bool) (*rangeLock, *failure) {
 	lock := &rangeLock{from: from, to: to, exclusive: exclusive, released: make(chan struct{})}
-	class := d.file.volume.Product(Write, d.file.path, d.size)
+	class := d.file.volume.ClassOf(Write, d.file.path, d.size)
 	for {
 		conflicting := d.tryLock(lock)
 		if conflicting == nil {
--- a/internal/front/file.go
+++ b/internal/front/file.go
@@ -151,7 +151,7 @@
 }
 
 // allocatedExtent returns the extent of an index, once its first write is over if one is in flight.
-func (t *task) allocatedExtent(file *openFile, class *Product, index int) (layout.Extent, *failure) {
+func (t *task) allocatedExtent(file *openFile, class *RequestClass, index int) (layout.Extent, *failure) {
 	for {
 		file.lock.Lock()
 		extent, allocated := file.extentAt(index), file.allocating[index]
--- a/internal/front/golden_test.go
+++ b/internal/front/golden_test.go
@@ -244,14 +244,14 @@
 // disk runs the requests of a disk's client.
 func (b *bench) disk() {
 	b.t.Helper()
-	disk, err := b.front.Disk("/meals/disk", 256<<10)
+	disk, err := b.front.OpenDisk("/meals/disk", 256<<10)
 	if err != nil {
 		b.t.Fatal(err)
 	}
 	b.note("disk", fmt.Sprint(disk.ExtentSize()))
-	_, err = b.front.Disk("/meals/disk", 128<<10)
+	_, err = b.front.OpenDisk("/meals/disk", 128<<10)
 	b.note("disk smaller than the file", fmt.Sprint(err))
-	_, err = b.front.Disk("/other/disk", 128<<10)
+	_, err = b.front.OpenDisk("/other/disk", 128<<10)
 	b.note("disk of no volume", fmt.Sprint(err))
 	client := b.front.NewClient()
 	b.note("client", client.Name())
--- a/internal/front/options.go
+++ b/internal/front/options.go
@@ -11,38 +11,38 @@
 	"irispost/internal/sftp"
 )
 
-// Sort is the kind of an operation in the rules that choose its request class.
-type Sort string
+// OperationKind is the kind of an operation in the rules that choose its request class.
+type OperationKind string
 
 // The kinds of operations, by their names in the configuration.
 const (
-	Read   Sort = "read"   // reads bytes of a file
-	Write  Sort = "write"  // writes bytes of a file
-	Look   Sort = "look"   // reads a record, or lists a directory
-	Change Sort = "change" // changes a record
+	Read   OperationKind = "read"   // reads bytes of a file
+	Write  OperationKind = "write"  // writes bytes of a file
+	Lookup OperationKind = "look"   // reads a record, or lists a directory
+	Change OperationKind = "change" // changes a record
 )
 
-// Product is a request class as far as the front end needs it.
-type Product struct {
-	Name     string
-	Kind     uint8         // idempotency, as in node.Call
-	Patience time.Duration // from a client's request to its deadline
-	InTurn   bool          // requests with one ordering key run one at a time
+// RequestClass is a request class as far as the front end needs it.
+type RequestClass struct {
+	Name        string
+	Idempotency uint8         // idempotency, as in node.Call
+	Timeout     time.Duration // from a client's request to its deadline
+	Ordered     bool          // requests with one ordering key run one at a time
 }
 
 // Rule chooses the request class of some operations on a volume. The first rule that matches counts.
 type Rule struct {
-	Sorts   []Sort
-	Match   string // a pattern (package path) for the path in the volume, or for its last name; empty: all
-	Larger  uint64 // only files of more bytes; 0: all
-	Product *Product
+	Kinds      []OperationKind
+	Match      string // a pattern (package path) for the path in the volume, or for its last name; empty: all
+	LargerThan uint64 // only files of more bytes; 0: all
+	Class      *RequestClass
 }
 
-func (r *Rule) matches(kind Sort, file layout.Path, size uint64) bool {
-	if r.Larger != 0 && size <= r.Larger {
+func (r *Rule) matches(kind OperationKind, file layout.Path, size uint64) bool {
+	if r.LargerThan != 0 && size <= r.LargerThan {
 		return false
 	}
-	return r.matchesName(file) && slices.Contains(r.Sorts, kind)
+	return r.matchesName(file) && slices.Contains(r.Kinds, kind)
 }
 
 // matchesName ignores malformed patterns, which the configuration does not let through.
@@ -64,24 +64,24 @@
 	Rules []Rule // never empty; the last ones match everything
 }
 
-// Product returns the request class of an operation on a file of a size in bytes.
-func (v *Volume) Product(kind Sort, file layout.Path, size uint64) *Product {
+// ClassOf returns the request class of an operation on a file of a size in bytes.
+func (v *Volume) ClassOf(kind OperationKind, file layout.Path, size uint64) *RequestClass {
 	for i := range v.Rules {
 		if v.Rules[i].matches(kind, file, size) {
-			return v.Rules[i].Product
+			return v.Rules[i].Class
 		}
 	}
-	return v.Rules[len(v.Rules)-1].Product
+	return v.Rules[len(v.Rules)-1].Class
 }
 
 // Units says how many units a request of some bytes counts for.
 type Units struct {
-	Bytes float64 // of one unit
-	Least float64 // units of the smallest request
+	Bytes   float64 // of one unit
+	Minimum float64 // units of the smallest request
 }
 
 // Of returns the units of a number of bytes.
-func (u Units) Of(bytes int) float64 { return max(u.Least, float64(bytes)/u.Bytes) }
+func (u Units) Of(bytes int) float64 { return max(u.Minimum, float64(bytes)/u.Bytes) }
 
 // Limits bound what clients may hold.
 type Limits struct {
--- a/internal/front/read.go
+++ b/internal/front/read.go
@@ -56,7 +56,7 @@
 // submitReads submits a read for each piece that lies in an object, and returns their results; those of holes are nil.
 // All extents are known before the first is submitted, so that none is in flight when this fails.
 func (t *task) submitReads(file *openFile, size uint64, pieces []layout.Piece) ([]<-chan gateway.Result, *failure) {
-	class := file.volume.Product(Read, file.path, size)
+	class := file.volume.ClassOf(Read, file.path, size)
 	extents := make([]layout.Extent, len(pieces))
 	for i, piece := range pieces {
 		extent, err := t.allocatedExtent(file, class, piece.ExtentIndex)
--- a/internal/front/record.go
+++ b/internal/front/record.go
@@ -30,7 +30,7 @@
 
 // fetchRecord reads a record in whatever state it is.
 func (t *task) fetchRecord(volume *Volume, path layout.Path) (*layout.Record, *failure) {
-	reply, err := t.execute(volume, volume.Product(Look, path, 0), t.front.options.Units.Of(0), 0, node.Call{
+	reply, err := t.execute(volume, volume.ClassOf(Lookup, path, 0), t.front.options.Units.Of(0), 0, node.Call{
 		Op:    node.GetRecord,
 		Name:  path.String(),
 		Shard: path.HomeShard(t.front.options.Shards),
@@ -68,7 +68,7 @@
 		next.ChangeID = changeID
 		call.Data = next.Encode()
 	}
-	reply, err := t.execute(volume, volume.Product(Change, path, 0), t.front.options.Units.Of(len(call.Data)), 0, call)
+	reply, err := t.execute(volume, volume.ClassOf(Change, path, 0), t.front.options.Units.Of(len(call.Data)), 0, call)
 	if err != nil {
 		return nil, false, err
 	}
@@ -186,7 +186,7 @@
 }
 
 func (t *task) deleteObject(volume *Volume, path layout.Path, extent layout.Extent) *failure {
-	class := volume.Product(Write, path, 0)
+	class := volume.ClassOf(Write, path, 0)
 	_, err := t.execute(volume, class, t.front.options.Units.Of(0), orderingKey(extent.Object), node.Call{
 		Op:    node.DeleteObject,
 		Name:  extent.Object,
--- a/internal/front/request.go
+++ b/internal/front/request.go
@@ -44,7 +44,7 @@
 	state        requestState
 	accesses     map[layout.Path]*rangeAccess
 	predecessors []<-chan struct{} // each closed when an earlier request that this one waits for has its answer
-	class        *Product          // bounds the wait for predecessors; nil at the root of all volumes
+	class        *RequestClass     // bounds the wait for predecessors; nil at the root of all volumes
 }
 
 func newRequest(s *session, id uint32) *request {
@@ -61,10 +61,10 @@
 }
 
 // orderRange puts a request in order after earlier ones for the same bytes of a path.
-func (r *request) orderRange(path layout.Path, from, to uint64, write bool, kind Sort) {
+func (r *request) orderRange(path layout.Path, from, to uint64, write bool, kind OperationKind) {
 	s := r.session
 	if volume := s.front.options.Volumes[path.Volume]; volume != nil {
-		r.class = volume.Product(kind, path, 0)
+		r.class = volume.ClassOf(kind, path, 0)
 	}
 	access := &rangeAccess{from: from, to: to, write: write, done: make(chan struct{})}
 	s.lock.Lock()
@@ -80,7 +80,7 @@
 
 // orderPath puts a request in order after earlier ones for any byte of a path.
 func (r *request) orderPath(path layout.Path, write bool) {
-	kind := Look
+	kind := Lookup
 	if write {
 		kind = Change
 	}
--- a/internal/front/sweep.go
+++ b/internal/front/sweep.go
@@ -52,7 +52,7 @@
 
 // listObjects lists the next objects of a shard after a name.
 func (t *task) listObjects(volume *Volume, shard int, after string) ([]node.ListItem, error) {
-	class := volume.Product(Look, layout.Path{Volume: volume.Name}, 0)
+	class := volume.ClassOf(Lookup, layout.Path{Volume: volume.Name}, 0)
 	reply, err := t.execute(volume, class, t.front.options.Units.Of(0), 0, node.Call{
 		Op:     node.ListObjects,
 		Shard:  shard,
--- a/internal/front/task.go
+++ b/internal/front/task.go
@@ -24,12 +24,12 @@
 
 // submit hands a request to the event loop. The deadline of a client's counts from the task's arrival, that of
 // background work from now. A key of 0 is none.
-func (t *task) submit(volume *Volume, class *Product, units float64, key uint64, call node.Call) <-chan gateway.Result {
+func (t *task) submit(volume *Volume, class *RequestClass, units float64, key uint64, call node.Call) <-chan gateway.Result {
 	waitsFrom := t.arrived
 	if t.gatewaySession == nil {
 		waitsFrom = t.front.options.Loop.Now()
 	}
-	if !class.InTurn {
+	if !class.Ordered {
 		key = 0
 	}
 	if call.Op == node.CompareAndSwapRecord && call.IdempotencyKey == "" {
@@ -41,15 +41,15 @@
 		Units:         units,
 		Key:           int64(key >> 1),
 		HasKey:        key != 0,
-		Deadline:      waitsFrom + int64(class.Patience),
-		Idempotency:   class.Kind,
+		Deadline:      waitsFrom + int64(class.Timeout),
+		Idempotency:   class.Idempotency,
 		ClientRequest: t.requestID,
 		Call:          call,
 	})
 }
 
 // execute submits a request to the event loop and waits for its result.
-func (t *task) execute(volume *Volume, class *Product, units float64, key uint64, call node.Call) (
+func (t *task) execute(volume *Volume, class *RequestClass, units float64, key uint64, call node.Call) (
 	node.Reply, *failure) {
 	return t.replyOf(<-t.submit(volume, class, units, key, call), call.Op)
 }
@@ -78,7 +78,7 @@
 }
 
 // waitFor waits until a step of another task is done, at most to the deadline of a request of the class.
-func (t *task) waitFor(done <-chan struct{}, class *Product) *failure {
+func (t *task) waitFor(done <-chan struct{}, class *RequestClass) *failure {
 	select {
 	case <-done:
 		return nil
@@ -88,7 +88,7 @@
 		<-done
 		return nil
 	}
-	timer := time.NewTimer(time.Duration(t.arrived + int64(class.Patience) - t.front.options.Loop.Now()))
+	timer := time.NewTimer(time.Duration(t.arrived + int64(class.Timeout) - t.front.options.Loop.Now()))
 	defer timer.Stop()
 	select {
 	case <-done:
@@ -100,5 +100,5 @@
 
 // beforeDeadline tells whether a task may retry its change of a record on top of others' changes.
 func (t *task) beforeDeadline(volume *Volume, path layout.Path) bool {
-	return t.front.options.Loop.Now() < t.arrived+int64(volume.Product(Change, path, 0).Patience)
+	return t.front.options.Loop.Now() < t.arrived+int64(volume.ClassOf(Change, path, 0).Timeout)
 }
--- a/internal/front/write.go
+++ b/internal/front/write.go
@@ -21,7 +21,7 @@
 		return failuref(sftp.Failure, "a file ends at 2^50 bytes at most")
 	}
 	pieces := layout.SplitByExtent(offset, len(data), extentSize)
-	class := file.volume.Product(Write, file.path, max(size, end))
+	class := file.volume.ClassOf(Write, file.path, max(size, end))
 	if err := t.writePieces(file, class, pieces, data); err != nil {
 		return err
 	}
@@ -34,7 +34,7 @@
 
 // writePieces writes all pieces, the last one on the caller's goroutine. Its failure says whether any of them may have
 // been written.
-func (t *task) writePieces(file *openFile, class *Product, pieces []layout.Piece, data []byte) *failure {
+func (t *task) writePieces(file *openFile, class *RequestClass, pieces []layout.Piece, data []byte) *failure {
 	results := make(chan *failure, len(pieces))
 	last := len(pieces) - 1
 	for i, piece := range pieces {
@@ -62,7 +62,7 @@
 
 // writePiece writes the piece in one extent. The first write of an extent makes a new object, which may go to any
 // node; later ones wait until it is known where it is.
-func (t *task) writePiece(file *openFile, class *Product, piece layout.Piece, data []byte) *failure {
+func (t *task) writePiece(file *openFile, class *RequestClass, piece layout.Piece, data []byte) *failure {
 	for {
 		file.lock.Lock()
 		extent, allocated := file.extentAt(piece.ExtentIndex), file.allocating[piece.ExtentIndex]
@@ -84,7 +84,7 @@
 }
 
 // writeExtent writes in place to an extent that has an object.
-func (t *task) writeExtent(file *openFile, class *Product, extent layout.Extent, piece layout.Piece,
+func (t *task) writeExtent(file *openFile, class *RequestClass, extent layout.Extent, piece layout.Piece,
 	data []byte) *failure {
 	units := t.front.options.Units.Of(len(data))
 	reply, err := t.execute(file.volume, class, units, orderingKey(extent.Object), node.Call{
@@ -104,7 +104,7 @@
 
 // allocateExtent makes an extent's object with its first write. A name is used for one attempt only: an object that
 // may have been made is never used.
-func (t *task) allocateExtent(file *openFile, class *Product, piece layout.Piece, data []byte) *failure {
+func (t *task) allocateExtent(file *openFile, class *RequestClass, piece layout.Piece, data []byte) *failure {
 	object := t.front.uniqueName()
 	reply, err := t.execute(file.volume, class, t.front.options.Units.Of(len(data)), orderingKey(object), node.Call{
 		Op:     node.PutObject,
--- a/internal/iscsi/initiator/disk.go
+++ b/internal/iscsi/initiator/disk.go
@@ -15,17 +15,17 @@
 // Errors of disks.
 var (
 	ErrUnknown    = errors.New("iscsi: it may have been done in part or not at all")
-	ErrDifferent  = errors.New("iscsi: the blocks hold something else")
+	ErrMiscompare = errors.New("iscsi: the blocks hold something else")
 	ErrBusy       = errors.New("iscsi: the target is busy, trying again is harmless")
 	ErrOutOfRange = errors.New("iscsi: past the end of the disk")
 )
 
 // Retry says how long a disk retries.
 type Retry struct {
-	For   time.Duration // from a request's beginning; 0: 30 s
-	Least time.Duration // first backoff after BUSY, or before a reconnect; doubled each time; 0: 20 ms
-	Most  time.Duration // longest backoff; 0: 1 s
-	Once  bool          // writes are retried only where they never ran: for blocks that others write as well, see Disk
+	Timeout          time.Duration // from a request's beginning; 0: 30 s
+	MinBackoff       time.Duration // first backoff after BUSY, or before a reconnect; doubled each time; 0: 20 ms
+	MaxBackoff       time.Duration // longest backoff; 0: 1 s
+	NoRepeatedWrites bool          // writes are retried only where they never ran: for blocks that others write as well, see Disk
 }
 
 // Defaults of Retry.
@@ -62,9 +62,9 @@
 
 // Open opens a unit, and waits until it is ready.
 func Open(ctx context.Context, options Options, lun uint16, retry Retry) (*Disk, error) {
-	retry.For = cmp.Or(retry.For, defaultRetryFor)
-	retry.Least = cmp.Or(retry.Least, defaultMinBackoff)
-	retry.Most = cmp.Or(retry.Most, defaultMaxBackoff)
+	retry.Timeout = cmp.Or(retry.Timeout, defaultRetryFor)
+	retry.MinBackoff = cmp.Or(retry.MinBackoff, defaultMinBackoff)
+	retry.MaxBackoff = cmp.Or(retry.MaxBackoff, defaultMaxBackoff)
 	d := &Disk{options: options, retry: retry, lun: lun}
 	inquiry, err := d.command(ctx, newCDB(opInquiry, 0, 0, 0, 255), nil, 255, true)
 	if err != nil {
@@ -186,7 +186,7 @@
 	for done < len(p) {
 		length := min(len(p)-done, d.maxTransfer)
 		cdb := blockCDB(opWrite16, d.lba(offset+int64(done)), length/int(d.Block))
-		if _, err := d.command(ctx, cdb, p[done:done+length], 0, !d.retry.Once); err != nil {
+		if _, err := d.command(ctx, cdb, p[done:done+length], 0, !d.retry.NoRepeatedWrites); err != nil {
 			return done, err
 		}
 		done += length
--- a/internal/iscsi/initiator/example_test.go
+++ b/internal/iscsi/initiator/example_test.go
@@ -18,7 +18,7 @@
 		Name:    "iqn.2026-01.example:host",
 		Target:  "iqn.2026-01.example:orders",
 		Account: negotiate.Account{Name: "host", Secret: "twelve bytes or more"},
-	}, 0, initiator.Retry{Once: true})
+	}, 0, initiator.Retry{NoRepeatedWrites: true})
 	if err != nil {
 		log.Fatal(err)
 	}
@@ -29,7 +29,7 @@
 	}
 	next := append([]byte("changed"), old[7:]...)
 	switch err := disk.Compare(ctx, old, next, 0); {
-	case errors.Is(err, initiator.ErrDifferent):
+	case errors.Is(err, initiator.ErrMiscompare):
 		fmt.Println("somebody else was first")
 	case errors.Is(err, initiator.ErrUnknown):
 		fmt.Println("read the block to know")
--- a/internal/iscsi/initiator/golden_test.go
+++ b/internal/iscsi/initiator/golden_test.go
@@ -171,8 +171,8 @@
 		{"session", nil, runSession},
 		{"CHAP", func(o *initiator.Options) {
 			o.Target = "iqn.2026-01.example:secret"
-			o.Account = negotiate.Account{Name: "host", Secret: "a secret of a host", OurName: "meals",
-				OurSecret: "another one, ours"}
+			o.Account = negotiate.Account{Name: "host", Secret: "a secret of a host", TargetName: "meals",
+				TargetSecret: "another one, ours"}
 		}, runDisk},
 		{"no secret", func(o *initiator.Options) { o.Target = "iqn.2026-01.example:secret" }, runDisk},
 		{"no such target", func(o *initiator.Options) { o.Target = "iqn.2026-01.example:none" }, runDisk},
@@ -200,7 +200,7 @@
 	for target, luns := range map[string][]uint16{"iqn.2026-01.example:open": {0, 3}, "iqn.2026-01.example:secret": {0}} {
 		for _, lun := range luns {
 			o := initiator.Options{Address: portal, Name: "iqn.2026-01.example:other", Target: target, Account: account}
-			disk, err := initiator.Open(t.Context(), o, lun, initiator.Retry{For: time.Minute})
+			disk, err := initiator.Open(t.Context(), o, lun, initiator.Retry{Timeout: time.Minute})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -229,7 +229,7 @@
 func runUnit(t *testing.T, o initiator.Options, lun uint16) string {
 	t.Helper()
 	ctx := t.Context()
-	disk, err := initiator.Open(ctx, o, lun, initiator.Retry{For: time.Minute})
+	disk, err := initiator.Open(ctx, o, lun, initiator.Retry{Timeout: time.Minute})
 	if err != nil {
 		return err.Error()
 	}
--- a/internal/iscsi/initiator/login.go
+++ b/internal/iscsi/initiator/login.go
@@ -184,8 +184,8 @@
 	response := negotiate.CHAPResponse(byte(id), account.Secret, challenge)
 	pairs := []iscsi.Pair{{Key: "CHAP_N", Value: account.Name}, {Key: "CHAP_R", Value: negotiate.EncodeBinary(response)}}
 	var ownChallenge []byte
-	if account.OurSecret != "" {
-		ownChallenge = newChallenge(byte(id), account.OurSecret, challenge)
+	if account.TargetSecret != "" {
+		ownChallenge = newChallenge(byte(id), account.TargetSecret, challenge)
 		pairs = append(pairs,
 			iscsi.Pair{Key: "CHAP_I", Value: strconv.Itoa(ownChallengeID)},
 			iscsi.Pair{Key: "CHAP_C", Value: negotiate.EncodeBinary(ownChallenge)})
@@ -195,7 +195,7 @@
 		return false, err
 	}
 	if ownChallenge != nil {
-		want := negotiate.CHAPResponse(ownChallengeID, account.OurSecret, ownChallenge)
+		want := negotiate.CHAPResponse(ownChallengeID, account.TargetSecret, ownChallenge)
 		if answer.keys["CHAP_R"] != negotiate.EncodeBinary(want) {
 			return false, errNotAuthenticated
 		}
--- a/internal/iscsi/initiator/options.go
+++ b/internal/iscsi/initiator/options.go
@@ -26,10 +26,10 @@
 	ISID    [6]byte // tells sessions of one initiator apart; the same reinstates a session
 	Account negotiate.Account
 	Digests bool
-	Within  time.Duration // for connecting and logging in; 0: 10 s
+	Timeout time.Duration // for connecting and logging in; 0: 10 s
 	Segment int           // bytes of data taken in a PDU; 0: 256 KiB
 	Solicit bool          // no data is sent before it is asked for
-	Saw     func(Event)   // called with commands and their answers, in their order; it must not wait. nil: nobody
+	OnEvent func(Event)   // called with commands and their answers, in their order; it must not wait. nil: nobody
 }
 
 // Event is a command that was sent or answered, or the loss of a session.
--- a/internal/iscsi/initiator/retry.go
+++ b/internal/iscsi/initiator/retry.go
@@ -22,9 +22,9 @@
 // command has a command executed until its answer is final or its time is up. repeatable: to repeat it is harmless,
 // whatever became of it.
 func (d *Disk) command(ctx context.Context, cdb, out []byte, in int, repeatable bool) (Reply, error) {
-	ctx, cancel := context.WithTimeout(ctx, d.retry.For)
+	ctx, cancel := context.WithTimeout(ctx, d.retry.Timeout)
 	defer cancel()
-	for backoff := d.retry.Least; ; backoff = min(2*backoff, d.retry.Most) {
+	for backoff := d.retry.MinBackoff; ; backoff = min(2*backoff, d.retry.MaxBackoff) {
 		reply, sent, err := d.execute(ctx, cdb, out, in)
 		switch {
 		case isOwnFault(err):
@@ -75,7 +75,7 @@
 	case sense == nil:
 		return verdictRetryIfRepeatable, fmt.Errorf("%w: status %#02x", ErrUnknown, byte(reply.Status))
 	case sense.Key == scsi.Miscompare.Key:
-		return verdictFinal, ErrDifferent
+		return verdictFinal, ErrMiscompare
 	case sense.Key == scsi.LBAOutOfRange.Key && sense.Code == scsi.LBAOutOfRange.Code:
 		return verdictFinal, ErrOutOfRange
 	case sense.Key == scsi.BecomingReady.Key && sense.Qualifier == scsi.BecomingReady.Qualifier:
--- a/internal/iscsi/initiator/session.go
+++ b/internal/iscsi/initiator/session.go
@@ -56,13 +56,13 @@
 
 // Dial connects and logs in. An empty target makes a discovery session.
 func Dial(ctx context.Context, options Options) (*Session, error) {
-	if options.Within == 0 {
-		options.Within = defaultDialTimeout
+	if options.Timeout == 0 {
+		options.Timeout = defaultDialTimeout
 	}
 	if options.Segment == 0 {
 		options.Segment = defaultSegment
 	}
-	ctx, cancel := context.WithTimeout(ctx, options.Within)
+	ctx, cancel := context.WithTimeout(ctx, options.Timeout)
 	defer cancel()
 	conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", options.Address)
 	if err != nil {
@@ -188,8 +188,8 @@
 
 // report passes an event on. The caller holds the lock.
 func (s *Session) report(event Event) {
-	if s.options.Saw != nil {
-		s.options.Saw(event)
+	if s.options.OnEvent != nil {
+		s.options.OnEvent(event)
 	}
 }
 
--- a/internal/iscsi/negotiate/negotiate_test.go
+++ b/internal/iscsi/negotiate/negotiate_test.go
@@ -102,7 +102,7 @@
 
 // CHAP, one way and both; a text in parts.
 func TestCHAPOneWayAndMutual(t *testing.T) {
-	account := Account{Name: "host", Secret: "twelve chars", OurName: "disk", OurSecret: "other secret"}
+	account := Account{Name: "host", Secret: "twelve chars", TargetName: "disk", TargetSecret: "other secret"}
 	for _, mutual := range []bool{false, true} {
 		login := NewLogin(options(account))
 		first := text(append(slices.Clone(names), "AuthMethod=None,CHAP")...)
@@ -128,7 +128,7 @@
 			proof = append(proof, "CHAP_I=9", "CHAP_C=0bYWJjZGVmZ2g=")
 		}
 		out = step(t, login, Security, Operational, proof)
-		want := "CHAP_R=" + EncodeBinary(CHAPResponse(9, account.OurSecret, []byte("abcdefgh")))
+		want := "CHAP_R=" + EncodeBinary(CHAPResponse(9, account.TargetSecret, []byte("abcdefgh")))
 		if slices.Contains(lines(out.Pairs), want) != mutual {
 			t.Errorf("mutual %v: %q", mutual, lines(out.Pairs))
 		}
@@ -199,7 +199,7 @@
 
 // Our own challenge sent back authenticates nobody.
 func TestReflectedChallengeIsRejected(t *testing.T) {
-	account := Account{Name: "host", Secret: "twelve chars", OurName: "disk", OurSecret: "other secret"}
+	account := Account{Name: "host", Secret: "twelve chars", TargetName: "disk", TargetSecret: "other secret"}
 	login := NewLogin(options(account))
 	step(t, login, Security, Security, append(slices.Clone(names), "AuthMethod=CHAP"))
 	step(t, login, Security, Security, []string{"CHAP_A=5"})
--- a/internal/iscsi/negotiate/params.go
+++ b/internal/iscsi/negotiate/params.go
@@ -59,8 +59,8 @@
 
 // Account says who may log in. Without a secret, everybody may.
 type Account struct {
-	Name, Secret       string // of the initiator
-	OurName, OurSecret string // of the target, where the initiator asks it to authenticate too
+	Name, Secret             string // of the initiator
+	TargetName, TargetSecret string // of the target, where the initiator asks it to authenticate too
 }
 
 // Options are a target's side of a login.
--- a/internal/iscsi/negotiate/security.go
+++ b/internal/iscsi/negotiate/security.go
@@ -105,15 +105,15 @@
 func (l *Login) answerChallenge(pair iscsi.Pair) ([]iscsi.Pair, *Rejection) {
 	challenge, err := DecodeBinary(pair.Value)
 	inOrder := l.chap == chapAuthenticated && l.answered["CHAP_I"]
-	if err != nil || len(challenge) == 0 || len(challenge) > maxChallengeLength || !inOrder || l.account.OurSecret == "" {
+	if err != nil || len(challenge) == 0 || len(challenge) > maxChallengeLength || !inOrder || l.account.TargetSecret == "" {
 		return nil, authenticationFailure("CHAP_C cannot be answered")
 	}
 	if equalSecret(challenge, l.challenge) {
 		return nil, authenticationFailure("our own challenge is sent back")
 	}
-	response := CHAPResponse(l.id, l.account.OurSecret, challenge)
+	response := CHAPResponse(l.id, l.account.TargetSecret, challenge)
 	return []iscsi.Pair{
-		{Key: "CHAP_N", Value: l.account.OurName},
+		{Key: "CHAP_N", Value: l.account.TargetName},
 		{Key: "CHAP_R", Value: EncodeBinary(response)},
 	}, nil
 }
--- a/internal/iscsi/pace/pace.go
+++ b/internal/iscsi/pace/pace.go
@@ -16,15 +16,15 @@
 
 // Limits are the bounds of a Pacer.
 type Limits struct {
-	Least, Most int // the window of a session, in commands: in a crowd at least, without one at most
-	Start       int // the bound on running commands to begin with
-	Inside      int // and at most
-	Bytes       int // of data that running commands may hold; one command always runs
-	Quantum     int // bytes of a session's turn
+	MinWindow, MaxWindow int // the window of a session, in commands: in a crowd at least, without one at most
+	InitialBound         int // the bound on running commands to begin with
+	MaxBound             int // and at most
+	MaxBytes             int // of data that running commands may hold; one command always runs
+	Quantum              int // bytes of a session's turn
 }
 
 // DefaultLimits are the limits where none are configured.
-var DefaultLimits = Limits{Least: 2, Most: 256, Start: 32, Inside: 512, Bytes: 64 << 20, Quantum: 64 << 10}
+var DefaultLimits = Limits{MinWindow: 2, MaxWindow: 256, InitialBound: 32, MaxBound: 512, MaxBytes: 64 << 20, Quantum: 64 << 10}
 
 // State is the state of a Pacer.
 type State uint8
@@ -71,7 +71,7 @@
 }
 
 // New returns a Pacer.
-func New(limits Limits) *Pacer { return &Pacer{limits: limits, bound: float64(limits.Start)} }
+func New(limits Limits) *Pacer { return &Pacer{limits: limits, bound: float64(limits.InitialBound)} }
 
 // State returns the pacer's state.
 func (p *Pacer) State() State { return p.state }
@@ -120,7 +120,7 @@
 			p.round = append(p.round[1:], session)
 			continue
 		}
-		if p.running > 0 && p.runningBytes+command.Cost > p.limits.Bytes {
+		if p.running > 0 && p.runningBytes+command.Cost > p.limits.MaxBytes {
 			return nil // it waits for bytes, and no other passes it
 		}
 		p.start(command)
@@ -169,8 +169,8 @@
 }
 
 func (p *Pacer) raiseBound() {
-	p.bound = min(p.bound+1/p.bound, float64(p.limits.Inside))
-	if p.state == Slow && p.bound >= float64(p.limits.Start) {
+	p.bound = min(p.bound+1/p.bound, float64(p.limits.MaxBound))
+	if p.state == Slow && p.bound >= float64(p.limits.InitialBound) {
 		p.setState(Open)
 	}
 }
@@ -249,10 +249,10 @@
 	case p.state == Closed:
 		return 0
 	case p.waiting < p.Bound():
-		return p.limits.Most
+		return p.limits.MaxWindow
 	}
 	share := windowShare * p.Bound() / max(p.sessions, 1)
-	return min(max(share, p.limits.Least), p.limits.Most)
+	return min(max(share, p.limits.MinWindow), p.limits.MaxWindow)
 }
 
 // Outstanding returns how many unanswered commands a session has.
--- a/internal/iscsi/pace/pace_test.go
+++ b/internal/iscsi/pace/pace_test.go
@@ -30,12 +30,12 @@
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		limits := Limits{
-			Least:   2,
-			Most:    rapid.IntRange(2, 64).Draw(t, "most"),
-			Start:   rapid.IntRange(1, 16).Draw(t, "start"),
-			Inside:  32,
-			Bytes:   rapid.IntRange(1, 1000).Draw(t, "bytes"),
-			Quantum: rapid.IntRange(1, 200).Draw(t, "quantum"),
+			MinWindow:    2,
+			MaxWindow:    rapid.IntRange(2, 64).Draw(t, "most"),
+			InitialBound: rapid.IntRange(1, 16).Draw(t, "start"),
+			MaxBound:     32,
+			MaxBytes:     rapid.IntRange(1, 1000).Draw(t, "bytes"),
+			Quantum:      rapid.IntRange(1, 200).Draw(t, "quantum"),
 		}
 		m := &model{t: t, limits: limits, pacer: New(limits), waiting: map[*Session][]*Command{}}
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
@@ -120,19 +120,19 @@
 		m.t.Fatalf("%d wait of %d, %d run of %d, %d bytes of %d, %d busy of %d",
 			p.Waiting(), waiting, p.Running(), len(m.running), p.runningBytes, bytes, p.sessions, busy)
 	}
-	if len(m.running) > p.limits.Inside || len(m.running) > 1 && bytes > m.limits.Bytes {
+	if len(m.running) > p.limits.MaxBound || len(m.running) > 1 && bytes > m.limits.MaxBytes {
 		m.t.Fatalf("%d run with %d bytes", len(m.running), bytes)
 	}
 	if waiting > 0 && len(m.running) == 0 {
 		m.t.Fatal("all wait, and nothing runs")
 	}
-	if p.bound < 1 || p.bound > float64(m.limits.Inside) {
+	if p.bound < 1 || p.bound > float64(m.limits.MaxBound) {
 		m.t.Fatalf("a bound of %v", p.bound)
 	}
 }
 
 func (m *model) checkWindow(window int) {
-	least, most := min(m.limits.Least, m.limits.Most), m.limits.Most
+	least, most := min(m.limits.MinWindow, m.limits.MaxWindow), m.limits.MaxWindow
 	if m.pacer.State() == Closed {
 		least, most = 0, 0
 	}
@@ -195,7 +195,7 @@
 // The bound falls when commands are rejected, once for all that ran together, and grows again step by step; each change
 // of state is reported once.
 func TestBoundFollowsRejections(t *testing.T) {
-	pacer := New(Limits{Least: 1, Most: 100, Start: 10, Inside: 20, Bytes: 1 << 30, Quantum: 1})
+	pacer := New(Limits{MinWindow: 1, MaxWindow: 100, InitialBound: 10, MaxBound: 20, MaxBytes: 1 << 30, Quantum: 1})
 	session := pacer.NewSession()
 	fill := func() (started []*Command) {
 		for range 40 {
--- a/internal/iscsi/target/login.go
+++ b/internal/iscsi/target/login.go
@@ -61,7 +61,7 @@
 		return reject(negotiate.ClassInitiatorError, negotiate.DetailUnsupportedVersion, "version 0 is spoken")
 	case pdu.Uint16(iscsi.OffsetTSIH) != 0:
 		return reject(negotiate.ClassInitiatorError, negotiate.DetailTooManyConnections, "a session has one connection")
-	case x.server.options.Front.Stopping():
+	case x.server.options.Front.Draining():
 		return reject(negotiate.ClassTargetError, negotiate.DetailServiceUnavailable, "the gateway is stopping")
 	}
 	return x.login.Step(negotiate.Request{
--- a/internal/iscsi/target/target.go
+++ b/internal/iscsi/target/target.go
@@ -74,7 +74,7 @@
 		MaxUnsent:    64 << 20,
 		WriteTimeout: 10 * time.Second,
 	},
-	Pace: pace.Limits{Least: 2, Most: 256, Start: 32, Inside: 512, Bytes: 32 << 20, Quantum: 64 << 10},
+	Pace: pace.Limits{MinWindow: 2, MaxWindow: 256, InitialBound: 32, MaxBound: 512, MaxBytes: 32 << 20, Quantum: 64 << 10},
 }
 
 // Options are what a server is started with.
--- a/internal/iscsi/target/task.go
+++ b/internal/iscsi/target/task.go
@@ -84,7 +84,7 @@
 		t.answerSense(sense)
 		return
 	}
-	if x.server.options.Front.Stopping() {
+	if x.server.options.Front.Draining() {
 		t.answer(scsi.Busy, nil, nil)
 		return
 	}
--- a/internal/serve/disk_test.go
+++ b/internal/serve/disk_test.go
@@ -69,7 +69,7 @@
 
 func openDisk(t testing.TB, o initiator.Options, lun uint16) *initiator.Disk {
 	t.Helper()
-	d, err := initiator.Open(context.Background(), o, lun, initiator.Retry{For: farOff})
+	d, err := initiator.Open(context.Background(), o, lun, initiator.Retry{Timeout: farOff})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -159,7 +159,7 @@
 		t.Errorf("after an unmap: %v", err)
 	}
 	err := d.Compare(t.Context(), make([]byte, 4096), random(6, 4096), 0)
-	if !errors.Is(err, initiator.ErrDifferent) {
+	if !errors.Is(err, initiator.ErrMiscompare) {
 		t.Errorf("compared: %v", err)
 	}
 }
@@ -178,7 +178,7 @@
 		return false, err
 	}
 	err = d.Compare(ctx, now, counterBlock(binary.BigEndian.Uint64(now)+1), offset)
-	if errors.Is(err, initiator.ErrDifferent) {
+	if errors.Is(err, initiator.ErrMiscompare) {
 		return false, nil
 	}
 	return err == nil, err
@@ -260,8 +260,8 @@
 		t.Errorf("%+v, %v", found, err)
 	}
 	const secretTarget = "iqn.2026-01.example:secret"
-	good := negotiate.Account{Name: "host", Secret: "a secret of a host", OurSecret: "another one, ours"}
-	unproven := negotiate.Account{Name: "host", Secret: good.Secret, OurSecret: "what it is not"}
+	good := negotiate.Account{Name: "host", Secret: "a secret of a host", TargetSecret: "another one, ours"}
+	unproven := negotiate.Account{Name: "host", Secret: good.Secret, TargetSecret: "what it is not"}
 	for name, c := range map[string]struct {
 		account negotiate.Account
 		target  string
--- a/internal/serve/frontends_bench_test.go
+++ b/internal/serve/frontends_bench_test.go
@@ -38,7 +38,7 @@
 
 func benchmarkFronts(b *testing.B, size, depth int, write bool) {
 	testbed := testkit.Start(b, testkit.Conf+disks, 1, 1, nil)
-	d, err := initiator.Open(context.Background(), diskOptions(testbed, 0, nil), 0, initiator.Retry{For: farOff})
+	d, err := initiator.Open(context.Background(), diskOptions(testbed, 0, nil), 0, initiator.Retry{Timeout: farOff})
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/serve/iscsi.go
+++ b/internal/serve/iscsi.go
@@ -45,7 +45,7 @@
 // openUnit opens the file behind a logical unit, with retries, since a gateway may start before its storage nodes do.
 func (g *Gateway) openUnit(ctx context.Context, unit *target.Unit, name string, lun config.LUN) {
 	for backoff := minOpenBackoff; ; backoff = min(2*backoff, maxOpenBackoff) {
-		disk, err := g.Frontend.Disk(lun.File, lun.Size)
+		disk, err := g.Frontend.OpenDisk(lun.File, lun.Size)
 		if err == nil {
 			unit.SetDisk(disk)
 			return
--- a/internal/serve/linear_test.go
+++ b/internal/serve/linear_test.go
@@ -178,7 +178,7 @@
 	}
 	for client := range blockClients {
 		opt := diskOptions(b, 0, func(o *initiator.Options) { o.ISID[5] = byte(client) })
-		d, err := initiator.Open(context.Background(), opt, 0, initiator.Retry{For: farOff, Once: true})
+		d, err := initiator.Open(context.Background(), opt, 0, initiator.Retry{Timeout: farOff, NoRepeatedWrites: true})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -224,7 +224,7 @@
 		out.unknown = err != nil
 	case 'c':
 		err := disk.Compare(ctx, block(op.old), block(op.value), at)
-		out.other = errors.Is(err, initiator.ErrDifferent)
+		out.other = errors.Is(err, initiator.ErrMiscompare)
 		out.unknown = err != nil && !out.other
 	}
 	return out
