--- a/internal/gateway/options.go
+++ b/internal/gateway/options.go
@@ -11,32 +11,32 @@
 
 // Volume is what the module is told of a job's volume.
 type Volume struct {
-	ID    int64
-	Plan  string
-	Hosts float64 // gateways that its jobs come through
+	ID           int64
+	ServiceLevel string
+	Gateways     float64 // gateways that its jobs come through
 }
 
-// Work is a job before the module has it.
-type Work struct {
-	Volume  *Volume
-	Product string
-	Units   float64
-	Key     int64
-	Keyed   bool
-	StopBy  decide.Time // the client waits until then
-	Told    func()      // called on the loop just before the result is there; it must not wait. nil: nobody
-	Request uint32      // the client's request that it belongs to
-	Kind    uint8       // as in node.Call
-	Call    node.Call   // what to do at the node; the loop fills in whose it is and the time left
+// RequestSpec is a job before the module has it.
+type RequestSpec struct {
+	Volume        *Volume
+	Class         string
+	Units         float64
+	Key           int64
+	HasKey        bool
+	Deadline      decide.Time // the client waits until then
+	OnResult      func()      // called on the loop just before the result is there; it must not wait. nil: nobody
+	ClientRequest uint32      // the client's request that it belongs to
+	Idempotency   uint8       // as in node.Call
+	Call          node.Call   // what to do at the node; the loop fills in whose it is and the time left
 }
 
 // Result is a job's one final answer.
 type Result struct {
-	State  decide.JobState // Completed, Dismissed, WrittenOff or Withdrawn
-	Wait   time.Duration   // of a dismissal: when to come back
-	Answer node.Answer     // of a completed job
-	Why    string          // the last execution's trouble, of a job that was given up
-	Ran    bool            // of one that was not completed: an execution of it may have run
+	State      decide.RequestState // Completed, Dismissed, WrittenOff or Withdrawn
+	RetryAfter time.Duration       // of a dismissal: when to come back
+	Reply      node.Reply          // of a completed job
+	Reason     string              // the last execution's trouble, of a job that was given up
+	MayHaveRun bool                // of one that was not completed: an execution of it may have run
 }
 
 // Session is a client's connection, as far as the loop is concerned: when it closes, its jobs are left.
@@ -49,39 +49,39 @@
 // NewSession names a session. The name has to be unique in the installation.
 func NewSession(name string) *Session { return &Session{Name: name, jobs: map[*job]bool{}} }
 
-// Nodes are the connections to the storage nodes, in whatever protocol those speak.
-type Nodes interface {
+// NodeClient are the connections to the storage nodes, in whatever protocol those speak.
+type NodeClient interface {
 	// Start sends an execution. done is called at most once, from elsewhere, and not after CallOff.
-	Start(addr string, c *node.Call, done func(node.Answer)) node.Sending
-	// Leave has nothing begin any more at nodes that are left, for which it has been handed in and waits. It does not wait.
-	Leave(left func(addr string) bool)
-	Keep(addrs map[string]bool) // connections to others may go
-	Late() int64                // answers that came after their execution was given up
+	Start(addr string, c *node.Call, done func(node.Reply)) node.Attempt
+	// AbortQueued has nothing begin any more at nodes that are left, for which it has been handed in and waits. It does not wait.
+	AbortQueued(left func(addr string) bool)
+	Retain(addrs map[string]bool) // connections to others may go
+	LateReplies() int64           // answers that came after their execution was given up
 }
 
-// Acts is what a gateway that follows versions acts on: the list of nodes, and the terms; nil: those that it has.
-type Acts struct {
-	List  listing.List
-	Terms decide.Terms
+// ActiveConfig is what a gateway that follows versions acts on: the list of nodes, and the terms; nil: those that it has.
+type ActiveConfig struct {
+	List     listing.List
+	Settings decide.Settings
 }
 
-// Rules tell what a gateway that follows versions acts on at the time that the loop has read, where it has changed, nil
+// ConfigSource tell what a gateway that follows versions acts on at the time that the loop has read, where it has changed, nil
 // where not, and when to ask again at the latest, 0 for no need. What is decided by that reading is decided under it.
-type Rules interface {
-	At(now decide.Time) (*Acts, decide.Time)
+type ConfigSource interface {
+	At(now decide.Time) (*ActiveConfig, decide.Time)
 }
 
 // Options are what a loop is started with.
 type Options struct {
-	Name  string
-	Seed  uint64
-	Terms decide.Terms
-	Queue int // events that may wait
-	Clock Clock
-	Nodes Nodes
-	Known *listing.List // the list as it was last held, told before anything else; nil: none
-	Rules Rules         // nil: lists come by List
-	Watch func()        // the module wants the list watched; it must not wait. nil: lists come unasked
-	Log   *slog.Logger
-	Tap   Tap // nil: nobody listens
+	Name       string
+	Seed       uint64
+	Settings   decide.Settings
+	QueueSize  int // events that may wait
+	Clock      Clock
+	Nodes      NodeClient
+	CachedList *listing.List // the list as it was last held, told before anything else; nil: none
+	Config     ConfigSource  // nil: lists come by List
+	Watch      func()        // the module wants the list watched; it must not wait. nil: lists come unasked
+	Log        *slog.Logger
+	Tap        Tap // nil: nobody listens
 }
--- a/internal/http1/answer.go
+++ b/internal/http1/answer.go
@@ -5,19 +5,19 @@
 	"strings"
 )
 
-// Answer is an answer, whole.
-type Answer struct {
+// Response is an answer, whole.
+type Response struct {
 	Status int
 	Fields Fields
 	Body   []byte
 	Close  bool // the server closes after it
 }
 
-// ReadAnswer reads an answer whole, and passes over 1xx ones in front. One without a length ends with the connection (RFC 9112, 6.3): with
+// ReadResponse reads an answer whole, and passes over 1xx ones in front. One without a length ends with the connection (RFC 9112, 6.3): with
 // its orderly end, since a reset is no end.
-func ReadAnswer(r *bufio.Reader, b Bounds) (*Answer, error) {
-	for range b.Extra + 1 {
-		most := b.Head
+func ReadResponse(r *bufio.Reader, b Limits) (*Response, error) {
+	for range b.MaxInformational + 1 {
+		most := b.MaxHeadBytes
 		l, err := line(r, &most, 502)
 		if err != nil {
 			return nil, err
@@ -28,8 +28,8 @@
 		if version != "HTTP/1.1" || !ok || status < 100 || status > 599 {
 			return nil, bad(502, "no status line")
 		}
-		a := &Answer{Status: int(status)}
-		if a.Fields, err = fields(r, &most, b.Fields); err != nil {
+		a := &Response{Status: int(status)}
+		if a.Fields, err = fields(r, &most, b.MaxFields); err != nil {
 			return nil, err
 		}
 		if status < 200 {
@@ -38,7 +38,7 @@
 			}
 			continue
 		}
-		a.Close = a.Fields.Names("connection", "close")
+		a.Close = a.Fields.HasToken("connection", "close")
 		n, stated, err := length(a.Fields)
 		if err != nil {
 			return nil, err
@@ -47,10 +47,10 @@
 			return a, nil
 		}
 		if !stated {
-			n.Open, a.Close = true, true
+			n.UntilClose, a.Close = true, true
 		}
 		a.Body, err = ReadBody(r, n, b)
 		return a, err
 	}
-	return nil, bad(502, "over %d answers of the kind 1xx", b.Extra)
+	return nil, bad(502, "over %d answers of the kind 1xx", b.MaxInformational)
 }
--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -7,15 +7,15 @@
 	"strings"
 )
 
-// Length says how a body is framed.
-type Length struct {
-	Bytes   int64
-	Chunked bool
-	Open    bool // it goes on to the connection's end, in an answer
+// Framing says how a body is framed.
+type Framing struct {
+	Bytes      int64
+	Chunked    bool
+	UntilClose bool // it goes on to the connection's end, in an answer
 }
 
 // length reads how the body is framed. stated tells that anything says so.
-func length(f Fields) (l Length, stated bool, err error) {
+func length(f Fields) (l Framing, stated bool, err error) {
 	coded, long := f.Count("transfer-encoding"), f.Count("content-length")
 	switch {
 	case coded > 0 && long > 0:
@@ -24,14 +24,14 @@
 		if v, ok := f.Get("transfer-encoding"); !ok || !strings.EqualFold(v, "chunked") {
 			return l, false, bad(501, "a Transfer-Encoding other than chunked")
 		}
-		return Length{Chunked: true}, true, nil
+		return Framing{Chunked: true}, true, nil
 	case long > 0:
 		v, ok := f.Get("content-length")
 		n, fine := digits(v, 18)
 		if !ok || !fine {
 			return l, false, bad(400, "a Content-Length that is no length")
 		}
-		return Length{Bytes: n}, true, nil
+		return Framing{Bytes: n}, true, nil
 	}
 	return l, false, nil
 }
@@ -51,10 +51,10 @@
 }
 
 // ReadBody reads a body.
-func ReadBody(r *bufio.Reader, l Length, b Bounds) ([]byte, error) {
-	if !l.Chunked && !l.Open {
-		if l.Bytes > b.Body && (b.Long == nil || !b.Long(l.Bytes)) {
-			return nil, bad(413, "a body of %d bytes, %d may be", l.Bytes, b.Body)
+func ReadBody(r *bufio.Reader, l Framing, b Limits) ([]byte, error) {
+	if !l.Chunked && !l.UntilClose {
+		if l.Bytes > b.MaxBodyBytes && (b.AdmitLongBody == nil || !b.AdmitLongBody(l.Bytes)) {
+			return nil, bad(413, "a body of %d bytes, %d may be", l.Bytes, b.MaxBodyBytes)
 		}
 		if l.Bytes == 0 {
 			return nil, nil
@@ -65,17 +65,17 @@
 		}
 		return body, nil
 	}
-	limit := b.Body
+	limit := b.MaxBodyBytes
 	room := func(n int64) error { // past the bound, it is asked once for the most that may be
-		if n > limit && limit < b.Most && b.Long != nil && b.Long(b.Most) {
-			limit = b.Most
+		if n > limit && limit < b.MaxLongBody && b.AdmitLongBody != nil && b.AdmitLongBody(b.MaxLongBody) {
+			limit = b.MaxLongBody
 		}
 		if n > limit {
 			return bad(413, "a body of over %d bytes", limit)
 		}
 		return nil
 	}
-	if l.Open {
+	if l.UntilClose {
 		return readOpen(r, room)
 	}
 	var body []byte
@@ -91,8 +91,8 @@
 			return nil, bad(400, "a chunk whose size is none")
 		}
 		if n == 0 {
-			most := b.Head
-			_, err := fields(r, &most, b.Fields) // trailers are read and dropped
+			most := b.MaxHeadBytes
+			_, err := fields(r, &most, b.MaxFields) // trailers are read and dropped
 			return body, err
 		}
 		if err := room(int64(len(body)) + int64(n)); err != nil {
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -15,29 +15,29 @@
 	"strings"
 )
 
-// Bounds are a message's limits.
-type Bounds struct {
-	Head   int                    // bytes of a head, from the start line to the empty line
-	Fields int                    // lines of it
-	Body   int64                  // bytes of a body
-	Extra  int                    // 1xx answers in front of one
-	Long   func(bytes int64) bool // asked for a body over Body, of so many bytes or at most so many; nil: none may be
-	Most   int64                  // the most that a body over Body may have whose length is not stated
+// Limits are a message's limits.
+type Limits struct {
+	MaxHeadBytes     int                    // bytes of a head, from the start line to the empty line
+	MaxFields        int                    // lines of it
+	MaxBodyBytes     int64                  // bytes of a body
+	MaxInformational int                    // 1xx answers in front of one
+	AdmitLongBody    func(bytes int64) bool // asked for a body over Body, of so many bytes or at most so many; nil: none may be
+	MaxLongBody      int64                  // the most that a body over Body may have whose length is not stated
 }
 
-// DefaultBounds are used where nothing else is said.
-var DefaultBounds = Bounds{Head: 8 << 10, Fields: 64, Body: 64 << 10, Extra: 8}
+// DefaultLimits are used where nothing else is said.
+var DefaultLimits = Limits{MaxHeadBytes: 8 << 10, MaxFields: 64, MaxBodyBytes: 64 << 10, MaxInformational: 8}
 
-// LineBytes is the longest line; readers that are handed in have a buffer of that size.
-const LineBytes = 4 << 10
+// MaxLineBytes is the longest line; readers that are handed in have a buffer of that size.
+const MaxLineBytes = 4 << 10
 
 // Error says what is wrong with a message, and with which status a server answers it.
 type Error struct {
 	Status int
-	Why    string
+	Reason string
 }
 
-func (e *Error) Error() string { return e.Why }
+func (e *Error) Error() string { return e.Reason }
 
 func bad(status int, format string, args ...any) error {
 	return &Error{status, fmt.Sprintf(format, args...)}
@@ -72,8 +72,8 @@
 	return n
 }
 
-// Names tells whether a field of comma-separated words holds one.
-func (f Fields) Names(name, word string) bool {
+// HasToken tells whether a field of comma-separated words holds one.
+func (f Fields) HasToken(name, word string) bool {
 	for _, o := range f {
 		if o.Name != name {
 			continue
--- a/internal/http1/request.go
+++ b/internal/http1/request.go
@@ -9,14 +9,14 @@
 type Request struct {
 	Method, Target string
 	Fields         Fields
-	Length         Length
+	Framing        Framing
 	Close          bool // the client closes after the answer
-	Waits          bool // the client waits for 100 Continue before it sends the body
+	ExpectContinue bool // the client waits for 100 Continue before it sends the body
 }
 
 // ReadRequest reads the head of a request. The error is io.EOF when the client closed between two.
-func ReadRequest(r *bufio.Reader, b Bounds) (*Request, error) {
-	most := b.Head
+func ReadRequest(r *bufio.Reader, b Limits) (*Request, error) {
+	most := b.MaxHeadBytes
 	l, err := line(r, &most, 414)
 	if err != nil {
 		return nil, err
@@ -34,24 +34,24 @@
 	if parts[2] != "HTTP/1.1" {
 		return nil, bad(505, "not HTTP/1.1")
 	}
-	if q.Fields, err = fields(r, &most, b.Fields); err != nil {
+	if q.Fields, err = fields(r, &most, b.MaxFields); err != nil {
 		return nil, err
 	}
 	if q.Fields.Count("host") != 1 {
 		return nil, bad(400, "not one Host")
 	}
-	if q.Length, _, err = length(q.Fields); err != nil {
+	if q.Framing, _, err = length(q.Fields); err != nil {
 		return nil, err
 	}
-	if q.Length.Bytes > b.Body {
-		return nil, bad(413, "a body of %d bytes, %d may be", q.Length.Bytes, b.Body)
+	if q.Framing.Bytes > b.MaxBodyBytes {
+		return nil, bad(413, "a body of %d bytes, %d may be", q.Framing.Bytes, b.MaxBodyBytes)
 	}
-	q.Close = q.Fields.Names("connection", "close")
+	q.Close = q.Fields.HasToken("connection", "close")
 	if e, ok := q.Fields.Get("expect"); ok {
 		if !strings.EqualFold(e, "100-continue") {
 			return nil, bad(417, "an expectation other than 100-continue")
 		}
-		q.Waits = q.Length.Chunked || q.Length.Bytes > 0
+		q.ExpectContinue = q.Framing.Chunked || q.Framing.Bytes > 0
 	}
 	return q, nil
 }
--- a/internal/iscsi/target/session.go
+++ b/internal/iscsi/target/session.go
@@ -120,8 +120,8 @@
 	}
 }
 
-// Next takes a PDU.
-func (x *session) Next(r netpoll.Reader) error {
+// ReadPacket takes a PDU.
+func (x *session) ReadPacket(r netpoll.Reader) error {
 	x.lock.Lock()
 	d, most := x.digests, x.params.OurSegment
 	if x.state == loggingIn {
@@ -143,7 +143,7 @@
 	case loggingIn:
 		return x.step(p)
 	case ended:
-		return link.ErrPeer
+		return link.ErrPeerClosed
 	}
 	return x.take(p)
 }
@@ -175,12 +175,12 @@
 	out := iscsi.New(iscsi.LoginTell, 0).Put(16, p.Tag())
 	copy(out.Head[8:14], p.Head[8:14])
 	if refusal != nil {
-		x.server.opt.Log.Warn("login refused", "from", x.conn.Remote(), "initiator", x.login.Initiator, "why", refusal.Why)
+		x.server.opt.Log.Warn("login refused", "from", x.conn.RemoteAddr(), "initiator", x.login.Initiator, "why", refusal.Why)
 		out.Byte(1, p.Flags()&0x0c).Byte(36, refusal.Class).Byte(37, refusal.Detail)
 		x.lock.Lock()
 		x.send(out, true)
 		x.lock.Unlock()
-		x.conn.Drained(time.Second)
+		x.conn.WaitSent(time.Second)
 		return refusal
 	}
 	flags := byte(a.Current) << 2
@@ -392,7 +392,7 @@
 	out.Put16(40, uint16(x.params.Wait)).Put16(42, uint16(x.params.Retain))
 	x.send(out, true)
 	x.lock.Unlock()
-	x.conn.Drained(time.Second)
+	x.conn.WaitSent(time.Second)
 	return errors.New("logged out")
 }
 
--- a/internal/iscsi/target/target.go
+++ b/internal/iscsi/target/target.go
@@ -42,13 +42,13 @@
 	Connections int
 	Login       time.Duration // a login that takes longer is closed
 	Unread      int           // bytes that an initiator may leave unread; past it commands are answered TASK SET FULL
-	Wire        link.Bounds
+	Wire        link.Limits
 	Pace        pace.Terms
 }
 
 // DefaultLimits are used where nothing else is said.
 var DefaultLimits = Limits{Connections: 1024, Login: 10 * time.Second, Unread: 16 << 20,
-	Wire: link.Bounds{Packet: 256 << 10, Buffered: 32 << 20, Unsent: 64 << 20, Write: 10 * time.Second},
+	Wire: link.Limits{MaxPacket: 256 << 10, MaxReadAhead: 32 << 20, MaxUnsent: 64 << 20, WriteTimeout: 10 * time.Second},
 	Pace: pace.Terms{Least: 2, Most: 256, Start: 32, Inside: 512, Bytes: 32 << 20, Quantum: 64 << 10}}
 
 // Options are what a server is started with.
@@ -84,7 +84,7 @@
 	if opt.Params == (negotiate.Params{}) {
 		opt.Params = negotiate.Ours
 	}
-	opt.Params.OurSegment = min(opt.Params.OurSegment, opt.Limits.Wire.Packet)
+	opt.Params.OurSegment = min(opt.Params.OurSegment, opt.Limits.Wire.MaxPacket)
 	s := &Server{opt: opt, targets: map[string]*Target{}, sessions: map[identity]*session{}, pacer: pace.New(opt.Limits.Pace),
 		ready: make(chan struct{})}
 	for _, t := range opt.Targets {
@@ -93,7 +93,7 @@
 		}
 		s.targets[t.Name] = t
 	}
-	l, err := link.Listen(addr, opt.Limits.Wire, opt.Limits.Connections, func(c *link.Conn) link.Peer {
+	l, err := link.Listen(addr, opt.Limits.Wire, opt.Limits.Connections, func(c *link.Conn) link.Handler {
 		<-s.ready
 		return newSession(s, c)
 	})
--- a/internal/listing/file.go
+++ b/internal/listing/file.go
@@ -33,21 +33,21 @@
 	Range    hcl.Range `hcl:",def_range"`
 }
 
-// Parse reads a list in our own form. What it refuses it names with file, line and column.
-func Parse(file string, src []byte) (List, error) {
+// ParseList reads a list in our own form. What it refuses it names with file, line and column.
+func ParseList(file string, src []byte) (List, error) {
 	f, diags := hclparse.NewParser().ParseHCL(src, file)
 	if diags.HasErrors() {
 		return List{}, diags
 	}
-	list, err := Decode(f.Body)
+	list, err := DecodeList(f.Body)
 	if err == nil && list.Version == "" {
 		list.Version = strconv.FormatUint(xxhash.Sum64(src), 16)
 	}
 	return list, err
 }
 
-// Decode reads a list from a body that was parsed already, such as what another file has beside its own blocks.
-func Decode(body hcl.Body) (List, error) {
+// DecodeList reads a list from a body that was parsed already, such as what another file has beside its own blocks.
+func DecodeList(body hcl.Body) (List, error) {
 	var form fileForm
 	if diags := gohcl.DecodeBody(body, nil, &form); diags.HasErrors() {
 		return List{}, diags
@@ -72,11 +72,11 @@
 		switch n.Standing {
 		case "", "ready":
 		case "draining":
-			out.Standing = Draining
+			out.Health = Draining
 		case "gone":
-			out.Standing = Gone
+			out.Health = Removed
 		case "unwell":
-			out.Standing = Unwell
+			out.Health = Unhealthy
 		default:
 			return refuse(n, "standing %q: it is \"ready\", \"draining\", \"unwell\" or \"gone\"", n.Standing)
 		}
@@ -85,18 +85,18 @@
 			if err != nil {
 				return refuse(n, "born %q: a time such as 2026-01-02T15:04:05Z is expected", n.Born)
 			}
-			out.Born = at.UnixNano()
+			out.StartedAt = at.UnixNano()
 		}
 		list.Nodes = append(list.Nodes, out)
 	}
 	return list, nil
 }
 
-// File is a list that is read from a file, and read anew when that changes.
-type File struct{ Path string }
+// FileSource is a list that is read from a file, and read anew when that changes.
+type FileSource struct{ Path string }
 
 // Run reads the file and watches its folder, so that a file put in place of the old one is noticed as well.
-func (f File) Run(ctx context.Context, to Listener) error {
+func (f FileSource) Run(ctx context.Context, to Subscriber) error {
 	watcher, err := fsnotify.NewWatcher()
 	if err != nil {
 		return err
@@ -105,12 +105,12 @@
 	if err := watcher.Add(filepath.Dir(f.Path)); err != nil {
 		return err
 	}
-	to.Link(true, "")
+	to.OnLink(true, "")
 	last := ""
 	read := func() {
 		src, err := os.ReadFile(f.Path)
 		if err != nil {
-			to.Refused(err)
+			to.OnRejected(err)
 			return
 		}
 		sum := strconv.FormatUint(xxhash.Sum64(src), 16)
@@ -118,12 +118,12 @@
 			return
 		}
 		last = sum
-		list, err := Parse(f.Path, src)
+		list, err := ParseList(f.Path, src)
 		if err != nil {
-			to.Refused(err)
+			to.OnRejected(err)
 			return
 		}
-		to.List(list)
+		to.OnUpdate(list)
 	}
 	read()
 	for {
@@ -141,21 +141,21 @@
 			if !ok {
 				return nil
 			}
-			to.Refused(err) // events may have been lost
+			to.OnRejected(err) // events may have been lost
 			read()
 		}
 	}
 }
 
-// Write writes a list in our own form.
-func Write(list List) []byte {
-	words := map[Standing]string{Ready: "ready", Draining: "draining", Gone: "gone", Unwell: "unwell"}
+// FormatList writes a list in our own form.
+func FormatList(list List) []byte {
+	words := map[Health]string{Ready: "ready", Draining: "draining", Removed: "gone", Unhealthy: "unwell"}
 	var out []byte
 	if list.Version != "" {
 		out = fmt.Appendf(out, "version = %q\n", list.Version)
 	}
 	for _, n := range list.Nodes {
-		out = fmt.Appendf(out, "node %q {\n  shard    = %d\n  zone     = %q\n  standing = %q\n", n.Addr, n.Shard, n.Zone, words[n.Standing])
+		out = fmt.Appendf(out, "node %q {\n  shard    = %d\n  zone     = %q\n  standing = %q\n", n.Addr, n.Shard, n.Zone, words[n.Health])
 		if n.Name != "" {
 			out = fmt.Appendf(out, "  name     = %q\n", n.Name)
 		}
@@ -165,8 +165,8 @@
 		if n.Weight > 0 {
 			out = fmt.Appendf(out, "  weight   = %v\n", n.Weight)
 		}
-		if n.Born > 0 {
-			out = fmt.Appendf(out, "  born     = %q\n", time.Unix(0, n.Born).UTC().Format(time.RFC3339Nano))
+		if n.StartedAt > 0 {
+			out = fmt.Appendf(out, "  born     = %q\n", time.Unix(0, n.StartedAt).UTC().Format(time.RFC3339Nano))
 		}
 		out = append(out, "}\n"...)
 	}
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -15,33 +15,33 @@
 // Time is nanoseconds since 1970.
 type Time = int64
 
-// Terms are the figures of membership. Spans are nanoseconds.
-type Terms struct {
-	Shrink     float64 // share of the shards in force that may lose their last node within Hold without being held
-	Hold       Time    // how long such a loss is held; then the source's next word counts, or three times as long
-	Grace      Time    // of a node that was let go: jobs that are out may end, and an address may not take another shard
-	Flaps      int     // turns to ready within FlapWindow that are believed at once
-	FlapWindow Time
-	Rest       Time // how long a node that flaps has to stay ready before it is believed
-	Silent     Time // after a link has been cut for so long, its list counts as old
-	Forget     Time // after a node has been gone for so long, nothing is known of it any more
+// Settings are the figures of membership. Spans are nanoseconds.
+type Settings struct {
+	MaxLossRatio float64 // share of the shards in force that may lose their last node within Hold without being held
+	HoldDown     Time    // how long such a loss is held; then the source's next word counts, or three times as long
+	RemovalGrace Time    // of a node that was let go: jobs that are out may end, and an address may not take another shard
+	MaxFlaps     int     // turns to ready within FlapWindow that are believed at once
+	FlapWindow   Time
+	DampingTime  Time // how long a node that flaps has to stay ready before it is believed
+	StaleAfter   Time // after a link has been cut for so long, its list counts as old
+	ForgetAfter  Time // after a node has been gone for so long, nothing is known of it any more
 }
 
-// DefaultTerms are used where nothing else is said.
-var DefaultTerms = Terms{Shrink: 0.5, Hold: 10e9, Grace: 2e9, Flaps: 5, FlapWindow: 30e9, Rest: 3e9, Silent: 60e9, Forget: 600e9}
+// DefaultSettings are used where nothing else is said.
+var DefaultSettings = Settings{MaxLossRatio: 0.5, HoldDown: 10e9, RemovalGrace: 2e9, MaxFlaps: 5, FlapWindow: 30e9, DampingTime: 3e9, StaleAfter: 60e9, ForgetAfter: 600e9}
 
 // State is how a node stands with this gateway.
 type State uint8
 
 const (
-	Absent   State = iota // told gone, or never told: no source has it
-	Serving               // told ready
-	Draining              // told draining: a source says so
-	Unwell                // told gone: a source says that it is not healthy
-	Leaving               // told gone, within the grace
-	Kept                  // told as before: the sources let it go, which is held
-	Waiting               // told draining, or not at all: another node of its shard is in force
-	Resting               // told draining: it has flapped, and is not believed yet
+	Absent    State = iota // told gone, or never told: no source has it
+	Serving                // told ready
+	Draining               // told draining: a source says so
+	Unhealthy              // told gone: a source says that it is not healthy
+	Removing               // told gone, within the grace
+	HeldDown               // told as before: the sources let it go, which is held
+	Standby                // told draining, or not at all: another node of its shard is in force
+	Damped                 // told draining: it has flapped, and is not believed yet
 )
 
 var states = [...]string{"absent", "serving", "draining", "unwell", "leaving", "kept", "waiting", "resting"}
@@ -53,7 +53,7 @@
 	Addr   string
 	State  State
 	Since  Time         // of the state
-	Why    string       // of the state
+	Reason string       // of the state
 	Source *Source      // the one that counts for it; of one that no source has, the last
 	said   listing.Node // by that source, last
 	listed bool         // some source has it
@@ -67,8 +67,8 @@
 // Shard is the shard that it is in force for.
 func (m *Member) Shard() int { return m.shard }
 
-// Said is what the source said last.
-func (m *Member) Said() listing.Node { return m.said }
+// Reported is what the source said last.
+func (m *Member) Reported() listing.Node { return m.said }
 
 // hold is a loss that is not believed yet.
 type hold struct {
@@ -79,9 +79,9 @@
 	count int              // nodes kept
 }
 
-// Fleet is all that is known of the nodes.
-type Fleet struct {
-	terms    Terms
+// Tracker is all that is known of the nodes.
+type Tracker struct {
+	terms    Settings
 	sources  []*Source // by precedence
 	members  map[string]*Member
 	order    []*Member // by address
@@ -99,8 +99,8 @@
 
 // New makes a fleet of sources, named in the order of their precedence: where two have the same address, the first
 // counts.
-func New(t Terms, names ...string) *Fleet {
-	f := &Fleet{terms: t, members: map[string]*Member{}, lost: map[int]Time{}}
+func New(t Settings, names ...string) *Tracker {
+	f := &Tracker{terms: t, members: map[string]*Member{}, lost: map[int]Time{}}
 	for i, name := range names {
 		f.sources = append(f.sources, &Source{fleet: f, Name: name, rank: i})
 	}
@@ -108,31 +108,33 @@
 }
 
 // Sources are the sources, by precedence.
-func (f *Fleet) Sources() []*Source { return f.sources }
+func (f *Tracker) Sources() []*Source { return f.sources }
 
 // Members are the nodes, by address.
-func (f *Fleet) Members() []*Member { return f.order }
+func (f *Tracker) Members() []*Member { return f.order }
 
-// Held tells of a loss that is held: since when, how many nodes are kept, whether nothing would be left.
-func (f *Fleet) Held() (since Time, count int, all, held bool) {
+// HoldDown tells of a loss that is held: since when, how many nodes are kept, whether nothing would be left.
+func (f *Tracker) HoldDown() (since Time, count int, all, held bool) {
 	if f.hold == nil {
 		return 0, 0, false, false
 	}
 	return f.hold.since, f.hold.count, f.hold.all, true
 }
 
-func (f *Fleet) note(format string, args ...any) { f.log = append(f.log, fmt.Sprintf(format, args...)) }
+func (f *Tracker) note(format string, args ...any) {
+	f.log = append(f.log, fmt.Sprintf(format, args...))
+}
 
-// Told is what the module is to be told.
-type Told struct {
+// Update is what the module is to be told.
+type Update struct {
 	List    listing.List
 	Changed bool // it differs from what was told before
 	Log     []string
-	Wake    Time // when Decide has to be asked at the latest; 0: when something happens
+	NextAt  Time // when Decide has to be asked at the latest; 0: when something happens
 }
 
 // Confirm takes what is held at its word, by somebody who is sure. It returns what that is: nodes kept, and old lists.
-func (f *Fleet) Confirm() (nodes, lists int) {
+func (f *Tracker) Confirm() (nodes, lists int) {
 	if f.hold != nil {
 		nodes, f.confirm, f.changed = f.hold.count, true, true
 	}
@@ -145,12 +147,12 @@
 	return nodes, lists
 }
 
-// Decide works out what the module is to be told now.
-func (f *Fleet) Decide(now Time) Told {
+// Reconcile works out what the module is to be told now.
+func (f *Tracker) Reconcile(now Time) Update {
 	for _, s := range f.sources {
 		s.pass(now)
 	}
-	t := Told{}
+	t := Update{}
 	if f.changed || f.wake > 0 && now >= f.wake {
 		f.changed, f.wake = false, 0
 		f.settle(now)
@@ -159,16 +161,16 @@
 			f.toldOnce, f.last, f.stale, f.version = true, list, stale, f.versions()
 		}
 	}
-	t.Log, f.log, t.Wake = f.log, nil, f.wake
+	t.Log, f.log, t.NextAt = f.log, nil, f.wake
 	for _, s := range f.sources {
-		t.Wake = sooner(t.Wake, s.wake())
+		t.NextAt = sooner(t.NextAt, s.wake())
 	}
 	t.List = listing.List{Version: f.version, Stale: f.stale, Nodes: f.last}
 	return t
 }
 
 // versions names the versions in force.
-func (f *Fleet) versions() string {
+func (f *Tracker) versions() string {
 	list := make([]string, len(f.sources))
 	for i, s := range f.sources {
 		list[i] = s.version
@@ -177,7 +179,7 @@
 }
 
 // heard tells whether a source has said anything yet.
-func (f *Fleet) heard() bool {
+func (f *Tracker) heard() bool {
 	return slices.ContainsFunc(f.sources, func(s *Source) bool { return s.said != nil })
 }
 
@@ -189,24 +191,24 @@
 	return a
 }
 
-func (f *Fleet) wakeAt(at Time) { f.wake = sooner(f.wake, at) }
+func (f *Tracker) wakeAt(at Time) { f.wake = sooner(f.wake, at) }
 
 // move is the one place where a node's state changes.
-func (f *Fleet) move(now Time, m *Member, to State, why string) {
+func (f *Tracker) move(now Time, m *Member, to State, why string) {
 	if m.State == to {
-		m.Why = why
+		m.Reason = why
 		return
 	}
 	from := m.State
-	m.State, m.Since, m.Why = to, now, why
-	if to == Serving || to == Draining || to == Kept {
+	m.State, m.Since, m.Reason = to, now, why
+	if to == Serving || to == Draining || to == HeldDown {
 		m.told = true
 	}
 	f.note("node %s of shard %d: %s, was %s: %s", m.Addr, m.shard, to, from, why)
 }
 
 // settle takes each node's state from what is said of it.
-func (f *Fleet) settle(now Time) {
+func (f *Tracker) settle(now Time) {
 	f.hear(now)
 	claims := map[int][]*Member{} // nodes that could serve a shard
 	for _, m := range f.order {
@@ -224,7 +226,7 @@
 }
 
 // hear takes in what the sources say, address by address.
-func (f *Fleet) hear(now Time) {
+func (f *Tracker) hear(now Time) {
 	for _, m := range f.order {
 		m.listed = false
 	}
@@ -232,7 +234,7 @@
 	for i := len(f.sources) - 1; i >= 0; i-- { // so that the first has the last word
 		s := f.sources[i]
 		for _, n := range s.said {
-			if n.Standing == listing.Gone {
+			if n.Health == listing.Removed {
 				continue // as if it were not there
 			}
 			m := f.members[n.Addr]
@@ -247,7 +249,7 @@
 	}
 	for _, s := range f.sources { // one that a source lists as gone is gone, whatever later ones say
 		for _, n := range s.said {
-			if m := f.members[n.Addr]; n.Standing == listing.Gone && m != nil && m.listed && s.rank < m.Source.rank {
+			if m := f.members[n.Addr]; n.Health == listing.Removed && m != nil && m.listed && s.rank < m.Source.rank {
 				m.said, m.Source, m.listed = n, s, false
 			}
 		}
@@ -256,7 +258,7 @@
 		slices.SortFunc(f.order, func(a, b *Member) int { return cmp.Compare(a.Addr, b.Addr) })
 	}
 	for _, m := range f.order {
-		switch is := m.listed && m.said.Standing == listing.Ready; {
+		switch is := m.listed && m.said.Health == listing.Ready; {
 		case !is:
 			m.ready = 0
 		case m.ready == 0:
@@ -270,39 +272,39 @@
 }
 
 // wanted tells whether a node could serve its shard, and notes what it counts as in that shard.
-func (f *Fleet) wanted(now Time, m *Member) bool {
-	if !m.listed || m.State == Leaving && m.said.Shard != m.shard && now < m.Since+f.terms.Grace {
+func (f *Tracker) wanted(now Time, m *Member) bool {
+	if !m.listed || m.State == Removing && m.said.Shard != m.shard && now < m.Since+f.terms.RemovalGrace {
 		return false // also one whose address now stands for another shard: the old one's jobs end first
 	}
 	if m.said.Shard != m.shard {
-		if m.told && m.State != Leaving && m.State != Absent {
+		if m.told && m.State != Removing && m.State != Absent {
 			return false // it leaves its old shard first
 		}
 		m.shard = m.said.Shard
-		if m.told && m.said.Born <= m.born {
+		if m.told && m.said.StartedAt <= m.born {
 			m.born = max(now, m.born+1) // it cannot be what it was, so it counts as started now
 		}
 	}
 	switch {
-	case m.said.Born > max(m.born, 0):
-		m.born = m.said.Born
+	case m.said.StartedAt > max(m.born, 0):
+		m.born = m.said.StartedAt
 	case m.born < 0 && m.Source.first:
 		m.born = 0 // it came with a source's first list: there for long, as far as anybody can tell
-	case m.born < 0 || m.State == Absent && m.told && m.said.Born <= m.born:
+	case m.born < 0 || m.State == Absent && m.told && m.said.StartedAt <= m.born:
 		m.born = max(now, m.born+1) // new, or back after it was gone, and nobody says since when
 	}
-	if m.said.Standing != listing.Ready {
+	if m.said.Health != listing.Ready {
 		return false
 	}
 	return !f.flaps(now, m)
 }
 
 // flaps tells whether a node was said to be ready so often of late that this is not believed yet.
-func (f *Fleet) flaps(now Time, m *Member) bool {
-	if len(m.turns) <= f.terms.Flaps || m.State == Serving || m.State == Kept || now >= m.ready+f.terms.Rest {
+func (f *Tracker) flaps(now Time, m *Member) bool {
+	if len(m.turns) <= f.terms.MaxFlaps || m.State == Serving || m.State == HeldDown || now >= m.ready+f.terms.DampingTime {
 		return false
 	}
-	f.wakeAt(m.ready + f.terms.Rest)
+	f.wakeAt(m.ready + f.terms.DampingTime)
 	return true
 }
 
@@ -310,7 +312,7 @@
 // it replaces the other; the one in force; by the sources' precedence; by address.
 func compare(a, b *Member) int {
 	force := func(m *Member) int {
-		if m.State == Serving || m.State == Kept {
+		if m.State == Serving || m.State == HeldDown {
 			return 0
 		}
 		return 1
@@ -320,14 +322,14 @@
 }
 
 // losses finds the shards that would lose their last node, and tells whether those nodes are kept for now.
-func (f *Fleet) losses(now Time, winners map[int]*Member) (keep map[*Member]bool) {
+func (f *Tracker) losses(now Time, winners map[int]*Member) (keep map[*Member]bool) {
 	covered, lost := 0, []*Member{}
 	for _, m := range f.order {
-		if m.State != Serving && m.State != Kept {
+		if m.State != Serving && m.State != HeldDown {
 			continue
 		}
 		covered++
-		drained := m.listed && m.said.Standing == listing.Draining && m.said.Shard == m.shard // a drain is kept, not held
+		drained := m.listed && m.said.Health == listing.Draining && m.said.Shard == m.shard // a drain is kept, not held
 		if winners[m.shard] == nil && !drained {
 			lost = append(lost, m)
 		}
@@ -335,7 +337,7 @@
 	recent := 0
 	for shard, at := range f.lost {
 		switch {
-		case winners[shard] != nil || now >= at+f.terms.Hold:
+		case winners[shard] != nil || now >= at+f.terms.HoldDown:
 			delete(f.lost, shard)
 		default:
 			recent++
@@ -343,7 +345,7 @@
 	}
 	confirmed := f.confirm
 	f.confirm = false
-	over := float64(len(lost)+recent) > f.terms.Shrink*float64(covered+recent)
+	over := float64(len(lost)+recent) > f.terms.MaxLossRatio*float64(covered+recent)
 	switch {
 	case len(lost) == 0:
 		if f.hold != nil {
@@ -351,10 +353,10 @@
 		}
 		f.hold = nil
 		return nil
-	case f.hold == nil && (!over || f.terms.Hold == 0):
+	case f.hold == nil && (!over || f.terms.HoldDown == 0):
 	case f.hold == nil:
 		f.hold = &hold{since: now, by: map[*Source]bool{}}
-		f.note("%d of %d shards would lose their last node at once, %v may: held", len(lost)+recent, covered+recent, f.terms.Shrink)
+		f.note("%d of %d shards would lose their last node at once, %v may: held", len(lost)+recent, covered+recent, f.terms.MaxLossRatio)
 		fallthrough
 	default:
 		h := f.hold
@@ -365,11 +367,11 @@
 			why = "confirmed"
 		case h.next:
 			why = "said again"
-		case !h.all && f.allUp() && now >= h.since+3*f.terms.Hold:
+		case !h.all && f.allUp() && now >= h.since+3*f.terms.HoldDown:
 			why = "it has stood long enough"
 		default:
 			if !h.all && f.allUp() {
-				f.wakeAt(h.since + 3*f.terms.Hold)
+				f.wakeAt(h.since + 3*f.terms.HoldDown)
 			}
 			keep = map[*Member]bool{}
 			for _, m := range lost {
@@ -387,77 +389,77 @@
 }
 
 // allUp tells whether no source's link is cut.
-func (f *Fleet) allUp() bool {
-	return !slices.ContainsFunc(f.sources, func(s *Source) bool { return s.State == Cut || s.State == Silent })
+func (f *Tracker) allUp() bool {
+	return !slices.ContainsFunc(f.sources, func(s *Source) bool { return s.State == Disconnected || s.State == Stale })
 }
 
 // stand moves each node to its state.
-func (f *Fleet) stand(now Time, winners map[int]*Member, keep map[*Member]bool) {
+func (f *Tracker) stand(now Time, winners map[int]*Member, keep map[*Member]bool) {
 	for _, m := range f.order {
 		moves := m.listed && m.said.Shard != m.shard
 		switch {
 		case keep[m]:
-			f.move(now, m, Kept, "its loss is held")
-		case moves && m.State != Leaving:
-			f.move(now, m, Leaving, fmt.Sprintf("its address now stands for shard %d", m.said.Shard))
+			f.move(now, m, HeldDown, "its loss is held")
+		case moves && m.State != Removing:
+			f.move(now, m, Removing, fmt.Sprintf("its address now stands for shard %d", m.said.Shard))
 		case moves:
 		case !m.listed:
 			f.let(now, m)
-		case m.said.Standing == listing.Draining:
+		case m.said.Health == listing.Draining:
 			f.move(now, m, Draining, "said by "+m.Source.Name)
-		case m.said.Standing == listing.Unwell:
-			f.move(now, m, Unwell, "said by "+m.Source.Name)
+		case m.said.Health == listing.Unhealthy:
+			f.move(now, m, Unhealthy, "said by "+m.Source.Name)
 		case winners[m.shard] == m:
 			f.move(now, m, Serving, "said by "+m.Source.Name)
 		case f.flaps(now, m):
-			f.move(now, m, Resting, fmt.Sprintf("ready again %d times of late", len(m.turns)))
+			f.move(now, m, Damped, fmt.Sprintf("ready again %d times of late", len(m.turns)))
 		default:
-			f.move(now, m, Waiting, "its shard is served by "+winners[m.shard].Addr)
+			f.move(now, m, Standby, "its shard is served by "+winners[m.shard].Addr)
 		}
-		if m.State == Leaving {
-			if now >= m.Since+f.terms.Grace && !moves {
+		if m.State == Removing {
+			if now >= m.Since+f.terms.RemovalGrace && !moves {
 				f.move(now, m, Absent, "the grace is over")
 			} else {
-				f.wakeAt(m.Since + f.terms.Grace)
+				f.wakeAt(m.Since + f.terms.RemovalGrace)
 			}
 		}
 	}
 }
 
 // let lets a node go that no source has any more.
-func (f *Fleet) let(now Time, m *Member) {
+func (f *Tracker) let(now Time, m *Member) {
 	switch m.State {
-	case Leaving, Absent:
+	case Removing, Absent:
 	default:
-		f.move(now, m, Leaving, "no source has it")
+		f.move(now, m, Removing, "no source has it")
 	}
 }
 
 // forget drops nodes that have been gone for long.
-func (f *Fleet) forget(now Time) {
+func (f *Tracker) forget(now Time) {
 	f.order = slices.DeleteFunc(f.order, func(m *Member) bool {
 		gone := m.State == Absent && !m.listed
-		if gone && now >= m.Since+f.terms.Forget {
+		if gone && now >= m.Since+f.terms.ForgetAfter {
 			delete(f.members, m.Addr)
 			return true
 		}
 		if gone {
-			f.wakeAt(m.Since + f.terms.Forget)
+			f.wakeAt(m.Since + f.terms.ForgetAfter)
 		}
 		return false
 	})
 }
 
 // list is what the module is to be told: whole, so that what it leaves out is gone.
-func (f *Fleet) list() (nodes []listing.Node, stale bool) {
+func (f *Tracker) list() (nodes []listing.Node, stale bool) {
 	for _, m := range f.order {
-		n := listing.Node{Addr: m.Addr, Zone: m.said.Zone, Shard: m.shard, Weight: m.said.Weight, Born: m.born}
+		n := listing.Node{Addr: m.Addr, Zone: m.said.Zone, Shard: m.shard, Weight: m.said.Weight, StartedAt: m.born}
 		switch m.State {
-		case Serving, Kept:
-		case Draining, Resting:
-			n.Standing = listing.Draining
-		case Waiting:
-			if n.Standing = listing.Draining; !m.told {
+		case Serving, HeldDown:
+		case Draining, Damped:
+			n.Health = listing.Draining
+		case Standby:
+			if n.Health = listing.Draining; !m.told {
 				continue
 			}
 		default:
@@ -466,7 +468,7 @@
 		nodes = append(nodes, n)
 	}
 	for _, s := range f.sources {
-		stale = stale || s.said != nil && (s.stale || s.State == Silent)
+		stale = stale || s.said != nil && (s.stale || s.State == Stale)
 	}
 	return nodes, stale
 }
--- a/internal/members/source.go
+++ b/internal/members/source.go
@@ -13,10 +13,10 @@
 type SourceState uint8
 
 const (
-	Starting SourceState = iota // it has never been reached
-	Current                     // it is reached, and what it says is in force
-	Cut                         // its link is lost, its last list is in force
-	Silent                      // cut for long: its last list is in force and counts as old
+	Starting     SourceState = iota // it has never been reached
+	Connected                       // it is reached, and what it says is in force
+	Disconnected                    // its link is lost, its last list is in force
+	Stale                           // cut for long: its last list is in force and counts as old
 )
 
 func (s SourceState) String() string {
@@ -28,7 +28,7 @@
 	Name  string
 	State SourceState
 	Since Time // of the state
-	fleet *Fleet
+	fleet *Tracker
 	rank  int
 	// What it says.
 	said    []listing.Node // nil: nothing yet
@@ -38,15 +38,15 @@
 	first   bool // that is the first one that it brought itself
 	stale   bool // that list may be old
 	// Lists that were in force before, so that one that comes back after a cut is known.
-	left    []mark
-	fresh   bool          // nothing was said since the link came up
-	old     *listing.List // one that is held as old; nil: none
-	oldAt   Time
-	Trouble string // why its link is not there; empty: it is
+	left      []mark
+	fresh     bool          // nothing was said since the link came up
+	old       *listing.List // one that is held as old; nil: none
+	oldAt     Time
+	LinkError string // why its link is not there; empty: it is
 	// The last update that was refused.
-	Refusal   string
-	RefusedAt Time
-	Refusals  int
+	RejectReason string
+	RejectedAt   Time
+	Rejections   int
 }
 
 // mark is what a list is known by.
@@ -61,14 +61,14 @@
 // Version is the version in force.
 func (s *Source) Version() string { return s.version }
 
-// Heard is when the list in force was said; 0: none is.
-func (s *Source) Heard() Time { return s.heard }
+// UpdatedAt is when the list in force was said; 0: none is.
+func (s *Source) UpdatedAt() Time { return s.heard }
 
-// Nodes is how many nodes the list in force has.
-func (s *Source) Nodes() int { return len(s.said) }
+// NodeCount is how many nodes the list in force has.
+func (s *Source) NodeCount() int { return len(s.said) }
 
-// Old is the version that is held as old; empty: none.
-func (s *Source) Old() string {
+// HeldVersion is the version that is held as old; empty: none.
+func (s *Source) HeldVersion() string {
 	if s.old == nil {
 		return ""
 	}
@@ -90,17 +90,17 @@
 	}
 }
 
-// Up tells that the source is reached, anew.
-func (s *Source) Up(now Time) {
-	s.fresh, s.Trouble = true, ""
-	s.move(now, Current, "it is reached")
+// LinkUp tells that the source is reached, anew.
+func (s *Source) LinkUp(now Time) {
+	s.fresh, s.LinkError = true, ""
+	s.move(now, Connected, "it is reached")
 }
 
-// Down tells that the source's link is lost.
-func (s *Source) Down(now Time, why string) {
-	s.Trouble = why
-	if s.State == Current {
-		s.move(now, Cut, why)
+// LinkDown tells that the source's link is lost.
+func (s *Source) LinkDown(now Time, why string) {
+	s.LinkError = why
+	if s.State == Connected {
+		s.move(now, Disconnected, why)
 	}
 	if s.old != nil {
 		s.fleet.note("source %s: version %q is no longer held: the link is lost", s.Name, s.old.Version)
@@ -108,15 +108,15 @@
 	}
 }
 
-// Refused tells of an update that cannot be used. What is in force stays so.
-func (s *Source) Refused(now Time, why string) {
-	s.Refusal, s.RefusedAt = why, now
-	s.Refusals++
+// Reject tells of an update that cannot be used. What is in force stays so.
+func (s *Source) Reject(now Time, why string) {
+	s.RejectReason, s.RejectedAt = why, now
+	s.Rejections++
 	s.fleet.note("source %s: an update is refused, version %q stays in force: %s", s.Name, s.version, why)
 }
 
-// Said tells of a whole list. One that is stale was kept from an earlier life and counts until the source itself speaks.
-func (s *Source) Said(now Time, l listing.List) {
+// Receive tells of a whole list. One that is stale was kept from an earlier life and counts until the source itself speaks.
+func (s *Source) Receive(now Time, l listing.List) {
 	m := mark{l.Version, sum(l.Nodes)}
 	again := s.said != nil && m.version == s.version && m.sum == s.sum
 	back := s.fresh && !l.Stale && !again && s.leftAlready(m)
@@ -160,7 +160,7 @@
 	}
 	f := s.fleet
 	f.changed = true
-	if f.hold != nil && f.hold.by[s] && now >= f.hold.since+f.terms.Hold && !l.Stale {
+	if f.hold != nil && f.hold.by[s] && now >= f.hold.since+f.terms.HoldDown && !l.Stale {
 		f.hold.next = true
 	}
 }
@@ -168,21 +168,21 @@
 // pass lets time pass: a link that was cut for long, an old list that has stood for long.
 func (s *Source) pass(now Time) {
 	t := &s.fleet.terms
-	if s.State == Cut && now >= s.Since+t.Silent {
-		s.move(now, Silent, "its link has not come back")
+	if s.State == Disconnected && now >= s.Since+t.StaleAfter {
+		s.move(now, Stale, "its link has not come back")
 	}
-	if s.old != nil && now >= s.oldAt+t.Hold {
+	if s.old != nil && now >= s.oldAt+t.HoldDown {
 		s.take(now, *s.old, "it has stood long enough")
 	}
 }
 
 // wake is when pass has something to do; 0: never.
 func (s *Source) wake() (at Time) {
-	if s.State == Cut {
-		at = s.Since + s.fleet.terms.Silent
+	if s.State == Disconnected {
+		at = s.Since + s.fleet.terms.StaleAfter
 	}
 	if s.old != nil {
-		at = sooner(at, s.oldAt+s.fleet.terms.Hold)
+		at = sooner(at, s.oldAt+s.fleet.terms.HoldDown)
 	}
 	return at
 }
@@ -194,9 +194,9 @@
 		b = append(append(append(append(b[:0], n.Addr...), 0), n.Zone...), 0)
 		b = binary.BigEndian.AppendUint64(b, uint64(n.Shard))
 		b = binary.BigEndian.AppendUint64(b, math.Float64bits(n.Weight))
-		b = binary.BigEndian.AppendUint64(b, uint64(n.Born))
+		b = binary.BigEndian.AppendUint64(b, uint64(n.StartedAt))
 		b = binary.BigEndian.AppendUint64(b, uint64(n.Priority))
-		b = append(append(b, byte(n.Standing)), n.Name...)
+		b = append(append(b, byte(n.Health)), n.Name...)
 		all += xxhash.Sum64(b)
 	}
 	return all
--- a/internal/node/client.go
+++ b/internal/node/client.go
@@ -13,7 +13,7 @@
 
 // Client holds a gateway's connections to its nodes.
 type Client struct {
-	bounds  sftp.Bounds
+	bounds  sftp.Limits
 	connect time.Duration // longest wait for a connection
 	each    int           // connections to a node
 	log     *slog.Logger
@@ -26,12 +26,12 @@
 }
 
 // NewClient makes a client that waits so long for a connection, and has so many to a node.
-func NewClient(connect time.Duration, each int, b sftp.Bounds, log *slog.Logger) *Client {
+func NewClient(connect time.Duration, each int, b sftp.Limits, log *slog.Logger) *Client {
 	return &Client{bounds: b, connect: connect, each: max(each, 1), log: log, links: map[string][]*link{}}
 }
 
-// Late counts the answers that came after their execution was given up, and were dropped.
-func (c *Client) Late() int64 { return c.late.Load() }
+// LateReplies counts the answers that came after their execution was given up, and were dropped.
+func (c *Client) LateReplies() int64 { return c.late.Load() }
 
 // linkState is where a connection to a node stands. Only link.move changes it.
 type linkState uint8
@@ -51,33 +51,33 @@
 	state  linkState
 	conn   *sftp.Conn
 	next   uint32
-	out    map[uint32]*Sent
-	wait   []*Sent // until the link is open
+	out    map[uint32]*PendingCall
+	wait   []*PendingCall // until the link is open
 }
 
-// Sending is an execution on its way, to whoever started it.
-type Sending interface {
-	CallOff() // ends the wait, and lets the node know where the protocol can tell it
+// Attempt is an execution on its way, to whoever started it.
+type Attempt interface {
+	Cancel() // ends the wait, and lets the node know where the protocol can tell it
 }
 
-// Sent is an execution that is out.
-type Sent struct {
+// PendingCall is an execution that is out.
+type PendingCall struct {
 	link *link
 	call *Call
 	id   uint32
-	done func(Answer)
+	done func(Reply)
 	over bool
 }
 
 // Start sends an execution. done is called once, from elsewhere, unless Forget or CallOff comes first.
-func (c *Client) Start(addr string, call *Call, done func(Answer)) Sending {
-	s := &Sent{call: call, done: done}
+func (c *Client) Start(addr string, call *Call, done func(Reply)) Attempt {
+	s := &PendingCall{call: call, done: done}
 	c.lock.Lock()
 	list := c.links[addr]
 	c.turn++
 	var l *link
 	if len(list) < c.each && !c.closed {
-		l = &link{client: c, addr: addr, out: map[uint32]*Sent{}}
+		l = &link{client: c, addr: addr, out: map[uint32]*PendingCall{}}
 		c.links[addr] = append(list, l)
 		go l.dial()
 	} else if len(list) > 0 {
@@ -85,13 +85,13 @@
 	}
 	c.lock.Unlock()
 	if l == nil || !l.start(s) {
-		go done(Answer{Outcome: Unconnected, Text: "the connection has just ended"})
+		go done(Reply{Outcome: ConnectFailed, Message: "the connection has just ended"})
 	}
 	return s
 }
 
 // start queues or sends; false tells that the link has ended.
-func (l *link) start(s *Sent) bool {
+func (l *link) start(s *PendingCall) bool {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	s.link = l
@@ -107,20 +107,20 @@
 }
 
 // send writes an execution; the lock is held.
-func (l *link) send(s *Sent) {
+func (l *link) send(s *PendingCall) {
 	l.next++
 	s.id = l.next
 	l.out[s.id] = s
 	l.conn.Send(s.call.Packet(s.id)) // a connection that is closed has its executions ended by Closed
 }
 
-// Forget ends the wait for an execution: its answer will be dropped.
-func (s *Sent) Forget() { s.drop(false) }
+// Abandon ends the wait for an execution: its answer will be dropped.
+func (s *PendingCall) Abandon() { s.drop(false) }
 
-// CallOff ends the wait and asks the node to drop the execution, if it has not begun it.
-func (s *Sent) CallOff() { s.drop(true) }
+// Cancel ends the wait and asks the node to drop the execution, if it has not begun it.
+func (s *PendingCall) Cancel() { s.drop(true) }
 
-func (s *Sent) drop(tell bool) {
+func (s *PendingCall) drop(tell bool) {
 	if s.link == nil {
 		return
 	}
@@ -136,12 +136,12 @@
 	}
 	if delete(l.out, s.id); tell {
 		l.next++
-		l.conn.Send(Cancel(l.next, s.id, s.call))
+		l.conn.Send(CancelPacket(l.next, s.id, s.call))
 	}
 }
 
 // move changes the link's state, and returns whose wait ends by it.
-func (l *link) move(to linkState) (failed []*Sent) {
+func (l *link) move(to linkState) (failed []*PendingCall) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	if l.state == ended {
@@ -167,7 +167,7 @@
 			s.over = true
 			failed = append(failed, s)
 		}
-		l.wait, l.out = nil, map[uint32]*Sent{}
+		l.wait, l.out = nil, map[uint32]*PendingCall{}
 	}
 	return failed
 }
@@ -184,9 +184,9 @@
 	}
 	c.lock.Unlock()
 	for _, s := range l.move(ended) {
-		a := Answer{Outcome: Unconnected, Text: why.Error()}
+		a := Reply{Outcome: ConnectFailed, Message: why.Error()}
 		if s.id > 0 {
-			a.Outcome = Reset
+			a.Outcome = ConnectionReset
 		}
 		s.done(a)
 	}
@@ -231,24 +231,24 @@
 		return fmt.Errorf("%s does not offer %s", l.addr, ExecExtension)
 	case sftp.ExtendedReply:
 		id, r := f.ID()
-		a, err := ReadAnswer(r)
+		a, err := DecodeReply(r)
 		if err != nil {
 			return fmt.Errorf("answer of %s: %w", l.addr, err)
 		}
-		if a.Report != nil && l.client.reports.CompareAndSwap(false, true) {
-			l.client.log.Warn("a load report does not count, the answer does; further ones are not told", "node", l.addr, "why", a.Report)
+		if a.ReportErr != nil && l.client.reports.CompareAndSwap(false, true) {
+			l.client.log.Warn("a load report does not count, the answer does; further ones are not told", "node", l.addr, "why", a.ReportErr)
 		}
 		l.answer(id, a)
 		return nil
 	case sftp.Status: // a node that could not read the call has not run it, but this is not proven
 		id, r := f.ID()
-		l.answer(id, Answer{Outcome: Erred, Text: fmt.Sprint(sftp.Code(r.Uint32()), " ", r.Text())})
+		l.answer(id, Reply{Outcome: Failed, Message: fmt.Sprint(sftp.Code(r.Uint32()), " ", r.Text())})
 		return nil
 	}
 	return fmt.Errorf("%s sends packets of type %d", l.addr, f.Type)
 }
 
-func (l *link) answer(id uint32, a Answer) {
+func (l *link) answer(id uint32, a Reply) {
 	l.lock.Lock()
 	s := l.out[id]
 	if s != nil {
@@ -271,8 +271,8 @@
 	l.end(why)
 }
 
-// Leave ends the wait of what waits for a connection to a node that is left.
-func (c *Client) Leave(left func(addr string) bool) {
+// AbortQueued ends the wait of what waits for a connection to a node that is left.
+func (c *Client) AbortQueued(left func(addr string) bool) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	for addr, list := range c.links {
@@ -286,7 +286,7 @@
 			for _, s := range wait {
 				if !s.over {
 					s.over = true
-					go s.done(Answer{Outcome: Unconnected, Text: "the node is left"})
+					go s.done(Reply{Outcome: ConnectFailed, Message: "the node is left"})
 				}
 			}
 			l.lock.Unlock()
@@ -294,8 +294,8 @@
 	}
 }
 
-// Keep closes the connections to nodes that are not named.
-func (c *Client) Keep(addrs map[string]bool) {
+// Retain closes the connections to nodes that are not named.
+func (c *Client) Retain(addrs map[string]bool) {
 	c.lock.Lock()
 	var drop []*link
 	for addr, list := range c.links {
--- a/internal/node/orca.go
+++ b/internal/node/orca.go
@@ -12,9 +12,9 @@
 // Names of the measures that a load report in ORCA form holds for us, in its named_metrics
 // (xds.data.orca.v3.OrcaLoadReport). What else it tells is not used: the module measures nodes itself.
 const (
-	InflightMetric = "irispost.inflight"   // jobs that the node holds
-	LatencyMetric  = "irispost.latency_us" // its recent service time in microseconds, without waiting
-	OthersMetric   = "irispost.others"     // units served the volume through other gateways since the last answer to this one
+	InflightMetric  = "irispost.inflight"   // jobs that the node holds
+	LatencyMetric   = "irispost.latency_us" // its recent service time in microseconds, without waiting
+	ElsewhereMetric = "irispost.others"     // units served the volume through other gateways since the last answer to this one
 )
 
 // reported marks an outcome byte that a report follows.
@@ -24,9 +24,9 @@
 const longestReport = 16 << 10
 
 // report writes an answer's load report in ORCA form.
-func (a *Answer) report() string {
+func (a *Reply) report() string {
 	b, err := proto.MarshalOptions{Deterministic: true}.Marshal(&orcav3.OrcaLoadReport{NamedMetrics: map[string]float64{
-		InflightMetric: float64(a.Inflight), LatencyMetric: float64(a.Latency.Microseconds()), OthersMetric: a.Others}})
+		InflightMetric: float64(a.InFlight), LatencyMetric: float64(a.Latency.Microseconds()), ElsewhereMetric: a.UnitsElsewhere}})
 	if err != nil {
 		return ""
 	}
@@ -34,7 +34,7 @@
 }
 
 // readReport takes a load report in. One that is wrong changes nothing.
-func (a *Answer) readReport(b []byte) error {
+func (a *Reply) readReport(b []byte) error {
 	if len(b) > longestReport {
 		return fmt.Errorf("a load report of %d bytes, %d may be", len(b), longestReport)
 	}
@@ -47,8 +47,8 @@
 			return fmt.Errorf("a load report with %s = %v", name, v)
 		}
 	}
-	a.Inflight = int(m.GetNamedMetrics()[InflightMetric])
+	a.InFlight = int(m.GetNamedMetrics()[InflightMetric])
 	a.Latency = time.Duration(m.GetNamedMetrics()[LatencyMetric] * float64(time.Microsecond))
-	a.Others = m.GetNamedMetrics()[OthersMetric]
+	a.UnitsElsewhere = m.GetNamedMetrics()[ElsewhereMetric]
 	return nil
 }
--- a/internal/platform/check.go
+++ b/internal/platform/check.go
@@ -57,7 +57,7 @@
 	}
 	classes := list("lanes", func(at string) error {
 		return first(number(at+".target_ms", 0, false), number(at+".hard_limit_ms", 0, true), number(at+".repeat_window_ms", 0, false),
-			word(at+".effect", wire.Kind, true), word(at+".group", wire.Group, false))
+			word(at+".effect", wire.KnownEffect, true), word(at+".group", wire.KnownGroup, false))
 	})
 	plans := list("contracts", func(at string) error {
 		return first(number(at+".proportion", 0, false), number(at+".base_rate", 0, false), number(at+".floor_rate", 0, false),
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -18,17 +18,17 @@
 
 // Config is what a gateway is told.
 type Config struct {
-	Name      string
-	Listen    string
-	Discovery string
-	Seed      uint64
-	Cores     float64
-	Memory    int64 // bytes
-	Sockets   int
-	Known     *discovery.Form
-	Terms     decide.Terms
-	Connect   time.Duration // a connection to a node that is not up by then has failed
-	Idle      time.Duration // nodes close connections that have been idle for so long
+	Name            string
+	Listen          string
+	Discovery       string
+	Seed            uint64
+	Cores           float64
+	MemoryBytes     int64 // bytes
+	MaxSockets      int
+	CachedEndpoints *discovery.Response
+	Settings        decide.Settings
+	DialTimeout     time.Duration // a connection to a node that is not up by then has failed
+	IdleTimeout     time.Duration // nodes close connections that have been idle for so long
 }
 
 // file is config.json.
@@ -42,8 +42,8 @@
 		Memory  float64 `json:"memory_mb"`
 		Sockets int     `json:"sockets"`
 	} `json:"limits"`
-	Known    *discovery.Form `json:"known"`
-	Settings json.RawMessage `json:"settings"`
+	Known    *discovery.Response `json:"known"`
+	Settings json.RawMessage     `json:"settings"`
 }
 
 // Load reads the configuration that the environment names. What the file leaves out, the environment tells.
@@ -76,7 +76,7 @@
 		return s
 	}
 	c := &Config{Name: or(f.Name, "PROXY_NAME"), Listen: or(f.Listen, "PROXY_LISTEN"), Discovery: or(f.Discovery, "PROXY_DISCOVERY"),
-		Cores: f.Limits.Cores, Memory: int64(f.Limits.Memory * (1 << 20)), Sockets: f.Limits.Sockets, Known: f.Known, Terms: decide.Terms{}}
+		Cores: f.Limits.Cores, MemoryBytes: int64(f.Limits.Memory * (1 << 20)), MaxSockets: f.Limits.Sockets, CachedEndpoints: f.Known, Settings: decide.Settings{}}
 	for name, v := range map[string]string{"name": c.Name, "listen": c.Listen, "discovery": c.Discovery} {
 		if v == "" {
 			return nil, fmt.Errorf("no %s", name)
@@ -86,7 +86,7 @@
 	if c.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
 		return nil, fmt.Errorf("seed: %q is not a number of up to 16 hex digits", f.Seed)
 	}
-	if c.Sockets <= 0 || c.Memory <= 0 || c.Cores <= 0 {
+	if c.MaxSockets <= 0 || c.MemoryBytes <= 0 || c.Cores <= 0 {
 		return nil, fmt.Errorf("limits: %v cores, %v MB and %d sockets", f.Limits.Cores, f.Limits.Memory, f.Limits.Sockets)
 	}
 	d := json.NewDecoder(bytes.NewReader(f.Settings))
@@ -95,11 +95,11 @@
 	if err := d.Decode(&settings); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	spans := map[string]*time.Duration{"permissions.dial_timeout_ms": &c.Connect, "permissions.idle_close_ms": &c.Idle}
+	spans := map[string]*time.Duration{"permissions.dial_timeout_ms": &c.DialTimeout, "permissions.idle_close_ms": &c.IdleTimeout}
 	flat := map[string]string{}
 	flatten("", settings, func(path, value string) {
 		flat[path] = value
-		wire.Rename(c.Terms, path, value)
+		wire.TranslateSetting(c.Settings, path, value)
 		if s := spans[path]; s != nil {
 			if ns, ok := wire.ParseTime([]byte(value)); ok && ns > 0 {
 				*s = time.Duration(ns)
@@ -109,8 +109,8 @@
 	if err := check(flat); err != nil {
 		return nil, err
 	}
-	c.Terms["discovery"] = "ask" // whoever changes it, over HTTP the list comes to who asks
-	if c.Connect == 0 || c.Idle == 0 {
+	c.Settings["discovery"] = "ask" // whoever changes it, over HTTP the list comes to who asks
+	if c.DialTimeout == 0 || c.IdleTimeout == 0 {
 		return nil, errors.New("settings: permissions.dial_timeout_ms and permissions.idle_close_ms have to be above 0")
 	}
 	return c, nil
@@ -172,12 +172,12 @@
 	afterWait   = 700 * time.Millisecond
 )
 
-// Grace is how long a gateway has from being told to end to being killed.
-func (c *Config) Grace() time.Duration {
+// ShutdownGrace is how long a gateway has from being told to end to being killed.
+func (c *Config) ShutdownGrace() time.Duration {
 	longest := 0.0
-	count, _ := strconv.Atoi(c.Terms["products.count"])
+	count, _ := strconv.Atoi(c.Settings["products.count"])
 	for i := range count {
-		ms, _ := strconv.ParseFloat(c.Terms["products."+strconv.Itoa(i)+".patience"], 64)
+		ms, _ := strconv.ParseFloat(c.Settings["products."+strconv.Itoa(i)+".patience"], 64)
 		longest = max(longest, ms)
 	}
 	return min(time.Duration(longest*float64(time.Millisecond)), longestWait) + afterWait
@@ -187,10 +187,10 @@
 // two for the calls that follow.
 const longestHold = 3 * time.Second
 
-// Hold is how long the list's service may hold a watch open: often enough within the time after which a gateway that has not asked
+// LongPoll is how long the list's service may hold a watch open: often enough within the time after which a gateway that has not asked
 // counts as told all the same, so that a service that fell silent is noticed before.
-func (c *Config) Hold() time.Duration {
-	ms, _ := strconv.ParseFloat(c.Terms["list.every"], 64)
+func (c *Config) LongPoll() time.Duration {
+	ms, _ := strconv.ParseFloat(c.Settings["list.every"], 64)
 	if ms <= 0 {
 		return longestHold
 	}
--- a/internal/relive/relive.go
+++ b/internal/relive/relive.go
@@ -30,7 +30,7 @@
 type Script struct {
 	Gateway string
 	Seed    uint64
-	Terms   decide.Terms
+	Terms   decide.Settings
 	From    decide.Time // the module's start
 	acts    []act
 	nodes   map[string]*behaviour
@@ -99,7 +99,7 @@
 		case capture.Listed, capture.ListedPart:
 			s.acts = append(s.acts, act{at: at, list: r})
 			for _, n := range r.Nodes {
-				s.nodes[n.Addr] = &behaviour{zone: n.Zone, shard: n.Shard, born: n.Born, windows: map[int64]*window{}}
+				s.nodes[n.Addr] = &behaviour{zone: n.Zone, shard: n.Shard, born: n.StartedAt, windows: map[int64]*window{}}
 			}
 		case capture.Take:
 			s.acts = append(s.acts, act{at: at, take: r})
@@ -113,7 +113,7 @@
 			}
 		case capture.Ended:
 			s.outcome(r, at, sent[execution{r.Job, r.Number}], taken[r.Job])
-			if t := taken[r.Job]; t != nil && r.Final && r.Outcome == decide.Served {
+			if t := taken[r.Job]; t != nil && r.Final && r.Outcome == decide.OutcomeServed {
 				if r.At-t.At <= goals[t.Product] {
 					s.shape(t.Product).InGoal++
 				} else {
@@ -125,7 +125,7 @@
 				sent[execution{e.Job, e.Number}] = e.Node
 			}
 			for _, a := range r.Decision.Ended {
-				if t := taken[a.Job]; t != nil && a.State == decide.Dismissed {
+				if t := taken[a.Job]; t != nil && a.State == decide.RequestRejected {
 					s.shape(t.Product).Dismissed++
 				} else if t != nil {
 					s.shape(t.Product).WrittenOff++
@@ -165,11 +165,11 @@
 		b.windows[began] = w
 	}
 	switch r.Outcome {
-	case decide.Served:
+	case decide.OutcomeServed:
 		w.pace = append(w.pace, float64(r.Took)/max(t.Units, 0.01))
-	case decide.Erred, decide.Reset, decide.Full:
+	case decide.OutcomeError, decide.OutcomeReset, decide.OutcomeOverloaded:
 		w.failed++
-	case decide.TimedOut, decide.Unconnected:
+	case decide.OutcomeTimeout, decide.OutcomeConnectFailed:
 		w.silent++
 	}
 }
@@ -274,14 +274,14 @@
 		p.inTurn[name] = s.Terms[item(i, "in_turn")] == "true" || s.Terms[item(i, "in_turn")] == "1"
 		p.goals[name] = decide.Time(float(s.Terms, item(i, "goal")) * 1e6)
 	}
-	terms := decide.Terms{}
+	terms := decide.Settings{}
 	for name, v := range s.Terms {
 		terms[name] = v
 	}
 	terms["discovery"] = "told" // lists come at their captured times, whoever asked for them
-	client := node.NewClient(time.Second, 2, sftp.DefaultBounds, opt.Log)
+	client := node.NewClient(time.Second, 2, sftp.DefaultLimits, opt.Log)
 	defer client.Close()
-	p.loop = gateway.Start(gateway.Options{Name: s.Gateway, Seed: s.Seed, Terms: terms, Queue: 4096, Clock: clock, Nodes: client, Log: opt.Log})
+	p.loop = gateway.Start(gateway.Options{Name: s.Gateway, Seed: s.Seed, Settings: terms, QueueSize: 4096, Clock: clock, Nodes: client, Log: opt.Log})
 	defer p.loop.Stop()
 	if err := p.run(ctx); err != nil {
 		return nil, err
@@ -350,7 +350,7 @@
 		p.lock.Unlock()
 		if s != nil { // else it has its answer here already
 			p.record.Add(audit.Event{What: audit.ClientGo, Session: s.Name, Word: "closed"})
-			p.loop.Left(s)
+			p.loop.CloseSession(s)
 		}
 	}
 	return nil
@@ -360,13 +360,13 @@
 func (p *play) list(r *capture.Record) error {
 	if r.Kind == capture.Listed {
 		for addr, n := range p.lists {
-			n.Standing = listing.Gone
+			n.Health = listing.Removed
 			p.lists[addr] = n
 		}
 	}
 	for _, n := range r.Nodes {
 		old, known := p.lists[n.Addr]
-		if !known || n.Born > old.Born {
+		if !known || n.StartedAt > old.StartedAt {
 			if err := p.start(n); err != nil {
 				return err
 			}
@@ -374,19 +374,19 @@
 		p.lists[n.Addr] = n
 	}
 	var l listing.List
-	words := map[listing.Standing]string{listing.Ready: "ready", listing.Draining: "draining", listing.Gone: "gone"}
+	words := map[listing.Health]string{listing.Ready: "ready", listing.Draining: "draining", listing.Removed: "gone"}
 	for _, addr := range sorted(p.lists) {
 		n := p.lists[addr]
 		n.Addr = p.nodes[addr].Addr()
-		if n.Born > p.script.From { // on this run's clock
-			n.Born = p.nodes[addr].Born().UnixNano()
+		if n.StartedAt > p.script.From { // on this run's clock
+			n.StartedAt = p.nodes[addr].Born().UnixNano()
 		} else {
-			n.Born = 0
+			n.StartedAt = 0
 		}
 		l.Nodes = append(l.Nodes, n)
-		p.record.Add(audit.Event{What: audit.Listed, Node: n.Addr, Word: words[n.Standing]})
+		p.record.Add(audit.Event{What: audit.Listed, Node: n.Addr, Word: words[n.Health]})
 	}
-	p.loop.List(l)
+	p.loop.UpdateEndpoints(l)
 	return nil
 }
 
@@ -424,7 +424,7 @@
 func (p *play) take(r *capture.Record) {
 	v := p.vols[r.Volume]
 	if v == nil {
-		v = &gateway.Volume{ID: r.Volume, Plan: r.Plan, Hosts: r.Hosts}
+		v = &gateway.Volume{ID: r.Volume, ServiceLevel: r.Plan, Gateways: r.Hosts}
 		p.vols[r.Volume] = v
 	}
 	p.count++
@@ -435,12 +435,12 @@
 	now := p.loop.Now()
 	goal, stop := now+p.goals[r.Product], now+r.StopBy-r.At
 	p.record.Add(audit.Event{At: now, What: audit.Asked, Session: s.Name, ID: 1, Product: r.Product, Goal: goal, Limit: stop})
-	call := node.Call{Op: node.Get, Name: "none", Shard: r.Shard}
+	call := node.Call{Op: node.GetObject, Name: "none", Shard: r.Shard}
 	if r.Write {
-		call = node.Call{Op: node.Put, Name: r.Job, Shard: r.Shard, Data: []byte("x")}
+		call = node.Call{Op: node.PutObject, Name: r.Job, Shard: r.Shard, Data: []byte("x")}
 	}
-	wait := p.loop.Do(s, &gateway.Work{Volume: v, Product: r.Product, Units: r.Units, Key: r.Key, Keyed: r.Keyed && p.inTurn[r.Product], StopBy: stop,
-		Request: 1, Kind: p.kinds[r.Product], Call: call})
+	wait := p.loop.Submit(s, &gateway.RequestSpec{Volume: v, Class: r.Product, Units: r.Units, Key: r.Key, HasKey: r.Keyed && p.inTurn[r.Product], Deadline: stop,
+		ClientRequest: 1, Idempotency: p.kinds[r.Product], Call: call})
 	p.over.Add(1)
 	go func() {
 		defer p.over.Done()
@@ -457,16 +457,16 @@
 		shape.Jobs++
 		told := audit.Event{At: at, What: audit.Told, Session: s.Name, ID: 1}
 		switch result.State {
-		case decide.Completed:
+		case decide.RequestSucceeded:
 			if at <= goal {
 				shape.InGoal++
 			} else {
 				shape.Late++
 			}
-		case decide.Dismissed:
+		case decide.RequestRejected:
 			told.Answer = audit.Dismissed
 			shape.Dismissed++
-		case decide.Withdrawn:
+		case decide.RequestClientCancelled:
 			shape.Left++
 			return
 		default:
@@ -485,9 +485,9 @@
 
 func item(n int, name string) string { return "products." + strconv.Itoa(n) + "." + name }
 
-func float(t decide.Terms, name string) float64 {
+func float(t decide.Settings, name string) float64 {
 	v, _ := strconv.ParseFloat(strings.TrimSpace(t[name]), 64)
 	return v
 }
 
-func count(t decide.Terms, name string) int { return int(float(t, name)) }
+func count(t decide.Settings, name string) int { return int(float(t, name)) }
--- a/internal/replay/feed.go
+++ b/internal/replay/feed.go
@@ -28,7 +28,7 @@
 	switch rec.Kind {
 	case capture.Header:
 		r.report.Gateway, r.report.Build = rec.Name, rec.Build
-		r.report.SameModule = rec.Digest == xxhash.Sum64(decide.Text)
+		r.report.SameModule = rec.Digest == xxhash.Sum64(decide.PolicySource)
 		return nil
 	case capture.Start:
 		r.start(rec)
@@ -48,17 +48,17 @@
 	}
 	switch rec.Kind {
 	case capture.Listed, capture.ListedPart:
-		gateway.Tell(r.module, rec.At, listing.List{Stale: rec.Stale, Nodes: rec.Nodes}, rec.Kind == capture.Listed)
+		gateway.ApplyEndpointList(r.module, rec.At, listing.List{Stale: rec.Stale, Nodes: rec.Nodes}, rec.Kind == capture.Listed)
 	case capture.ListFailed, capture.ListSilent:
-		r.module.ListFailed(rec.At, rec.Kind == capture.ListSilent)
+		r.module.EndpointListFailed(rec.At, rec.Kind == capture.ListSilent)
 	case capture.Agreed:
 		r.learn(rec.Terms)
-		r.module.Agree(rec.At, rec.Terms)
+		r.module.ApplySettings(rec.At, rec.Terms)
 	case capture.Lent:
-		r.module.Lend(rec.At, rec.Node, rec.Born, rec.Units, rec.Till)
+		r.module.AllocateSlowStart(rec.At, rec.Node, rec.Born, rec.Units, rec.Till)
 	case capture.Begun:
 		r.tell(rec.Job, rec.At, "execution %d: its answer begins to flow", rec.Number)
-		r.module.Begun(rec.At, rec.Job, rec.Number)
+		r.module.ResponseStarted(rec.At, rec.Job, rec.Number)
 	case capture.Take:
 		r.take(rec)
 	case capture.Ended:
@@ -67,7 +67,7 @@
 			rec.Number, addr, outcome(rec.Outcome), float64(rec.Took)/1e6, float64(n.took)/1e6, 100*n.failing, n.out, n.held)
 		r.at(addr, rec.At, "%s, execution %d: %s after %.1f ms; lately %.1f ms, %.0f%% not served, %d out, %d held", rec.Job, rec.Number,
 			outcome(rec.Outcome), float64(rec.Took)/1e6, float64(n.took)/1e6, 100*n.failing, n.out, n.held)
-		if j := r.jobs[rec.Job]; j != nil && rec.Final && rec.Outcome == decide.Served {
+		if j := r.jobs[rec.Job]; j != nil && rec.Final && rec.Outcome == decide.OutcomeServed {
 			j.product.Completed++
 			if rec.At <= j.goalBy {
 				j.product.InGoal++
@@ -75,14 +75,14 @@
 			r.tell(rec.Job, rec.At, "completed")
 			delete(r.jobs, rec.Job)
 		}
-		r.module.Ended(rec.At, rec.Job, rec.Number, rec.Outcome, rec.Took, rec.Final, rec.Others)
+		r.module.AttemptFinished(rec.At, rec.Job, rec.Number, rec.Outcome, rec.Took, rec.Final, rec.Others)
 	case capture.Left:
 		if j := r.jobs[rec.Job]; j != nil {
 			j.product.Left++
 			r.tell(rec.Job, rec.At, "its client has gone")
 			delete(r.jobs, rec.Job)
 		}
-		r.module.Left(rec.At, rec.Job)
+		r.module.ClientLeft(rec.At, rec.Job)
 	case capture.Decided:
 		r.decided(rec)
 	}
@@ -98,7 +98,7 @@
 	if r.module != nil {
 		return nil // it is there already, and was compared so far
 	}
-	g, err := snapshot.Restore[decide.Gateway]([]byte(rec.State), decide.StoredNames)
+	g, err := snapshot.Restore[decide.Scheduler]([]byte(rec.State), decide.StoredNames)
 	if err != nil {
 		return fmt.Errorf("record %d, the module's state: %w", r.report.Records, err)
 	}
@@ -118,7 +118,7 @@
 }
 
 // learn takes the products' goals from terms.
-func (r *Replay) learn(terms decide.Terms) {
+func (r *Replay) learn(terms decide.Settings) {
 	for i := 0; ; i++ {
 		item := fmt.Sprintf("products.%d.", i)
 		name, there := terms[item+"name"]
@@ -141,8 +141,8 @@
 	p.Jobs++
 	r.jobs[rec.Job] = &job{product: p, goalBy: rec.At + r.goals[rec.Product]}
 	r.tell(rec.Job, rec.At, "taken: %s of volume %d (%s), %.2f units, shard %d", rec.Product, rec.Volume, rec.Plan, rec.Units, rec.Shard)
-	j := &decide.Job{ID: rec.Job, Units: rec.Units, Shard: rec.Shard, Key: rec.Key, Write: rec.Write, StopBy: rec.StopBy}
-	r.module.Take(rec.At, j, rec.Volume, rec.Plan, rec.Product, rec.Hosts, rec.Keyed)
+	j := &decide.Request{ID: rec.Job, Units: rec.Units, Shard: rec.Shard, Key: rec.Key, Write: rec.Write, Deadline: rec.StopBy}
+	r.module.Submit(rec.At, j, rec.Volume, rec.Plan, rec.Product, rec.Hosts, rec.Keyed)
 }
 
 // seen is what the replay has seen of a node.
@@ -171,7 +171,7 @@
 	delete(r.nodes, key)
 	n = r.node(addr)
 	failed := 1.0
-	if rec.Outcome == decide.Served {
+	if rec.Outcome == decide.OutcomeServed {
 		failed = 0
 		n.took += (rec.Took - n.took) / 8
 		n.held = rec.Inflight
@@ -233,7 +233,7 @@
 	for _, a := range now.Ended {
 		r.tell(a.Job, rec.At, "%s, to come back in %.0f ms", gateway.StateName(a.State), float64(a.Wait)/1e6)
 		if j := r.jobs[a.Job]; j != nil {
-			if a.State == decide.Dismissed {
+			if a.State == decide.RequestRejected {
 				j.product.Dismissed++
 			} else {
 				j.product.WrittenOff++
@@ -266,9 +266,9 @@
 	return ""
 }
 
-var outcomes = [...]string{decide.Out: "out", decide.Served: "served", decide.Erred: "failed", decide.Full: "turned away as full",
-	decide.TimedOut: "timed out", decide.Unconnected: "no connection", decide.Reset: "the connection broke",
-	decide.CalledOff: "called off", decide.Moot: "not this shard"}
+var outcomes = [...]string{decide.OutcomePending: "out", decide.OutcomeServed: "served", decide.OutcomeError: "failed", decide.OutcomeOverloaded: "turned away as full",
+	decide.OutcomeTimeout: "timed out", decide.OutcomeConnectFailed: "no connection", decide.OutcomeReset: "the connection broke",
+	decide.OutcomeCancelled: "called off", decide.OutcomeMisdirected: "not this shard"}
 
 func outcome(o decide.Outcome) string {
 	if int(o) < len(outcomes) {
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -80,7 +80,7 @@
 type Replay struct {
 	opt      Options
 	report   Report
-	module   *decide.Gateway
+	module   *decide.Scheduler
 	products map[string]*Product
 	jobs     map[string]*job
 	goals    map[string]decide.Time
--- a/internal/scale/apart.go
+++ b/internal/scale/apart.go
@@ -42,29 +42,29 @@
 	size.Nodes = 3
 	size.Floor = 0
 	r := first(&size)
-	r.Floor.For = a.Floor
-	l := accord.NewLedger()
-	commands := []*accord.Command{{Found: &accord.Terms{Lease: a.Lease, Drift: 0.01}}, {Propose: &accord.Proposal{ID: "first", Rules: r.Canonical()}},
-		{Force: 1}, {Join: []string{"here", "there"}}}
+	r.FallbackPolicy.Duration = a.Floor
+	l := accord.NewStateMachine()
+	commands := []*accord.Command{{Bootstrap: &accord.Settings{LeaseDuration: a.Lease, MaxClockDrift: 0.01}}, {Propose: &accord.Proposal{ID: "first", Content: r.Canonical()}},
+		{Activate: 1}, {Join: []string{"here", "there"}}}
 	for _, c := range commands {
 		if _, err := l.Apply(c); err != nil {
 			return s, err
 		}
 	}
 	now := int64(1e9)
-	w := accord.Lead(now, 1, l, 0)
-	here, there := accord.Follow("here", a.Lease/5, 0), accord.Follow("there", a.Lease/5, 0)
-	here.TakesWhole() // how contents travel takes no virtual time
-	there.TakesWhole()
-	ask := func(f *accord.Follower) {
+	w := accord.NewManager(now, 1, l, 0)
+	here, there := accord.NewClient("here", a.Lease/5, 0), accord.NewClient("there", a.Lease/5, 0)
+	here.RequestFullVersions() // how contents travel takes no virtual time
+	there.RequestFullVersions()
+	ask := func(f *accord.Client) {
 		for range 3 { // an ask that is followed by another at once is
-			if f.Due(now) <= now {
-				f.Heard(now, w.Renew(now, f.Ask(now)))
+			if f.NextRequestAt(now) <= now {
+				f.HandleResponse(now, w.Renew(now, f.NextRequest(now)))
 			}
 		}
 	}
 	decide := func() error {
-		for c := w.Decide(now); c != nil; c = w.Decide(now) {
+		for c := w.NextCommand(now); c != nil; c = w.NextCommand(now) {
 			if _, err := l.Apply(c); err != nil {
 				return err
 			}
@@ -80,7 +80,7 @@
 			return s, err
 		}
 	}
-	if here.State() != accord.Acting || there.State() != accord.Acting {
+	if here.State() != accord.StateActing || there.State() != accord.StateActing {
 		return s, fmt.Errorf("before the cut they are %v and %v", here.State(), there.State())
 	}
 	cut, proposed := now, int64(0)
@@ -92,10 +92,10 @@
 				return s, err
 			}
 		}
-		if there.At(now); there.State() != accord.Acting {
+		if there.Effective(now); there.State() != accord.StateActing {
 			s.Leased = cmp.Or(s.Leased, now-cut)
 		}
-		if there.State() == accord.Ended {
+		if there.State() == accord.StateEnded {
 			s.Floored = cmp.Or(s.Floored, now-cut)
 		}
 		if s.Majority >= 0 && proposed == 0 && now >= cut+1e9 {
@@ -107,7 +107,7 @@
 				tune(next)
 			}
 			proposed = now
-			if _, err := l.Apply(&accord.Command{Propose: &accord.Proposal{ID: "second", Parent: 1, Rules: next.Canonical()}}); err != nil {
+			if _, err := l.Apply(&accord.Command{Propose: &accord.Proposal{ID: "second", Parent: 1, Content: next.Canonical()}}); err != nil {
 				return s, err
 			}
 		}
--- a/internal/scale/cases.go
+++ b/internal/scale/cases.go
@@ -63,8 +63,8 @@
 		return err
 	}
 	r.Audits = append(r.Audits, a)
-	if a.Worst > 0 { // nobody is to contradict at all; what is stated bounds the error of clocks, and here all have one
-		r.broke("gateways contradicted each other for %.1f ms (%.0f stated): %s", a.Worst, a.Stated, a.First)
+	if a.WorstMillis > 0 { // nobody is to contradict at all; what is stated bounds the error of clocks, and here all have one
+		r.broke("gateways contradicted each other for %.1f ms (%.0f stated): %s", a.WorstMillis, a.BoundMillis, a.FirstViolation)
 	}
 	return nil
 }
--- a/internal/scale/ends.go
+++ b/internal/scale/ends.go
@@ -83,7 +83,7 @@
 
 // audit holds what all gateways acted on since the last audit against each other, by their own records.
 func (f *Fleet) audit() (rig.Agreement, error) {
-	records := map[string][]rig.Acts{}
+	records := map[string][]rig.Activation{}
 	for _, h := range f.Gateways {
 		h.lock.Lock()
 		var err error
@@ -91,7 +91,7 @@
 			err = h.readActs()
 		}
 		if n := len(h.acts); n > 0 {
-			records[h.Name], h.acts = h.acts, []rig.Acts{h.acts[n-1]}
+			records[h.Name], h.acts = h.acts, []rig.Activation{h.acts[n-1]}
 		}
 		h.lock.Unlock()
 		if err != nil {
@@ -100,5 +100,5 @@
 	}
 	versions := f.versions
 	f.versions = f.versions[len(f.versions)-1:]
-	return rig.Sweep(records, versions, keep.Stated(accord.Terms{Lease: int64(f.Size.Lease), Drift: 0.01}), monotonic())
+	return rig.AuditSweep(records, versions, keep.ConvergenceBound(accord.Settings{LeaseDuration: int64(f.Size.Lease), MaxClockDrift: 0.01}), monotonic())
 }
--- a/internal/scale/fleetbench/run.go
+++ b/internal/scale/fleetbench/run.go
@@ -42,7 +42,7 @@
 	addrs := b.keepers.addrs(0)
 	b.followers = newFollowers(o.Followers, addrs)
 	counted := meter.Dialer(nil, func(addr string) []*meter.Bytes { return []*meter.Bytes{b.followers.from[addr]} })
-	b.client = &keep.Client{Keepers: addrs, Within: patience / 2, HTTP: &http.Client{Transport: &http.Transport{DialContext: counted}}}
+	b.client = &keep.Client{Replicas: addrs, Timeout: patience / 2, HTTPClient: &http.Client{Transport: &http.Transport{DialContext: counted}}}
 	return b, nil
 }
 
@@ -54,8 +54,8 @@
 
 // proposal is the rules as they are now, as the next version.
 func (b *bench) proposal(why string) *accord.Proposal {
-	return &accord.Proposal{ID: fmt.Sprint("bench-", b.version+1), Parent: uint64(b.version), Author: "bench", Why: why, Time: time.Now().UTC().Format(time.RFC3339),
-		Rules: b.course.Rules().Canonical()}
+	return &accord.Proposal{ID: fmt.Sprint("bench-", b.version+1), Parent: uint64(b.version), Author: "bench", Reason: why, CreatedAt: time.Now().UTC().Format(time.RFC3339),
+		Content: b.course.Rules().Canonical()}
 }
 
 // propose makes it a version. It is announced then.
@@ -80,7 +80,7 @@
 		return err
 	}
 	leader, _ := b.keepers.leader(ctx)
-	b.client.Keepers = b.keepers.addrs(leader)
+	b.client.Replicas = b.keepers.addrs(leader)
 	return nil
 }
 
--- a/internal/scale/form.go
+++ b/internal/scale/form.go
@@ -7,7 +7,7 @@
 const forms = 2
 
 // formBefore has a follower ask in the form of the build before. It is the one place that has to know how that is said in its options.
-func formBefore(o *follow.Options) { o.Whole = true }
+func formBefore(o *follow.Options) { o.FullVersions = true }
 
 // bothForms has every second gateway ask in the form of the build before, and makes changes.
 func bothForms(f *Fleet, r *Result) error {
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -45,11 +45,11 @@
 	witness *witness
 	nodes   *nowhere
 	loop    *gateway.Loop
-	follow  *follow.Following
+	follow  *follow.Client
 	cold    *agent.Agent
 	record  string // file, of this start
 	read    int64  // bytes of it that were read
-	acts    []rig.Acts
+	acts    []rig.Activation
 }
 
 // Flaw is a defect that a test puts in, to show that a case sees it.
@@ -98,7 +98,7 @@
 
 // looks is what the loop asks, each time before it decides.
 type looks struct {
-	gateway.Rules
+	gateway.ConfigSource
 	h     *Hollow
 	whole listing.List // what it was told of nodes, all together
 	last  listing.List // that, of the version that it acted on alone last
@@ -106,7 +106,7 @@
 
 // told takes a list, or what has changed in one.
 func (l *looks) told(list listing.List) {
-	if !list.Part {
+	if !list.Partial {
 		l.whole = list
 		return
 	}
@@ -122,11 +122,11 @@
 }
 
 // At is the follower's, for a slow gateway after a while, and for one with a defect without what it loses.
-func (l *looks) At(now decide.Time) (*gateway.Acts, decide.Time) {
+func (l *looks) At(now decide.Time) (*gateway.ActiveConfig, decide.Time) {
 	if slow := l.h.slow.Load(); slow > 0 {
 		time.Sleep(time.Duration(slow))
 	}
-	acts, until := l.Rules.At(now)
+	acts, until := l.ConfigSource.At(now)
 	if acts == nil {
 		return nil, until
 	}
@@ -137,8 +137,8 @@
 		if l.h.flaw&TurnsBack != 0 && l.last.Version != "" {
 			l.h.lost.Store(0)
 			go func() {
-				l.h.loop.List(acts.List)
-				l.h.loop.List(l.last)
+				l.h.loop.UpdateEndpoints(acts.List)
+				l.h.loop.UpdateEndpoints(l.last)
 			}()
 			return acts, until
 		}
@@ -164,32 +164,32 @@
 	clock := standing{gateway.NewClock(), &h.gate}
 	stands := make(chan struct{})
 	var loop *gateway.Loop
-	who := follow.Boot(h.Name)
-	o := follow.Options{Gateway: h.Name, Who: who, Keepers: h.reach, Pause: s.Pause, Now: clock.Now, Wake: func() { <-stands; loop.Wake() },
-		Seed: uint64(h.number), Own: h.fleet.own, Record: h.record, Log: h.fleet.opt.Log, Dial: h.dial()}
+	who := follow.NewHolderID(h.Name)
+	o := follow.Options{Gateway: h.Name, Holder: who, Replicas: h.reach, RenewInterval: s.Pause, Now: clock.Now, OnChange: func() { <-stands; loop.Wake() },
+		Seed: uint64(h.number), LocalSettings: h.fleet.own, RecordFile: h.record, Logger: h.fleet.opt.Log, Dial: h.dial()}
 	if h.flaw&NoLease != 0 {
-		o.Flaws = accord.NoLease
+		o.InjectedFaults = accord.FaultNoLeaseExpiry
 	}
 	if h.before {
 		formBefore(&o)
 	}
 	h.cold = nil
 	if s.Cold {
-		if h.cold, err = agent.Listen(agent.Options{Gateway: h.Name, Who: who, Listen: "127.0.0.1:0", Terms: agent.Terms(h.fleet.own, 0.01), Now: clock.Now,
-			Log: h.fleet.opt.Log}); err != nil {
+		if h.cold, err = agent.Listen(agent.Options{Gateway: h.Name, Holder: who, ListenAddr: "127.0.0.1:0", Settings: agent.SettingsFrom(h.fleet.own, 0.01), Now: clock.Now,
+			Logger: h.fleet.opt.Log}); err != nil {
 			return err
 		}
-		o.Peer, o.Members = h.cold.Addr(), h.cold.Granted
+		o.PeerAddr, o.OnMembership = h.cold.Addr(), h.cold.HandleMembership
 	}
 	if h.follow, err = follow.Start(o); err != nil {
 		return err
 	}
-	loop = gateway.Start(gateway.Options{Name: h.Name, Seed: uint64(h.number), Terms: h.fleet.own, Queue: 256, Clock: clock, Nodes: h.nodes,
-		Rules: agent.Acting{Rules: &looks{Rules: h.follow, h: h}, Agent: h.cold}, Log: h.fleet.opt.Log, Tap: h.witness})
+	loop = gateway.Start(gateway.Options{Name: h.Name, Seed: uint64(h.number), Settings: h.fleet.own, QueueSize: 256, Clock: clock, Nodes: h.nodes,
+		Config: agent.SettingsForwarder{ConfigSource: &looks{ConfigSource: h.follow, h: h}, Agent: h.cold}, Log: h.fleet.opt.Log, Tap: h.witness})
 	h.loop = loop
 	close(stands)
 	if h.cold != nil {
-		h.cold.Begin(h.loop)
+		h.cold.Start(h.loop)
 	}
 	h.there = true
 	return nil
@@ -222,7 +222,7 @@
 		h.cold.Close()
 	}
 	h.readActs()
-	h.acts = append(h.acts, rig.Acts{At: monotonic()})
+	h.acts = append(h.acts, rig.Activation{At: monotonic()})
 	os.Remove(h.record)
 }
 
@@ -258,7 +258,7 @@
 		return err
 	}
 	b = b[:bytes.LastIndexByte(b, '\n')+1] // a line that is being written is read the next time
-	list, err := rig.ReadActs(bytes.NewReader(b))
+	list, err := rig.ReadActivations(bytes.NewReader(b))
 	h.read += int64(len(b))
 	h.acts = append(h.acts, list...)
 	return err
@@ -270,9 +270,9 @@
 	loop, nodes := h.loop, h.nodes
 	h.lock.Unlock()
 	mark := fmt.Sprintf("%s probe %d", h.Name, probes.Add(1))
-	w := &gateway.Work{Volume: &gateway.Volume{ID: 1, Plan: "basic", Hosts: 1}, Product: "read", Units: 1, StopBy: loop.Now() + int64(h.fleet.Size.Patience),
-		Call: node.Call{Mark: mark, Shard: shard, Op: node.Get, Name: "probe"}}
-	<-loop.Do(nil, w)
+	w := &gateway.RequestSpec{Volume: &gateway.Volume{ID: 1, ServiceLevel: "basic", Gateways: 1}, Class: "read", Units: 1, Deadline: loop.Now() + int64(h.fleet.Size.Patience),
+		Call: node.Call{IdempotencyKey: mark, Shard: shard, Op: node.GetObject, Name: "probe"}}
+	<-loop.Submit(nil, w)
 	addr, _ := nodes.begun.LoadAndDelete(mark)
 	to, _ := addr.(string)
 	return to
--- a/internal/scale/inforce.go
+++ b/internal/scale/inforce.go
@@ -40,7 +40,7 @@
 		return nobody, func() error { return process.Signal(syscall.SIGCONT) }, process.Signal(syscall.SIGSTOP)
 	}},
 	{"region_cut", func(f *Fleet) (func(*Hollow) bool, func() error, error) {
-		f.cut(rig.Fault{There: true, Back: true})
+		f.cut(rig.Fault{DropForward: true, DropReturn: true})
 		minority := f.minority()
 		return func(h *Hollow) bool { return f.Size.region(h.zone) == minority }, func() error { f.cut(rig.Fault{}); return nil }, nil
 	}},
@@ -55,8 +55,10 @@
 		h.gate.Lock()
 		return only(h), func() error { h.gate.Unlock(); return nil }, nil
 	}},
-	{"gateway_mute", func(f *Fleet) (func(*Hollow) bool, func() error, error) { return f.faulty(rig.Fault{There: true}) }},
-	{"gateway_deaf", func(f *Fleet) (func(*Hollow) bool, func() error, error) { return f.faulty(rig.Fault{Back: true}) }},
+	{"gateway_mute", func(f *Fleet) (func(*Hollow) bool, func() error, error) {
+		return f.faulty(rig.Fault{DropForward: true})
+	}},
+	{"gateway_deaf", func(f *Fleet) (func(*Hollow) bool, func() error, error) { return f.faulty(rig.Fault{DropReturn: true}) }},
 }
 
 // Faults are their names.
@@ -100,14 +102,14 @@
 
 func (h *Hollow) fault(to rig.Fault) {
 	for _, l := range h.private {
-		l.Set(to)
+		l.SetFault(to)
 	}
 }
 
 // cut has all links between regions be faulty.
 func (f *Fleet) cut(to rig.Fault) {
 	for _, l := range f.between {
-		l.Set(to)
+		l.SetFault(to)
 	}
 }
 
--- a/internal/scale/keepers.go
+++ b/internal/scale/keepers.go
@@ -145,7 +145,7 @@
 	if from != there {
 		latency = f.Size.Latency
 	}
-	l, err := rig.NewLongLink(to, latency)
+	l, err := rig.NewLinkWithLatency(to, latency)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/scale/nowhere.go
+++ b/internal/scale/nowhere.go
@@ -14,20 +14,20 @@
 
 type answered struct{}
 
-func (answered) CallOff() {}
+func (answered) Cancel() {}
 
 // Start answers an execution.
-func (n *nowhere) Start(addr string, c *node.Call, done func(node.Answer)) node.Sending {
-	n.begun.LoadOrStore(c.Mark, addr)
-	go done(node.Answer{Outcome: node.Served, Shard: c.Shard})
+func (n *nowhere) Start(addr string, c *node.Call, done func(node.Reply)) node.Attempt {
+	n.begun.LoadOrStore(c.IdempotencyKey, addr)
+	go done(node.Reply{Outcome: node.Executed, Shard: c.Shard})
 	return answered{}
 }
 
-// Leave has nothing to leave.
-func (n *nowhere) Leave(func(string) bool) {}
+// AbortQueued has nothing to leave.
+func (n *nowhere) AbortQueued(func(string) bool) {}
 
-// Keep has nothing to keep.
-func (n *nowhere) Keep(map[string]bool) {}
+// Retain has nothing to keep.
+func (n *nowhere) Retain(map[string]bool) {}
 
-// Late is none: all answers come at once.
-func (n *nowhere) Late() int64 { return 0 }
+// LateReplies is none: all answers come at once.
+func (n *nowhere) LateReplies() int64 { return 0 }
--- a/internal/scale/regions.go
+++ b/internal/scale/regions.go
@@ -23,9 +23,9 @@
 			here = append(here, k.addr)
 		}
 	}
-	f.cut(rig.Fault{There: true, Back: true})
+	f.cut(rig.Fault{DropForward: true, DropReturn: true})
 	all := f.operator
-	f.operator = &keep.Client{Keepers: here, Within: operatorWithin}
+	f.operator = &keep.Client{Replicas: here, Timeout: operatorWithin}
 	c, err := f.propose("a change while the regions are cut", tune)
 	if err != nil {
 		return err
@@ -40,7 +40,7 @@
 	r.Broken = append(r.Broken, f.await(c.Version, away)...)
 	r.Spread["replaced_cut_ms"] = meter.QuantilesOf(f.took(c, away))
 	held := f.rules
-	if _, err := f.proposeBy(&keep.Client{Keepers: there, Within: 2 * f.Size.Lease}, "a change without a majority", tune); err == nil {
+	if _, err := f.proposeBy(&keep.Client{Replicas: there, Timeout: 2 * f.Size.Lease}, "a change without a majority", tune); err == nil {
 		r.broke("a change was announced where no majority of the keepers is")
 	}
 	f.rules = held
--- a/internal/scale/witness.go
+++ b/internal/scale/witness.go
@@ -27,22 +27,22 @@
 	leaks  bool
 }
 
-// Listed notes a list.
-func (w *witness) Listed(_ decide.Time, l listing.List) {
+// EndpointList notes a list.
+func (w *witness) EndpointList(_ decide.Time, l listing.List) {
 	t := Turn{At: monotonic(), Acts: l.Version}
 	serves := make([]string, w.shards)
 	for _, n := range l.Nodes {
-		if n.Standing == listing.Ready && n.Shard < w.shards {
+		if n.Health == listing.Ready && n.Shard < w.shards {
 			serves[n.Shard] = n.Addr
 		}
 	}
 	w.note(t, serves)
 }
 
-// ListedPart notes what has changed in a list.
-func (w *witness) ListedPart(now decide.Time, l listing.List, whole bool) {
+// EndpointUpdate notes what has changed in a list.
+func (w *witness) EndpointUpdate(now decide.Time, l listing.List, whole bool) {
 	if whole {
-		w.Listed(now, l)
+		w.EndpointList(now, l)
 		return
 	}
 	t := Turn{At: monotonic(), Acts: l.Version}
@@ -51,12 +51,12 @@
 	copy(serves, w.serves)
 	w.lock.Unlock()
 	for _, n := range l.Nodes { // those that go first: a shard's successor may stand before its old node
-		if n.Standing != listing.Ready && n.Shard < w.shards && serves[n.Shard] == n.Addr {
+		if n.Health != listing.Ready && n.Shard < w.shards && serves[n.Shard] == n.Addr {
 			serves[n.Shard] = ""
 		}
 	}
 	for _, n := range l.Nodes {
-		if n.Standing == listing.Ready && n.Shard < w.shards {
+		if n.Health == listing.Ready && n.Shard < w.shards {
 			serves[n.Shard] = n.Addr
 		}
 	}
@@ -112,14 +112,14 @@
 
 // What else passes the module is of no interest here.
 
-func (w *witness) Start(decide.Time, uint64, decide.Terms)                             {}
-func (w *witness) ListFailed(decide.Time, bool)                                        {}
-func (w *witness) Agreed(decide.Time, decide.Terms)                                    {}
-func (w *witness) Lent(decide.Time, string, decide.Time, float64, decide.Time)         {}
-func (w *witness) Take(decide.Time, *decide.Job, int64, string, string, float64, bool) {}
-func (w *witness) Ended(decide.Time, string, int, decide.Outcome, decide.Time, bool, float64, int, decide.Time) {
+func (w *witness) Start(decide.Time, uint64, decide.Settings)                                   {}
+func (w *witness) EndpointListFailed(decide.Time, bool)                                         {}
+func (w *witness) SettingsChanged(decide.Time, decide.Settings)                                 {}
+func (w *witness) Allocated(decide.Time, string, decide.Time, float64, decide.Time)             {}
+func (w *witness) Submitted(decide.Time, *decide.Request, int64, string, string, float64, bool) {}
+func (w *witness) AttemptEnded(decide.Time, string, int, decide.Outcome, decide.Time, bool, float64, int, decide.Time) {
 }
-func (w *witness) Left(decide.Time, string)              {}
-func (w *witness) Decided(decide.Time, *decide.Decision) {}
-func (w *witness) State(decide.Time, *decide.Gateway)    {}
-func (w *witness) Blind() bool                           { return false }
+func (w *witness) ClientCancelled(decide.Time, string)     {}
+func (w *witness) Decided(decide.Time, *decide.Decision)   {}
+func (w *witness) Snapshot(decide.Time, *decide.Scheduler) {}
+func (w *witness) NeedsSnapshot() bool                     { return false }
--- a/internal/serve/admin.go
+++ b/internal/serve/admin.go
@@ -22,12 +22,12 @@
 		return fmt.Errorf("a capture is on already: %s", c.last.File)
 	}
 	if folder == "" {
-		folder = g.Config.Captures
+		folder = g.Config.CaptureDir
 	}
 	if folder == "" {
 		return errors.New("no folder for captures is configured, name one")
 	}
-	record, file, err := capture.InFolder(folder, g.Config.Name, build(), g.Config.Capture)
+	record, file, err := capture.CreateInDir(folder, g.Config.Name, build(), g.Config.CaptureLimits)
 	if err != nil {
 		return err
 	}
@@ -43,7 +43,7 @@
 	if c.record == nil {
 		return c.last
 	}
-	g.Loop.Listen(nil) // after this the loop calls it no more; a loop that has ended does not either
+	g.Loop.SetTap(nil) // after this the loop calls it no more; a loop that has ended does not either
 	err := c.record.Close(g.Loop.Now())
 	c.now()
 	c.record, c.last.On = nil, false
@@ -72,7 +72,7 @@
 	if err := c.begin(g, folder); err != nil {
 		return c.now(), err
 	}
-	if !g.Loop.Listen(c.record) {
+	if !g.Loop.SetTap(c.record) {
 		return c.now(), errors.New("the gateway ends")
 	}
 	return c.now(), nil
@@ -91,18 +91,18 @@
 
 // Status tells how the gateway stands.
 func (g *Gateway) Status() (admin.Status, error) {
-	f, running := g.Loop.Figures()
+	f, running := g.Loop.Stats()
 	if !running {
 		return admin.Status{}, errEnds
 	}
-	s := admin.Status{Gateway: g.Config.Name, Address: g.Front.Addr(), Since: g.since, Held: f.Held, Out: f.Out, Late: f.Late,
-		Products: map[string]admin.Product{}, Nodes: map[string]int{}}
-	for name, c := range f.Products {
-		s.Products[name] = admin.Product(*c)
+	s := admin.Status{Gateway: g.Config.Name, Address: g.Frontend.Addr(), Since: g.since, Requests: f.InFlight, AttemptsInFlight: f.Attempts, LateAnswers: f.LateReplies,
+		RequestClasses: map[string]admin.RequestCounts{}, Nodes: map[string]int{}}
+	for name, c := range f.Classes {
+		s.RequestClasses[name] = admin.RequestCounts(*c)
 	}
 	if g.follow != nil {
 		state, acts := g.follow.Status()
-		s.Rules = state + " on " + acts
+		s.Version = state + " on " + acts
 	}
 	g.captures.lock.Lock()
 	s.Capture = g.captures.now()
@@ -111,7 +111,7 @@
 	if err != nil {
 		return admin.Status{}, err
 	}
-	s.Lost = m.Held
+	s.HeldLoss = m.HeldLoss
 	for _, n := range m.Nodes {
 		s.Nodes[n.State]++
 	}
--- a/internal/serve/follow.go
+++ b/internal/serve/follow.go
@@ -14,15 +14,15 @@
 func (g *Gateway) followed(opt *gateway.Options) (first <-chan struct{}, err error) {
 	c := g.Config
 	stands := make(chan struct{}) // the loop, which a first word may come before
-	o := follow.Options{Gateway: c.Name, Keepers: c.Follow.Keepers, Pause: c.Follow.Pause, Now: opt.Clock.Now, Wake: func() { <-stands; g.Loop.Wake() },
-		Seed: c.Seed, Own: c.Terms, Differs: c.Agreed, Record: c.Follow.Record, Dir: c.Follow.Dir, Log: g.log, Flaws: flaws(), Who: follow.Boot(c.Name)}
-	if c.Follow.Peer != "" {
-		g.cold, err = agent.Listen(agent.Options{Gateway: c.Name, Who: o.Who, Listen: c.Follow.Peer, Reach: c.Follow.Reach, Terms: agent.Terms(c.Terms, clockDrift),
-			Now: opt.Clock.Now, Log: g.log})
+	o := follow.Options{Gateway: c.Name, Replicas: c.Follow.Replicas, RenewInterval: c.Follow.PollInterval, Now: opt.Clock.Now, OnChange: func() { <-stands; g.Loop.Wake() },
+		Seed: c.Seed, LocalSettings: c.Settings, LocalConflicts: c.Contradictions, RecordFile: c.Follow.VersionLog, CacheDir: c.Follow.CacheDir, Logger: g.log, InjectedFaults: flaws(), Holder: follow.NewHolderID(c.Name)}
+	if c.Follow.PeerAddress != "" {
+		g.cold, err = agent.Listen(agent.Options{Gateway: c.Name, Holder: o.Holder, ListenAddr: c.Follow.PeerAddress, AddrOverrides: c.Follow.PeerRoutes, Settings: agent.SettingsFrom(c.Settings, clockDrift),
+			Now: opt.Clock.Now, Logger: g.log})
 		if err != nil {
 			return nil, err
 		}
-		o.Peer, o.Members = g.cold.Addr(), g.cold.Granted
+		o.PeerAddr, o.OnMembership = g.cold.Addr(), g.cold.HandleMembership
 	}
 	if g.follow, err = follow.Start(o); err != nil {
 		if g.cold != nil {
@@ -30,22 +30,22 @@
 		}
 		return nil, err
 	}
-	opt.Rules = agent.Acting{Rules: g.follow, Agent: g.cold}
+	opt.Config = agent.SettingsForwarder{ConfigSource: g.follow, Agent: g.cold}
 	g.Loop = gateway.Start(*opt)
 	close(stands)
 	if g.cold != nil {
-		g.cold.Begin(g.Loop)
+		g.cold.Start(g.Loop)
 	}
-	return g.follow.First(), nil
+	return g.follow.Ready(), nil
 }
 
 // clockDrift is the part by which two gateways' clocks may run apart, as loans are counted.
 const clockDrift = 0.01
 
 // flaws are what a test of the fleet has switched off, to show that its audit notices. Nothing else sets them.
-func flaws() accord.Flaws {
+func flaws() accord.InjectedFaults {
 	if os.Getenv("IRISPOST_TEST_NO_LEASES") == "1" {
-		return accord.NoLease
+		return accord.FaultNoLeaseExpiry
 	}
 	return 0
 }
--- a/internal/serve/members.go
+++ b/internal/serve/members.go
@@ -11,41 +11,41 @@
 var errEnds = errors.New("the gateway ends")
 
 // Members tells of the nodes, and where they come from.
-func (g *Gateway) Members() (admin.Members, error) {
-	f, running := g.Loop.Figures()
-	m := admin.Members{Gateway: g.Config.Name, Sources: []admin.Source{}, Nodes: []admin.Member{}}
+func (g *Gateway) Members() (admin.EndpointReport, error) {
+	f, running := g.Loop.Stats()
+	m := admin.EndpointReport{Gateway: g.Config.Name, Sources: []admin.Source{}, Nodes: []admin.Endpoint{}}
 	at := func(t members.Time) time.Time {
 		if t == 0 {
 			return time.Time{}
 		}
 		return time.Unix(0, t)
 	}
-	running = running && g.roster.View(func(_, told int64, fleet *members.Fleet) {
-		m.Told = at(told)
-		if since, count, all, held := fleet.Held(); held {
-			m.Held = &admin.Held{Since: at(since), Nodes: count, All: all}
+	running = running && g.roster.View(func(_, told int64, fleet *members.Tracker) {
+		m.ScheduledAt = at(told)
+		if since, count, all, held := fleet.HoldDown(); held {
+			m.HeldLoss = &admin.HeldLoss{Since: at(since), Nodes: count, LeavesNone: all}
 		}
 		for _, s := range fleet.Sources() {
-			m.Sources = append(m.Sources, admin.Source{Name: s.Name, State: s.State.String(), Since: at(s.Since), Trouble: s.Trouble,
-				Version: s.Version(), Heard: at(s.Heard()), Nodes: s.Nodes(), Held: s.Old(), Refused: s.Refusals, Refusal: s.Refusal,
-				RefusedAt: at(s.RefusedAt)})
+			m.Sources = append(m.Sources, admin.Source{Name: s.Name, State: s.State.String(), Since: at(s.Since), LastError: s.LinkError,
+				Version: s.Version(), ReceivedAt: at(s.UpdatedAt()), Nodes: s.NodeCount(), HeldVersion: s.HeldVersion(), RejectedUpdates: s.Rejections, LastRejection: s.RejectReason,
+				LastRejectionAt: at(s.RejectedAt)})
 		}
 		for _, n := range fleet.Members() {
-			m.Nodes = append(m.Nodes, admin.Member{Addr: n.Addr, Name: n.Said().Name, Shard: n.Shard(), Zone: n.Said().Zone,
-				State: n.State.String(), Since: at(n.Since), Why: n.Why, Source: n.Source.Name, Weight: n.Said().Weight, Out: f.Nodes[n.Addr]})
+			m.Nodes = append(m.Nodes, admin.Endpoint{Addr: n.Addr, Name: n.Reported().Name, Shard: n.Shard(), Zone: n.Reported().Zone,
+				State: n.State.String(), Since: at(n.Since), Reason: n.Reason, Source: n.Source.Name, Weight: n.Reported().Weight, AttemptsInFlight: f.AttemptsByNode[n.Addr]})
 		}
 	})
 	if !running {
-		return admin.Members{}, errEnds
+		return admin.EndpointReport{}, errEnds
 	}
 	return m, nil
 }
 
 // Confirm takes what is held at its word.
-func (g *Gateway) Confirm() (admin.Confirmed, error) {
+func (g *Gateway) Confirm() (admin.Confirmation, error) {
 	nodes, lists, running := g.roster.Confirm()
 	if !running {
-		return admin.Confirmed{}, errEnds
+		return admin.Confirmation{}, errEnds
 	}
-	return admin.Confirmed{Nodes: nodes, Lists: lists}, nil
+	return admin.Confirmation{Nodes: nodes, Lists: lists}, nil
 }
