--- a/internal/fleet/keep/keeper.go
+++ b/internal/fleet/replica/keeper.go
@@ -1,4 +1,4 @@
-package keep
+package replica
 
 import (
 	"context"
@@ -19,8 +19,8 @@
 	"go.etcd.io/raft/v3"
 	"go.etcd.io/raft/v3/raftpb"
 
-	"irispost/internal/fleet/accord"
-	"irispost/internal/fleet/rules"
+	"irispost/internal/fleet/configversion"
+	"irispost/internal/fleet/lease"
 )
 
 // standing is the log's state as this keeper leads by it, until it changes: then changed is closed. Who does not lead has none.
@@ -49,7 +49,7 @@
 	Peers             map[uint64]string // all keepers' addresses as this one reaches them, by number; its own is not used
 	Joining           bool              // it does not found the fleet with them, and votes once they have taken it in
 	Dir               string
-	LeaseSettings     accord.Settings // for the founding; a fleet that is founded keeps its own
+	LeaseSettings     lease.Settings // for the founding; a fleet that is founded keeps its own
 	TickInterval      time.Duration
 	CompactionEntries uint64 // entries after which the log is compacted
 	Logger            *slog.Logger
@@ -62,11 +62,11 @@
 	log       *slog.Logger
 	store     *store
 	node      *raft.RawNode
-	ledger    *accord.StateMachine
+	ledger    *lease.StateMachine
 	applied   uint64
 	conf      *raftpb.ConfState
-	warden    *accord.Manager // nil: this one does not lead, or not for sure yet
-	term      uint64          // of it
+	warden    *lease.Manager // nil: this one does not lead, or not for sure yet
+	term      uint64         // of it
 	leads     bool
 	takesPart bool // it has introduced itself
 	leader    uint64
@@ -93,13 +93,13 @@
 }
 
 type result struct {
-	version *rules.Version
+	version *configversion.Version
 	err     error
 }
 
 // call is an ask of a gateway or an operator that is answered once it is sure that this keeper leads.
 type call struct {
-	then func(w *accord.Manager) // nil: this keeper does not lead
+	then func(w *lease.Manager) // nil: this keeper does not lead
 }
 
 type batch struct {
@@ -129,7 +129,7 @@
 		opt.CompactionEntries = 1000
 	}
 	if opt.form == 0 {
-		opt.form = accord.Format
+		opt.form = lease.Format
 	}
 	founders := voters
 	if opt.Joining {
@@ -148,9 +148,9 @@
 	snap, err := s.memory.Snapshot()
 	if err == nil {
 		k.applied, k.conf = snap.GetMetadata().GetIndex(), snap.GetMetadata().GetConfState()
-		k.ledger = accord.NewStateMachine()
+		k.ledger = lease.NewStateMachine()
 		if !raft.IsEmptySnap(snap) {
-			if k.ledger, err = accord.Restore(snap.GetData()); err != nil {
+			if k.ledger, err = lease.Restore(snap.GetData()); err != nil {
 				err = fmt.Errorf("%s: snapshot: %w", filepath.Join(opt.Dir, "keeper.db"), err)
 			}
 		}
@@ -197,7 +197,7 @@
 }
 
 // now is the keeper's own clock: it never goes back, and tells no time of day.
-func (k *Replica) now() accord.Time { return int64(time.Since(k.start)) }
+func (k *Replica) now() lease.Time { return int64(time.Since(k.start)) }
 
 // run is the one goroutine that Raft, the ledger and the warden belong to.
 func (k *Replica) run(ctx context.Context) {
@@ -322,7 +322,7 @@
 			}
 		}
 		if !raft.IsEmptySnap(rd.Snapshot) {
-			l, err := accord.Restore(rd.Snapshot.GetData())
+			l, err := lease.Restore(rd.Snapshot.GetData())
 			if err != nil {
 				return err
 			}
--- a/internal/fleet/keep/log.go
+++ b/internal/fleet/replica/log.go
@@ -1,4 +1,4 @@
-package keep
+package replica
 
 import (
 	"encoding/binary"
@@ -10,7 +10,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"irispost/internal/fleet/accord"
+	"irispost/internal/fleet/lease"
 )
 
 // lead notes who leads.
@@ -53,10 +53,10 @@
 	term := k.node.BasicStatus().HardState.GetTerm()
 	if k.leads && (k.warden == nil || k.term != term) && e.GetTerm() == term { // from here on no earlier leader's entry can follow
 		k.term = term
-		k.warden = accord.NewManager(k.now(), term, k.ledger, 0)
+		k.warden = lease.NewManager(k.now(), term, k.ledger, 0)
 		k.log.Info("leads", "term", term, "gateways", len(k.ledger.Holders), "in_force", k.ledger.InForce, "announced", k.ledger.Announced)
 		if k.ledger.Settings.LeaseDuration == 0 {
-			k.put(&accord.Command{Bootstrap: &k.opt.LeaseSettings})
+			k.put(&lease.Command{Bootstrap: &k.opt.LeaseSettings})
 		}
 	}
 	if e.GetType() == raftpb.EntryConfChangeV2 {
@@ -71,7 +71,7 @@
 	}
 	k.forget(c.Forget)
 	v, err := k.ledger.Apply(c)
-	if errors.Is(err, accord.ErrInvalidEntry) {
+	if errors.Is(err, lease.ErrInvalidEntry) {
 		return fmt.Errorf("entry %d of the log: %w", e.GetIndex(), err)
 	}
 	if c.Propose != nil {
@@ -137,7 +137,7 @@
 }
 
 // whenSure has something done once it is sure that this keeper leads.
-func (k *Replica) whenSure(then func(w *accord.Manager)) {
+func (k *Replica) whenSure(then func(w *lease.Manager)) {
 	if k.warden == nil || k.ledger.Settings.LeaseDuration == 0 {
 		then(nil)
 		return
--- a/internal/fleet/keep/metrics.go
+++ b/internal/fleet/replica/metrics.go
@@ -1,4 +1,4 @@
-package keep
+package replica
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
-	"irispost/internal/fleet/accord"
+	"irispost/internal/fleet/lease"
 )
 
 var (
@@ -48,7 +48,7 @@
 		for _, s := range k.warden.Gateways(k.now()) {
 			states[s.State]++
 		}
-		for _, s := range append(accord.StateNames(), "unheard") {
+		for _, s := range append(lease.StateNames(), "unheard") {
 			gauge(descSeen, float64(states[s]), s)
 		}
 		waits := 0
--- a/internal/fleet/keep/peer.go
+++ b/internal/fleet/replica/peer.go
@@ -1,4 +1,4 @@
-package keep
+package replica
 
 import (
 	"bytes"
--- a/internal/fleet/keep/server.go
+++ b/internal/fleet/replica/server.go
@@ -1,4 +1,4 @@
-package keep
+package replica
 
 import (
 	"context"
@@ -10,8 +10,8 @@
 	"strconv"
 	"time"
 
-	"irispost/internal/fleet/accord"
-	"irispost/internal/fleet/rules"
+	"irispost/internal/fleet/configversion"
+	"irispost/internal/fleet/lease"
 )
 
 // Status is how a fleet stands, as the leading keeper knows it.
@@ -25,13 +25,13 @@
 	ConvergenceBoundMillis int64                  `json:"stated_ms"` // T of docs/fleet.md
 	Voters                 []uint64               `json:"voters"`
 	WaitingFor             []string               `json:"waits,omitempty"` // what an announced version waits for
-	Gateways               []accord.GatewayStatus `json:"gateways"`
-	Latest                 *rules.Version         `json:"newest,omitempty"`
+	Gateways               []lease.GatewayStatus  `json:"gateways"`
+	Latest                 *configversion.Version `json:"newest,omitempty"`
 }
 
 // ConvergenceBound is the longest time from a version's announcement until no gateway acts on the one before alone, in
 // nanoseconds; docs/fleet.md has the reasons.
-func ConvergenceBound(t accord.Settings) int64 {
+func ConvergenceBound(t lease.Settings) int64 {
 	span := float64(t.LeaseDuration) * (1 + t.MaxClockDrift) / (1 - t.MaxClockDrift)
 	return int64(span)
 }
@@ -79,10 +79,10 @@
 		}
 	})
 	mux.HandleFunc("POST /renew", func(w http.ResponseWriter, r *http.Request) {
-		a := &accord.RenewRequest{}
+		a := &lease.RenewRequest{}
 		if read(w, r, a) {
 			terse(w)
-			k.answer(w, r, func(warden *accord.Manager) any { return warden.Renew(k.now(), a) })
+			k.answer(w, r, func(warden *lease.Manager) any { return warden.Renew(k.now(), a) })
 		}
 	})
 	mux.HandleFunc("GET /news", k.news)
@@ -90,7 +90,7 @@
 	mux.Handle("GET /metrics", k.metrics())
 	mux.HandleFunc("POST /voters", k.votersHandler)
 	mux.HandleFunc("GET /status", func(w http.ResponseWriter, r *http.Request) {
-		k.answer(w, r, func(warden *accord.Manager) any {
+		k.answer(w, r, func(warden *lease.Manager) any {
 			l := k.ledger
 			s := Status{Replica: k.opt.ID, Leader: k.leader, Term: k.term, InForce: l.InForce, Announced: l.Announced, Voters: k.conf.GetVoters(), LeaseMillis: l.Settings.LeaseDuration / 1e6, ConvergenceBoundMillis: ConvergenceBound(l.Settings) / 1e6,
 				Gateways: warden.Gateways(k.now()), Latest: l.Version(l.Announced)}
@@ -102,12 +102,12 @@
 	})
 	mux.HandleFunc("GET /versions", k.versions)
 	mux.HandleFunc("POST /propose", func(w http.ResponseWriter, r *http.Request) {
-		p := &accord.Proposal{}
+		p := &lease.Proposal{}
 		if !read(w, r, p) {
 			return
 		}
-		if size := proposedSize(p.Content); size > rules.MaxContentBytes {
-			http.Error(w, fmt.Sprintf("the rules are %d bytes, and a version has %d at most", size, rules.MaxContentBytes), http.StatusBadRequest)
+		if size := proposedSize(p.Content); size > configversion.MaxContentBytes {
+			http.Error(w, fmt.Sprintf("the rules are %d bytes, and a version has %d at most", size, configversion.MaxContentBytes), http.StatusBadRequest)
 			return
 		}
 		to := make(chan result, 1)
@@ -172,10 +172,10 @@
 // proposedSize is the size of rules as they came, or if that is not too much as a version would have them. Those that cannot be read are
 // refused, or kept as they are, in the log.
 func proposedSize(b []byte) int {
-	if len(b) > rules.MaxContentBytes {
+	if len(b) > configversion.MaxContentBytes {
 		return len(b)
 	}
-	if r, err := rules.Parse(b); err == nil {
+	if r, err := configversion.Parse(b); err == nil {
 		return len(r.Canonical())
 	}
 	return len(b)
@@ -196,10 +196,10 @@
 }
 
 // answer answers once it is sure that this keeper leads.
-func (k *Replica) answer(w http.ResponseWriter, r *http.Request, content func(*accord.Manager) any) {
+func (k *Replica) answer(w http.ResponseWriter, r *http.Request, content func(*lease.Manager) any) {
 	to := make(chan []byte, 1)
 	k.do(r.Context(), func() {
-		k.whenSure(func(warden *accord.Manager) {
+		k.whenSure(func(warden *lease.Manager) {
 			if warden == nil {
 				to <- nil
 				return
--- a/internal/fleet/keep/store.go
+++ b/internal/fleet/replica/store.go
@@ -1,6 +1,6 @@
-// Package keep runs a keeper: a process that holds the log of versions together with others, by Raft, and has the pure package
+// Package replica runs a keeper: a process that holds the log of versions together with others, by Raft, and has the pure package
 // accord decide what follows from it. It decides nothing itself: it brings the clock, the disk and the network.
-package keep
+package replica
 
 import (
 	"encoding/binary"
@@ -19,7 +19,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"irispost/internal/fleet/accord"
+	"irispost/internal/fleet/lease"
 )
 
 // store is what lasts of a keeper: its number, how often it has started, Raft's state, log and snapshot, and how often it
@@ -126,7 +126,7 @@
 		if err := tx.Bucket(bucketSelf).Put([]byte("identity"), b); err != nil {
 			return err
 		}
-		snap := &raftpb.Snapshot{Data: accord.NewStateMachine().Snapshot(), Metadata: &raftpb.SnapshotMetadata{Index: proto.Uint64(1), Term: proto.Uint64(1),
+		snap := &raftpb.Snapshot{Data: lease.NewStateMachine().Snapshot(), Metadata: &raftpb.SnapshotMetadata{Index: proto.Uint64(1), Term: proto.Uint64(1),
 			ConfState: &raftpb.ConfState{Voters: voters}}}
 		if b := tx.Bucket(bucketRaft).Get([]byte("snapshot")); b != nil {
 			snap = &raftpb.Snapshot{}
--- a/internal/fleet/rig/sweep.go
+++ b/internal/fleet/rig/sweep.go
@@ -5,14 +5,14 @@
 	"fmt"
 	"slices"
 
-	"irispost/internal/fleet/rules"
+	"irispost/internal/fleet/configversion"
 )
 
 // AuditSweep audits records of many gateways as Agree does, in one walk over time in place of one over each pair: Worst is the longest time
 // for which some two gateways contradicted without a break, whoever they were, so that no pair did for longer than that. Broken is 1 where
 // it is over what is stated. Where nobody contradicted it is 0, as Agree's is.
-func AuditSweep(records map[string][]Activation, versions []*rules.Version, stated, end int64) (a Agreement, err error) {
-	opened := map[uint64]*rules.Config{}
+func AuditSweep(records map[string][]Activation, versions []*configversion.Version, stated, end int64) (a Agreement, err error) {
+	opened := map[uint64]*configversion.Config{}
 	for _, v := range versions {
 		if opened[v.Number], err = v.Config(); err != nil {
 			return a, err
--- a/internal/fleet/cold/agent/acting.go
+++ b/internal/fleet/slowstart/agent/acting.go
@@ -1,8 +1,8 @@
 package agent
 
 import (
-	"irispost/decide"
 	"irispost/internal/gateway"
+	"irispost/scheduler"
 )
 
 // SettingsForwarder has what a gateway acts on count for the budgets of cold nodes too. Without an agent (nil) it is the rules alone.
@@ -12,7 +12,7 @@
 }
 
 // At is the rules'.
-func (a SettingsForwarder) At(now decide.Time) (*gateway.ActiveConfig, decide.Time) {
+func (a SettingsForwarder) At(now scheduler.Time) (*gateway.ActiveConfig, scheduler.Time) {
 	acts, until := a.ConfigSource.At(now)
 	if a.Agent != nil && acts != nil && acts.Settings != nil {
 		a.Agent.UpdateSettings(acts.Settings)
--- a/internal/fleet/cold/agent/agent.go
+++ b/internal/fleet/slowstart/agent/agent.go
@@ -12,17 +12,17 @@
 	"sync"
 	"time"
 
-	"irispost/decide"
-	"irispost/internal/fleet/accord"
-	"irispost/internal/fleet/cold/budget"
-	"irispost/internal/fleet/cold/tenure"
+	"irispost/internal/fleet/lease"
+	"irispost/internal/fleet/slowstart/budget"
+	"irispost/internal/fleet/slowstart/epoch"
 	"irispost/internal/gateway"
+	"irispost/scheduler"
 )
 
 // Loop is what an agent needs of its gateway's loop.
 type Loop interface {
 	SlowStartDemand() (gateway.SlowStartDemand, bool)
-	Allocate(addr string, born decide.Time, units float64, till decide.Time) (left float64, ok bool)
+	Allocate(addr string, born scheduler.Time, units float64, till scheduler.Time) (left float64, ok bool)
 }
 
 // Options are what an agent is started with.
@@ -32,7 +32,7 @@
 	ListenAddr    string            // where other gateways reach it
 	AddrOverrides map[string]string // where this gateway reaches another, by the address that it gives; what is not there is reached as given
 	Settings      budget.Settings
-	Now           func() decide.Time // the loop's clock
+	Now           func() scheduler.Time // the loop's clock
 	Logger        *slog.Logger
 }
 
@@ -52,11 +52,11 @@
 	listener net.Listener
 	server   *http.Server
 	client   *http.Client
-	each     decide.Time // how long a loan counts: it stays as it was at the start, so that who asks and who deals mean the same
+	each     scheduler.Time // how long a loan counts: it stays as it was at the start, so that who asks and who deals mean the same
 	lock     sync.Mutex
-	tenure   *tenure.Ownership
+	tenure   *epoch.Ownership
 	peers    map[string]string // addresses of members
-	seen     map[string]decide.SlowStartDemand
+	seen     map[string]scheduler.SlowStartDemand
 	rate     float64
 	desks    map[string]*desk // by node, of budgets that are its own
 	debts    map[string]*debt // by node
@@ -72,7 +72,7 @@
 	if err != nil {
 		return nil, err
 	}
-	a := &Agent{opt: opt, listener: l, tenure: tenure.NewOwnership(opt.Holder, 0), peers: map[string]string{}, seen: map[string]decide.SlowStartDemand{},
+	a := &Agent{opt: opt, listener: l, tenure: epoch.NewOwnership(opt.Holder, 0), peers: map[string]string{}, seen: map[string]scheduler.SlowStartDemand{},
 		desks: map[string]*desk{}, debts: map[string]*debt{}, free: make(chan struct{}, asksAtOnce)}
 	a.each = opt.Settings.AllocationTime
 	each := time.Duration(a.each)
@@ -110,7 +110,7 @@
 }
 
 // HandleMembership takes in who is present, as a lease from the keepers told.
-func (a *Agent) HandleMembership(m *accord.MembershipUpdate) {
+func (a *Agent) HandleMembership(m *lease.MembershipUpdate) {
 	a.lock.Lock()
 	defer a.lock.Unlock()
 	before := a.tenure.Epoch()
@@ -121,7 +121,7 @@
 }
 
 // UpdateSettings has other terms count, which the module acts on from now on. What was dealt out goes on; new desks begin with nothing ready.
-func (a *Agent) UpdateSettings(t decide.Settings) {
+func (a *Agent) UpdateSettings(t scheduler.Settings) {
 	terms := SettingsFrom(t, a.opt.Settings.MaxClockDrift)
 	a.lock.Lock()
 	defer a.lock.Unlock()
@@ -132,7 +132,7 @@
 }
 
 // SettingsFrom are a budget's, from what the module acts on.
-func SettingsFrom(t decide.Settings, drift float64) budget.Settings {
+func SettingsFrom(t scheduler.Settings, drift float64) budget.Settings {
 	number, span := reader(t)
 	window := span("cold.window")
 	return budget.Settings{InitialFraction: number("cold.from"), WarmupTime: span("cold.time"), OverloadMultiple: number("cold.multiple"), Window: window, MinUnits: number("cold.units"),
@@ -143,5 +143,5 @@
 // most, all together.
 const (
 	share       = 0.5
-	longestLoan = decide.Second / 2
+	longestLoan = scheduler.Second / 2
 )
--- a/internal/fleet/cold/agent/borrow.go
+++ b/internal/fleet/slowstart/agent/borrow.go
@@ -10,8 +10,8 @@
 	"net/http"
 	"time"
 
-	"irispost/decide"
-	"irispost/internal/fleet/cold/budget"
+	"irispost/internal/fleet/slowstart/budget"
+	"irispost/scheduler"
 )
 
 // debtState is how a gateway stands with a node's dealer. Only debt.move changes it.
@@ -27,18 +27,18 @@
 // debt is what one node's dealer has lent this gateway.
 type debt struct {
 	state debtState
-	born  decide.Time
+	born  scheduler.Time
 	seq   uint64
-	rest  decide.Time // after an ask that failed; it doubles
-	next  decide.Time // no ask before
-	ends  decide.Time // of the last loan; nothing at all goes there after it until then
-	sure  decide.Time // until then it is taken that the dealer is there
+	rest  scheduler.Time // after an ask that failed; it doubles
+	next  scheduler.Time // no ask before
+	ends  scheduler.Time // of the last loan; nothing at all goes there after it until then
+	sure  scheduler.Time // until then it is taken that the dealer is there
 }
 
 // debtOf is a node to which nothing is to go until a time.
 type debtOf struct {
 	node       string
-	born, till decide.Time
+	born, till scheduler.Time
 }
 
 func (d *debt) move(to debtState) { d.state = to }
@@ -80,7 +80,7 @@
 }
 
 // consider asks a node's dealer, if it is time to; the lock is held.
-func (a *Agent) consider(ctx context.Context, w decide.SlowStartDemand) {
+func (a *Agent) consider(ctx context.Context, w scheduler.SlowStartDemand) {
 	now := a.opt.Now()
 	d := a.debts[w.Addr]
 	if d == nil || d.born != w.StartedAt {
@@ -160,7 +160,7 @@
 		}
 		d.move(alone)
 		d.rest = min(max(2*d.rest, a.each/2), restMost*a.each)
-		d.next = now + d.rest/2 + decide.Time(q.Seq%uint64(d.rest/2)) // spread
+		d.next = now + d.rest/2 + scheduler.Time(q.Seq%uint64(d.rest/2)) // spread
 		return
 	}
 	d.rest, d.ends, d.sure = 0, till, now+sureFor*a.each
@@ -169,9 +169,9 @@
 
 // request is an ask with the node that it is for.
 type request struct {
-	Node string      `json:"node"`
-	Born decide.Time `json:"born"`
-	Rate float64     `json:"rate"` // of warm nodes, as its gateway knows it
+	Node string         `json:"node"`
+	Born scheduler.Time `json:"born"`
+	Rate float64        `json:"rate"` // of warm nodes, as its gateway knows it
 	budget.Request
 }
 
--- a/internal/fleet/cold/agent/deal.go
+++ b/internal/fleet/slowstart/agent/deal.go
@@ -8,14 +8,14 @@
 	"net/http"
 	"time"
 
-	"irispost/decide"
-	"irispost/internal/fleet/cold/budget"
+	"irispost/internal/fleet/slowstart/budget"
+	"irispost/scheduler"
 )
 
 // desk is where one node's budget is dealt out.
 type desk struct {
 	dealer *budget.Allocator
-	born   decide.Time
+	born   scheduler.Time
 	wait   map[string]chan budget.Allocation // who asked, until there is something or their time is over
 }
 
@@ -98,7 +98,7 @@
 	case k == nil:
 		k = &desk{born: q.Born, dealer: budget.NewAllocator(now, a.opt.Settings, now-q.Born, rate, 0), wait: map[string]chan budget.Allocation{}}
 		a.desks[q.Node] = k
-		a.opt.Logger.Info("cold node: its budget is dealt out here", "gateway", a.opt.Gateway, "node", q.Node, "age_ms", (now-q.Born)/decide.Millisecond, "rate", rate)
+		a.opt.Logger.Info("cold node: its budget is dealt out here", "gateway", a.opt.Gateway, "node", q.Node, "age_ms", (now-q.Born)/scheduler.Millisecond, "rate", rate)
 	case q.Born > k.born:
 		k.born = q.Born
 		k.dealer.NodeRestarted(now, now-q.Born)
--- a/internal/fleet/cold/tenure/owner.go
+++ b/internal/fleet/slowstart/epoch/owner.go
@@ -1,7 +1,7 @@
-// Package tenure tells a gateway which nodes' budgets are its own to deal out. Each member that the keepers know has a node's budget by
+// Package epoch tells a gateway which nodes' budgets are its own to deal out. Each member that the keepers know has a node's budget by
 // rendezvous hashing, so that a member that comes or goes moves only what is its own; and who comes to have one waits until the one
 // before has certainly ceased. It is pure.
-package tenure
+package epoch
 
 import (
 	"github.com/cespare/xxhash/v2"
--- a/internal/fleet/cold/tenure/tenure.go
+++ b/internal/fleet/slowstart/epoch/tenure.go
@@ -1,4 +1,4 @@
-package tenure
+package epoch
 
 import "slices"
 
--- a/internal/front/file.go
+++ b/internal/front/file.go
@@ -8,9 +8,9 @@
 
 	"github.com/cespare/xxhash/v2"
 
+	"irispost/internal/backend/node"
 	"irispost/internal/gateway"
 	"irispost/internal/layout"
-	"irispost/internal/node"
 	"irispost/internal/sftp"
 )
 
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -12,11 +12,11 @@
 	"sync/atomic"
 	"time"
 
-	"irispost/decide"
+	"irispost/internal/backend/node"
 	"irispost/internal/gateway"
 	"irispost/internal/layout"
-	"irispost/internal/node"
 	"irispost/internal/sftp"
+	"irispost/scheduler"
 )
 
 // Sort is what an operation is to the rules that name its product.
@@ -169,7 +169,7 @@
 type task struct {
 	front    *Front
 	session  *gateway.Session // nil for a duty
-	arrived  decide.Time
+	arrived  scheduler.Time
 	number   uint32 // of the request
 	affected bool   // a job of it may have changed something
 }
@@ -223,14 +223,14 @@
 // docs/operators.md.
 func (t *task) finish(r gateway.Result, op node.Operation) (node.Reply, *failure) {
 	switch r.State {
-	case decide.RequestSucceeded:
+	case scheduler.RequestSucceeded:
 		if op == node.CompareAndSwapRecord && r.Reply.Status == node.OK {
 			t.affected = true
 		}
 		return r.Reply, nil
-	case decide.RequestClientCancelled:
+	case scheduler.RequestClientCancelled:
 		return node.Reply{}, &failure{left: true}
-	case decide.RequestRejected:
+	case scheduler.RequestRejected:
 		if !t.affected {
 			d := dismissal(r.RetryAfter, r.Reason)
 			d.ran = r.MayHaveRun
--- a/internal/front/record.go
+++ b/internal/front/record.go
@@ -4,9 +4,9 @@
 	"cmp"
 	"slices"
 
+	"irispost/internal/backend/node"
 	"irispost/internal/gateway"
 	"irispost/internal/layout"
-	"irispost/internal/node"
 	"irispost/internal/sftp"
 )
 
--- a/internal/front/session.go
+++ b/internal/front/session.go
@@ -7,10 +7,10 @@
 	"sync"
 	"time"
 
-	"irispost/decide"
 	"irispost/internal/gateway"
 	"irispost/internal/layout"
 	"irispost/internal/sftp"
+	"irispost/scheduler"
 )
 
 // SessionExtension tells a client in VERSION how its connection is called; its jobs' names begin so.
@@ -549,7 +549,7 @@
 
 func attrsOf(r *layout.Record) sftp.Attrs {
 	a := sftp.Attrs{HasSize: true, HasMode: true, HasTimes: true, Size: r.Size, Mode: r.Mode | sftp.ModeFile,
-		Modified: uint32(r.Modified / decide.Second), Accessed: uint32(r.Modified / decide.Second)}
+		Modified: uint32(r.Modified / scheduler.Second), Accessed: uint32(r.Modified / scheduler.Second)}
 	if r.Kind == layout.Folder {
 		a.Mode = r.Mode | sftp.ModeFolder
 	}
@@ -600,7 +600,7 @@
 			next.Mode = a.Mode & sftp.ModeBits
 		}
 		if a.HasTimes {
-			next.Modified = int64(a.Modified) * decide.Second
+			next.Modified = int64(a.Modified) * scheduler.Second
 		}
 		now, ours, err := r.task.swap(v, p, record.Version, &next, s.front.mark())
 		if err != nil {
--- a/internal/web/conn.go
+++ b/internal/frontend/web/conn.go
@@ -8,9 +8,9 @@
 	"sync"
 	"time"
 
-	"irispost/decide"
 	"irispost/internal/gateway"
 	"irispost/internal/http1"
+	"irispost/scheduler"
 )
 
 // move is the one place where a connection changes state; the lock is held. false tells that it has ended, or is to.
@@ -166,7 +166,7 @@
 		return true, err
 	}
 	r := <-done
-	if r.State == decide.RequestClientCancelled || !c.to(writing) {
+	if r.State == scheduler.RequestClientCancelled || !c.to(writing) {
 		return true, net.ErrClosed
 	}
 	leave() // before the client can know, who may ask again at once
@@ -205,9 +205,9 @@
 	var w *http1.MessageBuilder
 	body := r.Reply.Data
 	switch r.State {
-	case decide.RequestSucceeded:
+	case scheduler.RequestSucceeded:
 		w = http1.NewResponse(200)
-	case decide.RequestRejected:
+	case scheduler.RequestRejected:
 		w, body = http1.NewResponse(503), []byte("dismissed: trying again is harmless\n")
 		if r.RetryAfter > 0 {
 			ms := (r.RetryAfter + time.Millisecond - 1) / time.Millisecond
--- a/internal/web/front.go
+++ b/internal/frontend/web/front.go
@@ -16,9 +16,9 @@
 	"sync"
 	"time"
 
-	"irispost/decide"
 	"irispost/internal/gateway"
 	"irispost/internal/http1"
+	"irispost/scheduler"
 )
 
 // Limits bound what clients can make the gateway hold.
@@ -38,7 +38,7 @@
 type Options struct {
 	GatewayName string
 	Loop        *gateway.Loop
-	Settings    decide.Settings
+	Settings    scheduler.Settings
 	Limits      Limits
 	Logger      *slog.Logger
 }
--- a/internal/web/work.go
+++ b/internal/frontend/web/work.go
@@ -7,10 +7,10 @@
 	"strings"
 	"time"
 
-	"irispost/decide"
+	"irispost/internal/backend/node"
 	"irispost/internal/gateway"
 	"irispost/internal/http1"
-	"irispost/internal/node"
+	"irispost/scheduler"
 )
 
 // known is what the settings name; a request that asks for something else cannot be carried out.
@@ -19,7 +19,7 @@
 	largest         float64 // units of one request; 0: not stated
 }
 
-func knownBy(t decide.Settings) known {
+func knownBy(t scheduler.Settings) known {
 	names := func(list string) map[string]bool {
 		m := map[string]bool{}
 		n, _ := strconv.Atoi(t[list+".count"])
@@ -77,7 +77,7 @@
 		return nil, bad("an extent that is not 16 hex digits")
 	}
 	w := &gateway.RequestSpec{Volume: &gateway.Volume{ServiceLevel: plan, Gateways: 1}, Class: product, Key: int64(extent), HasKey: true,
-		Deadline: decide.Time(ms) * decide.Millisecond, Call: node.Call{Op: op, Name: q.Target, IdempotencyKey: id, Shard: -1}}
+		Deadline: scheduler.Time(ms) * scheduler.Millisecond, Call: node.Call{Op: op, Name: q.Target, IdempotencyKey: id, Shard: -1}}
 	w.Call.Headers = passedOn(q.Fields)
 	told, _ := q.Fields.Get("x-io")
 	if !k.told(w, told) {
--- a/internal/gateway/clock.go
+++ b/internal/gateway/clock.go
@@ -3,12 +3,12 @@
 import (
 	"time"
 
-	"irispost/decide"
+	"irispost/scheduler"
 )
 
 // Clock tells the gateway's time.
 type Clock interface {
-	Now() decide.Time // nanoseconds since 1970; it never goes back
+	Now() scheduler.Time // nanoseconds since 1970; it never goes back
 }
 
 // steady counts on from the wall clock at its start by the monotonic clock, so that a step of the wall clock is none
@@ -18,4 +18,4 @@
 // NewClock starts a clock.
 func NewClock() Clock { return steady{time.Now()} }
 
-func (s steady) Now() decide.Time { return s.start.UnixNano() + int64(time.Since(s.start)) }
+func (s steady) Now() scheduler.Time { return s.start.UnixNano() + int64(time.Since(s.start)) }
--- a/internal/gateway/execution.go
+++ b/internal/gateway/execution.go
@@ -5,12 +5,12 @@
 	"fmt"
 	"time"
 
-	"irispost/decide"
-	"irispost/internal/node"
+	"irispost/internal/backend/node"
+	"irispost/scheduler"
 )
 
 // start sends an execution to its node.
-func (l *Loop) start(now decide.Time, de *decide.Attempt) {
+func (l *Loop) start(now scheduler.Time, de *scheduler.Attempt) {
 	j := l.jobs[de.Request]
 	e := &exec{job: j, decided: de, due: j.work.Deadline}
 	if de.Timeout > 0 {
@@ -32,13 +32,13 @@
 	heap.Push(&l.due, e)
 	if t := l.opt.Clock.Now(); l.until > 0 && t >= l.until || de.SendBefore > 0 && t >= de.SendBefore { // the process stood still since the loop has read the clock
 		e.sent, l.outdated = unsent{}, true
-		l.again = append(l.again, func(now decide.Time) {
-			l.outcome(now, e, decide.OutcomeConnectFailed, node.Reply{Message: "what was decided is out of date"})
+		l.again = append(l.again, func(now scheduler.Time) {
+			l.outcome(now, e, scheduler.OutcomeConnectFailed, node.Reply{Message: "what was decided is out of date"})
 		})
 		return
 	}
 	e.sent = l.opt.Nodes.Start(de.Node.Addr, &c, func(a node.Reply) {
-		l.post(func(now decide.Time) { l.outcome(now, e, outcomes[a.Outcome], a) })
+		l.post(func(now scheduler.Time) { l.outcome(now, e, outcomes[a.Outcome], a) })
 	})
 }
 
@@ -48,20 +48,20 @@
 func (unsent) Cancel() {}
 
 // outcome tells the module how an execution ended. One that is over already is let be.
-func (l *Loop) outcome(now decide.Time, e *exec, o decide.Outcome, a node.Reply) {
+func (l *Loop) outcome(now scheduler.Time, e *exec, o scheduler.Outcome, a node.Reply) {
 	if e.place == 0 {
 		return
 	}
 	heap.Remove(&l.due, e.place-1)
 	j := e.job
-	e.never = o == decide.OutcomeOverloaded || o == decide.OutcomeMisdirected || o == decide.OutcomeConnectFailed
-	if o != decide.OutcomeServed && o != decide.OutcomeCancelled {
+	e.never = o == scheduler.OutcomeOverloaded || o == scheduler.OutcomeMisdirected || o == scheduler.OutcomeConnectFailed
+	if o != scheduler.OutcomeServed && o != scheduler.OutcomeCancelled {
 		j.why = a.Message
 	}
-	served := o == decide.OutcomeServed && !j.over
+	served := o == scheduler.OutcomeServed && !j.over
 	l.module.ended(now, e.decided, o, served || j.over, a)
 	if served {
-		l.finish(j, Result{State: decide.RequestSucceeded, Reply: a})
+		l.finish(j, Result{State: scheduler.RequestSucceeded, Reply: a})
 	}
 	l.forget(j)
 }
@@ -94,11 +94,11 @@
 }
 
 // ending is the state of a job whose gateway has ended: what can never have run may be tried again without harm.
-func ending(j *job) decide.RequestState {
+func ending(j *job) scheduler.RequestState {
 	if j.ran() {
-		return decide.RequestFailed
+		return scheduler.RequestFailed
 	}
-	return decide.RequestRejected
+	return scheduler.RequestRejected
 }
 
 // end gives what is held its answer.
--- a/internal/gateway/figures.go
+++ b/internal/gateway/figures.go
@@ -4,7 +4,7 @@
 	"slices"
 	"strings"
 
-	"irispost/decide"
+	"irispost/scheduler"
 )
 
 // Counts are the jobs of a product by what became of them.
@@ -30,29 +30,29 @@
 	return c
 }
 
-func (c *Counts) count(s decide.RequestState) {
+func (c *Counts) count(s scheduler.RequestState) {
 	switch s {
-	case decide.RequestSucceeded:
+	case scheduler.RequestSucceeded:
 		c.Succeeded++
-	case decide.RequestRejected:
+	case scheduler.RequestRejected:
 		c.Rejected++
-	case decide.RequestFailed:
+	case scheduler.RequestFailed:
 		c.Failed++
-	case decide.RequestClientCancelled:
+	case scheduler.RequestClientCancelled:
 		c.Cancelled++
 	}
 }
 
 // StateName is the word for a job's final state.
-func StateName(s decide.RequestState) string {
+func StateName(s scheduler.RequestState) string {
 	switch s {
-	case decide.RequestSucceeded:
+	case scheduler.RequestSucceeded:
 		return "completed"
-	case decide.RequestRejected:
+	case scheduler.RequestRejected:
 		return "dismissed"
-	case decide.RequestFailed:
+	case scheduler.RequestFailed:
 		return "written off"
-	case decide.RequestClientCancelled:
+	case scheduler.RequestClientCancelled:
 		return "left"
 	}
 	return "held"
@@ -61,7 +61,7 @@
 // Stats tells what the gateway has done; false when it has ended.
 func (l *Loop) Stats() (Stats, bool) {
 	answer := make(chan Stats, 1)
-	ok := l.post(func(decide.Time) {
+	ok := l.post(func(scheduler.Time) {
 		f := Stats{Classes: map[string]*Counts{}, AttemptsByNode: map[string]int{}, Attempts: len(l.due), LateReplies: l.opt.Nodes.LateReplies()}
 		for name, c := range l.figures.Classes {
 			copied := *c
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -10,16 +10,16 @@
 	"sync"
 	"time"
 
-	"irispost/decide"
-	"irispost/internal/listing"
-	"irispost/internal/node"
+	"irispost/internal/backend/node"
+	"irispost/internal/endpoint"
+	"irispost/scheduler"
 )
 
 // job is a job of the module's, with what the loop holds for it.
 type job struct {
 	work    *RequestSpec
 	session *Session // nil for the gateway's own duties
-	decided *decide.Request
+	decided *scheduler.Request
 	done    chan Result
 	over    bool // its final answer has been given
 	why     string
@@ -39,11 +39,11 @@
 // exec is an execution with its connection.
 type exec struct {
 	job     *job
-	decided *decide.Attempt
+	decided *scheduler.Attempt
 	sent    node.Attempt
-	due     decide.Time // it has timed out then
-	never   bool        // it is proven that it never ran
-	place   int         // in the heap of due times, counted from 1; 0: over
+	due     scheduler.Time // it has timed out then
+	never   bool           // it is proven that it never ran
+	place   int            // in the heap of due times, counted from 1; 0: over
 }
 
 // ran tells whether an execution of a job may have run, now or later.
@@ -52,7 +52,7 @@
 }
 
 // event is something that has happened; it is told on the loop.
-type event func(now decide.Time)
+type event func(now scheduler.Time)
 
 // Loop is a running gateway.
 type Loop struct {
@@ -60,12 +60,12 @@
 	module   module
 	events   chan event
 	again    []event // that follow from what was just carried out
-	jobs     map[*decide.Request]*job
+	jobs     map[*scheduler.Request]*job
 	count    int64
 	due      dueExecs
-	outdated bool            // that time has passed within a turn
-	terms    decide.Settings // that the module acts on
-	until    decide.Time     // nothing is sent after it by what was decided before; 0: no such time
+	outdated bool               // that time has passed within a turn
+	terms    scheduler.Settings // that the module acts on
+	until    scheduler.Time     // nothing is sent after it by what was decided before; 0: no such time
 	figures  Stats
 	quit     chan struct{}
 	gate     sync.RWMutex // held for reading while an event is handed in, so that the end misses none
@@ -75,7 +75,7 @@
 
 // Start starts a loop.
 func Start(opt Options) *Loop {
-	l := &Loop{opt: opt, events: make(chan event, max(opt.QueueSize, 1)), jobs: map[*decide.Request]*job{},
+	l := &Loop{opt: opt, events: make(chan event, max(opt.QueueSize, 1)), jobs: map[*scheduler.Request]*job{},
 		terms: opt.Settings, quit: make(chan struct{}), ended: make(chan struct{}), figures: Stats{Classes: map[string]*Counts{}}}
 	l.module.tap = opt.Tap
 	now := opt.Clock.Now()
@@ -88,7 +88,7 @@
 }
 
 // Now is the gateway's time.
-func (l *Loop) Now() decide.Time { return l.opt.Clock.Now() }
+func (l *Loop) Now() scheduler.Time { return l.opt.Clock.Now() }
 
 // post hands in an event. It waits while the queue is full, so whoever reads a socket stops reading; false tells that
 // the loop has ended.
@@ -111,7 +111,7 @@
 // Submit hands in a job. Its result comes on the channel, exactly once.
 func (l *Loop) Submit(s *Session, w *RequestSpec) <-chan Result {
 	j := &job{work: w, session: s, done: make(chan Result, 1)}
-	if !l.post(func(now decide.Time) { l.take(now, j) }) {
+	if !l.post(func(now scheduler.Time) { l.take(now, j) }) {
 		j.tell(Result{State: ending(j), Reason: "the gateway has ended"})
 	}
 	return j.done
@@ -119,7 +119,7 @@
 
 // CloseSession tells that a session's client has gone.
 func (l *Loop) CloseSession(s *Session) {
-	l.post(func(now decide.Time) {
+	l.post(func(now scheduler.Time) {
 		s.gone = true
 		left := make([]*job, 0, len(s.jobs))
 		for j := range s.jobs {
@@ -128,7 +128,7 @@
 		sortJobs(left)
 		for _, j := range left {
 			l.module.left(now, j.decided)
-			l.finish(j, Result{State: decide.RequestClientCancelled})
+			l.finish(j, Result{State: scheduler.RequestClientCancelled})
 		}
 	})
 }
@@ -137,7 +137,7 @@
 // is so.
 func (l *Loop) SetTap(t Tap) bool {
 	done := make(chan struct{})
-	if !l.post(func(now decide.Time) { l.module.listen(now, t); close(done) }) {
+	if !l.post(func(now scheduler.Time) { l.module.listen(now, t); close(done) }) {
 		return false
 	}
 	select {
@@ -149,22 +149,22 @@
 }
 
 // UpdateEndpoints tells of a list of nodes, or of what has changed in it.
-func (l *Loop) UpdateEndpoints(list listing.List) {
-	l.post(func(now decide.Time) {
+func (l *Loop) UpdateEndpoints(list endpoint.List) {
+	l.post(func(now scheduler.Time) {
 		l.listed(now, list)
 	})
 }
 
 // Wake has the loop take a turn.
 func (l *Loop) Wake() {
-	go l.post(func(decide.Time) {})
+	go l.post(func(scheduler.Time) {})
 }
 
-func (l *Loop) listed(now decide.Time, list listing.List) {
+func (l *Loop) listed(now scheduler.Time, list endpoint.List) {
 	l.module.listed(now, list)
 	keep, open := map[string]bool{}, map[string]bool{}
 	for _, n := range list.Nodes {
-		keep[n.Addr], open[n.Addr] = n.Health != listing.Removed, standings[n.Health] == decide.EndpointReady
+		keep[n.Addr], open[n.Addr] = n.Health != endpoint.Removed, standings[n.Health] == scheduler.EndpointReady
 	}
 	// Guard: what was decided before may still wait for its connection; sent once that is up, it could come after the grace of a drain.
 	l.opt.Nodes.AbortQueued(func(addr string) bool { ready, named := open[addr]; return !ready && (named || !list.Partial) })
@@ -175,7 +175,7 @@
 
 // EndpointListFailed tells that the list could not be had; silent that its service said nothing at all.
 func (l *Loop) EndpointListFailed(silent bool) {
-	l.post(func(now decide.Time) { l.module.listFailed(now, silent) })
+	l.post(func(now scheduler.Time) { l.module.listFailed(now, silent) })
 }
 
 // Stop ends the loop. What it still holds is written off where it may have run, and dismissed where not.
@@ -188,7 +188,7 @@
 	defer close(l.ended)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	last := decide.Time(0)
+	last := scheduler.Time(0)
 	for {
 		var first event
 		select {
@@ -218,7 +218,7 @@
 }
 
 // follow brings the module what is acted on now, where versions are followed.
-func (l *Loop) follow(now decide.Time) {
+func (l *Loop) follow(now scheduler.Time) {
 	l.outdated = false
 	if l.opt.Config == nil {
 		return
@@ -235,7 +235,7 @@
 
 // turn tells of time-outs, asks for the decision and carries it out, until nothing follows from it. It returns when
 // the next turn is due.
-func (l *Loop) turn(now decide.Time) decide.Time {
+func (l *Loop) turn(now scheduler.Time) scheduler.Time {
 	l.follow(now)
 	for {
 		if l.outdated {
@@ -245,7 +245,7 @@
 		for len(l.due) > 0 && l.due[0].due <= now {
 			e := l.due[0]
 			e.sent.Cancel()
-			l.outcome(now, e, decide.OutcomeTimeout, node.Reply{Message: "no answer in time"})
+			l.outcome(now, e, scheduler.OutcomeTimeout, node.Reply{Message: "no answer in time"})
 		}
 		for len(l.again) > 0 {
 			list := l.again
@@ -270,13 +270,13 @@
 }
 
 // take tells the module of a job.
-func (l *Loop) take(now decide.Time, j *job) {
+func (l *Loop) take(now scheduler.Time, j *job) {
 	w := j.work
 	l.figures.of(w.Class).Accepted++
 	if j.session != nil {
 		if j.session.gone {
-			l.figures.of(w.Class).count(decide.RequestClientCancelled)
-			j.tell(Result{State: decide.RequestClientCancelled})
+			l.figures.of(w.Class).count(scheduler.RequestClientCancelled)
+			j.tell(Result{State: scheduler.RequestClientCancelled})
 			return
 		}
 		j.session.jobs[j] = true
@@ -286,14 +286,14 @@
 	if j.session != nil {
 		name = j.session.Name + ":" + strconv.FormatUint(uint64(w.ClientRequest), 10)
 	}
-	j.decided = &decide.Request{ID: name + "#" + strconv.FormatInt(l.count, 10), Units: w.Units, Shard: w.Call.Shard,
+	j.decided = &scheduler.Request{ID: name + "#" + strconv.FormatInt(l.count, 10), Units: w.Units, Shard: w.Call.Shard,
 		Key: w.Key, Write: w.Call.Op.Writes(), Deadline: w.Deadline}
 	l.jobs[j.decided] = j
 	l.module.take(now, j.decided, w)
 }
 
 // carryOut does what the module decided.
-func (l *Loop) carryOut(now decide.Time, d *decide.Decision) {
+func (l *Loop) carryOut(now scheduler.Time, d *scheduler.Decision) {
 	for _, line := range d.Log {
 		l.opt.Log.Info(line, "gateway", l.opt.Name)
 	}
@@ -305,7 +305,7 @@
 	for _, de := range d.Cancel {
 		if e := l.execOf(de); e != nil && e.place > 0 {
 			e.sent.Cancel()
-			l.again = append(l.again, func(now decide.Time) { l.outcome(now, e, decide.OutcomeCancelled, node.Reply{}) })
+			l.again = append(l.again, func(now scheduler.Time) { l.outcome(now, e, scheduler.OutcomeCancelled, node.Reply{}) })
 		}
 	}
 	for _, de := range d.Dispatch {
@@ -316,7 +316,7 @@
 	}
 }
 
-func (l *Loop) execOf(de *decide.Attempt) *exec {
+func (l *Loop) execOf(de *scheduler.Attempt) *exec {
 	if j := l.jobs[de.Request]; j != nil && de.Number < len(j.execs) {
 		return j.execs[de.Number]
 	}
--- a/internal/iscsi/target/session.go
+++ b/internal/iscsi/target/session.go
@@ -14,7 +14,7 @@
 	"irispost/internal/iscsi"
 	"irispost/internal/iscsi/negotiate"
 	"irispost/internal/iscsi/pace"
-	"irispost/internal/link"
+	"irispost/internal/packetconn"
 	"irispost/internal/scsi"
 )
 
@@ -31,7 +31,7 @@
 // session is one initiator's connection.
 type session struct {
 	server   *Server
-	conn     *link.Conn
+	conn     *packetconn.Conn
 	login    *negotiate.Login
 	late     *time.Timer // ends a login that takes too long
 	client   *front.Client
@@ -54,7 +54,7 @@
 	texts    []byte
 }
 
-func newSession(s *Server, c *link.Conn) *session {
+func newSession(s *Server, c *packetconn.Conn) *session {
 	x := &session{server: s, conn: c, tasks: map[uint32]*task{}, early: map[uint32]*iscsi.PDU{}, statSN: 1, client: s.opt.Front.Client()}
 	opt := s.login()
 	opt.Session = x.client.Name
@@ -143,7 +143,7 @@
 	case loggingIn:
 		return x.step(p)
 	case ended:
-		return link.ErrPeerClosed
+		return packetconn.ErrPeerClosed
 	}
 	return x.take(p)
 }
--- a/internal/iscsi/target/target.go
+++ b/internal/iscsi/target/target.go
@@ -17,7 +17,7 @@
 	"irispost/internal/front"
 	"irispost/internal/iscsi/negotiate"
 	"irispost/internal/iscsi/pace"
-	"irispost/internal/link"
+	"irispost/internal/packetconn"
 	"irispost/internal/scsi"
 )
 
@@ -42,13 +42,13 @@
 	Connections int
 	Login       time.Duration // a login that takes longer is closed
 	Unread      int           // bytes that an initiator may leave unread; past it commands are answered TASK SET FULL
-	Wire        link.Limits
+	Wire        packetconn.Limits
 	Pace        pace.Terms
 }
 
 // DefaultLimits are used where nothing else is said.
 var DefaultLimits = Limits{Connections: 1024, Login: 10 * time.Second, Unread: 16 << 20,
-	Wire: link.Limits{MaxPacket: 256 << 10, MaxReadAhead: 32 << 20, MaxUnsent: 64 << 20, WriteTimeout: 10 * time.Second},
+	Wire: packetconn.Limits{MaxPacket: 256 << 10, MaxReadAhead: 32 << 20, MaxUnsent: 64 << 20, WriteTimeout: 10 * time.Second},
 	Pace: pace.Terms{Least: 2, Most: 256, Start: 32, Inside: 512, Bytes: 32 << 20, Quantum: 64 << 10}}
 
 // Options are what a server is started with.
@@ -64,7 +64,7 @@
 type Server struct {
 	opt      Options
 	targets  map[string]*Target
-	link     *link.Server
+	link     *packetconn.Server
 	ready    chan struct{} // closed when link is there
 	handles  atomic.Uint32 // target session handles
 	lock     sync.Mutex    // sessions
@@ -93,7 +93,7 @@
 		}
 		s.targets[t.Name] = t
 	}
-	l, err := link.Listen(addr, opt.Limits.Wire, opt.Limits.Connections, func(c *link.Conn) link.Handler {
+	l, err := packetconn.Listen(addr, opt.Limits.Wire, opt.Limits.Connections, func(c *packetconn.Conn) packetconn.Handler {
 		<-s.ready
 		return newSession(s, c)
 	})
--- a/internal/link/link.go
+++ b/internal/packetconn/link.go
@@ -1,6 +1,6 @@
-// Package link carries packets over netpoll connections: a queue to send from, bounds on both directions, and one end for
+// Package packetconn carries packets over netpoll connections: a queue to send from, bounds on both directions, and one end for
 // each connection, however that comes. What a packet is, is its peer's.
-package link
+package packetconn
 
 import (
 	"context"
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -11,9 +11,9 @@
 	"strings"
 	"time"
 
-	"irispost/decide"
-	"irispost/internal/discovery"
+	"irispost/internal/endpoint/discovery"
 	"irispost/internal/wire"
+	"irispost/scheduler"
 )
 
 // Config is what a gateway is told.
@@ -26,7 +26,7 @@
 	MemoryBytes     int64 // bytes
 	MaxSockets      int
 	CachedEndpoints *discovery.Response
-	Settings        decide.Settings
+	Settings        scheduler.Settings
 	DialTimeout     time.Duration // a connection to a node that is not up by then has failed
 	IdleTimeout     time.Duration // nodes close connections that have been idle for so long
 }
@@ -76,7 +76,7 @@
 		return s
 	}
 	c := &Config{Name: or(f.Name, "PROXY_NAME"), Listen: or(f.Listen, "PROXY_LISTEN"), Discovery: or(f.Discovery, "PROXY_DISCOVERY"),
-		Cores: f.Limits.Cores, MemoryBytes: int64(f.Limits.Memory * (1 << 20)), MaxSockets: f.Limits.Sockets, CachedEndpoints: f.Known, Settings: decide.Settings{}}
+		Cores: f.Limits.Cores, MemoryBytes: int64(f.Limits.Memory * (1 << 20)), MaxSockets: f.Limits.Sockets, CachedEndpoints: f.Known, Settings: scheduler.Settings{}}
 	for name, v := range map[string]string{"name": c.Name, "listen": c.Listen, "discovery": c.Discovery} {
 		if v == "" {
 			return nil, fmt.Errorf("no %s", name)
--- a/internal/relive/relive.go
+++ b/internal/relive/relive.go
@@ -16,22 +16,22 @@
 	"sync"
 	"time"
 
-	"irispost/decide"
 	"irispost/internal/audit"
+	"irispost/internal/backend/node"
 	"irispost/internal/capture"
+	"irispost/internal/endpoint"
 	"irispost/internal/gateway"
-	"irispost/internal/listing"
-	"irispost/internal/node"
 	"irispost/internal/sftp"
 	"irispost/internal/standin"
+	"irispost/scheduler"
 )
 
 // Script is what a capture says happened, as far as it can be played.
 type Script struct {
 	Gateway string
 	Seed    uint64
-	Terms   decide.Settings
-	From    decide.Time // the module's start
+	Terms   scheduler.Settings
+	From    scheduler.Time // the module's start
 	acts    []act
 	nodes   map[string]*behaviour
 	Was     map[string]*Shape // by product
@@ -44,7 +44,7 @@
 
 // act is something from outside that happens at a time after the start.
 type act struct {
-	at   decide.Time
+	at   scheduler.Time
 	take *capture.Record // one of the three
 	left string
 	list *capture.Record
@@ -54,7 +54,7 @@
 type behaviour struct {
 	zone    string
 	shard   int
-	born    decide.Time
+	born    scheduler.Time
 	windows map[int64]*window
 }
 
@@ -63,7 +63,7 @@
 	failed, silent int
 }
 
-const windowSpan = 250 * decide.Millisecond
+const windowSpan = 250 * scheduler.Millisecond
 
 // Read makes a script of a capture. One that is cut off is played as far as it goes; one with a gap, or that begins with a
 // state, is not: what was before it is not known.
@@ -73,7 +73,7 @@
 		job    string
 		number int
 	}
-	sent, taken, goals := map[execution]string{}, map[string]*capture.Record{}, map[string]decide.Time{}
+	sent, taken, goals := map[execution]string{}, map[string]*capture.Record{}, map[string]scheduler.Time{}
 	for {
 		r, err := next()
 		if err == io.EOF || errors.Is(err, capture.ErrCut) {
@@ -92,7 +92,7 @@
 			}
 			s.From, s.Seed, s.Terms = r.At, r.Seed, r.Terms
 			for i := range count(r.Terms, "products.count") {
-				goals[r.Terms[item(i, "name")]] = decide.Time(float(r.Terms, item(i, "goal")) * 1e6)
+				goals[r.Terms[item(i, "name")]] = scheduler.Time(float(r.Terms, item(i, "goal")) * 1e6)
 			}
 		case capture.State, capture.Gap:
 			return nil, fmt.Errorf("the capture has a %v %.3f s after its start, it cannot be played whole", r.Kind, float64(at)/1e9)
@@ -113,7 +113,7 @@
 			}
 		case capture.Ended:
 			s.outcome(r, at, sent[execution{r.Job, r.Number}], taken[r.Job])
-			if t := taken[r.Job]; t != nil && r.Final && r.Outcome == decide.OutcomeServed {
+			if t := taken[r.Job]; t != nil && r.Final && r.Outcome == scheduler.OutcomeServed {
 				if r.At-t.At <= goals[t.Product] {
 					s.shape(t.Product).InGoal++
 				} else {
@@ -125,7 +125,7 @@
 				sent[execution{e.Job, e.Number}] = e.Node
 			}
 			for _, a := range r.Decision.Ended {
-				if t := taken[a.Job]; t != nil && a.State == decide.RequestRejected {
+				if t := taken[a.Job]; t != nil && a.State == scheduler.RequestRejected {
 					s.shape(t.Product).Dismissed++
 				} else if t != nil {
 					s.shape(t.Product).WrittenOff++
@@ -153,7 +153,7 @@
 }
 
 // outcome adds an outcome to its node's behaviour.
-func (s *Script) outcome(r *capture.Record, at decide.Time, addr string, t *capture.Record) {
+func (s *Script) outcome(r *capture.Record, at scheduler.Time, addr string, t *capture.Record) {
 	b := s.nodes[addr]
 	if b == nil || t == nil {
 		return
@@ -165,11 +165,11 @@
 		b.windows[began] = w
 	}
 	switch r.Outcome {
-	case decide.OutcomeServed:
+	case scheduler.OutcomeServed:
 		w.pace = append(w.pace, float64(r.Took)/max(t.Units, 0.01))
-	case decide.OutcomeError, decide.OutcomeReset, decide.OutcomeOverloaded:
+	case scheduler.OutcomeError, scheduler.OutcomeReset, scheduler.OutcomeOverloaded:
 		w.failed++
-	case decide.OutcomeTimeout, decide.OutcomeConnectFailed:
+	case scheduler.OutcomeTimeout, scheduler.OutcomeConnectFailed:
 		w.silent++
 	}
 }
@@ -241,11 +241,11 @@
 	loop   *gateway.Loop
 	store  map[int]*standin.Store
 	nodes  map[string]*standin.Node // by captured address
-	lists  map[string]listing.Node  // as told last, by captured address
+	lists  map[string]endpoint.Node // as told last, by captured address
 	vols   map[int64]*gateway.Volume
 	kinds  map[string]uint8
 	inTurn map[string]bool // products whose keys count
-	goals  map[string]decide.Time
+	goals  map[string]scheduler.Time
 	lock   sync.Mutex
 	jobs   map[string]*gateway.Session // by captured name
 	over   sync.WaitGroup
@@ -264,17 +264,17 @@
 	}
 	clock := gateway.NewClock()
 	p := &play{script: s, opt: opt, clock: clock, record: &audit.Record{Clock: clock.Now}, store: map[int]*standin.Store{},
-		nodes: map[string]*standin.Node{}, lists: map[string]listing.Node{}, vols: map[int64]*gateway.Volume{}, kinds: map[string]uint8{}, inTurn: map[string]bool{},
-		goals: map[string]decide.Time{}, jobs: map[string]*gateway.Session{}, report: &Report{Was: s.Was, Is: map[string]*Shape{}}}
+		nodes: map[string]*standin.Node{}, lists: map[string]endpoint.Node{}, vols: map[int64]*gateway.Volume{}, kinds: map[string]uint8{}, inTurn: map[string]bool{},
+		goals: map[string]scheduler.Time{}, jobs: map[string]*gateway.Session{}, report: &Report{Was: s.Was, Is: map[string]*Shape{}}}
 	defer p.close()
 	words := map[string]uint8{"referenced": 1, "single-use": 2}
 	for i := range count(s.Terms, "products.count") {
 		name := s.Terms[item(i, "name")]
 		p.kinds[name] = words[s.Terms[item(i, "kind")]]
 		p.inTurn[name] = s.Terms[item(i, "in_turn")] == "true" || s.Terms[item(i, "in_turn")] == "1"
-		p.goals[name] = decide.Time(float(s.Terms, item(i, "goal")) * 1e6)
+		p.goals[name] = scheduler.Time(float(s.Terms, item(i, "goal")) * 1e6)
 	}
-	terms := decide.Settings{}
+	terms := scheduler.Settings{}
 	for name, v := range s.Terms {
 		terms[name] = v
 	}
@@ -300,7 +300,7 @@
 // run lets what happens happen.
 func (p *play) run(ctx context.Context) error {
 	type step struct {
-		at decide.Time
+		at scheduler.Time
 		do func() error
 	}
 	var steps []step
@@ -360,7 +360,7 @@
 func (p *play) list(r *capture.Record) error {
 	if r.Kind == capture.Listed {
 		for addr, n := range p.lists {
-			n.Health = listing.Removed
+			n.Health = endpoint.Removed
 			p.lists[addr] = n
 		}
 	}
@@ -373,8 +373,8 @@
 		}
 		p.lists[n.Addr] = n
 	}
-	var l listing.List
-	words := map[listing.Health]string{listing.Ready: "ready", listing.Draining: "draining", listing.Removed: "gone"}
+	var l endpoint.List
+	words := map[endpoint.Health]string{endpoint.Ready: "ready", endpoint.Draining: "draining", endpoint.Removed: "gone"}
 	for _, addr := range sorted(p.lists) {
 		n := p.lists[addr]
 		n.Addr = p.nodes[addr].Addr()
@@ -390,7 +390,7 @@
 	return nil
 }
 
-func sorted(m map[string]listing.Node) (names []string) {
+func sorted(m map[string]endpoint.Node) (names []string) {
 	for name := range m {
 		names = append(names, name)
 	}
@@ -399,7 +399,7 @@
 }
 
 // start starts the stand-in of a node. Its pace is the captured one as it was, waits and all, so it has cores enough.
-func (p *play) start(n listing.Node) error {
+func (p *play) start(n endpoint.Node) error {
 	b := p.script.nodes[n.Addr]
 	usual, _ := b.commands()
 	if p.store[n.Shard] == nil {
@@ -457,16 +457,16 @@
 		shape.Jobs++
 		told := audit.Event{At: at, What: audit.Told, Session: s.Name, ID: 1}
 		switch result.State {
-		case decide.RequestSucceeded:
+		case scheduler.RequestSucceeded:
 			if at <= goal {
 				shape.InGoal++
 			} else {
 				shape.Late++
 			}
-		case decide.RequestRejected:
+		case scheduler.RequestRejected:
 			told.Answer = audit.Dismissed
 			shape.Dismissed++
-		case decide.RequestClientCancelled:
+		case scheduler.RequestClientCancelled:
 			shape.Left++
 			return
 		default:
@@ -485,9 +485,9 @@
 
 func item(n int, name string) string { return "products." + strconv.Itoa(n) + "." + name }
 
-func float(t decide.Settings, name string) float64 {
+func float(t scheduler.Settings, name string) float64 {
 	v, _ := strconv.ParseFloat(strings.TrimSpace(t[name]), 64)
 	return v
 }
 
-func count(t decide.Settings, name string) int { return int(float(t, name)) }
+func count(t scheduler.Settings, name string) int { return int(float(t, name)) }
--- a/internal/replay/feed.go
+++ b/internal/replay/feed.go
@@ -8,11 +8,11 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"irispost/decide"
 	"irispost/internal/capture"
+	"irispost/internal/endpoint"
 	"irispost/internal/gateway"
-	"irispost/internal/listing"
 	"irispost/internal/snapshot"
+	"irispost/scheduler"
 )
 
 // Feed takes one record.
@@ -28,7 +28,7 @@
 	switch rec.Kind {
 	case capture.Header:
 		r.report.Gateway, r.report.Build = rec.Name, rec.Build
-		r.report.SameModule = rec.Digest == xxhash.Sum64(decide.PolicySource)
+		r.report.SameModule = rec.Digest == xxhash.Sum64(scheduler.PolicySource)
 		return nil
 	case capture.Start:
 		r.start(rec)
@@ -48,7 +48,7 @@
 	}
 	switch rec.Kind {
 	case capture.Listed, capture.ListedPart:
-		gateway.ApplyEndpointList(r.module, rec.At, listing.List{Stale: rec.Stale, Nodes: rec.Nodes}, rec.Kind == capture.Listed)
+		gateway.ApplyEndpointList(r.module, rec.At, endpoint.List{Stale: rec.Stale, Nodes: rec.Nodes}, rec.Kind == capture.Listed)
 	case capture.ListFailed, capture.ListSilent:
 		r.module.EndpointListFailed(rec.At, rec.Kind == capture.ListSilent)
 	case capture.Agreed:
@@ -67,7 +67,7 @@
 			rec.Number, addr, outcome(rec.Outcome), float64(rec.Took)/1e6, float64(n.took)/1e6, 100*n.failing, n.out, n.held)
 		r.at(addr, rec.At, "%s, execution %d: %s after %.1f ms; lately %.1f ms, %.0f%% not served, %d out, %d held", rec.Job, rec.Number,
 			outcome(rec.Outcome), float64(rec.Took)/1e6, float64(n.took)/1e6, 100*n.failing, n.out, n.held)
-		if j := r.jobs[rec.Job]; j != nil && rec.Final && rec.Outcome == decide.OutcomeServed {
+		if j := r.jobs[rec.Job]; j != nil && rec.Final && rec.Outcome == scheduler.OutcomeServed {
 			j.product.Completed++
 			if rec.At <= j.goalBy {
 				j.product.InGoal++
@@ -98,7 +98,7 @@
 	if r.module != nil {
 		return nil // it is there already, and was compared so far
 	}
-	g, err := snapshot.Restore[decide.Scheduler]([]byte(rec.State), decide.StoredNames)
+	g, err := snapshot.Restore[scheduler.Scheduler]([]byte(rec.State), scheduler.StoredNames)
 	if err != nil {
 		return fmt.Errorf("record %d, the module's state: %w", r.report.Records, err)
 	}
@@ -111,14 +111,14 @@
 }
 
 func (r *Replay) start(rec *capture.Record) {
-	r.module = decide.New(rec.At, rec.Seed, rec.Terms)
+	r.module = scheduler.New(rec.At, rec.Seed, rec.Terms)
 	r.report.from, r.jobs = rec.At, map[string]*job{} // of one that was killed, nothing is left
 	r.learn(rec.Terms)
 	r.move(Running, "")
 }
 
 // learn takes the products' goals from terms.
-func (r *Replay) learn(terms decide.Settings) {
+func (r *Replay) learn(terms scheduler.Settings) {
 	for i := 0; ; i++ {
 		item := fmt.Sprintf("products.%d.", i)
 		name, there := terms[item+"name"]
@@ -127,7 +127,7 @@
 		}
 		var ms float64
 		fmt.Sscan(terms[item+"goal"], &ms)
-		r.goals[name] = decide.Time(ms * 1e6)
+		r.goals[name] = scheduler.Time(ms * 1e6)
 	}
 }
 
@@ -141,16 +141,16 @@
 	p.Jobs++
 	r.jobs[rec.Job] = &job{product: p, goalBy: rec.At + r.goals[rec.Product]}
 	r.tell(rec.Job, rec.At, "taken: %s of volume %d (%s), %.2f units, shard %d", rec.Product, rec.Volume, rec.Plan, rec.Units, rec.Shard)
-	j := &decide.Request{ID: rec.Job, Units: rec.Units, Shard: rec.Shard, Key: rec.Key, Write: rec.Write, Deadline: rec.StopBy}
+	j := &scheduler.Request{ID: rec.Job, Units: rec.Units, Shard: rec.Shard, Key: rec.Key, Write: rec.Write, Deadline: rec.StopBy}
 	r.module.Submit(rec.At, j, rec.Volume, rec.Plan, rec.Product, rec.Hosts, rec.Keyed)
 }
 
 // seen is what the replay has seen of a node.
 type seen struct {
 	out     int
-	took    decide.Time // of the latest executions, averaged
-	failing float64     // share of them that were not served
-	held    int         // by its last load report
+	took    scheduler.Time // of the latest executions, averaged
+	failing float64        // share of them that were not served
+	held    int            // by its last load report
 }
 
 func execution(job string, number int) string { return job + " " + strconv.Itoa(number) }
@@ -171,7 +171,7 @@
 	delete(r.nodes, key)
 	n = r.node(addr)
 	failed := 1.0
-	if rec.Outcome == decide.OutcomeServed {
+	if rec.Outcome == scheduler.OutcomeServed {
 		failed = 0
 		n.took += (rec.Took - n.took) / 8
 		n.held = rec.Inflight
@@ -182,14 +182,14 @@
 }
 
 // at adds to a node's story.
-func (r *Replay) at(addr string, at decide.Time, format string, args ...any) {
+func (r *Replay) at(addr string, at scheduler.Time, format string, args ...any) {
 	if addr != "" && addr == r.opt.Node {
 		r.report.Story = append(r.report.Story, fmt.Sprintf("%10.3f ms  ", float64(at-r.report.from)/1e6)+fmt.Sprintf(format, args...))
 	}
 }
 
 // tell adds to a job's story.
-func (r *Replay) tell(id string, at decide.Time, format string, args ...any) {
+func (r *Replay) tell(id string, at scheduler.Time, format string, args ...any) {
 	line := fmt.Sprintf("%10.3f ms  ", float64(at-r.report.from)/1e6) + fmt.Sprintf(format, args...)
 	if id == r.opt.Job {
 		r.report.Story = append(r.report.Story, line)
@@ -233,7 +233,7 @@
 	for _, a := range now.Ended {
 		r.tell(a.Job, rec.At, "%s, to come back in %.0f ms", gateway.StateName(a.State), float64(a.Wait)/1e6)
 		if j := r.jobs[a.Job]; j != nil {
-			if a.State == decide.RequestRejected {
+			if a.State == scheduler.RequestRejected {
 				j.product.Dismissed++
 			} else {
 				j.product.WrittenOff++
@@ -266,11 +266,11 @@
 	return ""
 }
 
-var outcomes = [...]string{decide.OutcomePending: "out", decide.OutcomeServed: "served", decide.OutcomeError: "failed", decide.OutcomeOverloaded: "turned away as full",
-	decide.OutcomeTimeout: "timed out", decide.OutcomeConnectFailed: "no connection", decide.OutcomeReset: "the connection broke",
-	decide.OutcomeCancelled: "called off", decide.OutcomeMisdirected: "not this shard"}
+var outcomes = [...]string{scheduler.OutcomePending: "out", scheduler.OutcomeServed: "served", scheduler.OutcomeError: "failed", scheduler.OutcomeOverloaded: "turned away as full",
+	scheduler.OutcomeTimeout: "timed out", scheduler.OutcomeConnectFailed: "no connection", scheduler.OutcomeReset: "the connection broke",
+	scheduler.OutcomeCancelled: "called off", scheduler.OutcomeMisdirected: "not this shard"}
 
-func outcome(o decide.Outcome) string {
+func outcome(o scheduler.Outcome) string {
 	if int(o) < len(outcomes) {
 		return outcomes[o]
 	}
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -6,8 +6,8 @@
 	"errors"
 	"io"
 
-	"irispost/decide"
 	"irispost/internal/capture"
+	"irispost/scheduler"
 )
 
 // State is how a replay stands. Only Replay.move changes it.
@@ -40,7 +40,7 @@
 // Difference is the first place where the module decided otherwise.
 type Difference struct {
 	Record   int64
-	At       decide.Time
+	At       scheduler.Time
 	Captured capture.Decision
 	Now      capture.Decision
 	Before   []capture.Record // the latest records before it
@@ -50,40 +50,40 @@
 
 // Options narrow a replay.
 type Options struct {
-	Until decide.Time // stop there, counted from the module's start; 0: at the end
-	Job   string      // keep the story of this job
-	Node  string      // and what passed at this node
-	All   bool        // go on after a difference: the counts then say how far the module parts, not what would have been
-	Keep  int         // records to keep before a difference
+	Until scheduler.Time // stop there, counted from the module's start; 0: at the end
+	Job   string         // keep the story of this job
+	Node  string         // and what passed at this node
+	All   bool           // go on after a difference: the counts then say how far the module parts, not what would have been
+	Keep  int            // records to keep before a difference
 }
 
 // Report is what a replay came to.
 type Report struct {
-	State      State       `json:"-"`
-	How        string      `json:"state"`
-	Why        string      `json:"why,omitempty"` // of a cut or gap
-	Gateway    string      `json:"gateway"`
-	Build      string      `json:"build"`
-	SameModule bool        `json:"same_module"` // the capture's module has this build's text
-	Records    int64       `json:"records"`
-	Decisions  int64       `json:"decisions"`
-	Gaps       int         `json:"gaps"`
-	Span       decide.Time `json:"span_ns"`
-	Products   []*Product  `json:"products"`
-	Difference *Difference `json:"difference,omitempty"`
-	Differing  int64       `json:"differing"` // decisions
-	Story      []string    `json:"story,omitempty"`
-	from       decide.Time
+	State      State          `json:"-"`
+	How        string         `json:"state"`
+	Why        string         `json:"why,omitempty"` // of a cut or gap
+	Gateway    string         `json:"gateway"`
+	Build      string         `json:"build"`
+	SameModule bool           `json:"same_module"` // the capture's module has this build's text
+	Records    int64          `json:"records"`
+	Decisions  int64          `json:"decisions"`
+	Gaps       int            `json:"gaps"`
+	Span       scheduler.Time `json:"span_ns"`
+	Products   []*Product     `json:"products"`
+	Difference *Difference    `json:"difference,omitempty"`
+	Differing  int64          `json:"differing"` // decisions
+	Story      []string       `json:"story,omitempty"`
+	from       scheduler.Time
 }
 
 // Replay is a replay under way.
 type Replay struct {
 	opt      Options
 	report   Report
-	module   *decide.Scheduler
+	module   *scheduler.Scheduler
 	products map[string]*Product
 	jobs     map[string]*job
-	goals    map[string]decide.Time
+	goals    map[string]scheduler.Time
 	before   []capture.Record
 	nodes    map[string]string // of executions that are out
 	seen     map[string]*seen  // by address
@@ -92,7 +92,7 @@
 // job is what the replay knows of a job that is not over.
 type job struct {
 	product *Product
-	goalBy  decide.Time
+	goalBy  scheduler.Time
 	story   []string
 }
 
@@ -101,7 +101,7 @@
 	if opt.Keep == 0 {
 		opt.Keep = 20
 	}
-	return &Replay{opt: opt, products: map[string]*Product{}, jobs: map[string]*job{}, goals: map[string]decide.Time{},
+	return &Replay{opt: opt, products: map[string]*Product{}, jobs: map[string]*job{}, goals: map[string]scheduler.Time{},
 		nodes: map[string]string{}, seen: map[string]*seen{}}
 }
 
--- a/internal/scale/apart.go
+++ b/internal/scale/apart.go
@@ -4,7 +4,7 @@
 	"cmp"
 	"fmt"
 
-	"irispost/internal/fleet/accord"
+	"irispost/internal/fleet/lease"
 )
 
 // Apart is two regions that do not reach each other for a while, worked out in virtual time with accord's own parts: a gateway in the region
@@ -43,8 +43,8 @@
 	size.Floor = 0
 	r := first(&size)
 	r.FallbackPolicy.Duration = a.Floor
-	l := accord.NewStateMachine()
-	commands := []*accord.Command{{Bootstrap: &accord.Settings{LeaseDuration: a.Lease, MaxClockDrift: 0.01}}, {Propose: &accord.Proposal{ID: "first", Content: r.Canonical()}},
+	l := lease.NewStateMachine()
+	commands := []*lease.Command{{Bootstrap: &lease.Settings{LeaseDuration: a.Lease, MaxClockDrift: 0.01}}, {Propose: &lease.Proposal{ID: "first", Content: r.Canonical()}},
 		{Activate: 1}, {Join: []string{"here", "there"}}}
 	for _, c := range commands {
 		if _, err := l.Apply(c); err != nil {
@@ -52,11 +52,11 @@
 		}
 	}
 	now := int64(1e9)
-	w := accord.NewManager(now, 1, l, 0)
-	here, there := accord.NewClient("here", a.Lease/5, 0), accord.NewClient("there", a.Lease/5, 0)
+	w := lease.NewManager(now, 1, l, 0)
+	here, there := lease.NewClient("here", a.Lease/5, 0), lease.NewClient("there", a.Lease/5, 0)
 	here.RequestFullVersions() // how contents travel takes no virtual time
 	there.RequestFullVersions()
-	ask := func(f *accord.Client) {
+	ask := func(f *lease.Client) {
 		for range 3 { // an ask that is followed by another at once is
 			if f.NextRequestAt(now) <= now {
 				f.HandleResponse(now, w.Renew(now, f.NextRequest(now)))
@@ -80,7 +80,7 @@
 			return s, err
 		}
 	}
-	if here.State() != accord.StateActing || there.State() != accord.StateActing {
+	if here.State() != lease.StateActing || there.State() != lease.StateActing {
 		return s, fmt.Errorf("before the cut they are %v and %v", here.State(), there.State())
 	}
 	cut, proposed := now, int64(0)
@@ -92,10 +92,10 @@
 				return s, err
 			}
 		}
-		if there.Effective(now); there.State() != accord.StateActing {
+		if there.Effective(now); there.State() != lease.StateActing {
 			s.Leased = cmp.Or(s.Leased, now-cut)
 		}
-		if there.State() == accord.StateEnded {
+		if there.State() == lease.StateEnded {
 			s.Floored = cmp.Or(s.Floored, now-cut)
 		}
 		if s.Majority >= 0 && proposed == 0 && now >= cut+1e9 {
@@ -107,7 +107,7 @@
 				tune(next)
 			}
 			proposed = now
-			if _, err := l.Apply(&accord.Command{Propose: &accord.Proposal{ID: "second", Parent: 1, Content: next.Canonical()}}); err != nil {
+			if _, err := l.Apply(&lease.Command{Propose: &lease.Proposal{ID: "second", Parent: 1, Content: next.Canonical()}}); err != nil {
 				return s, err
 			}
 		}
--- a/internal/scale/ends.go
+++ b/internal/scale/ends.go
@@ -8,8 +8,8 @@
 	"strings"
 	"time"
 
-	"irispost/internal/fleet/accord"
-	"irispost/internal/fleet/keep"
+	"irispost/internal/fleet/lease"
+	"irispost/internal/fleet/replica"
 	"irispost/internal/fleet/rig"
 )
 
@@ -100,5 +100,5 @@
 	}
 	versions := f.versions
 	f.versions = f.versions[len(f.versions)-1:]
-	return rig.AuditSweep(records, versions, keep.ConvergenceBound(accord.Settings{LeaseDuration: int64(f.Size.Lease), MaxClockDrift: 0.01}), monotonic())
+	return rig.AuditSweep(records, versions, replica.ConvergenceBound(lease.Settings{LeaseDuration: int64(f.Size.Lease), MaxClockDrift: 0.01}), monotonic())
 }
--- a/internal/scale/fleet.go
+++ b/internal/scale/fleet.go
@@ -9,12 +9,12 @@
 	"sync"
 	"time"
 
-	"irispost/decide"
-	"irispost/internal/fleet/accord"
-	"irispost/internal/fleet/keep"
+	"irispost/internal/fleet/configversion"
+	"irispost/internal/fleet/lease"
+	"irispost/internal/fleet/replica"
 	"irispost/internal/fleet/rig"
-	"irispost/internal/fleet/rules"
 	"irispost/internal/scale/meter"
+	"irispost/scheduler"
 )
 
 // Options are what a fleet is started with.
@@ -31,15 +31,15 @@
 	Size     Size
 	Gateways []*Hollow
 	opt      Options
-	own      decide.Settings
+	own      scheduler.Settings
 	keepers  []*keeper
 	links    []*rig.Link // all
 	between  []*rig.Link // those of them that are between regions
-	operator *keep.Client
+	operator *replica.Client
 	bytes    meter.Bytes // of all gateways' following
-	rules    *rules.Config
+	rules    *configversion.Config
 	newest   uint64
-	versions []*rules.Version // since the last audit
+	versions []*configversion.Version // since the last audit
 	started  int64
 }
 
@@ -71,8 +71,8 @@
 	for _, k := range f.keepers {
 		addrs = append(addrs, k.addr)
 	}
-	f.operator = &keep.Client{Replicas: addrs, Timeout: operatorWithin}
-	if _, err := f.propose("the first version", func(*rules.Config) {}); err != nil {
+	f.operator = &replica.Client{Replicas: addrs, Timeout: operatorWithin}
+	if _, err := f.propose("the first version", func(*configversion.Config) {}); err != nil {
 		return f, err
 	}
 	shared := make([][]string, s.Zones)
@@ -165,19 +165,19 @@
 }
 
 // propose has a change made of the newest rules, and waits until it is announced.
-func (f *Fleet) propose(why string, change func(*rules.Config)) (Change, error) {
+func (f *Fleet) propose(why string, change func(*configversion.Config)) (Change, error) {
 	return f.proposeBy(f.operator, why, change)
 }
 
-func (f *Fleet) proposeBy(by *keep.Client, why string, change func(*rules.Config)) (Change, error) {
+func (f *Fleet) proposeBy(by *replica.Client, why string, change func(*configversion.Config)) (Change, error) {
 	r := copied(f.rules)
 	change(r)
 	c := Change{At: monotonic()}
-	p := &accord.Proposal{ID: fmt.Sprintf("scale %d %d", c.At, f.newest+1), Parent: f.newest, Author: "scale", Reason: why,
+	p := &lease.Proposal{ID: fmt.Sprintf("scale %d %d", c.At, f.newest+1), Parent: f.newest, Author: "scale", Reason: why,
 		CreatedAt: time.Now().UTC().Format(time.RFC3339), Content: r.Canonical()}
 	v, err := by.Propose(p)
 	for end := time.Now().Add(f.Size.Patience); err != nil && by == f.operator && time.Now().Before(end); v, err = by.Propose(p) {
-		var refused *keep.RejectedError
+		var refused *replica.RejectedError
 		if errors.As(err, &refused) {
 			break
 		}
@@ -187,7 +187,7 @@
 		return c, fmt.Errorf("%s: %w", why, err)
 	}
 	c.Version, f.newest, f.rules = v.Number, v.Number, r
-	f.versions = append(f.versions, &rules.Version{Number: v.Number, Parent: v.Parent, Digest: r.Digest(), Content: r.Canonical()})
+	f.versions = append(f.versions, &configversion.Version{Number: v.Number, Parent: v.Parent, Digest: r.Digest(), Content: r.Canonical()})
 	return c, nil
 }
 
--- a/internal/scale/fleetbench/followers.go
+++ b/internal/scale/fleetbench/followers.go
@@ -11,7 +11,7 @@
 	"sync/atomic"
 	"time"
 
-	"irispost/internal/fleet/follow"
+	"irispost/internal/fleet/client"
 	"irispost/internal/scale/meter"
 )
 
@@ -20,7 +20,7 @@
 
 // followers are gateways' sides of following, in this process, with the bytes at their sockets.
 type followers struct {
-	list  []*follow.Client
+	list  []*client.Client
 	bytes []meter.Bytes           // of each
 	from  map[string]*meter.Bytes // of all together, by the keeper's address
 	want  atomic.Pointer[string]  // how what all should act on is named
@@ -30,7 +30,7 @@
 }
 
 func newFollowers(count int, addrs []string) *followers {
-	f := &followers{list: make([]*follow.Client, count), bytes: make([]meter.Bytes, count), from: map[string]*meter.Bytes{}, all: make(chan struct{}, 1),
+	f := &followers{list: make([]*client.Client, count), bytes: make([]meter.Bytes, count), from: map[string]*meter.Bytes{}, all: make(chan struct{}, 1),
 		log: slog.New(slog.NewTextHandler(io.Discard, nil))}
 	for _, addr := range addrs {
 		f.from[addr] = &meter.Bytes{}
@@ -81,7 +81,7 @@
 	dial := meter.Dialer((&net.Dialer{Timeout: pause}).DialContext, func(addr string) []*meter.Bytes {
 		return []*meter.Bytes{&f.bytes[i], f.from[addr]}
 	})
-	o := follow.Options{Gateway: fmt.Sprint("g", i), Replicas: addrs, RenewInterval: pause, Now: now, Seed: uint64(i), Dial: dial, Logger: f.log}
+	o := client.Options{Gateway: fmt.Sprint("g", i), Replicas: addrs, RenewInterval: pause, Now: now, Seed: uint64(i), Dial: dial, Logger: f.log}
 	o.OnChange = func() {
 		<-ready
 		f.list[i].At(now())
@@ -91,7 +91,7 @@
 			f.all <- struct{}{}
 		}
 	}
-	f.list[i], err = follow.Start(o)
+	f.list[i], err = client.Start(o)
 	close(ready)
 	return err
 }
--- a/internal/scale/fleetbench/run.go
+++ b/internal/scale/fleetbench/run.go
@@ -8,8 +8,8 @@
 	"runtime/debug"
 	"time"
 
-	"irispost/internal/fleet/accord"
-	"irispost/internal/fleet/keep"
+	"irispost/internal/fleet/lease"
+	"irispost/internal/fleet/replica"
 	"irispost/internal/scale/meter"
 )
 
@@ -20,7 +20,7 @@
 	keepers   *keepers
 	followers *followers
 	course    *Course
-	client    *keep.Client
+	client    *replica.Client
 	version   int // the newest
 	led       int // number of the keeper that led when it was asked last; 0: none
 }
@@ -42,7 +42,7 @@
 	addrs := b.keepers.addrs(0)
 	b.followers = newFollowers(o.Followers, addrs)
 	counted := meter.Dialer(nil, func(addr string) []*meter.Bytes { return []*meter.Bytes{b.followers.from[addr]} })
-	b.client = &keep.Client{Replicas: addrs, Timeout: patience / 2, HTTPClient: &http.Client{Transport: &http.Transport{DialContext: counted}}}
+	b.client = &replica.Client{Replicas: addrs, Timeout: patience / 2, HTTPClient: &http.Client{Transport: &http.Transport{DialContext: counted}}}
 	return b, nil
 }
 
@@ -53,13 +53,13 @@
 }
 
 // proposal is the rules as they are now, as the next version.
-func (b *bench) proposal(why string) *accord.Proposal {
-	return &accord.Proposal{ID: fmt.Sprint("bench-", b.version+1), Parent: uint64(b.version), Author: "bench", Reason: why, CreatedAt: time.Now().UTC().Format(time.RFC3339),
+func (b *bench) proposal(why string) *lease.Proposal {
+	return &lease.Proposal{ID: fmt.Sprint("bench-", b.version+1), Parent: uint64(b.version), Author: "bench", Reason: why, CreatedAt: time.Now().UTC().Format(time.RFC3339),
 		Content: b.course.Rules().Canonical()}
 }
 
 // propose makes it a version. It is announced then.
-func (b *bench) propose(p *accord.Proposal) error {
+func (b *bench) propose(p *lease.Proposal) error {
 	v, err := b.client.Propose(p)
 	if err != nil {
 		return fmt.Errorf("change %d: %w", b.version, err)
--- a/internal/scale/form.go
+++ b/internal/scale/form.go
@@ -1,13 +1,13 @@
 package scale
 
-import "irispost/internal/fleet/follow"
+import "irispost/internal/fleet/client"
 
 // forms is how many forms of asks this build's followers know. With one there is no form before, and the case of both beside each other is
 // told as not run.
 const forms = 2
 
 // formBefore has a follower ask in the form of the build before. It is the one place that has to know how that is said in its options.
-func formBefore(o *follow.Options) { o.FullVersions = true }
+func formBefore(o *client.Options) { o.FullVersions = true }
 
 // bothForms has every second gateway ask in the form of the build before, and makes changes.
 func bothForms(f *Fleet, r *Result) error {
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -13,15 +13,15 @@
 	"sync/atomic"
 	"time"
 
-	"irispost/decide"
-	"irispost/internal/fleet/accord"
-	"irispost/internal/fleet/cold/agent"
-	"irispost/internal/fleet/follow"
+	"irispost/internal/backend/node"
+	"irispost/internal/endpoint"
+	"irispost/internal/fleet/client"
+	"irispost/internal/fleet/lease"
 	"irispost/internal/fleet/rig"
+	"irispost/internal/fleet/slowstart/agent"
 	"irispost/internal/gateway"
-	"irispost/internal/listing"
-	"irispost/internal/node"
 	"irispost/internal/scale/meter"
+	"irispost/scheduler"
 )
 
 // Hollow is a gateway without clients.
@@ -45,7 +45,7 @@
 	witness *witness
 	nodes   *nowhere
 	loop    *gateway.Loop
-	follow  *follow.Client
+	follow  *client.Client
 	cold    *agent.Agent
 	record  string // file, of this start
 	read    int64  // bytes of it that were read
@@ -71,7 +71,7 @@
 }
 
 // Now waits while the process stands still.
-func (s standing) Now() decide.Time {
+func (s standing) Now() scheduler.Time {
 	s.gate.RLock()
 	defer s.gate.RUnlock()
 	return s.Clock.Now()
@@ -100,29 +100,29 @@
 type looks struct {
 	gateway.ConfigSource
 	h     *Hollow
-	whole listing.List // what it was told of nodes, all together
-	last  listing.List // that, of the version that it acted on alone last
+	whole endpoint.List // what it was told of nodes, all together
+	last  endpoint.List // that, of the version that it acted on alone last
 }
 
 // told takes a list, or what has changed in one.
-func (l *looks) told(list listing.List) {
+func (l *looks) told(list endpoint.List) {
 	if !list.Partial {
 		l.whole = list
 		return
 	}
 	nodes := slices.Clone(l.whole.Nodes)
 	for _, n := range list.Nodes {
-		if i := slices.IndexFunc(nodes, func(o listing.Node) bool { return o.Addr == n.Addr }); i >= 0 {
+		if i := slices.IndexFunc(nodes, func(o endpoint.Node) bool { return o.Addr == n.Addr }); i >= 0 {
 			nodes[i] = n
 		} else {
 			nodes = append(nodes, n)
 		}
 	}
-	l.whole = listing.List{Version: list.Version, Nodes: nodes}
+	l.whole = endpoint.List{Version: list.Version, Nodes: nodes}
 }
 
 // At is the follower's, for a slow gateway after a while, and for one with a defect without what it loses.
-func (l *looks) At(now decide.Time) (*gateway.ActiveConfig, decide.Time) {
+func (l *looks) At(now scheduler.Time) (*gateway.ActiveConfig, scheduler.Time) {
 	if slow := l.h.slow.Load(); slow > 0 {
 		time.Sleep(time.Duration(slow))
 	}
@@ -164,11 +164,11 @@
 	clock := standing{gateway.NewClock(), &h.gate}
 	stands := make(chan struct{})
 	var loop *gateway.Loop
-	who := follow.NewHolderID(h.Name)
-	o := follow.Options{Gateway: h.Name, Holder: who, Replicas: h.reach, RenewInterval: s.Pause, Now: clock.Now, OnChange: func() { <-stands; loop.Wake() },
+	who := client.NewHolderID(h.Name)
+	o := client.Options{Gateway: h.Name, Holder: who, Replicas: h.reach, RenewInterval: s.Pause, Now: clock.Now, OnChange: func() { <-stands; loop.Wake() },
 		Seed: uint64(h.number), LocalSettings: h.fleet.own, RecordFile: h.record, Logger: h.fleet.opt.Log, Dial: h.dial()}
 	if h.flaw&NoLease != 0 {
-		o.InjectedFaults = accord.FaultNoLeaseExpiry
+		o.InjectedFaults = lease.FaultNoLeaseExpiry
 	}
 	if h.before {
 		formBefore(&o)
@@ -181,7 +181,7 @@
 		}
 		o.PeerAddr, o.OnMembership = h.cold.Addr(), h.cold.HandleMembership
 	}
-	if h.follow, err = follow.Start(o); err != nil {
+	if h.follow, err = client.Start(o); err != nil {
 		return err
 	}
 	loop = gateway.Start(gateway.Options{Name: h.Name, Seed: uint64(h.number), Settings: h.fleet.own, QueueSize: 256, Clock: clock, Nodes: h.nodes,
@@ -196,7 +196,7 @@
 }
 
 // dial opens its connections to keepers: what passes is counted, and stands still with it.
-func (h *Hollow) dial() follow.Dial {
+func (h *Hollow) dial() client.Dial {
 	plain := (&net.Dialer{Timeout: h.fleet.Size.Pause}).DialContext
 	counted := meter.Dialer(plain, func(string) []*meter.Bytes { return []*meter.Bytes{&h.bytes, &h.fleet.bytes} })
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
--- a/internal/scale/nowhere.go
+++ b/internal/scale/nowhere.go
@@ -3,7 +3,7 @@
 import (
 	"sync"
 
-	"irispost/internal/node"
+	"irispost/internal/backend/node"
 )
 
 // nowhere stands for the connections to storage nodes: each execution is answered at once as served, and where it was begun is noted by
--- a/internal/scale/regions.go
+++ b/internal/scale/regions.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"irispost/internal/fleet/keep"
+	"irispost/internal/fleet/replica"
 	"irispost/internal/fleet/rig"
 	"irispost/internal/scale/meter"
 )
@@ -25,7 +25,7 @@
 	}
 	f.cut(rig.Fault{DropForward: true, DropReturn: true})
 	all := f.operator
-	f.operator = &keep.Client{Replicas: here, Timeout: operatorWithin}
+	f.operator = &replica.Client{Replicas: here, Timeout: operatorWithin}
 	c, err := f.propose("a change while the regions are cut", tune)
 	if err != nil {
 		return err
@@ -40,7 +40,7 @@
 	r.Broken = append(r.Broken, f.await(c.Version, away)...)
 	r.Spread["replaced_cut_ms"] = meter.QuantilesOf(f.took(c, away))
 	held := f.rules
-	if _, err := f.proposeBy(&keep.Client{Replicas: there, Timeout: 2 * f.Size.Lease}, "a change without a majority", tune); err == nil {
+	if _, err := f.proposeBy(&replica.Client{Replicas: there, Timeout: 2 * f.Size.Lease}, "a change without a majority", tune); err == nil {
 		r.broke("a change was announced where no majority of the keepers is")
 	}
 	f.rules = held
--- a/internal/scale/witness.go
+++ b/internal/scale/witness.go
@@ -6,8 +6,8 @@
 
 	"golang.org/x/sys/unix"
 
-	"irispost/decide"
-	"irispost/internal/listing"
+	"irispost/internal/endpoint"
+	"irispost/scheduler"
 )
 
 // monotonic is the machine's clock, which the records of what is acted on are written by too.
@@ -23,16 +23,16 @@
 	shards int
 	serves []string // by shard: the node to send to, as the module was told last; "": none
 	turns  []Turn
-	kept   [][]listing.Node // a leak that was put in: each list, whole, whether it was told whole or in part
+	kept   [][]endpoint.Node // a leak that was put in: each list, whole, whether it was told whole or in part
 	leaks  bool
 }
 
 // EndpointList notes a list.
-func (w *witness) EndpointList(_ decide.Time, l listing.List) {
+func (w *witness) EndpointList(_ scheduler.Time, l endpoint.List) {
 	t := Turn{At: monotonic(), Acts: l.Version}
 	serves := make([]string, w.shards)
 	for _, n := range l.Nodes {
-		if n.Health == listing.Ready && n.Shard < w.shards {
+		if n.Health == endpoint.Ready && n.Shard < w.shards {
 			serves[n.Shard] = n.Addr
 		}
 	}
@@ -40,7 +40,7 @@
 }
 
 // EndpointUpdate notes what has changed in a list.
-func (w *witness) EndpointUpdate(now decide.Time, l listing.List, whole bool) {
+func (w *witness) EndpointUpdate(now scheduler.Time, l endpoint.List, whole bool) {
 	if whole {
 		w.EndpointList(now, l)
 		return
@@ -51,12 +51,12 @@
 	copy(serves, w.serves)
 	w.lock.Unlock()
 	for _, n := range l.Nodes { // those that go first: a shard's successor may stand before its old node
-		if n.Health != listing.Ready && n.Shard < w.shards && serves[n.Shard] == n.Addr {
+		if n.Health != endpoint.Ready && n.Shard < w.shards && serves[n.Shard] == n.Addr {
 			serves[n.Shard] = ""
 		}
 	}
 	for _, n := range l.Nodes {
-		if n.Health == listing.Ready && n.Shard < w.shards {
+		if n.Health == endpoint.Ready && n.Shard < w.shards {
 			serves[n.Shard] = n.Addr
 		}
 	}
@@ -67,9 +67,9 @@
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	if w.leaks {
-		whole := make([]listing.Node, len(serves))
+		whole := make([]endpoint.Node, len(serves))
 		for shard, addr := range serves {
-			whole[shard] = listing.Node{Addr: strings.Clone(addr), Shard: shard}
+			whole[shard] = endpoint.Node{Addr: strings.Clone(addr), Shard: shard}
 		}
 		w.kept = append(w.kept, whole)
 	}
@@ -112,14 +112,15 @@
 
 // What else passes the module is of no interest here.
 
-func (w *witness) Start(decide.Time, uint64, decide.Settings)                                   {}
-func (w *witness) EndpointListFailed(decide.Time, bool)                                         {}
-func (w *witness) SettingsChanged(decide.Time, decide.Settings)                                 {}
-func (w *witness) Allocated(decide.Time, string, decide.Time, float64, decide.Time)             {}
-func (w *witness) Submitted(decide.Time, *decide.Request, int64, string, string, float64, bool) {}
-func (w *witness) AttemptEnded(decide.Time, string, int, decide.Outcome, decide.Time, bool, float64, int, decide.Time) {
+func (w *witness) Start(scheduler.Time, uint64, scheduler.Settings)                          {}
+func (w *witness) EndpointListFailed(scheduler.Time, bool)                                   {}
+func (w *witness) SettingsChanged(scheduler.Time, scheduler.Settings)                        {}
+func (w *witness) Allocated(scheduler.Time, string, scheduler.Time, float64, scheduler.Time) {}
+func (w *witness) Submitted(scheduler.Time, *scheduler.Request, int64, string, string, float64, bool) {
 }
-func (w *witness) ClientCancelled(decide.Time, string)     {}
-func (w *witness) Decided(decide.Time, *decide.Decision)   {}
-func (w *witness) Snapshot(decide.Time, *decide.Scheduler) {}
-func (w *witness) NeedsSnapshot() bool                     { return false }
+func (w *witness) AttemptEnded(scheduler.Time, string, int, scheduler.Outcome, scheduler.Time, bool, float64, int, scheduler.Time) {
+}
+func (w *witness) ClientCancelled(scheduler.Time, string)        {}
+func (w *witness) Decided(scheduler.Time, *scheduler.Decision)   {}
+func (w *witness) Snapshot(scheduler.Time, *scheduler.Scheduler) {}
+func (w *witness) NeedsSnapshot() bool                           { return false }
--- a/internal/serve/follow.go
+++ b/internal/serve/follow.go
@@ -3,9 +3,9 @@
 import (
 	"os"
 
-	"irispost/internal/fleet/accord"
-	"irispost/internal/fleet/cold/agent"
-	"irispost/internal/fleet/follow"
+	"irispost/internal/fleet/client"
+	"irispost/internal/fleet/lease"
+	"irispost/internal/fleet/slowstart/agent"
 	"irispost/internal/gateway"
 )
 
@@ -14,8 +14,8 @@
 func (g *Gateway) followed(opt *gateway.Options) (first <-chan struct{}, err error) {
 	c := g.Config
 	stands := make(chan struct{}) // the loop, which a first word may come before
-	o := follow.Options{Gateway: c.Name, Replicas: c.Follow.Replicas, RenewInterval: c.Follow.PollInterval, Now: opt.Clock.Now, OnChange: func() { <-stands; g.Loop.Wake() },
-		Seed: c.Seed, LocalSettings: c.Settings, LocalConflicts: c.Contradictions, RecordFile: c.Follow.VersionLog, CacheDir: c.Follow.CacheDir, Logger: g.log, InjectedFaults: flaws(), Holder: follow.NewHolderID(c.Name)}
+	o := client.Options{Gateway: c.Name, Replicas: c.Follow.Replicas, RenewInterval: c.Follow.PollInterval, Now: opt.Clock.Now, OnChange: func() { <-stands; g.Loop.Wake() },
+		Seed: c.Seed, LocalSettings: c.Settings, LocalConflicts: c.Contradictions, RecordFile: c.Follow.VersionLog, CacheDir: c.Follow.CacheDir, Logger: g.log, InjectedFaults: flaws(), Holder: client.NewHolderID(c.Name)}
 	if c.Follow.PeerAddress != "" {
 		g.cold, err = agent.Listen(agent.Options{Gateway: c.Name, Holder: o.Holder, ListenAddr: c.Follow.PeerAddress, AddrOverrides: c.Follow.PeerRoutes, Settings: agent.SettingsFrom(c.Settings, clockDrift),
 			Now: opt.Clock.Now, Logger: g.log})
@@ -24,7 +24,7 @@
 		}
 		o.PeerAddr, o.OnMembership = g.cold.Addr(), g.cold.HandleMembership
 	}
-	if g.follow, err = follow.Start(o); err != nil {
+	if g.follow, err = client.Start(o); err != nil {
 		if g.cold != nil {
 			g.cold.Close()
 		}
@@ -43,9 +43,9 @@
 const clockDrift = 0.01
 
 // flaws are what a test of the fleet has switched off, to show that its audit notices. Nothing else sets them.
-func flaws() accord.InjectedFaults {
+func flaws() lease.InjectedFaults {
 	if os.Getenv("IRISPOST_TEST_NO_LEASES") == "1" {
-		return accord.FaultNoLeaseExpiry
+		return lease.FaultNoLeaseExpiry
 	}
 	return 0
 }
--- a/internal/serve/members.go
+++ b/internal/serve/members.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"irispost/internal/admin"
-	"irispost/internal/members"
+	"irispost/internal/endpoint/membership"
 )
 
 var errEnds = errors.New("the gateway ends")
@@ -14,13 +14,13 @@
 func (g *Gateway) Members() (admin.EndpointReport, error) {
 	f, running := g.Loop.Stats()
 	m := admin.EndpointReport{Gateway: g.Config.Name, Sources: []admin.Source{}, Nodes: []admin.Endpoint{}}
-	at := func(t members.Time) time.Time {
+	at := func(t membership.Time) time.Time {
 		if t == 0 {
 			return time.Time{}
 		}
 		return time.Unix(0, t)
 	}
-	running = running && g.roster.View(func(_, told int64, fleet *members.Tracker) {
+	running = running && g.roster.View(func(_, told int64, fleet *membership.Tracker) {
 		m.ScheduledAt = at(told)
 		if since, count, all, held := fleet.HoldDown(); held {
 			m.HeldLoss = &admin.HeldLoss{Since: at(since), Nodes: count, LeavesNone: all}
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -13,18 +13,18 @@
 	"time"
 
 	"irispost/internal/admin"
+	"irispost/internal/backend/node"
 	"irispost/internal/config"
-	"irispost/internal/fleet/cold/agent"
-	"irispost/internal/fleet/follow"
+	"irispost/internal/endpoint"
+	"irispost/internal/endpoint/manager"
+	"irispost/internal/endpoint/xds"
+	"irispost/internal/fleet/client"
+	"irispost/internal/fleet/slowstart/agent"
 	"irispost/internal/front"
 	"irispost/internal/gateway"
 	"irispost/internal/iscsi/target"
-	"irispost/internal/listing"
-	"irispost/internal/node"
-	"irispost/internal/roster"
 	"irispost/internal/scsi"
 	"irispost/internal/sftp"
-	"irispost/internal/xds"
 )
 
 // Gateway is a running gateway.
@@ -36,9 +36,9 @@
 	since    time.Time
 	admin    *admin.Server // nil: none
 	captures captures
-	roster   *roster.Manager
+	roster   *manager.Manager
 	cold     *agent.Agent   // nil: other gateways do not reach it
-	follow   *follow.Client // nil: it follows no keepers
+	follow   *client.Client // nil: it follows no keepers
 	nodes    *node.Client
 	log      *slog.Logger
 	cancel   context.CancelFunc
@@ -53,12 +53,12 @@
 		}
 		return filepath.Join(base, file)
 	}
-	var sources []roster.NamedSource
+	var sources []manager.NamedSource
 	for _, s := range c.Sources {
-		n := roster.NamedSource{Name: s.Name}
+		n := manager.NamedSource{Name: s.Name}
 		switch s.Kind {
 		case "own":
-			n.Source = listing.FileSource{Path: from(s.File)}
+			n.Source = endpoint.FileSource{Path: from(s.File)}
 		case "xds-file":
 			n.Source = xds.FileSource{Clusters: from(s.Clusters), Endpoints: from(s.Endpoints), Log: log}
 		case "xds":
@@ -75,7 +75,7 @@
 }
 
 // StartWithSources starts a gateway with other sources of lists.
-func StartWithSources(c *config.Config, sources []roster.NamedSource, log *slog.Logger) (*Gateway, error) {
+func StartWithSources(c *config.Config, sources []manager.NamedSource, log *slog.Logger) (*Gateway, error) {
 	bounds := sftp.DefaultLimits
 	bounds.MaxPacket = max(2*c.Limits.Wire.MaxPacket, 4<<20) // a node's listing may be longer than a client's packet
 	g := &Gateway{Config: c, log: log, since: time.Now(), nodes: node.NewClient(c.ConnectTimeout, c.ConnectionsPerNode, bounds, log)}
@@ -98,7 +98,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	g.cancel = cancel
-	g.roster = roster.Start(roster.Options{Gateway: c.Name, Settings: c.Membership, Sources: sources, Dir: c.EndpointCacheDir, Now: g.Loop.Now,
+	g.roster = manager.Start(manager.Options{Gateway: c.Name, Settings: c.Membership, Sources: sources, Dir: c.EndpointCacheDir, Now: g.Loop.Now,
 		OnChange: g.Loop.UpdateEndpoints, Log: log})
 	select { // so that the first client meets a gateway that knows its nodes
 	case <-g.first(first):
--- a/internal/serve/web.go
+++ b/internal/serve/web.go
@@ -5,12 +5,12 @@
 	"log/slog"
 	"time"
 
-	"irispost/internal/discovery"
+	"irispost/internal/backend/webnode"
+	"irispost/internal/endpoint/discovery"
+	"irispost/internal/frontend/web"
 	"irispost/internal/gateway"
 	"irispost/internal/http1"
 	"irispost/internal/platform"
-	"irispost/internal/web"
-	"irispost/internal/webnode"
 )
 
 // WebGateway is a running gateway behind HTTP.
--- a/internal/sftp/conn.go
+++ b/internal/sftp/conn.go
@@ -7,23 +7,23 @@
 
 	"github.com/cloudwego/netpoll"
 
-	"irispost/internal/link"
+	"irispost/internal/packetconn"
 )
 
 // Limits are a connection's limits.
-type Limits = link.Limits
+type Limits = packetconn.Limits
 
 // DefaultLimits are used where nothing else is said.
-var DefaultLimits = link.DefaultLimits
+var DefaultLimits = packetconn.DefaultLimits
 
 // ErrPeerClosed tells that the peer has closed the connection.
-var ErrPeerClosed = link.ErrPeerClosed
+var ErrPeerClosed = packetconn.ErrPeerClosed
 
 // Conn is a connection that carries packets.
-type Conn = link.Conn
+type Conn = packetconn.Conn
 
 // Server accepts connections.
-type Server = link.Server
+type Server = packetconn.Server
 
 // Frame is one packet that has come in. Body is its own memory, copied once out of the connection's buffer.
 type Frame struct {
@@ -74,10 +74,10 @@
 
 // Listen serves connections at an address with a peer made for each, at most so many at a time (0: no limit).
 func Listen(addr string, b Limits, most int, peer func(*Conn) Peer) (*Server, error) {
-	return link.Listen(addr, b, most, func(c *Conn) link.Handler { return framed{peer(c), c} })
+	return packetconn.Listen(addr, b, most, func(c *Conn) packetconn.Handler { return framed{peer(c), c} })
 }
 
 // Dial connects to an address, with a peer made for the connection.
 func Dial(addr string, b Limits, within time.Duration, peer func(*Conn) Peer) (*Conn, error) {
-	return link.Dial(addr, b, within, func(c *Conn) link.Handler { return framed{peer(c), c} })
+	return packetconn.Dial(addr, b, within, func(c *Conn) packetconn.Handler { return framed{peer(c), c} })
 }
--- a/internal/standin/node.go
+++ b/internal/standin/node.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"irispost/internal/audit"
-	"irispost/internal/node"
+	"irispost/internal/backend/node"
 	"irispost/internal/sftp"
 )
 
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -13,7 +13,7 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/google/renameio/v2"
 
-	"irispost/internal/node"
+	"irispost/internal/backend/node"
 )
 
 // Store is a shard's data: it outlives the nodes that serve it, as drives that are moved to another machine do. In a
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -17,8 +17,8 @@
 	pkgsftp "github.com/pkg/sftp"
 
 	"irispost/internal/config"
-	"irispost/internal/listing"
-	"irispost/internal/roster"
+	"irispost/internal/endpoint"
+	"irispost/internal/endpoint/manager"
 	"irispost/internal/serve"
 	"irispost/internal/standin"
 )
@@ -34,12 +34,12 @@
 // Lists is a source of lists for tests.
 type Lists struct {
 	lock sync.Mutex
-	last *listing.List
-	news chan listing.List
+	last *endpoint.List
+	news chan endpoint.List
 }
 
 // Run hands out the lists that are set.
-func (l *Lists) Run(ctx context.Context, to listing.Subscriber) error {
+func (l *Lists) Run(ctx context.Context, to endpoint.Subscriber) error {
 	l.lock.Lock()
 	last := *l.last
 	l.lock.Unlock()
@@ -61,7 +61,7 @@
 	Conf     string
 	Stores   []*standin.Store
 	Nodes    []*standin.Node
-	Feed     func(gateway string) []roster.NamedSource // of the gateways that are started from now on; nil: lists by Tell
+	Feed     func(gateway string) []manager.NamedSource // of the gateways that are started from now on; nil: lists by Tell
 	Sources  []*Lists
 	Gateways []*serve.Gateway
 }
@@ -150,10 +150,10 @@
 }
 
 // List is the list of all nodes as they are.
-func (w *Town) List() listing.List {
-	var l listing.List
+func (w *Town) List() endpoint.List {
+	var l endpoint.List
 	for i, n := range w.Nodes {
-		l.Nodes = append(l.Nodes, listing.Node{Addr: n.Addr(), Zone: "z", Shard: i})
+		l.Nodes = append(l.Nodes, endpoint.Node{Addr: n.Addr(), Zone: "z", Shard: i})
 	}
 	return l
 }
@@ -166,13 +166,13 @@
 		w.T.Fatal(err)
 	}
 	list := w.List()
-	var sources []roster.NamedSource
+	var sources []manager.NamedSource
 	if w.Feed != nil {
 		sources = w.Feed(name)
 	} else {
-		s := &Lists{last: &list, news: make(chan listing.List)}
+		s := &Lists{last: &list, news: make(chan endpoint.List)}
 		w.Sources = append(w.Sources, s)
-		sources = []roster.NamedSource{{Name: "test", Source: s}}
+		sources = []manager.NamedSource{{Name: "test", Source: s}}
 	}
 	out := io.Discard
 	if os.Getenv("IRISPOST_TEST_LOG") != "" {
@@ -187,7 +187,7 @@
 }
 
 // Tell gives all gateways a list.
-func (w *Town) Tell(l listing.List) {
+func (w *Town) Tell(l endpoint.List) {
 	for _, s := range w.Sources {
 		s.news <- l
 	}
--- a/internal/webstandin/node.go
+++ b/internal/webstandin/node.go
@@ -11,7 +11,7 @@
 	"sync"
 	"testing"
 
-	"irispost/internal/node"
+	"irispost/internal/backend/node"
 )
 
 func whole(extra string) string {
--- a/internal/wire/names.go
+++ b/internal/wire/names.go
@@ -3,7 +3,7 @@
 import (
 	"strings"
 
-	"irispost/decide"
+	"irispost/scheduler"
 )
 
 // names tells what the module calls a start value. "#" stands for an item's number. Others are left out.
@@ -73,8 +73,8 @@
 }
 
 // ReadSettings reads the start values that are left on the line.
-func ReadSettings(f *Fields) decide.Settings {
-	terms := decide.Settings{}
+func ReadSettings(f *Fields) scheduler.Settings {
+	terms := scheduler.Settings{}
 	for f.More() {
 		if path, value, ok := strings.Cut(string(f.optional()), "="); ok {
 			TranslateSetting(terms, path, value)
@@ -84,7 +84,7 @@
 }
 
 // TranslateSetting adds a start value to the terms by the name that the module knows it by. One that it does not know is left out.
-func TranslateSetting(terms decide.Settings, path, value string) {
+func TranslateSetting(terms scheduler.Settings, path, value string) {
 	list, rest, _ := strings.Cut(path, ".")
 	number, field, isItem := strings.Cut(rest, ".")
 	isItem = isItem && number != "" && strings.Trim(number, "0123456789") == ""
@@ -105,29 +105,29 @@
 }
 
 // outcomes by completion code.
-var outcomes = [...]decide.Outcome{decide.OutcomeError, decide.OutcomeServed, decide.OutcomeOverloaded, decide.OutcomeTimeout, decide.OutcomeConnectFailed,
-	decide.OutcomeReset, decide.OutcomeCancelled, decide.OutcomeMisdirected}
+var outcomes = [...]scheduler.Outcome{scheduler.OutcomeError, scheduler.OutcomeServed, scheduler.OutcomeOverloaded, scheduler.OutcomeTimeout, scheduler.OutcomeConnectFailed,
+	scheduler.OutcomeReset, scheduler.OutcomeCancelled, scheduler.OutcomeMisdirected}
 
 // Outcome reads a completion code.
-func (f *Fields) Outcome(name string) decide.Outcome {
+func (f *Fields) Outcome(name string) scheduler.Outcome {
 	code := f.Int(name)
 	if code < 0 || code >= int64(len(outcomes)) {
 		f.fail(name, "no such completion code")
-		return decide.OutcomePending
+		return scheduler.OutcomePending
 	}
 	return outcomes[code]
 }
 
 // Availability reads what the list says of a node.
-func (f *Fields) Availability(name string) decide.EndpointState {
+func (f *Fields) Availability(name string) scheduler.EndpointState {
 	switch s := f.Text(name); s {
 	case "ready":
-		return decide.EndpointReady
+		return scheduler.EndpointReady
 	case "draining":
-		return decide.EndpointDraining
+		return scheduler.EndpointDraining
 	case "gone":
 	default:
 		f.fail(name, "no such availability: "+s)
 	}
-	return decide.EndpointRemoved
+	return scheduler.EndpointRemoved
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -9,7 +9,7 @@
 	"math"
 	"strconv"
 
-	"irispost/decide"
+	"irispost/scheduler"
 )
 
 // Reader hands out one line after the other.
@@ -159,7 +159,7 @@
 }
 
 // Time reads milliseconds with fractions as whole nanoseconds, with no detour over a float. Absent is zero.
-func (f *Fields) Time(name string) decide.Time {
+func (f *Fields) Time(name string) scheduler.Time {
 	part := f.optional()
 	if part == nil {
 		return 0
@@ -172,17 +172,17 @@
 }
 
 // ParseTime turns a decimal number of milliseconds into whole nanoseconds; digits below them are dropped.
-func ParseTime(part []byte) (decide.Time, bool) {
+func ParseTime(part []byte) (scheduler.Time, bool) {
 	head, tail, _ := bytes.Cut(part, []byte{'.'})
 	minus := len(head) > 0 && head[0] == '-'
 	if minus {
 		head = head[1:]
 	}
 	ms, ok := whole(head)
-	if !ok || ms < 0 || ms > math.MaxInt64/int64(decide.Millisecond)-1 {
+	if !ok || ms < 0 || ms > math.MaxInt64/int64(scheduler.Millisecond)-1 {
 		return 0, false
 	}
-	ns, unit := ms*int64(decide.Millisecond), int64(decide.Millisecond)
+	ns, unit := ms*int64(scheduler.Millisecond), int64(scheduler.Millisecond)
 	for _, c := range tail {
 		if c < '0' || c > '9' {
 			return 0, false
@@ -247,9 +247,9 @@
 }
 
 // Time writes nanoseconds as milliseconds, to the microsecond, rounded up.
-func (w *Writer) Time(t decide.Time) *Writer {
-	us := t / decide.Microsecond
-	if t > us*decide.Microsecond {
+func (w *Writer) Time(t scheduler.Time) *Writer {
+	us := t / scheduler.Microsecond
+	if t > us*scheduler.Microsecond {
 		us++
 	}
 	w.buf = append(w.buf, '\t')
--- a/internal/xdsstandin/stream.go
+++ b/internal/xdsstandin/stream.go
@@ -12,7 +12,7 @@
 	"google.golang.org/grpc/status"
 	"google.golang.org/protobuf/types/known/anypb"
 
-	"irispost/internal/xds"
+	"irispost/internal/endpoint/xds"
 )
 
 // client is a stream.
--- a/decide/chance.go
+++ b/scheduler/chance.go
@@ -1,4 +1,4 @@
-package decide
+package scheduler
 
 // chance is a permuted congruential generator (PCG-XSH-RR, 64 bits of state, 32 of output).
 type chance uint64
--- a/decide/cold.go
+++ b/scheduler/cold.go
@@ -1,4 +1,4 @@
-package decide
+package scheduler
 
 // cold tells whether a node started so lately that it can do only part of its work.
 func (g *Scheduler) cold(n *Node) bool {
--- a/decide/decide.go
+++ b/scheduler/decide.go
@@ -1,11 +1,11 @@
-// Package decide orders and paces the jobs of many volumes over storage nodes, for one gateway.
+// Package scheduler orders and paces the jobs of many volumes over storage nodes, for one gateway.
 //
 // How it is called: New makes a Gateway from its start values. Each thing that happens is one call: Listing,
 // Listed, ListDone, ListFailed, Agree, Take, Begun, Ended, Left, Probed. After the last call of a moment,
 // Decide(now) says what to do and when to call again. The interface is in types.go; jobs.go has the life of a
 // job, turns.go whose turn it is, outcomes.go executions, nodes.go what is known of nodes, cold.go what cold
 // nodes and fair rates pass, terms.go what is acted on. docs/design.md tells of all by the names used here.
-package decide
+package scheduler
 
 // Open values of the design. "Aim" is the tightest goal time of all products.
 const (
--- a/decide/nodes.go
+++ b/scheduler/nodes.go
@@ -1,4 +1,4 @@
-package decide
+package scheduler
 
 import (
 	"cmp"
--- a/decide/outcomes.go
+++ b/scheduler/outcomes.go
@@ -1,4 +1,4 @@
-package decide
+package scheduler
 
 // send starts an execution.
 func (g *Scheduler) send(j *Request, n *Node) {
--- a/decide/stored.go
+++ b/scheduler/stored.go
@@ -1,4 +1,4 @@
-package decide
+package scheduler
 
 // StoredNames gives the names under which a stored state of this package (a snapshot in a capture) knows the types
 // ("Type") and fields ("Type.field") that code calls otherwise by now. A snapshot is read only where kinds, order and
