--- a/internal/day/client.go
+++ b/internal/day/client.go
@@ -319,7 +319,7 @@
 				l.close()
 			}
 			if d != nil {
-				d.Close()
+				_ = d.Close()
 			}
 			return
 		case <-time.After(time.Until(next)):
--- a/internal/day/fleet.go
+++ b/internal/day/fleet.go
@@ -75,7 +75,7 @@
 // monotonic is the machine's clock that all processes read alike.
 func monotonic() int64 {
 	var t unix.Timespec
-	unix.ClockGettime(unix.CLOCK_MONOTONIC, &t)
+	_ = unix.ClockGettime(unix.CLOCK_MONOTONIC, &t) // it fails for clocks that do not exist
 	return t.Nano()
 }
 
@@ -100,7 +100,7 @@
 			return err
 		}
 		f.addrs[name] = l.Addr().String()
-		defer l.Close() // held until all addresses are taken
+		defer func() { _ = l.Close() }() // held until all addresses are taken
 		held[name] = l
 		names = append(names, name)
 	}
@@ -127,11 +127,11 @@
 	}
 	for name, l := range held {
 		if name[0] == 'g' {
-			l.Close()
+			_ = l.Close()
 		}
 	}
 	for _, name := range names {
-		held[name].Close()
+		_ = held[name].Close()
 		if err := f.startKeeper(name); err != nil {
 			return err
 		}
@@ -197,7 +197,7 @@
 			f.lock.Unlock()
 			return nil
 		}
-		cmd.Wait()
+		_ = cmd.Wait()
 		time.Sleep(50 * time.Millisecond)
 	}
 	return fmt.Errorf("keeper %s does not start", name)
@@ -210,8 +210,8 @@
 	}
 	f.lock.Lock()
 	for _, cmd := range f.keepers {
-		cmd.Process.Kill()
-		cmd.Wait()
+		_ = cmd.Process.Kill()
+		_ = cmd.Wait()
 	}
 	f.lock.Unlock()
 	for _, l := range f.links {
@@ -247,8 +247,8 @@
 	if err != nil {
 		return
 	}
-	defer file.Close()
-	defer os.Remove(f.record(h))
+	defer func() { _ = file.Close() }()
+	defer func() { _ = os.Remove(f.record(h)) }()
 	list, err := rig.ReadActivations(file)
 	if err != nil {
 		f.town.opt.Note("%s: %v", h.name, err)
--- a/internal/day/fleetacts.go
+++ b/internal/day/fleetacts.go
@@ -43,8 +43,8 @@
 			cmd := f.keepers[name]
 			delete(f.keepers, name)
 			f.lock.Unlock()
-			cmd.Process.Kill()
-			cmd.Wait()
+			_ = cmd.Process.Kill()
+			_ = cmd.Wait()
 		}
 	}}, {end, func() {
 		for _, name := range names {
@@ -67,7 +67,7 @@
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	if cmd := f.keepers[name]; cmd != nil {
-		cmd.Process.Signal(s)
+		_ = cmd.Process.Signal(s) // it fails for a process that has ended
 		return
 	}
 	for _, h := range f.town.hosts {
@@ -77,7 +77,7 @@
 				if s == syscall.SIGSTOP {
 					f.town.record.Add(audit.Event{What: audit.Stood, Gateway: name})
 				}
-				h.out.Process.Signal(s)
+				_ = h.out.Process.Signal(s)
 				if s == syscall.SIGCONT {
 					f.town.record.Add(audit.Event{What: audit.WentOn, Gateway: name})
 				}
--- a/internal/day/operator.go
+++ b/internal/day/operator.go
@@ -105,7 +105,7 @@
 	f.limits[c.Plan] = c.Limit + float64(round)
 	f.lock.Unlock()
 	if c.Race < 2 {
-		f.town.list()
+		_ = f.town.list() // it fails where it writes a file, which a day with keepers does not
 		return
 	}
 	s, err := f.client(5 * time.Second).Status()
--- a/internal/day/play.go
+++ b/internal/day/play.go
@@ -115,7 +115,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer os.RemoveAll(dir)
+	defer func() { _ = os.RemoveAll(dir) }()
 	if opt.Note == nil {
 		opt.Note = func(string, ...any) {}
 	}
--- a/internal/day/town.go
+++ b/internal/day/town.go
@@ -231,8 +231,8 @@
 		disk = last()
 	}
 	if err != nil {
-		cmd.Process.Kill()
-		cmd.Wait()
+		_ = cmd.Process.Kill()
+		_ = cmd.Wait()
 		return fmt.Errorf("gateway %s does not start: %w", h.name, err)
 	}
 	h.lock.Lock()
@@ -251,8 +251,8 @@
 		in.Kill()
 	}
 	if out != nil {
-		out.Process.Kill()
-		out.Wait()
+		_ = out.Process.Kill()
+		_ = out.Wait()
 	}
 }
 
--- a/internal/scale/ends.go
+++ b/internal/scale/ends.go
@@ -67,7 +67,7 @@
 	if err != nil {
 		return err.Error()
 	}
-	defer r.Body.Close()
+	defer func() { _ = r.Body.Close() }()
 	b, err := io.ReadAll(r.Body)
 	if err != nil {
 		return err.Error()
--- a/internal/scale/fleetbench/change.go
+++ b/internal/scale/fleetbench/change.go
@@ -16,15 +16,15 @@
 	var killed *keeper // nil: all are there
 	for n := range b.Changes {
 		leader, _ := b.keepers.leader(ctx)
-		switch {
-		case n == down:
+		switch n {
+		case down:
 			if leader == 0 {
 				return nil, fmt.Errorf("change %d: no keeper leads that could be killed", n)
 			}
 			killed = b.keepers.list[leader-1]
 			killed.kill()
 			b.Note(fmt.Sprintf("change %d: keeper %d, which led, is killed", n, leader))
-		case n == up:
+		case up:
 			killed.revive = true
 			if err := killed.start(b.keepers.program); err != nil {
 				return nil, err
--- a/internal/scale/fleetbench/course.go
+++ b/internal/scale/fleetbench/course.go
@@ -12,6 +12,7 @@
 // Kind is what a change changes.
 type Kind string
 
+// The kinds of changes.
 const (
 	Node  Kind = "node"  // a shard's node drains, another takes its place; the one that was drained before is left out
 	Limit Kind = "limit" // a plan's limit
--- a/internal/scale/fleetbench/keepers.go
+++ b/internal/scale/fleetbench/keepers.go
@@ -77,7 +77,7 @@
 	if err != nil {
 		return err
 	}
-	defer l.Close()
+	defer func() { _ = l.Close() }()
 	n := len(ks.list) + 1
 	ks.list = append(ks.list, &keeper{number: n, addr: l.Addr().String(), log: filepath.Join(ks.dir, fmt.Sprintf("%d.log", n))})
 	return nil
@@ -174,7 +174,7 @@
 	if err != nil {
 		return err
 	}
-	defer log.Close()
+	defer func() { _ = log.Close() }()
 	k.cmd = exec.Command(program, k.args...)
 	k.cmd.Stderr = log
 	if err := k.cmd.Start(); err != nil {
@@ -182,14 +182,17 @@
 		return err
 	}
 	k.ended = make(chan struct{})
-	go func() { k.cmd.Wait(); close(k.ended) }()
+	go func() {
+		_ = k.cmd.Wait() // that it has ended is what counts, not how
+		close(k.ended)
+	}()
 	return nil
 }
 
 // kill ends the process at once; its folder stays.
 func (k *keeper) kill() {
 	if k.cmd != nil {
-		k.cmd.Process.Kill()
+		_ = k.cmd.Process.Kill()
 		<-k.ended
 		k.cmd = nil
 	}
@@ -256,7 +259,7 @@
 	if err != nil {
 		return s, err
 	}
-	defer r.Body.Close()
+	defer func() { _ = r.Body.Close() }()
 	text, err := io.ReadAll(r.Body)
 	if err != nil {
 		return s, err
--- a/internal/scale/fleetbench/run.go
+++ b/internal/scale/fleetbench/run.go
@@ -36,7 +36,7 @@
 	}
 	b := &bench{Options: o, dir: dir, course: NewCourse(o.Nodes, 1)}
 	if b.keepers, err = startKeepers(o, dir); err != nil {
-		os.RemoveAll(dir)
+		_ = os.RemoveAll(dir)
 		return nil, err
 	}
 	addrs := b.keepers.addrs(0)
@@ -49,7 +49,7 @@
 func (b *bench) close() {
 	b.followers.close()
 	b.keepers.close()
-	os.RemoveAll(b.dir)
+	_ = os.RemoveAll(b.dir)
 }
 
 // proposal is the rules as they are now, as the next version.
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -85,17 +85,21 @@
 
 func (g gated) Read(b []byte) (int, error) {
 	n, err := g.Conn.Read(b)
-	g.gate.RLock()
-	defer g.gate.RUnlock()
+	g.wait()
 	return n, err
 }
 
 func (g gated) Write(b []byte) (int, error) {
-	g.gate.RLock()
-	g.gate.RUnlock()
+	g.wait()
 	return g.Conn.Write(b)
 }
 
+// wait returns once the gate is open.
+func (g gated) wait() {
+	g.gate.RLock()
+	defer g.gate.RUnlock()
+}
+
 // looks is what the loop asks, each time before it decides.
 type looks struct {
 	gateway.ConfigSource
@@ -221,9 +225,9 @@
 	if h.cold != nil {
 		h.cold.Close()
 	}
-	h.readActs()
+	_ = h.readActs() // what cannot be read is missing from the audit
 	h.acts = append(h.acts, rig.Activation{At: monotonic()})
-	os.Remove(h.record)
+	_ = os.Remove(h.record)
 }
 
 // acting tells what its module was told last to act on.
@@ -249,7 +253,7 @@
 	if err != nil {
 		return err
 	}
-	defer file.Close()
+	defer func() { _ = file.Close() }()
 	if _, err := file.Seek(h.read, io.SeekStart); err != nil {
 		return err
 	}
--- a/internal/scale/keepers.go
+++ b/internal/scale/keepers.go
@@ -40,7 +40,7 @@
 	var held []net.Listener
 	defer func() {
 		for _, l := range held {
-			l.Close()
+			_ = l.Close()
 		}
 	}()
 	host := ownHost()
@@ -67,7 +67,7 @@
 		}
 	}
 	for i, k := range f.keepers {
-		held[i].Close()
+		_ = held[i].Close()
 		if err := f.startKeeper(k); err != nil {
 			return err
 		}
@@ -90,8 +90,8 @@
 			k.cmd = cmd
 			return nil
 		}
-		cmd.Process.Kill()
-		cmd.Wait()
+		_ = cmd.Process.Kill()
+		_ = cmd.Wait()
 		time.Sleep(50 * time.Millisecond)
 	}
 	return fmt.Errorf("keeper %d does not start", k.number)
@@ -100,8 +100,8 @@
 // kill ends a keeper as a crash does.
 func (k *keeper) kill() {
 	if k.cmd != nil {
-		k.cmd.Process.Kill()
-		k.cmd.Wait()
+		_ = k.cmd.Process.Kill()
+		_ = k.cmd.Wait()
 		k.cmd = nil
 	}
 }
--- a/internal/scale/meter/relay.go
+++ b/internal/scale/meter/relay.go
@@ -35,9 +35,9 @@
 func (r *Relay) Close() {
 	r.lock.Lock()
 	r.closed = true
-	r.listener.Close()
+	_ = r.listener.Close()
 	for c := range r.open {
-		c.Close()
+		_ = c.Close()
 	}
 	r.lock.Unlock()
 	r.done.Wait()
@@ -58,7 +58,7 @@
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	if r.closed {
-		c.Close()
+		_ = c.Close()
 		return false
 	}
 	r.open[c] = true
@@ -66,7 +66,7 @@
 }
 
 func (r *Relay) drop(c net.Conn) {
-	c.Close()
+	_ = c.Close()
 	r.lock.Lock()
 	delete(r.open, c)
 	r.lock.Unlock()
@@ -92,14 +92,14 @@
 // pass passes one direction on: its end as an end, a break as a break of both.
 func pass(to, from net.Conn) {
 	if _, err := io.Copy(onlyWriter{to}, onlyReader{from}); err != nil {
-		to.Close()
-		from.Close()
+		_ = to.Close()
+		_ = from.Close()
 		return
 	}
 	if c, is := to.(*Conn); is {
 		to = c.Conn
 	}
-	to.(*net.TCPConn).CloseWrite()
+	_ = to.(*net.TCPConn).CloseWrite()
 }
 
 // onlyReader and onlyWriter hide that the kernel could copy by itself, past the counters.
--- a/internal/scale/witness.go
+++ b/internal/scale/witness.go
@@ -13,7 +13,7 @@
 // monotonic is the machine's clock, which the records of what is acted on are written by too.
 func monotonic() int64 {
 	var t unix.Timespec
-	unix.ClockGettime(unix.CLOCK_MONOTONIC, &t)
+	_ = unix.ClockGettime(unix.CLOCK_MONOTONIC, &t) // it fails for clocks that do not exist
 	return t.Nano()
 }
 
