--- a/cmd/irispost/capture.go
+++ b/cmd/irispost/capture.go
@@ -15,14 +15,23 @@
 	"irispost/internal/capture"
 )
 
+// captureTimeout bounds a call that starts or stops a capture: a stop waits until all is written.
+const captureTimeout = 30 * time.Second
+
 func captureCommand() *cobra.Command {
-	c := &cobra.Command{Use: "capture", Short: "Work on captures"}
-	redact := &cobra.Command{Use: "redact FILE NEW", Args: cobra.ExactArgs(2),
+	command := &cobra.Command{Use: "capture", Short: "Work on captures"}
+	command.AddCommand(redactCommand(), importCommand())
+	command.AddCommand(startCaptureCommand(), stopCaptureCommand(), captureStatusCommand()) // of a running gateway
+	return command
+}
+
+func redactCommand() *cobra.Command {
+	command := &cobra.Command{Use: "redact FILE NEW", Args: cobra.ExactArgs(2),
 		Short: "Copy a capture with its names replaced by keyed hashes; it replays the same"}
-	key := redact.Flags().String("key-file", "", "a file with the key, 16 bytes or more")
-	_ = redact.MarkFlagRequired("key-file")
-	redact.RunE = func(_ *cobra.Command, args []string) error {
-		secret, err := os.ReadFile(*key)
+	keyFile := command.Flags().String("key-file", "", "a file with the key, 16 bytes or more")
+	_ = command.MarkFlagRequired("key-file")
+	command.RunE = func(_ *cobra.Command, args []string) error {
+		key, err := os.ReadFile(*keyFile)
 		if err != nil {
 			return err
 		}
@@ -31,7 +40,7 @@
 			return err
 		}
 		defer func() { _ = in.Close() }()
-		r, err := capture.NewReader(in)
+		reader, err := capture.NewReader(in)
 		if err != nil {
 			return fmt.Errorf("%s: %w", args[0], err)
 		}
@@ -39,56 +48,22 @@
 		if err != nil {
 			return err
 		}
-		return errors.Join(capture.Redact(r, out, secret), out.Close())
-	}
-	c.AddCommand(redact, importCommand())
-	ask := func(use, short string, do func(*admin.Client, string) (admin.Capture, error)) *cobra.Command {
-		sub := &cobra.Command{Use: use, Short: short, Args: cobra.NoArgs}
-		socket := sub.Flags().String("socket", "irispost.sock", "the gateway's admin socket")
-		folder := ""
-		if use == "start" {
-			sub.Flags().StringVar(&folder, "folder", "", "where the capture goes; empty: as configured")
-		}
-		sub.RunE = func(sub *cobra.Command, _ []string) error {
-			if folder != "" {
-				var err error
-				if folder, err = filepath.Abs(folder); err != nil {
-					return err
-				}
-			}
-			state, err := do(admin.Dial(*socket, 30*time.Second), folder)
-			if err != nil {
-				return err
-			}
-			writef(sub.OutOrStdout(), "%s: on %v, %d bytes written, %d records dropped %s\n", state.File, state.On, state.Written,
-				state.Dropped, state.Error)
-			return nil
-		}
-		return sub
+		return errors.Join(capture.Redact(reader, out, key), out.Close())
 	}
-	c.AddCommand(
-		ask("start", "Start a capture of a gateway that serves", func(a *admin.Client, folder string) (admin.Capture, error) {
-			return a.StartCapture(folder)
-		}),
-		ask("stop", "Stop the capture of a gateway", func(a *admin.Client, _ string) (admin.Capture, error) { return a.StopCapture() }),
-		ask("status", "Tell how the capture of a gateway stands", func(a *admin.Client, _ string) (admin.Capture, error) {
-			s, err := a.Status()
-			return s.Capture, err
-		}))
-	return c
+	return command
 }
 
 func importCommand() *cobra.Command {
-	c := &cobra.Command{Use: "import TAP NEW", Args: cobra.ExactArgs(2),
+	command := &cobra.Command{Use: "import TAP NEW", Args: cobra.ExactArgs(2),
 		Short: "Make a capture of one instance of a tap of the operators' bench"}
-	number := c.Flags().Int64("instance", 0, "the instance's number")
-	c.RunE = func(c *cobra.Command, args []string) error {
+	instance := command.Flags().Int64("instance", 0, "the instance's number")
+	command.RunE = func(command *cobra.Command, args []string) error {
 		in, err := os.Open(args[0])
 		if err != nil {
 			return err
 		}
 		defer func() { _ = in.Close() }()
-		process, err := adapter.FindProcess(in, *number)
+		process, err := adapter.FindProcess(in, *instance)
 		if err != nil {
 			return err
 		}
@@ -96,17 +71,70 @@
 			return err
 		}
 		limits := capture.DefaultLimits
-		limits.QueuedBlocks, limits.FileBytes = 1<<16, 1<<40 // nothing is served meanwhile: the disk may be waited for
-		rec, err := capture.Create(args[1], fmt.Sprintf("bench-%d", *number), "tap", limits)
+		limits.QueuedBlocks = 1 << 16 // nothing is served meanwhile: the disk may be waited for
+		limits.FileBytes = 1 << 40
+		recorder, err := capture.Create(args[1], fmt.Sprintf("bench-%d", *instance), "tap", limits)
 		if err != nil {
 			return err
 		}
-		batches, err := adapter.Import(in, process, *number, rec)
-		if closed := rec.Close(0); closed != nil {
+		batches, err := adapter.Import(in, process, *instance, recorder)
+		if closed := recorder.Close(0); closed != nil {
 			return errors.Join(err, closed)
 		}
-		writef(c.OutOrStdout(), "%d batches of process %d\n", batches, process)
+		writef(command.OutOrStdout(), "%d batches of process %d\n", batches, process)
+		return err
+	}
+	return command
+}
+
+func startCaptureCommand() *cobra.Command {
+	command := &cobra.Command{Use: "start", Short: "Start a capture of a gateway that serves", Args: cobra.NoArgs}
+	socket := addSocketFlag(command)
+	folder := command.Flags().String("folder", "", "where the capture goes; empty: as configured")
+	command.RunE = func(command *cobra.Command, _ []string) (err error) {
+		dir := *folder
+		if dir != "" { // the gateway runs in another folder
+			if dir, err = filepath.Abs(dir); err != nil {
+				return err
+			}
+		}
+		state, err := admin.Dial(*socket, captureTimeout).StartCapture(dir)
+		return writeCapture(command.OutOrStdout(), state, err)
+	}
+	return command
+}
+
+func stopCaptureCommand() *cobra.Command {
+	command := &cobra.Command{Use: "stop", Short: "Stop the capture of a gateway", Args: cobra.NoArgs}
+	socket := addSocketFlag(command)
+	command.RunE = func(command *cobra.Command, _ []string) error {
+		state, err := admin.Dial(*socket, captureTimeout).StopCapture()
+		return writeCapture(command.OutOrStdout(), state, err)
+	}
+	return command
+}
+
+func captureStatusCommand() *cobra.Command {
+	command := &cobra.Command{Use: "status", Short: "Show how the capture of a gateway stands", Args: cobra.NoArgs}
+	socket := addSocketFlag(command)
+	command.RunE = func(command *cobra.Command, _ []string) error {
+		status, err := admin.Dial(*socket, captureTimeout).Status()
+		return writeCapture(command.OutOrStdout(), status.Capture, err)
+	}
+	return command
+}
+
+// addSocketFlag adds the flag of commands that call one gateway.
+func addSocketFlag(command *cobra.Command) *string {
+	return command.Flags().String("socket", "irispost.sock", "the gateway's admin socket")
+}
+
+// writeCapture writes the state of a capture, unless the call for it failed.
+func writeCapture(out io.Writer, state admin.Capture, err error) error {
+	if err != nil {
 		return err
 	}
-	return c
+	writef(out, "%s: on %v, %d bytes written, %d records dropped %s\n", state.File, state.On, state.Written, state.Dropped,
+		state.Error)
+	return nil
 }
--- a/cmd/irispost/golden_test.go
+++ b/cmd/irispost/golden_test.go
@@ -19,6 +19,30 @@
 	golden.Check(t, "commands.txt", []byte(b.String()))
 }
 
+// Scripts call commands by names that have been replaced since.
+func TestEarlierNamesOfCommandsStillWork(t *testing.T) {
+	for earlier, now := range map[string]string{
+		"day":           "irispost scenario",
+		"fleet keepers": "irispost fleet replicas",
+		"keeper":        "irispost replica",
+		"members":       "irispost endpoints",
+		"rules diff":    "irispost versions diff",
+		"rules log":     "irispost versions log",
+		"rules propose": "irispost versions propose",
+		"rules show":    "irispost versions show",
+		"xds-standin":   "irispost xds-server",
+	} {
+		command, _, err := program().Find(strings.Fields(earlier))
+		if err != nil {
+			t.Error(err)
+			continue
+		}
+		if path := command.CommandPath(); path != now {
+			t.Errorf("%q is the command %q, not %q", earlier, path, now)
+		}
+	}
+}
+
 // listCommand writes a command and its sub-commands, which cobra has sorted by name.
 func listCommand(b *strings.Builder, parent string, c *cobra.Command) {
 	name := strings.TrimSpace(parent + " " + c.Use)
--- a/cmd/irispost/main.go
+++ b/cmd/irispost/main.go
@@ -1,4 +1,5 @@
-// Command irispost is a storage gateway and its tools.
+// Command irispost is a storage gateway and its tools. Each file has one command; it reads the flags, calls the package
+// that does the work, and writes what comes of it for people or as JSON.
 package main
 
 import (
@@ -33,33 +34,40 @@
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
-	root.AddCommand(serveCommand(), checkCommand(), nodeCommand(), demoCommand(), dayCommand(), benchCommand(), replayCommand(), explainCommand(), captureCommand(),
-		webCommand(), keeperCommand(), rulesCommand(), fleetCommand(), statusCommand(), membersCommand(), standinCommand(), diskCommand(),
-		&cobra.Command{Use: "version", Short: "Tell which build this is", Args: cobra.NoArgs,
-			Run: func(c *cobra.Command, _ []string) {
-				writeln(c.OutOrStdout(), "irispost", version)
-				if info, ok := debug.ReadBuildInfo(); ok {
-					writeln(c.OutOrStdout(), info.GoVersion, info.Main.Version)
-				}
-			}})
+	root.AddCommand(serveCommand(), webCommand(), demoCommand(), checkCommand(), versionCommand()) // gateways
+	root.AddCommand(statusCommand(), endpointsCommand(), captureCommand())                         // of a running gateway
+	root.AddCommand(replicaCommand(), versionsCommand(), fleetCommand())                           // the fleet
+	root.AddCommand(replayCommand(), explainCommand())                                             // captures
+	root.AddCommand(nodeCommand(), xdsServerCommand(), scenarioCommand(), benchCommand())          // trials
+	root.AddCommand(diskCommand())
 	root.AddCommand(fileCommands()...)
 	return root
 }
 
-// logs adds the flags for logs, and returns what makes the log.
-func logs(c *cobra.Command) func() *slog.Logger {
-	form := c.Flags().String("log", "text", "form of the log: text or json")
-	level := c.Flags().String("level", "info", "least level: debug, info, warn or error")
+func versionCommand() *cobra.Command {
+	return &cobra.Command{Use: "version", Short: "Show which build this is", Args: cobra.NoArgs,
+		Run: func(command *cobra.Command, _ []string) {
+			writeln(command.OutOrStdout(), "irispost", version)
+			if info, ok := debug.ReadBuildInfo(); ok {
+				writeln(command.OutOrStdout(), info.GoVersion, info.Main.Version)
+			}
+		}}
+}
+
+// addLogFlags adds the flags for logs, and returns what makes the log once they are parsed.
+func addLogFlags(command *cobra.Command) (newLog func() *slog.Logger) {
+	format := command.Flags().String("log", "text", "form of the log: text or json")
+	levelName := command.Flags().String("level", "info", "least level: debug, info, warn or error")
 	return func() *slog.Logger {
-		var l slog.Level
-		if err := l.UnmarshalText([]byte(*level)); err != nil {
-			l = slog.LevelInfo
+		var level slog.Level
+		if err := level.UnmarshalText([]byte(*levelName)); err != nil {
+			level = slog.LevelInfo
 		}
-		opt := &slog.HandlerOptions{Level: l}
-		if *form == "json" {
-			return slog.New(slog.NewJSONHandler(os.Stderr, opt))
+		options := &slog.HandlerOptions{Level: level}
+		if *format == "json" {
+			return slog.New(slog.NewJSONHandler(os.Stderr, options))
 		}
-		return slog.New(slog.NewTextHandler(os.Stderr, opt))
+		return slog.New(slog.NewTextHandler(os.Stderr, options))
 	}
 }
 
--- a/cmd/irispost/node.go
+++ b/cmd/irispost/node.go
@@ -9,30 +9,31 @@
 )
 
 func nodeCommand() *cobra.Command {
-	c := &cobra.Command{Use: "node", Short: "Run a stand-in storage node", Args: cobra.NoArgs}
-	o := standin.Options{Marks: time.Minute}
-	c.Flags().StringVar(&o.Addr, "listen", "127.0.0.1:7000", "address to serve at")
-	c.Flags().IntVar(&o.Shard, "shard", 0, "shard that it holds")
-	c.Flags().StringVar(&o.Zone, "zone", "", "zone that it stands in")
-	c.Flags().IntVar(&o.Cores, "cores", 2, "executions carried out at a time")
-	c.Flags().DurationVar(&o.Unit, "unit", 0, "time of a core for a unit")
-	c.Flags().IntVar(&o.Queue, "queue", 256, "executions that may wait")
-	c.Flags().BoolVar(&o.Orca, "orca", false, "send load reports in ORCA form")
-	dir := c.Flags().String("dir", "", "folder for the data; empty: in memory")
-	c.RunE = func(c *cobra.Command, _ []string) (err error) {
-		if o.Store, err = standin.NewStore(*dir); err != nil {
+	command := &cobra.Command{Use: "node", Short: "Run a storage node for trials", Args: cobra.NoArgs}
+	options := standin.Options{Marks: time.Minute}
+	flags := command.Flags()
+	flags.StringVar(&options.Addr, "listen", "127.0.0.1:7000", "address to serve at")
+	flags.IntVar(&options.Shard, "shard", 0, "shard that it holds")
+	flags.StringVar(&options.Zone, "zone", "", "zone that it stands in")
+	flags.IntVar(&options.Cores, "cores", 2, "attempts that are carried out at a time")
+	flags.DurationVar(&options.Unit, "unit", 0, "time of a core for a unit")
+	flags.IntVar(&options.Queue, "queue", 256, "attempts that may wait")
+	flags.BoolVar(&options.Orca, "orca", false, "send load reports in ORCA form")
+	dir := flags.String("dir", "", "folder for the data; empty: in memory")
+	command.RunE = func(command *cobra.Command, _ []string) (err error) {
+		if options.Store, err = standin.NewStore(*dir); err != nil {
 			return err
 		}
-		n, err := standin.Start(o)
+		node, err := standin.Start(options)
 		if err != nil {
 			return err
 		}
-		writef(c.OutOrStdout(), "node of shard %d serves at %s\n", o.Shard, n.Addr())
+		writef(command.OutOrStdout(), "node of shard %d serves at %s\n", options.Shard, node.Addr())
 		ctx, cancel := untilSignal()
 		defer cancel()
 		<-ctx.Done()
-		n.Close()
+		node.Close()
 		return nil
 	}
-	return c
+	return command
 }
--- a/cmd/irispost/serve.go
+++ b/cmd/irispost/serve.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"context"
 	"os"
 	"path/filepath"
 	"runtime/debug"
@@ -13,48 +12,64 @@
 	"irispost/internal/serve"
 )
 
+// gatewayGCPercent lets the heap grow to five times what lives: a gateway's live heap is small, and much passes
+// through. The variables GOGC and GOMEMLIMIT still count.
+const gatewayGCPercent = 400
+
 func serveCommand() *cobra.Command {
-	c := &cobra.Command{Use: "serve", Short: "Run a gateway until SIGTERM", Args: cobra.NoArgs}
-	file := c.Flags().String("config", "irispost.hcl", "the configuration")
-	profile := c.Flags().String("cpu-profile", "", "write a profile of the processor's time there, until the end")
-	log := logs(c)
-	c.RunE = func(c *cobra.Command, _ []string) error {
+	command := &cobra.Command{Use: "serve", Short: "Run a gateway until SIGTERM", Args: cobra.NoArgs}
+	file := command.Flags().String("config", "irispost.hcl", "the configuration")
+	profile := command.Flags().String("cpu-profile", "", "write a profile of the processor's time there, until the end")
+	newLog := addLogFlags(command)
+	command.RunE = func(command *cobra.Command, _ []string) error {
 		conf, err := config.Load(*file)
 		if err != nil {
 			return err
 		}
-		if *profile != "" {
-			out, err := os.Create(*profile)
-			if err != nil {
-				return err
-			}
-			defer func() { _ = out.Close() }() // a profile that is not whole cannot be read
-			if err := pprof.StartCPUProfile(out); err != nil {
-				return err
-			}
-			defer pprof.StopCPUProfile()
+		stopProfile, err := startProfile(*profile)
+		if err != nil {
+			return err
 		}
+		defer stopProfile()
 		if os.Getenv("GOGC") == "" {
-			debug.SetGCPercent(400) // what lives is little, what passes is much: GOGC and GOMEMLIMIT still count
+			debug.SetGCPercent(gatewayGCPercent)
 		}
 		ctx, cancel := untilSignal()
 		defer cancel()
-		g, err := serve.Start(conf, filepath.Dir(*file), log())
+		gateway, err := serve.Start(conf, filepath.Dir(*file), newLog())
 		if err != nil {
 			return err
 		}
-		writef(c.OutOrStdout(), "gateway %s serves at %s\n", conf.Name, g.Frontend.Addr())
-		if g.ISCSI != nil {
-			writef(c.OutOrStdout(), "disks of %s at %s\n", conf.Name, g.ISCSI.Addr())
+		writef(command.OutOrStdout(), "gateway %s serves at %s\n", conf.Name, gateway.Frontend.Addr())
+		if gateway.ISCSI != nil {
+			writef(command.OutOrStdout(), "disks of %s at %s\n", conf.Name, gateway.ISCSI.Addr())
 		}
 		<-ctx.Done()
 		cancel() // a second signal ends the program at once
-		last, end := context.WithTimeout(context.Background(), conf.ShutdownTimeout)
-		defer end()
-		if err := g.Shutdown(last); err != nil {
-			log().Warn("stopped", "gateway", conf.Name, "why", err)
+		if err := shutdown(gateway, conf.ShutdownTimeout); err != nil {
+			newLog().Warn("stopped", "gateway", conf.Name, "err", err)
 		}
 		return nil
 	}
-	return c
+	return command
+}
+
+// startProfile writes a profile of the processor's time to a file until stop; without a file it does nothing.
+func startProfile(file string) (stop func(), err error) {
+	if file == "" {
+		return func() {}, nil
+	}
+	out, err := os.Create(file)
+	if err != nil {
+		return nil, err
+	}
+	closeFile := func() { _ = out.Close() } // a profile that is incomplete cannot be read
+	if err := pprof.StartCPUProfile(out); err != nil {
+		closeFile()
+		return nil, err
+	}
+	return func() {
+		pprof.StopCPUProfile()
+		closeFile()
+	}, nil
 }
--- a/cmd/irispost/status.go
+++ b/cmd/irispost/status.go
@@ -1,10 +1,9 @@
 package main
 
 import (
-	"encoding/json"
+	"io"
 	"maps"
 	"slices"
-	"text/tabwriter"
 	"time"
 
 	"github.com/spf13/cobra"
@@ -12,42 +11,45 @@
 	"irispost/internal/admin"
 )
 
+const statusTimeout = 5 * time.Second
+
 func statusCommand() *cobra.Command {
-	c := &cobra.Command{Use: "status", Short: "Tell how a gateway stands", Args: cobra.NoArgs}
-	socket := c.Flags().String("socket", "irispost.sock", "the gateway's admin socket")
-	asJSON := c.Flags().Bool("json", false, "print it as JSON")
-	c.RunE = func(c *cobra.Command, _ []string) error {
-		s, err := admin.Dial(*socket, 5*time.Second).Status()
+	command := &cobra.Command{Use: "status", Short: "Show how a gateway stands", Args: cobra.NoArgs}
+	socket := addSocketFlag(command)
+	asJSON := command.Flags().Bool("json", false, "print it as JSON")
+	command.RunE = func(command *cobra.Command, _ []string) error {
+		status, err := admin.Dial(*socket, statusTimeout).Status()
 		if err != nil {
 			return err
 		}
 		if *asJSON {
-			b, err := json.MarshalIndent(s, "", "  ")
-			if err != nil {
-				return err
-			}
-			writeln(c.OutOrStdout(), string(b))
-			return nil
-		}
-		w := tabwriter.NewWriter(c.OutOrStdout(), 0, 4, 2, ' ', 0)
-		writef(w, "gateway %s at %s, since %s: %d jobs held, %d executions out, %d late answers dropped\n", s.Gateway, s.Address,
-			s.Since.UTC().Format(time.RFC3339), s.Requests, s.AttemptsInFlight, s.LateAnswers)
-		writef(w, "nodes:")
-		for _, state := range slices.Sorted(maps.Keys(s.Nodes)) {
-			writef(w, " %d %s", s.Nodes[state], state)
-		}
-		if s.Version != "" {
-			writef(w, "; rules: %s", s.Version)
+			return writeJSON(command.OutOrStdout(), status)
 		}
-		if s.HeldLoss != nil {
-			writef(w, "; the loss of %d is HELD, see irispost members", s.HeldLoss.Nodes)
-		}
-		writef(w, "\ncapture: on %v %s\n\nproduct\ttaken\tcompleted\tdismissed\twritten off\tleft\n", s.Capture.On, s.Capture.File)
-		for _, name := range slices.Sorted(maps.Keys(s.RequestClasses)) {
-			p := s.RequestClasses[name]
-			writef(w, "%s\t%d\t%d\t%d\t%d\t%d\n", name, p.Accepted, p.Succeeded, p.Rejected, p.Failed, p.Cancelled)
-		}
-		return w.Flush()
+		return writeStatus(command.OutOrStdout(), status)
+	}
+	return command
+}
+
+func writeStatus(out io.Writer, status admin.Status) error {
+	table := newTable(out)
+	writef(table, "gateway %s at %s, since %s: %d jobs held, %d executions out, %d late answers dropped\n", status.Gateway,
+		status.Address, status.Since.UTC().Format(time.RFC3339), status.Requests, status.AttemptsInFlight, status.LateAnswers)
+	writef(table, "nodes:")
+	for _, state := range slices.Sorted(maps.Keys(status.Nodes)) {
+		writef(table, " %d %s", status.Nodes[state], state)
+	}
+	if status.Version != "" {
+		writef(table, "; rules: %s", status.Version)
+	}
+	if status.HeldLoss != nil {
+		writef(table, "; the loss of %d is HELD, see irispost members", status.HeldLoss.Nodes)
+	}
+	writef(table, "\ncapture: on %v %s\n\n", status.Capture.On, status.Capture.File)
+	writef(table, "product\ttaken\tcompleted\tdismissed\twritten off\tleft\n")
+	for _, name := range slices.Sorted(maps.Keys(status.RequestClasses)) {
+		counts := status.RequestClasses[name]
+		writef(table, "%s\t%d\t%d\t%d\t%d\t%d\n", name, counts.Accepted, counts.Succeeded, counts.Rejected, counts.Failed,
+			counts.Cancelled)
 	}
-	return c
+	return table.Flush()
 }
--- /dev/null
+++ b/cmd/irispost/transfer.go
@@ -0,0 +1,113 @@
+package main
+
+import (
+	"errors"
+	"io"
+	"os"
+	"path"
+	"sync/atomic"
+	"time"
+
+	"github.com/pkg/sftp"
+	"github.com/spf13/cobra"
+)
+
+// concurrentWrites is how many writes of a file are in flight.
+const concurrentWrites = 64
+
+// getFile reads a file into a new one beside its place, so that a transfer that breaks leaves no half of it.
+func getFile(command *cobra.Command, client *sftp.Client, args []string) error {
+	from, to := args[0], path.Base(args[0])
+	if len(args) > 1 {
+		to = args[1]
+	}
+	file, err := client.Open(from)
+	if err != nil {
+		return err
+	}
+	defer func() { _ = file.Close() }()
+	info, err := file.Stat()
+	if err != nil {
+		return err
+	}
+	if to == "-" {
+		_, err := file.WriteTo(command.OutOrStdout())
+		return err
+	}
+	part, err := os.CreateTemp(path.Dir(to), ".irispost-*")
+	if err != nil {
+		return err
+	}
+	defer func() { _ = os.Remove(part.Name()) }() // it is gone where it was renamed
+	counter := &transferCounter{Writer: part}
+	stopProgress := counter.startProgress(command, from, info.Size())
+	_, err = file.WriteTo(counter)
+	stopProgress()
+	if err := errors.Join(err, part.Chmod(0o644), part.Close()); err != nil {
+		return err
+	}
+	return os.Rename(part.Name(), to)
+}
+
+// putFile writes a file. It is there, complete, when its close is answered.
+func putFile(command *cobra.Command, client *sftp.Client, args []string) error {
+	from, to := args[0], args[1]
+	in, size := os.Stdin, int64(0)
+	if from != "-" {
+		file, err := os.Open(from)
+		if err != nil {
+			return err
+		}
+		defer func() { _ = file.Close() }()
+		if info, err := file.Stat(); err == nil {
+			size = info.Size()
+		}
+		in = file
+	}
+	out, err := client.OpenFile(to, os.O_WRONLY|os.O_CREATE|os.O_TRUNC)
+	if err != nil {
+		return err
+	}
+	counter := &transferCounter{Reader: in}
+	stopProgress := counter.startProgress(command, to, size)
+	_, err = out.ReadFromWithConcurrency(counter, concurrentWrites)
+	stopProgress()
+	return errors.Join(err, out.Close())
+}
+
+// transferCounter counts the bytes that pass its reader or writer.
+type transferCounter struct {
+	io.Reader
+	io.Writer
+	done atomic.Int64
+}
+
+func (c *transferCounter) Read(b []byte) (int, error) {
+	n, err := c.Reader.Read(b)
+	c.done.Add(int64(n))
+	return n, err
+}
+
+func (c *transferCounter) Write(b []byte) (int, error) {
+	n, err := c.Writer.Write(b)
+	c.done.Add(int64(n))
+	return n, err
+}
+
+// startProgress reports a transfer once a second on the command's error output, until stop.
+func (c *transferCounter) startProgress(command *cobra.Command, name string, size int64) (stop func()) {
+	stopped := make(chan struct{})
+	go func() {
+		tick := time.NewTicker(time.Second)
+		defer tick.Stop()
+		for {
+			select {
+			case <-stopped:
+				return
+			case <-tick.C:
+				writef(command.ErrOrStderr(), "%s: %d of %d bytes\n", name, c.done.Load(), size)
+			}
+		}
+	}()
+	return func() { close(stopped) }
+}
--- a/cmd/irispost/web.go
+++ b/cmd/irispost/web.go
@@ -15,9 +15,10 @@
 )
 
 func webCommand() *cobra.Command {
-	c := &cobra.Command{Use: "web", Short: "Run a gateway behind HTTP, as the platform's environment tells", Args: cobra.NoArgs}
-	log := logs(c)
-	c.RunE = func(*cobra.Command, []string) error {
+	command := &cobra.Command{Use: "web", Args: cobra.NoArgs,
+		Short: "Run a gateway behind HTTP, as the platform's environment configures it"}
+	newLog := addLogFlags(command)
+	command.RunE = func(*cobra.Command, []string) error {
 		signals := make(chan os.Signal, 8)
 		signal.Notify(signals, syscall.SIGHUP, syscall.SIGTERM, os.Interrupt)
 		conf, err := platform.Load(os.Getenv)
@@ -26,26 +27,28 @@
 		}
 		runtime.GOMAXPROCS(max(1, int(math.Ceil(conf.Cores))))
 		debug.SetMemoryLimit(conf.MemoryBytes / 2) // of the heap and the runtime; the program's text counts as well
-		log := log()
-		g, err := serve.StartWebGateway(conf, log)
+		log := newLog()
+		gateway, err := serve.StartWebGateway(conf, log)
 		if err != nil {
 			return err
 		}
-		log.Info("the gateway serves", "gateway", conf.Name, "address", g.Frontend.Addr(), "cores", conf.Cores, "mb", conf.MemoryBytes>>20, "sockets", conf.MaxSockets)
+		log.Info("the gateway serves", "gateway", conf.Name, "address", gateway.Frontend.Addr(),
+			"cores", conf.Cores, "mb", conf.MemoryBytes>>20, "sockets", conf.MaxSockets)
 		for s := range signals {
 			if s != syscall.SIGHUP {
 				break
 			}
-			if again, err := platform.Load(os.Getenv); err != nil {
-				log.Error("the new configuration is not taken, the old one stays", "gateway", conf.Name, "why", err)
-			} else {
-				g.Reload(again)
+			reloaded, err := platform.Load(os.Getenv)
+			if err != nil {
+				log.Error("the new configuration is not taken, the old one stays", "gateway", conf.Name, "err", err)
+				continue
 			}
+			gateway.Reload(reloaded)
 		}
 		log.Info("the gateway ends", "gateway", conf.Name)
-		g.Shutdown()
+		gateway.Shutdown()
 		log.Info("the gateway has ended", "gateway", conf.Name)
 		return nil
 	}
-	return c
+	return command
 }
--- a/cmd/irispost/xdsserver.go
+++ b/cmd/irispost/xdsserver.go
@@ -2,6 +2,8 @@
 
 import (
 	"bufio"
+	"context"
+	"io"
 	"os"
 	"strings"
 	"time"
@@ -12,67 +14,80 @@
 	"irispost/internal/xdsstandin"
 )
 
-func standinCommand() *cobra.Command {
-	c := &cobra.Command{Use: "xds-standin", Short: "Run a stand-in xDS management server; commands come on standard input", Args: cobra.NoArgs,
-		Long: "Serves the nodes of a list as Envoy clusters and endpoints, and does what it is told, a line each:\n\n" + xdsstandin.Commands +
+func xdsServerCommand() *cobra.Command {
+	command := &cobra.Command{Use: "xds-server", Aliases: []string{"xds-standin"}, Args: cobra.NoArgs,
+		Short: "Run an xDS management server for tests; commands come on standard input",
+		Long: "Serves the nodes of a list as Envoy clusters and endpoints, and does what it is told, a line each:\n\n" +
+			xdsstandin.Commands +
 			"\nwait SPAN                 nothing, for so long\nanswers                   what clients have answered so far"}
-	listen := c.Flags().String("listen", "127.0.0.1:18000", "address to serve at")
-	file := c.Flags().String("nodes", "", "the nodes to begin with, in our own form")
-	clusters := c.Flags().Int("clusters", 1, "clusters that the nodes are spread over, by their shards")
-	c.RunE = func(c *cobra.Command, _ []string) error {
-		var l endpoint.List
+	listen := command.Flags().String("listen", "127.0.0.1:18000", "address to serve at")
+	file := command.Flags().String("nodes", "", "the nodes to begin with, in our own form")
+	clusters := command.Flags().Int("clusters", 1, "clusters that the nodes are spread over, by their shards")
+	command.RunE = func(command *cobra.Command, _ []string) error {
+		var list endpoint.List
 		if *file != "" {
 			src, err := os.ReadFile(*file)
 			if err != nil {
 				return err
 			}
-			if l, err = endpoint.ParseList(*file, src); err != nil {
+			if list, err = endpoint.ParseList(*file, src); err != nil {
 				return err
 			}
 		}
-		s, err := xdsstandin.Start(*listen, *clusters, l.Nodes...)
+		server, err := xdsstandin.Start(*listen, *clusters, list.Nodes...)
 		if err != nil {
 			return err
 		}
-		defer s.Close()
-		writef(c.OutOrStdout(), "the management server serves %d nodes at %s\n", len(l.Nodes), s.Addr())
+		defer server.Close()
+		writef(command.OutOrStdout(), "the management server serves %d nodes at %s\n", len(list.Nodes), server.Addr())
 		ctx, cancel := untilSignal()
 		defer cancel()
-		lines := make(chan string)
-		go func() {
-			for in := bufio.NewScanner(c.InOrStdin()); in.Scan(); {
-				lines <- in.Text()
-			}
-		}()
+		lines := readLines(command.InOrStdin())
 		for {
 			select {
 			case <-ctx.Done():
 				return nil
 			case line := <-lines:
-				word, rest, _ := strings.Cut(strings.TrimSpace(line), " ")
-				switch word {
-				case "":
-				case "wait":
-					d, err := time.ParseDuration(rest)
-					if err != nil {
-						writeln(c.ErrOrStderr(), err)
-						continue
-					}
-					select {
-					case <-ctx.Done():
-					case <-time.After(d):
-					}
-				case "answers":
-					for _, a := range s.Answers() {
-						writef(c.OutOrStdout(), "%+v\n", a)
-					}
-				default:
-					if err := s.Command(line); err != nil {
-						writeln(c.ErrOrStderr(), err)
-					}
-				}
+				runServerCommand(ctx, command, server, line)
 			}
 		}
 	}
-	return c
+	return command
+}
+
+// readLines sends the lines of a reader until its end. The channel stays open, so that the server goes on after it.
+func readLines(in io.Reader) <-chan string {
+	lines := make(chan string)
+	go func() {
+		for scanner := bufio.NewScanner(in); scanner.Scan(); {
+			lines <- scanner.Text()
+		}
+	}()
+	return lines
+}
+
+// runServerCommand runs one line. What is wrong with it goes to the command's error output.
+func runServerCommand(ctx context.Context, command *cobra.Command, server *xdsstandin.Server, line string) {
+	word, rest, _ := strings.Cut(strings.TrimSpace(line), " ")
+	switch word {
+	case "":
+	case "wait":
+		pause, err := time.ParseDuration(rest)
+		if err != nil {
+			writeln(command.ErrOrStderr(), err)
+			return
+		}
+		select {
+		case <-ctx.Done():
+		case <-time.After(pause):
+		}
+	case "answers":
+		for _, answer := range server.Answers() {
+			writef(command.OutOrStdout(), "%+v\n", answer)
+		}
+	default:
+		if err := server.Command(line); err != nil {
+			writeln(command.ErrOrStderr(), err)
+		}
+	}
 }
