--- a/cmd/irispost/fleet_test.go
+++ b/cmd/irispost/fleet_test.go
@@ -42,7 +42,8 @@
 		t.Fatal(err)
 	}
 	s.Seed = seed
-	s.Slack, s.Transit = 5*time.Second, 2*time.Second // a slow machine is late; that it answers at all, and once, is what is checked
+	// A slow machine is late; that it answers at all, and once, is what is checked.
+	s.Slack, s.Transit = 5*time.Second, 2*time.Second
 	s.Length, s.Fleet.LeaseDuration = s.Length/2, s.Fleet.LeaseDuration/2
 	for i := range s.Faults {
 		s.Faults[i].At /= 2
@@ -74,13 +75,14 @@
 func TestWithoutLeasesTheAuditBreaks(t *testing.T) {
 	t.Setenv("IRISPOST_TEST_AS_PROGRAM", "1")
 	t.Setenv("IRISPOST_TEST_NO_LEASES", "1")
-	if r := playFleet(t, "agree-split", 7); r.Agreement.Violations == 0 || r.Agreement.WorstMillis <= r.Agreement.BoundMillis {
-		t.Errorf("%+v", r.Agreement)
+	agreement := playFleet(t, "agree-split", 7).Agreement
+	if agreement.Violations == 0 || agreement.WorstMillis <= agreement.BoundMillis {
+		t.Errorf("%+v", agreement)
 	}
 }
 
-// sockets are a process's, from what the kernel says: how many listen, the addresses that the others go to, and how many are none
-// of TCP's.
+// sockets are a process's, from what the kernel says: how many listen, the addresses that the others go to, and how
+// many are none of TCP's.
 func sockets(t *testing.T, pid int) (listen int, to map[string]bool, others int) {
 	t.Helper()
 	table := map[string][]string{}
@@ -113,8 +115,8 @@
 	return listen, to, others
 }
 
-// The gateway on the platform has nothing of a fleet: one socket that listens, one way to its list, and no other, even where keepers
-// are named all around it.
+// The gateway on the platform has nothing of a fleet: one socket that listens, one way to its list, and no other, even
+// where replicas are named all around it.
 func TestWebOpensNothingOfAFleet(t *testing.T) {
 	asked := make(chan struct{}, 16)
 	quit := make(chan struct{})
--- a/cmd/irispost/fleetbench_test.go
+++ b/cmd/irispost/fleetbench_test.go
@@ -60,49 +60,55 @@
 	return false
 }
 
-// All figures are there. Processor time is told to a hundredth of a second, so that of a few followers may be none; the memory of three
-// followers drowns in that of the process.
-func TestFleetBench(t *testing.T) {
+// All figures are there. Processor time is measured to a hundredth of a second, so that of a few followers may be none;
+// the memory of three followers is lost in that of the process.
+func TestFleetBenchMeasuresAllFigures(t *testing.T) {
 	text, f := measured(t, "--followers 3 --changes 2")
-	above(t, f, `followers nodes changes rest_bytes_s change_bytes change_bytes_worst day_bytes_s follower_core in_force_ms announced_ms keeper_mb keeper_mb_start
-		leader_out_bytes_change first_start_ms again_ms changes_by_kind version_bytes`)
+	above(t, f, `followers nodes changes rest_bytes_s change_bytes change_bytes_worst day_bytes_s follower_core
+		in_force_ms announced_ms keeper_mb keeper_mb_start leader_out_bytes_change first_start_ms again_ms changes_by_kind
+		version_bytes`)
 	for _, name := range strings.Fields("follower_core_day follower_mb keeper_core keeper_core_others keeper_ends") {
 		if _, is := f[name].(float64); !is {
 			t.Errorf("%s: %v", name, f[name])
 		}
 	}
-	if f["followers"] != 3.0 || f["nodes"] != 20.0 || f["changes"] != 2.0 || len(f["keeper_mb"].([]any)) != 3 || f["in_force_killed_ms"] != nil {
+	if f["followers"] != 3.0 || f["nodes"] != 20.0 || f["changes"] != 2.0 || len(f["keeper_mb"].([]any)) != 3 ||
+		f["in_force_killed_ms"] != nil {
 		t.Errorf("%v", f)
 	}
-	if in, an := f["in_force_ms"].(map[string]any), f["announced_ms"].(map[string]any); in["worst"].(float64) < an["worst"].(float64) || len(in) != 3 || len(an) != 3 {
-		t.Errorf("in force %v, announced %v", in, an)
+	inForce, announced := f["in_force_ms"].(map[string]any), f["announced_ms"].(map[string]any)
+	if inForce["worst"].(float64) < announced["worst"].(float64) || len(inForce) != 3 || len(announced) != 3 {
+		t.Errorf("in force %v, announced %v", inForce, announced)
 	}
 	if v := f["change_bytes"].(float64); v > 100*f["version_bytes"].(float64) || f["leader_out_bytes_change"].(float64) < v {
 		t.Errorf("%v bytes to a gateway, %v out of the leading keeper", v, f["leader_out_bytes_change"])
 	}
-	for _, word := range []string{"3 followers, 20 nodes", "1 by a node that is replaced, 1 by a plan's limit", "from proposal to announced: median"} {
+	for _, word := range []string{"3 followers, 20 nodes", "1 by a node that is replaced, 1 by a plan's limit",
+		"from proposal to announced: median"} {
 		if !strings.Contains(text, word) {
 			t.Errorf("%q is not in %s", word, text)
 		}
 	}
 }
 
-func TestFleetBenchKillsTheLeadingKeeper(t *testing.T) {
+func TestFleetBenchMeasuresChangesWithoutTheLeader(t *testing.T) {
 	text, f := measured(t, "--followers 3 --changes 8 --kill")
 	above(t, f, "in_force_ms in_force_killed_ms changes_killed elections keeper_mb")
-	if k := f["changes_killed"].(float64); k < 2 || k > 4 || !strings.Contains(text, "which led, is killed") || !strings.Contains(text, "is started again") {
-		t.Errorf("%v of 8 changes with a keeper down: %s", k, text)
+	killed := f["changes_killed"].(float64)
+	if killed < 2 || killed > 4 || !strings.Contains(text, "which led, is killed") || !strings.Contains(text, "is started again") {
+		t.Errorf("%v of 8 changes with a keeper down: %s", killed, text)
 	}
 }
 
 // With marks: none, and with a few followers.
-func TestFleetBenchMarks(t *testing.T) {
+func TestFleetBenchMeasuresGrowthAtMarks(t *testing.T) {
 	for _, args := range []string{"--marks 2,6", "--marks 4 --followers 2"} {
 		text, f := measured(t, args)
 		above(t, f, "nodes changes marks in_force_ms start_ms join_ms join_bytes changes_by_kind")
 		marks := f["marks"].([]any)
 		last := marks[len(marks)-1].(map[string]any)
-		if len(marks) != strings.Count(args, ",")+1 || last["changes"] != f["changes"] || len(last["keeper_mb"].([]any)) != 3 || len(last["folder_bytes"].([]any)) != 3 {
+		if len(marks) != strings.Count(args, ",")+1 || last["changes"] != f["changes"] ||
+			len(last["keeper_mb"].([]any)) != 3 || len(last["folder_bytes"].([]any)) != 3 {
 			t.Errorf("%s: %v", args, marks)
 		}
 		if !strings.Contains(text, "after 4 changes") && !strings.Contains(text, "after 6 changes") {
@@ -111,17 +117,27 @@
 	}
 }
 
-// What cannot be measured or written is refused before anything starts, and a file that is there stays.
-func TestFleetBenchRefuses(t *testing.T) {
+// What cannot be measured or written is rejected before anything starts, and a file that is there stays.
+func TestFleetBenchRejectsWhatCannotBeMeasured(t *testing.T) {
 	dir := t.TempDir()
 	file := filepath.Join(dir, "figures.json")
 	if err := os.WriteFile(file, []byte("kept"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	for args, word := range map[string]string{
-		"--followers 0": "--followers 0", "--followers -3": "--followers -3", "--nodes 0": "--nodes 0", "--nodes -1": "--nodes -1", "--changes 0": "--changes 0",
-		"--changes -1": "--changes -1", "--marks 5,3": "--marks [5 3]", "--marks 5 --changes 3": "--changes and --marks", "--kill --changes 2": "--kill",
-		"--json " + dir: dir, "--json " + dir + "/none/x.json": "none/x.json", "--json /dev/null": "it is no file", "--json /proc/x.json": "/proc/x.json",
+		"--followers 0":                  "--followers 0",
+		"--followers -3":                 "--followers -3",
+		"--nodes 0":                      "--nodes 0",
+		"--nodes -1":                     "--nodes -1",
+		"--changes 0":                    "--changes 0",
+		"--changes -1":                   "--changes -1",
+		"--marks 5,3":                    "--marks [5 3]",
+		"--marks 5 --changes 3":          "--changes and --marks",
+		"--kill --changes 2":             "--kill",
+		"--json " + dir:                  dir,
+		"--json " + dir + "/none/x.json": "none/x.json",
+		"--json /dev/null":               "it is no file",
+		"--json /proc/x.json":            "/proc/x.json",
 	} {
 		_, err := run(append(strings.Fields("fleet bench --json "+file), strings.Fields(args)...)...)
 		if err == nil || !strings.Contains(err.Error(), word) || strings.Contains(err.Error(), "\n") {
--- a/cmd/irispost/web_test.go
+++ b/cmd/irispost/web_test.go
@@ -23,20 +23,22 @@
 // webProcess is a gateway behind HTTP that runs as a process of its own.
 type webProcess struct {
 	*exec.Cmd
-	t    testing.TB
-	file string
-	addr string
-	lock sync.Mutex
-	said []string
-	over chan error
+	t      testing.TB
+	file   string
+	addr   string
+	lock   sync.Mutex
+	logged []string
+	over   chan error // the end of the process
 }
 
 func webConfig(listen, list, more string) string {
 	return fmt.Sprintf(`{"name":"n1","listen":%q,"discovery":%q,"seed":"1","limits":{"cores":1,"memory_mb":64,"sockets":128},%s
-		"settings":{"discovery":"push","contract":{"drain_grace_ms":250.0},"contracts":[{"name":"gold","proportion":1.0,"base_rate":1000.0,"floor_rate":1000.0}],
-		"domain":{"unit_mean":2.0,"largest":8},"lanes":[{"name":"read","effect":"read_like","target_ms":60000.0,"hard_limit_ms":120000.0}],
-		"permissions":{"attempts_cap":3,"second_copies":true,"cancelling":true,"retry_after":true,"max_retry_after_ms":1000.0,"dial_timeout_ms":5000.0,
-		"idle_close_ms":60000.0}}}`, listen, list, more)
+		"settings":{"discovery":"push","contract":{"drain_grace_ms":250.0},
+		"contracts":[{"name":"gold","proportion":1.0,"base_rate":1000.0,"floor_rate":1000.0}],
+		"domain":{"unit_mean":2.0,"largest":8},
+		"lanes":[{"name":"read","effect":"read_like","target_ms":60000.0,"hard_limit_ms":120000.0}],
+		"permissions":{"attempts_cap":3,"second_copies":true,"cancelling":true,"retry_after":true,
+		"max_retry_after_ms":1000.0,"dial_timeout_ms":5000.0,"idle_close_ms":60000.0}}}`, listen, list, more)
 }
 
 // startWeb starts one with so many descriptors at most. Its address is known once it is up.
@@ -45,7 +47,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &webProcess{t: t, file: filepath.Join(t.TempDir(), "proxy.json"), addr: l.Addr().String(), over: make(chan error, 1)}
+	file := filepath.Join(t.TempDir(), "proxy.json")
+	w := &webProcess{t: t, file: file, addr: l.Addr().String(), over: make(chan error, 1)}
 	_ = l.Close()
 	w.write(webConfig(w.addr, list, more))
 	self, err := os.Executable()
@@ -64,7 +67,7 @@
 	go func() {
 		for lines := bufio.NewScanner(log); lines.Scan(); {
 			w.lock.Lock()
-			w.said = append(w.said, lines.Text())
+			w.logged = append(w.logged, lines.Text())
 			w.lock.Unlock()
 		}
 		w.over <- w.Wait()
@@ -90,12 +93,12 @@
 	}
 }
 
-// says waits until the log has a text so often.
-func (w *webProcess) says(text string, often int) {
+// waitForLog waits until the log has a text so often.
+func (w *webProcess) waitForLog(text string, often int) {
 	for n := 0; n < often; time.Sleep(time.Millisecond) {
 		n = 0
 		w.lock.Lock()
-		for _, line := range w.said {
+		for _, line := range w.logged {
 			if strings.Contains(line, text) {
 				n++
 			}
@@ -120,8 +123,9 @@
 // put asks for a write on a connection of its own.
 func (w *webProcess) put(id string) (status int, body string) {
 	q, _ := http.NewRequest("PUT", "http://"+w.addr+"/api?extent=7f3a9c21e0b4d655", strings.NewReader("body"))
-	for name, v := range map[string]string{"X-Request-Id": id, "X-Class": "read", "X-Plan": "gold", "X-Deadline-Ms": "120000",
-		"X-IO": "volume=00000003b4d60021,units=2,shard=0,hosts=1"} {
+	for name, v := range map[string]string{"X-Request-Id": id, "X-Class": "read", "X-Plan": "gold",
+		"X-Deadline-Ms": "120000",
+		"X-IO":          "volume=00000003b4d60021,units=2,shard=0,hosts=1"} {
 		q.Header.Set(name, v)
 	}
 	q.Close = true
@@ -134,6 +138,12 @@
 	return a.StatusCode, string(b)
 }
 
+// listOf is a complete list of one node at a revision.
+func listOf(revision int, node string) string {
+	return fmt.Sprintf(`{"rev":%d,"all":true,"targets":[{"uid":"s","endpoint":%q,"az":"a","pod_group":0,`+
+		`"state":"ready","boot_ms":0}]}`, revision, node)
+}
+
 // listAt is a service whose list is one node, and which holds watches.
 func listAt(t testing.TB, addr, node string) (l net.Listener, asked chan string) {
 	l, err := net.Listen("tcp", addr)
@@ -150,7 +160,7 @@
 			case <-q.Context().Done():
 			}
 		}
-		_, _ = fmt.Fprintf(a, `{"rev":7,"all":true,"targets":[{"uid":"s","endpoint":%q,"az":"a","pod_group":0,"state":"ready","boot_ms":0}]}`, node)
+		_, _ = fmt.Fprint(a, listOf(7, node))
 	})}
 	go func() { _ = s.Serve(l) }()
 	t.Cleanup(func() {
@@ -160,8 +170,8 @@
 	return l, asked
 }
 
-// TestSignalsInAnyOrder: an end that is told early, twice, or with a new configuration ends a gateway in order; a configuration that can't be read
-// changes nothing.
+// TestSignalsInAnyOrder: a signal that comes early, twice, or with a new configuration ends a gateway in order; a
+// configuration that cannot be read changes nothing.
 func TestSignalsInAnyOrder(t *testing.T) {
 	store := webstandin.Start(t)
 	one, asked := listAt(t, "127.0.0.1:0", store.Addr().String())
@@ -170,10 +180,11 @@
 		w := startWeb(t, one.Addr().String(), "")
 		w.ready()
 		<-asked
-		for i, bad := range []string{"", `{"name":`, strings.Replace(webConfig(w.addr, two.Addr().String(), ""), "read_like", "perhaps", 1)} {
+		unknownEffect := strings.Replace(webConfig(w.addr, two.Addr().String(), ""), "read_like", "perhaps", 1)
+		for i, bad := range []string{"", `{"name":`, unknownEffect} {
 			w.write(bad)
 			w.signal(syscall.SIGHUP)
-			w.says("the old one stays", i+1)
+			w.waitForLog("the old one stays", i+1)
 		}
 		if status, body := w.put("served-1"); status != 200 || len(moved) > 0 {
 			t.Errorf("with the old configuration: %d %q, %d calls at the new list", status, body, len(moved))
@@ -185,7 +196,7 @@
 		w.signal(syscall.SIGTERM)
 		w.signal(syscall.SIGHUP) // while it ends
 		w.signal(syscall.SIGTERM)
-		w.says("the gateway ends", 1)
+		w.waitForLog("the gateway ends", 1)
 		if status, body := w.put("served-2"); status != 200 && status != 0 {
 			t.Errorf("while it ends: %d %q", status, body)
 		}
@@ -205,23 +216,30 @@
 	})
 }
 
-// TestReadyWhateverTheListDoes: with a list that refuses, is silent, or is spoilt, known or not, a gateway can be put to use, and says what it cannot do at once.
+// TestReadyWhateverTheListDoes: with a list that refuses, is unresponsive, or is corrupt, with a known one or none, a
+// gateway can be put to use, and says what it cannot do at once.
 func TestReadyWhateverTheListDoes(t *testing.T) {
 	store := webstandin.Start(t)
-	known := fmt.Sprintf(`"known":{"rev":6,"all":true,"targets":[{"uid":"s","endpoint":%q,"az":"a","pod_group":0,"state":"ready","boot_ms":0}]},`, store.Addr())
-	silent, err := net.Listen("tcp", "127.0.0.1:0") // takes calls and says nothing
+	known := fmt.Sprintf(`"known":%s,`, listOf(6, store.Addr().String()))
+	unresponsive, err := net.Listen("tcp", "127.0.0.1:0") // takes calls and says nothing
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = silent.Close() }()
-	spoilt := &http.Server{Handler: http.HandlerFunc(func(a http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(a, `{"rev":"x"}`) })}
+	defer func() { _ = unresponsive.Close() }()
+	corrupt := &http.Server{Handler: http.HandlerFunc(func(a http.ResponseWriter, _ *http.Request) {
+		_, _ = io.WriteString(a, `{"rev":"x"}`)
+	})}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	go func() { _ = spoilt.Serve(l) }()
-	defer func() { _ = spoilt.Close() }()
-	for what, list := range map[string]string{"refuses": "127.0.0.1:1", "silent": silent.Addr().String(), "spoilt": l.Addr().String()} {
+	go func() { _ = corrupt.Serve(l) }()
+	defer func() { _ = corrupt.Close() }()
+	for what, list := range map[string]string{
+		"refuses":      "127.0.0.1:1",
+		"unresponsive": unresponsive.Addr().String(),
+		"corrupt":      l.Addr().String(),
+	} {
 		for _, has := range []string{"", known} {
 			w := startWeb(t, list, has)
 			began := time.Now()
@@ -240,8 +258,8 @@
 	}
 }
 
-// TestIdleClientsWhileTheListIsDown fill what a gateway has of descriptors while its list cannot be reached. When that is back, it is heard, its node is
-// reached and a new client is served, while the idle ones stay.
+// TestIdleClientsWhileTheListIsDown fill what a gateway has of descriptors while its list cannot be reached. When that
+// is back, it is received, its node is reached and a new client is served, while the idle ones stay.
 func TestIdleClientsWhileTheListIsDown(t *testing.T) {
 	store := webstandin.Start(t)
 	free, err := net.Listen("tcp", loopback.Own()+":0")
@@ -277,11 +295,12 @@
 	back := time.Now()
 	for q := <-asked; !strings.Contains(q, "from=7"); q = <-asked { // heard, and watched from then on
 	}
-	heard := time.Now()
+	received := time.Now()
 	for i := 0; ; i++ {
 		status, body := w.put(fmt.Sprint("served-", i))
 		if status == 200 {
-			t.Logf("heard %v after the list came back, a new client served %v after that, at its try %d", heard.Sub(back), time.Since(heard), i+1)
+			t.Logf("received %v after the list came back, a new client served %v after that, at its try %d",
+				received.Sub(back), time.Since(received), i+1)
 			break
 		}
 		if status != 503 && status != 0 {
@@ -291,7 +310,7 @@
 	}
 	w.lock.Lock()
 	defer w.lock.Unlock()
-	for _, line := range w.said {
+	for _, line := range w.logged {
 		if strings.Contains(line, "too many open files") {
 			t.Errorf("%s", line)
 			break
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -33,11 +33,13 @@
 		Requests:         1,
 		AttemptsInFlight: 2,
 		LateAnswers:      3,
-		RequestClasses:   map[string]admin.RequestCounts{"read": {Accepted: 4, Succeeded: 5, Rejected: 6, Failed: 7, Cancelled: 8}},
-		Capture:          admin.Capture{On: true, File: "f", Written: 9, Dropped: 10, Error: "e"},
-		Nodes:            map[string]int{"serving": 11},
-		HeldLoss:         &held,
-		Version:          "acting on 1.ab",
+		RequestClasses: map[string]admin.RequestCounts{
+			"read": {Accepted: 4, Succeeded: 5, Rejected: 6, Failed: 7, Cancelled: 8},
+		},
+		Capture:  admin.Capture{On: true, File: "f", Written: 9, Dropped: 10, Error: "e"},
+		Nodes:    map[string]int{"serving": 11},
+		HeldLoss: &held,
+		Version:  "acting on 1.ab",
 	}, g.err
 }
 
--- a/internal/admin/metrics.go
+++ b/internal/admin/metrics.go
@@ -23,8 +23,8 @@
 	descLateAnswers = desc("late_answers_total", "Answers of nodes that came after their execution was given up.")
 	descNodes       = desc("nodes", "Nodes, by their state.", "state")
 	descDropped     = desc("capture_dropped_records", "Records that the present or last capture dropped.")
-	descVersion     = desc("rules_acting", "1 for the state in which the gateway stands with the keepers, and what it acts on.",
-		"rules")
+	descVersion     = desc("rules_acting",
+		"1 for the state in which the gateway stands with the keepers, and what it acts on.", "rules")
 	descUp = desc("up", "1 where the gateway's loop answers.")
 )
 
--- a/internal/capture/reader.go
+++ b/internal/capture/reader.go
@@ -49,7 +49,8 @@
 	return r, nil
 }
 
-// Next reads the next record. The end is io.EOF; a capture that stops elsewhere is ErrCut or ErrDamaged, with the place.
+// Next reads the next record. The end is io.EOF; a capture that stops elsewhere is ErrCut or ErrDamaged, with the
+// place.
 func (r *Reader) Next() (*Record, error) {
 	for len(r.rest) == 0 {
 		if err := r.block(); err != nil {
--- a/internal/capture/record.go
+++ b/internal/capture/record.go
@@ -125,8 +125,8 @@
 	return named
 }
 
-// fill names what the scheduler decided, in the slices that d has. The log lines are the scheduler's own, until its next
-// decision.
+// fill names what the scheduler decided, in the slices that d has. The log lines are the scheduler's own, until its
+// next decision.
 func (d *Decision) fill(decision *scheduler.Decision) {
 	d.Ended = d.Ended[:0]
 	for _, request := range decision.Finished {
--- a/internal/capture/recorder.go
+++ b/internal/capture/recorder.go
@@ -37,8 +37,8 @@
 // spareBuffers is how many buffers of written blocks are kept for the next ones.
 const spareBuffers = 2
 
-// Recorder writes a capture. The event loop alone calls it, but for Status and Close; its calls never wait for the disk.
-// Two goroutines of its own flush and write; they end with Close.
+// Recorder writes a capture. The event loop alone calls it, but for Status and Close; its calls never wait for the
+// disk. Two goroutines of its own flush and write; they end with Close.
 type Recorder struct {
 	limits  Limits
 	header  Record
@@ -159,7 +159,8 @@
 	}
 }
 
-// openBlock is the open block. One that follows dropped ones begins with how many records are missing. The lock is held.
+// openBlock is the open block. One that follows dropped ones begins with how many records are missing. The lock is
+// held.
 func (r *Recorder) openBlock() block {
 	if r.lost == 0 {
 		return block{r.raw, r.first, r.count}
--- a/internal/capture/redact.go
+++ b/internal/capture/redact.go
@@ -14,8 +14,8 @@
 )
 
 // Redactor replaces names by keyed hashes (BLAKE3): addresses and zones of nodes, service levels, request classes, and
-// the gateway. The same name gets the same hash under one key, so a replay decides the same. Names of requests stay: ties
-// are ordered by them, and they hold only the gateway's name, which is replaced in them, and numbers.
+// the gateway. The same name gets the same hash under one key, so a replay decides the same. Names of requests stay:
+// ties are ordered by them, and they hold only the gateway's name, which is replaced in them, and numbers.
 type Redactor struct {
 	key     [32]byte
 	gateway string
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -237,8 +237,8 @@
 		t.Fatal(err)
 	}
 	d := g.Disks
-	if d.Limits.Pace.Most != 64 || len(d.Targets) != 1 || d.Targets[0].Account.Name != "host" || !d.Targets[0].LUNs[7].ReadOnly ||
-		d.Targets[0].LUNs[0] != (LUN{File: "/orders/disk", Size: 10 << 30, BlockBytes: 4096}) {
+	if d.Limits.Pace.Most != 64 || len(d.Targets) != 1 || d.Targets[0].Account.Name != "host" ||
+		!d.Targets[0].LUNs[7].ReadOnly || d.Targets[0].LUNs[0] != (LUN{File: "/orders/disk", Size: 10 << 30, BlockBytes: 4096}) {
 		t.Errorf("%+v", d)
 	}
 	for _, c := range []struct{ old, new, want string }{
--- a/internal/replay/golden_test.go
+++ b/internal/replay/golden_test.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// Captures written by an earlier build, from the module's start and from a state, replay without a difference, and what is
-// written of the same events now is the same, record by record.
+// Captures written by an earlier build, from the scheduler's start and from a snapshot, replay without a difference,
+// and what is written of the same events now is the same, record by record.
 func TestCapturesOfAnEarlierBuildStayReadable(t *testing.T) {
 	for _, c := range []struct {
 		name      string
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -58,7 +58,8 @@
 
 func (*memory) Close() error { return nil }
 
-// drive makes so many calls at random of a scheduler and a recorder, as a gateway would. It returns the time at the end.
+// drive makes so many calls at random of a scheduler and a recorder, as a gateway would. It returns the time at the
+// end.
 func drive(seed uint64, events int, recorder *capture.Recorder) scheduler.Time {
 	return driveFrom(seed, events, 0, recorder)
 }
@@ -155,8 +156,8 @@
 	}
 }
 
-// A scheduler that decides otherwise is noticed at the first place, with the request and its story; a capture of another
-// source text says so.
+// A scheduler that decides otherwise is noticed at the first place, with the request and its story; a capture of
+// another source text says so.
 func TestFirstDifferenceIsReported(t *testing.T) {
 	b, err := os.ReadFile("testdata/failing.iriscap")
 	if err != nil {
@@ -250,7 +251,8 @@
 	}
 	r, err = Run(open(t, b), Options{Job: job})
 	story := strings.Join(r.Story, "\n")
-	for _, want := range []string{"taken:", "execution 0 is sent to", ": failed after", "execution 1 is sent to", "not served"} {
+	for _, want := range []string{"taken:", "execution 0 is sent to", ": failed after", "execution 1 is sent to",
+		"not served"} {
 		if !strings.Contains(story, want) {
 			t.Errorf("no %q in\n%s (%v)", want, story, err)
 		}
@@ -453,7 +455,12 @@
 }
 
 func TestOtherFilesAreRejected(t *testing.T) {
-	for text, want := range map[string]string{"": "cut off", "IRIS": "cut off", "some other file": "no capture", "IRISCAP7....": `"7"`} {
+	for text, want := range map[string]string{
+		"":                "cut off",
+		"IRIS":            "cut off",
+		"some other file": "no capture",
+		"IRISCAP7....":    `"7"`,
+	} {
 		if _, err := capture.NewReader(strings.NewReader(text)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v", text, err)
 		}
--- a/internal/snapshot/decode.go
+++ b/internal/snapshot/decode.go
@@ -27,7 +27,10 @@
 		return nil, ErrDamaged
 	}
 	content, checksum := b[:len(b)-checksumBytes], b[len(b)-checksumBytes:]
-	if xxhash.Sum64(content) != binary.BigEndian.Uint64(checksum) || binary.BigEndian.Uint64(content) != Shape(root, names) {
+	if xxhash.Sum64(content) != binary.BigEndian.Uint64(checksum) {
+		return nil, ErrDamaged
+	}
+	if binary.BigEndian.Uint64(content) != Shape(root, names) {
 		return nil, ErrDamaged
 	}
 	d := &decoder{rest: content[headerBytes:]}
@@ -106,8 +109,8 @@
 	return text
 }
 
-// length reads the length of a slice or map, which is written plus one; 0 is nil. Each item has a byte at least, but for
-// empty structs.
+// length reads the length of a slice or map, which is written plus one; 0 is nil. Each item has a byte at least, but
+// for empty structs.
 func (d *decoder) length() (n int, present bool) {
 	written := d.uint()
 	if written > uint64(len(d.rest))+1 {
--- a/internal/snapshot/shape.go
+++ b/internal/snapshot/shape.go
@@ -14,8 +14,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Names gives the stored names of types ("Type") and of their fields ("Type.field") that are called otherwise in code. So
-// a rename in code changes no shape, and snapshots that were written before it are still read.
+// Names gives the stored names of types ("Type") and of their fields ("Type.field") that are called otherwise in code.
+// So a rename in code changes no shape, and snapshots that were written before it are still read.
 type Names map[string]string
 
 // stored is the name in snapshots of one in code.
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -6,61 +6,78 @@
 	"testing"
 )
 
-type leaf struct {
+type item struct {
 	name string
-	next *leaf
+	next *item
 }
 
-type tree struct {
+type graph struct {
 	on     bool
 	small  int8
 	big    uint64
 	share  float64
 	words  map[string]string
-	leaves []*leaf
-	byLeaf map[*leaf][]int
+	items  []*item
+	byItem map[*item][]int
 	none   map[int]int
 	empty  []int
 	nested struct{ at [2]int64 }
-	me     *tree
+	self   *graph
 }
 
-func sample() *tree {
-	a, b := &leaf{name: "a"}, &leaf{name: "b"}
+func sample() *graph {
+	a, b := &item{name: "a"}, &item{name: "b"}
 	a.next, b.next = b, a
-	t := &tree{on: true, small: -7, big: math.MaxUint64, share: math.Inf(1), words: map[string]string{"x": "y", "": "z"},
-		leaves: []*leaf{a, b, a, nil}, byLeaf: map[*leaf][]int{a: {1, 2}, b: nil}, empty: []int{}}
+	t := &graph{on: true, small: -7, big: math.MaxUint64, share: math.Inf(1), words: map[string]string{"x": "y", "": "z"},
+		items: []*item{a, b, a, nil}, byItem: map[*item][]int{a: {1, 2}, b: nil}, empty: []int{}}
 	t.nested.at = [2]int64{-1, math.MinInt64}
-	t.me = t
+	t.self = t
 	return t
 }
 
-func TestGraphsComeBack(t *testing.T) {
-	b, err := Take(sample(), nil)
+func encodedSample(t *testing.T) []byte {
+	t.Helper()
+	encoded, err := Take(sample(), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	g, err := Restore[tree](b, nil)
+	return encoded
+}
+
+func TestRestoredGraphIsEqual(t *testing.T) {
+	g, err := Restore[graph](encodedSample(t), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	x, y := g.leaves[0], g.leaves[1]
-	if !g.on || g.small != -7 || g.big != math.MaxUint64 || !math.IsInf(g.share, 1) || g.words["x"] != "y" || g.words[""] != "z" ||
-		len(g.words) != 2 || x.name != "a" || x.next != y || y.next != x || g.leaves[2] != x || g.leaves[3] != nil ||
-		len(g.byLeaf[x]) != 2 || len(g.byLeaf) != 2 || g.none != nil || g.empty == nil || g.nested.at[1] != math.MinInt64 || g.me != g {
-		t.Errorf("%+v", g)
+	a, b := g.items[0], g.items[1]
+	for what, holds := range map[string]bool{
+		"numbers":        g.on && g.small == -7 && g.big == math.MaxUint64 && math.IsInf(g.share, 1),
+		"a nested array": g.nested.at == [2]int64{-1, math.MinInt64},
+		"texts":          len(g.words) == 2 && g.words["x"] == "y" && g.words[""] == "z",
+		"a ring":         a.name == "a" && a.next == b && b.next == a,
+		"one object":     g.items[2] == a && g.items[3] == nil && g.self == g,
+		"keys":           len(g.byItem) == 2 && len(g.byItem[a]) == 2,
+		"nil and empty":  g.none == nil && g.empty != nil,
+	} {
+		if !holds {
+			t.Errorf("%s: %+v", what, g)
+		}
 	}
-	for i := range b {
-		bad := bytes.Clone(b)
-		bad[i] ^= 4
-		if _, err := Restore[tree](bad, nil); err == nil {
+}
+
+func TestDamagedAndOtherSnapshotsAreRejected(t *testing.T) {
+	encoded := encodedSample(t)
+	for i := range encoded {
+		flipped := bytes.Clone(encoded)
+		flipped[i] ^= 4
+		if _, err := Restore[graph](flipped, nil); err == nil {
 			t.Fatalf("byte %d flipped is believed", i)
 		}
-		if _, err := Restore[tree](b[:i], nil); err == nil {
+		if _, err := Restore[graph](encoded[:i], nil); err == nil {
 			t.Fatalf("a snapshot cut at %d is believed", i)
 		}
 	}
-	if _, err := Restore[leaf](b, nil); err == nil {
+	if _, err := Restore[item](encoded, nil); err == nil {
 		t.Error("a snapshot of another type is read")
 	}
 	if _, err := Take(&struct{ f func() }{}, nil); err == nil {
