--- /dev/null
+++ b/internal/scale/faults.go
@@ -0,0 +1,187 @@
+package scale
+
+import (
+	"syscall"
+
+	"irispost/internal/fleet/rig"
+)
+
+// fault is a single fault: it begins just before a change is proposed and ends once that is in force at all gateways
+// that it does not exclude.
+type fault struct {
+	name  string
+	begin func(*Fleet) (activeFault, error)
+}
+
+// activeFault is a fault that has begun.
+type activeFault struct {
+	excluded gatewayFilter // gateways that cannot be expected to receive a change before the fault has ended
+	end      func() error
+}
+
+const (
+	// racks is the number of racks of a fleet, each with as many gateways as another.
+	racks = 28
+
+	// slowFactor is how many times a slow gateway's delay fits into a lease.
+	slowFactor = 20
+)
+
+// faults are the operators' list, and what a single gateway may suffer from.
+var faults = []fault{
+	{"none", func(*Fleet) (activeFault, error) { return activeFault{noGateway, noRecovery}, nil }},
+	{"gateway_killed", func(f *Fleet) (activeFault, error) {
+		return f.killGateways(f.Gateways[faultyGateway:][:1]), nil
+	}},
+	{"rack_killed", beginRackKilled},
+	{"zone_killed", func(f *Fleet) (activeFault, error) {
+		return f.killGateways(f.gatewaysInZone(f.Size.FirstRegionZones - 1)), nil
+	}},
+	{"keeper_killed", beginFollowerKilled},
+	{"leader_killed", beginLeaderKilled},
+	{"leader_stopped", beginLeaderStopped},
+	{"region_cut", beginRegionCut},
+	{"gateway_slow", beginGatewaySlow},
+	{"gateway_stopped", beginGatewayPaused},
+	{"gateway_mute", func(f *Fleet) (activeFault, error) {
+		return f.beginLinkFault(rig.Fault{DropForward: true}), nil
+	}},
+	{"gateway_deaf", func(f *Fleet) (activeFault, error) {
+		return f.beginLinkFault(rig.Fault{DropReturn: true}), nil
+	}},
+}
+
+// FaultNames returns the names of all faults of the case "in-force".
+func FaultNames() (names []string) {
+	for _, fault := range faults {
+		names = append(names, fault.name)
+	}
+	return names
+}
+
+func noRecovery() error { return nil }
+
+func beginRackKilled(fleet *Fleet) (activeFault, error) {
+	rackSize := max((len(fleet.Gateways)+racks-1)/racks, 1)
+	return fleet.killGateways(fleet.Gateways[faultyGateway:][:rackSize]), nil
+}
+
+func beginFollowerKilled(fleet *Fleet) (activeFault, error) {
+	_, follower, err := fleet.leader()
+	if err != nil {
+		return activeFault{}, err
+	}
+	return fleet.killReplica(follower), nil
+}
+
+func beginLeaderKilled(fleet *Fleet) (activeFault, error) {
+	leader, _, err := fleet.leader()
+	if err != nil {
+		return activeFault{}, err
+	}
+	return fleet.killReplica(leader), nil
+}
+
+func beginLeaderStopped(fleet *Fleet) (activeFault, error) {
+	leader, _, err := fleet.leader()
+	if err != nil {
+		return activeFault{}, err
+	}
+	process := leader.command.Process
+	resume := func() error { return process.Signal(syscall.SIGCONT) }
+	return activeFault{noGateway, resume}, process.Signal(syscall.SIGSTOP)
+}
+
+func beginRegionCut(fleet *Fleet) (activeFault, error) {
+	fleet.setInterRegionFault(rig.Fault{DropForward: true, DropReturn: true})
+	minority := fleet.minorityRegion()
+	heal := func() error {
+		fleet.setInterRegionFault(rig.Fault{})
+		return nil
+	}
+	return activeFault{fleet.inRegion(minority), heal}, nil
+}
+
+func beginGatewaySlow(fleet *Fleet) (activeFault, error) {
+	gateway := fleet.Gateways[faultyGateway]
+	delay := fleet.Size.Lease / slowFactor
+	gateway.decisionDelay.Store(int64(delay))
+	gateway.setLinkFault(rig.Fault{Delay: delay})
+	end := func() error {
+		gateway.decisionDelay.Store(0)
+		gateway.setLinkFault(rig.Fault{})
+		return nil
+	}
+	return activeFault{noGateway, end}, nil
+}
+
+func beginGatewayPaused(fleet *Fleet) (activeFault, error) {
+	gateway := fleet.Gateways[faultyGateway]
+	gateway.pauseGate.Lock()
+	end := func() error {
+		gateway.pauseGate.Unlock()
+		return nil
+	}
+	return activeFault{onlyGateway(gateway), end}, nil
+}
+
+// killGateways kills gateways, which are excluded until they are started again at the end.
+func (f *Fleet) killGateways(gateways []*HollowGateway) activeFault {
+	f.kill(gateways)
+	killed := map[*HollowGateway]bool{}
+	for _, gateway := range gateways {
+		killed[gateway] = true
+	}
+	return activeFault{
+		excluded: func(gateway *HollowGateway) bool { return killed[gateway] },
+		end:      func() error { return f.start(f.startable(gateways)) },
+	}
+}
+
+// killReplica kills a replica, which excludes no gateway, and starts it again at the end.
+func (f *Fleet) killReplica(replica *replicaProcess) activeFault {
+	replica.kill()
+	return activeFault{noGateway, func() error { return f.startReplica(replica) }}
+}
+
+// beginLinkFault puts a fault on the links of the faulty gateway.
+func (f *Fleet) beginLinkFault(fault rig.Fault) activeFault {
+	gateway := f.Gateways[faultyGateway]
+	gateway.setLinkFault(fault)
+	end := func() error {
+		gateway.setLinkFault(rig.Fault{})
+		return nil
+	}
+	return activeFault{onlyGateway(gateway), end}
+}
+
+// setLinkFault puts a fault on the gateway's own links; the zero fault ends it.
+func (h *HollowGateway) setLinkFault(fault rig.Fault) {
+	for _, link := range h.privateLinks {
+		link.SetFault(fault)
+	}
+}
+
+// setInterRegionFault puts a fault on all links between regions; the zero fault ends it.
+func (f *Fleet) setInterRegionFault(fault rig.Fault) {
+	for _, link := range f.interRegionLinks {
+		link.SetFault(fault)
+	}
+}
+
+// minorityRegion returns the region that has fewer replicas.
+func (f *Fleet) minorityRegion() int {
+	count := [2]int{}
+	for _, region := range f.Size.ReplicaRegions {
+		count[region]++
+	}
+	if count[0] < count[1] {
+		return 0
+	}
+	return 1
+}
+
+// inRegion returns the filter for the gateways of a region.
+func (f *Fleet) inRegion(region int) gatewayFilter {
+	return func(gateway *HollowGateway) bool { return f.Size.region(gateway.zone) == region }
+}
--- a/internal/scale/fleetbench/keepers.go
+++ b/internal/scale/fleetbench/keepers.go
@@ -227,8 +227,8 @@
 }
 
 // spent is what each keeper that runs has used, by number from 1; zeros for others.
-func (ks *keepers) spent() ([]meter.Spent, error) {
-	list := make([]meter.Spent, len(ks.list))
+func (ks *keepers) spent() ([]meter.Usage, error) {
+	list := make([]meter.Usage, len(ks.list))
 	for i, k := range ks.list {
 		if k.cmd == nil {
 			continue
--- a/internal/scale/fleetbench/run.go
+++ b/internal/scale/fleetbench/run.go
@@ -201,7 +201,7 @@
 	gateways []int64
 	out      []int64 // of each keeper, by number from 1: to gateways, to who proposes, to other keepers
 	cpu      time.Duration
-	keepers  []meter.Spent
+	keepers  []meter.Usage
 }
 
 func (b *bench) read() (r reading, err error) {
--- a/internal/scale/ordinary.go
+++ b/internal/scale/ordinary.go
@@ -1,193 +1,214 @@
 package scale
 
 import (
-	"os"
-	"runtime"
-	"time"
-
 	"irispost/internal/scale/meter"
 )
 
-// ordinary is a day squeezed: changes one after another, each in force everywhere before the next, with restarts and kills spread over
-// them. What is held is weighed after each part of them.
-func ordinary(f *Fleet, r *Result) error {
-	s := &f.Size
-	if err := f.watch(r, "rest"); err != nil {
+const (
+	changesPerDay = 950 // of the operators' fleet
+	secondsPerDay = 86400
+
+	// gatewayStride spreads the gateways that restarts and kills hit over the fleet.
+	gatewayStride = 7
+)
+
+// ordinaryRun is the case "ordinary" while it runs.
+type ordinaryRun struct {
+	fleet          *Fleet
+	result         *Result
+	killedReplica  *replicaProcess  // nil: none; started again after the next change
+	killedGateways []*HollowGateway // one at most, started again after the next change
+	delays         []float64        // of each change, milliseconds until the last gateway acts on it
+	undisturbed    []float64        // those of changes while nothing was down or had just been restarted
+}
+
+// ordinaryDay is a day in short: changes one after another, each in force everywhere before the next, with restarts
+// and kills spread over them. Memory and folders are measured after each phase.
+func ordinaryDay(fleet *Fleet, result *Result) error {
+	if err := fleet.measureIdle(result); err != nil {
 		return err
 	}
-	if h := f.flawed(); h.flaw&LoseVersion != 0 {
-		h.lost.Store(f.newest + uint64(s.Changes)/2)
+	if gateway := fleet.defectiveGateway(); gateway.defects&DefectLostVersion != 0 {
+		gateway.defectVersion.Store(fleet.newestVersion + uint64(fleet.Size.Changes)/2)
 	}
-	var took, quiet []float64
-	before, began := f.bytes.Both(), monotonic()
-	spent, err := f.spent()
+	run := &ordinaryRun{fleet: fleet, result: result}
+	before, startedAt := fleet.traffic.Both(), monotonic()
+	usageBefore, err := fleet.replicaUsage()
 	if err != nil {
 		return err
 	}
-	keeperAway := (*keeper)(nil)
-	waiting := []*Hollow(nil) // gateways that were killed, to be started after the next change
-	part := 1
-	for i := 1; i <= s.Changes; i++ {
-		disturbed := true
-		switch next := f.Gateways[i*7%len(f.Gateways)]; {
-		case due(i, s.Changes, s.Kills) == 1:
-			_, other, err := f.leader()
-			if err != nil {
-				return err
-			}
-			other.kill()
-			keeperAway = other
-		case due(i, s.Changes, s.Kills) > 0:
-			f.kill([]*Hollow{next})
-			waiting = append(waiting, next)
-		case due(i, s.Changes, s.Restarts) > 0:
-			f.kill([]*Hollow{next})
-			if err := f.start(f.startable([]*Hollow{next})); err != nil {
-				return err
-			}
-		default:
-			disturbed = len(waiting) > 0 || keeperAway != nil
+	if err := run.makeChanges(); err != nil {
+		return err
+	}
+	usageAfter, err := fleet.replicaUsage()
+	if err != nil {
+		return err
+	}
+	run.reportDelays()
+	run.reportTraffic(before, startedAt)
+	if err := run.reportReplicaCPU(usageBefore, usageAfter); err != nil {
+		return err
+	}
+	for what, parts := range result.MemoryByPhase {
+		if text := growthViolation(what, parts); text != "" {
+			result.Violations = append(result.Violations, text)
 		}
-		c, err := f.propose("an ordinary change", tune)
+	}
+	result.checkEndState(fleet, 0)
+	return nil
+}
+
+// makeChanges makes all changes, or those until one does not get into force.
+func (r *ordinaryRun) makeChanges() error {
+	size := &r.fleet.Size
+	phase := 1
+	for number := 1; number <= size.Changes; number++ {
+		inForce, err := r.makeChange(number)
 		if err != nil {
 			return err
 		}
-		away := func(h *Hollow) bool { return len(waiting) > 0 && h == waiting[0] }
-		if list := f.await(c.Version, away); len(list) > 0 {
-			r.broke("change %d: %v", i, list)
-			break
+		if !inForce {
+			return nil
 		}
-		each := f.took(c, away)
-		took = append(took, meter.QuantilesOf(each).Worst)
-		if !disturbed {
-			quiet = append(quiet, meter.QuantilesOf(each).Worst)
+		if number < phase*size.Changes/size.Phases {
+			continue
 		}
-		if len(waiting) > 0 {
-			if err := f.start(f.startable(waiting)); err != nil {
-				return err
-			}
-			waiting = nil
-		}
-		if keeperAway != nil {
-			if err := f.startKeeper(keeperAway); err != nil {
-				return err
-			}
-			keeperAway = nil
-		}
-		f.forget()
-		if i >= part*s.Changes/s.Phases {
-			part++
-			if err := r.audit(f); err != nil {
-				return err
-			}
-			if err := f.weigh(r); err != nil {
-				return err
-			}
-			f.opt.Note("%d of %d changes, the slowest %.0f ms; MB: %v", i, s.Changes, meter.QuantilesOf(took).Worst, r.MemoryByPhase)
+		phase++
+		if err := r.endPhase(number); err != nil {
+			return err
 		}
 	}
-	after, err := f.spent()
+	return nil
+}
+
+// makeChange disturbs the fleet where that is scheduled, makes one change, and repairs what was killed once the
+// change is in force.
+func (r *ordinaryRun) makeChange(number int) (inForce bool, err error) {
+	disturbed, err := r.disturb(number)
 	if err != nil {
-		return err
+		return false, err
 	}
-	changes := float64(len(took))
-	r.Distributions["in_force_ms"], r.Distributions["in_force_undisturbed_ms"] = meter.QuantilesOf(took), meter.QuantilesOf(quiet)
-	r.bound("in force on an ordinary day", r.Distributions["in_force_ms"].Worst, float64(inForceBound.Milliseconds()))
-	span := float64(monotonic()-began) / 1e9
-	perChange := float64(f.bytes.Both()-before) / float64(len(f.Gateways))
-	perChange -= r.Figures["rest_bytes_s"] * span
-	r.Figures["change_bytes"] = perChange / max(changes, 1)
-	r.Figures["day_bytes_s"] = r.Figures["rest_bytes_s"] + r.Figures["change_bytes"]*950/86400
-	leads, _, err := f.leader()
+	change, err := r.fleet.propose("an ordinary change", raiseLimit)
 	if err != nil {
-		return err
+		return false, err
 	}
-	for i, k := range f.keepers {
-		if after[i].CPU > spent[i].CPU { // one that was killed begins anew
-			name := "other_keeper_cpu_ms_change"
-			if k == leads {
-				name = "leader_cpu_ms_change"
-			}
-			r.Figures[name] = float64((after[i].CPU - spent[i].CPU).Milliseconds()) / max(changes, 1)
-		}
+	down := func(gateway *HollowGateway) bool { return len(r.killedGateways) > 0 && gateway == r.killedGateways[0] }
+	if laggards := r.fleet.awaitVersion(change.Version, down); len(laggards) > 0 {
+		r.result.addViolation("change %d: %v", number, laggards)
+		return false, nil
 	}
-	for what, parts := range r.MemoryByPhase {
-		if text := grown(what, parts); text != "" {
-			r.Violations = append(r.Violations, text)
-		}
+	slowest := meter.QuantilesOf(r.fleet.activationDelays(change, down)).Worst
+	r.delays = append(r.delays, slowest)
+	if !disturbed {
+		r.undisturbed = append(r.undisturbed, slowest)
 	}
-	r.ends(f, 0)
-	return nil
+	if err := r.repair(); err != nil {
+		return false, err
+	}
+	r.fleet.discardUpdates()
+	return true, nil
 }
 
-// due tells whether one of so many events, spread over changes, comes with this change: which, from 1; 0: none.
-func due(change, changes, events int) int {
-	if events == 0 || change*events/changes == (change-1)*events/changes {
-		return 0
-	}
-	return change * events / changes
+// disturb kills or restarts what is scheduled before a change, and tells whether the change meets a disturbance.
+func (r *ordinaryRun) disturb(number int) (disturbed bool, err error) {
+	size := &r.fleet.Size
+	gateway := r.fleet.Gateways[number*gatewayStride%len(r.fleet.Gateways)]
+	kill := scheduledEvent(number, size.Changes, size.Kills)
+	switch {
+	case kill == 1:
+		_, follower, err := r.fleet.leader()
+		if err != nil {
+			return true, err
+		}
+		follower.kill()
+		r.killedReplica = follower
+		return true, nil
+	case kill > 0:
+		r.fleet.kill([]*HollowGateway{gateway})
+		r.killedGateways = append(r.killedGateways, gateway)
+		return true, nil
+	case scheduledEvent(number, size.Changes, size.Restarts) > 0:
+		r.fleet.kill([]*HollowGateway{gateway})
+		return true, r.fleet.start(r.fleet.startable([]*HollowGateway{gateway}))
+	}
+	return len(r.killedGateways) > 0 || r.killedReplica != nil, nil
 }
 
-// watch has a look at what the fleet costs while nothing happens.
-func (f *Fleet) watch(r *Result, what string) error {
-	time.Sleep(f.Size.IdleTime / 4) // what the start has left to do
-	me, err := meter.Process(os.Getpid())
-	if err != nil {
-		return err
-	}
-	keepers, err := f.spent()
-	if err != nil {
-		return err
+// repair starts what was killed.
+func (r *ordinaryRun) repair() error {
+	if len(r.killedGateways) > 0 {
+		if err := r.fleet.start(r.fleet.startable(r.killedGateways)); err != nil {
+			return err
+		}
+		r.killedGateways = nil
 	}
-	bytes, at := f.bytes.Both(), time.Now()
-	time.Sleep(f.Size.IdleTime)
-	span := time.Since(at).Seconds()
-	meNow, err := meter.Process(os.Getpid())
-	if err != nil {
-		return err
+	if r.killedReplica != nil {
+		if err := r.fleet.startReplica(r.killedReplica); err != nil {
+			return err
+		}
+		r.killedReplica = nil
 	}
-	now, err := f.spent()
-	if err != nil {
+	return nil
+}
+
+// endPhase audits and measures after a phase.
+func (r *ordinaryRun) endPhase(number int) error {
+	if err := r.result.audit(r.fleet); err != nil {
 		return err
 	}
-	leads, _, err := f.leader()
-	if err != nil {
+	if err := r.fleet.measureMemory(r.result); err != nil {
 		return err
 	}
-	gateways := float64(len(f.Gateways))
-	r.Figures[what+"_bytes_s"] = float64(f.bytes.Both()-bytes) / span / gateways
-	r.Figures[what+"_gateway_core"] = (meNow.CPU - me.CPU).Seconds() / span / gateways
-	r.Figures[what+"_gateway_mb"] = meNow.MB / gateways
-	for i, k := range f.keepers {
-		name := "other_keeper"
-		if k == leads {
-			name = "leader"
-		}
-		r.Figures[what+"_"+name+"_core"] = (now[i].CPU - keepers[i].CPU).Seconds() / span
-		r.Figures[what+"_"+name+"_mb"] = now[i].MB
-	}
+	r.fleet.options.Note("%d of %d changes, the slowest %.0f ms; MB: %v",
+		number, r.fleet.Size.Changes, meter.QuantilesOf(r.delays).Worst, r.result.MemoryByPhase)
 	return nil
 }
 
-// weigh notes what is held after a part of a run, in MB: by each keeper's process and folder, and by all gateways together after a
-// collection of what is not held.
-func (f *Fleet) weigh(r *Result) error {
-	spent, err := f.spent()
+// changeCount returns the number of changes that were in force, for means over them.
+func (r *ordinaryRun) changeCount() float64 { return max(float64(len(r.delays)), 1) }
+
+// reportDelays adds the delays of changes to the result.
+func (r *ordinaryRun) reportDelays() {
+	delays := meter.QuantilesOf(r.delays)
+	r.result.Distributions["in_force_ms"] = delays
+	r.result.Distributions["in_force_undisturbed_ms"] = meter.QuantilesOf(r.undisturbed)
+	r.result.checkTimeBound("in force on an ordinary day", delays.Worst, inForceBound)
+}
+
+// reportTraffic adds the bytes of a change and of a day to the result, of the mean gateway.
+func (r *ordinaryRun) reportTraffic(before, startedAt int64) {
+	figures := r.result.Figures
+	seconds := float64(monotonic()-startedAt) / 1e9
+	total := float64(r.fleet.traffic.Both()-before) / float64(len(r.fleet.Gateways))
+	total -= figures["rest_bytes_s"] * seconds
+	figures["change_bytes"] = total / r.changeCount()
+	figures["day_bytes_s"] = figures["rest_bytes_s"] + figures["change_bytes"]*changesPerDay/secondsPerDay
+}
+
+// reportReplicaCPU adds the processor time that a change takes at replicas to the result.
+func (r *ordinaryRun) reportReplicaCPU(before, after []meter.Usage) error {
+	leader, _, err := r.fleet.leader()
 	if err != nil {
 		return err
 	}
-	for i, k := range f.keepers {
-		name := "keeper " + string(rune('0'+k.number))
-		folder, err := meter.Folder(k.dir)
-		if err != nil {
-			return err
+	for i, replica := range r.fleet.replicas {
+		if after[i].CPU <= before[i].CPU { // it was killed: the new process counts from 0
+			continue
+		}
+		name := "other_keeper_cpu_ms_change"
+		if replica == leader {
+			name = "leader_cpu_ms_change"
 		}
-		r.MemoryByPhase[name] = append(r.MemoryByPhase[name], spent[i].MB)
-		r.MemoryByPhase[name+", folder"] = append(r.MemoryByPhase[name+", folder"], float64(folder)/1e6)
+		r.result.Figures[name] = float64((after[i].CPU - before[i].CPU).Milliseconds()) / r.changeCount()
 	}
-	var m runtime.MemStats
-	runtime.GC()
-	runtime.ReadMemStats(&m)
-	r.MemoryByPhase["gateways"] = append(r.MemoryByPhase["gateways"], float64(m.HeapAlloc)/1e6)
 	return nil
 }
+
+// scheduledEvent returns which event, from 1, comes with a change, where a number of events is spread over all
+// changes; 0: none.
+func scheduledEvent(change, changes, events int) int {
+	if events == 0 || change*events/changes == (change-1)*events/changes {
+		return 0
+	}
+	return change * events / changes
+}
--- /dev/null
+++ b/internal/scale/partition_test.go
@@ -0,0 +1,80 @@
+package scale
+
+import (
+	"testing"
+	"time"
+)
+
+// An hour's partition in virtual time: how long the region without a majority serves by its fallback, and how long a
+// change waits in the other.
+func TestPartitionOfAnHour(t *testing.T) {
+	const lease, hour = int64(2 * time.Second), int64(time.Hour)
+	twoAndOne := []int{0, 0, 1}
+	for _, c := range []struct {
+		name      string
+		fallback  int64
+		regions   []int
+		drainNode bool
+	}{
+		{"a limit raised, fallback 4 s", 4e9, twoAndOne, false},
+		{"a node replaced, no fallback", 0, twoAndOne, true},
+		{"a node replaced, fallback 4 s", 4e9, twoAndOne, true},
+		{"a node replaced, fallback 60 s", 60e9, twoAndOne, true},
+		{"a node replaced, fallback 10 min", int64(10 * time.Minute), twoAndOne, true},
+		{"a node replaced, fallback 2 h", 2 * hour, twoAndOne, true},
+		{"a limit raised, fallback 2 h", 2 * hour, twoAndOne, false},
+		{"one replica in each region and one in a third that neither reaches", 60e9, []int{0, 1, 2}, true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			partition := Partition{
+				Lease: lease, Fallback: c.fallback, Duration: hour, ReplicaRegions: c.regions, DrainNode: c.drainNode,
+			}
+			result, err := partition.Simulate()
+			if err != nil {
+				t.Fatal(err)
+			}
+			t.Logf("%+v", result)
+			if result.LeaseHeldFor <= 0 || result.LeaseHeldFor > lease+2*simulationStep {
+				t.Errorf("a lease was held for %v", time.Duration(result.LeaseHeldFor))
+			}
+			checkFallback(t, partition, result)
+			checkActivation(t, partition, result)
+		})
+	}
+}
+
+// checkFallback checks how long the gateway without a majority served.
+func checkFallback(t *testing.T, partition Partition, result PartitionResult) {
+	t.Helper()
+	if partition.Fallback > partition.Duration {
+		if result.ServedFor != 0 {
+			t.Errorf("a fallback for %v ended after %v", time.Duration(partition.Fallback), time.Duration(result.ServedFor))
+		}
+		return
+	}
+	most := max(partition.Fallback, partition.Lease) + 2*simulationStep
+	if result.ServedFor < result.LeaseHeldFor || result.ServedFor > most {
+		t.Errorf("a fallback for %v ended after %v, want at most %v",
+			time.Duration(partition.Fallback), time.Duration(result.ServedFor), time.Duration(most))
+	}
+}
+
+// checkActivation checks how long the change waited: never without a majority or while a fallback conflicts with it.
+func checkActivation(t *testing.T, partition Partition, result PartitionResult) {
+	t.Helper()
+	// as replicas count it with the drift of clocks, and the renewals
+	most := func(span int64) int64 { return int64(float64(span)*1.01/0.99) + 3*int64(time.Second) }
+	waits := max(partition.Lease, partition.Fallback)
+	delay, ok := result.ActivationDelay, false
+	switch {
+	case result.MajorityRegion < 0 || partition.DrainNode && partition.Fallback > partition.Duration:
+		ok = delay < 0
+	case partition.DrainNode:
+		ok = delay >= 0 && delay <= most(waits) && delay >= waits-2e9
+	default:
+		ok = delay >= 0 && delay <= most(partition.Lease)
+	}
+	if !ok {
+		t.Errorf("in force after %v", time.Duration(delay))
+	}
+}
--- a/internal/scale/regions.go
+++ b/internal/scale/regions.go
@@ -9,74 +9,110 @@
 	"irispost/internal/scale/meter"
 )
 
-// regions cuts the regions from each other. Where the majority of the keepers is, changes go on: one that nobody's floor contradicts after
-// a lease, one that replaces a node after the floor. Where it is not, none is announced, and gateways serve by their floor and then not at
-// all. Together again all act on the newest.
-func regions(f *Fleet, r *Result) error {
-	minority := f.minority()
-	away := func(h *Hollow) bool { return f.Size.region(h.zone) == minority }
-	var there, here []string
-	for _, k := range f.keepers {
-		if k.region == minority {
-			there = append(there, k.addr)
+// partitionRun is the case "regions" while it runs.
+type partitionRun struct {
+	fleet          *Fleet
+	result         *Result
+	inMinority     gatewayFilter
+	shard          int // whose node is replaced during the partition
+	old, successor string
+}
+
+// regionPartition cuts the regions from each other. In the region with the majority of the replicas, changes go on:
+// one that conflicts with no fallback takes a lease, one that replaces a node takes the fallback's duration. In the
+// other none is announced, and gateways serve by their fallback and then not at all. After the partition all act on
+// the newest version.
+func regionPartition(fleet *Fleet, result *Result) error {
+	run := &partitionRun{fleet: fleet, result: result, shard: fleet.Size.Nodes / 2}
+	minority := fleet.minorityRegion()
+	run.inMinority = fleet.inRegion(minority)
+	var minorityAddrs, majorityAddrs []string
+	for _, replica := range fleet.replicas {
+		if replica.region == minority {
+			minorityAddrs = append(minorityAddrs, replica.addr)
 		} else {
-			here = append(here, k.addr)
+			majorityAddrs = append(majorityAddrs, replica.addr)
 		}
 	}
-	f.cut(rig.Fault{DropForward: true, DropReturn: true})
-	all := f.operator
-	f.operator = &replica.Client{Replicas: here, Timeout: operatorWithin}
-	c, err := f.propose("a change while the regions are cut", tune)
+	fleet.setInterRegionFault(rig.Fault{DropForward: true, DropReturn: true})
+	operator := fleet.operator
+	fleet.operator = &replica.Client{Replicas: majorityAddrs, Timeout: operatorTimeout}
+	replacement, err := run.changeInMajority()
 	if err != nil {
 		return err
 	}
-	r.Violations = append(r.Violations, f.await(c.Version, away)...)
-	r.Distributions["in_force_cut_ms"] = meter.QuantilesOf(f.took(c, away))
-	shard := f.Size.Nodes / 2
-	old, successor, change := replace(&f.Size, shard, 1)
-	if c, err = f.propose("a node replaced while the regions are cut", change); err != nil {
+	run.checkMinority(minorityAddrs)
+	run.heal(replacement)
+	fleet.operator = operator
+	change, err := fleet.propose("a change together again", raiseLimit)
+	if err != nil {
 		return err
 	}
-	r.Violations = append(r.Violations, f.await(c.Version, away)...)
-	r.Distributions["replaced_cut_ms"] = meter.QuantilesOf(f.took(c, away))
-	held := f.rules
-	if _, err := f.proposeBy(&replica.Client{Replicas: there, Timeout: 2 * f.Size.Lease}, "a change without a majority", tune); err == nil {
-		r.broke("a change was announced where no majority of the keepers is")
+	run.awaitVersion(change, noGateway)
+	time.Sleep(fleet.Size.Lease / recoveryFraction)
+	result.checkEndState(fleet, run.shard)
+	return nil
+}
+
+// awaitVersion adds the gateways that do not act on a change at the timeout to the violations.
+func (r *partitionRun) awaitVersion(change Change, excluded gatewayFilter) {
+	r.result.Violations = append(r.result.Violations, r.fleet.awaitVersion(change.Version, excluded)...)
+}
+
+// changeInMajority makes both kinds of changes during the partition and returns the second, which replaces a node.
+func (r *partitionRun) changeInMajority() (Change, error) {
+	change, err := r.fleet.propose("a change while the regions are cut", raiseLimit)
+	if err != nil {
+		return change, err
 	}
-	f.rules = held
-	serving := 0
-	for _, h := range f.Gateways { // the replacement is in force, so that their floors, which contradict it, are over
-		if away(h) && h.acting() != "none" {
-			serving++
-		}
+	r.awaitVersion(change, r.inMinority)
+	r.result.Distributions["in_force_cut_ms"] = meter.QuantilesOf(r.fleet.activationDelays(change, r.inMinority))
+	old, successor, replaceShard := replaceNode(&r.fleet.Size, r.shard, 1)
+	r.old, r.successor = old, successor
+	change, err = r.fleet.propose("a node replaced while the regions are cut", replaceShard)
+	if err != nil {
+		return change, err
 	}
-	if list := f.poll(func() (list []string) {
-		for _, h := range f.Gateways {
-			if acts := h.acting(); away(h) && acts != "none" {
-				list = append(list, fmt.Sprintf("%s acts on %s though its floor is over", h.Name, acts))
-			}
-		}
-		return list
-	}); len(list) > 0 {
-		r.Violations = append(r.Violations, list...)
+	r.awaitVersion(change, r.inMinority)
+	r.result.Distributions["replaced_cut_ms"] = meter.QuantilesOf(r.fleet.activationDelays(change, r.inMinority))
+	return change, nil
+}
+
+// checkMinority checks that the region without a majority announces no change, and that its gateways stop serving.
+// The replacement is in force at this point, so that their fallbacks, which conflict with it, are over.
+func (r *partitionRun) checkMinority(replicaAddrs []string) {
+	config := r.fleet.config
+	client := &replica.Client{Replicas: replicaAddrs, Timeout: 2 * r.fleet.Size.Lease}
+	if _, err := r.fleet.proposeBy(client, "a change without a majority", raiseLimit); err == nil {
+		r.result.addViolation("a change was announced where no majority of the keepers is")
 	}
-	r.Figures["told_late_that_nothing_is_left"] = float64(serving)
-	at := monotonic()
-	f.cut(rig.Fault{})
-	r.Violations = append(r.Violations, f.await(c.Version, nobody)...)
-	r.Figures["together_again_ms"] = float64(monotonic()-at) / 1e6
-	for _, h := range f.Gateways {
-		turns, _ := h.seen()
-		if _, broken := turned(turns, shard, old, successor); broken != "" {
-			r.broke("%s, shard %d: %s", h.Name, shard, broken)
+	r.fleet.config = config
+	serving := len(r.servingInMinority())
+	r.result.Violations = append(r.result.Violations, r.fleet.awaitNone(r.servingInMinority)...)
+	r.result.Figures["told_late_that_nothing_is_left"] = float64(serving)
+}
+
+// servingInMinority names the gateways that still act on something in the region without a majority.
+func (r *partitionRun) servingInMinority() (violations []string) {
+	for _, gateway := range r.fleet.Gateways {
+		if actingOn := gateway.actingOn(); r.inMinority(gateway) && actingOn != nothingActive {
+			violation := fmt.Sprintf("%s acts on %s though its floor is over", gateway.Name, actingOn)
+			violations = append(violations, violation)
 		}
 	}
-	f.operator = all
-	if c, err = f.propose("a change together again", tune); err != nil {
-		return err
+	return violations
+}
+
+// heal ends the partition and waits until all gateways act on the replacement.
+func (r *partitionRun) heal(replacement Change) {
+	healedAt := monotonic()
+	r.fleet.setInterRegionFault(rig.Fault{})
+	r.awaitVersion(replacement, noGateway)
+	r.result.Figures["together_again_ms"] = milliseconds(monotonic() - healedAt)
+	for _, gateway := range r.fleet.Gateways {
+		updates, _ := gateway.observed()
+		if _, violation := switchedAt(updates, r.shard, r.old, r.successor); violation != "" {
+			r.result.addViolation("%s, shard %d: %s", gateway.Name, r.shard, violation)
+		}
 	}
-	r.Violations = append(r.Violations, f.await(c.Version, nobody)...)
-	time.Sleep(f.Size.Lease / 10)
-	r.ends(f, shard)
-	return nil
 }
--- a/internal/scale/restarts.go
+++ b/internal/scale/restarts.go
@@ -6,80 +6,77 @@
 	"irispost/internal/scale/meter"
 )
 
-// zoneBack kills the gateways of the first region's last zone at once, makes a change, and has them back at once.
-func zoneBack(f *Fleet, r *Result) error {
-	return back(f, r, f.in(f.Size.FirstRegionZones-1))
+// zoneRestart kills the gateways of the first region's last zone at once, makes a change, and starts them again at
+// once.
+func zoneRestart(fleet *Fleet, result *Result) error {
+	return restartTogether(fleet, result, fleet.gatewaysInZone(fleet.Size.FirstRegionZones-1))
 }
 
-// allBack does it with all gateways.
-func allBack(f *Fleet, r *Result) error { return back(f, r, f.Gateways) }
-
-// in is the gateways of a zone.
-func (f *Fleet) in(zone int) (list []*Hollow) {
-	for _, h := range f.Gateways {
-		if h.zone == zone {
-			list = append(list, h)
-		}
-	}
-	return list
+// fleetRestart does it with all gateways.
+func fleetRestart(fleet *Fleet, result *Result) error {
+	return restartTogether(fleet, result, fleet.Gateways)
 }
 
-func back(f *Fleet, r *Result, list []*Hollow) error {
-	r.Figures["killed"] = float64(len(list))
-	f.kill(list)
-	c, err := f.propose("a change while gateways are not there", tune)
+func restartTogether(fleet *Fleet, result *Result, gateways []*HollowGateway) error {
+	result.Figures["killed"] = float64(len(gateways))
+	fleet.kill(gateways)
+	change, err := fleet.propose("a change while gateways are not there", raiseLimit)
 	if err != nil {
 		return err
 	}
-	gone := func(h *Hollow) bool { return slices.Contains(list, h) }
-	if len(list) < len(f.Gateways) {
-		r.Violations = append(r.Violations, f.await(c.Version, gone)...)
-		r.Distributions["in_force_meanwhile_ms"] = meter.QuantilesOf(f.took(c, gone))
-		r.bound("a change while they are not there", r.Distributions["in_force_meanwhile_ms"].Worst, float64(inForceBound.Milliseconds()))
+	killed := func(gateway *HollowGateway) bool { return slices.Contains(gateways, gateway) }
+	if len(gateways) < len(fleet.Gateways) {
+		result.Violations = append(result.Violations, fleet.awaitVersion(change.Version, killed)...)
+		meanwhile := meter.QuantilesOf(fleet.activationDelays(change, killed))
+		result.Distributions["in_force_meanwhile_ms"] = meanwhile
+		result.checkTimeBound("a change while they are not there", meanwhile.Worst, inForceBound)
 	}
-	at := monotonic()
-	if err := f.start(f.startable(list)); err != nil {
+	startedAt := monotonic()
+	if err := fleet.start(fleet.startable(gateways)); err != nil {
 		return err
 	}
-	r.Violations = append(r.Violations, f.await(c.Version, nobody)...)
-	var took []float64
-	for _, h := range list {
-		turns, _ := h.seen()
-		if t, ok := since(turns, c.Version); ok {
-			took = append(took, float64(t-at)/1e6)
+	result.Violations = append(result.Violations, fleet.awaitVersion(change.Version, noGateway)...)
+	var delays []float64
+	for _, gateway := range gateways {
+		updates, _ := gateway.observed()
+		if at, ok := actingSince(updates, change.Version); ok {
+			delays = append(delays, milliseconds(at-startedAt))
 		}
 	}
-	r.Distributions["acts_after_start_ms"] = meter.QuantilesOf(took)
-	r.bound("the last gateway that is back", r.Distributions["acts_after_start_ms"].Worst, float64(inForceBound.Milliseconds()))
-	r.ends(f, 0, f.Size.Nodes-1)
+	afterStart := meter.QuantilesOf(delays)
+	result.Distributions["acts_after_start_ms"] = afterStart
+	result.checkTimeBound("the last gateway that is back", afterStart.Worst, inForceBound)
+	result.checkEndState(fleet, 0, fleet.Size.Nodes-1)
 	return nil
 }
 
-// startable leaves out a gateway that a test has forgotten.
-func (f *Fleet) startable(list []*Hollow) []*Hollow {
-	return slices.DeleteFunc(slices.Clone(list), func(h *Hollow) bool { return h.flaw&LeftOut != 0 })
+// startable leaves out the gateways that an injected defect keeps from being started again.
+func (f *Fleet) startable(gateways []*HollowGateway) []*HollowGateway {
+	return slices.DeleteFunc(slices.Clone(gateways), func(gateway *HollowGateway) bool {
+		return gateway.defects&DefectNotRestarted != 0
+	})
 }
 
-// rolling starts all gateways again, a wave at a time: the next once the last is there.
-func rolling(f *Fleet, r *Result) error {
-	at, waves := monotonic(), 0.0
-	var c Change
-	for wave := range slices.Chunk(f.Gateways, f.Size.RestartBatch) {
-		f.kill(wave)
-		var err error
-		if c, err = f.propose("a change in the middle of a rolling restart", tune); err != nil {
+// rollingRestart restarts all gateways in batches, each once the one before acts on the newest version.
+func rollingRestart(fleet *Fleet, result *Result) error {
+	startedAt, batches := monotonic(), 0.0
+	for batch := range slices.Chunk(fleet.Gateways, fleet.Size.RestartBatch) {
+		fleet.kill(batch)
+		change, err := fleet.propose("a change in the middle of a rolling restart", raiseLimit)
+		if err != nil {
 			return err
 		}
-		if err := f.start(f.startable(wave)); err != nil {
+		if err := fleet.start(fleet.startable(batch)); err != nil {
 			return err
 		}
-		if list := f.await(c.Version, nobody); len(list) > 0 {
-			r.Violations = append(r.Violations, list...)
+		if laggards := fleet.awaitVersion(change.Version, noGateway); len(laggards) > 0 {
+			result.Violations = append(result.Violations, laggards...)
 			break
 		}
-		waves++
+		batches++
 	}
-	r.Figures["waves"], r.Figures["wave_ms"] = waves, float64(monotonic()-at)/1e6/max(waves, 1)
-	r.ends(f, 0, f.Size.Nodes-1)
+	result.Figures["waves"] = batches
+	result.Figures["wave_ms"] = milliseconds(monotonic()-startedAt) / max(batches, 1)
+	result.checkEndState(fleet, 0, fleet.Size.Nodes-1)
 	return nil
 }
