--- /dev/null
+++ b/internal/scale/fleetbench/figures_test.go
@@ -0,0 +1,92 @@
+package fleetbench
+
+import (
+	"math"
+	"reflect"
+	"testing"
+	"time"
+
+	"irispost/internal/scale/meter"
+)
+
+// usageOf returns the usage of a change with two gateways.
+func usageOf(kind Kind, inForce time.Duration, firstGateway, secondGateway, leaderBytes int64) changeUsage {
+	return changeUsage{
+		kind:        kind,
+		announced:   inForce / 2,
+		inForce:     inForce,
+		span:        5 * time.Second,
+		gateways:    []int64{firstGateway, secondGateway},
+		leader:      2,
+		leaderBytes: leaderBytes,
+		cpu:         3 * time.Second,
+	}
+}
+
+// filledFigures returns the figures of four changes, one while a replica was killed and one with another leader.
+func filledFigures() *Figures {
+	idle := &idleUsage{
+		span:        10 * time.Second,
+		gateways:    []int64{4000, 6000},
+		leader:      2,
+		leaderBytes: 9000,
+		cpu:         2 * time.Second,
+		replicaCPU:  []time.Duration{time.Second, 4 * time.Second, 2 * time.Second},
+	}
+	whileKilled := usageOf(LimitChange, 9*time.Second, 1<<20, 1<<20, 1<<20)
+	whileKilled.whileKilled = true
+	otherLeader := usageOf(NodeReplacement, 3*time.Second, 2600, 3600, 1<<20)
+	otherLeader.leader = 1
+	figures := &Figures{}
+	figures.fill(idle, []changeUsage{
+		usageOf(NodeReplacement, time.Second, 2100, 3200, 5000),
+		usageOf(LimitChange, 2*time.Second, 2300, 3400, 5500),
+		otherLeader,
+		whileKilled,
+	})
+	return figures
+}
+
+// What would have passed at idle is subtracted, and changes with a replica killed count apart.
+func TestFiguresAreOverIdleAndWithoutKilledReplica(t *testing.T) {
+	f := filledFigures()
+	day := 950.0 / 86400
+	for name, c := range map[string]struct{ got, want float64 }{
+		"idle":                 {f.IdleBytesPerSecond, 500},
+		"change":               {f.ChangeBytes, 300}, // 100, 200, 300, 400, 600, 600
+		"change mean":          {f.ChangeBytesMean, 2200.0 / 6},
+		"change worst":         {f.ChangeBytesWorst, 600},
+		"day":                  {f.DayBytesPerSecond, 500 + day*2200/6},
+		"core":                 {f.FollowerCore, 0.1},
+		"core on a day":        {f.FollowerCoreDay, 0.1 + day}, // 3 s less 1 s of idle, by two gateways
+		"leader":               {f.LeaderCore, 0.4},
+		"others":               {f.FollowingReplicaCore, 0.15},
+		"leader bytes":         {f.LeaderBytesPerChange, 750}, // 500 and 1000; not of the change with another leader
+		"changes while killed": {float64(f.ChangesWhileKilled), 1},
+	} {
+		if math.Abs(c.got-c.want) > 1e-9*c.want {
+			t.Errorf("%s: %v, want %v", name, c.got, c.want)
+		}
+	}
+}
+
+func TestFiguresHaveTimesByKindAndOfKilledReplicaApart(t *testing.T) {
+	f := filledFigures()
+	if f.InForceKilled == nil {
+		t.Fatal("no times with a replica killed")
+	}
+	for name, c := range map[string]struct{ got, want any }{
+		"in force":     {f.InForce, meter.Quantiles{P50: 2000, P99: 3000, Worst: 3000}},
+		"announced":    {f.Announced, meter.Quantiles{P50: 1000, P99: 1500, Worst: 1500}},
+		"while killed": {*f.InForceKilled, meter.Quantiles{P50: 9000, P99: 9000, Worst: 9000}},
+		"by kind": {f.InForceByKind, map[Kind]meter.Quantiles{
+			NodeReplacement: {P50: 1000, P99: 3000, Worst: 3000},
+			LimitChange:     {P50: 2000, P99: 2000, Worst: 2000},
+		}},
+		"kinds": {f.Kinds, map[Kind]int{NodeReplacement: 2, LimitChange: 2}},
+	} {
+		if !reflect.DeepEqual(c.got, c.want) {
+			t.Errorf("%s: %+v, want %+v", name, c.got, c.want)
+		}
+	}
+}
--- /dev/null
+++ b/internal/scale/fleetbench/growth.go
@@ -0,0 +1,199 @@
+package fleetbench
+
+import (
+	"context"
+	"fmt"
+	"slices"
+	"time"
+
+	"irispost/internal/fleet/replica"
+	"irispost/internal/scale/meter"
+)
+
+// Growth is what was measured of what changes leave behind. Times are milliseconds, MB are millions of bytes.
+type Growth struct {
+	Followers       int             `json:"followers"`
+	Nodes           int             `json:"nodes"`
+	Changes         int             `json:"changes"`
+	Kinds           map[Kind]int    `json:"changes_by_kind"`
+	VersionBytes    int             `json:"version_bytes"` // the first version's content
+	Marks           []Mark          `json:"marks"`
+	InForce         meter.Quantiles `json:"in_force_ms"` // from proposal until in force at all gateways, or by the log
+	StartMillis     float64         `json:"start_ms"`    // of a killed replica with its folder, until it caught up
+	JoinMillis      float64         `json:"join_ms"`     // of a replica with an empty folder, until it caught up
+	JoinBytes       int64           `json:"join_bytes"`  // between it and the others meanwhile, in both directions
+	UnexpectedExits int             `json:"keeper_ends"` // of these two replicas
+}
+
+// Mark is the state of the replicas after a number of changes. Lists are by replica number.
+type Mark struct {
+	Changes     int       `json:"changes"`
+	ReplicaMB   []float64 `json:"keeper_mb"`
+	FolderBytes []int64   `json:"folder_bytes"`
+}
+
+const (
+	// memorySettling is how long replicas are left alone before their memory is read.
+	memorySettling = 2 * time.Second
+
+	progressInterval    = 5 * time.Second
+	inForcePollInterval = time.Millisecond
+	catchUpPollInterval = 2 * time.Millisecond
+)
+
+// Grow starts a fleet and measures what grows with the number of changes. Options have to pass Check.
+func Grow(ctx context.Context, options Options) (*Growth, error) {
+	m, err := open(options)
+	if err != nil {
+		return nil, err
+	}
+	defer m.close()
+	growth := &Growth{
+		Followers:    options.Followers,
+		Nodes:        options.Nodes,
+		Changes:      options.Changes,
+		Kinds:        map[Kind]int{},
+		VersionBytes: len(m.sequence.Config().Canonical()),
+	}
+	if err := m.proposeFirst(ctx); err != nil {
+		return nil, err
+	}
+	if options.Followers > 0 {
+		if _, err := m.startClients(ctx); err != nil {
+			return nil, err
+		}
+	}
+	if err := m.makeChanges(ctx, growth); err != nil {
+		return nil, err
+	}
+	if growth.StartMillis, err = m.restartReplica(ctx); err != nil {
+		return nil, err
+	}
+	m.Note(fmt.Sprintf("a keeper has started from its folder after %.0f ms", growth.StartMillis))
+	if growth.JoinMillis, growth.JoinBytes, err = m.joinReplica(ctx); err != nil {
+		return nil, err
+	}
+	growth.UnexpectedExits = m.replicas.unexpectedExits
+	return growth, nil
+}
+
+// makeChanges makes all changes and measures the replicas at the marks.
+func (m *measurement) makeChanges(ctx context.Context, growth *Growth) error {
+	var times []float64
+	notedAt := time.Now()
+	for number := 1; number <= m.Changes; number++ {
+		kind := m.sequence.Next()
+		growth.Kinds[kind]++
+		proposal := m.proposal(string(kind))
+		m.clients.expect(m.version + 1)
+		proposedAt := time.Now()
+		if err := m.propose(proposal); err != nil {
+			return err
+		}
+		if err := m.awaitInForce(ctx); err != nil {
+			return err
+		}
+		times = append(times, milliseconds(time.Since(proposedAt)))
+		if slices.Contains(m.Marks, number) {
+			mark, err := m.measureMark(ctx, number)
+			if err != nil {
+				return err
+			}
+			growth.Marks = append(growth.Marks, mark)
+		} else if time.Since(notedAt) > progressInterval {
+			m.Note(fmt.Sprintf("%d of %d changes", number, m.Changes))
+			notedAt = time.Now()
+		}
+	}
+	growth.InForce = meter.QuantilesOf(times)
+	return nil
+}
+
+// measureMark measures the replicas' memory and folders after a number of changes.
+func (m *measurement) measureMark(ctx context.Context, changes int) (mark Mark, err error) {
+	mark.Changes = changes
+	if err := sleep(ctx, memorySettling); err != nil {
+		return mark, err
+	}
+	if mark.ReplicaMB, err = m.replicaMemory(); err != nil {
+		return mark, err
+	}
+	for _, replica := range m.replicas.replicas {
+		size, err := meter.Folder(m.replicas.folder(replica.number))
+		if err != nil {
+			return mark, err
+		}
+		mark.FolderBytes = append(mark.FolderBytes, size)
+	}
+	m.Note(fmt.Sprintf("after %d changes: keepers' memory %s MB, folders %v bytes",
+		changes, formatMB(mark.ReplicaMB), mark.FolderBytes))
+	return mark, nil
+}
+
+// awaitInForce waits until the newest version is in force: all gateways act on it alone, or, without gateways, the
+// leader's log has it.
+func (m *measurement) awaitInForce(ctx context.Context) error {
+	if m.Followers > 0 {
+		return m.clients.wait(ctx, m.replicas.checkExits)
+	}
+	problem := fmt.Sprintf("version %d is not in force", m.version)
+	return m.replicas.await(ctx, problem, inForcePollInterval, func() bool {
+		var state replicaState
+		if m.lastLeader > 0 {
+			state, _ = m.replicas.replicas[m.lastLeader-1].state(ctx) // without an answer it is no leader
+		}
+		if !state.leader {
+			m.lastLeader, state = m.replicas.leader(ctx)
+		}
+		return state.inForce == m.version
+	})
+}
+
+// hasNewest tells whether the newest version is in force by a replica's log.
+func (m *measurement) hasNewest(ctx context.Context, replica *replicaProcess) bool {
+	state, err := replica.state(ctx)
+	return err == nil && state.inForce == m.version
+}
+
+// awaitNewest waits until a replica has the newest version.
+func (m *measurement) awaitNewest(ctx context.Context, replica *replicaProcess, problem string) error {
+	return m.replicas.await(ctx, problem, catchUpPollInterval, func() bool { return m.hasNewest(ctx, replica) })
+}
+
+// restartReplica kills a replica that does not lead and starts it with its folder. It returns the milliseconds until
+// the replica has the newest version.
+func (m *measurement) restartReplica(ctx context.Context) (float64, error) {
+	leader, _ := m.replicas.leader(ctx)
+	replica := m.replicas.replicas[leader%len(m.replicas.replicas)] // the one after the leader
+	replica.kill()
+	replica.restart = true
+	startedAt := time.Now()
+	if err := replica.start(m.replicas.program); err != nil {
+		return 0, err
+	}
+	problem := fmt.Sprintf("keeper %d does not have version %d again", replica.number, m.version)
+	err := m.awaitNewest(ctx, replica, problem)
+	return milliseconds(time.Since(startedAt)), err
+}
+
+// joinReplica adds one more replica. It returns the milliseconds until the replica has the newest version, and the
+// bytes that passed between it and the others.
+func (m *measurement) joinReplica(ctx context.Context) (millis float64, bytes int64, err error) {
+	joining, addr, err := m.replicas.join()
+	if err != nil {
+		return 0, 0, err
+	}
+	startedAt := time.Now()
+	change := &replica.MembershipChange{Add: map[uint64]string{uint64(joining.number): addr}}
+	if err := m.operator.ChangeMembership(change); err != nil {
+		return 0, 0, err
+	}
+	problem := fmt.Sprintf("keeper %d, which joins, does not have version %d", joining.number, m.version)
+	if err := m.awaitNewest(ctx, joining, problem); err != nil {
+		return 0, 0, err
+	}
+	millis = milliseconds(time.Since(startedAt))
+	bytes = m.replicas.bytesTotal(joining.number)
+	m.Note(fmt.Sprintf("a keeper that joins has caught up after %.0f ms and %d bytes", millis, bytes))
+	return millis, bytes, nil
+}
--- /dev/null
+++ b/internal/scale/fleetbench/measurement.go
@@ -0,0 +1,125 @@
+package fleetbench
+
+import (
+	"context"
+	"fmt"
+	"net/http"
+	"os"
+	"time"
+
+	"irispost/internal/fleet/lease"
+	"irispost/internal/fleet/replica"
+	"irispost/internal/scale/meter"
+)
+
+const (
+	sequenceSeed       = 1
+	leaderPollInterval = 20 * time.Millisecond
+)
+
+// measurement is a measurement that runs. It owns its replicas, clients and folder.
+type measurement struct {
+	Options
+	dir        string
+	replicas   *replicaGroup
+	clients    *clientGroup
+	sequence   *ConfigSequence
+	operator   *replica.Client
+	version    int // the newest
+	lastLeader int // number of the replica that led when it was last asked; 0: none
+}
+
+// open starts the replicas and makes the clients without starting them.
+func open(options Options) (*measurement, error) {
+	dir, err := os.MkdirTemp("", "irispost-fleet")
+	if err != nil {
+		return nil, err
+	}
+	m := &measurement{Options: options, dir: dir, sequence: NewConfigSequence(options.Nodes, sequenceSeed)}
+	if m.replicas, err = startReplicas(options, dir); err != nil {
+		_ = os.RemoveAll(dir) // the error of the start counts
+		return nil, err
+	}
+	addrs := m.replicas.addrs(0)
+	m.clients = newClientGroup(options.Followers, addrs)
+	dial := meter.Dialer(nil, func(addr string) []*meter.Bytes {
+		return []*meter.Bytes{m.clients.trafficByReplica[addr]}
+	})
+	m.operator = &replica.Client{
+		Replicas:   addrs,
+		Timeout:    stateTimeout / 2,
+		HTTPClient: &http.Client{Transport: &http.Transport{DialContext: dial}},
+	}
+	return m, nil
+}
+
+// close ends clients and replicas and removes the folder.
+func (m *measurement) close() {
+	m.clients.close()
+	m.replicas.close()
+	_ = os.RemoveAll(m.dir) // a folder in the system's temporary one may stay
+}
+
+// proposal returns the proposal of the configuration as it is now.
+func (m *measurement) proposal(reason string) *lease.Proposal {
+	return &lease.Proposal{
+		ID:        fmt.Sprint("bench-", m.version+1),
+		Parent:    uint64(m.version),
+		Author:    "bench",
+		Reason:    reason,
+		CreatedAt: time.Now().UTC().Format(time.RFC3339),
+		Content:   m.sequence.Config().Canonical(),
+	}
+}
+
+// propose makes a proposal the next version. It is announced when propose returns.
+func (m *measurement) propose(proposal *lease.Proposal) error {
+	version, err := m.operator.Propose(proposal)
+	if err != nil {
+		return fmt.Errorf("change %d: %w", m.version, err)
+	}
+	m.version++
+	if version.Number != uint64(m.version) {
+		return fmt.Errorf("change %d has become version %d", m.version-1, version.Number)
+	}
+	return nil
+}
+
+// proposeFirst makes the first version once a replica leads. The operator asks the leader first from then on.
+func (m *measurement) proposeFirst(ctx context.Context) error {
+	hasLeader := func() bool {
+		number, _ := m.replicas.leader(ctx)
+		return number > 0
+	}
+	if err := m.replicas.await(ctx, "no keeper leads", leaderPollInterval, hasLeader); err != nil {
+		return err
+	}
+	if err := m.propose(m.proposal("the first")); err != nil {
+		return err
+	}
+	leader, _ := m.replicas.leader(ctx)
+	m.operator.Replicas = m.replicas.addrs(leader)
+	return nil
+}
+
+// startClients starts all clients at once, in place of those that run, and returns after how many milliseconds all
+// act on the newest version.
+func (m *measurement) startClients(ctx context.Context) (float64, error) {
+	m.clients.close()
+	m.clients.expect(m.version)
+	startedAt := time.Now()
+	if err := m.clients.startAll(m.replicas.addrs(0)); err != nil {
+		return 0, err
+	}
+	err := m.clients.wait(ctx, m.replicas.checkExits)
+	return milliseconds(time.Since(startedAt)), err
+}
+
+// replicaMemory returns the resident memory of each replica in MB, by number.
+func (m *measurement) replicaMemory() (list []float64, err error) {
+	usage, err := m.replicas.usage()
+	for _, used := range usage {
+		list = append(list, used.MB)
+	}
+	return list, err
+}
--- /dev/null
+++ b/internal/scale/fleetbench/replicas_test.go
@@ -0,0 +1,72 @@
+package fleetbench
+
+import (
+	"errors"
+	"strings"
+	"testing"
+	"time"
+)
+
+func TestParseReplicaStateNeedsAllMetrics(t *testing.T) {
+	text := `# HELP irispost_keeper_leads 1 where this keeper leads, as it believes.
+irispost_keeper_leads 1
+irispost_keeper_gateways{state="acting"} 780
+irispost_keeper_term 12
+irispost_keeper_version{which="announced"} 10001
+irispost_keeper_version{which="in_force"} 1e+04
+`
+	want := replicaState{leader: true, term: 12, inForce: 10000, announced: 10001}
+	if state, err := parseState(text); err != nil || state != want {
+		t.Errorf("%+v, %v", state, err)
+	}
+	for _, bad := range []string{
+		"",
+		strings.Replace(text, "irispost_keeper_term 12", "", 1),
+		strings.Replace(text, "1e+04", "none", 1),
+	} {
+		if _, err := parseState(bad); err == nil {
+			t.Errorf("read: %q", bad)
+		}
+	}
+}
+
+// A replica that exits by itself ends the measurement, with the last line of its log.
+func TestReplicaThatExitsEndsTheMeasurement(t *testing.T) {
+	options := Options{Program: "/bin/false", Followers: 1, Nodes: 1, Changes: 1, Idle: time.Second}
+	_, err := Run(t.Context(), options)
+	var exit *UnexpectedExitError
+	if !errors.As(err, &exit) || exit.Number != 1 || !strings.Contains(err.Error(), "keeper 1 has ended") {
+		t.Error(err)
+	}
+}
+
+func TestGrowFailsWithoutAProgram(t *testing.T) {
+	options := Options{Program: "/none", Followers: 1, Nodes: 1, Changes: 1, Idle: time.Second}
+	if _, err := Grow(t.Context(), options); err == nil {
+		t.Error("replicas of a program that does not exist have started")
+	}
+}
+
+// A replica that may be started again is, a few times, and each restart is counted and noted.
+func TestReplicasAreRestartedAFewTimes(t *testing.T) {
+	var notes []string
+	options := Options{Program: "/bin/false", Note: func(line string) { notes = append(notes, line) }}
+	group, err := startReplicas(options, t.TempDir())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer group.close()
+	for _, replica := range group.replicas {
+		replica.restart = true
+	}
+	err = group.await(t.Context(), "nothing ends", time.Millisecond, func() bool { return false })
+	if err == nil || !strings.Contains(err.Error(), "has ended") {
+		t.Error(err)
+	}
+	if group.unexpectedExits != maximumRestarts || len(notes) != maximumRestarts {
+		t.Errorf("%d restarts, %q", group.unexpectedExits, notes)
+	}
+	if len(notes) > 0 && !strings.Contains(notes[0], "started again") {
+		t.Error(notes[0])
+	}
+}
--- a/internal/scale/meter/relay.go
+++ b/internal/scale/meter/relay.go
@@ -6,103 +6,105 @@
 	"sync"
 )
 
-// Relay passes the bytes of connections on to an address and counts them: In is what went there, Out what came back.
+// Relay forwards the bytes of connections to an address and counts them: In is what went there, Out what came back.
 type Relay struct {
 	Bytes
 	listener net.Listener
-	to       string
-	lock     sync.Mutex
-	open     map[net.Conn]bool
-	closed   bool
-	done     sync.WaitGroup
+	target   string
+	running  sync.WaitGroup // the goroutines that accept and serve
+
+	lock   sync.Mutex // guards all below
+	open   map[net.Conn]bool
+	closed bool
 }
 
-// NewRelay starts a relay to an address; host is where it listens, at a port that is free.
-func NewRelay(host, to string) (*Relay, error) {
-	l, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
+// NewRelay starts a relay to an address. It listens on a free port of a host.
+func NewRelay(host, target string) (*Relay, error) {
+	listener, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
 	if err != nil {
 		return nil, err
 	}
-	r := &Relay{listener: l, to: to, open: map[net.Conn]bool{}}
-	r.done.Go(r.accept)
-	return r, nil
+	relay := &Relay{listener: listener, target: target, open: map[net.Conn]bool{}}
+	relay.running.Go(relay.accept)
+	return relay, nil
 }
 
-// Addr is where the relay is entered.
+// Addr returns the address at which the relay listens.
 func (r *Relay) Addr() string { return r.listener.Addr().String() }
 
-// Close ends it, and its connections.
+// Close ends the relay and its connections, and waits until its goroutines have ended.
 func (r *Relay) Close() {
 	r.lock.Lock()
 	r.closed = true
-	_ = r.listener.Close()
-	for c := range r.open {
-		_ = c.Close()
+	_ = r.listener.Close() // a second Close returns an error that says so
+	for conn := range r.open {
+		_ = conn.Close() // its goroutine sees the end
 	}
 	r.lock.Unlock()
-	r.done.Wait()
+	r.running.Wait()
 }
 
 func (r *Relay) accept() {
 	for {
-		c, err := r.listener.Accept()
+		conn, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
-		r.done.Go(func() { r.serve(c) })
+		r.running.Go(func() { r.serve(conn) })
 	}
 }
 
-// hold keeps a connection for Close to end; false: it is closed already.
-func (r *Relay) hold(c net.Conn) bool {
+// track registers a connection for Close to end. After Close it closes the connection and returns false.
+func (r *Relay) track(conn net.Conn) bool {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	if r.closed {
-		_ = c.Close()
+		_ = conn.Close()
 		return false
 	}
-	r.open[c] = true
+	r.open[conn] = true
 	return true
 }
 
-func (r *Relay) drop(c net.Conn) {
-	_ = c.Close()
+// untrack closes a connection and forgets it.
+func (r *Relay) untrack(conn net.Conn) {
+	_ = conn.Close()
 	r.lock.Lock()
-	delete(r.open, c)
+	delete(r.open, conn)
 	r.lock.Unlock()
 }
 
-func (r *Relay) serve(in net.Conn) {
-	if !r.hold(in) {
+func (r *Relay) serve(incoming net.Conn) {
+	if !r.track(incoming) {
 		return
 	}
-	defer r.drop(in)
-	out, err := net.Dial("tcp", r.to)
-	if err != nil || !r.hold(out) {
+	defer r.untrack(incoming)
+	outgoing, err := net.Dial("tcp", r.target)
+	if err != nil || !r.track(outgoing) {
 		return
 	}
-	defer r.drop(out)
-	counted := Count(in, &r.Bytes)
+	defer r.untrack(outgoing)
+	counted := Count(incoming, &r.Bytes)
 	var both sync.WaitGroup
-	both.Go(func() { pass(out, counted) })
-	both.Go(func() { pass(counted, out) })
+	both.Go(func() { forward(outgoing, counted) })
+	both.Go(func() { forward(counted, outgoing) })
 	both.Wait()
 }
 
-// pass passes one direction on: its end as an end, a break as a break of both.
-func pass(to, from net.Conn) {
+// forward copies one direction. The end of a stream is passed on as an end; an error breaks both connections.
+func forward(to, from net.Conn) {
 	if _, err := io.Copy(onlyWriter{to}, onlyReader{from}); err != nil {
 		_ = to.Close()
 		_ = from.Close()
 		return
 	}
-	if c, is := to.(*Conn); is {
-		to = c.Conn
+	if counted, ok := to.(*Conn); ok {
+		to = counted.Conn
 	}
-	_ = to.(*net.TCPConn).CloseWrite()
+	_ = to.(*net.TCPConn).CloseWrite() // it fails where the other side has broken the connection
 }
 
-// onlyReader and onlyWriter hide that the kernel could copy by itself, past the counters.
+// onlyReader and onlyWriter hide the methods by which io.Copy would let the kernel copy, past the counters.
 type (
 	onlyReader struct{ io.Reader }
 	onlyWriter struct{ io.Writer }
