--- a/internal/bench/table.go
+++ b/internal/bench/table.go
@@ -29,25 +29,25 @@
 }
 
 // writeCase writes the row of a case: medians over its rounds.
-func (t table) writeCase(c testCase, m caseResults) {
+func (t table) writeCase(testCase testCase, results caseResults) {
 	rate := func(r loadResult) float64 { return r.rate }
 	p50 := func(r loadResult) float64 { return r.p50 }
 	p99 := func(r loadResult) float64 { return r.p99 }
 	cpu := func(r loadResult) float64 { return r.cpu }
-	directRate, throughRate := median(m.direct, rate), median(m.through, rate)
+	directRate, throughRate := median(results.direct, rate), median(results.through, rate)
 	t.writeRow(
-		c.name,
-		fmt.Sprint(c.bytes),
-		fmt.Sprint(c.outstanding),
+		testCase.name,
+		fmt.Sprint(testCase.bytes),
+		fmt.Sprint(testCase.outstanding),
 		fmt.Sprintf("%.0f", directRate),
 		fmt.Sprintf("%.0f", throughRate),
 		fmt.Sprintf("%.2f", throughRate/directRate),
-		fmt.Sprintf("%.0f", median(m.through, p50)-median(m.direct, p50)),
-		fmt.Sprintf("%.0f", median(m.through, p99)-median(m.direct, p99)),
-		fmt.Sprintf("%.1f", median(m.through, cpu)),
-		fmt.Sprintf("%.2f", medianRatio(m.captured, m.through)),
-		fmt.Sprintf("%.2f", medianRatio(m.following, m.through)),
-		fmt.Sprint(m.failed()),
+		fmt.Sprintf("%.0f", median(results.through, p50)-median(results.direct, p50)),
+		fmt.Sprintf("%.0f", median(results.through, p99)-median(results.direct, p99)),
+		fmt.Sprintf("%.1f", median(results.through, cpu)),
+		fmt.Sprintf("%.2f", medianRatio(results.captured, results.through)),
+		fmt.Sprintf("%.2f", medianRatio(results.following, results.through)),
+		fmt.Sprint(results.failed()),
 	)
 }
 
--- a/internal/capacity/fit.go
+++ b/internal/capacity/fit.go
@@ -103,15 +103,15 @@
 func nLogN(n float64) float64 { return n * math.Log2(n) }
 
 // leastSquares fits points to a linear function of f(size).
-func leastSquares(points []Point, f func(float64) float64) fit {
+func leastSquares(points []Point, transform func(float64) float64) fit {
 	count := float64(len(points))
 	var meanX, meanY, sumXX, sumXY float64
 	for _, point := range points {
-		meanX += f(point.Size) / count
+		meanX += transform(point.Size) / count
 		meanY += point.Measured / count
 	}
 	for _, point := range points {
-		x := f(point.Size) - meanX
+		x := transform(point.Size) - meanX
 		sumXX += x * x
 		sumXY += x * (point.Measured - meanY)
 	}
@@ -122,7 +122,7 @@
 	result.base = meanY - result.slope*meanX
 	squares := 0.0
 	for _, point := range points {
-		difference := point.Measured - result.base - result.slope*f(point.Size)
+		difference := point.Measured - result.base - result.slope*transform(point.Size)
 		squares += difference * difference / count
 	}
 	result.residual = math.Sqrt(squares)
--- a/internal/capacity/fromruns.go
+++ b/internal/capacity/fromruns.go
@@ -40,21 +40,21 @@
 }
 
 // addRun adds a run's figures along each axis on which it is a point, and those of its marks.
-func (c *runCollector) addRun(r run) error {
+func (c *runCollector) addRun(added run) error {
 	for _, axis := range []axis{followersAxis, nodesAxis, gatewaysAxis} {
-		size, ok := r.sizes[axis]
-		if !ok || !c.isPoint(r, axis) {
+		size, ok := added.sizes[axis]
+		if !ok || !c.isPoint(added, axis) {
 			continue
 		}
-		if err := c.addFigures(r.kind, r.figures, axis, size); err != nil {
+		if err := c.addFigures(added.kind, added.figures, axis, size); err != nil {
 			return err
 		}
 	}
-	if r.sizes[nodesAxis] != c.largest(r.kind, nodesAxis) {
+	if added.sizes[nodesAxis] != c.largest(added.kind, nodesAxis) {
 		return nil
 	}
-	for _, mark := range r.marks {
-		if err := c.addFigures(r.kind, mark.figures, changesAxis, mark.sizes[changesAxis]); err != nil {
+	for _, mark := range added.marks {
+		if err := c.addFigures(added.kind, mark.figures, changesAxis, mark.sizes[changesAxis]); err != nil {
 			return err
 		}
 	}
--- a/internal/scale/fleetbench/text.go
+++ b/internal/scale/fleetbench/text.go
@@ -9,7 +9,7 @@
 )
 
 // Text writes the figures for people. Errors of the writer are ignored.
-func (f *Figures) Text(w io.Writer) {
+func (f *Figures) Text(out io.Writer) {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%d followers, %d nodes in a version of %d bytes; ", f.Followers, f.Nodes, f.VersionBytes)
 	fmt.Fprintf(&b, "%d changes in turn: %d by a node that is replaced, %d by a plan's limit\n",
@@ -36,11 +36,11 @@
 			f.ChangesWhileKilled, formatQuantiles(*f.InForceKilled))
 		fmt.Fprintf(&b, "it ended by itself %d times\n", f.UnexpectedExits)
 	}
-	_, _ = io.WriteString(w, b.String())
+	_, _ = io.WriteString(out, b.String())
 }
 
 // Text writes the figures for people. Errors of the writer are ignored.
-func (g *Growth) Text(w io.Writer) {
+func (g *Growth) Text(out io.Writer) {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%d changes in turn (%d by a node that is replaced, %d by a plan's limit) ",
 		g.Changes, g.Kinds[NodeReplacement], g.Kinds[LimitChange])
@@ -53,7 +53,7 @@
 	fmt.Fprintf(&b, "a keeper starts from its folder and has all after %.0f ms; ", g.StartMillis)
 	fmt.Fprintf(&b, "one that joins has all after %.0f ms and %d bytes; ", g.JoinMillis, g.JoinBytes)
 	fmt.Fprintf(&b, "they ended by themselves %d times\n", g.UnexpectedExits)
-	_, _ = io.WriteString(w, b.String())
+	_, _ = io.WriteString(out, b.String())
 }
 
 func formatQuantiles(q meter.Quantiles) string {
