--- a/internal/scale/fleetbench/replicaprocess.go
+++ b/internal/scale/fleetbench/replicaprocess.go
@@ -5,6 +5,7 @@
 	"context"
 	"fmt"
 	"io"
+	"net"
 	"net/http"
 	"os"
 	"os/exec"
@@ -19,6 +20,7 @@
 type replicaProcess struct {
 	number  int
 	addr    string
+	port    net.Listener // holds the address until the first start; nil afterwards
 	args    []string
 	logFile string
 	command *exec.Cmd     // nil: it does not run
@@ -44,6 +46,7 @@
 		return err
 	}
 	defer func() { _ = log.Close() }() // the process has its own handle
+	r.release()
 	command := exec.Command(program, r.args...)
 	command.Stderr = log
 	if err := command.Start(); err != nil {
@@ -60,8 +63,17 @@
 	return nil
 }
 
+// release gives up the reserved address.
+func (r *replicaProcess) release() {
+	if r.port != nil {
+		_ = r.port.Close()
+		r.port = nil
+	}
+}
+
 // kill kills the process and waits for its end. Its folder stays.
 func (r *replicaProcess) kill() {
+	r.release()
 	if r.command != nil {
 		_ = r.command.Process.Kill() // it may have exited already
 		<-r.exited
--- a/internal/scale/fleetbench/replicas.go
+++ b/internal/scale/fleetbench/replicas.go
@@ -75,17 +75,18 @@
 	return nil
 }
 
-// reserve adds the next replica: a number, a free address, and a log file.
+// reserve adds the next replica: a number, a free address, and a log file. The address stays taken until the replica
+// starts, lest a relay that is opened meanwhile gets its port.
 func (g *replicaGroup) reserve() error {
 	listener, err := net.Listen("tcp", loopback.Own()+":0")
 	if err != nil {
 		return err
 	}
-	defer func() { _ = listener.Close() }()
 	number := len(g.replicas) + 1
 	g.replicas = append(g.replicas, &replicaProcess{
 		number:  number,
 		addr:    listener.Addr().String(),
+		port:    listener,
 		logFile: filepath.Join(g.dir, fmt.Sprintf("%d.log", number)),
 	})
 	return nil
--- a/internal/scale/fleetbench/replicas_test.go
+++ b/internal/scale/fleetbench/replicas_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"net"
 	"strings"
 	"testing"
 	"time"
@@ -47,6 +48,28 @@
 	}
 }
 
+// An address that is reserved for a replica cannot be had by a relay before the replica starts, and is free then.
+func TestReservedAddressIsHeldUntilTheStart(t *testing.T) {
+	group := &replicaGroup{dir: t.TempDir()}
+	defer group.close()
+	if err := group.reserve(); err != nil {
+		t.Fatal(err)
+	}
+	replica := group.replicas[0]
+	if listener, err := net.Listen("tcp", replica.addr); err == nil {
+		_ = listener.Close()
+		t.Error("another has got the reserved address")
+	}
+	if err := replica.start("/bin/true"); err != nil {
+		t.Fatal(err)
+	}
+	listener, err := net.Listen("tcp", replica.addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	_ = listener.Close()
+}
+
 // A replica that may be started again is, a few times, and each restart is counted and noted.
 func TestReplicasAreRestartedAFewTimes(t *testing.T) {
 	var notes []string
