--- a/internal/fleet/client/cachefile.go
+++ b/internal/fleet/client/cachefile.go
@@ -15,35 +15,37 @@
 	"irispost/internal/fleet/configversion"
 )
 
-// cacheFile keeps a gateway's last content on disk, in one file that is named by its digest and replaced
-// atomically. After a start the content is a base for deltas; it does not say which configuration is in effect.
+// cacheFile keeps the last content that a gateway fetched on disk, in one file that is named by the content's
+// digest and replaced atomically. After a restart the content serves as a base for deltas; it does not decide
+// which configuration is in effect.
 type cacheFile struct {
 	dir       string
 	gateway   string
 	logger    *slog.Logger
-	pending   chan []byte // holds the latest content that is not written yet
+	pending   chan []byte // holds the latest content that is still to be written
 	done      chan struct{}
 	closeOnce sync.Once
-	failing   bool // the last write failed; owned by the writing goroutine
+	failing   bool // the last write failed; owned by writeLoop
 }
 
-// cacheFileSuffix follows the content's digest in a file's name.
+// cacheFileSuffix follows the digest of the content in the name of a cache file.
 const cacheFileSuffix = ".rules"
 
 var (
 	cacheFileName = regexp.MustCompile(`^[0-9a-f]{64}\.rules$`)
-	// cacheFileTempName is that of a file that was being written when the process was killed.
+	// cacheFileTempName matches temporary files of renameio, which stay behind if the process is killed during a
+	// write.
 	cacheFileTempName = regexp.MustCompile(`^\.[0-9a-f]{64}\.rules\d+$`)
 )
 
-// Why a file in the folder is not used.
+// Reasons why a cache file is ignored.
 var (
 	errCacheFileSize   = errors.New("size out of range")
 	errCacheFileDigest = errors.New("content does not match the digest in the file's name")
 )
 
-// openCacheFile makes the folder if there is none, checks that it is writable, and reads the content in it; nil:
-// there is none that is intact. Without a folder's name there is no cache file, and all results are nil.
+// openCacheFile creates the folder if it does not exist, checks that it is writable, and returns the cached
+// content, or nil if there is no intact one. If dir is empty, nothing is cached and all results are nil.
 func openCacheFile(dir, gateway string, logger *slog.Logger) (*cacheFile, []byte, error) {
 	if dir == "" {
 		return nil, nil, nil
@@ -63,18 +65,18 @@
 	return file, content, nil
 }
 
-// checkWritable tells whether files can be made in a folder.
+// checkWritable returns an error if no file can be created in a folder.
 func checkWritable(dir string) error {
 	probe, err := os.CreateTemp(dir, ".probe")
 	if err != nil {
 		return err
 	}
-	_ = probe.Close() // nothing was written to it
+	_ = probe.Close() // nothing was written
 	_ = os.Remove(probe.Name())
 	return nil
 }
 
-// load returns the content of the newest intact file, and removes all other cache files.
+// load returns the content of the newest intact cache file, and removes all others and temporary files.
 func (f *cacheFile) load() (content []byte, err error) {
 	entries, err := os.ReadDir(f.dir)
 	if err != nil {
@@ -85,7 +87,7 @@
 	for _, entry := range entries {
 		name := filepath.Join(f.dir, entry.Name())
 		if cacheFileTempName.MatchString(entry.Name()) {
-			_ = os.Remove(name) // a remainder only takes space
+			_ = os.Remove(name) // harmless if it stays: it only takes space
 		}
 		if !cacheFileName.MatchString(entry.Name()) {
 			continue
@@ -101,14 +103,14 @@
 	return content, f.removeOthers(newest)
 }
 
-// readCacheFile reads a file and checks it against its name.
+// readCacheFile reads a cache file and checks its content against the digest in its name.
 func readCacheFile(name string) (content []byte, modified time.Time, err error) {
 	info, err := os.Stat(name)
 	if err != nil {
 		return nil, time.Time{}, err
 	}
 	if !info.Mode().IsRegular() || info.Size() == 0 || info.Size() > configversion.MaxContentBytes {
-		err := fmt.Errorf("%w: %d bytes, not 1 to %d", errCacheFileSize, info.Size(), configversion.MaxContentBytes)
+		err := fmt.Errorf("%w: %d bytes, want 1 to %d", errCacheFileSize, info.Size(), configversion.MaxContentBytes)
 		return nil, time.Time{}, err
 	}
 	content, err = os.ReadFile(name)
@@ -121,7 +123,7 @@
 	return content, info.ModTime(), nil
 }
 
-// removeOthers removes all cache files but one.
+// removeOthers removes all cache files except one.
 func (f *cacheFile) removeOthers(except string) error {
 	entries, err := os.ReadDir(f.dir)
 	for _, entry := range entries {
@@ -129,13 +131,13 @@
 		if name == except || !cacheFileName.MatchString(entry.Name()) {
 			continue
 		}
-		_ = os.Remove(name) // the next write tries again
+		_ = os.Remove(name) // the next write tries again to remove it
 	}
 	return err
 }
 
-// write has a content written in the background, in place of one that still waits to be. It does not wait. Only
-// one goroutine may call it.
+// write queues a content to be written in the background and replaces one that is still queued. It does not
+// block. Only one goroutine may call it.
 func (f *cacheFile) write(content []byte) {
 	if f == nil || len(content) == 0 {
 		return
@@ -147,7 +149,7 @@
 	f.pending <- content
 }
 
-// writeLoop writes contents until the file is closed.
+// writeLoop writes queued contents until the cache file is closed.
 func (f *cacheFile) writeLoop() {
 	defer close(f.done)
 	for content := range f.pending {
@@ -155,7 +157,7 @@
 	}
 }
 
-// replace has a content be the only one in the folder.
+// replace writes a content and removes all other cache files.
 func (f *cacheFile) replace(content []byte) error {
 	name := filepath.Join(f.dir, configversion.DigestOf(content)+cacheFileSuffix)
 	if err := renameio.WriteFile(name, content, 0o600); err != nil {
@@ -164,7 +166,7 @@
 	return f.removeOthers(name)
 }
 
-// logOutcome logs when writes begin to fail, and when they succeed again.
+// logOutcome logs when writes start to fail and when they succeed again, but not each failure.
 func (f *cacheFile) logOutcome(err error) {
 	failing := err != nil
 	if failing == f.failing {
@@ -179,7 +181,7 @@
 	f.logger.Info("content cache file can be written again", "gateway", f.gateway, "dir", f.dir)
 }
 
-// close writes what still waits to be, and ends the writing goroutine.
+// close writes the queued content, if any, and waits for writeLoop to end.
 func (f *cacheFile) close() {
 	if f != nil {
 		f.closeOnce.Do(func() { close(f.pending) })
--- a/internal/fleet/client/cachefile_test.go
+++ b/internal/fleet/client/cachefile_test.go
@@ -14,10 +14,10 @@
 	"irispost/internal/fleet/content"
 )
 
-// cacheFileNameOf is the name of the file with a content.
+// cacheFileNameOf returns the name of the cache file for a content.
 func cacheFileNameOf(content []byte) string { return configversion.DigestOf(content) + ".rules" }
 
-// TestStartFailsWithoutCacheFolder: the error names the folder that cannot be made.
+// TestStartFailsWithoutCacheFolder checks that the error names the folder that cannot be created.
 func TestStartFailsWithoutCacheFolder(t *testing.T) {
 	notAFolder := filepath.Join(t.TempDir(), "a file")
 	if err := os.WriteFile(notAFolder, nil, 0o600); err != nil {
@@ -26,12 +26,12 @@
 	_, err := Start(Options{Gateway: "g", Replicas: []string{"127.0.0.1:1"}, RenewInterval: time.Second, Now: wallClock,
 		CacheDir: filepath.Join(notAFolder, "x"), Logger: slog.New(slog.DiscardHandler)})
 	if err == nil || !strings.Contains(err.Error(), "a file") {
-		t.Errorf("a folder that cannot be made: %v", err)
+		t.Errorf("got error %v, want one that names the folder", err)
 	}
 }
 
-// TestCacheFileIsBaseAfterStart: after a start the content on disk is a base: intact or not there, the newest,
-// one at most. A file that is no such content costs one line in the log.
+// TestCacheFileIsBaseAfterStart checks that after a start the newest intact content on disk, if any, is the base of
+// the first delta, and that a file which is damaged or of no use costs one log line and a fetch of the full content.
 func TestCacheFileIsBaseAfterStart(t *testing.T) {
 	replica := startReplica(t, time.Second)
 	first, second, foreign := largeContent(200, 1), largeContent(200, 2), largeContent(200, 9)
@@ -41,8 +41,8 @@
 	nameOf := cacheFileNameOf
 	for name, c := range map[string]struct {
 		files    files
-		logged   string // "": nothing
-		encoding string // of the first content that is fetched; "": none is
+		logged   string // text of the only log line; "": none
+		encoding string // of the first content that is fetched; "": none is fetched
 	}{
 		"no file":                      {nil, "", content.EncodingZstd},
 		"the version before":           {files{nameOf(first): first}, "", content.EncodingDelta},
@@ -64,23 +64,23 @@
 				options.CacheDir = dir
 			})
 			if _, effective := group.clients[0].Status(); effective != "none" {
-				t.Errorf("%s is in effect at once", effective)
+				t.Errorf("%s is in effect right after the start, want none", effective)
 			}
 			group.waitForVersion(2)
 			group.clients[0].Close()
 			if got := strings.Join(encodings.list(), ","); got != c.encoding {
-				t.Errorf("contents came as %q, not %q", got, c.encoding)
+				t.Errorf("contents were sent as %q, want %q", got, c.encoding)
 			}
 			lines := strings.Count(logs.String(), "level=WARN") + strings.Count(logs.String(), "received full content")
 			if want := min(len(c.logged), 1); lines != want || !strings.Contains(logs.String(), c.logged) {
-				t.Errorf("%d lines, not %q: %s", lines, c.logged, logs)
+				t.Errorf("%d log lines, want only one with %q, or none if that is empty: %s", lines, c.logged, logs)
 			}
 			checkOnlyCacheFile(t, dir, cacheFileNameOf(second))
 		})
 	}
 }
 
-// writeCacheFiles writes files an hour ago, and the one with the newest content a minute later.
+// writeCacheFiles writes files dated an hour ago; the one that holds newest is dated a minute later.
 func writeCacheFiles(t *testing.T, dir string, files map[string][]byte, newest []byte) {
 	t.Helper()
 	hourAgo := time.Now().Add(-time.Hour)
@@ -99,7 +99,7 @@
 	}
 }
 
-// checkOnlyCacheFile checks that a folder has one cache file, and nothing else that a client writes.
+// checkOnlyCacheFile checks that a folder has one cache file of the given name, and no other but notes.txt.
 func checkOnlyCacheFile(t *testing.T, dir, name string) {
 	t.Helper()
 	entries, err := os.ReadDir(dir)
@@ -113,6 +113,6 @@
 		}
 	}
 	if !slices.Equal(names, []string{name}) {
-		t.Errorf("%q on disk, not %s alone", names, name)
+		t.Errorf("files on disk: got %q, want %s alone", names, name)
 	}
 }
--- a/internal/fleet/client/client.go
+++ b/internal/fleet/client/client.go
@@ -1,10 +1,10 @@
-// Package client is a gateway's client of the configuration replicas. It renews the gateway's lease, watches for
-// changes of the replicas' log, fetches the contents of versions, and tells the gateway's loop which
-// configuration is in effect. The gateway and the test fleets call it.
+// Package client is a gateway's client of the configuration replicas. It renews the gateway's lease, watches the
+// replicas' log for changes, fetches the contents of versions, and tells the gateway's loop which configuration is
+// in effect. The gateway and the test fleets use it.
 //
-// What may be acted on is decided by the pure package lease; this package has the clock, the sockets, the
+// The pure package lease decides which configuration may be acted on. This package adds the clock, the sockets, the
 // goroutines and two files: the last content (cacheFile) and the record of what was in effect (activationLog).
-// Neither file is needed for correctness: a start without them fetches everything again.
+// Neither file is needed for correctness: without them a start fetches the full content again.
 package client
 
 import (
@@ -21,40 +21,40 @@
 	"irispost/internal/fleet/replica"
 )
 
-// Client renews a gateway's lease at the replicas and knows which configuration is in effect. Start makes one,
-// Close ends it.
+// Client renews a gateway's lease at the replicas and knows which configuration is in effect. Start creates one,
+// Close stops it.
 type Client struct {
 	opt      Options
-	replicas *replica.Client // for renewals and contents; the watch has connections of its own
-	current  atomic.Int64    // index of the replica that is called, modulo their number
+	replicas *replica.Client // for renewals and contents; the watch uses connections of its own
+	current  atomic.Int64    // index of the replica in use, modulo the number of replicas
 
-	mutex          sync.Mutex         // guards these four
-	stateMachine   *lease.Client      // what may be acted on
-	effectiveName  string             // what the loop has; "none": nothing is in effect
-	effectiveUntil int64              // until when it is; 0: until a response
-	cancelWatch    context.CancelFunc // ends the long poll
+	mutex          sync.Mutex         // guards the four fields below
+	stateMachine   *lease.Client      // decides what may be acted on
+	effectiveName  string             // name of the configuration that At returned last; "none": nothing is in effect
+	effectiveUntil int64              // when that configuration expires; 0: only a response can change it
+	cancelWatch    context.CancelFunc // cancels the long poll
 
 	// Owned by the renewal goroutine.
 	fetcher        *fetcher
-	checkedVersion *configversion.Version // its conflicts with the local configuration were logged
+	checkedVersion *configversion.Version // last version that was checked for conflicts with the local configuration
 
 	// Owned by the loop's goroutine, which alone calls At.
-	endpoints   []endpoint.Node // as the loop has them; nil: none
+	endpoints   []endpoint.Node // as At returned them last; nil: none
 	activations *activationLog  // nil: none
-	ready       chan struct{}   // closed once something is in effect
+	ready       chan struct{}   // closed once a configuration is in effect
 
-	// Between those goroutines.
-	unchangedUntil  atomic.Int64 // what is in effect stays until then; 0: the state machine has to be looked at
+	// Shared between those goroutines.
+	unchangedUntil  atomic.Int64 // nothing changes before this time; 0: ask the state machine
 	preparedList    atomic.Pointer[preparedList]
-	renewNow        chan struct{} // a renewal is due at once
-	responseApplied chan struct{} // for the watch
+	renewNow        chan struct{} // wakes renewLoop
+	responseApplied chan struct{} // wakes watchLoop
 
 	cancel     context.CancelFunc
 	goroutines sync.WaitGroup
 }
 
-// Start begins to renew a lease and to watch for changes. It fails if the record or the cache folder cannot be
-// opened.
+// Start starts to renew a lease and to watch for changes. It returns an error if the activation record or the cache
+// folder cannot be opened.
 func Start(opt Options) (*Client, error) {
 	opt.setDefaults()
 	activations, err := openActivationLog(opt.RecordFile)
@@ -82,7 +82,7 @@
 	return c, nil
 }
 
-// newStateMachine makes the pure side of a client.
+// newStateMachine returns the state machine that decides what the gateway may act on.
 func newStateMachine(opt Options) *lease.Client {
 	machine := lease.NewClient(opt.Holder, int64(opt.RenewInterval), opt.InjectedFaults)
 	machine.SetPeerAddr(opt.PeerAddr)
@@ -92,13 +92,13 @@
 	return machine
 }
 
-// newReplicaClient makes a client that calls replicas over one connection to each.
+// newReplicaClient returns a client that keeps at most one idle connection to each replica.
 func newReplicaClient(dial Dial) *replica.Client {
 	transport := &http.Transport{DialContext: dial, MaxIdleConnsPerHost: 1, DisableCompression: true}
 	return &replica.Client{HTTPClient: &http.Client{Transport: transport}}
 }
 
-// run starts the goroutines. Close waits for their end.
+// run starts the goroutines. Close stops them.
 func (c *Client) run() {
 	var ctx context.Context
 	ctx, c.cancel = context.WithCancel(context.Background())
@@ -113,7 +113,7 @@
 	}()
 }
 
-// Close ends the client, and returns once its goroutines have ended and its files are written. It may be called
+// Close stops the client and returns once its goroutines have ended and its files are written. It may be called
 // more than once.
 func (c *Client) Close() {
 	c.cancel()
@@ -122,32 +122,32 @@
 	c.activations.close()
 }
 
-// Ready is closed when a configuration is in effect for the first time.
+// Ready returns a channel that is closed when a configuration comes into effect for the first time.
 func (c *Client) Ready() <-chan struct{} { return c.ready }
 
-// Status is the state of the lease and the name of what is in effect, both for people.
+// Status returns the state of the lease and the name of the configuration in effect, both for display only.
 func (c *Client) Status() (state, effective string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.stateMachine.State().String(), c.stateMachine.EffectiveName()
 }
 
-// replicaAddr is the address of the replica that is called now.
+// replicaAddr returns the address of the replica in use.
 func (c *Client) replicaAddr() string { return c.replicaAddrAfter(0) }
 
-// replicaAddrAfter is the address of the replica so many places after the one that is called now.
+// replicaAddrAfter returns the address of the replica that many places after the one in use, in the configured order.
 func (c *Client) replicaAddrAfter(places int) string {
 	return c.opt.Replicas[(c.current.Load()+int64(places))%int64(len(c.opt.Replicas))]
 }
 
-// logLines logs what the state machine had to say.
+// logLines logs the lines that the state machine has produced.
 func (c *Client) logLines(lines []string) {
 	for _, line := range lines {
 		c.opt.Logger.Info(line, "gateway", c.opt.Gateway)
 	}
 }
 
-// notify wakes the receiver now, or when it next waits. Notifications that were not received are one.
+// notify wakes the receiver now or when it next waits. Notifications coalesce until one is received.
 func notify(receiver chan<- struct{}) {
 	select {
 	case receiver <- struct{}{}:
@@ -155,8 +155,8 @@
 	}
 }
 
-// sleep waits for a duration, or until something is received from wake, which may be nil. It is false once the
-// context has ended.
+// sleep waits for a duration or until wake, which may be nil, receives a value. It returns false if the context has
+// ended.
 func sleep(ctx context.Context, duration time.Duration, wake <-chan struct{}) bool {
 	if duration <= 0 {
 		return ctx.Err() == nil
--- a/internal/fleet/client/effective.go
+++ b/internal/fleet/client/effective.go
@@ -6,9 +6,9 @@
 	"irispost/internal/gateway"
 )
 
-// At tells the gateway's loop what has changed of what is in effect: the list of endpoints and the settings;
-// nil: nothing has. The loop calls it before it decides, with the time in nanoseconds that it decides by. until
-// is when to call again at the latest, 0 for no need.
+// At returns the endpoint list and the settings for the gateway's loop if the configuration in effect has changed
+// since the last call, and nil otherwise. The loop calls it before it makes decisions, with the time, in
+// nanoseconds, that it bases them on. The loop must call again no later than at until; 0 means that it need not.
 func (c *Client) At(now int64) (active *gateway.ActiveConfig, until int64) {
 	if until := c.unchangedUntil.Load(); now < until {
 		return nil, until
@@ -24,19 +24,19 @@
 	return c.activate(change), change.until
 }
 
-// effectiveChange is what is in effect from some time on, and what was before.
+// effectiveChange is the configuration in effect at some time, and how it differs from the one before.
 type effectiveChange struct {
 	config        *configversion.Config // nil: nothing is in effect
 	name          string
-	changed       bool     // the name is another than before
-	versions      []uint64 // that are held
-	fallback      bool     // only their fallback is in effect
+	changed       bool     // the name differs from the previous one
+	versions      []uint64 // numbers of the versions held
+	fallback      bool     // the lease has expired and only the fallback of the versions is in effect
 	until         int64
-	previousUntil int64 // what was in effect before was so no longer than this; 0: for as long as nothing else is
+	previousUntil int64 // when the previous configuration expired at the latest; 0: it did not expire by itself
 	lines         []string
 }
 
-// takeChange brings the state machine up to a time, and notes what is in effect from then on.
+// takeChange advances the state machine to now and stores what is in effect from then on.
 func (c *Client) takeChange(now int64) effectiveChange {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -52,7 +52,7 @@
 	return change
 }
 
-// activate is what the loop has to act on after a change.
+// activate returns what the loop has to apply after a change, and stores the endpoints that it then has.
 func (c *Client) activate(change effectiveChange) *gateway.ActiveConfig {
 	active := &gateway.ActiveConfig{}
 	var endpoints []endpoint.Node
@@ -67,7 +67,7 @@
 	return active
 }
 
-// markReady closes ready, once.
+// markReady closes the channel ready if it is still open.
 func (c *Client) markReady() {
 	select {
 	case <-c.ready:
--- a/internal/fleet/client/endpoints.go
+++ b/internal/fleet/client/endpoints.go
@@ -5,21 +5,21 @@
 	"irispost/internal/fleet/configversion"
 )
 
-// preparedList is a configuration's list of endpoints, by address.
+// preparedList is the endpoint list of a configuration, sorted by address.
 type preparedList struct {
 	config    *configversion.Config
 	endpoints []endpoint.Node
 }
 
-// prepareEndpoints makes the list of what is in effect, so that the loop does not have to.
+// prepareEndpoints builds the endpoint list of a configuration ahead of time, to keep that work out of the loop.
 func (c *Client) prepareEndpoints(config *configversion.Config) {
 	if config != nil {
 		c.preparedList.Store(&preparedList{config: config, endpoints: c.endpointsOf(config)})
 	}
 }
 
-// endpointsOf is the list of a configuration, by address. It was prepared before, unless a fallback has come
-// into effect since.
+// endpointsOf returns the endpoints of a configuration, sorted by address. The list was prepared before, unless a
+// fallback has come into effect since.
 func (c *Client) endpointsOf(config *configversion.Config) []endpoint.Node {
 	if prepared := c.preparedList.Load(); prepared != nil && prepared.config == config {
 		return prepared.endpoints
@@ -27,9 +27,9 @@
 	return config.EndpointList("").Nodes
 }
 
-// endpointChange is what to tell the loop of a list after an earlier one, nil where there was none: the
-// endpoints that are new or differ, or the full list. Only a full list closes connections, so there is one
-// wherever an endpoint is left out or removed.
+// endpointChange returns the list to send to the loop after an earlier one, which is nil if there was none. It is a
+// partial list of the new and changed endpoints, or the full list if an endpoint is missing or newly removed,
+// because only a full list closes connections.
 func endpointChange(before, after []endpoint.Node) endpoint.List {
 	full := endpoint.List{Nodes: after}
 	if before == nil {
--- a/internal/fleet/client/endpoints_test.go
+++ b/internal/fleet/client/endpoints_test.go
@@ -11,10 +11,10 @@
 	"irispost/internal/endpoint"
 )
 
-// TestEndpointChangesAddUpToTheList: who applies the changes alone knows the same endpoints as who reads each
-// list in full.
+// TestEndpointChangesAddUpToTheList checks that applying each change in turn results in the full list, and that an
+// endpoint is never newly removed in a partial list, which would leave its connections open.
 func TestEndpointChangesAddUpToTheList(t *testing.T) {
-	for name, value := range map[string]string{"rapid.nofailfile": "true", "rapid.seed": "7"} { // the same draws each time
+	for name, value := range map[string]string{"rapid.nofailfile": "true", "rapid.seed": "7"} { // fixed seed, no files
 		if err := flag.Set(name, value); err != nil {
 			t.Fatal(err)
 		}
@@ -29,23 +29,23 @@
 			if !change.Partial {
 				clear(known)
 			} else if slices.ContainsFunc(current, func(n endpoint.Node) bool { return newlyRemoved(known, n) }) {
-				t.Fatalf("an endpoint is removed, and its connections stay: %+v", change)
+				t.Fatalf("a partial list removes an endpoint, so its connections stay open: %+v", change)
 			}
 			for _, node := range change.Nodes {
 				known[node.Addr] = node
 			}
 			byAddr := func(a, b endpoint.Node) int { return int(a.Addr[0]) - int(b.Addr[0]) }
 			if got := slices.SortedFunc(maps.Values(known), byAddr); !slices.Equal(got, current) {
-				t.Fatalf("known is %v, not %v", got, current)
+				t.Fatalf("after the change: got %v, want %v", got, current)
 			}
 			if none := endpointChange(current, current); !none.Partial || len(none.Nodes) > 0 {
-				t.Fatalf("nothing has changed: %+v", none)
+				t.Fatalf("unchanged list: got %+v, want an empty partial list", none)
 			}
 		}
 	})
 }
 
-// drawEndpoints draws a list of endpoints, by address.
+// drawEndpoints draws a list of endpoints, sorted by address.
 func drawEndpoints(t *rapid.T) []endpoint.Node {
 	list := []endpoint.Node{}
 	for _, addr := range []string{"a", "b", "c", "d", "e"} {
@@ -58,7 +58,7 @@
 	return list
 }
 
-// newlyRemoved tells whether an endpoint is removed that was known and was not.
+// newlyRemoved reports whether an endpoint is removed now and was known as not removed before.
 func newlyRemoved(known map[string]endpoint.Node, node endpoint.Node) bool {
 	before, exists := known[node.Addr]
 	return node.Health == endpoint.Removed && exists && before.Health != endpoint.Removed
--- a/internal/fleet/client/fetch.go
+++ b/internal/fleet/client/fetch.go
@@ -8,17 +8,17 @@
 	"irispost/internal/fleet/lease"
 )
 
-// fetcher gets the contents of the versions that a response names. The renewal goroutine owns it.
+// fetcher fetches the contents of the versions that a renewal response names. The renewal goroutine owns it.
 type fetcher struct {
 	client         *Client
 	cache          *content.Cache
 	file           *cacheFile // nil: none
-	rejectedDigest string     // of the content whose response was rejected last, which is logged once
+	rejectedDigest string     // digest of the content whose response was rejected last, to log it only once
 }
 
-// addContents fills in the contents of a response's versions, as far as they can be had within a renewal
-// interval. What is missing is requested again after the next renewal. The lease counts from when it was
-// requested, however long this takes.
+// addContents fills in the contents of the versions that a response names, as far as they can be fetched within a
+// renewal interval. Missing contents are requested again after the next renewal. The lease runs from the time at
+// which it was requested, so a slow fetch does not extend it.
 func (f *fetcher) addContents(ctx context.Context, response *lease.RenewResponse) {
 	if response.LeaseDuration == 0 {
 		return
@@ -31,7 +31,7 @@
 		switch {
 		case len(version.Content) == 0:
 			version.Content = f.fetch(fetchCtx, version.Digest)
-		case f.cache.Content(version.Digest) == nil: // the response was a full one
+		case f.cache.Content(version.Digest) == nil: // the response carried the full content
 			if f.cache.Add(version.Digest, version.Content) {
 				f.file.write(version.Content)
 			}
@@ -39,14 +39,14 @@
 	}
 }
 
-// versionsOf are the versions that a response names, the one in force first.
+// versionsOf returns the versions that a response names, the one in force first.
 func (f *fetcher) versionsOf(response *lease.RenewResponse) []*configversion.Version {
 	f.client.mutex.Lock()
 	defer f.client.mutex.Unlock()
 	return f.client.stateMachine.VersionsOf(response)
 }
 
-// retain has the cache keep the contents of these versions.
+// retain makes the cache keep the contents of these versions and drop what is no longer needed.
 func (f *fetcher) retain(versions []*configversion.Version) {
 	digests := make([]string, len(versions))
 	for i, version := range versions {
@@ -55,7 +55,7 @@
 	f.cache.Retain(digests...)
 }
 
-// fetch gets a content by its digest; nil: it cannot be had now.
+// fetch returns the content with a digest, from the cache or a replica, or nil if no replica returns it in time.
 func (f *fetcher) fetch(ctx context.Context, digest string) []byte {
 	fetch := f.cache.Fetch(digest, len(f.client.opt.Replicas))
 	for fetch.State() == content.StateInProgress && ctx.Err() == nil {
@@ -64,7 +64,7 @@
 	return f.cache.Content(digest)
 }
 
-// tryOnce makes one request of a fetch, and hands it the outcome.
+// tryOnce sends the next request of a fetch and passes the outcome to it.
 func (f *fetcher) tryOnce(ctx context.Context, fetch *content.Fetch) {
 	request := fetch.NextRequest()
 	addr := f.client.replicaAddrAfter(request.Replica)
--- a/internal/fleet/client/fetch_test.go
+++ b/internal/fleet/client/fetch_test.go
@@ -20,7 +20,7 @@
 	"irispost/internal/fleet/lease"
 )
 
-// encodingLog keeps the encodings of the contents that have passed.
+// encodingLog records the content encodings of the responses that pass a proxy.
 type encodingLog struct {
 	mutex     sync.Mutex
 	encodings []string
@@ -41,10 +41,10 @@
 	return slices.Clone(l.encodings)
 }
 
-// changeBody puts another body in a response's place.
+// changeBody replaces the body of a response.
 func changeBody(r *http.Response, change func([]byte) []byte) error {
 	b, err := io.ReadAll(r.Body)
-	_ = r.Body.Close() // it was read to its end
+	_ = r.Body.Close() // already read to its end
 	b = change(b)
 	r.Body = io.NopCloser(bytes.NewReader(b))
 	r.ContentLength = int64(len(b))
@@ -52,7 +52,7 @@
 	return err
 }
 
-// encode is delta.Encode for contents that can be encoded.
+// encode calls delta.Encode and fails the test on an error.
 func encode(t *testing.T, base, content []byte) []byte {
 	t.Helper()
 	encoded, err := delta.Encode(base, content)
@@ -62,15 +62,15 @@
 	return encoded
 }
 
-// TestDamagedResponseIsReplaced: whatever becomes of a delta on its way, the version comes into effect: the full
-// content is requested. Where that is damaged as well, the next replica is called.
+// TestDamagedResponseIsReplaced checks that a version comes into effect although its delta arrives damaged: the
+// client then requests the full content, and calls the next replica if that is damaged as well.
 func TestDamagedResponseIsReplaced(t *testing.T) {
 	first, second := largeContent(200, 1), largeContent(200, 2)
 	bomb := encode(t, first, make([]byte, configversion.MaxContentBytes+1))
 	otherBase := encode(t, largeContent(200, 9), second)
 	earlier := encode(t, first, first)
 	if len(bomb) > 1<<20 {
-		t.Fatal("no bomb")
+		t.Fatal("the decompression bomb is over 1 MiB itself, want it small when compressed")
 	}
 	for name, damage := range map[string]func([]byte) []byte{
 		"truncated":            func(b []byte) []byte { return b[:len(b)-1] },
@@ -90,7 +90,7 @@
 	}
 }
 
-// checkDamageIsReplaced damages deltas, or all contents of one of two replicas.
+// checkDamageIsReplaced damages all deltas of the only replica, or all contents of the first of two.
 func checkDamageIsReplaced(t *testing.T, first, second []byte, encoding string, damage func([]byte) []byte) {
 	t.Helper()
 	replica := startReplica(t, 20*time.Second)
@@ -103,7 +103,7 @@
 		return nil
 	})
 	addrs := []string{damaging}
-	if encoding == content.EncodingZstd { // of the contents that the first gives, none is good
+	if encoding == content.EncodingZstd { // the first replica returns no intact content
 		addrs = append(addrs, replica.addr)
 	}
 	logs := &logBuffer{}
@@ -116,17 +116,18 @@
 	group.waitForVersion(2)
 	warnings := strings.Count(logs.String(), "content response rejected")
 	if encoding == content.EncodingDelta && warnings != 1 {
-		t.Errorf("%d warnings: %s", warnings, logs)
+		t.Errorf("%d warnings of a rejected response, want 1: %s", warnings, logs)
 	}
 	if strings.Contains(logs.String(), lease.StateExpired.String()) {
-		t.Errorf("the lease was not renewed meanwhile: %s", logs)
+		t.Errorf("the lease expired during the fetch: %s", logs)
 	}
 }
 
-// TestMissingContentDelaysItsVersionOnly: a content that cannot be had holds up its version, and not the lease
-// on the one in force.
+// TestMissingContentDelaysItsVersionOnly checks that a content that no replica returns delays its version, but not
+// the renewal of the lease on the version in force.
 func TestMissingContentDelaysItsVersionOnly(t *testing.T) {
-	replica := startReplica(t, 20*time.Second) // no lease is granted after one without the version
+	// A gateway that does not acknowledge a version within one lease gets no further ones.
+	replica := startReplica(t, 20*time.Second)
 	replica.propose(largeContent(100, 1))
 	var missing atomic.Bool
 	var renewals atomic.Int64
@@ -156,39 +157,39 @@
 	replica.propose(largeContent(100, 2))
 	for deadline := time.Now().Add(waitLimit); renewals.Load() < 5; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("%d leases: %s", renewals.Load(), logs)
+			t.Fatalf("%d renewals while the content is missing, want 5: %s", renewals.Load(), logs)
 		}
 	}
 	state, effective := group.clients[0].Status()
 	if state != lease.StateActing.String() || !isVersionAlone(effective, 1) {
-		t.Errorf("%s on %s: %s", state, effective, logs)
+		t.Errorf("state %s with %s in effect, want acting with version 1: %s", state, effective, logs)
 	}
 	if status, err := replica.client.Status(); err != nil || len(status.Gateways) != 1 || status.Gateways[0].Fault != "" {
-		t.Errorf("%+v, %v", status.Gateways, err)
+		t.Errorf("gateways in the replica's status: got %+v, %v, want one without a fault", status.Gateways, err)
 	}
 	missing.Store(false)
 	group.waitForVersion(2)
 }
 
-// asReplicaWithoutContents changes requests so that the replica responds as the build before did, which served
-// no contents.
+// asReplicaWithoutContents changes requests so that the replica responds like the previous build, which had no
+// route for contents.
 func asReplicaWithoutContents(r *http.Request) {
 	switch {
 	case strings.HasPrefix(r.URL.Path, "/content/"):
 		r.URL.Path = "/none"
 	case r.URL.Path == "/renew":
-		b, _ := io.ReadAll(r.Body) // what is missing is not JSON, which the replica answers
+		b, _ := io.ReadAll(r.Body) // a truncated body is not JSON, which the replica rejects
 		var request map[string]any
 		if json.Unmarshal(b, &request) == nil {
 			delete(request, "form")
-			b, _ = json.Marshal(request) // it was JSON before
+			b, _ = json.Marshal(request) // it was decoded from JSON
 		}
 		r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(b)), int64(len(b))
 	}
 }
 
-// TestMixedFormats: gateways and replicas of the format before work beside new ones: a request without a format
-// gets versions in full, and a gateway takes them.
+// TestMixedFormats checks that gateways and replicas of the previous format work beside new ones: a replica answers
+// a request without a format with versions in full, and a new gateway accepts them.
 func TestMixedFormats(t *testing.T) {
 	replica := startReplica(t, time.Second)
 	replica.propose(largeContent(100, 1))
@@ -206,17 +207,17 @@
 		group.waitForVersion(n)
 	}
 	if list := encodings.list(); !slices.Contains(list, content.EncodingDelta) {
-		t.Errorf("no delta has passed: %q", list)
+		t.Errorf("encodings of contents: got %q, want a delta among them", list)
 	}
-	for format := range 2 { // as the replica sees it
+	for format := range 2 { // formats of renewal requests: 0 is the previous one
 		response := renewUntilGranted(t, replica, format)
 		if len(response.Versions) != 1 || (len(response.Versions[0].Content) == 0) != (format == lease.ByDigest) {
-			t.Errorf("format %d: %+v", format, response)
+			t.Errorf("format %d: got %+v, want one version, with its content only in format 0", format, response)
 		}
 	}
 }
 
-// renewUntilGranted calls a replica until it grants a lease.
+// renewUntilGranted sends renewal requests to a replica until it grants a lease.
 func renewUntilGranted(t *testing.T, replica *testReplica, format int) *lease.RenewResponse {
 	t.Helper()
 	request := &lease.RenewRequest{Holder: fmt.Sprint("asks/", format), Seq: 1, Format: format}
--- a/internal/fleet/client/golden_test.go
+++ b/internal/fleet/client/golden_test.go
@@ -20,10 +20,10 @@
 	"irispost/internal/testkit/golden"
 )
 
-// cachedDigest names the content file under testdata/cache, as a gateway of an earlier build wrote it.
+// cachedDigest is the digest of the cache file under testdata/cache, which an earlier build of the gateway wrote.
 const cachedDigest = "5b1cbe1664cde7a14c102c56924fb8d4f926097fc0fc30c6e5081fe52ad2c983"
 
-// goldenFile reads a file under testdata.
+// goldenFile returns the content of a file under testdata.
 func goldenFile(t *testing.T, name ...string) []byte {
 	t.Helper()
 	b, err := os.ReadFile(filepath.Join(append([]string{"testdata"}, name...)...))
@@ -33,12 +33,12 @@
 	return b
 }
 
-// TestGoldenContentFile: the folder with the last content, as an earlier build left it, is read, and the same
-// file is written.
+// TestGoldenContentFile checks that the cache folder of an earlier build can be read, and that this build writes
+// the same file.
 func TestGoldenContentFile(t *testing.T) {
 	want := goldenFile(t, "cache", cachedDigest+".rules")
 	if !bytes.Equal(want, largeContent(3, 1)) {
-		t.Errorf("the content itself is now\n%s\nnot\n%s", largeContent(3, 1), want)
+		t.Errorf("canonical form of the cached content: got\n%s\nwant\n%s", largeContent(3, 1), want)
 	}
 	dir := t.TempDir()
 	if err := os.CopyFS(dir, os.DirFS(filepath.Join("testdata", "cache"))); err != nil {
@@ -50,32 +50,32 @@
 	}
 	file.close()
 	if !bytes.Equal(got, want) {
-		t.Errorf("read %d bytes of %d", len(got), len(want))
+		t.Errorf("read another content: got %d bytes, want %d", len(got), len(want))
 	}
 
 	dir = t.TempDir()
 	if file, got, err = openCacheFile(dir, "g", slog.New(slog.DiscardHandler)); err != nil || got != nil {
-		t.Fatalf("%d bytes in an empty folder, %v", len(got), err)
+		t.Fatalf("opening an empty folder: got %d bytes, error %v, want none", len(got), err)
 	}
 	file.write(want)
 	file.close()
 	list, err := os.ReadDir(dir)
 	if err != nil || len(list) != 1 || list[0].Name() != cachedDigest+".rules" {
-		t.Fatalf("the folder has %v, %v", list, err)
+		t.Fatalf("files after a write: got %v, %v, want the golden file alone", list, err)
 	}
 	info, err := list[0].Info()
 	if err != nil || info.Mode() != 0o600 {
-		t.Errorf("mode %v, %v", info.Mode(), err)
+		t.Errorf("mode of the file: got %v, %v, want 0600", info.Mode(), err)
 	}
 	if got, err := os.ReadFile(filepath.Join(dir, list[0].Name())); err != nil || !bytes.Equal(got, want) {
-		t.Errorf("%d bytes of %d were written, %v", len(got), len(want), err)
+		t.Errorf("wrote another content: got %d bytes, want %d, error %v", len(got), len(want), err)
 	}
 }
 
-// goldenReplica answers a gateway's calls with what testdata has, and notes the first calls of each path.
+// goldenReplica answers the calls of a gateway from testdata and records each distinct call.
 type goldenReplica struct {
 	grant   []byte
-	content []byte // as a delta from the content on disk
+	content []byte // encoded as a delta from the content on disk
 
 	lock     sync.Mutex
 	calls    []string
@@ -109,7 +109,7 @@
 	}
 }
 
-// note keeps a call, and counts the renewals.
+// note records a call unless it was recorded before, and returns the number of renewals so far.
 func (g *goldenReplica) note(path, call string) (renewals int) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
@@ -122,7 +122,8 @@
 	return g.renewals
 }
 
-// first are the calls that matter: two renewals, before and after the first lease, and one each of the others.
+// first returns, sorted, the first call of each path, and for renewals the first two: before and after the first
+// lease.
 func (g *goldenReplica) first() []string {
 	g.lock.Lock()
 	defer g.lock.Unlock()
@@ -139,8 +140,8 @@
 	return list
 }
 
-// TestGoldenCalls: what a gateway sends to a replica, route by route, and the record of what it acted on, are
-// those of an earlier build.
+// TestGoldenCalls checks that the requests which a gateway sends to a replica on each route, and its activation
+// record, are the same as those of an earlier build.
 func TestGoldenCalls(t *testing.T) {
 	coded, err := delta.Encode(goldenFile(t, "cache", cachedDigest+".rules"), largeContent(3, 2))
 	if err != nil {
@@ -170,10 +171,10 @@
 	golden.Check(t, "calls.txt", []byte(strings.Join(replica.first(), "\n\n")+"\n"))
 	b, err := os.ReadFile(record)
 	if err != nil || !regexp.MustCompile(`^\d+ false \[7\]\n$`).Match(b) {
-		t.Errorf("the record is %q, %v", b, err)
+		t.Errorf("activation record: got %q, %v, want one line for version 7 under a lease", b, err)
 	}
 	list, err := filepath.Glob(filepath.Join(dir, "*"))
 	if err != nil || len(list) != 1 || filepath.Base(list[0]) == cachedDigest+".rules" {
-		t.Errorf("%q in the folder after a change, %v", list, err)
+		t.Errorf("cache files after a change: got %q, %v, want one, of the new content", list, err)
 	}
 }
--- a/internal/fleet/client/helpers_test.go
+++ b/internal/fleet/client/helpers_test.go
@@ -21,10 +21,10 @@
 	"irispost/internal/fleet/replica"
 )
 
-// waitLimit is how long tests wait for what has to happen.
+// waitLimit is how long a test waits for an expected event.
 const waitLimit = time.Minute
 
-// largeContent is the content of a version of so many nodes, of which one has been replaced.
+// largeContent returns the content of a version with the given number of nodes, of which one has another address.
 func largeContent(nodes, replaced int) []byte {
 	config := &configversion.Config{
 		RequiredFormat: 1, Shards: nodes, MeanRequestUnits: 1,
@@ -44,7 +44,7 @@
 	return config.Canonical()
 }
 
-// countingConn is a connection whose bytes are counted, both ways.
+// countingConn counts the bytes that a connection reads and writes.
 type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
@@ -62,15 +62,15 @@
 	return n, err
 }
 
-// clientGroup is clients over real sockets, of which all bytes are counted.
+// clientGroup is a number of clients that use real sockets, with a count of all bytes that they exchange.
 type clientGroup struct {
 	t       *testing.T
 	clients []*Client
 	bytes   atomic.Int64
 }
 
-// startClients starts clients that are closed at the test's end; change may change each one's options, and may
-// be nil.
+// startClients starts clients that are closed at the end of the test. If change is not nil, it may change the
+// options of each.
 func startClients(t *testing.T, count int, addrs []string, change func(i int, options *Options)) *clientGroup {
 	t.Helper()
 	group := &clientGroup{t: t}
@@ -97,7 +97,7 @@
 	return countingConn{conn, &g.bytes}, err
 }
 
-// waitForVersion waits until at all clients a version alone is in effect.
+// waitForVersion waits until all clients have a version, and it alone, in effect.
 func (g *clientGroup) waitForVersion(number int) {
 	g.t.Helper()
 	for deadline := time.Now().Add(2 * waitLimit); ; time.Sleep(5 * time.Millisecond) {
@@ -114,17 +114,17 @@
 			return
 		}
 		if time.Now().After(deadline) {
-			g.t.Fatalf("version %d is in effect at %d of %d clients; %s", number, reached, len(g.clients), last)
+			g.t.Fatalf("version %d is in effect at %d of %d clients; another has %s", number, reached, len(g.clients), last)
 		}
 	}
 }
 
-// isVersionAlone tells whether what is in effect is one version, under a lease.
+// isVersionAlone reports whether one version is in effect under a lease, and not an intersection of two.
 func isVersionAlone(effective string, number int) bool {
 	return strings.HasPrefix(effective, fmt.Sprint(number, ".")) && !strings.Contains(effective, "&")
 }
 
-// testReplica is one replica, and ways to it that may change what passes.
+// testReplica is a single replica, which clients may reach through proxies that change requests and responses.
 type testReplica struct {
 	t      *testing.T
 	addr   string
@@ -145,7 +145,7 @@
 	return &testReplica{t: t, addr: server.Addr(), client: client}
 }
 
-// propose makes a content the next version.
+// propose proposes a content as the next version.
 func (r *testReplica) propose(content []byte) {
 	r.t.Helper()
 	proposal := &lease.Proposal{ID: fmt.Sprint(r.latest), Parent: r.latest, ReplacePending: true, Content: content}
@@ -155,8 +155,8 @@
 	r.latest++
 }
 
-// proxy returns an address at which the replica is reached through changes to requests and responses; either may
-// be nil.
+// proxy returns the address of a proxy to the replica that applies the given changes to requests and responses.
+// Either function may be nil.
 func (r *testReplica) proxy(changeRequest func(*http.Request), changeResponse func(*http.Response) error) string {
 	rewrite := func(p *httputil.ProxyRequest) {
 		p.SetURL(&url.URL{Scheme: "http", Host: r.addr})
@@ -170,7 +170,7 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// logBuffer keeps what was logged.
+// logBuffer collects log output.
 type logBuffer struct {
 	mutex sync.Mutex
 	text  bytes.Buffer
@@ -188,7 +188,7 @@
 	return l.text.String()
 }
 
-// use has a client log here, and renew often.
+// use makes a client log to the buffer and renew often.
 func (l *logBuffer) use(options *Options) {
 	options.Logger = slog.New(slog.NewTextHandler(l, nil))
 	options.RenewInterval = 100 * time.Millisecond
--- a/internal/fleet/client/main_test.go
+++ b/internal/fleet/client/main_test.go
@@ -21,16 +21,17 @@
 	"irispost/internal/loopback"
 )
 
-// Environment of a process that is to be a replica.
+// Environment variables of a test process that runs as a replica.
 const (
-	replicaEnv   = "IRISPOST_TEST_KEEPER" // number, folder and the addresses of all
-	diskLimitEnv = "IRISPOST_TEST_DISK"   // bytes past which no file grows, as on a full disk
+	replicaEnv   = "IRISPOST_TEST_KEEPER" // the replica's ID, its folder and the addresses of all replicas
+	diskLimitEnv = "IRISPOST_TEST_DISK"   // size limit of files in bytes, to simulate a full disk
 )
 
-// failedReplicaExitCode is that of a replica's process once the replica has given up.
+// failedReplicaExitCode is the exit code of a replica process whose replica has failed.
 const failedReplicaExitCode = 3
 
-// TestMain has the test's own binary be a replica where it is started as one.
+// TestMain runs a replica in place of the tests if the environment asks for it, so that tests can start their own
+// binary as a replica process.
 func TestMain(m *testing.M) {
 	if args := strings.Fields(os.Getenv(replicaEnv)); len(args) > 0 {
 		os.Exit(replicaMain(args[0], args[1], args[2:]))
@@ -38,7 +39,7 @@
 	os.Exit(m.Run())
 }
 
-// replicaMain runs a replica until it gives up, and returns the process's exit code.
+// replicaMain runs a replica until it fails, and returns the exit code of the process.
 func replicaMain(id, dir string, addrs []string) int {
 	options := replica.Options{Peers: map[uint64]string{}, Dir: dir, Logger: slog.New(slog.DiscardHandler),
 		LeaseSettings: lease.Settings{LeaseDuration: int64(2 * time.Second), MaxClockDrift: 0.01}}
@@ -56,7 +57,7 @@
 		return 1
 	}
 	server, err := replica.Start(options)
-	for attempt := 0; err != nil && attempt < 200; attempt++ { // its address may be taken for a moment
+	for attempt := 0; err != nil && attempt < 200; attempt++ { // its address may still be in use for a moment
 		time.Sleep(20 * time.Millisecond)
 		server, err = replica.Start(options)
 	}
@@ -70,7 +71,7 @@
 	return failedReplicaExitCode
 }
 
-// limitFileSize sets how many bytes this process's files may have; "": no limit.
+// limitFileSize limits the size of the files of this process, in bytes; "": no limit.
 func limitFileSize(text string) error {
 	if text == "" {
 		return nil
@@ -83,7 +84,7 @@
 	return unix.Setrlimit(unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: limit, Max: limit})
 }
 
-// startProcess starts a command that is killed at the test's end.
+// startProcess starts a command that is killed at the end of the test.
 func startProcess(t *testing.T, cmd *exec.Cmd) {
 	t.Helper()
 	if err := cmd.Start(); err != nil {
@@ -92,20 +93,20 @@
 	t.Cleanup(func() { killProcess(cmd) })
 }
 
-// killProcess kills a process and waits for its end. It may have ended before.
+// killProcess kills a process, which may already have ended, and waits for it.
 func killProcess(cmd *exec.Cmd) {
 	_ = cmd.Process.Kill()
 	_ = cmd.Wait()
 }
 
-// startReplicaProcesses starts three replicas as processes; extraEnv is for the first alone.
+// startReplicaProcesses starts three replicas as processes. extraEnv is added to the environment of the first.
 func startReplicaProcesses(t *testing.T, extraEnv ...string) (addrs []string, processes []*exec.Cmd) {
 	t.Helper()
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	var reserved []net.Listener // keep the ports until all are known
+	var reserved []net.Listener // holds the ports until all addresses are known
 	for range 3 {
 		l, err := net.Listen("tcp", loopback.Own()+":0")
 		if err != nil {
@@ -131,7 +132,7 @@
 	return addrs, processes
 }
 
-// numberedContent is the content of a version of 100 nodes that differs from others by a number.
+// numberedContent returns the content of a version with 100 nodes; n is a rate limit, so that contents differ by n.
 func numberedContent(n int) []byte {
 	config := &configversion.Config{
 		RequiredFormat: 1, Shards: 100, MeanRequestUnits: 1,
--- a/internal/fleet/client/options.go
+++ b/internal/fleet/client/options.go
@@ -16,34 +16,34 @@
 // Dial opens a connection, as net.Dialer.DialContext does.
 type Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// Options are the settings that a Client starts with.
+// Options configure a Client.
 type Options struct {
-	Gateway       string        // the gateway's name, for logs
-	Holder        string        // names this start of the gateway to the replicas; empty: NewHolderID makes one
-	Replicas      []string      // addresses, as this gateway reaches them
-	RenewInterval time.Duration // between renewals; a fraction of the lease
-	PeerAddr      string        // where other gateways reach this one; empty: they do not
-	Seed          uint64        // of the spread of retries
+	Gateway       string        // name of the gateway, for logs
+	Holder        string        // identifies this process of the gateway to the replicas; empty: NewHolderID makes one
+	Replicas      []string      // addresses at which this gateway reaches them
+	RenewInterval time.Duration // time between renewals; a fraction of the lease duration
+	PeerAddr      string        // address at which other gateways reach this one; empty: none
+	Seed          uint64        // seed for retry jitter and the choice of the first replica
 
-	RecordFile   string // file for the times at which versions were in effect; empty: none
-	CacheDir     string // folder of this gateway's own for the last content; empty: none, a start fetches the full content
-	FullVersions bool   // request versions with their contents, as the build before did: for tests of mixed fleets
+	RecordFile   string // file for the activation record: when which versions were in effect; empty: none
+	CacheDir     string // for the last content, not shared with other gateways; empty: each start fetches it in full
+	FullVersions bool   // request versions with their contents, as the previous build did; for tests of mixed fleets
 
-	LocalSettings scheduler.Settings // the gateway's own; they count for what a version does not set
+	LocalSettings scheduler.Settings // the gateway's own, for whatever a version does not set
 
-	// Now is the gateway's clock, in nanoseconds; it never goes back.
+	// Now returns the time on the gateway's clock, in nanoseconds. It must never go back.
 	Now func() int64
-	// OnChange is called after each response: what is in effect may have changed. It must not wait.
+	// OnChange is called after each response, as the configuration in effect may have changed. It must not block.
 	OnChange func()
-	// OnMembership is called with the members that a lease came with. It must not wait. nil: not called.
+	// OnMembership, if not nil, is called with the membership that came with a lease. It must not block.
 	OnMembership func(*lease.MembershipUpdate)
-	// LocalConflicts lists in what the gateway's own configuration contradicts a version. nil: not called.
+	// LocalConflicts, if not nil, lists the conflicts of the gateway's local configuration with a version.
 	LocalConflicts func(*configversion.Config) []string
-	// Dial opens connections to replicas; nil: a net.Dialer that gives up after RenewInterval.
+	// Dial opens connections to replicas; nil: a net.Dialer with a timeout of RenewInterval.
 	Dial Dial
 
 	Logger         *slog.Logger
-	InjectedFaults lease.InjectedFaults // for tests of the fleet's audit
+	InjectedFaults lease.InjectedFaults // for tests of the audit of fleets
 }
 
 func (o *Options) setDefaults() {
@@ -55,8 +55,8 @@
 	}
 }
 
-// NewHolderID names one start of a gateway. No other start, of this gateway or another on the host, has the same
-// name.
+// NewHolderID returns an ID for one process of a gateway. It differs from that of any other process on the host and
+// of any earlier start of the gateway.
 func NewHolderID(gateway string) string {
 	return fmt.Sprintf("%s/%d.%d", gateway, os.Getpid(), time.Now().UnixNano())
 }
--- a/internal/fleet/client/renew.go
+++ b/internal/fleet/client/renew.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	renewRandomStream = 7  // of the seed, for retries of renewals
-	watchRandomStream = 11 // of the seed, for retries of the watch
+	renewRandomStream = 7  // random stream of the seed for retries of renewals
+	watchRandomStream = 11 // random stream of the seed for retries of the watch
 
-	minBackoffFraction = 16 // the first wait after a failed renewal is this part of the renewal interval
+	minBackoffFraction = 16 // the first backoff is the renewal interval divided by this
 )
 
-// renewLoop renews the lease whenever the state machine wants to. One replica is called as long as it grants
-// leases. After a failure the next one is called, with a jittered exponential backoff, so that replicas that
-// return are not met by all gateways at once.
+// renewLoop renews the lease whenever the state machine says that a renewal is due. It keeps to one replica until
+// a call fails, and then calls the next one. After a renewal that brings no lease it waits with a jittered
+// exponential backoff, so that a replica that comes back is not called by all gateways at once.
 func (c *Client) renewLoop(ctx context.Context) {
 	random := rand.New(rand.NewPCG(c.opt.Seed, renewRandomStream))
 	minBackoff := c.opt.RenewInterval / minBackoffFraction
@@ -39,12 +39,12 @@
 	}
 }
 
-// jitter draws between half and one and a half of a duration.
+// jitter returns a random duration between 0.5 and 1.5 times the given one.
 func jitter(random *rand.Rand, duration time.Duration) time.Duration {
 	return time.Duration((0.5 + random.Float64()) * float64(duration))
 }
 
-// untilNextRequest is how long to wait for the next renewal.
+// untilNextRequest returns how long to wait until the next renewal is due.
 func (c *Client) untilNextRequest() time.Duration {
 	c.mutex.Lock()
 	at := c.stateMachine.NextRequestAt(c.opt.Now())
@@ -52,7 +52,8 @@
 	return time.Duration(at - c.opt.Now())
 }
 
-// renew calls a replica once for a lease, and applies its response. It tells whether a lease was granted.
+// renew requests a lease from the current replica once and applies the response. It reports whether a lease was
+// granted.
 func (c *Client) renew(ctx context.Context) (granted bool) {
 	c.mutex.Lock()
 	request := c.stateMachine.NextRequest(c.opt.Now())
@@ -70,7 +71,8 @@
 	return response.LeaseDuration > 0
 }
 
-// useNextReplica has the next replica be called from now on, for news as well.
+// useNextReplica switches to the next replica after a failed renewal. It cancels the long poll, so that the watch
+// switches as well.
 func (c *Client) useNextReplica(cause error) {
 	c.replicas.HTTPClient.CloseIdleConnections()
 	c.current.Add(1)
@@ -80,7 +82,7 @@
 	c.opt.Logger.Debug("lease renewal failed", "gateway", c.opt.Gateway, "err", cause)
 }
 
-// apply hands a response to the state machine, and tells all who have to know of what came of it.
+// apply passes a response to the state machine and notifies the watch and the callbacks of the outcome.
 func (c *Client) apply(response *lease.RenewResponse) {
 	c.mutex.Lock()
 	c.stateMachine.HandleResponse(c.opt.Now(), response)
@@ -100,7 +102,7 @@
 	c.logConflicts()
 }
 
-// logConflicts warns, once for each version, of what the gateway's own configuration contradicts.
+// logConflicts logs a warning, once for each version, for each conflict of the local configuration with it.
 func (c *Client) logConflicts() {
 	c.mutex.Lock()
 	version, config := c.stateMachine.LatestVersion()
--- a/internal/fleet/client/replicas_test.go
+++ b/internal/fleet/client/replicas_test.go
@@ -19,32 +19,32 @@
 	"irispost/internal/fleet/replica"
 )
 
-// operation is a call of an operator, with its outcome.
+// operation is a read or a proposal by an operator, with its outcome.
 type operation struct {
 	isRead   bool
 	parent   uint64
 	digest   string
-	known    bool // its outcome is known
+	known    bool // whether the outcome is known
 	rejected bool
 	number   uint64
 }
 
-// latestVersion is the state that all have to agree on.
+// latestVersion is the state of the log model: the latest version.
 type latestVersion struct {
 	number uint64
 	digest string
 }
 
-// logModel is the log as operators may see it: a proposal is accepted if its parent is the latest version, and a
-// read sees the latest.
+// logModel is a sequential model of the log: a proposal is accepted if its parent is the latest version, and a read
+// returns the latest version.
 var logModel = (&porcupine.NondeterministicModel{
 	Init:  func() []any { return []any{latestVersion{}} },
 	Step:  func(state, _, output any) []any { return stepLog(state.(latestVersion), output.(operation)) },
 	Equal: func(a, b any) bool { return a == b },
 }).ToModel()
 
-// stepLog are the states that the log may be in after an operation; none: the operation cannot have had this
-// outcome.
+// stepLog returns the states that the log may be in after an operation. There is none if the operation cannot have
+// had this outcome.
 func stepLog(state latestVersion, op operation) []any {
 	next := latestVersion{op.parent + 1, op.digest}
 	switch {
@@ -62,8 +62,8 @@
 	return nil
 }
 
-// TestLogModelRejectsImpossibleHistories: the model finds what must not be: two proposals with one parent both
-// accepted, and a version that is gone again.
+// TestLogModelRejectsImpossibleHistories checks that the model rejects a history in which two proposals with the
+// same parent are both accepted, and one in which an accepted version disappears.
 func TestLogModelRejectsImpossibleHistories(t *testing.T) {
 	at := func(from, to int64, op operation) porcupine.Operation {
 		return porcupine.Operation{ClientId: int(from), Input: op, Output: op, Call: from, Return: to}
@@ -84,17 +84,17 @@
 		"unknown, there and gone":    {history{at(1, 100, unknown), at(6, 7, read(1, "a")), at(8, 9, read(0, ""))}, false},
 	} {
 		if porcupine.CheckOperations(logModel, c.history) != c.possible {
-			t.Errorf("%s: not %v", name, c.possible)
+			t.Errorf("%s: the model does not report possible = %v", name, c.possible)
 		}
 	}
 }
 
-// operators propose and read until they are stopped, each for itself, and record the history.
+// operators are concurrent operators that read and propose until they are stopped, and record the history.
 type operators struct {
 	addrs    []string
 	start    time.Time
 	stop     chan struct{}
-	accepted atomic.Int64 // proposals
+	accepted atomic.Int64 // number of proposals that were accepted
 
 	mutex   sync.Mutex // guards history
 	history []porcupine.Operation
@@ -110,7 +110,7 @@
 	return o
 }
 
-// end stops them, and returns the history.
+// end stops the operators and returns the history.
 func (o *operators) end() []porcupine.Operation {
 	close(o.stop)
 	o.goroutines.Wait()
@@ -128,7 +128,7 @@
 	}
 }
 
-// readAndPropose reads the latest version, and proposes another after it.
+// readAndPropose reads the latest version and proposes a successor to it.
 func (o *operators) readAndPropose(operator, n int) {
 	replicas := &replica.Client{Replicas: o.addrs, Timeout: 2 * time.Second}
 	called := time.Since(o.start)
@@ -164,16 +164,16 @@
 	defer o.mutex.Unlock()
 	entry := porcupine.Operation{ClientId: operator, Input: op, Output: op, Call: int64(called)}
 	entry.Return = int64(time.Since(o.start))
-	if !op.known && !op.isRead { // it may take effect at any later time
+	if !op.known && !op.isRead { // the proposal may take effect at any later time
 		entry.ClientId = 100 + len(o.history)
 		entry.Return = int64(time.Hour)
 	}
 	o.history = append(o.history, entry)
 }
 
-// TestReplicasKilledAtRandomPointsAgreeOnOneLog: replicas' processes are killed at random moments while
-// operators race; their history has to be one that a single log could have given. IRISPOST_MEASURE=1 kills 100
-// times.
+// TestReplicasKilledAtRandomPointsAgreeOnOneLog kills replica processes at random times while operators race, and
+// checks that the operators' history is linearizable with respect to a single log. IRISPOST_MEASURE=1 makes it kill
+// 100 times.
 func TestReplicasKilledAtRandomPointsAgreeOnOneLog(t *testing.T) {
 	kills := 6
 	if os.Getenv("IRISPOST_MEASURE") == "1" {
@@ -193,7 +193,7 @@
 		time.Sleep(time.Duration(random.IntN(20_000)) * time.Microsecond)
 		i := random.IntN(3)
 		killProcess(processes[i])
-		if n%3 == 2 { // all of them, at once
+		if n%3 == 2 { // kill all three at once
 			others := []int{(i + 1) % 3, (i + 2) % 3}
 			for _, other := range others {
 				killProcess(processes[other])
@@ -207,12 +207,12 @@
 	history := clients.end()
 	result, _ := porcupine.CheckOperationsVerbose(logModel, history, time.Minute)
 	if result != porcupine.Ok {
-		t.Errorf("%d operations: %v", len(history), result)
+		t.Errorf("linearizability of a history of %d operations: got %v, want Ok", len(history), result)
 	}
-	t.Logf("%d kills, %d proposals accepted, %d operations: %v", kills, clients.accepted.Load(), len(history), result)
+	t.Logf("%d kills, %d accepted proposals, %d operations: %v", kills, clients.accepted.Load(), len(history), result)
 }
 
-// restartProcess starts an ended process's command again; extraEnv overrides its environment.
+// restartProcess starts the command of an ended process again. extraEnv overrides its environment.
 func restartProcess(t *testing.T, ended *exec.Cmd, extraEnv ...string) *exec.Cmd {
 	t.Helper()
 	cmd := exec.Command(ended.Path)
@@ -221,16 +221,16 @@
 	return cmd
 }
 
-// TestReplicaWithAFullDiskEndsAndRecovers: a replica whose disk is full ends with the reason, before it has
-// promised anything by what it could not write; the others go on, and with free space again it has all that was
-// acknowledged.
+// TestReplicaWithAFullDiskEndsAndRecovers checks that a replica whose disk is full exits with the reason, before it
+// acknowledges anything that it could not write. The others go on, and once restarted with free space the replica
+// has every version that was acknowledged.
 func TestReplicaWithAFullDiskEndsAndRecovers(t *testing.T) {
 	addrs, processes := startReplicaProcesses(t, diskLimitEnv+"=200000")
 	replicas := &replica.Client{Replicas: addrs, Timeout: 30 * time.Second}
 	limited := processes[0]
 	ended := make(chan struct{})
 	go func() {
-		_ = limited.Wait() // its exit code is checked below
+		_ = limited.Wait() // the exit code is checked below
 		close(ended)
 	}()
 	var digests []string
@@ -253,26 +253,26 @@
 		default:
 		}
 		if len(digests) > 2000 {
-			t.Fatal("the disk does not fill")
+			t.Fatal("over 2000 proposals did not fill the disk")
 		}
 	}
 	output, exitCode := fmt.Sprint(limited.Stdout), limited.ProcessState.ExitCode()
 	if exitCode != failedReplicaExitCode || !strings.Contains(output, "nothing is promised by it") {
-		t.Errorf("it ended with %d: %s", exitCode, output)
+		t.Errorf("the replica with the full disk exited with code %d, want failedReplicaExitCode and the reason: %s", exitCode, output)
 	}
-	for range 5 { // the two that are left
+	for range 5 { // the two remaining replicas still accept proposals
 		propose()
 	}
 	restartProcess(t, limited, diskLimitEnv+"=")
-	killProcess(processes[1]) // so that the restarted one is needed
+	killProcess(processes[1]) // so that the restarted replica is needed for a majority
 	propose()
 	versions, err := replicas.Versions(1)
 	if err != nil || len(versions) != len(digests) {
-		t.Fatalf("%d of %d versions: %v", len(versions), len(digests), err)
+		t.Fatalf("got %d versions, want %d: %v", len(versions), len(digests), err)
 	}
 	for i, version := range versions {
 		if version.Digest != digests[i] {
-			t.Errorf("version %d is another than was acknowledged", version.Number)
+			t.Errorf("version %d has another digest than was acknowledged", version.Number)
 		}
 	}
 }
--- a/internal/fleet/client/traffic_test.go
+++ b/internal/fleet/client/traffic_test.go
@@ -10,8 +10,8 @@
 	"irispost/internal/fleet/replica"
 )
 
-// TestBytesOfAChangeAreFarFewerThanTheList: a change of one node of 1,800 costs a gateway far less than the list
-// of nodes. IRISPOST_MEASURE=1 measures longer, with what a gateway costs at rest.
+// TestBytesOfAChangeAreFarFewerThanTheList checks that a change of one node of 1,800 costs a gateway far fewer bytes
+// than the list of nodes. IRISPOST_MEASURE=1 measures for longer, and also the traffic of an idle gateway.
 func TestBytesOfAChangeAreFarFewerThanTheList(t *testing.T) {
 	const nodes = 1800
 	count, changes, rest := 8, 4, time.Duration(0)
@@ -34,14 +34,14 @@
 	propose(1)
 	group := startClients(t, count, addrs, nil)
 	group.waitForVersion(1)
-	t.Logf("%d clients, a content of %d bytes: start %.0f bytes a client", count, fullSize, perClient(group.bytes.Load()))
+	t.Logf("%d clients, content of %d bytes: start takes %.0f bytes per client", count, fullSize, perClient(group.bytes.Load()))
 	idleRate := 0.0
 	if rest > 0 {
 		time.Sleep(2 * time.Second)
 		before := group.bytes.Load()
 		time.Sleep(rest)
 		idleRate = perClient(group.bytes.Load()-before) / rest.Seconds()
-		t.Logf("at rest %.0f bytes/s a client", idleRate)
+		t.Logf("idle: %.0f bytes/s per client", idleRate)
 	}
 
 	before, start := group.bytes.Load(), time.Now()
@@ -52,9 +52,9 @@
 	seconds := time.Since(start).Seconds()
 	total := perClient(group.bytes.Load() - before)
 	perChange := total / float64(changes)
-	t.Logf("%d changes in %.1f s: %.0f bytes each, %.0f without those at rest",
+	t.Logf("%d changes in %.1f s: %.0f bytes per change and client, %.0f without idle traffic",
 		changes, seconds, perChange, (total-idleRate*seconds)/float64(changes))
-	if perChange > float64(fullSize)/8 { // the full list, compressed, is a sixth of it
-		t.Errorf("%.0f bytes a change and client, where the list has %d", perChange, fullSize)
+	if perChange > float64(fullSize)/8 { // the compressed full list is a sixth of fullSize
+		t.Errorf("%.0f bytes per change and client, want at most an eighth of the full list of %d bytes", perChange, fullSize)
 	}
 }
--- a/internal/fleet/client/watch.go
+++ b/internal/fleet/client/watch.go
@@ -10,13 +10,13 @@
 	"irispost/internal/fleet/replica"
 )
 
-// watchHoldTime is how long a replica may hold a long poll open. Correctness does not depend on hearing of a
-// change in time.
+// watchHoldTime is how long a replica may hold a long poll open. Correctness does not depend on prompt notice of a
+// change.
 const watchHoldTime = 10 * time.Second
 
-// watchLoop keeps a long poll open at the current replica, which responds once the log's state has changed, so
-// that the gateway calls for renewals of its lease alone. While the poll fails, is silent or is rejected, the
-// gateway renews as often as without it.
+// watchLoop keeps a long poll open at the current replica, which responds once the state of the log has changed.
+// While it works, the gateway renews only to extend its lease and not to learn of changes. While the poll fails,
+// times out or is rejected, the gateway renews as often as without it.
 func (c *Client) watchLoop(ctx context.Context) {
 	replicas := newReplicaClient(c.opt.Dial)
 	random := rand.New(rand.NewPCG(c.opt.Seed, watchRandomStream))
@@ -24,7 +24,7 @@
 		if c.watch(ctx, replicas) {
 			continue
 		}
-		select { // the next poll needs the state that the renewal brings
+		select { // the next poll needs the state that a renewal returns
 		case <-ctx.Done():
 		case <-c.responseApplied:
 		case <-time.After(jitter(random, c.opt.RenewInterval)):
@@ -32,8 +32,8 @@
 	}
 }
 
-// watch makes one long poll for changes of the state that is known here. It is true where the poll ended without
-// one, and false where there is something to renew first: a change, an error, or no known state yet.
+// watch makes one long poll for a change from the known state of the log. It returns true if the poll ended without
+// a change, and false if a renewal has to come first: after a change or an error, or if no state is known yet.
 func (c *Client) watch(ctx context.Context, replicas *replica.Client) (unchanged bool) {
 	c.mutex.Lock()
 	term, inForce, announced := c.stateMachine.KnownState()
@@ -59,7 +59,7 @@
 	return err == nil && !changed
 }
 
-// watchEnded has the gateway renew at once if a long poll failed or found a change.
+// watchEnded makes the gateway renew at once if a long poll failed or reported a change.
 func (c *Client) watchEnded(changed bool, err error) {
 	renew := changed || err != nil
 	c.mutex.Lock()
@@ -72,7 +72,7 @@
 		return
 	}
 	select {
-	case <-c.responseApplied: // of a response from before the change
+	case <-c.responseApplied: // drop a notification from before the change
 	default:
 	}
 	notify(c.renewNow)
--- a/internal/fleet/configversion/config.go
+++ b/internal/fleet/configversion/config.go
@@ -11,13 +11,13 @@
 	"irispost/internal/endpoint"
 )
 
-// Format is the newest format of configurations that this build knows. A version that requires a newer one is not
-// acted on.
+// Format is the newest configuration format that this build supports. A gateway does not act on a version that
+// requires a newer one.
 const Format = 1
 
-// Config is the content of a version. Durations are in nanoseconds.
+// Config is the configuration that a version carries. Durations are in nanoseconds.
 type Config struct {
-	RequiredFormat   int                     `json:"needs"` // a build has to know this format to act on it
+	RequiredFormat   int                     `json:"needs"` // format that a build must support to act on it
 	Shards           int                     `json:"shards"`
 	MeanRequestUnits float64                 `json:"mean"`
 	ServiceLevels    map[string]ServiceLevel `json:"plans"`    // by name
@@ -29,40 +29,41 @@
 	Nodes            map[string]Node         `json:"nodes"` // by address
 }
 
-// ServiceLevel is what a volume is entitled to, over all gateways and nodes. Rates are in units a second; Burst and
-// Slack are in units.
+// ServiceLevel is what a volume is entitled to, summed over all gateways and nodes. Rates are in units per second;
+// Burst and Slack are in units.
 type ServiceLevel struct {
 	Weight      float64 `json:"weight"`
 	NominalRate float64 `json:"rate"`
 	Reserve     float64 `json:"reserve"`
-	RateLimit   float64 `json:"limit"` // 0: none
+	RateLimit   float64 `json:"limit"` // 0: unlimited
 	Burst       float64 `json:"burst"`
 	Slack       float64 `json:"slack"`
 }
 
-// RequestClass is a kind of request. Durations are in nanoseconds.
+// RequestClass holds the settings that all requests of one kind share. Durations are in nanoseconds.
 type RequestClass struct {
 	Idempotency      Idempotency `json:"kind"`
 	LatencyObjective int64       `json:"goal"`
 	ClientTimeout    int64       `json:"patience"`
-	DedupWindow      int64       `json:"window"` // how long nodes recognise a retry by its idempotency key
+	DedupWindow      int64       `json:"window"` // how long nodes recognize a retry by its idempotency key
 	Ordered          bool        `json:"in_turn"`
 }
 
-// Idempotency says whether a request may be sent again once it may have run, and to which nodes. Each value allows
-// what the later ones allow, but for KeyedSameZone and KeyedSameShard, which allow different things.
+// Idempotency says whether a request that may already have run may be retried, and on which nodes. The values are
+// ordered from loose to strict: each allows everything that the later ones allow, except that KeyedSameZone and
+// KeyedSameShard are not comparable.
 type Idempotency string
 
 // The values of Idempotency.
 const (
-	Idempotent     Idempotency = "replayable"       // to any node
-	KeyedAllNodes  Idempotency = "referenced"       // to any node, as all recognise its idempotency key
-	KeyedSameZone  Idempotency = "referenced zone"  // to the nodes of the same zone, which recognise its key
-	KeyedSameShard Idempotency = "referenced shard" // to the nodes of the same shard, which recognise its key
-	NonIdempotent  Idempotency = "single-use"       // to none
+	Idempotent     Idempotency = "replayable"       // on any node
+	KeyedAllNodes  Idempotency = "referenced"       // on any node, as all nodes recognize its idempotency key
+	KeyedSameZone  Idempotency = "referenced zone"  // on nodes of the same zone, which recognize its idempotency key
+	KeyedSameShard Idempotency = "referenced shard" // on nodes of the same shard, which recognize its idempotency key
+	NonIdempotent  Idempotency = "single-use"       // never
 )
 
-// strictness orders the values of Idempotency. Two of the same rank are not comparable.
+// strictness ranks the values of Idempotency. Two different values of the same rank are not comparable.
 var strictness = map[Idempotency]int{
 	Idempotent:     0,
 	KeyedAllNodes:  1,
@@ -71,7 +72,7 @@
 	NonIdempotent:  3,
 }
 
-// SlowStart bounds what all gateways together may send to a node that has started lately. Durations are in
+// SlowStart limits what all gateways together may send to a node that has started recently. Durations are in
 // nanoseconds.
 type SlowStart struct {
 	InitialShare      float64 `json:"from"`
@@ -81,29 +82,29 @@
 	MinimumUnits      float64 `json:"units"`
 }
 
-// RetryBudget bounds the attempts after the first: in each window some are free, and a share of the requests that
-// were received in it. The window is in nanoseconds.
+// RetryBudget limits retries. In each window it allows a fixed number of free retries, plus a share of the number of
+// requests received in the window. The window is in nanoseconds.
 type RetryBudget struct {
 	Window       int64   `json:"window"`
 	FreeRetries  float64 `json:"free"`
 	RequestShare float64 `json:"share"`
 }
 
-// DispatchPolicy says what a gateway may do with attempts and answers. Durations are in nanoseconds.
+// DispatchPolicy says which ways of sending and answering requests a gateway may use. Durations are in nanoseconds.
 type DispatchPolicy struct {
-	MaxAttempts   int   `json:"most"` // of a request
+	MaxAttempts   int   `json:"most"` // per request
 	Hedging       bool  `json:"second_copies"`
 	Cancellation  bool  `json:"calling_off"`
-	RetryAfter    bool  `json:"advice"` // rejections say when to come back
+	RetryAfter    bool  `json:"advice"` // rejections tell the client when to retry
 	MaxRetryAfter int64 `json:"advice_most"`
-	KeyCooldown   int64 `json:"key_rest"` // between requests of one key
+	KeyCooldown   int64 `json:"key_rest"` // minimum time between requests with the same key
 }
 
-// FallbackPolicy bounds what a gateway may do for a while after its lease has expired.
+// FallbackPolicy limits what a gateway may do for a bounded time after its lease has expired.
 type FallbackPolicy struct {
-	Duration      int64   `json:"for"`    // nanoseconds from the request of its last lease; 0: it may do nothing
-	LimitFraction float64 `json:"limits"` // part of each rate limit, 0 to 1
-	AllowWrites   bool    `json:"writes"` // request classes that are not idempotent, too
+	Duration      int64   `json:"for"`    // nanoseconds since its last lease was requested; 0: it may do nothing
+	LimitFraction float64 `json:"limits"` // share of each rate limit that may be used, from 0 to 1
+	AllowWrites   bool    `json:"writes"` // serve request classes that are not idempotent, too
 }
 
 // Node is a storage node.
@@ -111,13 +112,13 @@
 	Name      string          `json:"name,omitempty"`
 	Zone      string          `json:"zone,omitempty"`
 	Shard     int             `json:"shard"`
-	StartedAt int64           `json:"born,omitempty"` // nanoseconds since 1970; 0: long ago
+	StartedAt int64           `json:"born,omitempty"` // Unix time in nanoseconds; 0: long ago
 	Health    endpoint.Health `json:"standing"`
 	Weight    float64         `json:"weight,omitempty"`
 }
 
-// Canonical writes the configuration in the one form that counts: JSON with members in a fixed order and names
-// sorted.
+// Canonical encodes the configuration in its canonical form, from which the digest is computed: JSON with struct
+// members in a fixed order and map keys sorted.
 func (c *Config) Canonical() []byte {
 	canonical := *c
 	if canonical.ServiceLevels == nil {
@@ -131,7 +132,7 @@
 	}
 	b, err := json.Marshal(&canonical)
 	if err != nil {
-		panic("encode a configuration: " + err.Error()) // only a number that is not finite, which Validate refuses
+		panic("encode a configuration: " + err.Error()) // only possible for NaN or an infinity, which Validate rejects
 	}
 	return b
 }
@@ -139,13 +140,13 @@
 // Digest returns the digest of the canonical form.
 func (c *Config) Digest() string { return DigestOf(c.Canonical()) }
 
-// DigestOf returns the BLAKE3 digest of a content, in hexadecimal.
+// DigestOf returns the BLAKE3 digest of an encoded configuration, in hexadecimal.
 func DigestOf(content []byte) string {
 	sum := blake3.Sum256(content)
 	return hex.EncodeToString(sum[:])
 }
 
-// ShardOwner returns the address of the node that serves a shard, or "" if there is none.
+// ShardOwner returns the address of the ready node that serves a shard, or "" if there is none.
 func (c *Config) ShardOwner(shard int) string {
 	for _, addr := range sortedNames(c.Nodes) {
 		if node := c.Nodes[addr]; node.Shard == shard && node.Health == endpoint.Ready {
@@ -155,7 +156,7 @@
 	return ""
 }
 
-// EndpointList returns the nodes by address, as a list with a version.
+// EndpointList returns the nodes, sorted by address, as an endpoint list of the given version.
 func (c *Config) EndpointList(version string) endpoint.List {
 	list := endpoint.List{Version: version}
 	for _, addr := range sortedNames(c.Nodes) {
@@ -173,5 +174,5 @@
 	return list
 }
 
-// sortedNames returns the keys of a map in order.
+// sortedNames returns the keys of a map in ascending order.
 func sortedNames[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
--- a/internal/fleet/configversion/diff.go
+++ b/internal/fleet/configversion/diff.go
@@ -8,23 +8,23 @@
 	"strings"
 )
 
-// Diff lists what has changed from a to b, one line for each member, by its path in the canonical form.
+// Diff lists the changes from a to b, one line for each changed member, with its path in the canonical form.
 func Diff(a, b *Config) []string {
 	var lines []string
 	appendDiff(&lines, "", a.tree(), b.tree())
 	return lines
 }
 
-// tree returns the canonical form as plain maps.
+// tree decodes the canonical form into nested maps.
 func (c *Config) tree() map[string]any {
 	var tree map[string]any
 	if err := json.Unmarshal(c.Canonical(), &tree); err != nil {
-		panic("decode a canonical configuration: " + err.Error()) // it was encoded here
+		panic("decode a canonical configuration: " + err.Error()) // cannot happen: Canonical has just encoded it
 	}
 	return tree
 }
 
-// appendDiff compares two members at a path, and what is within them if both are objects.
+// appendDiff appends the differences between the members a and b at a path. It descends into them if both are objects.
 func appendDiff(lines *[]string, path string, a, b any) {
 	objectA, isObjectA := a.(map[string]any)
 	objectB, isObjectB := b.(map[string]any)
@@ -43,14 +43,14 @@
 	}
 }
 
-// memberText writes a member as JSON, or "none" if there is none.
+// memberText encodes a member as JSON. A missing member is "none".
 func memberText(member any) string {
 	if member == nil {
 		return "none"
 	}
 	b, err := json.Marshal(member)
 	if err != nil {
-		panic("encode a member of a configuration: " + err.Error()) // it was decoded from JSON
+		panic("encode a member of a configuration: " + err.Error()) // cannot happen: it was decoded from JSON
 	}
 	return string(b)
 }
--- a/internal/fleet/configversion/exceeds.go
+++ b/internal/fleet/configversion/exceeds.go
@@ -9,12 +9,12 @@
 	"irispost/internal/endpoint"
 )
 
-// Exceeds lists in words what a allows and b does not. If there is nothing, whoever acts on a does not contradict
-// whoever acts on b. Weights, nominal rates, reserves, objectives, timeouts and names may differ without harm and are
-// left out.
+// Exceeds describes, one line each, what a allows and b does not. If the list is empty, a gateway that acts on a does
+// nothing that b forbids. Weights, nominal rates, reserves, latency objectives, timeouts and names are not compared,
+// as gateways may differ in them without conflict.
 func Exceeds(a, b *Config) []string {
 	var found findings
-	found.addIf(a.RequiredFormat < b.RequiredFormat, "form: %d knows less than %d", a.RequiredFormat, b.RequiredFormat)
+	found.addIf(a.RequiredFormat < b.RequiredFormat, "required format: %d under %d", a.RequiredFormat, b.RequiredFormat)
 	for _, name := range sortedNames(a.ServiceLevels) {
 		found.addServiceLevel(name, a, b)
 	}
@@ -30,14 +30,14 @@
 	return found
 }
 
-// Conflicts lists what two gateways may do against each other if one acts on a and the other on b.
+// Conflicts lists what a gateway that acts on a may do and b forbids, and the reverse. Lines are sorted and unique.
 func Conflicts(a, b *Config) []string {
 	list := append(Exceeds(a, b), Exceeds(b, a)...)
 	slices.Sort(list)
 	return slices.Compact(list)
 }
 
-// findings are what one configuration allows and another does not, one line each.
+// findings lists what one configuration allows and another does not, one line each.
 type findings []string
 
 func (f *findings) addIf(found bool, format string, args ...any) {
@@ -50,7 +50,7 @@
 	inA := a.ServiceLevels[name]
 	inB, ok := b.ServiceLevels[name]
 	if !ok {
-		f.addIf(true, "plan %s: not in the other", name)
+		f.addIf(true, "plan %s: missing from the other", name)
 		return
 	}
 	limitA, limitB := inA.effectiveLimit(), inB.effectiveLimit()
@@ -63,14 +63,14 @@
 	inA := a.RequestClasses[name]
 	inB, ok := b.RequestClasses[name]
 	if !ok {
-		f.addIf(true, "product %s: not in the other", name)
+		f.addIf(true, "product %s: missing from the other", name)
 		return
 	}
 	looser := stricter(inA.Idempotency, inB.Idempotency) != inA.Idempotency
-	f.addIf(looser, "product %s: %s, where it is %s", name, inA.Idempotency, inB.Idempotency)
+	f.addIf(looser, "product %s: kind %q allows retries that %q forbids", name, inA.Idempotency, inB.Idempotency)
 	longer := inA.DedupWindow > inB.DedupWindow
-	f.addIf(longer, "product %s: repeats for %d, known for %d", name, inA.DedupWindow, inB.DedupWindow)
-	f.addIf(inB.Ordered && !inA.Ordered, "product %s: out of turn", name)
+	f.addIf(longer, "product %s: window %d over %d", name, inA.DedupWindow, inB.DedupWindow)
+	f.addIf(inB.Ordered && !inA.Ordered, "product %s: unordered, but ordered in the other", name)
 }
 
 func (f *findings) addSlowStart(a, b SlowStart) {
@@ -98,30 +98,31 @@
 }
 
 func (f *findings) addDispatch(a, b DispatchPolicy) {
-	f.addIf(a.MaxAttempts > b.MaxAttempts, "executions of a job: %d over %d", a.MaxAttempts, b.MaxAttempts)
-	f.addIf(a.Hedging && !b.Hedging, "second copies")
-	f.addIf(a.Cancellation && !b.Cancellation, "calling off")
-	f.addIf(a.RetryAfter && !b.RetryAfter || a.MaxRetryAfter > b.MaxRetryAfter, "advice in dismissals")
-	f.addIf(a.KeyCooldown < b.KeyCooldown, "rest of a key: %d under %d", a.KeyCooldown, b.KeyCooldown)
+	f.addIf(a.MaxAttempts > b.MaxAttempts, "executions of a request: %d over %d", a.MaxAttempts, b.MaxAttempts)
+	f.addIf(a.Hedging && !b.Hedging, "second copies: allowed by one configuration only")
+	f.addIf(a.Cancellation && !b.Cancellation, "calling off: allowed by one configuration only")
+	f.addIf(a.RetryAfter && !b.RetryAfter || a.MaxRetryAfter > b.MaxRetryAfter,
+		"retry advice: allowed by one configuration only, or with a longer maximum")
+	f.addIf(a.KeyCooldown < b.KeyCooldown, "rest between requests of a key: %d under %d", a.KeyCooldown, b.KeyCooldown)
 }
 
-// addNode compares a node that a serves.
+// addNode compares a node that is ready in a. A node that is not gets no requests, so it cannot exceed b.
 func (f *findings) addNode(addr string, a, b *Config) {
 	inA := a.Nodes[addr]
 	if inA.Health != endpoint.Ready {
 		return
 	}
-	f.addIf(a.Shards != b.Shards, "node %s: one of %d shards, where there are %d", addr, a.Shards, b.Shards)
+	f.addIf(a.Shards != b.Shards, "node %s: one of %d shards, but of %d in the other", addr, a.Shards, b.Shards)
 	inB, ok := b.Nodes[addr]
 	switch {
 	case !ok:
-		f.addIf(true, "node %s: not in the other", addr)
+		f.addIf(true, "node %s: missing from the other", addr)
 	case inA.Shard != inB.Shard:
-		f.addIf(true, "node %s: shard %d, where it is %d", addr, inA.Shard, inB.Shard)
+		f.addIf(true, "node %s: shard %d, but %d in the other", addr, inA.Shard, inB.Shard)
 	case inB.Health != endpoint.Ready:
 		f.addIf(true, "node %s: served, where it drains or is gone", addr)
 	default:
-		f.addIf(inA.StartedAt < inB.StartedAt, "node %s: started anew since", addr)
+		f.addIf(inA.StartedAt < inB.StartedAt, "node %s: restarted since, according to the other", addr)
 	}
 }
 
--- a/internal/fleet/configversion/fallback.go
+++ b/internal/fleet/configversion/fallback.go
@@ -2,9 +2,9 @@
 
 import "math"
 
-// Fallback returns what a gateway may do for a while after its lease on this configuration has expired. It spends no
-// budget that gateways share and sends nothing to nodes in slow start, as it does not know what the others do. With a
-// fallback duration of 0 it may do nothing.
+// Fallback returns the configuration that a gateway may act on for a bounded time after its lease on c has expired.
+// As the gateway no longer knows what the others do, it may not use the retry budget that gateways share, nor send to
+// nodes in slow start. With a fallback duration of 0 it may do nothing.
 func (c *Config) Fallback() *Config {
 	if c.FallbackPolicy.Duration == 0 {
 		return c.DenyAll()
@@ -20,7 +20,7 @@
 		level.RateLimit *= c.FallbackPolicy.LimitFraction
 		level.Burst *= c.FallbackPolicy.LimitFraction
 		level.Slack *= c.FallbackPolicy.LimitFraction
-		if c.ServiceLevels[name].RateLimit > 0 && level.RateLimit == 0 { // a limit of 0 would mean that there is none
+		if c.ServiceLevels[name].RateLimit > 0 && level.RateLimit == 0 { // 0 would mean unlimited
 			delete(f.ServiceLevels, name)
 			continue
 		}
@@ -37,7 +37,7 @@
 	return f
 }
 
-// DenyAll returns a configuration that allows nothing and so exceeds no other: no node is served.
+// DenyAll returns a configuration that allows nothing and therefore exceeds no other. It has no nodes to send to.
 func (c *Config) DenyAll() *Config {
 	denied := Intersect(c, c)
 	clear(denied.ServiceLevels)
--- a/internal/fleet/configversion/golden_test.go
+++ b/internal/fleet/configversion/golden_test.go
@@ -10,7 +10,8 @@
 	"irispost/internal/testkit/golden"
 )
 
-// goldenConfig has no member at its zero value, and each value of idempotency and health.
+// goldenConfig returns a configuration that sets every member to a non-zero value somewhere, and uses every value of
+// Idempotency and Health.
 func goldenConfig() *Config {
 	return &Config{
 		RequiredFormat:   1,
@@ -54,8 +55,8 @@
 	}
 }
 
-// The files under testdata/golden hold the forms in which versions are stored, sent and digested. Each build has to
-// come to the same bytes.
+// The files under testdata/golden hold the encodings in which versions are stored, sent and digested. A build that
+// encodes them differently would compute other digests than the rest of the fleet.
 func TestGoldenForms(t *testing.T) {
 	r := goldenConfig()
 	other := goldenConfig()
@@ -104,10 +105,10 @@
 	}
 	back, err := Parse(r.Canonical())
 	if err != nil || !reflect.DeepEqual(back, r) {
-		t.Errorf("read: %+v, %v", back, err)
+		t.Errorf("parsing the canonical form: got %+v, %v, want goldenConfig()", back, err)
 	}
 	var version Version
 	if err := json.Unmarshal(asJSON(v), &version); err != nil || !reflect.DeepEqual(&version, v) {
-		t.Errorf("read: %+v, %v", version, err)
+		t.Errorf("decoding the version: got %+v, %v, want the version that was encoded", version, err)
 	}
 }
--- a/internal/fleet/configversion/intersect.go
+++ b/internal/fleet/configversion/intersect.go
@@ -6,9 +6,10 @@
 	"irispost/internal/endpoint"
 )
 
-// Intersect returns the loosest configuration that exceeds neither a nor b, which is what both allow. It is
-// commutative, associative and idempotent. A shard whose node differs is served by none, nor is a service level or a
-// request class that only one side has. A node that one side leaves out or drains gets nothing.
+// Intersect returns the loosest configuration that exceeds neither a nor b: it allows only what both allow. It is
+// commutative, associative and idempotent. Service levels and request classes that only one side has are left out.
+// A shard that a and b assign to different nodes has no owner, and a node that one side omits or drains gets no
+// requests.
 func Intersect(a, b *Config) *Config {
 	return &Config{
 		RequiredFormat:   max(a.RequiredFormat, b.RequiredFormat),
@@ -24,7 +25,7 @@
 	}
 }
 
-// intersectMaps intersects the values of the names that both maps have.
+// intersectMaps keeps the names that both maps have, and intersects their values.
 func intersectMaps[V any](a, b map[string]V, intersect func(a, b V) V) map[string]V {
 	both := map[string]V{}
 	for name, inA := range a {
@@ -50,7 +51,7 @@
 	}
 }
 
-// effectiveLimit returns the rate limit, which is infinite if there is none.
+// effectiveLimit returns the rate limit, or infinity if the level is unlimited.
 func (l ServiceLevel) effectiveLimit() float64 {
 	if l.RateLimit == 0 {
 		return math.Inf(1)
@@ -68,7 +69,7 @@
 	}
 }
 
-// stricter returns the loosest value that allows no retry that a or b forbids.
+// stricter returns the loosest value that allows no retry which a or b forbids.
 func stricter(a, b Idempotency) Idempotency {
 	switch {
 	case a == b || strictness[a] > strictness[b]:
@@ -76,7 +77,7 @@
 	case strictness[a] < strictness[b]:
 		return b
 	}
-	return NonIdempotent // of a zone and a shard, no node is sure to recognise the key under both
+	return NonIdempotent // KeyedSameZone and KeyedSameShard: no node is sure to recognize the key under both
 }
 
 func intersectSlowStart(a, b SlowStart) SlowStart {
@@ -87,7 +88,7 @@
 		Window:            max(a.Window, b.Window),
 		MinimumUnits:      min(a.MinimumUnits, b.MinimumUnits),
 	}
-	if a.Window != b.Window { // amounts over different windows cannot be compared, so none is allowed
+	if a.Window != b.Window { // amounts over different windows are not comparable, so allow none
 		both.FairShareMultiple = 0
 		both.MinimumUnits = 0
 	}
@@ -100,7 +101,7 @@
 		FreeRetries:  min(a.FreeRetries, b.FreeRetries),
 		RequestShare: min(a.RequestShare, b.RequestShare),
 	}
-	if a.Window != b.Window { // as for slow start
+	if a.Window != b.Window { // not comparable, as in intersectSlowStart
 		both.FreeRetries = 0
 		both.RequestShare = 0
 	}
@@ -126,7 +127,7 @@
 	}
 }
 
-// intersectNodeLists returns no nodes if the numbers of shards differ, as these decide where data is stored.
+// intersectNodeLists returns no nodes if the shard counts differ, as the shard count decides where data is stored.
 func intersectNodeLists(a, b *Config) map[string]Node {
 	if a.Shards != b.Shards {
 		return map[string]Node{}
@@ -144,12 +145,12 @@
 		Weight:    min(a.Weight, b.Weight),
 	}
 	if a.Shard != b.Shard {
-		both.Health = endpoint.Removed // a node has the data of one shard, and which one is in dispute
+		both.Health = endpoint.Removed // a node stores the data of one shard only, and the sides disagree on which
 	}
 	return both
 }
 
-// comparableHealth makes an unhealthy node a removed one, as neither gets anything.
+// comparableHealth treats an unhealthy node as removed, as neither gets any requests.
 func comparableHealth(health endpoint.Health) endpoint.Health {
 	if health == endpoint.Unhealthy {
 		return endpoint.Removed
--- a/internal/fleet/configversion/order_test.go
+++ b/internal/fleet/configversion/order_test.go
@@ -20,7 +20,7 @@
 		for shard := range 2 {
 			ownerA, ownerB, owner := a.ShardOwner(shard), b.ShardOwner(shard), both.ShardOwner(shard)
 			if ownerA != ownerB && owner != "" {
-				t.Fatalf("shard %d is served by %q, of %q and %q", shard, owner, ownerA, ownerB)
+				t.Fatalf("the intersection serves shard %d by %q, but the sides by %q and %q", shard, owner, ownerA, ownerB)
 			}
 		}
 	})
@@ -30,13 +30,13 @@
 	both := Intersect(a, b)
 	checkEqual := func(law string, x, y *Config) {
 		if x.Digest() != y.Digest() {
-			t.Fatalf("%s:\n%s\n%s", law, x.Canonical(), y.Canonical())
+			t.Fatalf("not %s: got\n%s\nwant\n%s", law, x.Canonical(), y.Canonical())
 		}
 	}
 	checkEqual("commutative", both, Intersect(b, a))
 	checkEqual("idempotent", Intersect(both, both), both)
 	checkEqual("associative", Intersect(both, c), Intersect(a, Intersect(b, c)))
-	checkEqual("absorbs what it is made of", Intersect(both, a), both)
+	checkEqual("absorptive", Intersect(both, a), both)
 	for name, config := range map[string]*Config{"a": a, "b": b} {
 		for what, within := range map[string]*Config{
 			"intersection":  both,
@@ -49,29 +49,29 @@
 		}
 	}
 	if list := Exceeds(Intersect(a.Fallback(), b.Fallback()), both); len(list) > 0 {
-		t.Fatalf("both fallbacks allow what not both versions do: %v", list)
+		t.Fatalf("the intersection of the fallbacks exceeds the intersection of the configurations: %v", list)
 	}
 }
 
 func checkExceedsLaws(t *rapid.T, a, b, c *Config) {
 	if len(Exceeds(a, b)) == 0 && len(Exceeds(b, c)) == 0 && len(Exceeds(a, c)) > 0 {
-		t.Fatalf("a does not exceed b, nor b c, but a exceeds c: %v", Exceeds(a, c))
+		t.Fatalf("a does not exceed b and b does not exceed c, but a exceeds c: %v", Exceeds(a, c))
 	}
 	if !slices.Equal(Conflicts(a, b), Conflicts(b, a)) {
-		t.Fatalf("conflicts differ by side: %v and %v", Conflicts(a, b), Conflicts(b, a))
+		t.Fatalf("Conflicts is not symmetric: %v and %v", Conflicts(a, b), Conflicts(b, a))
 	}
 	if list := Conflicts(a, a); len(list) > 0 {
-		t.Fatalf("a conflicts with itself: %v", list)
+		t.Fatalf("a configuration conflicts with itself: %v", list)
 	}
 }
 
-// checkAttempt compares what is allowed with the result of Intersect and Exceeds.
+// checkAttempt compares Intersect and Exceeds with what the configurations allow for one attempt.
 func checkAttempt(t *rapid.T, a, b *Config, x attempt) {
 	inBoth := a.allows(x) && b.allows(x)
 	if Intersect(a, b).allows(x) && !inBoth {
-		t.Fatalf("the intersection allows %+v, which one side does not", x)
+		t.Fatalf("the intersection allows %+v, which one side forbids", x)
 	}
 	if a.allows(x) && !b.allows(x) && len(Exceeds(a, b)) == 0 && a.Shards == b.Shards {
-		t.Fatalf("a allows %+v and b does not, and a does not exceed b", x)
+		t.Fatalf("a allows %+v and b forbids it, but Exceeds(a, b) is empty", x)
 	}
 }
--- a/internal/fleet/configversion/parse_test.go
+++ b/internal/fleet/configversion/parse_test.go
@@ -15,20 +15,20 @@
 		config, other := drawConfig(t), drawConfig(t)
 		parsed, err := Parse(config.Canonical())
 		if err != nil || !reflect.DeepEqual(parsed, config) || parsed.Digest() != config.Digest() {
-			t.Fatalf("%v: %s", err, config.Canonical())
+			t.Fatalf("parsing the canonical form: got error %v, or another configuration than %s", err, config.Canonical())
 		}
 		if _, err := (&Version{Number: 3, Digest: config.Digest(), Content: config.Canonical()}).Config(); err != nil {
 			t.Fatal(err)
 		}
 		same := other.Digest() == config.Digest()
 		if differences := Diff(config, other); same != (len(differences) == 0) {
-			t.Fatalf("the digests are the same: %t; differences: %v", same, differences)
+			t.Fatalf("same digest: %t, but Diff returned %v", same, differences)
 		}
 		if same {
 			return
 		}
 		if _, err := (&Version{Digest: other.Digest(), Content: config.Canonical()}).Config(); err == nil {
-			t.Fatal("a content was taken under another digest")
+			t.Fatal("Config accepted a content under the digest of another")
 		}
 	})
 }
@@ -51,15 +51,15 @@
 	unknown := RequestClass{Idempotency: "sometimes", LatencyObjective: 1, ClientTimeout: 2}
 	impatient := RequestClass{Idempotency: Idempotent, LatencyObjective: 3, ClientTimeout: 2}
 	for want, change := range map[string]func(*Config){
-		"both ready":   func(c *Config) { c.Nodes["b"] = Node{} },
-		"no shard":     func(c *Config) { c.Nodes["b"] = Node{Shard: 2} },
-		"no kind":      func(c *Config) { c.RequestClasses["read"] = unknown },
-		"patience":     func(c *Config) { c.RequestClasses["read"] = impatient },
-		"no plan":      func(c *Config) { c.ServiceLevels = nil },
-		"no amount":    func(c *Config) { c.ServiceLevels["gold"] = ServiceLevel{Weight: 1, RateLimit: -1} },
-		"not above 0":  func(c *Config) { c.ServiceLevels["gold"] = ServiceLevel{} },
-		"at least 1":   func(c *Config) { c.Shards = 0 },
-		"of the limit": func(c *Config) { c.FallbackPolicy.LimitFraction = 1.5 },
+		"both ready":               func(c *Config) { c.Nodes["b"] = Node{} },
+		"does not exist":           func(c *Config) { c.Nodes["b"] = Node{Shard: 2} },
+		"unknown kind":             func(c *Config) { c.RequestClasses["read"] = unknown },
+		"patience":                 func(c *Config) { c.RequestClasses["read"] = impatient },
+		"no plan":                  func(c *Config) { c.ServiceLevels = nil },
+		"must be finite":           func(c *Config) { c.ServiceLevels["gold"] = ServiceLevel{Weight: 1, RateLimit: -1} },
+		"weight 0 must be above 0": func(c *Config) { c.ServiceLevels["gold"] = ServiceLevel{} },
+		"both must be at least 1":  func(c *Config) { c.Shards = 0 },
+		"of the limit":             func(c *Config) { c.FallbackPolicy.LimitFraction = 1.5 },
 	} {
 		t.Run(want, func(t *testing.T) {
 			config := valid()
@@ -67,7 +67,7 @@
 			err := config.Validate()
 			var invalid *InvalidError
 			if !errors.As(err, &invalid) || !strings.Contains(err.Error(), want) {
-				t.Errorf("got %v", err)
+				t.Errorf("got error %v, want an InvalidError with the text that names this subtest", err)
 			}
 		})
 	}
@@ -76,9 +76,9 @@
 func TestParseRefusesNewerFormatsAndUnknownMembers(t *testing.T) {
 	var newer *UnsupportedFormatError
 	if _, err := Parse([]byte(`{"needs": 2, "moons": 4}`)); !errors.As(err, &newer) || newer.RequiredFormat != 2 {
-		t.Errorf("a newer format: %v", err)
+		t.Errorf("a newer format: got error %v, want an UnsupportedFormatError for format 2", err)
 	}
 	if _, err := Parse([]byte(`{"needs": 1, "moons": 4}`)); err == nil || !strings.Contains(err.Error(), "moons") {
-		t.Errorf("an unknown member: %v", err)
+		t.Errorf("an unknown member: got error %v, want one that names it", err)
 	}
 }
--- a/internal/fleet/configversion/random_test.go
+++ b/internal/fleet/configversion/random_test.go
@@ -10,7 +10,7 @@
 	"irispost/internal/endpoint"
 )
 
-// drawTheSame makes rapid draw the same values in each run and write no files.
+// drawTheSame gives rapid a fixed seed, so that each run draws the same values, and keeps it from writing files.
 func drawTheSame(t *testing.T) {
 	t.Helper()
 	for name, value := range map[string]string{"rapid.nofailfile": "true", "rapid.seed": "7"} {
@@ -30,7 +30,7 @@
 
 func drawBool(t *rapid.T, name string) bool { return rapid.Bool().Draw(t, name) }
 
-// drawConfig draws a configuration of few different values, so that two often agree in some and differ in others.
+// drawConfig draws each setting from few values, so that two configurations often agree in some and differ in others.
 func drawConfig(t *rapid.T) *Config {
 	return &Config{
 		RequiredFormat:   1,
@@ -107,7 +107,7 @@
 	return classes
 }
 
-// drawNodes draws nodes of which at most one is ready for each shard.
+// drawNodes draws nodes with at most one ready node for each shard.
 func drawNodes(t *rapid.T) map[string]Node {
 	healths := []endpoint.Health{
 		endpoint.Ready, endpoint.Ready, endpoint.Ready,
@@ -134,16 +134,16 @@
 	return nodes
 }
 
-// attempt is one thing that a gateway may do. Whether a configuration allows it is told without Intersect and Exceeds,
-// so that these can be compared with it.
+// attempt is an attempt that a gateway may make. Config.allows decides whether it is allowed without the use of
+// Intersect and Exceeds, so that they can be checked against it.
 type attempt struct {
 	level, class, node  string
 	shard               int
-	rate                float64 // units a second of the service level so far
-	retry               bool    // the request may have run before
-	sameZone, sameShard bool    // where it may have run
-	nodeStartedAt       int64   // as the sender believes
-	number              int     // of the request's attempts so far
+	rate                float64 // of the service level so far, in units per second
+	retry               bool    // an earlier attempt may have run
+	sameZone, sameShard bool    // the earlier attempt was sent to the same zone, or the same shard
+	nodeStartedAt       int64   // according to the sending gateway
+	number              int     // how many attempts the request has had before
 }
 
 func drawAttempt(t *rapid.T) attempt {
@@ -189,7 +189,7 @@
 	return true
 }
 
-// contentOfNodes is the canonical form of a configuration with so many nodes.
+// contentOfNodes returns the canonical form of a configuration with the given number of nodes.
 func contentOfNodes(nodes int) []byte {
 	c := &Config{
 		RequiredFormat:   1,
--- a/internal/fleet/configversion/settings.go
+++ b/internal/fleet/configversion/settings.go
@@ -6,22 +6,22 @@
 	"strings"
 )
 
-// The scheduler takes its settings as texts by name, such as "plans.0.weight". Durations are in milliseconds there,
-// with whole microseconds.
+// The scheduler takes its settings as a map of strings with keys such as "plans.0.weight". Its durations are in
+// milliseconds, with a resolution of one microsecond.
 
 const (
 	nanosPerMilli = 1e6
 	nanosPerMicro = 1000
 
-	// maxDuration bounds what the scheduler is told, so that it can add durations without an overflow.
+	// maxDuration caps the durations handed to the scheduler, so that it can add them without overflow.
 	maxDuration = 1 << 60
 )
 
-// settingsReader reads settings by name. A setting that is missing or malformed is zero.
+// settingsReader reads typed settings by name. A missing or malformed setting reads as zero.
 type settingsReader map[string]string
 
 func (r settingsReader) number(name string) float64 {
-	n, _ := strconv.ParseFloat(r[name], 64) // the scheduler has checked its settings before
+	n, _ := strconv.ParseFloat(r[name], 64) // the scheduler has validated its settings before
 	return n
 }
 
@@ -33,7 +33,8 @@
 
 func (r settingsReader) flag(name string) bool { return r[name] == "true" }
 
-// SetFromSettings sets all but the fallback policy, the shards, the mean and the nodes from the scheduler's settings.
+// SetFromSettings sets c from the scheduler's settings, except for the required format, the shard count, the mean
+// request size, the fallback policy and the nodes.
 func (c *Config) SetFromSettings(settings map[string]string) {
 	r := settingsReader(settings)
 	if c.Nodes == nil {
@@ -92,7 +93,7 @@
 	}
 }
 
-// idempotency joins the kind and the group of nodes that recognise a key, which are two settings.
+// idempotency combines two settings: the kind, and the group of nodes that recognize an idempotency key.
 func (r settingsReader) idempotency(prefix string) Idempotency {
 	kind := Idempotency(r[prefix+"kind"])
 	if kind != KeyedAllNodes {
@@ -107,7 +108,7 @@
 	return KeyedAllNodes
 }
 
-// settingsWriter writes settings by name.
+// settingsWriter writes typed settings by name.
 type settingsWriter map[string]string
 
 func (w settingsWriter) number(name string, n float64) { w[name] = strconv.FormatFloat(n, 'f', -1, 64) }
@@ -118,8 +119,8 @@
 
 func (w settingsWriter) flag(name string, on bool) { w[name] = strconv.FormatBool(on) }
 
-// Settings returns the configuration as the scheduler's settings, beside those of the gateway's local settings that no
-// version has. Service levels and request classes are numbered in order of their names.
+// Settings returns the configuration as the scheduler's settings, on top of the gateway's local settings, which apply
+// where the configuration sets nothing. Service levels and request classes are numbered in the order of their names.
 func (c *Config) Settings(local map[string]string) map[string]string {
 	w := settingsWriter{}
 	maps.Copy(w, local)
@@ -143,7 +144,7 @@
 	w.duration("further.window", c.RetryBudget.Window)
 	w.number("further.free", c.RetryBudget.FreeRetries)
 	w.number("further.share", c.RetryBudget.RequestShare)
-	if c.RetryBudget.Window == 0 { // a budget over no time is none, and the scheduler is not told of it
+	if c.RetryBudget.Window == 0 { // no window means no budget, so the scheduler is not given one
 		delete(w, "further.window")
 	}
 	w.number("executions.most", float64(c.Dispatch.MaxAttempts))
@@ -179,5 +180,5 @@
 	w.flag(prefix+"in_turn", class.Ordered)
 }
 
-// itemPrefix returns the prefix of the settings of a numbered item.
+// itemPrefix returns the prefix of the settings of item i of a list, such as "plans.0.".
 func itemPrefix(list string, i int) string { return list + "." + strconv.Itoa(i) + "." }
--- a/internal/fleet/configversion/settings_test.go
+++ b/internal/fleet/configversion/settings_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever the gateway's local settings were.
+// A round trip through the scheduler's settings keeps the configuration, whatever the gateway's local settings are.
 func TestSettingsAndBackIsTheSame(t *testing.T) {
 	drawTheSame(t)
 	rapid.Check(t, func(t *rapid.T) {
@@ -16,7 +16,7 @@
 		local := other.Settings(map[string]string{"gateways": "7", "plans.9.name": "old"})
 		settings := config.Settings(local)
 		if settings["gateways"] != "7" || settings["plans.9.name"] != "" {
-			t.Fatalf("%v", settings)
+			t.Fatalf("got %v, want the local \"gateways\" kept and the local \"plans.9.name\" dropped", settings)
 		}
 		back := &Config{
 			RequiredFormat:   config.RequiredFormat,
@@ -27,12 +27,12 @@
 		}
 		back.SetFromSettings(settings)
 		if back.Digest() != config.Digest() {
-			t.Fatalf("%s\n%s", config.Canonical(), back.Canonical())
+			t.Fatalf("the configuration\n%s\ncame back from its settings as\n%s", config.Canonical(), back.Canonical())
 		}
 	})
 }
 
-// inMicroseconds makes durations whole microseconds, as settings have no smaller part.
+// inMicroseconds turns drawn durations into whole microseconds, the resolution of settings.
 func inMicroseconds(c *Config) {
 	multiply := func(durations ...*int64) {
 		for _, duration := range durations {
@@ -50,7 +50,7 @@
 func TestSettingsOfDenyAllAreFiniteAndNotNegative(t *testing.T) {
 	for name, value := range (&Config{Shards: 1}).DenyAll().Settings(nil) {
 		if strings.HasPrefix(value, "-") || strings.Contains(value, "Inf") {
-			t.Errorf("%s is %s", name, value)
+			t.Errorf("setting %s is %s, want a finite value that is not negative", name, value)
 		}
 	}
 }
--- a/internal/fleet/configversion/version.go
+++ b/internal/fleet/configversion/version.go
@@ -6,38 +6,39 @@
 	"strconv"
 )
 
-// MaxContentBytes bounds the canonical form of a version's configuration. It is some 75 times that of 1,800 nodes.
+// MaxContentBytes limits the size of a version's content. It is some 75 times the size of a configuration with 1,800
+// nodes.
 const MaxContentBytes = 16 << 20
 
-// shownDigestDigits is how much of a digest is part of a version's name.
+// shownDigestDigits is the number of hexadecimal digits of the digest in a version's name.
 const shownDigestDigits = 8
 
-// ErrDigestMismatch means that a version's content is not the one that its digest names.
-var ErrDigestMismatch = errors.New("the content does not have the digest of the version")
+// ErrDigestMismatch means that a version's content does not have the version's digest.
+var ErrDigestMismatch = errors.New("content does not match the digest of the version")
 
-// Version is a configuration under a number, with who made it from which version and why.
+// Version is a numbered configuration, with its parent version, its author and the reason for the change.
 type Version struct {
 	Number    uint64 `json:"number"`
-	Parent    uint64 `json:"parent,omitempty"` // 0: it is the first
+	Parent    uint64 `json:"parent,omitempty"` // 0: this is the first version
 	Digest    string `json:"digest"`
 	Author    string `json:"author,omitempty"`
 	Reason    string `json:"why,omitempty"`
-	CreatedAt string `json:"time,omitempty"`  // for people; nothing is decided by it
-	Content   []byte `json:"rules,omitempty"` // the configuration's canonical form; empty: only the header is here
+	CreatedAt string `json:"time,omitempty"`  // informational only
+	Content   []byte `json:"rules,omitempty"` // canonical form of the configuration; empty: header only
 
-	config   *Config // parsed, and kept
-	fallback *Config // of config, and kept
+	config   *Config // parsed Content; nil until it is needed
+	fallback *Config // fallback of config; nil until it is needed
 }
 
-// Config parses the content and checks it against the digest. The result is kept and shared, so it must not be
-// changed.
+// Config checks the content against the digest and parses it. The result is cached and shared, so callers must not
+// modify it.
 func (v *Version) Config() (*Config, error) {
 	if v.config != nil {
 		return v.config, nil
 	}
-	// The bytes are checked as they are: a content in another form than the canonical one is another content.
+	// The digest is of the bytes as received: the same configuration in another encoding is a mismatch.
 	if digest := DigestOf(v.Content); digest != v.Digest {
-		return nil, fmt.Errorf("version %d: %w: %.12s instead of %.12s", v.Number, ErrDigestMismatch, digest, v.Digest)
+		return nil, fmt.Errorf("version %d: %w: got %.12s, want %.12s", v.Number, ErrDigestMismatch, digest, v.Digest)
 	}
 	config, err := Parse(v.Content)
 	if err != nil {
@@ -47,8 +48,8 @@
 	return config, nil
 }
 
-// Fallback returns the fallback of the version's configuration. The result is kept and shared, so it must not be
-// changed.
+// Fallback returns the fallback of the version's configuration. The result is cached and shared, so callers must not
+// modify it.
 func (v *Version) Fallback() (*Config, error) {
 	config, err := v.Config()
 	if err == nil && v.fallback == nil {
@@ -57,18 +58,20 @@
 	return v.fallback, err
 }
 
-// ReleaseParsed drops the parsed form, which takes several times the memory of the content. Config parses it again.
+// ReleaseParsed drops the cached configuration, which takes several times the memory of the content. Config parses the
+// content again when needed.
 func (v *Version) ReleaseParsed() {
 	v.config = nil
 	v.fallback = nil
 }
 
-// Header returns the version without its content and without what is for people.
+// Header returns the number, parent and digest of the version, without its content and informational fields.
 func (v *Version) Header() *Version {
 	return &Version{Number: v.Number, Parent: v.Parent, Digest: v.Digest}
 }
 
-// Name names the version for people, by its number and the first digits of its digest; "none" if v is nil.
+// Name returns a short name for logs and displays: the number and the first digits of the digest, or "none" if v is
+// nil.
 func (v *Version) Name() string {
 	if v == nil {
 		return "none"
--- a/internal/fleet/configversion/version_test.go
+++ b/internal/fleet/configversion/version_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// The bytes of a content are checked, and not the configuration that they are parsed to.
+// The digest covers the bytes of the content, so the same configuration in another encoding is rejected too.
 func TestConfigRefusesContentOfAnotherDigest(t *testing.T) {
 	content := contentOfNodes(3)
 	version := &Version{Number: 1, Digest: DigestOf(content), Content: content}
@@ -22,7 +22,7 @@
 		t.Run(name, func(t *testing.T) {
 			other := &Version{Digest: version.Digest, Content: content}
 			if _, err := other.Config(); !errors.Is(err, ErrDigestMismatch) {
-				t.Errorf("got %v", err)
+				t.Errorf("got error %v, want ErrDigestMismatch", err)
 			}
 		})
 	}
