--- a/internal/fleet/client/cachefile_test.go
+++ b/internal/fleet/client/cachefile_test.go
@@ -58,9 +58,9 @@
 			dir := t.TempDir()
 			writeCacheFiles(t, dir, c.files, first)
 			encodings, logs := &encodingLog{}, &logBuffer{}
-			addr := replica.proxy(nil, encodings.note)
+			addr := replica.proxy(nil, encodings.record)
 			group := startClients(t, 1, []string{addr}, func(_ int, options *Options) {
-				logs.use(options)
+				logs.captureLogsOf(options)
 				options.CacheDir = dir
 			})
 			if _, effective := group.clients[0].Status(); effective != "none" {
--- a/internal/fleet/client/client.go
+++ b/internal/fleet/client/client.go
@@ -24,9 +24,9 @@
 // Client renews a gateway's lease at the replicas and knows which configuration is in effect. Start creates one,
 // Close stops it.
 type Client struct {
-	opt      Options
-	replicas *replica.Client // for renewals and contents; the watch uses connections of its own
-	current  atomic.Int64    // index of the replica in use, modulo the number of replicas
+	opt            Options
+	replicas       *replica.Client // for renewals and contents; the watch uses connections of its own
+	currentReplica atomic.Int64    // index of the replica in use, modulo the number of replicas
 
 	mutex          sync.Mutex         // guards the four fields below
 	stateMachine   *lease.Client      // decides what may be acted on
@@ -135,9 +135,9 @@
 // replicaAddr returns the address of the replica in use.
 func (c *Client) replicaAddr() string { return c.replicaAddrAfter(0) }
 
-// replicaAddrAfter returns the address of the replica that many places after the one in use, in the configured order.
-func (c *Client) replicaAddrAfter(places int) string {
-	return c.opt.Replicas[(c.current.Load()+int64(places))%int64(len(c.opt.Replicas))]
+// replicaAddrAfter returns the address of the replica at an offset from the one in use, in the configured order.
+func (c *Client) replicaAddrAfter(offset int) string {
+	return c.opt.Replicas[(c.currentReplica.Load()+int64(offset))%int64(len(c.opt.Replicas))]
 }
 
 // logLines logs the lines that the state machine has produced.
--- a/internal/fleet/client/fetch_test.go
+++ b/internal/fleet/client/fetch_test.go
@@ -26,7 +26,7 @@
 	encodings []string
 }
 
-func (l *encodingLog) note(r *http.Response) error {
+func (l *encodingLog) record(r *http.Response) error {
 	if strings.HasPrefix(r.Request.URL.Path, "/content/") {
 		l.mutex.Lock()
 		defer l.mutex.Unlock()
@@ -108,7 +108,7 @@
 	}
 	logs := &logBuffer{}
 	group := startClients(t, 1, addrs, func(_ int, options *Options) {
-		logs.use(options)
+		logs.captureLogsOf(options)
 		options.Seed = 1
 	})
 	group.waitForVersion(1)
@@ -151,7 +151,7 @@
 		return nil
 	})
 	logs := &logBuffer{}
-	group := startClients(t, 1, []string{addr}, func(_ int, options *Options) { logs.use(options) })
+	group := startClients(t, 1, []string{addr}, func(_ int, options *Options) { logs.captureLogsOf(options) })
 	group.waitForVersion(1)
 	missing.Store(true)
 	replica.propose(largeContent(100, 2))
@@ -161,7 +161,7 @@
 		}
 	}
 	state, effective := group.clients[0].Status()
-	if state != lease.StateActing.String() || !isVersionAlone(effective, 1) {
+	if state != lease.StateActing.String() || !isOnlyVersion(effective, 1) {
 		t.Errorf("state %s with %s in effect, want acting with version 1: %s", state, effective, logs)
 	}
 	if status, err := replica.client.Status(); err != nil || len(status.Gateways) != 1 || status.Gateways[0].Fault != "" {
@@ -195,7 +195,7 @@
 	replica.propose(largeContent(100, 1))
 	encodings := &encodingLog{}
 	before := replica.proxy(asReplicaWithoutContents, nil)
-	after := replica.proxy(nil, encodings.note)
+	after := replica.proxy(nil, encodings.record)
 	group := startClients(t, 4, nil, func(i int, options *Options) {
 		options.RenewInterval = 100 * time.Millisecond
 		options.Replicas = [][]string{{before}, {after}, {before, after}, {after, before}}[i]
--- a/internal/fleet/client/golden_test.go
+++ b/internal/fleet/client/golden_test.go
@@ -95,7 +95,7 @@
 			call += fmt.Sprintf("%s: %q\n", name, v)
 		}
 	}
-	renewals := g.note(r.URL.Path, call+string(body))
+	renewals := g.record(r.URL.Path, call+string(body))
 	switch {
 	case r.URL.Path == "/renew":
 		_, _ = w.Write(bytes.Replace(g.grant, []byte(`"seq":1`), fmt.Appendf(nil, `"seq":%d`, renewals), 1))
@@ -109,8 +109,8 @@
 	}
 }
 
-// note records a call unless it was recorded before, and returns the number of renewals so far.
-func (g *goldenReplica) note(path, call string) (renewals int) {
+// record adds a call unless it was recorded before, and returns the number of renewals so far.
+func (g *goldenReplica) record(path, call string) (renewals int) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	if !slices.Contains(g.calls, call) {
@@ -122,9 +122,9 @@
 	return g.renewals
 }
 
-// first returns, sorted, the first call of each path, and for renewals the first two: before and after the first
+// firstCalls returns, sorted, the first call of each path, and for renewals the first two: before and after the first
 // lease.
-func (g *goldenReplica) first() []string {
+func (g *goldenReplica) firstCalls() []string {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	counts := map[string]int{}
@@ -143,11 +143,11 @@
 // TestGoldenCalls checks that the requests which a gateway sends to a replica on each route, and its activation
 // record, are the same as those of an earlier build.
 func TestGoldenCalls(t *testing.T) {
-	coded, err := delta.Encode(goldenFile(t, "cache", cachedDigest+".rules"), largeContent(3, 2))
+	encoded, err := delta.Encode(goldenFile(t, "cache", cachedDigest+".rules"), largeContent(3, 2))
 	if err != nil {
 		t.Fatal(err)
 	}
-	replica := &goldenReplica{grant: goldenFile(t, "grant.json"), content: coded}
+	replica := &goldenReplica{grant: goldenFile(t, "grant.json"), content: encoded}
 	server := httptest.NewServer(replica)
 	t.Cleanup(server.Close)
 	dir, record := t.TempDir(), filepath.Join(t.TempDir(), "acts")
@@ -162,13 +162,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for deadline := time.Now().Add(waitLimit); len(replica.first()) < 4 && time.Now().Before(deadline); {
+	for deadline := time.Now().Add(waitLimit); len(replica.firstCalls()) < 4 && time.Now().Before(deadline); {
 		client.At(wallClock())
 		time.Sleep(time.Millisecond)
 	}
 	client.At(wallClock())
 	client.Close()
-	golden.Check(t, "calls.txt", []byte(strings.Join(replica.first(), "\n\n")+"\n"))
+	golden.Check(t, "calls.txt", []byte(strings.Join(replica.firstCalls(), "\n\n")+"\n"))
 	b, err := os.ReadFile(record)
 	if err != nil || !regexp.MustCompile(`^\d+ false \[7\]\n$`).Match(b) {
 		t.Errorf("activation record: got %q, %v, want one line for version 7 under a lease", b, err)
--- a/internal/fleet/client/helpers_test.go
+++ b/internal/fleet/client/helpers_test.go
@@ -69,16 +69,16 @@
 	bytes   atomic.Int64
 }
 
-// startClients starts clients that are closed at the end of the test. If change is not nil, it may change the
-// options of each.
-func startClients(t *testing.T, count int, addrs []string, change func(i int, options *Options)) *clientGroup {
+// startClients starts clients that are closed at the end of the test. configure, if not nil, may change the options
+// of each.
+func startClients(t *testing.T, count int, addrs []string, configure func(i int, options *Options)) *clientGroup {
 	t.Helper()
 	group := &clientGroup{t: t}
 	for i := range count {
 		options := Options{Gateway: fmt.Sprint("g", i), Replicas: addrs, RenewInterval: 400 * time.Millisecond, Seed: uint64(i),
 			Now: wallClock, OnChange: func() {}, Logger: slog.New(slog.DiscardHandler), Dial: group.dial}
-		if change != nil {
-			change(i, &options)
+		if configure != nil {
+			configure(i, &options)
 		}
 		client, err := Start(options)
 		if err != nil {
@@ -104,7 +104,7 @@
 		reached, last := 0, ""
 		for _, client := range g.clients {
 			client.At(wallClock())
-			if _, effective := client.Status(); isVersionAlone(effective, number) {
+			if _, effective := client.Status(); isOnlyVersion(effective, number) {
 				reached++
 			} else {
 				last = client.opt.Gateway + ": " + effective
@@ -119,8 +119,8 @@
 	}
 }
 
-// isVersionAlone reports whether one version is in effect under a lease, and not an intersection of two.
-func isVersionAlone(effective string, number int) bool {
+// isOnlyVersion reports whether one version is in effect under a lease, and not an intersection of two.
+func isOnlyVersion(effective string, number int) bool {
 	return strings.HasPrefix(effective, fmt.Sprint(number, ".")) && !strings.Contains(effective, "&")
 }
 
@@ -188,8 +188,8 @@
 	return l.text.String()
 }
 
-// use makes a client log to the buffer and renew often.
-func (l *logBuffer) use(options *Options) {
+// captureLogsOf makes a client log to the buffer and renew often.
+func (l *logBuffer) captureLogsOf(options *Options) {
 	options.Logger = slog.New(slog.NewTextHandler(l, nil))
 	options.RenewInterval = 100 * time.Millisecond
 }
--- a/internal/fleet/client/renew.go
+++ b/internal/fleet/client/renew.go
@@ -23,7 +23,7 @@
 	random := rand.New(rand.NewPCG(c.opt.Seed, renewRandomStream))
 	minBackoff := c.opt.RenewInterval / minBackoffFraction
 	backoff := minBackoff
-	c.current.Store(int64(random.IntN(len(c.opt.Replicas))))
+	c.currentReplica.Store(int64(random.IntN(len(c.opt.Replicas))))
 	for ctx.Err() == nil {
 		if !sleep(ctx, c.untilNextRequest(), c.renewNow) {
 			return
@@ -75,7 +75,7 @@
 // switches as well.
 func (c *Client) useNextReplica(cause error) {
 	c.replicas.HTTPClient.CloseIdleConnections()
-	c.current.Add(1)
+	c.currentReplica.Add(1)
 	c.mutex.Lock()
 	c.cancelWatch()
 	c.mutex.Unlock()
--- a/internal/fleet/client/replicas_test.go
+++ b/internal/fleet/client/replicas_test.go
@@ -21,12 +21,12 @@
 
 // operation is a read or a proposal by an operator, with its outcome.
 type operation struct {
-	isRead   bool
-	parent   uint64
-	digest   string
-	known    bool // whether the outcome is known
-	rejected bool
-	number   uint64
+	isRead       bool
+	parent       uint64
+	digest       string
+	outcomeKnown bool
+	rejected     bool
+	number       uint64
 }
 
 // latestVersion is the state of the log model: the latest version.
@@ -52,9 +52,9 @@
 		return []any{state}
 	case op.isRead:
 		return nil
-	case !op.known && op.parent == state.number:
+	case !op.outcomeKnown && op.parent == state.number:
 		return []any{state, next}
-	case !op.known, op.rejected && op.parent != state.number:
+	case !op.outcomeKnown, op.rejected && op.parent != state.number:
 		return []any{state}
 	case !op.rejected && op.parent == state.number && op.number == next.number:
 		return []any{next}
@@ -68,8 +68,8 @@
 	at := func(from, to int64, op operation) porcupine.Operation {
 		return porcupine.Operation{ClientId: int(from), Input: op, Output: op, Call: from, Return: to}
 	}
-	first, second := operation{known: true, digest: "a", number: 1}, operation{known: true, digest: "b", number: 1}
-	rejected, unknown := operation{known: true, rejected: true}, operation{digest: "a"}
+	first, second := operation{outcomeKnown: true, digest: "a", number: 1}, operation{outcomeKnown: true, digest: "b", number: 1}
+	rejected, unknown := operation{outcomeKnown: true, rejected: true}, operation{digest: "a"}
 	read := func(n uint64, digest string) operation { return operation{isRead: true, number: n, digest: digest} }
 	type history = []porcupine.Operation
 	for name, c := range map[string]struct {
@@ -110,8 +110,8 @@
 	return o
 }
 
-// end stops the operators and returns the history.
-func (o *operators) end() []porcupine.Operation {
+// stopAndWait stops the operators and returns the history.
+func (o *operators) stopAndWait() []porcupine.Operation {
 	close(o.stop)
 	o.goroutines.Wait()
 	return o.history
@@ -147,10 +147,10 @@
 	proposal.Content = content
 	called = time.Since(o.start)
 	version, err := replicas.Propose(proposal)
-	proposed := operation{parent: status.Announced, digest: configversion.DigestOf(content), known: err == nil}
+	proposed := operation{parent: status.Announced, digest: configversion.DigestOf(content), outcomeKnown: err == nil}
 	var rejected *replica.RejectedError
 	if errors.As(err, &rejected) {
-		proposed.known, proposed.rejected = true, true
+		proposed.outcomeKnown, proposed.rejected = true, true
 	}
 	if err == nil {
 		proposed.number = version.Number
@@ -164,7 +164,7 @@
 	defer o.mutex.Unlock()
 	entry := porcupine.Operation{ClientId: operator, Input: op, Output: op, Call: int64(called)}
 	entry.Return = int64(time.Since(o.start))
-	if !op.known && !op.isRead { // the proposal may take effect at any later time
+	if !op.outcomeKnown && !op.isRead { // the proposal may take effect at any later time
 		entry.ClientId = 100 + len(o.history)
 		entry.Return = int64(time.Hour)
 	}
@@ -185,9 +185,9 @@
 		t.Helper()
 		processes[i] = restartProcess(t, processes[i])
 	}
-	clients := startOperators(3, addrs)
+	racingOperators := startOperators(3, addrs)
 	for n := range kills {
-		for before := clients.accepted.Load(); clients.accepted.Load() < before+2; {
+		for before := racingOperators.accepted.Load(); racingOperators.accepted.Load() < before+2; {
 			time.Sleep(time.Millisecond)
 		}
 		time.Sleep(time.Duration(random.IntN(20_000)) * time.Microsecond)
@@ -204,12 +204,12 @@
 		}
 		restart(i)
 	}
-	history := clients.end()
+	history := racingOperators.stopAndWait()
 	result, _ := porcupine.CheckOperationsVerbose(logModel, history, time.Minute)
 	if result != porcupine.Ok {
 		t.Errorf("linearizability of a history of %d operations: got %v, want Ok", len(history), result)
 	}
-	t.Logf("%d kills, %d accepted proposals, %d operations: %v", kills, clients.accepted.Load(), len(history), result)
+	t.Logf("%d kills, %d accepted proposals, %d operations: %v", kills, racingOperators.accepted.Load(), len(history), result)
 }
 
 // restartProcess starts the command of an ended process again. extraEnv overrides its environment.
--- a/internal/fleet/configversion/golden_test.go
+++ b/internal/fleet/configversion/golden_test.go
@@ -58,7 +58,7 @@
 // The files under testdata/golden hold the encodings in which versions are stored, sent and digested. A build that
 // encodes them differently would compute other digests than the rest of the fleet.
 func TestGoldenForms(t *testing.T) {
-	r := goldenConfig()
+	config := goldenConfig()
 	other := goldenConfig()
 	other.FallbackPolicy = FallbackPolicy{Duration: 1e9, LimitFraction: 0.25}
 	other.RetryBudget.FreeRetries = 1
@@ -69,14 +69,14 @@
 	conflicting := goldenConfig()
 	conflicting.SlowStart = SlowStart{InitialShare: 0.5, Duration: 4e9}
 	conflicting.RetryBudget = RetryBudget{Window: 1e9, FreeRetries: 1.5, RequestShare: 0.25}
-	v := &Version{
+	original := &Version{
 		Number:    7,
 		Parent:    6,
-		Digest:    r.Digest(),
+		Digest:    config.Digest(),
 		Author:    "ann",
 		Reason:    "more room",
 		CreatedAt: "2026-01-02T03:04:05Z",
-		Content:   r.Canonical(),
+		Content:   config.Canonical(),
 	}
 	asJSON := func(value any) []byte {
 		b, err := json.Marshal(value)
@@ -87,28 +87,28 @@
 	}
 	lines := func(list []string) []byte { return []byte(strings.Join(list, "\n") + "\n") }
 	for name, got := range map[string][]byte{
-		"canonical.json":       r.Canonical(),
+		"canonical.json":       config.Canonical(),
 		"canonical-empty.json": (&Config{}).Canonical(),
-		"digest.txt":           lines([]string{r.Digest(), (&Config{}).Digest(), DigestOf(nil)}),
-		"version.json":         asJSON(v),
-		"version-header.json":  asJSON(v.Header()),
-		"version-name.txt":     lines([]string{v.Name(), (*Version)(nil).Name()}),
-		"fallback.json":        r.Fallback().Canonical(),
+		"digest.txt":           lines([]string{config.Digest(), (&Config{}).Digest(), DigestOf(nil)}),
+		"version.json":         asJSON(original),
+		"version-header.json":  asJSON(original.Header()),
+		"version-name.txt":     lines([]string{original.Name(), (*Version)(nil).Name()}),
+		"fallback.json":        config.Fallback().Canonical(),
 		"fallback-none.json":   (&Config{}).Fallback().Canonical(),
-		"deny-all.json":        r.DenyAll().Canonical(),
-		"intersection.json":    Intersect(r, other).Canonical(),
-		"settings.json":        asJSON(r.Settings(map[string]string{"gateways": "7", "plans.9.name": "old"})),
-		"diff.txt":             lines(Diff(r, other)),
-		"conflicts.txt":        lines(Conflicts(r, conflicting)),
+		"deny-all.json":        config.DenyAll().Canonical(),
+		"intersection.json":    Intersect(config, other).Canonical(),
+		"settings.json":        asJSON(config.Settings(map[string]string{"gateways": "7", "plans.9.name": "old"})),
+		"diff.txt":             lines(Diff(config, other)),
+		"conflicts.txt":        lines(Conflicts(config, conflicting)),
 	} {
 		t.Run(name, func(t *testing.T) { golden.Check(t, "golden/"+name, got) })
 	}
-	back, err := Parse(r.Canonical())
-	if err != nil || !reflect.DeepEqual(back, r) {
+	back, err := Parse(config.Canonical())
+	if err != nil || !reflect.DeepEqual(back, config) {
 		t.Errorf("parsing the canonical form: got %+v, %v, want goldenConfig()", back, err)
 	}
 	var version Version
-	if err := json.Unmarshal(asJSON(v), &version); err != nil || !reflect.DeepEqual(&version, v) {
+	if err := json.Unmarshal(asJSON(original), &version); err != nil || !reflect.DeepEqual(&version, original) {
 		t.Errorf("decoding the version: got %+v, %v, want the version that was encoded", version, err)
 	}
 }
--- a/internal/fleet/configversion/order_test.go
+++ b/internal/fleet/configversion/order_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestIntersectAndExceedsObeyTheLawsOfAnOrder(t *testing.T) {
-	drawTheSame(t)
+	useFixedSeed(t)
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := drawConfig(t), drawConfig(t), drawConfig(t)
 		checkIntersectionLaws(t, a, b, c)
--- a/internal/fleet/configversion/parse_test.go
+++ b/internal/fleet/configversion/parse_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestParseOfCanonicalFormIsTheSame(t *testing.T) {
-	drawTheSame(t)
+	useFixedSeed(t)
 	rapid.Check(t, func(t *rapid.T) {
 		config, other := drawConfig(t), drawConfig(t)
 		parsed, err := Parse(config.Canonical())
@@ -49,12 +49,12 @@
 		t.Fatal(err)
 	}
 	unknown := RequestClass{Idempotency: "sometimes", LatencyObjective: 1, ClientTimeout: 2}
-	impatient := RequestClass{Idempotency: Idempotent, LatencyObjective: 3, ClientTimeout: 2}
+	timeoutTooShort := RequestClass{Idempotency: Idempotent, LatencyObjective: 3, ClientTimeout: 2}
 	for want, change := range map[string]func(*Config){
 		"both ready":               func(c *Config) { c.Nodes["b"] = Node{} },
 		"does not exist":           func(c *Config) { c.Nodes["b"] = Node{Shard: 2} },
 		"unknown kind":             func(c *Config) { c.RequestClasses["read"] = unknown },
-		"patience":                 func(c *Config) { c.RequestClasses["read"] = impatient },
+		"patience":                 func(c *Config) { c.RequestClasses["read"] = timeoutTooShort },
 		"no plan":                  func(c *Config) { c.ServiceLevels = nil },
 		"must be finite":           func(c *Config) { c.ServiceLevels["gold"] = ServiceLevel{Weight: 1, RateLimit: -1} },
 		"weight 0 must be above 0": func(c *Config) { c.ServiceLevels["gold"] = ServiceLevel{} },
--- a/internal/fleet/configversion/random_test.go
+++ b/internal/fleet/configversion/random_test.go
@@ -10,8 +10,8 @@
 	"irispost/internal/endpoint"
 )
 
-// drawTheSame gives rapid a fixed seed, so that each run draws the same values, and keeps it from writing files.
-func drawTheSame(t *testing.T) {
+// useFixedSeed gives rapid a fixed seed, so that each run draws the same values, and keeps it from writing files.
+func useFixedSeed(t *testing.T) {
 	t.Helper()
 	for name, value := range map[string]string{"rapid.nofailfile": "true", "rapid.seed": "7"} {
 		if err := flag.Set(name, value); err != nil {
--- a/internal/fleet/configversion/settings_test.go
+++ b/internal/fleet/configversion/settings_test.go
@@ -9,10 +9,10 @@
 
 // A round trip through the scheduler's settings keeps the configuration, whatever the gateway's local settings are.
 func TestSettingsAndBackIsTheSame(t *testing.T) {
-	drawTheSame(t)
+	useFixedSeed(t)
 	rapid.Check(t, func(t *rapid.T) {
 		config, other := drawConfig(t), drawConfig(t)
-		inMicroseconds(config)
+		scaleToMicroseconds(config)
 		local := other.Settings(map[string]string{"gateways": "7", "plans.9.name": "old"})
 		settings := config.Settings(local)
 		if settings["gateways"] != "7" || settings["plans.9.name"] != "" {
@@ -32,8 +32,8 @@
 	})
 }
 
-// inMicroseconds turns drawn durations into whole microseconds, the resolution of settings.
-func inMicroseconds(c *Config) {
+// scaleToMicroseconds turns drawn durations into whole microseconds, the resolution of settings.
+func scaleToMicroseconds(c *Config) {
 	multiply := func(durations ...*int64) {
 		for _, duration := range durations {
 			*duration *= nanosPerMicro
