--- a/internal/endpoint/endpoint.go
+++ b/internal/endpoint/endpoint.go
@@ -1,8 +1,9 @@
-// Package endpoint defines the lists of storage nodes that a gateway works with, the interface of the sources that
-// bring them, and the gateway's own file form of a list.
+// Package endpoint defines the lists of storage nodes that a gateway uses, the interface of the sources that provide
+// them, and the gateway's native file format (HCL) for a list.
 //
-// The sources are in the packages below it (filesource, xds, discovery); membership decides what a gateway makes of
-// their lists, and manager runs them. The package does no I/O and keeps no state; the types may be copied.
+// The sources are implemented in its subpackages (filesource, xds, discovery). Package membership derives the nodes
+// in use from their lists, and package manager runs the sources. This package does no I/O and keeps no state; its
+// types may be copied.
 package endpoint
 
 import (
@@ -10,21 +11,21 @@
 	"strconv"
 )
 
-// Health is the state that a list reports of a node.
+// Health is the health status that a list reports for a node.
 type Health uint8
 
-// States that a list may report.
+// Health statuses that a list may report.
 const (
-	Ready     Health = iota // it takes requests
-	Draining                // it finishes the requests that it has, and takes no new ones
-	Removed                 // it is not in use; in a partial list, it is gone
-	Unhealthy               // it is listed, and reported to be unhealthy
+	Ready     Health = iota // it accepts requests
+	Draining                // it finishes the requests in flight and accepts no new ones
+	Removed                 // it is not in use; in a partial list, it has been removed
+	Unhealthy               // it is listed, but reported as unhealthy
 )
 
-// healthNames are the words of the list file.
+// healthNames are the names of the statuses in list files.
 var healthNames = [...]string{Ready: "ready", Draining: "draining", Removed: "gone", Unhealthy: "unwell"}
 
-// String returns the word of the list file.
+// String returns the status as it is written in list files.
 func (h Health) String() string {
 	if int(h) < len(healthNames) {
 		return healthNames[h]
@@ -32,40 +33,40 @@
 	return "Health(" + strconv.Itoa(int(h)) + ")"
 }
 
-// Node is one entry of a list. Reports of replays have it as JSON, under the names of its fields or those of their
-// tags.
+// Node is one entry of a list. Replay reports encode it as JSON, so field names without a tag are part of that
+// format.
 type Node struct {
-	Addr   string // host:port, the node's identity
-	Name   string // for people; empty: none
+	Addr   string // host:port, which identifies the node
+	Name   string // display name; empty if there is none
 	Zone   string
-	Shard  int     // from 0
-	Weight float64 // relative capacity as the source puts it; 0: not given
-	// StartedAt is when the node's process started, in nanoseconds since 1970; 0: long ago, or not given.
+	Shard  int     // counted from 0
+	Weight float64 // relative capacity according to the source; 0 if not given
+	// StartedAt is when the node's process started, in Unix nanoseconds; 0 if that was long ago or is not given.
 	StartedAt int64  `json:"Born"`
 	Health    Health `json:"Standing"`
-	Priority  int    // among nodes of one shard: 0 before 1
+	Priority  int    // among the nodes of one shard; 0 is the highest
 }
 
-// List is a list of nodes. In a complete one, a node that it leaves out is removed.
+// List is a list of nodes. A node that is missing from a complete list is removed.
 type List struct {
 	Version string
-	Stale   bool // it may be out of date
-	Partial bool // it has changes only: a node that it leaves out is as it was
+	Stale   bool // the list may be out of date
+	Partial bool // the list holds changes only; a node missing from it is unchanged
 	Nodes   []Node
 }
 
-// Source brings lists. Run reports the first as soon as there is one, and then one for each change, until its context
-// ends. It returns an error if it ends before.
+// Source provides lists. Run reports the first list as soon as it is available and another one after each change,
+// until its context ends. It returns an error if it stops before that.
 type Source interface {
 	Run(ctx context.Context, to Subscriber) error
 }
 
-// Subscriber receives what a Source reports. Its methods are called by one goroutine at a time.
+// Subscriber receives the reports of a Source. Its methods are called by one goroutine at a time.
 type Subscriber interface {
 	// OnUpdate receives a complete list.
 	OnUpdate(list List)
-	// OnRejected reports an update that can't be used. The last list stays in force.
+	// OnRejected reports an update that cannot be used. The last list stays in force.
 	OnRejected(err error)
-	// OnLink reports that the source is connected, or that the connection is lost and why.
+	// OnLink reports that the source is connected, or that the connection was lost and why.
 	OnLink(up bool, reason string)
 }
--- a/internal/endpoint/form.go
+++ b/internal/endpoint/form.go
@@ -11,12 +11,13 @@
 	"github.com/hashicorp/hcl/v2/hclparse"
 )
 
-// listForm is a list in the gateway's own form (HCL).
+// listForm is the schema of a list file in the gateway's native format (HCL).
 type listForm struct {
 	Version string     `hcl:"version,optional"`
 	Nodes   []nodeForm `hcl:"node,block"`
 }
 
+// nodeForm is the schema of one node block.
 type nodeForm struct {
 	Addr      string    `hcl:"addr,label"`
 	Name      string    `hcl:"name,optional"`
@@ -29,9 +30,9 @@
 	Range     hcl.Range `hcl:",def_range"`
 }
 
-// EntryError tells that a node of a list in our own form is not valid.
+// EntryError reports an invalid node in a list in the native format.
 type EntryError struct {
-	Range  hcl.Range // where the node stands
+	Range  hcl.Range // position of the node in the file
 	Addr   string
 	Reason string
 }
@@ -39,8 +40,8 @@
 // Error implements error.
 func (e *EntryError) Error() string { return fmt.Sprintf("%s: node %q: %s", e.Range, e.Addr, e.Reason) }
 
-// ParseList reads a list in our own form. Errors name the file, line and column. A list without a version gets one of
-// its content.
+// ParseList parses a list in the native format. Errors name the file, line and column. A list without a version gets
+// a hash of its content as its version.
 func ParseList(file string, src []byte) (List, error) {
 	f, diags := hclparse.NewParser().ParseHCL(src, file)
 	if diags.HasErrors() {
@@ -56,10 +57,11 @@
 	return list, nil
 }
 
-// contentVersion is a version for content that names none.
+// contentVersion returns a hash of a file's content as the version of a list that has none.
 func contentVersion(src []byte) string { return strconv.FormatUint(xxhash.Sum64(src), 16) }
 
-// DecodeList reads a list from a body that is parsed already, such as the rest of a file with blocks of its own.
+// DecodeList decodes a list from an HCL body that is already parsed, such as the remainder of a file that also has
+// other blocks.
 func DecodeList(body hcl.Body) (List, error) {
 	var form listForm
 	if diags := gohcl.DecodeBody(body, nil, &form); diags.HasErrors() {
@@ -69,7 +71,7 @@
 	seen := map[string]hcl.Range{}
 	for _, entry := range form.Nodes {
 		if at, twice := seen[entry.Addr]; twice {
-			return List{}, entry.errorf("is listed already at %s", at)
+			return List{}, entry.errorf("is already listed at %s", at)
 		}
 		seen[entry.Addr] = entry.Range
 		node, err := entry.node()
@@ -81,17 +83,17 @@
 	return list, nil
 }
 
-// node checks and converts an entry.
+// node validates an entry and converts it to a Node.
 func (f *nodeForm) node() (Node, error) {
 	if f.Shard < 0 {
-		return Node{}, f.errorf("shard %d: shards are counted from 0", f.Shard)
+		return Node{}, f.errorf("shard %d must not be negative", f.Shard)
 	}
 	if f.Priority < 0 {
-		return Node{}, f.errorf("priority %d: priorities are counted from 0, the first", f.Priority)
+		return Node{}, f.errorf("priority %d must not be negative, 0 is the highest", f.Priority)
 	}
 	health, known := parseHealth(f.Health)
 	if !known {
-		return Node{}, f.errorf("standing %q: it is \"ready\", \"draining\", \"unwell\" or \"gone\"", f.Health)
+		return Node{}, f.errorf("standing %q: must be \"ready\", \"draining\", \"unwell\" or \"gone\"", f.Health)
 	}
 	node := Node{
 		Addr:     f.Addr,
@@ -105,7 +107,7 @@
 	if f.StartedAt != "" {
 		at, err := time.Parse(time.RFC3339Nano, f.StartedAt)
 		if err != nil {
-			return Node{}, f.errorf("born %q: a time such as 2026-01-02T15:04:05Z is expected", f.StartedAt)
+			return Node{}, f.errorf("born %q is not an RFC 3339 time such as 2026-01-02T15:04:05Z", f.StartedAt)
 		}
 		node.StartedAt = at.UnixNano()
 	}
@@ -116,7 +118,7 @@
 	return &EntryError{f.Range, f.Addr, fmt.Sprintf(format, args...)}
 }
 
-// parseHealth reads a health word of the form; without one a node is ready.
+// parseHealth returns the health status with a name. The empty name, of a node without one, stands for Ready.
 func parseHealth(word string) (health Health, known bool) {
 	if word == "" {
 		return Ready, true
@@ -129,7 +131,7 @@
 	return Ready, false
 }
 
-// FormatList writes a list in our own form.
+// FormatList formats a list in the native format. Stale and Partial are not written.
 func FormatList(list List) []byte {
 	var out []byte
 	if list.Version != "" {
--- a/internal/endpoint/form_test.go
+++ b/internal/endpoint/form_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// A list that is written is read as it was; one that is not valid is rejected with its line.
+// A list that is formatted and parsed again is unchanged. An invalid list is rejected with its file and line, or the
+// invalid value.
 func TestListRoundTripAndErrors(t *testing.T) {
 	l := List{Nodes: []Node{
 		{Addr: "127.0.0.1:1", Zone: "a", Shard: 0},
@@ -16,7 +17,7 @@
 	}}
 	got, err := ParseList("nodes.hcl", FormatList(l))
 	if err != nil || !reflect.DeepEqual(got.Nodes, l.Nodes) || got.Version == "" {
-		t.Errorf("%+v is read as %+v, %v", l, got, err)
+		t.Errorf("formatted and parsed: %+v gives %+v, error %v", l, got, err)
 	}
 	for text, want := range map[string]string{
 		"node \"a\" {\n  shard = -1\n}":                           "nodes.hcl:1",
@@ -27,7 +28,7 @@
 		"node \"a\" {": "nodes.hcl:1",
 	} {
 		if _, err := ParseList("nodes.hcl", []byte(text)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v", text, err)
+			t.Errorf("parsing %q: got error %v", text, err)
 		}
 	}
 }
--- a/internal/endpoint/golden_test.go
+++ b/internal/endpoint/golden_test.go
@@ -10,7 +10,7 @@
 	"irispost/internal/testkit/golden"
 )
 
-// formOf returns a list as JSON under names of the test's own.
+// formOf returns a list as JSON under fixed keys, independent of the names of Go fields.
 func formOf(t *testing.T, list List) []byte {
 	t.Helper()
 	nodes := []map[string]any{}
@@ -34,7 +34,8 @@
 	return append(b, '\n')
 }
 
-// The list file in our own form: what is read of it, how it is written, and the version of one that names none.
+// A list file in the native format: what is read from it, how the list is written, and the version given to a list
+// without one.
 func TestGoldenListFile(t *testing.T) {
 	src, err := os.ReadFile(filepath.Join("testdata", "read.nodes.hcl"))
 	if err != nil {
--- a/internal/endpoint/xds/assignment.go
+++ b/internal/endpoint/xds/assignment.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// MaxEndpoints is the most endpoints that are taken in, of all clusters.
+	// MaxEndpoints limits the number of endpoints in all clusters together.
 	MaxEndpoints = 1 << 16
 
 	maxPriority = 128
@@ -20,12 +20,12 @@
 	defaultOverprovisioning = 140
 )
 
-// Assignment is what was read of a cluster's endpoints.
+// Assignment holds the endpoints of a cluster, read from a ClusterLoadAssignment.
 type Assignment struct {
 	Name       string
 	Nodes      []endpoint.Node
-	StaleAfter time.Duration // without an update for so long it is stale; 0: never
-	Notes      []string      // fields that have no effect here
+	StaleAfter time.Duration // age without an update at which it becomes stale; 0: never
+	Notes      []string      // fields that are set but have no effect
 }
 
 var (
@@ -48,14 +48,14 @@
 	}
 )
 
-// ReadAssignment reads a cluster's endpoints (envoy.config.endpoint.v3.ClusterLoadAssignment). With ValidationErrors it
-// returns what could be read.
+// ReadAssignment validates and converts a cluster's endpoints (envoy.config.endpoint.v3.ClusterLoadAssignment). If it
+// returns ValidationErrors, the Assignment holds what could be read.
 func ReadAssignment(message *endpointv3.ClusterLoadAssignment) (*Assignment, error) {
 	r := &assignmentReader{priorities: map[int]bool{}, seen: map[string]bool{}}
 	r.out.Name = message.GetClusterName()
 	at := fmt.Sprintf("endpoints of %q", message.GetClusterName())
 	if message.GetClusterName() == "" {
-		r.addError("endpoints", "they have no cluster_name")
+		r.addError("endpoints", "cluster_name is empty")
 	}
 	r.fields(at, message, assignmentFields)
 	if message.GetPolicy() != nil {
@@ -66,7 +66,7 @@
 	}
 	for priority := range len(r.priorities) {
 		if !r.priorities[priority] {
-			r.addError(at, "priority %d is left out: they have to count from 0", priority)
+			r.addError(at, "priority %d is missing: priorities must be contiguous from 0", priority)
 			break
 		}
 	}
@@ -74,23 +74,23 @@
 	return &r.out, r.err()
 }
 
-// assignmentReader reads an assignment.
+// assignmentReader holds the state of reading one assignment.
 type assignmentReader struct {
 	reading
 	out        Assignment
-	priorities map[int]bool    // that localities have
-	seen       map[string]bool // addresses
+	priorities map[int]bool    // priorities that the localities have
+	seen       map[string]bool // addresses read so far
 }
 
-// locality reads the endpoints of a locality.
+// locality reads the endpoints of one locality.
 func (r *assignmentReader) locality(at string, message *endpointv3.LocalityLbEndpoints) {
 	if message == nil {
-		r.addError(at, "it is empty")
+		r.addError(at, "message is empty")
 		return
 	}
 	r.fields(at, message, localityFields)
 	if message.GetPriority() > maxPriority {
-		r.addError(at, "priority %d is over %d", message.GetPriority(), maxPriority)
+		r.addError(at, "priority %d exceeds the maximum of %d", message.GetPriority(), maxPriority)
 	}
 	priority := int(message.GetPriority())
 	r.priorities[priority] = true
@@ -101,14 +101,14 @@
 		}
 		n.Zone, n.Priority = zoneOf(message.GetLocality()), priority
 		if r.seen[n.Addr] {
-			r.addError(at, "%s is there twice", n.Addr)
+			r.addError(at, "duplicate address %s", n.Addr)
 		}
 		r.seen[n.Addr] = true
 		r.out.Nodes = append(r.out.Nodes, n)
 	}
 }
 
-// zoneOf returns a locality as one name.
+// zoneOf returns a zone name for a locality: its zone, or else its region, with the sub-zone appended after a slash.
 func zoneOf(l *corev3.Locality) string {
 	name := l.GetZone()
 	if name == "" {
@@ -120,20 +120,20 @@
 	return name
 }
 
-// policy reads what an assignment says of its use. Where that would need behaviour that is not there, it is an error.
+// policy reads an assignment's policy. Settings that need behaviour that the gateway does not have are errors.
 func (r *assignmentReader) policy(at string, message *endpointv3.ClusterLoadAssignment_Policy) {
 	r.fields(at, message, policyFields)
 	for _, drop := range message.GetDropOverloads() {
 		share := drop.GetDropPercentage()
 		if share.GetNumerator() > 0 {
-			r.addError(at, "drop_overloads %q drops %d of %v: requests are shed by the scheduler only, with a time to retry",
+			r.addError(at, "drop_overloads %q drops %d of %v: not supported, only the scheduler sheds load, with a retry time",
 				drop.GetCategory(), share.GetNumerator(), share.GetDenominator())
 		}
 	}
 	factor := message.GetOverprovisioningFactor()
 	if factor != nil && factor.GetValue() != defaultOverprovisioning {
-		r.addError(at, "overprovisioning_factor %d: a priority is left only when its shard has no other node, "+
-			"so it has to be the default, %d", factor.GetValue(), defaultOverprovisioning)
+		r.addError(at, "overprovisioning_factor %d: a shard moves to the next priority only when it has no other node, "+
+			"so the factor must be the default, %d", factor.GetValue(), defaultOverprovisioning)
 	}
 	staleAfter := message.GetEndpointStaleAfter()
 	if staleAfter == nil {
@@ -141,6 +141,6 @@
 	}
 	r.out.StaleAfter = staleAfter.AsDuration()
 	if staleAfter.CheckValid() != nil || r.out.StaleAfter <= 0 {
-		r.addError(at, "endpoint_stale_after %v is not over 0", r.out.StaleAfter)
+		r.addError(at, "endpoint_stale_after %v must be positive", r.out.StaleAfter)
 	}
 }
--- a/internal/endpoint/xds/assignment_test.go
+++ b/internal/endpoint/xds/assignment_test.go
@@ -24,11 +24,11 @@
 	{Addr: "[::1]:7001", Zone: "b", Shard: 1, Health: endpoint.Draining, Priority: 1},
 }
 
-// What a valid assignment says comes out as nodes.
+// A valid assignment is converted to nodes. A field without effect gives a note.
 func TestAssignmentIsReadAsNodes(t *testing.T) {
 	a, err := xds.ReadAssignment(xdsstandin.Assignment("storage", twoNodes))
 	if err != nil || !reflect.DeepEqual(a.Nodes, twoNodes) || len(a.Notes) > 0 {
-		t.Errorf("%+v, %v", a, err)
+		t.Errorf("got assignment %+v, error %v", a, err)
 	}
 	m := xdsstandin.Assignment("storage", twoNodes)
 	m.Policy = drops(0)
@@ -38,7 +38,7 @@
 	m.Endpoints[0].Locality = &corev3.Locality{Region: "r", SubZone: "rack"}
 	a, err = xds.ReadAssignment(m)
 	if err != nil || a.StaleAfter != time.Minute || a.Nodes[0].Zone != "r/rack" || len(a.Notes) != 1 {
-		t.Errorf("%+v, %v", a, err)
+		t.Errorf("got assignment %+v, error %v", a, err)
 	}
 }
 
@@ -54,46 +54,49 @@
 		m := xdsstandin.Assignment("storage", twoNodes)
 		m.Endpoints[0].LbEndpoints[0].HealthStatus = status
 		if a, err := xds.ReadAssignment(m); err != nil || a.Nodes[0].Health != want {
-			t.Errorf("%v: %+v, %v", status, a, err)
+			t.Errorf("status %v: got assignment %+v, error %v", status, a, err)
 		}
 	}
 }
 
-// assignmentMessage is a message to spoil.
+// assignmentMessage is a message for a test to make invalid.
 type assignmentMessage = endpointv3.ClusterLoadAssignment
 
-// Parts of a message.
+// lbEndpoint returns the first endpoint of a message.
 func lbEndpoint(a *assignmentMessage) *endpointv3.LbEndpoint { return a.Endpoints[0].LbEndpoints[0] }
 
+// socketAddress returns the address of the first endpoint of a message.
 func socketAddress(a *assignmentMessage) *corev3.SocketAddress {
 	return lbEndpoint(a).GetEndpoint().Address.GetSocketAddress()
 }
 
+// ownMetadata returns the fields under MetadataKey of the first endpoint of a message.
 func ownMetadata(a *assignmentMessage) map[string]*structpb.Value {
 	return lbEndpoint(a).Metadata.FilterMetadata[xds.MetadataKey].Fields
 }
 
-// wantInvalidAssignment fails the test unless a message spoilt like that is an error with a text.
+// wantInvalidAssignment fails the test unless reading a message changed by spoil gives an error that contains the
+// text.
 func wantInvalidAssignment(t *testing.T, text string, spoil func(*assignmentMessage)) {
 	t.Helper()
 	a := proto.Clone(xdsstandin.Assignment("storage", twoNodes)).(*assignmentMessage)
 	spoil(a)
 	if _, err := xds.ReadAssignment(a); err == nil || !strings.Contains(err.Error(), text) {
-		t.Errorf("%s: %v", text, err)
+		t.Errorf("want an error with: %s; got: %v", text, err)
 	}
 }
 
-// Each field of an assignment that is not valid, or asks for what is not supported, is an error with its name.
+// Each field of an assignment that is invalid, or requests unsupported behaviour, gives an error that names it.
 func TestInvalidAssignmentIsRejected(t *testing.T) {
 	for text, spoil := range map[string]func(*assignmentMessage){
-		"no cluster_name": func(a *assignmentMessage) { a.ClusterName = "" },
+		"cluster_name is empty": func(a *assignmentMessage) { a.ClusterName = "" },
 		"named_endpoints is not supported": func(a *assignmentMessage) {
 			a.NamedEndpoints = map[string]*endpointv3.Endpoint{"x": {}}
 		},
-		"it is empty":                func(a *assignmentMessage) { a.Endpoints[0] = nil },
-		"priority 0 is left out":     func(a *assignmentMessage) { a.Endpoints[0].Priority = 1 },
-		"priority 129 is over 128":   func(a *assignmentMessage) { a.Endpoints[0].Priority = 129 },
-		"proximity is not supported": func(a *assignmentMessage) { a.Endpoints[0].Proximity = wrapperspb.UInt32(1) },
+		"message is empty":                        func(a *assignmentMessage) { a.Endpoints[0] = nil },
+		"priority 0 is missing":                   func(a *assignmentMessage) { a.Endpoints[0].Priority = 1 },
+		"priority 129 exceeds the maximum of 128": func(a *assignmentMessage) { a.Endpoints[0].Priority = 129 },
+		"proximity is not supported":              func(a *assignmentMessage) { a.Endpoints[0].Proximity = wrapperspb.UInt32(1) },
 		"leds_cluster_locality_config is no": func(a *assignmentMessage) {
 			a.Endpoints[0].LbConfig = &endpointv3.LocalityLbEndpoints_LedsClusterLocalityConfig{}
 		},
@@ -112,17 +115,16 @@
 	}
 }
 
-// So is each field of an endpoint.
-// invalidEndpoints has changes that make an endpoint invalid, by what the rejection says of each.
+// invalidEndpoints holds changes that each make an endpoint invalid. The keys are texts that the error must contain.
 var invalidEndpoints = map[string]func(*assignmentMessage){
-	"an endpoint is empty": func(a *assignmentMessage) { a.Endpoints[0].LbEndpoints[0] = &endpointv3.LbEndpoint{} },
+	"endpoint is empty": func(a *assignmentMessage) { a.Endpoints[0].LbEndpoints[0] = &endpointv3.LbEndpoint{} },
 	"endpoint_name is not supported": func(a *assignmentMessage) {
 		lbEndpoint(a).HostIdentifier = &endpointv3.LbEndpoint_EndpointName{EndpointName: "x"}
 	},
-	"is there twice": func(a *assignmentMessage) {
+	"duplicate address 127.0.0.1:7000": func(a *assignmentMessage) {
 		a.Endpoints[0].LbEndpoints = append(a.Endpoints[0].LbEndpoints, lbEndpoint(a))
 	},
-	"health_status 77 is not known": func(a *assignmentMessage) { lbEndpoint(a).HealthStatus = 77 },
+	"unknown health_status 77": func(a *assignmentMessage) { lbEndpoint(a).HealthStatus = 77 },
 	"load_balancing_weight 0": func(a *assignmentMessage) {
 		lbEndpoint(a).LoadBalancingWeight = wrapperspb.UInt32(0)
 	},
@@ -136,9 +138,9 @@
 	"additional_addresses is not": func(a *assignmentMessage) {
 		lbEndpoint(a).GetEndpoint().AdditionalAddresses = []*endpointv3.Endpoint_AdditionalAddress{{}}
 	},
-	"protocol UDP":              func(a *assignmentMessage) { socketAddress(a).Protocol = corev3.SocketAddress_UDP },
-	"\"node.example\" is no IP": func(a *assignmentMessage) { socketAddress(a).Address = "node.example" },
-	"\"\" is no IP":             func(a *assignmentMessage) { socketAddress(a).Address = "" },
+	"protocol UDP":                  func(a *assignmentMessage) { socketAddress(a).Protocol = corev3.SocketAddress_UDP },
+	"\"node.example\" is not an IP": func(a *assignmentMessage) { socketAddress(a).Address = "node.example" },
+	"\"\" is not an IP":             func(a *assignmentMessage) { socketAddress(a).Address = "" },
 	"port_value 0": func(a *assignmentMessage) {
 		socketAddress(a).PortSpecifier = &corev3.SocketAddress_PortValue{}
 	},
@@ -150,10 +152,10 @@
 	},
 	"resolver_name is not supported": func(a *assignmentMessage) { socketAddress(a).ResolverName = "x" },
 	"metadata has no \"irispost\"":   func(a *assignmentMessage) { lbEndpoint(a).Metadata = nil },
-	"irispost.colour is not known": func(a *assignmentMessage) {
+	"unknown metadata field irispost.colour": func(a *assignmentMessage) {
 		ownMetadata(a)["colour"] = structpb.NewNumberValue(1)
 	},
-	"irispost.shard is no number": func(a *assignmentMessage) {
+	"irispost.shard is not a number": func(a *assignmentMessage) {
 		ownMetadata(a)["shard"] = structpb.NewStringValue("1")
 	},
 	"irispost.shard is -1": func(a *assignmentMessage) {
@@ -168,10 +170,10 @@
 	"irispost.shard is NaN": func(a *assignmentMessage) {
 		ownMetadata(a)["shard"] = structpb.NewNumberValue(nan)
 	},
-	"irispost.born is no time": func(a *assignmentMessage) {
+	"irispost.born is not an RFC 3339 time": func(a *assignmentMessage) {
 		ownMetadata(a)["born"] = structpb.NewStringValue("yesterday")
 	},
-	"a field that is not known here": func(a *assignmentMessage) {
+	"has an unknown field": func(a *assignmentMessage) {
 		socketAddress(a).ProtoReflect().SetUnknown([]byte{0xf8, 0x7f, 1})
 	},
 	"and 1 more": func(a *assignmentMessage) {
@@ -180,6 +182,7 @@
 	},
 }
 
+// Each field of an endpoint that is invalid, or requests unsupported behaviour, gives an error that names it.
 func TestInvalidEndpointIsRejected(t *testing.T) {
 	for text, spoil := range invalidEndpoints {
 		wantInvalidAssignment(t, text, spoil)
@@ -188,7 +191,7 @@
 
 var nan = func() float64 { zero := 0.0; return zero / zero }()
 
-// drops is a policy that drops a share of requests, in percent.
+// drops returns a policy that drops a percentage of the requests.
 func drops(percent uint32) *endpointv3.ClusterLoadAssignment_Policy {
 	overload := &endpointv3.ClusterLoadAssignment_Policy_DropOverload{
 		Category:       "x",
@@ -199,14 +202,14 @@
 	}
 }
 
-// spoilMany makes eight more errors.
+// spoilMany adds eight invalid endpoints, each of which gives an error.
 func spoilMany(a *endpointv3.ClusterLoadAssignment) {
 	for range 8 {
 		a.Endpoints[0].LbEndpoints = append(a.Endpoints[0].LbEndpoints, &endpointv3.LbEndpoint{})
 	}
 }
 
-// Random bytes are read or rejected: never a crash, and never a node that is out of bounds.
+// Random bytes are read or rejected, without a panic and without an out-of-range value in a node.
 func FuzzAssignment(f *testing.F) {
 	valid, err := proto.Marshal(xdsstandin.Assignment("storage", twoNodes))
 	if err != nil {
@@ -226,10 +229,10 @@
 		seen := map[string]bool{}
 		for _, n := range a.Nodes {
 			if n.Addr == "" || seen[n.Addr] || n.StartedAt < 0 || n.Priority < 0 || n.Health > endpoint.Unhealthy {
-				t.Errorf("%+v", n)
+				t.Errorf("node with an empty or duplicate address, or an out-of-range value: %+v", n)
 			}
 			if n.Shard < 0 || n.Shard >= 1<<16 {
-				t.Errorf("shard %d", n.Shard)
+				t.Errorf("shard %d is out of range", n.Shard)
 			}
 			seen[n.Addr] = true
 		}
--- a/internal/endpoint/xds/bench_test.go
+++ b/internal/endpoint/xds/bench_test.go
@@ -12,15 +12,16 @@
 	"irispost/internal/xdsstandin"
 )
 
-// clusterSize is how many endpoints each cluster of a benchmark has.
+// clusterSize is the number of endpoints in each cluster of BenchmarkUpdate.
 const clusterSize = 50
 
-// installation is a number of nodes in clusters, for a benchmark.
+// installation holds the cluster names of a benchmark and the nodes of each cluster.
 type installation struct {
 	names []string
 	lists [][]endpoint.Node
 }
 
+// newInstallation returns an installation with size nodes, each in a shard of its own.
 func newInstallation(size int) *installation {
 	in := &installation{}
 	for i := range size / clusterSize {
@@ -35,7 +36,8 @@
 	return in
 }
 
-// endpoints returns a response with the endpoints of all clusters, or in the incremental form of one; below 0: of all.
+// endpoints returns a response with the endpoints of all clusters. In the incremental variant it has those of the
+// cluster with the given index only, or of all clusters if the index is negative.
 func (in *installation) endpoints(b *testing.B, incremental bool, only int, version string) xds.Response {
 	b.Helper()
 	r := xds.Response{Type: xds.EndpointType, Version: version, Nonce: version}
@@ -58,8 +60,9 @@
 	return bytes
 }
 
-// BenchmarkUpdate takes in a response in which one endpoint has changed, from its bytes to the list for the scheduler.
-// In the state of the world that has all clusters' endpoints, in the incremental form the changed cluster's.
+// BenchmarkUpdate measures the processing of a response in which one endpoint has changed, from its bytes to the list
+// for the scheduler. A state-of-the-world response has the endpoints of all clusters, an incremental one those of the
+// changed cluster.
 func BenchmarkUpdate(b *testing.B) {
 	for _, size := range []int{50, 500, 5000} {
 		for _, incremental := range []bool{false, true} {
@@ -93,13 +96,14 @@
 		source.Receive(now, *out.List)
 		update := tracker.Reconcile(now)
 		if !update.Changed || len(update.List.Nodes) != size {
-			b.Fatalf("changed %v, %d nodes", update.Changed, len(update.List.Nodes))
+			b.Fatalf("changed: %v; the list has %d nodes", update.Changed, len(update.List.Nodes))
 		}
 	}
 	b.ReportMetric(float64(wireBytes(responses[0])), "wire-B/op")
 }
 
-// BenchmarkFleet changes one of 50 nodes at one server until all of 200 clients have the list, over loopback sockets.
+// BenchmarkFleet measures the time from a change of one of 50 nodes at one server until all of 200 clients have the
+// new list, over loopback sockets.
 func BenchmarkFleet(b *testing.B) {
 	for _, incremental := range []bool{false, true} {
 		b.Run(formName(incremental), func(b *testing.B) { benchmarkFleet(b, incremental) })
--- a/internal/endpoint/xds/client.go
+++ b/internal/endpoint/xds/client.go
@@ -1,10 +1,10 @@
-// Package xds brings the list of storage nodes from an xDS management server over an aggregated stream, or from files
-// that hold xDS responses: Envoy clusters and endpoints,
-// https://www.envoyproxy.io/docs/envoy/latest/api-docs/xds_protocol. docs/xds.md has the mapping.
+// Package xds provides the list of storage nodes from an xDS management server, over an aggregated stream (ADS), or
+// from files that hold xDS responses. It reads Envoy clusters and endpoints; docs/xds.md describes how they map to
+// nodes. The protocol is described at https://www.envoyproxy.io/docs/envoy/latest/api-docs/xds_protocol.
 //
-// The endpoint manager runs a Client or a FileSource in a goroutine that owns its Session. The Session is the protocol
-// and pure, and so are ReadCluster, ReadAssignment and Backoff; the Client brings streams, time and waits. Nothing is
-// kept on disk.
+// The endpoint manager runs a Client or a FileSource in a goroutine that owns its Session. The Session implements the
+// protocol without I/O or a clock, and so do ReadCluster, ReadAssignment and Backoff; the Client adds the streams,
+// the clock and the waits. Nothing is stored on disk.
 package xds
 
 import (
@@ -23,44 +23,44 @@
 	"irispost/internal/endpoint"
 )
 
-// Options are what a Client is made with.
+// Options configures a Client.
 type Options struct {
 	Address             string        // host:port of the management server
-	Incremental         bool          // use the incremental form of the protocol, else the state of the world
+	Incremental         bool          // use the incremental (delta) variant of the protocol, not state-of-the-world
 	NodeID              string        // Node.id; unique among all clients of the server
 	NodeCluster         string        // Node.cluster
 	Zone                string        // Node.locality.zone
-	Clusters            []string      // those wanted; empty: all
-	InitialFetchTimeout time.Duration // for a first response, and for a cluster's first endpoints
+	Clusters            []string      // names of the clusters to subscribe to; empty: all
+	InitialFetchTimeout time.Duration // for the first response of a stream and for a cluster's first endpoints
 	MinBackoff          time.Duration // between attempts to reach the server
 	MaxBackoff          time.Duration
 	MaxMessageBytes     int
-	Seed                uint64 // of the backoff
+	Seed                uint64 // of the backoff's random numbers
 	Log                 *slog.Logger
 }
 
-// Defaults of what Options leave open.
+// Defaults for Options that are zero.
 const (
-	DefaultInitialFetchTimeout = 15 * time.Second // as the protocol's initial_fetch_timeout
+	DefaultInitialFetchTimeout = 15 * time.Second // the default of the protocol's initial_fetch_timeout
 	DefaultMinBackoff          = 250 * time.Millisecond
 	DefaultMaxBackoff          = 15 * time.Second
 	DefaultMaxMessageBytes     = 64 << 20
 )
 
-// Times of the connection.
+// Timeouts of the connection.
 const (
-	keepaliveTime     = 20 * time.Second // without traffic, until the server is pinged
+	keepaliveTime     = 20 * time.Second // time without traffic after which the server is pinged
 	keepaliveTimeout  = keepaliveTime / 2
 	minConnectTimeout = keepaliveTime / 4
 )
 
-// errMessageTooLong tells of a message over MaxMessageBytes.
+// errMessageTooLong is returned for a message longer than MaxMessageBytes.
 var errMessageTooLong = errors.New("message exceeds the limit")
 
-// Client is an endpoint.Source: an aggregated stream (ADS) to a management server.
+// Client is an endpoint.Source that reads from a management server over an aggregated stream (ADS).
 type Client struct{ opt Options }
 
-// NewClient makes a Client.
+// NewClient returns a Client.
 func NewClient(opt Options) *Client {
 	opt.InitialFetchTimeout = orDefault(opt.InitialFetchTimeout, DefaultInitialFetchTimeout)
 	opt.MinBackoff = orDefault(opt.MinBackoff, DefaultMinBackoff)
@@ -69,6 +69,7 @@
 	return &Client{opt}
 }
 
+// orDefault returns the value, or the other one if it is zero.
 func orDefault[T int | time.Duration](value, otherwise T) T {
 	if value == 0 {
 		return otherwise
@@ -76,18 +77,18 @@
 	return value
 }
 
-// Run implements endpoint.Source: it keeps a stream until the context ends.
+// Run implements endpoint.Source. It keeps a stream open, and reopens it after a failure, until the context ends.
 func (c *Client) Run(ctx context.Context, to endpoint.Subscriber) error {
 	conn, err := c.connect()
 	if err != nil {
 		return err
 	}
-	defer func() { _ = conn.Close() }() // its streams have ended
-	// Seeded by the name as well, so that clients that are started alike don't come back alike.
+	defer func() { _ = conn.Close() }() // its streams have already ended
+	// The node's id is part of the seed, so that clients with the same Seed do not reconnect at the same times.
 	source := rand.NewPCG(c.opt.Seed, xxhash.Sum64String(c.opt.NodeID))
 	waits := &Backoff{Min: c.opt.MinBackoff, Max: c.opt.MaxBackoff, Rand: rand.New(source)}
 	s := newStream(&c.opt, to)
-	s.session.OpenStream(s.now()) // so that the first response is overdue also where no stream comes up
+	s.session.OpenStream(s.now()) // starts the fetch timeout even if no stream can be opened
 	for {
 		s.connected, s.accepted = false, false
 		err := s.run(ctx, conn)
@@ -103,14 +104,14 @@
 		to.OnLink(false, err.Error())
 		wait := waits.Next()
 		c.opt.Log.Info("xds stream lost", "server", c.opt.Address, "retry_in", wait, "err", err)
-		conn.ResetConnectBackoff() // our own counts
+		conn.ResetConnectBackoff() // only our own backoff applies
 		if !s.pause(ctx, wait) {
 			return nil
 		}
 	}
 }
 
-// connect makes a connection, which is dialled when a stream is opened.
+// connect creates a connection, which is dialled when the first stream is opened.
 func (c *Client) connect() (*grpc.ClientConn, error) {
 	return grpc.NewClient(c.opt.Address,
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
--- a/internal/endpoint/xds/client_test.go
+++ b/internal/endpoint/xds/client_test.go
@@ -11,7 +11,8 @@
 	"irispost/internal/xdsstandin"
 )
 
-// bothForms runs a test with a client of either form, on a server with four nodes in so many clusters.
+// bothForms runs a test in both variants of the protocol, with a client of a server that has four nodes in the given
+// number of clusters.
 func bothForms(t *testing.T, clusters int, test func(*testing.T, *xdsstandin.Server, *recorder)) {
 	t.Helper()
 	for _, incremental := range []bool{false, true} {
@@ -24,7 +25,7 @@
 	}
 }
 
-// Nodes that are added, drained, ready again, unhealthy and removed are reported, in one cluster and in several.
+// Nodes that are added, drained, ready again, unhealthy or removed are reported, with one cluster and with several.
 func TestClientReportsChanges(t *testing.T) {
 	for _, clusters := range []int{1, 3} {
 		bothForms(t, clusters, func(t *testing.T, s *xdsstandin.Server, r *recorder) {
@@ -44,7 +45,7 @@
 	}
 }
 
-// awaitNACK waits until the last request that a server got is a rejection with a text.
+// awaitNACK waits until the last request that a server received is a rejection whose reason contains the text.
 func awaitNACK(t *testing.T, s *xdsstandin.Server, text string) {
 	t.Helper()
 	err := s.WaitForAcks(timeout, func(answers []xdsstandin.Ack) bool {
@@ -56,24 +57,24 @@
 	}
 }
 
-// A response that is not valid is rejected with the reason, and changes nothing. The valid one that follows with the
-// same version is accepted, also when the stream was cut between the two.
+// An invalid response is rejected with the reason and has no effect. A valid response with the same version that
+// follows is accepted, even if the stream was cut between the two.
 func TestValidResponseAfterRejectedOne(t *testing.T) {
 	for _, cut := range []bool{false, true} {
 		bothForms(t, 1, func(t *testing.T, s *xdsstandin.Server, r *recorder) {
-			reasons := map[string]string{"endpoints": "which shard", "clusters": "eds_cluster_config"}
+			reasons := map[string]string{"endpoints": "its shard is unknown", "clusters": "eds_cluster_config"}
 			for i, kind := range []string{"endpoints", "clusters"} {
 				do(t, s, "broken "+kind)
 				r.awaitRejection(t, i, "")
 				awaitNACK(t, s, reasons[kind])
 				if got := ports(r.list); got != "1000 1001 2000 3000" {
-					t.Errorf("in force is %q", got)
+					t.Errorf("the list in force is %q", got)
 				}
 				if cut {
 					do(t, s, "cut")
 				}
 				do(t, s, "mend", fmt.Sprintf("add 127.0.0.1:%d 5", 5000+i))
-				r.await(t, "the valid one", func(r *recorder) bool {
+				r.await(t, "a list from the valid response", func(r *recorder) bool {
 					return strings.Contains(ports(r.list), fmt.Sprint(5000+i))
 				})
 				do(t, s, fmt.Sprintf("remove 127.0.0.1:%d", 5000+i))
@@ -83,8 +84,9 @@
 	}
 }
 
-// Streams that are cut, rejected, slow or mute, that repeat a nonce or send endpoints without a subscription, and
-// servers that restart with the same versions: in the end the client has what the server has.
+// The client ends up with the server's list after any of these faults: streams that are cut, refused, slow or silent,
+// that repeat a nonce or send endpoints without a subscription, and servers that restart and use the same versions
+// again.
 func TestClientRecoversFromFaults(t *testing.T) {
 	bothForms(t, 2, func(t *testing.T, s *xdsstandin.Server, r *recorder) {
 		want := "1000 1001 2000 3000"
@@ -111,15 +113,16 @@
 		if len(r.rejected) > 0 {
 			t.Errorf("rejected: %q", r.rejected)
 		}
-		for i := 1; i < len(r.links); i++ { // an attempt that fails is reported as down again
+		for i := 1; i < len(r.links); i++ { // a failed attempt is reported as down even if the link is down already
 			if r.links[i] && r.links[i-1] {
-				t.Errorf("reported as up twice: %v", r.links)
+				t.Errorf("the link was reported as up twice in a row: %v", r.links)
 			}
 		}
 	})
 }
 
-// A server that goes back to an older state after a cut has its old list reported; package membership holds it down.
+// If a server returns to an older state after a cut, the client reports the older list. Deciding whether to use it is
+// left to package membership (hold-down).
 func TestOlderStateIsReported(t *testing.T) {
 	bothForms(t, 1, func(t *testing.T, s *xdsstandin.Server, r *recorder) {
 		do(t, s, "drain 127.0.0.1:1000")
@@ -131,7 +134,7 @@
 	})
 }
 
-// Heartbeats keep resources with a time to live; without them they expire.
+// Resources with a time to live are kept by heartbeats and expire without them.
 func TestHeartbeatsKeepResources(t *testing.T) {
 	bothForms(t, 1, func(t *testing.T, s *xdsstandin.Server, r *recorder) {
 		s.SetTTL(xds.EndpointType, time.Hour)
@@ -144,7 +147,7 @@
 	})
 }
 
-// A message that is too long is reported, and what is in force stays.
+// A message over the size limit is reported, and the list in force stays.
 func TestMessageOverTheLimitIsRejected(t *testing.T) {
 	s := startServer(t, 1, nodes("1000")...)
 	r := startClient(t, xds.Options{
@@ -164,11 +167,12 @@
 	})
 	r.awaitRejection(t, 0, "message exceeds the limit")
 	if got := ports(r.list); got != "2000" {
-		t.Errorf("in force is %q", got)
+		t.Errorf("the list in force is %q", got)
 	}
 }
 
-// 50 nodes and 200 clients, half of them in each form, on one server: all get each change, and recover after a cut.
+// With one server, 50 nodes and 200 clients, half of them in each variant of the protocol, all clients receive each
+// change and recover after their streams are cut.
 func TestManyClientsGetAllChanges(t *testing.T) {
 	var list []endpoint.Node
 	for i := range 50 {
--- a/internal/endpoint/xds/cluster.go
+++ b/internal/endpoint/xds/cluster.go
@@ -8,15 +8,15 @@
 	"google.golang.org/protobuf/reflect/protoreflect"
 )
 
-// MaxClusters is the most clusters that are taken in.
+// MaxClusters limits the number of clusters.
 const MaxClusters = 4096
 
-// Cluster is what was read of a cluster.
+// Cluster holds the parts of an Envoy cluster that are used.
 type Cluster struct {
 	Name        string
-	ServiceName string      // the name of its assignment; empty where it has one of its own
-	Inline      *Assignment // of a static cluster
-	Notes       []string    // fields that have no effect here
+	ServiceName string      // the name of its assignment; empty if the assignment is inline
+	Inline      *Assignment // the assignment of a static cluster
+	Notes       []string    // fields that are set but have no effect
 }
 
 var (
@@ -43,13 +43,14 @@
 	}
 )
 
-// ReadCluster reads a cluster (envoy.config.cluster.v3.Cluster). With ValidationErrors it returns what could be read.
+// ReadCluster validates and converts a cluster (envoy.config.cluster.v3.Cluster). If it returns ValidationErrors, the
+// Cluster holds what could be read.
 func ReadCluster(message *clusterv3.Cluster) (*Cluster, error) {
 	r := &reading{}
 	out := &Cluster{Name: message.GetName()}
 	at := fmt.Sprintf("cluster %q", message.GetName())
 	if message.GetName() == "" {
-		r.addError("a cluster", "it has no name")
+		r.addError("cluster", "name is empty")
 	}
 	r.fields(at, message, clusterFields)
 	switch message.GetType() {
@@ -58,13 +59,13 @@
 	case clusterv3.Cluster_STATIC:
 		out.Inline = r.staticCluster(at, message)
 	default:
-		r.addError(at, "type %v is not supported, EDS and STATIC are", message.GetType())
+		r.addError(at, "type %v is not supported, only EDS and STATIC are", message.GetType())
 	}
 	out.Notes = r.notes
 	return out, r.err()
 }
 
-// edsCluster reads a cluster of type EDS, and returns the name of its assignment.
+// edsCluster checks a cluster of type EDS and returns the name of its assignment.
 func (r *reading) edsCluster(at string, message *clusterv3.Cluster) (serviceName string) {
 	config := message.GetEdsClusterConfig()
 	if config == nil {
@@ -82,7 +83,7 @@
 	return config.GetServiceName()
 }
 
-// configSource checks that a cluster's endpoints come over the same stream.
+// configSource checks that a cluster's endpoints are to be fetched over the same stream as the cluster.
 func (r *reading) configSource(at string, source *corev3.ConfigSource) {
 	if source == nil {
 		r.addError(at, "eds_cluster_config without eds_config")
@@ -90,11 +91,11 @@
 	}
 	r.fields(at+" eds_config", source, configSourceFields)
 	if v := source.GetResourceApiVersion(); v != corev3.ApiVersion_V3 && v != corev3.ApiVersion_AUTO {
-		r.addError(at, "resource_api_version %v: only V3 is spoken here", v)
+		r.addError(at, "resource_api_version %v is not supported, only V3 is", v)
 	}
 }
 
-// staticCluster reads a cluster of type STATIC, and returns its assignment; nil: it has no valid one.
+// staticCluster checks a cluster of type STATIC and returns its assignment, or nil if that is missing or invalid.
 func (r *reading) staticCluster(at string, message *clusterv3.Cluster) *Assignment {
 	if message.GetLoadAssignment() == nil {
 		r.addError(at, "type STATIC without load_assignment")
--- a/internal/endpoint/xds/cluster_test.go
+++ b/internal/endpoint/xds/cluster_test.go
@@ -13,13 +13,15 @@
 	"irispost/internal/xdsstandin"
 )
 
-// apiVersionV2 is a version of the protocol that is no longer spoken; its constant is deprecated.
+// apiVersionV2 is version 2 of the API, which is not supported. It stands for the library's constant, which is
+// deprecated.
 const apiVersionV2 = corev3.ApiVersion(1)
 
+// Clusters of type EDS and STATIC are read. A field without effect gives a note.
 func TestClusterIsRead(t *testing.T) {
 	c, err := xds.ReadCluster(xdsstandin.Cluster("storage"))
 	if err != nil || c.ServiceName != "storage" || c.Inline != nil {
-		t.Errorf("%+v, %v", c, err)
+		t.Errorf("got cluster %+v, error %v", c, err)
 	}
 	static := &clusterv3.Cluster{
 		Name:           "s",
@@ -28,14 +30,14 @@
 	}
 	c, err = xds.ReadCluster(static)
 	if err != nil || len(c.Inline.Nodes) != 2 || len(c.Notes) != 1 || !strings.Contains(c.Notes[0], "connect_timeout") {
-		t.Errorf("%+v, %v", c, err)
+		t.Errorf("got cluster %+v, error %v", c, err)
 	}
 }
 
-// Each field of a cluster that is not valid, or asks for what is not supported, is an error with its name.
+// Each field of a cluster that is invalid, or requests unsupported behaviour, gives an error that names it.
 func TestInvalidClusterIsRejected(t *testing.T) {
 	for want, spoil := range map[string]func(*clusterv3.Cluster){
-		"it has no name":             func(c *clusterv3.Cluster) { c.Name = "" },
+		"cluster: name is empty":     func(c *clusterv3.Cluster) { c.Name = "" },
 		"without eds_cluster_config": func(c *clusterv3.Cluster) { c.EdsClusterConfig = nil },
 		"without eds_config":         func(c *clusterv3.Cluster) { c.EdsClusterConfig.EdsConfig = nil },
 		"resource_api_version V2": func(c *clusterv3.Cluster) {
@@ -69,11 +71,11 @@
 		c := xdsstandin.Cluster("storage")
 		spoil(c)
 		if _, err := xds.ReadCluster(c); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v", want, err)
+			t.Errorf("want an error with: %s; got: %v", want, err)
 		}
 	}
 	bad := &clusterv3.Cluster{Name: "s", LoadAssignment: xdsstandin.Assignment("", twoNodes)}
-	if _, err := xds.ReadCluster(bad); err == nil || !strings.Contains(err.Error(), "no cluster_name") {
+	if _, err := xds.ReadCluster(bad); err == nil || !strings.Contains(err.Error(), "cluster_name is empty") {
 		t.Error(err)
 	}
 }
--- a/internal/endpoint/xds/endpoint.go
+++ b/internal/endpoint/xds/endpoint.go
@@ -13,13 +13,13 @@
 	"irispost/internal/endpoint"
 )
 
-// MetadataKey is the key in an endpoint's filter_metadata under which its shard and its start time stand.
+// MetadataKey is the key in an endpoint's filter_metadata that holds its shard and its start time.
 const MetadataKey = "irispost"
 
 // Fields under MetadataKey.
 const (
-	shardField = "shard" // a whole number from 0 to maxShard
-	startField = "born"  // a time in RFC 3339 form; it may be left out
+	shardField = "shard" // an integer from 0 to maxShard
+	startField = "born"  // an RFC 3339 time; optional
 
 	maxShard = 1<<16 - 1
 )
@@ -49,7 +49,8 @@
 	}
 )
 
-// healthOf maps the protocol's health statuses. A degraded node is ready: the scheduler measures how slow it is.
+// healthOf maps the protocol's health statuses. A degraded node counts as ready, because the scheduler itself
+// measures how slow it is.
 var healthOf = map[corev3.HealthStatus]endpoint.Health{
 	corev3.HealthStatus_UNKNOWN:   endpoint.Ready,
 	corev3.HealthStatus_HEALTHY:   endpoint.Ready,
@@ -59,11 +60,11 @@
 	corev3.HealthStatus_TIMEOUT:   endpoint.Unhealthy,
 }
 
-// endpoint reads one endpoint; false: it is not valid.
+// endpoint reads one endpoint, and returns false if it is invalid.
 func (r *reading) endpoint(at string, message *endpointv3.LbEndpoint) (node endpoint.Node, ok bool) {
 	before := len(r.errors)
 	if message == nil || message.GetEndpoint() == nil && message.GetEndpointName() == "" {
-		r.addError(at, "an endpoint is empty")
+		r.addError(at, "endpoint is empty")
 		return node, false
 	}
 	r.fields(at, message, lbEndpointFields)
@@ -79,23 +80,23 @@
 	node.Name = host.GetHostname()
 	health, known := healthOf[message.GetHealthStatus()]
 	if !known {
-		r.addError(at, "health_status %v is not known", message.GetHealthStatus())
+		r.addError(at, "unknown health_status %v", message.GetHealthStatus())
 	}
 	node.Health = health
 	if weight := message.GetLoadBalancingWeight(); weight != nil {
 		node.Weight = float64(weight.GetValue())
 		if weight.GetValue() == 0 {
-			r.addError(at, "load_balancing_weight 0: it counts from 1")
+			r.addError(at, "load_balancing_weight 0: must be at least 1")
 		}
 	}
 	r.metadata(at, message.GetMetadata(), &node)
 	return node, len(r.errors) == before
 }
 
-// address reads a host:port; empty: there is none.
+// address returns the host:port of a socket address, or an empty string if there is none.
 func (r *reading) address(at string, message *corev3.Address) string {
 	if message == nil {
-		r.addError(at, "an endpoint has no address")
+		r.addError(at, "endpoint has no address")
 		return ""
 	}
 	r.fields(at+" address", message, addressFields)
@@ -105,11 +106,11 @@
 	}
 	r.fields(at+" socket_address", s, socketAddressFields)
 	if s.GetProtocol() != corev3.SocketAddress_TCP {
-		r.addError(at, "protocol %v: only TCP is spoken", s.GetProtocol())
+		r.addError(at, "protocol %v is not supported, only TCP is", s.GetProtocol())
 	}
 	ip, err := netip.ParseAddr(s.GetAddress())
 	if err != nil {
-		r.addError(at, "address %q is no IP address", s.GetAddress())
+		r.addError(at, "address %q is not an IP address", s.GetAddress())
 	}
 	if s.GetPortValue() == 0 || s.GetPortValue() > math.MaxUint16 {
 		r.addError(at, "port_value %d is not between 1 and 65535", s.GetPortValue())
@@ -120,19 +121,19 @@
 	return netip.AddrPortFrom(ip, uint16(s.GetPortValue())).String()
 }
 
-// metadata reads a node's shard and start time.
+// metadata reads a node's shard and start time from the endpoint's metadata.
 func (r *reading) metadata(at string, message *corev3.Metadata, node *endpoint.Node) {
 	if message != nil {
 		r.fields(at+" metadata", message, metadataFields)
 	}
 	own := message.GetFilterMetadata()[MetadataKey]
 	if own == nil {
-		r.addError(at, "its metadata has no %q: which shard it holds is not known", MetadataKey)
+		r.addError(at, "metadata has no %q, so its shard is unknown", MetadataKey)
 		return
 	}
 	for key := range own.GetFields() {
 		if key != shardField && key != startField {
-			r.addError(at, "metadata %s.%s is not known", MetadataKey, key)
+			r.addError(at, "unknown metadata field %s.%s", MetadataKey, key)
 		}
 	}
 	r.shard(at, own.GetFields()[shardField], node)
@@ -144,12 +145,12 @@
 func (r *reading) shard(at string, v *structpb.Value, n *endpoint.Node) {
 	number, isNumber := v.GetKind().(*structpb.Value_NumberValue)
 	if !isNumber {
-		r.addError(at, "metadata %s.%s is no number", MetadataKey, shardField)
+		r.addError(at, "metadata %s.%s is not a number", MetadataKey, shardField)
 		return
 	}
 	shard := number.NumberValue
 	if shard != math.Trunc(shard) || shard < 0 || shard > maxShard {
-		r.addError(at, "metadata %s.%s is %v: shards are whole numbers from 0 to %d",
+		r.addError(at, "metadata %s.%s is %v: must be an integer from 0 to %d",
 			MetadataKey, shardField, shard, maxShard)
 		return
 	}
@@ -159,7 +160,8 @@
 func (r *reading) start(at string, v *structpb.Value, n *endpoint.Node) {
 	start, err := time.Parse(time.RFC3339Nano, v.GetStringValue())
 	if err != nil || start.UnixNano() <= 0 {
-		r.addError(at, "metadata %s.%s is no time such as \"2026-01-02T15:04:05Z\"", MetadataKey, startField)
+		r.addError(at, "metadata %s.%s is not an RFC 3339 time after 1970, such as \"2026-01-02T15:04:05Z\"",
+			MetadataKey, startField)
 		return
 	}
 	n.StartedAt = start.UnixNano()
--- a/internal/endpoint/xds/expiry.go
+++ b/internal/endpoint/xds/expiry.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Tick does what time alone does: resources expire or become stale, and first responses are overdue.
+// Tick handles timeouts: it expires resources, marks assignments as stale, and reports overdue first responses.
 func (s *Session) Tick(now int64) (out Outcome) {
 	expired := s.expire(now, &out)
 	s.checkFirstResponse(now, &out)
@@ -19,7 +19,7 @@
 	return out
 }
 
-// expire drops resources whose time to live is over, and tells whether there were any.
+// expire drops resources whose time to live has elapsed, and returns whether there were any.
 func (s *Session) expire(now int64, out *Outcome) (changed bool) {
 	for _, all := range []resources{s.clusters, s.assignments} {
 		for _, name := range slices.Sorted(maps.Keys(all)) {
@@ -34,16 +34,16 @@
 	return changed
 }
 
-// checkFirstResponse reports once a stream that the first response is overdue.
+// checkFirstResponse reports, once per stream, that the first response is overdue.
 func (s *Session) checkFirstResponse(now int64, out *Outcome) {
 	if at := s.firstResponseDue(); at == 0 || now < at {
 		return
 	}
 	s.clusterSub.overdue = true
-	out.Rejected = fmt.Errorf("no answer to the first request for clusters within %v", time.Duration(s.fetchTimeout))
+	out.Rejected = fmt.Errorf("no response to the first request for clusters within %v", time.Duration(s.fetchTimeout))
 }
 
-// firstResponseDue returns when the first response has to be there; 0: it is, or was reported as overdue.
+// firstResponseDue returns the deadline of the first response; 0 if it was received or was reported as overdue.
 func (s *Session) firstResponseDue() int64 {
 	if s.clusterSub.state != Requested || s.clusterSub.overdue {
 		return 0
@@ -51,21 +51,21 @@
 	return s.clusterSub.since + s.fetchTimeout
 }
 
-// checkFirstEndpoints reports clusters whose first endpoints are overdue, and tells whether there were any. They are
-// not waited for any more.
+// checkFirstEndpoints reports clusters whose first endpoints are overdue, and returns whether there were any. The
+// session then stops waiting for them.
 func (s *Session) checkFirstEndpoints(now int64, out *Outcome) (changed bool) {
 	for name := range s.clusters {
 		if at := s.firstEndpointsDue(name); at == 0 || now < at {
 			continue
 		}
 		s.addedAt[name] = 0
-		out.Rejected = fmt.Errorf("no endpoints of cluster %q come", name)
+		out.Rejected = fmt.Errorf("no endpoints of cluster %q received", name)
 		changed = true
 	}
 	return changed
 }
 
-// firstEndpointsDue returns when a cluster's first endpoints have to be there; 0: they are, or were reported as
+// firstEndpointsDue returns the deadline of a cluster's first endpoints; 0 if they were received or were reported as
 // missing.
 func (s *Session) firstEndpointsDue(cluster string) int64 {
 	addedAt := s.addedAt[cluster]
@@ -75,7 +75,8 @@
 	return addedAt + s.fetchTimeout
 }
 
-// markStale marks assignments that were not updated for long, once each, and tells whether there were any.
+// markStale marks assignments that were not updated for their StaleAfter, once each, and returns whether there were
+// any.
 func (s *Session) markStale(now int64) (changed bool) {
 	for _, r := range s.assignments {
 		if at := r.staleDue(); at > 0 && now >= at {
@@ -86,7 +87,7 @@
 	return changed
 }
 
-// staleDue returns when an assignment becomes stale; 0: never, or it is.
+// staleDue returns when an assignment becomes stale; 0 if it never does or already is.
 func (r *resource) staleDue() int64 {
 	if r.assignment == nil || r.assignment.StaleAfter <= 0 || r.receivedAt <= 0 {
 		return 0
@@ -94,7 +95,7 @@
 	return r.receivedAt + int64(r.assignment.StaleAfter)
 }
 
-// NextDeadline returns when Tick has something to do; 0: never.
+// NextDeadline returns when Tick is to be called next; 0 if nothing is pending.
 func (s *Session) NextDeadline() (at int64) {
 	consider := func(t int64) {
 		if t > 0 && (at == 0 || t < at) {
--- a/internal/endpoint/xds/file.go
+++ b/internal/endpoint/xds/file.go
@@ -19,21 +19,22 @@
 	"irispost/internal/endpoint/filesource"
 )
 
-// fileFetchTimeout is the fetch timeout of files: one that is not there now is not waited for.
+// fileFetchTimeout is the fetch timeout for files: a resource that the files lack is reported at once, not waited
+// for.
 const fileFetchTimeout = time.Nanosecond
 
-// errFileForm tells that a file's name does not say its form.
-var errFileForm = errors.New("a file in xDS form ends in .json or .pb")
+// errFileForm is returned for a file name whose extension does not give its encoding.
+var errFileForm = errors.New("the name of an xDS file must end in .json or .pb")
 
-// FileSource is an endpoint.Source of two files that each hold a DiscoveryResponse, as JSON (.json) or in its binary
-// form (.pb). They are read again when they change.
+// FileSource is an endpoint.Source that reads two files, each of which holds a DiscoveryResponse as JSON (.json) or
+// in protobuf's binary encoding (.pb). The files are read again when they change.
 type FileSource struct {
 	Clusters  string // path
 	Endpoints string // path
 	Log       *slog.Logger
 }
 
-// ReadResponse reads a file with a DiscoveryResponse.
+// ReadResponse reads a DiscoveryResponse from a file.
 func ReadResponse(file string) (*discoveryv3.DiscoveryResponse, error) {
 	src, err := os.ReadFile(file)
 	if err != nil {
@@ -42,8 +43,8 @@
 	return DecodeResponse(file, src)
 }
 
-// DecodeResponse decodes a DiscoveryResponse in the form that the file's name says. Without a version it gets one of
-// its content.
+// DecodeResponse decodes a DiscoveryResponse in the encoding given by the file's extension. A response without a
+// version gets a hash of its content as its version.
 func DecodeResponse(file string, src []byte) (*discoveryv3.DiscoveryResponse, error) {
 	m := &discoveryv3.DiscoveryResponse{}
 	var err error
@@ -64,7 +65,7 @@
 	return m, nil
 }
 
-// typedFile is a file with the type of the resources that it has to hold.
+// typedFile is a file and the type of the resources that it must hold.
 type typedFile struct{ path, typeURL string }
 
 // typedFiles returns the files in the order in which they are read.
@@ -72,13 +73,13 @@
 	return []typedFile{{clusters, ClusterType}, {endpoints, EndpointType}}
 }
 
-// response returns a file's content for a session.
+// response converts a file's content to a Response for a session.
 func (f typedFile) response(m *discoveryv3.DiscoveryResponse) Response {
 	return Response{Type: f.typeURL, Version: m.VersionInfo, Resources: m.Resources}
 }
 
-// CheckFiles checks two files as a FileSource would take them. It returns how many nodes they have, and notes on what
-// has no effect.
+// CheckFiles checks two files as a FileSource would read them. It returns the number of nodes in them, and notes such
+// as those on fields without effect.
 func CheckFiles(clusters, endpoints string) (nodes int, notes []string, err error) {
 	s := NewSession(false, nil, fileFetchTimeout)
 	s.OpenStream(1)
@@ -132,15 +133,15 @@
 	}
 }
 
-// fileReader feeds a session from files.
+// fileReader passes the content of files to a session.
 type fileReader struct {
 	files   []typedFile
 	log     *slog.Logger
-	name    string // in the log
+	name    string // for the log
 	to      endpoint.Subscriber
 	now     func() int64
 	session *Session
-	sums    map[string]uint64 // of the files' contents read last, by type
+	sums    map[string]uint64 // hashes of the contents last read, by resource type
 }
 
 func newFileReader(f FileSource, to endpoint.Subscriber) *fileReader {
@@ -157,8 +158,8 @@
 	return r
 }
 
-// read reads the files that have changed, clusters before endpoints; endpoints are read again with their clusters. The
-// list after both is reported.
+// read reads the files that have changed, clusters before endpoints. If the clusters changed, the endpoints are
+// processed again even if unchanged. Only the list after both files is reported.
 func (r *fileReader) read() {
 	var list *endpoint.List
 	changed := false
@@ -189,7 +190,7 @@
 	}
 }
 
-// tick does what time alone does.
+// tick handles the session's timeouts.
 func (r *fileReader) tick() {
 	out := r.session.Tick(r.now())
 	r.report(out)
@@ -198,7 +199,7 @@
 	}
 }
 
-// report hands on notes and errors.
+// report logs notes and passes rejections to the subscriber.
 func (r *fileReader) report(out Outcome) {
 	for _, note := range out.Notes {
 		r.log.Info("xds note", "file", r.name, "note", note)
--- a/internal/endpoint/xds/file_test.go
+++ b/internal/endpoint/xds/file_test.go
@@ -15,9 +15,10 @@
 	"irispost/internal/xdsstandin"
 )
 
-// responseFiles are the two files of a FileSource, in the form of their extension.
+// responseFiles holds the paths of the two files of a FileSource, whose extension gives their encoding.
 type responseFiles struct{ clusters, endpoints string }
 
+// newResponseFiles returns paths in a temporary folder, where neither file exists yet.
 func newResponseFiles(t *testing.T, extension string) responseFiles {
 	t.Helper()
 	dir := t.TempDir()
@@ -42,23 +43,23 @@
 	return r
 }
 
-// check checks the files, and fails the test unless they have so many nodes and the error has a text; empty: there is
-// none, and no note.
+// check runs CheckFiles, and fails the test unless it returns the number of nodes and an error that contains the
+// text. If the text is empty, there must be no error and no note.
 func (f responseFiles) check(t *testing.T, nodes int, text string) {
 	t.Helper()
 	n, notes, err := xds.CheckFiles(f.clusters, f.endpoints)
 	if text == "" {
 		if n != nodes || len(notes) > 0 || err != nil {
-			t.Errorf("checked: %d nodes, %q, %v", n, notes, err)
+			t.Errorf("CheckFiles returns %d nodes, notes %q, error %v", n, notes, err)
 		}
 		return
 	}
 	if n != nodes || err == nil || !strings.Contains(err.Error(), text) {
-		t.Errorf("checked: %d nodes, %v; want %q", n, err, text)
+		t.Errorf("CheckFiles returns %d nodes, error %v; want an error with %q", n, err, text)
 	}
 }
 
-// writeResponse writes a response into a file, in the form of its extension.
+// writeResponse writes a response to a file, in the encoding given by the file's extension.
 func writeResponse(t *testing.T, file, version string, messages ...proto.Message) {
 	t.Helper()
 	response := &discoveryv3.DiscoveryResponse{VersionInfo: version}
@@ -76,7 +77,7 @@
 	replaceFile(t, file, content)
 }
 
-// replaceFile renames a new file into place.
+// replaceFile replaces a file by renaming a new one over it, as an atomic update does.
 func replaceFile(t *testing.T, file string, content []byte) {
 	t.Helper()
 	if err := os.WriteFile(file+".next", content, 0o644); err != nil {
@@ -87,13 +88,13 @@
 	}
 }
 
-// Both forms of files are read and watched. One that is not valid is rejected with its name, and what is in force
-// stays.
+// Files in both encodings are read, and read again when they change. An invalid file is rejected with an error that
+// names it, and the list in force stays.
 func TestFileSource(t *testing.T) {
 	for _, extension := range []string{".json", ".pb"} {
 		t.Run(extension, func(t *testing.T) {
 			files := newResponseFiles(t, extension)
-			writeResponse(t, files.endpoints, "1", xdsstandin.Assignment("a", nodes("1000"))) // before its cluster
+			writeResponse(t, files.endpoints, "1", xdsstandin.Assignment("a", nodes("1000"))) // no clusters yet
 			r := files.source(t)
 			r.awaitRejection(t, 0, "clusters"+extension)
 			writeResponse(t, files.clusters, "1", xdsstandin.Cluster("a"))
@@ -101,7 +102,7 @@
 			writeResponse(t, files.endpoints, "2", xdsstandin.Assignment("a", nodes("1000", "1001")))
 			r.awaitList(t, "1000 1001")
 			if r.list.Version != "c:1 e:2" {
-				t.Errorf("version %q", r.list.Version)
+				t.Errorf("the list has version %q", r.list.Version)
 			}
 			before := len(r.rejected)
 			replaceFile(t, files.endpoints, []byte("{"))
@@ -109,7 +110,7 @@
 			writeResponse(t, files.endpoints, "3", xdsstandin.Assignment("a", nodes("0")))
 			r.awaitRejection(t, before+1, "port_value 0")
 			if got := ports(r.list); got != "1000 1001" {
-				t.Errorf("in force is %q", got)
+				t.Errorf("the list in force is %q", got)
 			}
 			files.check(t, 0, "port_value 0")
 			writeResponse(t, files.endpoints, "4", xdsstandin.Assignment("a", nodes("1002")))
--- a/internal/endpoint/xds/golden_test.go
+++ b/internal/endpoint/xds/golden_test.go
@@ -12,7 +12,7 @@
 	"irispost/internal/testkit/golden"
 )
 
-// sentMessages are the messages sent on streams, as JSON.
+// sentMessages collects the messages sent on streams, as JSON.
 type sentMessages struct {
 	t   *testing.T
 	all []json.RawMessage
@@ -28,6 +28,7 @@
 	return nil
 }
 
+// sotwStream is a state-of-the-world stream that only collects what is sent.
 type sotwStream struct {
 	grpc.BidiStreamingClient[discoveryv3.DiscoveryRequest, discoveryv3.DiscoveryResponse]
 	sent *sentMessages
@@ -35,6 +36,7 @@
 
 func (s sotwStream) Send(m *discoveryv3.DiscoveryRequest) error { return s.sent.add(m) }
 
+// deltaStream is an incremental stream that only collects what is sent.
 type deltaStream struct {
 	grpc.BidiStreamingClient[discoveryv3.DeltaDiscoveryRequest, discoveryv3.DeltaDiscoveryResponse]
 	sent *sentMessages
@@ -42,7 +44,8 @@
 
 func (s deltaStream) Send(m *discoveryv3.DeltaDiscoveryRequest) error { return s.sent.add(m) }
 
-// Requests of both forms as they go to a management server: the first of a stream, an ACK and a NACK.
+// The requests sent to a management server in both variants of the protocol: the first of a stream, an ACK and a
+// NACK.
 func TestGoldenRequests(t *testing.T) {
 	sent := &sentMessages{t: t}
 	for _, transport := range []transport{
--- a/internal/endpoint/xds/helper_test.go
+++ b/internal/endpoint/xds/helper_test.go
@@ -18,12 +18,12 @@
 	"irispost/internal/xdsstandin"
 )
 
-// timeout is far longer than anything that a test waits for.
+// timeout limits every wait of a test. It is far longer than any wait that succeeds.
 const timeout = 20 * time.Second
 
 var discard = slog.New(slog.DiscardHandler)
 
-// formName is the name of a form of the protocol, as the configuration has it.
+// formName returns the name of a variant of the protocol, as in the configuration.
 func formName(incremental bool) string {
 	if incremental {
 		return "delta"
@@ -31,12 +31,12 @@
 	return "whole"
 }
 
-// recorder is an endpoint.Subscriber that keeps what it receives, for a test that waits for it.
+// recorder is an endpoint.Subscriber that records what it receives, so that a test can wait for it.
 type recorder struct {
-	lock     sync.Mutex // guards what follows
+	lock     sync.Mutex // guards the fields below
 	changed  *sync.Cond
-	list     endpoint.List // the last
-	lists    int
+	list     endpoint.List // the last one received
+	lists    int           // number of lists received
 	rejected []string
 	links    []bool
 }
@@ -66,7 +66,7 @@
 	r.update(func() { r.links = append(r.links, up) })
 }
 
-// await waits until a condition holds.
+// await waits until a condition holds, and fails the test if that takes longer than timeout.
 func (r *recorder) await(t testing.TB, what string, holds func(*recorder) bool) {
 	t.Helper()
 	overdue := time.AfterFunc(timeout, func() { r.update(func() {}) })
@@ -76,19 +76,20 @@
 	defer r.lock.Unlock()
 	for !holds(r) {
 		if time.Now().After(end) {
-			t.Fatalf("%s does not come about: %+v, %d lists, rejected %q, links %v", what, r.list, r.lists, r.rejected, r.links)
+			t.Fatalf("timed out waiting for %q: last list %+v, %d lists, rejected %q, links %v",
+				what, r.list, r.lists, r.rejected, r.links)
 		}
 		r.changed.Wait()
 	}
 }
 
-// awaitList waits for a list in the form of ports.
+// awaitList waits for a list, given as ports writes it.
 func (r *recorder) awaitList(t testing.TB, want string) {
 	t.Helper()
 	r.await(t, want, func(r *recorder) bool { return ports(r.list) == want })
 }
 
-// awaitRejection waits for a rejection after those before, with a text.
+// awaitRejection waits for the rejection that follows a number of earlier ones, and that contains the text.
 func (r *recorder) awaitRejection(t testing.TB, before int, text string) {
 	t.Helper()
 	r.await(t, "a rejection with "+text, func(r *recorder) bool {
@@ -96,7 +97,7 @@
 	})
 }
 
-// ports writes a list's ports with their health, sorted: "1000 1001/draining".
+// ports returns a list's ports with their health, sorted, such as "1000 1001/draining".
 func ports(list endpoint.List) string {
 	suffix := map[endpoint.Health]string{endpoint.Draining: "/draining", endpoint.Unhealthy: "/unwell"}
 	var out []string
@@ -107,7 +108,7 @@
 	return strings.Join(out, " ")
 }
 
-// nodes returns a node for each port, whose first digit is its shard.
+// nodes returns a node for each port. The first digit of the port is the node's shard.
 func nodes(ports ...string) (list []endpoint.Node) {
 	for _, port := range ports {
 		list = append(list, endpoint.Node{Addr: "127.0.0.1:" + port, Shard: int(port[0] - '0')})
@@ -115,7 +116,8 @@
 	return list
 }
 
-// startServer starts a management server whose nodes are in so many clusters.
+// startServer runs a management server until the test ends. Its nodes are distributed over the given number of
+// clusters.
 func startServer(t testing.TB, clusters int, list ...endpoint.Node) *xdsstandin.Server {
 	t.Helper()
 	s, err := xdsstandin.Start("127.0.0.1:0", clusters, list...)
@@ -146,7 +148,7 @@
 	return r
 }
 
-// listen runs a client of a server until the test ends.
+// listen runs a client of the server, in the given variant of the protocol, until the test ends.
 func listen(t testing.TB, s *xdsstandin.Server, incremental bool, name string) *recorder {
 	t.Helper()
 	return startClient(t, xds.Options{
@@ -157,7 +159,7 @@
 	})
 }
 
-// do has a server carry out commands.
+// do runs commands on a server.
 func do(t testing.TB, s *xdsstandin.Server, commands ...string) {
 	t.Helper()
 	for _, command := range commands {
@@ -177,7 +179,7 @@
 	return a
 }
 
-// clusters returns a response with clusters of these names.
+// clusters returns a response with clusters of the given names.
 func clusters(t testing.TB, incremental bool, version, nonce string, names ...string) xds.Response {
 	t.Helper()
 	r := xds.Response{Type: xds.ClusterType, Version: version, Nonce: nonce}
@@ -195,7 +197,7 @@
 	return r
 }
 
-// add adds a resource to a response of either form.
+// add adds a resource to a response of either variant.
 func add(r *xds.Response, incremental bool, name string, body *anypb.Any) {
 	if incremental {
 		r.Changed = append(r.Changed, &discoveryv3.Resource{Name: name, Version: r.Version, Resource: body})
--- a/internal/endpoint/xds/list.go
+++ b/internal/endpoint/xds/list.go
@@ -8,15 +8,15 @@
 	"irispost/internal/endpoint"
 )
 
-// checkConsistency checks whether resources fit to the others in force: each address is in one cluster, and there are
-// not too many of anything.
+// checkConsistency checks new resources of one type together with those in force of the other type: each address may
+// be in one cluster only, and the limits on clusters and endpoints hold.
 func (s *Session) checkConsistency(sub *subscription, next resources) error {
 	clusters, assignments := next, s.assignments
 	if sub == &s.endpointSub {
 		clusters, assignments = s.clusters, next
 	}
 	if len(clusters) > MaxClusters {
-		return fmt.Errorf("%d clusters, more than %d", len(clusters), MaxClusters)
+		return fmt.Errorf("%d clusters exceed the limit of %d", len(clusters), MaxClusters)
 	}
 	clusterOf, count := map[string]string{}, 0
 	for _, name := range slices.Sorted(maps.Keys(clusters)) {
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// assignment returns a cluster's assignment, its own or that of its service; nil: there is none yet.
+// assignment returns a cluster's assignment, inline or found by its service name; nil if there is none yet.
 func (c *Cluster) assignment(assignments resources) *Assignment {
 	if c.Inline != nil {
 		return c.Inline
@@ -49,7 +49,8 @@
 	return nil
 }
 
-// replaceClusters puts clusters in force. Those that were removed stay until each of the others has its endpoints.
+// replaceClusters puts clusters in force. Clusters that were removed stay in use until each of the new ones has its
+// endpoints (make before break).
 func (s *Session) replaceClusters(now int64, next resources) {
 	for name, r := range s.clusters {
 		if next[name] == nil {
@@ -65,7 +66,7 @@
 	s.clusters = next
 }
 
-// warming tells whether a cluster still waits for its first endpoints.
+// warming reports whether any cluster is still waiting for its first endpoints.
 func (s *Session) warming(now int64) bool {
 	for name, r := range s.clusters {
 		if r.cluster.assignment(s.assignments) == nil && now < s.addedAt[name]+s.fetchTimeout {
@@ -75,8 +76,8 @@
 	return false
 }
 
-// update does what follows from a change of resources: it drops what is not needed any more, requests the endpoints of
-// the clusters, and makes the list.
+// update handles a change of resources: it drops those that are no longer needed, subscribes to the endpoints of the
+// clusters, and builds the list.
 func (s *Session) update(now int64, out *Outcome) {
 	if !s.warming(now) {
 		clear(s.removed)
@@ -91,12 +92,12 @@
 	}
 	list := s.list(now, out)
 	if !s.listed && len(list.Nodes) == 0 && len(s.clusters) > 0 && len(s.assignments) == 0 {
-		return // there never were endpoints: that does not mean that there are none
+		return // no endpoints were ever received, which does not mean that there are none
 	}
 	out.List, s.listed = list, true
 }
 
-// dropUnused drops the assignments of other services than these, and the times of clusters that are gone.
+// dropUnused drops the assignments of all services but the given ones, and the addedAt times of removed clusters.
 func (s *Session) dropUnused(services []string) {
 	for name := range s.assignments {
 		if !slices.Contains(services, name) {
@@ -110,8 +111,9 @@
 	}
 }
 
-// list makes the list of all nodes, in the order of clusters and endpoints. Clusters that were removed come last: where
-// one has an address of another, that counts.
+// list builds the list of all nodes, ordered by cluster name and then as in the assignments. Removed clusters that
+// are still in use come last, so if one has the same address as a current cluster, the current cluster's node is
+// listed.
 func (s *Session) list(now int64, out *Outcome) *endpoint.List {
 	list := &endpoint.List{Version: fmt.Sprintf("c:%s e:%s", s.clusterSub.version, s.endpointSub.version)}
 	seen := map[string]bool{}
@@ -138,13 +140,13 @@
 	return list
 }
 
-// isStale tells whether an assignment was not updated for longer than it says.
+// isStale reports whether an assignment was not updated for its StaleAfter.
 func (r *resource) isStale(now int64) bool {
 	after := int64(r.assignment.StaleAfter)
 	return after > 0 && now >= r.receivedAt+after
 }
 
-// noteOnce adds the notes that were not logged before.
+// noteOnce adds those notes to the outcome that were not logged before.
 func (s *Session) noteOnce(out *Outcome, notes []string) {
 	for _, note := range notes {
 		if !s.noted[note] && len(s.noted) < maxNoted {
--- a/internal/endpoint/xds/random_test.go
+++ b/internal/endpoint/xds/random_test.go
@@ -12,7 +12,7 @@
 	"irispost/internal/endpoint/xds"
 )
 
-// drawResponse draws a response, and tells whether it is valid.
+// drawResponse returns a random response and whether it is valid.
 func drawResponse(t *testing.T, rng *rand.Rand, incremental bool, version, nonce string) (r xds.Response, valid bool) {
 	t.Helper()
 	names := []string{"a", "b", "c"}[:rng.IntN(4)]
@@ -36,7 +36,7 @@
 	return endpoints(t, incremental, version, nonce, name, port), true
 }
 
-// countAnswers returns how many requests answer a response only.
+// countAnswers returns how many requests acknowledge or reject a response without changing the subscription.
 func countAnswers(out xds.Outcome, r xds.Response) (answers int) {
 	for _, q := range out.Requests {
 		if q.Type == r.Type && q.Nonce == r.Nonce && len(q.Subscribe)+len(q.Unsubscribe) == 0 {
@@ -46,40 +46,40 @@
 	return answers
 }
 
-// checkOutcome checks what follows from a response: it is ignored, or answered as what it is; a rejected one gives no
-// list; no address is there twice.
+// checkOutcome checks that a response is ignored, or acknowledged if valid and rejected if not; that a rejected
+// response gives no list; and that no list has an address twice.
 func checkOutcome(out xds.Outcome, r xds.Response, valid bool) error {
 	rejected := out.Rejected != nil
 	for _, q := range out.Requests {
 		if (q.RejectReason != "") != rejected && q.Type == r.Type && q.Nonce == r.Nonce {
-			return fmt.Errorf("rejected %t, answered %+v", rejected, q)
+			return fmt.Errorf("rejected: %t, but the answer is %+v", rejected, q)
 		}
 	}
 	ignored := len(out.Requests) == 0
 	if !ignored && countAnswers(out, r) == 0 {
-		return fmt.Errorf("no answer: %+v", out.Requests)
+		return fmt.Errorf("no request answers the response: %+v", out.Requests)
 	}
 	if valid && rejected || !valid && !ignored && !rejected {
-		return fmt.Errorf("valid %t, rejected %t, %+v", valid, rejected, out.Requests)
+		return fmt.Errorf("valid: %t, rejected: %t, requests %+v", valid, rejected, out.Requests)
 	}
 	if out.List == nil {
 		return nil
 	}
 	if rejected {
-		return fmt.Errorf("a rejected response gives a list: %+v", out.List)
+		return fmt.Errorf("a rejected response gives the list %+v", out.List)
 	}
 	seen := map[string]bool{}
 	for _, n := range out.List.Nodes {
 		if seen[n.Addr] {
-			return fmt.Errorf("%s is there twice", n.Addr)
+			return fmt.Errorf("address %s appears twice in the list", n.Addr)
 		}
 		seen[n.Addr] = true
 	}
 	return nil
 }
 
-// In any order of valid and other responses, new streams and time, each response gets one answer with its nonce, and
-// one that is rejected changes nothing.
+// In random sequences of valid and invalid responses, new streams and timeouts, each response is ignored or answered
+// with its nonce, and a rejected response gives no list.
 func TestRandomResponses(t *testing.T) {
 	const seeds, steps = 300, 100
 	for seed := range uint64(seeds) {
--- a/internal/endpoint/xds/read.go
+++ b/internal/endpoint/xds/read.go
@@ -14,20 +14,20 @@
 	"google.golang.org/protobuf/types/known/anypb"
 )
 
-// responseReader reads a response into resources of its own, so that nothing of one with an error counts.
+// responseReader reads a response into a separate set of resources, so that a response with an error has no effect.
 type responseReader struct {
 	session *Session
 	sub     *subscription
 	now     int64
 	out     *Outcome
-	old     resources            // in force
-	bySum   map[uint64]*resource // those by a hash of their bodies
-	next    resources            // with the response
-	seen    map[string]bool
+	old     resources            // those in force
+	bySum   map[uint64]*resource // those in force, by a hash of their bodies
+	next    resources            // those in force once the response is accepted
+	seen    map[string]bool      // names in the response
 	reading reading
 }
 
-// read returns the resources that are in force once a response is accepted, or what is wrong with it.
+// read returns the resources that are in force once a response is accepted, or the errors of the response.
 func (s *Session) read(now int64, sub *subscription, response Response, out *Outcome) (resources, error) {
 	old := s.inForce(sub)
 	r := &responseReader{
@@ -40,7 +40,7 @@
 		next:    resources{},
 		seen:    map[string]bool{},
 	}
-	if s.incremental || sub == &s.endpointSub { // a resource that the response leaves out stays
+	if s.incremental || sub == &s.endpointSub { // a resource that is missing from the response stays in force
 		r.next = maps.Clone(old)
 	}
 	for _, res := range old {
@@ -52,13 +52,14 @@
 	for _, wrapper := range response.Changed {
 		r.addWrapped(wrapper)
 	}
-	for _, name := range response.Removed { // that may be one that was never there
+	for _, name := range response.Removed { // may name resources that are unknown
 		delete(r.next, name)
 	}
 	return r.next, r.reading.err()
 }
 
-// addAny reads a resource of the state of the world, which may be wrapped to have a time to live.
+// addAny reads a resource of a state-of-the-world response. It may be wrapped in a Resource to give it a time to
+// live.
 func (r *responseReader) addAny(body *anypb.Any) {
 	if body.GetTypeUrl() != wrapperType {
 		r.add("", body, 0)
@@ -72,12 +73,12 @@
 	r.addWrapped(wrapper)
 }
 
+// addWrapped reads a Resource, which has a name and may have a time to live.
 func (r *responseReader) addWrapped(wrapper *discoveryv3.Resource) {
 	r.add(wrapper.GetName(), wrapper.GetResource(), wrapper.GetTtl().AsDuration())
 }
 
-// add reads a resource. Its name is empty if it only has the one that it gives itself; without a body it is a
-// heartbeat.
+// add reads a resource. The name is empty if only the body has it. A resource without a body is a heartbeat.
 func (r *responseReader) add(name string, body *anypb.Any, ttl time.Duration) {
 	res := &resource{receivedAt: r.now}
 	if ttl > 0 {
@@ -92,9 +93,9 @@
 		return
 	}
 	if name != "" && name != res.name {
-		r.reading.addError(fmt.Sprintf("resource %q", name), "it calls itself %q", res.name)
+		r.reading.addError(fmt.Sprintf("resource %q", name), "its body has the name %q", res.name)
 	} else if r.seen[res.name] {
-		r.reading.addError(fmt.Sprintf("resource %q", res.name), "it is there twice")
+		r.reading.addError(fmt.Sprintf("resource %q", res.name), "it appears twice in the response")
 	}
 	r.seen[res.name] = true
 	if !r.session.wants(r.sub, res.name) {
@@ -104,18 +105,18 @@
 	r.next[res.name] = res
 }
 
-// addHeartbeat renews a resource, which is as it was.
+// addHeartbeat renews the time to live of a resource and keeps its content.
 func (r *responseReader) addHeartbeat(name string, res *resource) {
 	old := r.old[name]
 	if old == nil {
-		r.out.addNote(fmt.Sprintf("heartbeat of unknown resource %q ignored", name))
+		r.out.addNote(fmt.Sprintf("heartbeat for unknown resource %q ignored", name))
 		return
 	}
 	res.name, res.body, res.cluster, res.assignment = name, old.body, old.cluster, old.assignment
 	r.next[name] = res
 }
 
-// parse reads a resource's body, unless it is the same as that of one in force.
+// parse reads a resource's body. If a resource in force has the same body, its parsed content is reused.
 func (r *responseReader) parse(body *anypb.Any, res *resource) error {
 	value := body.GetValue()
 	res.body = value
@@ -125,7 +126,7 @@
 		return nil
 	}
 	if body.GetTypeUrl() != r.sub.typeURL {
-		return fmt.Errorf("it has type %q, %q was asked for", body.GetTypeUrl(), r.sub.typeURL)
+		return fmt.Errorf("it has type %q instead of %q", body.GetTypeUrl(), r.sub.typeURL)
 	}
 	if r.sub.typeURL == ClusterType {
 		return res.parseCluster(value)
--- a/internal/endpoint/xds/reading.go
+++ b/internal/endpoint/xds/reading.go
@@ -9,10 +9,10 @@
 	"google.golang.org/protobuf/reflect/protoreflect"
 )
 
-// maxNamedErrors is how many errors are named in one rejection.
+// maxNamedErrors limits how many errors a rejection lists.
 const maxNamedErrors = 10
 
-// ValidationErrors are all that is wrong with a resource.
+// ValidationErrors lists everything that is invalid in a resource.
 type ValidationErrors []string
 
 // Error implements error.
@@ -23,27 +23,27 @@
 	return strings.Join(e, "; ")
 }
 
-// support is what becomes of a field.
+// support says how a field of a message is handled.
 type support uint8
 
 const (
-	unsupported support = iota // it asks for something that is not done here: an error
-	read                       // it is read
-	ignored                    // it may be set, and has no effect here: a note
+	unsupported support = iota // it requests unsupported behaviour: setting it is an error
+	read                       // its value is used
+	ignored                    // it may be set, but has no effect: setting it gives a note
 )
 
-// reading collects the errors and notes of a resource while that is read.
+// reading collects errors and notes while a resource is read.
 type reading struct {
 	errors ValidationErrors
 	notes  []string
 }
 
-// addError adds an error. at says where in the resource it is.
+// addError adds an error; at is its place in the resource.
 func (r *reading) addError(at, format string, args ...any) {
 	r.errors = append(r.errors, at+": "+fmt.Sprintf(format, args...))
 }
 
-// err returns the errors as one; nil: there are none.
+// err returns all errors as one, or nil if there are none.
 func (r *reading) err() error {
 	if len(r.errors) > 0 {
 		return r.errors
@@ -51,8 +51,8 @@
 	return nil
 }
 
-// fields goes over all fields that are set, in order of their names. Those without support, and those that this build's
-// protocol files don't know, are errors.
+// fields checks all fields that are set in a message, in order of their names. Fields that are not supported, and
+// fields that the compiled protobuf definitions do not have, are errors.
 func (r *reading) fields(at string, message proto.Message, supported map[protoreflect.Name]support) {
 	ref := message.ProtoReflect()
 	var names []string
@@ -60,19 +60,19 @@
 		names = append(names, string(f.Name()))
 		return true
 	})
-	slices.Sort(names) // Range has no order
+	slices.Sort(names) // Range iterates in undefined order
 	for _, name := range names {
 		switch supported[protoreflect.Name(name)] {
 		case unsupported:
 			r.addError(at, "%s is not supported", name)
 		case ignored:
-			note := at + ": " + name + " has no effect here"
+			note := at + ": " + name + " has no effect"
 			if !slices.Contains(r.notes, note) {
 				r.notes = append(r.notes, note)
 			}
 		}
 	}
 	if len(ref.GetUnknown()) > 0 {
-		r.addError(at, "it has a field that is not known here")
+		r.addError(at, "it has an unknown field")
 	}
 }
--- a/internal/endpoint/xds/session.go
+++ b/internal/endpoint/xds/session.go
@@ -7,57 +7,58 @@
 	"time"
 )
 
-// subscription is the subscription to one type of resources.
+// subscription is the state of the subscription to one resource type.
 type subscription struct {
 	typeURL  string
 	state    State
-	since    int64    // of state
-	version  string   // in force
-	nonce    string   // of the stream's last response
-	names    []string // requested
-	answered bool     // there was a good response since the session began
-	overdue  bool     // it was reported that the first response is
+	since    int64    // when state was set
+	version  string   // of the response in force
+	nonce    string   // of the last response on the stream
+	names    []string // of the resources requested on the stream
+	answered bool     // a response was accepted since the session began
+	overdue  bool     // the first response was reported as overdue
 }
 
-// setState is the one place where a subscription's state changes.
+// setState sets the state and the time of the change. All state changes go through it.
 func (s *subscription) setState(now int64, to State) { s.state, s.since = to, now }
 
-// resource is a resource as the server sent it, and what was read of it.
+// resource is a resource as the server sent it, with its parsed content.
 type resource struct {
 	name       string
 	body       []byte
 	receivedAt int64
-	expiresAt  int64       // 0: never
-	cluster    *Cluster    // of a cluster
-	assignment *Assignment // of an assignment
+	expiresAt  int64       // when its time to live ends; 0: never
+	cluster    *Cluster    // if it is a cluster
+	assignment *Assignment // if it is an assignment
 }
 
-// resources are resources by name.
+// resources maps names to resources.
 type resources map[string]*resource
 
-// Session is the client's side of the protocol over all streams of a source. It is pure: it takes events with their
-// time in nanoseconds, and returns requests and lists. It belongs to one goroutine.
+// Session is the client side of the protocol. It outlives streams: a source has one Session for all its streams. It
+// does no I/O and reads no clock: its methods take events with their time in nanoseconds and return requests and
+// lists. It must be used by one goroutine only.
 type Session struct {
 	incremental  bool
-	wanted       []string // clusters; empty: all
-	fetchTimeout int64    // for a first response, and for a cluster's first endpoints
+	wanted       []string // names of the clusters subscribed to; empty: all
+	fetchTimeout int64    // for the first response of a stream and for a cluster's first endpoints
 
 	clusterSub  subscription
 	endpointSub subscription
 
-	clusters    resources        // in force
-	assignments resources        // in force
-	removed     resources        // clusters removed while others wait for endpoints: make before break
-	addedAt     map[string]int64 // when a cluster was added; 0: its endpoints were reported as missing
-	listed      bool             // there was a list
-	noted       map[string]bool  // notes that were logged
+	clusters    resources        // clusters in force
+	assignments resources        // assignments in force
+	removed     resources        // clusters kept while new ones wait for endpoints (make before break)
+	addedAt     map[string]int64 // when each cluster was added; 0 if its endpoints were reported as missing
+	listed      bool             // a list was reported
+	noted       map[string]bool  // notes already logged
 }
 
 // maxNoted bounds how many different notes are logged.
 const maxNoted = 1000
 
-// NewSession returns a session for these clusters, or for all where there are none. fetchTimeout bounds the wait for
-// first responses.
+// NewSession returns a session that subscribes to the wanted clusters, or to all if wanted is empty. fetchTimeout
+// limits the wait for first responses.
 func NewSession(incremental bool, wanted []string, fetchTimeout time.Duration) *Session {
 	return &Session{
 		incremental:  incremental,
@@ -73,7 +74,7 @@
 	}
 }
 
-// OpenStream begins a stream, and returns its first requests.
+// OpenStream starts a new stream and returns its first requests.
 func (s *Session) OpenStream(now int64) []Request {
 	for _, sub := range []*subscription{&s.clusterSub, &s.endpointSub} {
 		sub.setState(now, Idle)
@@ -87,7 +88,8 @@
 	return requests
 }
 
-// request returns a request for these names, which also answers the last response: with a reason it rejects that.
+// request returns a request that subscribes to the names and acknowledges the last response, or rejects it if there
+// is a rejectReason.
 func (s *Session) request(now int64, sub *subscription, names []string, rejectReason string) Request {
 	r := Request{Type: sub.typeURL, Nonce: sub.nonce, RejectReason: rejectReason}
 	first := sub.state == Idle
@@ -99,7 +101,7 @@
 			r.KnownNames = slices.Sorted(maps.Keys(s.inForce(sub)))
 		}
 	case first:
-		// Without a version: a server that restarted may have given the one in force to something else.
+		// No version is sent, as a restarted server may use the version in force for different content.
 		r.ResourceNames = names
 	default:
 		r.ResourceNames = names
@@ -112,7 +114,7 @@
 	return r
 }
 
-// without returns the names that others don't have.
+// without returns the names that are not among the others.
 func without(names, others []string) (rest []string) {
 	for _, name := range names {
 		if !slices.Contains(others, name) {
@@ -122,7 +124,7 @@
 	return rest
 }
 
-// inForce returns the resources in force of a type.
+// inForce returns the resources in force of a subscription's type.
 func (s *Session) inForce(sub *subscription) resources {
 	if sub == &s.clusterSub {
 		return s.clusters
@@ -130,7 +132,7 @@
 	return s.assignments
 }
 
-// serviceNames returns the names of the assignments that the clusters need, in order.
+// serviceNames returns the sorted names of the assignments that the clusters need.
 func (s *Session) serviceNames() (names []string) {
 	for _, clusters := range []resources{s.clusters, s.removed} {
 		for _, r := range clusters {
@@ -143,7 +145,7 @@
 	return names
 }
 
-// HandleResponse takes in a response: it is accepted completely, or rejected.
+// HandleResponse processes a response, which is accepted or rejected as a whole.
 func (s *Session) HandleResponse(now int64, response Response) (out Outcome) {
 	sub := s.subscription(response.Type)
 	if sub == nil || sub.state == Idle {
@@ -173,7 +175,7 @@
 	return out
 }
 
-// subscription returns the subscription to a type; nil: there is none.
+// subscription returns the subscription to a resource type, or nil if there is none.
 func (s *Session) subscription(typeURL string) *subscription {
 	switch typeURL {
 	case ClusterType:
@@ -184,7 +186,7 @@
 	return nil
 }
 
-// wants tells whether a resource was requested.
+// wants reports whether a resource is subscribed to.
 func (s *Session) wants(sub *subscription, name string) bool {
 	if sub == &s.clusterSub {
 		return len(s.wanted) == 0 || slices.Contains(s.wanted, name)
--- a/internal/endpoint/xds/session_test.go
+++ b/internal/endpoint/xds/session_test.go
@@ -19,7 +19,7 @@
 	fetch = 15 * time.Second // fetch timeout
 )
 
-// listed returns the ports of an outcome's list, in its order, or "-" if there is none.
+// listed returns the ports of an outcome's list, in the order of the list, or "-" if there is no list.
 func listed(out xds.Outcome) string {
 	if out.List == nil {
 		return "-"
@@ -31,7 +31,8 @@
 	return strings.Join(ports, " ")
 }
 
-// written writes requests in short: type, version, nonce, then =names, +subscribed, -unsubscribed.
+// written returns requests in a short notation: type, version, nonce, then =names, +subscribed, -unsubscribed, known
+// names and NACK for a rejection.
 func written(requests []xds.Request) string {
 	var out []string
 	types := map[string]string{xds.ClusterType: "C", xds.EndpointType: "E"}
@@ -57,21 +58,21 @@
 	return strings.Join(out, "; ")
 }
 
-// sessionTest is a session whose outcomes are checked.
+// sessionTest checks the outcomes of a session.
 type sessionTest struct {
 	t *testing.T
 	s *xds.Session
 }
 
-// open opens a stream, whose first requests have to be those given.
+// open opens a stream and checks its first requests.
 func (c sessionTest) open(requests string) {
 	c.t.Helper()
 	if got := written(c.s.OpenStream(sec)); got != requests {
-		c.t.Errorf("a stream begins with %q, want %q", got, requests)
+		c.t.Errorf("the first requests of the stream are %q, want %q", got, requests)
 	}
 }
 
-// handle handles a response, whose outcome has to be requests and a list as those given.
+// handle processes a response and checks the requests and the list of its outcome.
 func (c sessionTest) handle(response xds.Response, requests, list string) xds.Outcome {
 	c.t.Helper()
 	out := c.s.HandleResponse(sec, response)
@@ -82,7 +83,7 @@
 	return out
 }
 
-// reject handles a response that has to be rejected with a text.
+// reject processes a response and checks its requests, and that it is rejected with an error that contains the text.
 func (c sessionTest) reject(response xds.Response, requests, text string) {
 	c.t.Helper()
 	out := c.handle(response, requests, "-")
@@ -92,7 +93,7 @@
 	}
 }
 
-// wantRejected fails the test unless an outcome is a rejection with a text.
+// wantRejected fails the test unless an outcome has an error that contains the text.
 func wantRejected(t *testing.T, out xds.Outcome, text string) {
 	t.Helper()
 	if out.Rejected == nil || !strings.Contains(out.Rejected.Error(), text) {
@@ -100,19 +101,19 @@
 	}
 }
 
-// The state of the world, request by request: clusters before endpoints, versions and nonces as the protocol has them,
-// a NACK with the version in force, and what a new stream begins with.
+// The requests of the state-of-the-world variant: clusters before endpoints, versions and nonces as the protocol
+// requires, a NACK with the version in force, and the first requests of a new stream.
 func TestStateOfTheWorldRequests(t *testing.T) {
 	c := sessionTest{t, xds.NewSession(false, nil, fetch)}
 	c.open("C v n")
-	c.handle(endpoints(t, false, "9", "x", "a", "1000"), "", "-") // before its cluster: ignored
+	c.handle(endpoints(t, false, "9", "x", "a", "1000"), "", "-") // received before its cluster: ignored
 	c.handle(clusters(t, false, "1", "n1", "a", "b"), "C v1 nn1; E v n =a,b", "-")
 	c.handle(endpoints(t, false, "1", "n2", "a", "1000", "1001"), "E v1 nn2 =a,b", "-")
 	c.handle(endpoints(t, false, "2", "n3", "b", "2000"), "E v2 nn3 =a,b", "1000 1001 2000")
 	c.reject(endpoints(t, false, "3", "n4", "a", "0"), "E v2 nn4 =a,b NACK", "port_value 0")
-	// It is valid, and has the version that was rejected.
+	// A valid response with the version that was rejected.
 	c.handle(endpoints(t, false, "3", "n5", "a", "1000"), "E v3 nn5 =a,b", "1000 2000")
-	// Cluster a stays until c has its endpoints.
+	// Cluster a stays in use until c has its endpoints.
 	c.handle(clusters(t, false, "2", "n6", "b", "c"), "C v2 nn6; E v3 nn5 =a,b,c", "2000 1000")
 	c.handle(endpoints(t, false, "4", "n7", "c", "3000"), "E v4 nn7 =a,b,c; E v4 nn7 =b,c", "2000 3000")
 	c.open("C v n; E v n =b,c")
@@ -120,7 +121,7 @@
 	c.handle(clusters(t, false, "3", "m2"), "C v3 nm2; E v4 n", "")
 }
 
-// The incremental form, request by request.
+// The requests of the incremental variant.
 func TestIncrementalRequests(t *testing.T) {
 	c := sessionTest{t, xds.NewSession(true, nil, fetch)}
 	c.open("C v n")
@@ -137,10 +138,11 @@
 	c.open("C v n knows b; E v n +b knows b")
 	lied := endpoints(t, true, "3", "m1", "b", "2000")
 	lied.Changed[0].Name = "c"
-	c.reject(lied, "E v nm1 NACK", "calls itself \"b\"")
+	c.reject(lied, "E v nm1 NACK", "its body has the name \"b\"")
 }
 
-// Clusters are wanted by name; what would not fit together, or is too much, is rejected.
+// Clusters that are not subscribed to are ignored. Resources that are inconsistent, duplicate, of the wrong type or
+// over the limit are rejected, and a response of an unknown type is ignored with a note.
 func TestInconsistentResponsesAreRejected(t *testing.T) {
 	c := sessionTest{t, xds.NewSession(false, []string{"a"}, fetch)}
 	c.open("C v n =a")
@@ -153,51 +155,52 @@
 	c.handle(endpoints(t, false, "1", "n2", "a", "1000"), "E v1 nn2 =a,b", "-")
 	c.reject(endpoints(t, false, "2", "n3", "b", "1000"), "E v1 nn3 =a,b NACK", "is in clusters \"a\" and \"b\"")
 	twice := clusters(t, false, "2", "n4", "a", "a")
-	c.reject(twice, "C v1 nn4 NACK", "there twice")
+	c.reject(twice, "C v1 nn4 NACK", "appears twice in the response")
 	wrong := endpoints(t, false, "2", "n5", "a")
 	wrong.Type = xds.ClusterType
-	c.reject(wrong, "C v1 nn5 NACK", "was asked for")
+	c.reject(wrong, "C v1 nn5 NACK", "instead of \"type.googleapis.com/envoy.config.cluster.v3.Cluster\"")
 	var many []string
 	for i := range xds.MaxClusters + 1 {
 		many = append(many, fmt.Sprint("c", i))
 	}
-	c.reject(clusters(t, false, "2", "n6", many...), "C v1 nn6 NACK", "more than 4096")
+	c.reject(clusters(t, false, "2", "n6", many...), "C v1 nn6 NACK", "exceed the limit of 4096")
 	listener := xds.Response{Type: "type.googleapis.com/envoy.config.listener.v3.Listener"}
 	if out := c.s.HandleResponse(sec, listener); len(out.Notes) != 1 || len(out.Requests) > 0 {
-		t.Errorf("%+v", out)
+		t.Errorf("a response of an unknown type: got %+v, want one note and no requests", out)
 	}
 }
 
-// First responses and first endpoints are reported as overdue after the fetch timeout, and not waited for any more.
+// First responses and first endpoints are reported as overdue after the fetch timeout, and the session then stops
+// waiting for them.
 func TestOverdueResponsesAreReported(t *testing.T) {
 	s := xds.NewSession(false, nil, fetch)
 	s.OpenStream(sec)
 	if s.NextDeadline() != sec+int64(fetch) {
-		t.Errorf("next deadline %d", s.NextDeadline())
+		t.Errorf("the next deadline is %d", s.NextDeadline())
 	}
 	late := s.Tick(sec + int64(fetch))
-	wantRejected(t, late, "no answer")
+	wantRejected(t, late, "no response")
 	if late.List != nil {
-		t.Errorf("%+v", late)
+		t.Errorf("a list without any response: %+v", late)
 	}
 	if o := s.Tick(sec + 2*int64(fetch)); o.Rejected != nil || s.NextDeadline() != 0 {
-		t.Errorf("reported again: %+v", o)
+		t.Errorf("the overdue response was reported again, or a deadline is pending: %+v", o)
 	}
 	now := 100 * sec
 	s.HandleResponse(now, clusters(t, false, "1", "n1", "a", "b"))
 	if o := s.HandleResponse(now, endpoints(t, false, "1", "n2", "a", "1000")); o.List != nil {
-		t.Errorf("%+v", o)
+		t.Errorf("a list while endpoints are missing: %+v", o)
 	}
 	o := s.Tick(now + int64(fetch))
 	if listed(o) != "1000" || o.Rejected == nil || !strings.Contains(o.Rejected.Error(), "no endpoints of cluster \"b\"") {
-		t.Errorf("%q, %v", listed(o), o.Rejected)
+		t.Errorf("after the fetch timeout: list %q, rejected: %v", listed(o), o.Rejected)
 	}
-	// Without any endpoints so far, that there are none is not known.
+	// If no endpoints were ever received, no list is reported.
 	s = xds.NewSession(false, nil, fetch)
 	s.OpenStream(now)
 	s.HandleResponse(now, clusters(t, false, "1", "n1", "a"))
 	if o := s.Tick(now + int64(fetch)); o.List != nil || o.Rejected == nil {
-		t.Errorf("%+v", o)
+		t.Errorf("without any endpoints: got %+v, want no list and a rejection", o)
 	}
 }
 
@@ -209,7 +212,7 @@
 			s.OpenStream(sec)
 			s.HandleResponse(sec, clusters(t, incremental, "1", "n1", "a", "b"))
 			s.HandleResponse(sec, endpoints(t, incremental, "1", "n2", "a", "1000"))
-			// live sends cluster b's endpoints with a time to live; without a body that is a heartbeat.
+			// live sends cluster b's endpoints with a time to live, or a heartbeat if there is no body.
 			live := func(now int64, body *anypb.Any) xds.Outcome {
 				t.Helper()
 				r := xds.Response{Type: xds.EndpointType, Version: "2", Nonce: "n3"}
@@ -222,28 +225,28 @@
 				return s.HandleResponse(now, r)
 			}
 			if out := live(sec, pack(t, xdsstandin.Assignment("b", nodes("2000")))); listed(out) != "1000 2000" {
-				t.Errorf("%q, %v", listed(out), out.Rejected)
+				t.Errorf("resource with a time to live: list %q, rejected: %v", listed(out), out.Rejected)
 			}
 			if out := live(5*sec, nil); out.Rejected != nil || listed(out) != "1000 2000" {
-				t.Errorf("a heartbeat: %q, %v", listed(out), out.Rejected)
+				t.Errorf("after a heartbeat: list %q, rejected: %v", listed(out), out.Rejected)
 			}
 			if s.NextDeadline() != 10*sec {
-				t.Errorf("next deadline %d", s.NextDeadline())
+				t.Errorf("the next deadline is %d", s.NextDeadline())
 			}
 			if out := s.Tick(9 * sec); out.List != nil {
-				t.Errorf("before it expires: %+v", out)
+				t.Errorf("a list before the resource expires: %+v", out)
 			}
 			if out := s.Tick(10 * sec); listed(out) != "1000" || len(out.Notes) != 1 {
-				t.Errorf("when it expires: %q, %v", listed(out), out.Notes)
+				t.Errorf("when the resource expires: list %q, notes %v", listed(out), out.Notes)
 			}
 			if out := live(11*sec, nil); len(out.Notes) != 1 || listed(out) != "1000" {
-				t.Errorf("a heartbeat of an expired one: %q, %v", listed(out), out.Notes)
+				t.Errorf("after a heartbeat for an expired resource: list %q, notes %v", listed(out), out.Notes)
 			}
 		})
 	}
 }
 
-// An assignment with endpoint_stale_after makes the list stale, until it is updated.
+// An assignment that is not updated for its endpoint_stale_after makes the list stale, until it is updated.
 func TestAssignmentTurnsStale(t *testing.T) {
 	s := xds.NewSession(false, nil, fetch)
 	s.OpenStream(sec)
@@ -253,12 +256,12 @@
 	a.Policy.EndpointStaleAfter = durationpb.New(10 * time.Second)
 	r := xds.Response{Type: xds.EndpointType, Version: "1", Nonce: "n2", Resources: []*anypb.Any{pack(t, a)}}
 	if out := s.HandleResponse(sec, r); out.List.Stale || s.NextDeadline() != 11*sec {
-		t.Errorf("%+v", out.List)
+		t.Errorf("new assignment: stale, or wrong deadline: %+v", out.List)
 	}
 	if out := s.Tick(11 * sec); !out.List.Stale || s.NextDeadline() != 0 {
-		t.Errorf("%+v", out.List)
+		t.Errorf("after endpoint_stale_after: not stale, or a deadline is pending: %+v", out.List)
 	}
 	if out := s.HandleResponse(12*sec, r); out.List.Stale {
-		t.Errorf("%+v", out.List)
+		t.Errorf("after an update: still stale: %+v", out.List)
 	}
 }
--- a/internal/endpoint/xds/stream.go
+++ b/internal/endpoint/xds/stream.go
@@ -14,23 +14,23 @@
 )
 
 const (
-	// connectedAfter is how long a stream has to live to count as connected without a response: in the incremental
-	// form, a server without news sends nothing.
+	// connectedAfter is the time after which an open stream without a response counts as connected. In the incremental
+	// variant, a server that has no changes sends nothing.
 	connectedAfter = time.Second
-	// maxWait bounds a wait in which nothing is due.
+	// maxWait limits a wait while no deadline is pending.
 	maxWait = time.Hour
 	// userAgent is Node.user_agent_name.
 	userAgent = "irispost"
 )
 
-// stream is a Client's present stream, with the session that outlives it.
+// stream is the current stream of a Client, with the session that outlives it.
 type stream struct {
 	opt       *Options
 	session   *Session
 	to        endpoint.Subscriber
-	now       func() int64 // nanoseconds since 1970; it never goes back
-	connected bool         // it was reported as connected
-	accepted  bool         // a response was accepted
+	now       func() int64 // monotonic, in Unix nanoseconds
+	connected bool         // the stream was reported as connected
+	accepted  bool         // a response was accepted on the stream
 }
 
 func newStream(opt *Options, to endpoint.Subscriber) *stream {
@@ -42,13 +42,13 @@
 	}
 }
 
-// monotonicClock returns a clock of nanoseconds since 1970 that never goes back.
+// monotonicClock returns a clock of Unix nanoseconds that never goes back.
 func monotonicClock() func() int64 {
 	start := time.Now()
 	return func() int64 { return start.UnixNano() + int64(time.Since(start)) }
 }
 
-// run opens a stream and keeps it until it breaks.
+// run opens a stream and processes its events until it fails or the context ends.
 func (s *stream) run(ctx context.Context, conn *grpc.ClientConn) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -73,7 +73,7 @@
 	}
 }
 
-// node returns how a client names itself to its server.
+// node returns the message by which the client identifies itself to the server.
 func (o *Options) node() *corev3.Node {
 	node := &corev3.Node{Id: o.NodeID, Cluster: o.NodeCluster, UserAgentName: userAgent}
 	if o.Zone != "" {
@@ -85,7 +85,7 @@
 // sender sends the requests of a stream.
 type sender struct {
 	transport transport
-	node      *corev3.Node // for the first request of the stream; nil after that
+	node      *corev3.Node // sent with the first request of the stream; nil after that
 }
 
 func (s *sender) send(requests []Request) error {
@@ -98,14 +98,14 @@
 	return nil
 }
 
-// received is what comes from the server on a stream.
+// received holds the channels on which a stream's responses and its final error arrive.
 type received struct {
 	responses <-chan Response
-	broken    <-chan error // gets one when the stream breaks
-	opened    time.Time    // when the stream was
+	broken    <-chan error // receives one error when the stream fails
+	opened    time.Time    // when the stream was opened
 }
 
-// receive receives a stream's responses in a goroutine, which ends with the context, or when the stream breaks.
+// receive reads a stream's responses in a goroutine that ends with the context or when the stream fails.
 func receive(ctx context.Context, t transport) *received {
 	responses, broken := make(chan Response), make(chan error, 1)
 	go func() {
@@ -125,7 +125,7 @@
 	return &received{responses, broken, time.Now()}
 }
 
-// next waits for the next event of a stream: a response, the end, or that something is due.
+// next waits for the next event of a stream, which is a response, a failure or a timeout, and returns its outcome.
 func (s *stream) next(ctx context.Context, in *received) (Outcome, error) {
 	wait := s.untilDue(maxWait)
 	if !s.connected {
@@ -154,7 +154,7 @@
 	}
 }
 
-// setConnected reports once a stream that it is connected.
+// setConnected reports, once per stream, that it is connected.
 func (s *stream) setConnected() {
 	if !s.connected {
 		s.connected = true
@@ -162,8 +162,8 @@
 	}
 }
 
-// pause waits between two streams, with what is due in that time; requests that follow are made by the next stream. It
-// returns false if the context ended.
+// pause waits between two streams and handles the session's timeouts meanwhile. Requests that result from these are
+// dropped, as the next stream starts with its own. It returns false if the context ended.
 func (s *stream) pause(ctx context.Context, wait time.Duration) bool {
 	end := time.Now().Add(wait)
 	for {
@@ -180,7 +180,7 @@
 	}
 }
 
-// report hands on what follows from an event, but for the requests.
+// report logs the notes of an outcome and passes its rejection and list to the subscriber.
 func (s *stream) report(out Outcome) {
 	for _, note := range out.Notes {
 		s.opt.Log.Info("xds note", "server", s.opt.Address, "note", note)
@@ -193,12 +193,12 @@
 	}
 }
 
-// untilDue returns how long it is until the session has something to do, or the limit if that is shorter.
+// untilDue returns the time until the session's next deadline, or the limit if that is shorter.
 func (s *stream) untilDue(limit time.Duration) time.Duration {
 	return untilDue(s.session, s.now(), limit)
 }
 
-// untilDue returns how long it is from now until a session has something to do, or the limit if that is shorter.
+// untilDue returns the time from now until a session's next deadline, or the limit if that is shorter.
 func untilDue(session *Session, now int64, limit time.Duration) time.Duration {
 	at := session.NextDeadline()
 	if at <= 0 {
--- a/internal/endpoint/xds/transport.go
+++ b/internal/endpoint/xds/transport.go
@@ -10,16 +10,17 @@
 	"google.golang.org/grpc/codes"
 )
 
-// maxRejectReason bounds the reason that is sent with a rejection, in bytes.
+// maxRejectReason limits the length in bytes of the reason that is sent with a rejection.
 const maxRejectReason = 4096
 
-// transport is a stream in one of the protocol's two forms.
+// transport is a stream in one of the protocol's two variants.
 type transport interface {
-	// send sends a request. node is nil but for the first of a stream.
+	// send sends a request. node is set for the first request of a stream only.
 	send(r *Request, node *corev3.Node) error
 	receive() (Response, error)
 }
 
+// openTransport opens a stream in the given variant.
 func openTransport(ctx context.Context, conn *grpc.ClientConn, incremental bool) (transport, error) {
 	client := discoveryv3.NewAggregatedDiscoveryServiceClient(conn)
 	if incremental {
@@ -30,7 +31,8 @@
 	return sotwTransport{stream}, err
 }
 
-// errorDetail returns the detail of a rejection (google.rpc.Status).
+// errorDetail returns the error_detail of a rejection (google.rpc.Status), or nil if there is no reason and thus no
+// rejection.
 func errorDetail(reason string) *statusv3.Status {
 	if reason == "" {
 		return nil
@@ -41,7 +43,7 @@
 	return &statusv3.Status{Code: int32(codes.InvalidArgument), Message: reason}
 }
 
-// sotwTransport is the state-of-the-world form.
+// sotwTransport is a stream in the state-of-the-world variant.
 type sotwTransport struct {
 	stream grpc.BidiStreamingClient[discoveryv3.DiscoveryRequest, discoveryv3.DiscoveryResponse]
 }
@@ -70,13 +72,13 @@
 	}, nil
 }
 
-// incrementalTransport is the incremental form (delta).
+// incrementalTransport is a stream in the incremental (delta) variant.
 type incrementalTransport struct {
 	stream grpc.BidiStreamingClient[discoveryv3.DeltaDiscoveryRequest, discoveryv3.DeltaDiscoveryResponse]
 }
 
 func (t incrementalTransport) send(r *Request, node *corev3.Node) error {
-	known := map[string]string{} // without versions, so that each is sent again or reported as removed
+	known := map[string]string{} // versions are left empty, so that each resource is sent again or reported as removed
 	for _, name := range r.KnownNames {
 		known[name] = ""
 	}
