--- a/internal/endpoint/form.go
+++ b/internal/endpoint/form.go
@@ -11,14 +11,14 @@
 	"github.com/hashicorp/hcl/v2/hclparse"
 )
 
-// listForm is the schema of a list file in the gateway's native format (HCL).
-type listForm struct {
-	Version string     `hcl:"version,optional"`
-	Nodes   []nodeForm `hcl:"node,block"`
+// listSchema is the schema of a list file in the gateway's native format (HCL).
+type listSchema struct {
+	Version string       `hcl:"version,optional"`
+	Nodes   []nodeSchema `hcl:"node,block"`
 }
 
-// nodeForm is the schema of one node block.
-type nodeForm struct {
+// nodeSchema is the schema of one node block.
+type nodeSchema struct {
 	Addr      string    `hcl:"addr,label"`
 	Name      string    `hcl:"name,optional"`
 	Shard     int       `hcl:"shard"`
@@ -63,7 +63,7 @@
 // DecodeList decodes a list from an HCL body that is already parsed, such as the remainder of a file that also has
 // other blocks.
 func DecodeList(body hcl.Body) (List, error) {
-	var form listForm
+	var form listSchema
 	if diags := gohcl.DecodeBody(body, nil, &form); diags.HasErrors() {
 		return List{}, diags
 	}
@@ -84,7 +84,7 @@
 }
 
 // node validates an entry and converts it to a Node.
-func (f *nodeForm) node() (Node, error) {
+func (f *nodeSchema) node() (Node, error) {
 	if f.Shard < 0 {
 		return Node{}, f.errorf("shard %d must not be negative", f.Shard)
 	}
@@ -114,7 +114,7 @@
 	return node, nil
 }
 
-func (f *nodeForm) errorf(format string, args ...any) error {
+func (f *nodeSchema) errorf(format string, args ...any) error {
 	return &EntryError{f.Range, f.Addr, fmt.Sprintf(format, args...)}
 }
 
--- a/internal/endpoint/golden_test.go
+++ b/internal/endpoint/golden_test.go
@@ -10,8 +10,8 @@
 	"irispost/internal/testkit/golden"
 )
 
-// formOf returns a list as JSON under fixed keys, independent of the names of Go fields.
-func formOf(t *testing.T, list List) []byte {
+// listJSON returns a list as JSON under fixed keys, independent of the names of Go fields.
+func listJSON(t *testing.T, list List) []byte {
 	t.Helper()
 	nodes := []map[string]any{}
 	for _, n := range list.Nodes {
@@ -54,8 +54,8 @@
 		file string
 		got  []byte
 	}{
-		{"read.json", formOf(t, named)},
-		{"read-unnamed.json", formOf(t, unnamed)},
+		{"read.json", listJSON(t, named)},
+		{"read-unnamed.json", listJSON(t, unnamed)},
 		{"written.nodes.hcl", FormatList(named)},
 	} {
 		golden.Check(t, c.file, c.got)
--- a/internal/endpoint/xds/assignment.go
+++ b/internal/endpoint/xds/assignment.go
@@ -29,17 +29,17 @@
 }
 
 var (
-	assignmentFields = map[protoreflect.Name]support{
+	assignmentFields = map[protoreflect.Name]fieldSupport{
 		"cluster_name": read,
 		"endpoints":    read,
 		"policy":       read,
 	}
-	policyFields = map[protoreflect.Name]support{
+	policyFields = map[protoreflect.Name]fieldSupport{
 		"drop_overloads":          read,
 		"overprovisioning_factor": read,
 		"endpoint_stale_after":    read,
 	}
-	localityFields = map[protoreflect.Name]support{
+	localityFields = map[protoreflect.Name]fieldSupport{
 		"locality":              read,
 		"lb_endpoints":          read,
 		"priority":              read,
@@ -57,12 +57,12 @@
 	if message.GetClusterName() == "" {
 		r.addError("endpoints", "cluster_name is empty")
 	}
-	r.fields(at, message, assignmentFields)
+	r.checkFields(at, message, assignmentFields)
 	if message.GetPolicy() != nil {
-		r.policy(at+" policy", message.GetPolicy())
+		r.readPolicy(at+" policy", message.GetPolicy())
 	}
 	for i, locality := range message.GetEndpoints() {
-		r.locality(fmt.Sprintf("%s locality %d", at, i), locality)
+		r.readLocality(fmt.Sprintf("%s locality %d", at, i), locality)
 	}
 	for priority := range len(r.priorities) {
 		if !r.priorities[priority] {
@@ -76,26 +76,26 @@
 
 // assignmentReader holds the state of reading one assignment.
 type assignmentReader struct {
-	reading
+	resourceReader
 	out        Assignment
 	priorities map[int]bool    // priorities that the localities have
 	seen       map[string]bool // addresses read so far
 }
 
-// locality reads the endpoints of one locality.
-func (r *assignmentReader) locality(at string, message *endpointv3.LocalityLbEndpoints) {
+// readLocality reads the endpoints of one locality.
+func (r *assignmentReader) readLocality(at string, message *endpointv3.LocalityLbEndpoints) {
 	if message == nil {
 		r.addError(at, "message is empty")
 		return
 	}
-	r.fields(at, message, localityFields)
+	r.checkFields(at, message, localityFields)
 	if message.GetPriority() > maxPriority {
 		r.addError(at, "priority %d exceeds the maximum of %d", message.GetPriority(), maxPriority)
 	}
 	priority := int(message.GetPriority())
 	r.priorities[priority] = true
 	for _, e := range message.GetLbEndpoints() {
-		n, ok := r.endpoint(at, e)
+		n, ok := r.readEndpoint(at, e)
 		if !ok {
 			continue
 		}
@@ -120,9 +120,9 @@
 	return name
 }
 
-// policy reads an assignment's policy. Settings that need behaviour that the gateway does not have are errors.
-func (r *assignmentReader) policy(at string, message *endpointv3.ClusterLoadAssignment_Policy) {
-	r.fields(at, message, policyFields)
+// readPolicy reads an assignment's policy. Settings that need behaviour that the gateway does not have are errors.
+func (r *assignmentReader) readPolicy(at string, message *endpointv3.ClusterLoadAssignment_Policy) {
+	r.checkFields(at, message, policyFields)
 	for _, drop := range message.GetDropOverloads() {
 		share := drop.GetDropPercentage()
 		if share.GetNumerator() > 0 {
--- a/internal/endpoint/xds/assignment_test.go
+++ b/internal/endpoint/xds/assignment_test.go
@@ -31,7 +31,7 @@
 		t.Errorf("got assignment %+v, error %v", a, err)
 	}
 	m := xdsstandin.Assignment("storage", twoNodes)
-	m.Policy = drops(0)
+	m.Policy = dropPolicy(0)
 	m.Policy.EndpointStaleAfter = durationpb.New(time.Minute)
 	m.Policy.OverprovisioningFactor = wrapperspb.UInt32(140)
 	m.Endpoints[0].LoadBalancingWeight = wrapperspb.UInt32(2)
@@ -75,12 +75,12 @@
 	return lbEndpoint(a).Metadata.FilterMetadata[xds.MetadataKey].Fields
 }
 
-// wantInvalidAssignment fails the test unless reading a message changed by spoil gives an error that contains the
+// wantInvalidAssignment fails the test unless reading a message changed by modify gives an error that contains the
 // text.
-func wantInvalidAssignment(t *testing.T, text string, spoil func(*assignmentMessage)) {
+func wantInvalidAssignment(t *testing.T, text string, modify func(*assignmentMessage)) {
 	t.Helper()
 	a := proto.Clone(xdsstandin.Assignment("storage", twoNodes)).(*assignmentMessage)
-	spoil(a)
+	modify(a)
 	if _, err := xds.ReadAssignment(a); err == nil || !strings.Contains(err.Error(), text) {
 		t.Errorf("want an error with: %s; got: %v", text, err)
 	}
@@ -88,7 +88,7 @@
 
 // Each field of an assignment that is invalid, or requests unsupported behaviour, gives an error that names it.
 func TestInvalidAssignmentIsRejected(t *testing.T) {
-	for text, spoil := range map[string]func(*assignmentMessage){
+	for text, modify := range map[string]func(*assignmentMessage){
 		"cluster_name is empty": func(a *assignmentMessage) { a.ClusterName = "" },
 		"named_endpoints is not supported": func(a *assignmentMessage) {
 			a.NamedEndpoints = map[string]*endpointv3.Endpoint{"x": {}}
@@ -100,7 +100,7 @@
 		"leds_cluster_locality_config is no": func(a *assignmentMessage) {
 			a.Endpoints[0].LbConfig = &endpointv3.LocalityLbEndpoints_LedsClusterLocalityConfig{}
 		},
-		"drop_overloads \"x\" drops 5": func(a *assignmentMessage) { a.Policy = drops(5) },
+		"drop_overloads \"x\" drops 5": func(a *assignmentMessage) { a.Policy = dropPolicy(5) },
 		"overprovisioning_factor 100": func(a *assignmentMessage) {
 			a.Policy = &endpointv3.ClusterLoadAssignment_Policy{OverprovisioningFactor: wrapperspb.UInt32(100)}
 		},
@@ -111,7 +111,7 @@
 			a.Policy = &endpointv3.ClusterLoadAssignment_Policy{WeightedPriorityHealth: true}
 		},
 	} {
-		wantInvalidAssignment(t, text, spoil)
+		wantInvalidAssignment(t, text, modify)
 	}
 }
 
@@ -178,21 +178,21 @@
 	},
 	"and 1 more": func(a *assignmentMessage) {
 		ownMetadata(a)["a"], ownMetadata(a)["b"], ownMetadata(a)["c"] = nil, nil, nil
-		spoilMany(a)
+		addInvalidEndpoints(a)
 	},
 }
 
 // Each field of an endpoint that is invalid, or requests unsupported behaviour, gives an error that names it.
 func TestInvalidEndpointIsRejected(t *testing.T) {
-	for text, spoil := range invalidEndpoints {
-		wantInvalidAssignment(t, text, spoil)
+	for text, modify := range invalidEndpoints {
+		wantInvalidAssignment(t, text, modify)
 	}
 }
 
 var nan = func() float64 { zero := 0.0; return zero / zero }()
 
-// drops returns a policy that drops a percentage of the requests.
-func drops(percent uint32) *endpointv3.ClusterLoadAssignment_Policy {
+// dropPolicy returns a policy that drops a percentage of the requests.
+func dropPolicy(percent uint32) *endpointv3.ClusterLoadAssignment_Policy {
 	overload := &endpointv3.ClusterLoadAssignment_Policy_DropOverload{
 		Category:       "x",
 		DropPercentage: &typev3.FractionalPercent{Numerator: percent},
@@ -202,8 +202,8 @@
 	}
 }
 
-// spoilMany adds eight invalid endpoints, each of which gives an error.
-func spoilMany(a *endpointv3.ClusterLoadAssignment) {
+// addInvalidEndpoints adds eight invalid endpoints, each of which gives an error.
+func addInvalidEndpoints(a *endpointv3.ClusterLoadAssignment) {
 	for range 8 {
 		a.Endpoints[0].LbEndpoints = append(a.Endpoints[0].LbEndpoints, &endpointv3.LbEndpoint{})
 	}
--- a/internal/endpoint/xds/bench_test.go
+++ b/internal/endpoint/xds/bench_test.go
@@ -15,15 +15,15 @@
 // clusterSize is the number of endpoints in each cluster of BenchmarkUpdate.
 const clusterSize = 50
 
-// installation holds the cluster names of a benchmark and the nodes of each cluster.
-type installation struct {
+// benchmarkNodes holds the cluster names of a benchmark and the nodes of each cluster.
+type benchmarkNodes struct {
 	names []string
 	lists [][]endpoint.Node
 }
 
-// newInstallation returns an installation with size nodes, each in a shard of its own.
-func newInstallation(size int) *installation {
-	in := &installation{}
+// newBenchmarkNodes returns size nodes, each in a shard of its own, in clusters of clusterSize.
+func newBenchmarkNodes(size int) *benchmarkNodes {
+	in := &benchmarkNodes{}
 	for i := range size / clusterSize {
 		in.names = append(in.names, fmt.Sprint("c", i))
 		var list []endpoint.Node
@@ -38,12 +38,12 @@
 
 // endpoints returns a response with the endpoints of all clusters. In the incremental variant it has those of the
 // cluster with the given index only, or of all clusters if the index is negative.
-func (in *installation) endpoints(b *testing.B, incremental bool, only int, version string) xds.Response {
+func (in *benchmarkNodes) endpoints(b *testing.B, incremental bool, index int, version string) xds.Response {
 	b.Helper()
 	r := xds.Response{Type: xds.EndpointType, Version: version, Nonce: version}
 	for i, name := range in.names {
-		if only < 0 || !incremental || i == only {
-			add(&r, incremental, name, pack(b, xdsstandin.Assignment(name, in.lists[i])))
+		if index < 0 || !incremental || i == index {
+			addResource(&r, incremental, name, pack(b, xdsstandin.Assignment(name, in.lists[i])))
 		}
 	}
 	return r
@@ -66,7 +66,7 @@
 func BenchmarkUpdate(b *testing.B) {
 	for _, size := range []int{50, 500, 5000} {
 		for _, incremental := range []bool{false, true} {
-			b.Run(fmt.Sprintf("%d/%s", size, formName(incremental)), func(b *testing.B) {
+			b.Run(fmt.Sprintf("%d/%s", size, variantName(incremental)), func(b *testing.B) {
 				benchmarkUpdate(b, size, incremental)
 			})
 		}
@@ -75,7 +75,7 @@
 
 func benchmarkUpdate(b *testing.B, size int, incremental bool) {
 	s, tracker := xds.NewSession(incremental, nil, time.Minute), membership.New(membership.DefaultSettings, "plane")
-	in := newInstallation(size)
+	in := newBenchmarkNodes(size)
 	now := sec
 	s.OpenStream(now)
 	s.HandleResponse(now, clusters(b, incremental, "1", "n", in.names...))
@@ -106,7 +106,7 @@
 // new list, over loopback sockets.
 func BenchmarkFleet(b *testing.B) {
 	for _, incremental := range []bool{false, true} {
-		b.Run(formName(incremental), func(b *testing.B) { benchmarkFleet(b, incremental) })
+		b.Run(variantName(incremental), func(b *testing.B) { benchmarkFleet(b, incremental) })
 	}
 }
 
@@ -118,7 +118,7 @@
 	s := startServer(b, 10, list...)
 	var clients []*recorder
 	for i := range 200 {
-		clients = append(clients, listen(b, s, incremental, fmt.Sprint("g", i)))
+		clients = append(clients, startNamedClient(b, s, incremental, fmt.Sprint("g", i)))
 	}
 	for _, r := range clients {
 		r.await(b, "50 nodes", func(r *recorder) bool { return len(r.list.Nodes) == 50 })
--- a/internal/endpoint/xds/client.go
+++ b/internal/endpoint/xds/client.go
@@ -69,10 +69,10 @@
 	return &Client{opt}
 }
 
-// orDefault returns the value, or the other one if it is zero.
-func orDefault[T int | time.Duration](value, otherwise T) T {
+// orDefault returns the value, or the fallback if it is zero.
+func orDefault[T int | time.Duration](value, fallback T) T {
 	if value == 0 {
-		return otherwise
+		return fallback
 	}
 	return value
 }
@@ -86,7 +86,7 @@
 	defer func() { _ = conn.Close() }() // its streams have already ended
 	// The node's id is part of the seed, so that clients with the same Seed do not reconnect at the same times.
 	source := rand.NewPCG(c.opt.Seed, xxhash.Sum64String(c.opt.NodeID))
-	waits := &Backoff{Min: c.opt.MinBackoff, Max: c.opt.MaxBackoff, Rand: rand.New(source)}
+	reconnectBackoff := &Backoff{Min: c.opt.MinBackoff, Max: c.opt.MaxBackoff, Rand: rand.New(source)}
 	s := newStream(&c.opt, to)
 	s.session.OpenStream(s.now()) // starts the fetch timeout even if no stream can be opened
 	for {
@@ -96,13 +96,13 @@
 			return nil
 		}
 		if s.accepted {
-			waits.Reset()
+			reconnectBackoff.Reset()
 		}
 		if errors.Is(err, errMessageTooLong) {
 			to.OnRejected(err)
 		}
 		to.OnLink(false, err.Error())
-		wait := waits.Next()
+		wait := reconnectBackoff.Next()
 		c.opt.Log.Info("xds stream lost", "server", c.opt.Address, "retry_in", wait, "err", err)
 		conn.ResetConnectBackoff() // only our own backoff applies
 		if !s.pause(ctx, wait) {
--- a/internal/endpoint/xds/client_test.go
+++ b/internal/endpoint/xds/client_test.go
@@ -11,14 +11,14 @@
 	"irispost/internal/xdsstandin"
 )
 
-// bothForms runs a test in both variants of the protocol, with a client of a server that has four nodes in the given
-// number of clusters.
-func bothForms(t *testing.T, clusters int, test func(*testing.T, *xdsstandin.Server, *recorder)) {
+// inBothVariants runs a test in both variants of the protocol, with a client of a server that has four nodes in the
+// given number of clusters.
+func inBothVariants(t *testing.T, clusters int, test func(*testing.T, *xdsstandin.Server, *recorder)) {
 	t.Helper()
 	for _, incremental := range []bool{false, true} {
-		t.Run(formName(incremental), func(t *testing.T) {
+		t.Run(variantName(incremental), func(t *testing.T) {
 			s := startServer(t, clusters, nodes("1000", "1001", "2000", "3000")...)
-			r := listen(t, s, incremental, "g1")
+			r := startNamedClient(t, s, incremental, "g1")
 			r.awaitList(t, "1000 1001 2000 3000")
 			test(t, s, r)
 		})
@@ -28,18 +28,18 @@
 // Nodes that are added, drained, ready again, unhealthy or removed are reported, with one cluster and with several.
 func TestClientReportsChanges(t *testing.T) {
 	for _, clusters := range []int{1, 3} {
-		bothForms(t, clusters, func(t *testing.T, s *xdsstandin.Server, r *recorder) {
-			do(t, s, "add 127.0.0.1:4000 4 z")
+		inBothVariants(t, clusters, func(t *testing.T, s *xdsstandin.Server, r *recorder) {
+			runCommands(t, s, "add 127.0.0.1:4000 4 z")
 			r.awaitList(t, "1000 1001 2000 3000 4000")
-			do(t, s, "drain 127.0.0.1:1000")
+			runCommands(t, s, "drain 127.0.0.1:1000")
 			r.awaitList(t, "1000/draining 1001 2000 3000 4000")
-			do(t, s, "ready 127.0.0.1:1000", "unwell 127.0.0.1:2000")
+			runCommands(t, s, "ready 127.0.0.1:1000", "unwell 127.0.0.1:2000")
 			r.awaitList(t, "1000 1001 2000/unwell 3000 4000")
-			do(t, s, "remove 127.0.0.1:2000")
+			runCommands(t, s, "remove 127.0.0.1:2000")
 			r.awaitList(t, "1000 1001 3000 4000")
-			do(t, s, "everybody unwell")
+			runCommands(t, s, "everybody unwell")
 			r.awaitList(t, "1000/unwell 1001/unwell 3000/unwell 4000/unwell")
-			do(t, s, "nothing")
+			runCommands(t, s, "nothing")
 			r.awaitList(t, "")
 		})
 	}
@@ -61,23 +61,23 @@
 // follows is accepted, even if the stream was cut between the two.
 func TestValidResponseAfterRejectedOne(t *testing.T) {
 	for _, cut := range []bool{false, true} {
-		bothForms(t, 1, func(t *testing.T, s *xdsstandin.Server, r *recorder) {
+		inBothVariants(t, 1, func(t *testing.T, s *xdsstandin.Server, r *recorder) {
 			reasons := map[string]string{"endpoints": "its shard is unknown", "clusters": "eds_cluster_config"}
 			for i, kind := range []string{"endpoints", "clusters"} {
-				do(t, s, "broken "+kind)
+				runCommands(t, s, "broken "+kind)
 				r.awaitRejection(t, i, "")
 				awaitNACK(t, s, reasons[kind])
 				if got := ports(r.list); got != "1000 1001 2000 3000" {
 					t.Errorf("the list in force is %q", got)
 				}
 				if cut {
-					do(t, s, "cut")
+					runCommands(t, s, "cut")
 				}
-				do(t, s, "mend", fmt.Sprintf("add 127.0.0.1:%d 5", 5000+i))
+				runCommands(t, s, "mend", fmt.Sprintf("add 127.0.0.1:%d 5", 5000+i))
 				r.await(t, "a list from the valid response", func(r *recorder) bool {
 					return strings.Contains(ports(r.list), fmt.Sprint(5000+i))
 				})
-				do(t, s, fmt.Sprintf("remove 127.0.0.1:%d", 5000+i))
+				runCommands(t, s, fmt.Sprintf("remove 127.0.0.1:%d", 5000+i))
 				r.awaitList(t, "1000 1001 2000 3000")
 			}
 		})
@@ -88,7 +88,7 @@
 // that repeat a nonce or send endpoints without a subscription, and servers that restart and use the same versions
 // again.
 func TestClientRecoversFromFaults(t *testing.T) {
-	bothForms(t, 2, func(t *testing.T, s *xdsstandin.Server, r *recorder) {
+	inBothVariants(t, 2, func(t *testing.T, s *xdsstandin.Server, r *recorder) {
 		want := "1000 1001 2000 3000"
 		for i, fault := range [][]string{
 			{"cut"},
@@ -102,9 +102,9 @@
 			{"restart"},
 			{"cut", "cut", "restart", "cut"},
 		} {
-			do(t, s, fault...)
+			runCommands(t, s, fault...)
 			addr := fmt.Sprint(4000 + i)
-			do(t, s, "add 127.0.0.1:"+addr+" 4")
+			runCommands(t, s, "add 127.0.0.1:"+addr+" 4")
 			want += " " + addr
 			r.awaitList(t, want)
 		}
@@ -124,19 +124,19 @@
 // If a server returns to an older state after a cut, the client reports the older list. Deciding whether to use it is
 // left to package membership (hold-down).
 func TestOlderStateIsReported(t *testing.T) {
-	bothForms(t, 1, func(t *testing.T, s *xdsstandin.Server, r *recorder) {
-		do(t, s, "drain 127.0.0.1:1000")
+	inBothVariants(t, 1, func(t *testing.T, s *xdsstandin.Server, r *recorder) {
+		runCommands(t, s, "drain 127.0.0.1:1000")
 		r.awaitList(t, "1000/draining 1001 2000 3000")
-		do(t, s, "old")
+		runCommands(t, s, "old")
 		r.awaitList(t, "1000 1001 2000 3000")
-		do(t, s, "drain 127.0.0.1:2000")
+		runCommands(t, s, "drain 127.0.0.1:2000")
 		r.awaitList(t, "1000/draining 1001 2000/draining 3000")
 	})
 }
 
 // Resources with a time to live are kept by heartbeats and expire without them.
 func TestHeartbeatsKeepResources(t *testing.T) {
-	bothForms(t, 1, func(t *testing.T, s *xdsstandin.Server, r *recorder) {
+	inBothVariants(t, 1, func(t *testing.T, s *xdsstandin.Server, r *recorder) {
 		s.SetTTL(xds.EndpointType, time.Hour)
 		before := r.lists
 		s.SendHeartbeats(xds.EndpointType)
@@ -181,17 +181,17 @@
 	s := startServer(t, 10, list...)
 	var clients []*recorder
 	for i := range 200 {
-		clients = append(clients, listen(t, s, i%2 == 0, fmt.Sprint("g", i)))
+		clients = append(clients, startNamedClient(t, s, i%2 == 0, fmt.Sprint("g", i)))
 	}
-	awaitAll := func(what string, holds func(*recorder) bool) {
+	awaitAll := func(what string, condition func(*recorder) bool) {
 		t.Helper()
 		for _, r := range clients {
-			r.await(t, what, holds)
+			r.await(t, what, condition)
 		}
 	}
 	awaitAll("50 nodes", func(r *recorder) bool { return len(r.list.Nodes) == 50 })
-	do(t, s, "drain 127.0.0.1:1000")
+	runCommands(t, s, "drain 127.0.0.1:1000")
 	awaitAll("a drain", func(r *recorder) bool { return strings.Contains(ports(r.list), "1000/draining") })
-	do(t, s, "cut", "add 127.0.0.1:2000 2")
+	runCommands(t, s, "cut", "add 127.0.0.1:2000 2")
 	awaitAll("51 nodes after a cut", func(r *recorder) bool { return len(r.list.Nodes) == 51 })
 }
--- a/internal/endpoint/xds/cluster.go
+++ b/internal/endpoint/xds/cluster.go
@@ -20,7 +20,7 @@
 }
 
 var (
-	clusterFields = map[protoreflect.Name]support{
+	clusterFields = map[protoreflect.Name]fieldSupport{
 		"name":                              read,
 		"type":                              read,
 		"eds_cluster_config":                read,
@@ -31,11 +31,11 @@
 		"metadata":                          ignored,
 		"per_connection_buffer_limit_bytes": ignored,
 	}
-	edsClusterConfigFields = map[protoreflect.Name]support{
+	edsClusterConfigFields = map[protoreflect.Name]fieldSupport{
 		"eds_config":   read,
 		"service_name": read,
 	}
-	configSourceFields = map[protoreflect.Name]support{
+	configSourceFields = map[protoreflect.Name]fieldSupport{
 		"ads":                   read,
 		"self":                  read,
 		"resource_api_version":  read,
@@ -46,18 +46,18 @@
 // ReadCluster validates and converts a cluster (envoy.config.cluster.v3.Cluster). If it returns ValidationErrors, the
 // Cluster holds what could be read.
 func ReadCluster(message *clusterv3.Cluster) (*Cluster, error) {
-	r := &reading{}
+	r := &resourceReader{}
 	out := &Cluster{Name: message.GetName()}
 	at := fmt.Sprintf("cluster %q", message.GetName())
 	if message.GetName() == "" {
 		r.addError("cluster", "name is empty")
 	}
-	r.fields(at, message, clusterFields)
+	r.checkFields(at, message, clusterFields)
 	switch message.GetType() {
 	case clusterv3.Cluster_EDS:
-		out.ServiceName = r.edsCluster(at, message)
+		out.ServiceName = r.readEDSCluster(at, message)
 	case clusterv3.Cluster_STATIC:
-		out.Inline = r.staticCluster(at, message)
+		out.Inline = r.readStaticCluster(at, message)
 	default:
 		r.addError(at, "type %v is not supported, only EDS and STATIC are", message.GetType())
 	}
@@ -65,15 +65,15 @@
 	return out, r.err()
 }
 
-// edsCluster checks a cluster of type EDS and returns the name of its assignment.
-func (r *reading) edsCluster(at string, message *clusterv3.Cluster) (serviceName string) {
+// readEDSCluster checks a cluster of type EDS and returns the name of its assignment.
+func (r *resourceReader) readEDSCluster(at string, message *clusterv3.Cluster) (serviceName string) {
 	config := message.GetEdsClusterConfig()
 	if config == nil {
 		r.addError(at, "type EDS without eds_cluster_config")
 		return ""
 	}
-	r.fields(at+" eds_cluster_config", config, edsClusterConfigFields)
-	r.configSource(at, config.GetEdsConfig())
+	r.checkFields(at+" eds_cluster_config", config, edsClusterConfigFields)
+	r.checkConfigSource(at, config.GetEdsConfig())
 	if message.GetLoadAssignment() != nil {
 		r.addError(at, "load_assignment with type EDS")
 	}
@@ -83,20 +83,20 @@
 	return config.GetServiceName()
 }
 
-// configSource checks that a cluster's endpoints are to be fetched over the same stream as the cluster.
-func (r *reading) configSource(at string, source *corev3.ConfigSource) {
+// checkConfigSource checks that a cluster's endpoints are to be fetched over the same stream as the cluster.
+func (r *resourceReader) checkConfigSource(at string, source *corev3.ConfigSource) {
 	if source == nil {
 		r.addError(at, "eds_cluster_config without eds_config")
 		return
 	}
-	r.fields(at+" eds_config", source, configSourceFields)
+	r.checkFields(at+" eds_config", source, configSourceFields)
 	if v := source.GetResourceApiVersion(); v != corev3.ApiVersion_V3 && v != corev3.ApiVersion_AUTO {
 		r.addError(at, "resource_api_version %v is not supported, only V3 is", v)
 	}
 }
 
-// staticCluster checks a cluster of type STATIC and returns its assignment, or nil if that is missing or invalid.
-func (r *reading) staticCluster(at string, message *clusterv3.Cluster) *Assignment {
+// readStaticCluster checks a cluster of type STATIC and returns its assignment, or nil if that is missing or invalid.
+func (r *resourceReader) readStaticCluster(at string, message *clusterv3.Cluster) *Assignment {
 	if message.GetLoadAssignment() == nil {
 		r.addError(at, "type STATIC without load_assignment")
 		return nil
--- a/internal/endpoint/xds/cluster_test.go
+++ b/internal/endpoint/xds/cluster_test.go
@@ -36,7 +36,7 @@
 
 // Each field of a cluster that is invalid, or requests unsupported behaviour, gives an error that names it.
 func TestInvalidClusterIsRejected(t *testing.T) {
-	for want, spoil := range map[string]func(*clusterv3.Cluster){
+	for want, modify := range map[string]func(*clusterv3.Cluster){
 		"cluster: name is empty":     func(c *clusterv3.Cluster) { c.Name = "" },
 		"without eds_cluster_config": func(c *clusterv3.Cluster) { c.EdsClusterConfig = nil },
 		"without eds_config":         func(c *clusterv3.Cluster) { c.EdsClusterConfig.EdsConfig = nil },
@@ -69,7 +69,7 @@
 		},
 	} {
 		c := xdsstandin.Cluster("storage")
-		spoil(c)
+		modify(c)
 		if _, err := xds.ReadCluster(c); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("want an error with: %s; got: %v", want, err)
 		}
--- a/internal/endpoint/xds/endpoint.go
+++ b/internal/endpoint/xds/endpoint.go
@@ -25,25 +25,25 @@
 )
 
 var (
-	lbEndpointFields = map[protoreflect.Name]support{
+	lbEndpointFields = map[protoreflect.Name]fieldSupport{
 		"endpoint":              read,
 		"health_status":         read,
 		"metadata":              read,
 		"load_balancing_weight": read,
 	}
-	endpointFields = map[protoreflect.Name]support{
+	endpointFields = map[protoreflect.Name]fieldSupport{
 		"address":  read,
 		"hostname": read,
 	}
-	addressFields = map[protoreflect.Name]support{
+	addressFields = map[protoreflect.Name]fieldSupport{
 		"socket_address": read,
 	}
-	socketAddressFields = map[protoreflect.Name]support{
+	socketAddressFields = map[protoreflect.Name]fieldSupport{
 		"protocol":   read,
 		"address":    read,
 		"port_value": read,
 	}
-	metadataFields = map[protoreflect.Name]support{
+	metadataFields = map[protoreflect.Name]fieldSupport{
 		"filter_metadata":       read,
 		"typed_filter_metadata": ignored,
 	}
@@ -60,23 +60,23 @@
 	corev3.HealthStatus_TIMEOUT:   endpoint.Unhealthy,
 }
 
-// endpoint reads one endpoint, and returns false if it is invalid.
-func (r *reading) endpoint(at string, message *endpointv3.LbEndpoint) (node endpoint.Node, ok bool) {
+// readEndpoint reads one endpoint, and returns false if it is invalid.
+func (r *resourceReader) readEndpoint(at string, message *endpointv3.LbEndpoint) (node endpoint.Node, ok bool) {
 	before := len(r.errors)
 	if message == nil || message.GetEndpoint() == nil && message.GetEndpointName() == "" {
 		r.addError(at, "endpoint is empty")
 		return node, false
 	}
-	r.fields(at, message, lbEndpointFields)
+	r.checkFields(at, message, lbEndpointFields)
 	host := message.GetEndpoint()
 	if host == nil {
 		return node, false
 	}
-	node.Addr = r.address(at, host.GetAddress())
+	node.Addr = r.readAddress(at, host.GetAddress())
 	if node.Addr != "" {
 		at += " " + node.Addr
 	}
-	r.fields(at, host, endpointFields)
+	r.checkFields(at, host, endpointFields)
 	node.Name = host.GetHostname()
 	health, known := healthOf[message.GetHealthStatus()]
 	if !known {
@@ -89,22 +89,22 @@
 			r.addError(at, "load_balancing_weight 0: must be at least 1")
 		}
 	}
-	r.metadata(at, message.GetMetadata(), &node)
+	r.readMetadata(at, message.GetMetadata(), &node)
 	return node, len(r.errors) == before
 }
 
-// address returns the host:port of a socket address, or an empty string if there is none.
-func (r *reading) address(at string, message *corev3.Address) string {
+// readAddress returns the host:port of a socket address, or an empty string if there is none.
+func (r *resourceReader) readAddress(at string, message *corev3.Address) string {
 	if message == nil {
 		r.addError(at, "endpoint has no address")
 		return ""
 	}
-	r.fields(at+" address", message, addressFields)
+	r.checkFields(at+" address", message, addressFields)
 	s := message.GetSocketAddress()
 	if s == nil {
 		return ""
 	}
-	r.fields(at+" socket_address", s, socketAddressFields)
+	r.checkFields(at+" socket_address", s, socketAddressFields)
 	if s.GetProtocol() != corev3.SocketAddress_TCP {
 		r.addError(at, "protocol %v is not supported, only TCP is", s.GetProtocol())
 	}
@@ -121,10 +121,10 @@
 	return netip.AddrPortFrom(ip, uint16(s.GetPortValue())).String()
 }
 
-// metadata reads a node's shard and start time from the endpoint's metadata.
-func (r *reading) metadata(at string, message *corev3.Metadata, node *endpoint.Node) {
+// readMetadata reads a node's shard and start time from the endpoint's metadata.
+func (r *resourceReader) readMetadata(at string, message *corev3.Metadata, node *endpoint.Node) {
 	if message != nil {
-		r.fields(at+" metadata", message, metadataFields)
+		r.checkFields(at+" metadata", message, metadataFields)
 	}
 	own := message.GetFilterMetadata()[MetadataKey]
 	if own == nil {
@@ -136,13 +136,13 @@
 			r.addError(at, "unknown metadata field %s.%s", MetadataKey, key)
 		}
 	}
-	r.shard(at, own.GetFields()[shardField], node)
+	r.readShard(at, own.GetFields()[shardField], node)
 	if start := own.GetFields()[startField]; start != nil {
-		r.start(at, start, node)
+		r.readStartTime(at, start, node)
 	}
 }
 
-func (r *reading) shard(at string, v *structpb.Value, n *endpoint.Node) {
+func (r *resourceReader) readShard(at string, v *structpb.Value, n *endpoint.Node) {
 	number, isNumber := v.GetKind().(*structpb.Value_NumberValue)
 	if !isNumber {
 		r.addError(at, "metadata %s.%s is not a number", MetadataKey, shardField)
@@ -157,7 +157,7 @@
 	n.Shard = int(shard)
 }
 
-func (r *reading) start(at string, v *structpb.Value, n *endpoint.Node) {
+func (r *resourceReader) readStartTime(at string, v *structpb.Value, n *endpoint.Node) {
 	start, err := time.Parse(time.RFC3339Nano, v.GetStringValue())
 	if err != nil || start.UnixNano() <= 0 {
 		r.addError(at, "metadata %s.%s is not an RFC 3339 time after 1970, such as \"2026-01-02T15:04:05Z\"",
--- a/internal/endpoint/xds/expiry.go
+++ b/internal/endpoint/xds/expiry.go
@@ -39,13 +39,13 @@
 	if at := s.firstResponseDue(); at == 0 || now < at {
 		return
 	}
-	s.clusterSub.overdue = true
+	s.clusterSub.reportedOverdue = true
 	out.Rejected = fmt.Errorf("no response to the first request for clusters within %v", time.Duration(s.fetchTimeout))
 }
 
 // firstResponseDue returns the deadline of the first response; 0 if it was received or was reported as overdue.
 func (s *Session) firstResponseDue() int64 {
-	if s.clusterSub.state != Requested || s.clusterSub.overdue {
+	if s.clusterSub.state != Requested || s.clusterSub.reportedOverdue {
 		return 0
 	}
 	return s.clusterSub.since + s.fetchTimeout
--- a/internal/endpoint/xds/file.go
+++ b/internal/endpoint/xds/file.go
@@ -23,8 +23,8 @@
 // for.
 const fileFetchTimeout = time.Nanosecond
 
-// errFileForm is returned for a file name whose extension does not give its encoding.
-var errFileForm = errors.New("the name of an xDS file must end in .json or .pb")
+// errFileExtension is returned for a file name whose extension does not give its encoding.
+var errFileExtension = errors.New("the name of an xDS file must end in .json or .pb")
 
 // FileSource is an endpoint.Source that reads two files, each of which holds a DiscoveryResponse as JSON (.json) or
 // in protobuf's binary encoding (.pb). The files are read again when they change.
@@ -54,7 +54,7 @@
 	case ".pb":
 		err = proto.Unmarshal(src, m)
 	default:
-		err = fmt.Errorf("%w, not %q", errFileForm, ext)
+		err = fmt.Errorf("%w, not %q", errFileExtension, ext)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", file, err)
@@ -141,7 +141,7 @@
 	to      endpoint.Subscriber
 	now     func() int64
 	session *Session
-	sums    map[string]uint64 // hashes of the contents last read, by resource type
+	hashes  map[string]uint64 // hashes of the contents last read, by resource type
 }
 
 func newFileReader(f FileSource, to endpoint.Subscriber) *fileReader {
@@ -152,7 +152,7 @@
 		to:      to,
 		now:     monotonicClock(),
 		session: NewSession(false, nil, fileFetchTimeout),
-		sums:    map[string]uint64{},
+		hashes:  map[string]uint64{},
 	}
 	r.session.OpenStream(r.now())
 	return r
@@ -170,10 +170,10 @@
 			return
 		}
 		sum := xxhash.Sum64(src)
-		if r.sums[f.typeURL] == sum && !changed {
+		if r.hashes[f.typeURL] == sum && !changed {
 			continue
 		}
-		r.sums[f.typeURL], changed = sum, true
+		r.hashes[f.typeURL], changed = sum, true
 		m, err := DecodeResponse(f.path, src)
 		if err != nil {
 			r.to.OnRejected(err)
--- a/internal/endpoint/xds/file_test.go
+++ b/internal/endpoint/xds/file_test.go
@@ -32,7 +32,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() {
-		done <- xds.FileSource{Clusters: f.clusters, Endpoints: f.endpoints, Log: discard}.Run(ctx, r)
+		done <- xds.FileSource{Clusters: f.clusters, Endpoints: f.endpoints, Log: discardLog}.Run(ctx, r)
 	}()
 	t.Cleanup(func() {
 		cancel()
--- a/internal/endpoint/xds/helper_test.go
+++ b/internal/endpoint/xds/helper_test.go
@@ -21,10 +21,10 @@
 // timeout limits every wait of a test. It is far longer than any wait that succeeds.
 const timeout = 20 * time.Second
 
-var discard = slog.New(slog.DiscardHandler)
+var discardLog = slog.New(slog.DiscardHandler)
 
-// formName returns the name of a variant of the protocol, as in the configuration.
-func formName(incremental bool) string {
+// variantName returns the name of a variant of the protocol, as in the configuration.
+func variantName(incremental bool) string {
 	if incremental {
 		return "delta"
 	}
@@ -67,14 +67,14 @@
 }
 
 // await waits until a condition holds, and fails the test if that takes longer than timeout.
-func (r *recorder) await(t testing.TB, what string, holds func(*recorder) bool) {
+func (r *recorder) await(t testing.TB, what string, condition func(*recorder) bool) {
 	t.Helper()
 	overdue := time.AfterFunc(timeout, func() { r.update(func() {}) })
 	defer overdue.Stop()
 	end := time.Now().Add(timeout)
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	for !holds(r) {
+	for !condition(r) {
 		if time.Now().After(end) {
 			t.Fatalf("timed out waiting for %q: last list %+v, %d lists, rejected %q, links %v",
 				what, r.list, r.lists, r.rejected, r.links)
@@ -133,7 +133,7 @@
 	t.Helper()
 	opt.InitialFetchTimeout = timeout
 	opt.MinBackoff = time.Millisecond
-	opt.Log = discard
+	opt.Log = discardLog
 	r := newRecorder()
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
@@ -148,8 +148,8 @@
 	return r
 }
 
-// listen runs a client of the server, in the given variant of the protocol, until the test ends.
-func listen(t testing.TB, s *xdsstandin.Server, incremental bool, name string) *recorder {
+// startNamedClient runs a client of the server, in the given variant of the protocol, until the test ends.
+func startNamedClient(t testing.TB, s *xdsstandin.Server, incremental bool, name string) *recorder {
 	t.Helper()
 	return startClient(t, xds.Options{
 		Address:     s.Addr(),
@@ -159,8 +159,8 @@
 	})
 }
 
-// do runs commands on a server.
-func do(t testing.TB, s *xdsstandin.Server, commands ...string) {
+// runCommands runs commands on a server.
+func runCommands(t testing.TB, s *xdsstandin.Server, commands ...string) {
 	t.Helper()
 	for _, command := range commands {
 		if err := s.Command(command); err != nil {
@@ -184,7 +184,7 @@
 	t.Helper()
 	r := xds.Response{Type: xds.ClusterType, Version: version, Nonce: nonce}
 	for _, name := range names {
-		add(&r, incremental, name, pack(t, xdsstandin.Cluster(name)))
+		addResource(&r, incremental, name, pack(t, xdsstandin.Cluster(name)))
 	}
 	return r
 }
@@ -193,12 +193,12 @@
 func endpoints(t testing.TB, incremental bool, version, nonce, name string, ports ...string) xds.Response {
 	t.Helper()
 	r := xds.Response{Type: xds.EndpointType, Version: version, Nonce: nonce}
-	add(&r, incremental, name, pack(t, xdsstandin.Assignment(name, nodes(ports...))))
+	addResource(&r, incremental, name, pack(t, xdsstandin.Assignment(name, nodes(ports...))))
 	return r
 }
 
-// add adds a resource to a response of either variant.
-func add(r *xds.Response, incremental bool, name string, body *anypb.Any) {
+// addResource adds a resource to a response of either variant.
+func addResource(r *xds.Response, incremental bool, name string, body *anypb.Any) {
 	if incremental {
 		r.Changed = append(r.Changed, &discoveryv3.Resource{Name: name, Version: r.Version, Resource: body})
 	} else {
--- a/internal/endpoint/xds/list.go
+++ b/internal/endpoint/xds/list.go
@@ -87,14 +87,14 @@
 	if !slices.Equal(names, s.endpointSub.names) && (len(names) > 0 || s.endpointSub.state != Idle) {
 		out.Requests = append(out.Requests, s.request(now, &s.endpointSub, names, ""))
 	}
-	if !s.clusterSub.answered || !s.listed && s.warming(now) {
+	if !s.clusterSub.everAccepted || !s.listReported && s.warming(now) {
 		return
 	}
 	list := s.list(now, out)
-	if !s.listed && len(list.Nodes) == 0 && len(s.clusters) > 0 && len(s.assignments) == 0 {
+	if !s.listReported && len(list.Nodes) == 0 && len(s.clusters) > 0 && len(s.assignments) == 0 {
 		return // no endpoints were ever received, which does not mean that there are none
 	}
-	out.List, s.listed = list, true
+	out.List, s.listReported = list, true
 }
 
 // dropUnused drops the assignments of all services but the given ones, and the addedAt times of removed clusters.
@@ -133,8 +133,8 @@
 			if c.Inline == nil && s.assignments[c.ServiceName].isStale(now) {
 				list.Stale = true
 			}
-			s.noteOnce(out, c.Notes)
-			s.noteOnce(out, a.Notes)
+			s.addNewNotes(out, c.Notes)
+			s.addNewNotes(out, a.Notes)
 		}
 	}
 	return list
@@ -146,11 +146,11 @@
 	return after > 0 && now >= r.receivedAt+after
 }
 
-// noteOnce adds those notes to the outcome that were not logged before.
-func (s *Session) noteOnce(out *Outcome, notes []string) {
+// addNewNotes adds those notes to the outcome that were not logged before.
+func (s *Session) addNewNotes(out *Outcome, notes []string) {
 	for _, note := range notes {
-		if !s.noted[note] && len(s.noted) < maxNoted {
-			s.noted[note] = true
+		if !s.loggedNotes[note] && len(s.loggedNotes) < maxLoggedNotes {
+			s.loggedNotes[note] = true
 			out.addNote(note)
 		}
 	}
--- a/internal/endpoint/xds/random_test.go
+++ b/internal/endpoint/xds/random_test.go
@@ -12,8 +12,8 @@
 	"irispost/internal/endpoint/xds"
 )
 
-// drawResponse returns a random response and whether it is valid.
-func drawResponse(t *testing.T, rng *rand.Rand, incremental bool, version, nonce string) (r xds.Response, valid bool) {
+// randomResponse returns a random response and whether it is valid.
+func randomResponse(t *testing.T, rng *rand.Rand, incremental bool, version, nonce string) (r xds.Response, valid bool) {
 	t.Helper()
 	names := []string{"a", "b", "c"}[:rng.IntN(4)]
 	name := string(rune('a' + rng.IntN(3)))
@@ -30,7 +30,7 @@
 		return endpoints(t, incremental, version, nonce, name, "0"), false
 	case 3:
 		r = clusters(t, incremental, version, nonce, "a")
-		add(&r, incremental, "b", &anypb.Any{TypeUrl: xds.ClusterType, Value: []byte{0xff, 0xff}})
+		addResource(&r, incremental, "b", &anypb.Any{TypeUrl: xds.ClusterType, Value: []byte{0xff, 0xff}})
 		return r, false
 	}
 	return endpoints(t, incremental, version, nonce, name, port), true
@@ -85,7 +85,7 @@
 	for seed := range uint64(seeds) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		incremental := seed%2 == 0
-		s := xds.NewSession(incremental, nil, fetch)
+		s := xds.NewSession(incremental, nil, fetchTimeout)
 		now := sec
 		s.OpenStream(now)
 		for step := range steps {
@@ -96,7 +96,7 @@
 			case 1:
 				s.Tick(now)
 			default:
-				r, valid := drawResponse(t, rng, incremental, fmt.Sprint(step), fmt.Sprint("n", step))
+				r, valid := randomResponse(t, rng, incremental, fmt.Sprint(step), fmt.Sprint("n", step))
 				if err := checkOutcome(s.HandleResponse(now, r), r, valid); err != nil {
 					t.Fatalf("seed %d, step %d: %v", seed, step, err)
 				}
--- a/internal/endpoint/xds/read.go
+++ b/internal/endpoint/xds/read.go
@@ -16,15 +16,15 @@
 
 // responseReader reads a response into a separate set of resources, so that a response with an error has no effect.
 type responseReader struct {
-	session *Session
-	sub     *subscription
-	now     int64
-	out     *Outcome
-	old     resources            // those in force
-	bySum   map[uint64]*resource // those in force, by a hash of their bodies
-	next    resources            // those in force once the response is accepted
-	seen    map[string]bool      // names in the response
-	reading reading
+	session  *Session
+	sub      *subscription
+	now      int64
+	out      *Outcome
+	old      resources            // those in force
+	byHash   map[uint64]*resource // those in force, by a hash of their bodies
+	next     resources            // those in force once the response is accepted
+	seen     map[string]bool      // names in the response
+	problems resourceReader
 }
 
 // read returns the resources that are in force once a response is accepted, or the errors of the response.
@@ -36,7 +36,7 @@
 		now:     now,
 		out:     out,
 		old:     old,
-		bySum:   make(map[uint64]*resource, len(old)),
+		byHash:  make(map[uint64]*resource, len(old)),
 		next:    resources{},
 		seen:    map[string]bool{},
 	}
@@ -44,7 +44,7 @@
 		r.next = maps.Clone(old)
 	}
 	for _, res := range old {
-		r.bySum[xxhash.Sum64(res.body)] = res
+		r.byHash[xxhash.Sum64(res.body)] = res
 	}
 	for _, body := range response.Resources {
 		r.addAny(body)
@@ -55,7 +55,7 @@
 	for _, name := range response.Removed { // may name resources that are unknown
 		delete(r.next, name)
 	}
-	return r.next, r.reading.err()
+	return r.next, r.problems.err()
 }
 
 // addAny reads a resource of a state-of-the-world response. It may be wrapped in a Resource to give it a time to
@@ -67,7 +67,7 @@
 	}
 	wrapper := &discoveryv3.Resource{}
 	if err := body.UnmarshalTo(wrapper); err != nil {
-		r.reading.addError("a resource", "%v", err)
+		r.problems.addError("a resource", "%v", err)
 		return
 	}
 	r.addWrapped(wrapper)
@@ -89,16 +89,16 @@
 		return
 	}
 	if err := r.parse(body, res); err != nil {
-		r.reading.addError(fmt.Sprintf("resource %q", name), "%v", err)
+		r.problems.addError(fmt.Sprintf("resource %q", name), "%v", err)
 		return
 	}
 	if name != "" && name != res.name {
-		r.reading.addError(fmt.Sprintf("resource %q", name), "its body has the name %q", res.name)
+		r.problems.addError(fmt.Sprintf("resource %q", name), "its body has the name %q", res.name)
 	} else if r.seen[res.name] {
-		r.reading.addError(fmt.Sprintf("resource %q", res.name), "it appears twice in the response")
+		r.problems.addError(fmt.Sprintf("resource %q", res.name), "it appears twice in the response")
 	}
 	r.seen[res.name] = true
-	if !r.session.wants(r.sub, res.name) {
+	if !r.session.subscribesTo(r.sub, res.name) {
 		r.out.addNote(fmt.Sprintf("%s %q ignored: not subscribed", typeName(r.sub.typeURL), res.name))
 		return
 	}
@@ -120,7 +120,7 @@
 func (r *responseReader) parse(body *anypb.Any, res *resource) error {
 	value := body.GetValue()
 	res.body = value
-	same := r.bySum[xxhash.Sum64(value)]
+	same := r.byHash[xxhash.Sum64(value)]
 	if same != nil && bytes.Equal(same.body, value) && body.GetTypeUrl() == r.sub.typeURL {
 		res.name, res.cluster, res.assignment = same.name, same.cluster, same.assignment
 		return nil
--- a/internal/endpoint/xds/reading.go
+++ b/internal/endpoint/xds/reading.go
@@ -23,37 +23,37 @@
 	return strings.Join(e, "; ")
 }
 
-// support says how a field of a message is handled.
-type support uint8
+// fieldSupport says how a field of a message is handled.
+type fieldSupport uint8
 
 const (
-	unsupported support = iota // it requests unsupported behaviour: setting it is an error
-	read                       // its value is used
-	ignored                    // it may be set, but has no effect: setting it gives a note
+	unsupported fieldSupport = iota // it requests unsupported behaviour: setting it is an error
+	read                            // its value is used
+	ignored                         // it may be set, but has no effect: setting it gives a note
 )
 
-// reading collects errors and notes while a resource is read.
-type reading struct {
+// resourceReader collects errors and notes while a resource is read.
+type resourceReader struct {
 	errors ValidationErrors
 	notes  []string
 }
 
 // addError adds an error; at is its place in the resource.
-func (r *reading) addError(at, format string, args ...any) {
+func (r *resourceReader) addError(at, format string, args ...any) {
 	r.errors = append(r.errors, at+": "+fmt.Sprintf(format, args...))
 }
 
 // err returns all errors as one, or nil if there are none.
-func (r *reading) err() error {
+func (r *resourceReader) err() error {
 	if len(r.errors) > 0 {
 		return r.errors
 	}
 	return nil
 }
 
-// fields checks all fields that are set in a message, in order of their names. Fields that are not supported, and
-// fields that the compiled protobuf definitions do not have, are errors.
-func (r *reading) fields(at string, message proto.Message, supported map[protoreflect.Name]support) {
+// checkFields checks all fields that are set in a message, in order of their names. Fields that are not supported,
+// and fields that the compiled protobuf definitions do not have, are errors.
+func (r *resourceReader) checkFields(at string, message proto.Message, supported map[protoreflect.Name]fieldSupport) {
 	ref := message.ProtoReflect()
 	var names []string
 	ref.Range(func(f protoreflect.FieldDescriptor, _ protoreflect.Value) bool {
--- a/internal/endpoint/xds/session.go
+++ b/internal/endpoint/xds/session.go
@@ -9,14 +9,14 @@
 
 // subscription is the state of the subscription to one resource type.
 type subscription struct {
-	typeURL  string
-	state    State
-	since    int64    // when state was set
-	version  string   // of the response in force
-	nonce    string   // of the last response on the stream
-	names    []string // of the resources requested on the stream
-	answered bool     // a response was accepted since the session began
-	overdue  bool     // the first response was reported as overdue
+	typeURL         string
+	state           State
+	since           int64    // when state was set
+	version         string   // of the response in force
+	nonce           string   // of the last response on the stream
+	names           []string // of the resources requested on the stream
+	everAccepted    bool     // a response was accepted since the session began
+	reportedOverdue bool     // the first response was reported as overdue
 }
 
 // setState sets the state and the time of the change. All state changes go through it.
@@ -46,16 +46,16 @@
 	clusterSub  subscription
 	endpointSub subscription
 
-	clusters    resources        // clusters in force
-	assignments resources        // assignments in force
-	removed     resources        // clusters kept while new ones wait for endpoints (make before break)
-	addedAt     map[string]int64 // when each cluster was added; 0 if its endpoints were reported as missing
-	listed      bool             // a list was reported
-	noted       map[string]bool  // notes already logged
+	clusters     resources        // clusters in force
+	assignments  resources        // assignments in force
+	removed      resources        // clusters kept while new ones wait for endpoints (make before break)
+	addedAt      map[string]int64 // when each cluster was added; 0 if its endpoints were reported as missing
+	listReported bool             // a list was reported
+	loggedNotes  map[string]bool  // notes already logged
 }
 
-// maxNoted bounds how many different notes are logged.
-const maxNoted = 1000
+// maxLoggedNotes limits how many different notes are logged.
+const maxLoggedNotes = 1000
 
 // NewSession returns a session that subscribes to the wanted clusters, or to all if wanted is empty. fetchTimeout
 // limits the wait for first responses.
@@ -70,7 +70,7 @@
 		assignments:  resources{},
 		removed:      resources{},
 		addedAt:      map[string]int64{},
-		noted:        map[string]bool{},
+		loggedNotes:  map[string]bool{},
 	}
 }
 
@@ -80,7 +80,7 @@
 		sub.setState(now, Idle)
 		sub.nonce, sub.names = "", nil
 	}
-	s.clusterSub.overdue = false
+	s.clusterSub.reportedOverdue = false
 	requests := []Request{s.request(now, &s.clusterSub, s.wanted, "")}
 	if names := s.serviceNames(); len(names) > 0 {
 		requests = append(requests, s.request(now, &s.endpointSub, names, ""))
@@ -95,8 +95,8 @@
 	first := sub.state == Idle
 	switch {
 	case s.incremental:
-		r.Subscribe = without(names, sub.names)
-		r.Unsubscribe = without(sub.names, names)
+		r.Subscribe = difference(names, sub.names)
+		r.Unsubscribe = difference(sub.names, names)
 		if first {
 			r.KnownNames = slices.Sorted(maps.Keys(s.inForce(sub)))
 		}
@@ -114,8 +114,8 @@
 	return r
 }
 
-// without returns the names that are not among the others.
-func without(names, others []string) (rest []string) {
+// difference returns the names that are not among the others.
+func difference(names, others []string) (rest []string) {
 	for _, name := range names {
 		if !slices.Contains(others, name) {
 			rest = append(rest, name)
@@ -163,7 +163,7 @@
 		out.Requests = append(out.Requests, s.request(now, sub, sub.names, err.Error()))
 		return out
 	}
-	sub.version, sub.answered = response.Version, true
+	sub.version, sub.everAccepted = response.Version, true
 	sub.setState(now, Accepted)
 	if sub == &s.clusterSub {
 		s.replaceClusters(now, next)
@@ -186,8 +186,8 @@
 	return nil
 }
 
-// wants reports whether a resource is subscribed to.
-func (s *Session) wants(sub *subscription, name string) bool {
+// subscribesTo reports whether a resource is subscribed to.
+func (s *Session) subscribesTo(sub *subscription, name string) bool {
 	if sub == &s.clusterSub {
 		return len(s.wanted) == 0 || slices.Contains(s.wanted, name)
 	}
--- a/internal/endpoint/xds/session_test.go
+++ b/internal/endpoint/xds/session_test.go
@@ -15,12 +15,12 @@
 )
 
 const (
-	sec   = int64(time.Second)
-	fetch = 15 * time.Second // fetch timeout
+	sec          = int64(time.Second)
+	fetchTimeout = 15 * time.Second
 )
 
-// listed returns the ports of an outcome's list, in the order of the list, or "-" if there is no list.
-func listed(out xds.Outcome) string {
+// formatList returns the ports of an outcome's list, in the order of the list, or "-" if there is no list.
+func formatList(out xds.Outcome) string {
 	if out.List == nil {
 		return "-"
 	}
@@ -31,9 +31,9 @@
 	return strings.Join(ports, " ")
 }
 
-// written returns requests in a short notation: type, version, nonce, then =names, +subscribed, -unsubscribed, known
-// names and NACK for a rejection.
-func written(requests []xds.Request) string {
+// formatRequests returns requests in a short notation: type, version, nonce, then =names, +subscribed, -unsubscribed,
+// known names and NACK for a rejection.
+func formatRequests(requests []xds.Request) string {
 	var out []string
 	types := map[string]string{xds.ClusterType: "C", xds.EndpointType: "E"}
 	for _, r := range requests {
@@ -67,7 +67,7 @@
 // open opens a stream and checks its first requests.
 func (c sessionTest) open(requests string) {
 	c.t.Helper()
-	if got := written(c.s.OpenStream(sec)); got != requests {
+	if got := formatRequests(c.s.OpenStream(sec)); got != requests {
 		c.t.Errorf("the first requests of the stream are %q, want %q", got, requests)
 	}
 }
@@ -76,9 +76,9 @@
 func (c sessionTest) handle(response xds.Response, requests, list string) xds.Outcome {
 	c.t.Helper()
 	out := c.s.HandleResponse(sec, response)
-	if written(out.Requests) != requests || listed(out) != list {
+	if formatRequests(out.Requests) != requests || formatList(out) != list {
 		c.t.Errorf("requests %q, list %q, rejected %v; want %q, %q",
-			written(out.Requests), listed(out), out.Rejected, requests, list)
+			formatRequests(out.Requests), formatList(out), out.Rejected, requests, list)
 	}
 	return out
 }
@@ -104,7 +104,7 @@
 // The requests of the state-of-the-world variant: clusters before endpoints, versions and nonces as the protocol
 // requires, a NACK with the version in force, and the first requests of a new stream.
 func TestStateOfTheWorldRequests(t *testing.T) {
-	c := sessionTest{t, xds.NewSession(false, nil, fetch)}
+	c := sessionTest{t, xds.NewSession(false, nil, fetchTimeout)}
 	c.open("C v n")
 	c.handle(endpoints(t, false, "9", "x", "a", "1000"), "", "-") // received before its cluster: ignored
 	c.handle(clusters(t, false, "1", "n1", "a", "b"), "C v1 nn1; E v n =a,b", "-")
@@ -123,33 +123,33 @@
 
 // The requests of the incremental variant.
 func TestIncrementalRequests(t *testing.T) {
-	c := sessionTest{t, xds.NewSession(true, nil, fetch)}
+	c := sessionTest{t, xds.NewSession(true, nil, fetchTimeout)}
 	c.open("C v n")
 	c.handle(clusters(t, true, "1", "n1", "a", "b"), "C v nn1; E v n +a,b", "-")
 	c.handle(endpoints(t, true, "1", "n2", "a", "1000"), "E v nn2", "-")
 	c.handle(endpoints(t, true, "1", "n3", "b", "2000"), "E v nn3", "1000 2000")
-	unseen := endpoints(t, true, "2", "n4", "z", "9000")
-	unseen.Removed = []string{"never"}
-	c.handle(unseen, "E v nn4", "1000 2000")
+	unsubscribed := endpoints(t, true, "2", "n4", "z", "9000")
+	unsubscribed.Removed = []string{"never"}
+	c.handle(unsubscribed, "E v nn4", "1000 2000")
 	c.handle(endpoints(t, true, "2", "n5", "a", "0"), "E v nn5 NACK", "-")
 	c.handle(endpoints(t, true, "2", "n6", "a", "1001"), "E v nn6", "1001 2000")
-	gone := xds.Response{Type: xds.ClusterType, Version: "2", Nonce: "n7", Removed: []string{"a"}}
-	c.handle(gone, "C v nn7; E v nn6 -a", "2000")
+	removal := xds.Response{Type: xds.ClusterType, Version: "2", Nonce: "n7", Removed: []string{"a"}}
+	c.handle(removal, "C v nn7; E v nn6 -a", "2000")
 	c.open("C v n knows b; E v n +b knows b")
-	lied := endpoints(t, true, "3", "m1", "b", "2000")
-	lied.Changed[0].Name = "c"
-	c.reject(lied, "E v nm1 NACK", "its body has the name \"b\"")
+	mislabelled := endpoints(t, true, "3", "m1", "b", "2000")
+	mislabelled.Changed[0].Name = "c"
+	c.reject(mislabelled, "E v nm1 NACK", "its body has the name \"b\"")
 }
 
 // Clusters that are not subscribed to are ignored. Resources that are inconsistent, duplicate, of the wrong type or
 // over the limit are rejected, and a response of an unknown type is ignored with a note.
 func TestInconsistentResponsesAreRejected(t *testing.T) {
-	c := sessionTest{t, xds.NewSession(false, []string{"a"}, fetch)}
+	c := sessionTest{t, xds.NewSession(false, []string{"a"}, fetchTimeout)}
 	c.open("C v n =a")
 	c.handle(clusters(t, false, "1", "n1", "a", "other"), "C v1 nn1 =a; E v n =a", "-")
 	c.handle(endpoints(t, false, "1", "n2", "a", "1000"), "E v1 nn2 =a", "1000")
 
-	c = sessionTest{t, xds.NewSession(false, nil, fetch)}
+	c = sessionTest{t, xds.NewSession(false, nil, fetchTimeout)}
 	c.s.OpenStream(sec)
 	c.handle(clusters(t, false, "1", "n1", "a", "b"), "C v1 nn1; E v n =a,b", "-")
 	c.handle(endpoints(t, false, "1", "n2", "a", "1000"), "E v1 nn2 =a,b", "-")
@@ -173,17 +173,17 @@
 // First responses and first endpoints are reported as overdue after the fetch timeout, and the session then stops
 // waiting for them.
 func TestOverdueResponsesAreReported(t *testing.T) {
-	s := xds.NewSession(false, nil, fetch)
+	s := xds.NewSession(false, nil, fetchTimeout)
 	s.OpenStream(sec)
-	if s.NextDeadline() != sec+int64(fetch) {
+	if s.NextDeadline() != sec+int64(fetchTimeout) {
 		t.Errorf("the next deadline is %d", s.NextDeadline())
 	}
-	late := s.Tick(sec + int64(fetch))
-	wantRejected(t, late, "no response")
-	if late.List != nil {
-		t.Errorf("a list without any response: %+v", late)
+	overdue := s.Tick(sec + int64(fetchTimeout))
+	wantRejected(t, overdue, "no response")
+	if overdue.List != nil {
+		t.Errorf("a list without any response: %+v", overdue)
 	}
-	if o := s.Tick(sec + 2*int64(fetch)); o.Rejected != nil || s.NextDeadline() != 0 {
+	if o := s.Tick(sec + 2*int64(fetchTimeout)); o.Rejected != nil || s.NextDeadline() != 0 {
 		t.Errorf("the overdue response was reported again, or a deadline is pending: %+v", o)
 	}
 	now := 100 * sec
@@ -191,15 +191,15 @@
 	if o := s.HandleResponse(now, endpoints(t, false, "1", "n2", "a", "1000")); o.List != nil {
 		t.Errorf("a list while endpoints are missing: %+v", o)
 	}
-	o := s.Tick(now + int64(fetch))
-	if listed(o) != "1000" || o.Rejected == nil || !strings.Contains(o.Rejected.Error(), "no endpoints of cluster \"b\"") {
-		t.Errorf("after the fetch timeout: list %q, rejected: %v", listed(o), o.Rejected)
+	o := s.Tick(now + int64(fetchTimeout))
+	if formatList(o) != "1000" || o.Rejected == nil || !strings.Contains(o.Rejected.Error(), "no endpoints of cluster \"b\"") {
+		t.Errorf("after the fetch timeout: list %q, rejected: %v", formatList(o), o.Rejected)
 	}
 	// If no endpoints were ever received, no list is reported.
-	s = xds.NewSession(false, nil, fetch)
+	s = xds.NewSession(false, nil, fetchTimeout)
 	s.OpenStream(now)
 	s.HandleResponse(now, clusters(t, false, "1", "n1", "a"))
-	if o := s.Tick(now + int64(fetch)); o.List != nil || o.Rejected == nil {
+	if o := s.Tick(now + int64(fetchTimeout)); o.List != nil || o.Rejected == nil {
 		t.Errorf("without any endpoints: got %+v, want no list and a rejection", o)
 	}
 }
@@ -207,13 +207,13 @@
 // A resource with a time to live expires, unless there are heartbeats.
 func TestResourceWithTimeToLiveExpires(t *testing.T) {
 	for _, incremental := range []bool{false, true} {
-		t.Run(formName(incremental), func(t *testing.T) {
-			s := xds.NewSession(incremental, nil, fetch)
+		t.Run(variantName(incremental), func(t *testing.T) {
+			s := xds.NewSession(incremental, nil, fetchTimeout)
 			s.OpenStream(sec)
 			s.HandleResponse(sec, clusters(t, incremental, "1", "n1", "a", "b"))
 			s.HandleResponse(sec, endpoints(t, incremental, "1", "n2", "a", "1000"))
-			// live sends cluster b's endpoints with a time to live, or a heartbeat if there is no body.
-			live := func(now int64, body *anypb.Any) xds.Outcome {
+			// sendWithTTL sends cluster b's endpoints with a time to live, or a heartbeat if there is no body.
+			sendWithTTL := func(now int64, body *anypb.Any) xds.Outcome {
 				t.Helper()
 				r := xds.Response{Type: xds.EndpointType, Version: "2", Nonce: "n3"}
 				wrapper := &discoveryv3.Resource{Name: "b", Version: "2", Resource: body, Ttl: durationpb.New(5 * time.Second)}
@@ -224,11 +224,11 @@
 				}
 				return s.HandleResponse(now, r)
 			}
-			if out := live(sec, pack(t, xdsstandin.Assignment("b", nodes("2000")))); listed(out) != "1000 2000" {
-				t.Errorf("resource with a time to live: list %q, rejected: %v", listed(out), out.Rejected)
+			if out := sendWithTTL(sec, pack(t, xdsstandin.Assignment("b", nodes("2000")))); formatList(out) != "1000 2000" {
+				t.Errorf("resource with a time to live: list %q, rejected: %v", formatList(out), out.Rejected)
 			}
-			if out := live(5*sec, nil); out.Rejected != nil || listed(out) != "1000 2000" {
-				t.Errorf("after a heartbeat: list %q, rejected: %v", listed(out), out.Rejected)
+			if out := sendWithTTL(5*sec, nil); out.Rejected != nil || formatList(out) != "1000 2000" {
+				t.Errorf("after a heartbeat: list %q, rejected: %v", formatList(out), out.Rejected)
 			}
 			if s.NextDeadline() != 10*sec {
 				t.Errorf("the next deadline is %d", s.NextDeadline())
@@ -236,11 +236,11 @@
 			if out := s.Tick(9 * sec); out.List != nil {
 				t.Errorf("a list before the resource expires: %+v", out)
 			}
-			if out := s.Tick(10 * sec); listed(out) != "1000" || len(out.Notes) != 1 {
-				t.Errorf("when the resource expires: list %q, notes %v", listed(out), out.Notes)
+			if out := s.Tick(10 * sec); formatList(out) != "1000" || len(out.Notes) != 1 {
+				t.Errorf("when the resource expires: list %q, notes %v", formatList(out), out.Notes)
 			}
-			if out := live(11*sec, nil); len(out.Notes) != 1 || listed(out) != "1000" {
-				t.Errorf("after a heartbeat for an expired resource: list %q, notes %v", listed(out), out.Notes)
+			if out := sendWithTTL(11*sec, nil); len(out.Notes) != 1 || formatList(out) != "1000" {
+				t.Errorf("after a heartbeat for an expired resource: list %q, notes %v", formatList(out), out.Notes)
 			}
 		})
 	}
@@ -248,11 +248,11 @@
 
 // An assignment that is not updated for its endpoint_stale_after makes the list stale, until it is updated.
 func TestAssignmentTurnsStale(t *testing.T) {
-	s := xds.NewSession(false, nil, fetch)
+	s := xds.NewSession(false, nil, fetchTimeout)
 	s.OpenStream(sec)
 	s.HandleResponse(sec, clusters(t, false, "1", "n1", "a"))
 	a := xdsstandin.Assignment("a", nodes("1000"))
-	a.Policy = drops(0)
+	a.Policy = dropPolicy(0)
 	a.Policy.EndpointStaleAfter = durationpb.New(10 * time.Second)
 	r := xds.Response{Type: xds.EndpointType, Version: "1", Nonce: "n2", Resources: []*anypb.Any{pack(t, a)}}
 	if out := s.HandleResponse(sec, r); out.List.Stale || s.NextDeadline() != 11*sec {
--- a/internal/endpoint/xds/stream.go
+++ b/internal/endpoint/xds/stream.go
@@ -98,15 +98,15 @@
 	return nil
 }
 
-// received holds the channels on which a stream's responses and its final error arrive.
-type received struct {
+// incoming holds the channels on which a stream's responses and its final error arrive.
+type incoming struct {
 	responses <-chan Response
-	broken    <-chan error // receives one error when the stream fails
+	failed    <-chan error // receives one error when the stream fails
 	opened    time.Time    // when the stream was opened
 }
 
 // receive reads a stream's responses in a goroutine that ends with the context or when the stream fails.
-func receive(ctx context.Context, t transport) *received {
+func receive(ctx context.Context, t transport) *incoming {
 	responses, broken := make(chan Response), make(chan error, 1)
 	go func() {
 		for {
@@ -122,11 +122,11 @@
 			}
 		}
 	}()
-	return &received{responses, broken, time.Now()}
+	return &incoming{responses, broken, time.Now()}
 }
 
 // next waits for the next event of a stream, which is a response, a failure or a timeout, and returns its outcome.
-func (s *stream) next(ctx context.Context, in *received) (Outcome, error) {
+func (s *stream) next(ctx context.Context, in *incoming) (Outcome, error) {
 	wait := s.untilDue(maxWait)
 	if !s.connected {
 		wait = min(wait, max(connectedAfter-time.Since(in.opened), 0))
@@ -136,7 +136,7 @@
 	select {
 	case <-ctx.Done():
 		return Outcome{}, ctx.Err()
-	case err := <-in.broken:
+	case err := <-in.failed:
 		if status.Code(err) == codes.ResourceExhausted {
 			return Outcome{}, fmt.Errorf("%w: %w", errMessageTooLong, err)
 		}
