--- a/internal/endpoint/xds/assignment_test.go
+++ b/internal/endpoint/xds/assignment_test.go
@@ -97,7 +97,7 @@
 		"priority 0 is missing":                   func(a *assignmentMessage) { a.Endpoints[0].Priority = 1 },
 		"priority 129 exceeds the maximum of 128": func(a *assignmentMessage) { a.Endpoints[0].Priority = 129 },
 		"proximity is not supported":              func(a *assignmentMessage) { a.Endpoints[0].Proximity = wrapperspb.UInt32(1) },
-		"leds_cluster_locality_config is no": func(a *assignmentMessage) {
+		"leds_cluster_locality_config is not supported": func(a *assignmentMessage) {
 			a.Endpoints[0].LbConfig = &endpointv3.LocalityLbEndpoints_LedsClusterLocalityConfig{}
 		},
 		"drop_overloads \"x\" drops 5": func(a *assignmentMessage) { a.Policy = dropPolicy(5) },
