--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -1,8 +1,9 @@
 package scheduler
 
-// canDispatch reports whether a request can be sent to a node now: the node may receive and has capacity, and the
-// request is within its volume's reserve or within what the node takes beyond reserves, and within the slow-start
-// budget of a node that warms up. The order of the conditions counts, since some of them draw random numbers.
+// canDispatch reports whether a request can be sent to a node now: the node accepts requests and has capacity, the
+// request is within its volume's reserve or within what the node takes beyond reserves, and it is within the
+// slow-start budget if the node is warming up. The order of the conditions matters because some of them draw random
+// numbers.
 func (s *Scheduler) canDispatch(node *Node, request *Request) bool {
 	if !s.mayReceive(node) || s.now < node.EjectedUntil {
 		return false
@@ -16,8 +17,8 @@
 	return s.withinSlowStart(node, request)
 }
 
-// full reports whether a request would pass the limit of units in flight at a node. With nothing in flight one
-// request of any size may go, and at a lightly loaded node a second one.
+// full reports whether a request would exceed the limit of units in flight at a node. If nothing is in flight, one
+// request of any size is allowed; at a lightly loaded node, a second one is too.
 func (s *Scheduler) full(node *Node, request *Request) bool {
 	if node.AttemptsInFlight == 0 {
 		return false
@@ -31,8 +32,8 @@
 	return s.bucketAdmits(&request.Volume.Reserve, request, &request.ReserveDraw)
 }
 
-// withinRateLimit reports whether this gateway's part of the volume's rate limit holds a request's units. They are
-// charged once, with the first attempt.
+// withinRateLimit reports whether this gateway's part of the volume's rate limit covers the request. The units are
+// charged only once, with the first attempt.
 func (s *Scheduler) withinRateLimit(request *Request) bool {
 	volume := request.Volume
 	if request.LimitCharged || volume.ServiceLevel.RateLimit <= 0 {
@@ -41,10 +42,11 @@
 	return volume.RateLimit.Refill(s.now) >= request.Units
 }
 
-// withinFairRate reports whether a request beyond its volume's reserve can go. It guards against many gateways that
-// each send a little too much: what one of them saw of a node is soon untrue, but how much the node takes beyond
-// reserves lasts. The node's fair rate follows the waits of its answers; below its nominal value each gateway's
-// part of it is divided by weight. It holds requests back where answers are dear without being late.
+// withinFairRate reports whether a request beyond its volume's reserve can be sent. It prevents many gateways from
+// overloading a node by each sending slightly too much: a gateway's view of the current load is soon outdated, but
+// the rate that a node takes beyond reserves changes slowly. That rate, the fair rate, is adjusted by how long
+// answers have waited at the node. While it is below its nominal value, each gateway's part of it is divided by
+// weight. The drawback is that requests are held back where answers are slow but still within the objective.
 func (s *Scheduler) withinFairRate(node *Node, request *Request) bool {
 	if s.heavilyLoaded(node) {
 		return false
@@ -52,7 +54,7 @@
 	return node.FairRate >= 1 || s.withinExcess(node, request, node.FairRate)
 }
 
-// withinExcess reports whether this gateway's part of so much of the nominal fair rate holds a request.
+// withinExcess reports whether this gateway's part of the given fraction of the nominal fair rate covers a request.
 func (s *Scheduler) withinExcess(node *Node, request *Request, fairRate float64) bool {
 	volume := request.Volume
 	flow := s.flow(node, volume)
@@ -61,10 +63,10 @@
 	return s.bucketAdmits(&flow.Excess, request, &request.ExcessDraw)
 }
 
-// bucketAdmits reports whether a token bucket holds a request's units. A bucket that is smaller than the request,
-// as a gateway's part of something is where there are many, admits such requests by chance, with the probability of
-// its level over their units, and is emptied by each draw: so the sum over all gateways is right in the mean. A
-// request draws once.
+// bucketAdmits reports whether a token bucket covers a request. A bucket with less capacity than the request's units,
+// which is common when a budget is split over many gateways, admits it at random with probability level/units. Each
+// draw empties the bucket, so that the expected total over all gateways is correct. A request draws only once per
+// bucket.
 func (s *Scheduler) bucketAdmits(bucket *TokenBucket, request *Request, draw *AdmissionDraw) bool {
 	level := bucket.Refill(s.now)
 	if bucket.Capacity >= request.Units || bucket.Rate <= 0 {
--- a/scheduler/apply_settings.go
+++ b/scheduler/apply_settings.go
@@ -5,21 +5,21 @@
 	"slices"
 )
 
-// ApplySettings has the scheduler work from other settings from now on. What is in flight goes on, and each request
-// keeps the strictest idempotency that its class has had since it came. Of a service level or class that is not in
-// the new settings, what waits is given up at once, nothing is sent again, and what comes is rejected, until it is
-// back.
+// ApplySettings replaces the settings. Requests in flight continue, and each request keeps the strictest idempotency
+// that its class has had since it was submitted. For a service level or class that the new settings lack, waiting
+// requests are given up at once, nothing is sent again, and new requests are rejected, until the settings contain it
+// again.
 func (s *Scheduler) ApplySettings(now Time, settings Settings) {
 	s.now = now
 	s.settingsReplaced = true
 	s.useUpRetryBudget(settings)
 	s.settings = settings
 	s.loadSettings()
-	for _, volume := range s.volumes { // the order of the map reaches no decision
+	for _, volume := range s.volumes { // the iteration order affects no decision
 		s.resizeRateLimit(volume)
 		s.recordServedUnits(volume, 0, 0)
 	}
-	for _, request := range s.requests { // the order of the map reaches no decision
+	for _, request := range s.requests { // the iteration order affects no decision
 		s.reclassify(request)
 	}
 	for _, node := range s.nodes {
@@ -31,8 +31,8 @@
 		len(s.serviceLevels), len(s.classes), len(s.requests))
 }
 
-// useUpRetryBudget takes the whole budget for retries where its window gets longer: what was sent before the
-// shorter window is not known.
+// useUpRetryBudget uses up the whole retry budget if its window becomes longer, because retries sent before the
+// shorter window are not known.
 func (s *Scheduler) useUpRetryBudget(settings Settings) {
 	if settings.duration(settingRetryWindow) <= s.settings.duration(settingRetryWindow) {
 		return
@@ -41,8 +41,8 @@
 	s.recentRetries = slices.Repeat([]Time{s.now}, 1+int(budget))
 }
 
-// resizeRateLimit sets a volume's rate limit to its service level's. Where there was none, it is not known
-// what was sent: its bucket begins empty.
+// resizeRateLimit sets a volume's rate limit to that of its service level. If there was no limit before, the bucket
+// starts empty, because it is not known what has been sent.
 func (s *Scheduler) resizeRateLimit(volume *Volume) {
 	if volume.RateLimit.Rate <= 0 {
 		volume.RateLimit = TokenBucket{UpdatedAt: s.now}
@@ -51,8 +51,8 @@
 	volume.RateLimit.resize(s.now, level.RateLimit/volume.GatewayCount, level.Burst/volume.GatewayCount)
 }
 
-// reclassify gives a request the class that its name means now, with the stricter idempotency of both. Where the
-// class has become ordered, requests of its key that come later wait until this one is surely over.
+// reclassify assigns a request the current class of the same name, with the stricter idempotency of the old and new
+// class. If the class has become ordered, later requests with the same key wait until this one is certainly over.
 func (s *Scheduler) reclassify(request *Request) {
 	class := s.classes[request.Class.Name]
 	if class == request.Class || request.State.Terminal() {
@@ -66,8 +66,7 @@
 	request.Class = stricter(request.Class, class)
 }
 
-// giveUpRemoved gives up what waits in a flow whose service level, or of classes which, are not in the settings any
-// more.
+// giveUpRemoved gives up the queued requests of a flow whose service level or class is no longer in the settings.
 func (s *Scheduler) giveUpRemoved(flow *Flow) {
 	for _, request := range slices.Clone(flow.Queue) {
 		if request.removedFromSettings() {
@@ -76,15 +75,15 @@
 	}
 }
 
-// loadSettings takes service levels, classes and figures from the settings.
+// loadSettings reads service levels, request classes and the mean request size from the settings.
 func (s *Scheduler) loadSettings() {
 	s.loadServiceLevels()
 	s.loadClasses()
 	s.meanUnits = max(s.settings.number(settingMeanUnits), minMeanUnits)
 }
 
-// loadServiceLevels takes the service levels from the settings. A level stays the same object, so that its volumes
-// stay its own.
+// loadServiceLevels reads the service levels from the settings. The object of a known level is updated in place
+// because its volumes refer to it.
 func (s *Scheduler) loadServiceLevels() {
 	for _, level := range s.serviceLevels {
 		level.Removed = true
@@ -107,12 +106,12 @@
 	if anyReserve {
 		return
 	}
-	for _, level := range s.serviceLevels { // a multiple of what it is sized for stands in
+	for _, level := range s.serviceLevels { // if there is no reserve, use a multiple of the nominal rate
 		level.Reserve = defaultReserveFactor * level.NominalRate
 	}
 }
 
-// loadClasses takes the request classes from the settings.
+// loadClasses reads the request classes from the settings.
 func (s *Scheduler) loadClasses() {
 	for _, class := range s.classes {
 		class.Removed = true
@@ -130,8 +129,8 @@
 	s.tightestObjective = max(s.tightestObjective, minObjective)
 }
 
-// stricter returns a class under which a repeat is allowed only where it is under both. All else is the later
-// class's.
+// stricter returns a class that allows a repeat only where both classes allow it. Everything else is taken from the
+// later class.
 func stricter(earlier, later *RequestClass) *RequestClass {
 	class := *later
 	class.DedupWindow = min(earlier.DedupWindow, later.DedupWindow)
@@ -143,7 +142,7 @@
 		class.DedupScope = earlier.DedupScope
 		class.DedupWindow = earlier.DedupWindow
 	case earlier.Idempotency == NonIdempotent || earlier.DedupScope != later.DedupScope:
-		class.Idempotency = NonIdempotent // no node is sure to recognise a repeat under both
+		class.Idempotency = NonIdempotent // no node is certain to recognise a repeat under both
 	}
 	return &class
 }
--- a/scheduler/apply_settings_test.go
+++ b/scheduler/apply_settings_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Each stated outcome of a change of settings, once.
+// Each specified effect of a settings change is covered by one case.
 func TestApplySettings(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -21,7 +21,7 @@
 	}
 }
 
-// newHarnessWithNode is a harness whose list names one node.
+// newHarnessWithNode returns a harness whose endpoint list names one node.
 func newHarnessWithNode(more ...string) *harness {
 	h := newHarness(1, testSettings(more...))
 	h.listNode("a0", 0, 0, EndpointReady)
@@ -29,13 +29,13 @@
 }
 
 func checkLowerRateLimit(t *testing.T) {
-	h := newHarnessWithNode("plans.0.limit=60", "plans.0.burst=64") // half of it at each of two gateways
+	h := newHarnessWithNode("plans.0.limit=60", "plans.0.burst=64") // half of it for each of two gateways
 	volume := h.submit(2, "read", 0, 8).Volume
 	h.rateLimits[volume] = &TokenBucket{Rate: 30, Capacity: 32, UpdatedAt: h.startedAt}
 	h.advanceInSteps(2 * Second)
 	lower := map[string]string{"plans.0.limit": "8", "plans.0.burst": "8"}
 	h.scheduler.ApplySettings(h.now, settingsWith(h.settings, lower))
-	expectEqual(t, h, "what is saved up fits", volume.RateLimit.Level <= 4, true)
+	expectEqual(t, h, "accumulated level fits the new capacity", volume.RateLimit.Level <= 4, true)
 	h.rateLimits[volume].resize(h.now, 4, 4)
 	sent := 0.0
 	for range 100 {
@@ -46,7 +46,7 @@
 		}
 		h.finishAll(OutcomeServed)
 	}
-	expectEqual(t, h, "units sent in five seconds, 24 at most", sent >= 16 && sent <= 24, true)
+	expectEqual(t, h, "units sent in five seconds are 16 to 24", sent >= 16 && sent <= 24, true)
 }
 
 func checkNewRateLimit(t *testing.T) {
@@ -55,11 +55,11 @@
 	h.advance(Millisecond)
 	h.finish(h.inFlight[0], OutcomeServed)
 	h.scheduler.ApplySettings(h.now, testSettings())
-	expectEqual(t, h, "saved up", request.Volume.RateLimit.Level, 0.0)
+	expectEqual(t, h, "level of the new limit", request.Volume.RateLimit.Level, 0.0)
 	h.scheduler.ApplySettings(h.now, testSettings("plans.0.limit=0"))
 	late := h.submit(2, "read", 0, 8)
 	h.advance(Millisecond)
-	expectEqual(t, h, "without one again", late.State, RequestInFlight)
+	expectEqual(t, h, "state once the limit is removed", late.State, RequestInFlight)
 }
 
 func checkLowerReserve(t *testing.T) {
@@ -69,7 +69,7 @@
 	expectEqual(t, h, "rate", volume.Reserve.Rate, 2.0)
 	expectEqual(t, h, "level within the capacity", volume.Reserve.Level <= volume.Reserve.Capacity, true)
 	h.scheduler.ApplySettings(h.now, testSettings("plans.1.reserve=0", "plans.1.rate=3"))
-	expectEqual(t, h, "rate that stands in", volume.Reserve.Rate, 3.0)
+	expectEqual(t, h, "rate in place of a reserve", volume.Reserve.Rate, 3.0)
 }
 
 func checkChangedIdempotency(t *testing.T) {
@@ -106,7 +106,7 @@
 		{zone, zone, *zone},
 	} {
 		if got := stricter(c.earlier, c.later); *got != c.want {
-			t.Errorf("of %+v and %+v: %+v", c.earlier, c.later, got)
+			t.Errorf("stricterClass(%+v, %+v) = %+v, which is not the expected class", c.earlier, c.later, got)
 		}
 	}
 }
@@ -123,16 +123,16 @@
 	late := h.submit(2, "read", 0, 1)
 	h.advance(0)
 	for _, request := range []*Request{queued, unplaced, late} {
-		expectEqual(t, h, "what waits", request.State, RequestRejected)
+		expectEqual(t, h, "state of a waiting request", request.State, RequestRejected)
 	}
-	expectEqual(t, h, "what is in flight", sent.State, RequestInFlight)
+	expectEqual(t, h, "state of the request in flight", sent.State, RequestInFlight)
 	h.finish(h.inFlight[0], OutcomeServed)
-	expectEqual(t, h, "and its answer", sent.State, RequestSucceeded)
+	expectEqual(t, h, "its state after the answer", sent.State, RequestSucceeded)
 	h.scheduler.ApplySettings(h.now, testSettings("plans.0.limit=0"))
 	h.node("a0").EjectedUntil = 0
 	back := h.submit(2, "read", 0, 1)
 	h.advance(Millisecond)
-	expectEqual(t, h, "when it is back", back.State, RequestInFlight)
+	expectEqual(t, h, "state once the level is back", back.State, RequestInFlight)
 	expectEqual(t, h, "its volume is the same", back.Volume == sent.Volume, true)
 }
 
@@ -143,9 +143,9 @@
 	h.scheduler.ApplySettings(h.now, testSettings("plans.0.limit=0", "products.0.in_turn=true"))
 	later, other := h.submit(3, "read", 0, 1), h.submit(4, "read", 0, 1)
 	h.advance(Millisecond)
-	expectEqual(t, h, "behind one that may still run", later.State, RequestUnplaced)
-	expectEqual(t, h, "of another key", other.State, RequestInFlight)
-	expectEqual(t, h, "the first", first.State, RequestInFlight)
+	expectEqual(t, h, "state behind a request that may still be running", later.State, RequestUnplaced)
+	expectEqual(t, h, "state of a request with another key", other.State, RequestInFlight)
+	expectEqual(t, h, "state of the first request", first.State, RequestInFlight)
 }
 
 func checkLongerRetryWindow(t *testing.T) {
@@ -158,7 +158,7 @@
 		h.advance(Millisecond)
 		return len(request.Attempts)
 	}
-	expectEqual(t, h, "attempts, where what was sent before is not known", attempts(), 1)
+	expectEqual(t, h, "attempts while earlier retries are unknown", attempts(), 1)
 	h.advanceInSteps(1100 * Millisecond)
-	expectEqual(t, h, "attempts, once it is", attempts(), 2)
+	expectEqual(t, h, "attempts after a full window", attempts(), 2)
 }
--- a/scheduler/bench_test.go
+++ b/scheduler/bench_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// BenchmarkRequest takes a request of one of 64 volumes over 16 nodes through to its answer, with 16 requests a
-// decision.
+// BenchmarkRequest processes a request from Submit to AttemptFinished, for 64 volumes and 16 nodes, with 16 requests
+// per decision.
 func BenchmarkRequest(b *testing.B) {
 	now := Second
 	s := New(now, 1, Settings{
--- a/scheduler/capacity.go
+++ b/scheduler/capacity.go
@@ -2,8 +2,9 @@
 
 import "math"
 
-// serviceRate is what a node answers to this gateway, in units a second of busy time. A node that is not measured yet
-// counts as the average of the others; while none is, the limit of units in flight stands at its initial value.
+// serviceRate returns the rate at which a node answers this gateway, in units per second of busy time. For a node
+// that is not measured yet it is the average of the measured ones; if there are none, it is the rate at which the
+// limit of units in flight has its initial value.
 func (s *Scheduler) serviceRate(node *Node) float64 {
 	if node.Measured {
 		return max(node.AnsweredUnits/node.BusySeconds, minServiceRate)
@@ -14,12 +15,14 @@
 	return initialLimitRequests * s.meanUnits / (inFlightShareInitial * float64(s.tightestObjective) / float64(Second))
 }
 
-// meanServiceRate is the average rate of the measured nodes, in units a second of busy time, or 0 if there is none.
+// meanServiceRate returns the average rate of the measured nodes, in units per second of busy time, or 0 if there are
+// none.
 func (s *Scheduler) meanServiceRate() float64 {
 	return s.averageOverMeasured(func(node *Node) float64 { return node.AnsweredUnits / node.BusySeconds })
 }
 
-// averageOverMeasured averages a figure over the nodes that are measured, ready and warm. It is 0 if there are none.
+// averageOverMeasured averages a value over the nodes that are measured, ready and not warming up. It returns 0 if
+// there are none.
 func (s *Scheduler) averageOverMeasured(figure func(*Node) float64) float64 {
 	sum, count := 0.0, 0.0
 	for _, node := range s.nodes {
@@ -31,13 +34,13 @@
 	return sum / max(count, 1)
 }
 
-// inFlightLimit is the most units that may be in flight at a node: what it answers in its share of the objective.
+// inFlightLimit returns the limit of units in flight at a node: what the node answers in its share of the objective.
 func (s *Scheduler) inFlightLimit(node *Node) float64 {
 	limit := s.serviceRate(node) * node.InFlightShare * float64(s.tightestObjective) / float64(Second)
 	return min(limit, maxLimitRequests*s.meanUnits)
 }
 
-// expectedLatency is the time that the node is expected to take for a request of so many units, by a line through its
+// expectedLatency returns the expected latency of a request of the given units, by linear regression over the node's
 // latest answers.
 func (n *Node) expectedLatency(units float64) Time {
 	if n.UnitsVariance < minUnitsVariance {
@@ -47,25 +50,26 @@
 	return Time(max(n.MeanLatency+perUnit*(units-n.MeanUnits), n.MeanLatency/minLatencyDivisor))
 }
 
-// lightlyLoaded reports whether a node takes so little for a mean request that a second attempt may pass the limit of
-// units in flight, as one large request fills it. This is wrong where many gateways share a node and each sees it so.
+// lightlyLoaded reports whether a node serves a mean request so quickly that a second attempt may exceed the
+// limit of units in flight, which one large request can fill. The estimate is wrong where many gateways share a node
+// and each of them finds it lightly loaded.
 func (s *Scheduler) lightlyLoaded(node *Node) bool {
 	threshold := Time(lightLoadThreshold * float64(s.tightestObjective))
 	return node.Measured && node.expectedLatency(s.meanUnits) < threshold
 }
 
-// heavilyLoaded reports whether a node has lately shown that it is slow for a mean request. It is left to requests
-// within reserves then, since otherwise one gateway would send requests beyond them while another gives up reserved
-// ones.
+// heavilyLoaded reports whether a node's recent answers show that it is slow for a mean request. Such a node is
+// left to requests within reserves; otherwise one gateway would send requests beyond reserves while another gives up
+// reserved ones.
 func (s *Scheduler) heavilyLoaded(node *Node) bool {
 	threshold := Time(heavyLoadThreshold * float64(s.tightestObjective))
 	lately := s.now-node.LastAnswerAt < s.tightestObjective
 	return node.Measured && lately && node.expectedLatency(s.meanUnits) > threshold
 }
 
-// ownStall is how long this gateway itself stood still before now: by how much its periodic round is overdue, if
-// that is more than an interval. Latencies found then do not tell how long nodes took. Where every step of a gateway
-// comes late it learns no latencies at all.
+// ownStall returns for how long this gateway itself has stalled until now: the delay of its periodic round if that
+// exceeds one interval, else 0. Latencies observed after a stall say nothing about the nodes. A gateway whose every
+// step is late learns no latencies at all.
 func (s *Scheduler) ownStall() Time {
 	late := s.now - s.nextRoundAt
 	if s.nextRoundAt > 0 && late > s.tightestObjective/roundsPerObjective {
@@ -74,8 +78,8 @@
 	return 0
 }
 
-// advanceBusyTime counts a node's busy time up to now. Units and busy time decay together, so that their quotient
-// is the rate over the latest busy time.
+// advanceBusyTime accounts a node's busy time up to now. Answered units and busy time decay together, so their
+// quotient is the rate over recent busy time.
 func (s *Scheduler) advanceBusyTime(node *Node) {
 	if node.AttemptsInFlight > 0 && node.Measured {
 		seconds := float64(max(s.now-node.BusyUpdatedAt-s.ownStall(), 0)) / float64(Second)
@@ -86,7 +90,8 @@
 	node.BusyUpdatedAt = s.now
 }
 
-// recordLatency learns from how long a served attempt took. The weight is that of its outcome.
+// recordLatency updates the node's estimates with the latency of a served attempt, using the given weight in moving
+// averages.
 func (s *Scheduler) recordLatency(node *Node, attempt *Attempt, took Time, weight float64) {
 	latency := float64(took)
 	units := attempt.Request.Units
@@ -101,8 +106,9 @@
 	s.ejectIfSlow(node, took)
 }
 
-// recordFirstLatency begins the estimates of a node with its first answer. Its rate, until now the average of the
-// others, is taken over; its base latency is that of the others where they do better at their best.
+// recordFirstLatency initialises the estimates of a node from its first answer. The service rate starts at the
+// average of the other nodes, which stood in for it until now. The base latency is that of the answer or, if lower,
+// the average base latency of the measured nodes.
 func (s *Scheduler) recordFirstLatency(node *Node, latency, units float64) {
 	rate := s.serviceRate(node)
 	node.Measured = true
@@ -117,8 +123,8 @@
 	node.BaseLatency = min(node.BaseLatency, others)
 }
 
-// recordBaseLatency moves the base latency towards an answer's latency, scaled to a mean request: quickly down, and
-// slowly up, since most answers that are slower have waited.
+// recordBaseLatency moves the base latency towards an answer's latency, scaled to a mean request. It falls
+// quickly and rises slowly, because most slower answers include time spent waiting.
 func (n *Node) recordBaseLatency(meanRequestLatency, weight float64) {
 	if meanRequestLatency < n.BaseLatency {
 		n.BaseLatency += weight * (meanRequestLatency - n.BaseLatency)
@@ -127,7 +133,7 @@
 	}
 }
 
-// recordLatencyByUnits moves the averages from which expectedLatency has its line.
+// recordLatencyByUnits updates the moving averages that expectedLatency uses for its regression.
 func (n *Node) recordLatencyByUnits(latency, units, weight float64) {
 	n.MeanLatency += weight * (latency - n.MeanLatency)
 	n.MeanUnits += weight * (units - n.MeanUnits)
@@ -136,9 +142,9 @@
 	n.UnitsLatencyCovariance += weight * (deviation*(latency-n.MeanLatency) - n.UnitsLatencyCovariance)
 }
 
-// adjustInFlightShare widens the share of the objective whose answers may be in flight for an answer within its
-// objective, and narrows it for one that was sent in time and came late: the node has fallen behind the rate that
-// was measured.
+// adjustInFlightShare increases the share of the objective that limits the units in flight after an answer within its
+// objective. It decreases the share after an answer that was sent in time and came late: the node has fallen behind
+// its measured rate.
 func (n *Node) adjustInFlightShare(attempt *Attempt, now Time) {
 	deadline := attempt.Request.ObjectiveDeadline
 	switch {
@@ -149,9 +155,10 @@
 	}
 }
 
-// recordServedUnits counts units of a volume served here and through other gateways, and sets this gateway's share
-// of what the volume is due: its share of the service, but at least the even one. Otherwise each of many gateways
-// would give the volume all of it. The share is wrong while nodes' reports are late.
+// recordServedUnits counts units of a volume served through this gateway and through others, and updates this
+// gateway's share of the volume's entitlement. The share is this gateway's part of the units served, but at least an
+// even split; without it, each of many gateways would grant the volume its full entitlement. The share is wrong while
+// the nodes' reports are late.
 func (s *Scheduler) recordServedUnits(volume *Volume, here, elsewhere float64) {
 	decay := math.Exp(-float64(s.now-volume.ServedUpdatedAt) / float64(shareMemory))
 	volume.ServedHere = volume.ServedHere*decay + here
--- a/scheduler/capacity_test.go
+++ b/scheduler/capacity_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// A node that falls behind its measured rate, whatever slows it, is sent less until answers meet their objective.
+// A node that falls behind its measured rate, for whatever reason, is sent less until its answers meet their
+// objective again.
 func TestLateAnswersLowerTheInFlightLimit(t *testing.T) {
 	h := newHarness(1, testSettings())
 	h.listNode("a0", 0, 0, EndpointReady)
@@ -13,13 +14,14 @@
 		h.advanceInSteps(took * Millisecond)
 		h.finish(h.inFlight[0], OutcomeServed)
 		if narrow := node.InFlightShare < inFlightShareInitial; narrow != (took == 250) {
-			t.Errorf("in-flight share is %g after an answer of %d ms", node.InFlightShare, took)
+			t.Errorf("in-flight share is %g after an answer that took %d ms", node.InFlightShare, took)
 		}
 		node.InFlightShare, node.MeanLatency, node.EjectedUntil = inFlightShareInitial, 0, 0
 	}
 }
 
-// One large request fills the limit; a small one does not wait behind it, unless the node is slow for all.
+// A large request fills the in-flight limit. A small request must not wait behind it unless the node is slow for all
+// gateways.
 func TestSmallRequestPassesALargeOneAtALightlyLoadedNode(t *testing.T) {
 	for _, took := range []Time{10, 100} {
 		h := newHarness(1, testSettings("plans.0.limit=0"))
@@ -31,7 +33,7 @@
 			h.finish(h.inFlight[0], OutcomeServed)
 		}
 		node := h.node("a0")
-		node.AnsweredUnits = node.BusySeconds // a unit a second, so that the limit is under one
+		node.AnsweredUnits = node.BusySeconds // one unit per second, so that the limit is below one unit
 		h.submit(2, "read", 0, 8)
 		h.submit(2, "read", 0, 1)
 		h.submit(2, "read", 0, 1)
@@ -40,7 +42,7 @@
 	}
 }
 
-// What a volume was served through other gateways counts in virtual time, and lowers this gateway's share of the
+// Units served to a volume through other gateways count in virtual time and lower this gateway's share of the
 // reserve.
 func TestServiceThroughOtherGatewaysLowersTheShare(t *testing.T) {
 	h := newHarness(1, testSettings("tells.others=true"))
@@ -52,17 +54,17 @@
 		return request.Volume.Share
 	}
 	if first := share(0); first <= 0.5 || first >= 1 {
-		t.Errorf("with no service through others, the share of one in two gateways is %g", first)
+		t.Errorf("share of one of two gateways, the only one used: got %g, want above 0.5 and below 1", first)
 	}
 	flow := h.node("a0").Flows[0]
 	expectEqual(t, h, "virtual start within the reserve", flow.VirtualStart, 0.0)
-	expectEqual(t, h, "share when others are served more", share(60), 0.5)
-	expectEqual(t, h, "virtual start after 60 units through others", flow.VirtualStart, 20.0)
+	expectEqual(t, h, "share when more is served through others", share(60), 0.5)
+	expectEqual(t, h, "virtual start after 60 units served through others", flow.VirtualStart, 20.0)
 	expectEqual(t, h, "rate of the reserve", flow.Volume.Reserve.Rate, 10.0)
-	for _, absurd := range []float64{-1e12, 1e12, 0} { // changes the share within its bounds, and violates nothing
+	for _, absurd := range []float64{-1e12, 1e12, 0} { // changes the share within its bounds and violates no invariant
 		if got := share(absurd); got < 0.5 || got > 1 {
-			t.Errorf("after a report of %g the share is %g", absurd, got)
+			t.Errorf("after a report of %g units the share is %g, want 0.5 to 1", absurd, got)
 		}
 	}
-	expectEqual(t, h, "requests that remain", len(h.scheduler.requests), 0)
+	expectEqual(t, h, "remaining requests", len(h.scheduler.requests), 0)
 }
--- a/scheduler/dispatch.go
+++ b/scheduler/dispatch.go
@@ -1,6 +1,7 @@
 package scheduler
 
-// dispatch sends a request to a node: it makes an attempt, and charges it to all that paces the request.
+// dispatch sends a request to a node: it creates an attempt and charges the request to all budgets and limits that
+// apply.
 func (s *Scheduler) dispatch(request *Request, node *Node) {
 	flow := s.flow(node, request.Volume)
 	if len(request.Attempts) > 0 && s.hasRetryBudget() {
@@ -27,8 +28,8 @@
 	s.timers.set(request, s.now+s.firstCheck(node, request))
 }
 
-// chargeFlow charges a request that is sent to its volume's reserve, or, beyond that, to the fair rate and virtual
-// time; and to the budget of the turn, if it is its flow's.
+// chargeFlow charges a request being sent to its volume's reserve or, beyond that, to the fair rate and virtual time.
+// If its flow is in service, the budget of the turn is charged too.
 func (s *Scheduler) chargeFlow(node *Node, flow *Flow, request *Request) {
 	if s.withinReserve(request) {
 		request.Volume.Reserve.take(request.Units)
@@ -46,18 +47,18 @@
 	flow.LastSentAt = s.now
 }
 
-// occupyCapacity counts a request that is sent as in flight.
+// occupyCapacity counts a request being sent as in flight.
 func (s *Scheduler) occupyCapacity(node *Node, flow *Flow, request *Request) {
 	s.advanceBusyTime(node)
 	if node.AttemptsInFlight == 0 {
-		node.LastAnswerAt = s.now // how long it has not answered counts from here
+		node.LastAnswerAt = s.now // the time without an answer counts from here
 	}
 	flow.InFlight++
 	node.AttemptsInFlight++
 	node.UnitsInFlight += request.Units
 }
 
-// releaseCapacity takes an attempt off what is in flight.
+// releaseCapacity stops counting an attempt as in flight.
 func (s *Scheduler) releaseCapacity(attempt *Attempt) {
 	node := attempt.Node
 	s.advanceBusyTime(node)
@@ -67,8 +68,8 @@
 	node.dirty = true
 }
 
-// limitToDedupWindow has the attempt reach its node only while the key of each earlier attempt that may have run is
-// still recognised.
+// limitToDedupWindow sets SendBefore so that the attempt reaches its node only while the node still recognises the
+// idempotency keys of all earlier attempts that may have executed.
 func (a *Attempt) limitToDedupWindow() {
 	class := a.Request.Class
 	if class.Idempotency != IdempotencyKeyed {
@@ -82,13 +83,13 @@
 	}
 }
 
-// firstCheck is the time after which a request that is sent to a node is looked at first, by checkInFlight.
+// firstCheck returns the delay after which checkInFlight first examines a request that is sent to a node.
 func (s *Scheduler) firstCheck(node *Node, request *Request) Time {
 	overdue := overdueFactor * node.expectedLatency(request.Units)
 	return max(min(overdue, s.tightestObjective), s.tightestObjective/roundsPerObjective)
 }
 
-// attempt returns a request's attempt by its number, or nil.
+// attempt returns the attempt with the given number, or nil.
 func (r *Request) attempt(number int) *Attempt {
 	if number < 0 || number >= len(r.Attempts) {
 		return nil
@@ -96,8 +97,8 @@
 	return r.Attempts[number]
 }
 
-// ResponseStarted records that an attempt's response has begun to flow to the client. The request is streaming from
-// now on, and its other attempts are cancelled.
+// ResponseStarted records that the response to an attempt is being streamed to the client. The request is then
+// streaming, and its other attempts are cancelled.
 func (s *Scheduler) ResponseStarted(now Time, id string, number int) {
 	s.now = now
 	request := s.requests[id]
@@ -114,7 +115,7 @@
 	s.cancelOtherAttempts(request, attempt)
 }
 
-// cancelOtherAttempts cancels the pending attempts of a request except one, where the installation allows it.
+// cancelOtherAttempts cancels all pending attempts of a request except one, if the settings allow cancelling.
 func (s *Scheduler) cancelOtherAttempts(request *Request, except *Attempt) {
 	if !s.settings.flag(settingCancelling) {
 		return
@@ -127,9 +128,9 @@
 	}
 }
 
-// AttemptFinished records an attempt's outcome, and how long it took. Final means that the client has had its answer.
-// Elsewhere is the units that the node's shard served the volume through other gateways since it last answered this
-// one about it.
+// AttemptFinished records the outcome and duration of an attempt. final means that the client has received its
+// answer. elsewhere is the number of units that the node's shard served the volume through other gateways since its
+// previous answer to this gateway about that volume.
 func (s *Scheduler) AttemptFinished(
 	now Time, id string, number int, outcome Outcome, took Time, final bool, elsewhere float64,
 ) {
@@ -159,7 +160,7 @@
 	s.concludeAttempt(attempt, final)
 }
 
-// blockKeyAfter keeps later requests of the key back for a while after an attempt that may still be running.
+// blockKeyAfter holds back later requests of the key for a while after an attempt that may still be running.
 func (s *Scheduler) blockKeyAfter(request *Request, outcome Outcome) {
 	if request.KeyQueue == nil {
 		return
@@ -171,7 +172,7 @@
 	}
 }
 
-// concludeAttempt decides what follows for the request from an attempt that has ended.
+// concludeAttempt decides what happens to the request after an attempt has ended.
 func (s *Scheduler) concludeAttempt(attempt *Attempt, final bool) {
 	request := attempt.Request
 	switch {
@@ -182,7 +183,7 @@
 		s.setRequestState(request, RequestSucceeded)
 		s.cancelOtherAttempts(request, attempt)
 	case final:
-		s.setRequestState(request, RequestFailed) // its client has seen the response break off
+		s.setRequestState(request, RequestFailed) // the client has seen the response break off
 	case request.State == RequestInFlight && request.attemptsPending() == 0:
 		s.retryOrGiveUp(request, attempt)
 	}
--- a/scheduler/dispatch_test.go
+++ b/scheduler/dispatch_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// hedgedRequest is a new object that is in flight at two nodes.
+// hedgedRequest returns a request for a new object that is in flight at two nodes.
 func hedgedRequest(t *testing.T, h *harness) *Request {
 	t.Helper()
 	h.listNode("a0", 0, 0, EndpointReady)
@@ -21,10 +21,10 @@
 		request := hedgedRequest(t, h)
 		h.scheduler.ResponseStarted(h.now, request.ID, 1)
 		expectEqual(t, h, "state", request.State, RequestStreaming)
-		expectEqual(t, h, "the first is cancelled", request.Attempts[0].Cancelled, cancelling == "true")
-		expectEqual(t, h, "the second is cancelled", request.Attempts[1].Cancelled, false)
+		expectEqual(t, h, "first attempt cancelled", request.Attempts[0].Cancelled, cancelling == "true")
+		expectEqual(t, h, "second attempt cancelled", request.Attempts[1].Cancelled, false)
 		h.finish(request.Attempts[1], OutcomeServed)
-		expectEqual(t, h, "state at its end", request.State, RequestSucceeded)
+		expectEqual(t, h, "state after the answer", request.State, RequestSucceeded)
 	}
 }
 
@@ -51,7 +51,7 @@
 	h.scheduler.ResponseStarted(h.now, "unknown", 0)
 	h.scheduler.ClientCancelled(h.now, "unknown")
 	expectEqual(t, h, "state", request.State, RequestInFlight)
-	expectEqual(t, h, "in flight at its node", h.node("a0").AttemptsInFlight, 1)
+	expectEqual(t, h, "attempts in flight at its node", h.node("a0").AttemptsInFlight, 1)
 }
 
 func TestUnknownClassAndServiceLevelAreNonIdempotentAndOfWeightOne(t *testing.T) {
--- a/scheduler/endpoint_list.go
+++ b/scheduler/endpoint_list.go
@@ -2,7 +2,7 @@
 
 import "cmp"
 
-// BeginEndpointList begins an endpoint list. Complete means that a node that it does not name is removed, stale that
+// BeginEndpointList starts an endpoint list. complete means that nodes not named in it are removed; stale means that
 // it may be out of date. UpdateEndpoint follows for each node, then FinishEndpointList.
 func (s *Scheduler) BeginEndpointList(now Time, complete, stale bool) {
 	s.now = now
@@ -11,8 +11,8 @@
 	s.listGeneration++
 }
 
-// UpdateEndpoint records one node of the list. A start that is later than the one known voids what was learned of the
-// node; what is in flight there still gets its outcome.
+// UpdateEndpoint records one node of the list. A later start time than the known one resets what was learned about
+// the node; attempts in flight there still get their outcome.
 func (s *Scheduler) UpdateEndpoint(addr, zone string, shard int, startedAt Time, state EndpointState) {
 	node := s.nodesByAddress[addr]
 	if node == nil {
@@ -29,7 +29,7 @@
 	s.setNodeState(node, state)
 }
 
-// resetNode forgets what was learned of a node before its latest start.
+// resetNode discards what was learned about a node before its latest start.
 func (s *Scheduler) resetNode(node *Node, startedAt Time) {
 	node.StartedAt = startedAt
 	node.Measured = false
@@ -47,8 +47,8 @@
 	node.AllocationExpiresAt = 0
 }
 
-// FinishEndpointList ends an endpoint list. One that may be out of date does not count as received: the next call for
-// it stays due.
+// FinishEndpointList ends an endpoint list. A list that may be out of date does not count as received, so the next
+// call for the list stays due.
 func (s *Scheduler) FinishEndpointList() {
 	for _, node := range s.nodes {
 		if s.listComplete && node.listGeneration != s.listGeneration {
@@ -64,9 +64,9 @@
 	s.logTransition(&s.listUnresponsive, false, "the list is silent: %%t")
 }
 
-// EndpointListFailed records that a call for the list failed; unresponsive means that it ended with no response at
-// all. Where the list has to be asked for, the next call comes after a backoff. It doubles up to a limit that lets
-// the list be received before it counts as outdated, and is spread by chance so that gateways do not call together.
+// EndpointListFailed records that a call for the list failed; unresponsive means that it ended without any response.
+// In pull discovery the next call follows after a backoff. The backoff doubles up to a limit that leaves time to
+// receive the list before it counts as outdated, and has random jitter so that gateways do not call at the same time.
 func (s *Scheduler) EndpointListFailed(now Time, unresponsive bool) {
 	s.now = now
 	s.logTransition(&s.listUnresponsive, s.listUnresponsive || unresponsive,
@@ -82,14 +82,15 @@
 	s.listBackoff = min(2*s.listBackoff, listBackoffMax, statedInterval)
 }
 
-// listOutdated reports whether the list has been unresponsive for so long that its changes count as announced
-// although they could not be received: for the platform's limit, and a grace beyond it.
+// listOutdated reports whether the list has been unresponsive for the platform's limit plus the given grace. From
+// then on, changes of the list count as announced even though they could not be received.
 func (s *Scheduler) listOutdated(grace Time) bool {
 	return s.listUnresponsive && s.now-s.listReceivedAt >= listSilenceMax+grace
 }
 
-// latestPossibleStart returns when a node may have started last. While the list is outdated that is when it was last
-// received, since any node may have restarted after that. This costs capacity where none has.
+// latestPossibleStart returns the latest time at which a node may have started. While the list is outdated, this is
+// the time when it was last received, since any node may have restarted after that. The cost is unused capacity if no
+// node has.
 func (s *Scheduler) latestPossibleStart(node *Node) Time {
 	if !s.listOutdated(0) {
 		return node.StartedAt
@@ -97,9 +98,9 @@
 	return max(node.StartedAt, s.listReceivedAt)
 }
 
-// mayReceive reports whether a node may be sent requests. While the list is unresponsive any node may have begun to
-// drain. So after the grace of a drain beyond the time when the list is outdated, only those may that have answered
-// an attempt sent within such a grace.
+// mayReceive reports whether requests may be sent to a node. While the list is unresponsive, any node may have
+// started to drain. Therefore, once the list has been outdated for the drain grace period, only nodes that have
+// answered an attempt sent within such a period are used.
 func (s *Scheduler) mayReceive(node *Node) bool {
 	if node.State != EndpointReady {
 		return false
@@ -111,7 +112,7 @@
 	return !s.listOutdated(grace) || s.now-node.LatestAnsweredSend < grace
 }
 
-// setNodeState notes a node's state. What is queued at a node that is not ready any more is placed anew.
+// setNodeState sets a node's state. Requests queued at a node that is no longer ready become unplaced again.
 func (s *Scheduler) setNodeState(node *Node, state EndpointState) {
 	if node.State != state {
 		node.dirty = true
--- a/scheduler/endpoint_list_test.go
+++ b/scheduler/endpoint_list_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// A failed call for the list is repeated soon at first, since nodes may be leaving, and less often while it goes on
-// failing, so that the gateways do not come back together. But three calls fit in the time after which the list is
-// outdated, and a list that comes resets the backoff.
+// After a failed call, the list is requested again soon, since nodes may be draining. While calls keep failing, the
+// interval grows so that the gateways do not all return at once. Three calls must still fit into the time after which
+// the list is outdated. Receiving a list resets the backoff.
 func TestListBackoffBeginsShortAndDoubles(t *testing.T) {
 	h := newHarness(1, testSettings("discovery=ask"))
 	nextCall := func() Time {
@@ -19,21 +19,21 @@
 	}
 	h.scheduler.Decide(h.now)
 	first := nextCall()
-	expectEqual(t, h, "soon at first", first <= 500*Millisecond, true)
+	expectEqual(t, h, "first backoff is short", first <= 500*Millisecond, true)
 	longest, sum := Time(0), Time(0)
 	for range 40 {
 		backoff := nextCall()
 		longest = max(longest, backoff)
 		sum += backoff
 	}
-	expectEqual(t, h, "seldom then", sum >= 40*listBackoffMax*3/4, true)
-	expectEqual(t, h, "never too seldom", longest <= listSilenceMax/4, true)
+	expectEqual(t, h, "later backoffs are long", sum >= 40*listBackoffMax*3/4, true)
+	expectEqual(t, h, "longest backoff is within its limit", longest <= listSilenceMax/4, true)
 	h.listNode("a0", 0, 0, EndpointReady)
-	expectEqual(t, h, "soon again", nextCall() <= 500*Millisecond, true)
+	expectEqual(t, h, "backoff is short again after a list", nextCall() <= 500*Millisecond, true)
 }
 
-// Once the list is outdated, a node may have drained or started anew. It is sent to only while it answers, and as
-// one that warms up. A call that failed with an answer changes nothing.
+// Once the list is outdated, a node may have drained or restarted. It is used only while it answers, and as a warming
+// node. A call that failed with a response has no such effect.
 func TestOutdatedListLimitsSendingToNodesThatAnswer(t *testing.T) {
 	for _, unresponsive := range []bool{false, true} {
 		h := newHarness(1, testSettings("plans.0.limit=0", "drain.grace=2000"))
@@ -42,7 +42,7 @@
 		h.scheduler.EndpointListFailed(h.now, unresponsive)
 		sent := map[string]int{}
 		for h.now < 30*Second {
-			shard := []int{0, 0, 0, 1}[h.now/(40*Millisecond)%4] // the second node is used too, until the list is outdated
+			shard := []int{0, 0, 0, 1}[h.now/(40*Millisecond)%4] // also use the second node until the list is outdated
 			if shard == 0 || h.now < 7*Second {
 				h.submit(1, "read", shard, 1)
 			}
@@ -56,13 +56,13 @@
 		}
 		late := h.submit(1, "read", 1, 1)
 		h.advance(Millisecond)
-		expectEqual(t, h, "sent to a node that answered nothing for as long", late.State == RequestInFlight, !unresponsive)
-		expectEqual(t, h, "still sent to one that answers", sent["a0"] > 100, true)
-		// The time of a slow start has passed since the list was last received.
+		expectEqual(t, h, "sent to a node that has not answered lately", late.State == RequestInFlight, !unresponsive)
+		expectEqual(t, h, "still sent to a node that answers", sent["a0"] > 100, true)
+		// More than the duration of slow start has passed since the list was last received.
 		expectEqual(t, h, "warming up at the end", h.scheduler.warmingUp(h.node("a0")), false)
 		h.listNode("a2", 2, 0, EndpointReady)
 		h.advance(Millisecond)
-		expectEqual(t, h, "once the list is received", late.State, RequestInFlight)
+		expectEqual(t, h, "state once a list is received", late.State, RequestInFlight)
 	}
 }
 
@@ -73,10 +73,10 @@
 	h.advanceInSteps(5 * Second)
 	expectEqual(t, h, "warming up before the list is outdated", h.scheduler.warmingUp(h.node("a0")), false)
 	h.advanceInSteps(Second)
-	expectEqual(t, h, "warming up after", h.scheduler.warmingUp(h.node("a0")), true)
+	expectEqual(t, h, "warming up once it is outdated", h.scheduler.warmingUp(h.node("a0")), true)
 }
 
-// A gateway whose calls for the list fail calls again well within the time after which the list is outdated.
+// If its calls for the list fail, a gateway calls again well within the time after which the list is outdated.
 func TestListIsPolledWithinTheTimeAfterWhichItIsOutdated(t *testing.T) {
 	for _, c := range []struct {
 		interval     string
@@ -102,13 +102,13 @@
 			worst = max(worst, h.now-failedAt)
 		}
 		if worst > c.longest+50*Millisecond || worst < c.longest/2 {
-			t.Errorf("%+v: called again after %d ms at worst", c, worst/Millisecond)
+			t.Errorf("%+v: longest time to the next call is %d ms", c, worst/Millisecond)
 		}
 	}
 }
 
-// A node that a complete list does not name is removed; one that a list of changes does not name stays. Only a list
-// that is up to date ends the calls for it.
+// A node missing from a complete list is removed; one missing from a list of changes is kept. Only an up-to-date list
+// ends the calls for the list.
 func TestCompleteListRemovesNodesThatItDoesNotName(t *testing.T) {
 	h := newHarnessWithNode()
 	for _, c := range []struct {
--- a/scheduler/fair_queuing.go
+++ b/scheduler/fair_queuing.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// flow returns a volume's flow at a node, and makes it on first use.
+// flow returns the flow of a volume at a node and creates it on first use.
 func (s *Scheduler) flow(node *Node, volume *Volume) *Flow {
 	flow := node.flowsByVolume[volume]
 	if flow == nil {
@@ -21,13 +21,13 @@
 	return flow
 }
 
-// defaultBudget is the budget of a turn, in units.
+// defaultBudget returns the budget of a turn, in units.
 func (s *Scheduler) defaultBudget() float64 { return defaultBudgetRequests * s.meanUnits }
 
-// minBudget is the least budget of a turn, in units.
+// minBudget returns the smallest budget of a turn, in units.
 func (s *Scheduler) minBudget() float64 { return s.defaultBudget() / minBudgetDivisor }
 
-// dispatchQueued sends what may be sent to a node now, flow by flow in their order of precedence. It stops at the
+// dispatchQueued sends the queued requests that a node can take now, in the order given by nextFlow. It stops at the
 // first request that has to wait.
 func (s *Scheduler) dispatchQueued(node *Node) {
 	s.advanceBusyTime(node)
@@ -38,22 +38,22 @@
 		}
 		request := flow.Queue[0]
 		switch {
-		case !s.mayAttempt(request, node): // while it waited, the retry budget was used up or its window closed
+		case !s.mayAttempt(request, node): // the retry budget was used up or the dedup window closed while it waited
 			s.giveUp(request)
 		case s.canDispatch(node, request):
 			flow.Queue = slices.Delete(flow.Queue, 0, 1)
 			s.dispatch(request, node)
 		case request.SlowStartDraw == DrawDenied && len(node.SlowStartAnswered) == 0:
-			s.giveUp(request) // nothing would admit it at the warming node in time
+			s.giveUp(request) // the warming node cannot admit it in time
 		default:
 			return
 		}
 	}
 }
 
-// nextFlow returns the flow that goes next at a node, or nil if none can: one whose next request is within its
-// volume's reserve, else the one in service, else the one with the least virtual finish time. A turn gives
-// precedence and does not exclude: when the flow in service has nothing to send, others do.
+// nextFlow returns the flow to be served next at a node, or nil if there is none: a flow whose next request is within
+// its volume's reserve, else the flow in service, else the one with the earliest virtual finish time. A turn gives
+// priority, not exclusivity: when the flow in service has nothing to send, other flows are served.
 func (s *Scheduler) nextFlow(node *Node) *Flow {
 	s.endService(node)
 	first, reserved := s.earliestFlows(node)
@@ -70,13 +70,13 @@
 	return first
 }
 
-// nextWithinRateLimit reports whether a flow has a queued request that its volume's rate limit admits.
+// nextWithinRateLimit reports whether a flow has a queued request and its volume's rate limit admits the first one.
 func (s *Scheduler) nextWithinRateLimit(flow *Flow) bool {
 	return len(flow.Queue) > 0 && s.withinRateLimit(flow.Queue[0])
 }
 
-// endService ends the turn of the flow in service, if it is over, and sets the flow's next budget by how the turn
-// ended.
+// endService ends the turn of the flow in service if it is over, and sets the flow's next budget according to how the
+// turn ended.
 func (s *Scheduler) endService(node *Node) {
 	flow := node.InService
 	if flow == nil {
@@ -95,8 +95,9 @@
 	node.InService = nil
 }
 
-// budgetAfterExhaustion is the next budget of a flow that has used up its last: the default divided by the active
-// flows of the node, less what was overdrawn, and no less than the minimum.
+// budgetAfterExhaustion returns the next budget of a flow that has used up its last one: the default divided by the
+// number of active flows of the node, less the overdrawn units, but at least the minimum. The argument is the
+// remaining budget and is not positive.
 func (s *Scheduler) budgetAfterExhaustion(node *Node, overdrawn float64) float64 {
 	active := 0.0
 	for _, flow := range node.Flows {
@@ -108,9 +109,8 @@
 	return max(budget+overdrawn, s.minBudget())
 }
 
-// earliestFlows returns the flow with the least virtual finish time, and the one with the least among those whose
-// next request is within its volume's reserve; nil where there is none. Flows that the rate limit holds back are
-// passed over.
+// earliestFlows returns the flow with the earliest virtual finish time, and the earliest among the flows whose next
+// request is within its volume's reserve. Either may be nil. Flows held back by the rate limit are skipped.
 func (s *Scheduler) earliestFlows(node *Node) (first, reserved *Flow) {
 	var firstFinish, reservedFinish float64
 	for _, flow := range node.Flows {
@@ -129,9 +129,10 @@
 	return first, reserved
 }
 
-// chargeVirtualTime counts units of a flow beyond its volume's reserve, sent by this gateway or served through
-// others. The flow's virtual start moves on by units over its weight, the node's virtual time by units over the
-// weights of all active flows. The node's is never behind the least virtual start of the flows that wait.
+// chargeVirtualTime charges a flow with units beyond its volume's reserve, sent by this gateway or served through
+// others. The flow's virtual start advances by the units divided by its weight, and the node's virtual time by the
+// units divided by the total weight of all active flows. The node's virtual time is kept at or above the earliest
+// virtual start of the queued flows.
 func (s *Scheduler) chargeVirtualTime(node *Node, charged *Flow, units float64) {
 	charged.VirtualStart += units / charged.Volume.ServiceLevel.Weight
 	weights, leastStart := 0.0, math.Inf(1)
--- a/scheduler/fair_queuing_test.go
+++ b/scheduler/fair_queuing_test.go
@@ -11,7 +11,7 @@
 	}
 	node := h.node("a0")
 	first, second := h.scheduler.volumes[1], h.scheduler.volumes[3]
-	first.Reserve.Level = 0 // past the reserve's first burst
+	first.Reserve.Level = 0 // the reserve's initial burst is used up
 	second.Reserve.Level = 0
 	letters := map[*Volume]string{first: "x", second: "y"}
 	served := ""
@@ -24,7 +24,7 @@
 			h.finish(h.inFlight[0], OutcomeServed)
 		}
 	}
-	// A turn is eight mean requests; after exhaustion the next is half of that, as two volumes are active.
+	// A turn is eight mean requests; once it is used up, the next is half of that, as two volumes are active.
 	expectEqual(t, h, "order", served[:24], "xxxxxxxxyyyyyyyyxxxxyyyy")
 	node.InService = node.Flows[0]
 	node.InServiceSince = h.now - inServiceExpiry
@@ -44,13 +44,13 @@
 	h.finish(h.inFlight[0], OutcomeServed)
 	h.advance(9 * Millisecond)
 	h.scheduler.nextFlow(node)
-	expectEqual(t, h, "in service within the gap", node.InService, flow)
+	expectEqual(t, h, "flow in service within the gap", node.InService, flow)
 	h.advance(Millisecond)
 	h.scheduler.nextFlow(node)
-	expectEqual(t, h, "in service after the gap", node.InService, (*Flow)(nil))
+	expectEqual(t, h, "flow in service after the gap", node.InService, (*Flow)(nil))
 }
 
-// A volume that was idle for long comes back level with the others, not ahead of them.
+// A volume that was idle for long returns level with the others, not ahead of them.
 func TestIdleFlowGathersNoVirtualTimeCredit(t *testing.T) {
 	h := newHarness(1, testSettings())
 	h.listNode("a0", 0, 0, EndpointReady)
@@ -62,7 +62,7 @@
 	h.submit(1, "read", 0, 2)
 	h.advance(Millisecond)
 	if start := node.Flows[0].VirtualStart; start < 100 {
-		t.Errorf("virtual start is %g, before the node's 100", start)
+		t.Errorf("virtual start is %g, want at least the node's virtual time of 100", start)
 	}
 }
 
@@ -76,10 +76,10 @@
 	h.advance(Millisecond)
 	node := h.node("a0")
 	reserved := h.submit(1, "read", 0, 4)
-	node.Flows[0].VirtualStart = -100 // the flow in service is first by virtual time as well
+	node.Flows[0].VirtualStart = -100 // the flow in service is also first by virtual time
 	h.advance(Millisecond)
 	h.finish(h.inFlight[0], OutcomeServed)
 	h.advance(Millisecond)
 	expectEqual(t, h, "flow in service", node.InService, node.Flows[0])
-	expectEqual(t, h, "the reserved request", reserved.State, RequestInFlight)
+	expectEqual(t, h, "state of the reserved request", reserved.State, RequestInFlight)
 }
--- a/scheduler/harness_test.go
+++ b/scheduler/harness_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// testSettings are settings that use every rule, with more given as "name=value".
+// testSettings returns settings that exercise every rule, with further settings given as "name=value".
 func testSettings(more ...string) Settings {
 	settings := Settings{
 		"gateways":         "2",
@@ -61,8 +61,9 @@
 	return settings
 }
 
-// harness is a client, an endpoint list, and nodes that answer by script or by chance, around a scheduler. It checks
-// the invariants of the platform after every step, from the events that it sent and the decisions that it received.
+// harness drives a scheduler with simulated clients, an endpoint list, and nodes whose answers are scripted or
+// random. After every step it checks the platform's invariants, based on the events that it sent and the decisions
+// that it received.
 type harness struct {
 	scheduler       *Scheduler
 	settings        Settings
@@ -71,7 +72,7 @@
 	gatewayCount    float64 // of each volume; at least two
 	requests        []*Request
 	inFlight        []*Attempt
-	finished        map[*Request]bool // have their final answer
+	finished        map[*Request]bool // requests that have their final answer
 	listed          map[string]EndpointState
 	keyQueues       map[int64][]*Request
 	keyBlockedUntil map[int64]Time
@@ -80,8 +81,8 @@
 	rateLimits      map[*Volume]*TokenBucket
 	dispatched      []*Attempt // by the latest decision
 	startedAt       Time
-	trace           strings.Builder // of all decisions
-	violation       string          // the first one
+	trace           strings.Builder // all decisions
+	violation       string          // the first one, or empty
 }
 
 func newHarness(seed uint64, settings Settings) *harness {
@@ -99,14 +100,14 @@
 	}
 }
 
-// violate notes a violated invariant.
+// violate records a violated invariant.
 func (h *harness) violate(format string, args ...any) {
 	if h.violation == "" {
 		h.violation = fmt.Sprintf(format, args...)
 	}
 }
 
-// listNode has the endpoint list name one node, as a change.
+// listNode updates one node in the endpoint list.
 func (h *harness) listNode(addr string, shard int, startedAt Time, state EndpointState) {
 	h.listed[addr] = state
 	h.scheduler.BeginEndpointList(h.now, false, false)
@@ -114,10 +115,10 @@
 	h.scheduler.FinishEndpointList()
 }
 
-// node returns the scheduler's node of an address.
+// node returns the scheduler's node with the given address.
 func (h *harness) node(addr string) *Node { return h.scheduler.nodesByAddress[addr] }
 
-// submit submits a request. Volumes of even number are of the first service level, the others of the second.
+// submit submits a request. Volumes with even IDs have the first service level, the others the second.
 func (h *harness) submit(volume int64, class string, shard int, units float64) *Request {
 	request := &Request{
 		ID:       strconv.Itoa(len(h.requests)),
@@ -139,7 +140,7 @@
 	return request
 }
 
-// finish gives an attempt its outcome.
+// finish ends an attempt with an outcome.
 func (h *harness) finish(attempt *Attempt, outcome Outcome) {
 	for i := range h.inFlight {
 		if h.inFlight[i] == attempt {
@@ -159,18 +160,18 @@
 	h.scheduler.AttemptFinished(h.now, request.ID, attempt.Number, outcome, h.now-attempt.SentAt, final, 0)
 }
 
-// finishAll gives all that is in flight an outcome.
+// finishAll ends all attempts in flight with an outcome.
 func (h *harness) finishAll(outcome Outcome) {
 	for len(h.inFlight) > 0 {
 		h.finish(h.inFlight[0], outcome)
 	}
 }
 
-// decide asks for the decision and checks it.
+// decide calls Decide and checks the decision.
 func (h *harness) decide() {
 	h.scheduler.now = h.now
 	for _, node := range h.scheduler.nodes {
-		h.scheduler.advanceBusyTime(node) // so that checkDispatch sees the limit in flight that was decided by
+		h.scheduler.advanceBusyTime(node) // so that checkDispatch sees the same in-flight limit as Decide
 	}
 	decision := h.scheduler.Decide(h.now)
 	for _, request := range decision.Finished {
@@ -192,38 +193,38 @@
 		fmt.Fprintln(&h.trace, line)
 	}
 	if decision.NextWake <= h.now {
-		h.violate("the next wake is not ahead")
+		h.violate("the next wake time is not in the future")
 	}
 }
 
-// checkFinished checks a final answer.
+// checkFinished checks a request that has been given up.
 func (h *harness) checkFinished(request *Request) {
 	if h.finished[request] {
-		h.violate("request %s has two final answers", request.ID)
+		h.violate("request %s got two final answers", request.ID)
 	}
 	h.finished[request] = true
 	repeatable := request.Class.Name != "once" && request.Class.Name != "mark"
 	for _, attempt := range request.Attempts {
 		if !repeatable && request.State == RequestRejected && !attempt.Outcome.NeverExecuted() {
-			h.violate("request %s is rejected though it may have run", request.ID)
+			h.violate("request %s was rejected although it may have executed", request.ID)
 		}
 	}
 	if request.RetryAfter > Second {
-		h.violate("request %s is to wait %d", request.ID, request.RetryAfter)
+		h.violate("request %s has a Retry-After of %d ns, want at most 1 s", request.ID, request.RetryAfter)
 	}
 }
 
-// checkDispatch checks an attempt that is sent.
+// checkDispatch checks an attempt that is being sent.
 func (h *harness) checkDispatch(attempt *Attempt) {
 	request, node := attempt.Request, attempt.Node
 	if h.finished[request] {
-		h.violate("request %s is sent after its final answer", request.ID)
+		h.violate("request %s was sent after its final answer", request.ID)
 	}
 	if h.listed[node.Addr] != EndpointReady {
-		h.violate("%s is sent to though not ready", node.Addr)
+		h.violate("an attempt was sent to %s, which is not ready", node.Addr)
 	}
 	if request.Shard >= 0 && request.Shard != node.Shard {
-		h.violate("request %s is sent to the wrong shard", request.ID)
+		h.violate("request %s was sent to the wrong shard", request.ID)
 	}
 	h.checkRepeat(attempt)
 	if request.Class.Name == "line" {
@@ -237,7 +238,7 @@
 	h.checkInFlightLimit(attempt)
 }
 
-// checkRepeat checks that no effect is doubled.
+// checkRepeat checks that a request that must not be repeated is not executed twice.
 func (h *harness) checkRepeat(attempt *Attempt) {
 	request, node := attempt.Request, attempt.Node
 	for _, earlier := range request.Attempts[:attempt.Number] {
@@ -246,28 +247,28 @@
 		}
 		forgotten := earlier.Node.Shard != node.Shard || h.now-earlier.SentAt >= 150*Millisecond
 		if request.Class.Name == "once" || request.Class.Name == "mark" && forgotten {
-			h.violate("request %s may run twice", request.ID)
+			h.violate("request %s may be executed twice", request.ID)
 		}
 	}
 }
 
-// checkKeyOrder checks that requests of one key run one at a time, in their order.
+// checkKeyOrder checks that requests with the same key run one at a time and in order.
 func (h *harness) checkKeyOrder(attempt *Attempt) {
 	request := attempt.Request
 	if h.keyBlockedUntil[request.Key] > h.now && attempt.Number == 0 {
-		h.violate("request %s: key %d is blocked at %d", request.ID, request.Key, h.now)
+		h.violate("request %s was sent while key %d is blocked, at %d", request.ID, request.Key, h.now)
 	}
 	for _, earlier := range h.keyQueues[request.Key] {
 		if earlier == request {
 			break
 		}
 		if !h.finished[earlier] || earlier.attemptsPending() > 0 {
-			h.violate("request %s overtakes %s", request.ID, earlier.ID)
+			h.violate("request %s was sent before the end of request %s with the same key", request.ID, earlier.ID)
 		}
 	}
 }
 
-// checkRetryBudget counts a retry and checks the budget.
+// checkRetryBudget records a retry and checks it against the retry budget.
 func (h *harness) checkRetryBudget() {
 	inWindow := func(times []Time) (count float64) {
 		for _, at := range times {
@@ -279,11 +280,11 @@
 	}
 	h.retries = append(h.retries, h.now)
 	if inWindow(h.retries) > 2+0.2*inWindow(h.arrivals) {
-		h.violate("too many retries")
+		h.violate("the retry budget was exceeded")
 	}
 }
 
-// checkRateLimit charges a request to its volume's rate limit and checks that.
+// checkRateLimit charges a request to its volume's rate limit and checks the limit.
 func (h *harness) checkRateLimit(request *Request) {
 	if request.Volume.ServiceLevel.RateLimit <= 0 {
 		return
@@ -292,11 +293,11 @@
 	limit.Refill(h.now)
 	limit.Level -= request.Units
 	if limit.Level < -1e-9 {
-		h.violate("request %s passes the rate limit", request.ID)
+		h.violate("request %s exceeds the rate limit", request.ID)
 	}
 }
 
-// checkInFlightLimit checks what is in flight at the node of an attempt that is sent.
+// checkInFlightLimit checks the units in flight at the node of an attempt that is being sent.
 func (h *harness) checkInFlightLimit(attempt *Attempt) {
 	node := attempt.Node
 	units, attempts := attempt.Request.Units, 0
@@ -309,12 +310,12 @@
 	limit := h.scheduler.inFlightLimit(node)
 	mayExceed := attempts == 0 || attempts == 1 && h.scheduler.lightlyLoaded(node) || node.Suspected
 	if !mayExceed && units > limit+1e-9 || units > 2*maxLimitRequests*h.scheduler.meanUnits {
-		h.violate("%s has %g units in flight in %d attempts, the scheduler counts %g in %d, limit %g, at %d",
+		h.violate("%s has %g units in %d attempts in flight, the scheduler counts %g in %d, limit %g, at %d",
 			node.Addr, units, attempts, node.UnitsInFlight, node.AttemptsInFlight, limit, h.now)
 	}
 }
 
-// advance lets time go by, with time-outs, and decides.
+// advance moves the clock forward, times out attempts whose deadline has passed, and calls decide.
 func (h *harness) advance(span Time) {
 	h.now += span
 	for _, attempt := range slices.Clone(h.inFlight) {
@@ -330,20 +331,20 @@
 	}
 }
 
-// advanceInSteps lets a longer time go by in small steps.
+// advanceInSteps moves the clock forward in steps of 20 ms.
 func (h *harness) advanceInSteps(span Time) {
 	for ; span > 0; span -= 20 * Millisecond {
 		h.advance(min(span, 20*Millisecond))
 	}
 }
 
-// expectEqual compares a value, and fails if an invariant was violated before.
+// expectEqual reports an error if got is not the expected value or if an invariant has been violated.
 func expectEqual(t *testing.T, h *harness, what string, got, expected any) {
 	t.Helper()
 	if h.violation != "" {
-		t.Errorf("an invariant is violated: %s", h.violation)
+		t.Errorf("invariant violated: %s", h.violation)
 	}
 	if got != expected {
-		t.Errorf("%s: %v, not %v", what, got, expected)
+		t.Errorf("%s: got %v, want %v", what, got, expected)
 	}
 }
--- a/scheduler/names_test.go
+++ b/scheduler/names_test.go
@@ -27,7 +27,7 @@
 		{Outcome(9), "Outcome(9)"},
 	} {
 		if got := c.value.String(); got != c.want {
-			t.Errorf("%T: %q, not %q", c.value, got, c.want)
+			t.Errorf("%T: got %q, want %q", c.value, got, c.want)
 		}
 	}
 }
--- a/scheduler/node.go
+++ b/scheduler/node.go
@@ -5,17 +5,17 @@
 	"strconv"
 )
 
-// EndpointState is the state of a node by the endpoint list.
+// EndpointState is the state of a node according to the endpoint list.
 type EndpointState uint8
 
-// The states. Only a ready node is sent requests.
+// Endpoint states. Requests are sent only to ready nodes.
 const (
 	EndpointReady    EndpointState = iota
-	EndpointDraining               // finishes what it has and takes nothing new
-	EndpointRemoved                // left out of the list, or not yet in it
+	EndpointDraining               // finishes its requests and accepts no new ones
+	EndpointRemoved                // not in the list (any more)
 )
 
-// String names the state.
+// String returns the name of the state.
 func (e EndpointState) String() string {
 	switch e {
 	case EndpointReady:
@@ -28,7 +28,7 @@
 	return "EndpointState(" + strconv.Itoa(int(e)) + ")"
 }
 
-// Node is a storage node as this gateway sees it.
+// Node is a storage node as seen by this gateway.
 type Node struct {
 	Addr      string
 	Zone      string
@@ -39,63 +39,63 @@
 	// Fair queuing.
 	Flows          []*Flow
 	VirtualTime    float64
-	InService      *Flow // the flow that has the turn, if any
+	InService      *Flow // the flow whose turn it is, if any
 	InServiceSince Time
 
 	// Load and capacity.
 	UnitsInFlight          float64
 	AttemptsInFlight       int
-	PlacementCredits       int     // new objects that may still be placed here
+	PlacementCredits       int     // number of new objects that may still be placed here
 	AnsweredUnits          float64 // units answered, decaying with busy time
-	BusySeconds            float64 // busy time that they took, decaying with itself
-	BusyUpdatedAt          Time    // up to when busy time is counted
-	LastAnswerAt           Time    // when it last answered, or when it last became busy
-	InFlightShare          float64 // part of the objective whose answers may be in flight
-	Measured               bool    // has answered since its start
-	LatestAnsweredSend     Time    // when the latest attempt that it has answered was sent
-	MeanLatency            float64 // nanoseconds, averaged
-	MeanUnits              float64 // units of the requests that it served, averaged
-	UnitsVariance          float64 // of these units
-	UnitsLatencyCovariance float64 // of units and latency
+	BusySeconds            float64 // busy time spent on these units, decaying likewise
+	BusyUpdatedAt          Time    // time up to which busy time has been counted
+	LastAnswerAt           Time    // time of the last answer, or when it last became busy
+	InFlightShare          float64 // share of the objective; what the node answers in that time may be in flight
+	Measured               bool    // it has answered since its start
+	LatestAnsweredSend     Time    // send time of the most recently sent attempt that was answered
+	MeanLatency            float64 // moving average, in nanoseconds
+	MeanUnits              float64 // moving average of the units of served requests
+	UnitsVariance          float64 // variance of these units
+	UnitsLatencyCovariance float64 // covariance of units and latency
 
 	// Health.
-	FailureRate         float64     // share of attempts that failed, averaged over the latest
+	FailureRate         float64     // moving average of the share of failed attempts
 	SlowStart           TokenBucket // this gateway's part of the node's slow-start budget
-	FairRate            float64     // what it takes beyond reserves, as a part of the nominal fair rate
-	BaseLatency         float64     // nanoseconds for a mean request when the node is not busy
-	LastOutcomeAt       Time        // when the latest outcome was weighed
-	Suspected           bool        // gives no sign of life: it is sent one request at a time
-	FairRateReduced     bool        // as last logged: FairRate is under 1
-	FailureRateHigh     bool        // as last logged: FailureRate is over its threshold
+	FairRate            float64     // what it takes beyond reserves, as a fraction of the nominal fair rate
+	BaseLatency         float64     // latency of a mean request at the idle node, in nanoseconds
+	LastOutcomeAt       Time        // when an outcome last entered the moving averages
+	Suspected           bool        // unresponsive: requests are sent to it one at a time
+	FairRateReduced     bool        // as last logged: FairRate is below 1
+	FailureRateHigh     bool        // as last logged: FailureRate is above its threshold
 	EjectedUntil        Time        // nothing is sent before this time
 	CreditReturnedAt    Time        // when a placement credit was last returned without an answer
-	SlowStartSent       UnitWindow  // what was sent while it warmed up
-	SlowStartAnswered   UnitWindow  // what it answered of that
-	AllocatedUnits      float64     // what is left of the allocation of its slow-start budget to this gateway
-	AllocationExpiresAt Time        // until then the allocation is all that may be sent while it warms up
+	SlowStartSent       UnitWindow  // units sent to it while it warmed up
+	SlowStartAnswered   UnitWindow  // units that it answered while it warmed up
+	AllocatedUnits      float64     // remaining units of its slow-start budget that are allocated to this gateway
+	AllocationExpiresAt Time        // until then, only allocated units may be sent while it warms up
 
-	dirty          bool // there may be something to dispatch
-	listGeneration int  // the endpoint list that named it last
+	dirty          bool // there may be requests to dispatch
+	listGeneration int  // generation of the last endpoint list that named it
 	flowsByVolume  map[*Volume]*Flow
 }
 
-// Flow is a volume at a node: its queue, its virtual time and its budget.
+// Flow is the state of one volume at one node: its queue, its virtual time and its budget.
 type Flow struct {
 	Volume         *Volume
-	Queue          []*Request  // by objective deadline
+	Queue          []*Request  // ordered by objective deadline
 	VirtualStart   float64     // virtual start time of its next request
-	Budget         float64     // units left of its turn
-	AverageSendGap Time        // between its attempts
-	LastSentAt     Time        // 0 for never
-	LastAnsweredAt Time        // 0 for never
-	InFlight       int         // attempts
+	Budget         float64     // units left in its turn
+	AverageSendGap Time        // moving average of the time between its attempts
+	LastSentAt     Time        // 0 if never
+	LastAnsweredAt Time        // 0 if never
+	InFlight       int         // number of attempts
 	Excess         TokenBucket // this gateway's part of the fair rate beyond the reserve
 }
 
-// active reports whether the flow has anything queued or in flight.
+// active reports whether the flow has requests queued or in flight.
 func (f *Flow) active() bool { return len(f.Queue) > 0 || f.InFlight > 0 }
 
-// remove takes a request out of the queue.
+// remove removes a request from the queue, if it is there.
 func (f *Flow) remove(request *Request) {
 	if at := slices.Index(f.Queue, request); at >= 0 {
 		f.Queue = slices.Delete(f.Queue, at, at+1)
--- a/scheduler/outliers.go
+++ b/scheduler/outliers.go
@@ -2,12 +2,12 @@
 
 import "math"
 
-// recordOutcome learns from an attempt's outcome: the node's failure rate, whether it is an outlier, and, if it
-// served the attempt, its capacity.
+// recordOutcome updates the node's failure rate and outlier detection with an attempt's outcome and, if the attempt
+// was served, the capacity estimate.
 func (s *Scheduler) recordOutcome(node *Node, attempt *Attempt, took Time) {
 	outcome := attempt.Outcome
 	if outcome == OutcomeCancelled || outcome == OutcomeMisdirected {
-		return // independent of the node's health
+		return // says nothing about the node's health
 	}
 	weight := s.outcomeWeight(node)
 	failed := 1.0
@@ -22,8 +22,8 @@
 	}
 }
 
-// outcomeWeight is the weight of one more outcome of a node in its averages. The longer ago the last one was, the
-// more it weighs: a gateway of many meets a node seldom and would never learn otherwise.
+// outcomeWeight returns the weight of a new outcome of a node in the moving averages. It grows with the time since
+// the previous outcome; otherwise a gateway that is one of many and uses a node rarely would never adapt.
 func (s *Scheduler) outcomeWeight(node *Node) float64 {
 	age := float64(s.now - node.LastOutcomeAt)
 	memory := outcomeMemoryObjectives * float64(s.tightestObjective)
@@ -31,7 +31,7 @@
 	return max(averagingWeight, 1-math.Exp(-age/memory))
 }
 
-// recordOverdueOutcome counts whether an attempt that was overdue had an answer after all.
+// recordOverdueOutcome records whether an overdue attempt was answered after all.
 func (s *Scheduler) recordOverdueOutcome(attempt *Attempt, failed float64) {
 	if !attempt.Overdue {
 		return
@@ -39,16 +39,17 @@
 	switch attempt.Outcome {
 	case OutcomeServed, OutcomeTimeout, OutcomeReset:
 	default:
-		return // another failure is no loss
+		return // other failures do not mean that the attempt was lost
 	}
 	s.overdueLostShare += averagingWeight * (failed - s.overdueLostShare)
 	s.logTransition(&s.overdueCountsAsLost, s.overdueLostShare > highOverdueLostShare,
 		"overdue counts as lost: %%t, %.0f%%%% had no answer", 100*s.overdueLostShare)
 }
 
-// detectOutlier suspects a node that could not be reached or turned a request away, and clears one that has
-// answered. A node that did not answer at all through a time-out hangs or is jammed: it is ejected for one to two
-// such times, since with hundreds of gateways one attempt of each would keep it so.
+// detectOutlier marks a node as suspected if it could not be reached or rejected a request as overload, and clears
+// the mark when it answers. A node that answered nothing for the whole timeout of an attempt is stuck or overloaded.
+// It is ejected for one to two such timeouts, because with hundreds of gateways one attempt from each would keep it
+// in that state.
 func (s *Scheduler) detectOutlier(node *Node, attempt *Attempt, took Time) {
 	switch attempt.Outcome {
 	case OutcomeServed, OutcomeError:
@@ -70,15 +71,15 @@
 	}
 }
 
-// recordServed learns from an attempt that was served: latency, rate, and what it answered while it warmed up. A
-// placement credit is returned.
+// recordServed updates the estimates after a served attempt: latency, rate, and the units answered during slow start.
+// A placement credit is returned.
 func (s *Scheduler) recordServed(node *Node, attempt *Attempt, took Time, weight float64) {
 	request := attempt.Request
 	if s.ownStall() == 0 {
 		s.recordLatency(node, attempt, took, weight)
 	}
 	node.AnsweredUnits += request.Units
-	if s.warmingUp(node) && !request.Write { // a node may put off part of a write's work until after its answer
+	if s.warmingUp(node) && !request.Write { // a node may defer part of a write until after its answer
 		node.SlowStartAnswered = append(node.SlowStartAnswered, UnitSample{At: s.now, Units: request.Units})
 	}
 	if request.CreditNode == node {
@@ -87,8 +88,8 @@
 	}
 }
 
-// markSuspected notes that a node gives no sign of life. Requests are then sent to it one at a time, apart from
-// each other, until it answers; new objects go elsewhere.
+// markSuspected marks a node as unresponsive. Until it answers, requests are sent to it one at a time and at
+// intervals, and new objects are placed elsewhere.
 func (s *Scheduler) markSuspected(node *Node, cause string) {
 	if node.Suspected {
 		return
@@ -99,8 +100,9 @@
 		node.Addr, cause, node.AttemptsInFlight, (s.now-node.LastAnswerAt)/Millisecond)
 }
 
-// ejectIfSlow ejects a node that takes more than the objective for a mean request, for the longer the slower it is:
-// one request of each of many gateways floods it, and a flooded node stays so.
+// ejectIfSlow ejects a node that takes longer than the objective for a mean request; the slower the node, the
+// longer the ejection. One request from each of many gateways is enough to overload such a node, and it would not
+// recover.
 func (s *Scheduler) ejectIfSlow(node *Node, took Time) {
 	excess := float64(node.expectedLatency(s.meanUnits))/float64(s.tightestObjective) - 1
 	if excess <= 0 {
@@ -110,21 +112,22 @@
 	node.EjectedUntil = max(node.EjectedUntil, s.now+min(Time(excess*float64(took)), longest))
 }
 
-// adjustFairRate steers what a node takes beyond reserves by how long an answer waited, in objectives.
+// adjustFairRate adjusts the rate that a node takes beyond reserves, given how long an answer waited there, in
+// objectives.
 func (s *Scheduler) adjustFairRate(node *Node, wait, weight float64) {
 	difference := fairRateTargetWait - min(max(wait, 0), fairRateMaxWait)
 	rate := node.FairRate * math.Exp(fairRateGain*weight*difference)
 	node.FairRate = min(max(rate, fairRateMin), fairRateMax)
 }
 
-// checkInFlight looks at a request that is in flight, when its timer fires. An attempt that has been pending for
-// longer than the objective, with no answer of the node to anything later, counts once as a slow answer. One that
-// is presumed lost takes no capacity any more, and the request is sent once more while it can meet its objective;
-// so is a new object that is at a suspected node.
+// checkInFlight examines an in-flight request when its timer fires. An attempt pending for longer than the objective,
+// while the node has answered nothing sent later, counts once as a slow answer. An attempt presumed lost no longer
+// occupies capacity. Its request is sent again if it can still meet its objective, and so is a new object whose node
+// is suspected.
 func (s *Scheduler) checkInFlight(request *Request) {
 	attempt := request.Attempts[len(request.Attempts)-1]
 	if attempt.Outcome != OutcomePending {
-		return // an earlier one is pending
+		return // the latest attempt has ended; an earlier one is pending
 	}
 	node := attempt.Node
 	s.countSilence(attempt)
@@ -137,8 +140,8 @@
 	}
 }
 
-// countSilence counts an attempt that is pending for longer than the objective as a slow answer, when the node has
-// answered nothing sent as late: that tells as much, and sooner.
+// countSilence counts an attempt pending for longer than the objective as a slow answer if the node has answered
+// nothing sent later. This gives the same information as a late answer, but earlier.
 func (s *Scheduler) countSilence(attempt *Attempt) {
 	node := attempt.Node
 	unanswered := node.LatestAnsweredSend <= attempt.SentAt && s.now-attempt.SentAt > s.tightestObjective
@@ -149,10 +152,10 @@
 	s.adjustFairRate(node, 1, s.outcomeWeight(node))
 }
 
-// detectLoss presumes an attempt lost that is overdue, that is, pending for several times its expected latency
-// while later ones were answered, at a node that fails some or where most of the overdue attempts had no answer. It
-// is meant for nodes and links that lose part of what they take, and for connections that die unnoticed. It costs a
-// second attempt where a failing node is only slow.
+// detectLoss presumes an overdue attempt lost if its node has a high failure rate or if most overdue attempts were
+// never answered. An attempt is overdue if it has been pending for several times its expected latency while later
+// ones were answered. This covers nodes and links that lose some requests, and connections that break without notice.
+// The cost is a second attempt where a failing node is merely slow.
 func (s *Scheduler) detectLoss(attempt *Attempt) {
 	node := attempt.Node
 	expected := node.expectedLatency(attempt.Request.Units)
--- a/scheduler/outliers_test.go
+++ b/scheduler/outliers_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// A node that takes work and answers nothing is suspected; what waits for it is tried one request at a time.
+// A node that accepts requests and answers none is suspected; requests for it are then tried one at a time.
 func TestUnresponsiveNodeIsTriedOneRequestAtATime(t *testing.T) {
 	h := newHarness(1, testSettings())
 	h.listNode("a0", 0, 0, EndpointReady)
@@ -16,7 +16,7 @@
 	}
 	expectEqual(t, h, "suspected", h.node("a0").Suspected, true)
 	if sent < 2 || sent > 10 {
-		t.Errorf("%d requests sent to an unresponsive node in 2700 ms", sent)
+		t.Errorf("sent %d requests to an unresponsive node in 2700 ms, want 2 to 10", sent)
 	}
 	h.finish(h.inFlight[0], OutcomeServed)
 	node := h.node("a0")
@@ -24,11 +24,11 @@
 	node.MeanLatency, node.EjectedUntil = 0, 0
 	h.submit(1, "read", 0, 1)
 	h.advance(Millisecond)
-	h.finish(h.inFlight[0], OutcomeOverloaded) // a full queue, or a drain that the list does not name yet
+	h.finish(h.inFlight[0], OutcomeOverloaded) // a full queue, or a drain not yet in the list
 	expectEqual(t, h, "suspected after rejecting a request", h.node("a0").Suspected, true)
 }
 
-// A node that takes more than the objective for a mean request is ejected for a while, for reserved requests too.
+// A node that takes longer than the objective for a mean request is ejected for a while, also for reserved requests.
 func TestNodeSlowerThanTheObjectiveIsEjected(t *testing.T) {
 	h := newHarness(1, testSettings("plans.0.limit=0"))
 	h.listNode("a0", 0, 0, EndpointReady)
@@ -37,15 +37,16 @@
 	h.finish(h.inFlight[0], OutcomeServed)
 	early := h.submit(1, "read", 0, 2)
 	h.advanceInSteps(100 * Millisecond)
-	expectEqual(t, h, "while it is ejected", early.State, RequestRejected)
+	expectEqual(t, h, "state during the ejection", early.State, RequestRejected)
 	h.advanceInSteps(100 * Millisecond)
 	late := h.submit(1, "read", 0, 2)
 	h.advance(Millisecond)
-	expectEqual(t, h, "after its ejection", late.State, RequestInFlight)
+	expectEqual(t, h, "state after the ejection", late.State, RequestInFlight)
 }
 
-// Silence for longer than the objective lowers a node's fair rate before its answer comes, and silence through a
-// whole time-out ejects it; a failure after a long pause weighs more than one among many answers.
+// A node that is silent for longer than the objective gets a lower fair rate before its answer arrives, and is
+// ejected if it is silent for a whole timeout. A failure after a long pause has more weight than one among many
+// answers.
 func TestSilenceOfASeldomUsedNodeLowersItsFairRate(t *testing.T) {
 	for _, pause := range []Time{0, 10 * Second} {
 		h := newHarness(1, testSettings("plans.0.limit=0"))
@@ -62,7 +63,7 @@
 		h.finish(h.inFlight[0], OutcomeError)
 		expectEqual(t, h, "failure rate over half after one error", node.FailureRate > 0.5, pause > 0)
 		if node.FailureRate == 0 {
-			t.Error("an error does not raise the failure rate")
+			t.Error("failure rate is 0 after an error")
 		}
 		h.finishAll(OutcomeServed)
 		node.FairRate = 1
@@ -71,13 +72,13 @@
 		expectEqual(t, h, "fair rate reduced within the objective", node.FairRate < 1, false)
 		h.advanceInSteps(60 * Millisecond)
 		expectEqual(t, h, "fair rate reduced after it", node.FairRate < 1, true)
-		expectEqual(t, h, "ejected before the time-out", node.EjectedUntil > h.now+300*Millisecond, false)
+		expectEqual(t, h, "ejected before the timeout", node.EjectedUntil > h.now+300*Millisecond, false)
 		h.advanceInSteps(360 * Millisecond)
 		expectEqual(t, h, "ejected after it", node.EjectedUntil > h.now+300*Millisecond, true)
 	}
 }
 
-// Latencies that a gateway finds after it stood still itself are not counted against the node.
+// Latencies measured after the gateway itself has stalled are not counted against the node.
 func TestOwnStallIsNotCountedAgainstNodes(t *testing.T) {
 	for _, stalls := range []bool{false, true} {
 		h := newHarness(1, testSettings("plans.0.limit=0"))
@@ -100,9 +101,9 @@
 	}
 }
 
-// At a node with a high failure rate, and where most overdue attempts had no answer, an overdue attempt is presumed
-// lost: it takes no capacity, and its request is sent once more. An answer that comes all the same lowers the share
-// of lost ones.
+// An overdue attempt is presumed lost if its node has a high failure rate or if most overdue attempts were never
+// answered. It then occupies no capacity, and its request is sent again. An answer that arrives after all lowers the
+// share of lost attempts.
 func TestLostAttemptIsRetriedAndHoldsNoCapacity(t *testing.T) {
 	for _, c := range []struct {
 		failureRate, overdueLostShare float64
@@ -126,7 +127,7 @@
 		node.FailureRate = c.failureRate
 		h.advance(40 * Millisecond)
 		expectEqual(t, h, "attempts", len(lost.Attempts), c.attempts)
-		expectEqual(t, h, "counted as in flight", node.AttemptsInFlight, 1)
+		expectEqual(t, h, "attempts counted as in flight", node.AttemptsInFlight, 1)
 		before := h.scheduler.overdueLostShare
 		h.finish(lost.Attempts[0], OutcomeServed)
 		lowered := h.scheduler.overdueLostShare < before || before == 0
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// place queues an unplaced request at a node, or gives it up where it cannot meet its objective. It returns whether
-// the request is settled; if not, it stays unplaced.
+// place queues an unplaced request at a node, or gives it up if it cannot meet its objective. It returns false if the
+// request remains unplaced.
 func (s *Scheduler) place(request *Request) bool {
 	if request.removedFromSettings() {
 		s.giveUp(request)
@@ -28,15 +28,16 @@
 	return true
 }
 
-// blockedByKey reports whether an earlier request of the key is unfinished, or may still run.
+// blockedByKey reports whether an earlier request of the same key is unfinished or may still be running.
 func (s *Scheduler) blockedByKey(request *Request) bool {
 	queue := request.KeyQueue
 	return queue != nil && (queue.Requests[0] != request || queue.BlockedUntil > s.now)
 }
 
-// shouldGiveUpAt reports whether a request is not worth queuing at a node. One that cannot meet its objective earns
-// little: it goes at once to a node that has nothing of this gateway's, or not at all; and one that is past its
-// objective, as clients' retries are, only to a node that is lightly loaded by all.
+// shouldGiveUpAt reports whether a request is not worth queuing at a node. A late answer has little value, so a
+// request that is expected to miss its objective goes only to a node where this gateway has nothing queued or in
+// flight, so that it is sent at once. If its objective has already passed, as with clients' retries, the node must
+// also be lightly loaded by all gateways.
 func (s *Scheduler) shouldGiveUpAt(node *Node, request *Request) bool {
 	if s.now+node.expectedLatency(request.Units) <= request.effectiveObjective() {
 		return false
@@ -47,16 +48,16 @@
 	return s.now >= request.ObjectiveDeadline && node.Measured && !s.lightlyLoaded(node)
 }
 
-// enqueue puts a request into its flow's queue, in order of objective deadlines.
+// enqueue inserts a request into its flow's queue, ordered by objective deadline.
 func (s *Scheduler) enqueue(node *Node, flow *Flow, request *Request) {
 	if !flow.active() {
-		flow.VirtualStart = max(flow.VirtualStart, node.VirtualTime) // an idle volume gathers no credit in virtual time
+		flow.VirtualStart = max(flow.VirtualStart, node.VirtualTime) // an idle flow accumulates no credit in virtual time
 	}
 	at, _ := slices.BinarySearchFunc(flow.Queue, request, func(queued, request *Request) int {
 		if queued.ObjectiveDeadline <= request.ObjectiveDeadline {
 			return -1
 		}
-		return 1 // never equal: the request goes behind those of its own deadline
+		return 1 // never equal: requests with the same deadline stay in order of arrival
 	})
 	flow.Queue = slices.Insert(flow.Queue, at, request)
 	if request.Shard < 0 {
@@ -68,8 +69,8 @@
 	s.timers.set(request, s.latestDispatch(request))
 }
 
-// selectNode returns the node that is to serve a request, or nil if none can now: the one that holds its data, or
-// for a new object one with a placement credit left.
+// selectNode returns the node to serve a request, or nil if there is none at present: the node that holds its data
+// or, for a new object, a node with a placement credit left.
 func (s *Scheduler) selectNode(request *Request) *Node {
 	if request.Shard >= 0 {
 		return s.shardNode(request)
@@ -77,7 +78,8 @@
 	return s.newObjectNode(request)
 }
 
-// shardNode returns the node that holds the request's shard; the one that started last, while the list names several.
+// shardNode returns the node that holds the request's shard. While the list names several, it is the one that started
+// last.
 func (s *Scheduler) shardNode(request *Request) (latest *Node) {
 	for _, node := range s.nodes {
 		if !s.mayReceive(node) || !s.mayAttempt(request, node) || node.Shard != request.Shard {
@@ -90,9 +92,9 @@
 	return latest
 }
 
-// newObjectNode returns the node for a new object: the one that would be through with it first, of those that have
-// a placement credit left, answer, and have not been tried for it. A node that warms up keeps its slow-start budget
-// for the requests that no other node can serve, unless all warm up.
+// newObjectNode returns the node for a new object: the one expected to finish it first, among nodes that have a
+// placement credit left, are not suspected and have not been tried for it. The slow-start budget of a warming node is
+// kept for requests that no other node can serve, so such a node is chosen only if all are warming up.
 func (s *Scheduler) newObjectNode(request *Request) (best *Node) {
 	least := math.Inf(1)
 	for _, node := range s.nodes {
@@ -113,22 +115,22 @@
 	return best
 }
 
-// expectedWait is when a node would be through with a request, in seconds, lengthened by its failures and by
-// chance, so that gateways that see the same do not all choose the same node.
+// expectedWait returns the time in seconds after which a node is expected to finish a request. It is divided by the
+// node's success rate, and lengthened at random so that gateways with the same view do not all choose the same node.
 func (s *Scheduler) expectedWait(node *Node, request *Request) float64 {
 	units := node.UnitsInFlight + s.queuedUnits(node) + request.Units
 	successRate := max(1-node.FailureRate, minSuccessRate)
 	return units / s.serviceRate(node) / successRate * (1 + s.random.float64()/placementJitter)
 }
 
-// triedAt reports whether the request has had an attempt at a node that the node did not turn away.
+// triedAt reports whether the request has had an attempt at a node, not counting attempts rejected as overload.
 func (r *Request) triedAt(node *Node) bool {
 	return slices.ContainsFunc(r.Attempts, func(attempt *Attempt) bool {
 		return attempt.Node == node && attempt.Outcome != OutcomeOverloaded
 	})
 }
 
-// queuedUnits is the units that wait at a node.
+// queuedUnits returns the units queued at a node.
 func (s *Scheduler) queuedUnits(node *Node) (units float64) {
 	for _, flow := range node.Flows {
 		for _, request := range flow.Queue {
@@ -138,13 +140,13 @@
 	return units
 }
 
-// takeCredit spends a placement credit of the node on a new object.
+// takeCredit uses one of the node's placement credits for a new object.
 func (n *Node) takeCredit(request *Request) {
 	n.PlacementCredits--
 	request.CreditNode = n
 }
 
-// returnCredit gives the node a placement credit back.
+// returnCredit returns a placement credit to the node.
 func (n *Node) returnCredit() {
 	n.PlacementCredits = min(n.PlacementCredits+1, maxPlacementCredits)
 }
--- a/scheduler/placement_test.go
+++ b/scheduler/placement_test.go
@@ -2,14 +2,14 @@
 
 import "testing"
 
-// A request whose node is removed waits for a successor only while it can meet its objective.
+// A request whose node is removed waits for a successor only as long as it can meet its objective.
 func TestRequestOfARemovedNodeWaitsForASuccessorWithinItsObjective(t *testing.T) {
 	h := newHarness(1, testSettings())
 	h.listNode("a0", 0, 0, EndpointReady)
 	h.node("a0").Suspected, h.node("a0").EjectedUntil = true, 2*Second
 	queued := h.submit(1, "read", 0, 1)
 	h.advance(Millisecond)
-	expectEqual(t, h, "before", queued.State, RequestQueued)
+	expectEqual(t, h, "state before the drain", queued.State, RequestQueued)
 	h.listNode("a0", 0, 0, EndpointDraining)
 	h.listNode("a8", 0, 0, EndpointReady)
 	h.advance(Millisecond)
@@ -19,11 +19,11 @@
 	h.advance(150 * Millisecond)
 	second := h.submit(1, "read", 0, 1)
 	h.advance(60 * Millisecond)
-	expectEqual(t, h, "first", first.State, RequestRejected)
+	expectEqual(t, h, "state of the first request", first.State, RequestRejected)
 	h.listNode("a9", 0, 0, EndpointReady)
 	h.advance(Millisecond)
-	expectEqual(t, h, "second", second.State, RequestInFlight)
-	expectEqual(t, h, "node", second.Node.Addr, "a9")
+	expectEqual(t, h, "state of the second request", second.State, RequestInFlight)
+	expectEqual(t, h, "node of the second request", second.Node.Addr, "a9")
 }
 
 func TestNewObjectsArePlacedByCredit(t *testing.T) {
@@ -35,12 +35,12 @@
 	request := h.submit(1, "read", -1, 1)
 	h.advance(Millisecond)
 	expectEqual(t, h, "node", request.Node.Addr, "a1")
-	expectEqual(t, h, "credits spent", h.node("a1").PlacementCredits, maxPlacementCredits-1)
+	expectEqual(t, h, "credits while it is in flight", h.node("a1").PlacementCredits, maxPlacementCredits-1)
 	h.finish(h.inFlight[0], OutcomeServed)
-	expectEqual(t, h, "credits earned back", h.node("a1").PlacementCredits, maxPlacementCredits)
+	expectEqual(t, h, "credits after the answer", h.node("a1").PlacementCredits, maxPlacementCredits)
 }
 
-// A new object that is in flight at a suspected node is sent to another one too, while it can meet its objective.
+// A new object in flight at a suspected node is also sent to another node while it can meet its objective.
 func TestNewObjectIsHedgedFromASuspectedNode(t *testing.T) {
 	h := newHarness(1, testSettings("plans.0.limit=0"))
 	h.listNode("a0", 0, 0, EndpointReady)
@@ -51,11 +51,11 @@
 	first := request.Node
 	h.advance(110 * Millisecond)
 	expectEqual(t, h, "attempts", len(request.Attempts), 2)
-	expectEqual(t, h, "at the same node", request.Attempts[1].Node == first, false)
+	expectEqual(t, h, "second attempt at the same node", request.Attempts[1].Node == first, false)
 }
 
-// A client's retry past its objective is not sent to a node that is busy with other gateways' work, though nothing
-// of this one is in flight there.
+// A client's retry past its objective is not sent to a node that is busy with requests of other gateways, even if
+// this gateway has nothing in flight there.
 func TestRequestPastItsObjectiveNeedsALightlyLoadedNode(t *testing.T) {
 	for _, took := range []Time{10, 70} {
 		h := newHarness(1, testSettings("plans.0.limit=0"))
--- a/scheduler/policy_source.go
+++ b/scheduler/policy_source.go
@@ -5,14 +5,15 @@
 	"io/fs"
 )
 
-// The files that hold decisions or tuned values, which are also the "policy" files of deploy/balancer.toml.
+// policyFiles are the files that contain the policy and its tuned values. They are also the "policy" files of
+// deploy/balancer.toml.
 //
 //go:embed admission.go apply_settings.go capacity.go dispatch.go endpoint_list.go fair_queuing.go outliers.go
 //go:embed placement.go requests.go retries.go scheduler.go slow_start.go tuning.go
 var policyFiles embed.FS
 
-// PolicySource is the source text of the files that decide, in order of their names. A capture holds its digest,
-// which says what text decided in it.
+// PolicySource is the source text of the policy files, in order of file name. A capture records its digest, which
+// identifies the policy that made the decisions.
 var PolicySource = readPolicySource()
 
 func readPolicySource() (source []byte) {
--- a/scheduler/policy_source_test.go
+++ b/scheduler/policy_source_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// The deploy file names the same files as policy as PolicySource holds.
+// deploy/balancer.toml and PolicySource must list the same policy files.
 func TestPolicySourceIsThePolicyOfTheDeployFile(t *testing.T) {
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
@@ -23,9 +23,9 @@
 		}
 	}
 	if named := strings.Count(string(deploy), `"scheduler/`); named != len(names) {
-		t.Errorf("deploy/balancer.toml names %d files of the scheduler, PolicySource has %d", named, len(names))
+		t.Errorf("deploy/balancer.toml names %d scheduler files, PolicySource contains %d", named, len(names))
 	}
 	if !strings.Contains(string(PolicySource), "func (s *Scheduler) Decide(") {
-		t.Error("PolicySource lacks Scheduler.Decide")
+		t.Error("PolicySource does not contain Scheduler.Decide")
 	}
 }
--- a/scheduler/random.go
+++ b/scheduler/random.go
@@ -1,15 +1,15 @@
 package scheduler
 
-// pcg32 is a permuted congruential generator (PCG-XSH-RR, 64 bits of state, 32 of output).
+// pcg32 is a PCG-XSH-RR random number generator with 64 bits of state and 32 bits of output.
 type pcg32 uint64
 
-// Parameters of the generator, as its author published them.
+// Parameters of the generator as published by its author.
 const (
 	pcgMultiplier = 6364136223846793005
 	pcgIncrement  = 1442695040888963407
 )
 
-// newPCG32 returns a generator whose numbers depend on the seed alone.
+// newPCG32 returns a generator whose sequence is determined by the seed.
 func newPCG32(seed uint64) pcg32 {
 	p := pcg32(seed + pcgIncrement)
 	p.uint32()
@@ -25,5 +25,5 @@
 	return xorShifted>>rotation | xorShifted<<(-rotation&31)
 }
 
-// float64 returns the next number from 0 up to, but not including, 1.
+// float64 returns the next number in the half-open interval [0, 1).
 func (p *pcg32) float64() float64 { return float64(p.uint32()) / (1 << 32) }
--- a/scheduler/random_runs_test.go
+++ b/scheduler/random_runs_test.go
@@ -6,10 +6,10 @@
 	"testing/quick"
 )
 
-// randomNodes are the nodes of random runs, by shard.
+// randomNodes are the addresses of the nodes in random runs, indexed by shard.
 var randomNodes = []string{"a0", "a1", "b2"}
 
-// randomRun plays a run of random events and returns the harness at its end.
+// randomRun simulates a sequence of random events and returns the harness at its end.
 func randomRun(seed uint64) *harness {
 	h := newHarness(seed, testSettings())
 	for shard, addr := range randomNodes {
@@ -23,15 +23,15 @@
 		h.advance(20 * Millisecond)
 	}
 	if h.violation == "" && (len(h.scheduler.requests) > 0 || len(h.scheduler.unplaced) > 0) {
-		h.violate("%d requests are not forgotten, %d unplaced", len(h.scheduler.requests), len(h.scheduler.unplaced))
+		h.violate("%d requests are still held, %d are unplaced", len(h.scheduler.requests), len(h.scheduler.unplaced))
 	}
 	return h
 }
 
-// intN returns a number from 0 up to, but not including, n.
+// intN returns a random number in the half-open interval [0, n).
 func (h *harness) intN(n uint32) int { return int(h.random.uint32() % n) }
 
-// randomStep submits requests, ends attempts, changes the list or has a client leave, and lets time go by.
+// randomStep submits requests, ends attempts, possibly changes the list or cancels a request, and advances the clock.
 func (h *harness) randomStep(step, sick int) {
 	classes := []string{"read", "read", "once", "mark", "line", "line"}
 	outcomes := []Outcome{
@@ -65,7 +65,7 @@
 	h.advance(Time(1+h.intN(25)) * Millisecond)
 }
 
-// lastClientLeaves has the client of the latest request leave, if it still waits.
+// lastClientLeaves cancels the latest request if it is still waiting for its answer.
 func (h *harness) lastClientLeaves() {
 	if len(h.requests) == 0 {
 		return
--- a/scheduler/request.go
+++ b/scheduler/request.go
@@ -1,66 +1,67 @@
 package scheduler
 
-// RequestState is where a request stands. Only Scheduler.setRequestState changes it. It has no String method, since
-// the command replay prints it as the number that a capture stores.
+// RequestState is the state of a request in its life cycle. Only Scheduler.setRequestState changes it. It has no
+// String method because the replay command prints it as the number stored in captures.
 type RequestState uint8
 
-// The states, in the order of a request's life. From RequestSucceeded on they are final.
+// Request states, in the order of a request's life cycle. RequestSucceeded and those after it are final.
 const (
 	RequestReceived        RequestState = iota // just submitted
-	RequestUnplaced                            // waits for a node, for its key or for a retry's delay
-	RequestQueued                              // waits in its volume's queue at a node
+	RequestUnplaced                            // waiting for a node, for its key or for a retry delay
+	RequestQueued                              // waiting in its volume's queue at a node
 	RequestInFlight                            // has an attempt in flight
-	RequestStreaming                           // its response has begun to flow to the client
-	RequestSucceeded                           // answered
-	RequestRejected                            // given up; trying again is harmless
-	RequestFailed                              // given up; it may have run
-	RequestClientCancelled                     // the client left
+	RequestStreaming                           // its response is being streamed to the client
+	RequestSucceeded                           // answered successfully
+	RequestRejected                            // given up; the client can safely retry
+	RequestFailed                              // given up; it may have been executed
+	RequestClientCancelled                     // cancelled by the client
 )
 
-// Terminal reports whether the request has had its final answer or needs none.
+// Terminal reports whether the request has its final answer or no longer needs one.
 func (s RequestState) Terminal() bool { return s >= RequestSucceeded }
 
-// AdmissionDraw is the result of the draw by which a request passes a token bucket that is smaller than the request.
+// AdmissionDraw is the result of the random draw that decides whether a request passes a token bucket whose capacity
+// is smaller than the request.
 type AdmissionDraw uint8
 
-// The results.
+// Results of a draw.
 const (
 	NotDrawn AdmissionDraw = iota
 	DrawAdmitted
 	DrawDenied
 )
 
-// Request is one request of a client. It gets exactly one final answer. Who submits it fills in ID, Units, Shard,
-// Key, Write and Deadline; all other fields are the Scheduler's.
+// Request is a client's request. It gets exactly one final answer. The caller of Submit sets ID, Units, Shard, Key,
+// Write and Deadline; the Scheduler sets all other fields.
 type Request struct {
 	ID                 string
 	Volume             *Volume
 	Class              *RequestClass
 	Units              float64
-	Shard              int   // the shard that holds its data; below 0 for a new object, which any node can take
-	Key                int64 // requests of an ordered class that share it run one at a time
+	Shard              int   // the shard that holds its data; negative for a new object, which any node can store
+	Key                int64 // in an ordered class, requests with the same key run one at a time
 	Write              bool
 	ReceivedAt         Time
-	ObjectiveDeadline  Time // when its latency objective ends
-	Deadline           Time // when its client gives up
+	ObjectiveDeadline  Time // when its latency objective expires
+	Deadline           Time // when its client times out
 	State              RequestState
-	RetryAfter         Time // how long its client is asked to wait, when rejected; 0 for no advice
+	RetryAfter         Time // for a rejected request, how long its client is asked to wait; 0 for no advice
 	Attempts           []*Attempt
-	Node               *Node         // where it is queued or was sent last
-	NotBefore          Time          // it is not placed again before this time
-	CreditNode         *Node         // the node that gave a placement credit for it, a new object
-	LimitCharged       bool          // its units were taken from its volume's rate limit
-	KeyQueue           *KeyQueue     // the requests of its key, where its class is ordered
-	ReserveDraw        AdmissionDraw // at its volume's reserve
-	ExcessDraw         AdmissionDraw // at its flow's part of the fair rate
-	SlowStartDraw      AdmissionDraw // at the bucket of a node that warms up
-	SlowStartShareDraw AdmissionDraw // by the share of its capacity that such a node has
-	CoveredByAnswers   bool          // admitted at such a node by what it has answered, without a draw
-	timerAt            Time          // when its timer fires; 0 for none
-	timerIndex         int           // its place in the timer heap, counted from 1; 0 for none
+	Node               *Node         // where it is queued or was last sent
+	NotBefore          Time          // it is not placed before this time
+	CreditNode         *Node         // for a new object, the node whose placement credit it holds
+	LimitCharged       bool          // its units have been charged to its volume's rate limit
+	KeyQueue           *KeyQueue     // the queue of its key, if its class is ordered
+	ReserveDraw        AdmissionDraw // draw at its volume's reserve
+	ExcessDraw         AdmissionDraw // draw at its flow's part of the fair rate
+	SlowStartDraw      AdmissionDraw // draw at the slow-start bucket of a warming node
+	SlowStartShareDraw AdmissionDraw // draw against the warming node's current share of its capacity
+	CoveredByAnswers   bool          // admitted at a warming node without a draw, on account of its answers
+	timerAt            Time          // when its timer fires; 0 if none is set
+	timerIndex         int           // its position in the timer heap plus one; 0 if it is not there
 }
 
-// attemptsPending counts the attempts without an outcome.
+// attemptsPending returns the number of attempts without an outcome.
 func (r *Request) attemptsPending() (pending int) {
 	for _, attempt := range r.Attempts {
 		if attempt.Outcome == OutcomePending {
@@ -70,13 +71,13 @@
 	return pending
 }
 
-// removedFromSettings reports whether its service level or class is not in the settings any more.
+// removedFromSettings reports whether the settings no longer contain its service level or class.
 func (r *Request) removedFromSettings() bool {
 	return r.Class.Removed || r.Volume.ServiceLevel.Removed
 }
 
-// KeyQueue is the unfinished requests of one key, in the order in which they came. Only the first may be placed.
+// KeyQueue holds the unfinished requests of one key in order of arrival. Only the first may be placed.
 type KeyQueue struct {
 	Requests     []*Request
-	BlockedUntil Time // an earlier attempt may still run until then
+	BlockedUntil Time // an earlier attempt may still be running until then
 }
--- a/scheduler/requests.go
+++ b/scheduler/requests.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// Submit accepts a request for scheduling. The caller has filled in its ID, Units, Shard, Key, Write and Deadline,
-// and names its volume, service level and class. GatewayCount is how many gateways the volume's requests come
-// through, and keyed says whether Key counts, for a class that is ordered.
+// Submit accepts a request for scheduling. The caller has set its ID, Units, Shard, Key, Write and Deadline and
+// passes the names of its volume, service level and class. gatewayCount is the number of gateways through which the
+// volume's requests arrive. keyed says whether Key is set; it is used only if the class is ordered.
 func (s *Scheduler) Submit(
 	now Time, request *Request, volume int64, level, class string, gatewayCount float64, keyed bool,
 ) {
@@ -24,8 +24,8 @@
 	s.holdUnplaced(request, 0)
 }
 
-// class returns a class by its name. One that the settings do not name is made: it is not idempotent, and its
-// objective is the time that its first request has left.
+// class returns the class with the given name. A class that the settings do not define is created as non-idempotent,
+// with the remaining time of its first request as its objective.
 func (s *Scheduler) class(name string, remaining Time) *RequestClass {
 	class := s.classes[name]
 	if class == nil {
@@ -41,9 +41,9 @@
 	return class
 }
 
-// setObjectiveDeadline sets the end of the request's objective, which counts from the client's first try. A request
-// with less time left than the most yet seen of its class is taken to be a later try, and the difference to have
-// gone by.
+// setObjectiveDeadline sets the end of the latency objective, which starts with the client's first try. If the
+// request has less time until its deadline than the longest seen in its class, it is taken for a client's retry, and
+// the difference for time that has already elapsed.
 func (r *Request) setObjectiveDeadline(remaining Time) {
 	class := r.Class
 	share := float64(remaining) / float64(max(class.ClientTimeout, 1))
@@ -52,7 +52,7 @@
 	r.ObjectiveDeadline = r.ReceivedAt + class.LatencyObjective - max(0, elapsed)
 }
 
-// joinKeyQueue puts a request behind the earlier ones of its key.
+// joinKeyQueue appends a request to the queue of its key.
 func (s *Scheduler) joinKeyQueue(request *Request) {
 	queue := s.keyQueues[request.Key]
 	if queue == nil {
@@ -63,9 +63,9 @@
 	request.KeyQueue = queue
 }
 
-// volume returns a volume by its ID, and makes it on first use. This gateway's part of its rate limit is even, by
-// the most gateways that its requests came through, and its bucket counts as empty at the gateway's
-// start: one that was killed does not know what it had sent.
+// volume returns the volume with the given ID and creates it on first use. This gateway's part of its rate limit is
+// an even split over the highest gateway count seen. The bucket counts as empty at the gateway's start, because a
+// gateway that was killed does not know what it had sent before.
 func (s *Scheduler) volume(id int64, level string, gatewayCount float64) *Volume {
 	volume := s.volumes[id]
 	if volume == nil {
@@ -84,7 +84,7 @@
 	return volume
 }
 
-// newVolume makes a volume of a service level, which is made too if the settings do not name it.
+// newVolume creates a volume of a service level, and the level as well if the settings do not define it.
 func (s *Scheduler) newVolume(levelName string) *Volume {
 	level := s.serviceLevels[levelName]
 	if level == nil {
@@ -98,7 +98,7 @@
 	}
 }
 
-// setRequestState is the one place where a request changes state.
+// setRequestState changes the state of a request. All state changes go through it.
 func (s *Scheduler) setRequestState(request *Request, state RequestState) {
 	wasQueued := request.State == RequestQueued
 	if wasQueued && state.Terminal() {
@@ -115,8 +115,8 @@
 	}
 }
 
-// forgetIfDone forgets a request that has its final answer, once each of its attempts has its outcome, and lets the
-// next of its key go on.
+// forgetIfDone drops a request that has its final answer and no pending attempt, and unblocks the next request of its
+// key.
 func (s *Scheduler) forgetIfDone(request *Request) {
 	if !request.done() {
 		return
@@ -131,11 +131,11 @@
 	}
 }
 
-// done reports whether the request has its final answer and no attempt pending.
+// done reports whether the request has its final answer and no pending attempt.
 func (r *Request) done() bool { return r.State.Terminal() && r.attemptsPending() == 0 }
 
-// holdUnplaced puts a request among those that wait to be placed, for a delay at least. Its draws at the last node
-// are void.
+// holdUnplaced makes a request wait to be placed, for at least the given delay. Draws made at its previous node are
+// reset.
 func (s *Scheduler) holdUnplaced(request *Request, delay Time) {
 	s.setRequestState(request, RequestUnplaced)
 	request.Node = nil
@@ -147,9 +147,9 @@
 	s.timers.set(request, s.latestDispatch(request))
 }
 
-// effectiveObjective is when the request has to be answered: when its objective ends, or when its client will
-// usually have left, where many clients of its service level that wait as long do. Clients that leave at any
-// moment, while others that wait as long are served, change nothing.
+// effectiveObjective returns the time by which the request has to be answered: the end of its objective, or the time
+// at which its client is likely to leave if many clients of the service level leave that early. It is not shortened
+// where clients leave at arbitrary times while others that wait as long are served.
 func (r *Request) effectiveObjective() Time {
 	level := r.Volume.ServiceLevel
 	if level.EarlyCancelShare <= earlyCancelThreshold {
@@ -159,8 +159,8 @@
 	return min(r.ObjectiveDeadline, leavesAt)
 }
 
-// latestDispatch is when a request that waits has to be sent to meet its objective, as far as is known. It is
-// given up then.
+// latestDispatch returns the latest time at which a waiting request can be sent and is still expected to meet its
+// objective. The request is given up then.
 func (s *Scheduler) latestDispatch(request *Request) Time {
 	at := request.effectiveObjective()
 	if request.Node != nil {
@@ -169,8 +169,8 @@
 	return max(min(at, request.Deadline-Millisecond), s.now+1)
 }
 
-// giveUp answers a request at once that is not tried any more: it is rejected where trying again is harmless, and
-// fails where it may have run. A rejection carries a Retry-After, where the installation wants one.
+// giveUp ends a request that will not be tried again. It is rejected if its client can safely retry, and fails if it
+// may have been executed. A rejection carries a Retry-After if the settings ask for one.
 func (s *Scheduler) giveUp(request *Request) {
 	state := RequestFailed
 	if request.mayReject() {
@@ -183,8 +183,8 @@
 	s.pending.Finished = append(s.pending.Finished, request)
 }
 
-// retryAfter is how long a rejected client is asked to wait: for the objective, and until the node, if it was
-// queued at one, would be through with what waits there.
+// retryAfter returns how long a rejected client is asked to wait: the objective, plus, if the request was queued at a
+// node, the time the node needs for its queue.
 func (s *Scheduler) retryAfter(node *Node) Time {
 	wait := s.tightestObjective
 	if node != nil {
@@ -193,7 +193,7 @@
 	return min(wait, s.settings.duration(settingMaxRetryAfter))
 }
 
-// mayReject reports whether the request may be rejected, which promises its client that trying again is harmless.
+// mayReject reports whether the request may be rejected, which tells its client that a retry is safe.
 func (r *Request) mayReject() bool {
 	class := r.Class
 	if class.Idempotency == Idempotent {
@@ -205,7 +205,8 @@
 	return !slices.ContainsFunc(r.Attempts, (*Attempt).mayHaveExecuted)
 }
 
-// ClientCancelled records that a request's client has gone. It gets no answer, and its pending attempts are cancelled.
+// ClientCancelled records that the client of a request has left. The request gets no answer, and its pending attempts
+// are cancelled.
 func (s *Scheduler) ClientCancelled(now Time, id string) {
 	s.now = now
 	request := s.requests[id]
@@ -219,7 +220,7 @@
 	s.cancelOtherAttempts(request, nil)
 }
 
-// recordClientLeft counts a client that left before its objective, and when it did.
+// recordClientLeft counts a client that left before the end of the objective and records how long it waited.
 func (s *Scheduler) recordClientLeft(request *Request) {
 	level := request.Volume.ServiceLevel
 	s.recordEarlyCancel(level, 1)
@@ -230,7 +231,8 @@
 	level.EarlyCancelAfter += earlyCancelWeight * (after - level.EarlyCancelAfter)
 }
 
-// recordClientStayed counts a client that was served, if it had waited for as long as those that leave early.
+// recordClientStayed counts a client that was served, provided that it waited at least as long as those that leave
+// early.
 func (s *Scheduler) recordClientStayed(request *Request) {
 	level := request.Volume.ServiceLevel
 	usual := Time(level.EarlyCancelAfter * float64(request.Class.LatencyObjective))
@@ -239,7 +241,7 @@
 	}
 }
 
-// recordEarlyCancel counts one client that left early, as 1, or stayed, as 0.
+// recordEarlyCancel updates the share of clients that leave early with one client: 1 if it left, 0 if it stayed.
 func (s *Scheduler) recordEarlyCancel(level *ServiceLevel, cancelled float64) {
 	level.EarlyCancelShare += earlyCancelWeight * (cancelled - level.EarlyCancelShare)
 	s.logTransition(&level.ClientsCancelEarly, level.EarlyCancelShare > earlyCancelThreshold,
--- a/scheduler/requests_test.go
+++ b/scheduler/requests_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Of two requests that wait, the one whose own work no longer fits its objective is given up first.
+// Of two waiting requests, the larger is given up first, because its expected latency is longer.
 func TestLargeRequestIsGivenUpWhenItCannotMeetItsObjective(t *testing.T) {
 	h := newHarness(1, testSettings())
 	h.listNode("a0", 0, 0, EndpointReady)
@@ -18,16 +18,16 @@
 	small := h.submit(1, "read", 0, 1)
 	large := h.submit(1, "read", 0, 8)
 	h.advance(150 * Millisecond)
-	expectEqual(t, h, "large request", large.State, RequestRejected)
-	expectEqual(t, h, "small request", small.State, RequestQueued)
+	expectEqual(t, h, "state of the large request", large.State, RequestRejected)
+	expectEqual(t, h, "state of the small request", small.State, RequestQueued)
 }
 
-// Where clients leave before the objective, a request is given up when it could only be answered after they leave;
-// not where some leave at any moment, while others that wait as long are served.
+// If clients leave before the objective, a request is given up once it can only be answered after they usually leave.
+// This must not happen if clients leave at arbitrary times while others that wait as long are served.
 func TestEarlyCancellationsShortenTheObjective(t *testing.T) {
 	for _, c := range []struct {
-		after   Time // milliseconds until a client leaves
-		every   int  // one in so many leaves
+		after   Time // milliseconds after which a client leaves
+		every   int  // one in this many clients leaves
 		givenUp bool
 	}{{50, 100, false}, {50, 1, true}, {1, 5, false}} {
 		h := newHarness(1, testSettings("plans.0.limit=0"))
--- a/scheduler/retries.go
+++ b/scheduler/retries.go
@@ -1,7 +1,7 @@
 package scheduler
 
-// mayAttempt reports whether a request may have an attempt at a node: without a second effect, and within the
-// limits on hedging, attempts and retries.
+// mayAttempt reports whether a request may be sent to a node: no effect is applied twice, and the limits on hedging,
+// attempts and retries are respected.
 func (s *Scheduler) mayAttempt(request *Request, node *Node) bool {
 	if request.removedFromSettings() {
 		return false
@@ -20,10 +20,11 @@
 	return len(request.Attempts) < int(s.settings.number(settingMaxAttempts)) && s.retryBudgetRemains()
 }
 
-// mayHaveExecuted reports whether the attempt's outcome, or its lack, leaves open that the work was begun.
+// mayHaveExecuted reports whether the node may have started executing the attempt, judging by its outcome or lack of
+// one.
 func (a *Attempt) mayHaveExecuted() bool { return !a.Outcome.NeverExecuted() }
 
-// repeatIsSafe reports whether a node can be sent a repeat of an attempt that may have executed.
+// repeatIsSafe reports whether a request can be sent to a node again after an attempt that may have executed.
 func (s *Scheduler) repeatIsSafe(earlier *Attempt, node *Node) bool {
 	class := earlier.Request.Class
 	if class.Idempotency == Idempotent {
@@ -41,10 +42,10 @@
 	return true
 }
 
-// hasRetryBudget reports whether the settings state a budget for retries and hedged attempts.
+// hasRetryBudget reports whether the settings define a budget for retries and hedged attempts.
 func (s *Scheduler) hasRetryBudget() bool { return s.settings[settingRetryWindow] != "" }
 
-// retryBudgetRemains reports whether the budget allows one more attempt after a request's first.
+// retryBudgetRemains reports whether the budget allows another attempt beyond a request's first.
 func (s *Scheduler) retryBudgetRemains() bool {
 	if !s.hasRetryBudget() {
 		return true
@@ -53,7 +54,7 @@
 	for len(s.recentArrivals) > 0 && s.recentArrivals[0] <= windowStart {
 		s.recentArrivals = s.recentArrivals[1:]
 	}
-	for len(s.recentRetries) > 0 && s.recentRetries[0] < windowStart { // one on the edge still counts
+	for len(s.recentRetries) > 0 && s.recentRetries[0] < windowStart { // a retry at the window's start still counts
 		s.recentRetries = s.recentRetries[1:]
 	}
 	budget := s.settings.number(settingFreeRetries) +
@@ -61,9 +62,8 @@
 	return float64(len(s.recentRetries)+1) <= budget
 }
 
-// retryOrGiveUp has a request tried once more after a failed attempt, where that can still meet its objective, and
-// gives it up at once where not. After an attempt that never executed for want of capacity or connection, the retry
-// is delayed.
+// retryOrGiveUp retries a request after a failed attempt if it can still meet its objective, and gives it up
+// otherwise. The retry is delayed if the node was overloaded or could not be reached.
 func (s *Scheduler) retryOrGiveUp(request *Request, failed *Attempt) {
 	delay := Time(0)
 	if failed.Outcome == OutcomeOverloaded || failed.Outcome == OutcomeConnectFailed {
@@ -76,7 +76,7 @@
 	}
 }
 
-// canRetry reports whether a retry after a delay is allowed and can meet the request's objective.
+// canRetry reports whether a retry after the given delay is allowed and can meet the request's objective.
 func (s *Scheduler) canRetry(request *Request, failed *Attempt, delay Time) bool {
 	node := failed.Node
 	onlyNode := request.Shard >= 0 && node.Shard == request.Shard
@@ -89,7 +89,8 @@
 	return request.Deadline > s.now && failed.Outcome != OutcomeMisdirected
 }
 
-// hedge sends a request once more, though an attempt is pending, if a node can take it now and meet its objective.
+// hedge sends a second attempt of a request while one is pending, if a node can take it now and answer within the
+// objective.
 func (s *Scheduler) hedge(request *Request) {
 	node := s.selectNode(request)
 	if node == nil || !s.canDispatch(node, request) {
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -2,44 +2,45 @@
 
 import "fmt"
 
-// Scheduler decides for one gateway. It knows the time of the latest call, the events so far, and its seed.
+// Scheduler makes the scheduling decisions of one gateway. Its state depends only on the seed and on the calls made
+// so far.
 //
-// A capture stores this object with all that it reaches (see StoredNames): fields keep their order and kinds.
+// Captures store this object and everything that it reaches (see StoredNames), so fields keep their order and kinds.
 type Scheduler struct {
 	now                 Time
 	startedAt           Time
 	settings            Settings
-	settingsReplaced    bool // the settings are not those of the start
+	settingsReplaced    bool // ApplySettings has been called
 	random              pcg32
 	serviceLevels       map[string]*ServiceLevel
 	classes             map[string]*RequestClass
 	volumes             map[int64]*Volume
-	requests            map[string]*Request // those with no final answer, or with an attempt pending
+	requests            map[string]*Request // those without a final answer or with a pending attempt, by ID
 	keyQueues           map[int64]*KeyQueue
 	nodesByAddress      map[string]*Node
-	nodes               []*Node // in the order in which the list first named them
+	nodes               []*Node // in the order in which endpoint lists first named them
 	unplaced            []*Request
 	timers              timerHeap
-	recentArrivals      []Time  // when requests came, within the window of the retry budget
-	recentRetries       []Time  // when retries were sent, within that window
-	tightestObjective   Time    // least latency objective of all classes
+	recentArrivals      []Time  // arrival times of requests, within the window of the retry budget
+	recentRetries       []Time  // times at which retries were sent, within that window
+	tightestObjective   Time    // the shortest latency objective of all classes
 	meanUnits           float64 // units of a mean request
-	nominalFairRate     float64 // units a second, per weight, that a node is open to beyond reserves
-	listComplete        bool    // the list that is being received names all nodes
-	listStale           bool    // the list that is being received may be out of date
-	listGeneration      int     // counts lists
-	overdueLostShare    float64 // share of overdue attempts that had no answer, averaged over the latest
-	overdueCountsAsLost bool    // as last logged: overdueLostShare is over its threshold
-	listReceivedAt      Time    // when the list was last received, or the start
-	listUnresponsive    bool    // a call for the list has ended with no response since
-	nextListCallAt      Time    // when to call for the list again; 0 for no need
+	nominalFairRate     float64 // rate beyond reserves that a node takes, in units per second and weight
+	listComplete        bool    // the list being received names all nodes
+	listStale           bool    // the list being received may be out of date
+	listGeneration      int     // number of lists received so far
+	overdueLostShare    float64 // moving average of the share of overdue attempts that were never answered
+	overdueCountsAsLost bool    // as last logged: overdueLostShare is above its threshold
+	listReceivedAt      Time    // when an up-to-date list was last received, initially the start time
+	listUnresponsive    bool    // a call for the list has since ended without any response
+	nextListCallAt      Time    // when to call for the list again; 0 if no call is due
 	listBackoff         Time
 	nextRoundAt         Time
-	pending             *Decision // what is decided until the next call of Decide
-	returned            *Decision // what the latest call of Decide returned
+	pending             *Decision // collects the next result of Decide
+	returned            *Decision // the latest result of Decide
 }
 
-// New makes a scheduler from a seed for its draws and its settings.
+// New creates a scheduler with the given settings. The seed determines its random draws.
 func New(now Time, seed uint64, settings Settings) *Scheduler {
 	s := &Scheduler{
 		now:            now,
@@ -62,7 +63,7 @@
 	return s
 }
 
-// Decide returns what is to be done now, after all events of the moment.
+// Decide returns the actions to take now. It is called after all events of the same instant.
 func (s *Scheduler) Decide(now Time) *Decision {
 	s.now = now
 	s.fireTimers()
@@ -79,18 +80,18 @@
 	return s.takeDecision()
 }
 
-// fireTimers looks at the requests whose timer is due.
+// fireTimers handles the requests whose timers are due.
 func (s *Scheduler) fireTimers() {
 	for request := s.timers.popDue(s.now); request != nil; request = s.timers.popDue(s.now) {
 		if request.State == RequestInFlight {
 			s.checkInFlight(request)
 		} else {
-			s.giveUp(request) // it can no longer be sent in time for its objective
+			s.giveUp(request) // too late to be sent and still meet the objective
 		}
 	}
 }
 
-// placeUnplaced tries to place what waits for a node, in the order in which it began to wait.
+// placeUnplaced tries to place the unplaced requests, those that have waited longest first.
 func (s *Scheduler) placeUnplaced() {
 	waiting := s.unplaced
 	s.unplaced = s.unplaced[len(s.unplaced):]
@@ -101,8 +102,8 @@
 	}
 }
 
-// takeDecision hands over what is decided and makes room for the next decision. The two objects take turns, so that
-// their lists are used again.
+// takeDecision returns the pending decision and starts a new one. Two Decision objects alternate so that their slices
+// are reused.
 func (s *Scheduler) takeDecision() *Decision {
 	decision := s.pending
 	decision.NextWake = s.nextRoundAt
@@ -119,14 +120,14 @@
 	return decision
 }
 
-// periodicRound does the periodic work: it calls for the endpoint list when that is due, forgets keys that are not
-// in use, and looks at each node.
+// periodicRound does the periodic work: it requests the endpoint list when that is due, drops unused key queues and
+// inspects each node.
 func (s *Scheduler) periodicRound() {
 	if s.nextListCallAt > 0 && s.now >= s.nextListCallAt {
 		s.nextListCallAt = 0
 		s.pending.WatchEndpoints = true
 	}
-	for key, queue := range s.keyQueues { // the order of the map reaches no decision
+	for key, queue := range s.keyQueues { // the iteration order affects no decision
 		if len(queue.Requests) == 0 && queue.BlockedUntil <= s.now {
 			delete(s.keyQueues, key)
 		}
@@ -135,10 +136,11 @@
 		s.inspectNode(node)
 	}
 	interval := max(s.tightestObjective/roundsPerObjective, Millisecond)
-	s.nextRoundAt = s.now + min(interval, listBackoffInitial) // calls for the list wait for a round too
+	s.nextRoundAt = s.now + min(interval, listBackoffInitial) // calls for the list are made in rounds too
 }
 
-// inspectNode does the periodic work for one node.
+// inspectNode does the periodic work for one node: it detects an unresponsive node, logs state changes and returns
+// placement credits.
 func (s *Scheduler) inspectNode(node *Node) {
 	node.dirty = true
 	silence := s.now - node.LastAnswerAt - s.ownStall()
@@ -156,11 +158,11 @@
 	}
 }
 
-// HealthChecked records the outcome of a health check. The scheduler asks for none, and learns only the time.
+// HealthChecked records the result of a health check. The scheduler requests none at present and uses only the time.
 func (s *Scheduler) HealthChecked(now Time, _ string, _ Outcome, _ Time) { s.now = now }
 
-// logTransition logs when a condition becomes true or false, with its cause. The format is applied twice: once to
-// args, and once to the condition, whose verb is written %%t.
+// logTransition logs a condition when it becomes true or false. The format is applied twice: first to args, then to
+// the condition, whose verb is therefore written %%t.
 func (s *Scheduler) logTransition(logged *bool, isTrue bool, format string, args ...any) {
 	if *logged != isTrue {
 		*logged = isTrue
@@ -168,8 +170,8 @@
 	}
 }
 
-// logf adds a line to the decision's log. A replay compares these lines with those of the capture: their text is
-// part of what is decided.
+// logf adds a line to the decision's log. A replay compares these lines with those of the capture, so their text is
+// part of the decision.
 func (s *Scheduler) logf(format string, args ...any) {
 	s.pending.Log = append(s.pending.Log, fmt.Sprintf(format, args...))
 }
--- a/scheduler/service_level.go
+++ b/scheduler/service_level.go
@@ -2,17 +2,17 @@
 
 import "strconv"
 
-// Idempotency is what a repeat of a class's request may do.
+// Idempotency says whether requests of a class can safely be repeated.
 type Idempotency uint8
 
-// The kinds of idempotency.
+// Kinds of idempotency.
 const (
 	Idempotent       Idempotency = iota // may run any number of times
 	IdempotencyKeyed                    // nodes recognise and drop repeats by a key, within a scope and for a time
 	NonIdempotent                       // must never run twice
 )
 
-// String names the kind.
+// String returns the name of the kind.
 func (i Idempotency) String() string {
 	switch i {
 	case Idempotent:
@@ -25,18 +25,18 @@
 	return "Idempotency(" + strconv.Itoa(int(i)) + ")"
 }
 
-// DedupScope is the set of nodes that recognise a repeat by its idempotency key, seen from the node of an earlier
+// DedupScope is the set of nodes that recognise a repeat by its idempotency key, relative to the node of an earlier
 // attempt.
 type DedupScope uint8
 
-// The scopes.
+// Deduplication scopes.
 const (
 	DedupAllNodes  DedupScope = iota // every node
-	DedupSameZone                    // those of its zone
-	DedupSameShard                   // those of its shard
+	DedupSameZone                    // nodes of the same zone
+	DedupSameShard                   // nodes of the same shard
 )
 
-// String names the scope.
+// String returns the name of the scope.
 func (d DedupScope) String() string {
 	switch d {
 	case DedupAllNodes:
@@ -49,43 +49,42 @@
 	return "DedupScope(" + strconv.Itoa(int(d)) + ")"
 }
 
-// ServiceLevel is what a customer's volume is due. Its rates are units a second for one volume, over all gateways and
-// nodes together. A Scheduler keeps the object of a level when its settings change, so that volumes keep theirs.
+// ServiceLevel defines what a customer's volume is entitled to. Rates are in units per second, for one volume over
+// all gateways and nodes. A Scheduler keeps the object of a level when settings change, because volumes refer to it.
 type ServiceLevel struct {
 	Name               string
-	Weight             float64 // in fair queuing, relative to other levels
-	NominalRate        float64 // what it is sized for
-	Reserve            float64 // what is guaranteed
-	RateLimit          float64 // what is not exceeded; 0 for no limit
-	Burst              float64 // units that the limit lets through at once
-	EarlyCancelShare   float64 // share of clients that leave before the objective, averaged over the latest
-	EarlyCancelAfter   float64 // when they do, as a part of the latency objective, averaged likewise
-	ClientsCancelEarly bool    // as last logged: EarlyLeaveShare is over its threshold
-	Removed            bool    // not in the settings that count now
+	Weight             float64 // weight in fair queuing, relative to other levels
+	NominalRate        float64 // rate that the level is sized for
+	Reserve            float64 // guaranteed rate
+	RateLimit          float64 // maximum rate; 0 for no limit
+	Burst              float64 // units that the rate limit allows at once
+	EarlyCancelShare   float64 // moving average of the share of clients that leave before the objective
+	EarlyCancelAfter   float64 // moving average of when they leave, as a fraction of the objective
+	ClientsCancelEarly bool    // as last logged: EarlyCancelShare is above its threshold
+	Removed            bool    // not in the current settings
 }
 
-// RequestClass is a kind of request, by what it asks for and how its clients behave.
+// RequestClass is a kind of request, with its requirements and the behaviour of its clients.
 type RequestClass struct {
 	Name                 string
 	Idempotency          Idempotency
-	DedupScope           DedupScope // of a class with idempotency keys
-	LatencyObjective     Time       // from the client's first try
+	DedupScope           DedupScope // applies to IdempotencyKeyed classes
+	LatencyObjective     Time       // counted from the client's first try
 	ClientTimeout        Time       // how long a client waits, over all its tries
-	DedupWindow          Time       // how long nodes recognise a key after the attempt that brought it was sent
-	Ordered              bool       // requests of one key run one at a time, in the order in which they came
-	LongestTimeRemaining float64    // the most that a request had to its deadline, as a part of ClientTimeout
-	Removed              bool       // not in the settings that count now
+	DedupWindow          Time       // how long nodes recognise a key after the attempt that carried it was sent
+	Ordered              bool       // requests with the same key run one at a time, in order of arrival
+	LongestTimeRemaining float64    // longest time to the deadline seen so far, as a fraction of ClientTimeout
+	Removed              bool       // not in the current settings
 }
 
-// Volume is what a customer reads and writes. What it is due counts over all gateways; each gateway works with its
-// share.
+// Volume is a customer's volume. Its entitlement holds over all gateways together; each gateway works with its share.
 type Volume struct {
 	ServiceLevel    *ServiceLevel
-	GatewayCount    float64     // gateways that its requests come through
+	GatewayCount    float64     // number of gateways through which its requests arrive
 	Reserve         TokenBucket // this gateway's share of the reserve
-	Share           float64     // this gateway's share of what the volume is due, from 0 to 1
+	Share           float64     // this gateway's share of the volume's entitlement, from 0 to 1
 	ServedHere      float64     // units served through this gateway, decaying
-	ServedElsewhere float64     // units served through others, as nodes report, decaying
-	ServedUpdatedAt Time        // up to when both have decayed
-	RateLimit       TokenBucket // this gateway's even part of the limit
+	ServedElsewhere float64     // units served through other gateways as reported by nodes, decaying
+	ServedUpdatedAt Time        // time up to which both have decayed
+	RateLimit       TokenBucket // this gateway's part of the rate limit, an even split
 }
--- a/scheduler/settings_changes_test.go
+++ b/scheduler/settings_changes_test.go
@@ -7,23 +7,23 @@
 	"pgregory.net/rapid"
 )
 
-// settingsWith is settings with some values set.
+// settingsWith returns a copy of the settings with some values replaced.
 func settingsWith(base Settings, more map[string]string) Settings {
 	settings := maps.Clone(base)
 	maps.Copy(settings, more)
 	return settings
 }
 
-// changingRun is a random run in which the settings change at any moment.
+// changingRun is a random run in which the settings change at arbitrary times.
 type changingRun struct {
 	*harness
 	t             *rapid.T
-	nonIdempotent map[*Request]bool // have been of a non-idempotent class at some time
-	removed       map[string]bool   // names of service levels and classes that the settings leave out
+	nonIdempotent map[*Request]bool // requests whose class has been non-idempotent at some time
+	removed       map[string]bool   // names of service levels and classes that the settings lack
 }
 
-// Beside the invariants that a harness checks, nothing is sent of what the settings leave out, and nothing again
-// that ever was non-idempotent.
+// Besides the harness's invariants: requests of removed service levels or classes are not sent, and no request that
+// has ever been non-idempotent is sent again after it may have executed.
 func TestInvariantsHoldWhileSettingsChange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		seed := uint64(rapid.IntRange(0, 1<<20).Draw(t, "seed"))
@@ -42,12 +42,12 @@
 		}
 		s := run.scheduler
 		if run.violation != "" || len(s.requests) > 0 || len(s.unplaced) > 0 {
-			t.Fatalf("%s; %d requests are not forgotten, %d unplaced", run.violation, len(s.requests), len(s.unplaced))
+			t.Fatalf("violation %q, %d requests held, %d unplaced", run.violation, len(s.requests), len(s.unplaced))
 		}
 	})
 }
 
-// step submits a request, ends an attempt, changes the settings or lets time go by.
+// step submits a request, ends an attempt, changes the settings or advances the clock.
 func (r *changingRun) step() {
 	switch rapid.IntRange(0, 7).Draw(r.t, "step") {
 	case 0, 1, 2:
@@ -69,7 +69,7 @@
 	}
 }
 
-// submitRandom submits a request.
+// submitRandom submits a random request.
 func (r *changingRun) submitRandom() {
 	volume := int64(rapid.IntRange(0, 4).Draw(r.t, "volume"))
 	class := rapid.SampledFrom([]string{"read", "once", "line"}).Draw(r.t, "class")
@@ -79,7 +79,7 @@
 	r.nonIdempotent[request] = request.Class.Idempotency == NonIdempotent
 }
 
-// changeSettings changes some settings, and leaves out some service levels and classes by naming others.
+// changeSettings changes some settings and removes some service levels and classes by renaming them.
 func (r *changingRun) changeSettings() {
 	kind := rapid.SampledFrom([]string{"replayable", "single-use"}).Draw(r.t, "kind of read")
 	more := map[string]string{
@@ -106,17 +106,17 @@
 	}
 }
 
-// isRemoved reports whether the settings leave out a request's class or service level.
+// isRemoved reports whether the settings lack a request's class or service level.
 func (r *changingRun) isRemoved(request *Request) bool {
 	return r.removed[request.Class.Name] || r.removed[request.Volume.ServiceLevel.Name]
 }
 
-// checkDispatched checks what the latest decision sent.
+// checkDispatched checks the attempts sent by the latest decision.
 func (r *changingRun) checkDispatched() {
 	for _, attempt := range r.dispatched {
 		request := attempt.Request
 		if r.isRemoved(request) {
-			r.t.Fatalf("request %s of class %s, level %s is sent, which the settings leave out",
+			r.t.Fatalf("request %s was sent although class %s or level %s was removed",
 				request.ID, request.Class.Name, request.Volume.ServiceLevel.Name)
 		}
 		if !r.nonIdempotent[request] {
@@ -124,18 +124,18 @@
 		}
 		for _, earlier := range request.Attempts[:attempt.Number] {
 			if !earlier.Outcome.NeverExecuted() {
-				r.t.Fatalf("request %s may run twice", request.ID)
+				r.t.Fatalf("request %s may be executed twice", request.ID)
 			}
 		}
 	}
 }
 
-// checkWaiting checks what waits.
+// checkWaiting checks that no waiting request belongs to a removed class or service level.
 func (r *changingRun) checkWaiting() {
 	for _, request := range r.requests {
 		waits := request.State == RequestUnplaced || request.State == RequestQueued
 		if waits && r.isRemoved(request) {
-			r.t.Fatalf("request %s of class %s, level %s waits, which the settings leave out",
+			r.t.Fatalf("request %s waits although class %s or level %s was removed",
 				request.ID, request.Class.Name, request.Volume.ServiceLevel.Name)
 		}
 	}
--- a/scheduler/slow_start.go
+++ b/scheduler/slow_start.go
@@ -2,26 +2,27 @@
 
 import "math"
 
-// warmingUp reports whether a node started so lately that it can do only part of its work.
+// warmingUp reports whether a node started so recently that it has only part of its capacity.
 func (s *Scheduler) warmingUp(node *Node) bool {
 	startedAt := s.latestPossibleStart(node)
 	return startedAt > 0 && s.now-startedAt < s.settings.duration(settingSlowStartTime)
 }
 
-// withinSlowStart reports whether a request is within the slow-start budget of a node that warms up: a multiple of
-// the capacity that it has by its age, in any window. All gateways send, and each sees only what it sends itself;
-// together they must stay within the budget. So a request goes in one of these ways:
+// withinSlowStart reports whether a request is within the slow-start budget of a warming node. For any window, the
+// budget is a multiple of the capacity that the node has at its age. All gateways together must stay within it,
+// although each one sees only what it sends itself. A request can be admitted in one of these ways:
 //
-//   - Allocated: where the node's budget is allocated among the gateways (AllocateSlowStart), what is left of the
-//     allocation holds it, and nothing else goes.
-//   - Answered: what this gateway sent in the window stays within the safe multiple of what it was answered in it.
-//   - Saved up: it is within this gateway's even part of what the node tolerates in any case, or of the safe multiple
-//     of what it can do by now at the rate that is known of other nodes. Half of that is a bucket's capacity and half
-//     flows in within a window.
-//   - By chance, where that part is less than one request: the part of the others would go unused, since few of many
-//     gateways meet a given node. So a share of the requests passes that are within their reserve, or within as much
-//     of the fair rate. A warm node can do what service levels are sized for, so the sum over all gateways is a like
-//     share of it. It sends too much where volumes ask for many times their levels and answers are quick all the same.
+//   - Allocated: if the node's budget is allocated among the gateways (AllocateSlowStart), the rest of the allocation
+//     covers the request. Nothing else is admitted then.
+//   - Answered: the units that this gateway sent in the window are within the safe multiple of those answered in it.
+//   - Saved up: the request is within this gateway's even part of a budget. That budget is the larger of what the
+//     node tolerates in any case, and the safe multiple of its present capacity, estimated from the rate of other
+//     nodes. Half of the part is the capacity of a token bucket, and half flows into it during a window.
+//   - At random, if half of that part is smaller than the request. Otherwise most of the budget would go unused,
+//     because only a few of many gateways send to a given node. A share of the requests is admitted that are within
+//     their reserve, or within the same share of the fair rate. A warm node can serve what service levels are sized
+//     for, so the total over all gateways is about that share of its capacity. Too much is sent if volumes ask for
+//     many times their service levels while answers are fast.
 func (s *Scheduler) withinSlowStart(node *Node, request *Request) bool {
 	if !s.warmingUp(node) {
 		node.SlowStartSent = node.SlowStartSent[:0]
@@ -42,21 +43,21 @@
 		s.bucketAdmits(&node.SlowStart, request, &request.SlowStartDraw)
 }
 
-// safeMultiple is the multiple of a warming node's capacity that is used.
+// safeMultiple returns the multiple of a warming node's capacity that is used.
 func (s *Scheduler) safeMultiple() float64 {
 	return slowStartSafety * s.settings.number(settingSlowStartMultiple)
 }
 
-// coveredByAnswers reports whether what was sent to a node in the window, with the request, is within the safe
-// multiple of what it answered in it.
+// coveredByAnswers reports whether the units sent to a node in the window, including the request, are within the safe
+// multiple of the units that it answered in the window.
 func (s *Scheduler) coveredByAnswers(node *Node, request *Request) bool {
 	windowStart := s.now - s.settings.duration(settingSlowStartWindow)
 	sent := node.SlowStartSent.since(windowStart) + request.Units
 	return sent <= s.safeMultiple()*node.SlowStartAnswered.since(windowStart)
 }
 
-// warmShare is the share of its capacity that a node has by now: it grows linearly from the stated share at its
-// start to the whole.
+// warmShare returns the share of its capacity that a warming node has now. It grows linearly from the configured
+// initial share to 1.
 func (s *Scheduler) warmShare(node *Node) float64 {
 	initial := s.settings.number(settingSlowStartFrom)
 	age := float64(s.now - s.latestPossibleStart(node))
@@ -72,9 +73,9 @@
 	node.SlowStart.resize(s.now, part/2/window*float64(Second), part/2)
 }
 
-// drawSlowStartShare draws once for a request that is larger than the slow-start bucket. It passes with the
-// probability of the safe multiple times the node's share, less half the initial share, which no answer has shown
-// yet.
+// drawSlowStartShare draws once for a request larger than the capacity of the slow-start bucket. The probability of
+// admission is the safe multiple times the node's current share less half the initial share, which no answer has
+// confirmed yet.
 func (s *Scheduler) drawSlowStartShare(node *Node, request *Request, share float64) {
 	if request.SlowStartShareDraw != NotDrawn || node.SlowStart.Capacity >= request.Units {
 		return
@@ -87,7 +88,7 @@
 	}
 }
 
-// chargeSlowStart takes an attempt that is sent to a warming node from what admitted its request.
+// chargeSlowStart charges an attempt sent to a warming node to the budget that admitted its request.
 func (s *Scheduler) chargeSlowStart(attempt *Attempt) {
 	node, request := attempt.Node, attempt.Request
 	switch {
@@ -102,9 +103,9 @@
 	node.SlowStartSent = append(node.SlowStartSent, UnitSample{At: s.now, Units: request.Units})
 }
 
-// AllocateSlowStart takes the allocation of units of a node's slow-start budget to this gateway: until it expires
-// nothing else is sent there while the node warms up. It returns what was left of the allocation before, in units.
-// An allocation for another start of the node than the one known is dropped.
+// AllocateSlowStart sets the units of a node's slow-start budget that are allocated to this gateway. Until the
+// allocation expires, nothing beyond it is sent to the node while the node warms up. The result is what was left of
+// the previous allocation, in units. An allocation for a start of the node other than the known one is ignored.
 func (s *Scheduler) AllocateSlowStart(
 	now Time, addr string, startedAt Time, units float64, expiresAt Time,
 ) (remaining float64) {
@@ -122,17 +123,17 @@
 	return remaining
 }
 
-// SlowStartDemand is work that waits at a node that warms up, from which the node's slow-start budget is allocated.
+// SlowStartDemand describes the requests queued at a warming node. The node's slow-start budget is allocated by it.
 type SlowStartDemand struct {
 	Addr            string
 	StartedAt       Time
-	Units           float64 // of all requests that wait
-	SmallestRequest float64 // units of the smallest, or infinity where none waits
-	PriorityWeight  float64 // the greatest weight of a service level that waits
+	Units           float64 // of all queued requests
+	SmallestRequest float64 // units of the smallest one; +Inf if none is queued
+	PriorityWeight  float64 // highest weight among their service levels
 }
 
-// SlowStartDemands lists what waits at the nodes that warm up and may be sent to, in the order of the nodes. The
-// rate is what this gateway knows of warm nodes, in units a second, or 0.
+// SlowStartDemands returns the demand at each ready node that is warming up, in the order of the nodes. rate is the
+// rate of a warm node as known to this gateway, in units per second, or 0 if unknown.
 func (s *Scheduler) SlowStartDemands(now Time) (demands []SlowStartDemand, rate float64) {
 	s.now = now
 	for _, node := range s.nodes {
@@ -140,8 +141,8 @@
 			demands = append(demands, node.slowStartDemand())
 		}
 	}
-	// The measured rate is of busy time that other gateways share. A node serves at least one request at a time, in its
-	// base latency.
+	// The measured rate is per busy time, which other gateways share, and can be too low. A node serves at least one
+	// request at a time, at its base latency.
 	rate = s.meanServiceRate()
 	if base := s.averageOverMeasured(func(node *Node) float64 { return node.BaseLatency }); base > 0 {
 		rate = max(rate, s.meanUnits/base*float64(Second))
@@ -149,7 +150,7 @@
 	return demands, rate
 }
 
-// slowStartDemand sums up what waits at the node.
+// slowStartDemand sums up the requests queued at the node.
 func (n *Node) slowStartDemand() SlowStartDemand {
 	demand := SlowStartDemand{Addr: n.Addr, StartedAt: n.StartedAt, SmallestRequest: math.Inf(1)}
 	for _, flow := range n.Flows {
--- a/scheduler/slow_start_fleet_test.go
+++ b/scheduler/slow_start_fleet_test.go
@@ -8,33 +8,33 @@
 	"testing"
 )
 
-// slowStartFleet is a fleet of gateways whose one node starts anew while requests come for it.
+// slowStartFleet is a scenario in which a node restarts while a fleet of gateways receives requests for it.
 type slowStartFleet struct {
 	gateways, volumes, gatewaysPerVolume int
-	submitted                            float64 // units a second
-	uneven                               bool    // nine in ten requests come through a tenth of the gateways
-	restarts                             bool    // a tenth of the gateways start anew each half second, and know nothing
-	resets                               float64 // share of attempts that end with a reset, and are retried
-	burstInterval                        Time    // attempts reach the node together, so long apart; 0: each at once
+	submitted                            float64 // units per second
+	uneven                               bool    // nine in ten requests use a tenth of the gateways
+	restarts                             bool    // a tenth of the gateways restart every half second without state
+	resets                               float64 // share of attempts that end with a connection reset and are retried
+	burstInterval                        Time    // attempts reach the node in bursts at this interval; 0: each at once
 }
 
-// fleetRun is a run of a fleet.
+// fleetRun is a simulation of a slowStartFleet.
 type fleetRun struct {
 	slowStartFleet
 	seed      uint64
 	random    pcg32
 	now       Time
-	startedAt Time // of the node
+	startedAt Time // start time of the node
 	gateways  []*harness
-	busyUntil Time // of the node, which takes one attempt after the other
+	busyUntil Time // of the node, which processes one attempt at a time
 	dueAt     map[*Attempt]Time
-	outcomes  map[*Attempt]Outcome // at that time
+	outcomes  map[*Attempt]Outcome // the outcome at that time
 	reached   []Time               // when attempts reached the node, after its start
 }
 
-// play runs the fleet for a second before the node's start and four seconds after it. It returns the attempts that
-// reached the node since, and the most over its budget in any window: the attempts past N over 2 x root of N + 2,
-// with N the attempts of mean units that the stated multiple allows by then.
+// play simulates one second before the node's start and four seconds after it. It returns the number of attempts that
+// reached the node after its start, and the highest excess over its budget in any window. With N the number of
+// attempts of mean units that the multiple allows, the excess is the attempts beyond N, divided by 2 x sqrt(N) + 2.
 func (f slowStartFleet) play(seed uint64) (attempts int, excess float64) {
 	run := &fleetRun{
 		slowStartFleet: f,
@@ -54,7 +54,7 @@
 	return len(run.reached), run.excess()
 }
 
-// newGateway starts a gateway that knows the rate of a warm node.
+// newGateway creates a gateway that knows the rate of a warm node.
 func (r *fleetRun) newGateway(i int) *harness {
 	h := newHarness(r.seed<<32+uint64(r.random.uint32()), testSettings(
 		"plans.0.limit=0", "plans.0.rate=2", "plans.0.reserve=1", "plans.1.rate=4",
@@ -70,7 +70,7 @@
 	return h
 }
 
-// step plays 10 ms. The node starts at step 0.
+// step simulates 10 ms. The node starts at step 0.
 func (r *fleetRun) step(step int) {
 	if step == 0 {
 		r.startedAt = r.now
@@ -99,7 +99,7 @@
 	}
 }
 
-// submit submits the requests of 10 ms, of two units each. They are writes, whose answers do not count.
+// submit submits 10 ms worth of requests of two units each. They are writes, whose answers do not count.
 func (r *fleetRun) submit() {
 	for expected := r.submitted / 200; expected > 0; expected-- {
 		volume := int(r.random.uint32()) % r.volumes
@@ -114,7 +114,7 @@
 	}
 }
 
-// reach has an attempt reach the node, which does so many units a second.
+// reach delivers an attempt to the node, which processes the given units per second.
 func (r *fleetRun) reach(attempt *Attempt, rate float64, started bool) {
 	at := r.now
 	if r.burstInterval > 0 {
@@ -123,7 +123,7 @@
 	r.busyUntil = max(r.busyUntil, at) + Time(attempt.Request.Units/rate*float64(Second))
 	r.dueAt[attempt] = r.busyUntil
 	r.outcomes[attempt] = OutcomeServed
-	if r.random.float64() < r.resets { // soon enough for a retry
+	if r.random.float64() < r.resets { // early enough for a retry
 		r.dueAt[attempt] = at + 10*Millisecond
 		r.outcomes[attempt] = OutcomeReset
 	}
@@ -132,22 +132,22 @@
 	}
 }
 
-// excess is the most over the node's budget in any window of a second.
+// excess returns the highest excess over the node's budget in any window of one second (see play).
 func (r *fleetRun) excess() float64 {
 	most := math.Inf(-1)
 	slices.Sort(r.reached)
-	for i, at := range r.reached { // the window that ends with it
+	for i, at := range r.reached { // the window that ends with this attempt
 		first, _ := slices.BinarySearch(r.reached, at-Second+1)
-		budget := 2 * warmingUnitsPerSecond(at-r.startedAt) / 2 // the multiple, over the units of an attempt
+		budget := 2 * warmingUnitsPerSecond(at-r.startedAt) / 2 // the multiple of 2, divided by the two units of an attempt
 		most = max(most, (float64(i+1-first)-budget)/(2*math.Sqrt(budget)+2))
 	}
 	return most
 }
 
-// What all gateways together send a warming node stays within its budget of N attempts and 2 x root of N + 2 for
-// chance, at the tail over many seeds, with 5 to 300 gateways, uneven traffic, gateways that start anew and know
-// nothing, retries, and connections that come up late and all at once; and it is not nothing. The worst run of a
-// case is logged: 0 is N, 1 is the bound. The capacity record reads these lines.
+// All gateways together stay within the budget of a warming node: N attempts, and 2 x sqrt(N) + 2 for chance, in the
+// worst case over many seeds, and they do use it. The cases cover 5 to 300 gateways, uneven traffic, gateways that
+// restart and lose their state, retries, and attempts that arrive late and all at once. The worst run of each case is
+// logged: 0 means N, 1 means the bound. The capacity record reads these lines.
 func TestFleetStaysWithinTheBudgetOfAWarmingNode(t *testing.T) {
 	sizes := []int{5, 20, 30, 300}
 	if os.Getenv("IRISPOST_MEASURE") != "" {
--- a/scheduler/slow_start_test.go
+++ b/scheduler/slow_start_test.go
@@ -6,13 +6,13 @@
 	"testing"
 )
 
-// A warming node is sent more only as it answers, and a new start voids what it answered before.
+// More requests are sent to a warming node only as it answers, and a restart of the node voids its earlier answers.
 func TestWarmingNodeIsSentMoreOnlyAsItAnswers(t *testing.T) {
 	h := newHarness(1, testSettings("plans.0.limit=0"))
 	h.listNode("a0", 0, h.now, EndpointReady)
 	node := h.node("a0")
 	burst := func() (sent int) {
-		node.AnsweredUnits = 1e3 // so that the limit in flight is wide
+		node.AnsweredUnits = 1e3 // large, so that the in-flight limit does not apply
 		for range 20 {
 			h.submit(1, "read", 0, 1)
 		}
@@ -20,43 +20,45 @@
 		return len(h.dispatched)
 	}
 	if sent := burst(); sent > 1 {
-		t.Errorf("%d requests at first", sent)
+		t.Errorf("sent %d requests at first, want at most 1", sent)
 	}
 	h.finishAll(OutcomeServed)
 	h.advanceInSteps(1100 * Millisecond)
 	node.Measured = true
 	node.BusySeconds = 1
 	node.SlowStartAnswered = UnitWindow{{h.now, 10}}
-	if sent := burst(); sent < 10 || sent > 11 { // 10 answered, times 2, times the part used, and one by chance
-		t.Errorf("%d requests after ten answers", sent)
+	if sent := burst(); sent < 10 || sent > 11 { // 10 answered units x multiple 2 x safety 0.5, plus one at random
+		t.Errorf("sent %d requests after ten answered units, want 10 or 11", sent)
 	}
 	h.finishAll(OutcomeServed)
 	h.advanceInSteps(1100 * Millisecond)
 	node.SlowStartAnswered = UnitWindow{{h.now, 10}}
 	h.listNode("a0", 0, h.now, EndpointReady)
 	if sent := burst(); sent > 1 {
-		t.Errorf("%d requests after a new start", sent)
+		t.Errorf("sent %d requests after a restart, want at most 1", sent)
 	}
 }
 
-// warmUnitsPerSecond is what the nodes of the tests with many gateways do when they are warm.
+// warmUnitsPerSecond is the rate of a warm node in the tests with many gateways.
 const warmUnitsPerSecond = 60
 
-// warmingUnitsPerSecond is what such a node does a time after its start: a fifth at first, all after ten seconds.
+// warmingUnitsPerSecond returns the rate of such a node at a given age. It starts at a fifth and is complete after
+// ten seconds.
 func warmingUnitsPerSecond(age Time) float64 {
 	return warmUnitsPerSecond * (0.2 + 0.8*float64(age)/float64(10*Second))
 }
 
-// manyGateways is gateways, without agreement among them, whose one node starts anew.
+// manyGateways is a scenario in which a node restarts while many gateways send to it without coordination.
 type manyGateways struct {
 	gateways, volumes, gatewaysPerVolume int
-	submitted                            float64 // units a second
-	leastUnits                           float64 // sent in four seconds from the start
-	mostShare                            float64 // of the budget, in any second
+	submitted                            float64 // units per second
+	leastUnits                           float64 // minimum units sent within four seconds of the start
+	mostShare                            float64 // maximum share of the budget used in any second
 }
 
-// However many gateways there are, what they send a warming node stays within its slow-start budget, and is not nothing:
-// requests of one volume through all of them, or of many volumes within their service levels, seldom each, or more.
+// Regardless of their number, the gateways together stay within a warming node's slow-start budget, but do use it.
+// The cases are one volume whose requests come through all gateways, and many volumes with few requests each, within
+// their service levels or beyond.
 func TestManyGatewaysStayWithinTheSlowStartBudget(t *testing.T) {
 	for _, c := range []manyGateways{
 		{2, 1, 2, 600, 30, 0.4},
@@ -67,14 +69,14 @@
 		{60, 12, 2, 144, 80, 0.9},
 	} {
 		units, share := c.play()
-		t.Logf("%+v: %.0f units, at most %.0f%% of the slow-start budget", c, units, 100*share)
+		t.Logf("%+v: sent %.0f units, at most %.0f%% of the slow-start budget", c, units, 100*share)
 		if share > c.mostShare || units < c.leastUnits {
-			t.Errorf("%+v: %g units in four seconds, at most %.0f%% of the slow-start budget", c, units, 100*share)
+			t.Errorf("%+v: sent %g units in four seconds, at most %.0f%% of the slow-start budget", c, units, 100*share)
 		}
 	}
 }
 
-// start makes the gateways, each of which knows the rate of a warm node.
+// start creates the gateways. Each of them knows the rate of a warm node.
 func (c manyGateways) start() (harnesses []*harness) {
 	for i := range c.gateways {
 		h := newHarness(uint64(i), testSettings(
@@ -89,7 +91,7 @@
 	return harnesses
 }
 
-// listWarmNode has the list name a second node whose rate is known.
+// listWarmNode adds a second node with a known rate to the list.
 func (h *harness) listWarmNode() {
 	h.listNode("a1", 1, 0, EndpointReady)
 	node := h.node("a1")
@@ -98,9 +100,9 @@
 	node.BusySeconds = 1
 }
 
-// play runs the gateways for five seconds, the last four from the node's start; the node takes one request after
-// the other. It returns the units sent in these four, and the most in any second as a share of its slow-start
-// budget.
+// play simulates one second before the node's start and four seconds after it. The node processes one request at a
+// time. The results are the units sent in the four seconds and the maximum share of the slow-start budget used in any
+// second.
 func (c manyGateways) play() (units, mostShare float64) {
 	harnesses := c.start()
 	random := newPCG32(uint64(c.gateways))
@@ -135,8 +137,8 @@
 	return units, mostShare
 }
 
-// submit submits the requests of 10 ms, of two units each. They are writes, whose answers do not count, since a
-// node may put off part of their work.
+// submit submits 10 ms worth of requests of two units each. They are writes, whose answers do not count because a
+// node may defer part of a write.
 func (c manyGateways) submit(harnesses []*harness, random *pcg32) {
 	for expected := c.submitted / 200; expected > 0; expected-- {
 		volume := int(random.uint32()) % c.volumes
@@ -147,28 +149,28 @@
 	}
 }
 
-// A warming node keeps its slow-start budget for requests that no other node can serve. Answered writes, part of
-// whose work may be put off, do not let it have more.
+// The slow-start budget of a warming node is kept for requests that no other node can serve. Answered writes do not
+// raise what may be sent, because part of their work may be deferred.
 func TestWarmingNodeTakesNoNewObjectsAndNoCreditForWrites(t *testing.T) {
 	h := newHarness(1, testSettings("plans.0.limit=0"))
 	h.listNode("a0", 0, h.now, EndpointReady)
 	h.listNode("a1", 1, 0, EndpointReady)
-	h.node("a1").UnitsInFlight = 100 // busy, so that the warming node would be through first
+	h.node("a1").UnitsInFlight = 100 // busy, so that the warming node would finish first
 	object := h.submit(2, "read", -1, 1)
 	h.advance(Millisecond)
-	expectEqual(t, h, "a new object's node", object.Node.Addr, "a1")
+	expectEqual(t, h, "node of the new object", object.Node.Addr, "a1")
 	for _, write := range []bool{true, false} {
-		h.advanceInSteps(1100 * Millisecond) // so that its part is saved up
+		h.advanceInSteps(1100 * Millisecond) // refills the slow-start bucket
 		request := h.submit(1, "read", 0, 1)
 		request.Write = write
 		h.advance(Millisecond)
 		h.finish(h.inFlight[len(h.inFlight)-1], OutcomeServed)
-		expectEqual(t, h, "answers that count", len(h.node("a0").SlowStartAnswered) > 0, !write)
+		expectEqual(t, h, "the answer counts", len(h.node("a0").SlowStartAnswered) > 0, !write)
 	}
 }
 
-// An allocation is all that a warming node is sent until it expires; what is left of it is returned, and one for
-// another start is dropped.
+// Until an allocation expires, nothing beyond it is sent to a warming node. The unused part is returned, and an
+// allocation for another start of the node is ignored.
 func TestAllocationIsAllThatAWarmingNodeIsSent(t *testing.T) {
 	h := newHarness(1, testSettings("plans.0.limit=0"))
 	startedAt := h.now
@@ -177,16 +179,16 @@
 	allocate := func(startedAt Time, units float64) float64 {
 		return h.scheduler.AllocateSlowStart(h.now, "a0", startedAt, units, expiresAt)
 	}
-	expectEqual(t, h, "left at first", allocate(startedAt, 3), 0.0)
-	expectEqual(t, h, "left for another start", allocate(startedAt-1, 8), 0.0)
+	expectEqual(t, h, "remaining units at first", allocate(startedAt, 3), 0.0)
+	expectEqual(t, h, "remaining units for another start", allocate(startedAt-1, 8), 0.0)
 	first, second := h.submit(1, "read", 0, 2), h.submit(1, "read", 0, 2)
 	h.advance(Millisecond)
-	expectEqual(t, h, "within the allocation", first.State, RequestInFlight)
-	expectEqual(t, h, "not to be sent after", first.Attempts[0].SendBefore, expiresAt)
-	expectEqual(t, h, "beyond it", second.State, RequestQueued)
-	expectEqual(t, h, "left", allocate(startedAt, 2), 1.0)
+	expectEqual(t, h, "state within the allocation", first.State, RequestInFlight)
+	expectEqual(t, h, "latest time to reach the node", first.Attempts[0].SendBefore, expiresAt)
+	expectEqual(t, h, "state beyond the allocation", second.State, RequestQueued)
+	expectEqual(t, h, "remaining units", allocate(startedAt, 2), 1.0)
 	h.advance(Millisecond)
-	expectEqual(t, h, "with another allocation", second.State, RequestInFlight)
+	expectEqual(t, h, "state with another allocation", second.State, RequestInFlight)
 }
 
 func TestSlowStartDemandsAreWhatWaitsAtWarmingNodes(t *testing.T) {
@@ -194,7 +196,7 @@
 	h.listNode("a0", 0, h.now, EndpointReady)
 	h.listNode("a2", 2, h.now, EndpointDraining)
 	h.listWarmNode()
-	h.scheduler.AllocateSlowStart(h.now, "a0", h.now, 0, h.now+Second) // so that all waits
+	h.scheduler.AllocateSlowStart(h.now, "a0", h.now, 0, h.now+Second) // so that all requests wait
 	h.submit(1, "read", 0, 3)                                          // weight 3
 	h.submit(2, "read", 0, 1)                                          // weight 1
 	h.advance(Millisecond)
@@ -203,7 +205,7 @@
 	want := SlowStartDemand{Addr: "a0", StartedAt: Second, Units: 4, SmallestRequest: 1, PriorityWeight: 3}
 	expectEqual(t, h, "demand", demands[0], want)
 	expectEqual(t, h, "rate", rate, float64(warmUnitsPerSecond))
-	h.node("a1").BaseLatency = float64(20 * Millisecond) // two units in 20 ms
+	h.node("a1").BaseLatency = float64(20 * Millisecond) // a mean request of two units in 20 ms
 	_, rate = h.scheduler.SlowStartDemands(h.now)
 	expectEqual(t, h, "rate by the base latency", rate, 100.0)
 }
--- a/scheduler/stored_names.go
+++ b/scheduler/stored_names.go
@@ -1,10 +1,10 @@
 package scheduler
 
-// StoredNames gives the names under which a stored state knows the types ("Type") and fields ("Type.field") that
-// the code calls otherwise. A state in a capture is a snapshot of a Scheduler by reflection (internal/snapshot),
-// and is read only where the kinds, the order and the stored names of all fields are as they were when it was
-// written. So whoever renames a type or field that a Scheduler reaches adds a line here, and the fields of these
-// types keep their order: then states of earlier builds are read, and earlier builds read those of this one.
+// StoredNames maps types ("Type") and fields ("Type.field") to the names under which captures store them, where these
+// differ from the code. The state in a capture is a snapshot of a Scheduler made by reflection (internal/snapshot).
+// It can be read only if kind, order and stored name of every field are the same as when it was written. So when a
+// type or field reachable from a Scheduler is renamed, a line has to be added here, and its fields have to keep their
+// order. Then this build can read the states of earlier builds, and they can read those of this build.
 var StoredNames = map[string]string{
 	"Scheduler":                     "Gateway",
 	"Scheduler.startedAt":           "began",
--- a/scheduler/time.go
+++ b/scheduler/time.go
@@ -1,9 +1,9 @@
 package scheduler
 
-// Time is a point on the gateway's clock, or a span of it, in whole nanoseconds.
+// Time is a point in time on the gateway's clock, or a duration, in nanoseconds.
 type Time = int64
 
-// Spans of time.
+// Durations.
 const (
 	Microsecond Time = 1_000
 	Millisecond Time = 1_000 * Microsecond
--- a/scheduler/timers.go
+++ b/scheduler/timers.go
@@ -2,14 +2,14 @@
 
 import "container/heap"
 
-// timerHeap is a heap of the requests that have a timer, by the time when it fires; ties go by request ID, so that
-// the order depends on nothing else. It implements heap.Interface.
+// timerHeap is a heap of the requests that have a timer, ordered by the time at which it fires. Ties are broken by
+// request ID so that the order is deterministic. It implements heap.Interface.
 type timerHeap []*Request
 
-// Len is part of heap.Interface.
+// Len implements heap.Interface.
 func (h timerHeap) Len() int { return len(h) }
 
-// Less is part of heap.Interface.
+// Less implements heap.Interface.
 func (h timerHeap) Less(a, b int) bool {
 	if h[a].timerAt != h[b].timerAt {
 		return h[a].timerAt < h[b].timerAt
@@ -17,21 +17,21 @@
 	return h[a].ID < h[b].ID
 }
 
-// Swap is part of heap.Interface.
+// Swap implements heap.Interface.
 func (h timerHeap) Swap(a, b int) {
 	h[a], h[b] = h[b], h[a]
 	h[a].timerIndex = a + 1
 	h[b].timerIndex = b + 1
 }
 
-// Push is part of heap.Interface.
+// Push implements heap.Interface.
 func (h *timerHeap) Push(x any) {
 	request := x.(*Request)
 	*h = append(*h, request)
 	request.timerIndex = len(*h)
 }
 
-// Pop is part of heap.Interface.
+// Pop implements heap.Interface.
 func (h *timerHeap) Pop() any {
 	last := len(*h) - 1
 	request := (*h)[last]
@@ -41,7 +41,7 @@
 	return request
 }
 
-// set has the request's timer fire at a time, or stops it when the time is 0.
+// set makes the request's timer fire at the given time, or stops it if the time is 0.
 func (h *timerHeap) set(request *Request, at Time) {
 	request.timerAt = at
 	running := request.timerIndex > 0
@@ -56,7 +56,7 @@
 	}
 }
 
-// popDue stops and returns the first timer that is due, or returns nil.
+// popDue removes the first timer if it is due and returns its request, or nil.
 func (h *timerHeap) popDue(now Time) *Request {
 	if len(*h) == 0 || (*h)[0].timerAt > now {
 		return nil
@@ -64,7 +64,7 @@
 	return heap.Pop(h).(*Request)
 }
 
-// earliest returns when the first timer fires, or 0 if none runs.
+// earliest returns the time at which the first timer fires, or 0 if there is none.
 func (h timerHeap) earliest() Time {
 	if len(h) == 0 {
 		return 0
