--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -8,7 +8,7 @@
 	if !s.mayReceive(node) || s.now < node.EjectedUntil {
 		return false
 	}
-	if !node.Suspected && s.full(node, request) {
+	if !node.Suspected && s.exceedsInFlightLimit(node, request) {
 		return false
 	}
 	if !s.withinReserve(request) && !s.withinFairRate(node, request) {
@@ -17,9 +17,9 @@
 	return s.withinSlowStart(node, request)
 }
 
-// full reports whether a request would exceed the limit of units in flight at a node. If nothing is in flight, one
-// request of any size is allowed; at a lightly loaded node, a second one is too.
-func (s *Scheduler) full(node *Node, request *Request) bool {
+// exceedsInFlightLimit reports whether a request would exceed the limit of units in flight at a node. If nothing is
+// in flight, one request of any size is allowed; at a lightly loaded node, a second one is too.
+func (s *Scheduler) exceedsInFlightLimit(node *Node, request *Request) bool {
 	if node.AttemptsInFlight == 0 {
 		return false
 	}
--- a/scheduler/apply_settings.go
+++ b/scheduler/apply_settings.go
@@ -12,7 +12,7 @@
 func (s *Scheduler) ApplySettings(now Time, settings Settings) {
 	s.now = now
 	s.settingsReplaced = true
-	s.useUpRetryBudget(settings)
+	s.exhaustRetryBudget(settings)
 	s.settings = settings
 	s.loadSettings()
 	for _, volume := range s.volumes { // the iteration order affects no decision
@@ -31,9 +31,9 @@
 		len(s.serviceLevels), len(s.classes), len(s.requests))
 }
 
-// useUpRetryBudget uses up the whole retry budget if its window becomes longer, because retries sent before the
+// exhaustRetryBudget uses up the whole retry budget if its window becomes longer, because retries sent before the
 // shorter window are not known.
-func (s *Scheduler) useUpRetryBudget(settings Settings) {
+func (s *Scheduler) exhaustRetryBudget(settings Settings) {
 	if settings.duration(settingRetryWindow) <= s.settings.duration(settingRetryWindow) {
 		return
 	}
@@ -63,7 +63,7 @@
 		queue.BlockedUntil = max(queue.BlockedUntil, request.Deadline)
 		s.keyQueues[request.Key] = queue
 	}
-	request.Class = stricter(request.Class, class)
+	request.Class = stricterClass(request.Class, class)
 }
 
 // giveUpRemoved gives up the queued requests of a flow whose service level or class is no longer in the settings.
@@ -129,9 +129,9 @@
 	s.tightestObjective = max(s.tightestObjective, minObjective)
 }
 
-// stricter returns a class that allows a repeat only where both classes allow it. Everything else is taken from the
-// later class.
-func stricter(earlier, later *RequestClass) *RequestClass {
+// stricterClass returns a class that allows a repeat only where both classes allow it. Everything else is taken from
+// the later class.
+func stricterClass(earlier, later *RequestClass) *RequestClass {
 	class := *later
 	class.DedupWindow = min(earlier.DedupWindow, later.DedupWindow)
 	switch {
--- a/scheduler/apply_settings_test.go
+++ b/scheduler/apply_settings_test.go
@@ -22,8 +22,8 @@
 }
 
 // newHarnessWithNode returns a harness whose endpoint list names one node.
-func newHarnessWithNode(more ...string) *harness {
-	h := newHarness(1, testSettings(more...))
+func newHarnessWithNode(overrides ...string) *harness {
+	h := newHarness(1, testSettings(overrides...))
 	h.listNode("a0", 0, 0, EndpointReady)
 	return h
 }
@@ -105,7 +105,7 @@
 		{all, idempotent, *all},
 		{zone, zone, *zone},
 	} {
-		if got := stricter(c.earlier, c.later); *got != c.want {
+		if got := stricterClass(c.earlier, c.later); *got != c.want {
 			t.Errorf("stricterClass(%+v, %+v) = %+v, which is not the expected class", c.earlier, c.later, got)
 		}
 	}
--- a/scheduler/capacity.go
+++ b/scheduler/capacity.go
@@ -23,11 +23,11 @@
 
 // averageOverMeasured averages a value over the nodes that are measured, ready and not warming up. It returns 0 if
 // there are none.
-func (s *Scheduler) averageOverMeasured(figure func(*Node) float64) float64 {
+func (s *Scheduler) averageOverMeasured(value func(*Node) float64) float64 {
 	sum, count := 0.0, 0.0
 	for _, node := range s.nodes {
 		if node.Measured && node.State == EndpointReady && !s.warmingUp(node) {
-			sum += figure(node)
+			sum += value(node)
 			count++
 		}
 	}
@@ -165,7 +165,7 @@
 	volume.ServedElsewhere = volume.ServedElsewhere*decay + elsewhere
 	volume.ServedUpdatedAt = s.now
 	volume.Share = 1 / volume.GatewayCount
-	if s.settings.flag(settingSharesUsage) {
+	if s.settings.flag(settingReportsUsage) {
 		initial := shareInitialRequests * s.meanUnits
 		served := volume.ServedHere + volume.ServedElsewhere + initial
 		volume.Share = max(volume.Share, (volume.ServedHere+initial*volume.Share)/served)
--- a/scheduler/capacity_test.go
+++ b/scheduler/capacity_test.go
@@ -13,7 +13,7 @@
 		h.advance(Millisecond)
 		h.advanceInSteps(took * Millisecond)
 		h.finish(h.inFlight[0], OutcomeServed)
-		if narrow := node.InFlightShare < inFlightShareInitial; narrow != (took == 250) {
+		if lowered := node.InFlightShare < inFlightShareInitial; lowered != (took == 250) {
 			t.Errorf("in-flight share is %g after an answer that took %d ms", node.InFlightShare, took)
 		}
 		node.InFlightShare, node.MeanLatency, node.EjectedUntil = inFlightShareInitial, 0, 0
@@ -61,9 +61,9 @@
 	expectEqual(t, h, "share when more is served through others", share(60), 0.5)
 	expectEqual(t, h, "virtual start after 60 units served through others", flow.VirtualStart, 20.0)
 	expectEqual(t, h, "rate of the reserve", flow.Volume.Reserve.Rate, 10.0)
-	for _, absurd := range []float64{-1e12, 1e12, 0} { // changes the share within its bounds and violates no invariant
-		if got := share(absurd); got < 0.5 || got > 1 {
-			t.Errorf("after a report of %g units the share is %g, want 0.5 to 1", absurd, got)
+	for _, reported := range []float64{-1e12, 1e12, 0} { // changes the share within its bounds and violates no invariant
+		if got := share(reported); got < 0.5 || got > 1 {
+			t.Errorf("after a report of %g units the share is %g, want 0.5 to 1", reported, got)
 		}
 	}
 	expectEqual(t, h, "remaining requests", len(h.scheduler.requests), 0)
--- a/scheduler/dispatch.go
+++ b/scheduler/dispatch.go
@@ -25,7 +25,7 @@
 		node.EjectedUntil = s.now + Time(float64(s.tightestObjective)*(suspectRetryMin+s.random.float64()))
 	}
 	s.pending.Dispatch = append(s.pending.Dispatch, attempt)
-	s.timers.set(request, s.now+s.firstCheck(node, request))
+	s.timers.set(request, s.now+s.firstCheckDelay(node, request))
 }
 
 // chargeFlow charges a request being sent to its volume's reserve or, beyond that, to the fair rate and virtual time.
@@ -83,8 +83,8 @@
 	}
 }
 
-// firstCheck returns the delay after which checkInFlight first examines a request that is sent to a node.
-func (s *Scheduler) firstCheck(node *Node, request *Request) Time {
+// firstCheckDelay returns the delay after which checkInFlight first examines a request that is sent to a node.
+func (s *Scheduler) firstCheckDelay(node *Node, request *Request) Time {
 	overdue := overdueFactor * node.expectedLatency(request.Units)
 	return max(min(overdue, s.tightestObjective), s.tightestObjective/roundsPerObjective)
 }
--- a/scheduler/endpoint_list.go
+++ b/scheduler/endpoint_list.go
@@ -123,7 +123,7 @@
 	}
 	for _, flow := range node.Flows {
 		for _, request := range flow.Queue {
-			s.holdUnplaced(request, 0)
+			s.makeUnplaced(request, 0)
 		}
 		flow.Queue = flow.Queue[:0]
 	}
--- a/scheduler/fair_queuing.go
+++ b/scheduler/fair_queuing.go
@@ -82,7 +82,7 @@
 	if flow == nil {
 		return
 	}
-	expired := s.now-node.InServiceSince >= inServiceExpiry
+	expired := s.now-node.InServiceSince >= maxTurnDuration
 	idle := !flow.active() && s.now-flow.LastAnsweredAt >= flow.AverageSendGap
 	switch {
 	case flow.Budget <= 0:
--- a/scheduler/fair_queuing_test.go
+++ b/scheduler/fair_queuing_test.go
@@ -13,12 +13,12 @@
 	first, second := h.scheduler.volumes[1], h.scheduler.volumes[3]
 	first.Reserve.Level = 0 // the reserve's initial burst is used up
 	second.Reserve.Level = 0
-	letters := map[*Volume]string{first: "x", second: "y"}
+	names := map[*Volume]string{first: "x", second: "y"}
 	served := ""
 	for range 24 {
 		h.advance(Millisecond)
 		for _, attempt := range h.dispatched {
-			served += letters[attempt.Request.Volume]
+			served += names[attempt.Request.Volume]
 		}
 		if len(h.inFlight) > 0 {
 			h.finish(h.inFlight[0], OutcomeServed)
@@ -27,7 +27,7 @@
 	// A turn is eight mean requests; once it is used up, the next is half of that, as two volumes are active.
 	expectEqual(t, h, "order", served[:24], "xxxxxxxxyyyyyyyyxxxxyyyy")
 	node.InService = node.Flows[0]
-	node.InServiceSince = h.now - inServiceExpiry
+	node.InServiceSince = h.now - maxTurnDuration
 	node.InService.Budget = 0.4
 	h.scheduler.nextFlow(node)
 	expectEqual(t, h, "budget after expiry", node.Flows[0].Budget, 16.0)
--- a/scheduler/harness_test.go
+++ b/scheduler/harness_test.go
@@ -9,7 +9,7 @@
 )
 
 // testSettings returns settings that exercise every rule, with further settings given as "name=value".
-func testSettings(more ...string) Settings {
+func testSettings(overrides ...string) Settings {
 	settings := Settings{
 		"gateways":         "2",
 		"discovery":        "ask",
@@ -54,7 +54,7 @@
 		set("window", "150")
 		set("in_turn", strconv.FormatBool(class.name == "line"))
 	}
-	for _, setting := range more {
+	for _, setting := range overrides {
 		name, value, _ := strings.Cut(setting, "=")
 		settings[name] = value
 	}
@@ -100,8 +100,8 @@
 	}
 }
 
-// violate records a violated invariant.
-func (h *harness) violate(format string, args ...any) {
+// recordViolation records a violated invariant. Only the first one is kept.
+func (h *harness) recordViolation(format string, args ...any) {
 	if h.violation == "" {
 		h.violation = fmt.Sprintf(format, args...)
 	}
@@ -193,24 +193,24 @@
 		fmt.Fprintln(&h.trace, line)
 	}
 	if decision.NextWake <= h.now {
-		h.violate("the next wake time is not in the future")
+		h.recordViolation("the next wake time is not in the future")
 	}
 }
 
 // checkFinished checks a request that has been given up.
 func (h *harness) checkFinished(request *Request) {
 	if h.finished[request] {
-		h.violate("request %s got two final answers", request.ID)
+		h.recordViolation("request %s got two final answers", request.ID)
 	}
 	h.finished[request] = true
 	repeatable := request.Class.Name != "once" && request.Class.Name != "mark"
 	for _, attempt := range request.Attempts {
 		if !repeatable && request.State == RequestRejected && !attempt.Outcome.NeverExecuted() {
-			h.violate("request %s was rejected although it may have executed", request.ID)
+			h.recordViolation("request %s was rejected although it may have executed", request.ID)
 		}
 	}
 	if request.RetryAfter > Second {
-		h.violate("request %s has a Retry-After of %d ns, want at most 1 s", request.ID, request.RetryAfter)
+		h.recordViolation("request %s has a Retry-After of %d ns, want at most 1 s", request.ID, request.RetryAfter)
 	}
 }
 
@@ -218,13 +218,13 @@
 func (h *harness) checkDispatch(attempt *Attempt) {
 	request, node := attempt.Request, attempt.Node
 	if h.finished[request] {
-		h.violate("request %s was sent after its final answer", request.ID)
+		h.recordViolation("request %s was sent after its final answer", request.ID)
 	}
 	if h.listed[node.Addr] != EndpointReady {
-		h.violate("an attempt was sent to %s, which is not ready", node.Addr)
+		h.recordViolation("an attempt was sent to %s, which is not ready", node.Addr)
 	}
 	if request.Shard >= 0 && request.Shard != node.Shard {
-		h.violate("request %s was sent to the wrong shard", request.ID)
+		h.recordViolation("request %s was sent to the wrong shard", request.ID)
 	}
 	h.checkRepeat(attempt)
 	if request.Class.Name == "line" {
@@ -245,9 +245,9 @@
 		if earlier.Outcome.NeverExecuted() {
 			continue
 		}
-		forgotten := earlier.Node.Shard != node.Shard || h.now-earlier.SentAt >= 150*Millisecond
-		if request.Class.Name == "once" || request.Class.Name == "mark" && forgotten {
-			h.violate("request %s may be executed twice", request.ID)
+		keyForgotten := earlier.Node.Shard != node.Shard || h.now-earlier.SentAt >= 150*Millisecond
+		if request.Class.Name == "once" || request.Class.Name == "mark" && keyForgotten {
+			h.recordViolation("request %s may be executed twice", request.ID)
 		}
 	}
 }
@@ -256,14 +256,14 @@
 func (h *harness) checkKeyOrder(attempt *Attempt) {
 	request := attempt.Request
 	if h.keyBlockedUntil[request.Key] > h.now && attempt.Number == 0 {
-		h.violate("request %s was sent while key %d is blocked, at %d", request.ID, request.Key, h.now)
+		h.recordViolation("request %s was sent while key %d is blocked, at %d", request.ID, request.Key, h.now)
 	}
 	for _, earlier := range h.keyQueues[request.Key] {
 		if earlier == request {
 			break
 		}
 		if !h.finished[earlier] || earlier.attemptsPending() > 0 {
-			h.violate("request %s was sent before the end of request %s with the same key", request.ID, earlier.ID)
+			h.recordViolation("request %s was sent before the end of request %s with the same key", request.ID, earlier.ID)
 		}
 	}
 }
@@ -280,7 +280,7 @@
 	}
 	h.retries = append(h.retries, h.now)
 	if inWindow(h.retries) > 2+0.2*inWindow(h.arrivals) {
-		h.violate("the retry budget was exceeded")
+		h.recordViolation("the retry budget was exceeded")
 	}
 }
 
@@ -293,7 +293,7 @@
 	limit.Refill(h.now)
 	limit.Level -= request.Units
 	if limit.Level < -1e-9 {
-		h.violate("request %s exceeds the rate limit", request.ID)
+		h.recordViolation("request %s exceeds the rate limit", request.ID)
 	}
 }
 
@@ -310,7 +310,7 @@
 	limit := h.scheduler.inFlightLimit(node)
 	mayExceed := attempts == 0 || attempts == 1 && h.scheduler.lightlyLoaded(node) || node.Suspected
 	if !mayExceed && units > limit+1e-9 || units > 2*maxLimitRequests*h.scheduler.meanUnits {
-		h.violate("%s has %g units in %d attempts in flight, the scheduler counts %g in %d, limit %g, at %d",
+		h.recordViolation("%s has %g units in %d attempts in flight, the scheduler counts %g in %d, limit %g, at %d",
 			node.Addr, units, attempts, node.UnitsInFlight, node.AttemptsInFlight, limit, h.now)
 	}
 }
@@ -326,7 +326,7 @@
 	h.decide()
 	for _, request := range h.requests {
 		if !h.finished[request] && h.now > request.Deadline {
-			h.violate("request %s has no final answer", request.ID)
+			h.recordViolation("request %s has no final answer", request.ID)
 		}
 	}
 }
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -39,7 +39,7 @@
 // flight, so that it is sent at once. If its objective has already passed, as with clients' retries, the node must
 // also be lightly loaded by all gateways.
 func (s *Scheduler) shouldGiveUpAt(node *Node, request *Request) bool {
-	if s.now+node.expectedLatency(request.Units) <= request.effectiveObjective() {
+	if s.now+node.expectedLatency(request.Units) <= request.effectiveObjectiveDeadline() {
 		return false
 	}
 	if node.AttemptsInFlight > 0 || s.queuedUnits(node) > 0 {
@@ -66,7 +66,7 @@
 	s.setRequestState(request, RequestQueued)
 	request.Node = node
 	node.dirty = true
-	s.timers.set(request, s.latestDispatch(request))
+	s.timers.set(request, s.latestDispatchTime(request))
 }
 
 // selectNode returns the node to serve a request, or nil if there is none at present: the node that holds its data
--- a/scheduler/random_runs_test.go
+++ b/scheduler/random_runs_test.go
@@ -15,15 +15,15 @@
 	for shard, addr := range randomNodes {
 		h.listNode(addr, shard, 0, EndpointReady)
 	}
-	sick := h.intN(3) // the shard whose node answers only half of the time
+	failingShard := h.intN(3) // the shard whose node answers only half of the time
 	for step := 0; step < 600 && h.violation == ""; step++ {
-		h.randomStep(step, sick)
+		h.randomStep(step, failingShard)
 	}
 	for range 100 {
 		h.advance(20 * Millisecond)
 	}
 	if h.violation == "" && (len(h.scheduler.requests) > 0 || len(h.scheduler.unplaced) > 0) {
-		h.violate("%d requests are still held, %d are unplaced", len(h.scheduler.requests), len(h.scheduler.unplaced))
+		h.recordViolation("%d requests still held, %d unplaced", len(h.scheduler.requests), len(h.scheduler.unplaced))
 	}
 	return h
 }
@@ -32,7 +32,7 @@
 func (h *harness) intN(n uint32) int { return int(h.random.uint32() % n) }
 
 // randomStep submits requests, ends attempts, possibly changes the list or cancels a request, and advances the clock.
-func (h *harness) randomStep(step, sick int) {
+func (h *harness) randomStep(step, failingShard int) {
 	classes := []string{"read", "read", "once", "mark", "line", "line"}
 	outcomes := []Outcome{
 		OutcomeServed, OutcomeServed, OutcomeServed, OutcomeServed, OutcomeServed, OutcomeServed,
@@ -46,7 +46,7 @@
 			continue
 		}
 		attempt := h.inFlight[h.intN(uint32(len(h.inFlight)))]
-		if attempt.Node.Shard != sick || step%200 < 100 {
+		if attempt.Node.Shard != failingShard || step%200 < 100 {
 			h.finish(attempt, outcomes[h.intN(10)])
 		}
 	}
@@ -60,13 +60,13 @@
 	case 2:
 		h.scheduler.EndpointListFailed(h.now, false)
 	case 3:
-		h.lastClientLeaves()
+		h.cancelLatestRequest()
 	}
 	h.advance(Time(1+h.intN(25)) * Millisecond)
 }
 
-// lastClientLeaves cancels the latest request if it is still waiting for its answer.
-func (h *harness) lastClientLeaves() {
+// cancelLatestRequest cancels the latest request if it is still waiting for its answer.
+func (h *harness) cancelLatestRequest() {
 	if len(h.requests) == 0 {
 		return
 	}
--- a/scheduler/requests.go
+++ b/scheduler/requests.go
@@ -21,7 +21,7 @@
 	if request.Class.Ordered && keyed {
 		s.joinKeyQueue(request)
 	}
-	s.holdUnplaced(request, 0)
+	s.makeUnplaced(request, 0)
 }
 
 // class returns the class with the given name. A class that the settings do not define is created as non-idempotent,
@@ -134,9 +134,9 @@
 // done reports whether the request has its final answer and no pending attempt.
 func (r *Request) done() bool { return r.State.Terminal() && r.attemptsPending() == 0 }
 
-// holdUnplaced makes a request wait to be placed, for at least the given delay. Draws made at its previous node are
+// makeUnplaced makes a request wait to be placed, for at least the given delay. Draws made at its previous node are
 // reset.
-func (s *Scheduler) holdUnplaced(request *Request, delay Time) {
+func (s *Scheduler) makeUnplaced(request *Request, delay Time) {
 	s.setRequestState(request, RequestUnplaced)
 	request.Node = nil
 	request.NotBefore = s.now + delay
@@ -144,13 +144,13 @@
 	request.SlowStartDraw = NotDrawn
 	request.SlowStartShareDraw = NotDrawn
 	s.unplaced = append(s.unplaced, request)
-	s.timers.set(request, s.latestDispatch(request))
+	s.timers.set(request, s.latestDispatchTime(request))
 }
 
-// effectiveObjective returns the time by which the request has to be answered: the end of its objective, or the time
-// at which its client is likely to leave if many clients of the service level leave that early. It is not shortened
-// where clients leave at arbitrary times while others that wait as long are served.
-func (r *Request) effectiveObjective() Time {
+// effectiveObjectiveDeadline returns the time by which the request has to be answered: the end of its objective, or
+// the time at which its client is likely to leave if many clients of the service level leave that early. It is not
+// shortened where clients leave at arbitrary times while others that wait as long are served.
+func (r *Request) effectiveObjectiveDeadline() Time {
 	level := r.Volume.ServiceLevel
 	if level.EarlyCancelShare <= earlyCancelThreshold {
 		return r.ObjectiveDeadline
@@ -159,10 +159,10 @@
 	return min(r.ObjectiveDeadline, leavesAt)
 }
 
-// latestDispatch returns the latest time at which a waiting request can be sent and is still expected to meet its
+// latestDispatchTime returns the latest time at which a waiting request can be sent and is still expected to meet its
 // objective. The request is given up then.
-func (s *Scheduler) latestDispatch(request *Request) Time {
-	at := request.effectiveObjective()
+func (s *Scheduler) latestDispatchTime(request *Request) Time {
+	at := request.effectiveObjectiveDeadline()
 	if request.Node != nil {
 		at -= request.Node.expectedLatency(request.Units)
 	}
@@ -183,8 +183,8 @@
 	s.pending.Finished = append(s.pending.Finished, request)
 }
 
-// retryAfter returns how long a rejected client is asked to wait: the objective, plus, if the request was queued at a
-// node, the time the node needs for its queue.
+// retryAfter returns how long a rejected client is asked to wait, up to the configured maximum: the objective, plus,
+// if the request was queued at a node, the time the node needs for its queue.
 func (s *Scheduler) retryAfter(node *Node) Time {
 	wait := s.tightestObjective
 	if node != nil {
--- a/scheduler/retries.go
+++ b/scheduler/retries.go
@@ -70,7 +70,7 @@
 		delay = Time(float64(s.tightestObjective) * (retryDelayMin + retryDelayJitter*s.random.float64()))
 	}
 	if s.canRetry(request, failed, delay) {
-		s.holdUnplaced(request, delay)
+		s.makeUnplaced(request, delay)
 	} else {
 		s.giveUp(request)
 	}
@@ -83,7 +83,7 @@
 	if onlyNode && !s.mayAttempt(request, node) {
 		return false
 	}
-	if s.now+delay+node.expectedLatency(request.Units) >= request.effectiveObjective() {
+	if s.now+delay+node.expectedLatency(request.Units) >= request.effectiveObjectiveDeadline() {
 		return false
 	}
 	return request.Deadline > s.now && failed.Outcome != OutcomeMisdirected
@@ -96,7 +96,7 @@
 	if node == nil || !s.canDispatch(node, request) {
 		return
 	}
-	if s.now+node.expectedLatency(request.Units) >= request.effectiveObjective() {
+	if s.now+node.expectedLatency(request.Units) >= request.effectiveObjectiveDeadline() {
 		return
 	}
 	if request.Shard < 0 {
--- a/scheduler/settings.go
+++ b/scheduler/settings.go
@@ -23,7 +23,7 @@
 	settingFreeRetries        = "further.free"     // retries allowed in any window
 	settingRetryShare         = "further.share"    // further retries allowed per request received in the window
 	settingKeyRest            = "key.rest"         // pause of a key after an attempt that may still be running, ms
-	settingSharesUsage        = "tells.others"     // whether answers report the units served through other gateways
+	settingReportsUsage       = "tells.others"     // whether answers report the units served through other gateways
 	settingSlowStartTime      = "cold.time"        // duration of slow start, ms
 	settingSlowStartFrom      = "cold.from"        // initial share of a node's capacity
 	settingSlowStartMultiple  = "cold.multiple"    // multiple of its current capacity that a node tolerates in a window
@@ -80,8 +80,8 @@
 
 // Values of a request class by their names in the settings. Any other name reads as the first constant of the type.
 var (
-	idempotencyWords = map[string]Idempotency{"referenced": IdempotencyKeyed, "single-use": NonIdempotent}
-	dedupScopeWords  = map[string]DedupScope{"zone": DedupSameZone, "shard": DedupSameShard}
+	idempotencyByName = map[string]Idempotency{"referenced": IdempotencyKeyed, "single-use": NonIdempotent}
+	dedupScopeByName  = map[string]DedupScope{"zone": DedupSameZone, "shard": DedupSameShard}
 )
 
 // requestClass returns the request class with the given index.
@@ -94,7 +94,7 @@
 		ClientTimeout:    duration("patience"),
 		DedupWindow:      duration("window"),
 		Ordered:          s.flag(itemName(listRequestClasses, index, "in_turn")),
-		Idempotency:      idempotencyWords[text("kind")],
-		DedupScope:       dedupScopeWords[text("group")],
+		Idempotency:      idempotencyByName[text("kind")],
+		DedupScope:       dedupScopeByName[text("group")],
 	}
 }
--- a/scheduler/settings_changes_test.go
+++ b/scheduler/settings_changes_test.go
@@ -8,14 +8,14 @@
 )
 
 // settingsWith returns a copy of the settings with some values replaced.
-func settingsWith(base Settings, more map[string]string) Settings {
+func settingsWith(base Settings, overrides map[string]string) Settings {
 	settings := maps.Clone(base)
-	maps.Copy(settings, more)
+	maps.Copy(settings, overrides)
 	return settings
 }
 
-// changingRun is a random run in which the settings change at arbitrary times.
-type changingRun struct {
+// settingsRun is a random run in which the settings change at arbitrary times.
+type settingsRun struct {
 	*harness
 	t             *rapid.T
 	nonIdempotent map[*Request]bool // requests whose class has been non-idempotent at some time
@@ -27,7 +27,7 @@
 func TestInvariantsHoldWhileSettingsChange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		seed := uint64(rapid.IntRange(0, 1<<20).Draw(t, "seed"))
-		run := changingRun{newHarness(seed, testSettings("plans.0.limit=0")), t, map[*Request]bool{}, map[string]bool{}}
+		run := settingsRun{newHarness(seed, testSettings("plans.0.limit=0")), t, map[*Request]bool{}, map[string]bool{}}
 		for shard, addr := range randomNodes {
 			run.listNode(addr, shard, 0, EndpointReady)
 		}
@@ -48,7 +48,7 @@
 }
 
 // step submits a request, ends an attempt, changes the settings or advances the clock.
-func (r *changingRun) step() {
+func (r *settingsRun) step() {
 	switch rapid.IntRange(0, 7).Draw(r.t, "step") {
 	case 0, 1, 2:
 		r.submitRandom()
@@ -70,7 +70,7 @@
 }
 
 // submitRandom submits a random request.
-func (r *changingRun) submitRandom() {
+func (r *settingsRun) submitRandom() {
 	volume := int64(rapid.IntRange(0, 4).Draw(r.t, "volume"))
 	class := rapid.SampledFrom([]string{"read", "once", "line"}).Draw(r.t, "class")
 	shard := rapid.IntRange(-1, 2).Draw(r.t, "shard")
@@ -80,9 +80,9 @@
 }
 
 // changeSettings changes some settings and removes some service levels and classes by renaming them.
-func (r *changingRun) changeSettings() {
+func (r *settingsRun) changeSettings() {
 	kind := rapid.SampledFrom([]string{"replayable", "single-use"}).Draw(r.t, "kind of read")
-	more := map[string]string{
+	overrides := map[string]string{
 		"products.0.kind": kind,
 		"plans.1.reserve": rapid.SampledFrom([]string{"0", "20"}).Draw(r.t, "reserve"),
 		"plans.0.weight":  rapid.SampledFrom([]string{"1", "5"}).Draw(r.t, "weight"),
@@ -92,10 +92,10 @@
 	for _, name := range []string{"plans.1.name", "products.0.name", "products.3.name"} {
 		if rapid.IntRange(0, 3).Draw(r.t, name) == 0 {
 			r.removed[r.settings[name]] = true
-			more[name] = "other"
+			overrides[name] = "other"
 		}
 	}
-	r.scheduler.ApplySettings(r.now, settingsWith(r.settings, more))
+	r.scheduler.ApplySettings(r.now, settingsWith(r.settings, overrides))
 	if kind != "single-use" || r.removed["read"] {
 		return
 	}
@@ -107,12 +107,12 @@
 }
 
 // isRemoved reports whether the settings lack a request's class or service level.
-func (r *changingRun) isRemoved(request *Request) bool {
+func (r *settingsRun) isRemoved(request *Request) bool {
 	return r.removed[request.Class.Name] || r.removed[request.Volume.ServiceLevel.Name]
 }
 
 // checkDispatched checks the attempts sent by the latest decision.
-func (r *changingRun) checkDispatched() {
+func (r *settingsRun) checkDispatched() {
 	for _, attempt := range r.dispatched {
 		request := attempt.Request
 		if r.isRemoved(request) {
@@ -131,7 +131,7 @@
 }
 
 // checkWaiting checks that no waiting request belongs to a removed class or service level.
-func (r *changingRun) checkWaiting() {
+func (r *settingsRun) checkWaiting() {
 	for _, request := range r.requests {
 		waits := request.State == RequestUnplaced || request.State == RequestQueued
 		if waits && r.isRemoved(request) {
--- a/scheduler/slow_start.go
+++ b/scheduler/slow_start.go
@@ -36,7 +36,7 @@
 	if request.CoveredByAnswers {
 		return true
 	}
-	share := s.warmShare(node)
+	share := s.warmCapacityShare(node)
 	s.resizeSlowStart(node, share)
 	s.drawSlowStartShare(node, request, share)
 	return request.SlowStartShareDraw == DrawAdmitted ||
@@ -52,13 +52,13 @@
 // multiple of the units that it answered in the window.
 func (s *Scheduler) coveredByAnswers(node *Node, request *Request) bool {
 	windowStart := s.now - s.settings.duration(settingSlowStartWindow)
-	sent := node.SlowStartSent.since(windowStart) + request.Units
-	return sent <= s.safeMultiple()*node.SlowStartAnswered.since(windowStart)
+	sent := node.SlowStartSent.sumSince(windowStart) + request.Units
+	return sent <= s.safeMultiple()*node.SlowStartAnswered.sumSince(windowStart)
 }
 
-// warmShare returns the share of its capacity that a warming node has now. It grows linearly from the configured
-// initial share to 1.
-func (s *Scheduler) warmShare(node *Node) float64 {
+// warmCapacityShare returns the share of its capacity that a warming node has now. It grows linearly from the
+// configured initial share to 1.
+func (s *Scheduler) warmCapacityShare(node *Node) float64 {
 	initial := s.settings.number(settingSlowStartFrom)
 	age := float64(s.now - s.latestPossibleStart(node))
 	return initial + (1-initial)*age/float64(s.settings.duration(settingSlowStartTime))
--- a/scheduler/slow_start_fleet_test.go
+++ b/scheduler/slow_start_fleet_test.go
@@ -21,21 +21,22 @@
 // fleetRun is a simulation of a slowStartFleet.
 type fleetRun struct {
 	slowStartFleet
-	seed      uint64
-	random    pcg32
-	now       Time
-	startedAt Time // start time of the node
-	gateways  []*harness
-	busyUntil Time // of the node, which processes one attempt at a time
-	dueAt     map[*Attempt]Time
-	outcomes  map[*Attempt]Outcome // the outcome at that time
-	reached   []Time               // when attempts reached the node, after its start
+	seed        uint64
+	random      pcg32
+	now         Time
+	startedAt   Time // start time of the node
+	gateways    []*harness
+	busyUntil   Time // of the node, which processes one attempt at a time
+	dueAt       map[*Attempt]Time
+	outcomes    map[*Attempt]Outcome // the outcome at that time
+	deliveredAt []Time               // when attempts reached the node, after its start
 }
 
-// play simulates one second before the node's start and four seconds after it. It returns the number of attempts that
-// reached the node after its start, and the highest excess over its budget in any window. With N the number of
-// attempts of mean units that the multiple allows, the excess is the attempts beyond N, divided by 2 x sqrt(N) + 2.
-func (f slowStartFleet) play(seed uint64) (attempts int, excess float64) {
+// simulate runs the fleet for one second before the node's start and four seconds after it. It returns the number of
+// attempts that reached the node after its start, and the highest excess over its budget in any window. With N the
+// number of attempts of mean units that the multiple allows, the excess is the attempts beyond N, divided by
+// 2 x sqrt(N) + 2.
+func (f slowStartFleet) simulate(seed uint64) (attempts int, excess float64) {
 	run := &fleetRun{
 		slowStartFleet: f,
 		seed:           seed,
@@ -51,7 +52,7 @@
 		run.step(step)
 		run.now += 10 * Millisecond
 	}
-	return len(run.reached), run.excess()
+	return len(run.deliveredAt), run.excess()
 }
 
 // newGateway creates a gateway that knows the rate of a warm node.
@@ -94,7 +95,7 @@
 		}
 		h.advance(10 * Millisecond)
 		for _, attempt := range h.dispatched {
-			r.reach(attempt, rate, step >= 0)
+			r.deliver(attempt, rate, step >= 0)
 		}
 	}
 }
@@ -114,8 +115,8 @@
 	}
 }
 
-// reach delivers an attempt to the node, which processes the given units per second.
-func (r *fleetRun) reach(attempt *Attempt, rate float64, started bool) {
+// deliver passes an attempt to the node, which processes the given units per second.
+func (r *fleetRun) deliver(attempt *Attempt, rate float64, started bool) {
 	at := r.now
 	if r.burstInterval > 0 {
 		at += r.burstInterval - (r.now-Second)%r.burstInterval
@@ -128,20 +129,20 @@
 		r.outcomes[attempt] = OutcomeReset
 	}
 	if started {
-		r.reached = append(r.reached, at)
+		r.deliveredAt = append(r.deliveredAt, at)
 	}
 }
 
-// excess returns the highest excess over the node's budget in any window of one second (see play).
+// excess returns the highest excess over the node's budget in any window of one second (see simulate).
 func (r *fleetRun) excess() float64 {
-	most := math.Inf(-1)
-	slices.Sort(r.reached)
-	for i, at := range r.reached { // the window that ends with this attempt
-		first, _ := slices.BinarySearch(r.reached, at-Second+1)
+	maxExcess := math.Inf(-1)
+	slices.Sort(r.deliveredAt)
+	for i, at := range r.deliveredAt { // the window that ends with this attempt
+		first, _ := slices.BinarySearch(r.deliveredAt, at-Second+1)
 		budget := 2 * warmingUnitsPerSecond(at-r.startedAt) / 2 // the multiple of 2, divided by the two units of an attempt
-		most = max(most, (float64(i+1-first)-budget)/(2*math.Sqrt(budget)+2))
+		maxExcess = max(maxExcess, (float64(i+1-first)-budget)/(2*math.Sqrt(budget)+2))
 	}
-	return most
+	return maxExcess
 }
 
 // All gateways together stay within the budget of a warming node: N attempts, and 2 x sqrt(N) + 2 for chance, in the
@@ -170,7 +171,7 @@
 			}
 			worst, sum := math.Inf(-1), 0
 			for seed := range seeds {
-				attempts, excess := fleet.play(uint64(seed))
+				attempts, excess := fleet.simulate(uint64(seed))
 				worst = max(worst, excess)
 				sum += attempts
 			}
--- a/scheduler/slow_start_test.go
+++ b/scheduler/slow_start_test.go
@@ -52,8 +52,8 @@
 type manyGateways struct {
 	gateways, volumes, gatewaysPerVolume int
 	submitted                            float64 // units per second
-	leastUnits                           float64 // minimum units sent within four seconds of the start
-	mostShare                            float64 // maximum share of the budget used in any second
+	minUnits                             float64 // minimum units sent within four seconds of the start
+	maxShare                             float64 // maximum share of the budget used in any second
 }
 
 // Regardless of their number, the gateways together stay within a warming node's slow-start budget, but do use it.
@@ -68,16 +68,16 @@
 		{60, 12, 2, 72, 60, 0.8},
 		{60, 12, 2, 144, 80, 0.9},
 	} {
-		units, share := c.play()
+		units, share := c.simulate()
 		t.Logf("%+v: sent %.0f units, at most %.0f%% of the slow-start budget", c, units, 100*share)
-		if share > c.mostShare || units < c.leastUnits {
+		if share > c.maxShare || units < c.minUnits {
 			t.Errorf("%+v: sent %g units in four seconds, at most %.0f%% of the slow-start budget", c, units, 100*share)
 		}
 	}
 }
 
-// start creates the gateways. Each of them knows the rate of a warm node.
-func (c manyGateways) start() (harnesses []*harness) {
+// startGateways creates the gateways. Each of them knows the rate of a warm node.
+func (c manyGateways) startGateways() (harnesses []*harness) {
 	for i := range c.gateways {
 		h := newHarness(uint64(i), testSettings(
 			"plans.0.limit=0", "plans.0.rate=2", "plans.0.reserve=1", "plans.1.rate=4",
@@ -100,11 +100,11 @@
 	node.BusySeconds = 1
 }
 
-// play simulates one second before the node's start and four seconds after it. The node processes one request at a
-// time. The results are the units sent in the four seconds and the maximum share of the slow-start budget used in any
-// second.
-func (c manyGateways) play() (units, mostShare float64) {
-	harnesses := c.start()
+// simulate runs the gateways for one second before the node's start and four seconds after it. The node processes one
+// request at a time. The results are the units sent in the four seconds and the maximum share of the slow-start
+// budget used in any second.
+func (c manyGateways) simulate() (units, maxShare float64) {
+	harnesses := c.startGateways()
 	random := newPCG32(uint64(c.gateways))
 	dueAt := map[*Attempt]Time{}
 	busyUntil := Time(0)
@@ -131,10 +131,10 @@
 			}
 		}
 		if step >= 0 {
-			mostShare = max(mostShare, sent.since(harnesses[0].now-Second)/2/rate)
+			maxShare = max(maxShare, sent.sumSince(harnesses[0].now-Second)/2/rate)
 		}
 	}
-	return units, mostShare
+	return units, maxShare
 }
 
 // submit submits 10 ms worth of requests of two units each. They are writes, whose answers do not count because a
--- a/scheduler/token_bucket.go
+++ b/scheduler/token_bucket.go
@@ -42,8 +42,8 @@
 // UnitWindow is a series of samples in order of time, used for sums over a sliding window.
 type UnitWindow []UnitSample
 
-// since drops the samples up to and including the given time and returns the sum of the others.
-func (w *UnitWindow) since(at Time) (units float64) {
+// sumSince drops the samples up to and including the given time and returns the sum of the others.
+func (w *UnitWindow) sumSince(at Time) (units float64) {
 	for len(*w) > 0 && (*w)[0].At <= at {
 		*w = (*w)[1:]
 	}
--- a/scheduler/tuning.go
+++ b/scheduler/tuning.go
@@ -7,7 +7,7 @@
 const (
 	defaultBudgetRequests = 8.0               // mean requests in the default budget of a turn
 	minBudgetDivisor      = 32.0              // the minimum budget is the default divided by this
-	inServiceExpiry       = 300 * Millisecond // maximum duration of a turn
+	maxTurnDuration       = 300 * Millisecond // a turn ends after this time even if budget is left
 )
 
 // Limit of units in flight at a node: what the node answers in a share of the objective.
