--- a/internal/fleet/replica/apply.go
+++ b/internal/fleet/replica/apply.go
@@ -10,13 +10,14 @@
 	"irispost/internal/fleet/lease"
 )
 
-// proposalResult is what became of a proposal.
+// proposalResult is the outcome of a proposal: the version that it created, or why it was rejected.
 type proposalResult struct {
 	version *configversion.Version
 	err     error
 }
 
-// propose puts a proposal into the log; result gets what becomes of it.
+// propose submits a proposal to Raft. Its outcome is sent to result: at once if it is not accepted, else when its entry
+// is applied or this replica loses the leadership.
 func (r *Replica) propose(proposal *lease.Proposal, result chan<- proposalResult) {
 	if !r.leading() {
 		result <- proposalResult{err: ErrNotLeader}
@@ -30,7 +31,7 @@
 	r.appendCommand(&lease.Command{Propose: proposal})
 }
 
-// proposeNextCommand puts the command into the log that the lease manager has due.
+// proposeNextCommand submits the next command that the lease manager needs in the log, if there is one.
 func (r *Replica) proposeNextCommand() {
 	if !r.leading() {
 		return
@@ -42,7 +43,7 @@
 	}
 }
 
-// appendCommand hands a command to Raft. Whether it gets into the log shows only when it is applied.
+// appendCommand proposes a command to Raft. Only when its entry is applied is it known to be in the log.
 func (r *Replica) appendCommand(command *lease.Command) {
 	entry, err := command.EncodeEntry(r.entryFormat(), r.machine)
 	if err != nil {
@@ -54,7 +55,7 @@
 	}
 }
 
-// apply applies a committed entry of the log.
+// apply applies a committed log entry.
 func (r *Replica) apply(entry *raftpb.Entry) error {
 	r.appliedIndex = entry.GetIndex()
 	r.leadFromEntry(entry)
@@ -75,7 +76,7 @@
 	r.recordForgotten(command.Forget)
 	version, err := r.machine.Apply(command)
 	if errors.Is(err, lease.ErrInvalidEntry) {
-		return fmt.Errorf("entry %d of the log: %w", index, err)
+		return fmt.Errorf("log entry %d: %w", index, err)
 	}
 	if command.Propose != nil {
 		r.proposalApplied(command.Propose.ID, version, err)
@@ -90,12 +91,12 @@
 	return nil
 }
 
-// proposalApplied answers who waits for a proposal, if somebody does.
+// proposalApplied logs a version that a proposal created and sends the outcome to the caller that waits, if any.
 func (r *Replica) proposalApplied(id string, version *configversion.Version, err error) {
 	switch {
 	case err != nil:
-	case version.Content == nil: // a repeated proposal whose version was forgotten meanwhile
-		// Where the history cannot be read, the answer has the version without its content.
+	case version.Content == nil: // a repeated proposal whose version has been forgotten since
+		// If the history cannot be read, the result is the version without its content.
 		if list, _ := r.forgottenVersions(version.Number, version.Number); len(list) > 0 {
 			version = list[0]
 		}
@@ -109,11 +110,11 @@
 	}
 }
 
-// recordForgotten hands the versions to the history that a command is about to remove from the state machine.
+// recordForgotten adds the versions that a command is about to remove from the state machine to the history.
 func (r *Replica) recordForgotten(numbers []uint64) {
 	for _, number := range numbers {
 		if number == r.machine.InForce || number == r.machine.Announced {
-			continue // the state machine rejects that
+			continue // the state machine refuses to forget these
 		}
 		if version := r.machine.Version(number); version != nil {
 			r.store.history.add(version, r.machine.Delta(number))
@@ -121,8 +122,8 @@
 	}
 }
 
-// installSnapshot replaces the state machine by the one of a snapshot that the leader sent. Versions between the two
-// stay unknown to this replica.
+// installSnapshot replaces the state machine with the one in a snapshot from the leader. This replica never learns of
+// versions that were both announced and forgotten between the two states.
 func (r *Replica) installSnapshot(snapshot *raftpb.Snapshot) error {
 	machine, err := lease.Restore(snapshot.GetData())
 	if err != nil {
@@ -135,7 +136,7 @@
 	return nil
 }
 
-// recordForgottenBy hands the versions to the history that the state machine of a snapshot has forgotten.
+// recordForgottenBy adds the versions that a snapshot's state machine has forgotten to the history.
 func (r *Replica) recordForgottenBy(machine *lease.StateMachine) {
 	for _, version := range r.machine.Versions {
 		if machine.Version(version.Number) == nil {
--- a/internal/fleet/replica/client.go
+++ b/internal/fleet/replica/client.go
@@ -21,28 +21,29 @@
 
 const (
 	maxAnswerBytes = 256 << 20
-	minTryTimeout  = time.Second           // of one replica, where the client's timeout would leave it less
-	retryInterval  = 50 * time.Millisecond // after all replicas were tried
+	minTryTimeout  = time.Second           // for one replica, even if its share of the client's timeout is less
+	retryInterval  = 50 * time.Millisecond // pause after all replicas have been tried
 
-	// maxContentAnswerBytes allows for what cannot be compressed, which grows by a little.
+	// maxContentResponseBytes allows for content that cannot be compressed, which grows slightly when it is encoded.
 	maxContentAnswerBytes = configversion.MaxContentBytes + configversion.MaxContentBytes/64
 )
 
-// Client calls the replicas of a group. Its methods, except for Call and FetchContent, try all in turn until the leader
-// has answered.
+// Client calls the replicas of a group. Call and FetchContent call a given replica; the other methods try all replicas
+// in turn until the leader answers.
 type Client struct {
 	Replicas   []string // addresses
 	Timeout    time.Duration
-	HTTPClient *http.Client // nil: the default one
+	HTTPClient *http.Client // nil: http.DefaultClient
 }
 
-// RejectedError is an answer that stands: no other replica would answer otherwise.
+// RejectedError reports that a request was rejected for good: another replica would reject it too.
 type RejectedError struct{ Message string }
 
-// Error is the replica's text.
+// Error returns the text of the replica's response.
 func (e *RejectedError) Error() string { return e.Message }
 
-// Call sends one request to one replica and reads the answer's JSON. Body is nil or encoded as JSON.
+// Call sends one request to one replica and stores the decoded JSON response in the value that into points to. Body is
+// sent as JSON; nil sends no body.
 func (c *Client) Call(ctx context.Context, replica, method, path string, body, into any) error {
 	var reader io.Reader
 	if body != nil {
@@ -71,11 +72,12 @@
 	case http.StatusConflict, http.StatusBadRequest:
 		return &RejectedError{strings.TrimSpace(string(answer))}
 	default:
-		return fmt.Errorf("keeper %s: %s", replica, strings.TrimSpace(string(answer)))
+		return fmt.Errorf("replica %s: %s", replica, strings.TrimSpace(string(answer)))
 	}
 }
 
-// newClientRequest makes a request without the headers that a gateway would send in vain each second.
+// newClientRequest creates a request without a User-Agent header: no replica reads it, and a gateway sends a request
+// every second.
 func newClientRequest(ctx context.Context, replica, method, path string, body io.Reader) (*http.Request, error) {
 	base := url.URL{Scheme: "http", Host: replica}
 	req, err := http.NewRequestWithContext(ctx, method, base.String()+path, body)
@@ -93,7 +95,7 @@
 	return c.HTTPClient
 }
 
-// callLeader tries all replicas in turn until the leader answers.
+// callLeader tries all replicas in turn until the leader answers or the client's timeout has passed.
 func (c *Client) callLeader(method, path string, body, into any) error {
 	ctx, cancel := context.WithTimeout(context.Background(), c.Timeout)
 	defer cancel()
@@ -105,7 +107,7 @@
 			if err == nil || errors.As(err, &rejected) {
 				return err
 			}
-			if last == nil || ctx.Err() == nil { // an error of our own deadline tells nothing
+			if last == nil || ctx.Err() == nil { // once our own deadline has passed, errors say nothing about replicas
 				last = err
 			}
 		}
@@ -114,37 +116,37 @@
 		case <-time.After(retryInterval):
 		}
 	}
-	return fmt.Errorf("no keeper answers as the leading one within %v, the last word: %w", c.Timeout, last)
+	return fmt.Errorf("no replica answered as the leader within %v; last error: %w", c.Timeout, last)
 }
 
-// tryReplica calls one replica with a part of the timeout, so that one that hangs leaves time for the others.
+// tryReplica calls one replica with a part of the timeout, so that a replica that hangs leaves time for the others.
 func (c *Client) tryReplica(ctx context.Context, replica, method, path string, body, into any) error {
 	ctx, cancel := context.WithTimeout(ctx, max(c.Timeout/4, minTryTimeout))
 	defer cancel()
 	return c.Call(ctx, replica, method, path, body, into)
 }
 
-// Status returns the state of the group.
+// Status returns the state of the group as its leader knows it.
 func (c *Client) Status() (Status, error) {
 	var status Status
 	err := c.callLeader(http.MethodGet, "/status", nil, &status)
 	return status, err
 }
 
-// Propose proposes a version. It is repeated until it is known whether it is in the log.
+// Propose proposes a version. It is retried, under the same proposal ID, until it is known whether it is in the log.
 func (c *Client) Propose(proposal *lease.Proposal) (*configversion.Version, error) {
 	version := &configversion.Version{}
 	err := c.callLeader(http.MethodPost, "/propose", proposal, version)
 	return version, err
 }
 
-// ChangeMembership changes the replicas that vote. It may be repeated after it has taken effect, which changes nothing.
+// ChangeMembership changes which replicas vote. Repeating a change that has taken effect does nothing.
 func (c *Client) ChangeMembership(change *MembershipChange) error {
 	done := false
 	return c.callLeader(http.MethodPost, "/voters", change, &done)
 }
 
-// Versions lists the versions from a number on. Those whose content is not kept any more come without it.
+// Versions lists the versions from a number on. Versions whose content is no longer kept are listed without it.
 func (c *Client) Versions(from uint64) ([]*configversion.Version, error) {
 	var list []*configversion.Version
 	for {
@@ -157,7 +159,7 @@
 	}
 }
 
-// Version returns one version; nil where there is none with that number.
+// Version returns the version with a number, or nil if there is none.
 func (c *Client) Version(number uint64) (*configversion.Version, error) {
 	page, err := c.versionsPage(number)
 	if err != nil || len(page) == 0 || page[0].Number != number {
@@ -172,8 +174,8 @@
 	return page, err
 }
 
-// FetchContent asks one replica for a content, or for a delta from the base that the request names. What comes is not
-// checked against its digest.
+// FetchContent requests a version's content from one replica, by digest. If the request names a base, the response may
+// be a delta from it. The response is not checked against the digest.
 func (c *Client) FetchContent(
 	ctx context.Context, replica string, request content.Request,
 ) (coding string, encoded []byte, err error) {
@@ -200,9 +202,9 @@
 	case response.StatusCode == http.StatusNotFound:
 		return "", nil, ErrContentNotFound
 	case response.StatusCode != http.StatusOK:
-		return "", nil, fmt.Errorf("keeper %s: %s", replica, response.Status)
+		return "", nil, fmt.Errorf("replica %s: %s", replica, response.Status)
 	case len(encoded) > maxContentAnswerBytes:
-		return "", nil, fmt.Errorf("keeper %s: a content of more than %d bytes", replica, maxContentAnswerBytes)
+		return "", nil, fmt.Errorf("replica %s: the content is larger than %d bytes", replica, maxContentAnswerBytes)
 	}
 	return response.Header.Get("Content-Encoding"), encoded, nil
 }
--- a/internal/fleet/replica/cluster_test.go
+++ b/internal/fleet/replica/cluster_test.go
@@ -20,20 +20,20 @@
 	"irispost/internal/loopback"
 )
 
-// testCluster is replicas in one process, with their folders and addresses.
+// testCluster is a group of replicas in one process, with their folders and addresses.
 type testCluster struct {
 	t                 *testing.T
 	dir               string
 	peers             map[uint64]string
 	running           map[uint64]*Replica
-	joining           uint64         // ID of the replica that did not found the group; 0: none
-	entryFormats      map[uint64]int // of replicas that know an older format only
+	joining           uint64         // ID of a replica that is started with Options.Joining; 0: none
+	entryFormats      map[uint64]int // newest entry format of replicas that know only an older one, by ID
 	compactionEntries uint64
 	tickInterval      time.Duration
-	quiet             bool // replicas log nothing
+	quiet             bool // replicas write no logs
 }
 
-// newTestCluster finds addresses for three replicas. None is started.
+// newTestCluster returns a cluster with addresses for three replicas, none of which is started.
 func newTestCluster(t *testing.T) *testCluster {
 	t.Helper()
 	c := &testCluster{
@@ -99,7 +99,7 @@
 	}
 	var r *Replica
 	var err error
-	for range 200 { // the address of a replica that has just stopped may be in use for a moment
+	for range 200 { // the address of a replica that has just stopped may still be in use for a moment
 		r, err = Start(options)
 		if err == nil || !strings.Contains(err.Error(), "in use") {
 			break
@@ -136,7 +136,7 @@
 	return client
 }
 
-// call has a replica's owner goroutine run a function and waits for its end.
+// call runs a function on a replica's owner goroutine and waits until it has returned.
 func (r *Replica) call(t *testing.T, function func()) {
 	t.Helper()
 	done := make(chan struct{})
@@ -147,7 +147,7 @@
 	<-done
 }
 
-// machine is a copy of a replica's state machine, once so many versions are announced.
+// machine returns a copy of a replica's state machine once it has announced the version with the given number.
 func (c *testCluster) machine(id, announced uint64) *lease.StateMachine {
 	c.t.Helper()
 	for {
@@ -165,7 +165,7 @@
 	}
 }
 
-// rateLimitConfig is a small configuration with a rate limit.
+// rateLimitConfig returns the canonical form of a small configuration with a rate limit.
 func rateLimitConfig(limit float64) []byte { return smallConfig(limit).Canonical() }
 
 func smallConfig(limit float64) *configversion.Config {
@@ -180,7 +180,7 @@
 	}
 }
 
-// nodesConfig is a configuration of so many nodes; the variants differ in the nodes' ages.
+// nodesConfig returns a configuration with the given number of nodes; variants differ in the nodes' start times.
 func nodesConfig(nodes, variant int) []byte {
 	configuration := smallConfig(1)
 	configuration.Shards = nodes
@@ -195,13 +195,13 @@
 	return configuration.Canonical()
 }
 
-// namedNodesConfig is a configuration of so many nodes with names, zones and ages; each change replaces one node or
-// sets one limit.
+// namedNodesConfig returns a configuration with the given number of nodes, which have names, zones and start times.
+// Each change sets the rate limit, and half of the changes also replace one node.
 func namedNodesConfig(nodes, change int) []byte {
 	configuration := smallConfig(float64(1 + change))
 	configuration.Shards = nodes
 	for i := range nodes {
-		replaced := (change + nodes - i) / (2 * nodes) // how often it was replaced
+		replaced := (change + nodes - i) / (2 * nodes) // how often the node has been replaced
 		address := fmt.Sprintf("10.%d.%d.%d:7000", replaced%250, i/250, i%250)
 		configuration.Nodes[address] = configversion.Node{
 			Shard:     i,
@@ -213,7 +213,7 @@
 	return configuration.Canonical()
 }
 
-// propose has version n announced, in place of what is announced and not in force yet.
+// propose proposes version n, which replaces an announced version that is not in force yet.
 func propose(t *testing.T, client *Client, n uint64, configuration []byte) *configversion.Version {
 	t.Helper()
 	proposal := &lease.Proposal{ID: fmt.Sprint(n), Parent: n - 1, ReplacePending: true, Content: configuration}
@@ -224,7 +224,7 @@
 	return version
 }
 
-// proposeNamedNodes has versions announced from number first to last.
+// proposeNamedNodes proposes the versions from number first to last.
 func proposeNamedNodes(t *testing.T, client *Client, nodes int, first, last uint64) {
 	t.Helper()
 	for n := first; n <= last; n++ {
@@ -232,7 +232,7 @@
 	}
 }
 
-// fetchEventually fetches until a replica has a content: it may lag.
+// fetchEventually repeats a fetch until the replica, which may lag, has the content.
 func fetchEventually(
 	t *testing.T, address string, holding *content.Cache, digest string,
 ) (request content.Request, coding string, encoded []byte) {
--- a/internal/fleet/replica/compaction_test.go
+++ b/internal/fleet/replica/compaction_test.go
@@ -18,7 +18,7 @@
 	"irispost/internal/loopback"
 )
 
-// sizes are the heap of the process and what is in use of a replica's file, bytes.
+// sizes returns the process's heap size and the bytes in use of a replica's file.
 func (c *testCluster) sizes(id uint64) (heap, file int64) {
 	c.t.Helper()
 	runtime.GC()
@@ -36,7 +36,7 @@
 	return int64(stats.HeapAlloc), file
 }
 
-// countingConn counts what is read from a connection.
+// countingConn counts the bytes that are read from a connection.
 type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
@@ -48,7 +48,7 @@
 	return n, err
 }
 
-// countingProxy passes connections on to an address and counts the bytes that go there.
+// countingProxy forwards connections to an address and counts the bytes that are sent there.
 func countingProxy(t *testing.T, target string) (address string, bytes *atomic.Int64) {
 	t.Helper()
 	listener := listen(t, loopback.Own()+":0")
@@ -66,7 +66,7 @@
 	return listener.Addr().String(), bytes
 }
 
-// proxyConnection passes bytes on until one side ends; errors end the connection, which the replicas notice.
+// proxyConnection forwards bytes until one side closes. An error closes the connection, which the replicas notice.
 func proxyConnection(in net.Conn, target string, bytes *atomic.Int64) {
 	defer func() { _ = in.Close() }()
 	out, err := net.Dial("tcp", target)
@@ -81,16 +81,16 @@
 	_, _ = io.Copy(out, countingConn{in, bytes})
 }
 
-// growth is the size of TestStateIsBounded.
+// stateTestSize is the scale of TestStateIsBounded.
 type growth struct {
 	nodes             int
-	few, many         uint64 // changes after which sizes are compared
+	few, many         uint64 // numbers of changes after which sizes are compared
 	compactionEntries uint64 // 0: the default
 }
 
-// What replicas have after many changes is little more than after few, in memory and on disk; they start from it at
-// once, and one that joins is soon there. The short form states bounds in bytes; IRISPOST_MEASURE=1: 1,800 nodes,
-// 10,000 changes against 500.
+// After many changes replicas use little more memory and disk than after few; they restart from that state, and a
+// joining replica catches up with little traffic. By default the bounds are given in bytes; with IRISPOST_MEASURE=1
+// the sizes after 10,000 changes of 1,800 nodes are compared with those after 500.
 func TestStateIsBounded(t *testing.T) {
 	size := growth{nodes: 200, few: 60, many: 360, compactionEntries: 100}
 	measured := os.Getenv("IRISPOST_MEASURE") == "1"
@@ -107,20 +107,22 @@
 	heap, file := c.sizes(1)
 	proposeChanges(t, client, size.nodes, size.few+1, size.many)
 	heapMany, fileMany := c.sizes(1)
-	t.Logf("%d nodes, a version of %d bytes: heap of three replicas and this test %.1f MB after %d changes, "+
-		"%.1f after %d; one's file %.2f, %.2f MB in use", size.nodes, len(namedNodesConfig(size.nodes, 1)),
+	t.Logf("%d nodes, versions of %d bytes: heap of three replicas and this test %.1f MB after %d changes, "+
+		"%.1f MB after %d; in use of one replica's file %.2f MB, then %.2f MB",
+		size.nodes, len(namedNodesConfig(size.nodes, 1)),
 		float64(heap)/1e6, size.few, float64(heapMany)/1e6, size.many, float64(file)/1e6, float64(fileMany)/1e6)
 	if !measured {
-		// The file has not all of the history yet. Without deltas the versions alone were 7.8 MB, and three times that
-		// in memory.
+		// Fixed bounds, as the file does not have the complete history yet after few changes. Without deltas the
+		// versions alone took 7.8 MB, and three times that in memory.
 		heap, file = 8e6, 4e5
 	}
 	if float64(heapMany) > 1.3*float64(heap) || float64(fileMany) > 1.3*float64(file) {
-		t.Errorf("heap %d and %d, file %d and %d", heap, heapMany, file, fileMany)
+		t.Errorf("heap grew from %d to %d bytes, file from %d to %d; want at most 1.3 times",
+			heap, heapMany, file, fileMany)
 	}
 	for id, r := range c.running {
 		if n := len(r.machine.Versions); n > lease.RetainedBaseVersions+2*32 {
-			t.Errorf("replica %d has %d versions", id, n)
+			t.Errorf("replica %d retains %d versions", id, n)
 		}
 	}
 	c.expectRestart(client, size.many)
@@ -128,7 +130,7 @@
 	expectHistory(t, client, size)
 }
 
-// proposeChanges has versions first to last announced, each with its number as the reason.
+// proposeChanges proposes the versions from number first to last; the reason of each states the number of the change.
 func proposeChanges(t *testing.T, client *Client, nodes int, first, last uint64) {
 	t.Helper()
 	for n := first; n <= last; n++ {
@@ -147,19 +149,19 @@
 	}
 }
 
-// expectRestart starts all replicas again.
+// expectRestart restarts all replicas and checks the announced version.
 func (c *testCluster) expectRestart(client *Client, announced uint64) {
 	c.t.Helper()
 	c.stop(1, 2, 3)
 	began := time.Now()
 	c.start(1, 2, 3)
 	if status, err := client.Status(); err != nil || status.Announced != announced {
-		c.t.Fatalf("%d announced: %v", status.Announced, err)
+		c.t.Fatalf("after the restart the announced version is %d, not the newest; error %v", status.Announced, err)
 	}
-	c.t.Logf("%d ms from the start of all three to an answer", time.Since(began).Milliseconds())
+	c.t.Logf("%d ms from the start of all three replicas to a status response", time.Since(began).Milliseconds())
 }
 
-// expectJoin adds replica 4 and counts what it is sent until it has caught up.
+// expectJoin adds replica 4 and checks how many bytes it is sent until it has caught up.
 func (c *testCluster) expectJoin(client *Client, announced uint64) {
 	c.t.Helper()
 	c.peers[4] = freeAddress(c.t)
@@ -173,13 +175,13 @@
 		r := c.running[4]
 		r.call(c.t, func() { caughtUp = r.machine.Announced == announced })
 	}
-	c.t.Logf("one that joins got %d bytes", sent.Load())
+	c.t.Logf("the joining replica was sent %d bytes", sent.Load())
 	if sent.Load() == 0 || sent.Load() > 10e6 {
-		c.t.Errorf("one that joins got %d bytes", sent.Load())
+		c.t.Errorf("the joining replica was sent %d bytes, want 1 to 10e6", sent.Load())
 	}
 }
 
-// expectHistory lists all versions that are kept.
+// expectHistory lists all versions that are kept and checks them.
 func expectHistory(t *testing.T, client *Client, size growth) {
 	t.Helper()
 	all, err := client.Versions(1)
@@ -190,20 +192,20 @@
 			want := namedNodesConfig(size.nodes, int(version.Number)-1)
 			configuration, err := version.Config()
 			if err != nil || !bytes.Equal(configuration.Canonical(), want) {
-				t.Fatalf("version %d: %v", version.Number, err)
+				t.Fatalf("version %d: the content differs from the proposed one, error %v", version.Number, err)
 			}
 		}
 		follows := i == 0 || version.Number == all[i-1].Number+1
 		if version.Reason != fmt.Sprint("change ", version.Number-1) || !follows {
-			t.Fatalf("version %d: %q", version.Number, version.Reason)
+			t.Fatalf("version %d is out of order or has the wrong reason %q", version.Number, version.Reason)
 		}
 	}
 	if err != nil || len(all) < min(int(size.many), 4096) || withContent < 256 || withContent > 512 {
-		t.Errorf("%d versions are listed, %d with content: %v", len(all), withContent, err)
+		t.Errorf("%d versions are listed, %d of them with content; error %v", len(all), withContent, err)
 	}
 }
 
-// A replica that lags over compactions gets a snapshot, and has what the others have.
+// A replica that lags behind a compaction receives a snapshot and catches up with the others.
 func TestLaggingReplicaCatchesUpBySnapshot(t *testing.T) {
 	c := newTestCluster(t)
 	c.quiet = true
@@ -213,23 +215,24 @@
 	c.stop(3)
 	proposeNamedNodes(t, client, 20, 11, 150)
 	if first, err := c.running[1].store.memory.FirstIndex(); first < 50 || err != nil {
-		t.Fatalf("the log begins at %d: %v", first, err)
+		t.Fatalf("the log begins at entry %d, want at least 50; error %v", first, err)
 	}
 	c.start(3)
 	c.stop(1)
-	proposeNamedNodes(t, client, 20, 151, 160) // needs 3
+	proposeNamedNodes(t, client, 20, 151, 160) // replica 3 is needed for a majority
 	c.start(1)
 	for id := range c.running {
 		machine := c.machine(id, 160)
 		last := machine.Versions[len(machine.Versions)-1]
 		if !bytes.Equal(last.Content, namedNodesConfig(20, 159)) || machine.Format != formatWithDeltas {
-			t.Errorf("replica %d: %d versions, format %d", id, len(machine.Versions), machine.Format)
+			t.Errorf("replica %d: wrong state, %d versions, format %d", id, len(machine.Versions), machine.Format)
 		}
 	}
 }
 
-// Beside a replica of the format before, complete contents are written as before; once all know the newer one, deltas
-// are, and the folder of the format before is taken up. A replica of the format before that meets such an entry stops.
+// While one replica reads only the first entry format, complete contents are written. Once all replicas read the second
+// one, deltas are written, and folders in the first format are still read. A replica that reads only the first format
+// stops at an entry in the second.
 func TestEntryFormatFollowsOldestReplica(t *testing.T) {
 	c := newTestCluster(t)
 	c.entryFormats = map[uint64]int{3: formatFullContents}
@@ -245,7 +248,8 @@
 	proposeNext(60)
 	for id := range c.running {
 		if machine := c.machine(id, 60); machine.Format != 0 || len(machine.Versions) != 60 {
-			t.Errorf("replica %d: format %d, %d versions", id, machine.Format, len(machine.Versions))
+			t.Errorf("replica %d: format %d with %d versions, want format 0 with 60",
+				id, machine.Format, len(machine.Versions))
 		}
 	}
 	c.stop(1, 2, 3)
@@ -258,18 +262,18 @@
 	proposeNext(40)
 	for id := range c.running {
 		if machine := c.machine(id, proposed); len(machine.Versions) > lease.RetainedBaseVersions+64 {
-			t.Errorf("replica %d: %d versions of %d", id, len(machine.Versions), proposed)
+			t.Errorf("replica %d retains %d of %d versions", id, len(machine.Versions), proposed)
 		}
 	}
 	if all, err := client.Versions(1); err != nil || uint64(len(all)) != proposed {
-		t.Errorf("%d versions of %d are listed: %v", len(all), proposed, err)
+		t.Errorf("%d of %d versions are listed, error %v", len(all), proposed, err)
 	}
 	c.stop(3)
 	c.entryFormats = map[uint64]int{3: formatFullContents}
 	c.start(3)
 	<-c.running[3].Done()
 	if err := c.running[3].Err(); err == nil || !strings.Contains(err.Error(), "a newer program may have written it") {
-		t.Errorf("one of the format before: %v", err)
+		t.Errorf("the replica that reads only the first format stopped with error %v", err)
 	}
 	delete(c.running, 3)
 }
--- a/internal/fleet/replica/contentserver.go
+++ b/internal/fleet/replica/contentserver.go
@@ -19,34 +19,34 @@
 	"irispost/internal/fleet/delta"
 )
 
-// Request headers of RFC 9842. A gateway that has a base names it by its SHA-256, and by its BLAKE3 digest, which
-// is how replicas find it.
+// Request headers of RFC 9842. A gateway that has a base names it by its SHA-256 and by its BLAKE3 digest; replicas
+// look it up by the latter.
 const (
 	headerBaseHash   = "Available-Dictionary"
 	headerBaseDigest = "Dictionary-ID"
 )
 
 const (
-	maxConcurrentEncodings = 2       // processor time goes to leases first
-	maxConcurrentWrites    = 32      // of answers that are not small
-	smallAnswerBytes       = 8 << 10 // what is smaller is not counted, as a socket takes it at once
+	maxConcurrentEncodings = 2       // keeps processor time free for lease renewals
+	maxConcurrentWrites    = 32      // of responses larger than smallResponseBytes
+	smallAnswerBytes       = 8 << 10 // responses up to this size are not limited, as a socket takes them at once
 )
 
-// ErrContentNotFound reports that a replica does not have a content.
+// ErrContentNotFound reports that a replica does not have the requested content.
 var ErrContentNotFound = errors.New("this replica does not have the content")
 
-// contentServer answers with the contents of versions by digest, for this replica's HTTP server. Any replica does,
-// whether it leads or not: a digest never names another content. It runs outside of the owner goroutine, except for
-// the first look at a digest.
+// contentServer is the HTTP handler that serves the contents of versions by digest. Any replica serves them, whether
+// it leads or not: a digest always identifies the same content. It runs outside of the owner goroutine, except for the
+// first lookup of a digest.
 type contentServer struct {
 	replica   *Replica
-	flight    singleflight.Group // one look or encoding at a time for each content
-	encodings chan struct{}      // holds a token for each encoding under way
-	writes    chan struct{}      // holds a token for each large answer under way
+	flight    singleflight.Group // one lookup or encoding at a time for each content
+	encodings chan struct{}      // holds a token for each encoding in progress
+	writes    chan struct{}      // holds a token for each large response in progress
 
-	mutex   sync.Mutex // guards what follows
+	mutex   sync.Mutex // guards the fields below
 	cache   *content.DeltaCache
-	encoded int // encodings so far
+	encoded int // number of encodings so far
 }
 
 func newContentServer(r *Replica) *contentServer {
@@ -58,8 +58,8 @@
 	}
 }
 
-// ServeHTTP answers GET /content/{digest}: 200 with Content-Encoding dcz, zstd or none, 404 where the content is
-// not here.
+// ServeHTTP handles GET /content/{digest}: 200 with Content-Encoding dcz, zstd or none; 404 if this replica does not
+// have the content.
 func (s *contentServer) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	omitDefaultHeaders(w)
 	found, ok := s.find(req.PathValue("digest"))
@@ -89,7 +89,8 @@
 	return strings.Contains(req.Header.Get("Accept-Encoding"), coding)
 }
 
-// baseFor finds the base that a request names. The pair is without a base where there is none to encode from.
+// baseFor returns the base that a request names and the cache key of the delta from it. The key has no base if the
+// content cannot be encoded from one.
 func (s *contentServer) baseFor(req *http.Request, digest string) (base []byte, pair content.DeltaKey) {
 	complete := content.DeltaKey{Digest: digest}
 	hash, err := parseBaseHash(req.Header.Get(headerBaseHash))
@@ -105,32 +106,33 @@
 	return found.Bytes, s.cache.KeyFor(digest, found.Digest, hash)
 }
 
-// parseBaseHash reads the SHA-256 of a base, a byte sequence of RFC 8941.
+// parseBaseHash parses the SHA-256 of a base, which is sent as a byte sequence of RFC 8941.
 func parseBaseHash(text string) (hash [sha256.Size]byte, err error) {
 	inner, opened := strings.CutPrefix(text, ":")
 	inner, closed := strings.CutSuffix(inner, ":")
 	decoded, err := base64.StdEncoding.DecodeString(inner)
 	if !opened || !closed || err != nil || len(decoded) != len(hash) {
-		return hash, fmt.Errorf("%q is no SHA-256 of a base", text)
+		return hash, fmt.Errorf("%q is not the SHA-256 of a base", text)
 	}
 	return [sha256.Size]byte(decoded), nil
 }
 
-// cachedContent looks for a content in the cache.
+// cachedContent looks up a content in the cache.
 func (s *contentServer) cachedContent(digest string) (content.Content, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.cache.Content(digest)
 }
 
-// cachedEncoding looks for an encoding in the cache.
+// cachedEncoding looks up an encoding in the cache.
 func (s *contentServer) cachedEncoding(pair content.DeltaKey) ([]byte, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.cache.Encoded(pair)
 }
 
-// find is a content by its digest; false where this replica does not have it, or no more, or not yet.
+// lookup returns the content with a digest; false if this replica does not have it, no longer has it, or does not have
+// it yet.
 func (s *contentServer) find(digest string) (content.Content, bool) {
 	if found, ok := s.cachedContent(digest); ok || digest == "" {
 		return found, ok
@@ -147,9 +149,9 @@
 	return found.(content.Content), true
 }
 
-// findVersion takes a content from the state machine into the cache.
+// loadContent copies the content with a digest from the state machine into the cache.
 func (s *contentServer) findVersion(digest string) (content.Content, error) {
-	// The context is not that of a request, as the result is for all requests that wait for it.
+	// Not the context of one request, as all waiting requests share the result.
 	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
 	result := make(chan *configversion.Version, 1)
@@ -169,7 +171,8 @@
 	}
 }
 
-// encode is a content as a delta from a base, or complete, encoded once for all that ask.
+// encode returns a content as a delta from a base, or complete if base is nil. The result is cached, and concurrent
+// requests share one encoding.
 func (s *contentServer) encode(pair content.DeltaKey, base, bytes []byte) ([]byte, error) {
 	if encoded, ok := s.cachedEncoding(pair); ok {
 		return encoded, nil
@@ -196,14 +199,14 @@
 	return encoded.([]byte), nil
 }
 
-// write sends an answer. One that is not small waits for a place, and gives it back where its reader is too slow.
+// write sends a response. A large one waits for a write slot; a deadline frees the slot if the reader is too slow.
 func (s *contentServer) write(w http.ResponseWriter, req *http.Request, coding string, body []byte) {
 	if coding != "" {
 		w.Header().Set("Content-Encoding", coding)
 	}
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	if len(body) <= smallAnswerBytes {
-		_, _ = w.Write(body) // a gateway that is gone asks again
+		_, _ = w.Write(body) // a gateway that misses it asks again
 		return
 	}
 	select {
@@ -214,7 +217,7 @@
 		return
 	}
 	defer func() { <-s.writes }()
-	// An error of the three is one of the connection, and the gateway asks again.
+	// Errors below are those of the connection, after which the gateway asks again.
 	controller := http.NewResponseController(w)
 	_ = controller.SetWriteDeadline(time.Now().Add(requestTimeout))
 	_, _ = w.Write(body)
--- a/internal/fleet/replica/contentserver_test.go
+++ b/internal/fleet/replica/contentserver_test.go
@@ -17,14 +17,14 @@
 	"irispost/internal/fleet/delta"
 )
 
-// contentAnswer is an answer to GET /content/{digest}.
+// contentResponse is a response to GET /content/{digest}.
 type contentAnswer struct {
 	status int
 	coding string
 	body   []byte
 }
 
-// getContent requests a content as a client would that knows nothing of codings.
+// getContent requests a content with the given headers only, and returns the body as it was sent.
 func getContent(t *testing.T, url string, header map[string]string) contentAnswer {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, url, nil)
@@ -47,19 +47,19 @@
 	return contentAnswer{response.StatusCode, response.Header.Get("Content-Encoding"), body}
 }
 
-// Any replica has the content of any version, one that was replaced before it came into force too: as a delta from
-// a base that the replica has, complete where the base is unknown, of another group, or another than its digest
-// says. A content that it does not have it answers with 404.
+// Any replica serves the content of any version, also of one that was replaced before it was in force: as a delta from
+// a base that the replica has, complete if the base is missing, of another group, or does not match its digest. For a
+// content that it does not have it responds with 404.
 func TestAnyReplicaServesContents(t *testing.T) {
 	c := newTestCluster(t)
 	c.start(1, 2, 3)
 	client := c.client()
 	one, two, three := nodesConfig(300, 1), nodesConfig(300, 2), nodesConfig(300, 3)
 	first := propose(t, client, 1, one)
-	propose(t, client, 2, two) // in place of the first
+	propose(t, client, 2, two) // replaces the first
 	last := propose(t, client, 3, three)
 	if !bytes.Equal(first.Content, one) {
-		t.Fatalf("version 1 has a content of %d bytes instead of %d", len(first.Content), len(one))
+		t.Fatalf("version 1 has a content of %d bytes, want %d", len(first.Content), len(one))
 	}
 	for id, address := range c.peers {
 		for name, test := range map[string]struct {
@@ -75,19 +75,20 @@
 			request, coding, encoded := fetchEventually(t, address, holding, last.Digest)
 			err := holding.Fetch(last.Digest, 1).HandleResponse(request, coding, encoded)
 			if err != nil || coding != test.want || !bytes.Equal(holding.Content(last.Digest), three) {
-				t.Errorf("replica %d, base %s: %q of %d bytes, %v", id, name, coding, len(encoded), err)
+				t.Errorf("replica %d, base %s: coding %q of %d bytes, error %v", id, name, coding, len(encoded), err)
 			}
 		}
 		expectPlainContents(t, "http://"+address+"/content/", first, last)
 	}
 }
 
-// expectPlainContents tries what the holding of a gateway never asks for.
+// expectPlainContents sends requests that a gateway's cache never sends: without a coding, with a hash that is
+// malformed or not of the base, and for digests that no version has.
 func expectPlainContents(t *testing.T, url string, first, last *configversion.Version) {
 	t.Helper()
 	answer := getContent(t, url+first.Digest, nil)
 	if answer.status != http.StatusOK || answer.coding != "" || !bytes.Equal(answer.body, first.Content) {
-		t.Errorf("without a coding: %d, %q, %d bytes", answer.status, answer.coding, len(answer.body))
+		t.Errorf("without a coding: got status %d, coding %q, %d bytes", answer.status, answer.coding, len(answer.body))
 	}
 	wrongHashes := []string{"", "x", ":eA==:", ":" + strings.Repeat("A", 43) + "=:"}
 	for _, hash := range wrongHashes {
@@ -97,18 +98,18 @@
 			headerBaseDigest:  `"` + first.Digest + `"`,
 		})
 		if answer.status != http.StatusOK || answer.coding != content.EncodingZstd {
-			t.Errorf("base %q: %d, %q", hash, answer.status, answer.coding)
+			t.Errorf("base hash %q: got status %d, coding %q", hash, answer.status, answer.coding)
 		}
 	}
 	for _, digest := range []string{strings.Repeat("0", 64), "x", last.Digest[:63]} {
 		answer := getContent(t, url+digest, nil)
 		if answer.status != http.StatusNotFound || len(answer.body) > 0 {
-			t.Errorf("%q: %d, %d bytes", digest, answer.status, len(answer.body))
+			t.Errorf("digest %q: got status %d, %d bytes; want 404, no body", digest, answer.status, len(answer.body))
 		}
 	}
 }
 
-// Where a replica has forgotten a base that it knew, the content is sent complete.
+// If a replica has forgotten a base that it once had, it sends the content complete.
 func TestContentIsCompleteWhenBaseIsForgotten(t *testing.T) {
 	c := newTestCluster(t)
 	c.start(1, 2, 3)
@@ -117,9 +118,9 @@
 	last := propose(t, c.client(), 2, two)
 	fetchEventually(t, c.peers[1], content.NewCache(one, 0), last.Digest)
 	r := c.running[1]
-	r.call(t, func() { r.machine.Version(1).Digest = "forgotten" }) // as a compaction may
+	r.call(t, func() { r.machine.Version(1).Digest = "forgotten" }) // as a compaction may do
 	mux := http.NewServeMux()
-	mux.Handle("GET /again/{digest}", newContentServer(r)) // with nothing cached
+	mux.Handle("GET /again/{digest}", newContentServer(r)) // with an empty cache
 	server := httptest.NewServer(mux)
 	defer server.Close()
 	answer := getContent(t, server.URL+"/again/"+last.Digest, map[string]string{
@@ -128,19 +129,19 @@
 	})
 	decoded, err := delta.Decode(nil, answer.body, configversion.MaxContentBytes)
 	if answer.coding != content.EncodingZstd || err != nil || !bytes.Equal(decoded, two) {
-		t.Errorf("%q, %v", answer.coding, err)
+		t.Errorf("got coding %q, error %v; want the complete content in zstd", answer.coding, err)
 	}
 }
 
-// 780 gateways that ask for a complete content at once are served by one encoding, also where others have taken all
-// places and do not read; requests that are confirmed are answered meanwhile.
+// 780 gateways that request a complete content at once are served by one encoding, even if other clients occupy all
+// write slots and do not read. Requests that need a confirmed leader are answered meanwhile.
 func TestManyRequestsShareOneEncoding(t *testing.T) {
 	const gateways = 780
 	c := newTestCluster(t)
 	c.start(1, 2, 3)
 	version := propose(t, c.client(), 1, nodesConfig(1800, 1))
 	fetchEventually(t, c.peers[1], content.NewCache(nil, 0), version.Digest)
-	contents := newContentServer(c.running[1]) // its own, so that its encodings are counted
+	contents := newContentServer(c.running[1]) // a separate one, to count its encodings
 	contents.cache.AddContent("large", make([]byte, 12<<20))
 	address := serveContents(t, contents)
 	takeAllWrites(t, contents, address)
@@ -163,7 +164,7 @@
 			}
 		}()
 	}
-	if _, err := c.client().Status(); err != nil { // is confirmed like a lease
+	if _, err := c.client().Status(); err != nil { // needs a confirmed leader, as a lease does
 		t.Error(err)
 	}
 	fetches.Wait()
@@ -172,7 +173,7 @@
 		t.Fatal(err)
 	}
 	if contents.encoded != 1 {
-		t.Errorf("encoded %d times", contents.encoded)
+		t.Errorf("encoded %d times, want once", contents.encoded)
 	}
 }
 
@@ -182,12 +183,12 @@
 	mux.Handle("GET /content/{digest}", contents)
 	listener := listen(t, "127.0.0.1:0")
 	server := &http.Server{Handler: mux}
-	go func() { _ = server.Serve(listener) }() // ends with ErrServerClosed
-	t.Cleanup(func() { _ = server.Close() })   // connections that do not read are cut
+	go func() { _ = server.Serve(listener) }() // returns ErrServerClosed in the end
+	t.Cleanup(func() { _ = server.Close() })   // closes connections that do not read
 	return listener.Addr().String()
 }
 
-// takeAllWrites has connections that do not read take all places for large answers.
+// occupyWriteSlots opens connections that request large responses and do not read, until all write slots are in use.
 func takeAllWrites(t *testing.T, contents *contentServer, address string) {
 	t.Helper()
 	for range maxConcurrentWrites {
@@ -195,7 +196,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { _ = connection.Close() }) // the server may have cut it
+		t.Cleanup(func() { _ = connection.Close() }) // the server may have closed it
 		if _, err := fmt.Fprintf(connection, "GET /content/large HTTP/1.1\r\nHost: k\r\n\r\n"); err != nil {
 			t.Fatal(err)
 		}
@@ -203,7 +204,7 @@
 	deadline := time.Now().Add(time.Minute)
 	for len(contents.writes) < maxConcurrentWrites {
 		if time.Now().After(deadline) {
-			t.Fatal("the places are not taken")
+			t.Fatal("the write slots were not occupied within a minute")
 		}
 		time.Sleep(time.Millisecond)
 	}
--- a/internal/fleet/replica/entryformat.go
+++ b/internal/fleet/replica/entryformat.go
@@ -11,10 +11,10 @@
 	"irispost/internal/fleet/lease"
 )
 
-// Entries of the log have two formats. A replica writes the second, in which contents are deltas and versions can
-// be forgotten, once it knows of every voter that it reads it; from the first such entry on an older program cannot
-// read the log in any case, so that no more is asked. Each replica states the newest format that it reads in its
-// announcement and in the header of each answer to another replica.
+// Log entries have two formats. A replica writes the second one, in which contents are deltas and versions can be
+// forgotten, once it knows that every voter reads it. From the first such entry on, older programs cannot read the log
+// in any case, so the voters are no longer checked. Each replica states the newest format that it reads in its
+// announcement and in a header of each HTTP response.
 
 // Formats of log entries.
 const (
@@ -22,10 +22,10 @@
 	formatWithDeltas   = 2
 )
 
-// entryFormatHeader states in an answer the newest entry format that a replica reads.
+// entryFormatHeader is the response header that states the newest entry format that a replica reads.
 const entryFormatHeader = "Irispost-Form"
 
-// announceEntryFormat adds the entry format to all answers.
+// announceEntryFormat adds the entry format to the headers of all responses.
 func (r *Replica) announceEntryFormat(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		if r.options.entryFormat > formatFullContents {
@@ -35,18 +35,18 @@
 	})
 }
 
-// takeEntryFormat takes the entry format from a peer's answer.
+// updateEntryFormat updates the peer's entry format from the header of one of its responses.
 func (p *peer) takeEntryFormat(ctx context.Context, response *http.Response) {
 	format, err := strconv.ParseInt(response.Header.Get(entryFormatHeader), 10, 32)
 	if err != nil {
-		format = formatFullContents // a replica that does not know the header
+		format = formatFullContents // the peer's program does not know the header
 	}
 	if p.entryFormat.Swap(format) != format {
 		p.replica.do(ctx, func() { p.replica.noteEntryFormat(p.id, int(format)) })
 	}
 }
 
-// noteEntryFormat records which format a peer reads.
+// recordEntryFormat records the newest entry format that a peer reads.
 func (r *Replica) noteEntryFormat(id uint64, format int) {
 	if r.membership.entryFormats[id] == format {
 		return
@@ -55,7 +55,7 @@
 	r.logger.Info("peer reads entry format", "peer", id, "format", max(format, formatFullContents))
 }
 
-// entryFormat is the format in which entries are written now.
+// entryFormat returns the format in which new entries are written.
 func (r *Replica) entryFormat() int {
 	if r.machine.Format >= formatWithDeltas {
 		return r.machine.Format
@@ -69,10 +69,10 @@
 	return r.options.entryFormat
 }
 
-// errNotJSON reports an entry that a program which knows only the first format cannot read.
-var errNotJSON = errors.New("it is no JSON")
+// errNotJSON reports an entry that is not in the first format, whose entries are JSON.
+var errNotJSON = errors.New("it is not JSON")
 
-// decodeEntry reads a command from an entry of the log.
+// decodeEntry decodes the command of a log entry.
 func (r *Replica) decodeEntry(index uint64, data []byte) (*lease.Command, error) {
 	var command *lease.Command
 	var err error
@@ -82,7 +82,7 @@
 		command, err = lease.DecodeEntry(data)
 	}
 	if err != nil {
-		const text = "entry %d of the log cannot be read, a newer program may have written it: %w"
+		const text = "log entry %d cannot be read, a newer program may have written it: %w"
 		return nil, fmt.Errorf(text, index, err)
 	}
 	return command, nil
--- a/internal/fleet/replica/golden_folder_test.go
+++ b/internal/fleet/replica/golden_folder_test.go
@@ -20,18 +20,18 @@
 	"irispost/internal/testkit/golden"
 )
 
-// A folder that is written by this build has the buckets, keys and values that are recorded.
+// A folder written by this build has the recorded buckets, keys and values.
 func TestFolderMatchesGolden(t *testing.T) {
 	s, err := openStore(t.TempDir(), 1, []uint64{1, 2, 3})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = s.db.Close() }() // its folder is deleted
+	defer func() { _ = s.db.Close() }() // the folder is deleted anyway
 	fillGolden(t, s)
 	golden.Check(t, "buckets.golden", []byte(dumpBuckets(t, s.db)))
 }
 
-// fillGolden writes something into each bucket.
+// fillStore writes something into each bucket.
 func fillGolden(t *testing.T, s *store) {
 	t.Helper()
 	for _, start := range []struct{ id, count, mark uint64 }{{2, 1, 7}, {3, 4, 0}} {
@@ -73,7 +73,7 @@
 	}
 }
 
-// dumpBuckets writes down all that a file has, each value as JSON text or as hex.
+// dumpBuckets returns all buckets, keys and values of a file as text, each value as JSON or as hex.
 func dumpBuckets(t *testing.T, db *bbolt.DB) string {
 	t.Helper()
 	out := &strings.Builder{}
@@ -106,9 +106,10 @@
 	return hex.EncodeToString(value)
 }
 
-// testdata/folder is of replica 1 of three that started with logs compacted after 20 entries, took 75 versions of which
-// those before the newest few were forgotten, knew a gateway, and then went on with replica 1 alone. It opens, and has
-// the versions with their digests, the history, who votes, and what it knows of the others; it leads and goes on.
+// testdata/folder is the folder of replica 1 of a group of three that compacted its log after 20 entries, announced 75
+// versions of which all but the newest few were forgotten, knew one gateway, and was then reduced to replica 1 alone.
+// This build opens it: it has the versions with their digests, the history, the voters and the starts of the peers,
+// and the replica leads and accepts the next version.
 func TestFolderOfEarlierBuildOpens(t *testing.T) {
 	dir := t.TempDir()
 	writeFile(t, filepath.Join(dir, "keeper.db"), readFile(t, filepath.Join("testdata", "folder", "keeper.db")))
@@ -128,7 +129,7 @@
 	}
 	for _, version := range list {
 		if version.Content != nil && configversion.DigestOf(version.Content) != version.Digest {
-			t.Errorf("version %d has a content of digest %s", version.Number, configversion.DigestOf(version.Content))
+			t.Errorf("version %d: the content has digest %s", version.Number, configversion.DigestOf(version.Content))
 		}
 		fmt.Fprintf(out, "%d of %d, %s, %s: %s, %s, %d bytes\n", version.Number, version.Parent, version.Digest,
 			version.Author, version.Reason, version.CreatedAt, len(version.Content))
@@ -136,11 +137,11 @@
 	golden.Check(t, "folder.golden", []byte(out.String()))
 	next := &lease.Proposal{ID: "next", Parent: status.Announced, ReplacePending: true, Content: rateLimitConfig(1)}
 	if version, err := client.Propose(next); err != nil || version.Number != status.Announced+1 {
-		t.Errorf("the next version: %+v, %v", version, err)
+		t.Errorf("the next version: got %+v, error %v", version, err)
 	}
 }
 
-// describeFolder writes down what a replica has taken from its folder.
+// describeFolder writes the state that a replica has loaded from its folder to out.
 func describeFolder(t *testing.T, r *Replica, out *strings.Builder) {
 	t.Helper()
 	r.call(t, func() {
--- a/internal/fleet/replica/golden_messages_test.go
+++ b/internal/fleet/replica/golden_messages_test.go
@@ -20,7 +20,7 @@
 	"irispost/internal/testkit/golden"
 )
 
-// The messages of replicas to each other, the requests of the client and the JSON of the status are as recorded.
+// The encodings of messages between replicas, the client's requests and the status JSON match the golden file.
 func TestMessagesMatchGolden(t *testing.T) {
 	out := &strings.Builder{}
 	for _, message := range goldenMessages() {
@@ -47,7 +47,7 @@
 	golden.Check(t, "messages.golden", []byte(out.String()))
 }
 
-// namedMessage is a message under the name that the golden file has for it.
+// namedMessage is a message and its name in the golden file.
 type namedMessage struct {
 	name  string
 	value any
@@ -102,7 +102,7 @@
 	return list
 }
 
-// recordClientRequests writes down what each method of Client sends.
+// recordClientRequests writes the request that each method of Client sends to out.
 func recordClientRequests(t *testing.T, out *strings.Builder) {
 	t.Helper()
 	answers := map[string]string{"/status": "{}", "/propose": "{}", "/versions": "[]", "/voters": "true"}
--- a/internal/fleet/replica/golden_routes_test.go
+++ b/internal/fleet/replica/golden_routes_test.go
@@ -12,25 +12,25 @@
 	"irispost/internal/testkit/golden"
 )
 
-// get and post are requests of a sequence without what is rare.
+// get and post return requests without headers, which are not repeated.
 func get(path string) goldenRequest { return goldenRequest{method: "GET", path: path} }
 func post(path, body string) goldenRequest {
 	return goldenRequest{method: "POST", path: path, body: body}
 }
 
-// with is the request with a header.
+// withHeader returns the request with headers.
 func (g goldenRequest) with(header map[string]string) goldenRequest {
 	g.header = header
 	return g
 }
 
-// repeatedUntil is the request that is repeated until the answer has a text.
+// repeatedUntil returns the request, to be repeated until the response contains a text.
 func (g goldenRequest) repeatedUntil(text string) goldenRequest {
 	g.until = text
 	return g
 }
 
-// Each route answers with the recorded status, headers and body, at a replica that leads and at one that does not.
+// Each route responds with the recorded status, headers and body, at a replica that leads and at one that does not.
 func TestRoutesMatchGolden(t *testing.T) {
 	out := &strings.Builder{}
 	leader := startGolden(t, t.TempDir(), map[uint64]string{1: "first:7000"})
@@ -46,7 +46,8 @@
 	golden.Check(t, "routes.golden", []byte(out.String()))
 }
 
-// requestsToLeader are requests in their order: what one changes is seen by those that follow.
+// requestsToLeader returns requests to a replica that leads. Their order matters, as later responses depend on earlier
+// requests.
 func requestsToLeader(t *testing.T) []goldenRequest {
 	t.Helper()
 	first, second := rateLimitConfig(1), rateLimitConfig(2)
@@ -105,7 +106,7 @@
 	}
 }
 
-// requestsToFollower are requests to a replica that does not lead.
+// requestsToFollower returns requests to a replica that does not lead.
 func requestsToFollower(t *testing.T) []goldenRequest {
 	t.Helper()
 	configuration := rateLimitConfig(1)
--- a/internal/fleet/replica/golden_test.go
+++ b/internal/fleet/replica/golden_test.go
@@ -18,10 +18,10 @@
 	"irispost/internal/loopback"
 )
 
-// The files under testdata were written by an earlier build. They pin what other builds, scripts and folders on
-// disk rest on, so that -update is for a change of these forms that is meant.
+// The files under testdata were written by an earlier build. They pin formats that other builds, scripts and folders on
+// disk depend on, so use -update only for an intended change of a format.
 
-// startGolden starts a replica with ID 1 and its folder.
+// startGolden starts a replica with ID 1 and the given folder.
 func startGolden(t *testing.T, dir string, peers map[uint64]string) *Replica {
 	t.Helper()
 	r, err := Start(Options{
@@ -41,7 +41,7 @@
 	return r
 }
 
-// encodeJSON is a value's JSON.
+// encodeJSON returns a value's JSON.
 func encodeJSON(t *testing.T, value any) string {
 	t.Helper()
 	encoded, err := json.Marshal(value)
@@ -57,13 +57,13 @@
 	path   string
 	body   string
 	header map[string]string
-	until  string // the request is repeated until the answer has this text
+	until  string // the request is repeated until the response contains this text
 }
 
-// variable is what differs from run to run: times that have passed or are left.
+// volatileValues matches values that differ from run to run: times that have passed or that are left.
 var variable = regexp.MustCompile(`("heard_ms_ago":|"heard_ms_ago":0,"lease_ms":|runs on for )-?[1-9]\d*`)
 
-// send sends the request and writes down the answer: status, headers and body, encoded bodies as hex.
+// send sends the request and describes the response: status, headers and body, with encoded bodies as hex.
 func (g goldenRequest) send(t *testing.T, address string) string {
 	t.Helper()
 	client := &http.Client{Transport: &http.Transport{DisableCompression: true}}
@@ -74,7 +74,7 @@
 			return g.describe(answer)
 		}
 		if time.Now().After(deadline) {
-			t.Fatalf("%s %s never has %s: %s", g.method, g.path, g.until, answer.body)
+			t.Fatalf("%s %s: no response contains %s, the last one is %s", g.method, g.path, g.until, answer.body)
 		}
 	}
 }
@@ -100,7 +100,7 @@
 	return goldenAnswer{response.Status, response.Header, body}
 }
 
-// goldenAnswer is what is recorded of an answer.
+// goldenResponse is the recorded part of a response.
 type goldenAnswer struct {
 	status string
 	header http.Header
@@ -121,7 +121,7 @@
 	if answer.header.Get("Content-Encoding") != "" {
 		text = hex.EncodeToString(answer.body)
 	}
-	for range 2 { // what is replaced first is looked for before what follows it
+	for range 2 { // lease_ms is matched only after heard_ms_ago has been replaced
 		text = variable.ReplaceAllString(text, "${1}0")
 	}
 	return fmt.Sprintf("%s\n%s\n\n", out, text)
--- a/internal/fleet/replica/history.go
+++ b/internal/fleet/replica/history.go
@@ -11,44 +11,44 @@
 	"irispost/internal/fleet/delta"
 )
 
-// The history is on disk alone, in two buckets.
+// The history is kept on disk only, in two buckets.
 //
-// bucketMetadata has who made which version of what, when and why: pages of 64 versions by number, each the zstd
-// frame of their JSON without contents.
+// bucketMetadata has the versions without their contents: number, parent, digest, author, reason and time. Each page
+// holds 64 consecutive numbers and is a zstd frame of JSON.
 //
-// bucketContents has contents in the order in which they came, each a delta from the one before. The first of each
-// segment is complete, so that a segment is read and deleted without the others. What is too old is deleted in the
-// transaction that adds something.
+// bucketContents has the contents in the order in which they were added, each as a delta from the one before. The
+// first of each segment is complete, so that a segment can be read and deleted without the others. Records that are
+// too old are deleted in the transaction that adds new ones.
 const (
 	versionsPerPage    = 64
-	maxPages           = 64 // and the one that is being filled: the newest 4,096 versions
+	maxPages           = 64 // besides the one that is being filled: at least the newest 4,096 versions
 	contentsPerSegment = 32
-	maxSegments        = 8 // and the one that is being filled: the newest 256 contents
+	maxSegments        = 8 // besides the one that is being filled: at least the newest 256 contents
 
-	maxPageBytes = versionsPerPage * 8192 // of a page's JSON
+	maxPageBytes = versionsPerPage * 8192 // of a page's JSON, uncompressed
 )
 
-// history is what a replica has of versions that the state machine has forgotten.
+// history keeps the versions that the state machine has forgotten.
 type history struct {
-	pending []forgottenVersion    // not on disk yet; each gets there with the next write, or again by the log
-	last    configversion.Version // number and content of the last record of bucketContents; no content: unknown
+	pending []forgottenVersion    // not on disk yet; after a restart they are added again as the log is replayed
+	last    configversion.Version // number and content of the last record of bucketContents; nil content: unknown
 
 	onCorrupt func(part string, err error) // called once for each part that cannot be read
-	reported  map[string]bool              // parts that onCorrupt was called with
+	reported  map[string]bool              // parts that onCorrupt was called for
 }
 
 // forgottenVersion is a version that the state machine has forgotten.
 type forgottenVersion struct {
 	version *configversion.Version
-	delta   []byte // its content as a delta from that of the version before; nil: not encoded yet
+	delta   []byte // content as a delta from that of the version before; nil: not encoded yet
 }
 
-// add notes a version that the state machine forgets.
+// add queues a version that the state machine forgets, to be written by the next flush.
 func (h *history) add(version *configversion.Version, delta []byte) {
 	h.pending = append(h.pending, forgottenVersion{version, delta})
 }
 
-// reportCorrupt reports a part that cannot be read, once.
+// reportCorrupt reports a part that cannot be read, once for each part.
 func (h *history) reportCorrupt(part string, err error) {
 	if h.reported[part] {
 		return
@@ -57,7 +57,7 @@
 	h.onCorrupt(part, err)
 }
 
-// flush writes what is pending. The caller empties pending once the transaction is committed.
+// flush writes the pending versions. The caller clears pending once the transaction is committed.
 func (h *history) flush(tx *bbolt.Tx) error {
 	if len(h.pending) == 0 {
 		return nil
@@ -71,10 +71,10 @@
 	for i, forgotten := range h.pending {
 		newest = max(newest, forgotten.version.Number)
 		if !h.addToPage(pages, metadata, forgotten.version) {
-			continue // the log repeated it
+			continue // already stored before the log was replayed
 		}
 		if i+contentsPerSegment*(maxSegments+1) < len(h.pending) {
-			continue // its content would be deleted at once
+			continue // its content would be deleted below
 		}
 		if err := h.putContent(contents, forgotten); err != nil {
 			return err
@@ -92,7 +92,8 @@
 	return deleteBefore(contents, sequence, contentsPerSegment*maxSegments+sequence%contentsPerSegment)
 }
 
-// addToPage adds a version's metadata to its page, which is read if it was not yet; false where it is there already.
+// addToPage adds a version's metadata to its page, which it reads into pages first if necessary. It returns false if
+// the version is there already.
 func (h *history) addToPage(
 	pages map[uint64][]*configversion.Version, metadata *bbolt.Bucket, version *configversion.Version,
 ) bool {
@@ -120,10 +121,10 @@
 	return metadata.Put(encodeKey(page), compressed)
 }
 
-// putContent appends a content. A record is its head, a varint of the version's number and a bit that is set where the
-// content is complete, and the content.
+// putContent appends a record to bucketContents: a header and the encoded content. The header is a varint: the
+// version's number shifted left by one, with the lowest bit set if the content is complete.
 func (h *history) putContent(contents *bbolt.Bucket, forgotten forgottenVersion) error {
-	sequence, err := contents.NextSequence() // from 1
+	sequence, err := contents.NextSequence() // starts at 1
 	if err != nil {
 		return err
 	}
@@ -148,7 +149,7 @@
 	return contents.Put(encodeKey(sequence), record)
 }
 
-// deleteBefore deletes the records whose key is more than distance before newest.
+// deleteBefore deletes the records whose key is smaller than newest by more than distance.
 func deleteBefore(bucket *bbolt.Bucket, newest, distance uint64) error {
 	cursor := bucket.Cursor()
 	for key, _ := cursor.First(); key != nil && decodeKey(key)+distance < newest; key, _ = cursor.Next() {
@@ -163,7 +164,7 @@
 	return int(int64(version.Number) - int64(number))
 }
 
-// withoutContent is a copy of a version without its content.
+// withoutContent returns a copy of a version without its content.
 func withoutContent(version *configversion.Version) *configversion.Version {
 	return &configversion.Version{
 		Number:    version.Number,
--- a/internal/fleet/replica/history_test.go
+++ b/internal/fleet/replica/history_test.go
@@ -12,7 +12,7 @@
 	"irispost/internal/fleet/configversion"
 )
 
-// A part of the history that is corrupt is reported in one line, and the rest is listed.
+// A corrupt part of the history is reported in one log line, and the rest is listed.
 func TestCorruptHistoryIsReportedOnceAndRestListed(t *testing.T) {
 	const last = 200
 	c := newTestCluster(t)
@@ -22,10 +22,10 @@
 	r := c.running[1]
 	warnings := &strings.Builder{}
 	if all := listVersions(t, r, warnings); len(all) != last || warnings.Len() > 0 {
-		t.Fatalf("%d versions, %s", len(all), warnings)
+		t.Fatalf("%d versions are listed, want 200 and no warnings: %s", len(all), warnings)
 	}
 
-	var corrupt uint64 // a version whose content is cut off
+	var corrupt uint64 // a version whose content is truncated
 	updateStore(t, r, func(tx *bbolt.Tx) error {
 		contents := tx.Bucket(bucketContents)
 		key, record := contents.Cursor().Seek(encodeKey(2*contentsPerSegment + 3))
@@ -37,12 +37,12 @@
 	place := fmt.Sprint("content of version ", corrupt)
 	lines := strings.Count(warnings.String(), "\n")
 	if len(all) != last || lines != 1 || !strings.Contains(warnings.String(), place) {
-		t.Errorf("%d versions, %s", len(all), warnings)
+		t.Errorf("%d versions are listed, want 200 and one warning: %s", len(all), warnings)
 	}
 	for _, version := range all {
 		missing := version.Number >= corrupt && version.Number < corrupt+contentsPerSegment-3
 		if missing != (version.Content == nil) {
-			t.Errorf("version %d has a content of %d bytes, %d is corrupt",
+			t.Errorf("version %d is listed with a content of %d bytes, and version %d is corrupt",
 				version.Number, len(version.Content), corrupt)
 		}
 	}
@@ -52,11 +52,11 @@
 	})
 	all = listVersions(t, r, warnings)
 	if len(all) != last-versionsPerPage || !strings.Contains(warnings.String(), "metadata of versions 64 to 127") {
-		t.Errorf("%d versions, %s", len(all), warnings)
+		t.Errorf("%d versions are listed, want 136 and a warning of the page: %s", len(all), warnings)
 	}
 }
 
-// updateStore writes into a replica's file.
+// updateStore writes to a replica's file.
 func updateStore(t *testing.T, r *Replica, write func(tx *bbolt.Tx) error) {
 	t.Helper()
 	var err error
@@ -66,7 +66,7 @@
 	}
 }
 
-// listVersions lists all versions that a replica has, and the warnings that it logs meanwhile.
+// listVersions returns all versions that a replica has. The warnings that it logs meanwhile are written to warnings.
 func listVersions(t *testing.T, r *Replica, warnings *strings.Builder) []*configversion.Version {
 	t.Helper()
 	var all []*configversion.Version
--- a/internal/fleet/replica/historyread.go
+++ b/internal/fleet/replica/historyread.go
@@ -13,10 +13,10 @@
 	"irispost/internal/fleet/delta"
 )
 
-// errNoVersionNumber reports a record of bucketContents without its head.
-var errNoVersionNumber = errors.New("it has no number")
+// errNoVersionNumber reports a record of bucketContents without a valid header.
+var errNoVersionNumber = errors.New("it has no version number")
 
-// readPage reads a page; nil where there is none, or it cannot be read.
+// readPage returns the versions of a page; nil if the page does not exist or cannot be read.
 func (h *history) readPage(metadata *bbolt.Bucket, page uint64) []*configversion.Version {
 	compressed := metadata.Get(encodeKey(page))
 	if compressed == nil {
@@ -35,8 +35,8 @@
 	return versions
 }
 
-// readContents reads contents in the order in which they came, of the segments that are wanted. What cannot be read is
-// reported, and what is a delta from it left out.
+// readContents calls visit for each content of the wanted segments, in the order in which they were added. Contents
+// that cannot be read are reported and skipped, and so are those that are deltas from them, directly or indirectly.
 func (h *history) readContents(
 	contents *bbolt.Bucket,
 	wanted func(segment uint64) bool,
@@ -51,7 +51,7 @@
 		}
 		head, size := binary.Uvarint(record)
 		if size <= 0 {
-			h.reportCorrupt(fmt.Sprintf("content at place %d", place), errNoVersionNumber)
+			h.reportCorrupt(fmt.Sprintf("content at position %d", place), errNoVersionNumber)
 			last = nil
 			continue
 		}
@@ -60,11 +60,11 @@
 		if complete {
 			base = nil
 		} else if base == nil {
-			continue // its base was reported
+			continue // its base cannot be read, which has been reported
 		}
 		content, err := delta.Decode(base, record[size:], configversion.MaxContentBytes)
 		if err != nil {
-			h.reportCorrupt(fmt.Sprintf("content of version %d at place %d", number, place), err)
+			h.reportCorrupt(fmt.Sprintf("content of version %d at position %d", number, place), err)
 		} else {
 			each(number, content)
 		}
@@ -72,7 +72,7 @@
 	}
 }
 
-// lastContent is the number and the content of the last record.
+// lastContent returns the number and the content of the last record; no content if there is none or it cannot be read.
 func (h *history) lastContent(contents *bbolt.Bucket) configversion.Version {
 	var last configversion.Version
 	key, record := contents.Cursor().Last()
@@ -89,7 +89,8 @@
 	return last
 }
 
-// versions reads the versions from one number to another; those whose content is not kept any more come without it.
+// versions returns the versions from one number to another, both included. Versions whose content is no longer kept are
+// returned without it.
 func (h *history) versions(tx *bbolt.Tx, from, to uint64) []*configversion.Version {
 	list := h.readMetadata(tx.Bucket(bucketMetadata), from, to)
 	if len(list) == 0 {
@@ -105,7 +106,7 @@
 		version := list[place]
 		if digest := configversion.DigestOf(content); digest != version.Digest {
 			h.reportCorrupt(fmt.Sprintf("content of version %d", number),
-				fmt.Errorf("it has the digest %.12s instead of %.12s", digest, version.Digest))
+				fmt.Errorf("its digest is %.12s instead of %.12s", digest, version.Digest))
 			return
 		}
 		version.Content = content
@@ -113,7 +114,7 @@
 	return list
 }
 
-// readMetadata reads the versions from one number to another without their contents.
+// readMetadata returns the versions from one number to another, both included, without their contents.
 func (h *history) readMetadata(metadata *bbolt.Bucket, from, to uint64) []*configversion.Version {
 	var list []*configversion.Version
 	cursor := metadata.Cursor()
@@ -128,7 +129,7 @@
 	return list
 }
 
-// segmentsOf are the segments that have contents of versions from one number to another.
+// segmentsOf returns the segments that have contents of versions from one number to another.
 func segmentsOf(contents *bbolt.Bucket, from, to uint64) map[uint64]bool {
 	segments := map[uint64]bool{}
 	cursor := contents.Cursor()
--- a/internal/fleet/replica/incarnation.go
+++ b/internal/fleet/replica/incarnation.go
@@ -7,24 +7,25 @@
 	"time"
 )
 
-// Each start of a replica is an incarnation: a count that its folder keeps, and a random mark. It is announced to the
-// other replicas before the replica takes part in Raft. A replica that was started from an older copy of its folder has
-// forgotten votes and acknowledgements; the others know a later incarnation and reject it.
+// Each start of a replica is an incarnation. It is identified by a start count, which the replica's folder keeps, and a
+// random number. A replica announces it to its peers before it takes part in Raft: a replica that was started from an
+// older copy of its folder has lost votes and acknowledgements that it gave, and its peers, which know a later
+// incarnation, reject it.
 
-// ErrStaleIncarnation reports that a replica's folder is an older copy.
-var ErrStaleIncarnation = errors.New("another replica has recorded a later start of this one: " +
-	"its folder is an older copy, or two replicas run under one ID; it would vote twice and is not started")
+// ErrStaleIncarnation reports that a replica's folder is an older copy, or that its ID is in use twice.
+var ErrStaleIncarnation = errors.New("a peer has recorded a later start of this replica: " +
+	"its folder is an older copy, or two replicas run under one ID; it stops, as it could vote twice")
 
-// announcement is a start of a replica, as it is sent to POST /hello of the others.
+// announcement describes a start of a replica; it is the body of POST /hello, which the replica sends to its peers.
 type announcement struct {
 	From        uint64 `json:"from"`
 	Starts      uint64 `json:"starts"`
-	Incarnation uint64 `json:"incarnation,omitempty"` // this start's mark; 0: sent by a replica that has none
-	EntryFormat int    `json:"form,omitempty"`        // newest format of log entries that it reads; 0: the first
+	Incarnation uint64 `json:"incarnation,omitempty"` // random number of this start; 0: the sender's program has none
+	EntryFormat int    `json:"form,omitempty"`        // newest entry format that the sender reads; 0: the first
 }
 
-// announceStart announces this start to all peers and waits until a majority, with this replica, has recorded it. It
-// tells whether the replica may take part.
+// announceStart announces this start to all peers and waits until a majority, which includes this replica, has recorded
+// it. It reports whether the replica may take part in Raft.
 func (r *Replica) announceStart(ctx context.Context) bool {
 	recorded := make(chan uint64, len(r.membership.peers))
 	rejected := make(chan error, len(r.membership.peers))
@@ -40,7 +41,7 @@
 	}
 	r.ready = true
 	r.goroutines.Add(1)
-	go func() { // peers that answer later may still know a later start
+	go func() { // a peer that answers later may have recorded a later start
 		defer r.goroutines.Done()
 		select {
 		case <-ctx.Done():
@@ -53,7 +54,7 @@
 	return true
 }
 
-// announceTo announces this start to one peer until it answers.
+// announceTo announces this start to one peer, again and again until it accepts or rejects it.
 func (r *Replica) announceTo(ctx context.Context, p *peer, recorded chan<- uint64, rejected chan<- error) {
 	message := announcement{
 		From:        r.options.ID,
@@ -78,7 +79,7 @@
 	}
 }
 
-// awaitMajority waits until a majority has recorded this start; false where the replica has to stop.
+// awaitMajority waits until a majority has recorded this start; false if the replica has to stop.
 func (r *Replica) awaitMajority(ctx context.Context, recorded <-chan uint64, rejected <-chan error) bool {
 	recordedBy := map[uint64]bool{r.options.ID: true}
 	for len(recordedBy) <= len(r.options.Peers)/2 {
@@ -89,14 +90,14 @@
 			return false
 		case id := <-recorded:
 			recordedBy[id] = true
-		case call := <-r.calls: // the announcements of the others have to be answered meanwhile
+		case call := <-r.calls: // peers' announcements have to be answered meanwhile
 			call()
 		}
 	}
 	return true
 }
 
-// handleAnnouncement answers POST /hello: 204 where the start is recorded, 409 where a later one is known.
+// handleAnnouncement handles POST /hello: 204 if the start is recorded, 409 if a later one is known.
 func (r *Replica) handleAnnouncement(w http.ResponseWriter, req *http.Request) {
 	var message announcement
 	if !decodeBody(w, req, &message) {
@@ -113,7 +114,7 @@
 	}
 }
 
-// recordAnnouncement records the start of a peer and returns the HTTP status of the answer.
+// recordAnnouncement records the start of a peer and returns the HTTP status of the response.
 func (r *Replica) recordAnnouncement(message announcement) int {
 	accepted, err := r.store.recordStart(message.From, message.Starts, message.Incarnation)
 	switch {
--- a/internal/fleet/replica/incarnation_test.go
+++ b/internal/fleet/replica/incarnation_test.go
@@ -10,7 +10,8 @@
 	"testing"
 )
 
-// A replica whose announcement was recorded, and whose answer was lost, announces itself again and takes part.
+// If a peer has recorded a replica's announcement but the response is lost, the replica announces itself again, is
+// accepted and takes part.
 func TestReplicaRepeatsAnnouncementWhenAnswerIsLost(t *testing.T) {
 	c := newTestCluster(t)
 	c.start(2)
@@ -32,7 +33,7 @@
 	c.start(3)
 	propose(t, c.client(), 1, rateLimitConfig(1))
 	if n := announcements.Load(); n < 2 {
-		t.Errorf("announced %d times", n)
+		t.Errorf("announced %d times, want at least 2", n)
 	}
 	select {
 	case <-c.running[1].Done():
--- a/internal/fleet/replica/leadership.go
+++ b/internal/fleet/replica/leadership.go
@@ -7,20 +7,20 @@
 	"irispost/internal/fleet/lease"
 )
 
-// leadership is what a replica knows of who leads.
+// leadership is what a replica knows about who leads the group.
 type leadership struct {
-	leader   uint64         // as Raft says; 0: unknown
-	isLeader bool           // as Raft says of this replica
+	leader   uint64         // as reported by Raft; 0: unknown
+	isLeader bool           // whether Raft reports that this replica leads
 	manager  *lease.Manager // nil: this replica does not lead, or has not applied an entry of its term yet
-	term     uint64         // of the manager
+	term     uint64         // for which the manager was created
 }
 
-// leading tells whether this replica grants leases: it leads, and the group has its lease settings.
+// leading reports whether this replica grants leases: it leads, and the group has its lease settings.
 func (r *Replica) leading() bool {
 	return r.leadership.manager != nil && r.machine.Settings.LeaseDuration > 0
 }
 
-// leaderChanged takes Raft's word on who leads.
+// leaderChanged handles Raft's report of who leads.
 func (r *Replica) leaderChanged(state *raft.SoftState) {
 	isLeader := state.RaftState == raft.StateLeader
 	if r.leadership.isLeader && !isLeader {
@@ -34,7 +34,8 @@
 	}
 }
 
-// rejectPending tells all that wait that this replica does not lead. A proposal may still get into the log.
+// rejectPending answers all waiting requests that this replica does not lead. Their proposals may still get into the
+// log.
 func (r *Replica) rejectPending() {
 	for _, answer := range r.reads.drain() {
 		answer(nil)
@@ -49,8 +50,8 @@
 	}
 }
 
-// leadFromEntry makes the lease manager at the first entry of this replica's own term: no entry of an earlier
-// leader can follow it.
+// startLeadership creates the lease manager when the first entry of this replica's own term is applied: no entry of an
+// earlier leader can follow it.
 func (r *Replica) leadFromEntry(entry *raftpb.Entry) {
 	term := r.currentTerm()
 	fresh := r.leadership.manager == nil || r.leadership.term != term
--- a/internal/fleet/replica/load.go
+++ b/internal/fleet/replica/load.go
@@ -12,7 +12,7 @@
 	"irispost/internal/fleet/lease"
 )
 
-// load reads the file at path into the store and counts this start. Nothing is written where something cannot be read.
+// load reads the file at path into the store and counts this start. If anything cannot be read, nothing is written.
 func (s *store) load(path string, id uint64, voters []uint64) error {
 	if err := s.db.View(func(tx *bbolt.Tx) error { return checkLength(tx, path) }); err != nil {
 		return err
@@ -56,15 +56,15 @@
 	return nil
 }
 
-// countStart checks whose folder it is, counts this start and returns the voters that founded the group. Who votes now
-// is in the log.
+// countStart checks which replica the folder belongs to, counts this start and returns the voters that founded the
+// group. The present voters are in the log.
 func (s *store) countStart(tx *bbolt.Tx, path string, id uint64, voters []uint64) (founders []uint64, err error) {
 	self := identity{ID: id, Voters: voters}
 	if encoded := tx.Bucket(bucketSelf).Get(keyIdentity); encoded != nil {
 		if err := json.Unmarshal(encoded, &self); err != nil {
 			return nil, fmt.Errorf("%s: identity: %w", path, err)
 		}
-		// After the first membership change the replica's options may name other voters than the founders.
+		// After the first membership change the replica's options may list other voters than the founders.
 		unchanged := len(s.addresses) == 0 && voters != nil && self.Voters != nil
 		if self.ID != id || unchanged && !slices.Equal(self.Voters, voters) {
 			return nil, fmt.Errorf("%s belongs to replica %d of %v, not to replica %d of %v",
@@ -92,7 +92,7 @@
 		if err := s.memory.ApplySnapshot(snapshot); err != nil {
 			return err
 		}
-	} // else it joins: all that it knows comes from those who vote
+	} // otherwise this replica joins a group, and receives its state from the voters
 	if encoded := tx.Bucket(bucketRaft).Get(keyHardState); encoded != nil {
 		hardState = &raftpb.HardState{}
 		if err := proto.Unmarshal(encoded, hardState); err != nil {
@@ -110,7 +110,7 @@
 	return s.memory.Append(entries)
 }
 
-// loadSnapshot reads the snapshot, or makes that of an empty log.
+// loadSnapshot reads the snapshot, or creates that of an empty log if there is none.
 func loadSnapshot(tx *bbolt.Tx, path string, founders []uint64) (*raftpb.Snapshot, error) {
 	encoded := tx.Bucket(bucketRaft).Get(keySnapshot)
 	if encoded == nil {
@@ -144,8 +144,8 @@
 	return entries, nil
 }
 
-// peerStartBytes is the length of a recorded start with its mark. One that an older program recorded has the count
-// alone.
+// peerStartBytes is the length of a record in bucketPeerStarts that has a start count and an incarnation number. Older
+// programs recorded the count alone.
 const peerStartBytes = 16
 
 func (s *store) loadPeerStarts(tx *bbolt.Tx) error {
--- a/internal/fleet/replica/membership.go
+++ b/internal/fleet/replica/membership.go
@@ -12,35 +12,35 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// maxVoters is the largest number of replicas that vote.
+// maxVoters is the maximum number of voting replicas.
 const maxVoters = 7
 
-// membership is what a replica knows of the other replicas.
+// membership is what a replica knows about the members of its group.
 type membership struct {
 	configuration *raftpb.ConfState
-	addresses     map[uint64]string // of all replicas that ever were, by ID
+	addresses     map[uint64]string // of all present and former replicas, by ID
 	peers         map[uint64]*peer  // connections, by ID
-	entryFormats  map[uint64]int    // that peers read, by ID; 0: unknown
-	pending       chan<- error      // gets the outcome of the change that was requested here; nil: none
+	entryFormats  map[uint64]int    // newest format that each peer reads, by ID; 0: unknown
+	pending       chan<- error      // receives the outcome of the change requested from this replica; nil: none
 }
 
 // MembershipChange is a change of the replicas that vote.
 //
-// It is an entry of the log and takes effect over a joint majority of the voters before and after (Raft's joint
-// consensus), so that no two majorities can decide differently. A replica that has lost its folder is replaced by one
-// with another ID: under its own it would vote twice.
+// It is a log entry that takes effect by Raft's joint consensus, which needs majorities of both the old and the new
+// voters, so that no two majorities can decide differently. A replica that has lost its folder is replaced by one with
+// another ID: under its old one it could vote twice.
 type MembershipChange struct {
-	// Add has addresses, as the other replicas reach them, by IDs that were never used.
+	// Add has the addresses at which the other replicas reach the new ones, by ID. The IDs must never have been used.
 	Add map[uint64]string `json:"add,omitempty"`
 
-	// Remove has the IDs of replicas that vote no more.
+	// Remove has the IDs of replicas that are to stop voting.
 	Remove []uint64 `json:"remove,omitempty"`
 }
 
-// ErrMembershipChange reports why a change of the voters is rejected. Clients see its text in answers with status 409.
+// ErrMembershipChange reports why a membership change is rejected. Clients see its text in responses with status 409.
 var ErrMembershipChange = errors.New("this change of keepers cannot be")
 
-// validate rejects a change that is not possible with these voters and the IDs used so far.
+// validate rejects a change that is not possible with the present voters and the IDs used so far.
 func (c *MembershipChange) validate(voters []uint64, used map[uint64]string) error {
 	for _, id := range c.Remove {
 		if !slices.Contains(voters, id) {
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// applied tells whether the change has taken effect already: a client that missed the answer sends it again.
+// applied reports whether the change has taken effect already: a client that missed the response sends it again.
 func (c *MembershipChange) applied(voters []uint64, used map[uint64]string) bool {
 	for _, id := range c.Remove {
 		if _, known := used[id]; !known || slices.Contains(voters, id) {
@@ -74,10 +74,10 @@
 	return len(c.Add)+len(c.Remove) > 0
 }
 
-// confChange is the change as Raft takes it; its context is the change's JSON.
+// confChange converts the change to Raft's form. Its context is the change's JSON.
 func (c *MembershipChange) confChange() *raftpb.ConfChangeV2 {
 	change := &raftpb.ConfChangeV2{}
-	change.Context, _ = json.Marshal(c) // strings and integers only
+	change.Context, _ = json.Marshal(c) // cannot fail: strings and integers only
 	add := func(kind raftpb.ConfChangeType, id uint64) {
 		single := &raftpb.ConfChangeSingle{Type: kind.Enum(), NodeId: proto.Uint64(id)}
 		change.Changes = append(change.Changes, single)
@@ -91,7 +91,7 @@
 	return change
 }
 
-// proposeMembershipChange puts a change into the log; result gets nil once it has taken effect, or why it does not.
+// proposeMembershipChange submits a change to Raft. Result receives nil once it has taken effect, or why it does not.
 func (r *Replica) proposeMembershipChange(change *MembershipChange, result chan<- error) {
 	voters := r.membership.configuration.GetVoters()
 	switch {
@@ -116,21 +116,21 @@
 	r.membership.pending = result
 }
 
-// applyMembershipChange applies an entry of the log that changes the voters.
+// applyMembershipChange applies a log entry that changes the voters.
 func (r *Replica) applyMembershipChange(entry *raftpb.Entry) error {
 	confChange := &raftpb.ConfChangeV2{}
 	if err := proto.Unmarshal(entry.GetData(), confChange); err != nil {
-		return fmt.Errorf("entry %d of the log cannot be read: %w", entry.GetIndex(), err)
+		return fmt.Errorf("log entry %d cannot be read: %w", entry.GetIndex(), err)
 	}
 	r.membership.configuration = r.node.ApplyConfChange(confChange)
-	// A replica that joins must not take a snapshot whose voters are without it.
+	// A joining replica must not be sent a snapshot whose voters do not include it.
 	if err := r.compact(); err != nil {
 		return err
 	}
 	if len(confChange.GetContext()) > 0 {
 		change := &MembershipChange{}
 		if err := json.Unmarshal(confChange.GetContext(), change); err != nil {
-			return fmt.Errorf("entry %d of the log cannot be read: %w", entry.GetIndex(), err)
+			return fmt.Errorf("log entry %d cannot be read: %w", entry.GetIndex(), err)
 		}
 		if err := r.connectAdded(change); err != nil {
 			return err
@@ -155,7 +155,7 @@
 	return nil
 }
 
-// connectPeers starts a connection to each other replica whose address is known and that has none yet.
+// connectPeers starts a connection to each peer whose address is known and that has no connection yet.
 func (r *Replica) connectPeers() {
 	for id, address := range r.membership.addresses {
 		if id == r.options.ID || r.membership.peers[id] != nil {
@@ -171,7 +171,7 @@
 	}
 }
 
-// handleMembershipChange answers POST /voters: 200 once the change has taken effect.
+// handleMembershipChange handles POST /voters: 200 once the change has taken effect.
 func (r *Replica) handleMembershipChange(w http.ResponseWriter, req *http.Request) {
 	change := &MembershipChange{}
 	if !decodeBody(w, req, change) {
--- a/internal/fleet/replica/membership_test.go
+++ b/internal/fleet/replica/membership_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// A replica whose folder is lost is replaced by one with another ID, while versions are proposed; with one more
-// lost, the two that are left, of which one has joined, go on, also after they have all started again.
+// A replica that has lost its folder is replaced by one with another ID between proposals. After one more is lost, the
+// remaining two, one of which has joined, accept versions, also after both have restarted.
 func TestLostReplicaIsReplacedUnderNewID(t *testing.T) {
 	c := newTestCluster(t)
 	c.start(1, 2, 3)
@@ -28,33 +28,33 @@
 	} {
 		var rejected *RejectedError
 		if err := client.ChangeMembership(change); !errors.As(err, &rejected) {
-			t.Errorf("%+v: %v", change, err)
+			t.Errorf("change %+v: got error %v, want a RejectedError", change, err)
 		}
 	}
 	replacement := &MembershipChange{Add: map[uint64]string{4: c.peers[4]}, Remove: []uint64{2}}
-	for range 2 { // a client that misses the answer sends it again
+	for range 2 { // a client that misses the response sends it again
 		if err := client.ChangeMembership(replacement); err != nil {
 			t.Fatal(err)
 		}
 	}
 	propose(t, client, 31, rateLimitConfig(31))
 	if status, err := client.Status(); err != nil || fmt.Sprint(status.Voters) != "[1 3 4]" {
-		t.Fatalf("%+v, %v", status.Voters, err)
+		t.Fatalf("got voters %+v, want [1 3 4]; error %v", status.Voters, err)
 	}
 	c.stop(1)
 	propose(t, client, 32, rateLimitConfig(32))
 	c.stop(3, 4)
 	c.joining = 4
-	delete(c.peers, 2) // options name the replicas that there are now
+	delete(c.peers, 2) // the options list the present replicas
 	c.start(3, 4)
 	propose(t, client, 33, rateLimitConfig(33))
 	if list, err := client.Versions(1); err != nil || len(list) != 33 {
-		t.Errorf("%d versions, %v", len(list), err)
+		t.Errorf("%d versions are listed, want 33; error %v", len(list), err)
 	}
 }
 
-// A change is rejected where the voters or the IDs used so far do not allow it, and recognised once it has been
-// applied.
+// A change is rejected if the voters or the IDs used so far do not allow it, and recognised if it has been applied
+// already.
 func TestMembershipChangeIsValidatedAndRecognised(t *testing.T) {
 	voters := []uint64{1, 2, 4}
 	used := map[uint64]string{1: "a:1", 2: "b:1", 3: "c:1", 4: "d:1"}
@@ -88,10 +88,10 @@
 	} {
 		err := test.change.validate(voters, used)
 		if (err == nil) != test.valid || err != nil && !errors.Is(err, ErrMembershipChange) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: unexpected result of validation: %v", name, err)
 		}
 		if applied := test.change.applied(voters, used); applied != test.applied {
-			t.Errorf("%s: applied %t", name, applied)
+			t.Errorf("%s: applied is %t, want the opposite", name, applied)
 		}
 	}
 }
--- a/internal/fleet/replica/metrics.go
+++ b/internal/fleet/replica/metrics.go
@@ -10,7 +10,7 @@
 	"irispost/internal/fleet/lease"
 )
 
-// Metrics of a replica. Names, labels and help are what operators' dashboards rest on.
+// Metrics of a replica. Operators' dashboards depend on their names, labels and help texts.
 var (
 	descLeading = prometheus.NewDesc("irispost_keeper_leads",
 		"1 where this keeper leads, as it believes.", nil, nil)
@@ -24,16 +24,16 @@
 		"Gateways that an announced version waits for; told by the leading keeper.", nil, nil)
 )
 
-// stateUnheard is the state of a gateway that the lease manager has not heard in its term.
+// stateUnheard is the state of a gateway that the lease manager has not heard from in its term.
 const stateUnheard = "unheard"
 
-// collector reads the metrics. Nothing is confirmed: they are what this replica believes.
+// collector collects the metrics. They are this replica's view, which no majority confirms.
 type collector struct{ replica *Replica }
 
-// Describe sends nothing: which metrics there are depends on whether the replica leads.
+// Describe sends nothing, as the set of metrics depends on whether the replica leads.
 func (c collector) Describe(chan<- *prometheus.Desc) {}
 
-// Collect reads all metrics in one call of the owner goroutine.
+// Collect collects all metrics in one call on the owner goroutine.
 func (c collector) Collect(to chan<- prometheus.Metric) {
 	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
--- a/internal/fleet/replica/options.go
+++ b/internal/fleet/replica/options.go
@@ -18,25 +18,25 @@
 
 // Options are the settings of a replica.
 type Options struct {
-	ID     uint64            // of this replica, from 1; never used again once its folder is lost
-	Listen string            // address to serve at
-	Peers  map[uint64]string // addresses of all replicas by ID, as this one reaches them; its own is not dialled
-	Dir    string            // folder that nobody else uses
+	ID     uint64            // of this replica, from 1; not to be used again once the replica's folder is lost
+	Listen string            // address to listen on
+	Peers  map[uint64]string // addresses at which this replica reaches all replicas, by ID; its own is not dialled
+	Dir    string            // folder for this replica's data, used by no other process
 
-	// Joining has the replica start without a membership of its own: it votes once the others have added it.
+	// Joining starts the replica without a group of its own: it votes once the members of a group have added it.
 	Joining bool
 
-	// LeaseSettings are proposed when the group is founded. A group that exists keeps its own.
+	// LeaseSettings are proposed when the group is founded. An existing group keeps its own.
 	LeaseSettings lease.Settings
 
 	TickInterval      time.Duration // of Raft's clock; 0: 50 ms
 	CompactionEntries uint64        // applied entries after which the log is compacted; 0: 1,000
 	Logger            *slog.Logger
 
-	entryFormat int // newest format of log entries that is read and written; 0: the newest there is
+	entryFormat int // newest format of log entries to read and write; 0: the newest that this program knows
 }
 
-// withDefaults checks the options and fills in what is not set.
+// withDefaults validates the options and returns them with defaults for those that are not set.
 func (o Options) withDefaults() (Options, error) {
 	if _, listed := o.Peers[o.ID]; !listed || o.ID == 0 {
 		return o, fmt.Errorf("replica %d is not among its peers %v", o.ID, o.voters())
@@ -53,12 +53,12 @@
 	return o, nil
 }
 
-// voters are the IDs of all replicas in the options, in order.
+// voters returns the IDs of all replicas in the options, in ascending order.
 func (o Options) voters() []uint64 {
 	return slices.Sorted(maps.Keys(o.Peers))
 }
 
-// founders are the voters of a new group; nil where the replica joins one.
+// founders returns the voters of a new group; nil if the replica joins an existing one.
 func (o Options) founders() []uint64 {
 	if o.Joining {
 		return nil
--- a/internal/fleet/replica/peer.go
+++ b/internal/fleet/replica/peer.go
@@ -20,17 +20,17 @@
 const (
 	peerQueueLength     = 256
 	peerIdleConnections = 2
-	peerTimeoutTicks    = 6 // less than electionTicks, so that one lost connection does not cost the leader
+	peerTimeoutTicks    = 6 // less than electionTicks, so that one lost connection does not cause an election
 )
 
-// peer is the connection to another replica. Messages that cannot be sent are dropped: Raft repeats them.
+// peer is the connection to another replica. Messages that cannot be sent are dropped, as Raft resends them.
 type peer struct {
 	replica     *Replica
 	id          uint64
 	url         string
 	queue       chan *raftpb.Message
 	client      *http.Client
-	entryFormat atomic.Int64 // that its last answer stated
+	entryFormat atomic.Int64 // newest format that the peer reads, by its last response
 }
 
 func newPeer(r *Replica, id uint64, address string) *peer {
@@ -50,7 +50,7 @@
 	}
 }
 
-// send queues a message, or drops it where the queue is full.
+// send queues a message, or drops it if the queue is full.
 func (p *peer) send(message *raftpb.Message) {
 	select {
 	case p.queue <- message:
@@ -58,7 +58,7 @@
 	}
 }
 
-// run sends what is queued, as one request each time, until the context ends.
+// run sends the queued messages, all that are queued in one request, until the context ends.
 func (p *peer) run(ctx context.Context) {
 	for {
 		var messages []*raftpb.Message
@@ -75,12 +75,12 @@
 		p.reportSnapshots(ctx, messages, err)
 		if err != nil {
 			p.replica.do(ctx, func() { p.replica.node.ReportUnreachable(p.id) })
-			p.client.CloseIdleConnections() // a connection that hangs is not used again
+			p.client.CloseIdleConnections() // so that a connection that hangs is not reused
 		}
 	}
 }
 
-// reportSnapshots tells Raft what became of the snapshots among messages that were sent.
+// reportSnapshots tells Raft whether the snapshots among the messages were sent.
 func (p *peer) reportSnapshots(ctx context.Context, messages []*raftpb.Message, err error) {
 	status := raft.SnapshotFinish
 	if err != nil {
@@ -111,7 +111,7 @@
 	return p.post(ctx, "/hello", body)
 }
 
-// post sends a request whose answer has no body. A 409 is ErrStaleIncarnation.
+// post sends a request whose response has no body. Status 409 is returned as ErrStaleIncarnation.
 func (p *peer) post(ctx context.Context, path string, body []byte) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, p.url+path, bytes.NewReader(body))
 	if err != nil {
@@ -122,7 +122,7 @@
 		return err
 	}
 	defer closeBody(response)
-	_, _ = io.Copy(io.Discard, response.Body) // so that the connection is used again
+	_, _ = io.Copy(io.Discard, response.Body) // so that the connection can be reused
 	p.takeEntryFormat(ctx, response)
 	switch response.StatusCode {
 	case http.StatusNoContent:
@@ -134,16 +134,16 @@
 	}
 }
 
-// closeBody closes the body of an answer that was read: an error loses nothing.
+// closeBody closes the body of a response that has been read, after which an error does not matter.
 func closeBody(response *http.Response) { _ = response.Body.Close() }
 
-// messageLengthBytes is the size of the length before each message, big endian.
+// messageLengthBytes is the size of the big-endian length before each message.
 const messageLengthBytes = 4
 
 // errTruncatedMessages reports a body that ends within a message.
 var errTruncatedMessages = errors.New("messages are cut off")
 
-// encodeMessages joins messages, each after its length.
+// encodeMessages concatenates messages, each prefixed with its length.
 func encodeMessages(messages []*raftpb.Message) ([]byte, error) {
 	var body []byte
 	for _, message := range messages {
@@ -157,7 +157,7 @@
 	return body, nil
 }
 
-// decodeMessages reads what encodeMessages wrote.
+// decodeMessages decodes what encodeMessages has encoded.
 func decodeMessages(body []byte) ([]*raftpb.Message, error) {
 	var messages []*raftpb.Message
 	for len(body) > 0 {
--- a/internal/fleet/replica/peer_test.go
+++ b/internal/fleet/replica/peer_test.go
@@ -8,7 +8,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Messages are read as they were written; where the body is cut off within one, none is taken.
+// Messages are decoded as they were encoded; if the body is truncated within a message, none is returned.
 func TestDecodeMessagesTakesAllOrNone(t *testing.T) {
 	messages := []*raftpb.Message{
 		{To: proto.Uint64(2), From: proto.Uint64(1), Term: proto.Uint64(3)},
@@ -20,11 +20,11 @@
 	}
 	decoded, err := decodeMessages(body)
 	if err != nil || len(decoded) != len(messages) {
-		t.Fatalf("%d messages, %v", len(decoded), err)
+		t.Fatalf("decoded %d messages, want 2; error %v", len(decoded), err)
 	}
 	for i, message := range decoded {
 		if !proto.Equal(message, messages[i]) {
-			t.Errorf("message %d is %v instead of %v", i, message, messages[i])
+			t.Errorf("message %d: got %v, want %v", i, message, messages[i])
 		}
 	}
 	first, err := encodeMessages(messages[:1])
@@ -36,7 +36,7 @@
 			continue // the end of a message
 		}
 		if list, err := decodeMessages(body[:length]); !errors.Is(err, errTruncatedMessages) || list != nil {
-			t.Errorf("%d bytes of %d: %d messages, %v", length, len(body), len(list), err)
+			t.Errorf("with %d of %d bytes: got %d messages, error %v", length, len(body), len(list), err)
 		}
 	}
 }
--- a/internal/fleet/replica/readindex.go
+++ b/internal/fleet/replica/readindex.go
@@ -9,31 +9,31 @@
 	"irispost/internal/fleet/lease"
 )
 
-// readConfirmTimeoutTicks is after how many ticks a confirmation is taken as lost and asked for again.
+// readConfirmTimeoutTicks is the number of ticks after which a confirmation is considered lost and requested again.
 const readConfirmTimeoutTicks = 20
 
-// readAnswer is called once it is confirmed that this replica leads, with its lease manager; with nil where it does
-// not.
+// readCallback is called with the lease manager once it is confirmed that this replica leads, or with nil if it does
+// not lead.
 type readAnswer func(manager *lease.Manager)
 
-// readQueue holds requests that may be answered only by a confirmed leader (Raft's ReadIndex).
+// readQueue holds requests that may be answered only after Raft's ReadIndex has confirmed that this replica leads.
 type readQueue struct {
-	waiting  []readAnswer // no confirmation was requested for them yet
-	batch    *readBatch   // whose confirmation is under way; nil: none
-	sequence uint64       // of batches
+	waiting  []readAnswer // no confirmation has been requested for them yet
+	batch    *readBatch   // whose confirmation has been requested; nil: none
+	sequence uint64       // number of batches so far
 	lastAt   time.Time    // when the last batch was requested
-	timer    *time.Timer  // wakes the owner goroutine for the next batch
+	timer    *time.Timer  // wakes the owner goroutine up for the next batch
 }
 
-// readBatch is requests that share one confirmation.
+// readBatch is a batch of requests that share one confirmation.
 type readBatch struct {
-	context     []byte // names the batch to Raft
+	context     []byte // identifies the batch to Raft
 	requestedAt time.Time
-	index       uint64 // to be applied before the batch is answered; 0: not confirmed yet
+	index       uint64 // log index to be applied before the batch is answered; 0: not confirmed yet
 	answers     []readAnswer
 }
 
-// drain empties the queue and returns all that was in it.
+// drain empties the queue and returns all callbacks that were in it.
 func (q *readQueue) drain() []readAnswer {
 	answers := q.waiting
 	if q.batch != nil {
@@ -44,14 +44,15 @@
 	return answers
 }
 
-// confirmed notes Raft's confirmation of the batch that is under way.
+// markConfirmed records Raft's confirmation if it is that of the present batch.
 func (q *readQueue) confirmed(state raft.ReadState) {
 	if q.batch != nil && string(state.RequestCtx) == string(q.batch.context) {
 		q.batch.index = state.Index
 	}
 }
 
-// whenLeading has a request answered once it is confirmed that this replica leads.
+// enqueueRead queues a callback until it is confirmed that this replica leads. If it does not lead, the callback is
+// called at once.
 func (r *Replica) whenLeading(answer readAnswer) {
 	if !r.leading() {
 		answer(nil)
@@ -60,7 +61,7 @@
 	r.reads.waiting = append(r.reads.waiting, answer)
 }
 
-// confirmReads answers the batch that is confirmed and asks Raft to confirm the next one.
+// advanceReads answers the present batch if it is confirmed, and asks Raft to confirm the next one.
 func (r *Replica) confirmReads() {
 	if r.leadership.manager == nil {
 		return
@@ -82,8 +83,8 @@
 	}
 }
 
-// requestReadIndex asks Raft to confirm all requests that wait. Each confirmation costs a round trip to all
-// replicas, so requests are gathered for half a tick, unless a version waits for gateways.
+// requestReadIndex asks Raft for one confirmation for all waiting requests. Each confirmation costs a round trip to all
+// replicas, so requests are collected for half a tick, unless an announced version waits for gateways.
 func (r *Replica) requestReadIndex() {
 	queue := &r.reads
 	remaining := r.options.TickInterval/2 - time.Since(queue.lastAt)
--- a/internal/fleet/replica/replica.go
+++ b/internal/fleet/replica/replica.go
@@ -34,10 +34,10 @@
 const (
 	readHeaderTimeout = 5 * time.Second
 	idleTimeout       = time.Minute
-	callQueueLength   = 1024 // functions that wait for the owner goroutine
+	callQueueLength   = 1024 // functions queued for the owner goroutine
 )
 
-// ErrNotLeader reports that another replica leads, or none. Clients see this text in answers with status 421.
+// ErrNotLeader reports that another replica leads, or none. Clients see this text in responses with status 421.
 var ErrNotLeader = errors.New("this keeper does not lead")
 
 // Replica is a running replica.
@@ -48,29 +48,29 @@
 	httpServer *http.Server
 	startedAt  time.Time // origin of the replica's clock
 
-	calls    chan func()                  // run by the owner goroutine; see do
-	watchers atomic.Pointer[watchedState] // what requests that watch are compared with
+	calls    chan func()                  // run by the owner goroutine; see enqueue
+	watchers atomic.Pointer[watchedState] // published state that watch requests wait on
 
-	// From here on everything belongs to the goroutine of run.
+	// The fields from here on belong to the owner goroutine, see run.
 	store        *store
 	node         *raft.RawNode
 	machine      *lease.StateMachine
 	appliedIndex uint64
-	ready        bool // it has announced this start to a majority and takes Raft messages
+	ready        bool // a majority has recorded this start, so Raft messages are accepted
 	leadership   leadership
 	reads        readQueue
-	proposals    map[string]chan<- proposalResult // that wait for their entry, by proposal ID
+	proposals    map[string]chan<- proposalResult // waiting for their entry to be applied, by proposal ID
 	membership   membership
 
-	// The lifetime. err is written by the owner goroutine before stopped is closed.
+	// Lifecycle. The owner goroutine writes err before it closes stopped.
 	ctx        context.Context
 	cancel     context.CancelFunc
 	stopped    chan struct{}
 	err        error
-	goroutines sync.WaitGroup // all but run itself
+	goroutines sync.WaitGroup // all goroutines except for run itself
 }
 
-// Start starts a replica. It takes part in Raft once a majority has recorded this start of it.
+// Start starts a replica. The replica takes part in Raft once a majority has recorded this start.
 func Start(options Options) (*Replica, error) {
 	options, err := options.withDefaults()
 	if err != nil {
@@ -82,7 +82,7 @@
 	}
 	r := newReplica(options, store)
 	if err := r.open(); err != nil {
-		_ = store.db.Close() // the error that matters is why it does not start
+		_ = store.db.Close() // the error to report is why the replica does not start
 		return nil, err
 	}
 	r.ctx, r.cancel = context.WithCancel(context.Background())
@@ -95,7 +95,7 @@
 	r.goroutines.Add(1)
 	go func() {
 		defer r.goroutines.Done()
-		_ = r.httpServer.Serve(r.listener) // ends with ErrServerClosed
+		_ = r.httpServer.Serve(r.listener) // returns ErrServerClosed in the end
 	}()
 	go r.run(r.ctx)
 	return r, nil
@@ -117,7 +117,7 @@
 		},
 		stopped: make(chan struct{}),
 	}
-	maps.Copy(r.membership.addresses, options.Peers) // the options are newer than what was recorded
+	maps.Copy(r.membership.addresses, options.Peers) // the options are newer than the recorded addresses
 	store.history.onCorrupt = func(part string, err error) {
 		r.logger.Warn("version history is partly unreadable", "part", part, "err", err)
 	}
@@ -125,7 +125,7 @@
 	return r
 }
 
-// open restores the state machine, starts to listen and makes the Raft node.
+// open restores the state machine, starts to listen and creates the Raft node.
 func (r *Replica) open() error {
 	if err := r.restore(); err != nil {
 		return err
@@ -135,13 +135,13 @@
 		return err
 	}
 	if r.node, err = raft.NewRawNode(r.raftConfig()); err != nil {
-		_ = r.listener.Close() // nothing was accepted
+		_ = r.listener.Close() // no connection was accepted
 		return err
 	}
 	return nil
 }
 
-// restore takes the state machine from the snapshot in the folder.
+// restore restores the state machine from the snapshot in the folder.
 func (r *Replica) restore() error {
 	snapshot, err := r.store.memory.Snapshot()
 	if err != nil {
@@ -178,13 +178,13 @@
 	}
 }
 
-// Addr is the address that it serves at.
+// Addr returns the address that the replica listens on.
 func (r *Replica) Addr() string { return r.listener.Addr().String() }
 
-// Done is closed when the replica has stopped; then Err tells why.
+// Done returns a channel that is closed when the replica has stopped; Err then returns the reason.
 func (r *Replica) Done() <-chan struct{} { return r.stopped }
 
-// Err is why the replica stopped by itself; nil where it was closed. It is valid once Done is closed.
+// Err returns why the replica stopped by itself, or nil if it was closed. It is valid once Done is closed.
 func (r *Replica) Err() error { return r.err }
 
 // Close stops the replica and waits until it has stopped.
@@ -193,10 +193,11 @@
 	<-r.stopped
 }
 
-// now reads the replica's own clock: nanoseconds since its start. It never goes back and is not the time of day.
+// now returns the time of the replica's own monotonic clock: nanoseconds since its start, not the time of day.
 func (r *Replica) now() lease.Time { return int64(time.Since(r.startedAt)) }
 
-// do has the owner goroutine run a function. It returns once the function is queued; false where it never will run.
+// enqueue queues a function for the owner goroutine, without waiting until it has run. It returns false if the function
+// was not queued, as the context or the replica has ended.
 func (r *Replica) do(ctx context.Context, call func()) bool {
 	select {
 	case r.calls <- call:
@@ -207,5 +208,5 @@
 	return false
 }
 
-// currentTerm is Raft's term.
+// currentTerm returns Raft's current term.
 func (r *Replica) currentTerm() uint64 { return r.node.BasicStatus().GetTerm() }
--- a/internal/fleet/replica/run.go
+++ b/internal/fleet/replica/run.go
@@ -9,7 +9,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// run is the owner goroutine: Raft, the state machine and the lease manager are used by it alone.
+// run is the owner goroutine, the only one that uses Raft, the state machine and the lease manager.
 func (r *Replica) run(ctx context.Context) {
 	defer r.shutDown()
 	if !r.announceStart(ctx) {
@@ -36,21 +36,21 @@
 	}
 }
 
-// shutDown ends all that the replica has started. It is the last thing that the owner goroutine does.
+// shutDown stops everything that the replica has started. It is the last thing that the owner goroutine does.
 func (r *Replica) shutDown() {
 	if r.err != nil {
 		r.logger.Error("replica stopped", "err", r.err)
 	}
 	r.cancel()
-	_ = r.httpServer.Close() // the listener's error at its end changes nothing
+	_ = r.httpServer.Close() // an error of closing the listener changes nothing
 	r.goroutines.Wait()
-	_ = r.store.db.Close() // each write was synced before it was built upon
+	_ = r.store.db.Close() // each write was synced before anything depended on it
 	close(r.stopped)
 }
 
-// processReady handles everything that follows from what has happened since the last call.
+// processReady processes the consequences of all events since the last call.
 func (r *Replica) processReady() error {
-	if r.err != nil { // set by a call
+	if r.err != nil { // set by a function from r.calls
 		return r.err
 	}
 	for {
@@ -66,14 +66,14 @@
 	}
 }
 
-// handleReady persists, sends and applies what Raft has ready, in the order that Raft demands: nothing is sent or
+// handleReady persists, sends and applies what Raft has ready, in the order that Raft requires: nothing is sent or
 // applied before it is on disk.
 func (r *Replica) handleReady(ready raft.Ready) error {
 	if ready.SoftState != nil {
 		r.leaderChanged(ready.SoftState)
 	}
 	if err := r.store.save(&ready); err != nil {
-		return fmt.Errorf("the raft state cannot be persisted, so nothing is promised by it: %w", err)
+		return fmt.Errorf("persisting the raft state failed, so nothing is promised by it: %w", err)
 	}
 	r.send(ready.Messages)
 	if !raft.IsEmptySnap(ready.Snapshot) {
@@ -96,7 +96,7 @@
 	return r.compact()
 }
 
-// send hands messages to the connections of their receivers.
+// send queues messages on the connections to their receivers.
 func (r *Replica) send(messages []*raftpb.Message) {
 	for _, message := range messages {
 		if peer := r.membership.peers[message.GetTo()]; peer != nil {
@@ -105,12 +105,12 @@
 	}
 }
 
-// step takes messages of other replicas.
+// step passes messages of other replicas to Raft.
 func (r *Replica) step(messages []*raftpb.Message) {
 	if !r.ready {
-		return // a vote or an acknowledgement could contradict what an earlier start of this replica has sent
+		return // a vote or an acknowledgement could contradict what an earlier incarnation has sent
 	}
-	defer func() { // Raft panics where its log is behind what it has acknowledged
+	defer func() { // Raft panics if its log is behind what it has acknowledged
 		if cause := recover(); cause != nil {
 			r.err = fmt.Errorf("%w (%v)", ErrStaleIncarnation, cause)
 		}
@@ -122,8 +122,8 @@
 	}
 }
 
-// compact replaces the log up to the applied index by a snapshot of the state machine. The last tenth of the entries is
-// left for replicas that lag a little.
+// compact replaces the log up to the applied index with a snapshot of the state machine. The last entries, a tenth of
+// Options.CompactionEntries, are retained for replicas that lag a little.
 func (r *Replica) compact() error {
 	data := r.machine.Snapshot()
 	retained := r.options.CompactionEntries / 10
--- a/internal/fleet/replica/save.go
+++ b/internal/fleet/replica/save.go
@@ -9,13 +9,13 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// The log is compacted after so many applied entries (Options.CompactionEntries) or bytes, whichever comes first.
+// The log is compacted after Options.CompactionEntries applied entries or maxLogBytes, whichever comes first.
 const (
 	maxLogBytes      = 4 << 20
-	retainedLogBytes = maxLogBytes / 8 // of applied entries that a compaction leaves for replicas that lag a little
+	retainedLogBytes = maxLogBytes / 8 // of applied entries that a compaction retains for replicas that lag a little
 )
 
-// save persists what Raft requires to be persisted, in one synced transaction, and then takes it into memory.
+// save persists what Raft requires to be persisted, in one synced transaction, and then updates the log in memory.
 func (s *store) save(ready *raft.Ready) error {
 	hasSnapshot := !raft.IsEmptySnap(ready.Snapshot)
 	hasHardState := !raft.IsEmptyHardState(ready.HardState)
@@ -49,7 +49,7 @@
 			return err
 		}
 	}
-	// Too high where entries replace others, until the next compaction counts again.
+	// Too high if the entries replace others, until the next compaction recounts.
 	s.logBytes += entryBytes(ready.Entries)
 	return s.memory.Append(ready.Entries)
 }
@@ -63,7 +63,8 @@
 	return tx.Bucket(bucketRaft).Put(key, encoded)
 }
 
-// putEntries writes entries in place of all from the first one's index on, which another leader had written.
+// putEntries writes entries. It deletes all stored entries from the first one's index on, which are from another
+// leader.
 func putEntries(tx *bbolt.Tx, entries []*raftpb.Entry) error {
 	if len(entries) == 0 {
 		return nil
@@ -102,7 +103,7 @@
 	return nil
 }
 
-// entryBytes is the size of the entries' data.
+// entryBytes returns the total size of the entries' data.
 func entryBytes(entries []*raftpb.Entry) int {
 	total := 0
 	for _, entry := range entries {
@@ -111,7 +112,7 @@
 	return total
 }
 
-// entriesTo are the entries in memory up to an index.
+// entriesTo returns the entries in memory up to and including an index.
 func (s *store) entriesTo(index uint64) ([]*raftpb.Entry, error) {
 	first, err := s.memory.FirstIndex()
 	if err != nil || index < first {
@@ -120,7 +121,7 @@
 	return s.memory.Entries(first, index+1, math.MaxUint64)
 }
 
-// needsCompaction tells whether the log, applied up to an index, has more than maxEntries applied entries or too many
+// needsCompaction reports whether the log, applied up to an index, has more than maxEntries applied entries or too many
 // bytes.
 func (s *store) needsCompaction(applied, maxEntries uint64) bool {
 	first, err := s.memory.FirstIndex()
@@ -133,13 +134,13 @@
 	if s.logBytes <= maxLogBytes {
 		return false
 	}
-	// Where most of the bytes are not applied yet, a compaction gains nothing.
+	// If most of the bytes are not applied yet, a compaction gains nothing.
 	entries, err := s.entriesTo(applied)
 	return err == nil && entryBytes(entries) > maxLogBytes/2
 }
 
-// compact replaces the entries up to an index by a snapshot of what they come to. The last of them stay in memory,
-// up to retainedEntries and retainedLogBytes, so that a replica that lags a little needs no snapshot.
+// compact replaces the entries up to an index with a snapshot, whose data is the state after them. The last of them
+// stay in memory, up to retainedEntries and retainedLogBytes, so that a replica that lags a little needs no snapshot.
 func (s *store) compact(index uint64, configuration *raftpb.ConfState, data []byte, retainedEntries uint64) error {
 	snapshot, err := s.memory.CreateSnapshot(index, configuration, data)
 	if err != nil {
@@ -160,7 +161,7 @@
 	return s.recountLog()
 }
 
-// retainedCount is how many of the last entries a compaction leaves.
+// retainedCount returns how many of the last entries a compaction retains.
 func retainedCount(entries []*raftpb.Entry, maxEntries uint64) int {
 	count := 0
 	bytes := 0
@@ -174,7 +175,7 @@
 	return count
 }
 
-// recountLog counts the bytes of the entries in memory again.
+// recountLog recomputes logBytes from the entries in memory.
 func (s *store) recountLog() error {
 	last, err := s.memory.LastIndex()
 	if err != nil {
--- a/internal/fleet/replica/server.go
+++ b/internal/fleet/replica/server.go
@@ -15,11 +15,11 @@
 
 const (
 	requestTimeout      = 5 * time.Second // of a gateway's or an operator's request that waits in a replica
-	maxRaftBodyBytes    = 256 << 20       // of POST /raft, which may have a snapshot
+	maxRaftBodyBytes    = 256 << 20       // of POST /raft, which may contain a snapshot
 	maxRequestBodyBytes = 64 << 20        // of other requests
 )
 
-// Status is the state of the group as its leader knows it: the answer to GET /status.
+// Status is the state of the group as its leader knows it: the response to GET /status.
 type Status struct {
 	Replica                uint64                 `json:"keeper"`
 	Leader                 uint64                 `json:"leader"`
@@ -29,19 +29,19 @@
 	LeaseMillis            int64                  `json:"lease_ms"`
 	ConvergenceBoundMillis int64                  `json:"stated_ms"` // see ConvergenceBound
 	Voters                 []uint64               `json:"voters"`
-	WaitingFor             []string               `json:"waits,omitempty"` // gateways, and why a version waits for them
+	WaitingFor             []string               `json:"waits,omitempty"` // gateways that a version waits for, and why
 	Gateways               []lease.GatewayStatus  `json:"gateways"`
 	Latest                 *configversion.Version `json:"newest,omitempty"` // the announced one
 }
 
-// ConvergenceBound is the longest time, in nanoseconds, from a version's announcement until no gateway acts on the
-// version before it alone: a lease as the replicas count it, whose clocks may drift from the gateways'. It is T of
-// docs/fleet.md.
+// ConvergenceBound returns the longest time, in nanoseconds, from a version's announcement until no gateway acts on the
+// version before it alone: the duration of a lease by the replicas' clocks, which may drift from the gateways'. It is T
+// of docs/fleet.md.
 func ConvergenceBound(settings lease.Settings) int64 {
 	return int64(float64(settings.LeaseDuration) * (1 + settings.MaxClockDrift) / (1 - settings.MaxClockDrift))
 }
 
-// routes are the requests of peers, gateways and operators.
+// routes returns the handler for the requests of peers, gateways and operators.
 func (r *Replica) routes() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /raft", r.handleRaftMessages)
@@ -59,7 +59,7 @@
 	return mux
 }
 
-// handleRaftMessages takes Raft messages of a peer. It answers before they are processed.
+// handleRaftMessages receives Raft messages of a peer. It responds before they are processed.
 func (r *Replica) handleRaftMessages(w http.ResponseWriter, req *http.Request) {
 	body, err := io.ReadAll(io.LimitReader(req.Body, maxRaftBodyBytes))
 	if err != nil {
@@ -84,7 +84,7 @@
 	r.answerAsLeader(w, req, func(manager *lease.Manager) any { return manager.Renew(r.now(), request) })
 }
 
-// handleStatus answers with the Status.
+// handleStatus responds with the Status.
 func (r *Replica) handleStatus(w http.ResponseWriter, req *http.Request) {
 	r.answerAsLeader(w, req, func(manager *lease.Manager) any { return r.status(manager) })
 }
@@ -109,14 +109,14 @@
 	return status
 }
 
-// handlePropose puts a proposal into the log and answers with its version once that is announced.
+// handlePropose submits a proposal to Raft and responds with its version once that is announced.
 func (r *Replica) handlePropose(w http.ResponseWriter, req *http.Request) {
 	proposal := &lease.Proposal{}
 	if !decodeBody(w, req, proposal) {
 		return
 	}
 	if size := canonicalSize(proposal.Content); size > configversion.MaxContentBytes {
-		text := fmt.Sprintf("the rules are %d bytes, and a version has %d at most", size, configversion.MaxContentBytes)
+		text := fmt.Sprintf("the configuration is %d bytes, the limit is %d bytes", size, configversion.MaxContentBytes)
 		http.Error(w, text, http.StatusBadRequest)
 		return
 	}
@@ -130,11 +130,11 @@
 		writeProposalError(w, outcome.err)
 		return
 	}
-	_ = json.NewEncoder(w).Encode(outcome.version) // a client that is gone proposes again, under the same ID
+	_ = json.NewEncoder(w).Encode(outcome.version) // a client that misses it proposes again, under the same ID
 }
 
-// canonicalSize is the size of a configuration as a version would hold it. One that cannot be read, and is rejected
-// later, or that is too large already, counts as it is.
+// canonicalSize returns the size of a configuration's canonical form, which a version holds. For a configuration that
+// is too large already, or that cannot be parsed and is rejected later, it is the size as sent.
 func canonicalSize(content []byte) int {
 	if len(content) > configversion.MaxContentBytes {
 		return len(content)
@@ -146,8 +146,8 @@
 	return len(configuration.Canonical())
 }
 
-// awaitProposal waits for what becomes of a proposal. Where it takes too long it answers 504 and returns false: whether
-// the proposal gets into the log is unknown then, and a client that repeats it learns the outcome.
+// awaitProposal waits for the outcome of a proposal. If that takes too long, it responds with 504 and returns false:
+// whether the proposal gets into the log is then unknown, and a client that repeats it learns the outcome.
 func awaitProposal[T any](w http.ResponseWriter, req *http.Request, result <-chan T) (outcome T, done bool) {
 	ctx, cancel := context.WithTimeout(req.Context(), requestTimeout)
 	defer cancel()
@@ -160,7 +160,7 @@
 	}
 }
 
-// writeProposalError answers why a proposal is rejected.
+// writeProposalError responds with the reason why a proposal is rejected.
 func writeProposalError(w http.ResponseWriter, err error) {
 	if errors.Is(err, ErrNotLeader) {
 		writeNotLeader(w)
@@ -169,12 +169,12 @@
 	http.Error(w, err.Error(), http.StatusConflict)
 }
 
-// writeNotLeader answers that this replica does not lead.
+// writeNotLeader responds that this replica does not lead.
 func writeNotLeader(w http.ResponseWriter) {
 	http.Error(w, ErrNotLeader.Error(), http.StatusMisdirectedRequest)
 }
 
-// decodeBody reads a request's JSON; where it cannot, it answers 400 and returns false.
+// decodeBody decodes the JSON of a request's body. If that fails, it responds with 400 and returns false.
 func decodeBody(w http.ResponseWriter, req *http.Request, into any) bool {
 	if err := json.NewDecoder(io.LimitReader(req.Body, maxRequestBodyBytes)).Decode(into); err != nil {
 		http.Error(w, "bad request: "+err.Error(), http.StatusBadRequest)
@@ -183,14 +183,14 @@
 	return true
 }
 
-// omitDefaultHeaders leaves out of an answer what neither side needs: each gateway gets one a second.
+// omitDefaultHeaders omits headers that neither side needs, as each gateway gets a response every second.
 func omitDefaultHeaders(w http.ResponseWriter) {
 	w.Header()["Date"] = nil
 	w.Header()["Content-Type"] = nil
 }
 
-// answerAsLeader answers with the JSON of content once it is confirmed that this replica leads. Content is called
-// by the owner goroutine.
+// respondAsLeader responds with the JSON of what payload returns, once it is confirmed that this replica leads. The
+// owner goroutine calls payload.
 func (r *Replica) answerAsLeader(w http.ResponseWriter, req *http.Request, content func(*lease.Manager) any) {
 	answer := make(chan []byte, 1) // nil: this replica does not lead
 	r.do(req.Context(), func() {
@@ -201,7 +201,7 @@
 			}
 			encoded, err := json.Marshal(content(manager))
 			if err != nil {
-				r.logger.Error("encoding an answer failed", "err", err)
+				r.logger.Error("encoding a response failed", "err", err)
 			}
 			answer <- encoded
 		})
@@ -217,7 +217,7 @@
 		if _, decided := w.Header()["Content-Type"]; !decided {
 			w.Header().Set("Content-Type", "application/json")
 		}
-		_, _ = w.Write(encoded) // a client that is gone asks again
+		_, _ = w.Write(encoded) // a client that misses it asks again
 	case <-ctx.Done():
 		http.Error(w, "no majority of the keepers answers", http.StatusServiceUnavailable)
 	case <-r.stopped:
--- a/internal/fleet/replica/server_test.go
+++ b/internal/fleet/replica/server_test.go
@@ -11,7 +11,8 @@
 	"irispost/internal/fleet/lease"
 )
 
-// A version over the largest size is rejected in one line, and the group goes on. What counts is the canonical form.
+// A version over the size limit is rejected with a one-line message, and the group accepts further versions. What
+// counts is the size of the canonical form.
 func TestProposalOverLargestSizeIsRejected(t *testing.T) {
 	c := newTestCluster(t)
 	c.start(1, 2, 3)
@@ -19,27 +20,28 @@
 	client.Timeout = 4 * time.Minute
 	_, err := client.Propose(&lease.Proposal{ID: "a", Content: make([]byte, configversion.MaxContentBytes+1)})
 	var rejected *RejectedError
-	const text = "the rules are 16777217 bytes, and a version has 16777216 at most"
+	const text = "the configuration is 16777217 bytes, the limit is 16777216 bytes"
 	if !errors.As(err, &rejected) || rejected.Message != text {
-		t.Errorf("%v", err)
+		t.Errorf("got error %v, want a rejection with the size and the limit", err)
 	}
 	short := []byte(`{"needs":1,"shards":1,"plans":{"p":{"weight":1}},"sending":{"most":1},"nodes":{"a":{}}}`)
 	size := canonicalSize(short)
 	configuration, err := configversion.Parse(short)
 	if err != nil || size != len(configuration.Canonical()) || size <= len(short) {
-		t.Errorf("%d bytes of %d, %v", size, len(short), err)
+		t.Errorf("canonical size of %d bytes for %d bytes, error %v", size, len(short), err)
 	}
 	propose(t, client, 1, rateLimitConfig(1))
 }
 
-// After a proposal that is too large the group goes on within the usual time, and states its entry format in answers.
+// After a proposal that is too large the group accepts the next one within the client's usual timeout, and its
+// responses state the entry format.
 func TestGroupGoesOnAfterTooLargeProposal(t *testing.T) {
 	c := newTestCluster(t)
 	c.start(1, 2, 3)
 	client := c.client()
 	_, err := client.Propose(&lease.Proposal{ID: "a", Content: make([]byte, configversion.MaxContentBytes+1)})
 	if err == nil || !strings.Contains(err.Error(), "16777217 bytes") {
-		t.Errorf("%v", err)
+		t.Errorf("got error %v, want one with the size", err)
 	}
 	if _, err := client.Propose(&lease.Proposal{ID: "b", Content: rateLimitConfig(1)}); err != nil {
 		t.Error(err)
@@ -50,6 +52,6 @@
 	}
 	defer closeBody(response)
 	if format := response.Header.Get(entryFormatHeader); format != "2" {
-		t.Errorf("entry format %q", format)
+		t.Errorf("the response states entry format %q, want 2", format)
 	}
 }
--- a/internal/fleet/replica/store.go
+++ b/internal/fleet/replica/store.go
@@ -16,18 +16,18 @@
 	"go.etcd.io/raft/v3"
 )
 
-// databaseName is the file in a replica's folder.
+// databaseName is the name of the file in a replica's folder.
 const databaseName = "keeper.db"
 
-// openTimeout is how long a start waits for another process that has the file open.
+// openTimeout is how long a start waits for another process to close the file.
 const openTimeout = time.Second
 
-// Buckets of the file. The names are the format on disk.
+// Buckets of the file. Their names are part of the format on disk.
 var (
 	bucketSelf     = []byte("self")     // identity and addresses, JSON
 	bucketRaft     = []byte("raft")     // hard state and snapshot, protobuf
 	bucketLog      = []byte("log")      // entries by index, protobuf
-	bucketStarts   = []byte("known")    // starts of peers by ID
+	bucketStarts   = []byte("known")    // latest starts of peers, by ID
 	bucketMetadata = []byte("trail")    // see history
 	bucketContents = []byte("contents") // see history
 )
@@ -40,36 +40,36 @@
 	keySnapshot  = []byte("snapshot")
 )
 
-// encodeKey is a number as a key: big endian, so that keys are in the order of the numbers.
+// encodeKey encodes a number as a key: big endian, so that keys are in the order of the numbers.
 func encodeKey(number uint64) []byte { return binary.BigEndian.AppendUint64(nil, number) }
 
-// decodeKey reads what encodeKey wrote.
+// decodeKey decodes what encodeKey has encoded.
 func decodeKey(key []byte) uint64 { return binary.BigEndian.Uint64(key) }
 
-// store is what lasts of a replica: its identity and starts, Raft's state, log and snapshot, the starts of its
-// peers, and the history of versions. Each change is synced before anything is sent that builds on it. It belongs
-// to the goroutine of Replica.run.
+// store is the persistent state of a replica: its identity and start count, Raft's hard state, log and snapshot, the
+// starts of its peers, and the history of versions. Each change is synced before anything that depends on it is sent.
+// It belongs to the owner goroutine, Replica.run.
 type store struct {
 	db          *bbolt.DB
-	memory      *raft.MemoryStorage // the log as Raft reads it; it follows the disk
-	logBytes    int                 // of the entries in memory; see save
-	starts      uint64              // of this replica, with this one
-	incarnation uint64              // this start's mark: an older copy that has come to the same count has another
+	memory      *raft.MemoryStorage // the log as Raft reads it; updated after the disk
+	logBytes    int                 // size of the entries in memory; see save
+	starts      uint64              // how often this replica was started, including this time
+	incarnation uint64              // random number of this start, as an older copy may reach the same count
 	peerStarts  map[uint64]peerStart
-	addresses   map[uint64]string // of replicas by ID, as membership changes stated them
+	addresses   map[uint64]string // of replicas by ID, as stated by membership changes
 	history     history
 }
 
-// peerStart is the latest start of a peer that is known.
+// peerStart is the latest known start of a peer.
 type peerStart struct {
 	count uint64
-	mark  uint64 // 0: stated by a replica that has none
+	mark  uint64 // 0: the peer's program has none
 }
 
-// identity is whose folder it is.
+// identity identifies the replica that a folder belongs to.
 type identity struct {
 	ID     uint64   `json:"number"`
-	Voters []uint64 `json:"voters"` // that founded the group; null: it joined later
+	Voters []uint64 `json:"voters"` // that founded the group; null: the replica joined it later
 	Starts uint64   `json:"starts"`
 }
 
@@ -79,19 +79,19 @@
 	cause error
 }
 
-// Error says what is wrong, and what to do.
+// Error returns what is wrong and what to do about it.
 func (e *unreadableError) Error() string {
 	const advice = "a replica whose folder is lost is replaced under another ID, not started anew"
 	return fmt.Sprintf("%s cannot be read: %v; %s", e.path, e.cause, advice)
 }
 
-// Unwrap is the cause.
+// Unwrap returns the cause.
 func (e *unreadableError) Unwrap() error { return e.cause }
 
-// openStore opens a replica's folder, or makes it. The folder of another replica is rejected. Voters are those of a new
-// group, or nil.
+// openStore opens a replica's folder and creates it if necessary. The folder of another replica is rejected. Voters are
+// those that found a new group; nil if the replica joins an existing one.
 func openStore(dir string, id uint64, voters []uint64) (opened *store, err error) {
-	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true)) // a truncated file is mapped past its end
+	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true)) // reads past the end of a truncated mapped file fault
 	defer func() {
 		if cause := recover(); cause != nil {
 			opened = nil
@@ -118,25 +118,25 @@
 		history:     history{reported: map[string]bool{}},
 	}
 	if err := s.load(path, id, voters); err != nil {
-		_ = db.Close() // the error that matters is why it is not opened
+		_ = db.Close() // the error to report is why the store is not opened
 		return nil, err
 	}
 	return s, nil
 }
 
-// checkLength rejects a file that is shorter than what was written to it.
+// checkLength rejects a truncated file: one that is shorter than the database in it.
 func checkLength(tx *bbolt.Tx, path string) error {
 	info, err := os.Stat(path)
 	if err != nil {
 		return err
 	}
 	if info.Size() < tx.Size() {
-		return &unreadableError{path, fmt.Errorf("it has %d bytes of %d", info.Size(), tx.Size())}
+		return &unreadableError{path, fmt.Errorf("the file has %d of %d bytes", info.Size(), tx.Size())}
 	}
 	return nil
 }
 
-// update writes in one synced transaction, together with the part of the history that is not on disk yet.
+// update runs write in one synced transaction, which also writes the pending part of the history.
 func (s *store) update(write func(tx *bbolt.Tx) error) error {
 	err := s.db.Update(func(tx *bbolt.Tx) error {
 		if err := s.history.flush(tx); err != nil {
@@ -159,8 +159,8 @@
 	return s.db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(bucketSelf).Put(keyAddresses, encoded) })
 }
 
-// recordStart records a start of a peer by its count and mark. It is false where a later one is known, or another with
-// the same count. A start that is repeated is accepted: the peer has not received the answer.
+// recordStart records a start of a peer. It returns false if a later start is known, or another one with the same
+// count. A repeated start is accepted, as the peer may not have received the response.
 func (s *store) recordStart(id, count, mark uint64) (accepted bool, err error) {
 	known := s.peerStarts[id]
 	if count == known.count && mark == known.mark && mark != 0 {
--- a/internal/fleet/replica/store_test.go
+++ b/internal/fleet/replica/store_test.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// A replica that was started from an older copy of its folder would vote twice; one with another's folder would
-// vote for it.
+// A replica that is started from an older copy of its folder could vote twice; one that is started with another
+// replica's folder could vote in its place. A truncated file has lost state. All of them are rejected.
 func TestStartRejectsFolderThatIsOlderOrAnothersOrTruncated(t *testing.T) {
 	c := newTestCluster(t)
 	c.start(1, 2, 3)
@@ -44,7 +44,7 @@
 	c.start(3)
 	<-c.running[3].Done()
 	if err := c.running[3].Err(); !errors.Is(err, ErrStaleIncarnation) {
-		t.Errorf("an older copy: %v", err)
+		t.Errorf("with an older copy of the folder: got error %v, want ErrStaleIncarnation", err)
 	}
 	delete(c.running, 3)
 
@@ -52,7 +52,7 @@
 	ofTwo := readFile(t, c.file(2))
 	writeFile(t, c.file(2), newest)
 	if err := c.tryStart(2); err == nil || !strings.Contains(err.Error(), "belongs to replica 3") {
-		t.Errorf("another's folder: %v", err)
+		t.Errorf("with the folder of replica 3: got error %v", err)
 	}
 
 	for sixteenths := 1; sixteenths < 16; sixteenths++ {
@@ -63,11 +63,11 @@
 	writeFile(t, c.file(3), newest)
 	c.start(2, 3)
 	if list, err := client.Versions(1); err != nil || len(list) != 2 {
-		t.Errorf("%d versions after all: %v", len(list), err)
+		t.Errorf("in the end there are %d versions, want 2; error %v", len(list), err)
 	}
 }
 
-// expectTruncatedRejected opens a file of which the end was cut off.
+// expectTruncatedRejected opens a truncated file, which is to be rejected unless only unused pages were cut off.
 func expectTruncatedRejected(t *testing.T, file []byte) {
 	t.Helper()
 	dir := t.TempDir()
@@ -75,7 +75,7 @@
 	s, err := openStore(dir, 3, []uint64{1, 2, 3})
 	if err != nil {
 		if !strings.Contains(err.Error(), "cannot be read") {
-			t.Errorf("a truncated file: %v", err)
+			t.Errorf("a truncated file: got error %v", err)
 		}
 		return
 	}
@@ -83,15 +83,15 @@
 	if err := s.db.View(func(tx *bbolt.Tx) error { size = tx.Size(); return nil }); err != nil {
 		t.Error(err)
 	}
-	if size > int64(len(file)) { // what was cut off was in use
-		t.Errorf("a file of %d bytes that is cut off after %d is opened", size, len(file))
+	if size > int64(len(file)) { // the part that was cut off was in use
+		t.Errorf("a file of %d bytes that was truncated to %d bytes was opened", size, len(file))
 	}
 	if err := s.db.Close(); err != nil {
 		t.Error(err)
 	}
 }
 
-// A snapshot that is corrupt is rejected with its place, and nothing is changed.
+// A corrupt snapshot is rejected with a one-line error that names the file.
 func TestStartRejectsCorruptSnapshot(t *testing.T) {
 	c := newTestCluster(t)
 	c.start(1, 2, 3)
@@ -111,7 +111,7 @@
 	}
 	err = c.tryStart(1)
 	if err == nil {
-		t.Fatal("the replica starts")
+		t.Fatal("the replica started with a corrupt snapshot")
 	}
 	text := err.Error()
 	if !strings.Contains(text, c.file(1)) || !strings.Contains(text, "cannot be read") || strings.Contains(text, "\n") {
@@ -119,8 +119,8 @@
 	}
 }
 
-// A start is known by its count and its mark: the same one may be repeated, before and after the other replica has
-// started anew; an older one, or another with the same count, is rejected.
+// A start is identified by its count and its incarnation number. The same start may be repeated, before and after the
+// recording replica has restarted; an older start, or another one with the same count, is rejected.
 func TestRecordStartAcceptsLaterAndRepeatedStartsOnly(t *testing.T) {
 	dir := t.TempDir()
 	open := func() *store {
@@ -149,7 +149,7 @@
 		{2, 8, true},
 		{1, 7, false},
 		{0, 0, false},
-		{2, 8, true}, // after a start anew
+		{2, 8, true}, // after a restart
 		{2, 9, false},
 		{3, 0, true},
 		{3, 0, false},
@@ -159,7 +159,7 @@
 			s = open()
 		}
 		if accepted, err := s.recordStart(2, test.count, test.mark); accepted != test.accepted || err != nil {
-			t.Errorf("%d, start %d of mark %d: %t, %v", i, test.count, test.mark, accepted, err)
+			t.Errorf("case %d, start %d of incarnation %d: got %t, %v", i, test.count, test.mark, accepted, err)
 		}
 	}
 	closeStore(s)
--- a/internal/fleet/replica/versions.go
+++ b/internal/fleet/replica/versions.go
@@ -11,13 +11,14 @@
 	"irispost/internal/fleet/lease"
 )
 
-// An answer to GET /versions has so many versions at most, and no further one once their contents have so many bytes.
+// Limits of a response to GET /versions. The first version is included whatever its size.
 const (
 	maxListedVersions = 64
 	maxListedBytes    = 4 << 20
 )
 
-// forgottenVersions lists versions that the state machine has forgotten, from one number to another.
+// forgottenVersions returns the versions that the state machine has forgotten, from one number to another, both
+// included.
 func (r *Replica) forgottenVersions(from, to uint64) ([]*configversion.Version, error) {
 	if len(r.store.history.pending) > 0 {
 		if err := r.store.update(func(*bbolt.Tx) error { return nil }); err != nil {
@@ -32,7 +33,8 @@
 	return list, err
 }
 
-// versionsFrom lists versions by number, up to what an answer holds; empty once there are none.
+// versionsFrom returns versions from a number on, sorted by number, as many as fit into a response. The list is empty
+// if there are none.
 func (r *Replica) versionsFrom(from uint64) ([]*configversion.Version, error) {
 	var list []*configversion.Version
 	for first := max(from, 1); len(list) == 0 && first < r.machine.Announced; first += maxListedVersions {
@@ -54,12 +56,12 @@
 		}
 	}
 	slices.SortStableFunc(list, func(a, b *configversion.Version) int { return compareNumber(a, b.Number) })
-	// After a start a version may be in both, until the log has it forgotten again.
+	// After a restart a version may be in both, until the log is replayed to the command that forgets it.
 	list = slices.CompactFunc(list, func(a, b *configversion.Version) bool { return a.Number == b.Number })
 	return limitContentBytes(list), nil
 }
 
-// limitContentBytes cuts a list where its contents get larger than an answer; the first version stays.
+// limitContentBytes truncates a list whose contents exceed maxListedBytes; it keeps at least the first version.
 func limitContentBytes(list []*configversion.Version) []*configversion.Version {
 	bytes := 0
 	for i, version := range list {
@@ -71,7 +73,7 @@
 	return list
 }
 
-// handleVersions answers GET /versions with versions from the number "from" on.
+// handleVersions handles GET /versions: it responds with the versions from the number in the query parameter "from" on.
 func (r *Replica) handleVersions(w http.ResponseWriter, req *http.Request) {
 	from := queryNumber(req, "from")
 	r.answerAsLeader(w, req, func(*lease.Manager) any {
@@ -83,7 +85,7 @@
 	})
 }
 
-// queryNumber reads a number of a request's query; 0 where it is missing or malformed.
+// queryNumber returns a number from a request's query; 0 if it is missing or malformed.
 func queryNumber(req *http.Request, name string) uint64 {
 	number, _ := strconv.ParseUint(req.URL.Query().Get(name), 10, 64)
 	return number
--- a/internal/fleet/replica/watch.go
+++ b/internal/fleet/replica/watch.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// maxWatchTime is how long a request that watches is held: proxies between may close connections that are idle longer.
+// maxWatchTime is how long a watch request is held at most: proxies may close connections that are idle for longer.
 const maxWatchTime = 20 * time.Second
 
-// watchedState is what requests that watch wait for a change of. It never changes; its successor is published in
-// Replica.watchers and then changed is closed.
+// watchedState is the state whose changes watch requests wait for. It is immutable: its successor is published in
+// Replica.watchers, and then its channel changed is closed.
 type watchedState struct {
 	term      uint64
 	inForce   uint64
@@ -36,9 +36,9 @@
 	close(before.changed)
 }
 
-// handleWatch answers GET /news: "true" once the state differs from what the request states, "false" after hold_ms
-// milliseconds. It grants and confirms nothing: a gateway that learns of a change renews its lease. A replica that
-// wrongly believes that it leads may answer wrongly.
+// handleWatch handles GET /news: "true" once the state differs from the one in the request, "false" after hold_ms
+// milliseconds. The response grants and confirms nothing: a gateway that learns of a change renews its lease. A replica
+// that wrongly believes that it leads may respond wrongly.
 func (r *Replica) handleWatch(w http.ResponseWriter, req *http.Request) {
 	omitDefaultHeaders(w)
 	known := watchedState{
@@ -58,7 +58,7 @@
 			return
 		}
 		if *state != known {
-			_, _ = w.Write([]byte("true")) // a client that is gone asks again
+			_, _ = w.Write([]byte("true")) // a client that misses it asks again
 			return
 		}
 		select {
--- a/internal/fleet/replica/watch_test.go
+++ b/internal/fleet/replica/watch_test.go
@@ -12,8 +12,8 @@
 	"irispost/internal/fleet/lease"
 )
 
-// A request that watches waits while nothing changes, and is answered at once when a version is announced; a
-// replica that does not lead says so.
+// A watch request waits while nothing changes and is answered at once when a version is announced. A replica that does
+// not lead rejects it.
 func TestWatchIsAnsweredOnChange(t *testing.T) {
 	c := newTestCluster(t)
 	c.start(1, 2, 3)
@@ -33,26 +33,26 @@
 		return changed, err
 	}
 	if changed, err := watch(status.Leader, time.Millisecond, status.Term, 1); changed || err != nil {
-		t.Errorf("without a change: %t, %v", changed, err)
+		t.Errorf("without a change: got %t, error %v", changed, err)
 	}
 	if changed, err := watch(status.Leader, time.Hour, status.Term, 0); !changed || err != nil {
-		t.Errorf("of a version that is not known: %t, %v", changed, err)
+		t.Errorf("with an older version known: got %t, error %v", changed, err)
 	}
 	_, err := watch(status.Leader%3+1, time.Hour, status.Term, 1)
 	if err == nil || !strings.Contains(err.Error(), "does not lead") {
-		t.Errorf("at one that does not lead: %v", err)
+		t.Errorf("at a replica that does not lead: got error %v", err)
 	}
 	metrics := readMetrics(t, c.peers[status.Leader])
 	for _, line := range []string{"irispost_keeper_leads 1", `irispost_keeper_version{which="in_force"} 1`} {
 		if !strings.Contains(metrics, line) {
-			t.Errorf("no %s in %s", line, metrics)
+			t.Errorf("the metrics have no line %s:\n%s", line, metrics)
 		}
 	}
 	answered := make(chan error, 1)
 	go func() {
 		changed, err := watch(status.Leader, maxWatchTime, status.Term, 1)
 		if err == nil && !changed {
-			err = errors.New("it was answered without a change")
+			err = errors.New("the watch request was answered without a change")
 		}
 		answered <- err
 	}()
