--- a/internal/fleet/replica/compaction_test.go
+++ b/internal/fleet/replica/compaction_test.go
@@ -164,7 +164,7 @@
 // expectJoin adds replica 4 and checks how many bytes it is sent until it has caught up.
 func (c *testCluster) expectJoin(client *Client, announced uint64) {
 	c.t.Helper()
-	c.peers[4] = freeAddress(c.t)
+	c.peers[4] = reserveAddress(c.t)
 	c.joining = 4
 	proxy, sent := countingProxy(c.t, c.peers[4])
 	c.start(4)
--- a/internal/fleet/replica/membership_test.go
+++ b/internal/fleet/replica/membership_test.go
@@ -16,7 +16,7 @@
 		propose(t, client, n, rateLimitConfig(float64(n)))
 	}
 	c.stop(2)
-	c.peers[4] = freeAddress(t)
+	c.peers[4] = reserveAddress(t)
 	client.Replicas = append(client.Replicas, c.peers[4])
 	c.joining = 4
 	c.start(4)
