--- a/internal/fleet/replica/apply.go
+++ b/internal/fleet/replica/apply.go
@@ -16,8 +16,8 @@
 	err     error
 }
 
-// propose submits a proposal to Raft. Its outcome is sent to result: at once if it is not accepted, else when its entry
-// is applied or this replica loses the leadership.
+// propose submits a proposal to Raft. Its outcome is sent to result: at once if it is not accepted, else when its
+// entry is applied or this replica loses the leadership.
 func (r *Replica) propose(proposal *lease.Proposal, result chan<- proposalResult) {
 	if !r.leading() {
 		result <- proposalResult{err: ErrNotLeader}
@@ -58,7 +58,7 @@
 // apply applies a committed log entry.
 func (r *Replica) apply(entry *raftpb.Entry) error {
 	r.appliedIndex = entry.GetIndex()
-	r.leadFromEntry(entry)
+	r.startLeadership(entry)
 	switch {
 	case entry.GetType() == raftpb.EntryConfChangeV2:
 		return r.applyMembershipChange(entry)
--- a/internal/fleet/replica/client.go
+++ b/internal/fleet/replica/client.go
@@ -20,12 +20,12 @@
 )
 
 const (
-	maxAnswerBytes = 256 << 20
-	minTryTimeout  = time.Second           // for one replica, even if its share of the client's timeout is less
-	retryInterval  = 50 * time.Millisecond // pause after all replicas have been tried
+	maxResponseBytes  = 256 << 20
+	minAttemptTimeout = time.Second           // for one replica, even if its share of the client's timeout is less
+	retryInterval     = 50 * time.Millisecond // pause after all replicas have been tried
 
 	// maxContentResponseBytes allows for content that cannot be compressed, which grows slightly when it is encoded.
-	maxContentAnswerBytes = configversion.MaxContentBytes + configversion.MaxContentBytes/64
+	maxContentResponseBytes = configversion.MaxContentBytes + configversion.MaxContentBytes/64
 )
 
 // Client calls the replicas of a group. Call and FetchContent call a given replica; the other methods try all replicas
@@ -62,17 +62,17 @@
 		return err
 	}
 	defer closeBody(response)
-	answer, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
+	responseBody, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
 		return err
 	}
 	switch response.StatusCode {
 	case http.StatusOK:
-		return json.Unmarshal(answer, into)
+		return json.Unmarshal(responseBody, into)
 	case http.StatusConflict, http.StatusBadRequest:
-		return &RejectedError{strings.TrimSpace(string(answer))}
+		return &RejectedError{strings.TrimSpace(string(responseBody))}
 	default:
-		return fmt.Errorf("replica %s: %s", replica, strings.TrimSpace(string(answer)))
+		return fmt.Errorf("replica %s: %s", replica, strings.TrimSpace(string(responseBody)))
 	}
 }
 
@@ -99,7 +99,7 @@
 func (c *Client) callLeader(method, path string, body, into any) error {
 	ctx, cancel := context.WithTimeout(context.Background(), c.Timeout)
 	defer cancel()
-	var last error
+	var lastErr error
 	for ctx.Err() == nil {
 		for _, replica := range c.Replicas {
 			err := c.tryReplica(ctx, replica, method, path, body, into)
@@ -107,8 +107,8 @@
 			if err == nil || errors.As(err, &rejected) {
 				return err
 			}
-			if last == nil || ctx.Err() == nil { // once our own deadline has passed, errors say nothing about replicas
-				last = err
+			if lastErr == nil || ctx.Err() == nil { // after our own deadline errors say nothing about replicas
+				lastErr = err
 			}
 		}
 		select {
@@ -116,12 +116,12 @@
 		case <-time.After(retryInterval):
 		}
 	}
-	return fmt.Errorf("no replica answered as the leader within %v; last error: %w", c.Timeout, last)
+	return fmt.Errorf("no replica answered as the leader within %v; last error: %w", c.Timeout, lastErr)
 }
 
 // tryReplica calls one replica with a part of the timeout, so that a replica that hangs leaves time for the others.
 func (c *Client) tryReplica(ctx context.Context, replica, method, path string, body, into any) error {
-	ctx, cancel := context.WithTimeout(ctx, max(c.Timeout/4, minTryTimeout))
+	ctx, cancel := context.WithTimeout(ctx, max(c.Timeout/4, minAttemptTimeout))
 	defer cancel()
 	return c.Call(ctx, replica, method, path, body, into)
 }
@@ -195,7 +195,7 @@
 		return "", nil, err
 	}
 	defer closeBody(response)
-	encoded, err = io.ReadAll(io.LimitReader(response.Body, maxContentAnswerBytes+1))
+	encoded, err = io.ReadAll(io.LimitReader(response.Body, maxContentResponseBytes+1))
 	switch {
 	case err != nil:
 		return "", nil, err
@@ -203,8 +203,8 @@
 		return "", nil, ErrContentNotFound
 	case response.StatusCode != http.StatusOK:
 		return "", nil, fmt.Errorf("replica %s: %s", replica, response.Status)
-	case len(encoded) > maxContentAnswerBytes:
-		return "", nil, fmt.Errorf("replica %s: the content is larger than %d bytes", replica, maxContentAnswerBytes)
+	case len(encoded) > maxContentResponseBytes:
+		return "", nil, fmt.Errorf("replica %s: the content is larger than %d bytes", replica, maxContentResponseBytes)
 	}
 	return response.Header.Get("Content-Encoding"), encoded, nil
 }
--- a/internal/fleet/replica/cluster_test.go
+++ b/internal/fleet/replica/cluster_test.go
@@ -59,9 +59,9 @@
 }
 
 // reserveAddress returns an address that a replica can listen on whenever it is started. A bound socket that does not
-// listen holds the port until the test ends: as both sockets have SO_REUSEADDR, which net.Listen sets too, a replica can
-// bind to the port by its number, but the kernel assigns the port to no socket that asks for any free one. A port that
-// is only found free and released again can be assigned to another socket before the replica listens on it.
+// listen holds the port until the test ends: as both sockets have SO_REUSEADDR, which net.Listen sets too, a replica
+// can bind to the port by its number, but the kernel assigns the port to no socket that asks for any free one. A port
+// that is only found free and released again can be assigned to another socket before the replica listens on it.
 func reserveAddress(t *testing.T) string {
 	t.Helper()
 	socket, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
@@ -157,7 +157,7 @@
 func (r *Replica) call(t *testing.T, function func()) {
 	t.Helper()
 	done := make(chan struct{})
-	r.do(context.Background(), func() {
+	r.enqueue(context.Background(), func() {
 		defer close(done)
 		function()
 	})
@@ -251,12 +251,12 @@
 
 // fetchEventually repeats a fetch until the replica, which may lag, has the content.
 func fetchEventually(
-	t *testing.T, address string, holding *content.Cache, digest string,
+	t *testing.T, address string, cache *content.Cache, digest string,
 ) (request content.Request, coding string, encoded []byte) {
 	t.Helper()
 	client := &Client{}
 	for deadline := time.Now().Add(time.Minute); ; time.Sleep(5 * time.Millisecond) {
-		request = holding.Fetch(digest, 1).NextRequest()
+		request = cache.Fetch(digest, 1).NextRequest()
 		coding, encoded, err := client.FetchContent(t.Context(), address, request)
 		if err == nil {
 			return request, coding, encoded
--- a/internal/fleet/replica/compaction_test.go
+++ b/internal/fleet/replica/compaction_test.go
@@ -19,7 +19,7 @@
 )
 
 // sizes returns the process's heap size and the bytes in use of a replica's file.
-func (c *testCluster) sizes(id uint64) (heap, file int64) {
+func (c *testCluster) measureSizes(id uint64) (heap, file int64) {
 	c.t.Helper()
 	runtime.GC()
 	runtime.GC()
@@ -82,7 +82,7 @@
 }
 
 // stateTestSize is the scale of TestStateIsBounded.
-type growth struct {
+type stateTestSize struct {
 	nodes             int
 	few, many         uint64 // numbers of changes after which sizes are compared
 	compactionEntries uint64 // 0: the default
@@ -92,10 +92,10 @@
 // joining replica catches up with little traffic. By default the bounds are given in bytes; with IRISPOST_MEASURE=1
 // the sizes after 10,000 changes of 1,800 nodes are compared with those after 500.
 func TestStateIsBounded(t *testing.T) {
-	size := growth{nodes: 200, few: 60, many: 360, compactionEntries: 100}
+	size := stateTestSize{nodes: 200, few: 60, many: 360, compactionEntries: 100}
 	measured := os.Getenv("IRISPOST_MEASURE") == "1"
 	if measured {
-		size = growth{nodes: 1800, few: 500, many: 10_000}
+		size = stateTestSize{nodes: 1800, few: 500, many: 10_000}
 	}
 	c := newTestCluster(t)
 	c.compactionEntries = size.compactionEntries
@@ -104,9 +104,9 @@
 	c.start(1, 2, 3)
 	client := c.client()
 	proposeChanges(t, client, size.nodes, 1, size.few)
-	heap, file := c.sizes(1)
+	heap, file := c.measureSizes(1)
 	proposeChanges(t, client, size.nodes, size.few+1, size.many)
-	heapMany, fileMany := c.sizes(1)
+	heapMany, fileMany := c.measureSizes(1)
 	t.Logf("%d nodes, versions of %d bytes: heap of three replicas and this test %.1f MB after %d changes, "+
 		"%.1f MB after %d; in use of one replica's file %.2f MB, then %.2f MB",
 		size.nodes, len(namedNodesConfig(size.nodes, 1)),
@@ -182,7 +182,7 @@
 }
 
 // expectHistory lists all versions that are kept and checks them.
-func expectHistory(t *testing.T, client *Client, size growth) {
+func expectHistory(t *testing.T, client *Client, size stateTestSize) {
 	t.Helper()
 	all, err := client.Versions(1)
 	withContent := 0
@@ -230,9 +230,9 @@
 	}
 }
 
-// While one replica reads only the first entry format, complete contents are written. Once all replicas read the second
-// one, deltas are written, and folders in the first format are still read. A replica that reads only the first format
-// stops at an entry in the second.
+// While one replica reads only the first entry format, complete contents are written. Once all replicas read the
+// second one, deltas are written, and folders in the first format are still read. A replica that reads only the first
+// format stops at an entry in the second.
 func TestEntryFormatFollowsOldestReplica(t *testing.T) {
 	c := newTestCluster(t)
 	c.entryFormats = map[uint64]int{3: formatFullContents}
--- a/internal/fleet/replica/contentserver.go
+++ b/internal/fleet/replica/contentserver.go
@@ -29,7 +29,7 @@
 const (
 	maxConcurrentEncodings = 2       // keeps processor time free for lease renewals
 	maxConcurrentWrites    = 32      // of responses larger than smallResponseBytes
-	smallAnswerBytes       = 8 << 10 // responses up to this size are not limited, as a socket takes them at once
+	smallResponseBytes     = 8 << 10 // responses up to this size are not limited, as a socket takes them at once
 )
 
 // ErrContentNotFound reports that a replica does not have the requested content.
@@ -39,22 +39,22 @@
 // it leads or not: a digest always identifies the same content. It runs outside of the owner goroutine, except for the
 // first lookup of a digest.
 type contentServer struct {
-	replica   *Replica
-	flight    singleflight.Group // one lookup or encoding at a time for each content
-	encodings chan struct{}      // holds a token for each encoding in progress
-	writes    chan struct{}      // holds a token for each large response in progress
-
-	mutex   sync.Mutex // guards the fields below
-	cache   *content.DeltaCache
-	encoded int // number of encodings so far
+	replica       *Replica
+	flight        singleflight.Group // one lookup or encoding at a time for each content
+	encodingSlots chan struct{}      // holds a token for each encoding in progress
+	writeSlots    chan struct{}      // holds a token for each large response in progress
+
+	mutex       sync.Mutex // guards the fields below
+	cache       *content.DeltaCache
+	encodeCount int // number of encodings so far
 }
 
 func newContentServer(r *Replica) *contentServer {
 	return &contentServer{
-		replica:   r,
-		cache:     content.NewDeltaCache(),
-		encodings: make(chan struct{}, maxConcurrentEncodings),
-		writes:    make(chan struct{}, maxConcurrentWrites),
+		replica:       r,
+		cache:         content.NewDeltaCache(),
+		encodingSlots: make(chan struct{}, maxConcurrentEncodings),
+		writeSlots:    make(chan struct{}, maxConcurrentWrites),
 	}
 }
 
@@ -62,22 +62,22 @@
 // have the content.
 func (s *contentServer) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	omitDefaultHeaders(w)
-	found, ok := s.find(req.PathValue("digest"))
+	found, ok := s.lookup(req.PathValue("digest"))
 	if !ok {
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	if !accepts(req, content.EncodingZstd) {
+	if !acceptsEncoding(req, content.EncodingZstd) {
 		s.write(w, req, "", found.Bytes)
 		return
 	}
-	base, pair := s.baseFor(req, found.Digest)
+	base, key := s.baseFor(req, found.Digest)
 	coding := content.EncodingDelta
-	if pair.Base == "" {
+	if key.Base == "" {
 		coding = content.EncodingZstd
 		base = nil
 	}
-	encoded, err := s.encode(pair, base, found.Bytes)
+	encoded, err := s.encode(key, base, found.Bytes)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
@@ -85,19 +85,19 @@
 	s.write(w, req, coding, encoded)
 }
 
-func accepts(req *http.Request, coding string) bool {
+func acceptsEncoding(req *http.Request, coding string) bool {
 	return strings.Contains(req.Header.Get("Accept-Encoding"), coding)
 }
 
 // baseFor returns the base that a request names and the cache key of the delta from it. The key has no base if the
 // content cannot be encoded from one.
-func (s *contentServer) baseFor(req *http.Request, digest string) (base []byte, pair content.DeltaKey) {
+func (s *contentServer) baseFor(req *http.Request, digest string) (base []byte, key content.DeltaKey) {
 	complete := content.DeltaKey{Digest: digest}
 	hash, err := parseBaseHash(req.Header.Get(headerBaseHash))
-	if err != nil || !accepts(req, content.EncodingDelta) {
+	if err != nil || !acceptsEncoding(req, content.EncodingDelta) {
 		return nil, complete
 	}
-	found, ok := s.find(strings.Trim(req.Header.Get(headerBaseDigest), `"`))
+	found, ok := s.lookup(strings.Trim(req.Header.Get(headerBaseDigest), `"`))
 	if !ok {
 		return nil, complete
 	}
@@ -125,15 +125,15 @@
 }
 
 // cachedEncoding looks up an encoding in the cache.
-func (s *contentServer) cachedEncoding(pair content.DeltaKey) ([]byte, bool) {
+func (s *contentServer) cachedEncoding(key content.DeltaKey) ([]byte, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.cache.Encoded(pair)
+	return s.cache.Encoded(key)
 }
 
 // lookup returns the content with a digest; false if this replica does not have it, no longer has it, or does not have
 // it yet.
-func (s *contentServer) find(digest string) (content.Content, bool) {
+func (s *contentServer) lookup(digest string) (content.Content, bool) {
 	if found, ok := s.cachedContent(digest); ok || digest == "" {
 		return found, ok
 	}
@@ -141,7 +141,7 @@
 		if found, ok := s.cachedContent(digest); ok {
 			return found, nil
 		}
-		return s.findVersion(digest)
+		return s.loadContent(digest)
 	})
 	if err != nil {
 		return content.Content{}, false
@@ -150,12 +150,12 @@
 }
 
 // loadContent copies the content with a digest from the state machine into the cache.
-func (s *contentServer) findVersion(digest string) (content.Content, error) {
+func (s *contentServer) loadContent(digest string) (content.Content, error) {
 	// Not the context of one request, as all waiting requests share the result.
 	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
 	result := make(chan *configversion.Version, 1)
-	s.replica.do(ctx, func() { result <- s.replica.machine.VersionByDigest(digest) })
+	s.replica.enqueue(ctx, func() { result <- s.replica.machine.VersionByDigest(digest) })
 	select {
 	case version := <-result:
 		if version == nil || len(version.Content) == 0 {
@@ -173,24 +173,24 @@
 
 // encode returns a content as a delta from a base, or complete if base is nil. The result is cached, and concurrent
 // requests share one encoding.
-func (s *contentServer) encode(pair content.DeltaKey, base, bytes []byte) ([]byte, error) {
-	if encoded, ok := s.cachedEncoding(pair); ok {
+func (s *contentServer) encode(key content.DeltaKey, base, bytes []byte) ([]byte, error) {
+	if encoded, ok := s.cachedEncoding(key); ok {
 		return encoded, nil
 	}
-	encoded, err, _ := s.flight.Do("code "+pair.Base+" "+pair.Digest, func() (any, error) {
-		if encoded, ok := s.cachedEncoding(pair); ok {
+	encoded, err, _ := s.flight.Do("code "+key.Base+" "+key.Digest, func() (any, error) {
+		if encoded, ok := s.cachedEncoding(key); ok {
 			return encoded, nil
 		}
-		s.encodings <- struct{}{}
-		defer func() { <-s.encodings }()
+		s.encodingSlots <- struct{}{}
+		defer func() { <-s.encodingSlots }()
 		encoded, err := delta.Encode(base, bytes)
 		if err != nil {
 			return nil, err
 		}
 		s.mutex.Lock()
 		defer s.mutex.Unlock()
-		s.cache.AddEncoded(pair, encoded)
-		s.encoded++
+		s.cache.AddEncoded(key, encoded)
+		s.encodeCount++
 		return encoded, nil
 	})
 	if err != nil {
@@ -205,18 +205,18 @@
 		w.Header().Set("Content-Encoding", coding)
 	}
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
-	if len(body) <= smallAnswerBytes {
+	if len(body) <= smallResponseBytes {
 		_, _ = w.Write(body) // a gateway that misses it asks again
 		return
 	}
 	select {
-	case s.writes <- struct{}{}:
+	case s.writeSlots <- struct{}{}:
 	case <-req.Context().Done():
 		return
 	case <-s.replica.stopped:
 		return
 	}
-	defer func() { <-s.writes }()
+	defer func() { <-s.writeSlots }()
 	// Errors below are those of the connection, after which the gateway asks again.
 	controller := http.NewResponseController(w)
 	_ = controller.SetWriteDeadline(time.Now().Add(requestTimeout))
--- a/internal/fleet/replica/contentserver_test.go
+++ b/internal/fleet/replica/contentserver_test.go
@@ -18,14 +18,14 @@
 )
 
 // contentResponse is a response to GET /content/{digest}.
-type contentAnswer struct {
+type contentResponse struct {
 	status int
 	coding string
 	body   []byte
 }
 
 // getContent requests a content with the given headers only, and returns the body as it was sent.
-func getContent(t *testing.T, url string, header map[string]string) contentAnswer {
+func getContent(t *testing.T, url string, header map[string]string) contentResponse {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, url, nil)
 	if err != nil {
@@ -44,7 +44,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return contentAnswer{response.StatusCode, response.Header.Get("Content-Encoding"), body}
+	return contentResponse{response.StatusCode, response.Header.Get("Content-Encoding"), body}
 }
 
 // Any replica serves the content of any version, also of one that was replaced before it was in force: as a delta from
@@ -71,10 +71,10 @@
 			"of another group": {nodesConfig(300, 9), content.EncodingZstd},
 			"none":             {nil, content.EncodingZstd},
 		} {
-			holding := content.NewCache(test.base, 0)
-			request, coding, encoded := fetchEventually(t, address, holding, last.Digest)
-			err := holding.Fetch(last.Digest, 1).HandleResponse(request, coding, encoded)
-			if err != nil || coding != test.want || !bytes.Equal(holding.Content(last.Digest), three) {
+			cache := content.NewCache(test.base, 0)
+			request, coding, encoded := fetchEventually(t, address, cache, last.Digest)
+			err := cache.Fetch(last.Digest, 1).HandleResponse(request, coding, encoded)
+			if err != nil || coding != test.want || !bytes.Equal(cache.Content(last.Digest), three) {
 				t.Errorf("replica %d, base %s: coding %q of %d bytes, error %v", id, name, coding, len(encoded), err)
 			}
 		}
@@ -86,25 +86,27 @@
 // malformed or not of the base, and for digests that no version has.
 func expectPlainContents(t *testing.T, url string, first, last *configversion.Version) {
 	t.Helper()
-	answer := getContent(t, url+first.Digest, nil)
-	if answer.status != http.StatusOK || answer.coding != "" || !bytes.Equal(answer.body, first.Content) {
-		t.Errorf("without a coding: got status %d, coding %q, %d bytes", answer.status, answer.coding, len(answer.body))
+	response := getContent(t, url+first.Digest, nil)
+	if response.status != http.StatusOK || response.coding != "" || !bytes.Equal(response.body, first.Content) {
+		t.Errorf("without a coding: got status %d, coding %q, %d bytes",
+			response.status, response.coding, len(response.body))
 	}
 	wrongHashes := []string{"", "x", ":eA==:", ":" + strings.Repeat("A", 43) + "=:"}
 	for _, hash := range wrongHashes {
-		answer := getContent(t, url+last.Digest, map[string]string{
+		response := getContent(t, url+last.Digest, map[string]string{
 			"Accept-Encoding": "dcz, zstd",
 			headerBaseHash:    hash,
 			headerBaseDigest:  `"` + first.Digest + `"`,
 		})
-		if answer.status != http.StatusOK || answer.coding != content.EncodingZstd {
-			t.Errorf("base hash %q: got status %d, coding %q", hash, answer.status, answer.coding)
+		if response.status != http.StatusOK || response.coding != content.EncodingZstd {
+			t.Errorf("base hash %q: got status %d, coding %q", hash, response.status, response.coding)
 		}
 	}
 	for _, digest := range []string{strings.Repeat("0", 64), "x", last.Digest[:63]} {
-		answer := getContent(t, url+digest, nil)
-		if answer.status != http.StatusNotFound || len(answer.body) > 0 {
-			t.Errorf("digest %q: got status %d, %d bytes; want 404, no body", digest, answer.status, len(answer.body))
+		response := getContent(t, url+digest, nil)
+		if response.status != http.StatusNotFound || len(response.body) > 0 {
+			t.Errorf("digest %q: got status %d, %d bytes; want 404, no body",
+				digest, response.status, len(response.body))
 		}
 	}
 }
@@ -123,13 +125,13 @@
 	mux.Handle("GET /again/{digest}", newContentServer(r)) // with an empty cache
 	server := httptest.NewServer(mux)
 	defer server.Close()
-	answer := getContent(t, server.URL+"/again/"+last.Digest, map[string]string{
+	response := getContent(t, server.URL+"/again/"+last.Digest, map[string]string{
 		"Accept-Encoding": "dcz, zstd",
 		headerBaseDigest:  `"` + configversion.DigestOf(one) + `"`,
 	})
-	decoded, err := delta.Decode(nil, answer.body, configversion.MaxContentBytes)
-	if answer.coding != content.EncodingZstd || err != nil || !bytes.Equal(decoded, two) {
-		t.Errorf("got coding %q, error %v; want the complete content in zstd", answer.coding, err)
+	decoded, err := delta.Decode(nil, response.body, configversion.MaxContentBytes)
+	if response.coding != content.EncodingZstd || err != nil || !bytes.Equal(decoded, two) {
+		t.Errorf("got coding %q, error %v; want the complete content in zstd", response.coding, err)
 	}
 }
 
@@ -144,7 +146,7 @@
 	contents := newContentServer(c.running[1]) // a separate one, to count its encodings
 	contents.cache.AddContent("large", make([]byte, 12<<20))
 	address := serveContents(t, contents)
-	takeAllWrites(t, contents, address)
+	occupyWriteSlots(t, contents, address)
 
 	var fetches sync.WaitGroup
 	errs := make(chan error, gateways)
@@ -152,8 +154,8 @@
 		fetches.Add(1)
 		go func() {
 			defer fetches.Done()
-			holding := content.NewCache(nil, 0)
-			fetch := holding.Fetch(version.Digest, 1)
+			cache := content.NewCache(nil, 0)
+			fetch := cache.Fetch(version.Digest, 1)
 			request := fetch.NextRequest()
 			coding, encoded, err := (&Client{}).FetchContent(t.Context(), address, request)
 			if err == nil {
@@ -172,8 +174,8 @@
 	for err := range errs {
 		t.Fatal(err)
 	}
-	if contents.encoded != 1 {
-		t.Errorf("encoded %d times, want once", contents.encoded)
+	if contents.encodeCount != 1 {
+		t.Errorf("encoded %d times, want once", contents.encodeCount)
 	}
 }
 
@@ -189,7 +191,7 @@
 }
 
 // occupyWriteSlots opens connections that request large responses and do not read, until all write slots are in use.
-func takeAllWrites(t *testing.T, contents *contentServer, address string) {
+func occupyWriteSlots(t *testing.T, contents *contentServer, address string) {
 	t.Helper()
 	for range maxConcurrentWrites {
 		connection, err := net.Dial("tcp", address)
@@ -202,7 +204,7 @@
 		}
 	}
 	deadline := time.Now().Add(time.Minute)
-	for len(contents.writes) < maxConcurrentWrites {
+	for len(contents.writeSlots) < maxConcurrentWrites {
 		if time.Now().After(deadline) {
 			t.Fatal("the write slots were not occupied within a minute")
 		}
--- a/internal/fleet/replica/entryformat.go
+++ b/internal/fleet/replica/entryformat.go
@@ -36,18 +36,18 @@
 }
 
 // updateEntryFormat updates the peer's entry format from the header of one of its responses.
-func (p *peer) takeEntryFormat(ctx context.Context, response *http.Response) {
+func (p *peer) updateEntryFormat(ctx context.Context, response *http.Response) {
 	format, err := strconv.ParseInt(response.Header.Get(entryFormatHeader), 10, 32)
 	if err != nil {
 		format = formatFullContents // the peer's program does not know the header
 	}
 	if p.entryFormat.Swap(format) != format {
-		p.replica.do(ctx, func() { p.replica.noteEntryFormat(p.id, int(format)) })
+		p.replica.enqueue(ctx, func() { p.replica.recordEntryFormat(p.id, int(format)) })
 	}
 }
 
 // recordEntryFormat records the newest entry format that a peer reads.
-func (r *Replica) noteEntryFormat(id uint64, format int) {
+func (r *Replica) recordEntryFormat(id uint64, format int) {
 	if r.membership.entryFormats[id] == format {
 		return
 	}
--- a/internal/fleet/replica/golden_folder_test.go
+++ b/internal/fleet/replica/golden_folder_test.go
@@ -27,15 +27,15 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = s.db.Close() }() // the folder is deleted anyway
-	fillGolden(t, s)
+	fillStore(t, s)
 	golden.Check(t, "buckets.golden", []byte(dumpBuckets(t, s.db)))
 }
 
 // fillStore writes something into each bucket.
-func fillGolden(t *testing.T, s *store) {
+func fillStore(t *testing.T, s *store) {
 	t.Helper()
-	for _, start := range []struct{ id, count, mark uint64 }{{2, 1, 7}, {3, 4, 0}} {
-		if ok, err := s.recordStart(start.id, start.count, start.mark); !ok || err != nil {
+	for _, start := range []struct{ id, count, incarnation uint64 }{{2, 1, 7}, {3, 4, 0}} {
+		if ok, err := s.recordStart(start.id, start.count, start.incarnation); !ok || err != nil {
 			t.Fatal(ok, err)
 		}
 	}
--- a/internal/fleet/replica/golden_messages_test.go
+++ b/internal/fleet/replica/golden_messages_test.go
@@ -105,14 +105,14 @@
 // recordClientRequests writes the request that each method of Client sends to out.
 func recordClientRequests(t *testing.T, out *strings.Builder) {
 	t.Helper()
-	answers := map[string]string{"/status": "{}", "/propose": "{}", "/versions": "[]", "/voters": "true"}
+	responses := map[string]string{"/status": "{}", "/propose": "{}", "/versions": "[]", "/voters": "true"}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		body, err := io.ReadAll(req.Body)
 		if err != nil {
 			t.Error(err)
 		}
 		fmt.Fprintf(out, "%s %s %v %s\n", req.Method, req.RequestURI, describeHeader(req.Header), body)
-		if _, err := io.WriteString(w, answers[req.URL.Path]); err != nil {
+		if _, err := io.WriteString(w, responses[req.URL.Path]); err != nil {
 			t.Error(err)
 		}
 	}))
@@ -128,8 +128,8 @@
 		CreatedAt:      "now",
 		Content:        []byte("{}"),
 	}
-	fetch := func(holding *content.Cache) error {
-		_, _, err := client.FetchContent(t.Context(), address, holding.Fetch("abc", 1).NextRequest())
+	fetch := func(cache *content.Cache) error {
+		_, _, err := client.FetchContent(t.Context(), address, cache.Fetch("abc", 1).NextRequest())
 		return err
 	}
 	for _, call := range []func() error{
--- a/internal/fleet/replica/golden_routes_test.go
+++ b/internal/fleet/replica/golden_routes_test.go
@@ -19,7 +19,7 @@
 }
 
 // withHeader returns the request with headers.
-func (g goldenRequest) with(header map[string]string) goldenRequest {
+func (g goldenRequest) withHeader(header map[string]string) goldenRequest {
 	g.header = header
 	return g
 }
@@ -87,8 +87,8 @@
 		get("/news?term=2&in_force=1&announced=1&hold_ms=60000"),
 		get("/news?term=2&in_force=1&announced=2&hold_ms=1"),
 		get(contentPath),
-		get(contentPath).with(map[string]string{"Accept-Encoding": "zstd"}),
-		get(contentPath).with(offersBase),
+		get(contentPath).withHeader(map[string]string{"Accept-Encoding": "zstd"}),
+		get(contentPath).withHeader(offersBase),
 		get("/content/0"),
 		post("/hello", `{"from":9,"starts":2,"incarnation":7,"form":2}`),
 		post("/hello", `{"from":9,"starts":1,"incarnation":8}`),
--- a/internal/fleet/replica/golden_test.go
+++ b/internal/fleet/replica/golden_test.go
@@ -18,8 +18,8 @@
 	"irispost/internal/loopback"
 )
 
-// The files under testdata were written by an earlier build. They pin formats that other builds, scripts and folders on
-// disk depend on, so use -update only for an intended change of a format.
+// The files under testdata were written by an earlier build. They pin formats that other builds, scripts and folders
+// on disk depend on, so use -update only for an intended change of a format.
 
 // startGolden starts a replica with ID 1 and the given folder.
 func startGolden(t *testing.T, dir string, peers map[uint64]string) *Replica {
@@ -61,7 +61,7 @@
 }
 
 // volatileValues matches values that differ from run to run: times that have passed or that are left.
-var variable = regexp.MustCompile(`("heard_ms_ago":|"heard_ms_ago":0,"lease_ms":|runs on for )-?[1-9]\d*`)
+var volatileValues = regexp.MustCompile(`("heard_ms_ago":|"heard_ms_ago":0,"lease_ms":|runs on for )-?[1-9]\d*`)
 
 // send sends the request and describes the response: status, headers and body, with encoded bodies as hex.
 func (g goldenRequest) send(t *testing.T, address string) string {
@@ -69,17 +69,17 @@
 	client := &http.Client{Transport: &http.Transport{DisableCompression: true}}
 	defer client.CloseIdleConnections()
 	for deadline := time.Now().Add(time.Minute); ; time.Sleep(5 * time.Millisecond) {
-		answer := g.sendOnce(t, client, address)
-		if strings.Contains(string(answer.body), g.until) {
-			return g.describe(answer)
+		response := g.sendOnce(t, client, address)
+		if strings.Contains(string(response.body), g.until) {
+			return g.describe(response)
 		}
 		if time.Now().After(deadline) {
-			t.Fatalf("%s %s: no response contains %s, the last one is %s", g.method, g.path, g.until, answer.body)
+			t.Fatalf("%s %s: no response contains %s, the last one is %s", g.method, g.path, g.until, response.body)
 		}
 	}
 }
 
-func (g goldenRequest) sendOnce(t *testing.T, client *http.Client, address string) goldenAnswer {
+func (g goldenRequest) sendOnce(t *testing.T, client *http.Client, address string) goldenResponse {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), g.method, "http://"+address+g.path, strings.NewReader(g.body))
 	if err != nil {
@@ -97,32 +97,32 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return goldenAnswer{response.Status, response.Header, body}
+	return goldenResponse{response.Status, response.Header, body}
 }
 
 // goldenResponse is the recorded part of a response.
-type goldenAnswer struct {
+type goldenResponse struct {
 	status string
 	header http.Header
 	body   []byte
 }
 
-func (g goldenRequest) describe(answer goldenAnswer) string {
+func (g goldenRequest) describe(response goldenResponse) string {
 	out := &strings.Builder{}
-	fmt.Fprintf(out, "## %s %s %s\n%s\n", g.method, g.path, g.body, answer.status)
-	for _, name := range slices.Sorted(maps.Keys(answer.header)) {
-		value := strings.Join(answer.header[name], ", ")
-		if name == "Date" || name == "Content-Length" && variable.Match(answer.body) {
+	fmt.Fprintf(out, "## %s %s %s\n%s\n", g.method, g.path, g.body, response.status)
+	for _, name := range slices.Sorted(maps.Keys(response.header)) {
+		value := strings.Join(response.header[name], ", ")
+		if name == "Date" || name == "Content-Length" && volatileValues.Match(response.body) {
 			value = "(some)"
 		}
 		fmt.Fprintf(out, "%s: %s\n", name, value)
 	}
-	text := string(answer.body)
-	if answer.header.Get("Content-Encoding") != "" {
-		text = hex.EncodeToString(answer.body)
+	text := string(response.body)
+	if response.header.Get("Content-Encoding") != "" {
+		text = hex.EncodeToString(response.body)
 	}
 	for range 2 { // lease_ms is matched only after heard_ms_ago has been replaced
-		text = variable.ReplaceAllString(text, "${1}0")
+		text = volatileValues.ReplaceAllString(text, "${1}0")
 	}
 	return fmt.Sprintf("%s\n%s\n\n", out, text)
 }
--- a/internal/fleet/replica/history.go
+++ b/internal/fleet/replica/history.go
@@ -101,11 +101,11 @@
 	if _, read := pages[page]; !read {
 		pages[page] = h.readPage(metadata, page)
 	}
-	place, known := slices.BinarySearchFunc(pages[page], version.Number, compareNumber)
-	if known {
+	position, found := slices.BinarySearchFunc(pages[page], version.Number, compareNumber)
+	if found {
 		return false
 	}
-	pages[page] = slices.Insert(pages[page], place, withoutContent(version))
+	pages[page] = slices.Insert(pages[page], position, withoutContent(version))
 	return true
 }
 
@@ -141,11 +141,11 @@
 		}
 	}
 	h.last = configversion.Version{Number: version.Number, Content: version.Content}
-	head := version.Number << 1
+	header := version.Number << 1
 	if complete {
-		head |= 1
+		header |= 1
 	}
-	record := append(binary.AppendUvarint(nil, head), encoded...)
+	record := append(binary.AppendUvarint(nil, header), encoded...)
 	return contents.Put(encodeKey(sequence), record)
 }
 
--- a/internal/fleet/replica/history_test.go
+++ b/internal/fleet/replica/history_test.go
@@ -29,14 +29,14 @@
 	updateStore(t, r, func(tx *bbolt.Tx) error {
 		contents := tx.Bucket(bucketContents)
 		key, record := contents.Cursor().Seek(encodeKey(2*contentsPerSegment + 3))
-		head, _ := binary.Uvarint(record)
-		corrupt = head >> 1
+		header, _ := binary.Uvarint(record)
+		corrupt = header >> 1
 		return contents.Put(key, append([]byte(nil), record[:len(record)-4]...))
 	})
 	all := listVersions(t, r, warnings)
-	place := fmt.Sprint("content of version ", corrupt)
+	part := fmt.Sprint("content of version ", corrupt)
 	lines := strings.Count(warnings.String(), "\n")
-	if len(all) != last || lines != 1 || !strings.Contains(warnings.String(), place) {
+	if len(all) != last || lines != 1 || !strings.Contains(warnings.String(), part) {
 		t.Errorf("%d versions are listed, want 200 and one warning: %s", len(all), warnings)
 	}
 	for _, version := range all {
--- a/internal/fleet/replica/historyread.go
+++ b/internal/fleet/replica/historyread.go
@@ -40,22 +40,22 @@
 func (h *history) readContents(
 	contents *bbolt.Bucket,
 	wanted func(segment uint64) bool,
-	each func(number uint64, content []byte),
+	visit func(number uint64, content []byte),
 ) {
 	var last []byte
 	cursor := contents.Cursor()
 	for key, record := cursor.First(); key != nil; key, record = cursor.Next() {
-		place := decodeKey(key)
-		if !wanted(place / contentsPerSegment) {
+		position := decodeKey(key)
+		if !wanted(position / contentsPerSegment) {
 			continue
 		}
-		head, size := binary.Uvarint(record)
+		header, size := binary.Uvarint(record)
 		if size <= 0 {
-			h.reportCorrupt(fmt.Sprintf("content at position %d", place), errNoVersionNumber)
+			h.reportCorrupt(fmt.Sprintf("content at position %d", position), errNoVersionNumber)
 			last = nil
 			continue
 		}
-		number, complete := head>>1, head&1 == 1
+		number, complete := header>>1, header&1 == 1
 		base := last
 		if complete {
 			base = nil
@@ -64,9 +64,9 @@
 		}
 		content, err := delta.Decode(base, record[size:], configversion.MaxContentBytes)
 		if err != nil {
-			h.reportCorrupt(fmt.Sprintf("content of version %d at position %d", number, place), err)
+			h.reportCorrupt(fmt.Sprintf("content of version %d at position %d", number, position), err)
 		} else {
-			each(number, content)
+			visit(number, content)
 		}
 		last = content
 	}
@@ -79,18 +79,18 @@
 	if key == nil {
 		return last
 	}
-	head, _ := binary.Uvarint(record)
+	header, _ := binary.Uvarint(record)
 	segment := decodeKey(key) / contentsPerSegment
 	h.readContents(contents, func(n uint64) bool { return n == segment }, func(number uint64, content []byte) {
-		if number == head>>1 {
+		if number == header>>1 {
 			last = configversion.Version{Number: number, Content: content}
 		}
 	})
 	return last
 }
 
-// versions returns the versions from one number to another, both included. Versions whose content is no longer kept are
-// returned without it.
+// versions returns the versions from one number to another, both included. Versions whose content is no longer kept
+// are returned without it.
 func (h *history) versions(tx *bbolt.Tx, from, to uint64) []*configversion.Version {
 	list := h.readMetadata(tx.Bucket(bucketMetadata), from, to)
 	if len(list) == 0 {
@@ -99,11 +99,11 @@
 	contents := tx.Bucket(bucketContents)
 	wanted := segmentsOf(contents, from, to)
 	h.readContents(contents, func(segment uint64) bool { return wanted[segment] }, func(number uint64, content []byte) {
-		place, listed := slices.BinarySearchFunc(list, number, compareNumber)
+		position, listed := slices.BinarySearchFunc(list, number, compareNumber)
 		if !listed {
 			return
 		}
-		version := list[place]
+		version := list[position]
 		if digest := configversion.DigestOf(content); digest != version.Digest {
 			h.reportCorrupt(fmt.Sprintf("content of version %d", number),
 				fmt.Errorf("its digest is %.12s instead of %.12s", digest, version.Digest))
@@ -134,8 +134,8 @@
 	segments := map[uint64]bool{}
 	cursor := contents.Cursor()
 	for key, record := cursor.First(); key != nil; key, record = cursor.Next() {
-		head, _ := binary.Uvarint(record)
-		if number := head >> 1; number >= from && number <= to {
+		header, _ := binary.Uvarint(record)
+		if number := header >> 1; number >= from && number <= to {
 			segments[decodeKey(key)/contentsPerSegment] = true
 		}
 	}
--- a/internal/fleet/replica/incarnation.go
+++ b/internal/fleet/replica/incarnation.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// Each start of a replica is an incarnation. It is identified by a start count, which the replica's folder keeps, and a
-// random number. A replica announces it to its peers before it takes part in Raft: a replica that was started from an
-// older copy of its folder has lost votes and acknowledgements that it gave, and its peers, which know a later
+// Each start of a replica is an incarnation. It is identified by a start count, which the replica's folder keeps, and
+// a random number. A replica announces it to its peers before it takes part in Raft: a replica that was started from
+// an older copy of its folder has lost votes and acknowledgements that it gave, and its peers, which know a later
 // incarnation, reject it.
 
 // ErrStaleIncarnation reports that a replica's folder is an older copy, or that its ID is in use twice.
@@ -24,8 +24,8 @@
 	EntryFormat int    `json:"form,omitempty"`        // newest entry format that the sender reads; 0: the first
 }
 
-// announceStart announces this start to all peers and waits until a majority, which includes this replica, has recorded
-// it. It reports whether the replica may take part in Raft.
+// announceStart announces this start to all peers and waits until a majority, which includes this replica, has
+// recorded it. It reports whether the replica may take part in Raft.
 func (r *Replica) announceStart(ctx context.Context) bool {
 	recorded := make(chan uint64, len(r.membership.peers))
 	rejected := make(chan error, len(r.membership.peers))
@@ -46,7 +46,7 @@
 		select {
 		case <-ctx.Done():
 		case err := <-rejected:
-			r.do(ctx, func() { r.err = err })
+			r.enqueue(ctx, func() { r.err = err })
 		}
 	}()
 	r.logger.Info("replica ready", "start_count", r.store.starts, "term", r.currentTerm(),
@@ -104,7 +104,7 @@
 		return
 	}
 	status := make(chan int, 1)
-	if !r.do(req.Context(), func() { status <- r.recordAnnouncement(message) }) {
+	if !r.enqueue(req.Context(), func() { status <- r.recordAnnouncement(message) }) {
 		return
 	}
 	select {
@@ -126,7 +126,7 @@
 			"known_start_count", r.store.peerStarts[message.From].count)
 		return http.StatusConflict
 	default:
-		r.noteEntryFormat(message.From, message.EntryFormat)
+		r.recordEntryFormat(message.From, message.EntryFormat)
 		return http.StatusNoContent
 	}
 }
--- a/internal/fleet/replica/leadership.go
+++ b/internal/fleet/replica/leadership.go
@@ -37,8 +37,8 @@
 // rejectPending answers all waiting requests that this replica does not lead. Their proposals may still get into the
 // log.
 func (r *Replica) rejectPending() {
-	for _, answer := range r.reads.drain() {
-		answer(nil)
+	for _, callback := range r.reads.drain() {
+		callback(nil)
 	}
 	if result := r.membership.pending; result != nil {
 		result <- ErrNotLeader
@@ -52,10 +52,10 @@
 
 // startLeadership creates the lease manager when the first entry of this replica's own term is applied: no entry of an
 // earlier leader can follow it.
-func (r *Replica) leadFromEntry(entry *raftpb.Entry) {
+func (r *Replica) startLeadership(entry *raftpb.Entry) {
 	term := r.currentTerm()
-	fresh := r.leadership.manager == nil || r.leadership.term != term
-	if !r.leadership.isLeader || !fresh || entry.GetTerm() != term {
+	newTerm := r.leadership.manager == nil || r.leadership.term != term
+	if !r.leadership.isLeader || !newTerm || entry.GetTerm() != term {
 		return
 	}
 	r.leadership.term = term
--- a/internal/fleet/replica/load.go
+++ b/internal/fleet/replica/load.go
@@ -36,7 +36,7 @@
 }
 
 func createBuckets(tx *bbolt.Tx) error {
-	names := [][]byte{bucketSelf, bucketRaft, bucketLog, bucketStarts, bucketMetadata, bucketContents}
+	names := [][]byte{bucketSelf, bucketRaft, bucketLog, bucketPeerStarts, bucketMetadata, bucketContents}
 	for _, name := range names {
 		if _, err := tx.CreateBucketIfNotExists(name); err != nil {
 			return err
@@ -149,10 +149,10 @@
 const peerStartBytes = 16
 
 func (s *store) loadPeerStarts(tx *bbolt.Tx) error {
-	return tx.Bucket(bucketStarts).ForEach(func(key, value []byte) error {
+	return tx.Bucket(bucketPeerStarts).ForEach(func(key, value []byte) error {
 		start := peerStart{count: decodeKey(value)}
 		if len(value) == peerStartBytes {
-			start.mark = decodeKey(value[8:])
+			start.incarnation = decodeKey(value[8:])
 		}
 		s.peerStarts[decodeKey(key)] = start
 		return nil
--- a/internal/fleet/replica/membership.go
+++ b/internal/fleet/replica/membership.go
@@ -178,7 +178,7 @@
 		return
 	}
 	result := make(chan error, 1)
-	r.do(req.Context(), func() { r.proposeMembershipChange(change, result) })
+	r.enqueue(req.Context(), func() { r.proposeMembershipChange(change, result) })
 	err, done := awaitProposal(w, req, result)
 	if !done {
 		return
--- a/internal/fleet/replica/metrics.go
+++ b/internal/fleet/replica/metrics.go
@@ -38,7 +38,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
 	collected := make(chan []prometheus.Metric, 1)
-	c.replica.do(ctx, func() { collected <- c.replica.collectMetrics() })
+	c.replica.enqueue(ctx, func() { collected <- c.replica.collectMetrics() })
 	select {
 	case metrics := <-collected:
 		for _, metric := range metrics {
--- a/internal/fleet/replica/peer.go
+++ b/internal/fleet/replica/peer.go
@@ -74,7 +74,7 @@
 		err := p.sendMessages(ctx, messages)
 		p.reportSnapshots(ctx, messages, err)
 		if err != nil {
-			p.replica.do(ctx, func() { p.replica.node.ReportUnreachable(p.id) })
+			p.replica.enqueue(ctx, func() { p.replica.node.ReportUnreachable(p.id) })
 			p.client.CloseIdleConnections() // so that a connection that hangs is not reused
 		}
 	}
@@ -88,7 +88,7 @@
 	}
 	for _, message := range messages {
 		if message.GetType() == raftpb.MsgSnap {
-			p.replica.do(ctx, func() { p.replica.node.ReportSnapshot(p.id, status) })
+			p.replica.enqueue(ctx, func() { p.replica.node.ReportSnapshot(p.id, status) })
 		}
 	}
 }
@@ -123,7 +123,7 @@
 	}
 	defer closeBody(response)
 	_, _ = io.Copy(io.Discard, response.Body) // so that the connection can be reused
-	p.takeEntryFormat(ctx, response)
+	p.updateEntryFormat(ctx, response)
 	switch response.StatusCode {
 	case http.StatusNoContent:
 		return nil
--- a/internal/fleet/replica/readindex.go
+++ b/internal/fleet/replica/readindex.go
@@ -14,15 +14,15 @@
 
 // readCallback is called with the lease manager once it is confirmed that this replica leads, or with nil if it does
 // not lead.
-type readAnswer func(manager *lease.Manager)
+type readCallback func(manager *lease.Manager)
 
 // readQueue holds requests that may be answered only after Raft's ReadIndex has confirmed that this replica leads.
 type readQueue struct {
-	waiting  []readAnswer // no confirmation has been requested for them yet
-	batch    *readBatch   // whose confirmation has been requested; nil: none
-	sequence uint64       // number of batches so far
-	lastAt   time.Time    // when the last batch was requested
-	timer    *time.Timer  // wakes the owner goroutine up for the next batch
+	waiting       []readCallback // no confirmation has been requested for them yet
+	batch         *readBatch     // whose confirmation has been requested; nil: none
+	sequence      uint64         // number of batches so far
+	lastRequestAt time.Time      // when the last batch was requested
+	timer         *time.Timer    // wakes the owner goroutine up for the next batch
 }
 
 // readBatch is a batch of requests that share one confirmation.
@@ -30,22 +30,22 @@
 	context     []byte // identifies the batch to Raft
 	requestedAt time.Time
 	index       uint64 // log index to be applied before the batch is answered; 0: not confirmed yet
-	answers     []readAnswer
+	callbacks   []readCallback
 }
 
 // drain empties the queue and returns all callbacks that were in it.
-func (q *readQueue) drain() []readAnswer {
-	answers := q.waiting
+func (q *readQueue) drain() []readCallback {
+	callbacks := q.waiting
 	if q.batch != nil {
-		answers = append(answers, q.batch.answers...)
+		callbacks = append(callbacks, q.batch.callbacks...)
 	}
 	q.waiting = nil
 	q.batch = nil
-	return answers
+	return callbacks
 }
 
 // markConfirmed records Raft's confirmation if it is that of the present batch.
-func (q *readQueue) confirmed(state raft.ReadState) {
+func (q *readQueue) markConfirmed(state raft.ReadState) {
 	if q.batch != nil && string(state.RequestCtx) == string(q.batch.context) {
 		q.batch.index = state.Index
 	}
@@ -53,29 +53,29 @@
 
 // enqueueRead queues a callback until it is confirmed that this replica leads. If it does not lead, the callback is
 // called at once.
-func (r *Replica) whenLeading(answer readAnswer) {
+func (r *Replica) enqueueRead(callback readCallback) {
 	if !r.leading() {
-		answer(nil)
+		callback(nil)
 		return
 	}
-	r.reads.waiting = append(r.reads.waiting, answer)
+	r.reads.waiting = append(r.reads.waiting, callback)
 }
 
 // advanceReads answers the present batch if it is confirmed, and asks Raft to confirm the next one.
-func (r *Replica) confirmReads() {
+func (r *Replica) advanceReads() {
 	if r.leadership.manager == nil {
 		return
 	}
 	queue := &r.reads
 	if batch := queue.batch; batch != nil && batch.index > 0 && r.appliedIndex >= batch.index {
 		queue.batch = nil
-		for _, answer := range batch.answers {
-			answer(r.leadership.manager)
+		for _, callback := range batch.callbacks {
+			callback(r.leadership.manager)
 		}
 	}
 	timeout := readConfirmTimeoutTicks * r.options.TickInterval
 	if batch := queue.batch; batch != nil && time.Since(batch.requestedAt) > timeout { // its heartbeats were lost
-		queue.waiting = append(batch.answers, queue.waiting...)
+		queue.waiting = append(batch.callbacks, queue.waiting...)
 		queue.batch = nil
 	}
 	if queue.batch == nil && len(queue.waiting) > 0 {
@@ -83,21 +83,21 @@
 	}
 }
 
-// requestReadIndex asks Raft for one confirmation for all waiting requests. Each confirmation costs a round trip to all
-// replicas, so requests are collected for half a tick, unless an announced version waits for gateways.
+// requestReadIndex asks Raft for one confirmation for all waiting requests. Each confirmation costs a round trip to
+// all replicas, so requests are collected for half a tick, unless an announced version waits for gateways.
 func (r *Replica) requestReadIndex() {
 	queue := &r.reads
-	remaining := r.options.TickInterval/2 - time.Since(queue.lastAt)
+	remaining := r.options.TickInterval/2 - time.Since(queue.lastRequestAt)
 	if remaining > 0 && r.machine.InForce == r.machine.Announced {
 		queue.timer.Reset(remaining)
 		return
 	}
-	queue.lastAt = time.Now()
+	queue.lastRequestAt = time.Now()
 	queue.sequence++
 	queue.batch = &readBatch{
 		context:     binary.BigEndian.AppendUint64(encodeKey(r.leadership.term), queue.sequence),
 		requestedAt: time.Now(),
-		answers:     queue.waiting,
+		callbacks:   queue.waiting,
 	}
 	queue.waiting = nil
 	r.node.ReadIndex(queue.batch.context)
--- a/internal/fleet/replica/replica.go
+++ b/internal/fleet/replica/replica.go
@@ -40,7 +40,7 @@
 // ErrNotLeader reports that another replica leads, or none. Clients see this text in responses with status 421.
 var ErrNotLeader = errors.New("this keeper does not lead")
 
-// Replica is a running replica.
+// Replica is a running replica of the configuration log. Start creates it, Close stops it.
 type Replica struct {
 	options    Options
 	logger     *slog.Logger
@@ -196,9 +196,9 @@
 // now returns the time of the replica's own monotonic clock: nanoseconds since its start, not the time of day.
 func (r *Replica) now() lease.Time { return int64(time.Since(r.startedAt)) }
 
-// enqueue queues a function for the owner goroutine, without waiting until it has run. It returns false if the function
-// was not queued, as the context or the replica has ended.
-func (r *Replica) do(ctx context.Context, call func()) bool {
+// enqueue queues a function for the owner goroutine, without waiting until it has run. It returns false if the
+// function was not queued, as the context or the replica has ended.
+func (r *Replica) enqueue(ctx context.Context, call func()) bool {
 	select {
 	case r.calls <- call:
 		return true
--- a/internal/fleet/replica/run.go
+++ b/internal/fleet/replica/run.go
@@ -54,7 +54,7 @@
 		return r.err
 	}
 	for {
-		r.confirmReads()
+		r.advanceReads()
 		r.proposeNextCommand()
 		r.notifyWatchers()
 		if !r.node.HasReady() {
@@ -87,7 +87,7 @@
 		}
 	}
 	for _, state := range ready.ReadStates {
-		r.reads.confirmed(state)
+		r.reads.markConfirmed(state)
 	}
 	r.node.Advance(ready)
 	if !r.store.needsCompaction(r.appliedIndex, r.options.CompactionEntries) {
--- a/internal/fleet/replica/save.go
+++ b/internal/fleet/replica/save.go
@@ -121,8 +121,8 @@
 	return s.memory.Entries(first, index+1, math.MaxUint64)
 }
 
-// needsCompaction reports whether the log, applied up to an index, has more than maxEntries applied entries or too many
-// bytes.
+// needsCompaction reports whether the log, applied up to an index, has more than maxEntries applied entries or too
+// many bytes.
 func (s *store) needsCompaction(applied, maxEntries uint64) bool {
 	first, err := s.memory.FirstIndex()
 	if err != nil {
--- a/internal/fleet/replica/server.go
+++ b/internal/fleet/replica/server.go
@@ -34,9 +34,9 @@
 	Latest                 *configversion.Version `json:"newest,omitempty"` // the announced one
 }
 
-// ConvergenceBound returns the longest time, in nanoseconds, from a version's announcement until no gateway acts on the
-// version before it alone: the duration of a lease by the replicas' clocks, which may drift from the gateways'. It is T
-// of docs/fleet.md.
+// ConvergenceBound returns the longest time, in nanoseconds, from a version's announcement until no gateway acts on
+// the version before it alone: the duration of a lease by the replicas' clocks, which may drift from the gateways'.
+// It is T of docs/fleet.md.
 func ConvergenceBound(settings lease.Settings) int64 {
 	return int64(float64(settings.LeaseDuration) * (1 + settings.MaxClockDrift) / (1 - settings.MaxClockDrift))
 }
@@ -70,7 +70,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	r.do(req.Context(), func() { r.step(messages) })
+	r.enqueue(req.Context(), func() { r.step(messages) })
 	w.WriteHeader(http.StatusNoContent)
 }
 
@@ -81,12 +81,12 @@
 		return
 	}
 	omitDefaultHeaders(w)
-	r.answerAsLeader(w, req, func(manager *lease.Manager) any { return manager.Renew(r.now(), request) })
+	r.respondAsLeader(w, req, func(manager *lease.Manager) any { return manager.Renew(r.now(), request) })
 }
 
 // handleStatus responds with the Status.
 func (r *Replica) handleStatus(w http.ResponseWriter, req *http.Request) {
-	r.answerAsLeader(w, req, func(manager *lease.Manager) any { return r.status(manager) })
+	r.respondAsLeader(w, req, func(manager *lease.Manager) any { return r.status(manager) })
 }
 
 func (r *Replica) status(manager *lease.Manager) Status {
@@ -121,7 +121,7 @@
 		return
 	}
 	result := make(chan proposalResult, 1)
-	r.do(req.Context(), func() { r.propose(proposal, result) })
+	r.enqueue(req.Context(), func() { r.propose(proposal, result) })
 	outcome, done := awaitProposal(w, req, result)
 	if !done {
 		return
@@ -191,25 +191,25 @@
 
 // respondAsLeader responds with the JSON of what payload returns, once it is confirmed that this replica leads. The
 // owner goroutine calls payload.
-func (r *Replica) answerAsLeader(w http.ResponseWriter, req *http.Request, content func(*lease.Manager) any) {
-	answer := make(chan []byte, 1) // nil: this replica does not lead
-	r.do(req.Context(), func() {
-		r.whenLeading(func(manager *lease.Manager) {
+func (r *Replica) respondAsLeader(w http.ResponseWriter, req *http.Request, payload func(*lease.Manager) any) {
+	response := make(chan []byte, 1) // nil: this replica does not lead
+	r.enqueue(req.Context(), func() {
+		r.enqueueRead(func(manager *lease.Manager) {
 			if manager == nil {
-				answer <- nil
+				response <- nil
 				return
 			}
-			encoded, err := json.Marshal(content(manager))
+			encoded, err := json.Marshal(payload(manager))
 			if err != nil {
 				r.logger.Error("encoding a response failed", "err", err)
 			}
-			answer <- encoded
+			response <- encoded
 		})
 	})
 	ctx, cancel := context.WithTimeout(req.Context(), requestTimeout)
 	defer cancel()
 	select {
-	case encoded := <-answer:
+	case encoded := <-response:
 		if encoded == nil {
 			writeNotLeader(w)
 			return
--- a/internal/fleet/replica/store.go
+++ b/internal/fleet/replica/store.go
@@ -24,12 +24,12 @@
 
 // Buckets of the file. Their names are part of the format on disk.
 var (
-	bucketSelf     = []byte("self")     // identity and addresses, JSON
-	bucketRaft     = []byte("raft")     // hard state and snapshot, protobuf
-	bucketLog      = []byte("log")      // entries by index, protobuf
-	bucketStarts   = []byte("known")    // latest starts of peers, by ID
-	bucketMetadata = []byte("trail")    // see history
-	bucketContents = []byte("contents") // see history
+	bucketSelf       = []byte("self")     // identity and addresses, JSON
+	bucketRaft       = []byte("raft")     // hard state and snapshot, protobuf
+	bucketLog        = []byte("log")      // entries by index, protobuf
+	bucketPeerStarts = []byte("known")    // latest starts of peers, by ID
+	bucketMetadata   = []byte("trail")    // see history
+	bucketContents   = []byte("contents") // see history
 )
 
 // Keys of bucketSelf and bucketRaft.
@@ -62,8 +62,8 @@
 
 // peerStart is the latest known start of a peer.
 type peerStart struct {
-	count uint64
-	mark  uint64 // 0: the peer's program has none
+	count       uint64
+	incarnation uint64 // 0: the peer's program has none
 }
 
 // identity identifies the replica that a folder belongs to.
@@ -88,8 +88,8 @@
 // Unwrap returns the cause.
 func (e *unreadableError) Unwrap() error { return e.cause }
 
-// openStore opens a replica's folder and creates it if necessary. The folder of another replica is rejected. Voters are
-// those that found a new group; nil if the replica joins an existing one.
+// openStore opens a replica's folder and creates it if necessary. The folder of another replica is rejected. Voters
+// are those that found a new group; nil if the replica joins an existing one.
 func openStore(dir string, id uint64, voters []uint64) (opened *store, err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true)) // reads past the end of a truncated mapped file fault
 	defer func() {
@@ -161,19 +161,19 @@
 
 // recordStart records a start of a peer. It returns false if a later start is known, or another one with the same
 // count. A repeated start is accepted, as the peer may not have received the response.
-func (s *store) recordStart(id, count, mark uint64) (accepted bool, err error) {
+func (s *store) recordStart(id, count, incarnation uint64) (accepted bool, err error) {
 	known := s.peerStarts[id]
-	if count == known.count && mark == known.mark && mark != 0 {
+	if count == known.count && incarnation == known.incarnation && incarnation != 0 {
 		return true, nil
 	}
 	if count <= known.count {
 		return false, nil
 	}
-	value := append(encodeKey(count), encodeKey(mark)...)
-	err = s.db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(bucketStarts).Put(encodeKey(id), value) })
+	value := append(encodeKey(count), encodeKey(incarnation)...)
+	err = s.db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(bucketPeerStarts).Put(encodeKey(id), value) })
 	if err != nil {
 		return false, err
 	}
-	s.peerStarts[id] = peerStart{count, mark}
+	s.peerStarts[id] = peerStart{count, incarnation}
 	return true, nil
 }
--- a/internal/fleet/replica/store_test.go
+++ b/internal/fleet/replica/store_test.go
@@ -139,8 +139,8 @@
 	}
 	s := open()
 	for i, test := range []struct {
-		count, mark uint64
-		accepted    bool
+		count, incarnation uint64
+		accepted           bool
 	}{
 		{1, 7, true},
 		{1, 7, true},
@@ -158,8 +158,8 @@
 			closeStore(s)
 			s = open()
 		}
-		if accepted, err := s.recordStart(2, test.count, test.mark); accepted != test.accepted || err != nil {
-			t.Errorf("case %d, start %d of incarnation %d: got %t, %v", i, test.count, test.mark, accepted, err)
+		if accepted, err := s.recordStart(2, test.count, test.incarnation); accepted != test.accepted || err != nil {
+			t.Errorf("case %d, start %d of incarnation %d: got %t, %v", i, test.count, test.incarnation, accepted, err)
 		}
 	}
 	closeStore(s)
--- a/internal/fleet/replica/versions.go
+++ b/internal/fleet/replica/versions.go
@@ -73,10 +73,11 @@
 	return list
 }
 
-// handleVersions handles GET /versions: it responds with the versions from the number in the query parameter "from" on.
+// handleVersions handles GET /versions: it responds with the versions from the number in the query parameter "from"
+// on.
 func (r *Replica) handleVersions(w http.ResponseWriter, req *http.Request) {
 	from := queryNumber(req, "from")
-	r.answerAsLeader(w, req, func(*lease.Manager) any {
+	r.respondAsLeader(w, req, func(*lease.Manager) any {
 		list, err := r.versionsFrom(from)
 		if err != nil {
 			r.logger.Error("reading the version history failed", "err", err)
--- a/internal/fleet/replica/watch.go
+++ b/internal/fleet/replica/watch.go
@@ -37,8 +37,8 @@
 }
 
 // handleWatch handles GET /news: "true" once the state differs from the one in the request, "false" after hold_ms
-// milliseconds. The response grants and confirms nothing: a gateway that learns of a change renews its lease. A replica
-// that wrongly believes that it leads may respond wrongly.
+// milliseconds. The response grants and confirms nothing: a gateway that learns of a change renews its lease. A
+// replica that wrongly believes that it leads may respond wrongly.
 func (r *Replica) handleWatch(w http.ResponseWriter, req *http.Request) {
 	omitDefaultHeaders(w)
 	known := watchedState{
