--- a/internal/fleet/replica/golden_messages_test.go
+++ b/internal/fleet/replica/golden_messages_test.go
@@ -20,7 +20,7 @@
 	"irispost/internal/testkit/golden"
 )
 
-// The messages of replicas to each other, the requests of the client and the JSON of the status are as recorded.
+// The encodings of messages between replicas, the client's requests and the status JSON match the golden file.
 func TestMessagesMatchGolden(t *testing.T) {
 	out := &strings.Builder{}
 	for _, message := range goldenMessages() {
@@ -47,7 +47,7 @@
 	golden.Check(t, "messages.golden", []byte(out.String()))
 }
 
-// namedMessage is a message under the name that the golden file has for it.
+// namedMessage is a message and its name in the golden file.
 type namedMessage struct {
 	name  string
 	value any
@@ -102,17 +102,17 @@
 	return list
 }
 
-// recordClientRequests writes down what each method of Client sends.
+// recordClientRequests writes the request that each method of Client sends to out.
 func recordClientRequests(t *testing.T, out *strings.Builder) {
 	t.Helper()
-	answers := map[string]string{"/status": "{}", "/propose": "{}", "/versions": "[]", "/voters": "true"}
+	responses := map[string]string{"/status": "{}", "/propose": "{}", "/versions": "[]", "/voters": "true"}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		body, err := io.ReadAll(req.Body)
 		if err != nil {
 			t.Error(err)
 		}
 		fmt.Fprintf(out, "%s %s %v %s\n", req.Method, req.RequestURI, describeHeader(req.Header), body)
-		if _, err := io.WriteString(w, answers[req.URL.Path]); err != nil {
+		if _, err := io.WriteString(w, responses[req.URL.Path]); err != nil {
 			t.Error(err)
 		}
 	}))
@@ -128,8 +128,8 @@
 		CreatedAt:      "now",
 		Content:        []byte("{}"),
 	}
-	fetch := func(holding *content.Cache) error {
-		_, _, err := client.FetchContent(t.Context(), address, holding.Fetch("abc", 1).NextRequest())
+	fetch := func(cache *content.Cache) error {
+		_, _, err := client.FetchContent(t.Context(), address, cache.Fetch("abc", 1).NextRequest())
 		return err
 	}
 	for _, call := range []func() error{
