--- a/internal/fleet/content/cache.go
+++ b/internal/fleet/content/cache.go
@@ -22,12 +22,12 @@
 // Cache is the contents that a gateway has: those of the versions that the last lease named, and one more as a
 // base of deltas.
 type Cache struct {
-	contents map[string][]byte // by digest
-	retained []string          // digests that the last lease named, the version in force first
-	spare    string            // digest of the one more; "": none
-	latest   string            // digest of the content that was fetched last
-	fullOnly map[string]bool   // digests of which no delta is requested any more, as one did not decode
-	faults   InjectedFaults
+	contents    map[string][]byte // by digest
+	retained    []string          // digests that the last lease named, the version in force first
+	extraBase   string            // digest of the one more; "": none
+	lastFetched string            // digest of the content that was fetched last
+	fullOnly    map[string]bool   // digests of which no delta is requested any more, as one did not decode
+	faults      InjectedFaults
 }
 
 // NewCache makes the cache of a gateway whose disk had a content, or none (nil). That content serves as a base;
@@ -35,8 +35,8 @@
 func NewCache(fromDisk []byte, faults InjectedFaults) *Cache {
 	c := &Cache{contents: map[string][]byte{}, fullOnly: map[string]bool{}, faults: faults}
 	if len(fromDisk) > 0 {
-		c.spare = configversion.DigestOf(fromDisk)
-		c.contents[c.spare] = fromDisk
+		c.extraBase = configversion.DigestOf(fromDisk)
+		c.contents[c.extraBase] = fromDisk
 	}
 	return c
 }
@@ -48,12 +48,12 @@
 	c.retained = slices.Clone(digests)
 	for _, digest := range before {
 		if c.contents[digest] != nil && !c.isRetained(digest) {
-			c.spare = digest
+			c.extraBase = digest
 			break
 		}
 	}
 	for digest := range c.contents {
-		if digest != c.spare && !c.isRetained(digest) {
+		if digest != c.extraBase && !c.isRetained(digest) {
 			delete(c.contents, digest)
 		}
 	}
@@ -68,8 +68,8 @@
 
 // Content is the content with a digest; nil: it is not cached. Callers must not change it.
 func (c *Cache) Content(digest string) []byte {
-	if c.faults.Has(FaultStaleCacheFile) && c.contents[digest] == nil && c.spare != "" {
-		return c.contents[c.spare]
+	if c.faults.Has(FaultStaleCacheFile) && c.contents[digest] == nil && c.extraBase != "" {
+		return c.contents[c.extraBase]
 	}
 	return c.contents[digest]
 }
@@ -96,7 +96,7 @@
 // base is the digest of the content that a delta is requested from: that of the version in force, else any
 // other; "": none.
 func (c *Cache) base() string {
-	for _, digest := range append(slices.Clone(c.retained), c.spare) {
+	for _, digest := range append(slices.Clone(c.retained), c.extraBase) {
 		if c.contents[digest] != nil {
 			return digest
 		}
--- a/internal/fleet/content/fetch.go
+++ b/internal/fleet/content/fetch.go
@@ -89,12 +89,12 @@
 func (f *Fetch) HandleResponse(request Request, encoding string, encoded []byte) error {
 	content, err := f.decode(request, encoding, encoded)
 	if err != nil {
-		f.rejected(request)
+		f.handleRejection(request)
 		return fmt.Errorf("content %.8s as %q of %d bytes from base %.8s: %w",
 			request.Digest, encoding, len(encoded), request.Base, err)
 	}
 	f.cache.contents[request.Digest] = content
-	f.cache.latest = request.Digest
+	f.cache.lastFetched = request.Digest
 	delete(f.cache.fullOnly, request.Digest)
 	f.setState(StateDone)
 	return nil
@@ -102,7 +102,7 @@
 
 // decode decodes a response and checks its digest.
 func (f *Fetch) decode(request Request, encoding string, encoded []byte) ([]byte, error) {
-	base, err := f.decodeBase(request, encoding)
+	base, err := f.deltaBase(request, encoding)
 	if err != nil {
 		return nil, err
 	}
@@ -117,21 +117,21 @@
 }
 
 // decodeBase is the base that a response was encoded with; nil: it is a full content.
-func (f *Fetch) decodeBase(request Request, encoding string) ([]byte, error) {
+func (f *Fetch) deltaBase(request Request, encoding string) ([]byte, error) {
 	if encoding == EncodingZstd {
 		return nil, nil
 	}
 	if encoding != EncodingDelta || request.Base == "" {
 		return nil, ErrUnexpectedEncoding
 	}
-	if latest := f.cache.contents[f.cache.latest]; f.cache.faults.Has(FaultWrongBase) && latest != nil {
+	if latest := f.cache.contents[f.cache.lastFetched]; f.cache.faults.Has(FaultWrongBase) && latest != nil {
 		return latest, nil
 	}
 	return request.baseContent, nil
 }
 
 // rejected has the full content be requested, or the next replica be called if it was.
-func (f *Fetch) rejected(request Request) {
+func (f *Fetch) handleRejection(request Request) {
 	if request.Base == "" {
 		f.HandleFailure()
 		return
--- a/internal/fleet/content/simulation_test.go
+++ b/internal/fleet/content/simulation_test.go
@@ -15,14 +15,14 @@
 // has to be the version, byte for byte; what was fetched without a fault has to come as a delta where the
 // replica had the base.
 type simulation struct {
-	draws    *rapid.T
-	faults   InjectedFaults
-	replicas []*fakeReplica
-	cache    *Cache
-	disk     []byte
-	earlier  []response // all that were sent
-	inForce  int        // versions by number
-	newest   int
+	t             *rapid.T
+	faults        InjectedFaults
+	replicas      []*fakeReplica
+	cache         *Cache
+	storedContent []byte
+	sent          []response // all that were sent
+	inForce       int        // versions by number
+	newest        int
 }
 
 type response struct {
@@ -35,13 +35,13 @@
 	networkLoss = iota
 	networkBitFlip
 	networkTruncation
-	networkDoubling
-	networkMixUp
+	networkRepeatedBody
+	networkOtherResponse
 )
 
 // simulate runs a simulation, and returns what was wrong.
 func simulate(t *rapid.T, faults InjectedFaults) error {
-	s := &simulation{draws: t, faults: faults, cache: NewCache(nil, faults)}
+	s := &simulation{t: t, faults: faults, cache: NewCache(nil, faults)}
 	for range 2 {
 		s.replicas = append(s.replicas, newFakeReplica())
 	}
@@ -57,7 +57,7 @@
 }
 
 func (s *simulation) step() error {
-	switch rapid.IntRange(0, 9).Draw(s.draws, "what") {
+	switch rapid.IntRange(0, 9).Draw(s.t, "what") {
 	case 0, 1: // a new version, in force or taken back
 		if s.newest < len(contents)-1 {
 			s.newest++
@@ -76,17 +76,17 @@
 
 // resetReplica has a replica join, forget, or have later versions only.
 func (s *simulation) resetReplica() {
-	replica := s.replicas[rapid.IntRange(0, 1).Draw(s.draws, "keeper")]
+	replica := s.replicas[rapid.IntRange(0, 1).Draw(s.t, "keeper")]
 	*replica = *newFakeReplica()
-	for n := rapid.IntRange(0, s.newest).Draw(s.draws, "from"); n <= s.newest; n++ {
+	for n := rapid.IntRange(0, s.newest).Draw(s.t, "from"); n <= s.newest; n++ {
 		replica.has[digests[n]] = contents[n]
 	}
 }
 
 // restart starts the gateway with what is on its disk: nothing, the last content, an older one, another fleet's.
 func (s *simulation) restart() {
-	disks := [][]byte{nil, s.disk, contents[0], []byte("of another fleet")}
-	s.cache = NewCache(rapid.SampledFrom(disks).Draw(s.draws, "spool"), s.faults)
+	disks := [][]byte{nil, s.storedContent, contents[0], []byte("of another fleet")}
+	s.cache = NewCache(rapid.SampledFrom(disks).Draw(s.t, "spool"), s.faults)
 }
 
 // renew takes a lease on the version in force, and on the newest if that is another, and fetches their contents.
@@ -107,7 +107,7 @@
 			}
 		}
 		if fetch.State() == StateDone {
-			s.disk = s.cache.Content(digest)
+			s.storedContent = s.cache.Content(digest)
 		}
 	}
 	return nil
@@ -118,14 +118,14 @@
 	request := fetch.NextRequest()
 	replica := s.replicas[request.Replica]
 	encoding, encoded, exists := replica.respond(request)
-	fault := rapid.IntRange(0, 9).Draw(s.draws, "fault")
+	fault := rapid.IntRange(0, 9).Draw(s.t, "fault")
 	if !exists || fault == networkLoss {
 		fetch.HandleFailure()
 		return nil
 	}
-	s.earlier = append(s.earlier, response{encoding, encoded})
+	s.sent = append(s.sent, response{encoding, encoded})
 	delivered := s.deliver(response{encoding, encoded}, fault)
-	undamaged := fault > networkMixUp
+	undamaged := fault > networkOtherResponse
 	_, hasBase := replica.content(request.Base)
 	if err := fetch.HandleResponse(request, delivered.encoding, delivered.encoded); undamaged && err != nil {
 		return fmt.Errorf("rejected without a fault: %w", err)
@@ -141,14 +141,14 @@
 	switch fault {
 	case networkBitFlip:
 		r.encoded = bytes.Clone(r.encoded)
-		at := rapid.IntRange(0, len(r.encoded)-1).Draw(s.draws, "byte")
-		r.encoded[at] ^= 1 << rapid.IntRange(0, 7).Draw(s.draws, "bit")
+		at := rapid.IntRange(0, len(r.encoded)-1).Draw(s.t, "byte")
+		r.encoded[at] ^= 1 << rapid.IntRange(0, 7).Draw(s.t, "bit")
 	case networkTruncation:
-		r.encoded = r.encoded[:rapid.IntRange(0, len(r.encoded)-1).Draw(s.draws, "cut")]
-	case networkDoubling:
+		r.encoded = r.encoded[:rapid.IntRange(0, len(r.encoded)-1).Draw(s.t, "cut")]
+	case networkRepeatedBody:
 		r.encoded = slices.Concat(r.encoded, r.encoded)
-	case networkMixUp: // an earlier response, or one to another request
-		r = rapid.SampledFrom(s.earlier).Draw(s.draws, "late")
+	case networkOtherResponse: // an earlier response, or one to another request
+		r = rapid.SampledFrom(s.sent).Draw(s.t, "late")
 	}
 	return r
 }
--- a/internal/fleet/delta/delta.go
+++ b/internal/fleet/delta/delta.go
@@ -26,8 +26,8 @@
 	// minWindowBytes is the smallest window of a frame, as it costs little and small contents are common.
 	minWindowBytes = 1 << 17
 
-	shownBytes       = 8 // of what is not a delta, in an error
-	shownDigestBytes = 6 // of a digest, in an error
+	prefixBytesInError = 8 // of what is not a delta, in an error
+	digestBytesInError = 6 // of a digest, in an error
 )
 
 // What is wrong with data that cannot be decoded.
@@ -85,7 +85,7 @@
 		zstd.WithDecoderMaxMemory(window),
 		zstd.WithDecoderMaxWindow(window),
 	}
-	frame, err := cutHeader(base, encoded)
+	frame, err := stripHeader(base, encoded)
 	if err != nil {
 		return nil, err
 	}
@@ -112,7 +112,7 @@
 }
 
 // cutHeader checks that data is a delta from base, or complete if the base is empty, and returns the frame in it.
-func cutHeader(base, encoded []byte) ([]byte, error) {
+func stripHeader(base, encoded []byte) ([]byte, error) {
 	isDelta := bytes.HasPrefix(encoded, magic)
 	if len(base) == 0 {
 		if isDelta {
@@ -124,12 +124,12 @@
 		return nil, fmt.Errorf("a delta of %d bytes: %w", len(encoded), ErrTruncated)
 	}
 	if !isDelta {
-		return nil, fmt.Errorf("a delta that begins with % x: %w", encoded[:min(len(encoded), shownBytes)], ErrFormat)
+		return nil, fmt.Errorf("a delta that begins with % x: %w", encoded[:min(len(encoded), prefixBytesInError)], ErrFormat)
 	}
 	want := BaseHash(base)
 	if hash := encoded[magicBytes:headerBytes]; !bytes.Equal(hash, want[:]) {
 		return nil, fmt.Errorf("a delta from %x, where the base is %x: %w",
-			hash[:shownDigestBytes], want[:shownDigestBytes], ErrWrongBase)
+			hash[:digestBytesInError], want[:digestBytesInError], ErrWrongBase)
 	}
 	return encoded[headerBytes:], nil
 }
--- a/internal/fleet/delta/delta_test.go
+++ b/internal/fleet/delta/delta_test.go
@@ -18,7 +18,7 @@
 const maxTestBytes = 1 << 22
 
 // listOfNodes is a content of so many lines, of which one is changed.
-func listOfNodes(lines, changed int) []byte {
+func nodeList(lines, changed int) []byte {
 	random := rand.New(rand.NewPCG(7, 1))
 	var b strings.Builder
 	for i := range lines {
@@ -43,7 +43,7 @@
 }
 
 // drawTheSame makes rapid draw the same values in each run and write no files.
-func drawTheSame(t *testing.T) {
+func useFixedSeed(t *testing.T) {
 	t.Helper()
 	for name, value := range map[string]string{"rapid.nofailfile": "true", "rapid.seed": "7"} {
 		if err := flag.Set(name, value); err != nil {
@@ -53,7 +53,7 @@
 }
 
 func TestDecodeReturnsAnyContentFromItsBaseOnly(t *testing.T) {
-	drawTheSame(t)
+	useFixedSeed(t)
 	rapid.Check(t, func(t *rapid.T) {
 		base, content := drawBaseAndContent(t)
 		encoded, err := Encode(base, content)
@@ -64,7 +64,7 @@
 		if err != nil || !bytes.Equal(decoded, content) {
 			t.Fatalf("%d bytes of %d: %v", len(decoded), len(content), err)
 		}
-		checkDamaged(t, base, encoded)
+		checkDamagedData(t, base, encoded)
 		if len(base) == 0 {
 			return
 		}
@@ -95,7 +95,7 @@
 
 // checkDamaged checks that truncated and doubled data is refused. Of data with one wrong bit there may come
 // anything, but not more than is asked for.
-func checkDamaged(t *rapid.T, base, encoded []byte) {
+func checkDamagedData(t *rapid.T, base, encoded []byte) {
 	end := rapid.IntRange(0, len(encoded)-1).Draw(t, "cut")
 	if _, err := Decode(base, encoded[:end], maxTestBytes); err == nil {
 		t.Fatalf("truncated after %d of %d bytes, and decoded", end, len(encoded))
@@ -111,7 +111,7 @@
 }
 
 func TestDecodeNamesTheErrorWithoutUnpackingMuch(t *testing.T) {
-	base, content := listOfNodes(500, -1), listOfNodes(500, 250)
+	base, content := nodeList(500, -1), nodeList(500, 250)
 	delta := mustEncode(t, base, content)
 	complete := mustEncode(t, nil, content)
 	withSize, err := zstd.NewWriter(nil)
@@ -135,7 +135,7 @@
 		"a delta from another base":  {content, delta, ErrWrongBase},
 		"a delta twice":              {base, slices.Concat(delta, delta), ErrTrailingData},
 		"a frame twice":              {nil, slices.Concat(complete, complete), ErrTrailingData},
-		"more than allowed, unsaid":  {nil, unpacksTo2GiB(), ErrTooLarge},
+		"more than allowed, unsaid":  {nil, frameOver2GiB(), ErrTooLarge},
 		"more than allowed, as said": {nil, withSize.EncodeAll(make([]byte, 2*maxTestBytes), nil), ErrTooLarge},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -154,7 +154,7 @@
 }
 
 // unpacksTo2GiB is a frame that does not say its size, of 20,000 blocks of 128 KiB of one byte each.
-func unpacksTo2GiB() []byte {
+func frameOver2GiB() []byte {
 	frame := []byte{0x28, 0xb5, 0x2f, 0xfd, 0, 0x58} // with a window of 2 MiB
 	for range 20_000 {
 		frame = append(frame, 0x02, 0x00, 0x10, 'x')
@@ -164,7 +164,7 @@
 
 func TestDeltaOfOneChangedLineIsSmall(t *testing.T) {
 	for _, lines := range []int{100, 2000, 30_000} {
-		base, content := listOfNodes(lines, -1), listOfNodes(lines, lines/2)
+		base, content := nodeList(lines, -1), nodeList(lines, lines/2)
 		encoded := mustEncode(t, base, content)
 		if len(encoded) > headerBytes+200+len(content)/1000 {
 			t.Errorf("%d lines: a delta of %d bytes", lines, len(encoded))
@@ -177,7 +177,7 @@
 }
 
 func BenchmarkDelta(b *testing.B) {
-	base, content := listOfNodes(2500, -1), listOfNodes(2500, 1200)
+	base, content := nodeList(2500, -1), nodeList(2500, 1200)
 	delta := mustEncode(b, base, content)
 	complete := mustEncode(b, nil, content)
 	b.Run("encode", func(b *testing.B) {
--- a/internal/fleet/delta/golden_test.go
+++ b/internal/fleet/delta/golden_test.go
@@ -10,7 +10,7 @@
 // Logs and snapshots keep what earlier builds have encoded. What is encoded now may be compressed otherwise,
 // but for the first bytes of a delta: its magic number and the digest of its base.
 func TestGoldenDeltasAreDecoded(t *testing.T) {
-	base, content := listOfNodes(50, -1), listOfNodes(50, 25)
+	base, content := nodeList(50, -1), nodeList(50, 25)
 	for name, base := range map[string][]byte{"delta.dcz": base, "complete.zst": nil} {
 		file, err := os.ReadFile(filepath.Join("testdata", name))
 		if err != nil {
--- a/internal/fleet/rig/audit_test.go
+++ b/internal/fleet/rig/audit_test.go
@@ -46,9 +46,9 @@
 		prepared      = "0 false [1 2]"
 	)
 	for _, test := range []struct {
-		name, one, other string
-		worst            float64
-		violations       int
+		name, recordA, recordB string
+		worst                  float64
+		violations             int
 	}{
 		{"the same", first, first, 0, 0},
 		{"one on the old, one on the new", first, first + "\n20000000 false [2]", 80, 1},
@@ -64,7 +64,7 @@
 			first + "\n5000000 false []\n20000000 false [1]\n25000000 false []", second, 5, 0,
 		},
 	} {
-		records := map[string][]Activation{"one": parseRecord(t, test.one), "other": parseRecord(t, test.other)}
+		records := map[string][]Activation{"one": parseRecord(t, test.recordA), "other": parseRecord(t, test.recordB)}
 		for name, audit := range map[string]auditFunc{"pairs": AuditPairs, "sweep": AuditSweep} {
 			result, err := audit(records, auditedVersions(), 10e6, 100e6)
 			asExpected := result.WorstMillis == test.worst && result.Violations == test.violations && result.Pairs == 1
--- a/internal/fleet/rig/conflict.go
+++ b/internal/fleet/rig/conflict.go
@@ -11,13 +11,13 @@
 // conflictFinder tells whether what gateways act on conflicts, from the versions' content alone.
 type conflictFinder struct {
 	configurations map[uint64]*configversion.Config // by version
-	known          map[string]string                // results by what two gateways act on
+	results        map[string]string                // results by what two gateways act on
 }
 
 func newConflictFinder(versions []*configversion.Version) (*conflictFinder, error) {
 	finder := &conflictFinder{
 		configurations: map[uint64]*configversion.Config{},
-		known:          map[string]string{},
+		results:        map[string]string{},
 	}
 	for _, version := range versions {
 		configuration, err := version.Config()
@@ -35,11 +35,11 @@
 		return ""
 	}
 	key := fmt.Sprint(a.Versions, a.Fallback, b.Versions, b.Fallback)
-	if text, known := f.known[key]; known {
+	if text, known := f.results[key]; known {
 		return text
 	}
 	text := strings.Join(f.conflicts(a, b), "; ")
-	f.known[key] = text
+	f.results[key] = text
 	return text
 }
 
--- a/internal/fleet/rig/connection.go
+++ b/internal/fleet/rig/connection.go
@@ -60,7 +60,7 @@
 			return
 		}
 		if err != nil {
-			c.ended(to, err)
+			c.propagateEnd(to, err)
 			return
 		}
 	}
@@ -69,31 +69,31 @@
 // forward writes bytes as the link's fault has them pass; false where the connection has ended.
 func (c *connection) forward(to *net.TCPConn, bytes []byte, drops func(Fault) bool) bool {
 	for len(bytes) > 0 {
-		fault, dropped := c.faultOf(drops)
+		fault, dropped := c.linkFault(drops)
 		if dropped {
 			return true
 		}
-		piece := bytes
+		chunk := bytes
 		wait := fault.Delay
 		if fault.Trickle {
-			piece = bytes[:1]
+			chunk = bytes[:1]
 			wait = trickleInterval
 		}
 		if !c.wait(wait) {
 			return false
 		}
-		if _, err := to.Write(piece); err != nil {
+		if _, err := to.Write(chunk); err != nil {
 			c.reset()
 			return false
 		}
-		bytes = bytes[len(piece):]
+		bytes = bytes[len(chunk):]
 	}
 	return true
 }
 
 // faultOf is the link's fault, and whether bytes of this connection are dropped: from the first one on all are, in both
 // directions.
-func (c *connection) faultOf(drops func(Fault) bool) (fault Fault, dropped bool) {
+func (c *connection) linkFault(drops func(Fault) bool) (fault Fault, dropped bool) {
 	c.link.mutex.Lock()
 	defer c.link.mutex.Unlock()
 	c.dataLost = c.dataLost || drops(c.link.fault)
@@ -114,7 +114,7 @@
 }
 
 // ended passes the end of one side on to the other.
-func (c *connection) ended(to *net.TCPConn, err error) {
+func (c *connection) propagateEnd(to *net.TCPConn, err error) {
 	if !errors.Is(err, io.EOF) {
 		c.reset()
 		return
--- a/internal/fleet/rig/delayedreader.go
+++ b/internal/fleet/rig/delayedreader.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// maxDelayedPieces is how many pieces are under way at once in one direction; each has copyBufferBytes at most.
-const maxDelayedPieces = 64
+// maxDelayedChunks is how many chunks are under way at once in one direction; each has copyBufferBytes at most.
+const maxDelayedChunks = 64
 
 // delayedReader delivers what it reads after a fixed time, without holding up what follows.
 type delayedReader struct {
-	pieces  chan delayedPiece
-	current delayedPiece // what of it was not delivered yet
+	chunks  chan delayedChunk
+	current delayedChunk // what of it was not delivered yet
 	stopped chan struct{}
 }
 
-// delayedPiece is what one read has returned, and when it is delivered. Its error comes after its bytes.
-type delayedPiece struct {
+// delayedChunk is what one read has returned, and when it is delivered. Its error comes after its bytes.
+type delayedChunk struct {
 	bytes     []byte
 	deliverAt time.Time
 	err       error
@@ -24,7 +24,7 @@
 
 // newDelayedReader begins to read.
 func newDelayedReader(from io.Reader, latency time.Duration) *delayedReader {
-	d := &delayedReader{pieces: make(chan delayedPiece, maxDelayedPieces), stopped: make(chan struct{})}
+	d := &delayedReader{chunks: make(chan delayedChunk, maxDelayedChunks), stopped: make(chan struct{})}
 	go d.readAhead(from, latency)
 	return d
 }
@@ -34,9 +34,9 @@
 	buffer := make([]byte, copyBufferBytes)
 	for {
 		n, err := from.Read(buffer)
-		piece := delayedPiece{append([]byte(nil), buffer[:n]...), time.Now().Add(latency), err}
+		chunk := delayedChunk{append([]byte(nil), buffer[:n]...), time.Now().Add(latency), err}
 		select {
-		case d.pieces <- piece:
+		case d.chunks <- chunk:
 		case <-d.stopped:
 			return
 		}
@@ -49,7 +49,7 @@
 // Read waits until the next bytes are to be delivered.
 func (d *delayedReader) Read(b []byte) (int, error) {
 	for len(d.current.bytes) == 0 && d.current.err == nil {
-		d.current = <-d.pieces
+		d.current = <-d.chunks
 		time.Sleep(time.Until(d.current.deliverAt))
 	}
 	n := copy(b, d.current.bytes)
--- a/internal/fleet/rig/link.go
+++ b/internal/fleet/rig/link.go
@@ -23,7 +23,7 @@
 func NewLink(target string) (*Link, error) { return NewLinkWithLatency(target, 0) }
 
 // NewLinkWithLatency starts a link on which each byte takes so long, in either direction. Bytes do not wait for those
-// before them, as far as maxDelayedPieces pieces are under way.
+// before them, as far as maxDelayedChunks chunks are under way.
 func NewLinkWithLatency(target string, latency time.Duration) (*Link, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/fleet/rig/sweep.go
+++ b/internal/fleet/rig/sweep.go
@@ -90,39 +90,39 @@
 // sweepState is what all gateways act on at one time. An activation's key is its versions and whether it is on
 // fallbacks.
 type sweepState struct {
-	finder      *conflictFinder
-	keys        map[string]string     // by gateway
-	gateways    map[string]int        // how many act so, by key
-	activations map[string]Activation // by key
+	finder        *conflictFinder
+	keyOf         map[string]string     // by gateway
+	gatewayCounts map[string]int        // how many act so, by key
+	activations   map[string]Activation // by key
 }
 
 func newSweepState(finder *conflictFinder) *sweepState {
 	return &sweepState{
-		finder:      finder,
-		keys:        map[string]string{},
-		gateways:    map[string]int{},
-		activations: map[string]Activation{},
+		finder:        finder,
+		keyOf:         map[string]string{},
+		gatewayCounts: map[string]int{},
+		activations:   map[string]Activation{},
 	}
 }
 
 // set has a gateway act on something from now on.
 func (s *sweepState) set(gateway string, activation Activation) {
-	if before, known := s.keys[gateway]; known {
-		s.gateways[before]--
-		if s.gateways[before] == 0 {
-			delete(s.gateways, before)
+	if before, known := s.keyOf[gateway]; known {
+		s.gatewayCounts[before]--
+		if s.gatewayCounts[before] == 0 {
+			delete(s.gatewayCounts, before)
 			delete(s.activations, before)
 		}
 	}
 	key := fmt.Sprint(activation.Versions, activation.Fallback)
-	s.keys[gateway] = key
+	s.keyOf[gateway] = key
 	s.activations[key] = activation
-	s.gateways[key]++
+	s.gatewayCounts[key]++
 }
 
 // conflict tells in what some two gateways conflict; "" where none do.
 func (s *sweepState) conflict() string {
-	keys := slices.Sorted(maps.Keys(s.gateways))
+	keys := slices.Sorted(maps.Keys(s.gatewayCounts))
 	for i, key := range keys {
 		for _, other := range keys[i+1:] {
 			if conflict := s.finder.conflict(s.activations[key], s.activations[other]); conflict != "" {
