--- a/internal/fleet/content/cache.go
+++ b/internal/fleet/content/cache.go
@@ -1,10 +1,10 @@
-// Package content decides how the contents of versions travel between replicas and gateways. A gateway has a
-// Cache of contents and gets one by a Fetch; a replica has a DeltaCache of what it sends. The client of a
-// gateway and the replica call it.
+// Package content implements both sides of the transfer of version contents from replicas to gateways. A gateway
+// keeps contents in a Cache and downloads missing ones with a Fetch. A replica keeps contents and their encoded
+// forms in a DeltaCache. It is used by packages client (the gateway's side) and replica.
 //
-// It is pure: no I/O, clock, lock or chance; callers own its values. A content is named by its BLAKE3 digest,
-// never changes, and is used only once the digest was checked. The base of a delta is named by its digest and by
-// its SHA-256, as RFC 9842 has it.
+// The package is pure: it has no I/O, clock, locks or randomness, and callers synchronize access to its values. A
+// content is immutable, is identified by its BLAKE3 digest, and is used only after the digest has been checked. The
+// base of a delta is identified by its digest and, as RFC 9842 requires, by its SHA-256.
 package content
 
 import (
@@ -15,23 +15,24 @@
 
 // Content encodings of a response, as in its Content-Encoding header.
 const (
-	EncodingDelta = "dcz"  // a delta from the base that was offered
+	EncodingDelta = "dcz"  // a delta from the base that the request offered
 	EncodingZstd  = "zstd" // the full content, compressed
 )
 
-// Cache is the contents that a gateway has: those of the versions that the last lease named, and one more as a
-// base of deltas.
+// Cache holds the contents that a gateway has: those of the versions that the last lease named, and an extra one
+// that serves as a base for deltas.
 type Cache struct {
 	contents    map[string][]byte // by digest
-	retained    []string          // digests that the last lease named, the version in force first
-	extraBase   string            // digest of the one more; "": none
-	lastFetched string            // digest of the content that was fetched last
-	fullOnly    map[string]bool   // digests of which no delta is requested any more, as one did not decode
+	retained    []string          // digests that the last lease named, that of the version in force first
+	extraBase   string            // digest of the extra content; empty: none
+	lastFetched string            // digest of the most recently fetched content
+	fullOnly    map[string]bool   // digests whose full content is requested, as a delta was rejected
 	faults      InjectedFaults
 }
 
-// NewCache makes the cache of a gateway whose disk had a content, or none (nil). That content serves as a base;
-// what may be acted on is for leases to say, by digest.
+// NewCache returns a gateway's cache with the content that was read from its disk, or an empty one if fromDisk is
+// nil. The content from disk serves as a base. Whether the gateway may act on it is decided by leases, which name
+// contents by digest.
 func NewCache(fromDisk []byte, faults InjectedFaults) *Cache {
 	c := &Cache{contents: map[string][]byte{}, fullOnly: map[string]bool{}, faults: faults}
 	if len(fromDisk) > 0 {
@@ -41,8 +42,9 @@
 	return c
 }
 
-// Retain drops all contents but those with these digests, the one in force first, and one that was retained
-// before: of these the first, since that was in force and is what the next versions are made from.
+// Retain removes all contents except those with the given digests, that of the version in force first, and one
+// extra base. The extra base becomes the first cached content of the previous call that is not among the given ones,
+// if there is one: it was in force, and new versions are derived from the version in force.
 func (c *Cache) Retain(digests ...string) {
 	before := c.retained
 	c.retained = slices.Clone(digests)
@@ -66,7 +68,7 @@
 
 func (c *Cache) isRetained(digest string) bool { return slices.Contains(c.retained, digest) }
 
-// Content is the content with a digest; nil: it is not cached. Callers must not change it.
+// Content returns the content with the given digest, or nil if it is not cached. Callers must not modify it.
 func (c *Cache) Content(digest string) []byte {
 	if c.faults.Has(FaultStaleCacheFile) && c.contents[digest] == nil && c.extraBase != "" {
 		return c.contents[c.extraBase]
@@ -74,8 +76,8 @@
 	return c.contents[digest]
 }
 
-// Add caches a content that came in some other way than by a Fetch. It is false, and nothing is cached, if the
-// digest is another.
+// Add caches a content that was received by other means than a Fetch. If the content does not have the given
+// digest, Add caches nothing and returns false.
 func (c *Cache) Add(digest string, content []byte) bool {
 	if configversion.DigestOf(content) != digest {
 		return false
@@ -84,7 +86,7 @@
 	return true
 }
 
-// Digests are those of all contents, in ascending order.
+// Digests returns the digests of all cached contents in ascending order.
 func (c *Cache) Digests() (digests []string) {
 	for digest := range c.contents {
 		digests = append(digests, digest)
@@ -93,8 +95,8 @@
 	return digests
 }
 
-// base is the digest of the content that a delta is requested from: that of the version in force, else any
-// other; "": none.
+// base returns the digest of the content to offer as the base of a delta: that of the version in force if it is
+// cached, otherwise that of the next retained content or of the extra base, or "" if there is none.
 func (c *Cache) base() string {
 	for _, digest := range append(slices.Clone(c.retained), c.extraBase) {
 		if c.contents[digest] != nil {
--- a/internal/fleet/content/faults.go
+++ b/internal/fleet/content/faults.go
@@ -1,14 +1,14 @@
 package content
 
-// InjectedFaults are defects that tests put in, to show that their checks find them. Nothing else sets them.
+// InjectedFaults is a set of defects that tests inject to prove that their checks detect them. Only tests set it.
 type InjectedFaults uint8
 
-// The defects.
+// The defects that can be injected.
 const (
-	FaultNoDigestCheck  InjectedFaults = 1 << iota // the digest of what was received is not checked
-	FaultWrongBase                                 // a delta is decoded with the content that came last, whatever its base
-	FaultStaleCacheFile                            // the content from the disk passes for any content
+	FaultNoDigestCheck  InjectedFaults = 1 << iota // the digest of a received content is not checked
+	FaultWrongBase                                 // deltas are decoded with the most recently fetched content as base
+	FaultStaleCacheFile                            // a missing content is replaced by the extra base (the one from disk)
 )
 
-// Has tells whether a defect is put in.
+// Has reports whether a defect is injected.
 func (f InjectedFaults) Has(fault InjectedFaults) bool { return f&fault != 0 }
--- a/internal/fleet/content/fetch.go
+++ b/internal/fleet/content/fetch.go
@@ -8,50 +8,50 @@
 	"irispost/internal/fleet/delta"
 )
 
-// Why a response is rejected, beside the errors of package delta.
+// Reasons why a response is rejected, in addition to the errors of package delta.
 var (
-	ErrDigestMismatch = errors.New("another digest than was requested")
-	// ErrUnexpectedEncoding is of a response in an encoding that the request did not offer.
+	ErrDigestMismatch = errors.New("digest mismatch")
+	// ErrUnexpectedEncoding rejects a response in an encoding that the request did not offer.
 	ErrUnexpectedEncoding = errors.New("unexpected content encoding")
 )
 
-// Request is what to request from a replica.
+// Request describes a request for a content to a replica.
 type Request struct {
-	Replica     int    // which, counted from the one that granted the lease
-	Digest      string // of the content
-	Base        string // digest of the base that is offered; "": none, the full content is requested
+	Replica     int    // index of the replica, counted from the one that granted the lease
+	Digest      string // digest of the content
+	Base        string // digest of the offered base; empty: none, the full content is requested
 	baseContent []byte
 }
 
-// BaseHash is the SHA-256 by which the base is named beside its digest.
+// BaseHash returns the SHA-256 that identifies the base in addition to its digest.
 func (r Request) BaseHash() [32]byte { return delta.BaseHash(r.baseContent) }
 
-// State is how far a fetch has come. Only Fetch.setState changes it.
+// State is the state of a fetch. Only Fetch.setState changes it.
 type State uint8
 
 // The states of a fetch.
 const (
-	StateInProgress State = iota // NextRequest says what to request
+	StateInProgress State = iota // NextRequest returns the request to send
 	StateDone                    // the content is cached
-	StateFailed                  // no replica had it; the next lease names it again
+	StateFailed                  // no replica returned it; the next lease names it again
 )
 
 var stateNames = [...]string{"in progress", "done", "failed"}
 
-// String names a state.
+// String returns the name of a state.
 func (s State) String() string { return stateNames[s] }
 
-// Fetch gets one content: as a delta from a cached one, in full where that does not decode, from one replica
-// after the other.
+// Fetch downloads one content. It requests a delta from a cached base, then the full content if the delta is
+// rejected, and tries one replica after the other.
 type Fetch struct {
 	cache    *Cache
 	digest   string
-	replicas int // their number
-	replica  int // the one that is called, counted from the one that granted the lease
+	replicas int // number of replicas to try
+	replica  int // index of the current one, counted from the one that granted the lease
 	state    State
 }
 
-// Fetch begins to get a content from a number of replicas. It is done at once if the content is cached.
+// Fetch starts to download a content from the given number of replicas. It is done at once if the content is cached.
 func (c *Cache) Fetch(digest string, replicas int) *Fetch {
 	f := &Fetch{cache: c, digest: digest, replicas: replicas}
 	if c.Content(digest) != nil {
@@ -62,10 +62,10 @@
 
 func (f *Fetch) setState(state State) { f.state = state }
 
-// State is how far the fetch has come.
+// State returns the state of the fetch.
 func (f *Fetch) State() State { return f.state }
 
-// NextRequest is what to request now, while the fetch is in progress.
+// NextRequest returns the request to send next while the fetch is in progress.
 func (f *Fetch) NextRequest() Request {
 	r := Request{Replica: f.replica, Digest: f.digest}
 	if !f.cache.fullOnly[f.digest] {
@@ -75,7 +75,7 @@
 	return r
 }
 
-// HandleFailure notes that a replica does not have the content, or did not respond: the next one is called.
+// HandleFailure moves on to the next replica, as the current one does not have the content or did not respond.
 func (f *Fetch) HandleFailure() {
 	f.replica++
 	if f.replica >= f.replicas {
@@ -83,14 +83,13 @@
 	}
 }
 
-// HandleResponse takes the response to a request. Where a delta does not give the content, the full content is
-// requested, once; where a full one does not, the next replica is called. The error says why a response is
-// rejected.
+// HandleResponse handles the response to a request. After a rejected delta the full content is requested, once;
+// after a rejected full content the next replica is tried. The error gives the reason for a rejection.
 func (f *Fetch) HandleResponse(request Request, encoding string, encoded []byte) error {
 	content, err := f.decode(request, encoding, encoded)
 	if err != nil {
 		f.handleRejection(request)
-		return fmt.Errorf("content %.8s as %q of %d bytes from base %.8s: %w",
+		return fmt.Errorf("content %.8s in encoding %q, %d bytes, base %.8s: %w",
 			request.Digest, encoding, len(encoded), request.Base, err)
 	}
 	f.cache.contents[request.Digest] = content
@@ -111,12 +110,12 @@
 		return nil, err
 	}
 	if digest := configversion.DigestOf(content); digest != request.Digest && !f.cache.faults.Has(FaultNoDigestCheck) {
-		return nil, fmt.Errorf("%w: %.8s", ErrDigestMismatch, digest)
+		return nil, fmt.Errorf("%w: got %.8s", ErrDigestMismatch, digest)
 	}
 	return content, nil
 }
 
-// decodeBase is the base that a response was encoded with; nil: it is a full content.
+// deltaBase returns the base to decode a response with, or nil if the response is a full content.
 func (f *Fetch) deltaBase(request Request, encoding string) ([]byte, error) {
 	if encoding == EncodingZstd {
 		return nil, nil
@@ -130,7 +129,7 @@
 	return request.baseContent, nil
 }
 
-// rejected has the full content be requested, or the next replica be called if it was.
+// handleRejection switches to requesting the full content, or to the next replica if that was requested already.
 func (f *Fetch) handleRejection(request Request) {
 	if request.Base == "" {
 		f.HandleFailure()
--- a/internal/fleet/content/fetch_test.go
+++ b/internal/fleet/content/fetch_test.go
@@ -8,7 +8,7 @@
 	"irispost/internal/fleet/delta"
 )
 
-// newFullReplica has all contents.
+// newFullReplica returns a replica that has all contents.
 func newFullReplica() *fakeReplica {
 	replica := newFakeReplica()
 	for n, digest := range digests {
@@ -17,7 +17,8 @@
 	return replica
 }
 
-// TestDeltaIsRequestedFromVersionInForce: not from the one that was announced.
+// TestDeltaIsRequestedFromVersionInForce checks that the base of a delta is the version in force, not one that is
+// only announced.
 func TestDeltaIsRequestedFromVersionInForce(t *testing.T) {
 	replica, cache := newFullReplica(), NewCache(contents[0], 0)
 	for _, c := range []struct {
@@ -37,13 +38,13 @@
 		}
 		cache.Retain(retained...)
 		if request := mustFetch(t, cache, replica, digests[c.version]); request.Base != digests[c.base] {
-			t.Errorf("version %d is requested from %.8s, not %.8s", c.version, request.Base, digests[c.base])
+			t.Errorf("version %d is requested with base %.8s, want %.8s", c.version, request.Base, digests[c.base])
 		}
 	}
 }
 
-// TestRejectedResponseIsFollowedByAnotherRequest: after a delta the full content, after that the next replica,
-// after the last none.
+// TestRejectedResponseIsFollowedByAnotherRequest checks that a rejected delta is followed by a request for the full
+// content, a rejected full content by a request to the next replica, and the last replica by none.
 func TestRejectedResponseIsFollowedByAnotherRequest(t *testing.T) {
 	replica, cache := newFullReplica(), NewCache(contents[3], 0)
 	cache.Retain(digests[6])
@@ -64,13 +65,15 @@
 	} {
 		request := fetch.NextRequest()
 		if fetch.State() != StateInProgress || request.Base != c.base || request.Replica != c.replica {
-			t.Fatalf("request %d: %+v, %v", i, request, fetch.State())
+			t.Fatalf("request %d is %+v in state %v, want one in progress with the expected base and replica",
+				i, request, fetch.State())
 		}
 		if err := fetch.HandleResponse(request, c.encoding, c.encoded); !errors.Is(err, c.want) {
-			t.Errorf("request %d: %v, not %v", i, err, c.want)
+			t.Errorf("request %d: got error %v, want %v", i, err, c.want)
 		}
 	}
 	if fetch.State() != StateFailed || cache.Content(digests[7]) != nil || cache.Content(digests[6]) == nil {
-		t.Errorf("%v, cached %v", fetch.State(), cache.Digests())
+		t.Errorf("fetch is %v, cached are %v, want it failed, its base cached and its content not",
+			fetch.State(), cache.Digests())
 	}
 }
--- a/internal/fleet/content/helpers_test.go
+++ b/internal/fleet/content/helpers_test.go
@@ -10,7 +10,7 @@
 	"irispost/internal/fleet/delta"
 )
 
-// contents are versions' contents, by number; each differs a little from the one before.
+// contents holds version contents by number; each differs from the one before in one line.
 var contents = func() (list [][]byte) {
 	random := rand.New(rand.NewPCG(7, 3))
 	lines := make([]string, 60)
@@ -24,7 +24,7 @@
 	return list
 }()
 
-// digests are those of contents.
+// digests holds the digests of contents.
 var digests = func() (list []string) {
 	for _, b := range contents {
 		list = append(list, configversion.DigestOf(b))
@@ -32,7 +32,7 @@
 	return list
 }()
 
-// fakeReplica responds as a replica does that has some of the contents.
+// fakeReplica responds like a replica that has some of the contents.
 type fakeReplica struct {
 	cache *DeltaCache
 	has   map[string][]byte // by digest
@@ -73,7 +73,7 @@
 	return EncodingDelta, encoded, true
 }
 
-// mustEncode is delta.Encode for what can be encoded.
+// mustEncode calls delta.Encode and panics on an error.
 func mustEncode(base, content []byte) []byte {
 	encoded, err := delta.Encode(base, content)
 	if err != nil {
@@ -82,14 +82,14 @@
 	return encoded
 }
 
-// mustFetch fetches a content from a replica, and returns the request that it made.
+// mustFetch fetches a content from a replica with one request, which must succeed, and returns that request.
 func mustFetch(t *testing.T, cache *Cache, replica *fakeReplica, digest string) Request {
 	t.Helper()
 	fetch := cache.Fetch(digest, 1)
 	request := fetch.NextRequest()
 	encoding, encoded, _ := replica.respond(request)
 	if err := fetch.HandleResponse(request, encoding, encoded); err != nil || fetch.State() != StateDone {
-		t.Fatalf("%v, %v", fetch.State(), err)
+		t.Fatalf("fetch is %v with error %v, want done without one", fetch.State(), err)
 	}
 	return request
 }
--- a/internal/fleet/content/lru.go
+++ b/internal/fleet/content/lru.go
@@ -2,14 +2,14 @@
 
 import "container/list"
 
-// lruCache is a map that is bounded in its number of entries and the sum of their sizes, and evicts the least
-// recently used.
+// lruCache is a map that is bounded in the number of its entries and in the sum of their sizes. It evicts the least
+// recently used entries.
 type lruCache[K comparable, V any] struct {
 	maxEntries int
 	maxSize    int
-	size       int // of all entries
+	size       int // sum over all entries
 	entries    map[K]*list.Element
-	order      *list.List // of *lruEntry, the most recently used in front
+	order      *list.List // of *lruEntry, the most recently used first
 }
 
 type lruEntry[K comparable, V any] struct {
@@ -22,7 +22,7 @@
 	return lruCache[K, V]{maxEntries: maxEntries, maxSize: maxSize, entries: map[K]*list.Element{}, order: list.New()}
 }
 
-// get returns a value, which is now the most recently used.
+// get returns a value and marks it as the most recently used.
 func (c *lruCache[K, V]) get(key K) (value V, cached bool) {
 	element := c.entries[key]
 	if element == nil {
@@ -32,7 +32,7 @@
 	return element.Value.(*lruEntry[K, V]).value, true
 }
 
-// put adds or replaces a value. The last one that was put stays whatever its size.
+// put adds or replaces a value. The value itself is kept even if it alone exceeds the maximum size.
 func (c *lruCache[K, V]) put(key K, value V, size int) {
 	c.remove(c.entries[key])
 	c.entries[key] = c.order.PushFront(&lruEntry[K, V]{key, value, size})
@@ -42,7 +42,7 @@
 	}
 }
 
-// remove removes an entry; nil: there is none.
+// remove removes an entry; it does nothing if element is nil.
 func (c *lruCache[K, V]) remove(element *list.Element) {
 	if element == nil {
 		return
--- a/internal/fleet/content/simulation_test.go
+++ b/internal/fleet/content/simulation_test.go
@@ -10,18 +10,18 @@
 	"pgregory.net/rapid"
 )
 
-// simulation is a gateway that fetches contents from two replicas, in any order of changes, losses, damaged and
-// mixed up responses, and starts with what the disk had then, or something else. Whatever it has of a version
-// has to be the version, byte for byte; what was fetched without a fault has to come as a delta where the
-// replica had the base.
+// simulation is a gateway that fetches contents from two replicas, under randomly drawn version changes, replica
+// resets, lost, damaged and misdirected responses, and restarts with the right, an outdated, a foreign or no content
+// on disk. Every content that it has cached for a version must equal that version's, byte for byte. A response
+// without a fault must be accepted, and must be a delta if the replica had the base.
 type simulation struct {
 	t             *rapid.T
 	faults        InjectedFaults
 	replicas      []*fakeReplica
 	cache         *Cache
 	storedContent []byte
-	sent          []response // all that were sent
-	inForce       int        // versions by number
+	sent          []response // all responses that replicas have sent
+	inForce       int        // version numbers, as is newest
 	newest        int
 }
 
@@ -30,7 +30,7 @@
 	encoded  []byte
 }
 
-// What becomes of a response, as drawn from 0 to 9; higher numbers are delivered as they are.
+// Network faults of a response. The fault is drawn from 0 to 9; the other numbers deliver the response unchanged.
 const (
 	networkLoss = iota
 	networkBitFlip
@@ -39,7 +39,7 @@
 	networkOtherResponse
 )
 
-// simulate runs a simulation, and returns what was wrong.
+// simulate runs one simulation and returns the first violation.
 func simulate(t *rapid.T, faults InjectedFaults) error {
 	s := &simulation{t: t, faults: faults, cache: NewCache(nil, faults)}
 	for range 2 {
@@ -57,8 +57,8 @@
 }
 
 func (s *simulation) step() error {
-	switch rapid.IntRange(0, 9).Draw(s.t, "what") {
-	case 0, 1: // a new version, in force or taken back
+	switch rapid.IntRange(0, 9).Draw(s.t, "step") {
+	case 0, 1: // a new version, even if the previous one never came into force
 		if s.newest < len(contents)-1 {
 			s.newest++
 		}
@@ -74,22 +74,25 @@
 	return nil
 }
 
-// resetReplica has a replica join, forget, or have later versions only.
+// resetReplica replaces a replica by one that has only the versions from a random one on, as after it has joined or
+// lost its data.
 func (s *simulation) resetReplica() {
-	replica := s.replicas[rapid.IntRange(0, 1).Draw(s.t, "keeper")]
+	replica := s.replicas[rapid.IntRange(0, 1).Draw(s.t, "replica")]
 	*replica = *newFakeReplica()
 	for n := rapid.IntRange(0, s.newest).Draw(s.t, "from"); n <= s.newest; n++ {
 		replica.has[digests[n]] = contents[n]
 	}
 }
 
-// restart starts the gateway with what is on its disk: nothing, the last content, an older one, another fleet's.
+// restart restarts the gateway with one of these on its disk: nothing, the last content, the first one, or the
+// content of another fleet.
 func (s *simulation) restart() {
 	disks := [][]byte{nil, s.storedContent, contents[0], []byte("of another fleet")}
-	s.cache = NewCache(rapid.SampledFrom(disks).Draw(s.t, "spool"), s.faults)
+	s.cache = NewCache(rapid.SampledFrom(disks).Draw(s.t, "stored content"), s.faults)
 }
 
-// renew takes a lease on the version in force, and on the newest if that is another, and fetches their contents.
+// renew grants a lease that names the version in force, and the newest one if it is another, and fetches their
+// contents.
 func (s *simulation) renew() error {
 	named := []string{digests[s.inForce]}
 	if s.newest != s.inForce {
@@ -100,7 +103,7 @@
 		fetch := s.cache.Fetch(digest, len(s.replicas))
 		for attempts := 0; fetch.State() == StateInProgress; attempts++ {
 			if attempts > 2*len(s.replicas) {
-				return fmt.Errorf("%d requests for one content", attempts)
+				return fmt.Errorf("fetch of one content still in progress after %d requests", attempts)
 			}
 			if err := s.request(fetch); err != nil {
 				return err
@@ -113,7 +116,7 @@
 	return nil
 }
 
-// request makes one request of a fetch.
+// request sends one request of a fetch and handles its outcome.
 func (s *simulation) request(fetch *Fetch) error {
 	request := fetch.NextRequest()
 	replica := s.replicas[request.Replica]
@@ -128,15 +131,15 @@
 	undamaged := fault > networkOtherResponse
 	_, hasBase := replica.content(request.Base)
 	if err := fetch.HandleResponse(request, delivered.encoding, delivered.encoded); undamaged && err != nil {
-		return fmt.Errorf("rejected without a fault: %w", err)
+		return fmt.Errorf("undamaged response was rejected: %w", err)
 	}
 	if undamaged && hasBase && request.Base != request.Digest && encoding != EncodingDelta {
-		return fmt.Errorf("full content, where base %.8s was there", request.Base)
+		return fmt.Errorf("full content was sent although the replica had base %.8s", request.Base)
 	}
 	return nil
 }
 
-// deliver is what becomes of a response on its way.
+// deliver returns a response as it arrives after a network fault.
 func (s *simulation) deliver(r response, fault int) response {
 	switch fault {
 	case networkBitFlip:
@@ -147,27 +150,30 @@
 		r.encoded = r.encoded[:rapid.IntRange(0, len(r.encoded)-1).Draw(s.t, "cut")]
 	case networkRepeatedBody:
 		r.encoded = slices.Concat(r.encoded, r.encoded)
-	case networkOtherResponse: // an earlier response, or one to another request
-		r = rapid.SampledFrom(s.sent).Draw(s.t, "late")
+	case networkOtherResponse: // any response sent so far, also to another request
+		r = rapid.SampledFrom(s.sent).Draw(s.t, "sent response")
 	}
 	return r
 }
 
-// check holds the cache against the contents.
+// check checks that the cache is bounded and that its contents are those of the versions.
 func (s *simulation) check() error {
 	if cached := s.cache.Digests(); len(cached) > 3 {
-		return fmt.Errorf("%d contents are cached", len(cached))
+		return fmt.Errorf("%d contents are cached, want at most 3", len(cached))
 	}
 	for n, digest := range digests {
 		if content := s.cache.Content(digest); content != nil && !bytes.Equal(content, contents[n]) {
-			return fmt.Errorf("what is cached of version %d is another", n)
+			return fmt.Errorf("the cached content of version %d differs from that version's", n)
 		}
 	}
 	return nil
 }
 
+// TestFetchedContentIsEqualOrMissing guards against a gateway that acts on a wrong content after network faults,
+// replica resets and restarts.
 func TestFetchedContentIsEqualOrMissing(t *testing.T) {
-	for name, value := range map[string]string{"rapid.nofailfile": "true", "rapid.seed": "7"} { // the same draws each time
+	// The fixed seed makes each run draw the same values.
+	for name, value := range map[string]string{"rapid.nofailfile": "true", "rapid.seed": "7"} {
 		if err := flag.Set(name, value); err != nil {
 			t.Fatal(err)
 		}
@@ -179,7 +185,7 @@
 	})
 }
 
-// TestSimulationFindsInjectedFaults: the simulation has to find each defect.
+// TestSimulationFindsInjectedFaults checks that the simulation detects each injected defect.
 func TestSimulationFindsInjectedFaults(t *testing.T) {
 	const maxRuns = 4000
 	for name, fault := range map[string]InjectedFaults{
@@ -189,14 +195,14 @@
 	} {
 		run, err := findFault(fault, maxRuns)
 		if err == nil {
-			t.Errorf("%s: not found in %d runs", name, maxRuns)
+			t.Errorf("%s: not detected in %d runs", name, maxRuns)
 			continue
 		}
-		t.Logf("%s: found in run %d: %v", name, run, err)
+		t.Logf("%s: detected in run %d: %v", name, run, err)
 	}
 }
 
-// findFault returns the first run in which a fault is found, and how; nil: in none.
+// findFault returns the number of the first run that detects a fault and the violation found, or nil if no run does.
 func findFault(fault InjectedFaults, maxRuns int) (run int, found error) {
 	for seed := range maxRuns {
 		rapid.Custom(func(t *rapid.T) bool {
--- a/internal/fleet/delta/delta_test.go
+++ b/internal/fleet/delta/delta_test.go
@@ -17,7 +17,7 @@
 
 const maxTestBytes = 1 << 22
 
-// listOfNodes is a content of so many lines, of which one is changed.
+// nodeList returns a content of so many lines. The line with index changed differs from the default; -1: none does.
 func nodeList(lines, changed int) []byte {
 	random := rand.New(rand.NewPCG(7, 1))
 	var b strings.Builder
@@ -32,7 +32,7 @@
 	return []byte(b.String())
 }
 
-// mustEncode encodes a content and fails the test or benchmark if that fails.
+// mustEncode calls Encode and fails the test or benchmark on an error.
 func mustEncode(tb testing.TB, base, content []byte) []byte {
 	tb.Helper()
 	encoded, err := Encode(base, content)
@@ -42,7 +42,7 @@
 	return encoded
 }
 
-// drawTheSame makes rapid draw the same values in each run and write no files.
+// useFixedSeed makes rapid draw the same values in each run and write no files.
 func useFixedSeed(t *testing.T) {
 	t.Helper()
 	for name, value := range map[string]string{"rapid.nofailfile": "true", "rapid.seed": "7"} {
@@ -62,7 +62,7 @@
 		}
 		decoded, err := Decode(base, encoded, len(content))
 		if err != nil || !bytes.Equal(decoded, content) {
-			t.Fatalf("%d bytes of %d: %v", len(decoded), len(content), err)
+			t.Fatalf("decoded %d bytes, want the %d bytes that were encoded; error %v", len(decoded), len(content), err)
 		}
 		checkDamagedData(t, base, encoded)
 		if len(base) == 0 {
@@ -70,13 +70,13 @@
 		}
 		for name, other := range map[string][]byte{"another base": slices.Concat([]byte{1}, base), "no base": nil} {
 			if _, err := Decode(other, encoded, maxTestBytes); !errors.Is(err, ErrWrongBase) {
-				t.Fatalf("%s: %v", name, err)
+				t.Fatalf("decoded with %s: got error %v, want ErrWrongBase", name, err)
 			}
 		}
 	})
 }
 
-// drawBaseAndContent draws two texts that often have much in common.
+// drawBaseAndContent draws a base and a content, which often have much in common.
 func drawBaseAndContent(t *rapid.T) (base, content []byte) {
 	repeated := rapid.Custom(func(t *rapid.T) []byte {
 		unit := rapid.SliceOfN(rapid.Byte(), 1, 9).Draw(t, "unit")
@@ -93,20 +93,20 @@
 	return base, content
 }
 
-// checkDamaged checks that truncated and doubled data is refused. Of data with one wrong bit there may come
-// anything, but not more than is asked for.
+// checkDamagedData checks that truncated and repeated data is rejected. Data with one flipped bit may be decoded to
+// anything, but not to more than the allowed size.
 func checkDamagedData(t *rapid.T, base, encoded []byte) {
 	end := rapid.IntRange(0, len(encoded)-1).Draw(t, "cut")
 	if _, err := Decode(base, encoded[:end], maxTestBytes); err == nil {
-		t.Fatalf("truncated after %d of %d bytes, and decoded", end, len(encoded))
+		t.Fatalf("data truncated to %d of %d bytes was decoded, want an error", end, len(encoded))
 	}
 	if _, err := Decode(base, slices.Concat(encoded, encoded), maxTestBytes); !errors.Is(err, ErrTrailingData) {
-		t.Fatalf("doubled: %v", err)
+		t.Fatalf("repeated data: got error %v, want ErrTrailingData", err)
 	}
 	corrupt := bytes.Clone(encoded)
 	corrupt[rapid.IntRange(0, len(encoded)-1).Draw(t, "byte")] ^= 1 << rapid.IntRange(0, 7).Draw(t, "bit")
 	if decoded, err := Decode(base, corrupt, maxTestBytes); err == nil && len(decoded) > maxTestBytes {
-		t.Fatalf("%d bytes of corrupt data", len(decoded))
+		t.Fatalf("corrupt data was decoded to %d bytes, over the allowed size", len(decoded))
 	}
 }
 
@@ -144,18 +144,18 @@
 			_, err := Decode(c.base, c.encoded, maxTestBytes)
 			runtime.ReadMemStats(&after)
 			if !errors.Is(err, c.want) {
-				t.Errorf("%v, not %v", err, c.want)
+				t.Errorf("got error %v, want %v", err, c.want)
 			}
 			if allocated := after.TotalAlloc - before.TotalAlloc; allocated > 16*maxTestBytes {
-				t.Errorf("%d bytes were allocated", allocated)
+				t.Errorf("%d bytes were allocated, want at most 16 times the allowed size", allocated)
 			}
 		})
 	}
 }
 
-// unpacksTo2GiB is a frame that does not say its size, of 20,000 blocks of 128 KiB of one byte each.
+// frameOver2GiB returns a frame without a declared size, of 20,000 blocks that each repeat one byte for 128 KiB.
 func frameOver2GiB() []byte {
-	frame := []byte{0x28, 0xb5, 0x2f, 0xfd, 0, 0x58} // with a window of 2 MiB
+	frame := []byte{0x28, 0xb5, 0x2f, 0xfd, 0, 0x58} // magic number and header, with a window of 2 MiB
 	for range 20_000 {
 		frame = append(frame, 0x02, 0x00, 0x10, 'x')
 	}
@@ -167,12 +167,12 @@
 		base, content := nodeList(lines, -1), nodeList(lines, lines/2)
 		encoded := mustEncode(t, base, content)
 		if len(encoded) > headerBytes+200+len(content)/1000 {
-			t.Errorf("%d lines: a delta of %d bytes", lines, len(encoded))
+			t.Errorf("%d lines: the delta takes %d bytes, over the limit", lines, len(encoded))
 		}
 		if decoded, err := Decode(base, encoded, len(content)); err != nil || !bytes.Equal(decoded, content) {
-			t.Errorf("%d lines: %d bytes, %v", lines, len(decoded), err)
+			t.Errorf("%d lines: decoded %d bytes, want those that were encoded; error %v", lines, len(decoded), err)
 		}
-		t.Logf("%d bytes: %d", len(content), len(encoded))
+		t.Logf("content of %d bytes: delta of %d bytes", len(content), len(encoded))
 	}
 }
 
--- a/internal/fleet/delta/frame.go
+++ b/internal/fleet/delta/frame.go
@@ -14,11 +14,11 @@
 	frameMagicBytes  = 4
 	blockHeaderBytes = 3
 	checksumBytes    = 4
-	blockTypeRLE     = 1 // one byte that is repeated
+	blockTypeRLE     = 1 // one byte, repeated
 )
 
-// checkSingleFrame checks that data is one complete frame of at most maxBytes of content, as far as it says,
-// and that nothing follows: the decoder would go on with whatever follows, or skip it.
+// checkSingleFrame checks that data is one complete frame, that the frame declares at most maxBytes of content if it
+// declares a size, and that nothing follows: the decoder would decode or skip whatever follows.
 func checkSingleFrame(data []byte, maxBytes int) error {
 	header, err := decodeFrameHeader(data, maxBytes)
 	if err != nil {
@@ -29,34 +29,35 @@
 		rest, err = skip(rest, checksumBytes)
 	}
 	if err != nil {
-		return fmt.Errorf("a frame of %d bytes: %w", len(data), err)
+		return fmt.Errorf("frame of %d bytes: %w", len(data), err)
 	}
 	if len(rest) > 0 {
-		return fmt.Errorf("%d bytes after a frame of %d: %w", len(rest), len(data)-len(rest), ErrTrailingData)
+		return fmt.Errorf("%d bytes after a frame of %d bytes: %w", len(rest), len(data)-len(rest), ErrTrailingData)
 	}
 	return nil
 }
 
-// decodeFrameHeader reads the header of a frame of at most maxBytes of content, as far as it says.
+// decodeFrameHeader decodes a frame's header. A declared content size of more than maxBytes is an error.
 func decodeFrameHeader(data []byte, maxBytes int) (zstd.Header, error) {
 	var header zstd.Header
 	err := header.Decode(data)
 	switch {
 	case errors.Is(err, zstd.ErrMagicMismatch):
-		err = fmt.Errorf("a frame that begins with % x: %w", data[:min(len(data), frameMagicBytes)], ErrFormat)
+		err = fmt.Errorf("frame begins with % x: %w", data[:min(len(data), frameMagicBytes)], ErrFormat)
 	case err != nil && len(data) < zstd.HeaderMaxSize:
-		err = fmt.Errorf("a frame of %d bytes: %w", len(data), ErrTruncated)
+		err = fmt.Errorf("frame of %d bytes: %w", len(data), ErrTruncated)
 	case err != nil:
 		err = fmt.Errorf("%w: %w", ErrCorrupt, err)
 	case header.Skippable:
-		err = fmt.Errorf("a frame that is to be skipped: %w", ErrFormat)
+		err = fmt.Errorf("skippable frame: %w", ErrFormat)
 	case header.HasFCS && header.FrameContentSize > uint64(maxBytes):
-		err = fmt.Errorf("%d bytes, where %d are taken: %w", header.FrameContentSize, maxBytes, ErrTooLarge)
+		err = fmt.Errorf("frame declares %d bytes of content, at most %d are allowed: %w",
+			header.FrameContentSize, maxBytes, ErrTooLarge)
 	}
 	return header, err
 }
 
-// skipBlocks returns what follows after the last block of a frame.
+// skipBlocks returns the data after the last block of a frame.
 func skipBlocks(rest []byte) ([]byte, error) {
 	for {
 		if len(rest) < blockHeaderBytes {
@@ -75,7 +76,7 @@
 	}
 }
 
-// skip drops bytes off the front.
+// skip returns the data after the first size bytes.
 func skip(rest []byte, size int) ([]byte, error) {
 	if len(rest) < size {
 		return nil, ErrTruncated
--- a/internal/fleet/rig/audit.go
+++ b/internal/fleet/rig/audit.go
@@ -11,22 +11,22 @@
 
 const nanosPerMilli = 1e6
 
-// noConflict is the start of a conflict while there is none.
+// noConflict stands for the start time of a conflict while there is none.
 const noConflict = -1
 
 // Agreement is the result of an audit.
 type Agreement struct {
-	BoundMillis    float64 `json:"stated_ms"`       // the longest time that two gateways may conflict
-	WorstMillis    float64 `json:"worst_ms"`        // the longest time that two did
+	BoundMillis    float64 `json:"stated_ms"`       // longest time for which two gateways may conflict
+	WorstMillis    float64 `json:"worst_ms"`        // longest time for which two gateways conflicted
 	Pairs          int     `json:"pairs_checked"`   // pairs of gateways
-	Intervals      int     `json:"spans_checked"`   // of time in which neither of a pair changed
-	Versions       int     `json:"versions"`        // in the log
-	Violations     int     `json:"broken"`          // pairs that conflicted for longer than the bound
-	FirstViolation string  `json:"first,omitempty"` // who, for how long, and in what
+	Intervals      int     `json:"spans_checked"`   // intervals that were compared, each without a change
+	Versions       int     `json:"versions"`        // number of versions in the log
+	Violations     int     `json:"broken"`          // pairs with a conflict longer than the bound; AuditSweep: at most 1
+	FirstViolation string  `json:"first,omitempty"` // which gateways (AuditPairs only), for how long, and in what
 }
 
-// AuditPairs audits each pair of gateways. Each record is in order of time, and its last activation holds until end.
-// Bound and end are in nanoseconds.
+// AuditPairs audits each pair of gateways. records holds each gateway's activations in order of time; the last one is
+// in effect until end. bound and end are in nanoseconds.
 func AuditPairs(
 	records map[string][]Activation, versions []*configversion.Version, bound, end int64,
 ) (Agreement, error) {
@@ -45,7 +45,7 @@
 	return result, nil
 }
 
-// addPair counts a pair of gateways.
+// addPair adds the result of one pair of gateways.
 func (a *Agreement) addPair(name, other string, pair pairResult, bound int64) {
 	a.Pairs++
 	a.Intervals += pair.intervals
@@ -61,11 +61,12 @@
 
 // pairResult is the result for one pair of gateways.
 type pairResult struct {
-	worst     int64  // nanoseconds; the longest time for which they conflicted
-	conflict  string // in what, at the end of that time
+	worst     int64  // longest time for which they conflicted, in nanoseconds
+	conflict  string // what they conflicted in at the end of that time
 	intervals int
 }
 
+// auditPair compares two gateways in each interval in which neither changes what it acts on.
 func (f *conflictFinder) auditPair(a, b []Activation, end int64) pairResult {
 	var times []int64
 	for _, activation := range slices.Concat(a, b) {
@@ -93,7 +94,7 @@
 	return result
 }
 
-// activationAt is what a gateway acts on at a time.
+// activationAt returns the activation that is in effect at a time, or the zero Activation if there is none yet.
 func activationAt(record []Activation, at int64) Activation {
 	var current Activation
 	for _, activation := range record {
--- a/internal/fleet/rig/audit_test.go
+++ b/internal/fleet/rig/audit_test.go
@@ -9,7 +9,7 @@
 	"irispost/internal/fleet/configversion"
 )
 
-// ownerVersion is a version by which a node serves the only shard.
+// ownerVersion returns a version in which the only shard is served by the node owner, while the other one drains.
 func ownerVersion(number uint64, owner string, fallback int64) *configversion.Version {
 	configuration := &configversion.Config{
 		RequiredFormat:   1,
@@ -36,7 +36,8 @@
 	return []*configversion.Version{ownerVersion(1, "a", 50), ownerVersion(2, "b", 50), ownerVersion(3, "b", 0)}
 }
 
-// On records made by hand both audits find what there is to find, and not what only looks like it.
+// TestAuditsFindConflictsOfRecords checks that both audits detect the conflicts in hand-written records, and report
+// none where gateways act on different but compatible versions.
 func TestAuditsFindConflictsOfRecords(t *testing.T) {
 	const (
 		first         = "0 false [1]"
@@ -69,13 +70,15 @@
 			result, err := audit(records, auditedVersions(), 10e6, 100e6)
 			asExpected := result.WorstMillis == test.worst && result.Violations == test.violations && result.Pairs == 1
 			if err != nil || !asExpected {
-				t.Errorf("%s, %s: %+v, %v", test.name, name, result, err)
+				t.Errorf("%s, %s: got %+v with error %v, want the expected time and violations of one pair",
+					test.name, name, result, err)
 			}
 		}
 	}
 }
 
-// What the sweep finds is never less than what the pairs come to, and nothing where they come to nothing.
+// TestSweepNeverFindsLessThanPairs checks on random records that AuditSweep never reports a shorter conflict than
+// AuditPairs, and none if AuditPairs reports none.
 func TestSweepNeverFindsLessThanPairs(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		versions := auditedVersions()
@@ -92,7 +95,7 @@
 			t.Fatal(err)
 		}
 		if sweep.WorstMillis < pairs.WorstMillis || (sweep.WorstMillis == 0) != (pairs.WorstMillis == 0) {
-			t.Fatalf("pairs %+v, sweep %+v", pairs, sweep)
+			t.Fatalf("AuditPairs gives %+v, AuditSweep %+v, want no less time and both or neither 0", pairs, sweep)
 		}
 	})
 }
--- a/internal/fleet/rig/conflict.go
+++ b/internal/fleet/rig/conflict.go
@@ -8,10 +8,10 @@
 	"irispost/internal/fleet/configversion"
 )
 
-// conflictFinder tells whether what gateways act on conflicts, from the versions' content alone.
+// conflictFinder finds conflicts between what gateways act on, from the contents of the versions alone.
 type conflictFinder struct {
-	configurations map[uint64]*configversion.Config // by version
-	results        map[string]string                // results by what two gateways act on
+	configurations map[uint64]*configversion.Config // by version number
+	results        map[string]string                // cached results of conflict, by what two gateways act on
 }
 
 func newConflictFinder(versions []*configversion.Version) (*conflictFinder, error) {
@@ -29,7 +29,8 @@
 	return finder, nil
 }
 
-// conflict tells in what two gateways conflict; "" where they do not, as where one of them serves nothing.
+// conflict describes in what two gateways conflict. It returns "" if they do not, in particular if one of them serves
+// nothing.
 func (f *conflictFinder) conflict(a, b Activation) string {
 	if len(a.Versions) == 0 || len(b.Versions) == 0 {
 		return ""
@@ -43,8 +44,8 @@
 	return text
 }
 
-// conflicts compares what two gateways act on. They do not conflict where both stay within one version that either acts
-// on.
+// conflicts lists the conflicts between what two gateways act on. There are none if both stay within one version that
+// either of them acts on.
 func (f *conflictFinder) conflicts(a, b Activation) []string {
 	effectiveA, effectiveB := f.effective(a), f.effective(b)
 	for _, number := range slices.Concat(a.Versions, b.Versions) {
@@ -61,7 +62,8 @@
 	return configversion.Conflicts(effectiveA, effectiveB)
 }
 
-// effective is the configuration that a gateway acts on: the intersection of its versions, or of their fallbacks.
+// effective returns the configuration that a gateway acts on: the intersection of its versions or of their fallbacks.
+// Without a known version it allows nothing.
 func (f *conflictFinder) effective(activation Activation) *configversion.Config {
 	var effective *configversion.Config
 	for _, number := range activation.Versions {
--- a/internal/fleet/rig/connection.go
+++ b/internal/fleet/rig/connection.go
@@ -9,31 +9,31 @@
 
 const (
 	copyBufferBytes = 32 << 10
-	trickleInterval = 5 * time.Millisecond // between two bytes
+	trickleInterval = 5 * time.Millisecond // between two bytes of Fault.Trickle
 )
 
-// connection is one connection through a link.
+// connection is one proxied connection of a link.
 type connection struct {
 	link     *Link
 	client   *net.TCPConn
-	server   *net.TCPConn // nil until it is dialled
-	dataLost bool         // bytes were dropped; guarded by link.mutex
+	server   *net.TCPConn // nil until it is connected
+	dataLost bool         // bytes have been dropped; guarded by link.mutex
 }
 
-// reset ends both sides without an orderly end.
+// reset closes both sides with a TCP reset instead of an orderly close.
 func (c *connection) reset() {
 	for _, side := range []*net.TCPConn{c.client, c.server} {
 		if side != nil {
-			_ = side.SetLinger(0) // fails on a side that has ended
+			_ = side.SetLinger(0) // fails if the side is closed already
 			_ = side.Close()
 		}
 	}
 }
 
-// close ends both sides: orderly, so that what was written still arrives, where no bytes were dropped.
+// close closes both sides. If no bytes were dropped it does so in an orderly way, so that written bytes still arrive.
 func (c *connection) close() {
 	if !c.hasLostData() {
-		_ = c.client.Close() // fails on a side that was reset
+		_ = c.client.Close() // fails if the side was reset
 		_ = c.server.Close()
 	}
 	c.reset()
@@ -45,7 +45,8 @@
 	return c.dataLost
 }
 
-// copy passes bytes on in one direction until one side ends.
+// copy forwards bytes in one direction until one side is closed. drops tells whether a fault drops bytes in that
+// direction.
 func (c *connection) copy(to, from *net.TCPConn, drops func(Fault) bool) {
 	reader := io.Reader(from)
 	if c.link.latency > 0 {
@@ -66,7 +67,7 @@
 	}
 }
 
-// forward writes bytes as the link's fault has them pass; false where the connection has ended.
+// forward writes bytes subject to the link's fault. It returns false if the connection has ended.
 func (c *connection) forward(to *net.TCPConn, bytes []byte, drops func(Fault) bool) bool {
 	for len(bytes) > 0 {
 		fault, dropped := c.linkFault(drops)
@@ -91,8 +92,8 @@
 	return true
 }
 
-// faultOf is the link's fault, and whether bytes of this connection are dropped: from the first one on all are, in both
-// directions.
+// linkFault returns the link's fault and whether to drop bytes. Once bytes of a connection have been dropped, all
+// later ones are dropped too, in both directions.
 func (c *connection) linkFault(drops func(Fault) bool) (fault Fault, dropped bool) {
 	c.link.mutex.Lock()
 	defer c.link.mutex.Unlock()
@@ -100,7 +101,7 @@
 	return c.link.fault, c.dataLost
 }
 
-// wait waits; false where the link was closed meanwhile.
+// wait waits for a duration. It returns false if the link was closed in the meantime.
 func (c *connection) wait(span time.Duration) bool {
 	if span <= 0 {
 		return true
@@ -113,13 +114,14 @@
 	}
 }
 
-// ended passes the end of one side on to the other.
+// propagateEnd passes the end of one side on to the other: an orderly close as such, unless bytes were dropped, and
+// any other error as a reset.
 func (c *connection) propagateEnd(to *net.TCPConn, err error) {
 	if !errors.Is(err, io.EOF) {
 		c.reset()
 		return
 	}
 	if !c.hasLostData() {
-		_ = to.CloseWrite() // fails on a side that has ended
+		_ = to.CloseWrite() // fails if the side is closed already
 	}
 }
--- a/internal/fleet/rig/delayedreader.go
+++ b/internal/fleet/rig/delayedreader.go
@@ -5,31 +5,33 @@
 	"time"
 )
 
-// maxDelayedChunks is how many chunks are under way at once in one direction; each has copyBufferBytes at most.
+// maxDelayedChunks bounds the chunks in transit in one direction. Each has at most copyBufferBytes.
 const maxDelayedChunks = 64
 
-// delayedReader delivers what it reads after a fixed time, without holding up what follows.
+// delayedReader delivers what it reads after a fixed delay. Chunks are delayed concurrently, so that the delays of
+// consecutive chunks do not add up.
 type delayedReader struct {
 	chunks  chan delayedChunk
-	current delayedChunk // what of it was not delivered yet
+	current delayedChunk // the part of the current chunk that is not delivered yet
 	stopped chan struct{}
 }
 
-// delayedChunk is what one read has returned, and when it is delivered. Its error comes after its bytes.
+// delayedChunk is the result of one read and the time at which it is delivered. The error is returned after the bytes.
 type delayedChunk struct {
 	bytes     []byte
 	deliverAt time.Time
 	err       error
 }
 
-// newDelayedReader begins to read.
+// newDelayedReader returns a delayedReader and starts reading ahead.
 func newDelayedReader(from io.Reader, latency time.Duration) *delayedReader {
 	d := &delayedReader{chunks: make(chan delayedChunk, maxDelayedChunks), stopped: make(chan struct{})}
 	go d.readAhead(from, latency)
 	return d
 }
 
-// readAhead reads until there is an error or the reader is stopped. It ends with its connection at the latest.
+// readAhead reads until an error occurs or the reader is stopped. It returns at the latest when the connection is
+// closed.
 func (d *delayedReader) readAhead(from io.Reader, latency time.Duration) {
 	buffer := make([]byte, copyBufferBytes)
 	for {
@@ -46,7 +48,7 @@
 	}
 }
 
-// Read waits until the next bytes are to be delivered.
+// Read blocks until the next bytes are due.
 func (d *delayedReader) Read(b []byte) (int, error) {
 	for len(d.current.bytes) == 0 && d.current.err == nil {
 		d.current = <-d.chunks
@@ -60,5 +62,5 @@
 	return n, d.current.err
 }
 
-// stop tells that nobody reads any more.
+// stop makes readAhead return. Read must not be called any more.
 func (d *delayedReader) stop() { close(d.stopped) }
--- a/internal/fleet/rig/doc.go
+++ b/internal/fleet/rig/doc.go
@@ -1,6 +1,6 @@
-// Package rig puts faults between the processes of a fleet (Link), and checks from the records of gateways whether they
-// acted on configurations that conflict (AuditPairs, AuditSweep).
+// Package rig injects network faults between the processes of a fleet (Link), and checks from the activation records
+// of gateways whether they acted on conflicting configurations (AuditPairs, AuditSweep).
 //
-// Scripted days and measurements (internal/day, internal/scale) and tests call it; no part of the product does. A Link
-// owns its listener, its connections and their goroutines; the audits are pure.
+// Scripted scenarios and measurements (internal/day, internal/scale) and tests use it; production code does not. A
+// Link owns its listener, its connections and their goroutines. The audits are pure.
 package rig
--- a/internal/fleet/rig/fault.go
+++ b/internal/fleet/rig/fault.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// Fault is what a link does to the bytes that pass. The zero Fault is a healthy link.
+// Fault describes what a link does to the bytes that it forwards. The zero Fault is a healthy link.
 type Fault struct {
-	DropForward bool          // bytes from the client to the server are lost, and neither learns of it
-	DropReturn  bool          // bytes from the server to the client are lost, and neither learns of it
-	Delay       time.Duration // each piece waits so long, and what follows it waits too
-	Trickle     bool          // a byte at a time
-	Reset       bool          // connections are reset, new ones too
+	DropForward bool          // bytes from the client to the server are dropped silently
+	DropReturn  bool          // bytes from the server to the client are dropped silently
+	Delay       time.Duration // each chunk is delayed by this time before it is written, and so delays those behind it
+	Trickle     bool          // bytes are forwarded one at a time, every trickleInterval
+	Reset       bool          // existing and new connections are reset
 }
 
-// ParseFault reads a fault of a script: "cut", "deaf" (answers are lost), "mute" (requests are lost), "slow SPAN",
-// "trickle" or "reset".
+// ParseFault parses a fault of a scenario script: "cut" (both directions are dropped), "deaf" (responses are dropped),
+// "mute" (requests are dropped), "slow SPAN" (SPAN is a duration), "trickle" or "reset".
 func ParseFault(text string) (Fault, error) {
 	word, argument, _ := strings.Cut(text, " ")
 	switch word {
--- a/internal/fleet/rig/golden_test.go
+++ b/internal/fleet/rig/golden_test.go
@@ -10,8 +10,8 @@
 	"irispost/internal/testkit/golden"
 )
 
-// What an audit comes to has the recorded JSON, and the record of a gateway and the words of faults are read as
-// recorded.
+// TestFormsMatchGolden checks the JSON form of audit results, and that activation records and fault names are parsed
+// as recorded in the golden file.
 func TestFormsMatchGolden(t *testing.T) {
 	out := &strings.Builder{}
 	versions := []*configversion.Version{ownerVersion(1, "a", 50), ownerVersion(2, "b", 50)}
@@ -43,7 +43,7 @@
 // auditFunc is AuditPairs or AuditSweep.
 type auditFunc func(map[string][]Activation, []*configversion.Version, int64, int64) (Agreement, error)
 
-// parseRecord reads a gateway's record.
+// parseRecord parses a gateway's activation record and fails the test on an error.
 func parseRecord(t *testing.T, text string) []Activation {
 	t.Helper()
 	record, err := ReadActivations(strings.NewReader(text))
--- a/internal/fleet/rig/link.go
+++ b/internal/fleet/rig/link.go
@@ -6,24 +6,25 @@
 	"time"
 )
 
-// Link is a TCP proxy from one process to another, with an address of that pair, which can be made faulty.
+// Link is a TCP proxy to one address that can inject faults. As each link has its own address, every pair of processes
+// can have a link of its own.
 type Link struct {
 	listener net.Listener
 	target   string
 	latency  time.Duration
 	closed   chan struct{}
-	running  sync.WaitGroup // the goroutines of accept and serve
+	running  sync.WaitGroup // goroutines of accept and serve
 
-	mutex       sync.Mutex // guards what follows, and connection.dataLost of each
+	mutex       sync.Mutex // guards the fields below and connection.dataLost of each connection
 	fault       Fault
 	connections map[*connection]bool
 }
 
-// NewLink starts a link to an address.
+// NewLink starts a link to an address, without latency.
 func NewLink(target string) (*Link, error) { return NewLinkWithLatency(target, 0) }
 
-// NewLinkWithLatency starts a link on which each byte takes so long, in either direction. Bytes do not wait for those
-// before them, as far as maxDelayedChunks chunks are under way.
+// NewLinkWithLatency starts a link that delays each byte by latency, in either direction. The delays of consecutive
+// chunks do not add up as long as at most maxDelayedChunks are in transit.
 func NewLinkWithLatency(target string, latency time.Duration) (*Link, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -41,11 +42,11 @@
 	return link, nil
 }
 
-// Addr is the address that clients of the link dial.
+// Addr returns the address that clients of the link dial.
 func (l *Link) Addr() string { return l.listener.Addr().String() }
 
-// SetFault makes the link faulty from now on, or healthy by the zero Fault. Connections that have lost bytes are reset
-// when the link gets healthy: what came later would be taken for what was lost.
+// SetFault replaces the link's fault; the zero Fault makes the link healthy. Connections that have lost bytes are
+// reset when the link becomes healthy: their receivers would take later bytes for the lost ones.
 func (l *Link) SetFault(fault Fault) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -61,7 +62,7 @@
 // Close resets all connections and waits until they have ended.
 func (l *Link) Close() {
 	close(l.closed)
-	_ = l.listener.Close() // nothing else is done with it
+	_ = l.listener.Close() // the link is ending, so there is nothing to do about an error
 	l.mutex.Lock()
 	for c := range l.connections {
 		c.reset()
@@ -70,7 +71,7 @@
 	l.running.Wait()
 }
 
-// accept serves connections until the link is closed.
+// accept accepts connections and serves them until the link is closed.
 func (l *Link) accept() {
 	defer l.running.Done()
 	for {
@@ -86,7 +87,7 @@
 	}
 }
 
-// serve passes the bytes of one connection on until both sides have ended.
+// serve forwards the bytes of one connection until both directions have ended.
 func (l *Link) serve(client *net.TCPConn) {
 	c := &connection{link: l, client: client}
 	if l.currentFault().Reset {
--- a/internal/fleet/rig/link_test.go
+++ b/internal/fleet/rig/link_test.go
@@ -28,17 +28,18 @@
 	return conn.(*net.TCPConn)
 }
 
-// Over a link with latency all that is sent arrives, in order, and nothing before its time.
+// TestLinkWithLatencyDeliversAllInOrder checks that all bytes arrive over a link with latency, in order and not before
+// their time.
 func TestLinkWithLatencyDeliversAllInOrder(t *testing.T) {
 	const latency = 20 * time.Millisecond
 	listener := listen(t)
-	sent := bytes.Repeat([]byte("0123456789abcdef"), 1<<18) // more than is under way at once
+	sent := bytes.Repeat([]byte("0123456789abcdef"), 1<<18) // more than may be in transit at once
 	go func() {
 		conn, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		_, _ = io.Copy(conn, conn) // what does not come back is missed by the test
+		_, _ = io.Copy(conn, conn) // the test detects bytes that do not come back
 		_ = conn.Close()
 	}()
 	link, err := NewLinkWithLatency(listener.Addr().String(), latency)
@@ -49,7 +50,7 @@
 	conn := dial(t, link.Addr())
 	began := time.Now()
 	go func() {
-		_, _ = conn.Write(sent) // what is not sent does not come back
+		_, _ = conn.Write(sent) // the test detects bytes that do not come back
 		_ = conn.CloseWrite()
 	}()
 	first := make([]byte, 1)
@@ -57,26 +58,26 @@
 		t.Fatal(err)
 	}
 	if took := time.Since(began); took < 2*latency {
-		t.Errorf("there and back after %v, under twice %v", took, latency)
+		t.Errorf("first byte came back after %v, want at least twice %v", took, latency)
 	}
 	rest, err := io.ReadAll(conn)
 	if err != nil || !bytes.Equal(append(first, rest...), sent) {
-		t.Errorf("%d bytes of %d came back, or others: %v", 1+len(rest), len(sent), err)
+		t.Errorf("%d bytes came back, want the %d bytes that were sent; error %v", 1+len(rest), len(sent), err)
 	}
 }
 
-// What was sent before an orderly end arrives, also at a reader that reads only after the link has closed the
-// connection.
+// TestLinkDeliversWhatWasSentBeforeOrderlyEnd checks that bytes sent before an orderly close arrive, even if the
+// client reads them only after the link has closed the connection. A reset would discard them.
 func TestLinkDeliversWhatWasSentBeforeOrderlyEnd(t *testing.T) {
 	server, client := listen(t), listen(t)
-	// More than a client that does not read takes in, less than the link's socket holds.
+	// This is more than a client that does not read accepts, but less than the link's send buffer holds.
 	sent := bytes.Repeat([]byte("0123456789abcdef"), 1<<15)
 	go func() {
 		conn, err := server.Accept()
 		if err != nil {
 			return
 		}
-		_, _ = conn.Write(sent) // what is not sent is missed by the test
+		_, _ = conn.Write(sent) // the test detects missing bytes
 		_ = conn.Close()
 	}()
 	conn := dial(t, client.Addr().String())
@@ -97,6 +98,6 @@
 	}
 	link.serve(accepted)
 	if received, err := io.ReadAll(conn); err != nil || !bytes.Equal(received, sent) {
-		t.Errorf("%d bytes of %d: %v", len(received), len(sent), err)
+		t.Errorf("%d bytes arrived, want the %d bytes that were sent; error %v", len(received), len(sent), err)
 	}
 }
--- a/internal/fleet/rig/sweep.go
+++ b/internal/fleet/rig/sweep.go
@@ -9,10 +9,10 @@
 	"irispost/internal/fleet/configversion"
 )
 
-// AuditSweep audits the records of many gateways in one walk over time in place of one over each pair. WorstMillis
-// is the longest time for which some two gateways conflicted without a break, whoever they were, so that no pair
-// did for longer. Violations is 1 where that is over the bound. Where no two conflicted it is 0, as AuditPairs has
-// it.
+// AuditSweep audits the records of many gateways in a single pass over time, where AuditPairs makes one for each pair.
+// WorstMillis is the longest uninterrupted time in which any two gateways conflicted, not necessarily the same two
+// throughout, and so an upper bound for every pair. It is 0 if no two gateways conflicted, as in AuditPairs.
+// Violations is 1 if WorstMillis exceeds the bound, and 0 otherwise.
 func AuditSweep(
 	records map[string][]Activation, versions []*configversion.Version, bound, end int64,
 ) (Agreement, error) {
@@ -28,7 +28,7 @@
 	changes := changesByTime(records)
 	state := newSweepState(finder)
 	since := int64(noConflict)
-	first := "" // the conflict at since
+	first := "" // the conflict that began at since
 	for i, change := range changes {
 		state.set(change.gateway, change.activation)
 		last := i+1 == len(changes)
@@ -54,7 +54,7 @@
 	return result, nil
 }
 
-// addConflict takes a time, in nanoseconds, for which some two gateways have conflicted so far.
+// addConflict records the time, in nanoseconds, for which a conflict has lasted so far.
 func (a *Agreement) addConflict(lasted, bound int64, conflict string) {
 	millis := float64(lasted) / nanosPerMilli
 	if millis <= a.WorstMillis {
@@ -67,13 +67,13 @@
 	}
 }
 
-// sweepChange is an activation of one gateway.
+// sweepChange is one gateway's activation.
 type sweepChange struct {
 	gateway    string
 	activation Activation
 }
 
-// changesByTime are the activations of all gateways in order of time, and of the gateways' names at one time.
+// changesByTime returns the activations of all gateways, ordered by time and then by the name of the gateway.
 func changesByTime(records map[string][]Activation) []sweepChange {
 	var list []sweepChange
 	for gateway, record := range records {
@@ -87,12 +87,12 @@
 	return list
 }
 
-// sweepState is what all gateways act on at one time. An activation's key is its versions and whether it is on
-// fallbacks.
+// sweepState holds what all gateways act on at one point in time. The key of an activation consists of its versions
+// and whether their fallbacks are in effect.
 type sweepState struct {
 	finder        *conflictFinder
 	keyOf         map[string]string     // by gateway
-	gatewayCounts map[string]int        // how many act so, by key
+	gatewayCounts map[string]int        // number of gateways, by key
 	activations   map[string]Activation // by key
 }
 
@@ -105,7 +105,7 @@
 	}
 }
 
-// set has a gateway act on something from now on.
+// set records that a gateway acts on a new activation from now on.
 func (s *sweepState) set(gateway string, activation Activation) {
 	if before, known := s.keyOf[gateway]; known {
 		s.gatewayCounts[before]--
@@ -120,7 +120,7 @@
 	s.gatewayCounts[key]++
 }
 
-// conflict tells in what some two gateways conflict; "" where none do.
+// conflict describes in what two of the gateways conflict, or returns "" if none do.
 func (s *sweepState) conflict() string {
 	keys := slices.Sorted(maps.Keys(s.gatewayCounts))
 	for i, key := range keys {
