--- a/internal/endpoint/discovery/client.go
+++ b/internal/endpoint/discovery/client.go
@@ -140,7 +140,7 @@
 func (c *Client) poll(ctx context.Context) error {
 	dialCtx, cancelDial := context.WithTimeout(ctx, c.opt.Timeout)
 	defer cancelDial()
-	addr, conn, in := c.begin(cancelDial)
+	addr, conn, in := c.beginPoll(cancelDial)
 	if conn == nil {
 		var err error
 		if conn, in, err = c.connect(dialCtx, addr); err != nil {
@@ -169,8 +169,8 @@
 	return nil
 }
 
-// begin begins a poll: at the present address, over the connection if there is one.
-func (c *Client) begin(cancelDial context.CancelFunc) (addr string, conn net.Conn, in *bufio.Reader) {
+// beginPoll begins a poll: at the present address, over the connection if there is one.
+func (c *Client) beginPoll(cancelDial context.CancelFunc) (addr string, conn net.Conn, in *bufio.Reader) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	if c.moved {
@@ -209,11 +209,11 @@
 	}
 	// It fails on a closed connection only, where the write fails as well.
 	_ = conn.SetDeadline(time.Now().Add(limit))
-	path := target(c.table.nodes != nil, c.table.revision, longPoll)
+	path := requestPath(c.table.nodes != nil, c.table.revision, longPoll)
 	if _, err := conn.Write(http1.NewRequest("GET", path).Field("Host", addr).Body(nil, false)); err != nil {
 		return nil, err
 	}
-	answer, err := http1.ReadResponse(in, limits)
+	answer, err := http1.ReadResponse(in, responseLimits)
 	if netErr := net.Error(nil); errors.As(err, &netErr) && netErr.Timeout() {
 		return nil, fmt.Errorf("%w: %w", errNoResponse, err)
 	}
--- a/internal/endpoint/discovery/client_test.go
+++ b/internal/endpoint/discovery/client_test.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// next answers the next request, which has to be the one given.
-func (s *service) next(t *testing.T, url, answer string) {
+// answerNext answers the next request, which has to be the one given.
+func (s *service) answerNext(t *testing.T, url, answer string) {
 	t.Helper()
 	q := <-s.requests
 	if q.url != url {
@@ -161,21 +161,21 @@
 	}
 
 	w.Watch()
-	s.next(t, "/v1/servers?from=41&hold_ms=1000", response(t, 43, false, "draining"))
+	s.answerNext(t, "/v1/servers?from=41&hold_ms=1000", response(t, 43, false, "draining"))
 	w.wantList(t, "43", true, endpoint.Draining)
 	var indented bytes.Buffer
 	if err := json.Indent(&indented, []byte(response(t, 44, true, "ready")), "", "  "); err != nil {
 		t.Fatal(err)
 	}
-	s.next(t, "/v1/servers?from=43&hold_ms=1000", indented.String())
+	s.answerNext(t, "/v1/servers?from=43&hold_ms=1000", indented.String())
 	w.wantList(t, "44", false, endpoint.Ready)
 
 	for _, answer := range []string{"busy", "", `{"rev":"x"}`} {
-		s.next(t, "/v1/servers?from=44&hold_ms=1000", answer)
+		s.answerNext(t, "/v1/servers?from=44&hold_ms=1000", answer)
 		w.wantFailure(t) // and there is no request until the next Watch
 		w.Watch()
 	}
-	s.next(t, "/v1/servers?from=44&hold_ms=1000", response(t, 45, true, "ready"))
+	s.answerNext(t, "/v1/servers?from=44&hold_ms=1000", response(t, 45, true, "ready"))
 	w.wantList(t, "45", false, endpoint.Ready)
 }
 
@@ -184,18 +184,18 @@
 	one, two := startService(t), startService(t)
 	w := startWatcher(t, discovery.Options{Gateway: "n1", Address: one.addr, LongPoll: time.Second, Timeout: time.Minute})
 	w.Watch()
-	one.next(t, "/v1/servers", response(t, 44, true, "ready"))
+	one.answerNext(t, "/v1/servers", response(t, 44, true, "ready"))
 	w.wantList(t, "44", false, endpoint.Ready)
-	one.next(t, "/v1/servers?from=44&hold_ms=1000", "busy")
+	one.answerNext(t, "/v1/servers?from=44&hold_ms=1000", "busy")
 	w.wantFailure(t)
 
 	w.SetAddress(two.addr)
-	two.next(t, "/v1/servers?from=44&hold_ms=1000", response(t, 45, false, "gone"))
+	two.answerNext(t, "/v1/servers?from=44&hold_ms=1000", response(t, 45, false, "gone"))
 	w.wantList(t, "45", true, endpoint.Removed)
 
 	<-two.requests
 	w.SetAddress(one.addr)
-	one.next(t, "/v1/servers?from=45&hold_ms=1000", response(t, 46, true, "ready"))
+	one.answerNext(t, "/v1/servers?from=45&hold_ms=1000", response(t, 46, true, "ready"))
 	w.wantList(t, "46", false, endpoint.Ready)
 	if w.PendingWatches() != 0 {
 		t.Error("the wish of SetAddress is left for after the next failure")
--- a/internal/endpoint/discovery/golden_test.go
+++ b/internal/endpoint/discovery/golden_test.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// formOf returns a list under names of the test's own.
-func formOf(list endpoint.List) map[string]any {
+// listFields returns a list under names of the test's own.
+func listFields(list endpoint.List) map[string]any {
 	nodes := []map[string]any{}
 	for _, n := range list.Nodes {
 		nodes = append(nodes, map[string]any{
@@ -113,7 +113,7 @@
 	for _, body := range answers {
 		requests.WriteString(conn.request(t))
 		conn.answer(t, body)
-		lists = append(lists, formOf(<-w.lists))
+		lists = append(lists, listFields(<-w.lists))
 	}
 	requests.WriteString(conn.request(t)) // left without an answer
 	if noResponse := <-w.failed; !noResponse {
--- a/internal/endpoint/discovery/protocol.go
+++ b/internal/endpoint/discovery/protocol.go
@@ -12,8 +12,8 @@
 // listPath is where the service has the list.
 const listPath = "/v1/servers"
 
-// limits of a response: lists of many thousands of nodes.
-var limits = http1.Limits{MaxHeadBytes: 8 << 10, MaxFields: 64, MaxBodyBytes: 4 << 20, MaxInformational: 8}
+// responseLimits are the limits of a response: lists of many thousands of nodes.
+var responseLimits = http1.Limits{MaxHeadBytes: 8 << 10, MaxFields: 64, MaxBodyBytes: 4 << 20, MaxInformational: 8}
 
 // Response is the service's JSON form of a list, or of its changes since a revision.
 type Response struct {
@@ -34,8 +34,8 @@
 	StartedMillis int64   `json:"boot_ms"` // when it started, in milliseconds since 1970; 0: long ago
 }
 
-// targetStates are the states of a Target.
-var targetStates = map[string]endpoint.Health{
+// healthByState are the states of a Target.
+var healthByState = map[string]endpoint.Health{
 	"ready":    endpoint.Ready,
 	"draining": endpoint.Draining,
 	"gone":     endpoint.Removed,
@@ -58,7 +58,7 @@
 
 // node checks and converts a Target. Its UID becomes the node's name.
 func (t *Target) node() (endpoint.Node, error) {
-	health, known := targetStates[t.State]
+	health, known := healthByState[t.State]
 	if !known || t.UID == "" || health != endpoint.Removed && t.Endpoint == "" {
 		return endpoint.Node{}, &TargetError{*t}
 	}
@@ -86,9 +86,9 @@
 	return nodes, nil
 }
 
-// target returns the path of a request: for the complete list, or for its changes since a revision, for which the
+// requestPath returns the path of a request: for the complete list, or for its changes since a revision, for which the
 // service may wait that long.
-func target(haveList bool, revision int64, longPoll time.Duration) string {
+func requestPath(haveList bool, revision int64, longPoll time.Duration) string {
 	if !haveList {
 		return listPath
 	}
--- a/internal/endpoint/discovery/reach_test.go
+++ b/internal/endpoint/discovery/reach_test.go
@@ -23,13 +23,13 @@
 	"irispost/scheduler"
 )
 
-// noNodes are backends that nothing is sent to.
-type noNodes struct{}
+// unusedNodes are backends that nothing is sent to.
+type unusedNodes struct{}
 
-func (noNodes) Start(string, *node.Call, func(node.Reply)) node.Attempt { return nil }
-func (noNodes) AbortQueued(func(string) bool)                           {}
-func (noNodes) Retain(map[string]bool)                                  {}
-func (noNodes) LateReplies() int64                                      { return 0 }
+func (unusedNodes) Start(string, *node.Call, func(node.Reply)) node.Attempt { return nil }
+func (unusedNodes) AbortQueued(func(string) bool)                           {}
+func (unusedNodes) Retain(map[string]bool)                                  {}
+func (unusedNodes) LateReplies() int64                                      { return 0 }
 
 // faults are what may become of a poll while the service is faulty.
 var faults = []string{
@@ -45,9 +45,9 @@
 // faultyService answers polls over pipes: until a time each comes to a fault, and from then on each new one is
 // answered. Polls and connections lost before stay lost.
 type faultyService struct {
-	wellAt time.Time
-	only   string // the one fault; empty: any
-	serves sync.WaitGroup
+	healthyAt   time.Time
+	onlyFault   string // the one fault; empty: any
+	connections sync.WaitGroup
 
 	lock sync.Mutex // guards random
 	rng  *rand.Rand
@@ -55,11 +55,11 @@
 
 // fault returns what becomes of the next poll or connection; empty: it is answered.
 func (s *faultyService) fault() string {
-	if !time.Now().Before(s.wellAt) {
+	if !time.Now().Before(s.healthyAt) {
 		return ""
 	}
-	if s.only != "" {
-		return s.only
+	if s.onlyFault != "" {
+		return s.onlyFault
 	}
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -75,7 +75,7 @@
 		return nil, ctx.Err()
 	}
 	client, server := net.Pipe()
-	s.serves.Go(func() { s.serve(server) })
+	s.connections.Go(func() { s.serve(server) })
 	return client, nil
 }
 
@@ -99,9 +99,9 @@
 		return write(conn, answerHead, len(emptyList), emptyList)
 	case "busy late":
 		time.Sleep(time.Second)
-		return write(conn, busy)
+		return write(conn, busyAnswer)
 	case "busy":
-		return write(conn, busy)
+		return write(conn, busyAnswer)
 	case "reset late":
 		time.Sleep(time.Second)
 	case "cut off":
@@ -123,7 +123,7 @@
 	return false // reset, and what befalls dials alone
 }
 
-const busy = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
+const busyAnswer = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
 
 // write writes to a connection, and tells whether its client is still there.
 func write(conn net.Conn, format string, args ...any) bool {
@@ -137,9 +137,9 @@
 	objective string // the latency objective of requests, of which a round of the scheduler is an eighth
 }
 
-// listReceivedAfter plays one faulty service until a gateway has its list, in the time of a synctest bubble, and
+// recoveryTime plays one faulty service until a gateway has its list, in the time of a synctest bubble, and
 // returns how long that was after the service was well.
-func listReceivedAfter(t *testing.T, seed uint64, fault string, timing timing) (took time.Duration) {
+func recoveryTime(t *testing.T, seed uint64, fault string, timing timing) (took time.Duration) {
 	t.Helper()
 	log := slog.New(slog.DiscardHandler)
 	synctest.Test(t, func(t *testing.T) {
@@ -159,8 +159,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		wellAt := time.Now().Add(time.Duration(rng.Int64N(int64(30 * time.Second))))
-		s := &faultyService{rng: rng, only: fault, wellAt: wellAt}
+		healthyAt := time.Now().Add(time.Duration(rng.Int64N(int64(30 * time.Second))))
+		s := &faultyService{rng: rng, onlyFault: fault, healthyAt: healthyAt}
 		c.SetDial(s.dial)
 		loop := gateway.Start(gateway.Options{
 			Name:      "n",
@@ -168,7 +168,7 @@
 			Settings:  settings,
 			QueueSize: 10,
 			Clock:     gateway.NewClock(),
-			Nodes:     noNodes{},
+			Nodes:     unusedNodes{},
 			Watch:     c.Watch,
 			Log:       log,
 		})
@@ -179,11 +179,11 @@
 			c.Run(ctx, func(l endpoint.List) { loop.UpdateEndpoints(l); received <- true }, loop.EndpointListFailed)
 		}()
 		<-received
-		took = time.Since(s.wellAt)
+		took = time.Since(s.healthyAt)
 		cancel()
 		<-ended
 		loop.Stop()
-		s.serves.Wait()
+		s.connections.Wait()
 	})
 	return took
 }
@@ -191,18 +191,18 @@
 // Whatever became of polls before, and of the one under way, a gateway has the list within six seconds from when the
 // service can be reached: by then it counts as delivered.
 func TestListIsReceivedInTimeAfterFaults(t *testing.T) {
-	const within = 6 * time.Second
-	const seedsOfAny, seedsOfOne = 200, 10
+	const limit = 6 * time.Second
+	const mixedFaultSeeds, singleFaultSeeds = 200, 10
 	for _, timing := range []timing{{"", "300"}, {"10000", "300"}, {"4000", "300"}, {"", "60000"}} {
 		worst := map[string]time.Duration{}
 		for _, fault := range append([]string{""}, faults...) {
-			seeds := uint64(seedsOfOne)
+			seeds := uint64(singleFaultSeeds)
 			if fault == "" {
-				seeds = seedsOfAny
+				seeds = mixedFaultSeeds
 			}
 			for seed := range seeds {
-				took := listReceivedAfter(t, seed, fault, timing)
-				if took > within {
+				took := recoveryTime(t, seed, fault, timing)
+				if took > limit {
 					t.Errorf("%+v, fault %q, seed %d: received after %v", timing, fault, seed, took)
 				}
 				worst[fault] = max(worst[fault], took)
--- a/internal/endpoint/filesource/source.go
+++ b/internal/endpoint/filesource/source.go
@@ -40,10 +40,10 @@
 
 // reader reports a file's list when the content has changed.
 type reader struct {
-	path string
-	to   endpoint.Subscriber
-	any  bool   // content was read before
-	sum  uint64 // of the content read last, also where that was rejected
+	path    string
+	to      endpoint.Subscriber
+	hasRead bool   // content was read before
+	sum     uint64 // of the content read last, also where that was rejected
 }
 
 func (r *reader) read() {
@@ -53,10 +53,10 @@
 		return
 	}
 	sum := xxhash.Sum64(src)
-	if r.any && sum == r.sum {
+	if r.hasRead && sum == r.sum {
 		return
 	}
-	r.any, r.sum = true, sum
+	r.hasRead, r.sum = true, sum
 	list, err := endpoint.ParseList(r.path, src)
 	if err != nil {
 		r.to.OnRejected(err)
--- a/internal/endpoint/manager/manager.go
+++ b/internal/endpoint/manager/manager.go
@@ -17,8 +17,8 @@
 	"irispost/internal/endpoint/membership"
 )
 
-// callQueue is how many events may wait for the Manager's goroutine before their senders do.
-const callQueue = 64
+// callQueueSize is how many events may wait for the Manager's goroutine before their senders do.
+const callQueueSize = 64
 
 // NamedSource is a source with its name, which is unique in the gateway.
 type NamedSource struct {
@@ -60,7 +60,7 @@
 	}
 	m := &Manager{
 		opt:     opt,
-		calls:   make(chan func(), callQueue),
+		calls:   make(chan func(), callQueueSize),
 		ended:   make(chan struct{}),
 		synced:  make(chan struct{}),
 		tracker: membership.New(opt.Settings, names...),
@@ -178,14 +178,14 @@
 	return nodes, lists, running
 }
 
-// View calls look with the present time, the time of the last OnChange and the tracker, between two events. It returns
+// View calls inspect with the present time, the time of the last OnChange and the tracker, between two events. It returns
 // false if the Manager was closed.
-func (m *Manager) View(look func(now, changedAt int64, tracker *membership.Tracker)) bool {
-	return m.call(func() { look(m.opt.Now(), m.changedAt, m.tracker) })
+func (m *Manager) View(inspect func(now, changedAt int64, tracker *membership.Tracker)) bool {
+	return m.call(func() { inspect(m.opt.Now(), m.changedAt, m.tracker) })
 }
 
-// reported notes that a source has reported, in the Manager's goroutine.
-func (m *Manager) reported(s *membership.Source) {
+// markReported notes that a source has reported, in the Manager's goroutine.
+func (m *Manager) markReported(s *membership.Source) {
 	if len(m.pending) == 0 {
 		return
 	}
--- a/internal/endpoint/manager/manager_test.go
+++ b/internal/endpoint/manager/manager_test.go
@@ -85,10 +85,10 @@
 
 // A source that ends counts as disconnected, with its error as a rejection; that is a report as well.
 func TestSourceThatEndsIsDisconnected(t *testing.T) {
-	broken := errors.New("no such directory")
+	sourceErr := errors.New("no such directory")
 	m, _, log := run(t, "", NamedSource{"own", sourceFunc(func(_ context.Context, to endpoint.Subscriber) error {
 		to.OnLink(true, "")
-		return broken
+		return sourceErr
 	})})
 	await(t, "the source's report", m.Synced())
 	var state membership.SourceState
@@ -102,7 +102,7 @@
 	if state != membership.Disconnected || rejections != 1 {
 		t.Errorf("state %v, %d rejections", state, rejections)
 	}
-	wantLog(t, log, "endpoint list update rejected", "the source has ended: "+broken.Error(), "gateway=g0", "source=own")
+	wantLog(t, log, "endpoint list update rejected", "the source has ended: "+sourceErr.Error(), "gateway=g0", "source=own")
 }
 
 // A loss of all nodes is held down until it is confirmed; then the empty list is handed on.
--- a/internal/endpoint/manager/subscriber.go
+++ b/internal/endpoint/manager/subscriber.go
@@ -20,7 +20,7 @@
 	m := s.manager
 	m.post(s.ctx, func() {
 		s.source.Receive(m.opt.Now(), list)
-		m.reported(s.source)
+		m.markReported(s.source)
 	})
 	if m.opt.Dir == "" {
 		return
@@ -37,7 +37,7 @@
 	m := s.manager
 	m.post(s.ctx, func() {
 		s.source.Reject(m.opt.Now(), err.Error())
-		m.reported(s.source)
+		m.markReported(s.source)
 	})
 }
 
--- a/internal/endpoint/membership/fingerprint.go
+++ b/internal/endpoint/membership/fingerprint.go
@@ -9,8 +9,8 @@
 	"irispost/internal/endpoint"
 )
 
-// identify returns the identity of a list.
-func identify(list endpoint.List) listIdentity {
+// identityOf returns the identity of a list.
+func identityOf(list endpoint.List) listIdentity {
 	return listIdentity{list.Version, fingerprint(list.Nodes)}
 }
 
--- a/internal/endpoint/membership/holddown.go
+++ b/internal/endpoint/membership/holddown.go
@@ -53,7 +53,7 @@
 		t.hold.count, t.hold.all = len(lost), len(lost) == inUse
 		reason, accepted := t.acceptLoss(now, confirmed)
 		if !accepted {
-			return t.hold.add(lost)
+			return t.hold.addLosses(lost)
 		}
 		t.logEvent("hold-down ended, loss accepted", "shards", len(lost), "reason", reason)
 		t.hold = nil
@@ -115,12 +115,12 @@
 	if now >= end {
 		return reasonElapsed, true
 	}
-	t.wakeAt(end)
+	t.scheduleReconcile(end)
 	return "", false
 }
 
-// add notes the sources of lost nodes, and returns the nodes as a set.
-func (h *holdDown) add(lost []*Member) map[*Member]bool {
+// addLosses notes the sources of lost nodes, and returns the nodes as a set.
+func (h *holdDown) addLosses(lost []*Member) map[*Member]bool {
 	held := map[*Member]bool{}
 	for _, m := range lost {
 		held[m] = true
--- a/internal/endpoint/membership/member.go
+++ b/internal/endpoint/membership/member.go
@@ -17,13 +17,13 @@
 	Reason string  // why it is in State, as the admin socket shows it
 	Source *Source // the source whose report counts; once no source lists the node, the last that did
 
-	reported   endpoint.Node // by Source, last
-	listed     bool          // a source lists it
-	shard      int           // that it is in use for
-	startedAt  Time          // as the scheduler sees it: it never goes back
-	seen       bool          // the scheduler has been told of it
-	readySince Time          // reported ready since then; 0: it is not
-	readyAgain []Time        // when its report changed to ready, within FlapWindow
+	reported         endpoint.Node // by Source, last
+	listed           bool          // a source lists it
+	shard            int           // that it is in use for
+	startedAt        Time          // as the scheduler sees it: it never goes back
+	knownToScheduler bool          // the scheduler has been told of it
+	readySince       Time          // reported ready since then; 0: it is not
+	recoveries       []Time        // when its report changed to ready, within FlapWindow
 }
 
 // Shard returns the shard that the node is in use for.
@@ -35,19 +35,19 @@
 // reassigned tells whether the node's address is now listed for another shard than the one that it is in use for.
 func (m *Member) reassigned() bool { return m.listed && m.reported.Shard != m.shard }
 
-// restart gives the node a start time of now, and in any case later than before.
-func (m *Member) restart(now Time) { m.startedAt = max(now, m.startedAt+1) }
+// markRestarted gives the node a start time of now, and in any case later than before.
+func (m *Member) markRestarted(now Time) { m.startedAt = max(now, m.startedAt+1) }
 
-// updateStart settles when the node started, which the source may leave open.
-func (m *Member) updateStart(now Time) {
-	returned := m.State == Absent && m.seen && m.reported.StartedAt <= m.startedAt
+// updateStartTime settles when the node started, which the source may leave open.
+func (m *Member) updateStartTime(now Time) {
+	returned := m.State == Absent && m.knownToScheduler && m.reported.StartedAt <= m.startedAt
 	switch {
 	case m.reported.StartedAt > max(m.startedAt, 0):
 		m.startedAt = m.reported.StartedAt
 	case m.startedAt == startUnknown && m.Source.initial:
 		m.startedAt = 0 // it came with a source's first list: as far as can be known, it has run for long
 	case m.startedAt == startUnknown || returned:
-		m.restart(now) // new, or back after it was removed, with no start time reported
+		m.markRestarted(now) // new, or back after it was removed, with no start time reported
 	}
 }
 
--- a/internal/endpoint/membership/model_test.go
+++ b/internal/endpoint/membership/model_test.go
@@ -13,14 +13,14 @@
 	"irispost/internal/endpoint"
 )
 
-// events are drawn from, the frequent ones more than once.
-var events = []string{
+// eventKinds are drawn from, the frequent ones more than once.
+var eventKinds = []string{
 	"report", "report", "report", "repeat", "reject", "disconnect", "connect", "pass", "pass", "confirm",
 }
 
 // model is two sources that disconnect, and the invariants that hold whatever they report.
 type model struct {
-	world
+	harness
 	settings  Settings
 	startedAt map[string]Time // as listed last
 }
@@ -29,9 +29,9 @@
 func (m *model) step(t *rapid.T) {
 	source := rapid.IntRange(0, 1).Draw(t, "source")
 	src := m.tracker.Sources()[source]
-	switch rapid.SampledFrom(events).Draw(t, "what") {
+	switch rapid.SampledFrom(eventKinds).Draw(t, "what") {
 	case "report":
-		m.list(t, source, rapid.SampledFrom([]string{"1", "2", "3", "4"}).Draw(t, "version"))
+		m.reportRandomList(t, source, rapid.SampledFrom([]string{"1", "2", "3", "4"}).Draw(t, "version"))
 	case "repeat":
 		if src.NodeCount() > 0 {
 			src.Receive(m.now, endpoint.List{Version: src.Version(), Nodes: src.nodes})
@@ -47,7 +47,7 @@
 	case "connect":
 		src.LinkUp(m.now)
 	case "pass":
-		m.pass(t, rapid.SampledFrom([]Time{1, 1e6, 5e8, 2e9, 3e9, 10e9, 30e9, 61e9}).Draw(t, "span"))
+		m.advance(t, rapid.SampledFrom([]Time{1, 1e6, 5e8, 2e9, 3e9, 10e9, 30e9, 61e9}).Draw(t, "span"))
 	case "confirm":
 		m.tracker.Confirm()
 	}
@@ -55,7 +55,7 @@
 	m.check(t)
 }
 
-func (m *model) pass(t *rapid.T, d Time) {
+func (m *model) advance(t *rapid.T, d Time) {
 	end := m.now + d
 	for n := 0; m.update.NextAt > 0 && m.update.NextAt <= end; n++ {
 		if m.update.NextAt < m.now || n > 1000 {
@@ -68,8 +68,8 @@
 	m.now = max(end, m.now)
 }
 
-// list has a source send a list: the present one with a few changes, or a new one.
-func (m *model) list(t *rapid.T, source int, version string) {
+// reportRandomList has a source send a list: the present one with a few changes, or a new one.
+func (m *model) reportRandomList(t *rapid.T, source int, version string) {
 	next := map[string]endpoint.Node{}
 	if !rapid.Bool().Draw(t, "anew") {
 		for _, n := range m.tracker.Sources()[source].nodes {
@@ -225,7 +225,7 @@
 			settings := DefaultSettings
 			settings.MaxLossRatio = rapid.SampledFrom([]float64{0, 0.3, 0.5, 1}).Draw(t, "shrink")
 			settings.MaxFlaps = rapid.IntRange(0, 5).Draw(t, "flaps")
-			m := &model{world: *newWorld(t, settings, "hand", "plane"), settings: settings, startedAt: map[string]Time{}}
+			m := &model{harness: *newHarness(t, settings, "hand", "plane"), settings: settings, startedAt: map[string]Time{}}
 			n := rapid.IntRange(50, 400).Draw(t, "steps")
 			for range n {
 				m.step(t)
--- a/internal/endpoint/membership/source.go
+++ b/internal/endpoint/membership/source.go
@@ -113,7 +113,7 @@
 // Receive reports a complete list. A stale one was cached by an earlier run of the gateway, and is in force until the
 // source itself sends one.
 func (s *Source) Receive(now Time, list endpoint.List) {
-	received := identify(list)
+	received := identityOf(list)
 	returned := s.reconnected && !list.Stale && (!s.hasList() || received != s.current()) && s.isSuperseded(received)
 	if !list.Stale {
 		s.reconnected = false
@@ -133,7 +133,7 @@
 // accept puts a list in force. reason tells why one that was held down is accepted, and is empty for others.
 func (s *Source) accept(now Time, list endpoint.List, reason string) {
 	s.held = nil
-	accepted := identify(list)
+	accepted := identityOf(list)
 	s.supersede(accepted)
 	if reason != "" {
 		s.tracker.logEvent("superseded endpoint list accepted", "source", s.Name, "version", list.Version, "reason", reason)
@@ -146,7 +146,7 @@
 	s.version, s.fingerprint = accepted.version, accepted.fingerprint
 	s.updatedAt, s.stale = now, list.Stale
 	s.tracker.dirty = true
-	s.confirmLoss(now)
+	s.noteRepeatedLoss(now)
 }
 
 // supersede remembers the list in force, unless the next one is the same.
@@ -160,8 +160,8 @@
 	}
 }
 
-// confirmLoss notes that the source has sent an update after the hold-down time of a loss of its nodes.
-func (s *Source) confirmLoss(now Time) {
+// noteRepeatedLoss notes that the source has sent an update after the hold-down time of a loss of its nodes.
+func (s *Source) noteRepeatedLoss(now Time) {
 	hold := s.tracker.hold
 	if hold != nil && hold.sources[s] && now >= hold.since+s.tracker.settings.HoldDown && !s.stale {
 		hold.repeated = true
--- a/internal/endpoint/membership/source_test.go
+++ b/internal/endpoint/membership/source_test.go
@@ -10,98 +10,98 @@
 
 // The list of a disconnected source stays in force, and is stale after StaleAfter.
 func TestListOfDisconnectedSourceTurnsStale(t *testing.T) {
-	w := newWorld(t, DefaultSettings, "own")
-	s := w.tracker.Sources()[0]
-	w.report(0, "1", "a:0")
-	w.disconnect(0)
-	w.pass(59 * sec)
-	w.want("disconnected", "a:0")
-	if w.update.List.Stale || s.State != Disconnected {
-		t.Errorf("%v, stale %v", s.State, w.update.List.Stale)
+	h := newHarness(t, DefaultSettings, "own")
+	s := h.tracker.Sources()[0]
+	h.report(0, "1", "a:0")
+	h.disconnect(0)
+	h.advance(59 * sec)
+	h.want("disconnected", "a:0")
+	if h.update.List.Stale || s.State != Disconnected {
+		t.Errorf("%v, stale %v", s.State, h.update.List.Stale)
 	}
-	w.pass(sec)
-	w.want("stale", "a:0")
-	if !w.update.List.Stale || s.State != Stale {
-		t.Errorf("%v, stale %v", s.State, w.update.List.Stale)
+	h.advance(sec)
+	h.want("stale", "a:0")
+	if !h.update.List.Stale || s.State != Stale {
+		t.Errorf("%v, stale %v", s.State, h.update.List.Stale)
 	}
-	s.LinkUp(w.now)
-	w.reconcile()
-	w.want("connected again", "a:0")
-	if w.update.List.Stale || s.State != Connected {
-		t.Errorf("%v, stale %v", s.State, w.update.List.Stale)
+	s.LinkUp(h.now)
+	h.reconcile()
+	h.want("connected again", "a:0")
+	if h.update.List.Stale || s.State != Connected {
+		t.Errorf("%v, stale %v", s.State, h.update.List.Stale)
 	}
 }
 
 // A cached list is in force, and stale, until the source sends its own; a node that only that one has is not new.
 func TestCachedListIsStaleUntilSourceReports(t *testing.T) {
-	w := newWorld(t, DefaultSettings, "own")
-	w.tracker = New(DefaultSettings, "own")
-	w.tracker.Sources()[0].Receive(w.now, endpoint.List{Version: "1", Stale: true, Nodes: parseNodes(t, "a:0 b:1 c:2")})
-	w.reconcile()
-	w.want("cached", "a:0 b:1 c:2")
-	if !w.update.List.Stale {
+	h := newHarness(t, DefaultSettings, "own")
+	h.tracker = New(DefaultSettings, "own")
+	h.tracker.Sources()[0].Receive(h.now, endpoint.List{Version: "1", Stale: true, Nodes: parseNodes(t, "a:0 b:1 c:2")})
+	h.reconcile()
+	h.want("cached", "a:0 b:1 c:2")
+	if !h.update.List.Stale {
 		t.Error("the cached list is not stale")
 	}
-	w.tracker.Sources()[0].LinkUp(w.now)
-	w.report(0, "4", "a:0 b:1 d:3")
-	w.want("reported", "a:0 b:1 d:3")
-	if w.update.List.Stale {
+	h.tracker.Sources()[0].LinkUp(h.now)
+	h.report(0, "4", "a:0 b:1 d:3")
+	h.want("reported", "a:0 b:1 d:3")
+	if h.update.List.Stale {
 		t.Error("the source's own list is stale")
 	}
 }
 
 // A superseded list is held down after a reconnect; within a connection, or with other nodes, it is accepted.
 func TestSupersededListIsHeldDownAfterReconnect(t *testing.T) {
-	w := newWorld(t, DefaultSettings, "own")
-	s := w.tracker.Sources()[0]
-	reconnect := func() { s.LinkDown(w.now, "cut"); s.LinkUp(w.now); w.reconcile() }
-	w.report(0, "1", "a:0 b:1 c:2")
-	w.report(0, "2", "a:0 b:1/draining c:2")
-	w.report(0, "1", "a:0 b:1 c:2")
-	w.want("superseded within the connection", "a:0 b:1 c:2")
-	w.report(0, "3", "a:0 b:1 c:2/draining")
+	h := newHarness(t, DefaultSettings, "own")
+	s := h.tracker.Sources()[0]
+	reconnect := func() { s.LinkDown(h.now, "cut"); s.LinkUp(h.now); h.reconcile() }
+	h.report(0, "1", "a:0 b:1 c:2")
+	h.report(0, "2", "a:0 b:1/draining c:2")
+	h.report(0, "1", "a:0 b:1 c:2")
+	h.want("superseded within the connection", "a:0 b:1 c:2")
+	h.report(0, "3", "a:0 b:1 c:2/draining")
 	reconnect()
-	w.report(0, "1", "a:0 b:1 c:2")
-	w.want("superseded after a reconnect", "a:0 b:1 c:2/draining")
+	h.report(0, "1", "a:0 b:1 c:2")
+	h.want("superseded after a reconnect", "a:0 b:1 c:2/draining")
 	if s.HeldVersion() != "1" || s.Version() != "3" {
 		t.Errorf("held %q, in force %q", s.HeldVersion(), s.Version())
 	}
-	w.report(0, "3", "a:0 b:1 c:2/draining")
-	w.want("the version in force again", "a:0 b:1 c:2/draining")
+	h.report(0, "3", "a:0 b:1 c:2/draining")
+	h.want("the version in force again", "a:0 b:1 c:2/draining")
 	if s.HeldVersion() != "" {
 		t.Errorf("%q is still held", s.HeldVersion())
 	}
 	reconnect()
-	w.report(0, "1", "a:0 b:1 c:2")
-	s.LinkDown(w.now, "cut")
-	w.pass(20 * sec)
-	w.want("disconnected before the hold-down time", "a:0 b:1 c:2/draining")
-	s.LinkUp(w.now)
-	w.report(0, "1", "a:0 b:1 c:2")
-	w.pass(10 * sec)
-	w.want("hold-down time elapsed", "a:0 b:1 c:2")
+	h.report(0, "1", "a:0 b:1 c:2")
+	s.LinkDown(h.now, "cut")
+	h.advance(20 * sec)
+	h.want("disconnected before the hold-down time", "a:0 b:1 c:2/draining")
+	s.LinkUp(h.now)
+	h.report(0, "1", "a:0 b:1 c:2")
+	h.advance(10 * sec)
+	h.want("hold-down time elapsed", "a:0 b:1 c:2")
 	reconnect()
-	w.report(0, "3", "a:0 b:1 c:2/draining")
-	w.tracker.Confirm()
-	w.reconcile()
-	w.want("confirmed", "a:0 b:1 c:2/draining")
+	h.report(0, "3", "a:0 b:1 c:2/draining")
+	h.tracker.Confirm()
+	h.reconcile()
+	h.want("confirmed", "a:0 b:1 c:2/draining")
 	reconnect()
-	w.report(0, "1", "a:0/draining b:1 c:2")
-	w.want("the version with other nodes", "a:0/draining b:1 c:2")
+	h.report(0, "1", "a:0/draining b:1 c:2")
+	h.want("the version with other nodes", "a:0/draining b:1 c:2")
 }
 
 // A rejected update changes nothing but the source's count, and is logged.
 func TestRejectedUpdateChangesNothing(t *testing.T) {
-	w := newWorld(t, DefaultSettings, "own")
-	s := w.tracker.Sources()[0]
-	w.report(0, "1", "a:0")
-	s.Reject(w.now, "port 0")
-	w.reconcile()
-	w.want("rejected", "a:0")
-	if w.update.Changed || s.RejectReason != "port 0" || s.Rejections != 1 || s.RejectedAt != w.now {
-		t.Errorf("changed %v, %+v", w.update.Changed, s)
+	h := newHarness(t, DefaultSettings, "own")
+	s := h.tracker.Sources()[0]
+	h.report(0, "1", "a:0")
+	s.Reject(h.now, "port 0")
+	h.reconcile()
+	h.want("rejected", "a:0")
+	if h.update.Changed || s.RejectReason != "port 0" || s.Rejections != 1 || s.RejectedAt != h.now {
+		t.Errorf("changed %v, %+v", h.update.Changed, s)
 	}
-	if !slices.ContainsFunc(w.logs, func(l string) bool { return strings.Contains(l, "port 0") }) {
-		t.Errorf("not logged: %q", w.logs)
+	if !slices.ContainsFunc(h.logs, func(l string) bool { return strings.Contains(l, "port 0") }) {
+		t.Errorf("not logged: %q", h.logs)
 	}
 }
--- a/internal/endpoint/membership/state.go
+++ b/internal/endpoint/membership/state.go
@@ -21,8 +21,8 @@
 // String returns the name that the admin socket and the log show.
 func (s State) String() string { return stateNames[s] }
 
-// seen tells whether entering the state makes a node known to the scheduler.
-func (s State) seen() bool { return s == Serving || s == Draining || s == HeldDown }
+// introduces tells whether entering the state makes a node known to the scheduler.
+func (s State) introduces() bool { return s == Serving || s == Draining || s == HeldDown }
 
 // inUse tells whether a node in this state gets the requests of its shard.
 func (s State) inUse() bool { return s == Serving || s == HeldDown }
--- a/internal/endpoint/membership/tracker.go
+++ b/internal/endpoint/membership/tracker.go
@@ -97,17 +97,17 @@
 	if !slices.ContainsFunc(t.sources, (*Source).hasList) {
 		return false
 	}
-	nodes, stale := t.list()
+	nodes, stale := t.buildList()
 	if t.published && stale == t.nodesStale && slices.Equal(nodes, t.nodes) {
 		return false
 	}
 	t.published = true
-	t.nodes, t.nodesStale, t.nodesVersion = nodes, stale, t.versions()
+	t.nodes, t.nodesStale, t.nodesVersion = nodes, stale, t.combinedVersion()
 	return true
 }
 
-// list is the list for the scheduler. It is complete: a node that it leaves out is removed.
-func (t *Tracker) list() (nodes []endpoint.Node, stale bool) {
+// buildList returns the list for the scheduler. It is complete: a node that it leaves out is removed.
+func (t *Tracker) buildList() (nodes []endpoint.Node, stale bool) {
 	for _, m := range t.ordered {
 		if n, ok := m.listEntry(); ok {
 			nodes = append(nodes, n)
@@ -136,13 +136,13 @@
 		return n, true
 	case Standby:
 		n.Health = endpoint.Draining
-		return n, m.seen
+		return n, m.knownToScheduler
 	}
 	return n, false
 }
 
-// versions names the sources' versions in force.
-func (t *Tracker) versions() string {
+// combinedVersion names the sources' versions in force.
+func (t *Tracker) combinedVersion() string {
 	list := make([]string, len(t.sources))
 	for i, s := range t.sources {
 		list[i] = s.version
@@ -155,8 +155,8 @@
 	t.events = append(t.events, Event{message, attrs})
 }
 
-// wakeAt has Reconcile called at a time at the latest.
-func (t *Tracker) wakeAt(at Time) { t.nextAt = earlier(t.nextAt, at) }
+// scheduleReconcile has Reconcile called at a time at the latest.
+func (t *Tracker) scheduleReconcile(at Time) { t.nextAt = earlier(t.nextAt, at) }
 
 // earlier returns the earlier of two times, where 0 stands for never.
 func earlier(a, b Time) Time {
--- a/internal/endpoint/membership/transition.go
+++ b/internal/endpoint/membership/transition.go
@@ -84,18 +84,18 @@
 		m.readySince = 0
 	case m.readySince == 0:
 		m.readySince = now
-		if m.seen {
-			m.readyAgain = append(m.readyAgain, now)
+		if m.knownToScheduler {
+			m.recoveries = append(m.recoveries, now)
 		}
 	}
-	m.readyAgain = slices.DeleteFunc(m.readyAgain, func(at Time) bool { return at <= now-t.settings.FlapWindow })
+	m.recoveries = slices.DeleteFunc(m.recoveries, func(at Time) bool { return at <= now-t.settings.FlapWindow })
 }
 
 // elect returns the node to use for each shard that has a candidate.
 func (t *Tracker) elect(now Time) map[int]*Member {
 	candidates := map[int][]*Member{}
 	for _, m := range t.ordered {
-		if t.candidate(now, m) {
+		if t.isCandidate(now, m) {
 			candidates[m.shard] = append(candidates[m.shard], m)
 		}
 	}
@@ -106,17 +106,17 @@
 	return elected
 }
 
-// candidate tells whether a node could serve its shard, after it has settled which shard that is and when the node
+// isCandidate tells whether a node could serve its shard, after it has settled which shard that is and when the node
 // started.
-func (t *Tracker) candidate(now Time, m *Member) bool {
+func (t *Tracker) isCandidate(now Time, m *Member) bool {
 	if !m.listed {
 		return false
 	}
 	if m.reassigned() && !t.reassign(now, m) {
 		return false
 	}
-	m.updateStart(now)
-	return m.reported.Health == endpoint.Ready && !t.damped(now, m)
+	m.updateStartTime(now)
+	return m.reported.Health == endpoint.Ready && !t.isDamped(now, m)
 }
 
 // reassign moves a node to the shard that its address is listed for now. It is refused, and returns false, until the
@@ -125,26 +125,26 @@
 	switch {
 	case m.State == Removing && now < m.Since+t.settings.RemovalGrace:
 		return false
-	case m.seen && m.State != Removing && m.State != Absent:
+	case m.knownToScheduler && m.State != Removing && m.State != Absent:
 		return false
 	}
 	m.shard = m.reported.Shard
-	if m.seen && m.reported.StartedAt <= m.startedAt {
-		m.restart(now) // it can't be the process that it was
+	if m.knownToScheduler && m.reported.StartedAt <= m.startedAt {
+		m.markRestarted(now) // it can't be the process that it was
 	}
 	return true
 }
 
-// damped tells whether a node flapped so often that its readiness does not count yet.
-func (t *Tracker) damped(now Time, m *Member) bool {
-	if len(m.readyAgain) <= t.settings.MaxFlaps || m.State.inUse() {
+// isDamped tells whether a node flapped so often that its readiness does not count yet.
+func (t *Tracker) isDamped(now Time, m *Member) bool {
+	if len(m.recoveries) <= t.settings.MaxFlaps || m.State.inUse() {
 		return false
 	}
 	end := m.readySince + t.settings.DampingTime
 	if now >= end {
 		return false
 	}
-	t.wakeAt(end)
+	t.scheduleReconcile(end)
 	return true
 }
 
@@ -170,7 +170,7 @@
 		return
 	}
 	if graceEnd := m.Since + t.settings.RemovalGrace; reassigned || now < graceEnd {
-		t.wakeAt(graceEnd)
+		t.scheduleReconcile(graceEnd)
 		return
 	}
 	t.setState(now, m, Absent, reasonGraceOver)
@@ -186,8 +186,8 @@
 		t.setState(now, m, Unhealthy, reported)
 	case elected == m:
 		t.setState(now, m, Serving, reported)
-	case t.damped(now, m):
-		t.setState(now, m, Damped, fmt.Sprintf(reasonFlapped, len(m.readyAgain)))
+	case t.isDamped(now, m):
+		t.setState(now, m, Damped, fmt.Sprintf(reasonFlapped, len(m.recoveries)))
 	default:
 		t.setState(now, m, Standby, reasonStandby+elected.Addr)
 	}
@@ -201,8 +201,8 @@
 		return
 	}
 	m.State, m.Since = to, now
-	if to.seen() {
-		m.seen = true
+	if to.introduces() {
+		m.knownToScheduler = true
 	}
 	t.logEvent("node state changed", "node", m.Addr, "shard", m.shard, "from", from, "to", to, "reason", reason)
 }
@@ -214,7 +214,7 @@
 			return false
 		}
 		if at := m.Since + t.settings.ForgetAfter; now < at {
-			t.wakeAt(at)
+			t.scheduleReconcile(at)
 			return false
 		}
 		delete(t.members, m.Addr)
--- a/internal/endpoint/membership/world_test.go
+++ b/internal/endpoint/membership/world_test.go
@@ -17,8 +17,8 @@
 	Fatalf(string, ...any)
 }
 
-// world runs a tracker as the endpoint manager does: Reconcile after each event, and whenever it is due.
-type world struct {
+// harness runs a tracker as the endpoint manager does: Reconcile after each event, and whenever it is due.
+type harness struct {
 	t       tester
 	tracker *Tracker
 	now     Time
@@ -26,52 +26,52 @@
 	logs    []string // all events so far
 }
 
-// newWorld returns a world in which all sources are connected.
-func newWorld(t tester, settings Settings, sources ...string) *world {
-	w := &world{t: t, tracker: New(settings, sources...), now: 1000 * sec}
-	for _, s := range w.tracker.Sources() {
-		s.LinkUp(w.now)
+// newHarness returns a world in which all sources are connected.
+func newHarness(t tester, settings Settings, sources ...string) *harness {
+	h := &harness{t: t, tracker: New(settings, sources...), now: 1000 * sec}
+	for _, s := range h.tracker.Sources() {
+		s.LinkUp(h.now)
 	}
-	return w
+	return h
 }
 
-func (w *world) reconcile() {
-	w.update = w.tracker.Reconcile(w.now)
-	for _, event := range w.update.Events {
-		w.logs = append(w.logs, event.String())
+func (h *harness) reconcile() {
+	h.update = h.tracker.Reconcile(h.now)
+	for _, event := range h.update.Events {
+		h.logs = append(h.logs, event.String())
 	}
 }
 
-// pass lets time go by, and calls Reconcile whenever it is due.
-func (w *world) pass(span Time) {
-	w.t.Helper()
-	end := w.now + span
-	for w.update.NextAt > 0 && w.update.NextAt <= end {
-		if w.update.NextAt < w.now {
-			w.t.Fatalf("the call due at %d is %d ns late", w.update.NextAt, w.now-w.update.NextAt)
+// advance lets time go by, and calls Reconcile whenever it is due.
+func (h *harness) advance(span Time) {
+	h.t.Helper()
+	end := h.now + span
+	for h.update.NextAt > 0 && h.update.NextAt <= end {
+		if h.update.NextAt < h.now {
+			h.t.Fatalf("the call due at %d is %d ns late", h.update.NextAt, h.now-h.update.NextAt)
 		}
-		if w.now == w.update.NextAt {
-			w.now++ // one that stays due is found by the limit of the test's time
+		if h.now == h.update.NextAt {
+			h.now++ // one that stays due is found by the limit of the test's time
 		}
-		w.now = max(w.now, w.update.NextAt)
-		w.reconcile()
+		h.now = max(h.now, h.update.NextAt)
+		h.reconcile()
 	}
-	w.now = end
-	w.reconcile()
+	h.now = end
+	h.reconcile()
 }
 
 // report has a source send a list, written as for parseNodes.
-func (w *world) report(source int, version, nodes string) {
-	w.t.Helper()
-	list := endpoint.List{Version: version, Nodes: parseNodes(w.t, nodes)}
-	w.tracker.Sources()[source].Receive(w.now, list)
-	w.reconcile()
+func (h *harness) report(source int, version, nodes string) {
+	h.t.Helper()
+	list := endpoint.List{Version: version, Nodes: parseNodes(h.t, nodes)}
+	h.tracker.Sources()[source].Receive(h.now, list)
+	h.reconcile()
 }
 
 // disconnect has a source lose its connection.
-func (w *world) disconnect(source int) {
-	w.tracker.Sources()[source].LinkDown(w.now, "connection reset")
-	w.reconcile()
+func (h *harness) disconnect(source int) {
+	h.tracker.Sources()[source].LinkDown(h.now, "connection reset")
+	h.reconcile()
 }
 
 var healthByName = map[string]endpoint.Health{
@@ -111,9 +111,9 @@
 }
 
 // listed returns the list for the scheduler in the form of parseNodes.
-func (w *world) listed() string {
+func (h *harness) listed() string {
 	var out []string
-	for _, n := range w.update.List.Nodes {
+	for _, n := range h.update.List.Nodes {
 		word := fmt.Sprintf("%s:%d", n.Addr, n.Shard)
 		if n.Health == endpoint.Draining {
 			word += "/draining"
@@ -127,15 +127,15 @@
 }
 
 // want fails the test unless the list for the scheduler is the one given.
-func (w *world) want(what, nodes string) {
-	w.t.Helper()
-	if got := w.listed(); got != nodes {
-		w.t.Errorf("%s: the list is %q, want %q\n%s", what, got, nodes, strings.Join(w.logs, "\n"))
+func (h *harness) want(what, nodes string) {
+	h.t.Helper()
+	if got := h.listed(); got != nodes {
+		h.t.Errorf("%s: the list is %q, want %q\n%s", what, got, nodes, strings.Join(h.logs, "\n"))
 	}
 }
 
-func (w *world) state(addr string) State {
-	if m := w.tracker.members[addr]; m != nil {
+func (h *harness) state(addr string) State {
+	if m := h.tracker.members[addr]; m != nil {
 		return m.State
 	}
 	return Absent
