--- a/internal/fleet/slowstart/agent/agent_test.go
+++ b/internal/fleet/slowstart/agent/agent_test.go
@@ -19,8 +19,8 @@
 	waitLimit = time.Minute
 )
 
-// demandingLoop is a loop whose scheduler always has requests for one node, and sends all that is allocated.
-type demandingLoop struct {
+// fakeLoop is a loop whose scheduler always has requests for one node, and sends all that is allocated.
+type fakeLoop struct {
 	now       func() scheduler.Time
 	startedAt scheduler.Time
 
@@ -31,7 +31,7 @@
 	ended int // allocations that ended with the scheduler's own rules
 }
 
-func (l *demandingLoop) SlowStartDemand() (gateway.SlowStartDemand, bool) {
+func (l *fakeLoop) SlowStartDemand() (gateway.SlowStartDemand, bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.now() < l.until {
@@ -44,7 +44,7 @@
 	return gateway.SlowStartDemand{Demands: []scheduler.SlowStartDemand{demand}, Rate: 1000}, true
 }
 
-func (l *demandingLoop) AllocateSlowStart(_ string, _ scheduler.Time, units float64, until scheduler.Time) (remaining float64, ok bool) {
+func (l *fakeLoop) AllocateSlowStart(_ string, _ scheduler.Time, units float64, until scheduler.Time) (remaining float64, ok bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.now() < l.until {
@@ -57,13 +57,13 @@
 	return remaining, true
 }
 
-func (l *demandingLoop) sentUnits() float64 {
+func (l *fakeLoop) sentUnits() float64 {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.sent
 }
 
-func (l *demandingLoop) endedAllocations() int {
+func (l *fakeLoop) endedAllocations() int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.ended
@@ -74,7 +74,7 @@
 	t      *testing.T
 	now    func() scheduler.Time
 	agents map[string]*Agent
-	loops  map[string]*demandingLoop
+	loops  map[string]*fakeLoop
 	addrs  map[string]string
 }
 
@@ -89,12 +89,12 @@
 	}
 	g := &agentGroup{
 		t: t, now: clock.Now,
-		agents: map[string]*Agent{}, loops: map[string]*demandingLoop{}, addrs: map[string]string{},
+		agents: map[string]*Agent{}, loops: map[string]*fakeLoop{}, addrs: map[string]string{},
 	}
 	for _, name := range names {
-		a := listen(t, Options{Gateway: name, Holder: name, Settings: settings, Now: clock.Now})
+		a := newTestAgent(t, Options{Gateway: name, Holder: name, Settings: settings, Now: clock.Now})
 		g.agents[name], g.addrs[name] = a, a.Addr()
-		g.loops[name] = &demandingLoop{now: clock.Now, startedAt: startedAt}
+		g.loops[name] = &fakeLoop{now: clock.Now, startedAt: startedAt}
 	}
 	return g
 }
--- a/internal/fleet/slowstart/agent/golden_test.go
+++ b/internal/fleet/slowstart/agent/golden_test.go
@@ -58,7 +58,7 @@
 // TestGoldenRoutes: each route of a gateway's peer address answers as that of an earlier build does.
 func TestGoldenRoutes(t *testing.T) {
 	now := scheduler.Time(time.Hour)
-	a := listen(t, Options{
+	a := newTestAgent(t, Options{
 		Gateway: "g", Holder: "g/1.2", Now: func() scheduler.Time { return now },
 		Settings: budget.Settings{
 			InitialFraction: 1, WarmupTime: int64(2 * time.Hour), OverloadMultiple: 2, Window: 3e8, MinUnits: 5,
@@ -132,8 +132,8 @@
 	}
 }
 
-// listen makes an agent at a free address.
-func listen(t *testing.T, options Options) *Agent {
+// newTestAgent makes an agent at a free address.
+func newTestAgent(t *testing.T, options Options) *Agent {
 	t.Helper()
 	options.ListenAddr = "127.0.0.1:0"
 	options.Logger = slog.New(slog.DiscardHandler)
--- a/internal/fleet/slowstart/agent/requester.go
+++ b/internal/fleet/slowstart/agent/requester.go
@@ -16,9 +16,9 @@
 
 // Paces of the requests, in allocation times or parts of one.
 const (
-	pollFraction    = 12 // the loop is polled for demands in this part of an allocation time
-	reachableTimes  = 8  // for so long after its last response an allocator is taken to be reachable
-	maxBackoffTimes = 16 // the longest backoff after requests that failed
+	pollDivisor        = 12 // the loop is polled for demands in this part of an allocation time
+	reachableMultiple  = 8  // for so long after its last response an allocator is taken to be reachable
+	maxBackoffMultiple = 16 // the longest backoff after requests that failed
 )
 
 // maxConcurrentRequests is how many requests to other gateways are in flight at most; the others wait for a
@@ -34,7 +34,7 @@
 
 // requestLoop polls the loop for demands, and requests allocations for them.
 func (a *Agent) requestLoop(ctx context.Context) {
-	ticker := time.NewTicker(time.Duration(a.allocationTime) / pollFraction)
+	ticker := time.NewTicker(time.Duration(a.allocationTime) / pollDivisor)
 	defer ticker.Stop()
 	for {
 		select {
--- a/internal/fleet/slowstart/agent/reservation.go
+++ b/internal/fleet/slowstart/agent/reservation.go
@@ -52,7 +52,7 @@
 // is spread by the request's number.
 func (r *reservation) failed(now, allocationTime scheduler.Time) {
 	r.setState(stateNoAllocator)
-	r.backoff = min(max(2*r.backoff, allocationTime/2), maxBackoffTimes*allocationTime)
+	r.backoff = min(max(2*r.backoff, allocationTime/2), maxBackoffMultiple*allocationTime)
 	spread := scheduler.Time(r.seq % uint64(r.backoff/2))
 	r.nextRequestAt = now + r.backoff/2 + spread
 }
@@ -61,6 +61,6 @@
 func (r *reservation) succeeded(now, until, allocationTime scheduler.Time) {
 	r.backoff = 0
 	r.expiresAt = until
-	r.reachableUntil = now + reachableTimes*allocationTime
+	r.reachableUntil = now + reachableMultiple*allocationTime
 	r.setState(stateAllocated)
 }
--- a/internal/fleet/slowstart/agent/reservation_test.go
+++ b/internal/fleet/slowstart/agent/reservation_test.go
@@ -12,7 +12,7 @@
 func TestExpiredAllocationIsSuspendedWhileAllocatorIsReachable(t *testing.T) {
 	const allocationTime = scheduler.Time(100)
 	now := scheduler.Time(1000)
-	a := listen(t, Options{
+	a := newTestAgent(t, Options{
 		Holder: "g", Now: func() scheduler.Time { return now }, Settings: budget.Settings{AllocationTime: allocationTime},
 	})
 	t.Cleanup(a.Close)
@@ -31,7 +31,7 @@
 	if got := a.poll(t.Context(), demands, 1); len(got) != 0 {
 		t.Errorf("suspended twice: %+v", got)
 	}
-	now += reachableTimes * allocationTime
+	now += reachableMultiple * allocationTime
 	if got := a.poll(t.Context(), demands, 1); len(got) != 0 {
 		t.Errorf("suspended although the allocator may be gone: %+v", got)
 	}
--- a/internal/fleet/slowstart/agent/server.go
+++ b/internal/fleet/slowstart/agent/server.go
@@ -13,7 +13,7 @@
 )
 
 // holdFraction is the part of the allocation time for which a request waits for units at most.
-const holdFraction = 3
+const holdDivisor = 3
 
 // Why a request is rejected. The texts are answered to other gateways and stay as they are.
 var (
@@ -58,7 +58,7 @@
 	if err != nil {
 		return nil, err
 	}
-	hold := time.NewTimer(time.Duration(a.allocationTime) / holdFraction)
+	hold := time.NewTimer(time.Duration(a.allocationTime) / holdDivisor)
 	defer hold.Stop()
 	select {
 	case allocation := <-response:
--- a/internal/fleet/slowstart/agent/settings.go
+++ b/internal/fleet/slowstart/agent/settings.go
@@ -20,26 +20,26 @@
 
 // SettingsFrom are a budget's settings, as the scheduler's say, for clocks that drift by a part at most.
 func SettingsFrom(settings scheduler.Settings, maxClockDrift float64) budget.Settings {
-	window := duration(settings, "cold.window")
+	window := durationSetting(settings, "cold.window")
 	return budget.Settings{
-		InitialFraction:  number(settings, "cold.from"),
-		WarmupTime:       duration(settings, "cold.time"),
-		OverloadMultiple: number(settings, "cold.multiple"),
+		InitialFraction:  floatSetting(settings, "cold.from"),
+		WarmupTime:       durationSetting(settings, "cold.time"),
+		OverloadMultiple: floatSetting(settings, "cold.multiple"),
 		Window:           window,
-		MinUnits:         number(settings, "cold.units"),
+		MinUnits:         floatSetting(settings, "cold.units"),
 		AllocatedShare:   allocatedShare,
 		AllocationTime:   min(cmp.Or(window/allocationsPerWindow, maxAllocationTime), maxAllocationTime),
 		MaxClockDrift:    maxClockDrift,
 	}
 }
 
-// number is a value of the scheduler's settings; 0: there is none.
-func number(settings scheduler.Settings, name string) float64 {
+// floatSetting is a value of the scheduler's settings; 0: there is none.
+func floatSetting(settings scheduler.Settings, name string) float64 {
 	value, _ := strconv.ParseFloat(settings[name], 64) // the scheduler checked what there is
 	return value
 }
 
-// duration is a value of the scheduler's settings, which state milliseconds.
-func duration(settings scheduler.Settings, name string) scheduler.Time {
-	return scheduler.Time(number(settings, name) * float64(scheduler.Millisecond))
+// durationSetting is a value of the scheduler's settings, which state milliseconds.
+func durationSetting(settings scheduler.Settings, name string) scheduler.Time {
+	return scheduler.Time(floatSetting(settings, name) * float64(scheduler.Millisecond))
 }
--- a/internal/fleet/slowstart/budget/model_test.go
+++ b/internal/fleet/slowstart/budget/model_test.go
@@ -42,12 +42,12 @@
 	requestedAt Time
 	units       float64
 	validUntil  Time
-	waits       bool // for an allocation
+	isWaiting   bool // for an allocation
 }
 
 // canUse tells whether an allocation that arrives now is for the latest request, and in time.
 func (h *modelHolder) canUse(now, requestedAt Time, allocation Allocation) bool {
-	return allocation.Seq == h.seq && h.waits && now < requestedAt+modelSettings.AllocationTime
+	return allocation.Seq == h.seq && h.isWaiting && now < requestedAt+modelSettings.AllocationTime
 }
 
 type modelSend struct {
@@ -101,11 +101,11 @@
 
 // violation tells how a state breaks what is allocated; "": it does not.
 func (s *modelState) violation() string {
-	moved := Time(0)
+	sinceMove := Time(0)
 	if s.movedAt >= 0 && s.now-s.movedAt <= modelSettings.outstandingTime() {
-		moved = s.now - s.movedAt
+		sinceMove = s.now - s.movedAt
 	}
-	sendable, limit := s.sendable(), modelSettings.MaxOutstanding(s.now, 1, moved)
+	sendable, limit := s.sendable(), modelSettings.MaxOutstanding(s.now, 1, sinceMove)
 	if sendable > limit+modelTolerance {
 		return fmt.Sprintf("%.2f units can be sent at once, %.2f may be", sendable, limit)
 	}
@@ -138,18 +138,18 @@
 	return units
 }
 
-// next are the states that can follow.
-func (s *modelState) next(faults InjectedFaults) (states []*modelState) {
+// successors are the states that can follow.
+func (s *modelState) successors(faults InjectedFaults) (states []*modelState) {
 	if s.now < s.end {
 		c := s.clone("tick")
 		c.now += modelTick
 		states = append(states, c)
 	}
 	for i := range s.holders {
-		states = append(states, s.nextOfHolder(i, faults)...)
+		states = append(states, s.holderSuccessors(i, faults)...)
 	}
 	for i := range s.requests {
-		states = append(states, s.nextOfRequest(i)...)
+		states = append(states, s.requestSuccessors(i)...)
 	}
 	for i := range s.allocations {
 		states = append(states, s.deliverAllocation(i))
@@ -163,8 +163,8 @@
 	return states
 }
 
-// nextOfHolder has a holder make a request, or use what it has.
-func (s *modelState) nextOfHolder(i int, faults InjectedFaults) (states []*modelState) {
+// holderSuccessors has a holder make a request, or use what it has.
+func (s *modelState) holderSuccessors(i int, faults InjectedFaults) (states []*modelState) {
 	valid := s.now < s.holders[i].validUntil
 	if s.requestsLeft > 0 && len(s.requests)+len(s.allocations) < 2 {
 		c := s.clone(fmt.Sprint("request", i))
@@ -174,7 +174,7 @@
 		if valid {
 			request.Returned = h.units
 		}
-		h.requestedAt, h.waits = s.now, true
+		h.requestedAt, h.isWaiting = s.now, true
 		if !faults.Has(FaultUseReturned) {
 			h.units = 0
 		}
@@ -191,8 +191,8 @@
 	return states
 }
 
-// nextOfRequest delivers a request on its way, delivers it once more, or loses it.
-func (s *modelState) nextOfRequest(i int) (states []*modelState) {
+// requestSuccessors delivers a request on its way, delivers it once more, or loses it.
+func (s *modelState) requestSuccessors(i int) (states []*modelState) {
 	request := s.requests[i]
 	for _, duplicate := range []bool{false, true} {
 		if duplicate && request.duplicated {
@@ -228,21 +228,21 @@
 	c.allocations = slices.Delete(c.allocations, i, i+1)
 	h := c.holder(allocation.Holder)
 	if h.canUse(c.now, h.requestedAt, allocation.Allocation) {
-		h.units, h.validUntil, h.waits = allocation.Units, h.requestedAt+modelSettings.AllocationTime, false
+		h.units, h.validUntil, h.isWaiting = allocation.Units, h.requestedAt+modelSettings.AllocationTime, false
 	}
 	return c
 }
 
 // search goes through all states, and returns their number, or a violation with the steps to it.
 func search(faults InjectedFaults, ticks Time) (states int, violation string) {
-	first := &modelState{
+	initial := &modelState{
 		movedAt: -1, requestsLeft: modelRequests, end: ticks * modelTick,
 		allocator: NewAllocator(0, modelSettings, 0, 1, faults),
 	}
-	first.allocator.available, _ = modelSettings.limits(0, 1) // it has had the budget for long
-	seen := map[string]bool{first.key(): true}
-	for queue := []*modelState{first}; len(queue) > 0 && len(seen) < maxModelStates; queue = queue[1:] {
-		for _, state := range queue[0].next(faults) {
+	initial.allocator.available, _ = modelSettings.limits(0, 1) // it has had the budget for long
+	seen := map[string]bool{initial.key(): true}
+	for queue := []*modelState{initial}; len(queue) > 0 && len(seen) < maxModelStates; queue = queue[1:] {
+		for _, state := range queue[0].successors(faults) {
 			if violation := state.violation(); violation != "" {
 				return len(seen), violation + ":" + state.path
 			}
--- a/internal/fleet/slowstart/budget/settings.go
+++ b/internal/fleet/slowstart/budget/settings.go
@@ -50,12 +50,12 @@
 func (s Settings) driftRatio() float64 { return (1 + s.MaxClockDrift) / (1 - s.MaxClockDrift) }
 
 // MaxOutstanding is the most units that can be sent at once to a node of an age, whether they are available,
-// allocated or on their way. moved is for how long there may have been another allocator beside the allocations
+// allocated or on their way. sinceMove is for how long there may have been another allocator beside the allocations
 // of the one before; more than the time of an allocation counts as that.
-func (s Settings) MaxOutstanding(age Time, rate float64, moved Time) float64 {
+func (s Settings) MaxOutstanding(age Time, rate float64, sinceMove Time) float64 {
 	allocated := s.AllocatedShare * s.Capacity(age, rate)
 	longest := Time(float64(s.outstandingTime()) * s.driftRatio())
-	overlap := float64(min(moved, longest))
+	overlap := float64(min(sinceMove, longest))
 	return burstShare*allocated + (1-burstShare)*allocated*overlap/float64(s.Window+s.outstandingTime())
 }
 
--- a/internal/fleet/slowstart/epoch/membership.go
+++ b/internal/fleet/slowstart/epoch/membership.go
@@ -22,13 +22,13 @@
 	MaxClockDrift float64 `json:"drift"` // part by which clocks run faster or slower than true time at most
 }
 
-// longest is a span as another process's clock may count it at most.
-func (m *Membership) longest(span Time) Time {
+// maxOnOtherClock is a span as another process's clock may count it at most.
+func (m *Membership) maxOnOtherClock(span Time) Time {
 	return Time(float64(span)*(1+m.MaxClockDrift)/(1-m.MaxClockDrift)) + 1
 }
 
-// earlierLeasesEnd is how long it takes at most until all leases that were granted in earlier epochs have run
+// untilEarlierLeasesExpire is how long it takes at most until all leases that were granted in earlier epochs have run
 // out.
-func (m *Membership) earlierLeasesEnd() Time {
-	return max(m.longest(m.longest(m.LeaseDuration)-m.Age), 0)
+func (m *Membership) untilEarlierLeasesExpire() Time {
+	return max(m.maxOnOtherClock(m.maxOnOtherClock(m.LeaseDuration)-m.Age), 0)
 }
--- a/internal/fleet/slowstart/epoch/ownership.go
+++ b/internal/fleet/slowstart/epoch/ownership.go
@@ -4,12 +4,12 @@
 
 // Ownership is which nodes' budgets one gateway owns. It takes the membership of each lease.
 type Ownership struct {
-	self       string
-	faults     InjectedFaults
-	membership Membership
-	leaseUntil Time            // nothing is owned after it
-	ownedFrom  map[string]Time // by node: from when on it is owned, if it is; nodes that were asked for
-	othersFrom Time            // the same for all other nodes
+	self             string
+	faults           InjectedFaults
+	membership       Membership
+	leaseUntil       Time            // nothing is owned after it
+	ownedFrom        map[string]Time // by node: from when on it is owned, if it is; nodes that were asked for
+	defaultOwnedFrom Time            // the same for all other nodes
 }
 
 // InjectedFaults are defects that tests put in, to show that their checks find them. Nothing else sets them.
@@ -38,13 +38,13 @@
 	if membership.Epoch == o.membership.Epoch {
 		return
 	}
-	wait := membership.earlierLeasesEnd()
+	wait := membership.untilEarlierLeasesExpire()
 	if o.faults&FaultNoWait != 0 {
 		wait = 0
 	}
 	o.ownedFrom = o.ownedThroughout(&membership)
 	o.membership = membership
-	o.othersFrom = now + wait
+	o.defaultOwnedFrom = now + wait
 }
 
 // ownedThroughout are the nodes that the gateway owned until now and owns in a new epoch, without another owner
@@ -77,7 +77,7 @@
 	}
 	from, known := o.ownedFrom[node]
 	if !known {
-		from = o.othersFrom
+		from = o.defaultOwnedFrom
 		o.ownedFrom[node] = from
 	}
 	return now >= from
--- a/internal/fleet/slowstart/firstseconds_play_test.go
+++ b/internal/fleet/slowstart/firstseconds_play_test.go
@@ -11,8 +11,8 @@
 	"irispost/scheduler"
 )
 
-// attempt is one in flight.
-type attempt struct {
+// inFlightAttempt is one in flight.
+type inFlightAttempt struct {
 	gateway int
 	attempt *scheduler.Attempt
 	doneAt  scheduler.Time
@@ -38,25 +38,25 @@
 	settings   budget.Settings
 	allocator  *budget.Allocator // nil: the node has not started
 
-	requests     int // so far, for their IDs
-	inFlight     []attempt
-	coldBusyTill scheduler.Time
-	warmBusyTill scheduler.Time
-	paced        pacerQueue
-	window       []windowSend
-	outcome      outcome
+	requests      int // so far, for their IDs
+	inFlight      []inFlightAttempt
+	coldBusyUntil scheduler.Time
+	warmBusyUntil scheduler.Time
+	paced         pacerQueue
+	window        []windowSend
+	outcome       outcome
 }
 
-// playFirstSeconds plays the seconds around a node's start, and returns what came of the first ones after it.
-func playFirstSeconds(gateways int, load float64, mode dispatchMode, seed uint64) outcome {
+// simulateFirstSeconds plays the seconds around a node's start, and returns what came of the first ones after it.
+func simulateFirstSeconds(gateways int, load float64, mode dispatchMode, seed uint64) outcome {
 	now := 100 * scheduler.Second
 	settings := fleetSettings(gateways)
 	f := &firstSeconds{
 		mode: mode, load: load, random: rand.New(rand.NewPCG(seed, 3)),
-		now: now, startedAt: now + scheduler.Second, end: now + scheduler.Second + measured,
+		now: now, startedAt: now + scheduler.Second, end: now + scheduler.Second + measuredTime,
 		validUntil: make([]scheduler.Time, gateways), seq: make([]uint64, gateways),
-		settings:     agent.SettingsFrom(settings, 0.01),
-		coldBusyTill: now, warmBusyTill: now,
+		settings:      agent.SettingsFrom(settings, 0.01),
+		coldBusyUntil: now, warmBusyUntil: now,
 	}
 	for i := range gateways {
 		s := scheduler.New(now, seed*1000+uint64(i), settings)
@@ -156,12 +156,12 @@
 
 // pace serves what the pacer has, as far as the node can in a tick.
 func (f *firstSeconds) pace() {
-	f.coldBusyTill = max(f.coldBusyTill, f.now)
-	for len(f.paced) > 0 && f.coldBusyTill < f.now+tick {
+	f.coldBusyUntil = max(f.coldBusyUntil, f.now)
+	for len(f.paced) > 0 && f.coldBusyUntil < f.now+tick {
 		request := heap.Pop(&f.paced).(*pacedRequest)
-		done := f.coldBusyTill + scheduler.Time(request.units/f.rateAt(f.coldBusyTill)*1e9)
+		done := f.coldBusyUntil + scheduler.Time(request.units/f.rateAt(f.coldBusyUntil)*1e9)
 		if done <= request.at+objective {
-			f.coldBusyTill = done
+			f.coldBusyUntil = done
 			f.outcome.served += request.weight
 		}
 	}
@@ -233,7 +233,7 @@
 	for gateway, s := range f.schedulers {
 		for _, a := range s.Decide(f.now).Dispatch {
 			done := f.serve(a)
-			f.inFlight = append(f.inFlight, attempt{gateway, a, done})
+			f.inFlight = append(f.inFlight, inFlightAttempt{gateway, a, done})
 		}
 	}
 }
@@ -242,15 +242,15 @@
 func (f *firstSeconds) serve(a *scheduler.Attempt) scheduler.Time {
 	units := a.Request.Units
 	if a.Node.Addr == warmNode {
-		f.warmBusyTill = max(f.warmBusyTill, f.now) + scheduler.Time(units/(warmNodeParallel*nodeRate)*1e9)
-		return max(f.warmBusyTill, f.now+scheduler.Time(units/nodeRate*1e9))
+		f.warmBusyUntil = max(f.warmBusyUntil, f.now) + scheduler.Time(units/(warmNodeParallel*nodeRate)*1e9)
+		return max(f.warmBusyUntil, f.now+scheduler.Time(units/nodeRate*1e9))
 	}
-	start := max(f.coldBusyTill, f.now)
-	f.coldBusyTill = start + scheduler.Time(units/f.rateAt(start)*1e9)
+	start := max(f.coldBusyUntil, f.now)
+	f.coldBusyUntil = start + scheduler.Time(units/f.rateAt(start)*1e9)
 	if f.now >= f.startedAt {
 		f.window = append(f.window, windowSend{f.now, units})
 	}
-	return f.coldBusyTill
+	return f.coldBusyUntil
 }
 
 // measureWindow holds what was sent in the last window against what the node bore when it began.
@@ -264,6 +264,6 @@
 		sent += send.units
 	}
 	windowSeconds := float64(overloadWindow) / float64(scheduler.Second)
-	borne := max(overloadMultiple*f.rateAt(max(begin, f.startedAt))*windowSeconds, minWindowUnits)
-	f.outcome.peakShare = max(f.outcome.peakShare, sent/borne)
+	capacity := max(overloadMultiple*f.rateAt(max(begin, f.startedAt))*windowSeconds, minWindowUnits)
+	f.outcome.peakShare = max(f.outcome.peakShare, sent/capacity)
 }
--- a/internal/fleet/slowstart/firstseconds_test.go
+++ b/internal/fleet/slowstart/firstseconds_test.go
@@ -16,7 +16,7 @@
 type dispatchMode int
 
 const (
-	ownRules dispatchMode = iota
+	withoutAllocator dispatchMode = iota
 	withAllocator
 	withPacer
 )
@@ -41,7 +41,7 @@
 
 	tick         = 5 * scheduler.Millisecond
 	pollInterval = 25 * scheduler.Millisecond
-	measured     = 10 * scheduler.Second // after the node's start
+	measuredTime = 10 * scheduler.Second // after the node's start
 )
 
 // outcome is what came of the requests of the first seconds. Both sums are weighted by priority.
@@ -107,15 +107,15 @@
 	}
 	for _, gateways := range sizes {
 		for _, load := range loads {
-			alone := playFirstSeconds(gateways, load, ownRules, 1)
-			allocated := playFirstSeconds(gateways, load, withAllocator, 1)
-			paced := playFirstSeconds(gateways, load, withPacer, 1)
+			baseline := simulateFirstSeconds(gateways, load, withoutAllocator, 1)
+			allocated := simulateFirstSeconds(gateways, load, withAllocator, 1)
+			paced := simulateFirstSeconds(gateways, load, withPacer, 1)
 			t.Logf("%d gateways, %.0f%% offered: served by weight %.3f alone (at most %.0f%% of what the node bears), "+
 				"%.3f with an allocator (%.0f%%, %d requests), %.3f by a pacer",
-				gateways, 100*load, alone.servedShare(), 100*alone.peakShare,
+				gateways, 100*load, baseline.servedShare(), 100*baseline.peakShare,
 				allocated.servedShare(), 100*allocated.peakShare, allocated.requests, paced.servedShare())
-			if allocated.overloaded() || allocated.served < alone.served {
-				t.Errorf("%d gateways, %.0f%%: %+v with an allocator, %+v alone", gateways, 100*load, allocated, alone)
+			if allocated.overloaded() || allocated.served < baseline.served {
+				t.Errorf("%d gateways, %.0f%%: %+v with an allocator, %+v alone", gateways, 100*load, allocated, baseline)
 			}
 		}
 	}
--- a/internal/fleet/slowstart/simgateway_test.go
+++ b/internal/fleet/slowstart/simgateway_test.go
@@ -38,8 +38,8 @@
 }
 
 func (s *simulation) newGateway() *simulatedGateway {
-	s.started++
-	name := "g" + strconv.Itoa(s.started)
+	s.gatewaysStarted++
+	name := "g" + strconv.Itoa(s.gatewaysStarted)
 	g := &simulatedGateway{clock: s.newClock(), name: name, demandRate: []float64{20, 200}[s.random.IntN(2)]}
 	g.ownership = epoch.NewOwnership(name, s.faults.epoch)
 	return g
@@ -58,17 +58,17 @@
 		g.renewedAt = now
 		s.renewLease(g)
 	}
-	isLate := now >= g.requestedAt+simulatedSettings.AllocationTime
-	if now >= g.nextRequestAt && (!g.isWaiting || isLate) {
+	timedOut := now >= g.requestedAt+simulatedSettings.AllocationTime
+	if now >= g.nextRequestAt && (!g.isWaiting || timedOut) {
 		g.nextRequestAt = now + 20*ms + s.random.Int64N(200*ms)
-		if s.hoarding {
+		if s.sendNearExpiry {
 			allocationTime := simulatedSettings.AllocationTime
 			g.nextRequestAt = now + allocationTime*9/10 + s.random.Int64N(allocationTime/5)
 		}
 		s.requestAllocation(g)
 	}
-	mayHoard := s.hoarding && g.validUntil-now >= 60*ms
-	if g.units > 0 && now < g.validUntil && !mayHoard && s.chance(0.8) {
+	holdBack := s.sendNearExpiry && g.validUntil-now >= 60*ms
+	if g.units > 0 && now < g.validUntil && !holdBack && s.chance(0.8) {
 		s.sendUnits(g)
 	}
 }
@@ -138,7 +138,7 @@
 // beginAllocating makes an allocator at a gateway. The node started at time 0.
 func (s *simulation) beginAllocating(g *simulatedGateway) {
 	g.allocator = budget.NewAllocator(g.clock.at(s.now), simulatedSettings, s.now, simulatedRate, s.faults.budget)
-	s.allocatedAt = append(s.allocatedAt, s.now) // also where it owned the budget before: those allocations may be valid
+	s.allocatorsStartedAt = append(s.allocatorsStartedAt, s.now) // even if it owned the budget before
 	if s.owner != g.name {
 		s.owner = g.name
 		s.ownerMoves++
--- a/internal/fleet/slowstart/simulation_test.go
+++ b/internal/fleet/slowstart/simulation_test.go
@@ -61,28 +61,28 @@
 
 // simulation is one run. Times are true times unless said otherwise.
 type simulation struct {
-	random   *rand.Rand
-	faults   faults
-	now      int64
-	network  []message
-	gateways []*simulatedGateway
-	started  int // gateways, for their names
+	random          *rand.Rand
+	faults          faults
+	now             int64
+	network         []message
+	gateways        []*simulatedGateway
+	gatewaysStarted int // gateways, for their names
 
 	leaderClock  clock
 	membership   epoch.Membership
 	epochBeganAt int64            // on the leader's clock
 	renewedAt    map[string]int64 // on the leader's clock, by member
 
-	sends       []simulatedSend // in the last window
-	sentUnits   float64
-	owner       string
-	ownerMoves  int
-	allocatedAt []int64 // when allocators began
+	sends               []simulatedSend // in the last window
+	sentUnits           float64
+	owner               string
+	ownerMoves          int
+	allocatorsStartedAt []int64 // when allocators began
 
-	lossRate   float64
-	maxDelay   int64
-	hoarding   bool    // holders send what they have when its time is nearly over
-	outageRate float64 // how often something happens to a gateway, a step
+	lossRate       float64
+	maxDelay       int64
+	sendNearExpiry bool    // holders send what they have when its time is nearly over
+	outageRate     float64 // how often something happens to a gateway, a step
 }
 
 func newSimulation(seed uint64, faults faults) *simulation {
@@ -90,7 +90,7 @@
 	s.leaderClock = s.newClock()
 	s.lossRate = []float64{0, 0.05, 0.3}[s.random.IntN(3)]
 	s.maxDelay = []int64{2, 50, 500}[s.random.IntN(3)] * ms
-	s.hoarding = s.chance(0.5)
+	s.sendNearExpiry = s.chance(0.5)
 	s.outageRate = []float64{0, 0.002, 0.01}[s.random.IntN(3)]
 	for range 2 + s.random.IntN(4) {
 		s.gateways = append(s.gateways, s.newGateway())
@@ -185,13 +185,13 @@
 
 // violation holds what can be sent, and what was sent in the last window, against what is allocated.
 func (s *simulation) violation() string {
-	moved := int64(0) // since the first of the moves whose allocations may still be valid
-	for _, at := range s.allocatedAt {
+	sinceMove := int64(0) // since the first of the moves whose allocations may still be valid
+	for _, at := range s.allocatorsStartedAt {
 		if s.now-at < 2*simulatedSettings.AllocationTime {
-			moved = max(moved, s.now-at)
+			sinceMove = max(sinceMove, s.now-at)
 		}
 	}
-	sendable, limit := s.sendable(), simulatedSettings.MaxOutstanding(s.now, simulatedRate, moved)
+	sendable, limit := s.sendable(), simulatedSettings.MaxOutstanding(s.now, simulatedRate, sinceMove)
 	if sendable > limit+unitTolerance {
 		return fmt.Sprintf("%.1f units can be sent at once, %.1f may be", sendable, limit)
 	}
@@ -203,9 +203,9 @@
 	for _, send := range s.sends {
 		sent += send.units
 	}
-	borne := simulatedSettings.Capacity(begin, simulatedRate)
-	if allocated := simulatedSettings.AllocatedShare * borne; sent > allocated+unitTolerance {
-		return fmt.Sprintf("%.1f units in a window, %.1f are allocated of %.1f", sent, allocated, borne)
+	capacity := simulatedSettings.Capacity(begin, simulatedRate)
+	if allocated := simulatedSettings.AllocatedShare * capacity; sent > allocated+unitTolerance {
+		return fmt.Sprintf("%.1f units in a window, %.1f are allocated of %.1f", sent, allocated, capacity)
 	}
 	return ""
 }
