--- a/internal/fleet/slowstart/agent/agent.go
+++ b/internal/fleet/slowstart/agent/agent.go
@@ -1,12 +1,12 @@
-// Package agent is a gateway's part in allocating what nodes in slow start may be sent. It has two duties: it
-// requests allocations for the requests that wait in its own gateway, and allocates the budgets of the nodes
-// that it owns to all gateways. The program that assembles a gateway starts it, next to the client of the
-// replicas.
+// Package agent runs in each gateway and allocates, together with the agents of the other gateways, the units that may
+// be sent to nodes in slow start. It requests allocations for the requests waiting in its own gateway, and it
+// allocates the budgets that its gateway owns to all gateways. The program that assembles a gateway starts it, next to
+// the client of the replicas.
 //
-// Who owns which budget is decided by the pure package epoch, who gets what by the pure package budget, and what
-// an allocation is used for by the scheduler. This package has the clock, the sockets and the goroutines. All of
-// its state is in memory; an owner that restarts begins with nothing available. The gateway's loop never waits
-// for it.
+// Package epoch decides which gateway owns which budget, package budget decides how a budget is allocated, and the
+// scheduler decides which requests use an allocation; these have no I/O. This package has the clock, the sockets and
+// the goroutines. All of its state is in memory; an owner that restarts begins with nothing available. The gateway's
+// loop never waits for the agent.
 package agent
 
 import (
@@ -24,62 +24,62 @@
 	"irispost/scheduler"
 )
 
-// Loop is what an agent needs of its gateway's loop. Both methods are false when the loop has ended.
+// Loop is the part of the gateway's event loop that an agent uses. Both methods return false once the loop has ended.
 type Loop interface {
-	// SlowStartDemand is the units that wait for nodes in slow start, and the rate of nodes that are not.
+	// SlowStartDemand returns the demand for each node in slow start, and the rate of warmed-up nodes.
 	SlowStartDemand() (gateway.SlowStartDemand, bool)
-	// AllocateSlowStart lets units, and no more, be sent to a node until a time; startedAt says to which start of it. It
-	// returns what remained of the allocation before. A time of 0 ends the allocation: the scheduler's own rules
-	// apply.
+	// AllocateSlowStart permits the given units, and no more, to be sent to a node until the given time; startedAt
+	// identifies the start of the node. It returns the units that remained of the previous allocation. If until is 0,
+	// the allocation ends and the scheduler's own rules apply.
 	AllocateSlowStart(addr string, startedAt scheduler.Time, units float64, until scheduler.Time) (remaining float64, ok bool)
 }
 
-// Options are the settings that an agent starts with.
+// Options are the parameters of Listen.
 type Options struct {
-	Gateway       string            // the gateway's name, for logs
-	Holder        string            // names this start of the gateway, as to the replicas
-	ListenAddr    string            // where other gateways reach it
-	AddrOverrides map[string]string // where this gateway reaches another, by the address that the other states
+	Gateway       string            // name of the gateway, for logs
+	Holder        string            // identifies this start of the gateway; the same as toward the replicas
+	ListenAddr    string            // address at which other gateways reach this one
+	AddrOverrides map[string]string // address to connect to, by the address that another gateway announces
 	Settings      budget.Settings
-	Now           func() scheduler.Time // the loop's clock
+	Now           func() scheduler.Time // clock of the loop
 	Logger        *slog.Logger
 }
 
-// Limits of the sockets.
+// Timeouts and limits of connections and messages.
 const (
 	readHeaderTimeout = 5 * time.Second
 	idleTimeout       = time.Minute
 	idleConnTimeout   = 30 * time.Second
-	maxIdleConns      = 4 // to each gateway
+	maxIdleConns      = 4 // per gateway
 	maxMessageBytes   = 1 << 16
 )
 
-// Agent requests allocations for its gateway, and allocates the budgets that it owns. Listen makes one.
+// Agent requests allocations for its gateway and allocates the budgets that the gateway owns. Listen creates one.
 type Agent struct {
-	opt      Options // Settings are guarded by mutex
+	opt      Options // mutex guards opt.Settings
 	loop     Loop
 	listener net.Listener
 	server   *http.Server
 	client   *http.Client
-	// allocationTime is how long allocations are valid. It stays as it was at the start, so that holders and
-	// allocators mean the same.
+	// allocationTime is how long allocations are valid. It never changes after the start, so that holders and
+	// allocators agree on it.
 	allocationTime scheduler.Time
-	requestSlots   chan struct{} // has an element for each request that is in flight
+	requestSlots   chan struct{} // holds one element for each request in flight
 
-	mutex        sync.Mutex // guards what follows, and opt.Settings
+	mutex        sync.Mutex // guards the fields below, and opt.Settings
 	ownership    *epoch.Ownership
 	peerAddrs    map[string]string // by member
 	demands      map[string]scheduler.SlowStartDemand
-	rate         float64                 // units a second of a node that is not in slow start; 0: not known
-	budgets      map[string]*nodeBudget  // by node, of the nodes that are owned
+	rate         float64                 // of a warmed-up node, in units per second; 0: unknown
+	budgets      map[string]*nodeBudget  // by node, for owned nodes
 	reservations map[string]*reservation // by node
-	suspensions  []suspension            // for the loop, at the next poll
+	suspensions  []suspension            // passed to the loop at the next poll
 
-	cancel     context.CancelFunc // nil: not started
+	cancel     context.CancelFunc // nil before Start
 	goroutines sync.WaitGroup
 }
 
-// Listen opens an agent's socket. It serves once it is started.
+// Listen creates an agent and opens its listening socket. Requests are served after Start.
 func Listen(opt Options) (*Agent, error) {
 	listener, err := net.Listen("tcp", opt.ListenAddr)
 	if err != nil {
@@ -101,7 +101,7 @@
 	return a, nil
 }
 
-// newPeerClient makes the client of other gateways; a call takes no longer than the timeout.
+// newPeerClient returns an HTTP client for calls to other gateways, each limited by the timeout.
 func newPeerClient(timeout time.Duration) *http.Client {
 	dialer := &net.Dialer{Timeout: timeout / 2}
 	transport := &http.Transport{
@@ -112,10 +112,10 @@
 	return &http.Client{Timeout: timeout, Transport: transport}
 }
 
-// Addr is where other gateways reach it.
+// Addr returns the address of the listening socket.
 func (a *Agent) Addr() string { return a.listener.Addr().String() }
 
-// Start begins to serve, and to request allocations for a loop.
+// Start begins to serve other gateways and to request allocations for the loop.
 func (a *Agent) Start(loop Loop) {
 	a.loop = loop
 	var ctx context.Context
@@ -123,7 +123,7 @@
 	a.goroutines.Add(2)
 	go func() {
 		defer a.goroutines.Done()
-		_ = a.server.Serve(a.listener) // ends with Close
+		_ = a.server.Serve(a.listener) // returns after Close
 	}()
 	go func() {
 		defer a.goroutines.Done()
@@ -131,19 +131,19 @@
 	}()
 }
 
-// Close ends the agent, and returns once its goroutines have ended.
+// Close stops the agent and waits for its goroutines.
 func (a *Agent) Close() {
 	if a.cancel == nil {
 		_ = a.listener.Close()
 		return
 	}
 	a.cancel()
-	_ = a.server.Close() // its connections' errors are their peers' to see
+	_ = a.server.Close() // errors of its connections concern only their peers
 	a.goroutines.Wait()
 	a.client.CloseIdleConnections()
 }
 
-// HandleMembership takes the members that came with a lease.
+// HandleMembership processes the membership that came with a lease.
 func (a *Agent) HandleMembership(update *lease.MembershipUpdate) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -154,8 +154,8 @@
 	}
 }
 
-// UpdateSettings takes the scheduler's settings that are in effect from now on. Allocations stay valid; if the
-// budget's settings differ, the nodes' budgets begin anew with nothing available.
+// UpdateSettings processes scheduler settings that have taken effect. Allocations stay valid. If the budget settings
+// derived from them differ, all budgets restart with nothing available.
 func (a *Agent) UpdateSettings(settings scheduler.Settings) {
 	updated := SettingsFrom(settings, a.opt.Settings.MaxClockDrift)
 	updated.AllocationTime = a.allocationTime
--- a/internal/fleet/slowstart/agent/agent_test.go
+++ b/internal/fleet/slowstart/agent/agent_test.go
@@ -15,20 +15,20 @@
 )
 
 const (
-	testNode  = "10.0.0.9:7000" // in slow start
+	testNode  = "10.0.0.9:7000" // node in slow start
 	waitLimit = time.Minute
 )
 
-// fakeLoop is a loop whose scheduler always has requests for one node, and sends all that is allocated.
+// fakeLoop is a loop whose scheduler always has waiting requests for one node and sends all units allocated to it.
 type fakeLoop struct {
 	now       func() scheduler.Time
 	startedAt scheduler.Time
 
-	mutex sync.Mutex // guards what follows
+	mutex sync.Mutex // guards the fields below
 	units float64
 	until scheduler.Time
 	sent  float64
-	ended int // allocations that ended with the scheduler's own rules
+	ended int // number of calls that ended allocation in favor of the scheduler's own rules
 }
 
 func (l *fakeLoop) SlowStartDemand() (gateway.SlowStartDemand, bool) {
@@ -69,7 +69,7 @@
 	return l.ended
 }
 
-// agentGroup is agents over loopback, each with a demanding loop.
+// agentGroup is a set of agents that communicate over loopback, each with a fake loop.
 type agentGroup struct {
 	t      *testing.T
 	now    func() scheduler.Time
@@ -78,7 +78,7 @@
 	addrs  map[string]string
 }
 
-// newAgentGroup makes agents that are not started yet.
+// newAgentGroup creates agents, which are not started yet.
 func newAgentGroup(t *testing.T, names []string) *agentGroup {
 	t.Helper()
 	clock := gateway.NewClock()
@@ -99,7 +99,7 @@
 	return g
 }
 
-// setMembers begins an epoch, of which all its members know.
+// setMembers begins an epoch and informs all its members.
 func (g *agentGroup) setMembers(number, departures uint64, members []string) {
 	for _, name := range members {
 		membership := epoch.Membership{
@@ -111,7 +111,7 @@
 	}
 }
 
-// waitForUnits waits until the loops of all of these have sent more than once.
+// waitForUnits waits until each of the named loops has sent more than one allocation.
 func (g *agentGroup) waitForUnits(names []string) {
 	g.t.Helper()
 	before := map[string]float64{}
@@ -119,11 +119,11 @@
 		before[name] = g.loops[name].sentUnits()
 	}
 	for _, name := range names {
-		g.waitUntil(name+" is allocated nothing", func() bool { return g.loops[name].sentUnits() > before[name]+20 })
+		g.waitUntil(name+" has not sent more than 20 further units", func() bool { return g.loops[name].sentUnits() > before[name]+20 })
 	}
 }
 
-// waitUntil waits for a condition; failure says what is wrong without it.
+// waitUntil waits for a condition. failure is the test's message if it is not met in time.
 func (g *agentGroup) waitUntil(failure string, condition func() bool) {
 	g.t.Helper()
 	for deadline := time.Now().Add(waitLimit); !condition(); time.Sleep(time.Millisecond) {
@@ -133,8 +133,8 @@
 	}
 }
 
-// TestBudgetIsAllocatedToAll: of three agents, the one that owns the node allocates its budget to all, more than
-// once; when it is gone and the members say so, another does, and the third goes on by it.
+// TestBudgetIsAllocatedToAll: the one of three agents that owns the node's budget allocates it to all of them
+// repeatedly. After that agent has closed and the membership has changed, a new owner allocates to both that remain.
 func TestBudgetIsAllocatedToAll(t *testing.T) {
 	names := []string{"g0", "g1", "g2"}
 	g := newAgentGroup(t, names)
@@ -147,7 +147,7 @@
 	owner := epoch.Owner(testNode, names)
 	g.agents[owner].mutex.Lock()
 	if count := len(g.agents[owner].budgets); count != 1 {
-		t.Errorf("%d budgets at the owner", count)
+		t.Errorf("got %d budgets at the owner, want 1", count)
 	}
 	g.agents[owner].mutex.Unlock()
 	g.agents[owner].Close()
@@ -155,7 +155,7 @@
 	others := slices.DeleteFunc(slices.Clone(names), func(name string) bool { return name == owner })
 	for _, name := range others {
 		ended := func() bool { return g.loops[name].endedAllocations() > 0 }
-		g.waitUntil(fmt.Sprintf("%s waits for an allocator that is gone", name), ended)
+		g.waitUntil(fmt.Sprintf("%s still waits for a closed allocator, want its allocation ended", name), ended)
 	}
 	g.setMembers(2, 1, others)
 	g.waitForUnits(others)
@@ -164,10 +164,10 @@
 	}
 }
 
-// TestSettingsWithoutWindowHaveAllocationTime: where no window is stated an allocation still has a time, without
-// which the requests would have no pace.
+// TestSettingsWithoutWindowHaveAllocationTime: without a window in the settings, an allocation time is still set;
+// requests are timed by it.
 func TestSettingsWithoutWindowHaveAllocationTime(t *testing.T) {
 	if settings := SettingsFrom(scheduler.Settings{}, 0.01); settings.AllocationTime <= 0 {
-		t.Errorf("%+v", settings)
+		t.Errorf("got settings %+v, want an allocation time above 0", settings)
 	}
 }
--- a/internal/fleet/slowstart/agent/forwarder.go
+++ b/internal/fleet/slowstart/agent/forwarder.go
@@ -5,14 +5,14 @@
 	"irispost/scheduler"
 )
 
-// SettingsForwarder is a gateway's source of configuration that passes settings on to an agent as they come into
-// effect. Without an agent (nil) it is the source alone.
+// SettingsForwarder wraps a gateway's source of configuration and forwards the settings to an agent when they take
+// effect. If Agent is nil, it only calls the source.
 type SettingsForwarder struct {
 	gateway.ConfigSource
 	Agent *Agent
 }
 
-// At is what the source says, and passes its settings on.
+// At returns the result of the source and forwards the settings in it.
 func (f SettingsForwarder) At(now scheduler.Time) (active *gateway.ActiveConfig, until scheduler.Time) {
 	active, until = f.ConfigSource.At(now)
 	if f.Agent != nil && active != nil && active.Settings != nil {
--- a/internal/fleet/slowstart/agent/golden_test.go
+++ b/internal/fleet/slowstart/agent/golden_test.go
@@ -21,7 +21,7 @@
 	"irispost/scheduler"
 )
 
-// goldenRequest is the request in testdata/request.json.
+// goldenRequest returns the request in testdata/request.json.
 func goldenRequest() request {
 	return request{
 		Node: "10.0.0.9:7000", StartedAt: 1764650723000000000, Rate: 187.5,
@@ -41,7 +41,7 @@
 	return b
 }
 
-// TestGoldenRequest: the message from one gateway to another is written and read as by an earlier build.
+// TestGoldenRequest: a request between gateways is encoded and decoded in the same JSON form as by earlier builds.
 func TestGoldenRequest(t *testing.T) {
 	want := goldenRequest()
 	b, err := json.Marshal(&want)
@@ -51,11 +51,11 @@
 	golden.Check(t, "request.json", append(b, '\n'))
 	var read request
 	if err := json.Unmarshal(readGolden(t, "request.json"), &read); err != nil || read != want {
-		t.Errorf("read as %+v, not %+v: %v", read, want, err)
+		t.Errorf("got %+v, want %+v (error: %v)", read, want, err)
 	}
 }
 
-// TestGoldenRoutes: each route of a gateway's peer address answers as that of an earlier build does.
+// TestGoldenRoutes: the routes of a gateway for its peers give the same responses as in earlier builds.
 func TestGoldenRoutes(t *testing.T) {
 	now := scheduler.Time(time.Hour)
 	a := newTestAgent(t, Options{
@@ -108,8 +108,7 @@
 	golden.Check(t, "routes.txt", got.Bytes())
 }
 
-// TestGoldenCall: a gateway makes its request to another by the route of an earlier build, and reads its
-// response.
+// TestGoldenCall: a gateway sends its request to the same route as earlier builds, and can decode their response.
 func TestGoldenCall(t *testing.T) {
 	var call string
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -118,21 +117,21 @@
 			t.Error(err)
 		}
 		call = fmt.Sprintf("%s %s %s\n", r.Method, r.URL.RequestURI(), b)
-		_, _ = w.Write(readGolden(t, "allocation.json")) // the caller checks what has come
+		_, _ = w.Write(readGolden(t, "allocation.json")) // the caller checks the response
 	}))
 	t.Cleanup(server.Close)
 	a := &Agent{client: server.Client()}
 	request := goldenRequest()
 	got, err := a.call(t.Context(), strings.TrimPrefix(server.URL, "http://"), &request)
 	if want := (budget.Allocation{Holder: "g/1.2", Seq: 41, Units: 7.5}); err != nil || *got != want {
-		t.Errorf("read as %+v, not %+v: %v", got, want, err)
+		t.Errorf("got %+v, want %+v (error: %v)", got, want, err)
 	}
 	if want := "POST /cold/ask " + string(readGolden(t, "request.json")); call != want {
-		t.Errorf("called %s, not %s", call, want)
+		t.Errorf("got call %s, want %s", call, want)
 	}
 }
 
-// newTestAgent makes an agent at a free address.
+// newTestAgent returns an agent that listens at a free address.
 func newTestAgent(t *testing.T, options Options) *Agent {
 	t.Helper()
 	options.ListenAddr = "127.0.0.1:0"
--- a/internal/fleet/slowstart/agent/messages.go
+++ b/internal/fleet/slowstart/agent/messages.go
@@ -5,13 +5,13 @@
 	"irispost/scheduler"
 )
 
-// allocatePath is the route by which gateways request allocations of each other.
+// allocatePath is the HTTP route at which gateways request allocations from each other.
 const allocatePath = "/cold/ask"
 
-// request is a budget's request with the node that it is for, as it travels between gateways.
+// request is a request to the allocator of a node, as sent between gateways.
 type request struct {
 	Node      string         `json:"node"`
-	StartedAt scheduler.Time `json:"born"` // which start of the node is meant
-	Rate      float64        `json:"rate"` // of a node that is not in slow start, as the holder knows it; 0: not known
+	StartedAt scheduler.Time `json:"born"` // identifies one start of the node
+	Rate      float64        `json:"rate"` // of a warmed-up node, units per second, as the holder knows it; 0: unknown
 	budget.Request
 }
--- a/internal/fleet/slowstart/agent/requester.go
+++ b/internal/fleet/slowstart/agent/requester.go
@@ -14,25 +14,26 @@
 	"irispost/scheduler"
 )
 
-// Paces of the requests, in allocation times or parts of one.
+// Intervals as multiples or fractions of the allocation time.
 const (
-	pollDivisor        = 12 // the loop is polled for demands in this part of an allocation time
-	reachableMultiple  = 8  // for so long after its last response an allocator is taken to be reachable
-	maxBackoffMultiple = 16 // the longest backoff after requests that failed
+	pollDivisor        = 12 // the loop is polled for demands this often per allocation time
+	reachableMultiple  = 8  // an allocator counts as reachable for this many allocation times after its last response
+	maxBackoffMultiple = 16 // maximum backoff after failed requests
 )
 
-// maxConcurrentRequests is how many requests to other gateways are in flight at most; the others wait for a
-// later poll.
+// maxConcurrentRequests limits the requests for allocations in flight, also those to this gateway's own allocators.
+// Further ones wait for a later poll.
 const maxConcurrentRequests = 32
 
-// Why an allocation is not used.
+// Reasons for which a request yields no allocation.
 var (
-	errLateResponse = errors.New("response is late or to another request")
-	// errRejected is of a response without an allocation.
-	errRejected = errors.New("request rejected")
+	errLateResponse = errors.New("response arrived after its allocation expired, or is for another request")
+	// errRejected means that the response has an error status and no allocation.
+	errRejected = errors.New("allocation request rejected")
 )
 
-// requestLoop polls the loop for demands, and requests allocations for them.
+// requestLoop polls the loop for demands and requests allocations for them, until ctx is cancelled or the loop has
+// ended.
 func (a *Agent) requestLoop(ctx context.Context) {
 	ticker := time.NewTicker(time.Duration(a.allocationTime) / pollDivisor)
 	defer ticker.Stop()
@@ -47,12 +48,12 @@
 			return
 		}
 		for _, s := range a.poll(ctx, demand.Demands, demand.Rate) {
-			a.loop.AllocateSlowStart(s.node, s.startedAt, 0, s.until) // no request is in flight for these
+			a.loop.AllocateSlowStart(s.node, s.startedAt, 0, s.until) // no request is in flight for these nodes
 		}
 	}
 }
 
-// poll takes the current demands, and returns to which nodes nothing is to be sent for a while.
+// poll processes the current demands, and returns the suspensions to pass to the loop.
 func (a *Agent) poll(ctx context.Context, demands []scheduler.SlowStartDemand, rate float64) []suspension {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -73,7 +74,7 @@
 	return suspensions
 }
 
-// handleDemand requests an allocation of a node's allocator, if it is time to. The mutex is held.
+// handleDemand requests an allocation from the node's allocator if one is due. The mutex is held.
 func (a *Agent) handleDemand(ctx context.Context, demand scheduler.SlowStartDemand) {
 	now := a.opt.Now()
 	r := a.reservationFor(now, demand)
@@ -90,7 +91,7 @@
 	select {
 	case a.requestSlots <- struct{}{}:
 	default:
-		return // at a later poll
+		return // a later poll tries again
 	}
 	r.beginRequest()
 	request := a.newRequest(r, demand)
@@ -102,19 +103,19 @@
 	}()
 }
 
-// reservationFor finds or makes the reservation for a start of a node. The mutex is held.
+// reservationFor returns the reservation for this start of the node, and creates it on first use. The mutex is held.
 func (a *Agent) reservationFor(now scheduler.Time, demand scheduler.SlowStartDemand) *reservation {
 	r := a.reservations[demand.Addr]
 	if r == nil || r.startedAt != demand.StartedAt {
-		seq := uint64(now) // higher than in all earlier requests for this node
+		seq := uint64(now) // a clock reading, which is above the numbers of all earlier requests for the node
 		r = &reservation{startedAt: demand.StartedAt, seq: seq}
 		a.reservations[demand.Addr] = r
 	}
 	return r
 }
 
-// suspendIfExpired has nothing be sent to a node whose allocation has expired while its allocator is reachable:
-// what comes waits for the next allocation. The mutex is held.
+// suspendIfExpired suspends sending to a node whose allocation has expired while its allocator is reachable: new
+// requests wait for the next allocation. The mutex is held.
 func (a *Agent) suspendIfExpired(now scheduler.Time, r *reservation, demand scheduler.SlowStartDemand) {
 	if r.state != stateAllocated || now < r.expiresAt {
 		return
@@ -123,8 +124,8 @@
 	a.suspensions = append(a.suspensions, suspension{demand.Addr, demand.StartedAt, r.expiresAt})
 }
 
-// newRequest is the next request of a reservation. Without units that wait it checks whether there is an
-// allocator. The mutex is held.
+// newRequest returns the next request of a reservation. If no units are waiting, the request only checks whether an
+// allocator responds. The mutex is held.
 func (a *Agent) newRequest(r *reservation, demand scheduler.SlowStartDemand) *request {
 	if demand.Units <= 0 {
 		demand.SmallestRequest = 0
@@ -143,13 +144,13 @@
 	}
 }
 
-// renew makes one request for a reservation, and tells the loop of the outcome.
+// renew makes one request for a reservation and reports the outcome to the loop.
 func (a *Agent) renew(ctx context.Context, r *reservation, owner, addr string, request *request) {
 	until := a.opt.Now() + a.allocationTime
 	a.mutex.Lock()
 	renewing := r.state == stateRenewing
 	a.mutex.Unlock()
-	if renewing { // what remains is returned, and nothing is sent until the response
+	if renewing { // remaining units are returned, and nothing is sent until the response
 		request.Returned, _ = a.loop.AllocateSlowStart(request.Node, request.StartedAt, 0, until)
 	}
 	allocation, err := a.requestFrom(ctx, owner, addr, request)
@@ -175,7 +176,7 @@
 	r.failed(now, a.allocationTime)
 }
 
-// requestFrom makes a request to the owner of its node's budget, which may be this gateway.
+// requestFrom sends a request to the owner of the node's budget, which may be this gateway itself.
 func (a *Agent) requestFrom(ctx context.Context, owner, addr string, request *request) (*budget.Allocation, error) {
 	if owner == a.opt.Holder {
 		return a.allocate(ctx, request)
@@ -186,7 +187,7 @@
 	return a.call(ctx, addr, request)
 }
 
-// call makes a request to another gateway.
+// call sends a request to another gateway and returns its response.
 func (a *Agent) call(ctx context.Context, addr string, request *request) (*budget.Allocation, error) {
 	body, err := json.Marshal(request)
 	if err != nil {
@@ -200,7 +201,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = response.Body.Close() }() // it is read to its end
+	defer func() { _ = response.Body.Close() }() // the body has been read
 	text, err := io.ReadAll(io.LimitReader(response.Body, maxMessageBytes))
 	if err != nil {
 		return nil, err
@@ -210,7 +211,7 @@
 	}
 	allocation := &budget.Allocation{}
 	if err := json.Unmarshal(text, allocation); err != nil {
-		return nil, fmt.Errorf("response of %s: %w", addr, err)
+		return nil, fmt.Errorf("decode response from %s: %w", addr, err)
 	}
 	return allocation, nil
 }
--- a/internal/fleet/slowstart/agent/reservation.go
+++ b/internal/fleet/slowstart/agent/reservation.go
@@ -2,29 +2,29 @@
 
 import "irispost/scheduler"
 
-// reservationState is how this gateway stands with the allocator of a node. Only reservation.setState changes
-// it.
+// reservationState is the state of this gateway's exchange with the allocator of a node. Only reservation.setState
+// changes it.
 type reservationState uint8
 
 const (
-	stateNoAllocator reservationState = iota // no allocator is known to respond: the scheduler's own rules apply
-	stateRequesting                          // as stateNoAllocator, and a request is in flight
-	stateAllocated                           // what is allocated may be sent, and no more
-	stateRenewing                            // as stateAllocated, and a request is in flight
+	stateNoAllocator reservationState = iota // no allocator responds: the scheduler's own rules apply
+	stateRequesting                          // like stateNoAllocator, with a request in flight
+	stateAllocated                           // no more than the allocated units may be sent
+	stateRenewing                            // like stateAllocated, with a request in flight
 )
 
-// reservation is what the allocator of a node has allocated to this gateway. The agent's mutex guards it.
+// reservation tracks the allocations of one node's allocator to this gateway. The agent's mutex guards it.
 type reservation struct {
 	state          reservationState
-	startedAt      scheduler.Time // which start of the node it is for
+	startedAt      scheduler.Time // identifies the start of the node that it is for
 	seq            uint64         // of the latest request
-	backoff        scheduler.Time // after a request that failed; it doubles
-	nextRequestAt  scheduler.Time // not before
-	expiresAt      scheduler.Time // the latest allocation, or the suspension that follows it
-	reachableUntil scheduler.Time // until then the allocator is taken to be reachable
+	backoff        scheduler.Time // after the latest failed request; doubles with each failure
+	nextRequestAt  scheduler.Time // earliest time of the next request
+	expiresAt      scheduler.Time // end of the latest allocation, or of the suspension that follows it
+	reachableUntil scheduler.Time // the allocator counts as reachable until then
 }
 
-// suspension has nothing be sent to a node until a time.
+// suspension tells the loop to send nothing to a node until the given time.
 type suspension struct {
 	node             string
 	startedAt, until scheduler.Time
@@ -32,13 +32,13 @@
 
 func (r *reservation) setState(state reservationState) { r.state = state }
 
-// canRequest tells whether the next request may be made.
+// canRequest reports whether the next request may be made now.
 func (r *reservation) canRequest(now scheduler.Time) bool {
 	inFlight := r.state == stateRequesting || r.state == stateRenewing
 	return !inFlight && now >= r.nextRequestAt
 }
 
-// beginRequest notes that a request is in flight.
+// beginRequest records that a request is in flight, and numbers it.
 func (r *reservation) beginRequest() {
 	if r.state == stateAllocated {
 		r.setState(stateRenewing)
@@ -48,8 +48,8 @@
 	r.seq++
 }
 
-// failed notes that the latest request failed. The next one waits for a backoff, which doubles up to a bound and
-// is spread by the request's number.
+// failed records that the latest request failed. The next one waits for a backoff, which doubles up to a maximum. Its
+// second half is spread by the request's sequence number.
 func (r *reservation) failed(now, allocationTime scheduler.Time) {
 	r.setState(stateNoAllocator)
 	r.backoff = min(max(2*r.backoff, allocationTime/2), maxBackoffMultiple*allocationTime)
@@ -57,7 +57,7 @@
 	r.nextRequestAt = now + r.backoff/2 + spread
 }
 
-// succeeded notes an allocation that is valid until a time.
+// succeeded records an allocation that is valid until the given time.
 func (r *reservation) succeeded(now, until, allocationTime scheduler.Time) {
 	r.backoff = 0
 	r.expiresAt = until
--- a/internal/fleet/slowstart/agent/server.go
+++ b/internal/fleet/slowstart/agent/server.go
@@ -12,10 +12,10 @@
 	"irispost/scheduler"
 )
 
-// holdFraction is the part of the allocation time for which a request waits for units at most.
+// holdDivisor divides the allocation time: the result is how long a request waits for units at most.
 const holdDivisor = 3
 
-// Why a request is rejected. The texts are answered to other gateways and stay as they are.
+// Reasons for which requests are rejected. The texts are part of the responses to other gateways and must not change.
 var (
 	errNotOwner     = errors.New("this node's budget is not this gateway's to deal out")
 	errRateUnknown  = errors.New("nobody knows yet what nodes can do")
@@ -23,14 +23,14 @@
 	errStaleRequest = errors.New("an older ask, or none that can be")
 )
 
-// nodeBudget is the budget of a node that this gateway owns.
+// nodeBudget is the budget of one node, which this gateway owns.
 type nodeBudget struct {
 	allocator *budget.Allocator
 	startedAt scheduler.Time
-	waiting   map[string]chan budget.Allocation // by holder whose request waits; each has room for one
+	waiting   map[string]chan budget.Allocation // by holder with a pending request; each buffers one allocation
 }
 
-// handler serves other gateways.
+// handler returns the handler for requests from other gateways.
 func (a *Agent) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+allocatePath, a.serveAllocate)
@@ -49,10 +49,11 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(allocation) // what does not arrive expires
+	_ = json.NewEncoder(w).Encode(allocation) // an allocation that does not arrive expires
 }
 
-// allocate takes a request, and waits a while for units. An allocation of none says that the allocator is there.
+// allocate submits a request to the allocator of its node and waits for units for a limited time. After that it
+// returns an allocation of 0 units, which tells the holder that the allocator is reachable.
 func (a *Agent) allocate(ctx context.Context, request *request) (*budget.Allocation, error) {
 	owned, response, err := a.enqueue(request)
 	if err != nil {
@@ -68,15 +69,15 @@
 	}
 	a.stopWaiting(owned, request.Holder, response)
 	select {
-	case allocation := <-response: // it came meanwhile
+	case allocation := <-response: // it arrived before stopWaiting acquired the mutex
 		return &allocation, nil
 	default:
 		return &budget.Allocation{Holder: request.Holder, Seq: request.Seq}, nil
 	}
 }
 
-// enqueue hands a request to its node's allocator, and allocates what is available. The response comes by the
-// channel.
+// enqueue passes a request to the allocator of its node and allocates available units. The allocation for the request
+// is sent to the returned channel.
 func (a *Agent) enqueue(request *request) (*nodeBudget, <-chan budget.Allocation, error) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -93,7 +94,7 @@
 	return owned, response, nil
 }
 
-// stopWaiting cancels a request, unless it has been served or replaced by a later one of its holder.
+// stopWaiting cancels a request unless it has been served, or replaced by a later request of its holder.
 func (a *Agent) stopWaiting(owned *nodeBudget, holder string, response <-chan budget.Allocation) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -103,7 +104,8 @@
 	}
 }
 
-// budgetFor finds or makes the budget of a request's node, if this gateway owns it. The mutex is held.
+// budgetFor returns the budget of the request's node if this gateway owns it, and creates it on first use. The mutex is
+// held.
 func (a *Agent) budgetFor(request *request) (*nodeBudget, error) {
 	now := a.opt.Now()
 	if !a.ownership.Owns(now, request.Node) {
@@ -144,7 +146,7 @@
 	}
 }
 
-// distribute allocates what is available to the holders that wait. The mutex is held.
+// distribute allocates available units to the holders with pending requests. The mutex is held.
 func (a *Agent) distribute(owned *nodeBudget) {
 	for _, allocation := range owned.allocator.Allocate(a.opt.Now()) {
 		if response := owned.waiting[allocation.Holder]; response != nil {
@@ -154,8 +156,8 @@
 	}
 }
 
-// maintainBudgets allocates what has become available, and drops the budgets of nodes that have warmed up or are
-// not owned any more; requests that wait there end with no units. The mutex is held.
+// maintainBudgets allocates units that have become available, and drops the budgets of nodes that have warmed up or are
+// no longer owned by this gateway. Requests pending there end with an allocation of 0 units. The mutex is held.
 func (a *Agent) maintainBudgets() {
 	now := a.opt.Now()
 	for node, owned := range a.budgets {
--- a/internal/fleet/slowstart/agent/settings.go
+++ b/internal/fleet/slowstart/agent/settings.go
@@ -9,16 +9,17 @@
 )
 
 const (
-	// allocatedShare is the part of what a node bears that is allocated. The rest is for gateways that reach no
-	// allocator: by the scheduler's own rules they send half of what it bears at most, all together.
+	// allocatedShare is the part of a node's capacity that is allocated. The rest is for gateways that reach no
+	// allocator: under the scheduler's own rules, they send at most half of the capacity, all of them together.
 	allocatedShare = 0.5
-	// allocationsPerWindow is how many allocations follow each other in a window, unless maxAllocationTime is
-	// shorter.
+	// allocationsPerWindow is how many consecutive allocations fit in a window. Allocations last for
+	// maxAllocationTime if that is shorter.
 	allocationsPerWindow = 6
 	maxAllocationTime    = scheduler.Second / 2
 )
 
-// SettingsFrom are a budget's settings, as the scheduler's say, for clocks that drift by a part at most.
+// SettingsFrom derives the settings of budgets from the scheduler's. maxClockDrift is the maximum relative error of the
+// rate of a clock.
 func SettingsFrom(settings scheduler.Settings, maxClockDrift float64) budget.Settings {
 	window := durationSetting(settings, "cold.window")
 	return budget.Settings{
@@ -33,13 +34,13 @@
 	}
 }
 
-// floatSetting is a value of the scheduler's settings; 0: there is none.
+// floatSetting returns a number from the scheduler's settings, or 0 if it is not set.
 func floatSetting(settings scheduler.Settings, name string) float64 {
-	value, _ := strconv.ParseFloat(settings[name], 64) // the scheduler checked what there is
+	value, _ := strconv.ParseFloat(settings[name], 64) // the scheduler has validated its settings
 	return value
 }
 
-// durationSetting is a value of the scheduler's settings, which state milliseconds.
+// durationSetting returns a duration from the scheduler's settings, which are in milliseconds.
 func durationSetting(settings scheduler.Settings, name string) scheduler.Time {
 	return scheduler.Time(floatSetting(settings, name) * float64(scheduler.Millisecond))
 }
--- a/internal/fleet/slowstart/budget/allocator.go
+++ b/internal/fleet/slowstart/budget/allocator.go
@@ -5,29 +5,29 @@
 	"slices"
 )
 
-// Allocator has one node's budget. Its units are available, outstanding at holders, or used up.
+// Allocator holds the budget of one node. Each unit is available, outstanding at a holder, or used.
 type Allocator struct {
 	settings    Settings
 	faults      InjectedFaults
-	startedAt   Time    // when the node started, on this clock; it may lie before 0
+	startedAt   Time    // when the node started, on this clock; can be negative
 	available   float64 // units that can be allocated now
 	outstanding float64 // units that holders may still send
-	updatedAt   Time    // up to when units have flowed in
-	rate        float64 // units a second of a warmed up node
+	updatedAt   Time    // time up to which new units have been added to available
+	rate        float64 // of a warmed-up node, in units per second
 	holders     map[string]*holder
 }
 
-// holder is a gateway as the allocator knows it.
+// holder is the allocator's state of one gateway.
 type holder struct {
 	seq         uint64   // of its latest request
 	units       float64  // allocated, and neither returned nor expired
-	expiresAt   Time     // when that has expired at the holder for certain
-	allocatedAt Time     // the latest allocation; 0: none
-	pending     *Request // waits for an allocation; nil: none does
+	expiresAt   Time     // when the units have certainly expired at the holder
+	allocatedAt Time     // time of the latest allocation; 0: none
+	pending     *Request // request that waits for an allocation; nil: none
 }
 
-// NewAllocator makes the allocator of a node that started the given time ago. Nothing is available at first:
-// another allocator may have allocated all a moment before.
+// NewAllocator returns the allocator of a node of the given age. Nothing is available at first, because another
+// allocator may have allocated everything a moment before.
 func NewAllocator(now Time, settings Settings, age Time, rate float64, faults InjectedFaults) *Allocator {
 	a := &Allocator{
 		settings: settings, faults: faults, startedAt: now - age, updatedAt: now, rate: rate,
@@ -39,24 +39,24 @@
 	return a
 }
 
-// SetRate sets the rate of a warmed up node, in units a second, as far as it is known now.
+// SetRate sets the current estimate of a warmed-up node's rate, in units per second.
 func (a *Allocator) SetRate(now Time, rate float64) {
 	a.update(now)
 	a.rate = rate
 }
 
-// NodeRestarted notes that the node started again the given time ago. What is outstanding stays so: its holders
-// may not know of the restart yet.
+// NodeRestarted records that the node has restarted and has the given age. Outstanding units stay outstanding, because
+// their holders may not know of the restart yet.
 func (a *Allocator) NodeRestarted(now, age Time) {
 	a.update(now)
 	a.available, a.startedAt = 0, now-age
 }
 
-// WarmedUp tells whether the node needs no allocator any more.
+// WarmedUp reports whether the node has warmed up and needs no allocator any more.
 func (a *Allocator) WarmedUp(now Time) bool { return now-a.startedAt >= a.settings.WarmupTime }
 
-// update brings the allocator up to a time: what has expired is used up, and what flows in is available as far
-// as the limit allows.
+// update advances the allocator to the given time: expired units count as used, and new units become available up to
+// the limit.
 func (a *Allocator) update(now Time) {
 	for _, h := range a.holders {
 		if h.units > 0 && now > h.expiresAt {
@@ -76,8 +76,8 @@
 	a.available = max(min(a.available, maxAvailable), 0)
 }
 
-// HandleRequest takes a holder's request, which waits for Allocate in place of its earlier one. It is false if
-// the request is not later than those that came already, or states amounts that cannot be.
+// HandleRequest accepts a holder's request, which replaces its earlier one and stays pending until Allocate serves it.
+// It returns false if the request is not later than those already received, or if its amounts are invalid.
 func (a *Allocator) HandleRequest(now Time, request *Request) bool {
 	a.update(now)
 	h := a.holders[request.Holder]
@@ -89,11 +89,11 @@
 		return false
 	}
 	h.seq, h.pending = request.Seq, request
-	returned := min(request.Returned, h.units) // what has expired meanwhile counts as used
+	returned := min(request.Returned, h.units) // units that have expired meanwhile count as used
 	if a.faults.Has(FaultTrustReturned) {
 		returned = request.Returned
 	}
-	if h.units > 0 { // what the holder has not returned, it has used
+	if h.units > 0 { // units that the holder has not returned count as used
 		a.outstanding -= h.units
 		h.units = 0
 	}
@@ -102,8 +102,8 @@
 	return true
 }
 
-// Allocate serves the pending requests, by priority weight, then by who had an allocation longest ago. A request
-// that cannot be served waits on.
+// Allocate serves the pending requests in the order of their priority weight; among equals, the holder whose latest
+// allocation is the oldest comes first. Requests that cannot be served stay pending.
 func (a *Allocator) Allocate(now Time) (allocations []Allocation) {
 	a.update(now)
 	for _, h := range a.pendingHolders() {
@@ -115,7 +115,7 @@
 		}
 		units := min(request.Demand, a.available)
 		if units < request.SmallestRequest || units <= 0 {
-			continue // it may still be enough for another holder's
+			continue // it may still be enough for another holder's request
 		}
 		a.reserve(now, h, units)
 		allocations = append(allocations, Allocation{Holder: request.Holder, Seq: request.Seq, Units: units})
@@ -123,7 +123,7 @@
 	return allocations
 }
 
-// pendingHolders are those whose requests wait, in the order in which they are served.
+// pendingHolders returns the holders with a pending request, in the order in which they are served.
 func (a *Allocator) pendingHolders() (pending []*holder) {
 	for _, h := range a.holders {
 		if h.pending != nil {
@@ -140,7 +140,7 @@
 	return pending
 }
 
-// reserve moves units from available to outstanding at a holder, whose request is then served.
+// reserve allocates available units to a holder, where they become outstanding, and completes its request.
 func (a *Allocator) reserve(now Time, h *holder, units float64) {
 	a.available -= units
 	a.outstanding += units
@@ -153,22 +153,21 @@
 	h.pending = nil
 }
 
-// Usage is how many units are available and how many outstanding.
+// Usage returns the numbers of available and of outstanding units.
 func (a *Allocator) Usage(now Time) (available, outstanding float64) {
 	a.update(now)
 	return a.available, a.outstanding
 }
 
-// CancelRequest notes that a holder does not wait for its request any more. What was allocated to it stays
-// outstanding.
+// CancelRequest drops the pending request of a holder. Units allocated to the holder stay outstanding.
 func (a *Allocator) CancelRequest(holderID string) {
 	if h := a.holders[holderID]; h != nil {
 		h.pending = nil
 	}
 }
 
-// RemoveIdle removes holders with no request and nothing outstanding whose latest allocation is longer ago than
-// the given time.
+// RemoveIdle removes holders that have no pending request and no outstanding units, and whose latest allocation is
+// older than the given time.
 func (a *Allocator) RemoveIdle(now, after Time) {
 	for id, h := range a.holders {
 		if h.pending == nil && h.units == 0 && now-h.allocatedAt > after {
--- a/internal/fleet/slowstart/budget/faults.go
+++ b/internal/fleet/slowstart/budget/faults.go
@@ -1,17 +1,17 @@
 package budget
 
-// InjectedFaults are defects that tests put in, to show that their checks find them. Nothing else sets them.
+// InjectedFaults are defects that tests inject to show that their checks detect them. Nothing else sets them.
 type InjectedFaults uint
 
-// The defects.
+// Faults that can be injected, one bit each.
 const (
 	FaultFullStart         InjectedFaults = 1 << iota // an allocator starts with all units available
-	FaultIgnoreOutstanding                            // outstanding units do not count
-	FaultAcceptDuplicates                             // a request that comes twice counts twice
-	FaultTrustReturned                                // more is taken back than was allocated
-	FaultEarlyExpiry                                  // an allocation expires at its allocator before it does at its holder
-	FaultUseReturned                                  // a holder returns units and goes on using them
+	FaultIgnoreOutstanding                            // outstanding units do not count toward the limit
+	FaultAcceptDuplicates                             // a request that arrives twice is counted twice
+	FaultTrustReturned                                // more units are taken back than were allocated
+	FaultEarlyExpiry                                  // the allocator expires an allocation before its holder does
+	FaultUseReturned                                  // a holder goes on using units that it has returned
 )
 
-// Has tells whether a defect is put in.
+// Has reports whether a fault is injected.
 func (f InjectedFaults) Has(fault InjectedFaults) bool { return f&fault != 0 }
--- a/internal/fleet/slowstart/budget/golden_test.go
+++ b/internal/fleet/slowstart/budget/golden_test.go
@@ -10,7 +10,7 @@
 	"irispost/internal/testkit/golden"
 )
 
-// TestGoldenMessages: the messages between gateways are written and read as by an earlier build.
+// TestGoldenMessages: the messages between gateways are encoded and decoded in the same JSON form as by earlier builds.
 func TestGoldenMessages(t *testing.T) {
 	for file, message := range map[string]any{
 		"request.json": Request{
@@ -29,7 +29,7 @@
 		}
 		read := reflect.New(reflect.TypeOf(message))
 		if err := json.Unmarshal(want, read.Interface()); err != nil || read.Elem().Interface() != message {
-			t.Errorf("%s: read as %+v, not %+v: %v", file, read.Elem(), message, err)
+			t.Errorf("%s: got %+v, want %+v (error: %v)", file, read.Elem(), message, err)
 		}
 	}
 }
--- a/internal/fleet/slowstart/budget/messages.go
+++ b/internal/fleet/slowstart/budget/messages.go
@@ -2,28 +2,28 @@
 
 import "math"
 
-// Request is what a gateway requests from a node's allocator. It travels between gateways as JSON.
+// Request is a gateway's request to the allocator of a node. It is sent between gateways as JSON.
 type Request struct {
-	Holder          string  `json:"who"`   // names one start of a gateway
-	Seq             uint64  `json:"seq"`   // counts the holder's requests for this node
-	Demand          float64 `json:"want"`  // units that wait there; 0: it returns units, or checks for an allocator
-	SmallestRequest float64 `json:"least"` // units of the smallest one: fewer are of no use
-	PriorityWeight  float64 `json:"worth"` // of the one with the highest priority
-	Returned        float64 `json:"back"`  // units of the last allocation that were not used and never will be
+	Holder          string  `json:"who"`   // identifies one start of a gateway
+	Seq             uint64  `json:"seq"`   // sequence number among the holder's requests for this node
+	Demand          float64 `json:"want"`  // units of waiting requests; 0: returns units or checks for an allocator
+	SmallestRequest float64 `json:"least"` // units of the smallest waiting request; fewer are of no use
+	PriorityWeight  float64 `json:"worth"` // of the waiting request with the highest priority
+	Returned        float64 `json:"back"`  // units of the last allocation that were not used and will not be
 }
 
-// Allocation is how many units a gateway may send to a node, for the settings' AllocationTime from when it made
-// the request. It travels between gateways as JSON.
+// Allocation permits a gateway to send a number of units to a node. It is valid for Settings.AllocationTime from the
+// time of the request on. It is sent between gateways as JSON.
 type Allocation struct {
 	Holder string  `json:"who"`
 	Seq    uint64  `json:"seq"` // of the request
 	Units  float64 `json:"units"`
 }
 
-// maxRequestUnits bounds what a request may state.
+// maxRequestUnits limits each amount in a request.
 const maxRequestUnits = 1e12
 
-// isValid tells whether a request states amounts that can be.
+// isValid reports whether all amounts in the request are in range.
 func (r *Request) isValid() bool {
 	return isValidAmount(r.Demand) && isValidAmount(r.SmallestRequest) && isValidAmount(r.Returned) &&
 		!math.IsNaN(r.PriorityWeight)
--- a/internal/fleet/slowstart/budget/model_test.go
+++ b/internal/fleet/slowstart/budget/model_test.go
@@ -7,17 +7,17 @@
 	"testing"
 )
 
-// A small model of one node's budget, searched exhaustively: an allocator whose place another may take once, two
-// holders, two requests in all, and every order of ticks, requests, deliveries, losses, duplicates and uses. All
-// clocks are one; the simulation of package slowstart has the drift.
+// These tests search a small model of one node's budget exhaustively. The model has an allocator that is replaced by
+// another one at most once, two holders and two requests in total; ticks, requests, deliveries, losses, duplicates and
+// uses occur in every order. All processes share one clock; the simulation in package slowstart covers clock drift.
 
 const (
 	modelTick      = Time(1e6)
 	modelTicks     = Time(4)
-	longModelTicks = Time(6) // with IRISPOST_MODEL set, and to find injected faults
+	longModelTicks = Time(6) // with IRISPOST_MODEL set, and for injected faults
 	modelRequests  = 2
 	maxModelStates = 1 << 20
-	modelTolerance = 1e-6 // of units, as floating-point sums
+	modelTolerance = 1e-6 // in units, for rounding errors of floating-point sums
 )
 
 var modelSettings = Settings{
@@ -25,13 +25,13 @@
 	AllocatedShare: 1, AllocationTime: 3 * modelTick,
 }
 
-// modelRequest is a request on its way.
+// modelRequest is a request in transit.
 type modelRequest struct {
 	Request
 	duplicated bool
 }
 
-// modelAllocation is an allocation on its way.
+// modelAllocation is an allocation in transit.
 type modelAllocation struct {
 	Allocation
 	requestedAt Time
@@ -45,7 +45,7 @@
 	isWaiting   bool // for an allocation
 }
 
-// canUse tells whether an allocation that arrives now is for the latest request, and in time.
+// canUse reports whether an allocation that arrives now is for the latest request and has not expired.
 func (h *modelHolder) canUse(now, requestedAt Time, allocation Allocation) bool {
 	return allocation.Seq == h.seq && h.isWaiting && now < requestedAt+modelSettings.AllocationTime
 }
@@ -59,16 +59,16 @@
 	now          Time
 	end          Time
 	allocator    *Allocator
-	movedAt      Time // when another took the allocator's place; -1: none has
+	movedAt      Time // when another allocator replaced the first one; -1: not replaced
 	holders      [2]modelHolder
 	requests     []modelRequest
 	allocations  []modelAllocation
 	sends        []modelSend
 	requestsLeft int
-	path         string // the steps to this state
+	path         string // steps that led to this state
 }
 
-// clone is a copy of a state, for a step from it.
+// clone returns a copy of the state with a step added to its path.
 func (s *modelState) clone(step string) *modelState {
 	c := *s
 	allocator := *s.allocator
@@ -85,7 +85,7 @@
 	return &c
 }
 
-// key is the same for equal states.
+// key returns a string that is the same for equal states.
 func (s *modelState) key() string {
 	key := fmt.Sprintf("%d %d %d %v %v %v|", s.now, s.movedAt, s.requestsLeft, s.holders, s.requests, s.allocations)
 	key += fmt.Sprintf("%.3f %.3f %d|", s.allocator.available, s.allocator.outstanding, s.allocator.updatedAt)
@@ -99,7 +99,7 @@
 
 func (s *modelState) holder(id string) *modelHolder { return &s.holders[int(id[0]-'0')] }
 
-// violation tells how a state breaks what is allocated; "": it does not.
+// violation describes how a state exceeds the limits; "": it does not.
 func (s *modelState) violation() string {
 	sinceMove := Time(0)
 	if s.movedAt >= 0 && s.now-s.movedAt <= modelSettings.outstandingTime() {
@@ -107,7 +107,7 @@
 	}
 	sendable, limit := s.sendable(), modelSettings.MaxOutstanding(s.now, 1, sinceMove)
 	if sendable > limit+modelTolerance {
-		return fmt.Sprintf("%.2f units can be sent at once, %.2f may be", sendable, limit)
+		return fmt.Sprintf("%.2f units can be sent at once, the limit is %.2f", sendable, limit)
 	}
 	sent := 0.0
 	for _, send := range s.sends {
@@ -117,12 +117,12 @@
 	}
 	allocated := modelSettings.AllocatedShare * modelSettings.Capacity(s.now, 1)
 	if sent > allocated+modelTolerance {
-		return fmt.Sprintf("%.2f units in a window, %.2f are allocated", sent, allocated)
+		return fmt.Sprintf("%.2f units were sent in a window, the limit is %.2f", sent, allocated)
 	}
 	return ""
 }
 
-// sendable is how many units can be sent at once: available, at a holder, or on their way.
+// sendable returns how many units can be sent at once: those available, at a holder, or in transit.
 func (s *modelState) sendable() float64 {
 	units, _ := s.allocator.Usage(s.now)
 	for _, h := range s.holders {
@@ -138,7 +138,7 @@
 	return units
 }
 
-// successors are the states that can follow.
+// successors returns the states that can follow this one.
 func (s *modelState) successors(faults InjectedFaults) (states []*modelState) {
 	if s.now < s.end {
 		c := s.clone("tick")
@@ -163,7 +163,7 @@
 	return states
 }
 
-// holderSuccessors has a holder make a request, or use what it has.
+// holderSuccessors returns the states after a holder makes a request, and after it uses its units.
 func (s *modelState) holderSuccessors(i int, faults InjectedFaults) (states []*modelState) {
 	valid := s.now < s.holders[i].validUntil
 	if s.requestsLeft > 0 && len(s.requests)+len(s.allocations) < 2 {
@@ -191,7 +191,8 @@
 	return states
 }
 
-// requestSuccessors delivers a request on its way, delivers it once more, or loses it.
+// requestSuccessors returns the states after a request in transit is delivered, is delivered while a duplicate of it
+// stays in transit, or is lost.
 func (s *modelState) requestSuccessors(i int) (states []*modelState) {
 	request := s.requests[i]
 	for _, duplicate := range []bool{false, true} {
@@ -233,13 +234,14 @@
 	return c
 }
 
-// search goes through all states, and returns their number, or a violation with the steps to it.
+// search visits all reachable states, up to maxModelStates. It returns the number of states found and, if there is a
+// violation, the first one with the steps that lead to it.
 func search(faults InjectedFaults, ticks Time) (states int, violation string) {
 	initial := &modelState{
 		movedAt: -1, requestsLeft: modelRequests, end: ticks * modelTick,
 		allocator: NewAllocator(0, modelSettings, 0, 1, faults),
 	}
-	initial.allocator.available, _ = modelSettings.limits(0, 1) // it has had the budget for long
+	initial.allocator.available, _ = modelSettings.limits(0, 1) // it has held the budget for a long time
 	seen := map[string]bool{initial.key(): true}
 	for queue := []*modelState{initial}; len(queue) > 0 && len(seen) < maxModelStates; queue = queue[1:] {
 		for _, state := range queue[0].successors(faults) {
@@ -265,22 +267,22 @@
 		t.Fatal(violation)
 	}
 	if states >= maxModelStates {
-		t.Error("the search was broken off")
+		t.Error("the search stopped at the maximum number of states, want all states searched")
 	}
 	t.Logf("%d states, no violation", states)
 }
 
 func TestModelFindsInjectedFaults(t *testing.T) {
 	for name, faults := range map[string]InjectedFaults{
-		"all available at the start":     FaultFullStart,
-		"outstanding units take no room": FaultIgnoreOutstanding,
-		"a request counts twice":         FaultAcceptDuplicates | FaultTrustReturned,
-		"an allocation expires early":    FaultEarlyExpiry,
-		"returned units are used":        FaultUseReturned,
+		"all available at the start":        FaultFullStart,
+		"outstanding units are not counted": FaultIgnoreOutstanding,
+		"a request is counted twice":        FaultAcceptDuplicates | FaultTrustReturned,
+		"an allocation expires early":       FaultEarlyExpiry,
+		"returned units are used":           FaultUseReturned,
 	} {
 		states, violation := search(faults, longModelTicks)
 		if violation == "" {
-			t.Errorf("%s: not found in %d states", name, states)
+			t.Errorf("%s: got no violation in %d states, want one", name, states)
 			continue
 		}
 		t.Logf("%s, after %d states: %s", name, states, violation)
--- a/internal/fleet/slowstart/budget/settings.go
+++ b/internal/fleet/slowstart/budget/settings.go
@@ -1,11 +1,11 @@
-// Package budget allocates what a storage node in slow start may be sent by all gateways together. One allocator
-// has a node's budget and allocates parts of it to gateways that have requests waiting there, the highest
-// priority first. An allocation is outstanding until it is returned or has expired, and no more is ever
-// outstanding and available than the budget allows, whichever process ends, stops or is cut off. Package agent
-// calls it.
+// Package budget allocates the units that all gateways together may send to a storage node in slow start. One
+// allocator holds a node's budget and allocates parts of it to the gateways that have requests waiting for the node,
+// highest priority first. An allocation is outstanding until it is returned or has expired. The units that are
+// available or outstanding never exceed the budget, whichever process exits, stalls or is partitioned. Package agent
+// calls this package.
 //
-// It is pure: no I/O, clock, lock or chance; callers own its values. Times are nanoseconds on one process's
-// clock that never goes back; times of two processes are never compared. docs/fleet-cold.md has the argument.
+// The package has no I/O, clocks, locks or randomness; callers own its values. Times are nanoseconds on one process's
+// monotonic clock; times of two processes are never compared. docs/fleet-cold.md explains why the limits hold.
 package budget
 
 // Time is nanoseconds on one process's clock.
@@ -13,25 +13,25 @@
 
 const second = Time(1e9)
 
-// burstShare is the part of what is allocated that may be available or outstanding at one moment; the rest flows
-// in over a window and the time of an allocation.
+// burstShare is the part of the allocated units that may be available or outstanding at any moment. The rest becomes
+// available over the length of a window and of an allocation.
 const burstShare = 0.25
 
-// Settings say how much a node can bear during its slow start, and how that is allocated.
+// Settings describe the capacity of a node during its slow start and how that is allocated.
 type Settings struct {
-	InitialFraction  float64 // the part of its full rate that a node starts with, at least
-	WarmupTime       Time    // after which a node has its full rate
-	OverloadMultiple float64 // a node fails at this multiple of its rate,
-	Window           Time    // sent for this long
-	MinUnits         float64 // units that a node bears in a window in any case
+	InitialFraction  float64 // part of its full rate that a node starts with, at least
+	WarmupTime       Time    // time after its start at which a node has its full rate
+	OverloadMultiple float64 // a node fails if it is sent this multiple of its rate
+	Window           Time    // for this long
+	MinUnits         float64 // units that a node can take in a window, whatever its rate
 
-	AllocatedShare float64 // the part of what a node bears that is allocated
-	AllocationTime Time    // how long an allocation is valid, by its holder's clock, from when it was requested
-	MaxClockDrift  float64 // the part by which clocks run faster or slower than true time at most
+	AllocatedShare float64 // part of a node's capacity that is allocated
+	AllocationTime Time    // how long an allocation is valid on its holder's clock, from its request on
+	MaxClockDrift  float64 // maximum relative error of the rate of a clock, such as 0.01
 }
 
-// Capacity is how many units a node bears in a window that begins at an age, if a warmed up node serves rate
-// units a second.
+// Capacity returns how many units a node can be sent in a window without failing. The window begins when the node has
+// the given age, the time since its start; rate is what a warmed-up node serves, in units per second.
 func (s Settings) Capacity(age Time, rate float64) float64 {
 	fraction := 1.0
 	if age < s.WarmupTime {
@@ -40,18 +40,18 @@
 	return max(s.OverloadMultiple*fraction*rate*float64(s.Window)/float64(second), s.MinUnits)
 }
 
-// outstandingTime is how long an allocation counts as outstanding on the allocator's clock: past its end on the
-// holder's, however the two drift.
+// outstandingTime returns how long an allocation counts as outstanding on the allocator's clock. It ends after the
+// allocation has expired on the holder's clock, however far the two clocks drift.
 func (s Settings) outstandingTime() Time {
 	return Time(float64(s.AllocationTime)*(1+s.MaxClockDrift)/(1-s.MaxClockDrift)) + 1
 }
 
-// driftRatio is how much faster one clock may run than another.
+// driftRatio returns the maximum ratio between the rates of two clocks.
 func (s Settings) driftRatio() float64 { return (1 + s.MaxClockDrift) / (1 - s.MaxClockDrift) }
 
-// MaxOutstanding is the most units that can be sent at once to a node of an age, whether they are available,
-// allocated or on their way. sinceMove is for how long there may have been another allocator beside the allocations
-// of the one before; more than the time of an allocation counts as that.
+// MaxOutstanding returns the maximum number of units that can be sent at once to a node of the given age, whether they
+// are available, allocated or in a message. sinceMove is how long a new allocator may have been at work while
+// allocations of its predecessor were still valid; values above the lifetime of an allocation count as that.
 func (s Settings) MaxOutstanding(age Time, rate float64, sinceMove Time) float64 {
 	allocated := s.AllocatedShare * s.Capacity(age, rate)
 	longest := Time(float64(s.outstandingTime()) * s.driftRatio())
@@ -59,12 +59,12 @@
 	return burstShare*allocated + (1-burstShare)*allocated*overlap/float64(s.Window+s.outstandingTime())
 }
 
-// limits are the most units that may be available and outstanding, and how many flow in a second, for a node of
-// an age.
+// limits returns, for a node of the given age, the maximum number of units that may be available or outstanding, and
+// the rate at which units become available.
 //
-// Whatever the window of true time: what is sent within it was outstanding or available an allocation's time
-// before it began, or has flowed in since. All of that is counted by what the node bore a window earlier, so
-// that the sum is under the share of what it bore when that window began.
+// The limits hold in any window of true time: units sent within it were available or outstanding one allocation time
+// before it began, or have become available since then. Both amounts are computed from the node's capacity one window
+// earlier, so their sum stays within the allocated share of its capacity at the beginning of the window.
 func (s Settings) limits(age Time, rate float64) (maxUnits, unitsPerSecond float64) {
 	earlier := age - Time(float64(s.Window)*s.driftRatio())
 	allocated := s.AllocatedShare * s.Capacity(earlier, rate)
--- a/internal/fleet/slowstart/doc.go
+++ b/internal/fleet/slowstart/doc.go
@@ -1,5 +1,5 @@
-// Package slowstart has the simulations of its sub-packages together, which are tests; it has no code of its
-// own. What storage nodes in slow start may be sent is allocated among the gateways of a fleet: package epoch
-// says who owns a node's budget, package budget allocates it, and package agent is a gateway's part in that.
-// docs/fleet-cold.md has the argument.
+// Package slowstart contains only tests: simulations of its sub-packages working together. While a storage node
+// is in slow start, the units that may be sent to it are allocated among the gateways of a fleet: package epoch
+// determines which gateway owns a node's budget, package budget allocates it, and package agent runs both in a
+// gateway. docs/fleet-cold.md explains why the limits hold.
 package slowstart
--- a/internal/fleet/slowstart/epoch/golden_test.go
+++ b/internal/fleet/slowstart/epoch/golden_test.go
@@ -11,7 +11,7 @@
 	"irispost/internal/testkit/golden"
 )
 
-// marshalLine is the JSON form of a value, as one line.
+// marshalLine returns the JSON encoding of a value and a newline.
 func marshalLine(t *testing.T, value any) []byte {
 	t.Helper()
 	b, err := json.Marshal(value)
@@ -21,7 +21,8 @@
 	return append(b, '\n')
 }
 
-// TestGoldenMembership: the members that come with a lease are written and read as by an earlier build.
+// TestGoldenMembership: the membership that comes with a lease is encoded and decoded in the same JSON form as by
+// earlier builds.
 func TestGoldenMembership(t *testing.T) {
 	full := Membership{Epoch: 9, Departures: 3, Age: 5e9, LeaseDuration: 2e9, MaxClockDrift: 0.01}
 	full.Members = []string{"g/1.2", "h/3.4"}
@@ -38,12 +39,12 @@
 		}
 		var read Membership
 		if err := json.Unmarshal(b, &read); err != nil || !reflect.DeepEqual(read, membership) {
-			t.Errorf("%s: read as %+v, not %+v: %v", file, read, membership, err)
+			t.Errorf("%s: got %+v, want %+v (error: %v)", file, read, membership, err)
 		}
 	}
 }
 
-// TestGoldenOwners: the owner of a node has to be the same in every build, or two would allocate one budget.
+// TestGoldenOwners: all builds have to agree on the owner of a node, or two gateways would allocate the same budget.
 func TestGoldenOwners(t *testing.T) {
 	members := []string{"g/1.2", "h/3.4", "i/5.6"}
 	owners := map[string]string{"": Owner("", members)}
--- a/internal/fleet/slowstart/epoch/hash.go
+++ b/internal/fleet/slowstart/epoch/hash.go
@@ -4,8 +4,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Owner is the member that owns a node, by rendezvous hashing: the one with the highest hash of both names; "":
-// there are no members.
+// Owner returns the member that owns a node by rendezvous hashing: the one whose name, hashed with the node's, gives
+// the highest value. It returns "" if there are no members.
 func Owner(node string, members []string) (owner string) {
 	highest := uint64(0)
 	for _, member := range members {
@@ -17,10 +17,10 @@
 	return owner
 }
 
-// hashPair hashes two names, with a separator that is in neither.
+// hashPair hashes two names with a separator that occurs in neither.
 func hashPair(node, member string) uint64 {
 	digest := xxhash.New()
-	_, _ = digest.WriteString(node) // writes to a hash cannot fail
+	_, _ = digest.WriteString(node) // writing to a hash cannot fail
 	_, _ = digest.Write([]byte{0})
 	_, _ = digest.WriteString(member)
 	return digest.Sum64()
--- a/internal/fleet/slowstart/epoch/ownership.go
+++ b/internal/fleet/slowstart/epoch/ownership.go
@@ -2,34 +2,34 @@
 
 import "slices"
 
-// Ownership is which nodes' budgets one gateway owns. It takes the membership of each lease.
+// Ownership tracks which nodes' budgets one gateway owns. It is updated with the membership that comes with each lease.
 type Ownership struct {
 	self             string
 	faults           InjectedFaults
 	membership       Membership
-	leaseUntil       Time            // nothing is owned after it
-	ownedFrom        map[string]Time // by node: from when on it is owned, if it is; nodes that were asked for
-	defaultOwnedFrom Time            // the same for all other nodes
+	leaseUntil       Time            // nothing is owned from then on
+	ownedFrom        map[string]Time // by node, for nodes queried before: start of ownership, if it is owned
+	defaultOwnedFrom Time            // start of ownership of all other nodes
 }
 
-// InjectedFaults are defects that tests put in, to show that their checks find them. Nothing else sets them.
+// InjectedFaults are defects that tests inject to show that their checks detect them. Nothing else sets them.
 type InjectedFaults uint
 
-// The defects.
+// Faults that can be injected, one bit each.
 const (
-	FaultNoWait           InjectedFaults = 1 << iota // a new owner does not wait for the one before
-	FaultIgnoreLease                                 // an owner goes on after its lease
-	FaultIgnoreDepartures                            // who owns a node in two epochs passes for its owner in all between
+	FaultNoWait           InjectedFaults = 1 << iota // a new owner does not wait for the previous one
+	FaultIgnoreLease                                 // an owner goes on after its lease has expired
+	FaultIgnoreDepartures                            // the owner of a node in two epochs counts as its owner in between
 )
 
-// NewOwnership makes the ownership of a gateway, by its holder ID, that knows of no membership yet and owns
+// NewOwnership returns the ownership of the gateway with the holder ID self. It knows no membership yet and owns
 // nothing.
 func NewOwnership(self string, faults InjectedFaults) *Ownership {
 	return &Ownership{self: self, faults: faults, ownedFrom: map[string]Time{}}
 }
 
-// HandleMembership takes the membership of a lease that was requested at one time and received at another, both
-// on the gateway's clock. One of an earlier epoch is ignored.
+// HandleMembership processes the membership that came with a lease. requestedAt is when the lease was requested and
+// now when it was received, both on the gateway's clock. A membership of an earlier epoch is ignored.
 func (o *Ownership) HandleMembership(requestedAt, now Time, membership Membership) {
 	if membership.Epoch < o.membership.Epoch {
 		return
@@ -47,8 +47,9 @@
 	o.defaultOwnedFrom = now + wait
 }
 
-// ownedThroughout are the nodes that the gateway owned until now and owns in a new epoch, without another owner
-// between: where no member has come and gone between the two, who owns a node in both has owned it throughout.
+// ownedThroughout returns the nodes that the gateway owned until now and owns in the next known epoch, without another
+// owner in between. If no member has both joined and left between the two epochs, the owner of a node in both of
+// them has owned it throughout.
 func (o *Ownership) ownedThroughout(next *Membership) map[string]Time {
 	owned := map[string]Time{}
 	departed := uint64(0)
@@ -69,7 +70,7 @@
 	return owned
 }
 
-// Owns tells whether a node's budget is the gateway's to allocate now.
+// Owns reports whether the gateway may allocate the node's budget now.
 func (o *Ownership) Owns(now Time, node string) bool {
 	expired := now >= o.leaseUntil && o.faults&FaultIgnoreLease == 0
 	if expired || o.Owner(node) != o.self {
@@ -83,8 +84,8 @@
 	return now >= from
 }
 
-// Owner is the member that owns a node's budget in the latest epoch known here; "": none.
+// Owner returns the member that owns the node's budget in the latest known epoch, or "" if there is none.
 func (o *Ownership) Owner(node string) string { return Owner(node, o.membership.Members) }
 
-// Epoch is the latest that is known here; 0: none.
+// Epoch returns the number of the latest known epoch, or 0 if none is known.
 func (o *Ownership) Epoch() uint64 { return o.membership.Epoch }
--- a/internal/fleet/slowstart/firstseconds_play_test.go
+++ b/internal/fleet/slowstart/firstseconds_play_test.go
@@ -11,7 +11,7 @@
 	"irispost/scheduler"
 )
 
-// inFlightAttempt is one in flight.
+// inFlightAttempt is an attempt that the node has not finished.
 type inFlightAttempt struct {
 	gateway int
 	attempt *scheduler.Attempt
@@ -23,22 +23,22 @@
 	units float64
 }
 
-// firstSeconds plays the seconds around a node's start.
+// firstSeconds simulates the seconds around a node's start.
 type firstSeconds struct {
 	mode      dispatchMode
-	load      float64 // offered, as a part of the node's full rate
+	load      float64 // offered load as a fraction of the node's full rate
 	random    *rand.Rand
 	now       scheduler.Time
-	startedAt scheduler.Time // the node's start
-	end       scheduler.Time // of what is offered
+	startedAt scheduler.Time // start of the node
+	end       scheduler.Time // of the offered load
 
 	schedulers []*scheduler.Scheduler
-	validUntil []scheduler.Time // each gateway's allocation
+	validUntil []scheduler.Time // end of the allocation, by gateway
 	seq        []uint64
 	settings   budget.Settings
-	allocator  *budget.Allocator // nil: the node has not started
+	allocator  *budget.Allocator // nil until the node starts
 
-	requests      int // so far, for their IDs
+	requests      int // number of requests so far; used as their IDs
 	inFlight      []inFlightAttempt
 	coldBusyUntil scheduler.Time
 	warmBusyUntil scheduler.Time
@@ -47,7 +47,8 @@
 	outcome       outcome
 }
 
-// simulateFirstSeconds plays the seconds around a node's start, and returns what came of the first ones after it.
+// simulateFirstSeconds simulates the seconds around a node's start, and returns the outcome of requests received after
+// it.
 func simulateFirstSeconds(gateways int, load float64, mode dispatchMode, seed uint64) outcome {
 	now := 100 * scheduler.Second
 	settings := fleetSettings(gateways)
@@ -90,7 +91,7 @@
 	f.measureWindow()
 }
 
-// startNode tells all gateways of the node's start.
+// startNode informs all gateways of the node's start and creates the allocator.
 func (f *firstSeconds) startNode() {
 	for _, s := range f.schedulers {
 		s.BeginEndpointList(f.now, false, false)
@@ -100,7 +101,7 @@
 	f.allocator = budget.NewAllocator(f.now, f.settings, 0, nodeRate, 0)
 }
 
-// rateAt is what the node can do at a time, in units a second.
+// rateAt returns the rate of the node in slow start at the given time, in units per second.
 func (f *firstSeconds) rateAt(at scheduler.Time) float64 {
 	if at < f.startedAt {
 		return nodeRate
@@ -108,7 +109,7 @@
 	return nodeRate * (initialFraction + (1-initialFraction)*float64(at-f.startedAt)/float64(warmupTime))
 }
 
-// offerRequests draws the requests of a tick for the node.
+// offerRequests generates random requests of one tick for the node in slow start.
 func (f *firstSeconds) offerRequests() {
 	expected := f.load * nodeRate / requestUnits * float64(tick) / 1e9
 	for ; expected > 0 && f.now < f.end; expected-- {
@@ -136,7 +137,7 @@
 	f.submit(gateway, 0, volume, fmt.Sprintf("p%.0f", weight))
 }
 
-// offerOtherRequests draws a few requests for the other node, so that its rate is known.
+// offerOtherRequests generates a few random requests for the warm node, so that its rate is known.
 func (f *firstSeconds) offerOtherRequests() {
 	for range len(f.schedulers) / 4 {
 		if f.random.Float64() < 0.02 {
@@ -154,7 +155,7 @@
 	f.schedulers[gateway].Submit(f.now, request, volume, level, "read", hostsPerVolume, false)
 }
 
-// pace serves what the pacer has, as far as the node can in a tick.
+// pace serves requests of the pacer, up to the rate of the node in one tick.
 func (f *firstSeconds) pace() {
 	f.coldBusyUntil = max(f.coldBusyUntil, f.now)
 	for len(f.paced) > 0 && f.coldBusyUntil < f.now+tick {
@@ -167,7 +168,7 @@
 	}
 }
 
-// allocate has gateways request allocations, a fifth of them in each tick, and serves them.
+// allocate makes a fifth of the gateways in each tick request allocations, and serves the requests.
 func (f *firstSeconds) allocate() {
 	for gateway := range f.schedulers {
 		if f.now%pollInterval == scheduler.Time(gateway%5)*tick {
@@ -177,19 +178,19 @@
 	for _, allocation := range f.allocator.Allocate(f.now) {
 		gateway, err := strconv.Atoi(allocation.Holder)
 		if err != nil {
-			panic(err) // it is one of poll's
+			panic(err) // poll passes only numbers
 		}
 		f.setAllocation(gateway, allocation.Units)
 	}
 }
 
-// poll has a gateway request an allocation for what waits there.
+// poll makes a gateway request an allocation for its waiting requests.
 func (f *firstSeconds) poll(gateway int) {
 	holder, until := strconv.Itoa(gateway), f.now+f.settings.AllocationTime
 	demands, _ := f.schedulers[gateway].SlowStartDemands(f.now)
 	if len(demands) == 0 || demands[0].Units <= 0 {
 		f.allocator.CancelRequest(holder)
-		if f.now >= f.validUntil[gateway] { // what comes waits for an allocation
+		if f.now >= f.validUntil[gateway] { // new requests wait for an allocation
 			f.validUntil[gateway] = until
 			f.setAllocation(gateway, 0)
 		}
@@ -209,7 +210,7 @@
 	return f.schedulers[gateway].AllocateSlowStart(f.now, coldNode, f.startedAt, units, f.validUntil[gateway])
 }
 
-// finishAttempts tells the schedulers of the attempts that are done.
+// finishAttempts reports finished attempts to the schedulers.
 func (f *firstSeconds) finishAttempts() {
 	remaining := f.inFlight[:0]
 	for _, a := range f.inFlight {
@@ -228,7 +229,7 @@
 	f.inFlight = remaining
 }
 
-// dispatch sends what the schedulers decide.
+// dispatch sends the attempts that the schedulers decide on.
 func (f *firstSeconds) dispatch() {
 	for gateway, s := range f.schedulers {
 		for _, a := range s.Decide(f.now).Dispatch {
@@ -238,7 +239,7 @@
 	}
 }
 
-// serve is when an attempt that is sent now will be done.
+// serve returns when an attempt sent now will be finished.
 func (f *firstSeconds) serve(a *scheduler.Attempt) scheduler.Time {
 	units := a.Request.Units
 	if a.Node.Addr == warmNode {
@@ -253,7 +254,7 @@
 	return f.coldBusyUntil
 }
 
-// measureWindow holds what was sent in the last window against what the node bore when it began.
+// measureWindow compares the units sent in the last window with the node's capacity at the beginning of that window.
 func (f *firstSeconds) measureWindow() {
 	begin := f.now - overloadWindow
 	for len(f.window) > 0 && f.window[0].at <= begin {
--- a/internal/fleet/slowstart/firstseconds_test.go
+++ b/internal/fleet/slowstart/firstseconds_test.go
@@ -9,9 +9,9 @@
 	"irispost/scheduler"
 )
 
-// A whole fleet of schedulers in virtual time, one node in slow start with all requests for it, and its
-// allocator. Beside it the same without an allocator, and a pacer that sees all that waits and all that the node
-// can do.
+// These tests run the schedulers of a whole fleet in simulated time, with one node in slow start, all requests for that
+// node, and the allocator of its budget. For comparison, the same load runs without an allocator, and with a central
+// pacer that knows all waiting requests and the node's exact rate.
 
 type dispatchMode int
 
@@ -25,8 +25,8 @@
 	warmNode = "warm"
 	coldNode = "cold"
 
-	nodeRate         = 100.0 // units a second, warmed up
-	warmNodeParallel = 20    // requests at the other node
+	nodeRate         = 100.0 // of a warmed-up node, in units per second
+	warmNodeParallel = 20    // requests that the other node serves in parallel
 	initialFraction  = 0.16
 	warmupTime       = 18 * scheduler.Second
 	overloadMultiple = 2.0
@@ -41,29 +41,29 @@
 
 	tick         = 5 * scheduler.Millisecond
 	pollInterval = 25 * scheduler.Millisecond
-	measuredTime = 10 * scheduler.Second // after the node's start
+	measuredTime = 10 * scheduler.Second // from the node's start on
 )
 
-// outcome is what came of the requests of the first seconds. Both sums are weighted by priority.
+// outcome is the result of one run. offered and served are sums of the priority weights of requests.
 type outcome struct {
 	offered, served float64
-	peakShare       float64 // the most in a window, as a part of what the node bears
-	requests        int     // to the allocator
+	peakShare       float64 // maximum units in a window as a fraction of the node's capacity
+	requests        int     // number of requests to the allocator
 }
 
-// overloaded tells whether the node was sent more than it bears.
+// overloaded reports whether the node was sent more than its capacity.
 func (o outcome) overloaded() bool { return o.peakShare > 1 }
 
-// servedShare is the part of the offered requests that was served in time.
+// servedShare returns the weighted share of the offered requests that was served in time.
 func (o outcome) servedShare() float64 { return o.served / o.offered }
 
-// pacedRequest waits at the pacer.
+// pacedRequest is a request waiting at the pacer.
 type pacedRequest struct {
 	weight, units float64
 	at            scheduler.Time
 }
 
-// pacerQueue is a heap of requests: the highest weight first, then the oldest.
+// pacerQueue is a heap of requests, ordered by descending weight, then by age, oldest first.
 type pacerQueue []*pacedRequest
 
 func (q pacerQueue) Len() int { return len(q) }
@@ -97,9 +97,9 @@
 	return settings
 }
 
-// TestFirstSecondsWithAllocatorServeMore: in the first ten seconds after a node's start more is served with an
-// allocator than without, by priority weight, and the node is not overloaded. IRISPOST_MEASURE=1 measures more
-// fleets.
+// TestFirstSecondsWithAllocatorServeMore: in the first ten seconds after a node's start, at least as many requests,
+// weighted by priority, are served with an allocator as without one, and the node is not overloaded.
+// IRISPOST_MEASURE=1 runs more fleet sizes and loads.
 func TestFirstSecondsWithAllocatorServeMore(t *testing.T) {
 	sizes, loads := []int{40}, []float64{0.6}
 	if os.Getenv("IRISPOST_MEASURE") != "" {
@@ -110,12 +110,13 @@
 			baseline := simulateFirstSeconds(gateways, load, withoutAllocator, 1)
 			allocated := simulateFirstSeconds(gateways, load, withAllocator, 1)
 			paced := simulateFirstSeconds(gateways, load, withPacer, 1)
-			t.Logf("%d gateways, %.0f%% offered: served by weight %.3f alone (at most %.0f%% of what the node bears), "+
-				"%.3f with an allocator (%.0f%%, %d requests), %.3f by a pacer",
+			t.Logf("%d gateways, %.0f%% load: weighted share served %.3f without an allocator (peak %.0f%% of capacity), "+
+				"%.3f with an allocator (peak %.0f%%, %d allocation requests), %.3f with a central pacer",
 				gateways, 100*load, baseline.servedShare(), 100*baseline.peakShare,
 				allocated.servedShare(), 100*allocated.peakShare, allocated.requests, paced.servedShare())
 			if allocated.overloaded() || allocated.served < baseline.served {
-				t.Errorf("%d gateways, %.0f%%: %+v with an allocator, %+v alone", gateways, 100*load, allocated, baseline)
+				t.Errorf("%d gateways, %.0f%% load: got %+v, want no overload and at least as much served as without an allocator: %+v",
+					gateways, 100*load, allocated, baseline)
 			}
 		}
 	}
--- a/internal/fleet/slowstart/simgateway_test.go
+++ b/internal/fleet/slowstart/simgateway_test.go
@@ -8,8 +8,8 @@
 	"irispost/internal/fleet/slowstart/epoch"
 )
 
-// simulatedGateway is one start of a gateway: a holder of allocations, and the allocator while it owns the
-// budget. Times are on its own clock unless said otherwise.
+// simulatedGateway is one start of a gateway. It is a holder of allocations, and the allocator while it owns the
+// budget. Times are on its own clock unless stated otherwise.
 type simulatedGateway struct {
 	clock            clock
 	name             string
@@ -18,20 +18,20 @@
 	inbox            []func()
 
 	ownership *epoch.Ownership
-	allocator *budget.Allocator // nil: the budget is not its own
-	renewedAt int64             // its lease
+	allocator *budget.Allocator // nil: it does not own the budget
+	renewedAt int64             // when it last requested its lease
 
 	seq           uint64
-	units         float64 // allocated, and not sent yet
+	units         float64 // allocated and not sent yet
 	validUntil    int64
 	requestedAt   int64
 	nextRequestAt int64
 	isWaiting     bool                  // for an allocation
-	usable        []simulatedAllocation // on their way to it, and received ones that it did not send
-	demandRate    float64               // units a second that it would send
+	usable        []simulatedAllocation // in transit to it, or received and not sent yet
+	demandRate    float64               // units per second that it has to send
 }
 
-// simulatedAllocation is one that may still be used.
+// simulatedAllocation is an allocation that may still be used.
 type simulatedAllocation struct {
 	budget.Allocation
 	validUntil int64
@@ -45,8 +45,8 @@
 	return g
 }
 
-// stepGateway has a gateway receive what has arrived, renew its lease, request an allocation and send, as it is
-// time to.
+// stepGateway makes a gateway process its inbox, and then renew its lease, request an allocation and send its units,
+// each if it is due.
 func (s *simulation) stepGateway(g *simulatedGateway) {
 	inbox := g.inbox
 	g.inbox = nil
@@ -73,7 +73,7 @@
 	}
 }
 
-// renewLease requests a lease of the replicas.
+// renewLease requests a lease from the replicas.
 func (s *simulation) renewLease(g *simulatedGateway) {
 	requestedAt := g.clock.at(s.now)
 	s.send(g, nil, func() {
@@ -91,7 +91,7 @@
 	})
 }
 
-// requestAllocation requests an allocation of the node's owner.
+// requestAllocation requests an allocation from the owner of the node's budget.
 func (s *simulation) requestAllocation(g *simulatedGateway) {
 	g.seq++
 	g.requestedAt, g.isWaiting = g.clock.at(s.now), true
@@ -113,7 +113,7 @@
 	}
 }
 
-// serveRequest has a gateway allocate as the node's owner, if it is.
+// serveRequest makes a gateway serve a request if it owns the node's budget.
 func (s *simulation) serveRequest(g *simulatedGateway, request *budget.Request) {
 	now := g.clock.at(s.now)
 	if !g.ownership.Owns(now, simulatedNode) {
@@ -135,17 +135,19 @@
 	}
 }
 
-// beginAllocating makes an allocator at a gateway. The node started at time 0.
+// beginAllocating creates an allocator at a gateway. The node started at time 0. The start is recorded even if the
+// gateway owned the budget before, because allocations made then may still be valid.
 func (s *simulation) beginAllocating(g *simulatedGateway) {
 	g.allocator = budget.NewAllocator(g.clock.at(s.now), simulatedSettings, s.now, simulatedRate, s.faults.budget)
-	s.allocatorsStartedAt = append(s.allocatorsStartedAt, s.now) // even if it owned the budget before
+	s.allocatorsStartedAt = append(s.allocatorsStartedAt, s.now)
 	if s.owner != g.name {
 		s.owner = g.name
 		s.ownerMoves++
 	}
 }
 
-// sendAllocation sends an allocation to its holder, which uses it if it is for its latest request, and in time.
+// sendAllocation sends an allocation to its holder, which uses it if it is for the latest request and arrives in
+// time.
 func (s *simulation) sendAllocation(from, holder *simulatedGateway, allocation budget.Allocation) {
 	if allocation.Seq == holder.seq {
 		validUntil := holder.requestedAt + simulatedSettings.AllocationTime
@@ -159,7 +161,7 @@
 	})
 }
 
-// sendUnits has a gateway send all that it has.
+// sendUnits makes a gateway send all its units to the node.
 func (s *simulation) sendUnits(g *simulatedGateway) {
 	s.sentUnits += g.units
 	s.sends = append(s.sends, simulatedSend{s.now, g.units})
--- a/internal/fleet/slowstart/simulation_test.go
+++ b/internal/fleet/slowstart/simulation_test.go
@@ -12,21 +12,21 @@
 	"irispost/internal/fleet/slowstart/epoch"
 )
 
-// The simulation: one node in slow start, gateways of which each may come to own its budget, and replicas that
-// grant leases and know the members. Messages are lost, late, duplicated and out of order; gateways stall, are
-// partitioned and restart under other names; the replicas' leader changes; clocks drift as far as is stated. All
-// chance comes from the run's seed. After each step what can be and was sent to the node is held against what it
-// bears.
+// The simulation has one node in slow start, gateways each of which may come to own the node's budget, and replicas
+// that grant leases and know the members. Messages are lost, delayed, duplicated and reordered; gateways stall, are
+// partitioned and restart under other names; the leader of the replicas changes; clocks drift up to the stated
+// maximum. All randomness comes from the seed of the run. After each step, the units that can be sent to the node and
+// those sent in the last window are compared with the limits derived from its capacity.
 
 const (
 	ms            = int64(1e6)
 	leaseDuration = 1000 * ms
 	simulatedNode = "10.0.0.9:7000"
-	simulatedTime = 12000 * ms // the node's warm-up
-	simulatedRate = 60         // units a second of the node, warmed up
+	simulatedTime = 12000 * ms // the warm-up time of the node
+	simulatedRate = 60         // of the warmed-up node, in units per second
 	maxStep       = 25 * ms
-	maxOutage     = 4000 * ms // a stall or a partition
-	unitTolerance = 1e-6      // as floating-point sums
+	maxOutage     = 4000 * ms // maximum length of a stall or a partition
+	unitTolerance = 1e-6      // for rounding errors of floating-point sums
 )
 
 var simulatedSettings = budget.Settings{
@@ -34,19 +34,19 @@
 	AllocatedShare: 0.5, AllocationTime: 1000 * ms, MaxClockDrift: 0.05,
 }
 
-// faults are defects that are put in.
+// faults are the injected defects of a run.
 type faults struct {
 	budget budget.InjectedFaults
 	epoch  epoch.InjectedFaults
 }
 
-// clock is a process's clock.
+// clock is the clock of one process.
 type clock struct {
 	rate   float64
 	offset int64
 }
 
-// at is the clock's reading at a true time.
+// at returns the reading of the clock at a true time.
 func (c clock) at(now int64) int64 { return c.offset + int64(float64(now)*c.rate) }
 
 type message struct {
@@ -59,14 +59,14 @@
 	units float64
 }
 
-// simulation is one run. Times are true times unless said otherwise.
+// simulation is the state of one run. Times are true times unless stated otherwise.
 type simulation struct {
 	random          *rand.Rand
 	faults          faults
 	now             int64
 	network         []message
 	gateways        []*simulatedGateway
-	gatewaysStarted int // gateways, for their names
+	gatewaysStarted int // number of gateways started so far; used in their names
 
 	leaderClock  clock
 	membership   epoch.Membership
@@ -77,12 +77,12 @@
 	sentUnits           float64
 	owner               string
 	ownerMoves          int
-	allocatorsStartedAt []int64 // when allocators began
+	allocatorsStartedAt []int64 // start times of allocators
 
 	lossRate       float64
 	maxDelay       int64
-	sendNearExpiry bool    // holders send what they have when its time is nearly over
-	outageRate     float64 // how often something happens to a gateway, a step
+	sendNearExpiry bool    // holders send their units when the allocation is about to expire
+	outageRate     float64 // probability per step of a stall, a partition or a new leader; a restart has half of it
 }
 
 func newSimulation(seed uint64, faults faults) *simulation {
@@ -106,7 +106,7 @@
 	return clock{rate: rate, offset: int64(s.random.IntN(1000)) * ms}
 }
 
-// send sends something between gateways, or the replicas (nil); some messages come twice.
+// send sends a message between gateways or replicas (nil). Messages can be lost, delayed or duplicated.
 func (s *simulation) send(from, to *simulatedGateway, deliver func()) {
 	if s.chance(s.lossRate) || s.isPartitioned(from) || s.isPartitioned(to) {
 		return
@@ -124,7 +124,7 @@
 	return g != nil && g.partitionedUntil > s.now
 }
 
-// deliverMessages delivers what has arrived.
+// deliverMessages delivers the messages that have arrived by now.
 func (s *simulation) deliverMessages() {
 	arrived := slices.Clone(s.network)
 	s.network = slices.DeleteFunc(s.network, func(m message) bool { return m.at <= s.now })
@@ -135,7 +135,7 @@
 	}
 }
 
-// beginEpoch notes a change of the members.
+// beginEpoch begins an epoch after a change of the members.
 func (s *simulation) beginEpoch(departed bool) {
 	s.membership.Epoch++
 	if departed {
@@ -144,7 +144,7 @@
 	s.epochBeganAt = s.leaderClock.at(s.now)
 }
 
-// updateMembers has the members leave whose leases have run out, and at times changes the leader.
+// updateMembers removes members whose leases have expired, and occasionally changes the leader.
 func (s *simulation) updateMembers() {
 	now := s.leaderClock.at(s.now)
 	drift := simulatedSettings.MaxClockDrift
@@ -156,12 +156,12 @@
 		s.membership.Members = remaining
 		s.beginEpoch(true)
 	}
-	if s.chance(s.outageRate) { // a new leader does not know for how long there has been no later epoch
+	if s.chance(s.outageRate) { // a new leader does not know how long there has been no later epoch
 		s.epochBeganAt = now
 	}
 }
 
-// step lets a while pass, and returns what is violated; "": nothing.
+// step advances time by a random amount, and describes the violation of a limit; "": there is none.
 func (s *simulation) step() string {
 	s.now += 1 + s.random.Int64N(maxStep)
 	s.deliverMessages()
@@ -183,9 +183,10 @@
 	return s.violation()
 }
 
-// violation holds what can be sent, and what was sent in the last window, against what is allocated.
+// violation compares the units that can be sent, and those sent in the last window, with their limits. It describes the
+// limit that is exceeded; "": none.
 func (s *simulation) violation() string {
-	sinceMove := int64(0) // since the first of the moves whose allocations may still be valid
+	sinceMove := int64(0) // since the earliest start of an allocator whose predecessor's allocations may still be valid
 	for _, at := range s.allocatorsStartedAt {
 		if s.now-at < 2*simulatedSettings.AllocationTime {
 			sinceMove = max(sinceMove, s.now-at)
@@ -193,7 +194,7 @@
 	}
 	sendable, limit := s.sendable(), simulatedSettings.MaxOutstanding(s.now, simulatedRate, sinceMove)
 	if sendable > limit+unitTolerance {
-		return fmt.Sprintf("%.1f units can be sent at once, %.1f may be", sendable, limit)
+		return fmt.Sprintf("%.1f units can be sent at once, the limit is %.1f", sendable, limit)
 	}
 	begin := s.now - simulatedSettings.Window
 	for len(s.sends) > 0 && s.sends[0].at <= begin {
@@ -205,13 +206,14 @@
 	}
 	capacity := simulatedSettings.Capacity(begin, simulatedRate)
 	if allocated := simulatedSettings.AllocatedShare * capacity; sent > allocated+unitTolerance {
-		return fmt.Sprintf("%.1f units in a window, %.1f are allocated of %.1f", sent, allocated, capacity)
+		return fmt.Sprintf("%.1f units were sent in a window, the limit is %.1f of a capacity of %.1f",
+			sent, allocated, capacity)
 	}
 	return ""
 }
 
-// sendable is how many units can reach the node at once: valid allocations, at holders or on their way, and what
-// is available at all that take the budget for theirs.
+// sendable returns how many units can reach the node at once: those of valid allocations, at holders or in transit, and
+// those available at every gateway that considers itself the owner of the budget.
 func (s *simulation) sendable() (units float64) {
 	for _, g := range s.gateways {
 		now := g.clock.at(s.now)
@@ -228,7 +230,7 @@
 	return units
 }
 
-// simulate plays a run until the node is warmed up, and tells what was violated.
+// simulate runs the simulation until the node is warmed up or a limit is violated, and describes the violation.
 func simulate(seed uint64, faults faults) (run *simulation, violation string) {
 	s := newSimulation(seed, faults)
 	for s.now < simulatedTime {
@@ -239,8 +241,9 @@
 	return s, ""
 }
 
-// TestBudgetHoldsInAllRuns: never more reaches the node than is allocated of what it bears; and of that, enough.
-// IRISPOST_RUNS says how many runs.
+// TestBudgetHoldsInAllRuns: the units that reach the node never exceed the allocated share of its capacity. The runs
+// must also send enough units and move the budget often enough to exercise the limits. IRISPOST_RUNS sets the number of
+// runs.
 func TestBudgetHoldsInAllRuns(t *testing.T) {
 	runs := 400
 	if n, err := strconv.Atoi(os.Getenv("IRISPOST_RUNS")); err == nil {
@@ -257,17 +260,18 @@
 	}
 	t.Logf("%d runs: %.0f units a run, the budget moved %.1f times", runs, sent/float64(runs), float64(moves)/float64(runs))
 	if moves < runs/2 || sent < 10*float64(runs) {
-		t.Errorf("%d moves and %.0f units in %d runs: they show little", moves, sent, runs)
+		t.Errorf("got %d moves and %.0f units in %d runs, want at least one move in two runs and 10 units per run",
+			moves, sent, runs)
 	}
 }
 
-// TestSimulationFindsInjectedFaults: each defect is a violation in some run.
+// TestSimulationFindsInjectedFaults: each injected fault causes a violation in some run.
 func TestSimulationFindsInjectedFaults(t *testing.T) {
 	const maxRuns = 1000
 	for name, faults := range map[string]faults{
 		"all available at the start":               {budget: budget.FaultFullStart},
-		"outstanding units take no room":           {budget: budget.FaultIgnoreOutstanding},
-		"a request counts twice":                   {budget: budget.FaultAcceptDuplicates | budget.FaultTrustReturned},
+		"outstanding units are not counted":        {budget: budget.FaultIgnoreOutstanding},
+		"a request is counted twice":               {budget: budget.FaultAcceptDuplicates | budget.FaultTrustReturned},
 		"more is taken back than was allocated":    {budget: budget.FaultTrustReturned},
 		"an allocation expires early":              {budget: budget.FaultEarlyExpiry},
 		"returned units are used":                  {budget: budget.FaultUseReturned},
@@ -280,7 +284,7 @@
 			_, violation = simulate(seed, faults)
 		}
 		if violation == "" {
-			t.Errorf("%s: not found in %d runs", name, maxRuns)
+			t.Errorf("%s: got no violation in %d runs, want one", name, maxRuns)
 			continue
 		}
 		t.Logf("%s: %s", name, violation)
