--- a/internal/fleet/replica/historyread.go
+++ b/internal/fleet/replica/historyread.go
@@ -13,10 +13,10 @@
 	"irispost/internal/fleet/delta"
 )
 
-// errNoVersionNumber reports a record of bucketContents without its head.
-var errNoVersionNumber = errors.New("it has no number")
+// errNoVersionNumber reports a record of bucketContents without a valid header.
+var errNoVersionNumber = errors.New("it has no version number")
 
-// readPage reads a page; nil where there is none, or it cannot be read.
+// readPage returns the versions of a page; nil if the page does not exist or cannot be read.
 func (h *history) readPage(metadata *bbolt.Bucket, page uint64) []*configversion.Version {
 	compressed := metadata.Get(encodeKey(page))
 	if compressed == nil {
@@ -35,61 +35,62 @@
 	return versions
 }
 
-// readContents reads contents in the order in which they came, of the segments that are wanted. What cannot be read is
-// reported, and what is a delta from it left out.
+// readContents calls visit for each content of the wanted segments, in the order in which they were added. Contents
+// that cannot be read are reported and skipped, and so are those that are deltas from them, directly or indirectly.
 func (h *history) readContents(
 	contents *bbolt.Bucket,
 	wanted func(segment uint64) bool,
-	each func(number uint64, content []byte),
+	visit func(number uint64, content []byte),
 ) {
 	var last []byte
 	cursor := contents.Cursor()
 	for key, record := cursor.First(); key != nil; key, record = cursor.Next() {
-		place := decodeKey(key)
-		if !wanted(place / contentsPerSegment) {
+		position := decodeKey(key)
+		if !wanted(position / contentsPerSegment) {
 			continue
 		}
-		head, size := binary.Uvarint(record)
+		header, size := binary.Uvarint(record)
 		if size <= 0 {
-			h.reportCorrupt(fmt.Sprintf("content at place %d", place), errNoVersionNumber)
+			h.reportCorrupt(fmt.Sprintf("content at position %d", position), errNoVersionNumber)
 			last = nil
 			continue
 		}
-		number, complete := head>>1, head&1 == 1
+		number, complete := header>>1, header&1 == 1
 		base := last
 		if complete {
 			base = nil
 		} else if base == nil {
-			continue // its base was reported
+			continue // its base cannot be read, which has been reported
 		}
 		content, err := delta.Decode(base, record[size:], configversion.MaxContentBytes)
 		if err != nil {
-			h.reportCorrupt(fmt.Sprintf("content of version %d at place %d", number, place), err)
+			h.reportCorrupt(fmt.Sprintf("content of version %d at position %d", number, position), err)
 		} else {
-			each(number, content)
+			visit(number, content)
 		}
 		last = content
 	}
 }
 
-// lastContent is the number and the content of the last record.
+// lastContent returns the number and the content of the last record; no content if there is none or it cannot be read.
 func (h *history) lastContent(contents *bbolt.Bucket) configversion.Version {
 	var last configversion.Version
 	key, record := contents.Cursor().Last()
 	if key == nil {
 		return last
 	}
-	head, _ := binary.Uvarint(record)
+	header, _ := binary.Uvarint(record)
 	segment := decodeKey(key) / contentsPerSegment
 	h.readContents(contents, func(n uint64) bool { return n == segment }, func(number uint64, content []byte) {
-		if number == head>>1 {
+		if number == header>>1 {
 			last = configversion.Version{Number: number, Content: content}
 		}
 	})
 	return last
 }
 
-// versions reads the versions from one number to another; those whose content is not kept any more come without it.
+// versions returns the versions from one number to another, both included. Versions whose content is no longer kept
+// are returned without it.
 func (h *history) versions(tx *bbolt.Tx, from, to uint64) []*configversion.Version {
 	list := h.readMetadata(tx.Bucket(bucketMetadata), from, to)
 	if len(list) == 0 {
@@ -98,14 +99,14 @@
 	contents := tx.Bucket(bucketContents)
 	wanted := segmentsOf(contents, from, to)
 	h.readContents(contents, func(segment uint64) bool { return wanted[segment] }, func(number uint64, content []byte) {
-		place, listed := slices.BinarySearchFunc(list, number, compareNumber)
+		position, listed := slices.BinarySearchFunc(list, number, compareNumber)
 		if !listed {
 			return
 		}
-		version := list[place]
+		version := list[position]
 		if digest := configversion.DigestOf(content); digest != version.Digest {
 			h.reportCorrupt(fmt.Sprintf("content of version %d", number),
-				fmt.Errorf("it has the digest %.12s instead of %.12s", digest, version.Digest))
+				fmt.Errorf("its digest is %.12s instead of %.12s", digest, version.Digest))
 			return
 		}
 		version.Content = content
@@ -113,7 +114,7 @@
 	return list
 }
 
-// readMetadata reads the versions from one number to another without their contents.
+// readMetadata returns the versions from one number to another, both included, without their contents.
 func (h *history) readMetadata(metadata *bbolt.Bucket, from, to uint64) []*configversion.Version {
 	var list []*configversion.Version
 	cursor := metadata.Cursor()
@@ -128,13 +129,13 @@
 	return list
 }
 
-// segmentsOf are the segments that have contents of versions from one number to another.
+// segmentsOf returns the segments that have contents of versions from one number to another.
 func segmentsOf(contents *bbolt.Bucket, from, to uint64) map[uint64]bool {
 	segments := map[uint64]bool{}
 	cursor := contents.Cursor()
 	for key, record := cursor.First(); key != nil; key, record = cursor.Next() {
-		head, _ := binary.Uvarint(record)
-		if number := head >> 1; number >= from && number <= to {
+		header, _ := binary.Uvarint(record)
+		if number := header >> 1; number >= from && number <= to {
 			segments[decodeKey(key)/contentsPerSegment] = true
 		}
 	}
