--- a/internal/adapter/actions.go
+++ b/internal/adapter/actions.go
@@ -46,5 +46,5 @@
 		return
 	}
 	i.wakeAt = max(nextWake, now+scheduler.Microsecond)
-	a.out.Start(actionSetTimer, i.number).Int(wakeTimer).Time(i.wakeAt - now).End()
+	a.out.Start(actionSetTimer, i.number).Int(wakeTimerID).Time(i.wakeAt - now).End()
 }
--- a/internal/adapter/adapter.go
+++ b/internal/adapter/adapter.go
@@ -15,9 +15,9 @@
 	"irispost/scheduler"
 )
 
-// Run serves the bench until its input ends. observe, where it is given, returns the tap of an instance, or nil.
-func Run(in io.Reader, out io.Writer, observe func(instance int64) Tap) error {
-	a := adapter{in: wire.NewReader(in), out: wire.NewWriter(out), instances: map[int64]*instance{}, observe: observe}
+// Run serves the bench until its input ends. tapFor, where it is given, returns the tap of an instance, or nil.
+func Run(in io.Reader, out io.Writer, tapFor func(instance int64) Tap) error {
+	a := adapter{in: wire.NewReader(in), out: wire.NewWriter(out), instances: map[int64]*instance{}, tapFor: tapFor}
 	return a.run()
 }
 
@@ -26,7 +26,7 @@
 	in        *wire.Reader
 	out       *wire.Writer
 	instances map[int64]*instance
-	observe   func(instance int64) Tap // nil: no instance is observed
+	tapFor    func(instance int64) Tap // nil: no instance is observed
 	batch     []*instance              // those with an event in this batch, in the order of their first
 }
 
@@ -103,8 +103,8 @@
 	i := a.instances[number]
 	if i == nil {
 		i = &instance{number: number}
-		if a.observe != nil {
-			i.tap = a.observe(number)
+		if a.tapFor != nil {
+			i.tap = a.tapFor(number)
 		}
 		a.instances[number] = i
 	}
--- a/internal/adapter/adapter_test.go
+++ b/internal/adapter/adapter_test.go
@@ -8,8 +8,8 @@
 	"irispost/internal/wire"
 )
 
-// exchange plays lines, with "|" for the tab, to an adapter and returns its replies in the same form, and its error.
-func exchange(lines ...string) (string, error) {
+// runLines plays lines, with "|" for the tab, to an adapter and returns its replies in the same form, and its error.
+func runLines(lines ...string) (string, error) {
 	in := strings.ReplaceAll(strings.Join(lines, "\n")+"\n", "|", "\t")
 	var out bytes.Buffer
 	err := Run(strings.NewReader(in), &out, nil)
@@ -24,7 +24,7 @@
 	"ENTRY|1|k|z|10.0.0.1:5|-|0|ready", "EOF_BATCH"}
 
 func TestRequestFromArrivalToAnswer(t *testing.T) {
-	out, err := exchange(append(startBatch,
+	out, err := runLines(append(startBatch,
 		"MARK|110.5", "REQ|3|r-a|0|2|9|2|0|basic|610.5|7|read|0|later|fields", "EOF_BATCH",
 		"MARK|120.125", "ANSWER|3|r-a|0|10.0.0.1:5|1|9.625|1|-|-|-", "ANSWER|3|r-none|0|10.0.0.1:5|1|9|1",
 		"WITHDRAWN|3|r-a", "EOF_BATCH",
@@ -41,16 +41,16 @@
 }
 
 func TestMalformedLinesAreNamed(t *testing.T) {
-	for line, says := range map[string]string{
+	for line, want := range map[string]string{
 		"REQ|3|r-a|0|2|9|many|0|basic|610.5|7|read|0": `line 7: REQ: quota_units: "many" is not a number`,
 		"ANSWER|3|r-a|0|x|9|1|1":                      "line 7: ANSWER: ending: no such completion code",
 		"REQ|3|r-a":                                   "line 7: REQ: disk: missing",
 		"NOISE|3":                                     `line 7: no such event: "NOISE"`,
 		"BACKENDS_CHANGED|3|update|2|1":               `line 7: BACKENDS_CHANGED: "EOF_BATCH" where an ENTRY is due`,
 	} {
-		_, err := exchange(append(startBatch, "MARK|110.5", line, "EOF_BATCH")...)
-		if err == nil || !strings.HasPrefix(err.Error(), says) {
-			t.Errorf("%q gives %v, not %s", line, err, says)
+		_, err := runLines(append(startBatch, "MARK|110.5", line, "EOF_BATCH")...)
+		if err == nil || !strings.HasPrefix(err.Error(), want) {
+			t.Errorf("%q gives %v, not %s", line, err, want)
 		}
 	}
 }
--- a/internal/adapter/endpoints.go
+++ b/internal/adapter/endpoints.go
@@ -14,7 +14,7 @@
 	mode := fields.Text("mode")
 	fields.Int("rev")
 	count := fields.Int("nodes_list")
-	if fields.Err == nil && !isMode(mode) {
+	if fields.Err == nil && !isListMode(mode) {
 		fields.Err = fmt.Errorf("mode: no such mode: %q", mode)
 	}
 	if fields.Err != nil {
@@ -45,8 +45,8 @@
 	}
 }
 
-// isMode tells whether a word is a mode of an endpoint list event.
-func isMode(word string) bool {
+// isListMode tells whether a word is a mode of an endpoint list event.
+func isListMode(word string) bool {
 	switch word {
 	case modeUpdate, modeReplace, modeRestored, modeUnavailable:
 		return true
--- a/internal/adapter/equivalence_test.go
+++ b/internal/adapter/equivalence_test.go
@@ -16,26 +16,26 @@
 func TestLoopAndAdapterCallSchedulerAlike(t *testing.T) {
 	testkit.FixSeeds(t)
 	rapid.Check(t, func(t *rapid.T) {
-		ofLoop, ofAdapter := &callTrace{}, &callTrace{}
-		s := newScenario(t, ofLoop)
+		loopTrace, adapterTrace := &callTrace{}, &callTrace{}
+		s := newScenario(t, loopTrace)
 		defer s.loop.Stop()
 		for range rapid.IntRange(5, 60).Draw(t, "steps") {
 			s.step()
 		}
 		s.loop.Stop()
 		input := strings.NewReader(strings.ReplaceAll(s.wire.String(), "|", "\t"))
-		if err := adapter.Run(input, io.Discard, func(int64) adapter.Tap { return ofAdapter }); err != nil {
+		if err := adapter.Run(input, io.Discard, func(int64) adapter.Tap { return adapterTrace }); err != nil {
 			t.Fatal(err)
 		}
-		common := min(len(ofLoop.lines), len(ofAdapter.lines))
+		common := min(len(loopTrace.lines), len(adapterTrace.lines))
 		for i := range common {
-			if ofLoop.lines[i] != ofAdapter.lines[i] {
-				t.Fatalf("line %d:\ngateway %s\nadapter %s", i, ofLoop.lines[i], ofAdapter.lines[i])
+			if loopTrace.lines[i] != adapterTrace.lines[i] {
+				t.Fatalf("line %d:\ngateway %s\nadapter %s", i, loopTrace.lines[i], adapterTrace.lines[i])
 			}
 		}
-		if len(ofLoop.lines) != len(ofAdapter.lines) {
+		if len(loopTrace.lines) != len(adapterTrace.lines) {
 			t.Fatalf("%d lines of the gateway, %d of the adapter; then\ngateway %q\nadapter %q",
-				len(ofLoop.lines), len(ofAdapter.lines), ofLoop.lines[common:], ofAdapter.lines[common:])
+				len(loopTrace.lines), len(adapterTrace.lines), loopTrace.lines[common:], adapterTrace.lines[common:])
 		}
 	})
 }
--- a/internal/adapter/instance.go
+++ b/internal/adapter/instance.go
@@ -49,7 +49,7 @@
 	case eventClientCancelled:
 		i.clientCancelled(now, fields)
 	case eventTimer:
-		i.timer(now, fields)
+		i.timerFired(now, fields)
 	case eventHealthCheckEnded:
 		i.healthCheckEnded(now, fields)
 	case eventPeerMessage:
@@ -139,7 +139,7 @@
 	i.scheduler.ClientCancelled(now, string(requestID))
 }
 
-func (i *instance) timer(now scheduler.Time, fields *wire.Fields) {
+func (i *instance) timerFired(now scheduler.Time, fields *wire.Fields) {
 	fields.Int("ctx")
 	if now >= i.wakeAt {
 		i.wakeAt = 0
--- a/internal/adapter/protocol.go
+++ b/internal/adapter/protocol.go
@@ -49,8 +49,8 @@
 	modeUnavailable = "unavailable" // the list could not be had; there are no entries
 )
 
-// wakeTimer is the number of the one timer that an instance sets.
-const wakeTimer = 1
+// wakeTimerID is the number of the one timer that an instance sets.
+const wakeTimerID = 1
 
 // isEvent tells whether a line's name is that of an event.
 func isEvent(name string) bool {
--- a/internal/adapter/steps_test.go
+++ b/internal/adapter/steps_test.go
@@ -131,23 +131,23 @@
 
 // changeConfig puts other settings in force at both, with an endpoint list.
 func (s *scenario) changeConfig() {
-	file, sent := platformSettings, wireSettings
+	platformFile, wireText := platformSettings, wireSettings
 	for i, v := range settingsVariants {
 		if rapid.Bool().Draw(s.t, fmt.Sprint("variant ", i)) {
-			file = strings.ReplaceAll(file, v.platformOld, v.platformNew)
-			sent = strings.ReplaceAll(sent, v.wireOld, v.wireNew)
+			platformFile = strings.ReplaceAll(platformFile, v.platformOld, v.platformNew)
+			wireText = strings.ReplaceAll(wireText, v.wireOld, v.wireNew)
 		}
 	}
-	conf, err := platform.Parse([]byte(file), func(string) string { return "" })
+	conf, err := platform.Parse([]byte(platformFile), func(string) string { return "" })
 	if err != nil {
 		s.t.Fatal(err)
 	}
 	list, entries := s.drawList(true)
 	s.config.next.Store(&gateway.ActiveConfig{List: list, Settings: conf.Settings})
 	changed := ""
-	if sent != s.settings { // the scheduler hears of its settings only when they change
-		changed = "AGREED|3|" + sent + "\n"
-		s.settings = sent
+	if wireText != s.settings { // the scheduler hears of its settings only when they change
+		changed = "AGREED|3|" + wireText + "\n"
+		s.settings = wireText
 	}
 	s.loop.Wake()
 	for s.config.next.Load() != nil {
--- a/internal/adapter/tapfile.go
+++ b/internal/adapter/tapfile.go
@@ -46,9 +46,9 @@
 		}
 		return nil
 	})
-	if err == nil && p.differing > 0 {
+	if err == nil && p.differingBatches > 0 {
 		err = fmt.Errorf("%w in %d of %d batches, first in batch %d",
-			ErrRepliesDiffer, p.differing, p.batches, p.firstDiffering)
+			ErrRepliesDiffer, p.differingBatches, p.batches, p.firstDiffering)
 	}
 	return p.batches, err
 }
@@ -89,13 +89,13 @@
 // playback hands the recorded input of a process to an adapter and compares the adapter's replies with the recorded
 // ones.
 type playback struct {
-	in             *bufio.Reader
-	process        int
-	input          []byte       // of the present section, not read yet
-	replies        bytes.Buffer // written since the last recorded reply
-	batches        int
-	differing      int // batches with other replies than recorded
-	firstDiffering int // number of the first of them, from 1
+	in               *bufio.Reader
+	process          int
+	input            []byte       // of the present section, not read yet
+	replies          bytes.Buffer // written since the last recorded reply
+	batches          int
+	differingBatches int // batches with other replies than recorded
+	firstDiffering   int // number of the first of them, from 1
 }
 
 // Read hands out the recorded input. It compares the recorded replies that it passes with what has been written by
@@ -126,8 +126,8 @@
 func (p *playback) compare(recorded []byte) {
 	p.batches++
 	if !bytes.Equal(recorded, p.replies.Bytes()) {
-		p.differing++
-		if p.differing == 1 {
+		p.differingBatches++
+		if p.differingBatches == 1 {
 			p.firstDiffering = p.batches
 		}
 	}
--- a/internal/adapter/tapfile_test.go
+++ b/internal/adapter/tapfile_test.go
@@ -16,8 +16,8 @@
 
 func (*memoryFile) Close() error { return nil }
 
-// tapFileOf is a tap file of batches, with what this build replies.
-func tapFileOf(t *testing.T, batches ...[]string) string {
+// buildTapFile is a tap file of batches, with what this build replies.
+func buildTapFile(t *testing.T, batches ...[]string) string {
 	t.Helper()
 	var file strings.Builder
 	file.WriteString(">> process 0, 1 bytes\n\n")
@@ -25,7 +25,7 @@
 	replied := 0
 	for _, batch := range batches {
 		lines = append(lines, batch...)
-		out, err := exchange(lines...)
+		out, err := runLines(lines...)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -53,7 +53,7 @@
 // TestImportedCaptureReplaysAlike imports an instance of a tap file into a capture, which then replays without a
 // difference.
 func TestImportedCaptureReplaysAlike(t *testing.T) {
-	file := tapFileOf(t, importedBatches()...)
+	file := buildTapFile(t, importedBatches()...)
 	process, err := FindProcess(strings.NewReader(file), 3)
 	if err != nil || process != 1 {
 		t.Fatal(process, err)
@@ -98,7 +98,7 @@
 
 // TestImportReportsOtherReplies imports a tap file with a reply that this build does not give.
 func TestImportReportsOtherReplies(t *testing.T) {
-	file := strings.Replace(tapFileOf(t, importedBatches()...), "ROUTE\t3\tr-a", "ROUTE\t3\tr-z", 1)
+	file := strings.Replace(buildTapFile(t, importedBatches()...), "ROUTE\t3\tr-a", "ROUTE\t3\tr-z", 1)
 	recorder := capture.NewRecorder(&memoryFile{}, "g", "b", capture.DefaultLimits)
 	t.Cleanup(func() {
 		if err := recorder.Close(0); err != nil {
@@ -113,7 +113,7 @@
 
 // TestInvalidTapFileFails reads files that are no tap files, cut off, or without the instance.
 func TestInvalidTapFileFails(t *testing.T) {
-	file := tapFileOf(t, importedBatches()...)
+	file := buildTapFile(t, importedBatches()...)
 	for text, want := range map[string]string{
 		"hello\n":                        "no tap",
 		file[:len(file)-3]:               "cut off",
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -10,22 +10,22 @@
 
 // attempt is one attempt of a request with its connection.
 type attempt struct {
-	request   *request
-	scheduled *scheduler.Attempt
-	sent      node.Attempt
-	timeoutAt scheduler.Time
-	neverRan  bool // it is proven that it never ran
-	heapIndex int  // its place in the heap of timeouts, counted from 1; 0: it has ended
+	request     *request
+	scheduled   *scheduler.Attempt
+	nodeAttempt node.Attempt
+	timeoutAt   scheduler.Time
+	neverRan    bool // it is proven that it never ran
+	heapIndex   int  // its place in the heap of timeouts, counted from 1; 0: it has ended
 }
 
 // inFlight tells whether the attempt has no outcome yet.
 func (a *attempt) inFlight() bool { return a.heapIndex > 0 }
 
-// unsent stands for an attempt that went to no connection.
-type unsent struct{}
+// unsentAttempt stands for an attempt that went to no connection.
+type unsentAttempt struct{}
 
 // Cancel implements node.Attempt.
-func (unsent) Cancel() {}
+func (unsentAttempt) Cancel() {}
 
 // outcomes are the scheduler's for those of the node clients. A node that carried an operation out has served the
 // request, whatever the operation's status.
@@ -48,11 +48,11 @@
 	r.attempts = append(r.attempts, a)
 	call := l.callFor(r.spec, scheduled, time.Duration(a.timeoutAt-now), now)
 	heap.Push(&l.timeouts, a)
-	if l.expired(scheduled) {
+	if l.decisionExpired(scheduled) {
 		l.failExpired(a)
 		return
 	}
-	a.sent = l.opt.Nodes.Start(scheduled.Node.Addr, call, func(reply node.Reply) {
+	a.nodeAttempt = l.opt.Nodes.Start(scheduled.Node.Addr, call, func(reply node.Reply) {
 		l.post(func(now scheduler.Time) { l.attemptEnded(now, a, outcomes[reply.Outcome], reply) })
 	})
 }
@@ -81,17 +81,17 @@
 	return call
 }
 
-// expired tells whether a decision must not be carried out any more, because the process stood still since the loop
-// has read the clock.
-func (l *Loop) expired(scheduled *scheduler.Attempt) bool {
+// decisionExpired reports whether an attempt may no longer be sent because too much time has passed, for example while
+// the process was paused, since the loop read the clock for this decision.
+func (l *Loop) decisionExpired(scheduled *scheduler.Attempt) bool {
 	now := l.opt.Clock.Now()
 	return l.configValidUntil > 0 && now >= l.configValidUntil || scheduled.SendBefore > 0 && now >= scheduled.SendBefore
 }
 
 // failExpired ends an attempt that was decided too long ago to be sent.
 func (l *Loop) failExpired(a *attempt) {
-	a.sent = unsent{}
-	l.clockOutdated = true
+	a.nodeAttempt = unsentAttempt{}
+	l.clockStale = true
 	l.followUps = append(l.followUps, func(now scheduler.Time) {
 		l.attemptEnded(now, a, scheduler.OutcomeConnectFailed, node.Reply{Message: "what was decided is out of date"})
 	})
@@ -103,7 +103,7 @@
 	if a == nil || !a.inFlight() {
 		return
 	}
-	a.sent.Cancel()
+	a.nodeAttempt.Cancel()
 	l.followUps = append(l.followUps, func(now scheduler.Time) {
 		l.attemptEnded(now, a, scheduler.OutcomeCancelled, node.Reply{})
 	})
@@ -133,14 +133,14 @@
 	if succeeded {
 		l.finish(r, Result{State: scheduler.RequestSucceeded, Reply: reply})
 	}
-	l.forget(r)
+	l.releaseIfDone(r)
 }
 
 // expireAttempts gives up the attempts whose timeout has passed.
 func (l *Loop) expireAttempts(now scheduler.Time) {
 	for len(l.timeouts) > 0 && l.timeouts[0].timeoutAt <= now {
 		a := l.timeouts[0]
-		a.sent.Cancel()
+		a.nodeAttempt.Cancel()
 		l.attemptEnded(now, a, scheduler.OutcomeTimeout, node.Reply{Message: "no answer in time"})
 	}
 }
--- a/internal/gateway/clock.go
+++ b/internal/gateway/clock.go
@@ -12,12 +12,12 @@
 	Now() scheduler.Time
 }
 
-// steadyClock counts on from the wall clock at its start by the monotonic clock, so that a later step of the wall
+// monotonicClock counts on from the wall clock at its start by the monotonic clock, so that a later step of the wall
 // clock does not reach the gateway.
-type steadyClock struct{ start time.Time }
+type monotonicClock struct{ start time.Time }
 
 // NewClock returns a clock that starts at the wall clock's present time and then follows the monotonic clock.
-func NewClock() Clock { return steadyClock{time.Now()} }
+func NewClock() Clock { return monotonicClock{time.Now()} }
 
 // Now implements Clock.
-func (c steadyClock) Now() scheduler.Time { return c.start.UnixNano() + int64(time.Since(c.start)) }
+func (c monotonicClock) Now() scheduler.Time { return c.start.UnixNano() + int64(time.Since(c.start)) }
--- a/internal/gateway/golden_test.go
+++ b/internal/gateway/golden_test.go
@@ -27,7 +27,7 @@
 	}
 	for state := scheduler.RequestState(0); state < 12; state++ {
 		counts := Counts{}
-		counts.count(state)
+		counts.add(state)
 		fmt.Fprintf(&out, "state %d counts %d\n", state, counts)
 	}
 	golden.Check(t, "names.txt", []byte(out.String()))
@@ -43,7 +43,7 @@
 
 func (n recordingNodes) Start(addr string, call *node.Call, _ func(node.Reply)) node.Attempt {
 	n <- fmt.Sprintf("%s %q within %d\n", addr, call.Packet(1).Body(), call.StartWithin)
-	return unsent{}
+	return unsentAttempt{}
 }
 func (recordingNodes) AbortQueued(func(string) bool) {}
 func (recordingNodes) Retain(map[string]bool)        {}
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -22,18 +22,18 @@
 	opt    Options
 	events chan event
 
-	stop     chan struct{}
-	stopOnce sync.Once
-	ended    chan struct{}
-	posting  sync.RWMutex // held for reading while an event is posted, so that the end of the loop misses none
+	stop      chan struct{}
+	stopOnce  sync.Once
+	ended     chan struct{}
+	postMutex sync.RWMutex // held for reading while an event is posted, so that the end of the loop misses none
 
 	// What follows is owned by the loop's goroutine.
 	scheduler        tappedScheduler
 	followUps        []event // outcomes of what was just carried out, for the same turn
 	requests         map[*scheduler.Request]*request
-	submitted        int64 // requests passed to the scheduler so far
+	submittedCount   int64 // requests passed to the scheduler so far
 	timeouts         timeoutHeap
-	clockOutdated    bool               // a deadline has passed within a turn, so that the clock has to be read anew
+	clockStale       bool               // a deadline has passed within a turn, so that the clock has to be read anew
 	settings         scheduler.Settings // in force at the scheduler
 	configValidUntil scheduler.Time     // nothing is sent after it by what was decided before; 0: no such time
 	stats            Stats
@@ -78,8 +78,8 @@
 // post hands in an event. It waits while the queue is full, so that the caller stops reading its socket; false when
 // the loop has ended.
 func (l *Loop) post(e event) bool {
-	l.posting.RLock()
-	defer l.posting.RUnlock()
+	l.postMutex.RLock()
+	defer l.postMutex.RUnlock()
 	select {
 	case <-l.stop:
 		return false
@@ -150,25 +150,25 @@
 // turn times attempts out, asks the scheduler for its decision and carries that out, until nothing follows from it.
 // It returns when the next turn is due.
 func (l *Loop) turn(now scheduler.Time) scheduler.Time {
-	l.followConfig(now)
+	l.applyConfig(now)
 	for {
-		if l.clockOutdated {
+		if l.clockStale {
 			now = l.opt.Clock.Now()
-			l.followConfig(now)
+			l.applyConfig(now)
 		}
 		l.expireAttempts(now)
 		l.runFollowUps(now)
 		d := l.scheduler.decide(now)
-		l.carryOut(now, d)
+		l.executeDecision(now, d)
 		if len(l.followUps) == 0 {
 			return l.nextTurn(d)
 		}
 	}
 }
 
-// followConfig brings the scheduler what is in force now, where configuration versions are followed.
-func (l *Loop) followConfig(now scheduler.Time) {
-	l.clockOutdated = false
+// applyConfig brings the scheduler what is in force now, where configuration versions are followed.
+func (l *Loop) applyConfig(now scheduler.Time) {
+	l.clockStale = false
 	if l.opt.Config == nil {
 		return
 	}
@@ -195,8 +195,8 @@
 	}
 }
 
-// carryOut does what the scheduler decidedecision.
-func (l *Loop) carryOut(now scheduler.Time, decision *scheduler.Decision) {
+// executeDecision carries out a decision of the scheduler.
+func (l *Loop) executeDecision(now scheduler.Time, decision *scheduler.Decision) {
 	for _, line := range decision.Log {
 		l.opt.Log.Info(line, "gateway", l.opt.Name)
 	}
@@ -235,8 +235,8 @@
 
 // finishAll gives each request that is still held its final answer, also those that wait in the queue.
 func (l *Loop) finishAll() {
-	l.posting.Lock()
-	defer l.posting.Unlock()
+	l.postMutex.Lock()
+	defer l.postMutex.Unlock()
 	for len(l.events) > 0 { // nobody else posts or takes events now
 		e := <-l.events
 		e(l.opt.Clock.Now())
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -81,8 +81,8 @@
 	return scheduler.RequestRejected
 }
 
-// attemptsInFlight tells whether an attempt of the request has no outcome yet.
-func (r *request) attemptsInFlight() bool {
+// hasAttemptsInFlight tells whether an attempt of the request has no outcome yet.
+func (r *request) hasAttemptsInFlight() bool {
 	return slices.ContainsFunc(r.attempts, (*attempt).inFlight)
 }
 
@@ -98,16 +98,16 @@
 // submit passes a request on to the scheduler, unless its client has gone.
 func (l *Loop) submit(now scheduler.Time, submitted *request) {
 	spec := submitted.spec
-	l.stats.of(spec.Class).Accepted++
+	l.stats.forClass(spec.Class).Accepted++
 	if submitted.session != nil {
 		if submitted.session.closed {
-			l.stats.of(spec.Class).count(scheduler.RequestClientCancelled)
+			l.stats.forClass(spec.Class).add(scheduler.RequestClientCancelled)
 			submitted.deliver(Result{State: scheduler.RequestClientCancelled})
 			return
 		}
 		submitted.session.requests[submitted] = true
 	}
-	l.submitted++
+	l.submittedCount++
 	submitted.scheduled = &scheduler.Request{
 		ID:       l.requestID(submitted),
 		Units:    spec.Units,
@@ -127,7 +127,7 @@
 	if r.session != nil {
 		origin = r.session.Name + ":" + strconv.FormatUint(uint64(r.spec.ClientRequest), 10)
 	}
-	return origin + "#" + strconv.FormatInt(l.submitted, 10)
+	return origin + "#" + strconv.FormatInt(l.submittedCount, 10)
 }
 
 // finish gives a request its final answer, once.
@@ -136,17 +136,17 @@
 		return
 	}
 	r.finished = true
-	l.stats.of(r.spec.Class).count(result.State)
+	l.stats.forClass(r.spec.Class).add(result.State)
 	if r.session != nil {
 		delete(r.session.requests, r)
 	}
 	r.deliver(result)
-	l.forget(r)
+	l.releaseIfDone(r)
 }
 
-// forget drops a request that has its final answer and no attempt in flight.
-func (l *Loop) forget(r *request) {
-	if r.finished && !r.attemptsInFlight() {
+// releaseIfDone drops a request that has its final answer and no attempt in flight.
+func (l *Loop) releaseIfDone(r *request) {
+	if r.finished && !r.hasAttemptsInFlight() {
 		delete(l.requests, r.scheduled)
 	}
 }
--- a/internal/gateway/stats.go
+++ b/internal/gateway/stats.go
@@ -7,8 +7,8 @@
 	Accepted, Succeeded, Rejected, Failed, Cancelled int64
 }
 
-// count adds a request that has reached a final state.
-func (c *Counts) count(state scheduler.RequestState) {
+// add counts a request that has reached a final state.
+func (c *Counts) add(state scheduler.RequestState) {
 	switch state {
 	case scheduler.RequestSucceeded:
 		c.Succeeded++
@@ -30,8 +30,8 @@
 	LateReplies    int64          // replies of nodes that came after their attempt was given up
 }
 
-// of returns the counts of a class.
-func (s *Stats) of(class string) *Counts {
+// forClass returns the counts of a class.
+func (s *Stats) forClass(class string) *Counts {
 	c := s.Classes[class]
 	if c == nil {
 		c = &Counts{}
