--- a/internal/adapter/actions.go
+++ b/internal/adapter/actions.go
@@ -2,7 +2,7 @@
 
 import "irispost/scheduler"
 
-// decide asks an instance for its decision and writes it, or why the instance has failed.
+// decide writes an instance's decision as actions, or the reason why the instance has failed.
 func (a *adapter) decide(i *instance, now scheduler.Time) {
 	decision := i.decide(now)
 	if i.failure != "" {
@@ -13,7 +13,7 @@
 	a.setTimer(i, now, decision.NextWake)
 }
 
-// writeDecision writes an action for each part of a decision, answers first.
+// writeDecision writes a decision as actions, those for finished requests first.
 func (a *adapter) writeDecision(number int64, decision *scheduler.Decision) {
 	for _, r := range decision.Finished {
 		if r.State == scheduler.RequestRejected {
@@ -39,8 +39,8 @@
 	}
 }
 
-// setTimer sets a timer for the next decision, if that is due before the timer that is set already. A timer cannot be
-// taken back; one that comes too early only leads to a decision that changes nothing.
+// setTimer sets a timer for the next decision if it is due before the timer that is already set. A timer cannot be
+// cancelled; one that fires too early only leads to a decision that changes nothing.
 func (a *adapter) setTimer(i *instance, now, nextWake scheduler.Time) {
 	if nextWake <= 0 || i.wakeAt != 0 && nextWake >= i.wakeAt {
 		return
--- a/internal/adapter/adapter.go
+++ b/internal/adapter/adapter.go
@@ -1,9 +1,9 @@
-// Package adapter lets the scheduler drive the operators' bench: it reads batches of events, turns each into a call
-// of its instance's scheduler, and writes the decisions as actions. Command adapter calls it, and the capture command
-// to import a tap file of the bench.
+// Package adapter connects the scheduler to the operators' simulator, which runs several gateway instances: it reads
+// batches of events, turns each event into a call to the scheduler of its instance, and writes the decisions as
+// actions. It is used by command adapter, and by the capture command to import a tap file of the simulator.
 //
-// Its instances share no state. It decides nothing, knows no time but that of a batch, and does no I/O but on the
-// reader and writer that it is given.
+// The instances share no state. The package makes no scheduling decisions, takes the time only from the batches, and
+// does no I/O except on the reader and writer that it is given.
 package adapter
 
 import (
@@ -15,19 +15,20 @@
 	"irispost/scheduler"
 )
 
-// Run serves the bench until its input ends. tapFor, where it is given, returns the tap of an instance, or nil.
+// Run serves the simulator until its input ends. tapFor returns the tap of an instance, or nil for none; it may be
+// nil.
 func Run(in io.Reader, out io.Writer, tapFor func(instance int64) Tap) error {
 	a := adapter{in: wire.NewReader(in), out: wire.NewWriter(out), instances: map[int64]*instance{}, tapFor: tapFor}
 	return a.run()
 }
 
-// adapter hosts the instances of one process of the bench.
+// adapter hosts the gateway instances that the simulator assigns to one process.
 type adapter struct {
 	in        *wire.Reader
 	out       *wire.Writer
 	instances map[int64]*instance
-	tapFor    func(instance int64) Tap // nil: no instance is observed
-	batch     []*instance              // those with an event in this batch, in the order of their first
+	tapFor    func(instance int64) Tap // nil: no instance has a tap
+	batch     []*instance              // instances with events in the current batch, in order of their first event
 }
 
 // run reads and answers batches until the input ends.
@@ -56,7 +57,8 @@
 	}
 }
 
-// readBatchStart reads the line that begins a batch and returns its clock. The error is io.EOF at the end of the input.
+// readBatchStart reads the first line of a batch and returns the time in it. It returns io.EOF at the end of the
+// input.
 func (a *adapter) readBatchStart() (scheduler.Time, error) {
 	fields, err := a.in.Next()
 	if err != nil {
@@ -65,27 +67,27 @@
 	name := string(fields.Bytes("message"))
 	now := fields.Time("clock")
 	if fields.Err != nil {
-		return 0, fmt.Errorf("line %d: a batch begins with MARK and the clock, not with %q: %w", a.in.Line, name, fields.Err)
+		return 0, fmt.Errorf("line %d: a batch must begin with MARK and the clock, got %q: %w", a.in.Line, name, fields.Err)
 	}
 	if name != lineBatchStart {
-		return 0, fmt.Errorf("line %d: a batch begins with MARK and the clock, not with %q", a.in.Line, name)
+		return 0, fmt.Errorf("line %d: a batch must begin with MARK and the clock, got %q", a.in.Line, name)
 	}
 	return now, nil
 }
 
-// readEvents reads the events of a batch and hands each to its instance.
+// readEvents reads the events of a batch and passes each to its instance.
 func (a *adapter) readEvents(now scheduler.Time) error {
 	for {
 		fields, err := a.in.Next()
 		if err != nil {
-			return fmt.Errorf("line %d: input ends inside a batch: %w", a.in.Line, err)
+			return fmt.Errorf("line %d: input ended inside a batch: %w", a.in.Line, err)
 		}
 		name := string(fields.Bytes("message"))
 		if name == lineBatchEnd {
 			return nil
 		}
 		if !isEvent(name) {
-			return fmt.Errorf("line %d: no such event: %q", a.in.Line, name)
+			return fmt.Errorf("line %d: unknown event %q", a.in.Line, name)
 		}
 		line := a.in.Line
 		number := fields.Int("gateway_id")
@@ -98,7 +100,8 @@
 	}
 }
 
-// instanceOf returns the instance of a number and notes that it has an event in this batch.
+// instanceOf returns the instance with a number, which it creates if needed, and marks it as having an event in the
+// current batch.
 func (a *adapter) instanceOf(number int64) *instance {
 	i := a.instances[number]
 	if i == nil {
@@ -115,7 +118,7 @@
 	return i
 }
 
-// handle hands an event to its instance. Errors of the line are left in the fields.
+// handle passes an event to its instance. Parse errors are left in fields.Err.
 func (a *adapter) handle(name string, number int64, now scheduler.Time, fields *wire.Fields) {
 	i := a.instanceOf(number)
 	defer i.recoverPanic()
--- a/internal/adapter/adapter_test.go
+++ b/internal/adapter/adapter_test.go
@@ -8,7 +8,8 @@
 	"irispost/internal/wire"
 )
 
-// runLines plays lines, with "|" for the tab, to an adapter and returns its replies in the same form, and its error.
+// runLines runs an adapter on input lines, in which "|" stands for the tab character. It returns the replies in the
+// same form, and the error of the adapter.
 func runLines(lines ...string) (string, error) {
 	in := strings.ReplaceAll(strings.Join(lines, "\n")+"\n", "|", "\t")
 	var out bytes.Buffer
@@ -31,11 +32,11 @@
 		"MARK|130", "DOWN|3", "RING|3|1", "REQ|3|r-b|0|2|9|2|0|basic|610.5|7|read|0", "EOF_BATCH")...)
 	replies := strings.Split(out, "ACK\n")
 	if err != nil || len(replies) != 5 || replies[3] != "" {
-		t.Fatalf("%v: %q", err, out)
+		t.Fatalf("got error %v and replies %q; want no error and 4 replies, the last without actions", err, out)
 	}
 	for i, expected := range []string{"SUBSCRIBE|3|1\n", "ROUTE|3|r-a|0.000|10.0.0.1:5\n"} {
 		if !strings.Contains(replies[i], expected) {
-			t.Errorf("reply %d is %q, without %q", i, replies[i], expected)
+			t.Errorf("reply %d: got %q, want it to contain %q", i, replies[i], expected)
 		}
 	}
 }
@@ -45,12 +46,12 @@
 		"REQ|3|r-a|0|2|9|many|0|basic|610.5|7|read|0": `line 7: REQ: quota_units: "many" is not a number`,
 		"ANSWER|3|r-a|0|x|9|1|1":                      "line 7: ANSWER: ending: no such completion code",
 		"REQ|3|r-a":                                   "line 7: REQ: disk: missing",
-		"NOISE|3":                                     `line 7: no such event: "NOISE"`,
-		"BACKENDS_CHANGED|3|update|2|1":               `line 7: BACKENDS_CHANGED: "EOF_BATCH" where an ENTRY is due`,
+		"NOISE|3":                                     `line 7: unknown event "NOISE"`,
+		"BACKENDS_CHANGED|3|update|2|1":               `line 7: BACKENDS_CHANGED: expected an ENTRY line, got "EOF_BATCH"`,
 	} {
 		_, err := runLines(append(startBatch, "MARK|110.5", line, "EOF_BATCH")...)
 		if err == nil || !strings.HasPrefix(err.Error(), want) {
-			t.Errorf("%q gives %v, not %s", line, err, want)
+			t.Errorf("input %q: got error %v, want one that begins with %q", line, err, want)
 		}
 	}
 }
@@ -59,8 +60,8 @@
 	i := &instance{number: 4}
 	var out bytes.Buffer
 	a := adapter{out: wire.NewWriter(&out)}
-	a.decide(i, 5) // it has no scheduler
+	a.decide(i, 5) // panics, because the instance has no scheduler
 	if err := a.out.Flush(); err != nil || !strings.HasPrefix(out.String(), "INTERNAL_ERROR\t4\t") {
-		t.Errorf("%v: %q", err, out.String())
+		t.Errorf("got error %v and output %q, want no error and an INTERNAL_ERROR action", err, out.String())
 	}
 }
--- a/internal/adapter/endpoints.go
+++ b/internal/adapter/endpoints.go
@@ -8,14 +8,14 @@
 	"irispost/scheduler"
 )
 
-// backendsChanged reads an endpoint list event with its entries and applies it. For an instance that is down it is
-// read and dropped.
+// backendsChanged reads an endpoint list event with its entries and applies it. If the instance is down, the event is
+// read and discarded.
 func (a *adapter) backendsChanged(target *instance, now scheduler.Time, fields *wire.Fields) {
 	mode := fields.Text("mode")
 	fields.Int("rev")
 	count := fields.Int("nodes_list")
 	if fields.Err == nil && !isListMode(mode) {
-		fields.Err = fmt.Errorf("mode: no such mode: %q", mode)
+		fields.Err = fmt.Errorf("mode: unknown mode %q", mode)
 	}
 	if fields.Err != nil {
 		return
@@ -45,7 +45,7 @@
 	}
 }
 
-// isListMode tells whether a word is a mode of an endpoint list event.
+// isListMode reports whether word is a mode of an endpoint list event.
 func isListMode(word string) bool {
 	switch word {
 	case modeUpdate, modeReplace, modeRestored, modeUnavailable:
@@ -54,14 +54,14 @@
 	return false
 }
 
-// readEntry reads an entry of an endpoint list.
+// readEntry reads an entry line of an endpoint list.
 func (a *adapter) readEntry() (n endpoint.Node, state scheduler.EndpointState, err error) {
 	fields, err := a.in.Next()
 	if err != nil {
-		return n, state, fmt.Errorf("input ends inside the entries: %w", err)
+		return n, state, fmt.Errorf("input ended inside the endpoint list entries: %w", err)
 	}
 	if name := fields.Bytes("message"); string(name) != lineEntry {
-		return n, state, fmt.Errorf("%q where an ENTRY is due", name)
+		return n, state, fmt.Errorf("expected an ENTRY line, got %q", name)
 	}
 	fields.Number("heft")
 	fields.Skip() // generation_hw
@@ -73,7 +73,7 @@
 	if fields.Err != nil {
 		return n, state, fmt.Errorf("entry at line %d: %w", a.in.Line, fields.Err)
 	}
-	n.Health = endpoint.Health(state) // both count ready, draining, removed
+	n.Health = endpoint.Health(state) // both types number ready, draining and removed alike
 	return n, state, nil
 }
 
--- a/internal/adapter/equivalence_test.go
+++ b/internal/adapter/equivalence_test.go
@@ -11,8 +11,9 @@
 	"irispost/internal/testkit"
 )
 
-// TestLoopAndAdapterCallSchedulerAlike plays random scenarios to the gateway's loop, and to the adapter as the bench
-// would send them. Both schedulers have to be called alike, and so decide alike.
+// TestLoopAndAdapterCallSchedulerAlike runs random scenarios through the gateway's loop and, in the form in which the
+// simulator would send them, through the adapter. It guards against a difference between the two in how they call
+// their schedulers, and so in what these decide.
 func TestLoopAndAdapterCallSchedulerAlike(t *testing.T) {
 	testkit.FixSeeds(t)
 	rapid.Check(t, func(t *rapid.T) {
@@ -30,11 +31,11 @@
 		common := min(len(loopTrace.lines), len(adapterTrace.lines))
 		for i := range common {
 			if loopTrace.lines[i] != adapterTrace.lines[i] {
-				t.Fatalf("line %d:\ngateway %s\nadapter %s", i, loopTrace.lines[i], adapterTrace.lines[i])
+				t.Fatalf("traces differ in line %d:\ngateway %s\nadapter %s", i, loopTrace.lines[i], adapterTrace.lines[i])
 			}
 		}
 		if len(loopTrace.lines) != len(adapterTrace.lines) {
-			t.Fatalf("%d lines of the gateway, %d of the adapter; then\ngateway %q\nadapter %q",
+			t.Fatalf("gateway trace has %d lines, adapter trace %d; lines after the common ones:\ngateway %q\nadapter %q",
 				len(loopTrace.lines), len(adapterTrace.lines), loopTrace.lines[common:], adapterTrace.lines[common:])
 		}
 	})
--- a/internal/adapter/fixtures_test.go
+++ b/internal/adapter/fixtures_test.go
@@ -10,7 +10,8 @@
 )
 
 const (
-	// platformSettings are the settings as the platform's file has them, wireSettings the same as the bench sends them.
+	// platformSettings are settings in the form of the platform's file, wireSettings the same settings in the form in
+	// which the simulator sends them.
 	platformSettings = `{"name":"n1","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"4d",
 		"limits":{"cores":1,"memory_mb":64,"sockets":256},
 		"settings":{"balancers":2,"discovery":"ask","resolution_ms":2.0,"azs":["zvolen"],"contract":{"ask_every_ms":10000.0,"cold_from":0.2,
@@ -31,8 +32,8 @@
 		"permissions.retry_after=true|permissions.max_retry_after_ms=1000.0|permissions.dial_timeout_ms=250.0|permissions.idle_close_ms=30000.0"
 )
 
-// settingsVariant is a change of the settings: what is replaced by what, in the platform's file and as the bench
-// sends it.
+// settingsVariant is a change of the settings: the old and the new text, in the platform's file and in the form in
+// which the simulator sends it.
 type settingsVariant struct{ platformOld, platformNew, wireOld, wireNew string }
 
 var settingsVariants = []settingsVariant{
@@ -47,12 +48,12 @@
 		"contracts.1.name=gold|", "contracts.1.name=gold|contracts.1.never_over=4.0|contracts.1.burst=9.0|"},
 }
 
-// manualClock stands still until it is set.
+// manualClock is a clock whose time changes only when the test sets it.
 type manualClock struct{ now atomic.Int64 }
 
 func (c *manualClock) Now() scheduler.Time { return c.now.Load() }
 
-// pendingConfig is a configuration source that returns what was stored, once.
+// pendingConfig is a configuration source that returns each stored configuration once.
 type pendingConfig struct {
 	next atomic.Pointer[gateway.ActiveConfig]
 }
@@ -61,13 +62,13 @@
 	return c.next.Swap(nil), 0
 }
 
-// fakeNodes is a node client that holds what is sent until the scenario ends it.
+// fakeNodes is a node client that keeps attempts in flight until the scenario ends them.
 type fakeNodes struct {
 	mutex sync.Mutex
 	sent  []*fakeAttempt
 }
 
-// fakeAttempt is an attempt that was sent.
+// fakeAttempt is an attempt that was sent to fakeNodes.
 type fakeAttempt struct {
 	nodes     *fakeNodes
 	call      node.Call
@@ -96,7 +97,7 @@
 func (n *fakeNodes) AbortQueued(func(string) bool) {}
 func (n *fakeNodes) LateReplies() int64            { return 0 }
 
-// inFlight lists the attempts that have neither ended nor been cancelled.
+// inFlight returns the attempts that have neither ended nor been cancelled.
 func (n *fakeNodes) inFlight() (list []*fakeAttempt) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
--- a/internal/adapter/golden_test.go
+++ b/internal/adapter/golden_test.go
@@ -13,11 +13,11 @@
 	"irispost/internal/testkit/golden"
 )
 
-// logText finds the texts of the scheduler's log lines: they are for people and not part of the form.
+// logText matches the scheduler's log lines. Their texts are for human readers and are not compared.
 var logText = regexp.MustCompile(`(?m)^(TRACE\|[0-9]+\||[0-9]+ log ).+$`)
 
-// TestSessionMatchesGolden plays a session of three instances, with "|" for the tab, and compares the replies and
-// what the taps are told with the files of testdata.
+// TestSessionMatchesGolden runs a session of three instances, in a file in which "|" stands for the tab character, and
+// compares the replies and the calls to the taps with golden files.
 func TestSessionMatchesGolden(t *testing.T) {
 	input, err := os.ReadFile(filepath.Join("testdata", "session.in"))
 	if err != nil {
--- a/internal/adapter/instance.go
+++ b/internal/adapter/instance.go
@@ -7,25 +7,26 @@
 	"irispost/scheduler"
 )
 
-// instance is one gateway of the bench.
+// instance is one gateway of the simulator, with a scheduler of its own.
 type instance struct {
 	number    int64
 	scheduler *scheduler.Scheduler // nil while the instance is down
-	tap       Tap                  // nil: not observed
-	inBatch   bool                 // it has an event in this batch
-	wakeAt    scheduler.Time       // of the earliest timer that is set; 0: none
-	failure   string               // what the scheduler panicked with; empty: it has not
+	tap       Tap                  // nil: none
+	inBatch   bool                 // it has an event in the current batch
+	wakeAt    scheduler.Time       // time of the earliest pending timer; 0: none
+	failure   string               // value of the panic that made it fail; empty: none
 }
 
-// recoverPanic turns a panic of the scheduler into a failure of its instance. It has to be deferred.
+// recoverPanic records a panic of the scheduler as the failure of the instance. It must be called by a defer
+// statement.
 func (i *instance) recoverPanic() {
 	if p := recover(); p != nil {
 		i.failure = fmt.Sprint(p)
 	}
 }
 
-// handle turns an event into a call of the scheduler. Errors of the line are left in the fields; such an event is not
-// passed on.
+// handle turns an event into a call to the scheduler. An event that cannot be parsed is not passed on, and its error
+// is left in fields.Err.
 func (i *instance) handle(name string, now scheduler.Time, fields *wire.Fields) {
 	switch name {
 	case eventInit:
@@ -37,7 +38,7 @@
 		return
 	}
 	if i.scheduler == nil {
-		return // it is down, and what it had asked for is void
+		return // the instance is down: replies to its earlier actions are void
 	}
 	switch name {
 	case eventRequest:
@@ -76,7 +77,7 @@
 
 func (i *instance) submit(now scheduler.Time, fields *wire.Fields) {
 	r := &scheduler.Request{ID: fields.Text("tid")}
-	fields.Skip() // repeat: the scheduler goes by the time that is left
+	fields.Skip() // repeat: not used; the scheduler decides by the remaining time
 	gateways := fields.Number("n_hosts")
 	volume := fields.Int("disk")
 	r.Units = fields.Number("quota_units")
@@ -117,7 +118,7 @@
 	outcome := fields.Outcome("ending")
 	took := fields.Time("rtt_ms")
 	final := fields.Bool("final")
-	fields.Number("seen_use") // the volume's meter is not used
+	fields.Number("seen_use") // the scheduler does not use the volume's meter
 	unitsElsewhere := fields.Number("by_others")
 	if fields.Err != nil {
 		return
@@ -177,7 +178,7 @@
 	i.scheduler.AllocateSlowStart(now, addr, startedAt, units, expiresAt)
 }
 
-// decide asks the scheduler for its decision; nil if the instance has failed.
+// decide returns the decision of the scheduler, or nil if the instance has failed.
 func (i *instance) decide(now scheduler.Time) (decision *scheduler.Decision) {
 	if i.failure != "" {
 		return nil
--- a/internal/adapter/protocol.go
+++ b/internal/adapter/protocol.go
@@ -1,13 +1,13 @@
 package adapter
 
-// Lines that frame a batch, and the entry lines that follow an endpoint list.
+// Names of the lines that frame a batch, and of the entry lines that follow an endpoint list event.
 const (
 	lineBatchStart = "MARK"
 	lineBatchEnd   = "EOF_BATCH"
 	lineEntry      = "ENTRY"
 )
 
-// Events of the bench.
+// Names of the events of the simulator.
 const (
 	eventInit             = "INIT"
 	eventDown             = "DOWN"
@@ -21,14 +21,14 @@
 	eventPeerMessage      = "PEER"
 )
 
-// Events that the bench does not send. They carry what an installation that follows configuration versions tells a
-// gateway.
+// Names of the events that the simulator does not send. They carry what a gateway gets in an installation with
+// versions of the configuration: settings that have come into force, and slow-start allocations.
 const (
 	eventSettingsChanged = "AGREED"
 	eventAllocated       = "LENT"
 )
 
-// Actions of the adapter.
+// Names of the actions that the adapter writes.
 const (
 	actionDispatch      = "ROUTE"
 	actionCancel        = "CANCEL"
@@ -43,16 +43,16 @@
 
 // Modes of an endpoint list event.
 const (
-	modeUpdate      = "update"      // the entries that changed
+	modeUpdate      = "update"      // only the entries that changed
 	modeReplace     = "replace"     // the complete list
-	modeRestored    = "restored"    // the complete list as the instance last held it, possibly stale
-	modeUnavailable = "unavailable" // the list could not be had; there are no entries
+	modeRestored    = "restored"    // the instance's last complete list, possibly stale
+	modeUnavailable = "unavailable" // the list could not be fetched; no entries follow
 )
 
-// wakeTimerID is the number of the one timer that an instance sets.
+// wakeTimerID is the number of the only timer that an instance uses.
 const wakeTimerID = 1
 
-// isEvent tells whether a line's name is that of an event.
+// isEvent reports whether name is the name of an event.
 func isEvent(name string) bool {
 	switch name {
 	case eventInit, eventDown, eventBackendsChanged, eventRequest, eventStreamStarted, eventAttemptEnded,
--- a/internal/adapter/scenario_test.go
+++ b/internal/adapter/scenario_test.go
@@ -14,22 +14,23 @@
 	"irispost/scheduler"
 )
 
-// decisionsPerMoment is how often both schedulers decide at one moment. The loop decides more often than the bench
-// would ask, and a decision can depend on the one before it; after so many, nothing more follows.
+// decisionsPerMoment is the number of decisions that both schedulers make at one time. The loop decides more often
+// than the simulator would ask it to, and a decision can depend on the previous one; after this many, nothing changes
+// any more.
 const decisionsPerMoment = 5
 
-// scenario is a random sequence of events that a gateway's loop handles as they happen, while they are written down
-// as the bench would send them.
+// scenario is a random sequence of events. A gateway's loop handles each event when it is generated; the scenario also
+// records it in the form in which the simulator would send it.
 type scenario struct {
 	t         *rapid.T
 	clock     *manualClock
 	nodes     *fakeNodes
 	config    *pendingConfig
 	loop      *gateway.Loop
-	wire      bytes.Buffer                 // the batches of the bench, with "|" for the tab
+	wire      bytes.Buffer                 // batches as the simulator would send them, with "|" for the tab character
 	requests  map[string]*submittedRequest // by ID
-	startedAt map[string]scheduler.Time    // of the nodes, as last listed
-	settings  string                       // in force at both, as the bench sends them
+	startedAt map[string]scheduler.Time    // last listed start of each node, by address
+	settings  string                       // in force at both schedulers, in the form of the simulator
 	submitted int
 }
 
@@ -40,7 +41,8 @@
 	finished bool
 }
 
-// newScenario starts a loop with three nodes in its cached list, and writes the batch that starts its counterpart.
+// newScenario starts a loop with three nodes in its cached endpoint list, and writes the batch that starts the
+// instance in the adapter alike.
 func newScenario(t *rapid.T, tap gateway.Tap) *scenario {
 	conf, err := platform.Parse([]byte(platformSettings), func(string) string { return "" })
 	if err != nil {
@@ -81,7 +83,7 @@
 	return s
 }
 
-// step takes a random step.
+// step generates one random event.
 func (s *scenario) step() {
 	switch rapid.IntRange(0, 11).Draw(s.t, "step") {
 	case 0, 1, 2:
@@ -93,7 +95,7 @@
 	case 7:
 		s.updateEndpoints()
 	case 8:
-		s.loop.EndpointListFailed(false) // the bench always answers
+		s.loop.EndpointListFailed(false) // unresponsive does not occur in the simulator
 		s.writeBatch("BACKENDS_CHANGED|3|unavailable|0|0")
 	case 10:
 		s.changeConfig()
@@ -104,13 +106,13 @@
 	}
 }
 
-// wireTime writes a time as the bench does.
+// wireTime formats a time as the simulator does, in milliseconds.
 func wireTime(t scheduler.Time) string { return fmt.Sprintf("%d.%06d", t/1e6, t%1e6) }
 
-// nodeAddr is the address of a node by its number.
+// nodeAddr returns the address of the node with a number.
 func nodeAddr(number int) string { return fmt.Sprintf("10.0.0.%d:5", number) }
 
-// writeBatch writes a batch of one event, and waits until the loop has decided on that event.
+// writeBatch writes a batch of one event and waits until the loop has made its decisions on that event.
 func (s *scenario) writeBatch(format string, args ...any) {
 	now := s.clock.Now()
 	line := fmt.Sprintf(format, args...)
@@ -118,10 +120,10 @@
 		line += "\n"
 	}
 	fmt.Fprintf(&s.wire, "MARK|%s\n%sEOF_BATCH\n", wireTime(now), line)
-	for range decisionsPerMoment { // the reply to a call comes after the turn in which the call before was made
+	for range decisionsPerMoment { // Stats is answered only after the turn of the previous call has ended
 		s.writeTimer()
 		if _, ok := s.loop.Stats(); !ok {
-			s.t.Fatal("the loop has ended")
+			s.t.Fatal("Stats: the loop has ended, want it running")
 		}
 	}
 	s.writeCancelled()
@@ -130,12 +132,13 @@
 	}
 }
 
-// writeTimer writes a batch with which the bench asks for a decision.
+// writeTimer writes a batch with a timer event, with which the simulator asks for a decision.
 func (s *scenario) writeTimer() {
 	fmt.Fprintf(&s.wire, "MARK|%s\nRING|3|1\nEOF_BATCH\n", wireTime(s.clock.Now()))
 }
 
-// writeCancelled writes the outcomes of attempts that were cancelled, which the bench reports and the loop knows.
+// writeCancelled writes the outcomes of cancelled attempts: the simulator reports them as events, the loop records
+// them itself.
 func (s *scenario) writeCancelled() {
 	now := s.clock.Now()
 	s.nodes.mutex.Lock()
--- a/internal/adapter/steps_test.go
+++ b/internal/adapter/steps_test.go
@@ -14,7 +14,7 @@
 	"irispost/scheduler"
 )
 
-// submit submits a request of a session of its own.
+// submit submits a request in a new session.
 func (s *scenario) submit() {
 	s.submitted++
 	session := gateway.NewSession(fmt.Sprintf("n1/%d", s.submitted))
@@ -42,7 +42,7 @@
 		wireTime(spec.Deadline), spec.Key, spec.Class, spec.Call.Shard)
 }
 
-// collectResults notes which requests have had their result.
+// collectResults marks the requests whose result has arrived.
 func (s *scenario) collectResults() {
 	for _, r := range s.requests {
 		select {
@@ -53,11 +53,11 @@
 	}
 }
 
-// wireOutcomes are the bench's numbers for the outcomes of the node clients.
+// wireOutcomes maps the outcomes of the node clients to the completion codes of the simulator.
 var wireOutcomes = map[node.Outcome]int{node.Executed: 1, node.Failed: 0, node.QueueFull: 2, node.ConnectFailed: 4,
 	node.ConnectionReset: 5, node.WrongShard: 7}
 
-// reply ends an attempt in flight.
+// reply ends a random attempt in flight with a random outcome.
 func (s *scenario) reply() {
 	list := s.nodes.inFlight()
 	if len(list) == 0 {
@@ -81,7 +81,7 @@
 		wireTime(s.clock.Now()-a.sentAt), final, elsewhere)
 }
 
-// cancelRequest has the client of a request in flight go.
+// cancelRequest closes the session of a random unfinished request.
 func (s *scenario) cancelRequest() {
 	s.collectResults()
 	var ids []string
@@ -100,7 +100,7 @@
 	s.writeBatch("WITHDRAWN|3|%s", id)
 }
 
-// updateEndpoints sends an endpoint list, complete or in part.
+// updateEndpoints sends a random endpoint list, complete or partial.
 func (s *scenario) updateEndpoints() {
 	complete := rapid.Bool().Draw(s.t, "complete")
 	mode := "update"
@@ -112,7 +112,7 @@
 	s.writeBatch("BACKENDS_CHANGED|3|%s|2|%d%s", mode, len(list.Nodes), entries)
 }
 
-// drawList draws an endpoint list, and returns its entries as the bench writes them with it.
+// drawList returns a random endpoint list, and its entries in the form of the simulator.
 func (s *scenario) drawList(complete bool) (list endpoint.List, entries string) {
 	list.Partial = !complete
 	for i := range rapid.IntRange(0, 4).Draw(s.t, "nodes") {
@@ -129,7 +129,7 @@
 	return list, entries
 }
 
-// changeConfig puts other settings in force at both, with an endpoint list.
+// changeConfig puts random settings and a random endpoint list in force at both schedulers.
 func (s *scenario) changeConfig() {
 	platformFile, wireText := platformSettings, wireSettings
 	for i, v := range settingsVariants {
@@ -145,18 +145,18 @@
 	list, entries := s.drawList(true)
 	s.config.next.Store(&gateway.ActiveConfig{List: list, Settings: conf.Settings})
 	changed := ""
-	if wireText != s.settings { // the scheduler hears of its settings only when they change
+	if wireText != s.settings { // the loop passes settings to its scheduler only when they change
 		changed = "AGREED|3|" + wireText + "\n"
 		s.settings = wireText
 	}
 	s.loop.Wake()
 	for s.config.next.Load() != nil {
-		s.loop.Stats() // gives the loop a turn
+		s.loop.Stats() // makes the loop take a turn
 	}
 	s.writeBatch("%sBACKENDS_CHANGED|3|replace|2|%d%s", changed, len(list.Nodes), entries)
 }
 
-// allocate allocates units for a warming node, of the start that was listed or of another.
+// allocate allocates slow-start units for a random node, for the node's listed start or for another one.
 func (s *scenario) allocate() {
 	addr := nodeAddr(rapid.IntRange(0, 4).Draw(s.t, "node"))
 	startedAt := rapid.SampledFrom([]scheduler.Time{s.startedAt[addr], s.clock.Now()}).Draw(s.t, "start")
@@ -166,8 +166,8 @@
 	s.writeBatch("LENT|3|%s|%s|%v|%s", addr, wireTime(startedAt), units, wireTime(expiresAt))
 }
 
-// advance lets time pass, up to the next deadline of a request with an attempt in flight at most. Its attempts then
-// time out, which the bench reports and the loop finds by itself.
+// advance lets a random time pass, but not beyond the next deadline of a request with an attempt in flight. At a
+// deadline, the attempts of the request time out: the simulator reports this as events, the loop detects it itself.
 func (s *scenario) advance() {
 	s.collectResults()
 	now := s.clock.Now() + 1e3*scheduler.Time(rapid.IntRange(1, 200_000).Draw(s.t, "microseconds"))
@@ -189,6 +189,6 @@
 			wireTime(now-a.sentAt), final))
 		a.ended = true
 	}
-	slices.Sort(lines) // the loop orders timeouts of one moment by request ID as well
+	slices.Sort(lines) // the loop also handles timeouts at the same time in the order of request IDs
 	s.writeBatch("%s", strings.Join(lines, "\n"))
 }
--- a/internal/adapter/tap.go
+++ b/internal/adapter/tap.go
@@ -5,7 +5,7 @@
 	"irispost/scheduler"
 )
 
-// Tap observes all calls of one instance's scheduler and what it decides, in the same order.
+// Tap observes the calls to the scheduler of one instance and its decisions, in the order in which they happen.
 type Tap interface {
 	Start(now scheduler.Time, seed uint64, settings scheduler.Settings)
 	EndpointUpdate(now scheduler.Time, list endpoint.List, complete bool)
--- a/internal/adapter/tapfile.go
+++ b/internal/adapter/tapfile.go
@@ -14,17 +14,18 @@
 	maxSectionSize = 1 << 30 // bytes
 )
 
-// ErrRepliesDiffer means that this build does not answer a tap file as the build did that it was recorded with.
-var ErrRepliesDiffer = errors.New("this build answers otherwise than the tap")
+// ErrRepliesDiffer means that this build replies to the recorded input of a tap file differently from the build with
+// which the file was recorded.
+var ErrRepliesDiffer = errors.New("the replies of this build differ from those in the tap file")
 
-// FindProcess returns the number of the process that hosts an instance in a tap file of the bench.
+// FindProcess returns the number of the process that hosts an instance in a tap file of the simulator.
 func FindProcess(tapFile io.Reader, instance int64) (int, error) {
 	initLine := fmt.Appendf(nil, "\n%s\t%d\t", eventInit, instance)
 	in := bufio.NewReaderSize(tapFile, tapBufferSize)
 	for {
 		s, err := readSection(in)
 		if errors.Is(err, io.EOF) {
-			return 0, fmt.Errorf("no instance %d is started in the tap", instance)
+			return 0, fmt.Errorf("the tap file starts no instance %d", instance)
 		}
 		if err != nil {
 			return 0, err
@@ -35,9 +36,9 @@
 	}
 }
 
-// Import plays the input of a process in a tap file to this build's schedulers, with a tap on one instance. It
-// returns how many batches there were. The error is ErrRepliesDiffer where the replies are not those of the file;
-// what the tap observed is then this build's behaviour.
+// Import runs this build's schedulers on the input of one process in a tap file, with a tap on one instance, and
+// returns the number of batches. The error is ErrRepliesDiffer if the replies differ from those in the file; the tap
+// has then observed the behaviour of this build.
 func Import(tapFile io.Reader, process int, instance int64, t Tap) (batches int, err error) {
 	p := &playback{in: bufio.NewReaderSize(tapFile, tapBufferSize), process: process}
 	err = Run(p, p, func(number int64) Tap {
@@ -53,15 +54,16 @@
 	return p.batches, err
 }
 
-// section is a part of a tap file: what the bench sent to a process, or what the process replied. It is preceded by a
-// line ">> process N, B bytes" or "<< process N, B bytes" with the length of its body.
+// section is a part of a tap file: input that the simulator sent to a process, or the reply of the process. It is
+// preceded by a line ">> process N, B bytes" for input or "<< process N, B bytes" for a reply, with the length of its
+// body.
 type section struct {
-	input   bool // sent to the process
+	input   bool // sent to the process; false: a reply
 	process int
 	body    []byte
 }
 
-// readSection reads the next section; the error is io.EOF at the end of the file.
+// readSection reads the next section. It returns io.EOF at the end of the file.
 func readSection(in *bufio.Reader) (section, error) {
 	line, err := in.ReadString('\n')
 	if errors.Is(err, io.EOF) && strings.TrimSpace(line) == "" {
@@ -72,34 +74,33 @@
 	s := section{}
 	_, err = fmt.Sscanf(line, "%s process %d, %d bytes", &direction, &s.process, &size)
 	if err != nil || direction != ">>" && direction != "<<" || size < 0 || size > maxSectionSize {
-		return section{}, fmt.Errorf("this is no tap of the bench: %.40q", line)
+		return section{}, fmt.Errorf("not a tap file of the simulator: unexpected line %.40q", line)
 	}
 	s.input = direction == ">>"
 	s.body = make([]byte, size)
 	_, err = io.ReadFull(in, s.body)
 	if errors.Is(err, io.EOF) {
-		err = io.ErrUnexpectedEOF // not the end of the file, which the caller would take for a good one
+		err = io.ErrUnexpectedEOF // the caller would take io.EOF for the regular end of the file
 	}
 	if err != nil {
-		return section{}, fmt.Errorf("the tap is cut off inside a section: %w", err)
+		return section{}, fmt.Errorf("the tap file is truncated inside a section: %w", err)
 	}
 	return s, nil
 }
 
-// playback hands the recorded input of a process to an adapter and compares the adapter's replies with the recorded
-// ones.
+// playback is the reader and writer of an adapter. It provides the recorded input of one process and compares the
+// adapter's replies with the recorded ones.
 type playback struct {
 	in               *bufio.Reader
 	process          int
-	input            []byte       // of the present section, not read yet
-	replies          bytes.Buffer // written since the last recorded reply
+	input            []byte       // rest of the current section, not yet read
+	replies          bytes.Buffer // written since the last comparison
 	batches          int
-	differingBatches int // batches with other replies than recorded
-	firstDiffering   int // number of the first of them, from 1
+	differingBatches int // number of batches whose replies differ from the recorded ones
+	firstDiffering   int // number of the first differing batch, counted from 1
 }
 
-// Read hands out the recorded input. It compares the recorded replies that it passes with what has been written by
-// then.
+// Read returns the recorded input. When it reaches a recorded reply, it compares what has been written so far with it.
 func (p *playback) Read(b []byte) (int, error) {
 	for len(p.input) == 0 {
 		s, err := readSection(p.in)
@@ -119,10 +120,10 @@
 	return n, nil
 }
 
-// Write takes in the adapter's replies.
+// Write collects the adapter's replies for the next comparison.
 func (p *playback) Write(b []byte) (int, error) { return p.replies.Write(b) }
 
-// compare holds the replies of a batch against the recorded ones.
+// compare compares the replies to a batch with the recorded ones.
 func (p *playback) compare(recorded []byte) {
 	p.batches++
 	if !bytes.Equal(recorded, p.replies.Bytes()) {
--- a/internal/adapter/tapfile_test.go
+++ b/internal/adapter/tapfile_test.go
@@ -11,12 +11,12 @@
 	"irispost/internal/replay"
 )
 
-// memoryFile is a capture file in memory.
+// memoryFile is an in-memory capture file.
 type memoryFile struct{ bytes.Buffer }
 
 func (*memoryFile) Close() error { return nil }
 
-// buildTapFile is a tap file of batches, with what this build replies.
+// buildTapFile returns a tap file that contains batches and the replies of this build to them.
 func buildTapFile(t *testing.T, batches ...[]string) string {
 	t.Helper()
 	var file strings.Builder
@@ -37,7 +37,7 @@
 	return file.String()
 }
 
-// importedBatches are the batches of the tap file that the tests import.
+// importedBatches returns the batches of the tap file that the tests import.
 func importedBatches() [][]string {
 	return [][]string{
 		startBatch,
@@ -50,8 +50,8 @@
 	}
 }
 
-// TestImportedCaptureReplaysAlike imports an instance of a tap file into a capture, which then replays without a
-// difference.
+// TestImportedCaptureReplaysAlike imports an instance of a tap file into a capture, and checks that the capture
+// replays without a difference and contains each of the kinds of records listed below.
 func TestImportedCaptureReplaysAlike(t *testing.T) {
 	file := buildTapFile(t, importedBatches()...)
 	process, err := FindProcess(strings.NewReader(file), 3)
@@ -77,10 +77,10 @@
 		return record, err
 	}, replay.Options{})
 	if err != nil || !report.Same() || report.Decisions != 6 {
-		t.Errorf("%+v, %v", report, err)
+		t.Errorf("got report %+v and error %v; want 6 decisions that are the same, and no error", report, err)
 	}
 	if class := report.Products[0]; class.Completed != 1 || class.Left != 1 {
-		t.Errorf("%+v", class)
+		t.Errorf("got class figures %+v, want 1 completed and 1 left", class)
 	}
 	for _, kind := range []capture.Kind{
 		capture.KindEndpointList,
@@ -91,12 +91,12 @@
 		capture.KindClientCancelled,
 	} {
 		if kinds[kind] == 0 {
-			t.Errorf("the capture has no record of %v", kind)
+			t.Errorf("got no record of kind %v in the capture, want at least one", kind)
 		}
 	}
 }
 
-// TestImportReportsOtherReplies imports a tap file with a reply that this build does not give.
+// TestImportReportsOtherReplies imports a tap file in which a recorded reply differs from the reply of this build.
 func TestImportReportsOtherReplies(t *testing.T) {
 	file := strings.Replace(buildTapFile(t, importedBatches()...), "ROUTE\t3\tr-a", "ROUTE\t3\tr-z", 1)
 	recorder := capture.NewRecorder(&memoryFile{}, "g", "b", capture.DefaultLimits)
@@ -111,21 +111,21 @@
 	}
 }
 
-// TestInvalidTapFileFails reads files that are no tap files, cut off, or without the instance.
+// TestInvalidTapFileFails reads a text that is not a tap file, truncated tap files, and one without the instance.
 func TestInvalidTapFileFails(t *testing.T) {
 	file := buildTapFile(t, importedBatches()...)
 	for text, want := range map[string]string{
-		"hello\n":                        "no tap",
-		file[:len(file)-3]:               "cut off",
-		file + ">> process 1, 5 bytes\n": "cut off",
+		"hello\n":                        "not a tap file",
+		file[:len(file)-3]:               "truncated",
+		file + ">> process 1, 5 bytes\n": "truncated",
 		file:                             "no instance 9",
 	} {
 		if _, err := FindProcess(strings.NewReader(text), 9); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v", want, err)
+			t.Errorf("FindProcess: want an error with %q, got %v", want, err)
 		}
-		if strings.Contains(want, "cut off") {
+		if strings.Contains(want, "truncated") {
 			if _, err := Import(strings.NewReader(text), 1, 9, nil); err == nil || !strings.Contains(err.Error(), want) {
-				t.Errorf("import, %q: %v", want, err)
+				t.Errorf("Import: want an error with %q, got %v", want, err)
 			}
 		}
 	}
--- a/internal/adapter/trace_test.go
+++ b/internal/adapter/trace_test.go
@@ -7,8 +7,8 @@
 	"irispost/scheduler"
 )
 
-// callTrace is a tap that writes down what a scheduler is told and what it decides, in a form that does not depend on
-// whether the gateway's loop or the adapter calls it. Golden files hold that form.
+// callTrace is a tap that records the calls to a scheduler and its decisions as lines of text. The lines do not
+// depend on whether the gateway's loop or the adapter calls the scheduler. Golden files contain them.
 type callTrace struct{ lines []string }
 
 func (t *callTrace) add(now scheduler.Time, format string, args ...any) {
@@ -64,7 +64,7 @@
 	t.add(now, "left %s", requestID)
 }
 
-// Decided leaves out decisions to do nothing: the gateway's loop decides more often than the bench asks.
+// Decided adds no line for an empty decision, because the gateway's loop decides more often than the simulator asks.
 func (t *callTrace) Decided(now scheduler.Time, decision *scheduler.Decision) {
 	for _, r := range decision.Finished {
 		t.add(now, "end %s state=%d wait=%d", r.ID, r.State, r.RetryAfter)
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -8,27 +8,27 @@
 	"irispost/scheduler"
 )
 
-// attempt is one attempt of a request with its connection.
+// attempt is an attempt of a request, as the loop tracks it until its outcome is known.
 type attempt struct {
 	request     *request
 	scheduled   *scheduler.Attempt
 	nodeAttempt node.Attempt
 	timeoutAt   scheduler.Time
-	neverRan    bool // it is proven that it never ran
-	heapIndex   int  // its place in the heap of timeouts, counted from 1; 0: it has ended
+	neverRan    bool // proven by its outcome
+	heapIndex   int  // position in Loop.timeouts, counted from 1; 0 once the attempt has ended
 }
 
-// inFlight tells whether the attempt has no outcome yet.
+// inFlight reports whether the attempt has no outcome yet.
 func (a *attempt) inFlight() bool { return a.heapIndex > 0 }
 
-// unsentAttempt stands for an attempt that went to no connection.
+// unsentAttempt is the node.Attempt of an attempt that was not passed to the node client.
 type unsentAttempt struct{}
 
 // Cancel implements node.Attempt.
 func (unsentAttempt) Cancel() {}
 
-// outcomes are the scheduler's for those of the node clients. A node that carried an operation out has served the
-// request, whatever the operation's status.
+// outcomes maps the outcomes of the node clients to the scheduler's. A node that executed an operation has served the
+// request, whatever the status of the operation.
 var outcomes = [...]scheduler.Outcome{
 	node.Failed:          scheduler.OutcomeError,
 	node.Executed:        scheduler.OutcomeServed,
@@ -38,7 +38,7 @@
 	node.ConnectionReset: scheduler.OutcomeReset,
 }
 
-// dispatch sends an attempt to its node.
+// dispatch sends an attempt to its node, unless the decision to do so has expired.
 func (l *Loop) dispatch(now scheduler.Time, scheduled *scheduler.Attempt) {
 	r := l.requests[scheduled.Request]
 	a := &attempt{request: r, scheduled: scheduled, timeoutAt: r.spec.Deadline}
@@ -57,7 +57,7 @@
 	})
 }
 
-// callFor builds the call to a node that carries an attempt.
+// callFor builds the call that carries an attempt to its node.
 func (l *Loop) callFor(spec *RequestSpec, scheduled *scheduler.Attempt, timeout time.Duration,
 	now scheduler.Time) *node.Call {
 	call := new(node.Call)
@@ -88,7 +88,7 @@
 	return l.configValidUntil > 0 && now >= l.configValidUntil || scheduled.SendBefore > 0 && now >= scheduled.SendBefore
 }
 
-// failExpired ends an attempt that was decided too long ago to be sent.
+// failExpired ends an attempt whose decision expired before it was sent.
 func (l *Loop) failExpired(a *attempt) {
 	a.nodeAttempt = unsentAttempt{}
 	l.clockStale = true
@@ -97,7 +97,7 @@
 	})
 }
 
-// cancel gives an attempt up. Its outcome reaches the scheduler in the same turn.
+// cancel cancels an attempt. Its outcome is reported to the scheduler in the same turn.
 func (l *Loop) cancel(scheduled *scheduler.Attempt) {
 	a := l.attemptOf(scheduled)
 	if a == nil || !a.inFlight() {
@@ -109,7 +109,7 @@
 	})
 }
 
-// attemptOf returns what the loop holds for an attempt, nil if its request is forgotten.
+// attemptOf returns the loop's record of an attempt, or nil if the loop no longer tracks its request.
 func (l *Loop) attemptOf(scheduled *scheduler.Attempt) *attempt {
 	if r := l.requests[scheduled.Request]; r != nil && scheduled.Number < len(r.attempts) {
 		return r.attempts[scheduled.Number]
@@ -117,7 +117,8 @@
 	return nil
 }
 
-// attemptEnded reports to the scheduler how an attempt ended. One that has ended already is left alone.
+// attemptEnded records the outcome of an attempt and reports it to the scheduler. It does nothing if the attempt has
+// ended already.
 func (l *Loop) attemptEnded(now scheduler.Time, ended *attempt, outcome scheduler.Outcome, reply node.Reply) {
 	if !ended.inFlight() {
 		return
@@ -136,7 +137,7 @@
 	l.releaseIfDone(r)
 }
 
-// expireAttempts gives up the attempts whose timeout has passed.
+// expireAttempts cancels the attempts whose timeout has passed and reports them as timed out.
 func (l *Loop) expireAttempts(now scheduler.Time) {
 	for len(l.timeouts) > 0 && l.timeouts[0].timeoutAt <= now {
 		a := l.timeouts[0]
--- a/internal/gateway/clock.go
+++ b/internal/gateway/clock.go
@@ -8,15 +8,15 @@
 
 // Clock is the gateway's time source.
 type Clock interface {
-	// Now returns nanoseconds since 1970. Successive calls never go back.
+	// Now returns the time in nanoseconds since the Unix epoch. Its result never decreases.
 	Now() scheduler.Time
 }
 
-// monotonicClock counts on from the wall clock at its start by the monotonic clock, so that a later step of the wall
-// clock does not reach the gateway.
+// monotonicClock reads the wall clock once and adds the elapsed monotonic time to it, so that a later step of the wall
+// clock does not affect the gateway.
 type monotonicClock struct{ start time.Time }
 
-// NewClock returns a clock that starts at the wall clock's present time and then follows the monotonic clock.
+// NewClock returns a clock that starts at the current wall clock time and then advances with the monotonic clock.
 func NewClock() Clock { return monotonicClock{time.Now()} }
 
 // Now implements Clock.
--- a/internal/gateway/golden_test.go
+++ b/internal/gateway/golden_test.go
@@ -14,8 +14,8 @@
 	"irispost/scheduler"
 )
 
-// TestTranslationsMatchGolden compares which outcome and endpoint state the scheduler gets for those of the node
-// clients and endpoint lists, and which request states are counted.
+// TestTranslationsMatchGolden compares three translations with a golden file: node outcomes to scheduler outcomes,
+// health in an endpoint list to scheduler endpoint states, and request states to the counters that they increment.
 func TestTranslationsMatchGolden(t *testing.T) {
 	var out strings.Builder
 	for outcome := node.Failed; outcome <= node.ConnectionReset; outcome++ {
@@ -33,12 +33,12 @@
 	golden.Check(t, "names.txt", []byte(out.String()))
 }
 
-// fixedClock stands still.
+// fixedClock is a clock that always returns the same time.
 type fixedClock scheduler.Time
 
 func (c fixedClock) Now() scheduler.Time { return scheduler.Time(c) }
 
-// recordingNodes hands on what is sent.
+// recordingNodes is a node client that passes each attempt it gets, as a line of text, to a channel.
 type recordingNodes chan string
 
 func (n recordingNodes) Start(addr string, call *node.Call, _ func(node.Reply)) node.Attempt {
@@ -49,8 +49,8 @@
 func (recordingNodes) Retain(map[string]bool)        {}
 func (recordingNodes) LateReplies() int64            { return 7 }
 
-// TestCallsMatchGolden compares what the loop fills in of calls to nodes: sender, request ID, keys and the time that
-// is left.
+// TestCallsMatchGolden compares calls to nodes with a golden file. It guards the fields that the loop sets: sender,
+// request ID, keys and remaining time.
 func TestCallsMatchGolden(t *testing.T) {
 	const now = fixedClock(1_790_000_000_000_000_000)
 	nodes, log := make(recordingNodes, 1), slog.New(slog.NewTextHandler(io.Discard, nil))
@@ -71,7 +71,7 @@
 	var out strings.Builder
 	for i := range submissions {
 		spec := &submissions[i].spec
-		spec.Call.Shard = i // a node for each, since nodes that nothing is known of are sent one request at a time
+		spec.Call.Shard = i // a separate node, because a node of which nothing is known gets one request at a time
 		spec.Volume = &Volume{ID: int64(i), ServiceLevel: "basic", GatewayCount: 1}
 		spec.Class = "read"
 		spec.Deadline = l.Now() + int64(time.Second)
@@ -80,7 +80,7 @@
 		case call := <-nodes:
 			out.WriteString(call)
 		case <-time.After(10 * time.Second):
-			t.Fatalf("request %d is not sent", i)
+			t.Fatalf("request %d was not sent within 10 s", i)
 		}
 	}
 	stats, ok := l.Stats()
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -1,9 +1,9 @@
-// Package gateway runs one scheduler in real time. The front ends, the configuration client and the endpoint manager
-// call it.
+// Package gateway runs one scheduler in real time. It is called by the front ends, the configuration client and the
+// endpoint manager.
 //
 // One goroutine, the event loop, owns the scheduler, the clock reading and all requests and attempts in flight. It
-// takes events from a bounded queue, passes them to the scheduler, and carries out what the scheduler decides. The
-// package decides nothing itself and keeps nothing after its end.
+// takes events from a bounded queue, passes them to the scheduler, and executes the scheduler's decisions. The package
+// makes no scheduling decisions itself and persists no state.
 package gateway
 
 import (
@@ -14,7 +14,7 @@
 	"irispost/scheduler"
 )
 
-// event is something that has happened; it is run on the loop.
+// event handles something that has happened. It runs on the loop, with the current time.
 type event func(now scheduler.Time)
 
 // Loop is a running gateway.
@@ -25,21 +25,21 @@
 	stop      chan struct{}
 	stopOnce  sync.Once
 	ended     chan struct{}
-	postMutex sync.RWMutex // held for reading while an event is posted, so that the end of the loop misses none
+	postMutex sync.RWMutex // read-locked while an event is posted, so that finishAll handles every posted event
 
-	// What follows is owned by the loop's goroutine.
+	// The fields below are owned by the loop's goroutine.
 	scheduler        tappedScheduler
-	followUps        []event // outcomes of what was just carried out, for the same turn
+	followUps        []event // outcomes of the decision just executed, handled in the same turn
 	requests         map[*scheduler.Request]*request
-	submittedCount   int64 // requests passed to the scheduler so far
+	submittedCount   int64 // requests submitted to the scheduler so far; numbers their IDs
 	timeouts         timeoutHeap
-	clockStale       bool               // a deadline has passed within a turn, so that the clock has to be read anew
-	settings         scheduler.Settings // in force at the scheduler
-	configValidUntil scheduler.Time     // nothing is sent after it by what was decided before; 0: no such time
+	clockStale       bool               // a decision expired within the turn, so the clock has to be read again
+	settings         scheduler.Settings // that the scheduler currently applies
+	configValidUntil scheduler.Time     // attempts decided before this time must not be sent after it; 0: no limit
 	stats            Stats
 }
 
-// Start starts a loop. Stop ends it.
+// Start starts a gateway. Stop ends it.
 func Start(opt Options) *Loop {
 	l := &Loop{
 		opt:      opt,
@@ -60,23 +60,23 @@
 	return l
 }
 
-// Stop ends the loop and waits for its end. A request that it still holds fails if it may have run, and is rejected
-// if not.
+// Stop ends the loop and waits until it has ended. Of the requests without a final answer, those that may have run
+// fail and the others are rejected.
 func (l *Loop) Stop() {
 	l.stopOnce.Do(func() { close(l.stop) })
 	<-l.ended
 }
 
-// Now is the gateway's time.
+// Now returns the current time by the gateway's clock.
 func (l *Loop) Now() scheduler.Time { return l.opt.Clock.Now() }
 
-// Wake has the loop take a turn. It does not wait.
+// Wake makes the loop take a turn. It returns at once.
 func (l *Loop) Wake() {
 	go l.post(func(scheduler.Time) {})
 }
 
-// post hands in an event. It waits while the queue is full, so that the caller stops reading its socket; false when
-// the loop has ended.
+// post queues an event for the loop and reports whether it did; it does not if the loop is stopped. It blocks while
+// the queue is full, so that the caller stops reading its socket.
 func (l *Loop) post(e event) bool {
 	l.postMutex.RLock()
 	defer l.postMutex.RUnlock()
@@ -93,7 +93,7 @@
 	}
 }
 
-// callLoop runs a function on the loop and returns its result; false when the loop has ended.
+// callLoop runs f on the loop and returns its result. ok is false if the loop ended first.
 func callLoop[T any](l *Loop, f func(now scheduler.Time) T) (result T, ok bool) {
 	done := make(chan T, 1)
 	if !l.post(func(now scheduler.Time) { done <- f(now) }) {
@@ -107,7 +107,8 @@
 	}
 }
 
-// run is the loop: it waits for an event or for the time of the next turn, handles what has come, and takes a turn.
+// run is the event loop: it waits for an event or for the time of the next turn, handles the queued events, and takes
+// a turn.
 func (l *Loop) run() {
 	defer close(l.ended)
 	timer := time.NewTimer(0)
@@ -136,7 +137,7 @@
 	}
 }
 
-// handleEvents runs the first event, nil if there is none, and those that wait by then, all at one time.
+// handleEvents runs first, which may be nil, and then the events that are queued by then, all with the same time.
 func (l *Loop) handleEvents(now scheduler.Time, first event) {
 	if first != nil {
 		first(now)
@@ -147,8 +148,8 @@
 	}
 }
 
-// turn times attempts out, asks the scheduler for its decision and carries that out, until nothing follows from it.
-// It returns when the next turn is due.
+// turn expires attempts, asks the scheduler for a decision and executes it, and repeats this until a decision has no
+// follow-up events. It returns the time of the next turn.
 func (l *Loop) turn(now scheduler.Time) scheduler.Time {
 	l.applyConfig(now)
 	for {
@@ -166,7 +167,8 @@
 	}
 }
 
-// applyConfig brings the scheduler what is in force now, where configuration versions are followed.
+// applyConfig passes the configuration that is in force now to the scheduler, if there is a ConfigSource and the
+// configuration has changed.
 func (l *Loop) applyConfig(now scheduler.Time) {
 	l.clockStale = false
 	if l.opt.Config == nil {
@@ -184,7 +186,7 @@
 	l.updateEndpoints(now, active.List)
 }
 
-// runFollowUps runs the events that follow from what was carried out, and those that follow from them.
+// runFollowUps runs the follow-up events of the decision just executed, including those that they add themselves.
 func (l *Loop) runFollowUps(now scheduler.Time) {
 	for len(l.followUps) > 0 {
 		list := l.followUps
@@ -221,7 +223,7 @@
 	}
 }
 
-// nextTurn is the time of the next turn after a decision.
+// nextTurn returns the time of the next turn after a decision.
 func (l *Loop) nextTurn(d *scheduler.Decision) scheduler.Time {
 	next := d.NextWake
 	if len(l.timeouts) > 0 {
@@ -233,11 +235,11 @@
 	return next
 }
 
-// finishAll gives each request that is still held its final answer, also those that wait in the queue.
+// finishAll gives each unfinished request its final answer, including those that are still in the event queue.
 func (l *Loop) finishAll() {
 	l.postMutex.Lock()
 	defer l.postMutex.Unlock()
-	for len(l.events) > 0 { // nobody else posts or takes events now
+	for len(l.events) > 0 { // no other goroutine posts or takes events at this point
 		e := <-l.events
 		e(l.opt.Clock.Now())
 	}
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -11,42 +11,42 @@
 	"irispost/scheduler"
 )
 
-// Volume is what the scheduler knows of a request's volume.
+// Volume describes the volume of a request to the scheduler.
 type Volume struct {
 	ID           int64
 	ServiceLevel string
-	GatewayCount float64 // number of gateways that its requests come through
+	GatewayCount float64 // number of gateways that receive its requests
 }
 
-// RequestSpec is a request as it is submitted.
+// RequestSpec describes a request to submit.
 type RequestSpec struct {
 	Volume        *Volume
 	Class         string
 	Units         float64
 	Key           int64
 	HasKey        bool
-	Deadline      scheduler.Time // the client waits until then
-	OnResult      func()         // called on the loop before the result can be received; must not block; may be nil
-	ClientRequest uint32         // number of the client's request that it belongs to
+	Deadline      scheduler.Time // until which the client waits
+	OnResult      func()         // optional; runs before the result can be received, usually on the loop; must not block
+	ClientRequest uint32         // number of the client's request that this one is part of
 	Idempotency   uint8          // as in node.Call
-	Call          node.Call      // what to do at the node; the loop fills in who sends it and the time left
+	Call          node.Call      // operation at the node; the loop sets the sender, the IDs and the remaining time
 }
 
-// Result is a request's one final answer.
+// Result is the final answer to a request.
 type Result struct {
 	State      scheduler.RequestState // RequestSucceeded, RequestRejected, RequestFailed or RequestClientCancelled
-	RetryAfter time.Duration          // of a rejected request: when the client may come back; 0: no advice
+	RetryAfter time.Duration          // of a rejected request: how long to wait before a retry; 0: unspecified
 	Reply      node.Reply             // of a request that succeeded
-	Reason     string                 // why the last attempt failed, of a request that did not succeed
-	MayHaveRun bool                   // of a request that did not succeed: one of its attempts may have run
+	Reason     string                 // of a request that did not succeed: why its last attempt failed
+	MayHaveRun bool                   // of a request that did not succeed: whether one of its attempts may have run
 }
 
-// String describes a result for people.
+// String describes the result in human-readable form.
 func (r Result) String() string {
 	return fmt.Sprintf("%s after %q, wait %v", StateName(r.State), r.Reason, r.RetryAfter)
 }
 
-// request is a submitted request with what the loop holds for it.
+// request is a submitted request and the loop's state of it.
 type request struct {
 	spec      *RequestSpec
 	session   *Session // nil for the gateway's own requests
@@ -57,10 +57,10 @@
 	attempts  []*attempt
 }
 
-// deliver hands out a request's final answer.
+// deliver sends the final answer of a request.
 //
-// OnResult comes before the result can be received: called after, it could wake a wait of a receiver that has already
-// gone on.
+// OnResult is called before the result can be received. If it were called afterwards, the receiver could have gone on
+// already, and the call could wake it from a later, unrelated wait.
 func (r *request) deliver(result Result) {
 	if r.spec.OnResult != nil {
 		r.spec.OnResult()
@@ -68,12 +68,13 @@
 	r.result <- result
 }
 
-// mayHaveRun tells whether an attempt of the request may have run or may yet run.
+// mayHaveRun reports whether an attempt of the request may have run or may still run.
 func (r *request) mayHaveRun() bool {
 	return slices.ContainsFunc(r.attempts, func(a *attempt) bool { return !a.neverRan })
 }
 
-// stateAtStop is the final state of a request whose gateway stops: what can never have run may be retried without harm.
+// stateAtStop returns the final state of a request whose gateway stops. A request that cannot have run is rejected,
+// because the client can safely retry it.
 func (r *request) stateAtStop() scheduler.RequestState {
 	if r.mayHaveRun() {
 		return scheduler.RequestFailed
@@ -81,12 +82,13 @@
 	return scheduler.RequestRejected
 }
 
-// hasAttemptsInFlight tells whether an attempt of the request has no outcome yet.
+// hasAttemptsInFlight reports whether an attempt of the request has no outcome yet.
 func (r *request) hasAttemptsInFlight() bool {
 	return slices.ContainsFunc(r.attempts, (*attempt).inFlight)
 }
 
-// Submit hands in a request; session is nil for the gateway's own. Its result comes on the channel, exactly once.
+// Submit submits a request; session is nil for the gateway's own requests. The returned channel receives exactly one
+// result.
 func (l *Loop) Submit(session *Session, spec *RequestSpec) <-chan Result {
 	r := &request{spec: spec, session: session, result: make(chan Result, 1)}
 	if !l.post(func(now scheduler.Time) { l.submit(now, r) }) {
@@ -95,7 +97,7 @@
 	return r.result
 }
 
-// submit passes a request on to the scheduler, unless its client has gone.
+// submit submits a request to the scheduler, unless its session is closed.
 func (l *Loop) submit(now scheduler.Time, submitted *request) {
 	spec := submitted.spec
 	l.stats.forClass(spec.Class).Accepted++
@@ -120,8 +122,8 @@
 	l.scheduler.submit(now, submitted.scheduled, spec)
 }
 
-// requestID names the request that was submitted last: SESSION:CLIENT REQUEST#COUNT, or GATEWAY#COUNT for the
-// gateway's own.
+// requestID returns the ID of the latest submitted request: SESSION:CLIENTREQUEST#COUNT, or GATEWAY#COUNT for the
+// gateway's own requests.
 func (l *Loop) requestID(r *request) string {
 	origin := l.opt.Name
 	if r.session != nil {
@@ -130,7 +132,7 @@
 	return origin + "#" + strconv.FormatInt(l.submittedCount, 10)
 }
 
-// finish gives a request its final answer, once.
+// finish delivers the final answer of a request. It does nothing if the request is finished already.
 func (l *Loop) finish(r *request, result Result) {
 	if r.finished {
 		return
@@ -144,19 +146,20 @@
 	l.releaseIfDone(r)
 }
 
-// releaseIfDone drops a request that has its final answer and no attempt in flight.
+// releaseIfDone removes a request that has its final answer and no attempt in flight from the loop.
 func (l *Loop) releaseIfDone(r *request) {
 	if r.finished && !r.hasAttemptsInFlight() {
 		delete(l.requests, r.scheduled)
 	}
 }
 
-// sortRequests puts requests of one session in the order in which they were submitted, so that the scheduler's calls
-// do not depend on the iteration order of a map.
+// sortRequests sorts requests of one session by request ID, shorter IDs first, so that the order of calls to the
+// scheduler does not depend on the iteration order of a map. This is the order of submission if the client numbers its
+// requests in ascending order.
 func sortRequests(list []*request) {
 	slices.SortFunc(list, func(a, b *request) int {
 		x, y := a.scheduled.ID, b.scheduled.ID
-		if len(x) != len(y) { // the longer has the higher number
+		if len(x) != len(y) { // after the same prefix, the longer ID has the higher number
 			return len(x) - len(y)
 		}
 		return strings.Compare(x, y)
--- a/internal/gateway/scheduler.go
+++ b/internal/gateway/scheduler.go
@@ -6,9 +6,10 @@
 	"irispost/scheduler"
 )
 
-// tappedScheduler is the one place through which the scheduler is called. Nothing else of the loop calls it, and it
-// is handed nothing that does not pass here: no clock, no random source, no order but that of these calls. An
-// observer sees each call before the scheduler does.
+// tappedScheduler forwards calls to the scheduler and reports them to a tap. Everything that can affect the
+// scheduler's decisions passes through it: the scheduler gets no clock and no random source, and depends only on the
+// arguments and the order of these calls. The tap sees each call before the scheduler does, and each decision after
+// it is made.
 type tappedScheduler struct {
 	inner *scheduler.Scheduler
 	tap   Tap // nil: none
--- a/internal/gateway/session.go
+++ b/internal/gateway/session.go
@@ -2,17 +2,18 @@
 
 import "irispost/scheduler"
 
-// Session is a client's connection, as far as the loop is concerned: when it closes, its requests are cancelled.
+// Session groups the requests of one client connection, which are cancelled when the session is closed.
 type Session struct {
 	Name     string
 	requests map[*request]bool // in flight; owned by the loop
 	closed   bool              // owned by the loop
 }
 
-// NewSession returns a session of that name, which has to be unique in the installation.
+// NewSession returns a session. Its name must be unique among all sessions of the installation, because it is part of
+// request IDs.
 func NewSession(name string) *Session { return &Session{Name: name, requests: map[*request]bool{}} }
 
-// CloseSession cancels the requests of a session whose client has gone.
+// CloseSession cancels the requests of a session whose client has disconnected.
 func (l *Loop) CloseSession(s *Session) {
 	l.post(func(now scheduler.Time) {
 		s.closed = true
--- a/internal/gateway/slowstart.go
+++ b/internal/gateway/slowstart.go
@@ -2,8 +2,9 @@
 
 import "irispost/scheduler"
 
-// AllocateSlowStart hands the scheduler the units that were allocated to it for a warming node, which started at startedAt, to
-// be sent until expiresAt. It returns what remained of the last allocation; false when the loop has ended.
+// AllocateSlowStart sets the units of a node's slow-start budget that are allocated to this gateway until expiresAt.
+// The node is the one at addr that started at startedAt. remaining is what was left of the previous allocation, in
+// units. ok is false if the loop has ended.
 func (l *Loop) AllocateSlowStart(addr string, startedAt scheduler.Time, units float64, expiresAt scheduler.Time) (
 	remaining float64, ok bool) {
 	return callLoop(l, func(now scheduler.Time) float64 {
@@ -11,14 +12,13 @@
 	})
 }
 
-// SlowStartDemand is the work that waits at warming nodes, and the rate of the others that the scheduler knows of, in
-// units a second.
+// SlowStartDemand is the queued work for nodes in slow start.
 type SlowStartDemand struct {
 	Demands []scheduler.SlowStartDemand
-	Rate    float64
+	Rate    float64 // of a warm node as known to the scheduler, in units per second; 0 if unknown
 }
 
-// SlowStartDemand returns what waits at warming nodes; false when the loop has ended.
+// SlowStartDemand returns the queued work for nodes in slow start. The second result is false if the loop has ended.
 func (l *Loop) SlowStartDemand() (SlowStartDemand, bool) {
 	return callLoop(l, func(now scheduler.Time) (demand SlowStartDemand) {
 		demand.Demands, demand.Rate = l.scheduler.inner.SlowStartDemands(now)
--- a/internal/gateway/stats.go
+++ b/internal/gateway/stats.go
@@ -2,12 +2,12 @@
 
 import "irispost/scheduler"
 
-// Counts are the requests of a class by their final state.
+// Counts are the numbers of requests of a class: all accepted ones, and the finished ones by final state.
 type Counts struct {
 	Accepted, Succeeded, Rejected, Failed, Cancelled int64
 }
 
-// add counts a request that has reached a final state.
+// add counts a request with its final state.
 func (c *Counts) add(state scheduler.RequestState) {
 	switch state {
 	case scheduler.RequestSucceeded:
@@ -21,16 +21,16 @@
 	}
 }
 
-// Stats are what a gateway has done since its start.
+// Stats are a gateway's counters since its start and its current load.
 type Stats struct {
-	Classes        map[string]*Counts
-	InFlight       int            // requests without their final answer
-	Attempts       int            // attempts in flight
-	AttemptsByNode map[string]int // attempts in flight, by the node's address
-	LateReplies    int64          // replies of nodes that came after their attempt was given up
+	Classes        map[string]*Counts // by name
+	InFlight       int                // requests without a final answer
+	Attempts       int                // attempts in flight
+	AttemptsByNode map[string]int     // attempts in flight by node address
+	LateReplies    int64              // node replies that arrived after their attempt was cancelled
 }
 
-// forClass returns the counts of a class.
+// forClass returns the counts of a class, which it adds if needed.
 func (s *Stats) forClass(class string) *Counts {
 	c := s.Classes[class]
 	if c == nil {
@@ -40,12 +40,12 @@
 	return c
 }
 
-// Stats returns what the gateway has done; false when the loop has ended.
+// Stats returns a copy of the gateway's statistics. The second result is false if the loop has ended.
 func (l *Loop) Stats() (Stats, bool) {
 	return callLoop(l, func(scheduler.Time) Stats { return l.collectStats() })
 }
 
-// collectStats copies the counts and counts what is in flight.
+// collectStats copies the counters and counts the requests and attempts in flight.
 func (l *Loop) collectStats() Stats {
 	s := Stats{
 		Classes:        map[string]*Counts{},
@@ -68,7 +68,7 @@
 	return s
 }
 
-// StateName is the word for a request's final state in reports.
+// StateName returns the name of a request's state in reports.
 func StateName(state scheduler.RequestState) string {
 	switch state {
 	case scheduler.RequestSucceeded:
--- a/internal/gateway/tap.go
+++ b/internal/gateway/tap.go
@@ -5,7 +5,8 @@
 	"irispost/scheduler"
 )
 
-// Tap observes all calls of a scheduler and what it decides, in the same order. It is called on the loop.
+// Tap observes all calls to a scheduler and its decisions, in the order in which they happen. It is called on the
+// loop.
 type Tap interface {
 	Start(now scheduler.Time, seed uint64, settings scheduler.Settings)
 	EndpointList(now scheduler.Time, list endpoint.List)
@@ -19,13 +20,13 @@
 		final bool, unitsElsewhere float64, inFlight int, latency scheduler.Time)
 	ClientCancelled(now scheduler.Time, requestID string)
 	Decided(now scheduler.Time, d *scheduler.Decision)
-	// Snapshot is called when the tap is set, and after a decision when NeedsSnapshot is true.
+	// Snapshot is called by SetTap, and after a decision if NeedsSnapshot returns true.
 	Snapshot(now scheduler.Time, s *scheduler.Scheduler)
 	NeedsSnapshot() bool
 }
 
-// SetTap sets the observer, in place of another; nil: none. It returns when that is in effect, false when the loop
-// has ended.
+// SetTap replaces the tap; nil removes it. It returns true once the new tap is in effect, or false if the loop has
+// ended.
 func (l *Loop) SetTap(t Tap) bool {
 	_, ok := callLoop(l, func(now scheduler.Time) struct{} {
 		l.scheduler.setTap(now, t)
--- a/internal/gateway/timeouts.go
+++ b/internal/gateway/timeouts.go
@@ -1,7 +1,7 @@
 package gateway
 
-// timeoutHeap is a heap of the attempts in flight by their timeouts, ties by request ID and attempt number. It keeps
-// their heapIndex. It implements heap.Interface.
+// timeoutHeap is a min-heap of the attempts in flight by timeout, then by request ID and attempt number. It implements
+// heap.Interface and maintains the heapIndex of each attempt.
 type timeoutHeap []*attempt
 
 // Len implements heap.Interface.
