--- a/internal/endpoint/xds/bench_test.go
+++ b/internal/endpoint/xds/bench_test.go
@@ -12,17 +12,18 @@
 	"irispost/internal/xdsstandin"
 )
 
-// clusterSize is how many endpoints each cluster of a benchmark has.
+// clusterSize is the number of endpoints in each cluster of BenchmarkUpdate.
 const clusterSize = 50
 
-// installation is a number of nodes in clusters, for a benchmark.
-type installation struct {
+// benchmarkNodes holds the cluster names of a benchmark and the nodes of each cluster.
+type benchmarkNodes struct {
 	names []string
 	lists [][]endpoint.Node
 }
 
-func newInstallation(size int) *installation {
-	in := &installation{}
+// newBenchmarkNodes returns size nodes, each in a shard of its own, in clusters of clusterSize.
+func newBenchmarkNodes(size int) *benchmarkNodes {
+	in := &benchmarkNodes{}
 	for i := range size / clusterSize {
 		in.names = append(in.names, fmt.Sprint("c", i))
 		var list []endpoint.Node
@@ -35,13 +36,14 @@
 	return in
 }
 
-// endpoints returns a response with the endpoints of all clusters, or in the incremental form of one; below 0: of all.
-func (in *installation) endpoints(b *testing.B, incremental bool, only int, version string) xds.Response {
+// endpoints returns a response with the endpoints of all clusters. In the incremental variant it has those of the
+// cluster with the given index only, or of all clusters if the index is negative.
+func (in *benchmarkNodes) endpoints(b *testing.B, incremental bool, index int, version string) xds.Response {
 	b.Helper()
 	r := xds.Response{Type: xds.EndpointType, Version: version, Nonce: version}
 	for i, name := range in.names {
-		if only < 0 || !incremental || i == only {
-			add(&r, incremental, name, pack(b, xdsstandin.Assignment(name, in.lists[i])))
+		if index < 0 || !incremental || i == index {
+			addResource(&r, incremental, name, pack(b, xdsstandin.Assignment(name, in.lists[i])))
 		}
 	}
 	return r
@@ -58,12 +60,13 @@
 	return bytes
 }
 
-// BenchmarkUpdate takes in a response in which one endpoint has changed, from its bytes to the list for the scheduler.
-// In the state of the world that has all clusters' endpoints, in the incremental form the changed cluster's.
+// BenchmarkUpdate measures the processing of a response in which one endpoint has changed, from its bytes to the list
+// for the scheduler. A state-of-the-world response has the endpoints of all clusters, an incremental one those of the
+// changed cluster.
 func BenchmarkUpdate(b *testing.B) {
 	for _, size := range []int{50, 500, 5000} {
 		for _, incremental := range []bool{false, true} {
-			b.Run(fmt.Sprintf("%d/%s", size, formName(incremental)), func(b *testing.B) {
+			b.Run(fmt.Sprintf("%d/%s", size, variantName(incremental)), func(b *testing.B) {
 				benchmarkUpdate(b, size, incremental)
 			})
 		}
@@ -72,7 +75,7 @@
 
 func benchmarkUpdate(b *testing.B, size int, incremental bool) {
 	s, tracker := xds.NewSession(incremental, nil, time.Minute), membership.New(membership.DefaultSettings, "plane")
-	in := newInstallation(size)
+	in := newBenchmarkNodes(size)
 	now := sec
 	s.OpenStream(now)
 	s.HandleResponse(now, clusters(b, incremental, "1", "n", in.names...))
@@ -93,16 +96,17 @@
 		source.Receive(now, *out.List)
 		update := tracker.Reconcile(now)
 		if !update.Changed || len(update.List.Nodes) != size {
-			b.Fatalf("changed %v, %d nodes", update.Changed, len(update.List.Nodes))
+			b.Fatalf("changed: %v; the list has %d nodes", update.Changed, len(update.List.Nodes))
 		}
 	}
 	b.ReportMetric(float64(wireBytes(responses[0])), "wire-B/op")
 }
 
-// BenchmarkFleet changes one of 50 nodes at one server until all of 200 clients have the list, over loopback sockets.
+// BenchmarkFleet measures the time from a change of one of 50 nodes at one server until all of 200 clients have the
+// new list, over loopback sockets.
 func BenchmarkFleet(b *testing.B) {
 	for _, incremental := range []bool{false, true} {
-		b.Run(formName(incremental), func(b *testing.B) { benchmarkFleet(b, incremental) })
+		b.Run(variantName(incremental), func(b *testing.B) { benchmarkFleet(b, incremental) })
 	}
 }
 
@@ -114,7 +118,7 @@
 	s := startServer(b, 10, list...)
 	var clients []*recorder
 	for i := range 200 {
-		clients = append(clients, listen(b, s, incremental, fmt.Sprint("g", i)))
+		clients = append(clients, startNamedClient(b, s, incremental, fmt.Sprint("g", i)))
 	}
 	for _, r := range clients {
 		r.await(b, "50 nodes", func(r *recorder) bool { return len(r.list.Nodes) == 50 })
