--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -38,7 +38,7 @@
 	RetryAfter time.Duration          // of a rejected request: how long to wait before a retry; 0: unspecified
 	Reply      node.Reply             // of a request that succeeded
 	Reason     string                 // of a request that did not succeed: why its last attempt failed
-	MayHaveRun bool                   // of a request that the scheduler rejected or failed: whether an attempt may have run
+	MayHaveRun bool                   // if the scheduler rejected or failed the request: an attempt may have run
 }
 
 // String describes the result in human-readable form.
