--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -8,27 +8,27 @@
 	"irispost/scheduler"
 )
 
-// attempt is one attempt of a request with its connection.
+// attempt is an attempt of a request, as the loop tracks it until its outcome is known.
 type attempt struct {
-	request   *request
-	scheduled *scheduler.Attempt
-	sent      node.Attempt
-	timeoutAt scheduler.Time
-	neverRan  bool // it is proven that it never ran
-	heapIndex int  // its place in the heap of timeouts, counted from 1; 0: it has ended
+	request     *request
+	scheduled   *scheduler.Attempt
+	nodeAttempt node.Attempt
+	timeoutAt   scheduler.Time
+	neverRan    bool // proven by its outcome
+	heapIndex   int  // position in Loop.timeouts, counted from 1; 0 once the attempt has ended
 }
 
-// inFlight tells whether the attempt has no outcome yet.
+// inFlight reports whether the attempt has no outcome yet.
 func (a *attempt) inFlight() bool { return a.heapIndex > 0 }
 
-// unsent stands for an attempt that went to no connection.
-type unsent struct{}
+// unsentAttempt is the node.Attempt of an attempt that was not passed to the node client.
+type unsentAttempt struct{}
 
 // Cancel implements node.Attempt.
-func (unsent) Cancel() {}
+func (unsentAttempt) Cancel() {}
 
-// outcomes are the scheduler's for those of the node clients. A node that carried an operation out has served the
-// request, whatever the operation's status.
+// outcomes maps the outcomes of the node clients to the scheduler's. A node that executed an operation has served the
+// request, whatever the status of the operation.
 var outcomes = [...]scheduler.Outcome{
 	node.Failed:          scheduler.OutcomeError,
 	node.Executed:        scheduler.OutcomeServed,
@@ -38,7 +38,7 @@
 	node.ConnectionReset: scheduler.OutcomeReset,
 }
 
-// dispatch sends an attempt to its node.
+// dispatch sends an attempt to its node, unless the decision to do so has expired.
 func (l *Loop) dispatch(now scheduler.Time, scheduled *scheduler.Attempt) {
 	r := l.requests[scheduled.Request]
 	a := &attempt{request: r, scheduled: scheduled, timeoutAt: r.spec.Deadline}
@@ -48,16 +48,16 @@
 	r.attempts = append(r.attempts, a)
 	call := l.callFor(r.spec, scheduled, time.Duration(a.timeoutAt-now), now)
 	heap.Push(&l.timeouts, a)
-	if l.expired(scheduled) {
+	if l.decisionExpired(scheduled) {
 		l.failExpired(a)
 		return
 	}
-	a.sent = l.opt.Nodes.Start(scheduled.Node.Addr, call, func(reply node.Reply) {
+	a.nodeAttempt = l.opt.Nodes.Start(scheduled.Node.Addr, call, func(reply node.Reply) {
 		l.post(func(now scheduler.Time) { l.attemptEnded(now, a, outcomes[reply.Outcome], reply) })
 	})
 }
 
-// callFor builds the call to a node that carries an attempt.
+// callFor builds the call that carries an attempt to its node.
 func (l *Loop) callFor(spec *RequestSpec, scheduled *scheduler.Attempt, timeout time.Duration,
 	now scheduler.Time) *node.Call {
 	call := new(node.Call)
@@ -81,35 +81,35 @@
 	return call
 }
 
-// expired tells whether a decision must not be carried out any more, because the process stood still since the loop
-// has read the clock.
-func (l *Loop) expired(scheduled *scheduler.Attempt) bool {
+// decisionExpired reports whether an attempt may no longer be sent because too much time has passed, for example while
+// the process was paused, since the loop read the clock for this decision.
+func (l *Loop) decisionExpired(scheduled *scheduler.Attempt) bool {
 	now := l.opt.Clock.Now()
 	return l.configValidUntil > 0 && now >= l.configValidUntil || scheduled.SendBefore > 0 && now >= scheduled.SendBefore
 }
 
-// failExpired ends an attempt that was decided too long ago to be sent.
+// failExpired ends an attempt whose decision expired before it was sent.
 func (l *Loop) failExpired(a *attempt) {
-	a.sent = unsent{}
-	l.clockOutdated = true
+	a.nodeAttempt = unsentAttempt{}
+	l.clockStale = true
 	l.followUps = append(l.followUps, func(now scheduler.Time) {
 		l.attemptEnded(now, a, scheduler.OutcomeConnectFailed, node.Reply{Message: "what was decided is out of date"})
 	})
 }
 
-// cancel gives an attempt up. Its outcome reaches the scheduler in the same turn.
+// cancel cancels an attempt. Its outcome is reported to the scheduler in the same turn.
 func (l *Loop) cancel(scheduled *scheduler.Attempt) {
 	a := l.attemptOf(scheduled)
 	if a == nil || !a.inFlight() {
 		return
 	}
-	a.sent.Cancel()
+	a.nodeAttempt.Cancel()
 	l.followUps = append(l.followUps, func(now scheduler.Time) {
 		l.attemptEnded(now, a, scheduler.OutcomeCancelled, node.Reply{})
 	})
 }
 
-// attemptOf returns what the loop holds for an attempt, nil if its request is forgotten.
+// attemptOf returns the loop's record of an attempt, or nil if the loop no longer tracks its request.
 func (l *Loop) attemptOf(scheduled *scheduler.Attempt) *attempt {
 	if r := l.requests[scheduled.Request]; r != nil && scheduled.Number < len(r.attempts) {
 		return r.attempts[scheduled.Number]
@@ -117,7 +117,8 @@
 	return nil
 }
 
-// attemptEnded reports to the scheduler how an attempt ended. One that has ended already is left alone.
+// attemptEnded records the outcome of an attempt and reports it to the scheduler. It does nothing if the attempt has
+// ended already.
 func (l *Loop) attemptEnded(now scheduler.Time, ended *attempt, outcome scheduler.Outcome, reply node.Reply) {
 	if !ended.inFlight() {
 		return
@@ -133,14 +134,14 @@
 	if succeeded {
 		l.finish(r, Result{State: scheduler.RequestSucceeded, Reply: reply})
 	}
-	l.forget(r)
+	l.releaseIfDone(r)
 }
 
-// expireAttempts gives up the attempts whose timeout has passed.
+// expireAttempts cancels the attempts whose timeout has passed and reports them as timed out.
 func (l *Loop) expireAttempts(now scheduler.Time) {
 	for len(l.timeouts) > 0 && l.timeouts[0].timeoutAt <= now {
 		a := l.timeouts[0]
-		a.sent.Cancel()
+		a.nodeAttempt.Cancel()
 		l.attemptEnded(now, a, scheduler.OutcomeTimeout, node.Reply{Message: "no answer in time"})
 	}
 }
