--- a/internal/fleet/slowstart/agent/settings.go
+++ b/internal/fleet/slowstart/agent/settings.go
@@ -9,37 +9,38 @@
 )
 
 const (
-	// allocatedShare is the part of what a node bears that is allocated. The rest is for gateways that reach no
-	// allocator: by the scheduler's own rules they send half of what it bears at most, all together.
+	// allocatedShare is the part of a node's capacity that is allocated. The rest is for gateways that reach no
+	// allocator: under the scheduler's own rules, they send at most half of the capacity, all of them together.
 	allocatedShare = 0.5
-	// allocationsPerWindow is how many allocations follow each other in a window, unless maxAllocationTime is
-	// shorter.
+	// allocationsPerWindow is how many consecutive allocations fit in a window. Allocations last for
+	// maxAllocationTime if that is shorter.
 	allocationsPerWindow = 6
 	maxAllocationTime    = scheduler.Second / 2
 )
 
-// SettingsFrom are a budget's settings, as the scheduler's say, for clocks that drift by a part at most.
+// SettingsFrom derives the settings of budgets from the scheduler's. maxClockDrift is the maximum relative error of the
+// rate of a clock.
 func SettingsFrom(settings scheduler.Settings, maxClockDrift float64) budget.Settings {
-	window := duration(settings, "cold.window")
+	window := durationSetting(settings, "cold.window")
 	return budget.Settings{
-		InitialFraction:  number(settings, "cold.from"),
-		WarmupTime:       duration(settings, "cold.time"),
-		OverloadMultiple: number(settings, "cold.multiple"),
+		InitialFraction:  floatSetting(settings, "cold.from"),
+		WarmupTime:       durationSetting(settings, "cold.time"),
+		OverloadMultiple: floatSetting(settings, "cold.multiple"),
 		Window:           window,
-		MinUnits:         number(settings, "cold.units"),
+		MinUnits:         floatSetting(settings, "cold.units"),
 		AllocatedShare:   allocatedShare,
 		AllocationTime:   min(cmp.Or(window/allocationsPerWindow, maxAllocationTime), maxAllocationTime),
 		MaxClockDrift:    maxClockDrift,
 	}
 }
 
-// number is a value of the scheduler's settings; 0: there is none.
-func number(settings scheduler.Settings, name string) float64 {
-	value, _ := strconv.ParseFloat(settings[name], 64) // the scheduler checked what there is
+// floatSetting returns a number from the scheduler's settings, or 0 if it is not set.
+func floatSetting(settings scheduler.Settings, name string) float64 {
+	value, _ := strconv.ParseFloat(settings[name], 64) // the scheduler has validated its settings
 	return value
 }
 
-// duration is a value of the scheduler's settings, which state milliseconds.
-func duration(settings scheduler.Settings, name string) scheduler.Time {
-	return scheduler.Time(number(settings, name) * float64(scheduler.Millisecond))
+// durationSetting returns a duration from the scheduler's settings, which are in milliseconds.
+func durationSetting(settings scheduler.Settings, name string) scheduler.Time {
+	return scheduler.Time(floatSetting(settings, name) * float64(scheduler.Millisecond))
 }
