--- a/internal/serve/admin_test.go
+++ b/internal/serve/admin_test.go
@@ -41,7 +41,7 @@
 // startAdminTestbed starts a gateway with an admin socket over slow nodes, one of which fails at times.
 func startAdminTestbed(t *testing.T, socket string) *testkit.Testbed {
 	t.Helper()
-	conf := withBlock("  admin = \"" + socket + "\"\n")
+	conf := confWithBlock("  admin = \"" + socket + "\"\n")
 	b := testkit.Start(t, conf, 2, 1, func(o *standin.Options) { o.UnitTime = 100 * time.Microsecond })
 	command(t, b.Nodes[0], "fail 0.3")
 	return b
@@ -60,7 +60,7 @@
 				case <-done:
 					return
 				default:
-					_ = put(client, path, random(n, 100_000)) // may fail, as a node does
+					_ = put(client, path, randomBytes(n, 100_000)) // may fail, as a node does
 					_, _ = get(client, path)
 				}
 			}
@@ -89,7 +89,7 @@
 func awaitFinished(t *testing.T, client *admin.Client, more int64) {
 	t.Helper()
 	target := finished(t, client) + more
-	until(func() bool { return finished(t, client) >= target })
+	waitFor(func() bool { return finished(t, client) >= target })
 }
 
 // expectError fails the test if an error is not there or does not contain a text.
@@ -131,7 +131,7 @@
 		`irispost_nodes{state=`,
 		`irispost_jobs_total{outcome="completed",product="read"}`, // once clients work
 	} {
-		until(func() bool { return strings.Contains(scrape(t, socket), line) })
+		waitFor(func() bool { return strings.Contains(scrape(t, socket), line) })
 	}
 	_, err := client.StopCapture()
 	expectError(t, "stopping none", err, "no capture is on")
--- a/internal/serve/bench_test.go
+++ b/internal/serve/bench_test.go
@@ -10,17 +10,17 @@
 )
 
 // BenchmarkRead reads 4 KiB through a gateway, 16 at a time: client, gateway and node in one process.
-func BenchmarkRead(b *testing.B) { readThrough(b, testkit.Conf) }
+func BenchmarkRead(b *testing.B) { benchmarkRead(b, testkit.Conf) }
 
 // BenchmarkReadCaptured does the same with a capture on.
 func BenchmarkReadCaptured(b *testing.B) {
-	readThrough(b, withBlock(fmt.Sprintf("  capture {\n    folder = %q\n  }\n", b.TempDir())))
+	benchmarkRead(b, confWithBlock(fmt.Sprintf("  capture {\n    folder = %q\n  }\n", b.TempDir())))
 }
 
-func readThrough(b *testing.B, conf string) {
-	w := testkit.Start(b, conf, 1, 1, nil)
-	c := w.Client(0)
-	if err := put(c, "/meals/f", random(1, 64<<10)); err != nil {
+func benchmarkRead(b *testing.B, conf string) {
+	testbed := testkit.Start(b, conf, 1, 1, nil)
+	c := testbed.Client(0)
+	if err := put(c, "/meals/f", randomBytes(1, 64<<10)); err != nil {
 		b.Fatal(err)
 	}
 	f, err := c.OpenFile("/meals/f", os.O_RDONLY)
@@ -29,11 +29,11 @@
 	}
 	b.ReportAllocs()
 	b.ResetTimer()
-	var all sync.WaitGroup
+	var running sync.WaitGroup
 	for i := range 16 {
-		all.Add(1)
+		running.Add(1)
 		go func() {
-			defer all.Done()
+			defer running.Done()
 			buf := make([]byte, 4096)
 			for n := i; n < b.N; n += 16 {
 				if _, err := f.ReadAt(buf, int64(n%16)*4096); err != nil {
@@ -43,5 +43,5 @@
 			}
 		}()
 	}
-	all.Wait()
+	running.Wait()
 }
--- a/internal/serve/capture.go
+++ b/internal/serve/capture.go
@@ -16,9 +16,9 @@
 )
 
 // captureOnError says that a capture is on already.
-type captureOnError struct{ file string }
+type captureActiveError struct{ file string }
 
-func (e *captureOnError) Error() string { return "a capture is on already: " + e.file }
+func (e *captureActiveError) Error() string { return "a capture is on already: " + e.file }
 
 // captureSession is a gateway's capture; at most one is on at a time.
 type captureSession struct {
@@ -29,9 +29,9 @@
 
 // begin opens a new capture file in dir, or in the configured directory if dir is empty. The caller holds the lock, or
 // is the only one who knows the gateway.
-func (s *captureSession) begin(owner *Gateway, dir string) error {
+func (s *captureSession) start(owner *Gateway, dir string) error {
 	if s.recorder != nil {
-		return &captureOnError{file: s.status.File}
+		return &captureActiveError{file: s.status.File}
 	}
 	if dir == "" {
 		dir = owner.Config.CaptureDir
@@ -50,7 +50,7 @@
 }
 
 // end closes the capture, if one is on, and returns its last status.
-func (s *captureSession) end(owner *Gateway) admin.Capture {
+func (s *captureSession) stop(owner *Gateway) admin.Capture {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.recorder == nil {
@@ -84,7 +84,7 @@
 	s := &g.capture
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.begin(g, dir); err != nil {
+	if err := s.start(g, dir); err != nil {
 		return s.refresh(), err
 	}
 	if !g.Loop.SetTap(s.recorder) {
@@ -96,12 +96,12 @@
 // StopCapture ends the capture and returns when its file is complete.
 func (g *Gateway) StopCapture() (admin.Capture, error) {
 	g.capture.mu.Lock()
-	on := g.capture.recorder != nil
+	active := g.capture.recorder != nil
 	g.capture.mu.Unlock()
-	if !on {
+	if !active {
 		return admin.Capture{}, errNoCapture
 	}
-	return g.capture.end(g), nil
+	return g.capture.stop(g), nil
 }
 
 // buildVersion names the version of the program and of Go, for the head of a capture.
--- a/internal/serve/concurrent_test.go
+++ b/internal/serve/concurrent_test.go
@@ -20,47 +20,48 @@
 // TestConcurrentWritesOfNewFileDoNotMix: two gateways write the same new file at once: each extent holds what one of
 // them wrote, both read the same, and no object is left over.
 func TestConcurrentWritesOfNewFileDoNotMix(t *testing.T) {
-	w := testkit.Start(t, testkit.Conf, 2, 2, nil)
-	const run = 64 << 10
+	testbed := testkit.Start(t, testkit.Conf, 2, 2, nil)
+	const extentBytes = 64 << 10
 	for round := range 5 {
 		path := fmt.Sprintf("/meals/both%d", round)
-		var all sync.WaitGroup
+		var running sync.WaitGroup
 		for g := range 2 {
-			all.Add(1)
+			running.Add(1)
 			go func() {
-				defer all.Done()
-				f, err := w.Client(g).OpenFile(path, os.O_WRONLY|os.O_CREATE)
+				defer running.Done()
+				f, err := testbed.Client(g).OpenFile(path, os.O_WRONLY|os.O_CREATE)
 				if err != nil {
 					t.Error(err)
 					return
 				}
-				_, err = f.Write(bytes.Repeat([]byte{byte('a' + g)}, 3*run))
+				_, err = f.Write(bytes.Repeat([]byte{byte('a' + g)}, 3*extentBytes))
 				if err = errors.Join(err, f.Close()); err != nil {
 					t.Error(err)
 				}
 			}()
 		}
-		all.Wait()
-		x, err1 := get(w.Client(0), path)
-		y, err2 := get(w.Client(1), path)
-		if err1 != nil || err2 != nil || len(x) != 3*run || !bytes.Equal(x, y) {
-			t.Fatalf("%d and %d bytes, equal %v, %v, %v", len(x), len(y), bytes.Equal(x, y), err1, err2)
+		running.Wait()
+		first, err1 := get(testbed.Client(0), path)
+		second, err2 := get(testbed.Client(1), path)
+		if err1 != nil || err2 != nil || len(first) != 3*extentBytes || !bytes.Equal(first, second) {
+			t.Fatalf("%d and %d bytes, equal %v, %v, %v", len(first), len(second), bytes.Equal(first, second), err1, err2)
 		}
-		for at := 0; at < len(x); at += run {
-			if n := bytes.Count(x[at:at+run], x[at:at+1]); n != run || x[at] != 'a' && x[at] != 'b' {
-				t.Errorf("extent at %d mixes writers: %d of %d bytes", at, n, run)
+		for offset := 0; offset < len(first); offset += extentBytes {
+			if n := bytes.Count(first[offset:offset+extentBytes], first[offset:offset+1]); n != extentBytes ||
+				first[offset] != 'a' && first[offset] != 'b' {
+				t.Errorf("extent at %d mixes writers: %d of %d bytes", offset, n, extentBytes)
 			}
 		}
-		if err := w.Client(0).Remove(path); err != nil {
+		if err := testbed.Client(0).Remove(path); err != nil {
 			t.Fatal(err)
 		}
 	}
-	for _, g := range w.Gateways { // what was dropped is dropped by duties
+	for _, g := range testbed.Gateways { // what was dropped is dropped by duties
 		if err := g.Frontend.Drain(context.Background()); err != nil {
 			t.Error(err)
 		}
 	}
-	if n := w.Stores[0].Objects() + w.Stores[1].Objects(); n != 0 {
+	if n := testbed.Stores[0].Objects() + testbed.Stores[1].Objects(); n != 0 {
 		t.Errorf("%d objects are left over", n)
 	}
 }
@@ -68,8 +69,8 @@
 // TestOpenHandleNeverReadsMixture: a file that another gateway rewrites while a handle is open is read as it was or as
 // it is, never as a mixture.
 func TestOpenHandleNeverReadsMixture(t *testing.T) {
-	w := testkit.Start(t, testkit.Conf, 2, 2, nil)
-	a, b := w.Client(0), w.Client(1)
+	testbed := testkit.Start(t, testkit.Conf, 2, 2, nil)
+	a, b := testbed.Client(0), testbed.Client(1)
 	if err := put(a, "/meals/f", bytes.Repeat([]byte{'1'}, 1000)); err != nil {
 		t.Fatal(err)
 	}
@@ -80,7 +81,7 @@
 	if err := put(b, "/meals/f", bytes.Repeat([]byte{'2'}, 1000)); err != nil {
 		t.Fatal(err)
 	}
-	if err := w.Gateways[1].Frontend.Drain(context.Background()); err != nil { // after it the old object is deleted
+	if err := testbed.Gateways[1].Frontend.Drain(context.Background()); err != nil { // after it the old object is deleted
 		t.Error(err)
 	}
 	got := make([]byte, 1000)
@@ -92,9 +93,9 @@
 // TestOverlappingRequestsKeepTheirOrder: writes and reads that overlap have the results that they would have one at a
 // time, however many are in flight.
 func TestOverlappingRequestsKeepTheirOrder(t *testing.T) {
-	w := testkit.Start(t, testkit.Conf, 2, 1, func(o *standin.Options) { o.UnitTime = 100 * time.Microsecond })
-	conn := dialRaw(t, w, 0)
-	conn.hello()
+	testbed := testkit.Start(t, testkit.Conf, 2, 1, func(o *standin.Options) { o.UnitTime = 100 * time.Microsecond })
+	conn := dialRaw(t, testbed, 0)
+	conn.handshake()
 	handle := conn.open("/meals/f", sftp.FlagRead|sftp.FlagWrite|sftp.FlagCreate)
 	r := rand.New(rand.NewPCG(1, 2))
 	model := make([]byte, 200_000)
@@ -102,18 +103,18 @@
 	first := conn.id + 1
 	conn.send(sftp.Write, func(p *sftp.Packet) { p.Text(handle).Uint64(0).Tail(model) })
 	for range 150 {
-		from, n := r.IntN(190_000), 1+r.IntN(9000)
+		offset, n := r.IntN(190_000), 1+r.IntN(9000)
 		if r.IntN(2) == 0 {
-			data := random(r.Uint64(), n)
-			copy(model[from:], data)
-			conn.send(sftp.Write, func(p *sftp.Packet) { p.Text(handle).Uint64(uint64(from)).Tail(data) })
+			data := randomBytes(r.Uint64(), n)
+			copy(model[offset:], data)
+			conn.send(sftp.Write, func(p *sftp.Packet) { p.Text(handle).Uint64(uint64(offset)).Tail(data) })
 		} else {
-			conn.send(sftp.Read, func(p *sftp.Packet) { p.Text(handle).Uint64(uint64(from)).Uint32(uint32(n)) })
-			want[conn.id] = bytes.Clone(model[from : from+n])
+			conn.send(sftp.Read, func(p *sftp.Packet) { p.Text(handle).Uint64(uint64(offset)).Uint32(uint32(n)) })
+			want[conn.id] = bytes.Clone(model[offset : offset+n])
 		}
 	}
 	for range conn.id - first + 1 {
-		f := conn.next()
+		f := conn.receive()
 		id, fields := f.ID()
 		if data, read := want[id]; read {
 			if f.Type != sftp.Data || !bytes.Equal(fields.Bytes(), data) {
@@ -128,24 +129,24 @@
 // TestFullQueueSlowsClients: with the smallest event queue, hundreds of requests from many connections wait at their
 // sockets; none is lost.
 func TestFullQueueSlowsClients(t *testing.T) {
-	conf := withBlock("  limits {\n    queue = 16\n  }\n")
-	w := testkit.Start(t, conf, 2, 1, nil)
-	if err := put(w.Client(0), "/meals/f", nil); err != nil {
+	conf := confWithBlock("  limits {\n    queue = 16\n  }\n")
+	testbed := testkit.Start(t, conf, 2, 1, nil)
+	if err := put(testbed.Client(0), "/meals/f", nil); err != nil {
 		t.Fatal(err)
 	}
-	var all sync.WaitGroup
+	var running sync.WaitGroup
 	for range 8 {
-		conn := dialRaw(t, w, 0)
-		all.Add(1)
+		conn := dialRaw(t, testbed, 0)
+		running.Add(1)
 		go func() {
-			defer all.Done()
-			conn.hello()
+			defer running.Done()
+			conn.handshake()
 			for range 400 {
 				conn.send(sftp.Stat, func(p *sftp.Packet) { p.Text("/meals/f") })
 			}
 			answers := map[uint32]int{}
 			for range 400 {
-				f := conn.next()
+				f := conn.receive()
 				id, _ := f.ID()
 				answers[id]++
 			}
@@ -154,8 +155,8 @@
 			}
 		}()
 	}
-	all.Wait()
-	f, _ := w.Gateways[0].Loop.Stats()
+	running.Wait()
+	f, _ := testbed.Gateways[0].Loop.Stats()
 	sum := int64(0)
 	for _, c := range f.Classes {
 		if c.Accepted != c.Succeeded+c.Rejected+c.Failed+c.Cancelled {
@@ -171,12 +172,12 @@
 // TestManyRequestsForRootAreServed: requests for the root of all volumes, which has no request class, wait for each
 // other as any others do.
 func TestManyRequestsForRootAreServed(t *testing.T) {
-	w := testkit.Start(t, testkit.Conf, 1, 1, nil)
+	testbed := testkit.Start(t, testkit.Conf, 1, 1, nil)
 	for range 20 {
-		conn := dialRaw(t, w, 0)
-		conn.hello()
+		conn := dialRaw(t, testbed, 0)
+		conn.handshake()
 		conn.send(sftp.Opendir, func(p *sftp.Packet) { p.Text("/") })
-		_, r := conn.next().ID()
+		_, r := conn.receive().ID()
 		handle := r.Text()
 		for range 50 {
 			conn.send(sftp.Readdir, func(p *sftp.Packet) { p.Text(handle) })
@@ -184,7 +185,7 @@
 		}
 		names := 0
 		for range 100 {
-			if conn.next().Type == sftp.Name {
+			if conn.receive().Type == sftp.Name {
 				names++
 			}
 		}
--- a/internal/serve/disk_test.go
+++ b/internal/serve/disk_test.go
@@ -20,10 +20,10 @@
 	"irispost/internal/testkit"
 )
 
-const iqn = "iqn.2026-01.example:meals"
+const targetName = "iqn.2026-01.example:meals"
 
 // disks is a configuration with two disks, of blocks of 4096 and 512 bytes.
-const disks = `
+const disksConf = `
 disks {
   listen = "127.0.0.1:0"
   login  = "2s"
@@ -55,12 +55,12 @@
 
 // diskTestbed is an installation with these disks.
 func diskTestbed(t testing.TB, shards, gateways int, change func(*standin.Options)) *testkit.Testbed {
-	return testkit.Start(t, testkit.Conf+disks, shards, gateways, change)
+	return testkit.Start(t, testkit.Conf+disksConf, shards, gateways, change)
 }
 
 // diskOptions are options of a session with the disks of a gateway, which change may alter.
 func diskOptions(b *testkit.Testbed, gateway int, change func(*initiator.Options)) initiator.Options {
-	o := initiator.Options{Address: b.Gateways[gateway].ISCSI.Addr(), Name: "iqn.2026-01.example:host", Target: iqn}
+	o := initiator.Options{Address: b.Gateways[gateway].ISCSI.Addr(), Name: "iqn.2026-01.example:host", Target: targetName}
 	if change != nil {
 		change(&o)
 	}
@@ -69,7 +69,7 @@
 
 func openDisk(t testing.TB, o initiator.Options, lun uint16) *initiator.Disk {
 	t.Helper()
-	d, err := initiator.Open(context.Background(), o, lun, initiator.Retry{Timeout: farOff})
+	d, err := initiator.Open(context.Background(), o, lun, initiator.Retry{Timeout: failureTimeout})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -95,7 +95,7 @@
 			t.Fatalf("%+v", d)
 		}
 		for _, n := range []int{4096, 64 << 10, 300 << 10 &^ 4095, 5 << 20} {
-			expectReadsBack(t, d, random(uint64(n+i), n), int64(n/3&^4095))
+			expectReadsBack(t, d, randomBytes(uint64(n+i), n), int64(n/3&^4095))
 		}
 		if err := d.Sync(context.Background()); err != nil {
 			t.Fatal(err)
@@ -129,7 +129,7 @@
 	if small.Block != 512 || small.Count != 2048 {
 		t.Errorf("%+v", small)
 	}
-	if _, err := small.WriteAt(random(1, 1536), 512); err != nil {
+	if _, err := small.WriteAt(randomBytes(1, 1536), 512); err != nil {
 		t.Error(err)
 	}
 	for _, c := range []struct {
@@ -146,7 +146,7 @@
 func TestDiskUnmapReadsAsZeros(t *testing.T) {
 	b := diskTestbed(t, 2, 1, nil)
 	d := openDisk(t, diskOptions(b, 0, nil), 0)
-	data := random(5, 256<<10)
+	data := randomBytes(5, 256<<10)
 	if _, err := d.WriteAt(data, 0); err != nil {
 		t.Fatal(err)
 	}
@@ -158,7 +158,7 @@
 	if _, err := d.ReadAt(got, 0); err != nil || !bytes.Equal(got, data) {
 		t.Errorf("after an unmap: %v", err)
 	}
-	err := d.Compare(t.Context(), make([]byte, 4096), random(6, 4096), 0)
+	err := d.Compare(t.Context(), make([]byte, 4096), randomBytes(6, 4096), 0)
 	if !errors.Is(err, initiator.ErrMiscompare) {
 		t.Errorf("compared: %v", err)
 	}
@@ -253,10 +253,10 @@
 
 // TestDiskLoginIsChecked: discovery names the targets; a target with a secret admits who knows it, and proves itself.
 func TestDiskLoginIsChecked(t *testing.T) {
-	w := diskTestbed(t, 1, 1, nil)
+	testbed := diskTestbed(t, 1, 1, nil)
 	ctx := context.Background()
-	found, err := initiator.Discover(ctx, diskOptions(w, 0, nil))
-	if err != nil || len(found) != 2 || found[0].Name != iqn || found[0].Address != w.Gateways[0].ISCSI.Addr() {
+	found, err := initiator.Discover(ctx, diskOptions(testbed, 0, nil))
+	if err != nil || len(found) != 2 || found[0].Name != targetName || found[0].Address != testbed.Gateways[0].ISCSI.Addr() {
 		t.Errorf("%+v, %v", found, err)
 	}
 	const secretTarget = "iqn.2026-01.example:secret"
@@ -273,9 +273,9 @@
 		"wrong name":     {negotiate.Account{Name: "you", Secret: good.Secret}, secretTarget, "0201"},
 		"another target": {good, "iqn.2026-01.example:nobody", "0203"},
 		"no proof":       {unproven, secretTarget, "does not prove"},
-		"not needed":     {good, iqn, ""},
+		"not needed":     {good, targetName, ""},
 	} {
-		s, err := initiator.Dial(ctx, diskOptions(w, 0, func(o *initiator.Options) {
+		s, err := initiator.Dial(ctx, diskOptions(testbed, 0, func(o *initiator.Options) {
 			o.Account, o.Target = c.account, c.target
 		}))
 		if (err == nil) != (c.want == "") || err != nil && !strings.Contains(err.Error(), c.want) {
@@ -292,8 +292,8 @@
 // TestDiskSurvivesMalformedInput: connections that are silent, send what is no PDU, state false lengths or send what is
 // out of sequence are closed, and others are served.
 func TestDiskSurvivesMalformedInput(t *testing.T) {
-	w := diskTestbed(t, 1, 1, nil)
-	addr := w.Gateways[0].ISCSI.Addr()
+	testbed := diskTestbed(t, 1, 1, nil)
+	addr := testbed.Gateways[0].ISCSI.Addr()
 	send := func(b []byte) net.Conn {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
@@ -306,9 +306,9 @@
 	for range 200 {
 		unresponsive = append(unresponsive, send(nil))
 	}
-	closed := func(what string, c net.Conn) {
+	expectClosed := func(what string, c net.Conn) {
 		t.Helper()
-		if err := c.SetReadDeadline(time.Now().Add(farOff)); err != nil {
+		if err := c.SetReadDeadline(time.Now().Add(failureTimeout)); err != nil {
 			t.Fatal(err)
 		}
 		for b := make([]byte, 4096); ; {
@@ -323,22 +323,22 @@
 	}
 	r := rand.New(rand.NewPCG(1, 1))
 	for range 50 {
-		b := random(r.Uint64(), 200)
-		closed("nonsense", send(b))
+		b := randomBytes(r.Uint64(), 200)
+		expectClosed("nonsense", send(b))
 	}
 	long := iscsi.New(iscsi.LoginRequest, 0x87)
 	long.Header[5] = 0xff
-	closed("a long login", send(long.Header[:]))
+	expectClosed("a long login", send(long.Header[:]))
 	early := iscsi.New(iscsi.Command, 0x80)
-	closed("a command before the login", send(early.Header[:]))
+	expectClosed("a command before the login", send(early.Header[:]))
 	half := iscsi.New(iscsi.LoginRequest, 0x80)
-	closed("half a login", send(half.Header[:20]))
-	d := openDisk(t, diskOptions(w, 0, nil), 0)
-	if _, err := d.WriteAt(random(1, 8192), 0); err != nil {
+	expectClosed("half a login", send(half.Header[:20]))
+	d := openDisk(t, diskOptions(testbed, 0, nil), 0)
+	if _, err := d.WriteAt(randomBytes(1, 8192), 0); err != nil {
 		t.Error(err)
 	}
 	for _, c := range unresponsive {
-		closed("a silent connection", c)
+		expectClosed("a silent connection", c)
 	}
 	if _, err := d.ReadAt(make([]byte, 8192), 0); err != nil {
 		t.Error(err)
@@ -348,13 +348,13 @@
 // TestDiskReadsBackWhileNodesFail: under failing, slow and resetting nodes, with sessions that break, what was
 // confirmed is read back.
 func TestDiskReadsBackWhileNodesFail(t *testing.T) {
-	w := diskTestbed(t, 3, 1, func(o *standin.Options) { o.UnitTime = 50 * time.Microsecond })
-	var all sync.WaitGroup
+	testbed := diskTestbed(t, 3, 1, func(o *standin.Options) { o.UnitTime = 50 * time.Microsecond })
+	var running sync.WaitGroup
 	for k := range 4 {
-		d := openDisk(t, diskOptions(w, 0, func(o *initiator.Options) { o.ISID[5] = byte(k); o.Digests = k%2 == 0 }), 0)
-		all.Add(1)
+		d := openDisk(t, diskOptions(testbed, 0, func(o *initiator.Options) { o.ISID[5] = byte(k); o.Digests = k%2 == 0 }), 0)
+		running.Add(1)
 		go func() {
-			defer all.Done()
+			defer running.Done()
 			r := rand.New(rand.NewPCG(uint64(k), 3))
 			blocks := map[int64][]byte{}
 			for step := range 60 {
@@ -370,7 +370,7 @@
 					}
 					continue
 				}
-				b := random(r.Uint64(), 4096)
+				b := randomBytes(r.Uint64(), 4096)
 				if _, err := d.WriteAt(b, at); err != nil {
 					t.Errorf("disk client %d at %d: %v", k, at, err)
 					return
@@ -380,13 +380,13 @@
 		}()
 	}
 	for i, trouble := range []string{"fail 0.2", "slow 5", "drop 0.01"} {
-		if err := w.Nodes[i].Command(trouble); err != nil {
+		if err := testbed.Nodes[i].Command(trouble); err != nil {
 			t.Fatal(err)
 		}
 	}
 	for range 5 {
 		time.Sleep(50 * time.Millisecond)
-		command(t, w.Nodes[0], "reset")
+		command(t, testbed.Nodes[0], "reset")
 	}
-	all.Wait()
+	running.Wait()
 }
--- a/internal/serve/files_test.go
+++ b/internal/serve/files_test.go
@@ -41,7 +41,7 @@
 	return b.Bytes(), err
 }
 
-func random(seed uint64, n int) []byte {
+func randomBytes(seed uint64, n int) []byte {
 	b := make([]byte, n)
 	r := rand.NewChaCha8([32]byte{byte(seed), byte(seed >> 8)})
 	_, _ = r.Read(b) // never fails
@@ -61,7 +61,7 @@
 func TestFileCommands(t *testing.T) {
 	testbed := testkit.Start(t, testkit.Conf, 3, 2, nil)
 	a, b := testbed.Client(0), testbed.Client(1)
-	data := random(1, 300_001)
+	data := randomBytes(1, 300_001)
 	must(t, "mkdir", a.Mkdir("/meals/week"))
 	must(t, "put", put(a, "/meals/week/menu", data))
 	got, err := get(b, "/meals/week/menu")
@@ -133,14 +133,14 @@
 // TestSparseTruncateAndAppend: holes read as zeros, a file that was cut and grows again has zeros, and appends go to
 // the end.
 func TestSparseTruncateAndAppend(t *testing.T) {
-	w := testkit.Start(t, testkit.Conf, 3, 1, nil)
-	c := w.Client(0)
+	testbed := testkit.Start(t, testkit.Conf, 3, 1, nil)
+	c := testbed.Client(0)
 	f, err := c.OpenFile("/meals/sparse", os.O_RDWR|os.O_CREATE)
 	if err != nil {
 		t.Fatal(err)
 	}
 	model := make([]byte, 200_000)
-	tail := random(2, 1000)
+	tail := randomBytes(2, 1000)
 	copy(model[199_000:], tail)
 	if _, err := f.WriteAt(tail, 199_000); err != nil {
 		t.Fatal(err)
--- a/internal/serve/fleet.go
+++ b/internal/serve/fleet.go
@@ -64,10 +64,10 @@
 }
 
 // listenToPeers starts the agent that other gateways connect to.
-func (g *Gateway) listenToPeers(opt *gateway.Options, incarnation string) (*agent.Agent, error) {
+func (g *Gateway) listenToPeers(opt *gateway.Options, holderID string) (*agent.Agent, error) {
 	return agent.Listen(agent.Options{
 		Gateway:       g.Config.Name,
-		Holder:        incarnation,
+		Holder:        holderID,
 		ListenAddr:    g.Config.Follow.PeerAddress,
 		AddrOverrides: g.Config.Follow.PeerRoutes,
 		Settings:      agent.SettingsFrom(g.Config.Settings, maxClockDrift),
--- a/internal/serve/fleet_test.go
+++ b/internal/serve/fleet_test.go
@@ -45,7 +45,7 @@
 	if b.addr != "" {
 		opt.Listen = b.addr
 	}
-	until(func() bool { // the address may be taken for a moment
+	waitFor(func() bool { // the address may be taken for a moment
 		var err error
 		b.replica, err = replica.Start(opt)
 		return err == nil
@@ -56,7 +56,7 @@
 // propose makes the content a version after its parent.
 func (b *fleetTestbed) propose(parent uint64) {
 	b.t.Helper()
-	client := &replica.Client{Replicas: []string{b.addr}, Timeout: farOff}
+	client := &replica.Client{Replicas: []string{b.addr}, Timeout: failureTimeout}
 	proposal := &lease.Proposal{
 		ID:             fmt.Sprint(parent),
 		Parent:         parent,
@@ -114,7 +114,7 @@
 }
 
 // logged reports whether the gateway has logged a text.
-func (b *fleetTestbed) logged(text string) bool {
+func (b *fleetTestbed) hasLogged(text string) bool {
 	b.t.Helper()
 	log, err := os.ReadFile(b.logFile)
 	if err != nil {
@@ -126,7 +126,7 @@
 // awaitVersion waits until the version that the gateway reports begins with a text.
 func (b *fleetTestbed) awaitVersion(prefix string) {
 	b.t.Helper()
-	until(func() bool {
+	waitFor(func() bool {
 		status, err := b.gateway.Status()
 		if err != nil {
 			b.t.Fatal(err)
@@ -145,7 +145,7 @@
 		t.Fatal(err)
 	}
 	b.awaitVersion("acting on 1.")
-	if b.logged("local configuration conflicts with a version") {
+	if b.hasLogged("local configuration conflicts with a version") {
 		t.Error("the same settings are said to contradict")
 	}
 	level := b.content.ServiceLevels["basic"]
@@ -153,7 +153,7 @@
 	b.content.ServiceLevels["basic"] = level
 	b.propose(1)
 	b.awaitVersion("acting on 2.")
-	until(func() bool { return b.logged("version=2.") && b.logged("limit none over 7") })
+	waitFor(func() bool { return b.hasLogged("version=2.") && b.hasLogged("limit none over 7") })
 	b.replica.Close()
 	b.awaitVersion("ended on none")
 	if err := client.Mkdir("/meals/month"); err == nil {
@@ -161,7 +161,7 @@
 	}
 	b.startReplica()
 	b.awaitVersion("acting on 2.")
-	until(func() bool { // its last content is on disk
+	waitFor(func() bool { // its last content is on disk
 		list, err := filepath.Glob(filepath.Join(b.cacheDir, "*"))
 		return err == nil && len(list) == 1 && filepath.Base(list[0]) == b.content.Digest()+".rules"
 	})
--- a/internal/serve/frontends_bench_test.go
+++ b/internal/serve/frontends_bench_test.go
@@ -30,15 +30,15 @@
 	for _, size := range []int{4 << 10, 64 << 10} {
 		for _, depth := range []int{1, 16, 128} {
 			for _, write := range []bool{false, true} {
-				benchmarkFronts(b, size, depth, write)
+				benchmarkFrontEnds(b, size, depth, write)
 			}
 		}
 	}
 }
 
-func benchmarkFronts(b *testing.B, size, depth int, write bool) {
-	testbed := testkit.Start(b, testkit.Conf+disks, 1, 1, nil)
-	d, err := initiator.Open(context.Background(), diskOptions(testbed, 0, nil), 0, initiator.Retry{Timeout: farOff})
+func benchmarkFrontEnds(b *testing.B, size, depth int, write bool) {
+	testbed := testkit.Start(b, testkit.Conf+disksConf, 1, 1, nil)
+	d, err := initiator.Open(context.Background(), diskOptions(testbed, 0, nil), 0, initiator.Retry{Timeout: failureTimeout})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -66,7 +66,7 @@
 // benchmarkBlocks does b.N operations, depth of them at a time.
 func benchmarkBlocks(b *testing.B, do blockFunc, size, depth int) {
 	b.ReportAllocs()
-	before := cpu()
+	before := cpuTime()
 	b.ResetTimer()
 	var running sync.WaitGroup
 	for i := range depth {
@@ -81,11 +81,11 @@
 		})
 	}
 	running.Wait()
-	b.ReportMetric(float64((cpu()-before).Microseconds())/float64(b.N), "cpu-us/op")
+	b.ReportMetric(float64((cpuTime()-before).Microseconds())/float64(b.N), "cpu-us/op")
 }
 
 // cpu is the processor time that this process has had.
-func cpu() time.Duration {
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u) // cannot fail for the process itself
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
@@ -118,13 +118,13 @@
 `
 
 // load has readers read the blocks of a file or a disk until it is stopped.
-type load struct {
+type readLoad struct {
 	stop    chan struct{}
 	running sync.WaitGroup
 }
 
 // add starts so many readers, which count the reads that fail.
-func (l *load) add(readers int, failed *atomic.Int64, read blockFunc) {
+func (l *readLoad) add(readers int, failed *atomic.Int64, read blockFunc) {
 	for i := range readers {
 		l.running.Go(func() {
 			block := make([]byte, 16<<10)
@@ -149,14 +149,14 @@
 		request string
 		number  int
 	}
-	units, got := map[int64]float64{}, map[attempt]audit.Event{}
+	units, received := map[int64]float64{}, map[attempt]audit.Event{}
 	for _, e := range events {
 		a := attempt{e.RequestID, e.Attempt}
 		switch {
 		case e.Type == audit.AttemptReceived:
-			got[a] = e
+			received[a] = e
 		case e.Type == audit.AttemptAnswered && !e.NotExecuted && e.At > from && e.At < to:
-			units[got[a].Volume] += got[a].Units
+			units[received[a].Volume] += received[a].Units
 		}
 	}
 	return units
@@ -186,7 +186,7 @@
 	if err := put(testbed.Client(0), "/meals/f", make([]byte, 1<<20)); err != nil {
 		t.Fatal(err)
 	}
-	l := &load{stop: make(chan struct{})}
+	l := &readLoad{stop: make(chan struct{})}
 	var failedFiles, failedBlocks atomic.Int64
 	for range 4 {
 		f, err := testbed.Client(0).Open("/meals/f")
--- a/internal/serve/gateway.go
+++ b/internal/serve/gateway.go
@@ -62,7 +62,7 @@
 	g := newGateway(conf, logger)
 	var tap gateway.Tap
 	if conf.CaptureDir != "" && conf.CaptureAtStart {
-		if err := g.capture.begin(g, ""); err != nil {
+		if err := g.capture.start(g, ""); err != nil {
 			return nil, err
 		}
 		tap = g.capture.recorder
@@ -86,13 +86,13 @@
 }
 
 func newGateway(conf *config.Config, logger *slog.Logger) *Gateway {
-	bounds := sftp.DefaultLimits
-	bounds.MaxPacket = max(2*conf.Limits.Wire.MaxPacket, minNodePacketBytes)
+	limits := sftp.DefaultLimits
+	limits.MaxPacket = max(2*conf.Limits.Wire.MaxPacket, minNodePacketBytes)
 	return &Gateway{
 		Config:    conf,
 		logger:    logger,
 		startedAt: time.Now(),
-		nodes:     node.NewClient(conf.ConnectTimeout, conf.ConnectionsPerNode, bounds, logger),
+		nodes:     node.NewClient(conf.ConnectTimeout, conf.ConnectionsPerNode, limits, logger),
 	}
 }
 
--- a/internal/serve/golden_test.go
+++ b/internal/serve/golden_test.go
@@ -23,7 +23,7 @@
 func TestGoldenAdmin(t *testing.T) {
 	dir := t.TempDir()
 	socket := filepath.Join(dir, "admin.sock")
-	conf := withBlock("  admin = \"" + socket + "\"\n")
+	conf := confWithBlock("  admin = \"" + socket + "\"\n")
 	testkit.Start(t, conf, 1, 1, nil)
 	dial := func(ctx context.Context, _, _ string) (net.Conn, error) {
 		return (&net.Dialer{}).DialContext(ctx, "unix", socket)
--- a/internal/serve/helpers_test.go
+++ b/internal/serve/helpers_test.go
@@ -11,17 +11,17 @@
 )
 
 // farOff is a limit that only a test that fails reaches.
-const farOff = 30 * time.Second
+const failureTimeout = 30 * time.Second
 
 // until waits for a condition; the limit is that of the whole test run.
-func until(condition func() bool) {
+func waitFor(condition func() bool) {
 	for !condition() {
 		time.Sleep(time.Millisecond)
 	}
 }
 
 // withBlock is the testbed's configuration with a further block of the gateway.
-func withBlock(block string) string {
+func confWithBlock(block string) string {
 	return strings.Replace(testkit.Conf, "gateways = 2\n", "gateways = 2\n"+block, 1)
 }
 
--- a/internal/serve/iscsi_test.go
+++ b/internal/serve/iscsi_test.go
@@ -19,16 +19,16 @@
 
 // wireDisk is an initiator of which the test writes each PDU.
 type wireDisk struct {
-	t    *testing.T
-	conn net.Conn
-	in   *bufio.Reader
-	d    iscsi.Digests
-	next uint32 // command number
+	t       *testing.T
+	conn    net.Conn
+	reader  *bufio.Reader
+	digests iscsi.Digests
+	cmdSN   uint32 // command number
 }
 
 func (w *wireDisk) ReadBinary(n int) ([]byte, error) {
 	b := make([]byte, n)
-	_, err := io.ReadFull(w.in, b)
+	_, err := io.ReadFull(w.reader, b)
 	return b, err
 }
 
@@ -42,36 +42,36 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = conn.Close() })
-	if err := conn.SetDeadline(time.Now().Add(farOff)); err != nil {
+	if err := conn.SetDeadline(time.Now().Add(failureTimeout)); err != nil {
 		t.Fatal(err)
 	}
-	w := &wireDisk{t: t, conn: conn, in: bufio.NewReader(conn), next: 100}
-	list := []iscsi.Pair{{Key: "InitiatorName", Value: "iqn.2026-01.example:wire"}, {Key: "TargetName", Value: iqn}}
+	w := &wireDisk{t: t, conn: conn, reader: bufio.NewReader(conn), cmdSN: 100}
+	list := []iscsi.Pair{{Key: "InitiatorName", Value: "iqn.2026-01.example:wire"}, {Key: "TargetName", Value: targetName}}
 	for i := 0; i < len(keys); i += 2 {
 		list = append(list, iscsi.Pair{Key: keys[i], Value: keys[i+1]})
 	}
-	p := iscsi.New(iscsi.LoginRequest, 0x87).SetUint32(16, 1).SetUint32(24, w.next).SetData(iscsi.EncodeText(list))
+	p := iscsi.New(iscsi.LoginRequest, 0x87).SetUint32(16, 1).SetUint32(24, w.cmdSN).SetData(iscsi.EncodeText(list))
 	p.Header[0] |= 0x40
 	p.Header[13] = isid
 	w.send(p)
-	if a := w.take(); a.Opcode() != iscsi.LoginResponse || a.Header[36] != 0 || a.Header[1] != 0x87 {
+	if a := w.receive(); a.Opcode() != iscsi.LoginResponse || a.Header[36] != 0 || a.Header[1] != 0x87 {
 		t.Fatalf("login: %x", a.Header)
 	}
 	for i := 0; i < len(keys); i += 2 {
-		w.d.Header = w.d.Header || keys[i] == "HeaderDigest"
-		w.d.Data = w.d.Data || keys[i] == "DataDigest"
+		w.digests.Header = w.digests.Header || keys[i] == "HeaderDigest"
+		w.digests.Data = w.digests.Data || keys[i] == "DataDigest"
 	}
 	return w
 }
 
 func (w *wireDisk) send(p *iscsi.PDU) {
-	head, tail := p.Encode(w.d).Bytes()
+	head, tail := p.Encode(w.digests).Bytes()
 	write(w.t, w.conn, append(append([]byte{}, head...), tail...))
 }
 
-func (w *wireDisk) take() *iscsi.PDU {
+func (w *wireDisk) receive() *iscsi.PDU {
 	w.t.Helper()
-	p, err := iscsi.Read(w, w.d, 1<<20)
+	p, err := iscsi.Read(w, w.digests, 1<<20)
 	if err != nil {
 		w.t.Fatal(err)
 	}
@@ -79,9 +79,9 @@
 }
 
 // wants takes a PDU of a kind.
-func (w *wireDisk) wants(op iscsi.Opcode, tag uint32) *iscsi.PDU {
+func (w *wireDisk) expectPDU(op iscsi.Opcode, tag uint32) *iscsi.PDU {
 	w.t.Helper()
-	p := w.take()
+	p := w.receive()
 	if p.Opcode() != op || p.Tag() != tag {
 		w.t.Fatalf("a PDU of kind %#x for %d, want %#x for %d: %x %x",
 			byte(p.Opcode()), p.Tag(), byte(op), tag, p.Header, p.Data)
@@ -90,29 +90,30 @@
 }
 
 // write begins a write of blocks of 4096 bytes.
-func (w *wireDisk) write(tag, block uint32, blocks int, immediate []byte) *iscsi.PDU {
+func (w *wireDisk) writeCommand(tag, block uint32, blocks int, immediate []byte) *iscsi.PDU {
 	p := iscsi.New(iscsi.Command, iscsi.Final|iscsi.Writes|1).
-		SetUint32(16, tag).SetUint32(20, uint32(blocks*4096)).SetUint32(24, w.next).SetData(immediate)
+		SetUint32(16, tag).SetUint32(20, uint32(blocks*4096)).SetUint32(24, w.cmdSN).SetData(immediate)
 	p.SetByte(32, 0x2a).SetUint32(34, block).SetUint16(39, uint16(blocks))
-	w.next++
+	w.cmdSN++
 	return p
 }
 
-func (w *wireDisk) read(tag, block uint32, blocks int) *iscsi.PDU {
-	p := iscsi.New(iscsi.Command, iscsi.Final|iscsi.Reads|1).SetUint32(16, tag).SetUint32(20, uint32(blocks*4096)).SetUint32(24, w.next)
+func (w *wireDisk) readCommand(tag, block uint32, blocks int) *iscsi.PDU {
+	p := iscsi.New(iscsi.Command, iscsi.Final|iscsi.Reads|1).
+		SetUint32(16, tag).SetUint32(20, uint32(blocks*4096)).SetUint32(24, w.cmdSN)
 	p.SetByte(32, 0x28).SetUint32(34, block).SetUint16(39, uint16(blocks))
-	w.next++
+	w.cmdSN++
 	return p
 }
 
 // works checks that the session still serves. works reads a block. Nodes that hung are believed to do so until they
 // have answered again, and a read that is dismissed meanwhile is told BUSY, proof that nothing ran: it is sent again,
 // as an initiator would.
-func (w *wireDisk) works(tag uint32) {
+func (w *wireDisk) expectServed(tag uint32) {
 	w.t.Helper()
 	for {
-		w.send(w.read(tag, 0, 1))
-		p := w.last(tag)
+		w.send(w.readCommand(tag, 0, 1))
+		p := w.receiveStatus(tag)
 		if p.Opcode() == iscsi.Response && scsi.Status(p.Header[3]) == scsi.Busy {
 			time.Sleep(time.Millisecond)
 			continue
@@ -124,7 +125,7 @@
 	}
 }
 
-func (w *wireDisk) sense(p *iscsi.PDU, want *scsi.Sense) {
+func (w *wireDisk) expectSense(p *iscsi.PDU, want *scsi.Sense) {
 	w.t.Helper()
 	if len(p.Data) < 3 {
 		w.t.Fatalf("no sense: %x", p.Header)
@@ -140,26 +141,26 @@
 	testbed := diskTestbed(t, 1, 1, nil)
 	openDisk(t, diskOptions(testbed, 0, nil), 0) // so that the unit is ready
 	w := login(t, testbed, 1)
-	first, second := w.read(1, 0, 1), w.read(2, 0, 1)
+	first, second := w.readCommand(1, 0, 1), w.readCommand(2, 0, 1)
 	w.send(second)
 	w.send(first)
 	for _, tag := range []uint32{1, 2} { // in any order
 		_ = tag
-		if p := w.take(); p.Opcode() != iscsi.DataIn || p.Header[3] != 0 {
+		if p := w.receive(); p.Opcode() != iscsi.DataIn || p.Header[3] != 0 {
 			t.Errorf("%x", p.Header)
 		}
 	}
-	repeated := w.read(3, 0, 1)
+	repeated := w.readCommand(3, 0, 1)
 	repeated.SetUint32(24, 100)
 	w.send(repeated)
-	outsideWindow := w.read(4, 0, 1)
+	outsideWindow := w.readCommand(4, 0, 1)
 	outsideWindow.SetUint32(24, 100_000)
 	w.send(outsideWindow)
-	w.next -= 2
-	w.works(5) // the first answer that comes is this one's
-	tags := w.read(6, 0, 1)
-	w.send(tags)
-	w.wants(iscsi.DataIn, 6)
+	w.cmdSN -= 2
+	w.expectServed(5) // the first answer that comes is this one's
+	last := w.readCommand(6, 0, 1)
+	w.send(last)
+	w.expectPDU(iscsi.DataIn, 6)
 }
 
 // TestDataOutOfSequenceIsRejected: data that was not solicited so, or whose digest does not fit, ends its command with
@@ -169,13 +170,14 @@
 	openDisk(t, diskOptions(testbed, 0, nil), 0)
 	w := login(t, testbed, 1, "DataDigest", "CRC32C", "HeaderDigest", "CRC32C", "ImmediateData", "No")
 	out := func(tag, transfer, sn, at uint32, n int, final bool) *iscsi.PDU {
-		p := iscsi.New(iscsi.DataOut, 0).SetUint32(16, tag).SetUint32(20, transfer).SetUint32(36, sn).SetUint32(40, at).SetData(make([]byte, n))
+		p := iscsi.New(iscsi.DataOut, 0).
+			SetUint32(16, tag).SetUint32(20, transfer).SetUint32(36, sn).SetUint32(40, at).SetData(make([]byte, n))
 		if final {
 			p.SetByte(1, iscsi.Final)
 		}
 		return p
 	}
-	for i, spoil := range map[uint32]func(transfer uint32) *iscsi.PDU{
+	for i, invalidData := range map[uint32]func(transfer uint32) *iscsi.PDU{
 		11: func(x uint32) *iscsi.PDU { return out(11, x, 0, 0, 12288, true) },      // past its R2T
 		12: func(x uint32) *iscsi.PDU { return out(12, x, 0, 4096, 4096, true) },    // not from its beginning
 		13: func(x uint32) *iscsi.PDU { return out(13, x, 3, 0, 8192, true) },       // another number
@@ -184,33 +186,33 @@
 		16: func(x uint32) *iscsi.PDU { return out(16, x, 0, 0, 8192, false) },      // not final at its end
 		17: func(uint32) *iscsi.PDU { return out(17, 1<<30, 0, 1<<31, 8192, true) }, // anywhere
 	} {
-		w.send(w.write(i, 8, 2, nil))
-		r := w.wants(iscsi.ReadyToTransfer, i)
+		w.send(w.writeCommand(i, 8, 2, nil))
+		r := w.expectPDU(iscsi.ReadyToTransfer, i)
 		if r.Uint32(40) != 0 || r.Uint32(44) != 8192 {
 			t.Fatalf("%x", r.Header)
 		}
-		w.send(spoil(r.Uint32(20)))
-		w.wants(iscsi.Reject, iscsi.NoTag)
-		w.sense(w.wants(iscsi.Response, i), scsi.NotEnoughUnsolicitedData)
+		w.send(invalidData(r.Uint32(20)))
+		w.expectPDU(iscsi.Reject, iscsi.NoTag)
+		w.expectSense(w.expectPDU(iscsi.Response, i), scsi.NotEnoughUnsolicitedData)
 	}
-	w.send(w.write(20, 8, 2, nil))
-	r := w.wants(iscsi.ReadyToTransfer, 20)
+	w.send(w.writeCommand(20, 8, 2, nil))
+	r := w.expectPDU(iscsi.ReadyToTransfer, 20)
 	bad := out(20, r.Uint32(20), 0, 0, 8192, true)
-	head, tail := bad.Encode(w.d).Bytes()
+	head, tail := bad.Encode(w.digests).Bytes()
 	tail[100] ^= 1
 	write(w.t, w.conn, append(append([]byte{}, head...), tail...))
-	w.wants(iscsi.Reject, iscsi.NoTag)
-	w.sense(w.wants(iscsi.Response, 20), scsi.CRCError)
+	w.expectPDU(iscsi.Reject, iscsi.NoTag)
+	w.expectSense(w.expectPDU(iscsi.Response, 20), scsi.CRCError)
 	w.send(out(20, r.Uint32(20), 0, 0, 8192, true)) // for a command that is over: let be
-	w.works(21)
+	w.expectServed(21)
 	snack := iscsi.New(iscsi.SNACK, iscsi.Final).SetUint32(16, 22)
 	w.send(snack)
-	w.wants(iscsi.Reject, iscsi.NoTag)
-	w.works(23)
-	head, _ = w.read(24, 0, 1).Encode(w.d).Bytes()
+	w.expectPDU(iscsi.Reject, iscsi.NoTag)
+	w.expectServed(23)
+	head, _ = w.readCommand(24, 0, 1).Encode(w.digests).Bytes()
 	head[20] ^= 1 // a header's digest that does not fit: nothing that follows can be believed
 	write(w.t, w.conn, head)
-	if _, err := iscsi.Read(w, w.d, 1<<20); err == nil {
+	if _, err := iscsi.Read(w, w.digests, 1<<20); err == nil {
 		t.Error("the connection goes on")
 	}
 }
@@ -225,24 +227,25 @@
 	}
 	w := login(t, testbed, 1)
 	command(t, testbed.Nodes[0], "hang")
-	w.send(w.write(7, 1, 1, random(1, 4096)))
+	w.send(w.writeCommand(7, 1, 1, randomBytes(1, 4096)))
 	abort := func(function byte, tag, of uint32) {
-		p := iscsi.New(iscsi.TaskManagementRequest, iscsi.Final|function).SetUint32(16, tag).SetUint32(20, of).SetUint32(24, w.next)
+		p := iscsi.New(iscsi.TaskManagementRequest, iscsi.Final|function).
+			SetUint32(16, tag).SetUint32(20, of).SetUint32(24, w.cmdSN)
 		p.Header[0] |= 0x40
 		w.send(p)
 	}
 	abort(1, 8, 7)
 	abort(1, 9, 1234)
-	if p := w.wants(iscsi.TaskManagementResponse, 9); p.Header[2] != 1 {
+	if p := w.expectPDU(iscsi.TaskManagementResponse, 9); p.Header[2] != 1 {
 		t.Errorf("a task that is not there: %x", p.Header)
 	}
 	command(t, testbed.Nodes[0], "well")
-	if p := w.wants(iscsi.TaskManagementResponse, 8); p.Header[2] != 0 {
+	if p := w.expectPDU(iscsi.TaskManagementResponse, 8); p.Header[2] != 0 {
 		t.Errorf("%x", p.Header)
 	}
-	w.works(10)
+	w.expectServed(10)
 	abort(6, 11, iscsi.NoTag)
-	if p := w.wants(iscsi.TaskManagementResponse, 11); p.Header[2] != 5 {
+	if p := w.expectPDU(iscsi.TaskManagementResponse, 11); p.Header[2] != 5 {
 		t.Errorf("a target reset: %x", p.Header)
 	}
 	// Another session's reset.
@@ -253,9 +256,9 @@
 	}
 	defer func() { _ = s.Close() }()
 	command(t, testbed.Nodes[0], "hang")
-	w.send(w.write(12, 1, 1, random(1, 4096)))
-	w.send(w.write(13, 1, 2, nil)) // its data is asked for, and does not come
-	w.wants(iscsi.ReadyToTransfer, 13)
+	w.send(w.writeCommand(12, 1, 1, randomBytes(1, 4096)))
+	w.send(w.writeCommand(13, 1, 2, nil)) // its data is asked for, and does not come
+	w.expectPDU(iscsi.ReadyToTransfer, 13)
 	done := make(chan byte, 1)
 	go func() {
 		code, err := s.Reset(0)
@@ -264,17 +267,17 @@
 		}
 		done <- code
 	}()
-	if p := w.wants(iscsi.Response, 13); p.Header[3] != byte(scsi.Aborted) {
+	if p := w.expectPDU(iscsi.Response, 13); p.Header[3] != byte(scsi.Aborted) {
 		t.Errorf("%x", p.Header)
 	}
 	command(t, testbed.Nodes[0], "well")
-	if p := w.wants(iscsi.Response, 12); p.Header[3] != byte(scsi.Aborted) {
+	if p := w.expectPDU(iscsi.Response, 12); p.Header[3] != byte(scsi.Aborted) {
 		t.Errorf("%x", p.Header)
 	}
 	if code := <-done; code != 0 {
 		t.Errorf("a reset: %d", code)
 	}
-	w.works(14)
+	w.expectServed(14)
 }
 
 // TestSessionReinstatementEndsOldSession: a session is reinstated while its requests are in flight: the old connection
@@ -290,24 +293,24 @@
 		command(t, n, "hang")
 	}
 	for i := range uint32(20) {
-		old.send(old.write(100+i, 16*i, 1, random(1, 4096)))
+		old.send(old.writeCommand(100+i, 16*i, 1, randomBytes(1, 4096)))
 	}
-	old.send(old.write(150, 0, 2, nil))
-	old.wants(iscsi.ReadyToTransfer, 150)
+	old.send(old.writeCommand(150, 0, 2, nil))
+	old.expectPDU(iscsi.ReadyToTransfer, 150)
 	next := login(t, testbed, 5)
-	if _, err := iscsi.Read(old, old.d, 1<<20); err == nil {
+	if _, err := iscsi.Read(old, old.digests, 1<<20); err == nil {
 		t.Error("the old connection goes on")
 	}
 	for _, n := range testbed.Nodes {
 		command(t, n, "well")
 	}
-	next.works(100) // the same tag, and its own answer
+	next.expectServed(100) // the same tag, and its own answer
 	if s := testbed.Gateways[0].ISCSI.Status(); s.Sessions != 2 {
 		t.Errorf("%+v", s)
 	}
 	_ = next.conn.Close()
 	_ = d.Close()
-	ctx, cancel := context.WithTimeout(context.Background(), farOff)
+	ctx, cancel := context.WithTimeout(context.Background(), failureTimeout)
 	defer cancel()
 	if err := testbed.Gateways[0].Frontend.Drain(ctx); err != nil { // nothing is counted as under way for ever
 		t.Error(err)
@@ -322,7 +325,7 @@
 func TestNodeFailureWithinWriteIsReported(t *testing.T) {
 	testbed := diskTestbed(t, 3, 1, nil)
 	d := openDisk(t, diskOptions(testbed, 0, nil), 0)
-	data := random(1, 1<<20)
+	data := randomBytes(1, 1<<20)
 	if _, err := d.WriteAt(data, 0); err != nil {
 		t.Fatal(err)
 	}
@@ -333,12 +336,12 @@
 	defer func() { _ = s.Close() }()
 	command(t, testbed.Nodes[1], "fail 1")
 	cdb := []byte{0x2a, 0, 0, 0, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0, 0} // 256 blocks
-	r, err := s.Do(context.Background(), 0, cdb, random(2, 1<<20), 0)
+	r, err := s.Do(context.Background(), 0, cdb, randomBytes(2, 1<<20), 0)
 	if err != nil || r.Status == scsi.Good {
 		t.Errorf("%+v, %v", r, err)
 	}
 	command(t, testbed.Nodes[1], "well")
-	next := random(3, 1<<20)
+	next := randomBytes(3, 1<<20)
 	if _, err := d.WriteAt(next, 0); err != nil {
 		t.Fatal(err)
 	}
@@ -352,22 +355,22 @@
 func TestDiskDrainRequestsLogout(t *testing.T) {
 	testbed := diskTestbed(t, 1, 1, nil)
 	d := openDisk(t, diskOptions(testbed, 0, nil), 0)
-	if _, err := d.WriteAt(random(1, 8192), 0); err != nil {
+	if _, err := d.WriteAt(randomBytes(1, 8192), 0); err != nil {
 		t.Fatal(err)
 	}
 	w := login(t, testbed, 3)
 	testbed.Gateways[0].ISCSI.Drain()
-	if p := w.wants(iscsi.AsyncMessage, iscsi.NoTag); p.Header[36] != 1 {
+	if p := w.expectPDU(iscsi.AsyncMessage, iscsi.NoTag); p.Header[36] != 1 {
 		t.Errorf("%x", p.Header)
 	}
-	out := iscsi.New(iscsi.LogoutRequest, iscsi.Final).SetUint32(16, 5).SetUint32(24, w.next)
+	out := iscsi.New(iscsi.LogoutRequest, iscsi.Final).SetUint32(16, 5).SetUint32(24, w.cmdSN)
 	out.Header[0] |= 0x40
 	w.send(out)
-	w.wants(iscsi.LogoutResponse, 5)
-	if _, err := iscsi.Read(w, w.d, 1<<20); !errors.Is(err, io.EOF) {
+	w.expectPDU(iscsi.LogoutResponse, 5)
+	if _, err := iscsi.Read(w, w.digests, 1<<20); !errors.Is(err, io.EOF) {
 		t.Error(err)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), farOff)
+	ctx, cancel := context.WithTimeout(context.Background(), failureTimeout)
 	defer cancel()
 	if err := testbed.Gateways[0].Shutdown(ctx); err != nil {
 		t.Error(err)
@@ -378,7 +381,7 @@
 // TestUnreadResponsesFillQueue: an initiator that sends reads and takes no responses gets TASK SET FULL past what it
 // may leave unread; each command has its one response all the same.
 func TestUnreadResponsesFillQueue(t *testing.T) {
-	conf := testkit.Conf + strings.Replace(disks, "login  =", "unread = \"64KiB\"\n  login  =", 1)
+	conf := testkit.Conf + strings.Replace(disksConf, "login  =", "unread = \"64KiB\"\n  login  =", 1)
 	testbed := testkit.Start(t, conf, 1, 1, nil)
 	d := openDisk(t, diskOptions(testbed, 0, nil), 0)
 	if _, err := d.WriteAt(make([]byte, 1<<20), 0); err != nil {
@@ -387,9 +390,9 @@
 	w := login(t, testbed, 1, "MaxRecvDataSegmentLength", "1048576")
 	const reads = 60
 	for i := range uint32(reads) {
-		w.send(w.read(i, 0, 256))
+		w.send(w.readCommand(i, 0, 256))
 		if i == 0 { // the window opens with the first answer
-			w.last(0)
+			w.receiveStatus(0)
 		}
 	}
 	for s := testbed.Gateways[0].ISCSI.Status(); s.Running+s.Waiting > 0; s = testbed.Gateways[0].ISCSI.Status() {
@@ -397,7 +400,7 @@
 	}
 	full, good := 0, 0
 	for range reads - 1 {
-		switch p := w.last(iscsi.NoTag); scsi.Status(p.Header[3]) {
+		switch p := w.receiveStatus(iscsi.NoTag); scsi.Status(p.Header[3]) {
 		case scsi.Good:
 			good++
 		case scsi.TaskSetFull:
@@ -409,13 +412,13 @@
 	if full == 0 || good == 0 {
 		t.Errorf("%d full, %d good", full, good)
 	}
-	w.works(1000)
+	w.expectServed(1000)
 }
 
 // last takes PDUs until one has a command's status.
-func (w *wireDisk) last(tag uint32) *iscsi.PDU {
+func (w *wireDisk) receiveStatus(tag uint32) *iscsi.PDU {
 	for {
-		p := w.take()
+		p := w.receive()
 		if p.Opcode() == iscsi.Response || p.Opcode() == iscsi.DataIn && p.Flags()&iscsi.HasStatus != 0 {
 			if tag != iscsi.NoTag && p.Tag() != tag {
 				w.t.Fatalf("an answer to %d", p.Tag())
--- a/internal/serve/leak_test.go
+++ b/internal/serve/leak_test.go
@@ -18,7 +18,7 @@
 )
 
 // startLeakGateway starts a gateway behind HTTP that takes its endpoints from a list.
-func startLeakGateway(t *testing.T, list *lists) (*serve.WebGateway, *platform.Config) {
+func startLeakGateway(t *testing.T, list *discoveryServer) (*serve.WebGateway, *platform.Config) {
 	t.Helper()
 	text := fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:0","discovery":%q,"seed":"1",
 		"limits":{"cores":1,"memory_mb":64,"sockets":256},
@@ -54,8 +54,8 @@
 func TestWebGatewayLeavesNoGoroutine(t *testing.T) {
 	store := webstandin.Start(t)
 	targets := []discovery.Target{{UID: "s", Endpoint: store.Addr().String(), State: "ready"}}
-	list := startLists(t, discovery.Response{Revision: 1, Full: true, Targets: targets})
-	other := startLists(t, discovery.Response{Revision: 1, Full: true})
+	list := startDiscoveryServer(t, discovery.Response{Revision: 1, Full: true, Targets: targets})
+	other := startDiscoveryServer(t, discovery.Response{Revision: 1, Full: true})
 	before := goleak.IgnoreCurrent()
 	g, conf := startLeakGateway(t, list)
 	list.awaitCalls(2)
--- a/internal/serve/linear_test.go
+++ b/internal/serve/linear_test.go
@@ -20,31 +20,31 @@
 )
 
 // operation is a read, write or compare of one block, whose value is its first eight bytes.
-type operation struct {
+type blockOperation struct {
 	kind       byte // r, w, c
 	block      int
 	value, old uint64
 }
 
 // result is what came of it.
-type result struct {
-	value   uint64 // read
-	unknown bool   // it may have been done, now or later, or not at all
-	other   bool   // compared, and different
+type blockResult struct {
+	value      uint64 // read
+	unknown    bool   // it may have been done, now or later, or not at all
+	miscompare bool   // compared, and different
 }
 
 // register is a block: reads see the last write. What is not known to be done may have happened at any time from its
 // beginning on, or never.
-var register = porcupine.NondeterministicModel{
+var registerModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{uint64(0)} },
 	Step: func(state, in, out any) []any {
-		now, o, r := state.(uint64), in.(operation), out.(result)
+		now, o, r := state.(uint64), in.(blockOperation), out.(blockResult)
 		switch {
 		case o.kind == 'r' && (r.unknown || r.value == now):
 			return []any{now}
 		case o.kind == 'r':
 			return nil
-		case o.kind == 'c' && r.other:
+		case o.kind == 'c' && r.miscompare:
 			if now == o.old {
 				return nil
 			}
@@ -76,7 +76,7 @@
 		seeds = n
 	}
 	for seed := range seeds {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { checkBlocks(t, uint64(seed)) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { checkLinearizability(t, uint64(seed)) })
 	}
 }
 
@@ -96,7 +96,7 @@
 }
 
 // record does an operation and records it. What may still happen after it never returns, as far as the model goes.
-func (h *blockHistory) record(client int, op operation, do func() result) result {
+func (h *blockHistory) record(client int, op blockOperation, do func() blockResult) blockResult {
 	call := time.Since(h.start)
 	out := do()
 	end := time.Since(h.start)
@@ -118,7 +118,7 @@
 // known returns how many operations have a known outcome.
 func (h *blockHistory) known() (count int) {
 	for _, o := range h.operations {
-		if !o.Output.(result).unknown {
+		if !o.Output.(blockResult).unknown {
 			count++
 		}
 	}
@@ -126,7 +126,7 @@
 }
 
 // disturbNode changes how a node behaves until stop is closed.
-func disturbNode(t *testing.T, n *standin.Node, r *rand.Rand, stop <-chan struct{}) {
+func injectFaults(t *testing.T, n *standin.Node, r *rand.Rand, stop <-chan struct{}) {
 	faults := []string{"fail 0.3", "slow 5", "reset", "well", "stall 20ms", "drop 0.02"}
 	for {
 		select {
@@ -144,13 +144,13 @@
 	last := map[int]uint64{} // read last, by block
 	for step := range blockSteps {
 		value := uint64(client*blockSteps+step) + 1
-		o := operation{kind: "rwc"[r.IntN(3)], block: r.IntN(blockCount), value: value}
+		o := blockOperation{kind: "rwc"[r.IntN(3)], block: r.IntN(blockCount), value: value}
 		o.old = last[o.block]
 		offset := int64(o.block) * 40 << 10 &^ 4095 // three blocks in two extents
 		if r.IntN(8) == 0 {
 			go d.Break()
 		}
-		out := history.record(client, o, func() result { return perform(d, &o, offset) })
+		out := history.record(client, o, func() blockResult { return perform(d, &o, offset) })
 		if !out.unknown && o.kind == 'r' {
 			last[o.block] = out.value
 		}
@@ -161,24 +161,24 @@
 func byBlock(operations []porcupine.Operation) [][]porcupine.Operation {
 	parts := make([][]porcupine.Operation, blockCount)
 	for _, o := range operations {
-		block := o.Input.(operation).block
+		block := o.Input.(blockOperation).block
 		parts[block] = append(parts[block], o)
 	}
 	return parts
 }
 
-func checkBlocks(t *testing.T, seed uint64) {
+func checkLinearizability(t *testing.T, seed uint64) {
 	b := diskTestbed(t, 2, 1, func(o *standin.Options) { o.UnitTime, o.Seed = 20*time.Microsecond, seed })
 	history := &blockHistory{start: time.Now()}
-	var clients, disturbers sync.WaitGroup
+	var clients, faultInjectors sync.WaitGroup
 	stop := make(chan struct{})
 	for i, n := range b.Nodes {
 		r := rand.New(rand.NewPCG(seed, uint64(i)))
-		disturbers.Go(func() { disturbNode(t, n, r, stop) })
+		faultInjectors.Go(func() { injectFaults(t, n, r, stop) })
 	}
 	for client := range blockClients {
 		opt := diskOptions(b, 0, func(o *initiator.Options) { o.ISID[5] = byte(client) })
-		d, err := initiator.Open(context.Background(), opt, 0, initiator.Retry{Timeout: farOff, NoRepeatedWrites: true})
+		d, err := initiator.Open(context.Background(), opt, 0, initiator.Retry{Timeout: failureTimeout, NoRepeatedWrites: true})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -188,11 +188,11 @@
 	}
 	clients.Wait()
 	close(stop)
-	disturbers.Wait()
+	faultInjectors.Wait()
 	if known := history.known(); known < blockClients*blockSteps/4 {
 		t.Errorf("only %d of %d operations have a known outcome", known, len(history.operations))
 	}
-	model := register.ToModel()
+	model := registerModel.ToModel()
 	model.Partition = byBlock
 	if r := porcupine.CheckOperationsTimeout(model, history.operations, 20*time.Second); r != porcupine.Ok {
 		t.Errorf("the blocks are not linearizable (%v): %+v", r, history.operations)
@@ -200,7 +200,7 @@
 }
 
 // perform does an operation once: what is not known to be done is not repeated under the same name.
-func perform(disk *initiator.Disk, op *operation, at int64) (out result) {
+func perform(disk *initiator.Disk, op *blockOperation, offset int64) (out blockResult) {
 	block := func(v uint64) []byte {
 		b := bytes.Repeat([]byte{byte(v)}, 4096)
 		binary.BigEndian.PutUint64(b, v)
@@ -209,23 +209,23 @@
 		}
 		return b
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), farOff)
+	ctx, cancel := context.WithTimeout(context.Background(), failureTimeout)
 	defer cancel()
 	switch op.kind {
 	case 'r':
 		b := make([]byte, 4096)
-		_, err := disk.Read(ctx, b, at)
+		_, err := disk.Read(ctx, b, offset)
 		out.unknown, out.value = err != nil, binary.BigEndian.Uint64(b)
 		if err == nil && !bytes.Equal(b, block(out.value)) {
 			out.value = 1 << 63 // torn: no state has it
 		}
 	case 'w':
-		_, err := disk.Write(ctx, block(op.value), at)
+		_, err := disk.Write(ctx, block(op.value), offset)
 		out.unknown = err != nil
 	case 'c':
-		err := disk.Compare(ctx, block(op.old), block(op.value), at)
-		out.other = errors.Is(err, initiator.ErrMiscompare)
-		out.unknown = err != nil && !out.other
+		err := disk.Compare(ctx, block(op.old), block(op.value), offset)
+		out.miscompare = errors.Is(err, initiator.ErrMiscompare)
+		out.unknown = err != nil && !out.miscompare
 	}
 	return out
 }
--- a/internal/serve/malformed_test.go
+++ b/internal/serve/malformed_test.go
@@ -13,18 +13,18 @@
 // TestMalformedInputIsRejectedOrEndsConnection: malformed input gets a clear answer or ends its connection, and other
 // connections go on.
 func TestMalformedInputIsRejectedOrEndsConnection(t *testing.T) {
-	w := testkit.Start(t, testkit.Conf, 1, 1, nil)
-	other := w.Client(0)
+	testbed := testkit.Start(t, testkit.Conf, 1, 1, nil)
+	other := testbed.Client(0)
 	status := func(name string, code sftp.Code, kind sftp.Type, fields func(*sftp.Packet)) {
 		t.Helper()
-		conn := dialRaw(t, w, 0)
-		conn.hello()
+		conn := dialRaw(t, testbed, 0)
+		conn.handshake()
 		conn.send(kind, fields)
-		if got, text := conn.status(); got != code || text == "" {
+		if got, text := conn.receiveStatus(); got != code || text == "" {
 			t.Errorf("%s: %v %q, not %v", name, got, text, code)
 		}
 		conn.send(sftp.Stat, func(p *sftp.Packet) { p.Text("/") })
-		if f := conn.next(); f.Type != sftp.Attributes {
+		if f := conn.receive(); f.Type != sftp.Attributes {
 			t.Errorf("%s: the connection does not go on", name)
 		}
 	}
@@ -46,30 +46,30 @@
 		"no INIT first":  {0, 0, 0, 5, 17, 0, 0, 0, 1},
 		"an old version": {0, 0, 0, 5, 1, 0, 0, 0, 2},
 	} {
-		conn := dialRaw(t, w, 0)
+		conn := dialRaw(t, testbed, 0)
 		if !strings.Contains(name, "INIT") && !strings.Contains(name, "version") {
-			conn.hello()
+			conn.handshake()
 		}
-		_, _ = conn.raw.Write(bytes) // the gateway may have closed the connection already
-		if n, err := conn.raw.Read(make([]byte, 1)); err == nil {
+		_, _ = conn.conn.Write(bytes) // the gateway may have closed the connection already
+		if n, err := conn.conn.Read(make([]byte, 1)); err == nil {
 			t.Errorf("%s: the connection goes on with %d bytes", name, n)
 		}
 	}
 	r := rand.New(rand.NewPCG(3, 3))
 	for range 30 { // noise
-		conn := dialRaw(t, w, 0)
-		conn.hello()
+		conn := dialRaw(t, testbed, 0)
+		conn.handshake()
 		for range 20 {
 			b := make([]byte, 4+r.IntN(60))
 			for i := range b {
 				b[i] = byte(r.Uint32())
 			}
 			binary.BigEndian.PutUint32(b, uint32(len(b)-4))
-			_, _ = conn.raw.Write(b) // as above
+			_, _ = conn.conn.Write(b) // as above
 		}
-		_ = conn.raw.Close()
+		_ = conn.conn.Close()
 	}
-	if err := put(other, "/meals/fine", random(1, 1000)); err != nil {
+	if err := put(other, "/meals/fine", randomBytes(1, 1000)); err != nil {
 		t.Errorf("another connection: %v", err)
 	}
 }
--- a/internal/serve/members_test.go
+++ b/internal/serve/members_test.go
@@ -25,8 +25,8 @@
 )
 
 // feedFromServer has gateways take their list from a management server.
-func feedFromServer(w *testkit.Testbed, s *xdsstandin.Server, delta bool) {
-	w.EndpointSources = func(name string) []manager.NamedSource {
+func useXDSServer(testbed *testkit.Testbed, s *xdsstandin.Server, delta bool) {
+	testbed.EndpointSources = func(name string) []manager.NamedSource {
 		return []manager.NamedSource{{Name: "plane", Source: xds.NewClient(xds.Options{
 			Address:     s.Addr(),
 			Incremental: delta,
@@ -40,41 +40,41 @@
 
 // managed is an installation whose gateways have their list from a management server, with clients that work until the
 // end.
-type managed struct {
+type managedTestbed struct {
 	*testkit.Testbed
 	t           *testing.T
 	server      *xdsstandin.Server
-	record      *audit.Recorder
+	recorder    *audit.Recorder
 	servedCount atomic.Int64
 	failedCount atomic.Int64 // with an error that is not the gateway's own answer
 	grace       time.Duration
 }
 
 // startManaged starts one gateway with clients; delta chooses the incremental form of xDS.
-func startManaged(t *testing.T, delta bool, shards int, unit time.Duration) *managed {
+func startManagedTestbed(t *testing.T, delta bool, shards int, unitTime time.Duration) *managedTestbed {
 	t.Helper()
 	clock := gateway.NewClock()
-	m := &managed{t: t, record: &audit.Recorder{Clock: clock.Now}, grace: 2 * time.Second}
+	m := &managedTestbed{t: t, recorder: &audit.Recorder{Clock: clock.Now}, grace: 2 * time.Second}
 	m.Testbed = testkit.Start(t, testkit.Conf, shards, 0, func(o *standin.Options) {
-		o.Recorder = m.record
-		o.UnitTime = unit
+		o.Recorder = m.recorder
+		o.UnitTime = unitTime
 	})
 	s, err := xdsstandin.Start("127.0.0.1:0", 2, m.List().Nodes...)
 	if err != nil {
 		t.Fatal(err)
 	}
 	m.server = s
-	feedFromServer(m.Testbed, s, delta)
+	useXDSServer(m.Testbed, s, delta)
 	m.Gateway("g0")
 	stop := make(chan struct{})
-	var all sync.WaitGroup
+	var running sync.WaitGroup
 	for i := range 8 {
 		client := m.Client(0)
-		all.Go(func() { m.runClient(client, i, stop) })
+		running.Go(func() { m.runClient(client, i, stop) })
 	}
 	t.Cleanup(func() {
 		close(stop)
-		all.Wait()
+		running.Wait()
 		s.Close()
 		if m.failedCount.Load() > 0 {
 			t.Errorf("%d requests had no answer of the gateway's own", m.failedCount.Load())
@@ -85,7 +85,7 @@
 }
 
 // runClient writes and reads files until stop is closed.
-func (m *managed) runClient(client *pkgsftp.Client, number int, stop <-chan struct{}) {
+func (m *managedTestbed) runClient(client *pkgsftp.Client, number int, stop <-chan struct{}) {
 	for n := uint64(0); ; n++ {
 		select {
 		case <-stop:
@@ -93,7 +93,7 @@
 		default:
 		}
 		path := fmt.Sprintf("/meals/f%d.%d", number, n%7)
-		err := put(client, path, random(n, 60_000))
+		err := put(client, path, randomBytes(n, 60_000))
 		if err == nil {
 			_, err = get(client, path)
 		}
@@ -107,10 +107,10 @@
 }
 
 // awaitServed waits until so many more requests are served.
-func (m *managed) awaitServed(n int64) {
+func (m *managedTestbed) awaitServed(n int64) {
 	m.t.Helper()
 	target := m.servedCount.Load() + n
-	for end := time.Now().Add(farOff); m.servedCount.Load() < target; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(failureTimeout); m.servedCount.Load() < target; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			m.t.Fatalf("%d served, want %d", m.servedCount.Load(), target)
 		}
@@ -118,7 +118,7 @@
 }
 
 // awaitAccepted makes a change and returns the time at which the gateway has accepted the update of endpoints.
-func (m *managed) awaitAccepted(change func()) int64 {
+func (m *managedTestbed) awaitAccepted(change func()) int64 {
 	m.t.Helper()
 	count := func(list []xdsstandin.Ack) (n int) {
 		for _, a := range list {
@@ -130,22 +130,22 @@
 	}
 	before := count(m.server.Acks())
 	change()
-	if err := m.server.WaitForAcks(farOff, func(list []xdsstandin.Ack) bool { return count(list) > before }); err != nil {
+	if err := m.server.WaitForAcks(failureTimeout, func(list []xdsstandin.Ack) bool { return count(list) > before }); err != nil {
 		m.t.Fatal(err)
 	}
-	return m.record.Clock()
+	return m.recorder.Clock()
 }
 
 // expectNoNewRequests fails the test if a node gets a request later than the grace after a time, or got hardly any before.
-func (m *managed) expectNoNewRequests(node *standin.Node, since int64) {
+func (m *managedTestbed) expectNoNewRequests(node *standin.Node, since int64) {
 	m.t.Helper()
 	end := since + int64(m.grace)
-	for m.record.Clock() < end {
+	for m.recorder.Clock() < end {
 		m.awaitServed(1)
 	}
 	m.awaitServed(30)
 	last, before := since, 0
-	for _, e := range m.record.Events() {
+	for _, e := range m.recorder.Events() {
 		if e.Type != audit.AttemptReceived || e.Node != node.Addr() {
 			continue
 		}
@@ -163,7 +163,7 @@
 }
 
 // successor starts a cold node for a shard and lists it.
-func (m *managed) successor(shard int) *standin.Node {
+func (m *managedTestbed) startSuccessor(shard int) *standin.Node {
 	n, err := standin.Start(standin.Options{
 		Addr:        "127.0.0.1:0",
 		Shard:       shard,
@@ -172,7 +172,7 @@
 		Cores:       2,
 		Queue:       256,
 		DedupWindow: time.Minute,
-		Recorder:    m.record,
+		Recorder:    m.recorder,
 	})
 	if err != nil {
 		m.t.Fatal(err)
@@ -181,7 +181,7 @@
 	return n
 }
 
-func (m *managed) command(text string) {
+func (m *managedTestbed) command(text string) {
 	m.t.Helper()
 	if err := m.server.Command(text); err != nil {
 		m.t.Fatal(err)
@@ -193,16 +193,16 @@
 // both forms of the protocol.
 func TestNodeRemovedByXDSGetsNoNewRequests(t *testing.T) {
 	for _, delta := range []bool{false, true} {
-		for _, how := range []string{"drain", "remove", "unwell"} {
-			t.Run(fmt.Sprintf("%s,delta=%v", how, delta), func(t *testing.T) {
+		for _, change := range []string{"drain", "remove", "unwell"} {
+			t.Run(fmt.Sprintf("%s,delta=%v", change, delta), func(t *testing.T) {
 				t.Parallel()
-				m := startManaged(t, delta, 3, 2*time.Millisecond)
+				m := startManagedTestbed(t, delta, 3, 2*time.Millisecond)
 				old := m.Nodes[0]
-				next := m.successor(0)
+				next := m.startSuccessor(0)
 				since := m.awaitAccepted(func() { m.command("add " + next.Addr() + " 0") })
-				m.awaitAccepted(func() { m.command(how + " " + old.Addr()) })
+				m.awaitAccepted(func() { m.command(change + " " + old.Addr()) })
 				m.expectNoNewRequests(old, since) // the successor's later start is enough
-				if how == "drain" {               // undone: the successor still serves, as it started later
+				if change == "drain" {            // undone: the successor still serves, as it started later
 					m.awaitAccepted(func() { m.command("ready " + old.Addr()) })
 					m.awaitServed(30)
 					m.expectNoNewRequests(old, since)
@@ -215,7 +215,7 @@
 // TestNodeRemovedWithoutSuccessorServesAgain: the requests of a removed node without a successor are answered all the
 // same, and it serves again once it is back.
 func TestNodeRemovedWithoutSuccessorServesAgain(t *testing.T) {
-	m := startManaged(t, true, 3, time.Millisecond)
+	m := startManagedTestbed(t, true, 3, time.Millisecond)
 	since := m.awaitAccepted(func() { m.command("remove " + m.Nodes[2].Addr()) })
 	time.Sleep(100 * time.Millisecond) // its shard's requests wait meanwhile
 	m.server.UpdateNodes(func(list []endpoint.Node) []endpoint.Node {
@@ -225,7 +225,7 @@
 		return list
 	})
 	m.awaitServed(50)
-	for _, e := range m.record.Events() {
+	for _, e := range m.recorder.Events() {
 		if e.Type == audit.AttemptReceived && e.Node == m.Nodes[2].Addr() && e.At > since+int64(100*time.Millisecond) {
 			return
 		}
@@ -234,7 +234,7 @@
 }
 
 // report returns the endpoints as the gateway has them.
-func (m *managed) report() admin.EndpointReport {
+func (m *managedTestbed) report() admin.EndpointReport {
 	m.t.Helper()
 	report, err := m.Gateways[0].Members()
 	if err != nil {
@@ -244,9 +244,9 @@
 }
 
 // awaitReport waits until the report meets a condition.
-func (m *managed) awaitReport(what string, condition func(admin.EndpointReport) bool) {
+func (m *managedTestbed) awaitReport(what string, condition func(admin.EndpointReport) bool) {
 	m.t.Helper()
-	for end := time.Now().Add(farOff); !condition(m.report()); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(failureTimeout); !condition(m.report()); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			m.t.Fatalf("%s does not come about: %+v", what, m.report())
 		}
@@ -266,7 +266,7 @@
 // TestInvalidUpdatesKeepLastGoodList: invalid updates are rejected with a reason, the last good list stays in force,
 // and requests go on.
 func TestInvalidUpdatesKeepLastGoodList(t *testing.T) {
-	m := startManaged(t, false, 3, 0)
+	m := startManagedTestbed(t, false, 3, 0)
 	version := m.report().Sources[0].Version
 	for i, kind := range []string{"endpoints", "clusters"} {
 		m.command("broken " + kind)
@@ -292,7 +292,7 @@
 // TestListWithoutHealthyEndpointsIsHeld: a list of nothing, and one in which all are unhealthy, is held and reported
 // until the source takes it back or an operator confirms it.
 func TestListWithoutHealthyEndpointsIsHeld(t *testing.T) {
-	m := startManaged(t, false, 3, 0)
+	m := startManagedTestbed(t, false, 3, 0)
 	isHeld := func(r admin.EndpointReport) bool {
 		return r.HeldLoss != nil && r.HeldLoss.LeavesNone && r.HeldLoss.Nodes == 3
 	}
@@ -324,18 +324,18 @@
 // list that it cached before, and with the server's list once there is one.
 func TestStartWithCachedListWhileServerIsDown(t *testing.T) {
 	dir := t.TempDir() // before the testbed, so that it is removed after the gateways that write there are stopped
-	w := testkit.Start(t, testkit.Conf, 2, 0, nil)
-	s, err := xdsstandin.Start("127.0.0.1:0", 1, w.List().Nodes...)
+	testbed := testkit.Start(t, testkit.Conf, 2, 0, nil)
+	s, err := xdsstandin.Start("127.0.0.1:0", 1, testbed.List().Nodes...)
 	if err != nil {
 		t.Fatal(err)
 	}
-	feedFromServer(w, s, true)
-	w.Conf += "members {\n  folder = \"" + dir + "\"\n  first = \"20s\"\n}\n"
-	g := w.Gateway("g0")
-	if err := put(w.Client(0), "/meals/f", random(1, 100_000)); err != nil {
+	useXDSServer(testbed, s, true)
+	testbed.Conf += "members {\n  folder = \"" + dir + "\"\n  first = \"20s\"\n}\n"
+	g := testbed.Gateway("g0")
+	if err := put(testbed.Client(0), "/meals/f", randomBytes(1, 100_000)); err != nil {
 		t.Fatal(err)
 	}
-	for end := time.Now().Add(farOff); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(failureTimeout); ; time.Sleep(time.Millisecond) {
 		if files, _ := filepath.Glob(filepath.Join(dir, "g0.plane.nodes.hcl")); len(files) == 1 {
 			break
 		}
@@ -344,11 +344,11 @@
 		}
 	}
 	g.Kill()
-	w.Gateways = nil
+	testbed.Gateways = nil
 	s.Close()
-	w.Conf = strings.Replace(w.Conf, "20s", "10ms", 1)
-	g = w.Gateway("g0")
-	testkit.RetryUntilDone(t, "get", func() error { _, err := get(w.Client(0), "/meals/f"); return err })
+	testbed.Conf = strings.Replace(testbed.Conf, "20s", "10ms", 1)
+	g = testbed.Gateway("g0")
+	testkit.RetryUntilDone(t, "get", func() error { _, err := get(testbed.Client(0), "/meals/f"); return err })
 	v, err := g.Members()
 	if err != nil {
 		t.Fatal(err)
@@ -362,10 +362,10 @@
 	}
 	defer s.Close()
 	isCurrent := func() bool { return v.Sources[0].State == "current" && v.Sources[0].Version == "c:1 e:1" }
-	for end := time.Now().Add(farOff); !isCurrent(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(failureTimeout); !isCurrent(); time.Sleep(time.Millisecond) {
 		if v, _ = g.Members(); time.Now().After(end) {
 			t.Fatalf("%+v", v)
 		}
 	}
-	testkit.RetryUntilDone(t, "get", func() error { _, err := get(w.Client(0), "/meals/f"); return err })
+	testkit.RetryUntilDone(t, "get", func() error { _, err := get(testbed.Client(0), "/meals/f"); return err })
 }
--- a/internal/serve/nodefaults_test.go
+++ b/internal/serve/nodefaults_test.go
@@ -19,22 +19,22 @@
 // TestFileReadsBackThroughOtherGatewayWhileNodesFail: a file that is written through one gateway is read back equal
 // through another, while nodes fail, are slow, lose answers and break connections.
 func TestFileReadsBackThroughOtherGatewayWhileNodesFail(t *testing.T) {
-	w := testkit.Start(t, testkit.Conf, 3, 2, func(o *standin.Options) { o.UnitTime = 50 * time.Microsecond })
-	a, b := w.Client(0), w.Client(1)
+	testbed := testkit.Start(t, testkit.Conf, 3, 2, func(o *standin.Options) { o.UnitTime = 50 * time.Microsecond })
+	a, b := testbed.Client(0), testbed.Client(1)
 	for i, trouble := range []string{"fail 0.3", "slow 10", "stall 50ms"} {
-		if err := w.Nodes[i].Command(trouble); err != nil {
+		if err := testbed.Nodes[i].Command(trouble); err != nil {
 			t.Fatal(err)
 		}
 	}
-	var all sync.WaitGroup
+	var running sync.WaitGroup
 	for i := range 6 {
-		all.Add(1)
+		running.Add(1)
 		go func() {
-			defer all.Done()
-			path, data := fmt.Sprintf("/meals/f%d", i), random(uint64(i), 50_000*(i+1))
+			defer running.Done()
+			path, data := fmt.Sprintf("/meals/f%d", i), randomBytes(uint64(i), 50_000*(i+1))
 			testkit.RetryUntilDone(t, "put", func() error { return put(a, path, data) })
 			if i == 3 {
-				command(t, w.Nodes[1], "reset")
+				command(t, testbed.Nodes[1], "reset")
 			}
 			testkit.RetryUntilDone(t, "get", func() error {
 				got, err := get(b, path)
@@ -45,41 +45,41 @@
 			})
 		}()
 	}
-	all.Wait()
+	running.Wait()
 }
 
 // TestRenamesLoseNothing: files are renamed by many clients at once, through two gateways, amid failures: none vanishes
 // and none is there twice. A rename that was cut off half way is completed by whoever meets it.
 func TestRenamesLoseNothing(t *testing.T) {
-	w := testkit.Start(t, testkit.Conf, 3, 2, func(o *standin.Options) { o.UnitTime = 20 * time.Microsecond })
-	clients := []func(string, string) error{w.Client(0).Rename, w.Client(1).Rename, w.Client(0).Rename}
+	testbed := testkit.Start(t, testkit.Conf, 3, 2, func(o *standin.Options) { o.UnitTime = 20 * time.Microsecond })
+	clients := []func(string, string) error{testbed.Client(0).Rename, testbed.Client(1).Rename, testbed.Client(0).Rename}
 	const files, names = 4, 7
 	for i := range files {
-		if err := put(w.Client(0), fmt.Sprintf("/meals/n%d", i), random(uint64(i), 100+i)); err != nil {
+		if err := put(testbed.Client(0), fmt.Sprintf("/meals/n%d", i), randomBytes(uint64(i), 100+i)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	for _, n := range w.Nodes {
+	for _, n := range testbed.Nodes {
 		command(t, n, "fail 0.1")
 	}
-	var all sync.WaitGroup
+	var running sync.WaitGroup
 	for c, rename := range clients {
-		all.Add(1)
+		running.Add(1)
 		go func() {
-			defer all.Done()
+			defer running.Done()
 			r := rand.New(rand.NewPCG(uint64(c), 9))
 			for range 60 {
 				_ = rename(fmt.Sprintf("/meals/n%d", r.IntN(names)), fmt.Sprintf("/meals/n%d", r.IntN(names)))
 			}
 		}()
 	}
-	all.Wait()
-	for _, n := range w.Nodes {
+	running.Wait()
+	for _, n := range testbed.Nodes {
 		command(t, n, "well")
 	}
 	found := map[string]int{}
 	for i := range names {
-		got, err := get(w.Client(1), fmt.Sprintf("/meals/n%d", i))
+		got, err := get(testbed.Client(1), fmt.Sprintf("/meals/n%d", i))
 		if err == nil {
 			found[string(got)]++
 		} else if !errors.Is(err, os.ErrNotExist) {
@@ -87,7 +87,7 @@
 		}
 	}
 	for i := range files {
-		if n := found[string(random(uint64(i), 100+i))]; n != 1 {
+		if n := found[string(randomBytes(uint64(i), 100+i))]; n != 1 {
 			t.Errorf("file %d is there %d times", i, n)
 		}
 	}
@@ -100,22 +100,22 @@
 // requests at other nodes are not delayed, and a node that the list says is draining gets no new requests.
 func TestHungNodeDoesNotDelayOthers(t *testing.T) {
 	conf := strings.ReplaceAll(strings.ReplaceAll(testkit.Conf, `"5s"`, `"1500ms"`), `"3s"`, `"1s"`)
-	w := testkit.Start(t, conf, 2, 1, nil)
-	c := w.Client(0)
+	testbed := testkit.Start(t, conf, 2, 1, nil)
+	c := testbed.Client(0)
 	var files [2]string // one whose record is at each shard
 	for i := 0; files[0] == "" || files[1] == ""; i++ {
 		path := fmt.Sprintf("/meals/f%d", i)
-		before := w.Nodes[0].AttemptsReceived()
+		before := testbed.Nodes[0].AttemptsReceived()
 		if err := put(c, path, nil); err != nil {
 			t.Fatal(err)
 		}
-		if w.Nodes[0].AttemptsReceived() > before {
+		if testbed.Nodes[0].AttemptsReceived() > before {
 			files[0] = path
 		} else {
 			files[1] = path
 		}
 	}
-	command(t, w.Nodes[0], "hang")
+	command(t, testbed.Nodes[0], "hang")
 	if _, err := c.Stat(files[0]); err == nil || !strings.Contains(err.Error(), "dismissed") {
 		t.Errorf("a read at a node that hangs: %v", err)
 	}
@@ -125,18 +125,18 @@
 	if _, err := c.ReadDir("/meals"); err == nil {
 		t.Error("a listing without a shard is given as whole")
 	}
-	l := w.List()
+	l := testbed.List()
 	l.Nodes[0].Health = endpoint.Draining
-	w.UpdateEndpoints(l)
-	command(t, w.Nodes[0], "well")
+	testbed.UpdateEndpoints(l)
+	command(t, testbed.Nodes[0], "well")
 	_, _ = c.Stat(files[1]) // the list was told before this
-	before := w.Nodes[0].AttemptsReceived()
+	before := testbed.Nodes[0].AttemptsReceived()
 	if _, err := c.Stat(files[0]); err == nil {
 		t.Error("a node that drains serves")
 	}
-	if n := w.Nodes[0].AttemptsReceived() - before; n != 0 {
+	if n := testbed.Nodes[0].AttemptsReceived() - before; n != 0 {
 		t.Errorf("a node that drains gets %d executions", n)
 	}
-	w.UpdateEndpoints(w.List())
+	testbed.UpdateEndpoints(testbed.List())
 	testkit.RetryUntilDone(t, "stat", func() error { _, err := c.Stat(files[0]); return err })
 }
--- a/internal/serve/rawsftp_test.go
+++ b/internal/serve/rawsftp_test.go
@@ -11,15 +11,15 @@
 )
 
 // raw is a connection that sends what a test says.
-type raw struct {
-	t   *testing.T
-	raw net.Conn
-	id  uint32
+type rawConn struct {
+	t    *testing.T
+	conn net.Conn
+	id   uint32
 }
 
-func dialRaw(t *testing.T, w *testkit.Testbed, gateway int) *raw {
+func dialRaw(t *testing.T, testbed *testkit.Testbed, gateway int) *rawConn {
 	t.Helper()
-	c, err := net.Dial("tcp", w.Gateways[gateway].Frontend.Addr())
+	c, err := net.Dial("tcp", testbed.Gateways[gateway].Frontend.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -27,42 +27,42 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = c.Close() })
-	return &raw{t: t, raw: c}
+	return &rawConn{t: t, conn: c}
 }
 
-func (c *raw) hello() {
+func (c *rawConn) handshake() {
 	c.t.Helper()
-	write(c.t, c.raw, []byte{0, 0, 0, 5, 1, 0, 0, 0, 3})
-	if f := c.next(); f.Type != sftp.Version {
+	write(c.t, c.conn, []byte{0, 0, 0, 5, 1, 0, 0, 0, 3})
+	if f := c.receive(); f.Type != sftp.Version {
 		c.t.Fatalf("type %d in place of VERSION", f.Type)
 	}
 }
 
-func (c *raw) send(kind sftp.Type, fields func(*sftp.Packet)) {
+func (c *rawConn) send(kind sftp.Type, fields func(*sftp.Packet)) {
 	c.id++
 	p := sftp.New(kind, c.id)
 	fields(p)
-	if err := p.WriteOut(c.raw); err != nil {
+	if err := p.WriteOut(c.conn); err != nil {
 		c.t.Fatal(err)
 	}
 }
 
-func (c *raw) next() sftp.Frame {
+func (c *rawConn) receive() sftp.Frame {
 	c.t.Helper()
 	head := make([]byte, 5)
-	if _, err := io.ReadFull(c.raw, head); err != nil {
+	if _, err := io.ReadFull(c.conn, head); err != nil {
 		c.t.Fatal(err)
 	}
 	body := make([]byte, int(head[2])<<8+int(head[3])+int(head[1])<<16-1)
-	if _, err := io.ReadFull(c.raw, body); err != nil {
+	if _, err := io.ReadFull(c.conn, body); err != nil {
 		c.t.Fatal(err)
 	}
 	return sftp.Frame{Type: sftp.Type(head[4]), Body: body}
 }
 
-func (c *raw) status() (sftp.Code, string) {
+func (c *rawConn) receiveStatus() (sftp.Code, string) {
 	c.t.Helper()
-	f := c.next()
+	f := c.receive()
 	if f.Type != sftp.Status {
 		c.t.Fatalf("type %d in place of STATUS", f.Type)
 	}
@@ -70,10 +70,10 @@
 	return sftp.Code(r.Uint32()), r.Text()
 }
 
-func (c *raw) open(path string, flags uint32) string {
+func (c *rawConn) open(path string, flags uint32) string {
 	c.t.Helper()
 	c.send(sftp.Open, func(p *sftp.Packet) { p.Text(path).Uint32(flags).Attrs(sftp.Attrs{}) })
-	f := c.next()
+	f := c.receive()
 	_, r := f.ID()
 	if f.Type != sftp.Handle {
 		c.t.Fatalf("open of %s: %d %q", path, r.Uint32(), r.Text())
--- a/internal/serve/report.go
+++ b/internal/serve/report.go
@@ -13,7 +13,7 @@
 
 // Status reports the gateway's requests, endpoints, configuration version and capture to the admin socket.
 func (g *Gateway) Status() (admin.Status, error) {
-	figures, running := g.Loop.Stats()
+	stats, running := g.Loop.Stats()
 	if !running {
 		return admin.Status{}, errStopping
 	}
@@ -21,13 +21,13 @@
 		Gateway:          g.Config.Name,
 		Address:          g.Frontend.Addr(),
 		Since:            g.startedAt,
-		Requests:         figures.InFlight,
-		AttemptsInFlight: figures.Attempts,
-		LateAnswers:      figures.LateReplies,
+		Requests:         stats.InFlight,
+		AttemptsInFlight: stats.Attempts,
+		LateAnswers:      stats.LateReplies,
 		RequestClasses:   map[string]admin.RequestCounts{},
 		Nodes:            map[string]int{},
 	}
-	for name, counts := range figures.Classes {
+	for name, counts := range stats.Classes {
 		status.RequestClasses[name] = admin.RequestCounts(*counts)
 	}
 	if g.fleetClient != nil {
@@ -50,7 +50,7 @@
 
 // Members reports the endpoints and their sources to the admin socket.
 func (g *Gateway) Members() (admin.EndpointReport, error) {
-	figures, running := g.Loop.Stats()
+	stats, running := g.Loop.Stats()
 	report := admin.EndpointReport{Gateway: g.Config.Name, Sources: []admin.Source{}, Nodes: []admin.Endpoint{}}
 	running = running && g.endpoints.View(func(_, scheduledAt int64, tracker *membership.Tracker) {
 		report.ScheduledAt = wallTime(scheduledAt)
@@ -61,7 +61,7 @@
 			report.Sources = append(report.Sources, sourceReport(source))
 		}
 		for _, member := range tracker.Members() {
-			report.Nodes = append(report.Nodes, endpointReport(member, figures.AttemptsByNode[member.Addr]))
+			report.Nodes = append(report.Nodes, endpointReport(member, stats.AttemptsByNode[member.Addr]))
 		}
 	})
 	if !running {
--- a/internal/serve/shutdown.go
+++ b/internal/serve/shutdown.go
@@ -10,7 +10,7 @@
 var ErrRequestsInFlight = errors.New("requests were still in flight at the deadline")
 
 // lastAnswersTimeout is how long the answers of requests that fail at the deadline may take to go out.
-const lastAnswersTimeout = time.Second
+const finalResponseTimeout = time.Second
 
 // Shutdown ends the gateway gracefully: it admits no new requests, waits for those in flight until the context ends,
 // fails the rest and stops everything. The error is ErrRequestsInFlight if any failed so.
@@ -22,8 +22,8 @@
 	if err := g.Frontend.Drain(ctx); err != nil {
 		result = ErrRequestsInFlight
 		g.Loop.Stop() // answers each request that is left
-		lastAnswers, cancel := context.WithTimeout(context.Background(), lastAnswersTimeout)
-		_ = g.Frontend.Drain(lastAnswers) // those that did not go out are reported by result already
+		finalCtx, cancel := context.WithTimeout(context.Background(), finalResponseTimeout)
+		_ = g.Frontend.Drain(finalCtx) // those that did not go out are reported by result already
 		cancel()
 	}
 	g.closeISCSI()
@@ -57,5 +57,5 @@
 	}
 	g.nodes.Close()
 	g.background.Wait()
-	g.capture.end(g)
+	g.capture.stop(g)
 }
--- a/internal/serve/shutdown_test.go
+++ b/internal/serve/shutdown_test.go
@@ -17,16 +17,16 @@
 // rest fail, and it says so.
 func TestShutdownAnswersEveryRequest(t *testing.T) {
 	for _, hang := range []bool{false, true} {
-		w := testkit.Start(t, testkit.Conf, 1, 1, func(o *standin.Options) { o.UnitTime = 20 * time.Millisecond })
-		conn, g := dialRaw(t, w, 0), w.Gateways[0]
-		conn.hello()
+		testbed := testkit.Start(t, testkit.Conf, 1, 1, func(o *standin.Options) { o.UnitTime = 20 * time.Millisecond })
+		conn, g := dialRaw(t, testbed, 0), testbed.Gateways[0]
+		conn.handshake()
 		handle := conn.open("/meals/f", sftp.FlagWrite|sftp.FlagCreate)
 		if hang {
-			command(t, w.Nodes[0], "hang")
+			command(t, testbed.Nodes[0], "hang")
 		}
-		got := w.Nodes[0].AttemptsReceived()
+		received := testbed.Nodes[0].AttemptsReceived()
 		conn.send(sftp.Write, func(p *sftp.Packet) { p.Text(handle).Uint64(0).Tail(make([]byte, 32<<10)) })
-		for w.Nodes[0].AttemptsReceived() == got {
+		for testbed.Nodes[0].AttemptsReceived() == received {
 			time.Sleep(time.Millisecond)
 		}
 		timeout := time.Minute
@@ -36,7 +36,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), timeout)
 		stopped := make(chan error, 1)
 		go func() { stopped <- g.Shutdown(ctx) }()
-		code, text := conn.status()
+		code, text := conn.receiveStatus()
 		if !hang && code != sftp.OK || hang && !strings.HasPrefix(text, "written off") {
 			t.Errorf("hang %v: %v %q", hang, code, text)
 		}
--- a/internal/serve/web_test.go
+++ b/internal/serve/web_test.go
@@ -19,21 +19,21 @@
 )
 
 // lists is a stand-in for discovery: a watch answers when there is something newer.
-type lists struct {
+type discoveryServer struct {
 	*httptest.Server
-	lock     sync.Mutex // guards all below
+	mu       sync.Mutex // guards all below
 	changed  sync.Cond
 	response discovery.Response
 	calls    int // calls
 }
 
-func startLists(t *testing.T, response discovery.Response) *lists {
+func startDiscoveryServer(t *testing.T, response discovery.Response) *discoveryServer {
 	t.Helper()
-	l := &lists{response: response}
-	l.changed.L = &l.lock
+	l := &discoveryServer{response: response}
+	l.changed.L = &l.mu
 	l.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		l.lock.Lock()
-		defer l.lock.Unlock()
+		l.mu.Lock()
+		defer l.mu.Unlock()
 		l.calls++
 		l.changed.Broadcast()
 		for r.FormValue("from") == fmt.Sprint(l.response.Revision) && r.Context().Err() == nil {
@@ -50,18 +50,18 @@
 }
 
 // update makes a new revision of the list.
-func (l *lists) update(change func(*discovery.Response)) {
-	l.lock.Lock()
-	defer l.lock.Unlock()
+func (l *discoveryServer) update(change func(*discovery.Response)) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	l.response.Revision++
 	change(&l.response)
 	l.changed.Broadcast()
 }
 
 // awaitCalls waits until the list has been asked for so often.
-func (l *lists) awaitCalls(n int) {
-	l.lock.Lock()
-	defer l.lock.Unlock()
+func (l *discoveryServer) awaitCalls(n int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	for l.calls < n {
 		l.changed.Wait()
 	}
@@ -69,13 +69,13 @@
 
 // webTestbed is a gateway behind HTTP over stand-in nodes, one for each shard.
 type webTestbed struct {
-	t       *testing.T
-	nodes   []*webstandin.Node
-	lists   [2]*lists // the gateway is configured with the first
-	conf    *platform.Config
-	gateway *serve.WebGateway
-	client  *http.Client
-	count   int // of requests
+	t            *testing.T
+	nodes        []*webstandin.Node
+	discovery    [2]*discoveryServer // the gateway is configured with the first
+	conf         *platform.Config
+	gateway      *serve.WebGateway
+	client       *http.Client
+	requestCount int // of requests
 }
 
 func startWebTestbed(t *testing.T) *webTestbed {
@@ -93,8 +93,8 @@
 			State:    "ready",
 		})
 	}
-	for i := range b.lists {
-		b.lists[i] = startLists(t, response)
+	for i := range b.discovery {
+		b.discovery[i] = startDiscoveryServer(t, response)
 	}
 	text := fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:0","discovery":%q,"seed":"1",
 		"limits":{"cores":1,"memory_mb":64,"sockets":256},
@@ -103,7 +103,7 @@
 		"domain":{"unit_mean":2.0,"largest":8},
 		"lanes":[{"name":"read","effect":"read_like","target_ms":60000.0,"hard_limit_ms":120000.0}],
 		"permissions":{"attempts_cap":3,"second_copies":true,"cancelling":true,"retry_after":true,
-		"max_retry_after_ms":1000.0,"dial_timeout_ms":5000.0,"idle_close_ms":60000.0}}}`, b.lists[0].Listener.Addr().String())
+		"max_retry_after_ms":1000.0,"dial_timeout_ms":5000.0,"idle_close_ms":60000.0}}}`, b.discovery[0].Listener.Addr().String())
 	var err error
 	if b.conf, err = platform.Parse([]byte(text), func(string) string { return "" }); err != nil {
 		t.Fatal(err)
@@ -116,10 +116,10 @@
 }
 
 // put sends a request of a kind of webstandin for a shard. done gets the status and the body of its response.
-func (b *webTestbed) put(kind string, shard int) (id string, done chan string) {
+func (b *webTestbed) sendRequest(kind string, shard int) (id string, done chan string) {
 	b.t.Helper()
-	b.count++
-	id, done = fmt.Sprintf("%s-%d", kind, b.count), make(chan string, 1)
+	b.requestCount++
+	id, done = fmt.Sprintf("%s-%d", kind, b.requestCount), make(chan string, 1)
 	url := "http://" + b.gateway.Frontend.Addr() + "/api?extent=7f3a9c21e0b4d655"
 	request, err := http.NewRequest(http.MethodPut, url, strings.NewReader("body"))
 	if err != nil {
@@ -166,13 +166,13 @@
 // nodes see on their sockets, under load and after it, and each request is sent once.
 func TestWebGatewayCountsAgreeWithNodes(t *testing.T) {
 	b := startWebTestbed(t)
-	b.lists[0].awaitCalls(2) // the first list has arrived
+	b.discovery[0].awaitCalls(2) // the first list has arrived
 	held := map[string]chan string{}
 	for i := range 6 {
-		id, done := b.put("held", i%3)
+		id, done := b.sendRequest("held", i%3)
 		held[id] = done
 	}
-	until(func() bool { n, _ := b.nodes[0].Counts(); return n > 0 && b.countsAgree() })
+	waitFor(func() bool { n, _ := b.nodes[0].Counts(); return n > 0 && b.countsAgree() })
 	for _, n := range b.nodes {
 		close(n.Release)
 	}
@@ -181,7 +181,7 @@
 			t.Errorf("%s: %q", id, got)
 		}
 	}
-	until(func() bool {
+	waitFor(func() bool {
 		stats, _ := b.gateway.Loop.Stats()
 		return stats.Attempts == 0 && stats.InFlight == 0 && b.countsAgree()
 	})
@@ -200,13 +200,13 @@
 func (b *webTestbed) checkReload() {
 	b.t.Helper()
 	moved := *b.conf
-	moved.Discovery = b.lists[1].Listener.Addr().String()
+	moved.Discovery = b.discovery[1].Listener.Addr().String()
 	b.gateway.Reload(&moved)
-	b.lists[1].awaitCalls(1)
-	b.lists[1].update(func(r *discovery.Response) { r.Targets = r.Targets[:2] })
-	b.lists[1].awaitCalls(2)
-	until(func() bool { _, conns := b.nodes[2].Counts(); return conns == 0 }) // its idle connections are closed
-	if _, done := b.put("served", 1); (<-done)[:3] != "200" {
+	b.discovery[1].awaitCalls(1)
+	b.discovery[1].update(func(r *discovery.Response) { r.Targets = r.Targets[:2] })
+	b.discovery[1].awaitCalls(2)
+	waitFor(func() bool { _, conns := b.nodes[2].Counts(); return conns == 0 }) // its idle connections are closed
+	if _, done := b.sendRequest("served", 1); (<-done)[:3] != "200" {
 		b.t.Error("a node that is still listed does not serve")
 	}
 }
@@ -218,5 +218,5 @@
 	if conns, requests := b.gateway.Frontend.Counts(); conns != 0 || requests != 0 {
 		b.t.Errorf("%d connections and %d requests are left", conns, requests)
 	}
-	until(func() bool { open, _ := b.gateway.Nodes.ConnectionCounts(); return open == 0 })
+	waitFor(func() bool { open, _ := b.gateway.Nodes.ConnectionCounts(); return open == 0 })
 }
