--- a/internal/serve/admin_test.go
+++ b/internal/serve/admin_test.go
@@ -19,7 +19,7 @@
 	"irispost/internal/testkit"
 )
 
-// scrape reads a gateway's metrics.
+// scrape returns the metrics of a gateway, read from its admin socket.
 func scrape(t *testing.T, socket string) string {
 	t.Helper()
 	c := http.Client{Transport: &http.Transport{DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
@@ -38,7 +38,7 @@
 	return string(b)
 }
 
-// startAdminTestbed starts a gateway with an admin socket over slow nodes, one of which fails at times.
+// startAdminTestbed starts a gateway with an admin socket and slow nodes, one of which fails some requests.
 func startAdminTestbed(t *testing.T, socket string) *testkit.Testbed {
 	t.Helper()
 	conf := confWithBlock("  admin = \"" + socket + "\"\n")
@@ -60,7 +60,7 @@
 				case <-done:
 					return
 				default:
-					_ = put(client, path, randomBytes(n, 100_000)) // may fail, as a node does
+					_ = put(client, path, randomBytes(n, 100_000)) // may fail, since a node does
 					_, _ = get(client, path)
 				}
 			}
@@ -72,7 +72,7 @@
 	}
 }
 
-// finished returns how many requests a gateway has finished.
+// finished returns the number of requests that a gateway has finished.
 func finished(t *testing.T, client *admin.Client) (count int64) {
 	t.Helper()
 	status, err := client.Status()
@@ -85,14 +85,14 @@
 	return count
 }
 
-// awaitFinished waits until so many requests more are finished.
+// awaitFinished waits until the given number of further requests is finished.
 func awaitFinished(t *testing.T, client *admin.Client, more int64) {
 	t.Helper()
 	target := finished(t, client) + more
 	waitFor(func() bool { return finished(t, client) >= target })
 }
 
-// expectError fails the test if an error is not there or does not contain a text.
+// expectError fails the test if there is no error or its message does not contain a text.
 func expectError(t *testing.T, what string, err error, text string) {
 	t.Helper()
 	if err == nil || !strings.Contains(err.Error(), text) {
@@ -100,7 +100,7 @@
 	}
 }
 
-// expectReplays fails the test if the decisions of a capture don't replay.
+// expectReplays fails the test if a replay of a capture differs, does not reach its end, or has under 100 decisions.
 func expectReplays(t *testing.T, file string) {
 	t.Helper()
 	f, err := os.Open(file)
@@ -114,12 +114,13 @@
 	}
 	report, err := replay.Run(reader.Next, replay.Options{})
 	if err != nil || !report.Same() || report.State != replay.Ended || report.Decisions < 100 {
-		t.Errorf("%v after %d decisions, %v, %+v", report.State, report.Decisions, err, report.Difference)
+		t.Errorf("replay: state %v after %d decisions, error %v, difference %+v",
+			report.State, report.Decisions, err, report.Difference)
 	}
 }
 
-// TestCaptureWhileServingReplays: a capture is started and stopped through the admin socket while clients work and
-// nodes fail; a second one at the same time is rejected; what was captured replays to the same decisions.
+// TestCaptureWhileServingReplays: a capture is started and stopped through the admin socket under load while a node
+// fails requests. A second capture at the same time is rejected. The capture replays to the same decisions.
 func TestCaptureWhileServingReplays(t *testing.T) {
 	dir := t.TempDir()
 	socket := filepath.Join(dir, "admin.sock")
@@ -129,12 +130,12 @@
 	for _, line := range []string{
 		"irispost_up 1",
 		`irispost_nodes{state=`,
-		`irispost_jobs_total{outcome="completed",product="read"}`, // once clients work
+		`irispost_jobs_total{outcome="completed",product="read"}`, // appears once clients send requests
 	} {
 		waitFor(func() bool { return strings.Contains(scrape(t, socket), line) })
 	}
 	_, err := client.StopCapture()
-	expectError(t, "stopping none", err, "no capture is on")
+	expectError(t, "stopping without a capture", err, "no capture is on")
 	_, err = client.StartCapture("")
 	expectError(t, "starting without a folder", err, "no folder")
 	awaitFinished(t, client, 100)
@@ -157,17 +158,17 @@
 	b.Gateways[0].Kill()
 	b.Gateways = nil
 	_, err = client.Status()
-	expectError(t, "a gateway that is gone", err, "does not answer")
+	expectError(t, "status of a stopped gateway", err, "does not answer")
 }
 
-// checkSockets has admin sockets rejected: one that is served, and one in place of another file.
+// checkSockets checks that an admin socket is not opened at the path of a socket in use or of a regular file.
 func checkSockets(t *testing.T, b *testkit.Testbed, served, file string) {
 	t.Helper()
 	_, err := admin.Listen(served, b.Gateways[0])
-	expectError(t, "a socket that is served", err, "another gateway")
+	expectError(t, "listening at a socket in use", err, "another gateway")
 	if err := os.WriteFile(file, nil, 0o644); err != nil {
 		t.Fatal(err)
 	}
 	_, err = admin.Listen(file, b.Gateways[0])
-	expectError(t, "a socket in place of a file", err, "another kind")
+	expectError(t, "listening at the path of a file", err, "another kind")
 }
--- a/internal/serve/bench_test.go
+++ b/internal/serve/bench_test.go
@@ -9,10 +9,10 @@
 	"irispost/internal/testkit"
 )
 
-// BenchmarkRead reads 4 KiB through a gateway, 16 at a time: client, gateway and node in one process.
+// BenchmarkRead reads blocks of 4 KiB through a gateway, 16 at a time. Client, gateway and node share one process.
 func BenchmarkRead(b *testing.B) { benchmarkRead(b, testkit.Conf) }
 
-// BenchmarkReadCaptured does the same with a capture on.
+// BenchmarkReadCaptured is BenchmarkRead with an active capture.
 func BenchmarkReadCaptured(b *testing.B) {
 	benchmarkRead(b, confWithBlock(fmt.Sprintf("  capture {\n    folder = %q\n  }\n", b.TempDir())))
 }
--- a/internal/serve/capture.go
+++ b/internal/serve/capture.go
@@ -9,26 +9,26 @@
 	"irispost/internal/capture"
 )
 
-// Errors of the admin socket. Their texts are what its clients see.
+// Errors returned to clients of the admin socket, which print their texts.
 var (
 	errNoCapture    = errors.New("no capture is on")
 	errNoCaptureDir = errors.New("no folder for captures is configured, name one")
 )
 
-// captureOnError says that a capture is on already.
+// captureActiveError is returned when a capture is started while another one is active.
 type captureActiveError struct{ file string }
 
 func (e *captureActiveError) Error() string { return "a capture is on already: " + e.file }
 
-// captureSession is a gateway's capture; at most one is on at a time.
+// captureSession holds a gateway's capture. At most one is active at a time.
 type captureSession struct {
 	mu       sync.Mutex        // guards all fields
-	recorder *capture.Recorder // nil while no capture is on
-	status   admin.Capture     // of the present capture, or of the last one
+	recorder *capture.Recorder // nil while no capture is active
+	status   admin.Capture     // of the active capture, or of the last one
 }
 
-// begin opens a new capture file in dir, or in the configured directory if dir is empty. The caller holds the lock, or
-// is the only one who knows the gateway.
+// start opens a new capture file in dir, or in the configured directory if dir is empty. The caller holds mu, or has
+// the only reference to the gateway.
 func (s *captureSession) start(owner *Gateway, dir string) error {
 	if s.recorder != nil {
 		return &captureActiveError{file: s.status.File}
@@ -49,14 +49,14 @@
 	return nil
 }
 
-// end closes the capture, if one is on, and returns its last status.
+// stop ends the active capture, if any, and returns the status of the last one.
 func (s *captureSession) stop(owner *Gateway) admin.Capture {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.recorder == nil {
 		return s.status
 	}
-	owner.Loop.SetTap(nil) // from here on nothing more is recorded, also where the loop has ended
+	owner.Loop.SetTap(nil) // nothing is recorded after this, even if the loop has already ended
 	err := s.recorder.Close(owner.Loop.Now())
 	s.refresh()
 	s.recorder = nil
@@ -69,7 +69,7 @@
 	return s.status
 }
 
-// refresh updates the status from the recorder and returns it. The caller holds the lock.
+// refresh updates the status from the recorder and returns it. The caller holds mu.
 func (s *captureSession) refresh() admin.Capture {
 	if s.recorder != nil {
 		status := s.recorder.Status()
@@ -78,8 +78,8 @@
 	return s.status
 }
 
-// StartCapture starts a capture in dir, or in the configured directory if dir is empty. It begins with the scheduler's
-// full state, so that it can be replayed from its first record.
+// StartCapture starts a capture in dir, or in the configured directory if dir is empty. The capture begins
+// with the full state of the scheduler, so that it can be replayed from its first record.
 func (g *Gateway) StartCapture(dir string) (admin.Capture, error) {
 	s := &g.capture
 	s.mu.Lock()
@@ -93,7 +93,7 @@
 	return s.refresh(), nil
 }
 
-// StopCapture ends the capture and returns when its file is complete.
+// StopCapture ends the active capture and returns its status once its file is complete.
 func (g *Gateway) StopCapture() (admin.Capture, error) {
 	g.capture.mu.Lock()
 	active := g.capture.recorder != nil
@@ -104,7 +104,7 @@
 	return g.capture.stop(g), nil
 }
 
-// buildVersion names the version of the program and of Go, for the head of a capture.
+// buildVersion returns the versions of the program and of Go, for the header of a capture.
 func buildVersion() string {
 	if info, ok := debug.ReadBuildInfo(); ok {
 		return info.Main.Version + " " + info.GoVersion
--- a/internal/serve/concurrent_test.go
+++ b/internal/serve/concurrent_test.go
@@ -17,8 +17,8 @@
 	"irispost/internal/testkit"
 )
 
-// TestConcurrentWritesOfNewFileDoNotMix: two gateways write the same new file at once: each extent holds what one of
-// them wrote, both read the same, and no object is left over.
+// TestConcurrentWritesOfNewFileDoNotMix: two gateways write the same new file concurrently. Each extent then holds the
+// data of one writer, both gateways read the same content, and no orphaned object remains.
 func TestConcurrentWritesOfNewFileDoNotMix(t *testing.T) {
 	testbed := testkit.Start(t, testkit.Conf, 2, 2, nil)
 	const extentBytes = 64 << 10
@@ -44,30 +44,31 @@
 		first, err1 := get(testbed.Client(0), path)
 		second, err2 := get(testbed.Client(1), path)
 		if err1 != nil || err2 != nil || len(first) != 3*extentBytes || !bytes.Equal(first, second) {
-			t.Fatalf("%d and %d bytes, equal %v, %v, %v", len(first), len(second), bytes.Equal(first, second), err1, err2)
+			t.Fatalf("gateways read %d and %d bytes (equal: %v), errors: %v, %v",
+				len(first), len(second), bytes.Equal(first, second), err1, err2)
 		}
 		for offset := 0; offset < len(first); offset += extentBytes {
 			if n := bytes.Count(first[offset:offset+extentBytes], first[offset:offset+1]); n != extentBytes ||
 				first[offset] != 'a' && first[offset] != 'b' {
-				t.Errorf("extent at %d mixes writers: %d of %d bytes", offset, n, extentBytes)
+				t.Errorf("extent at offset %d mixes writers: %d of %d bytes equal its first byte", offset, n, extentBytes)
 			}
 		}
 		if err := testbed.Client(0).Remove(path); err != nil {
 			t.Fatal(err)
 		}
 	}
-	for _, g := range testbed.Gateways { // what was dropped is dropped by duties
+	for _, g := range testbed.Gateways { // replaced and removed objects are deleted in the background
 		if err := g.Frontend.Drain(context.Background()); err != nil {
 			t.Error(err)
 		}
 	}
 	if n := testbed.Stores[0].Objects() + testbed.Stores[1].Objects(); n != 0 {
-		t.Errorf("%d objects are left over", n)
+		t.Errorf("%d objects remain after removal of the files, want 0", n)
 	}
 }
 
-// TestOpenHandleNeverReadsMixture: a file that another gateway rewrites while a handle is open is read as it was or as
-// it is, never as a mixture.
+// TestOpenHandleNeverReadsMixture: an open handle reads the old or the new content of a file that another gateway
+// rewrites, never a mixture.
 func TestOpenHandleNeverReadsMixture(t *testing.T) {
 	testbed := testkit.Start(t, testkit.Conf, 2, 2, nil)
 	a, b := testbed.Client(0), testbed.Client(1)
@@ -81,17 +82,17 @@
 	if err := put(b, "/meals/f", bytes.Repeat([]byte{'2'}, 1000)); err != nil {
 		t.Fatal(err)
 	}
-	if err := testbed.Gateways[1].Frontend.Drain(context.Background()); err != nil { // after it the old object is deleted
+	if err := testbed.Gateways[1].Frontend.Drain(context.Background()); err != nil { // the old object is then deleted
 		t.Error(err)
 	}
 	got := make([]byte, 1000)
 	if _, err := f.ReadAt(got, 0); err != nil && !errors.Is(err, io.EOF) || bytes.Count(got, []byte{'2'}) != 1000 {
-		t.Errorf("%q..., %v", got[:10], err)
+		t.Errorf("read through the open handle: %q..., error %v, want only '2'", got[:10], err)
 	}
 }
 
-// TestOverlappingRequestsKeepTheirOrder: writes and reads that overlap have the results that they would have one at a
-// time, however many are in flight.
+// TestOverlappingRequestsKeepTheirOrder: overlapping writes and reads of a session have the same results as if sent
+// one at a time, no matter how many are in flight.
 func TestOverlappingRequestsKeepTheirOrder(t *testing.T) {
 	testbed := testkit.Start(t, testkit.Conf, 2, 1, func(o *standin.Options) { o.UnitTime = 100 * time.Microsecond })
 	conn := dialRaw(t, testbed, 0)
@@ -118,16 +119,16 @@
 		id, fields := f.ID()
 		if data, read := want[id]; read {
 			if f.Type != sftp.Data || !bytes.Equal(fields.Bytes(), data) {
-				t.Errorf("read %d gives other bytes than were written before it (type %d)", id, f.Type)
+				t.Errorf("read %d does not return the bytes written before it (packet type %d)", id, f.Type)
 			}
 		} else if code := sftp.Code(fields.Uint32()); code != sftp.OK {
-			t.Errorf("write %d: %v %s", id, code, fields.Text())
+			t.Errorf("write %d: status %v %s, want OK", id, code, fields.Text())
 		}
 	}
 }
 
-// TestFullQueueSlowsClients: with the smallest event queue, hundreds of requests from many connections wait at their
-// sockets; none is lost.
+// TestFullQueueSlowsClients: with the smallest event queue, hundreds of requests from many connections wait in their
+// sockets, and none is lost.
 func TestFullQueueSlowsClients(t *testing.T) {
 	conf := confWithBlock("  limits {\n    queue = 16\n  }\n")
 	testbed := testkit.Start(t, conf, 2, 1, nil)
@@ -151,7 +152,7 @@
 				answers[id]++
 			}
 			if len(answers) != 400 {
-				t.Errorf("%d of 400 requests have their answer", len(answers))
+				t.Errorf("%d of 400 requests were answered", len(answers))
 			}
 		}()
 	}
@@ -160,17 +161,17 @@
 	sum := int64(0)
 	for _, c := range f.Classes {
 		if c.Accepted != c.Succeeded+c.Rejected+c.Failed+c.Cancelled {
-			t.Errorf("%+v", c)
+			t.Errorf("accepted requests are not the sum of all outcomes: %+v", c)
 		}
 		sum += c.Accepted
 	}
 	if sum < 3200 || f.InFlight != 0 {
-		t.Errorf("%d jobs taken, %d held", sum, f.InFlight)
+		t.Errorf("%d requests accepted, %d in flight, want at least 3200 and 0", sum, f.InFlight)
 	}
 }
 
-// TestManyRequestsForRootAreServed: requests for the root of all volumes, which has no request class, wait for each
-// other as any others do.
+// TestManyRequestsForRootAreServed: requests for the root folder, which belongs to no volume and has no request class,
+// are ordered like any others: a listing is returned once, and all requests are answered.
 func TestManyRequestsForRootAreServed(t *testing.T) {
 	testbed := testkit.Start(t, testkit.Conf, 1, 1, nil)
 	for range 20 {
@@ -190,7 +191,7 @@
 			}
 		}
 		if names != 1 {
-			t.Errorf("the root's names are given %d times", names)
+			t.Errorf("the names in the root folder are returned %d times, want once", names)
 		}
 	}
 }
--- a/internal/serve/disk_test.go
+++ b/internal/serve/disk_test.go
@@ -22,7 +22,7 @@
 
 const targetName = "iqn.2026-01.example:meals"
 
-// disks is a configuration with two disks, of blocks of 4096 and 512 bytes.
+// disksConf configures disks with blocks of 4096 and 512 bytes, and one behind a target with CHAP.
 const disksConf = `
 disks {
   listen = "127.0.0.1:0"
@@ -53,14 +53,15 @@
 }
 `
 
-// diskTestbed is an installation with these disks.
+// diskTestbed starts a testbed with the disks of disksConf.
 func diskTestbed(t testing.TB, shards, gateways int, change func(*standin.Options)) *testkit.Testbed {
 	return testkit.Start(t, testkit.Conf+disksConf, shards, gateways, change)
 }
 
-// diskOptions are options of a session with the disks of a gateway, which change may alter.
+// diskOptions returns the options of a session with the disks of a gateway. change may alter them.
 func diskOptions(b *testkit.Testbed, gateway int, change func(*initiator.Options)) initiator.Options {
-	o := initiator.Options{Address: b.Gateways[gateway].ISCSI.Addr(), Name: "iqn.2026-01.example:host", Target: targetName}
+	o := initiator.Options{Address: b.Gateways[gateway].ISCSI.Addr(), Name: "iqn.2026-01.example:host",
+		Target: targetName}
 	if change != nil {
 		change(&o)
 	}
@@ -77,8 +78,8 @@
 	return d
 }
 
-// TestDiskReadsBackWrites: blocks that are written are read back, in each way that data can travel: solicited or not,
-// with digests or without, in small and in long PDUs; and the file front end sees them.
+// TestDiskReadsBackWrites: written blocks are read back with each way of data transfer: solicited or not, with or
+// without digests, in short and long PDUs. The file front end reads the same content.
 func TestDiskReadsBackWrites(t *testing.T) {
 	b := diskTestbed(t, 3, 1, nil)
 	for i, change := range []func(*initiator.Options){
@@ -92,7 +93,7 @@
 			change(o)
 		}), 0)
 		if d.Block != 4096 || d.Size() != 16<<20 || !strings.Contains(d.Model, "IRISPOST") {
-			t.Fatalf("%+v", d)
+			t.Fatalf("want blocks of 4096 bytes, 16 MiB and model IRISPOST: %+v", d)
 		}
 		for _, n := range []int{4096, 64 << 10, 300 << 10 &^ 4095, 5 << 20} {
 			expectReadsBack(t, d, randomBytes(uint64(n+i), n), int64(n/3&^4095))
@@ -107,27 +108,28 @@
 		t.Fatal(err)
 	}
 	if got, err := get(b.Client(0), "/meals/disk0"); err != nil || !bytes.Equal(got, content) {
-		t.Errorf("the file has %d bytes, equal %v, %v", len(got), bytes.Equal(got, content), err)
+		t.Errorf("the file read over SFTP has %d bytes, equal to the disk: %v, error %v",
+			len(got), bytes.Equal(got, content), err)
 	}
 }
 
 func expectReadsBack(t *testing.T, d *initiator.Disk, data []byte, offset int64) {
 	t.Helper()
 	if _, err := d.WriteAt(data, offset); err != nil {
-		t.Fatalf("%d bytes at %d: %v", len(data), offset, err)
+		t.Fatalf("write of %d bytes at %d: %v", len(data), offset, err)
 	}
 	got := make([]byte, len(data))
 	if _, err := d.ReadAt(got, offset); err != nil || !bytes.Equal(got, data) {
-		t.Fatalf("%d bytes at %d: read back equal %v, %v", len(data), offset, bytes.Equal(got, data), err)
+		t.Fatalf("%d bytes at %d: read back equal %v, error %v", len(data), offset, bytes.Equal(got, data), err)
 	}
 }
 
-// TestDiskRejectsUnalignedAndPastEnd: a disk of blocks of 512 bytes takes whole blocks alone, up to its end.
+// TestDiskRejectsUnalignedAndPastEnd: a disk with blocks of 512 bytes accepts whole blocks only, up to its end.
 func TestDiskRejectsUnalignedAndPastEnd(t *testing.T) {
 	b := diskTestbed(t, 3, 1, nil)
 	small := openDisk(t, diskOptions(b, 0, nil), 3)
 	if small.Block != 512 || small.Count != 2048 {
-		t.Errorf("%+v", small)
+		t.Errorf("want 2048 blocks of 512 bytes: %+v", small)
 	}
 	if _, err := small.WriteAt(randomBytes(1, 1536), 512); err != nil {
 		t.Error(err)
@@ -137,12 +139,13 @@
 		offset int64
 	}{{100, 0}, {512, 100}, {512, 1 << 20}, {1024, 1<<20 - 512}} {
 		if _, err := small.ReadAt(make([]byte, c.bytes), c.offset); err == nil {
-			t.Errorf("%d bytes at %d are read", c.bytes, c.offset)
+			t.Errorf("read of %d bytes at %d succeeded", c.bytes, c.offset)
 		}
 	}
 }
 
-// TestDiskUnmapReadsAsZeros: UNMAP leaves zeros, and COMPARE AND WRITE of what is not there changes nothing.
+// TestDiskUnmapReadsAsZeros: unmapped blocks read as zeros, and COMPARE AND WRITE reports a miscompare if the data
+// differ.
 func TestDiskUnmapReadsAsZeros(t *testing.T) {
 	b := diskTestbed(t, 2, 1, nil)
 	d := openDisk(t, diskOptions(b, 0, nil), 0)
@@ -156,22 +159,23 @@
 	clear(data[8192 : 8192+100<<10])
 	got := make([]byte, len(data))
 	if _, err := d.ReadAt(got, 0); err != nil || !bytes.Equal(got, data) {
-		t.Errorf("after an unmap: %v", err)
+		t.Errorf("after UNMAP the disk does not read back as expected, error %v", err)
 	}
 	err := d.Compare(t.Context(), make([]byte, 4096), randomBytes(6, 4096), 0)
 	if !errors.Is(err, initiator.ErrMiscompare) {
-		t.Errorf("compared: %v", err)
+		t.Errorf("COMPARE AND WRITE: error %v, want a miscompare", err)
 	}
 }
 
-// counterBlock is a block with a number.
+// counterBlock returns a block that holds a number.
 func counterBlock(n uint64) []byte {
 	b := make([]byte, 4096)
 	binary.BigEndian.PutUint64(b, n)
 	return b
 }
 
-// increment adds one to the number in a block, with COMPARE AND WRITE. It returns false if another one was faster.
+// increment adds one to the number in a block with COMPARE AND WRITE. It returns false if the block has changed since
+// the read.
 func increment(ctx context.Context, d *initiator.Disk, offset int64) (done bool, err error) {
 	now := make([]byte, 4096)
 	if _, err := d.ReadAt(now, offset); err != nil {
@@ -184,7 +188,7 @@
 	return err == nil, err
 }
 
-// TestDiskCompareAndWriteIsAtomic: of many sessions that each add one to a counter, none is lost.
+// TestDiskCompareAndWriteIsAtomic: several sessions increment one counter concurrently, and no increment is lost.
 func TestDiskCompareAndWriteIsAtomic(t *testing.T) {
 	const sessions, increments, offset = 4, 20, 1 << 20
 	b := diskTestbed(t, 2, 1, nil)
@@ -208,14 +212,15 @@
 	now := make([]byte, 4096)
 	_, err := openDisk(t, diskOptions(b, 0, nil), 0).ReadAt(now, offset)
 	if err != nil || binary.BigEndian.Uint64(now) != sessions*increments {
-		t.Errorf("the counter is at %d, %v", binary.BigEndian.Uint64(now), err)
+		t.Errorf("counter %d, error %v, want the sum of all increments", binary.BigEndian.Uint64(now), err)
 	}
 }
 
-// TestDiskCommandsThatFailHaveSense: commands that cannot be done end with their sense, and the session goes on.
+// TestDiskCommandsThatFailHaveSense: invalid commands end with CHECK CONDITION and their sense. The session stays
+// open.
 func TestDiskCommandsThatFailHaveSense(t *testing.T) {
 	b := diskTestbed(t, 2, 1, nil)
-	openDisk(t, diskOptions(b, 0, nil), 0) // so that the unit is ready
+	openDisk(t, diskOptions(b, 0, nil), 0) // waits until the unit is ready
 	s, err := initiator.Dial(t.Context(), diskOptions(b, 0, func(o *initiator.Options) { o.ISID[5] = 99 }))
 	if err != nil {
 		t.Fatal(err)
@@ -236,7 +241,7 @@
 	} {
 		r, err := s.Do(t.Context(), c.lun, append(c.cdb, make([]byte, 16-len(c.cdb))...), c.out, c.in)
 		if err != nil || r.Status != scsi.CheckCondition || r.Sense == nil {
-			t.Errorf("%s: %+v, %v", name, r, err)
+			t.Errorf("%s: response %+v, error %v, want CHECK CONDITION with sense", name, r, err)
 		} else if r.Sense.Key != c.sense.Key || r.Sense.Code != c.sense.Code {
 			t.Errorf("%s: sense %+v, want %+v", name, r.Sense, c.sense)
 		}
@@ -244,20 +249,22 @@
 	reportLUNs := append([]byte{0xa0, 0, 0, 0, 0, 0, 0, 0, 0, 64}, 0, 0, 0, 0, 0, 0)
 	luns, err := s.Do(t.Context(), 0, reportLUNs, nil, 64)
 	if err != nil || len(luns.Data) != 24 || luns.Residual != 40 {
-		t.Errorf("%+v, %v", luns, err)
+		t.Errorf("REPORT LUNS: %+v, error %v, want 24 bytes and a residual of 40", luns, err)
 	}
 	if err := s.Ping(); err != nil {
 		t.Error(err)
 	}
 }
 
-// TestDiskLoginIsChecked: discovery names the targets; a target with a secret admits who knows it, and proves itself.
+// TestDiskLoginIsChecked: discovery returns the targets. A target with a CHAP secret admits only initiators that know
+// the secret, and authenticates itself to them.
 func TestDiskLoginIsChecked(t *testing.T) {
 	testbed := diskTestbed(t, 1, 1, nil)
 	ctx := context.Background()
 	found, err := initiator.Discover(ctx, diskOptions(testbed, 0, nil))
-	if err != nil || len(found) != 2 || found[0].Name != targetName || found[0].Address != testbed.Gateways[0].ISCSI.Addr() {
-		t.Errorf("%+v, %v", found, err)
+	if err != nil || len(found) != 2 || found[0].Name != targetName ||
+		found[0].Address != testbed.Gateways[0].ISCSI.Addr() {
+		t.Errorf("discovery returned %+v, error %v, want the 2 targets", found, err)
 	}
 	const secretTarget = "iqn.2026-01.example:secret"
 	good := negotiate.Account{Name: "host", Secret: "a secret of a host", TargetSecret: "another one, ours"}
@@ -279,7 +286,7 @@
 			o.Account, o.Target = c.account, c.target
 		}))
 		if (err == nil) != (c.want == "") || err != nil && !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: login error %v", name, err)
 		}
 		if err == nil {
 			if err := s.Close(); err != nil {
@@ -289,8 +296,8 @@
 	}
 }
 
-// TestDiskSurvivesMalformedInput: connections that are silent, send what is no PDU, state false lengths or send what is
-// out of sequence are closed, and others are served.
+// TestDiskSurvivesMalformedInput: connections that are silent or send invalid PDUs, wrong lengths or PDUs out of
+// sequence are closed. Others are still served.
 func TestDiskSurvivesMalformedInput(t *testing.T) {
 	testbed := diskTestbed(t, 1, 1, nil)
 	addr := testbed.Gateways[0].ISCSI.Addr()
@@ -314,7 +321,7 @@
 		for b := make([]byte, 4096); ; {
 			if _, err := c.Read(b); err != nil {
 				if timeout := net.Error(nil); errors.As(err, &timeout) && timeout.Timeout() {
-					t.Errorf("%s is not closed", what)
+					t.Errorf("%s: the connection is not closed", what)
 				}
 				_ = c.Close()
 				return
@@ -324,7 +331,7 @@
 	r := rand.New(rand.NewPCG(1, 1))
 	for range 50 {
 		b := randomBytes(r.Uint64(), 200)
-		expectClosed("nonsense", send(b))
+		expectClosed("random bytes", send(b))
 	}
 	long := iscsi.New(iscsi.LoginRequest, 0x87)
 	long.Header[5] = 0xff
@@ -345,13 +352,16 @@
 	}
 }
 
-// TestDiskReadsBackWhileNodesFail: under failing, slow and resetting nodes, with sessions that break, what was
-// confirmed is read back.
+// TestDiskReadsBackWhileNodesFail: acknowledged writes are read back although nodes fail, are slow, drop responses and
+// reset connections, and sessions break.
 func TestDiskReadsBackWhileNodesFail(t *testing.T) {
 	testbed := diskTestbed(t, 3, 1, func(o *standin.Options) { o.UnitTime = 50 * time.Microsecond })
 	var running sync.WaitGroup
 	for k := range 4 {
-		d := openDisk(t, diskOptions(testbed, 0, func(o *initiator.Options) { o.ISID[5] = byte(k); o.Digests = k%2 == 0 }), 0)
+		d := openDisk(t, diskOptions(testbed, 0, func(o *initiator.Options) {
+			o.ISID[5] = byte(k)
+			o.Digests = k%2 == 0
+		}), 0)
 		running.Add(1)
 		go func() {
 			defer running.Done()
@@ -365,14 +375,14 @@
 				if b := blocks[at]; b != nil && r.IntN(2) == 0 {
 					got := make([]byte, 4096)
 					if _, err := d.ReadAt(got, at); err != nil || !bytes.Equal(got, b) {
-						t.Errorf("disk client %d at %d: %v, equal %v", k, at, err, bytes.Equal(got, b))
+						t.Errorf("disk client %d, read at %d: error %v, equal %v", k, at, err, bytes.Equal(got, b))
 						return
 					}
 					continue
 				}
 				b := randomBytes(r.Uint64(), 4096)
 				if _, err := d.WriteAt(b, at); err != nil {
-					t.Errorf("disk client %d at %d: %v", k, at, err)
+					t.Errorf("disk client %d, write at %d: %v", k, at, err)
 					return
 				}
 				blocks[at] = b
--- a/internal/serve/files_test.go
+++ b/internal/serve/files_test.go
@@ -17,7 +17,7 @@
 	"irispost/internal/testkit"
 )
 
-// put writes a whole file in pieces.
+// put writes a whole file, in several WRITE requests if it is large.
 func put(c *pkgsftp.Client, path string, data []byte) error {
 	f, err := c.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_TRUNC)
 	if err != nil {
@@ -48,7 +48,7 @@
 	return b
 }
 
-// must fails the test if a step failed.
+// must fails the test if a step returned an error.
 func must(t *testing.T, what string, err error) {
 	t.Helper()
 	if err != nil {
@@ -56,8 +56,8 @@
 	}
 }
 
-// TestFileCommands: a client of another make finds the files that it writes through one gateway at another, and can
-// move, replace, list, cut and remove them.
+// TestFileCommands: an independent SFTP client (pkg/sftp) reads through one gateway the files that it wrote through
+// another, and can rename, replace and truncate them and change their mode.
 func TestFileCommands(t *testing.T) {
 	testbed := testkit.Start(t, testkit.Conf, 3, 2, nil)
 	a, b := testbed.Client(0), testbed.Client(1)
@@ -67,36 +67,36 @@
 	got, err := get(b, "/meals/week/menu")
 	must(t, "get", err)
 	if sha256.Sum256(got) != sha256.Sum256(data) {
-		t.Fatalf("%d bytes read through another gateway differ", len(got))
+		t.Fatalf("the %d bytes read through another gateway differ from those written", len(got))
 	}
 	info, err := b.Stat("/meals/week/menu")
 	must(t, "stat", err)
 	if info.Size() != int64(len(data)) || info.IsDir() {
-		t.Errorf("stat says %d bytes, folder %v", info.Size(), info.IsDir())
+		t.Errorf("stat returned %d bytes, folder %v, want all bytes of a file", info.Size(), info.IsDir())
 	}
 	must(t, "rename", b.Rename("/meals/week/menu", "/meals/menu"))
 	if _, err := a.Stat("/meals/week/menu"); !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("the old name: %v", err)
+		t.Errorf("stat of the old name: error %v, want fs.ErrNotExist", err)
 	}
 	must(t, "second", put(a, "/meals/other", []byte("x")))
 	if err := a.Rename("/meals/other", "/meals/menu"); err == nil {
-		t.Error("RENAME replaces a file")
+		t.Error("RENAME replaced an existing file")
 	}
 	must(t, "posix-rename", a.PosixRename("/meals/other", "/meals/menu"))
 	got, err = get(b, "/meals/menu")
 	must(t, "get after replace", err)
 	if string(got) != "x" {
-		t.Errorf("after the replace: %d bytes", len(got))
+		t.Errorf("after the replacement: %d bytes, want only \"x\"", len(got))
 	}
 	must(t, "truncate", a.Truncate("/meals/menu", 0))
 	must(t, "chmod", a.Chmod("/meals/menu", 0o600))
 	if info, err = b.Stat("/meals/menu"); err != nil || info.Size() != 0 || info.Mode().Perm() != 0o600 {
-		t.Errorf("after truncate and chmod: %v %v", info, err)
+		t.Errorf("after truncate and chmod: %v, error %v, want size 0 and mode 0600", info, err)
 	}
 }
 
-// TestFolderCommands: folders are listed and removed through another gateway than they were made through, and what must
-// not be done is rejected.
+// TestFolderCommands: folders created through one gateway are listed and removed through another, and invalid
+// operations are rejected.
 func TestFolderCommands(t *testing.T) {
 	testbed := testkit.Start(t, testkit.Conf, 3, 2, nil)
 	a, b := testbed.Client(0), testbed.Client(1)
@@ -109,29 +109,29 @@
 		names = append(names, entry.Name())
 	}
 	if !slices.Equal(names, []string{"menu", "week"}) {
-		t.Errorf("the folder has %v", names)
+		t.Errorf("the folder lists %v, want menu and week", names)
 	}
 	must(t, "put in folder", put(a, "/meals/week/x", nil))
 	if err := b.RemoveDirectory("/meals/week"); err == nil || !strings.Contains(err.Error(), "not empty") {
-		t.Errorf("rmdir of a full folder: %v", err)
+		t.Errorf("rmdir of a folder with entries: error %v, want one with \"not empty\"", err)
 	}
 	must(t, "remove", b.Remove("/meals/week/x"))
 	must(t, "rmdir", b.RemoveDirectory("/meals/week"))
 	if err := put(a, "/meals/week/y", nil); !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("a file in a folder that is gone: %v", err)
+		t.Errorf("create in a removed folder: error %v, want fs.ErrNotExist", err)
 	}
 	if _, err := a.OpenFile("/meals/menu", os.O_WRONLY|os.O_CREATE|os.O_EXCL); err == nil {
-		t.Error("an exclusive create of a file that is there")
+		t.Error("exclusive create of an existing file succeeded")
 	}
 	for _, path := range []string{"/meals/../../etc/passwd", "/meals/..", "/nothing/here"} {
 		if _, err := a.Stat(path); err == nil {
-			t.Errorf("%s is found", path)
+			t.Errorf("stat of %s succeeded", path)
 		}
 	}
 }
 
-// TestSparseTruncateAndAppend: holes read as zeros, a file that was cut and grows again has zeros, and appends go to
-// the end.
+// TestSparseTruncateAndAppend: holes read as zeros, a file that is truncated and then extended reads as zeros in
+// between, and appends write at the end.
 func TestSparseTruncateAndAppend(t *testing.T) {
 	testbed := testkit.Start(t, testkit.Conf, 3, 1, nil)
 	c := testbed.Client(0)
@@ -150,7 +150,7 @@
 		got := make([]byte, len(model)+1)
 		n, err := f.ReadAt(got, 0)
 		if !errors.Is(err, io.EOF) || !bytes.Equal(got[:n], model) {
-			t.Fatalf("%s: %d of %d bytes, equal %v, %v", when, n, len(model), bytes.Equal(got[:n], model), err)
+			t.Fatalf("%s: read %d bytes, want %d, equal %v, error %v", when, n, len(model), bytes.Equal(got[:n], model), err)
 		}
 	}
 	check("with a hole")
@@ -158,13 +158,13 @@
 	if err := f.Truncate(199_500); err != nil {
 		t.Fatal(err)
 	}
-	check("cut")
+	check("truncated")
 	model = append(model, make([]byte, 600)...)
 	model[200_099] = 7
 	if _, err := f.WriteAt([]byte{7}, 200_099); err != nil {
 		t.Fatal(err)
 	}
-	check("grown again")
+	check("extended again")
 	if err := f.Close(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/serve/fleet.go
+++ b/internal/serve/fleet.go
@@ -9,15 +9,15 @@
 	"irispost/internal/gateway"
 )
 
-// maxClockDrift is the rate by which the clocks of two gateways may run apart, for the allocations of slow-start budget
-// that they make to each other.
+// maxClockDrift is the maximum relative drift between the clocks of two gateways. Their allocations of slow-start
+// budget to each other allow for it.
 const maxClockDrift = 0.01
 
 // startFleetLoop starts the loop of a gateway that takes its configuration from the fleet's replicas and, where other
-// gateways can reach it, the agent that shares the slow-start budget of warming nodes with them. The channel is closed
-// once a version is in force.
+// gateways can reach it, the agent that shares the budget of nodes in slow start with them. The returned channel is
+// closed once a version is in force.
 func (g *Gateway) startFleetLoop(opt *gateway.Options) (versionInForce <-chan struct{}, err error) {
-	loopStarted := make(chan struct{}) // the client may want to wake the loop before it exists
+	loopStarted := make(chan struct{}) // the client may call wake before the loop exists
 	wake := func() {
 		<-loopStarted
 		g.Loop.Wake()
@@ -63,7 +63,7 @@
 	}
 }
 
-// listenToPeers starts the agent that other gateways connect to.
+// listenToPeers opens the socket of the agent, to which other gateways connect.
 func (g *Gateway) listenToPeers(opt *gateway.Options, holderID string) (*agent.Agent, error) {
 	return agent.Listen(agent.Options{
 		Gateway:       g.Config.Name,
@@ -76,8 +76,8 @@
 	})
 }
 
-// injectedFaults are the safety rules that a test of the fleet has switched off to show that its audit notices. Nothing
-// else sets the variable.
+// injectedFaults returns the safety rules to disable. Only a test of the fleet sets the variable, to show that its
+// audit detects the violations.
 func injectedFaults() lease.InjectedFaults {
 	if os.Getenv("IRISPOST_TEST_NO_LEASES") == "1" {
 		return lease.FaultNoLeaseExpiry
--- a/internal/serve/fleet_test.go
+++ b/internal/serve/fleet_test.go
@@ -18,20 +18,20 @@
 	"irispost/internal/testkit"
 )
 
-// fleetTestbed is a gateway that has its configuration from one replica.
+// fleetTestbed is a gateway that takes its configuration from a cluster of one replica.
 type fleetTestbed struct {
 	*testkit.Testbed
 	t          *testing.T
 	replicaDir string
-	addr       string // of the replica, once it has started
+	addr       string // of the replica, set by its first start
 	replica    *replica.Replica
-	content    *configversion.Config // proposed last
+	content    *configversion.Config // of the latest proposal
 	cacheDir   string                // of the gateway
 	logFile    string
 	gateway    *serve.Gateway
 }
 
-// startReplica starts the replica, at the address that it had before.
+// startReplica starts the replica, at its previous address if it ran before.
 func (b *fleetTestbed) startReplica() {
 	opt := replica.Options{
 		ID:            1,
@@ -45,7 +45,7 @@
 	if b.addr != "" {
 		opt.Listen = b.addr
 	}
-	waitFor(func() bool { // the address may be taken for a moment
+	waitFor(func() bool { // the address may still be in use for a moment
 		var err error
 		b.replica, err = replica.Start(opt)
 		return err == nil
@@ -53,7 +53,7 @@
 	b.addr = b.replica.Addr()
 }
 
-// propose makes the content a version after its parent.
+// propose proposes the content as the version that follows parent.
 func (b *fleetTestbed) propose(parent uint64) {
 	b.t.Helper()
 	client := &replica.Client{Replicas: []string{b.addr}, Timeout: failureTimeout}
@@ -68,7 +68,7 @@
 	}
 }
 
-// parseConfig is the gateway's own configuration.
+// parseConfig returns the gateway's local configuration.
 func (b *fleetTestbed) parseConfig() *config.Config {
 	b.t.Helper()
 	text := strings.Replace(testkit.Conf, `nodes    = "-"`, "", 1) +
@@ -80,11 +80,11 @@
 	return conf
 }
 
-// startFleetTestbed starts the replica with a first version that agrees with the gateway's own configuration, and the
-// gateway.
+// startFleetTestbed starts the replica, proposes a first version with the same settings as the gateway's local
+// configuration, and starts the gateway.
 func startFleetTestbed(t *testing.T) *fleetTestbed {
 	t.Helper()
-	b := &fleetTestbed{ // folders before the testbed, so that they are removed after its gateways have stopped
+	b := &fleetTestbed{ // folders are created before the testbed, to be removed after its gateways have stopped
 		t:          t,
 		replicaDir: t.TempDir(),
 		cacheDir:   filepath.Join(t.TempDir(), "contents"),
@@ -113,7 +113,7 @@
 	return b
 }
 
-// logged reports whether the gateway has logged a text.
+// hasLogged reports whether the gateway's log contains a text.
 func (b *fleetTestbed) hasLogged(text string) bool {
 	b.t.Helper()
 	log, err := os.ReadFile(b.logFile)
@@ -123,7 +123,7 @@
 	return strings.Contains(string(log), text)
 }
 
-// awaitVersion waits until the version that the gateway reports begins with a text.
+// awaitVersion waits until the version in the status of the gateway has a prefix.
 func (b *fleetTestbed) awaitVersion(prefix string) {
 	b.t.Helper()
 	waitFor(func() bool {
@@ -135,9 +135,9 @@
 	})
 }
 
-// TestGatewayServesByVersionInForce: a gateway with replicas serves by the version in force, reports it, and logs where
-// its own configuration contradicts it; without its replica and without a fallback it rejects requests at once; with
-// the replica back it serves again.
+// TestGatewayServesByVersionInForce: a gateway that follows replicas serves with the version in force, reports it, and
+// logs the settings in which its local configuration conflicts with it. When its lease has ended and it has no
+// fallback, it rejects requests at once. It serves again once the replica is back.
 func TestGatewayServesByVersionInForce(t *testing.T) {
 	b := startFleetTestbed(t)
 	client := b.Client(0)
@@ -146,7 +146,7 @@
 	}
 	b.awaitVersion("acting on 1.")
 	if b.hasLogged("local configuration conflicts with a version") {
-		t.Error("the same settings are said to contradict")
+		t.Error("a conflict is logged although the settings are equal")
 	}
 	level := b.content.ServiceLevels["basic"]
 	level.RateLimit, level.Burst = 7, 7
@@ -157,13 +157,13 @@
 	b.replica.Close()
 	b.awaitVersion("ended on none")
 	if err := client.Mkdir("/meals/month"); err == nil {
-		t.Error("it serves by a version that may be out of force")
+		t.Error("a request succeeded with a version that may no longer be in force")
 	}
 	b.startReplica()
 	b.awaitVersion("acting on 2.")
-	waitFor(func() bool { // its last content is on disk
+	waitFor(func() bool { // the latest content is cached on disk
 		list, err := filepath.Glob(filepath.Join(b.cacheDir, "*"))
 		return err == nil && len(list) == 1 && filepath.Base(list[0]) == b.content.Digest()+".rules"
 	})
-	testkit.RetryUntilDone(t, "it serves again", func() error { return client.Mkdir("/meals/year") })
+	testkit.RetryUntilDone(t, "mkdir after the restart", func() error { return client.Mkdir("/meals/year") })
 }
--- a/internal/serve/frontends_bench_test.go
+++ b/internal/serve/frontends_bench_test.go
@@ -18,14 +18,14 @@
 	"irispost/internal/testkit"
 )
 
-// benchBytes is the size of what the benchmarks read and write.
+// benchBytes is the size of the file and of the part of the disk that the benchmarks use.
 const benchBytes = 8 << 20
 
-// blockFunc reads or writes at an offset.
+// blockFunc reads or writes a block at an offset.
 type blockFunc func(block []byte, offset int64) (int, error)
 
-// BenchmarkFronts reads and writes through the file and the disk front end in one run, with client, gateway and node in
-// one process. cpu-us/op is of all three.
+// BenchmarkFronts reads and writes through the SFTP and the iSCSI front end in one run. Client, gateway and node share
+// one process, and cpu-us/op is the processor time of all three.
 func BenchmarkFronts(b *testing.B) {
 	for _, size := range []int{4 << 10, 64 << 10} {
 		for _, depth := range []int{1, 16, 128} {
@@ -38,7 +38,8 @@
 
 func benchmarkFrontEnds(b *testing.B, size, depth int, write bool) {
 	testbed := testkit.Start(b, testkit.Conf+disksConf, 1, 1, nil)
-	d, err := initiator.Open(context.Background(), diskOptions(testbed, 0, nil), 0, initiator.Retry{Timeout: failureTimeout})
+	d, err := initiator.Open(context.Background(), diskOptions(testbed, 0, nil), 0,
+		initiator.Retry{Timeout: failureTimeout})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -63,7 +64,7 @@
 	_, _ = d.Close(), f.Close()
 }
 
-// benchmarkBlocks does b.N operations, depth of them at a time.
+// benchmarkBlocks runs b.N operations, up to depth of them concurrently.
 func benchmarkBlocks(b *testing.B, do blockFunc, size, depth int) {
 	b.ReportAllocs()
 	before := cpuTime()
@@ -84,14 +85,14 @@
 	b.ReportMetric(float64((cpuTime()-before).Microseconds())/float64(b.N), "cpu-us/op")
 }
 
-// cpu is the processor time that this process has had.
+// cpuTime returns the processor time that this process has used.
 func cpuTime() time.Duration {
 	var u syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u) // cannot fail for the process itself
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// sharesConf has a second volume of the same plan, with a disk.
+// sharesConf adds a second volume with the same plan and a disk.
 const sharesConf = testkit.Conf + `
 volume "blocks" {
   id   = 2
@@ -117,13 +118,13 @@
 }
 `
 
-// load has readers read the blocks of a file or a disk until it is stopped.
+// readLoad runs readers of the blocks of files and disks until it is stopped.
 type readLoad struct {
 	stop    chan struct{}
 	running sync.WaitGroup
 }
 
-// add starts so many readers, which count the reads that fail.
+// add starts readers. They count failed reads in failed.
 func (l *readLoad) add(readers int, failed *atomic.Int64, read blockFunc) {
 	for i := range readers {
 		l.running.Go(func() {
@@ -136,14 +137,14 @@
 				}
 				if _, err := read(block, n%64*16<<10); err != nil {
 					failed.Add(1)
-					time.Sleep(100 * time.Millisecond) // it was rejected
+					time.Sleep(100 * time.Millisecond) // wait before the next read: this one was rejected
 				}
 			}
 		})
 	}
 }
 
-// servedUnits returns the units that nodes served between two times, by volume.
+// servedUnits returns the units that nodes served between two times, by volume ID.
 func servedUnits(events []audit.Event, from, to int64) map[int64]float64 {
 	type attempt struct {
 		request string
@@ -162,12 +163,12 @@
 	return units
 }
 
-// TestSharesOfFrontends has file clients of one volume and a deep disk session of another, of equal weight, ask for
-// more than a node can do, and logs the shares; a measurement, made with IRISPOST_MEASURE=1, and with IRISPOST_PLAN
-// for another plan.
+// TestSharesOfFrontends measures how a node's capacity is shared by file clients of one volume and a disk session with
+// many outstanding reads of another volume of equal weight, which together request more than the node can serve. It
+// logs the shares. It runs only with IRISPOST_MEASURE=1; IRISPOST_PLAN replaces the rate and reserve of the plan.
 func TestSharesOfFrontends(t *testing.T) {
 	if os.Getenv("IRISPOST_MEASURE") == "" {
-		t.Skip("a measurement: IRISPOST_MEASURE=1")
+		t.Skip("measurement, runs with IRISPOST_MEASURE=1")
 	}
 	clock := gateway.NewClock()
 	record := &audit.Recorder{Clock: clock.Now}
@@ -203,6 +204,6 @@
 	close(l.stop)
 	l.running.Wait()
 	units := servedUnits(record.Events(), from, to)
-	t.Logf("units served in 10 s: file clients %.0f, disk client %.0f, ratio %.2f; failed: %d of files, %d of the disk",
+	t.Logf("units served in 10 s: file clients %.0f, disk client %.0f, ratio %.2f; failed: %d file reads, %d disk reads",
 		units[1], units[2], units[1]/units[2], failedFiles.Load(), failedBlocks.Load())
 }
--- a/internal/serve/gateway.go
+++ b/internal/serve/gateway.go
@@ -1,10 +1,10 @@
-// Package serve builds a running gateway from its configuration and takes it down again. It wires the packages of a
-// gateway together (endpoint sources, connections to storage nodes, the loop that owns the scheduler, the front ends,
-// the admin socket) and starts them in the order in which each needs the next.
+// Package serve starts a gateway from its configuration and stops it. It connects the components of a gateway
+// (endpoint sources, connections to storage nodes, the loop that owns the scheduler, the front ends, the admin socket)
+// and starts them in the order of their dependencies.
 //
-// The commands call it, and tests do. Gateway serves SFTP and iSCSI; WebGateway serves HTTP/1.1 as the platform runs
-// it. The package owns no state of its own but the capture that is being written, decides nothing, and does I/O only
-// through the parts it starts.
+// Commands and tests call it. Gateway serves SFTP and iSCSI. WebGateway serves HTTP/1.1 when the platform runs the
+// gateway. The package makes no scheduling decisions, its only state is the active capture, and all I/O is done by the
+// components that it starts.
 package serve
 
 import (
@@ -25,8 +25,8 @@
 	"irispost/internal/sftp"
 )
 
-// minNodePacketBytes is the least packet size accepted from a storage node, whose listings may be longer than what a
-// client may send.
+// minNodePacketBytes is a lower bound for the maximum size of packets from storage nodes. Their listings may be longer
+// than any packet that a client may send.
 const minNodePacketBytes = 4 << 20
 
 // Gateway is a running gateway that serves files over SFTP and, if configured, disks over iSCSI.
@@ -40,15 +40,15 @@
 	admin       *admin.Server // nil without an admin socket
 	capture     captureSession
 	endpoints   *manager.Manager
-	slowStart   *agent.Agent   // nil when no other gateway can reach this one
-	fleetClient *client.Client // nil when the configuration comes from a file alone
+	slowStart   *agent.Agent   // nil if other gateways cannot reach this one
+	fleetClient *client.Client // nil if the configuration comes from a file only
 	nodes       *node.Client
 	logger      *slog.Logger
 	cancel      context.CancelFunc // ends the goroutines counted by background
 	background  sync.WaitGroup     // goroutines that this package started
 }
 
-// Start starts a gateway. Relative file names in the configuration are resolved against baseDir.
+// Start starts a gateway. Relative paths in the configuration are resolved against baseDir.
 func Start(conf *config.Config, baseDir string, logger *slog.Logger) (*Gateway, error) {
 	sources := endpointSources(conf, baseDir, logger)
 	if conf.EndpointCacheDir != "" {
@@ -57,7 +57,7 @@
 	return StartWithSources(conf, sources, logger)
 }
 
-// StartWithSources starts a gateway with the given endpoint sources in place of the configured ones.
+// StartWithSources starts a gateway with the given endpoint sources instead of the configured ones.
 func StartWithSources(conf *config.Config, sources []manager.NamedSource, logger *slog.Logger) (*Gateway, error) {
 	g := newGateway(conf, logger)
 	var tap gateway.Tap
@@ -96,8 +96,8 @@
 	}
 }
 
-// startLoop starts the loop, which owns the scheduler. The channel is closed once a configuration version is in force;
-// it is nil for a gateway that has its configuration from a file alone.
+// startLoop starts the loop, which owns the scheduler. The returned channel is closed once a configuration version
+// is in force. It is nil for a gateway that takes its configuration from a file only.
 func (g *Gateway) startLoop(tap gateway.Tap) (versionInForce <-chan struct{}, err error) {
 	opt := gateway.Options{
 		Name:      g.Config.Name,
@@ -116,7 +116,7 @@
 	return nil, nil
 }
 
-// startEndpoints starts what keeps the endpoint list up to date and hands it to the loop.
+// startEndpoints starts the manager that keeps the endpoint list up to date and passes it to the loop.
 func (g *Gateway) startEndpoints(sources []manager.NamedSource) {
 	g.endpoints = manager.Start(manager.Options{
 		Gateway:  g.Config.Name,
@@ -129,8 +129,8 @@
 	})
 }
 
-// awaitEndpoints waits until the gateway knows its storage nodes, but not for longer than configured, so that the first
-// client is not rejected for lack of them.
+// awaitEndpoints waits until the gateway knows its storage nodes, or until the configured timeout. Without the wait,
+// the first requests would be rejected for lack of endpoints.
 func (g *Gateway) awaitEndpoints(versionInForce <-chan struct{}) {
 	known := versionInForce
 	if known == nil {
@@ -140,12 +140,12 @@
 	select {
 	case <-known:
 	case <-time.After(timeout):
-		g.logger.Warn("endpoint sources not synced in time, serving with the endpoints known",
+		g.logger.Warn("endpoint sources not synced before the timeout, serving with the known endpoints",
 			"gateway", g.Config.Name, "timeout", timeout)
 	}
 }
 
-// listen opens the sockets that clients and operators connect to. On an error those opened before are closed again.
+// listen opens the sockets for clients and operators. On an error it closes those that it has opened.
 func (g *Gateway) listen(ctx context.Context) (err error) {
 	g.Frontend, err = front.Start(g.Config.Listen, front.Options{
 		Name:    g.Config.Name,
@@ -176,7 +176,7 @@
 	return nil
 }
 
-// spawn runs a function on a goroutine that stopAll waits for.
+// spawn runs a function in a goroutine that stopAll waits for.
 func (g *Gateway) spawn(run func()) {
 	g.background.Add(1)
 	go func() {
--- a/internal/serve/golden_test.go
+++ b/internal/serve/golden_test.go
@@ -17,9 +17,9 @@
 	"irispost/internal/testkit/golden"
 )
 
-// TestGoldenAdmin pins what a gateway itself puts into the answers of its admin socket: names of states, reasons,
-// request classes, and the texts of errors. Times, addresses, folders and figures that differ from run to run are
-// masked.
+// TestGoldenAdmin compares the responses of the admin socket with a golden file, since clients depend on the names of
+// states, reasons, request classes, and error texts in them. Times, addresses, folders and numbers that vary between
+// runs are masked.
 func TestGoldenAdmin(t *testing.T) {
 	dir := t.TempDir()
 	socket := filepath.Join(dir, "admin.sock")
--- a/internal/serve/helpers_test.go
+++ b/internal/serve/helpers_test.go
@@ -10,22 +10,22 @@
 	"irispost/internal/testkit"
 )
 
-// farOff is a limit that only a test that fails reaches.
+// failureTimeout limits waits in tests. Only a failing test reaches it.
 const failureTimeout = 30 * time.Second
 
-// until waits for a condition; the limit is that of the whole test run.
+// waitFor polls until a condition holds. Only the timeout of the test run limits it.
 func waitFor(condition func() bool) {
 	for !condition() {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// withBlock is the testbed's configuration with a further block of the gateway.
+// confWithBlock returns the testbed's configuration with further text in the gateway block.
 func confWithBlock(block string) string {
 	return strings.Replace(testkit.Conf, "gateways = 2\n", "gateways = 2\n"+block, 1)
 }
 
-// command changes how a stand-in node behaves.
+// command sends a command to a test node, which changes its behavior.
 func command(t testing.TB, n *standin.Node, text string) {
 	t.Helper()
 	if err := n.Command(text); err != nil {
@@ -33,7 +33,7 @@
 	}
 }
 
-// write writes to a connection that is open.
+// write writes to a connection and fails the test on an error.
 func write(t testing.TB, c net.Conn, bytes []byte) {
 	t.Helper()
 	if _, err := c.Write(bytes); err != nil {
--- a/internal/serve/iscsi.go
+++ b/internal/serve/iscsi.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	// maxTransferBytes is the longest transfer that a logical unit announces to initiators.
+	// maxTransferBytes is the maximum transfer length that a logical unit reports to initiators.
 	maxTransferBytes = 4 << 20
 
-	// Backoff between tries to open the file behind a logical unit.
+	// Limits of the backoff between attempts to open the file that backs a logical unit.
 	minOpenBackoff = 100 * time.Millisecond
 	maxOpenBackoff = 5 * time.Second
 )
 
-// startISCSI starts the iSCSI target server. Its logical units become ready as soon as their files can be opened.
+// startISCSI starts the iSCSI target server. Each logical unit becomes ready once its file has been opened.
 func (g *Gateway) startISCSI(ctx context.Context) (*target.Server, error) {
 	opt := target.Options{Front: g.Frontend, Limits: g.Config.Disks.Limits, Log: g.logger}
 	for _, conf := range g.Config.Disks.Targets {
@@ -42,7 +42,7 @@
 	return target.Listen(g.Config.Disks.Listen, opt)
 }
 
-// openUnit opens the file behind a logical unit, with retries, since a gateway may start before its storage nodes do.
+// openUnit opens the file that backs a logical unit. It retries, since storage nodes may start after the gateway.
 func (g *Gateway) openUnit(ctx context.Context, unit *target.Unit, name string, lun config.LUN) {
 	for backoff := minOpenBackoff; ; backoff = min(2*backoff, maxOpenBackoff) {
 		disk, err := g.Frontend.OpenDisk(lun.File, lun.Size)
@@ -60,7 +60,7 @@
 	}
 }
 
-// closeISCSI closes the iSCSI sessions and commits what was written to their units.
+// closeISCSI closes the iSCSI sessions and commits the writes to their logical units.
 func (g *Gateway) closeISCSI() {
 	if g.ISCSI == nil {
 		return
--- a/internal/serve/iscsi_test.go
+++ b/internal/serve/iscsi_test.go
@@ -17,13 +17,13 @@
 	"irispost/internal/testkit"
 )
 
-// wireDisk is an initiator of which the test writes each PDU.
+// wireDisk is an iSCSI session of which the test sends and receives each PDU.
 type wireDisk struct {
 	t       *testing.T
 	conn    net.Conn
 	reader  *bufio.Reader
 	digests iscsi.Digests
-	cmdSN   uint32 // command number
+	cmdSN   uint32 // CmdSN of the next command
 }
 
 func (w *wireDisk) ReadBinary(n int) ([]byte, error) {
@@ -34,7 +34,7 @@
 
 func (w *wireDisk) Release() error { return nil }
 
-// login logs in at once, with these keys.
+// login opens a session with a single login request. keys are further key-value pairs to negotiate.
 func login(t *testing.T, testbed *testkit.Testbed, isid byte, keys ...string) *wireDisk {
 	t.Helper()
 	conn, err := net.Dial("tcp", testbed.Gateways[0].ISCSI.Addr())
@@ -46,7 +46,8 @@
 		t.Fatal(err)
 	}
 	w := &wireDisk{t: t, conn: conn, reader: bufio.NewReader(conn), cmdSN: 100}
-	list := []iscsi.Pair{{Key: "InitiatorName", Value: "iqn.2026-01.example:wire"}, {Key: "TargetName", Value: targetName}}
+	list := []iscsi.Pair{{Key: "InitiatorName", Value: "iqn.2026-01.example:wire"},
+		{Key: "TargetName", Value: targetName}}
 	for i := 0; i < len(keys); i += 2 {
 		list = append(list, iscsi.Pair{Key: keys[i], Value: keys[i+1]})
 	}
@@ -55,7 +56,7 @@
 	p.Header[13] = isid
 	w.send(p)
 	if a := w.receive(); a.Opcode() != iscsi.LoginResponse || a.Header[36] != 0 || a.Header[1] != 0x87 {
-		t.Fatalf("login: %x", a.Header)
+		t.Fatalf("login failed, response %x", a.Header)
 	}
 	for i := 0; i < len(keys); i += 2 {
 		w.digests.Header = w.digests.Header || keys[i] == "HeaderDigest"
@@ -78,18 +79,18 @@
 	return p
 }
 
-// wants takes a PDU of a kind.
+// expectPDU receives a PDU and fails the test if it has another opcode or task tag.
 func (w *wireDisk) expectPDU(op iscsi.Opcode, tag uint32) *iscsi.PDU {
 	w.t.Helper()
 	p := w.receive()
 	if p.Opcode() != op || p.Tag() != tag {
-		w.t.Fatalf("a PDU of kind %#x for %d, want %#x for %d: %x %x",
+		w.t.Fatalf("received opcode %#x for tag %d, want %#x for tag %d: %x %x",
 			byte(p.Opcode()), p.Tag(), byte(op), tag, p.Header, p.Data)
 	}
 	return p
 }
 
-// write begins a write of blocks of 4096 bytes.
+// writeCommand returns a WRITE(10) command for blocks of 4096 bytes, with immediate data, and advances cmdSN.
 func (w *wireDisk) writeCommand(tag, block uint32, blocks int, immediate []byte) *iscsi.PDU {
 	p := iscsi.New(iscsi.Command, iscsi.Final|iscsi.Writes|1).
 		SetUint32(16, tag).SetUint32(20, uint32(blocks*4096)).SetUint32(24, w.cmdSN).SetData(immediate)
@@ -106,9 +107,9 @@
 	return p
 }
 
-// works checks that the session still serves. works reads a block. Nodes that hung are believed to do so until they
-// have answered again, and a read that is dismissed meanwhile is told BUSY, proof that nothing ran: it is sent again,
-// as an initiator would.
+// expectServed reads a block to check that the session still serves commands. Nodes that hung stay suspect until they
+// have answered again. A read that is rejected meanwhile ends with BUSY, which proves that nothing ran, and is sent
+// again, as an initiator would do.
 func (w *wireDisk) expectServed(tag uint32) {
 	w.t.Helper()
 	for {
@@ -119,7 +120,7 @@
 			continue
 		}
 		if p.Opcode() != iscsi.DataIn || p.Header[3] != 0 || len(p.Data) != 4096 {
-			w.t.Errorf("%x", p.Header)
+			w.t.Errorf("read of block 0: want Data-In with 4096 bytes, got header %x", p.Header)
 		}
 		return
 	}
@@ -128,7 +129,7 @@
 func (w *wireDisk) expectSense(p *iscsi.PDU, want *scsi.Sense) {
 	w.t.Helper()
 	if len(p.Data) < 3 {
-		w.t.Fatalf("no sense: %x", p.Header)
+		w.t.Fatalf("response without sense data: %x", p.Header)
 	}
 	got, ok := scsi.DecodeSense(p.Data[2:])
 	if !ok || p.Header[3] != byte(scsi.CheckCondition) || got.Key != want.Key || got.Code != want.Code {
@@ -136,18 +137,19 @@
 	}
 }
 
-// TestCommandNumbers: a command that comes early waits, and one that comes again or from beyond the window is ignored.
+// TestCommandNumbers: a command that arrives before its predecessor waits, and one that is repeated or whose CmdSN is
+// beyond the window is ignored.
 func TestCommandNumbers(t *testing.T) {
 	testbed := diskTestbed(t, 1, 1, nil)
-	openDisk(t, diskOptions(testbed, 0, nil), 0) // so that the unit is ready
+	openDisk(t, diskOptions(testbed, 0, nil), 0) // waits until the unit is ready
 	w := login(t, testbed, 1)
 	first, second := w.readCommand(1, 0, 1), w.readCommand(2, 0, 1)
 	w.send(second)
 	w.send(first)
-	for _, tag := range []uint32{1, 2} { // in any order
+	for _, tag := range []uint32{1, 2} { // responses arrive in any order
 		_ = tag
 		if p := w.receive(); p.Opcode() != iscsi.DataIn || p.Header[3] != 0 {
-			t.Errorf("%x", p.Header)
+			t.Errorf("want Data-In with status GOOD, got header %x", p.Header)
 		}
 	}
 	repeated := w.readCommand(3, 0, 1)
@@ -157,14 +159,14 @@
 	outsideWindow.SetUint32(24, 100_000)
 	w.send(outsideWindow)
 	w.cmdSN -= 2
-	w.expectServed(5) // the first answer that comes is this one's
+	w.expectServed(5) // its response is the first to arrive
 	last := w.readCommand(6, 0, 1)
 	w.send(last)
 	w.expectPDU(iscsi.DataIn, 6)
 }
 
-// TestDataOutOfSequenceIsRejected: data that was not solicited so, or whose digest does not fit, ends its command with
-// a sense, and nothing is written.
+// TestDataOutOfSequenceIsRejected: data that does not match its R2T, or has a wrong digest, is rejected and ends its
+// command with CHECK CONDITION.
 func TestDataOutOfSequenceIsRejected(t *testing.T) {
 	testbed := diskTestbed(t, 1, 1, nil)
 	openDisk(t, diskOptions(testbed, 0, nil), 0)
@@ -178,18 +180,18 @@
 		return p
 	}
 	for i, invalidData := range map[uint32]func(transfer uint32) *iscsi.PDU{
-		11: func(x uint32) *iscsi.PDU { return out(11, x, 0, 0, 12288, true) },      // past its R2T
-		12: func(x uint32) *iscsi.PDU { return out(12, x, 0, 4096, 4096, true) },    // not from its beginning
-		13: func(x uint32) *iscsi.PDU { return out(13, x, 3, 0, 8192, true) },       // another number
-		14: func(x uint32) *iscsi.PDU { return out(14, x+9, 0, 0, 8192, true) },     // another transfer
-		15: func(x uint32) *iscsi.PDU { return out(15, x, 0, 0, 4096, true) },       // final too early
-		16: func(x uint32) *iscsi.PDU { return out(16, x, 0, 0, 8192, false) },      // not final at its end
-		17: func(uint32) *iscsi.PDU { return out(17, 1<<30, 0, 1<<31, 8192, true) }, // anywhere
+		11: func(x uint32) *iscsi.PDU { return out(11, x, 0, 0, 12288, true) },      // longer than its R2T
+		12: func(x uint32) *iscsi.PDU { return out(12, x, 0, 4096, 4096, true) },    // not from the start of its R2T
+		13: func(x uint32) *iscsi.PDU { return out(13, x, 3, 0, 8192, true) },       // wrong DataSN
+		14: func(x uint32) *iscsi.PDU { return out(14, x+9, 0, 0, 8192, true) },     // unknown target transfer tag
+		15: func(x uint32) *iscsi.PDU { return out(15, x, 0, 0, 4096, true) },       // final before the end of its R2T
+		16: func(x uint32) *iscsi.PDU { return out(16, x, 0, 0, 8192, false) },      // not final at the end of its R2T
+		17: func(uint32) *iscsi.PDU { return out(17, 1<<30, 0, 1<<31, 8192, true) }, // unsolicited, at an arbitrary offset
 	} {
 		w.send(w.writeCommand(i, 8, 2, nil))
 		r := w.expectPDU(iscsi.ReadyToTransfer, i)
 		if r.Uint32(40) != 0 || r.Uint32(44) != 8192 {
-			t.Fatalf("%x", r.Header)
+			t.Fatalf("R2T: want 8192 bytes from offset 0, got header %x", r.Header)
 		}
 		w.send(invalidData(r.Uint32(20)))
 		w.expectPDU(iscsi.Reject, iscsi.NoTag)
@@ -203,22 +205,22 @@
 	write(w.t, w.conn, append(append([]byte{}, head...), tail...))
 	w.expectPDU(iscsi.Reject, iscsi.NoTag)
 	w.expectSense(w.expectPDU(iscsi.Response, 20), scsi.CRCError)
-	w.send(out(20, r.Uint32(20), 0, 0, 8192, true)) // for a command that is over: let be
+	w.send(out(20, r.Uint32(20), 0, 0, 8192, true)) // ignored: its command has ended
 	w.expectServed(21)
 	snack := iscsi.New(iscsi.SNACK, iscsi.Final).SetUint32(16, 22)
 	w.send(snack)
 	w.expectPDU(iscsi.Reject, iscsi.NoTag)
 	w.expectServed(23)
 	head, _ = w.readCommand(24, 0, 1).Encode(w.digests).Bytes()
-	head[20] ^= 1 // a header's digest that does not fit: nothing that follows can be believed
+	head[20] ^= 1 // wrong header digest: the length is unreliable, so the connection has to end
 	write(w.t, w.conn, head)
 	if _, err := iscsi.Read(w, w.digests, 1<<20); err == nil {
-		t.Error("the connection goes on")
+		t.Error("the connection stays open after a wrong header digest")
 	}
 }
 
-// TestAbortedWriteGetsNoResponse: a write in flight is aborted: the abort is answered when nothing of the write can
-// happen any more, and the write gets no response. The reset of a unit notifies the commands of other sessions.
+// TestAbortedWriteGetsNoResponse: ABORT TASK of a write in flight is answered once the write can no longer take
+// effect, and the write gets no response. A reset of a logical unit ends commands of other sessions with TASK ABORTED.
 func TestAbortedWriteGetsNoResponse(t *testing.T) {
 	testbed := diskTestbed(t, 1, 1, func(o *standin.Options) { o.UnitTime = time.Millisecond })
 	d := openDisk(t, diskOptions(testbed, 0, nil), 0)
@@ -237,18 +239,18 @@
 	abort(1, 8, 7)
 	abort(1, 9, 1234)
 	if p := w.expectPDU(iscsi.TaskManagementResponse, 9); p.Header[2] != 1 {
-		t.Errorf("a task that is not there: %x", p.Header)
+		t.Errorf("abort of an unknown task: want response 1, got header %x", p.Header)
 	}
 	command(t, testbed.Nodes[0], "well")
 	if p := w.expectPDU(iscsi.TaskManagementResponse, 8); p.Header[2] != 0 {
-		t.Errorf("%x", p.Header)
+		t.Errorf("abort of the write: want response 0, got header %x", p.Header)
 	}
 	w.expectServed(10)
 	abort(6, 11, iscsi.NoTag)
 	if p := w.expectPDU(iscsi.TaskManagementResponse, 11); p.Header[2] != 5 {
-		t.Errorf("a target reset: %x", p.Header)
+		t.Errorf("target reset: want response 5, got header %x", p.Header)
 	}
-	// Another session's reset.
+	// A reset by another session.
 	o := diskOptions(testbed, 0, func(o *initiator.Options) { o.ISID[5] = 40 })
 	s, err := initiator.Dial(context.Background(), o)
 	if err != nil {
@@ -257,7 +259,7 @@
 	defer func() { _ = s.Close() }()
 	command(t, testbed.Nodes[0], "hang")
 	w.send(w.writeCommand(12, 1, 1, randomBytes(1, 4096)))
-	w.send(w.writeCommand(13, 1, 2, nil)) // its data is asked for, and does not come
+	w.send(w.writeCommand(13, 1, 2, nil)) // its data is solicited and never sent
 	w.expectPDU(iscsi.ReadyToTransfer, 13)
 	done := make(chan byte, 1)
 	go func() {
@@ -268,20 +270,20 @@
 		done <- code
 	}()
 	if p := w.expectPDU(iscsi.Response, 13); p.Header[3] != byte(scsi.Aborted) {
-		t.Errorf("%x", p.Header)
+		t.Errorf("after the reset: want TASK ABORTED, got header %x", p.Header)
 	}
 	command(t, testbed.Nodes[0], "well")
 	if p := w.expectPDU(iscsi.Response, 12); p.Header[3] != byte(scsi.Aborted) {
-		t.Errorf("%x", p.Header)
+		t.Errorf("after the reset: want TASK ABORTED, got header %x", p.Header)
 	}
 	if code := <-done; code != 0 {
-		t.Errorf("a reset: %d", code)
+		t.Errorf("logical unit reset: response %d, want 0", code)
 	}
 	w.expectServed(14)
 }
 
-// TestSessionReinstatementEndsOldSession: a session is reinstated while its requests are in flight: the old connection
-// ends, its requests are cancelled, none of their responses reaches the new one, and none is left over.
+// TestSessionReinstatementEndsOldSession: a session is reinstated while its requests are in flight. The old connection
+// is closed and its requests are cancelled. None of their responses reaches the new session, and no request remains.
 func TestSessionReinstatementEndsOldSession(t *testing.T) {
 	testbed := diskTestbed(t, 2, 1, nil)
 	d := openDisk(t, diskOptions(testbed, 0, nil), 0)
@@ -299,29 +301,29 @@
 	old.expectPDU(iscsi.ReadyToTransfer, 150)
 	next := login(t, testbed, 5)
 	if _, err := iscsi.Read(old, old.digests, 1<<20); err == nil {
-		t.Error("the old connection goes on")
+		t.Error("the old connection stays open")
 	}
 	for _, n := range testbed.Nodes {
 		command(t, n, "well")
 	}
-	next.expectServed(100) // the same tag, and its own answer
+	next.expectServed(100) // the same tag as an old command, with its own response
 	if s := testbed.Gateways[0].ISCSI.Status(); s.Sessions != 2 {
-		t.Errorf("%+v", s)
+		t.Errorf("want 2 sessions: %+v", s)
 	}
 	_ = next.conn.Close()
 	_ = d.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), failureTimeout)
 	defer cancel()
-	if err := testbed.Gateways[0].Frontend.Drain(ctx); err != nil { // nothing is counted as under way for ever
+	if err := testbed.Gateways[0].Frontend.Drain(ctx); err != nil { // no request remains in flight
 		t.Error(err)
 	}
 	if s := testbed.Gateways[0].ISCSI.Status(); s.Running != 0 || s.Waiting != 0 {
-		t.Errorf("%+v", s)
+		t.Errorf("want no running and no waiting commands: %+v", s)
 	}
 }
 
-// TestNodeFailureWithinWriteIsReported: a node fails within a write of several extents: the write is reported as not
-// known to be done, and once the node is back the blocks can be written and read.
+// TestNodeFailureWithinWriteIsReported: a write of several extents does not end with GOOD if a node fails one of them.
+// Once the node is back, the blocks can be written and read.
 func TestNodeFailureWithinWriteIsReported(t *testing.T) {
 	testbed := diskTestbed(t, 3, 1, nil)
 	d := openDisk(t, diskOptions(testbed, 0, nil), 0)
@@ -338,7 +340,7 @@
 	cdb := []byte{0x2a, 0, 0, 0, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0, 0} // 256 blocks
 	r, err := s.Do(context.Background(), 0, cdb, randomBytes(2, 1<<20), 0)
 	if err != nil || r.Status == scsi.Good {
-		t.Errorf("%+v, %v", r, err)
+		t.Errorf("write with a failing node: response %+v, error %v, want a status other than GOOD", r, err)
 	}
 	command(t, testbed.Nodes[1], "well")
 	next := randomBytes(3, 1<<20)
@@ -347,11 +349,11 @@
 	}
 	got := make([]byte, 1<<20)
 	if _, err := d.ReadAt(got, 0); err != nil || string(got) != string(next) {
-		t.Errorf("%v, equal %v", err, string(got) == string(next))
+		t.Errorf("read after recovery: error %v, equal %v", err, string(got) == string(next))
 	}
 }
 
-// TestDiskDrainRequestsLogout: a gateway that shuts down asks initiators to log out, and takes nothing new.
+// TestDiskDrainRequestsLogout: a gateway that drains asks initiators to log out, and then shuts down without an error.
 func TestDiskDrainRequestsLogout(t *testing.T) {
 	testbed := diskTestbed(t, 1, 1, nil)
 	d := openDisk(t, diskOptions(testbed, 0, nil), 0)
@@ -361,7 +363,7 @@
 	w := login(t, testbed, 3)
 	testbed.Gateways[0].ISCSI.Drain()
 	if p := w.expectPDU(iscsi.AsyncMessage, iscsi.NoTag); p.Header[36] != 1 {
-		t.Errorf("%x", p.Header)
+		t.Errorf("want async event 1 (logout request), got header %x", p.Header)
 	}
 	out := iscsi.New(iscsi.LogoutRequest, iscsi.Final).SetUint32(16, 5).SetUint32(24, w.cmdSN)
 	out.Header[0] |= 0x40
@@ -378,8 +380,8 @@
 	testbed.Gateways = nil
 }
 
-// TestUnreadResponsesFillQueue: an initiator that sends reads and takes no responses gets TASK SET FULL past what it
-// may leave unread; each command has its one response all the same.
+// TestUnreadResponsesFillQueue: an initiator that sends reads and does not read the responses gets TASK SET FULL once
+// it exceeds the limit of unread bytes. Each command still gets exactly one response.
 func TestUnreadResponsesFillQueue(t *testing.T) {
 	conf := testkit.Conf + strings.Replace(disksConf, "login  =", "unread = \"64KiB\"\n  login  =", 1)
 	testbed := testkit.Start(t, conf, 1, 1, nil)
@@ -391,7 +393,7 @@
 	const reads = 60
 	for i := range uint32(reads) {
 		w.send(w.readCommand(i, 0, 256))
-		if i == 0 { // the window opens with the first answer
+		if i == 0 { // the command window opens with the first response
 			w.receiveStatus(0)
 		}
 	}
@@ -406,22 +408,22 @@
 		case scsi.TaskSetFull:
 			full++
 		default:
-			t.Errorf("%x", p.Header)
+			t.Errorf("want status GOOD or TASK SET FULL, got header %x", p.Header)
 		}
 	}
 	if full == 0 || good == 0 {
-		t.Errorf("%d full, %d good", full, good)
+		t.Errorf("%d responses with TASK SET FULL, %d with GOOD, want some of both", full, good)
 	}
 	w.expectServed(1000)
 }
 
-// last takes PDUs until one has a command's status.
+// receiveStatus receives PDUs until one has the status of a command: of the given one, or of any for iscsi.NoTag.
 func (w *wireDisk) receiveStatus(tag uint32) *iscsi.PDU {
 	for {
 		p := w.receive()
 		if p.Opcode() == iscsi.Response || p.Opcode() == iscsi.DataIn && p.Flags()&iscsi.HasStatus != 0 {
 			if tag != iscsi.NoTag && p.Tag() != tag {
-				w.t.Fatalf("an answer to %d", p.Tag())
+				w.t.Fatalf("received a response for tag %d", p.Tag())
 			}
 			return p
 		}
--- a/internal/serve/leak_test.go
+++ b/internal/serve/leak_test.go
@@ -17,7 +17,7 @@
 	"irispost/internal/webstandin"
 )
 
-// startLeakGateway starts a gateway behind HTTP that takes its endpoints from a list.
+// startLeakGateway starts an HTTP gateway that takes its endpoints from a discovery server.
 func startLeakGateway(t *testing.T, list *discoveryServer) (*serve.WebGateway, *platform.Config) {
 	t.Helper()
 	text := fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:0","discovery":%q,"seed":"1",
@@ -38,7 +38,7 @@
 	return g, conf
 }
 
-// dialWeb connects to a gateway behind HTTP and sends a text.
+// dialWeb connects to an HTTP gateway and sends a text.
 func dialWeb(t *testing.T, g *serve.WebGateway, text string) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", g.Frontend.Addr())
@@ -49,8 +49,9 @@
 	return c
 }
 
-// TestWebGatewayLeavesNoGoroutine: a gateway behind HTTP that has served, has had clients that are idle, leave and send
-// rubbish, and is shut down, leaves no goroutine of its front end, its node connections, its discovery or its loop.
+// TestWebGatewayLeavesNoGoroutine: after its shutdown, an HTTP gateway leaves no goroutine of its front end, its node
+// connections, its discovery client or its loop, although clients stayed idle, disconnected or sent malformed
+// requests.
 func TestWebGatewayLeavesNoGoroutine(t *testing.T) {
 	store := webstandin.Start(t)
 	targets := []discovery.Target{{UID: "s", Endpoint: store.Addr().String(), State: "ready"}}
@@ -65,7 +66,7 @@
 			"X-IO: volume=00000003b4d60021,units=2,shard=0,hosts=1\r\n\r\n"
 	}
 	served := dialWeb(t, g, request("served-1"))
-	if _, err := io.ReadFull(served, make([]byte, 12)); err != nil { // and is idle
+	if _, err := io.ReadFull(served, make([]byte, 12)); err != nil { // the connection stays idle
 		t.Error(err)
 	}
 	rubbish := dialWeb(t, g, request(strings.Repeat("x y", 100)))
--- a/internal/serve/limits_test.go
+++ b/internal/serve/limits_test.go
@@ -11,7 +11,8 @@
 	"irispost/internal/testkit"
 )
 
-// TestConnectionLimitsAreReported: each limit of a connection has a stated answer.
+// TestConnectionLimitsAreReported: requests that exceed the limits on handles and folder entries get an error that
+// names the limit. Requests beyond the limit of outstanding ones wait.
 func TestConnectionLimitsAreReported(t *testing.T) {
 	conf := confWithBlock("  limits {\n    handles = 3\n    entries = 5\n    outstanding = 2\n  }\n")
 	testbed := testkit.Start(t, conf, 1, 1, nil)
@@ -22,7 +23,7 @@
 	}
 	conn.send(sftp.Open, func(p *sftp.Packet) { p.Text("/meals/f0").Uint32(sftp.FlagRead).Attrs(sftp.Attrs{}) })
 	if code, text := conn.receiveStatus(); code != sftp.Failure || !strings.Contains(text, "3 handles") {
-		t.Errorf("a handle too many: %v %q", code, text)
+		t.Errorf("open beyond the handle limit: %v %q, want a failure with \"3 handles\"", code, text)
 	}
 	command(t, testbed.Nodes[0], "hang")
 	received := testbed.Nodes[0].AttemptsReceived()
@@ -34,12 +35,12 @@
 	}
 	f, _ := testbed.Gateways[0].Loop.Stats()
 	if f.InFlight != 2 {
-		t.Errorf("%d jobs are held, 2 requests may be out", f.InFlight)
+		t.Errorf("%d requests in flight, want 2", f.InFlight)
 	}
 	command(t, testbed.Nodes[0], "well")
 	for range 5 {
 		if f := conn.receive(); f.Type != sftp.Attributes {
-			t.Errorf("type %d", f.Type)
+			t.Errorf("response of packet type %d, want ATTRS", f.Type)
 		}
 	}
 	for i := range 6 {
@@ -48,12 +49,12 @@
 		}
 	}
 	if _, err := testbed.Client(0).ReadDir("/meals"); err == nil || !strings.Contains(err.Error(), "5 entries") {
-		t.Errorf("a folder too long: %v", err)
+		t.Errorf("listing beyond the entry limit: error %v, want one with \"5 entries\"", err)
 	}
 }
 
-// TestClientFarAheadOrBehindLosesConnection: a client that sends far ahead of its responses, or leaves far too many
-// unread, loses its connection; others go on.
+// TestClientFarAheadOrBehindLosesConnection: the connection of a client is closed if it sends too many bytes ahead of
+// its responses, or leaves too many bytes of responses unread. Other connections are still served.
 func TestClientFarAheadOrBehindLosesConnection(t *testing.T) {
 	conf := confWithBlock(`  limits {
     outstanding = 4
@@ -74,7 +75,7 @@
 	err := error(nil)
 	for i := 0; err == nil; i++ {
 		if err = packet.WriteOut(ahead.conn); i > 2000 {
-			t.Fatal("120 MB are taken ahead of their answers")
+			t.Fatal("the gateway accepted 120 MB ahead of its responses")
 		}
 	}
 	command(t, testbed.Nodes[0], "well")
@@ -82,13 +83,16 @@
 	unread.handshake()
 	handle = unread.open("/meals/f", sftp.FlagRead)
 	read := sftp.New(sftp.Read, 9).Text(handle).Uint64(0).Uint32(100_000)
-	for range 3000 { // 300 MB of answers; the kernel's buffers hold a few
+	for range 3000 { // 300 MB of responses; the kernel's buffers hold only a few of them
 		if read.WriteOut(unread.conn) != nil {
 			break
 		}
 	}
 	if n, _ := io.Copy(io.Discard, unread.conn); n > 200<<20 {
-		t.Errorf("%d bytes were kept for a client that does not read", n)
+		t.Errorf("%d bytes were buffered for a client that does not read, want at most 200 MiB", n)
 	}
-	testkit.RetryUntilDone(t, "another's", func() error { _, err := testbed.Client(0).Stat("/meals/f"); return err })
+	testkit.RetryUntilDone(t, "stat through another connection", func() error {
+		_, err := testbed.Client(0).Stat("/meals/f")
+		return err
+	})
 }
--- a/internal/serve/linear_test.go
+++ b/internal/serve/linear_test.go
@@ -19,22 +19,22 @@
 	"irispost/internal/standin"
 )
 
-// operation is a read, write or compare of one block, whose value is its first eight bytes.
+// blockOperation is a read, write, or compare and write of one block. The value of a block is its first eight bytes.
 type blockOperation struct {
-	kind       byte // r, w, c
+	kind       byte // r, w or c
 	block      int
 	value, old uint64
 }
 
-// result is what came of it.
+// blockResult is the outcome of a blockOperation.
 type blockResult struct {
-	value      uint64 // read
-	unknown    bool   // it may have been done, now or later, or not at all
-	miscompare bool   // compared, and different
+	value      uint64 // that was read
+	unknown    bool   // the operation may have been executed, may still be executed later, or never
+	miscompare bool   // the block differed from the compared value
 }
 
-// register is a block: reads see the last write. What is not known to be done may have happened at any time from its
-// beginning on, or never.
+// registerModel models a block as a register: reads return the last write. An operation with an unknown outcome may
+// have been executed at any time after its start, or never.
 var registerModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{uint64(0)} },
 	Step: func(state, in, out any) []any {
@@ -67,9 +67,9 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// TestBlocksAreLinearizable: blocks that several sessions read, write and compare at once behave each as one register,
-// while nodes fail, lose replies and break connections, and sessions are broken off. Porcupine checks it, over some
-// seeds here; IRISPOST_SEEDS sets how many.
+// TestBlocksAreLinearizable: each block that several sessions read, write and compare concurrently is a linearizable
+// register, although nodes fail, lose responses and reset connections, and sessions break. Porcupine checks the
+// history. IRISPOST_SEEDS sets the number of seeds.
 func TestBlocksAreLinearizable(t *testing.T) {
 	seeds := 3
 	if n, err := strconv.Atoi(os.Getenv("IRISPOST_SEEDS")); err == nil {
@@ -80,14 +80,14 @@
 	}
 }
 
-// Size of a run of checkBlocks.
+// Size of one run of checkLinearizability.
 const (
 	blockClients = 4
 	blockCount   = 3
-	blockSteps   = 25 // of each client
+	blockSteps   = 25 // per client
 )
 
-// blockHistory is what the clients of a run did and saw.
+// blockHistory records the operations of the clients of a run.
 type blockHistory struct {
 	start time.Time
 
@@ -95,7 +95,8 @@
 	operations []porcupine.Operation
 }
 
-// record does an operation and records it. What may still happen after it never returns, as far as the model goes.
+// record executes an operation and records it. An operation with an unknown outcome may take effect later, so it is
+// recorded as one that returns after all others.
 func (h *blockHistory) record(client int, op blockOperation, do func() blockResult) blockResult {
 	call := time.Since(h.start)
 	out := do()
@@ -115,7 +116,7 @@
 	return out
 }
 
-// known returns how many operations have a known outcome.
+// known returns the number of operations with a known outcome.
 func (h *blockHistory) known() (count int) {
 	for _, o := range h.operations {
 		if !o.Output.(blockResult).unknown {
@@ -125,7 +126,7 @@
 	return count
 }
 
-// disturbNode changes how a node behaves until stop is closed.
+// injectFaults changes the faults of a node at random until stop is closed, and then clears them.
 func injectFaults(t *testing.T, n *standin.Node, r *rand.Rand, stop <-chan struct{}) {
 	faults := []string{"fail 0.3", "slow 5", "reset", "well", "stall 20ms", "drop 0.02"}
 	for {
@@ -139,9 +140,9 @@
 	}
 }
 
-// runBlockClient does random operations on a session that is broken off at times.
+// runBlockClient executes random operations in a session that it breaks at times.
 func runBlockClient(client int, d *initiator.Disk, r *rand.Rand, history *blockHistory) {
-	last := map[int]uint64{} // read last, by block
+	last := map[int]uint64{} // value read last, by block
 	for step := range blockSteps {
 		value := uint64(client*blockSteps+step) + 1
 		o := blockOperation{kind: "rwc"[r.IntN(3)], block: r.IntN(blockCount), value: value}
@@ -157,7 +158,7 @@
 	}
 }
 
-// byBlock splits a history, since blocks are independent of each other.
+// byBlock partitions a history by block, since blocks are independent of each other.
 func byBlock(operations []porcupine.Operation) [][]porcupine.Operation {
 	parts := make([][]porcupine.Operation, blockCount)
 	for _, o := range operations {
@@ -178,7 +179,8 @@
 	}
 	for client := range blockClients {
 		opt := diskOptions(b, 0, func(o *initiator.Options) { o.ISID[5] = byte(client) })
-		d, err := initiator.Open(context.Background(), opt, 0, initiator.Retry{Timeout: failureTimeout, NoRepeatedWrites: true})
+		d, err := initiator.Open(context.Background(), opt, 0,
+			initiator.Retry{Timeout: failureTimeout, NoRepeatedWrites: true})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -195,11 +197,11 @@
 	model := registerModel.ToModel()
 	model.Partition = byBlock
 	if r := porcupine.CheckOperationsTimeout(model, history.operations, 20*time.Second); r != porcupine.Ok {
-		t.Errorf("the blocks are not linearizable (%v): %+v", r, history.operations)
+		t.Errorf("the history is not linearizable (%v): %+v", r, history.operations)
 	}
 }
 
-// perform does an operation once: what is not known to be done is not repeated under the same name.
+// perform executes an operation once. An operation with an unknown outcome is not retried, since it may still execute.
 func perform(disk *initiator.Disk, op *blockOperation, offset int64) (out blockResult) {
 	block := func(v uint64) []byte {
 		b := bytes.Repeat([]byte{byte(v)}, 4096)
@@ -217,7 +219,7 @@
 		_, err := disk.Read(ctx, b, offset)
 		out.unknown, out.value = err != nil, binary.BigEndian.Uint64(b)
 		if err == nil && !bytes.Equal(b, block(out.value)) {
-			out.value = 1 << 63 // torn: no state has it
+			out.value = 1 << 63 // torn read: no state has this value
 		}
 	case 'w':
 		_, err := disk.Write(ctx, block(op.value), offset)
--- a/internal/serve/malformed_test.go
+++ b/internal/serve/malformed_test.go
@@ -10,8 +10,8 @@
 	"irispost/internal/testkit"
 )
 
-// TestMalformedInputIsRejectedOrEndsConnection: malformed input gets a clear answer or ends its connection, and other
-// connections go on.
+// TestMalformedInputIsRejectedOrEndsConnection: malformed input is answered with an error or ends its connection.
+// Other connections are not affected.
 func TestMalformedInputIsRejectedOrEndsConnection(t *testing.T) {
 	testbed := testkit.Start(t, testkit.Conf, 1, 1, nil)
 	other := testbed.Client(0)
@@ -21,11 +21,11 @@
 		conn.handshake()
 		conn.send(kind, fields)
 		if got, text := conn.receiveStatus(); got != code || text == "" {
-			t.Errorf("%s: %v %q, not %v", name, got, text, code)
+			t.Errorf("%s: status %v %q, want %v with a message", name, got, text, code)
 		}
 		conn.send(sftp.Stat, func(p *sftp.Packet) { p.Text("/") })
 		if f := conn.receive(); f.Type != sftp.Attributes {
-			t.Errorf("%s: the connection does not go on", name)
+			t.Errorf("%s: the connection does not serve further requests", name)
 		}
 	}
 	text := func(s string) func(*sftp.Packet) { return func(p *sftp.Packet) { p.Text(s) } }
@@ -52,11 +52,11 @@
 		}
 		_, _ = conn.conn.Write(bytes) // the gateway may have closed the connection already
 		if n, err := conn.conn.Read(make([]byte, 1)); err == nil {
-			t.Errorf("%s: the connection goes on with %d bytes", name, n)
+			t.Errorf("%s: the connection stays open and returned %d bytes, want it closed", name, n)
 		}
 	}
 	r := rand.New(rand.NewPCG(3, 3))
-	for range 30 { // noise
+	for range 30 { // random packets
 		conn := dialRaw(t, testbed, 0)
 		conn.handshake()
 		for range 20 {
@@ -65,11 +65,11 @@
 				b[i] = byte(r.Uint32())
 			}
 			binary.BigEndian.PutUint32(b, uint32(len(b)-4))
-			_, _ = conn.conn.Write(b) // as above
+			_, _ = conn.conn.Write(b) // the connection may be closed, as above
 		}
 		_ = conn.conn.Close()
 	}
 	if err := put(other, "/meals/fine", randomBytes(1, 1000)); err != nil {
-		t.Errorf("another connection: %v", err)
+		t.Errorf("put through another connection: %v", err)
 	}
 }
--- a/internal/serve/members_test.go
+++ b/internal/serve/members_test.go
@@ -24,7 +24,7 @@
 	"irispost/internal/xdsstandin"
 )
 
-// feedFromServer has gateways take their list from a management server.
+// useXDSServer makes gateways take their endpoint list from an xDS management server.
 func useXDSServer(testbed *testkit.Testbed, s *xdsstandin.Server, delta bool) {
 	testbed.EndpointSources = func(name string) []manager.NamedSource {
 		return []manager.NamedSource{{Name: "plane", Source: xds.NewClient(xds.Options{
@@ -38,19 +38,19 @@
 	}
 }
 
-// managed is an installation whose gateways have their list from a management server, with clients that work until the
-// end.
+// managedTestbed is a testbed whose gateways take their endpoint list from an xDS management server, with clients that
+// send requests until the test ends.
 type managedTestbed struct {
 	*testkit.Testbed
 	t           *testing.T
 	server      *xdsstandin.Server
 	recorder    *audit.Recorder
 	servedCount atomic.Int64
-	failedCount atomic.Int64 // with an error that is not the gateway's own answer
+	failedCount atomic.Int64 // with an error other than "dismissed" and "written off", which gateways return
 	grace       time.Duration
 }
 
-// startManaged starts one gateway with clients; delta chooses the incremental form of xDS.
+// startManagedTestbed starts one gateway with clients. delta selects the incremental variant of xDS.
 func startManagedTestbed(t *testing.T, delta bool, shards int, unitTime time.Duration) *managedTestbed {
 	t.Helper()
 	clock := gateway.NewClock()
@@ -77,7 +77,8 @@
 		running.Wait()
 		s.Close()
 		if m.failedCount.Load() > 0 {
-			t.Errorf("%d requests had no answer of the gateway's own", m.failedCount.Load())
+			t.Errorf("%d requests failed with an error other than \"dismissed\" and \"written off\", want 0",
+				m.failedCount.Load())
 		}
 	})
 	m.awaitServed(20)
@@ -106,18 +107,18 @@
 	}
 }
 
-// awaitServed waits until so many more requests are served.
+// awaitServed waits until n more iterations of the clients have succeeded.
 func (m *managedTestbed) awaitServed(n int64) {
 	m.t.Helper()
 	target := m.servedCount.Load() + n
 	for end := time.Now().Add(failureTimeout); m.servedCount.Load() < target; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			m.t.Fatalf("%d served, want %d", m.servedCount.Load(), target)
+			m.t.Fatalf("timeout: %d served, want %d", m.servedCount.Load(), target)
 		}
 	}
 }
 
-// awaitAccepted makes a change and returns the time at which the gateway has accepted the update of endpoints.
+// awaitAccepted makes a change and returns the time when the gateway has acknowledged the resulting endpoint update.
 func (m *managedTestbed) awaitAccepted(change func()) int64 {
 	m.t.Helper()
 	count := func(list []xdsstandin.Ack) (n int) {
@@ -130,13 +131,16 @@
 	}
 	before := count(m.server.Acks())
 	change()
-	if err := m.server.WaitForAcks(failureTimeout, func(list []xdsstandin.Ack) bool { return count(list) > before }); err != nil {
+	if err := m.server.WaitForAcks(failureTimeout, func(list []xdsstandin.Ack) bool {
+		return count(list) > before
+	}); err != nil {
 		m.t.Fatal(err)
 	}
 	return m.recorder.Clock()
 }
 
-// expectNoNewRequests fails the test if a node gets a request later than the grace after a time, or got hardly any before.
+// expectNoNewRequests fails the test if a node receives a request later than the grace period after since, or received
+// fewer than 20 before.
 func (m *managedTestbed) expectNoNewRequests(node *standin.Node, since int64) {
 	m.t.Helper()
 	end := since + int64(m.grace)
@@ -154,15 +158,15 @@
 		}
 	}
 	if before < 20 {
-		m.t.Errorf("%s got only %d requests before", node.Addr(), before)
+		m.t.Errorf("%s received only %d requests before the change, want at least 20", node.Addr(), before)
 	}
 	if last > end {
-		m.t.Errorf("%s gets a request %d ms after it was to get none", node.Addr(), (last-since)/1e6)
+		m.t.Errorf("%s received a request %d ms after the change, beyond the grace period", node.Addr(), (last-since)/1e6)
 	}
-	m.t.Logf("%d requests before, the last one %.1f ms after the list", before, float64(last-since)/1e6)
+	m.t.Logf("%d requests before the change, the last one %.1f ms after it", before, float64(last-since)/1e6)
 }
 
-// successor starts a cold node for a shard and lists it.
+// startSuccessor starts another node for a shard. The caller has it listed.
 func (m *managedTestbed) startSuccessor(shard int) *standin.Node {
 	n, err := standin.Start(standin.Options{
 		Addr:        "127.0.0.1:0",
@@ -188,9 +192,9 @@
 	}
 }
 
-// TestNodeRemovedByXDSGetsNoNewRequests: after a drain, a removal, or a report that it is not healthy, a node gets no
-// new requests, those in flight go on at its successor, and each gets its response: as the nodes' sockets saw it, in
-// both forms of the protocol.
+// TestNodeRemovedByXDSGetsNoNewRequests: a node that is drained, removed or reported unhealthy receives no new
+// requests, those in flight continue at its successor, and each gets its response. The nodes record what they receive;
+// both variants of xDS are tested.
 func TestNodeRemovedByXDSGetsNoNewRequests(t *testing.T) {
 	for _, delta := range []bool{false, true} {
 		for _, change := range []string{"drain", "remove", "unwell"} {
@@ -201,8 +205,8 @@
 				next := m.startSuccessor(0)
 				since := m.awaitAccepted(func() { m.command("add " + next.Addr() + " 0") })
 				m.awaitAccepted(func() { m.command(change + " " + old.Addr()) })
-				m.expectNoNewRequests(old, since) // the successor's later start is enough
-				if change == "drain" {            // undone: the successor still serves, as it started later
+				m.expectNoNewRequests(old, since) // listing the successor, which started later, is sufficient
+				if change == "drain" {            // undo the drain: the successor keeps the shard, as it started later
 					m.awaitAccepted(func() { m.command("ready " + old.Addr()) })
 					m.awaitServed(30)
 					m.expectNoNewRequests(old, since)
@@ -212,12 +216,12 @@
 	}
 }
 
-// TestNodeRemovedWithoutSuccessorServesAgain: the requests of a removed node without a successor are answered all the
-// same, and it serves again once it is back.
+// TestNodeRemovedWithoutSuccessorServesAgain: requests for the shard of a removed node without a successor are still
+// answered, and the node serves again once it is listed again.
 func TestNodeRemovedWithoutSuccessorServesAgain(t *testing.T) {
 	m := startManagedTestbed(t, true, 3, time.Millisecond)
 	since := m.awaitAccepted(func() { m.command("remove " + m.Nodes[2].Addr()) })
-	time.Sleep(100 * time.Millisecond) // its shard's requests wait meanwhile
+	time.Sleep(100 * time.Millisecond) // requests for its shard wait meanwhile
 	m.server.UpdateNodes(func(list []endpoint.Node) []endpoint.Node {
 		for i := range list {
 			list[i].Health = endpoint.Ready
@@ -230,10 +234,10 @@
 			return
 		}
 	}
-	t.Error("a node that is back gets no work")
+	t.Error("a node that is listed again receives no requests")
 }
 
-// report returns the endpoints as the gateway has them.
+// report returns the gateway's report of its endpoints.
 func (m *managedTestbed) report() admin.EndpointReport {
 	m.t.Helper()
 	report, err := m.Gateways[0].Members()
@@ -243,17 +247,17 @@
 	return report
 }
 
-// awaitReport waits until the report meets a condition.
+// awaitReport waits until the report meets a condition; what describes the condition.
 func (m *managedTestbed) awaitReport(what string, condition func(admin.EndpointReport) bool) {
 	m.t.Helper()
 	for end := time.Now().Add(failureTimeout); !condition(m.report()); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			m.t.Fatalf("%s does not come about: %+v", what, m.report())
+			m.t.Fatalf("timeout waiting for %s: %+v", what, m.report())
 		}
 	}
 }
 
-// serving returns how many endpoints of a report get requests.
+// serving returns the number of endpoints in a report that receive requests.
 func serving(report admin.EndpointReport) (count int) {
 	for _, node := range report.Nodes {
 		if node.State == "serving" || node.State == "kept" {
@@ -263,8 +267,8 @@
 	return count
 }
 
-// TestInvalidUpdatesKeepLastGoodList: invalid updates are rejected with a reason, the last good list stays in force,
-// and requests go on.
+// TestInvalidUpdatesKeepLastGoodList: invalid updates are rejected with a reason, the last valid list stays in force,
+// and requests are still served.
 func TestInvalidUpdatesKeepLastGoodList(t *testing.T) {
 	m := startManagedTestbed(t, false, 3, 0)
 	version := m.report().Sources[0].Version
@@ -274,7 +278,7 @@
 		report := m.report()
 		source := report.Sources[0]
 		if source.Version != version || serving(report) != 3 || !strings.Contains(source.LastRejection, kind) {
-			t.Errorf("%+v", report)
+			t.Errorf("invalid update: want an unchanged version, 3 serving endpoints and a reason: %+v", report)
 		}
 		m.awaitServed(30)
 	}
@@ -285,12 +289,12 @@
 		}
 	}
 	if rejections != 2 {
-		t.Errorf("%d rejections were sent, want 2", rejections)
+		t.Errorf("%d rejections sent to the server, want 2", rejections)
 	}
 }
 
-// TestListWithoutHealthyEndpointsIsHeld: a list of nothing, and one in which all are unhealthy, is held and reported
-// until the source takes it back or an operator confirms it.
+// TestListWithoutHealthyEndpointsIsHeld: an empty list, or one in which all endpoints are unhealthy, is held and
+// reported until the source replaces it or an operator confirms it.
 func TestListWithoutHealthyEndpointsIsHeld(t *testing.T) {
 	m := startManagedTestbed(t, false, 3, 0)
 	isHeld := func(r admin.EndpointReport) bool {
@@ -300,30 +304,30 @@
 		m.command("cut")
 		before := m.server.Nodes()
 		m.command(list)
-		m.awaitReport("held", isHeld)
+		m.awaitReport("a held list", isHeld)
 		if report := m.report(); serving(report) != 3 {
-			t.Errorf("%s: %+v", list, report)
+			t.Errorf("%s: want 3 serving endpoints: %+v", list, report)
 		}
 		m.awaitServed(30)
 		m.server.UpdateNodes(func([]endpoint.Node) []endpoint.Node { return before })
-		m.awaitReport("as before", func(r admin.EndpointReport) bool { return r.HeldLoss == nil && serving(r) == 3 })
+		m.awaitReport("recovery", func(r admin.EndpointReport) bool { return r.HeldLoss == nil && serving(r) == 3 })
 		m.awaitServed(30)
 	}
 	m.command("nothing")
-	m.awaitReport("held again", func(r admin.EndpointReport) bool { return r.HeldLoss != nil })
+	m.awaitReport("a list held again", func(r admin.EndpointReport) bool { return r.HeldLoss != nil })
 	if confirmation, err := m.Gateways[0].Confirm(); err != nil || confirmation.Nodes != 3 {
-		t.Errorf("%+v, %v", confirmation, err)
+		t.Errorf("confirmation %+v, error %v, want 3 nodes", confirmation, err)
 	}
-	m.awaitReport("confirmed", func(r admin.EndpointReport) bool { return r.HeldLoss == nil && serving(r) == 0 })
+	m.awaitReport("the confirmed loss", func(r admin.EndpointReport) bool { return r.HeldLoss == nil && serving(r) == 0 })
 	m.server.UpdateNodes(func([]endpoint.Node) []endpoint.Node { return m.List().Nodes })
-	m.awaitReport("back", func(r admin.EndpointReport) bool { return serving(r) == 3 })
+	m.awaitReport("3 serving endpoints", func(r admin.EndpointReport) bool { return serving(r) == 3 })
 	m.awaitServed(30)
 }
 
-// TestStartWithCachedListWhileServerIsDown: a gateway that starts while the management server is down serves with the
-// list that it cached before, and with the server's list once there is one.
+// TestStartWithCachedListWhileServerIsDown: a gateway that starts while the management server is down serves with its
+// cached endpoint list, and with the server's list once the server is back.
 func TestStartWithCachedListWhileServerIsDown(t *testing.T) {
-	dir := t.TempDir() // before the testbed, so that it is removed after the gateways that write there are stopped
+	dir := t.TempDir() // created before the testbed, to be removed after the gateways that write there have stopped
 	testbed := testkit.Start(t, testkit.Conf, 2, 0, nil)
 	s, err := xdsstandin.Start("127.0.0.1:0", 1, testbed.List().Nodes...)
 	if err != nil {
@@ -340,7 +344,7 @@
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatal("no list is kept")
+			t.Fatal("timeout: the endpoint list is not cached")
 		}
 	}
 	g.Kill()
@@ -355,7 +359,7 @@
 	}
 	source := v.Sources[0]
 	if source.State != "starting" || source.LastError == "" || source.Nodes != 2 || len(v.Nodes) != 2 {
-		t.Errorf("%+v", v)
+		t.Errorf("want source \"starting\" with an error and 2 cached endpoints: %+v", v)
 	}
 	if err := s.Restart(); err != nil {
 		t.Fatal(err)
@@ -364,7 +368,7 @@
 	isCurrent := func() bool { return v.Sources[0].State == "current" && v.Sources[0].Version == "c:1 e:1" }
 	for end := time.Now().Add(failureTimeout); !isCurrent(); time.Sleep(time.Millisecond) {
 		if v, _ = g.Members(); time.Now().After(end) {
-			t.Fatalf("%+v", v)
+			t.Fatalf("timeout: want source \"current\" at version \"c:1 e:1\": %+v", v)
 		}
 	}
 	testkit.RetryUntilDone(t, "get", func() error { _, err := get(testbed.Client(0), "/meals/f"); return err })
--- a/internal/serve/nodefaults_test.go
+++ b/internal/serve/nodefaults_test.go
@@ -16,8 +16,8 @@
 	"irispost/internal/testkit"
 )
 
-// TestFileReadsBackThroughOtherGatewayWhileNodesFail: a file that is written through one gateway is read back equal
-// through another, while nodes fail, are slow, lose answers and break connections.
+// TestFileReadsBackThroughOtherGatewayWhileNodesFail: a file written through one gateway is read back unchanged
+// through another while nodes fail, are slow, stall and reset connections.
 func TestFileReadsBackThroughOtherGatewayWhileNodesFail(t *testing.T) {
 	testbed := testkit.Start(t, testkit.Conf, 3, 2, func(o *standin.Options) { o.UnitTime = 50 * time.Microsecond })
 	a, b := testbed.Client(0), testbed.Client(1)
@@ -39,7 +39,7 @@
 			testkit.RetryUntilDone(t, "get", func() error {
 				got, err := get(b, path)
 				if err == nil && sha256.Sum256(got) != sha256.Sum256(data) {
-					t.Errorf("%s comes back otherwise", path)
+					t.Errorf("%s: the content read differs from the content written", path)
 				}
 				return err
 			})
@@ -48,8 +48,8 @@
 	running.Wait()
 }
 
-// TestRenamesLoseNothing: files are renamed by many clients at once, through two gateways, amid failures: none vanishes
-// and none is there twice. A rename that was cut off half way is completed by whoever meets it.
+// TestRenamesLoseNothing: several clients rename files concurrently through two gateways while nodes fail. No file is
+// lost or duplicated. An interrupted rename is completed by the next request that encounters it.
 func TestRenamesLoseNothing(t *testing.T) {
 	testbed := testkit.Start(t, testkit.Conf, 3, 2, func(o *standin.Options) { o.UnitTime = 20 * time.Microsecond })
 	clients := []func(string, string) error{testbed.Client(0).Rename, testbed.Client(1).Rename, testbed.Client(0).Rename}
@@ -88,21 +88,21 @@
 	}
 	for i := range files {
 		if n := found[string(randomBytes(uint64(i), 100+i))]; n != 1 {
-			t.Errorf("file %d is there %d times", i, n)
+			t.Errorf("file %d exists %d times, want once", i, n)
 		}
 	}
 	if len(found) != files {
-		t.Errorf("%d contents are there, %d were put", len(found), files)
+		t.Errorf("%d distinct contents found, want %d", len(found), files)
 	}
 }
 
-// TestHungNodeDoesNotDelayOthers: a request whose nodes do not answer is rejected when its client's timeout ends,
-// requests at other nodes are not delayed, and a node that the list says is draining gets no new requests.
+// TestHungNodeDoesNotDelayOthers: a request whose node does not answer is rejected when the timeout of its request
+// class expires, requests to other nodes still succeed, and a node listed as draining receives no new requests.
 func TestHungNodeDoesNotDelayOthers(t *testing.T) {
 	conf := strings.ReplaceAll(strings.ReplaceAll(testkit.Conf, `"5s"`, `"1500ms"`), `"3s"`, `"1s"`)
 	testbed := testkit.Start(t, conf, 2, 1, nil)
 	c := testbed.Client(0)
-	var files [2]string // one whose record is at each shard
+	var files [2]string // the record of files[i] is at shard i
 	for i := 0; files[0] == "" || files[1] == ""; i++ {
 		path := fmt.Sprintf("/meals/f%d", i)
 		before := testbed.Nodes[0].AttemptsReceived()
@@ -117,25 +117,25 @@
 	}
 	command(t, testbed.Nodes[0], "hang")
 	if _, err := c.Stat(files[0]); err == nil || !strings.Contains(err.Error(), "dismissed") {
-		t.Errorf("a read at a node that hangs: %v", err)
+		t.Errorf("stat at a hung node: error %v, want \"dismissed\"", err)
 	}
 	if _, err := c.Stat(files[1]); err != nil {
-		t.Errorf("another node's: %v", err)
+		t.Errorf("stat at another node: %v", err)
 	}
 	if _, err := c.ReadDir("/meals"); err == nil {
-		t.Error("a listing without a shard is given as whole")
+		t.Error("a listing succeeded although a shard did not answer")
 	}
 	l := testbed.List()
 	l.Nodes[0].Health = endpoint.Draining
 	testbed.UpdateEndpoints(l)
 	command(t, testbed.Nodes[0], "well")
-	_, _ = c.Stat(files[1]) // the list was told before this
+	_, _ = c.Stat(files[1]) // this request follows the list
 	before := testbed.Nodes[0].AttemptsReceived()
 	if _, err := c.Stat(files[0]); err == nil {
-		t.Error("a node that drains serves")
+		t.Error("a draining node serves a request")
 	}
 	if n := testbed.Nodes[0].AttemptsReceived() - before; n != 0 {
-		t.Errorf("a node that drains gets %d executions", n)
+		t.Errorf("a draining node received %d attempts, want 0", n)
 	}
 	testbed.UpdateEndpoints(testbed.List())
 	testkit.RetryUntilDone(t, "stat", func() error { _, err := c.Stat(files[0]); return err })
--- a/internal/serve/rawsftp_test.go
+++ b/internal/serve/rawsftp_test.go
@@ -10,7 +10,7 @@
 	"irispost/internal/testkit"
 )
 
-// raw is a connection that sends what a test says.
+// rawConn is an SFTP connection over which a test sends and receives single packets.
 type rawConn struct {
 	t    *testing.T
 	conn net.Conn
@@ -34,7 +34,7 @@
 	c.t.Helper()
 	write(c.t, c.conn, []byte{0, 0, 0, 5, 1, 0, 0, 0, 3})
 	if f := c.receive(); f.Type != sftp.Version {
-		c.t.Fatalf("type %d in place of VERSION", f.Type)
+		c.t.Fatalf("received packet type %d, want VERSION", f.Type)
 	}
 }
 
@@ -64,7 +64,7 @@
 	c.t.Helper()
 	f := c.receive()
 	if f.Type != sftp.Status {
-		c.t.Fatalf("type %d in place of STATUS", f.Type)
+		c.t.Fatalf("received packet type %d, want STATUS", f.Type)
 	}
 	_, r := f.ID()
 	return sftp.Code(r.Uint32()), r.Text()
@@ -76,7 +76,7 @@
 	f := c.receive()
 	_, r := f.ID()
 	if f.Type != sftp.Handle {
-		c.t.Fatalf("open of %s: %d %q", path, r.Uint32(), r.Text())
+		c.t.Fatalf("open of %s: status %d %q", path, r.Uint32(), r.Text())
 	}
 	return r.Text()
 }
--- a/internal/serve/report.go
+++ b/internal/serve/report.go
@@ -8,7 +8,7 @@
 	"irispost/internal/endpoint/membership"
 )
 
-// errStopping answers the admin socket once the loop has ended. Clients see its text.
+// errStopping is returned to clients of the admin socket, which print its text, once the loop has ended.
 var errStopping = errors.New("the gateway ends")
 
 // Status reports the gateway's requests, endpoints, configuration version and capture to the admin socket.
@@ -102,7 +102,7 @@
 	}
 }
 
-// wallTime converts the gateway's time, nanoseconds since the Unix epoch, where 0 means never.
+// wallTime converts a time in nanoseconds since the Unix epoch. 0 means never and gives the zero time.
 func wallTime(t membership.Time) time.Time {
 	if t == 0 {
 		return time.Time{}
@@ -110,7 +110,7 @@
 	return time.Unix(0, t)
 }
 
-// Confirm accepts the loss of endpoints and the lists that are held back until an operator confirms them.
+// Confirm applies the loss of endpoints and the lists that are held until an operator confirms them.
 func (g *Gateway) Confirm() (admin.Confirmation, error) {
 	nodes, lists, running := g.endpoints.Confirm()
 	if !running {
--- a/internal/serve/shutdown.go
+++ b/internal/serve/shutdown.go
@@ -6,14 +6,15 @@
 	"time"
 )
 
-// ErrRequestsInFlight is returned by Shutdown when requests were still in flight at its deadline. They have failed.
+// ErrRequestsInFlight is returned by Shutdown if requests were still in flight at its deadline. These requests have
+// failed.
 var ErrRequestsInFlight = errors.New("requests were still in flight at the deadline")
 
-// lastAnswersTimeout is how long the answers of requests that fail at the deadline may take to go out.
+// finalResponseTimeout limits how long Shutdown waits for the responses to requests that failed at its deadline.
 const finalResponseTimeout = time.Second
 
-// Shutdown ends the gateway gracefully: it admits no new requests, waits for those in flight until the context ends,
-// fails the rest and stops everything. The error is ErrRequestsInFlight if any failed so.
+// Shutdown stops the gateway gracefully: it admits no new requests, waits for those in flight until the context is
+// done, fails the rest and stops all components. It returns ErrRequestsInFlight if requests failed this way.
 func (g *Gateway) Shutdown(ctx context.Context) error {
 	var result error
 	if g.ISCSI != nil {
@@ -21,9 +22,9 @@
 	}
 	if err := g.Frontend.Drain(ctx); err != nil {
 		result = ErrRequestsInFlight
-		g.Loop.Stop() // answers each request that is left
+		g.Loop.Stop() // fails the remaining requests; each gets a response
 		finalCtx, cancel := context.WithTimeout(context.Background(), finalResponseTimeout)
-		_ = g.Frontend.Drain(finalCtx) // those that did not go out are reported by result already
+		_ = g.Frontend.Drain(finalCtx) // result already reports the failure
 		cancel()
 	}
 	g.closeISCSI()
@@ -32,7 +33,7 @@
 	return result
 }
 
-// Kill ends the gateway as a crash would: connections close, and requests in flight get no answer.
+// Kill stops the gateway as a crash would: connections close, and requests in flight get no response.
 func (g *Gateway) Kill() {
 	if g.ISCSI != nil {
 		g.ISCSI.Break()
@@ -41,7 +42,7 @@
 	g.stopAll()
 }
 
-// stopAll stops everything behind the front ends and waits for it. Requests that are still in the loop fail.
+// stopAll stops all components behind the front ends and waits for them. Requests that are still in the loop fail.
 func (g *Gateway) stopAll() {
 	if g.admin != nil {
 		g.admin.Close()
--- a/internal/serve/shutdown_test.go
+++ b/internal/serve/shutdown_test.go
@@ -13,8 +13,8 @@
 	"irispost/internal/testkit"
 )
 
-// TestShutdownAnswersEveryRequest: a shutdown waits for the requests in flight and reports success; at its deadline the
-// rest fail, and it says so.
+// TestShutdownAnswersEveryRequest: a shutdown waits for the requests in flight and returns no error. At its deadline
+// the remaining requests fail, and it returns ErrRequestsInFlight.
 func TestShutdownAnswersEveryRequest(t *testing.T) {
 	for _, hang := range []bool{false, true} {
 		testbed := testkit.Start(t, testkit.Conf, 1, 1, func(o *standin.Options) { o.UnitTime = 20 * time.Millisecond })
@@ -38,10 +38,10 @@
 		go func() { stopped <- g.Shutdown(ctx) }()
 		code, text := conn.receiveStatus()
 		if !hang && code != sftp.OK || hang && !strings.HasPrefix(text, "written off") {
-			t.Errorf("hang %v: %v %q", hang, code, text)
+			t.Errorf("hang %v: response %v %q", hang, code, text)
 		}
 		if err := <-stopped; (err != nil) != hang || hang && !errors.Is(err, serve.ErrRequestsInFlight) {
-			t.Errorf("hang %v: stop says %v", hang, err)
+			t.Errorf("hang %v: Shutdown returned %v", hang, err)
 		}
 		cancel()
 	}
--- a/internal/serve/sources.go
+++ b/internal/serve/sources.go
@@ -10,15 +10,15 @@
 	"irispost/internal/endpoint/xds"
 )
 
-// Kinds of endpoint sources, as the configuration names them.
+// Kinds of endpoint sources, as named in the configuration.
 const (
-	sourceOwnFile = "own"      // a file in the product's own format
+	sourceOwnFile = "own"      // a file in irispost's own format
 	sourceXDSFile = "xds-file" // files with xDS resources
 	sourceXDS     = "xds"      // an xDS management server
 )
 
-// endpointSources builds the configured sources of endpoint lists. The configuration has been checked, so each is of a
-// known kind.
+// endpointSources creates the configured sources of endpoint lists. The configuration has been validated, so every
+// kind is known.
 func endpointSources(conf *config.Config, baseDir string, logger *slog.Logger) []manager.NamedSource {
 	var sources []manager.NamedSource
 	for _, s := range conf.Sources {
--- a/internal/serve/sweep.go
+++ b/internal/serve/sweep.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// sweepOrphans removes objects that no file refers to, one shard a tick, until the context ends.
+// sweepOrphans removes objects that no file refers to, one shard per tick, until the context is done.
 func (g *Gateway) sweepOrphans(ctx context.Context) {
 	ticker := time.NewTicker(g.Config.SweepInterval)
 	defer ticker.Stop()
--- a/internal/serve/sweep_test.go
+++ b/internal/serve/sweep_test.go
@@ -8,8 +8,8 @@
 	"irispost/internal/testkit"
 )
 
-// TestSweepRemovesOnlyOrphans: a gateway that is killed between the write of an extent and its record leaves an orphan;
-// a sweep removes it, and nothing else.
+// TestSweepRemovesOnlyOrphans: a gateway that is killed after it wrote an extent and before it wrote the file's record
+// leaves an orphaned object. A sweep removes this object and nothing else.
 func TestSweepRemovesOnlyOrphans(t *testing.T) {
 	testbed := testkit.Start(t, testkit.Conf, 2, 2, nil)
 	if err := put(testbed.Client(1), "/meals/kept", randomBytes(1, 100_000)); err != nil {
@@ -27,9 +27,9 @@
 		t.Fatal(text)
 	}
 	if n := testbed.Stores[0].Objects() + testbed.Stores[1].Objects(); n != inUse+1 {
-		t.Fatalf("%d objects, %d were there", n, inUse)
+		t.Fatalf("%d objects after the write, want one more than the previous %d", n, inUse)
 	}
-	testbed.Gateways[0].Loop.Stop() // no commit gets through any more
+	testbed.Gateways[0].Loop.Stop() // no commit succeeds after this
 	testbed.Gateways[0].Kill()
 	testbed.Gateways = testbed.Gateways[1:]
 	scanned, removed := 0, 0
@@ -41,9 +41,9 @@
 		scanned, removed = scanned+s, removed+r
 	}
 	if scanned != inUse+1 || removed != 1 {
-		t.Errorf("%d objects seen, %d removed; %d are in use", scanned, removed, inUse)
+		t.Errorf("%d objects scanned, %d removed, want all scanned and 1 removed; %d are in use", scanned, removed, inUse)
 	}
 	if got, err := get(testbed.Client(0), "/meals/moved"); err != nil || !bytes.Equal(got, randomBytes(1, 100_000)) {
-		t.Errorf("after the sweep: %d bytes, %v", len(got), err)
+		t.Errorf("after the sweep: read %d bytes, error %v, want the original content", len(got), err)
 	}
 }
--- a/internal/serve/web.go
+++ b/internal/serve/web.go
@@ -13,21 +13,21 @@
 	"irispost/internal/platform"
 )
 
-// Shares of the platform's limits on sockets and memory. Well-behaved clients open at most a third of the sockets,
-// others may open more. The sockets in no share are for the listener, the endpoint list, the runtime and connections
-// that are just closing.
+// Shares of the platform's limits on sockets and memory. Well-behaved clients open at most a third of the sockets;
+// others may open more. Sockets outside the shares are for the listener, discovery, the runtime and connections that
+// are being closed.
 const (
-	clientSocketShare   = 0.42 // an eighth of it again is for lingering connections
+	clientSocketShare   = 0.42 // lingering connections get one eighth of this share in addition
 	crowdedSocketShare  = 0.2
 	nodeSocketShare     = 0.45
 	bodyMemoryShare     = 1.0 / 8
-	longBodyMemoryShare = 1.0 / 8 // answers over the usual limit, all together
-	longBodyDivisor     = 64      // one such answer may have this part of the memory
+	longBodyMemoryShare = 1.0 / 8 // for all responses over the normal size limit together
+	longBodyDivisor     = 64      // a single such response may take 1/64 of the memory
 )
 
-// Timeouts and sizes of a gateway behind HTTP that the platform does not set.
+// Timeouts and sizes of an HTTP gateway that the platform does not set.
 const (
-	requestHost         = "origin.svc" // the Host field of requests to storage nodes
+	requestHost         = "origin.svc" // Host header of requests to storage nodes
 	loopQueueLength     = 1024
 	reuseDelay          = 10 * time.Millisecond
 	discoveryTimeout    = time.Second
@@ -35,18 +35,18 @@
 	clientIdleTimeout   = 20 * time.Second
 	crowdedIdleTimeout  = 500 * time.Millisecond
 	clientWriteTimeout  = 5 * time.Second
-	nodeIdleNumerator   = 4 // an idle connection is closed after 4/5 of the time after which nodes close it
+	nodeIdleNumerator   = 4 // idle connections are closed after 4/5 of the nodes' own idle timeout
 	nodeIdleDenominator = 5
 )
 
-// Parts of the time that the platform allows for a shutdown.
+// Times within the grace period that the platform allows for a shutdown.
 const (
-	acceptAfterSignal   = 500 * time.Millisecond // new connections still arrive for so long
-	lastRequestMargin   = 400 * time.Millisecond // no request is taken so shortly before the end
-	failRemainingMargin = 150 * time.Millisecond // what is left fails so shortly before the end
+	acceptAfterSignal   = 500 * time.Millisecond // new connections still arrive for this long after the signal
+	lastRequestMargin   = 400 * time.Millisecond // requests are accepted until this long before the end
+	failRemainingMargin = 150 * time.Millisecond // remaining requests fail this long before the end
 )
 
-// WebGateway is a running gateway that serves HTTP/1.1 under the platform.
+// WebGateway is a running gateway that serves HTTP/1.1 and is run by the platform.
 type WebGateway struct {
 	Config   *platform.Config
 	Loop     *gateway.Loop
@@ -58,7 +58,7 @@
 	logger    *slog.Logger
 }
 
-// StartWebGateway starts a gateway as the platform configures it.
+// StartWebGateway starts a gateway with the configuration that the platform provides.
 func StartWebGateway(conf *platform.Config, logger *slog.Logger) (*WebGateway, error) {
 	g := &WebGateway{Config: conf, logger: logger}
 	g.Nodes = webnode.NewClient(nodeClientOptions(conf))
@@ -130,13 +130,13 @@
 	}
 }
 
-// Reload applies what can change while a gateway runs: the address of discovery.
+// Reload applies the only setting that can change while a gateway runs: the address of discovery.
 func (g *WebGateway) Reload(conf *platform.Config) {
 	g.logger.Info("configuration reloaded", "gateway", g.Config.Name, "discovery", conf.Discovery)
 	g.discovery.SetAddress(conf.Discovery)
 }
 
-// Shutdown ends the gateway gracefully within the time that the platform allows.
+// Shutdown stops the gateway gracefully within the grace period that the platform allows.
 func (g *WebGateway) Shutdown() {
 	grace := g.Config.ShutdownGrace()
 	ctx, cancel := context.WithTimeout(context.Background(), grace-failRemainingMargin)
--- a/internal/serve/web_test.go
+++ b/internal/serve/web_test.go
@@ -18,13 +18,13 @@
 	"irispost/internal/webstandin"
 )
 
-// lists is a stand-in for discovery: a watch answers when there is something newer.
+// discoveryServer is a test server for discovery. A watch is answered once there is a newer revision of the list.
 type discoveryServer struct {
 	*httptest.Server
-	mu       sync.Mutex // guards all below
+	mu       sync.Mutex // guards the fields below
 	changed  sync.Cond
 	response discovery.Response
-	calls    int // calls
+	calls    int
 }
 
 func startDiscoveryServer(t *testing.T, response discovery.Response) *discoveryServer {
@@ -39,17 +39,17 @@
 		for r.FormValue("from") == fmt.Sprint(l.response.Revision) && r.Context().Err() == nil {
 			l.changed.Wait()
 		}
-		_ = json.NewEncoder(w).Encode(l.response) // the gateway may have gone
+		_ = json.NewEncoder(w).Encode(l.response) // the gateway may have closed the connection
 	}))
 	t.Cleanup(func() {
-		l.update(func(*discovery.Response) {}) // ends the watches
+		l.update(func(*discovery.Response) {}) // answers the pending watches
 		l.CloseClientConnections()
 		l.Close()
 	})
 	return l
 }
 
-// update makes a new revision of the list.
+// update changes the list and increments its revision.
 func (l *discoveryServer) update(change func(*discovery.Response)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -58,7 +58,7 @@
 	l.changed.Broadcast()
 }
 
-// awaitCalls waits until the list has been asked for so often.
+// awaitCalls waits until the list has been requested n times.
 func (l *discoveryServer) awaitCalls(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -67,15 +67,15 @@
 	}
 }
 
-// webTestbed is a gateway behind HTTP over stand-in nodes, one for each shard.
+// webTestbed is an HTTP gateway with test nodes, one per shard.
 type webTestbed struct {
 	t            *testing.T
 	nodes        []*webstandin.Node
-	discovery    [2]*discoveryServer // the gateway is configured with the first
+	discovery    [2]*discoveryServer // the gateway is configured with the first one
 	conf         *platform.Config
 	gateway      *serve.WebGateway
 	client       *http.Client
-	requestCount int // of requests
+	requestCount int // number of requests sent
 }
 
 func startWebTestbed(t *testing.T) *webTestbed {
@@ -115,7 +115,7 @@
 	return b
 }
 
-// put sends a request of a kind of webstandin for a shard. done gets the status and the body of its response.
+// sendRequest sends a request of a webstandin kind for a shard. done receives the status and body of the response.
 func (b *webTestbed) sendRequest(kind string, shard int) (id string, done chan string) {
 	b.t.Helper()
 	b.requestCount++
@@ -146,7 +146,7 @@
 	return fmt.Sprint(response.StatusCode, " ", string(body))
 }
 
-// countsAgree reports whether what the gateway counts agrees with what its nodes see on their sockets.
+// countsAgree reports whether the gateway's counts agree with what its nodes observe on their sockets.
 func (b *webTestbed) countsAgree() bool {
 	stats, running := b.gateway.Loop.Stats()
 	open, idle := b.gateway.Nodes.ConnectionCounts()
@@ -162,8 +162,8 @@
 	return running && stats.Attempts == attempts && stats.InFlight == requests && open-idle == attempts && open == conns
 }
 
-// TestWebGatewayCountsAgreeWithNodes: what a gateway counts of attempts, connections and requests agrees with what its
-// nodes see on their sockets, under load and after it, and each request is sent once.
+// TestWebGatewayCountsAgreeWithNodes: the gateway's counts of attempts, connections and requests agree with what its
+// nodes observe on their sockets, under load and afterwards, and each request is sent once.
 func TestWebGatewayCountsAgreeWithNodes(t *testing.T) {
 	b := startWebTestbed(t)
 	b.discovery[0].awaitCalls(2) // the first list has arrived
@@ -178,7 +178,7 @@
 	}
 	for id, done := range held {
 		if got := <-done; got != "200 "+id+"body" {
-			t.Errorf("%s: %q", id, got)
+			t.Errorf("%s: response %q, want status 200 with the ID and the body", id, got)
 		}
 	}
 	waitFor(func() bool {
@@ -188,7 +188,7 @@
 	for _, n := range b.nodes {
 		for id, times := range n.Seen {
 			if times != 1 {
-				t.Errorf("%s was sent %d times", id, times)
+				t.Errorf("%s was sent %d times, want once", id, times)
 			}
 		}
 	}
@@ -196,7 +196,8 @@
 	b.checkShutdown()
 }
 
-// checkReload has the address of discovery change, and the list that it has there lose a node.
+// checkReload reloads the gateway with the address of another discovery server, from whose list it then removes a
+// node.
 func (b *webTestbed) checkReload() {
 	b.t.Helper()
 	moved := *b.conf
@@ -207,7 +208,7 @@
 	b.discovery[1].awaitCalls(2)
 	waitFor(func() bool { _, conns := b.nodes[2].Counts(); return conns == 0 }) // its idle connections are closed
 	if _, done := b.sendRequest("served", 1); (<-done)[:3] != "200" {
-		b.t.Error("a node that is still listed does not serve")
+		b.t.Error("a request to a node that is still listed failed")
 	}
 }
 
@@ -216,7 +217,7 @@
 	b.client.CloseIdleConnections()
 	b.gateway.Shutdown()
 	if conns, requests := b.gateway.Frontend.Counts(); conns != 0 || requests != 0 {
-		b.t.Errorf("%d connections and %d requests are left", conns, requests)
+		b.t.Errorf("after the shutdown: %d connections and %d requests, want none", conns, requests)
 	}
 	waitFor(func() bool { open, _ := b.gateway.Nodes.ConnectionCounts(); return open == 0 })
 }
