--- a/internal/serve/limits_test.go
+++ b/internal/serve/limits_test.go
@@ -1,8 +1,10 @@
 package serve_test
 
 import (
+	"errors"
 	"fmt"
 	"io"
+	"os"
 	"strings"
 	"testing"
 	"time"
@@ -53,6 +55,26 @@
 	}
 }
 
+// clientPause is how long a client that sends packets without reading pauses after each: thousands of packets then take
+// seconds, so that their number does not depend on when the gateway looks at what has been sent ahead (every 50 ms) or
+// on how fast it answers.
+const clientPause = time.Millisecond
+
+// sendUntilClosed sends a packet again and again, with pauses, until the gateway closes the connection, and returns
+// whether it has. It gives up after limit packets.
+func (c *rawConn) sendUntilClosed(packet *sftp.Packet, limit int) bool {
+	c.t.Helper()
+	for range limit {
+		if err := packet.WriteOut(c.conn); errors.Is(err, os.ErrDeadlineExceeded) {
+			c.t.Fatal("the gateway neither reads nor closes the connection")
+		} else if err != nil {
+			return true
+		}
+		time.Sleep(clientPause)
+	}
+	return false
+}
+
 // TestClientFarAheadOrBehindLosesConnection: the connection of a client is closed if it sends too many bytes ahead of
 // its responses, or leaves too many bytes of responses unread. Other connections are still served.
 func TestClientFarAheadOrBehindLosesConnection(t *testing.T) {
@@ -72,24 +94,22 @@
 	handle := ahead.open("/meals/g", sftp.FlagWrite|sftp.FlagCreate)
 	command(t, testbed.Nodes[0], "hang")
 	packet := sftp.New(sftp.Write, 9).Text(handle).Uint64(0).Tail(make([]byte, 60_000))
-	err := error(nil)
-	for i := 0; err == nil; i++ {
-		if err = packet.WriteOut(ahead.conn); i > 2000 {
-			t.Fatal("the gateway accepted 120 MB ahead of its responses")
-		}
+	if !ahead.sendUntilClosed(packet, 2000) {
+		t.Fatal("the gateway accepted 120 MB ahead of its responses")
 	}
 	command(t, testbed.Nodes[0], "well")
 	unread := dialRaw(t, testbed, 0)
 	unread.handshake()
 	handle = unread.open("/meals/f", sftp.FlagRead)
 	read := sftp.New(sftp.Read, 9).Text(handle).Uint64(0).Uint32(100_000)
-	for range 3000 { // 300 MB of responses; the kernel's buffers hold only a few of them
-		if read.WriteOut(unread.conn) != nil {
-			break
-		}
+	// 300 MB of responses, of which the kernel's buffers hold only a few. The client must not read before the connection
+	// is closed: one that reads as fast as the gateway answers is not behind.
+	if !unread.sendUntilClosed(read, 3000) {
+		t.Error("the gateway accepted 3000 requests of a client that does not read")
 	}
-	if n, _ := io.Copy(io.Discard, unread.conn); n > 200<<20 {
-		t.Errorf("%d bytes were buffered for a client that does not read, want at most 200 MiB", n)
+	if n, err := io.Copy(io.Discard, unread.conn); n > 200<<20 || errors.Is(err, os.ErrDeadlineExceeded) {
+		t.Errorf("%d bytes were buffered for a client that does not read (%v), want at most 200 MiB and a closed connection",
+			n, err)
 	}
 	testkit.RetryUntilDone(t, "stat through another connection", func() error {
 		_, err := testbed.Client(0).Stat("/meals/f")
