--- a/cmd/irispost/web_test.go
+++ b/cmd/irispost/web_test.go
@@ -16,7 +16,7 @@
 	"testing"
 	"time"
 
-	"irispost/internal/loopback"
+	"irispost/internal/testkit/testaddr"
 	"irispost/internal/webstandin"
 )
 
@@ -43,13 +43,8 @@
 
 // startWeb starts one with so many descriptors at most. Its address is known once it is up.
 func startWeb(t testing.TB, list, more string, env ...string) *webProcess {
-	l, err := net.Listen("tcp", loopback.Own()+":0") // an address that is free
-	if err != nil {
-		t.Fatal(err)
-	}
 	file := filepath.Join(t.TempDir(), "proxy.json")
-	w := &webProcess{t: t, file: file, addr: l.Addr().String(), over: make(chan error, 1)}
-	_ = l.Close()
+	w := &webProcess{t: t, file: file, addr: testaddr.Reserve(t), over: make(chan error, 1)}
 	w.write(webConfig(w.addr, list, more))
 	self, err := os.Executable()
 	if err != nil {
@@ -262,12 +257,7 @@
 // is back, it is received, its node is reached and a new client is served, while the idle ones stay.
 func TestIdleClientsWhileTheListIsDown(t *testing.T) {
 	store := webstandin.Start(t)
-	free, err := net.Listen("tcp", loopback.Own()+":0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	addr := free.Addr().String()
-	_ = free.Close()
+	addr := testaddr.Reserve(t)
 	w := startWeb(t, addr, "")
 	w.ready()
 	var idle []net.Conn
--- a/internal/capacity/listservice_test.go
+++ b/internal/capacity/listservice_test.go
@@ -12,6 +12,7 @@
 
 	"irispost/internal/endpoint/discovery"
 	"irispost/internal/scale/meter"
+	"irispost/internal/testkit/testaddr"
 )
 
 // listService is a discovery service. It holds a poll until the list has another revision than the caller knows.
@@ -33,7 +34,7 @@
 	for i := range nodes {
 		s.list.Targets = append(s.list.Targets, target(i, fmt.Sprintf("10.0.%d.%d:7000", i/250, i%250)))
 	}
-	s.listen(t, "127.0.0.1:0")
+	s.listen(t, testaddr.Reserve(t)) // a test may stop the service and have it listen there again
 	t.Cleanup(s.stop)
 	return s
 }
--- a/internal/capacity/webgateway_test.go
+++ b/internal/capacity/webgateway_test.go
@@ -19,6 +19,7 @@
 
 	"irispost/internal/endpoint/discovery"
 	"irispost/internal/scale/meter"
+	"irispost/internal/testkit/testaddr"
 )
 
 // webGateway is `irispost web` in a process of its own, before test nodes and a test discovery service.
@@ -46,7 +47,7 @@
 		list.Targets = append(list.Targets, target(i, g.startEchoNode()))
 	}
 	discoveryAddr := g.startDiscovery(list)
-	g.addr = freeAddr(t) // after all listeners of this process, none of which may take the port
+	g.addr = testaddr.Reserve(t)
 	config := g.writeConfig(discoveryAddr)
 	g.command = exec.Command(program, "web")
 	g.command.Env = append(os.Environ(), "PROXY_CONFIG="+config)
@@ -63,17 +64,6 @@
 	return g
 }
 
-// freeAddr returns a loopback address with a free port.
-func freeAddr(t *testing.T) string {
-	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer func() { _ = listener.Close() }()
-	return listener.Addr().String()
-}
-
 // writeConfig writes the gateway's configuration and returns the file's name.
 func (g *webGateway) writeConfig(discoveryAddr string) string {
 	g.t.Helper()
--- a/internal/endpoint/xds/helper_test.go
+++ b/internal/endpoint/xds/helper_test.go
@@ -15,6 +15,7 @@
 
 	"irispost/internal/endpoint"
 	"irispost/internal/endpoint/xds"
+	"irispost/internal/testkit/testaddr"
 	"irispost/internal/xdsstandin"
 )
 
@@ -120,7 +121,7 @@
 // clusters.
 func startServer(t testing.TB, clusters int, list ...endpoint.Node) *xdsstandin.Server {
 	t.Helper()
-	s, err := xdsstandin.Start("127.0.0.1:0", clusters, list...)
+	s, err := xdsstandin.Start(testaddr.Reserve(t), clusters, list...) // it may restart at its address
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleet/client/main_test.go
+++ b/internal/fleet/client/main_test.go
@@ -4,7 +4,6 @@
 	"bytes"
 	"fmt"
 	"log/slog"
-	"net"
 	"os"
 	"os/exec"
 	"os/signal"
@@ -18,7 +17,7 @@
 	"irispost/internal/fleet/configversion"
 	"irispost/internal/fleet/lease"
 	"irispost/internal/fleet/replica"
-	"irispost/internal/loopback"
+	"irispost/internal/testkit/testaddr"
 )
 
 // Environment variables of a test process that runs as a replica.
@@ -106,20 +105,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var reserved []net.Listener // holds the ports until all addresses are known
 	for range 3 {
-		l, err := net.Listen("tcp", loopback.Own()+":0")
-		if err != nil {
-			t.Fatal(err)
-		}
-		reserved = append(reserved, l)
-		addrs = append(addrs, l.Addr().String())
+		addrs = append(addrs, testaddr.Reserve(t))
 	}
 	dir := t.TempDir()
 	for i := range 3 {
-		if err := reserved[i].Close(); err != nil {
-			t.Fatal(err)
-		}
 		cmd := exec.Command(self)
 		cmd.Env = append(os.Environ(), fmt.Sprintf("%s=%d %s/%d %s", replicaEnv, i+1, dir, i+1, strings.Join(addrs, " ")))
 		cmd.Stdout = &bytes.Buffer{}
--- a/internal/fleet/replica/cluster_test.go
+++ b/internal/fleet/replica/cluster_test.go
@@ -8,19 +8,16 @@
 	"log/slog"
 	"maps"
 	"net"
-	"net/netip"
 	"os"
 	"path/filepath"
 	"strings"
 	"testing"
 	"time"
 
-	"golang.org/x/sys/unix"
-
 	"irispost/internal/fleet/configversion"
 	"irispost/internal/fleet/content"
 	"irispost/internal/fleet/lease"
-	"irispost/internal/loopback"
+	"irispost/internal/testkit/testaddr"
 )
 
 // testCluster is a group of replicas in one process, with their folders and addresses.
@@ -48,7 +45,7 @@
 		tickInterval:      10 * time.Millisecond,
 	}
 	for id := uint64(1); id <= 3; id++ {
-		c.peers[id] = reserveAddress(t)
+		c.peers[id] = testaddr.Reserve(t)
 	}
 	t.Cleanup(func() {
 		for _, r := range c.running {
@@ -58,31 +55,6 @@
 	return c
 }
 
-// reserveAddress returns an address that a replica can listen on whenever it is started. A bound socket that does not
-// listen holds the port until the test ends: as both sockets have SO_REUSEADDR, which net.Listen sets too, a replica
-// can bind to the port by its number, but the kernel assigns the port to no socket that asks for any free one. A port
-// that is only found free and released again can be assigned to another socket before the replica listens on it.
-func reserveAddress(t *testing.T) string {
-	t.Helper()
-	socket, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { _ = unix.Close(socket) }) // nothing was sent on it
-	if err := unix.SetsockoptInt(socket, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1); err != nil {
-		t.Fatal(err)
-	}
-	ip := netip.MustParseAddr(loopback.Own())
-	if err := unix.Bind(socket, &unix.SockaddrInet4{Addr: ip.As4()}); err != nil {
-		t.Fatal(err)
-	}
-	bound, err := unix.Getsockname(socket)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return netip.AddrPortFrom(ip, uint16(bound.(*unix.SockaddrInet4).Port)).String()
-}
-
 func listen(t *testing.T, address string) net.Listener {
 	t.Helper()
 	listener, err := net.Listen("tcp", address)
--- a/internal/fleet/replica/compaction_test.go
+++ b/internal/fleet/replica/compaction_test.go
@@ -16,6 +16,7 @@
 
 	"irispost/internal/fleet/lease"
 	"irispost/internal/loopback"
+	"irispost/internal/testkit/testaddr"
 )
 
 // sizes returns the process's heap size and the bytes in use of a replica's file.
@@ -164,7 +165,7 @@
 // expectJoin adds replica 4 and checks how many bytes it is sent until it has caught up.
 func (c *testCluster) expectJoin(client *Client, announced uint64) {
 	c.t.Helper()
-	c.peers[4] = reserveAddress(c.t)
+	c.peers[4] = testaddr.Reserve(c.t)
 	c.joining = 4
 	proxy, sent := countingProxy(c.t, c.peers[4])
 	c.start(4)
--- a/internal/fleet/replica/membership_test.go
+++ b/internal/fleet/replica/membership_test.go
@@ -4,6 +4,8 @@
 	"errors"
 	"fmt"
 	"testing"
+
+	"irispost/internal/testkit/testaddr"
 )
 
 // A replica that has lost its folder is replaced by one with another ID between proposals. After one more is lost, the
@@ -16,7 +18,7 @@
 		propose(t, client, n, rateLimitConfig(float64(n)))
 	}
 	c.stop(2)
-	c.peers[4] = reserveAddress(t)
+	c.peers[4] = testaddr.Reserve(t)
 	client.Replicas = append(client.Replicas, c.peers[4])
 	c.joining = 4
 	c.start(4)
--- a/internal/serve/fleet_test.go
+++ b/internal/serve/fleet_test.go
@@ -16,6 +16,7 @@
 	"irispost/internal/fleet/replica"
 	"irispost/internal/serve"
 	"irispost/internal/testkit"
+	"irispost/internal/testkit/testaddr"
 )
 
 // fleetTestbed is a gateway that takes its configuration from a cluster of one replica.
@@ -23,7 +24,7 @@
 	*testkit.Testbed
 	t          *testing.T
 	replicaDir string
-	addr       string // of the replica, set by its first start
+	addr       string // of the replica, reserved by its first start
 	replica    *replica.Replica
 	content    *configversion.Config // of the latest proposal
 	cacheDir   string                // of the gateway
@@ -33,24 +34,23 @@
 
 // startReplica starts the replica, at its previous address if it ran before.
 func (b *fleetTestbed) startReplica() {
+	if b.addr == "" {
+		b.addr = testaddr.Reserve(b.t)
+	}
 	opt := replica.Options{
 		ID:            1,
-		Listen:        "127.0.0.1:0",
+		Listen:        b.addr,
 		Peers:         map[uint64]string{1: "-"},
 		Dir:           b.replicaDir,
 		LeaseSettings: lease.Settings{LeaseDuration: 5e8, MaxClockDrift: 0.01},
 		TickInterval:  10 * time.Millisecond,
 		Logger:        slog.New(slog.NewTextHandler(io.Discard, nil)),
 	}
-	if b.addr != "" {
-		opt.Listen = b.addr
-	}
 	waitFor(func() bool { // the address may still be in use for a moment
 		var err error
 		b.replica, err = replica.Start(opt)
 		return err == nil
 	})
-	b.addr = b.replica.Addr()
 }
 
 // propose proposes the content as the version that follows parent.
--- a/internal/serve/members_test.go
+++ b/internal/serve/members_test.go
@@ -21,6 +21,7 @@
 	"irispost/internal/gateway"
 	"irispost/internal/standin"
 	"irispost/internal/testkit"
+	"irispost/internal/testkit/testaddr"
 	"irispost/internal/xdsstandin"
 )
 
@@ -329,7 +330,7 @@
 func TestStartWithCachedListWhileServerIsDown(t *testing.T) {
 	dir := t.TempDir() // created before the testbed, to be removed after the gateways that write there have stopped
 	testbed := testkit.Start(t, testkit.Conf, 2, 0, nil)
-	s, err := xdsstandin.Start("127.0.0.1:0", 1, testbed.List().Nodes...)
+	s, err := xdsstandin.Start(testaddr.Reserve(t), 1, testbed.List().Nodes...)
 	if err != nil {
 		t.Fatal(err)
 	}
