--- a/internal/frontend/web/evict.go
+++ b/internal/frontend/web/evict.go
@@ -13,7 +13,7 @@
 // evictLoop closes the connections that have been idle for longest while the server is crowded. Clients hold only so
 // many connections, and those that asked once and stay connected would keep the others out.
 func (s *Server) evictLoop() {
-	ticker := time.NewTicker(max(s.opt.Limits.CrowdedIdleTimeout/8, minEvictInterval))
+	ticker := time.NewTicker(max(s.opt.Limits.EvictionIdleTimeout/8, minEvictInterval))
 	defer ticker.Stop()
 	rejectedBefore := 0
 	for {
@@ -22,7 +22,7 @@
 			return
 		case now := <-ticker.C:
 			s.mu.Lock()
-			for s.serving() > s.opt.Limits.CrowdedConnections && s.evict(now, s.opt.Limits.CrowdedIdleTimeout) {
+			for s.serving() > s.opt.Limits.EvictionThreshold && s.evict(now, s.opt.Limits.EvictionIdleTimeout) {
 			}
 			s.logShortage(rejectedBefore)
 			rejectedBefore = s.rejected
--- a/internal/frontend/web/evict_test.go
+++ b/internal/frontend/web/evict_test.go
@@ -37,11 +37,11 @@
 	for !web.HasUnreadBytes(firstServer) {
 		time.Sleep(time.Millisecond)
 	}
-	if got := web.Evicted(firstServer, secondServer); got != 1 {
+	if got := web.EvictOne(firstServer, secondServer); got != 1 {
 		t.Errorf("connection %d is evicted, want 1", got)
 	}
 	write(t, secondClient, "PUT")
-	if got := web.Evicted(firstServer); got != -1 {
+	if got := web.EvictOne(firstServer); got != -1 {
 		t.Errorf("connection %d is evicted, where all have unread bytes", got)
 	}
 }
--- a/internal/frontend/web/export_test.go
+++ b/internal/frontend/web/export_test.go
@@ -8,9 +8,9 @@
 // HasUnreadBytes is hasUnreadBytes.
 var HasUnreadBytes = hasUnreadBytes
 
-// Evicted has a server that holds these connections, the first idle for longest, close one to make room: its index, -1
-// for none.
-func Evicted(raws ...net.Conn) int {
+// EvictOne gives these connections to a server, the first one idle for longest, and has it evict one. It returns the
+// index of the evicted connection, or -1 if there is none.
+func EvictOne(raws ...net.Conn) int {
 	s := &Server{conns: map[*conn]bool{}, drained: make(chan struct{})}
 	now := time.Now()
 	var all []*conn
--- a/internal/frontend/web/script_test.go
+++ b/internal/frontend/web/script_test.go
@@ -184,10 +184,10 @@
 		{"half a head", shortTimeouts, "a part 40 x; a 408"},
 		{"half a body", shortTimeouts, "a part -2 x; a 408; b put y; b 200; b part 40 z; b 408"},
 		{"idle for too long", shortTimeouts, "a put x; a 200; a 0"},
-		{"no connection free", func(l *web.Limits) { l.MaxConnections, l.CrowdedIdleTimeout = 3, 0 },
+		{"no connection free", func(l *web.Limits) { l.MaxConnections, l.EvictionIdleTimeout = 3, 0 },
 			"hold; a put a; held; b put b; held; s dial; c put c; s 0; held; d dial; d 503; " +
 				"serve a; a 200; serve b; b 200; serve c; c 200"},
-		{"crowd", func(l *web.Limits) { l.CrowdedConnections, l.CrowdedIdleTimeout = 2, 200*time.Millisecond },
+		{"crowd", func(l *web.Limits) { l.EvictionThreshold, l.EvictionIdleTimeout = 2, 200*time.Millisecond },
 			"a put 1; a 200; idle 1; b put 2; b 200; idle 2; c put 3; c 200; hold; d put d; held; conns 2; " +
 				"a 0; b 0; serve d; d 200"},
 		{"no memory for bodies", func(l *web.Limits) { l.MaxBodyBytes = 6 },
--- a/internal/frontend/web/server.go
+++ b/internal/frontend/web/server.go
@@ -26,12 +26,12 @@
 // Limits bound what clients can make the gateway hold.
 type Limits struct {
 	MaxConnections      int           // open at a time, without those that linger
-	CrowdedConnections  int           // above this many, connections idle for CrowdedIdleTimeout are closed
+	EvictionThreshold   int           // above this many, connections idle for EvictionIdleTimeout are closed
 	MaxBodyBytes        int64         // of all request bodies and read-ahead together
 	FirstRequestTimeout time.Duration // from connecting to the end of the first request
 	RequestTimeout      time.Duration // from a later request's first byte to its last
 	IdleTimeout         time.Duration // between requests
-	CrowdedIdleTimeout  time.Duration // between requests, above CrowdedConnections
+	EvictionIdleTimeout time.Duration // between requests, above EvictionThreshold connections
 	WriteTimeout        time.Duration // a response that the client has not taken by then ends the connection
 	Message             http1.Limits  // of one request
 }
@@ -139,7 +139,7 @@
 	now := time.Now()
 	s.connCount++
 	admitted = s.phase < phaseNotAccepting &&
-		(s.serving() < s.opt.Limits.MaxConnections || s.evict(now, s.opt.Limits.CrowdedIdleTimeout/8))
+		(s.serving() < s.opt.Limits.MaxConnections || s.evict(now, s.opt.Limits.EvictionIdleTimeout/8))
 	c = s.newConn(raw, now)
 	_ = raw.SetReadDeadline(c.firstDeadline) // before anybody can set another
 	s.conns[c] = true
--- a/internal/frontend/web/testbed_test.go
+++ b/internal/frontend/web/testbed_test.go
@@ -116,12 +116,12 @@
 func generousLimits() web.Limits {
 	return web.Limits{
 		MaxConnections:      100,
-		CrowdedConnections:  100,
+		EvictionThreshold:   100,
 		MaxBodyBytes:        1 << 20,
 		FirstRequestTimeout: time.Minute,
 		RequestTimeout:      time.Minute,
 		IdleTimeout:         time.Minute,
-		CrowdedIdleTimeout:  time.Minute,
+		EvictionIdleTimeout: time.Minute,
 		WriteTimeout:        time.Minute,
 		Message:             http1.DefaultLimits,
 	}
--- a/internal/serve/web.go
+++ b/internal/serve/web.go
@@ -119,12 +119,12 @@
 func clientLimits(conf *platform.Config) web.Limits {
 	return web.Limits{
 		MaxConnections:      int(clientSocketShare * float64(conf.MaxSockets)),
-		CrowdedConnections:  int(crowdedSocketShare * float64(conf.MaxSockets)),
+		EvictionThreshold:   int(crowdedSocketShare * float64(conf.MaxSockets)),
 		MaxBodyBytes:        int64(bodyMemoryShare * float64(conf.MemoryBytes)),
 		FirstRequestTimeout: requestTimeout,
 		RequestTimeout:      requestTimeout,
 		IdleTimeout:         clientIdleTimeout,
-		CrowdedIdleTimeout:  crowdedIdleTimeout,
+		EvictionIdleTimeout: crowdedIdleTimeout,
 		WriteTimeout:        clientWriteTimeout,
 		Message:             http1.DefaultLimits,
 	}
