--- a/internal/frontend/web/conn.go
+++ b/internal/frontend/web/conn.go
@@ -18,7 +18,7 @@
 	server        *Server
 	raw           net.Conn
 	ahead         readAhead
-	in            *bufio.Reader // reads from ahead
+	reader        *bufio.Reader // reads from ahead
 	session       *gateway.Session
 	firstDeadline time.Time // for the first request to be complete; zero afterwards
 
@@ -36,15 +36,15 @@
 func (c *conn) serve() {
 	defer c.ahead.discard()
 	for {
-		gone, err := c.awaitRequest()
+		disconnected, err := c.awaitRequest()
 		if err == nil {
-			gone, err = c.handleRequest()
+			disconnected, err = c.handleRequest()
 		}
 		var rejected *http1.Error
 		switch {
 		case errors.As(err, &rejected):
-			_ = c.write(rejection(rejected.Status, rejected.Reason)) // the connection ends in any case
-		case err != nil && gone:
+			_ = c.write(rejectionResponse(rejected.Status, rejected.Reason)) // the connection ends in any case
+		case err != nil && disconnected:
 			c.setState(stateClosed)
 			return
 		case err == nil:
@@ -59,12 +59,12 @@
 	}
 }
 
-// awaitRequest waits for the first byte of a request. gone means that the client has closed the connection.
+// awaitRequest waits for the first byte of a request. disconnected means that the client has closed the connection.
 //
 // Whoever closes an idle connection only wakes this goroutine, which alone knows what it has read: a request that has
 // arrived by then is served and answered.
-func (c *conn) awaitRequest() (gone bool, err error) {
-	if _, err = c.in.Peek(1); err != nil {
+func (c *conn) awaitRequest() (disconnected bool, err error) {
+	if _, err = c.reader.Peek(1); err != nil {
 		if !isTimeout(err) {
 			return true, err
 		}
@@ -78,12 +78,12 @@
 	return false, nil
 }
 
-// handleRequest reads one request and answers it. gone means that there is no client any more to answer. An error of
+// handleRequest reads one request and answers it. disconnected means that there is no client any more to answer. An error of
 // type *http1.Error is a rejection that the client is still to get, and errLastResponse ends the connection.
-func (c *conn) handleRequest() (gone bool, err error) {
+func (c *conn) handleRequest() (disconnected bool, err error) {
 	s := c.server
 	c.setRequestDeadline()
-	request, err := http1.ReadRequest(c.in, s.opt.Limits.Message)
+	request, err := http1.ReadRequest(c.reader, s.opt.Limits.Message)
 	if err != nil {
 		return true, rejectTimeout(err)
 	}
@@ -127,7 +127,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.phase == phaseDeadline {
-		deadline = inThePast
+		deadline = pastDeadline
 	}
 	_ = c.raw.SetReadDeadline(deadline)
 }
@@ -147,7 +147,7 @@
 			return err
 		}
 	}
-	body, err := http1.ReadBody(c.in, request.Framing, c.server.opt.Limits.Message)
+	body, err := http1.ReadBody(c.reader, request.Framing, c.server.opt.Limits.Message)
 	if err != nil {
 		return rejectTimeout(err)
 	}
@@ -164,7 +164,7 @@
 		return result, net.ErrClosed
 	}
 	spec.Deadline = loop.Now() + spec.Deadline
-	spec.OnResult = func() { _ = c.raw.SetReadDeadline(inThePast) } // ends the read-ahead below
+	spec.OnResult = func() { _ = c.raw.SetReadDeadline(pastDeadline) } // ends the read-ahead below
 	done := loop.Submit(c.session, spec)
 	if err := c.ahead.readUntilDeadline(); err != nil {
 		loop.CloseSession(c.session)
@@ -179,7 +179,7 @@
 }
 
 // respond sends a response. The error is errLastResponse if the connection ends with it.
-func (c *conn) respond(response []byte, last bool) (gone bool, err error) {
+func (c *conn) respond(response []byte, last bool) (disconnected bool, err error) {
 	if err := c.write(response); err != nil {
 		return true, err
 	}
--- a/internal/frontend/web/connstate.go
+++ b/internal/frontend/web/connstate.go
@@ -44,7 +44,7 @@
 	switch to {
 	case stateClosing:
 		s.closing++
-		_ = c.raw.SetReadDeadline(inThePast) // wakes awaitRequest
+		_ = c.raw.SetReadDeadline(pastDeadline) // wakes awaitRequest
 	case stateLingering:
 		s.lingering = append(s.lingering, c)
 		if s.phase < phaseNotAccepting && len(s.lingering) > s.opt.Limits.maxLingering() {
--- a/internal/frontend/web/evict.go
+++ b/internal/frontend/web/evict.go
@@ -7,8 +7,8 @@
 // minEvictInterval is the least time between two looks for connections to close.
 const minEvictInterval = 10 * time.Millisecond
 
-// serving is the number of connections that are not on their way out. The caller holds the lock.
-func (s *Server) serving() int { return len(s.conns) - len(s.lingering) - s.closing }
+// servingCount is the number of connections that are not on their way out. The caller holds the lock.
+func (s *Server) servingCount() int { return len(s.conns) - len(s.lingering) - s.closing }
 
 // evictLoop closes the connections that have been idle for longest while the server is crowded. Clients hold only so
 // many connections, and those that asked once and stay connected would keep the others out.
@@ -22,7 +22,7 @@
 			return
 		case now := <-ticker.C:
 			s.mu.Lock()
-			for s.serving() > s.opt.Limits.EvictionThreshold && s.evict(now, s.opt.Limits.EvictionIdleTimeout) {
+			for s.servingCount() > s.opt.Limits.EvictionThreshold && s.evict(now, s.opt.Limits.EvictionIdleTimeout) {
 			}
 			s.logShortage(rejectedBefore)
 			rejectedBefore = s.rejected
@@ -35,7 +35,7 @@
 // there is any, else the one that has been idle for longest. It returns false if none can be closed now. The caller
 // holds the lock.
 func (s *Server) evict(now time.Time, minIdle time.Duration) bool {
-	if s.closingTooMany(now) {
+	if s.closeLimitReached(now) {
 		return false
 	}
 	var victim *conn
@@ -55,9 +55,9 @@
 	return true
 }
 
-// closingTooMany reports whether so many connections are on their way out that no further one should be. One that has
+// closeLimitReached reports whether so many connections are on their way out that no further one should be. One that has
 // lingered for a while may be cut short for another. The caller holds the lock.
-func (s *Server) closingTooMany(now time.Time) bool {
+func (s *Server) closeLimitReached(now time.Time) bool {
 	if s.closing+len(s.lingering) < s.opt.Limits.maxLingering() {
 		return false
 	}
@@ -76,10 +76,10 @@
 // call. The caller holds the lock.
 func (s *Server) logShortage(rejectedBefore int) {
 	short := s.rejected > rejectedBefore
-	if short == s.shortOfConns {
+	if short == s.loggedShortage {
 		return
 	}
-	s.shortOfConns = short
+	s.loggedShortage = short
 	var inState [stateClosed + 1]int
 	for c := range s.conns {
 		inState[c.state]++
--- a/internal/frontend/web/golden_test.go
+++ b/internal/frontend/web/golden_test.go
@@ -22,57 +22,59 @@
 	golden.Check(t, file, bytes.ReplaceAll(messages, []byte("\r"), []byte(`\r`)))
 }
 
-// changed is a request with one part replaced.
-func changed(old, now string) string { return strings.Replace(putRequest("r"), old, now, 1) }
+// modifiedRequest is a request with one part replaced.
+func modifiedRequest(old, replacement string) string {
+	return strings.Replace(putRequest("r"), old, replacement, 1)
+}
 
-// chunked is a request whose chunked body is this text.
-func chunked(body string) string {
-	return strings.Replace(changed("Content-Length: 4", "Transfer-Encoding: chunked"), "body", body, 1)
+// chunkedRequest is a request whose chunked body is this text.
+func chunkedRequest(body string) string {
+	return strings.Replace(modifiedRequest("Content-Length: 4", "Transfer-Encoding: chunked"), "body", body, 1)
 }
 
-var long = strings.Repeat("x", 5000)
+var longText = strings.Repeat("x", 5000)
 
 // goldenRequests are requests that a front answers by itself or on its node's behalf, each on a connection of its own.
 var goldenRequests = []struct{ name, text string }{
 	{"health", "GET /healthz HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"},
 	{"health by another method", "PUT /healthz HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n"},
-	{"served", changed("Host", "Connection: close\r\nHost")},
-	{"served after 100 Continue", changed("Host", "Connection: close\r\nExpect: 100-continue\r\nHost")},
-	{"method", changed("PUT", "POST")},
-	{"read with a body", changed("PUT", "GET")},
-	{"id", changed("X-Request-Id: r", "X-Request-Id: r s")},
-	{"class", changed("X-Class: read", "X-Class: gold")},
-	{"plan", changed("X-Plan: gold", "X-Plan: read")},
-	{"deadline", changed("X-Deadline-Ms: 120000", "X-Deadline-Ms: 0")},
-	{"no extent", changed("?extent=7f3a9c21e0b4d655", "")},
-	{"extent", changed("extent=7f3a9c21e0b4d655", "extent=7f3a")},
-	{"X-IO", changed("units=2", "units=9")},
+	{"served", modifiedRequest("Host", "Connection: close\r\nHost")},
+	{"served after 100 Continue", modifiedRequest("Host", "Connection: close\r\nExpect: 100-continue\r\nHost")},
+	{"method", modifiedRequest("PUT", "POST")},
+	{"read with a body", modifiedRequest("PUT", "GET")},
+	{"id", modifiedRequest("X-Request-Id: r", "X-Request-Id: r s")},
+	{"class", modifiedRequest("X-Class: read", "X-Class: gold")},
+	{"plan", modifiedRequest("X-Plan: gold", "X-Plan: read")},
+	{"deadline", modifiedRequest("X-Deadline-Ms: 120000", "X-Deadline-Ms: 0")},
+	{"no extent", modifiedRequest("?extent=7f3a9c21e0b4d655", "")},
+	{"extent", modifiedRequest("extent=7f3a9c21e0b4d655", "extent=7f3a")},
+	{"X-IO", modifiedRequest("units=2", "units=9")},
 	{"request line", "GET  / HTTP/1.1\r\n\r\n"},
 	{"target", "GET /\x80 HTTP/1.1\r\n\r\n"},
 	{"version", "GET / HTTP/1.0\r\n\r\n"},
-	{"long request line", "GET /" + long + " HTTP/1.1\r\n\r\n"},
-	{"long field", "GET / HTTP/1.1\r\nA: " + long + "\r\n\r\n"},
+	{"long request line", "GET /" + longText + " HTTP/1.1\r\n\r\n"},
+	{"long field", "GET / HTTP/1.1\r\nA: " + longText + "\r\n\r\n"},
 	{"many fields", "GET / HTTP/1.1\r\n" + strings.Repeat("A: b\r\n", 65) + "\r\n"},
 	{"line without CR", "GET / HTTP/1.1\nHost: a\r\n\r\n"},
 	{"control character", "GET / HTTP/1.1\r\nHost: \x01\r\n\r\n"},
 	{"no field", "GET / HTTP/1.1\r\nHost\r\n\r\n"},
 	{"host", "GET / HTTP/1.1\r\n\r\n"},
-	{"both framings", changed("Content-Length: 4", "Content-Length: 4\r\nTransfer-Encoding: chunked")},
-	{"coding", changed("Content-Length: 4", "Transfer-Encoding: gzip")},
-	{"length", changed("Content-Length: 4", "Content-Length: +4")},
-	{"long body", changed("Content-Length: 4", "Content-Length: 60000000")},
-	{"expectation", changed("Host", "Expect: more\r\nHost")},
-	{"chunk size", chunked("z\r\n")},
-	{"chunk end", chunked("1\r\nabc")},
-	{"long chunk", chunked("10001\r\n")},
+	{"both framings", modifiedRequest("Content-Length: 4", "Content-Length: 4\r\nTransfer-Encoding: chunked")},
+	{"coding", modifiedRequest("Content-Length: 4", "Transfer-Encoding: gzip")},
+	{"length", modifiedRequest("Content-Length: 4", "Content-Length: +4")},
+	{"long body", modifiedRequest("Content-Length: 4", "Content-Length: 60000000")},
+	{"expectation", modifiedRequest("Host", "Expect: more\r\nHost")},
+	{"chunk size", chunkedRequest("z\r\n")},
+	{"chunk end", chunkedRequest("1\r\nabc")},
+	{"long chunk", chunkedRequest("10001\r\n")},
 }
 
 // exchange sends a request on a connection of its own and reads all that comes back.
-func exchange(t *testing.T, w *testbed, request string) []byte {
+func exchange(t *testing.T, b *testbed, request string) []byte {
 	t.Helper()
-	c := w.dial(t)
+	c := b.dial(t)
 	c.send(request)
-	answer, err := io.ReadAll(c.in)
+	answer, err := io.ReadAll(c.reader)
 	if err != nil {
 		t.Errorf("%q: %v", request, err)
 	}
@@ -85,33 +87,33 @@
 	write := func(name string, answer []byte) {
 		fmt.Fprintf(&record, "--- %s\n%s\n", name, answer)
 	}
-	w := start(t, generousLimits())
+	b := start(t, generousLimits())
 	for _, c := range goldenRequests {
-		write(c.name, exchange(t, w, c.text))
+		write(c.name, exchange(t, b, c.text))
 	}
 
-	w.nodes.setHolding(true)
-	w.dial(t).send(putRequest("open"))
-	<-w.nodes.heldIDs
-	write("id of an open request", exchange(t, w, putRequest("open")))
+	b.nodes.setHolding(true)
+	b.dial(t).send(putRequest("open"))
+	<-b.nodes.heldIDs
+	write("id of an open request", exchange(t, b, putRequest("open")))
 
-	few := generousLimits()
-	few.RequestTimeout, few.MaxBodyBytes = 30*time.Millisecond, 2
-	write("bodies", exchange(t, start(t, few), putRequest("r")))
-	few.FirstRequestTimeout = few.RequestTimeout
-	write("late", exchange(t, start(t, few), "GET / HT"))
-	few.MaxConnections = 0
-	write("connections", exchange(t, start(t, few), ""))
+	lowLimits := generousLimits()
+	lowLimits.RequestTimeout, lowLimits.MaxBodyBytes = 30*time.Millisecond, 2
+	write("bodies", exchange(t, start(t, lowLimits), putRequest("r")))
+	lowLimits.FirstRequestTimeout = lowLimits.RequestTimeout
+	write("late", exchange(t, start(t, lowLimits), "GET / HT"))
+	lowLimits.MaxConnections = 0
+	write("connections", exchange(t, start(t, lowLimits), ""))
 
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(cancel)
-	go w.Shutdown(ctx, time.Hour, 0)
+	go b.Shutdown(ctx, time.Hour, 0)
 	for status := 200; status == 200; {
-		c := w.dial(t)
+		c := b.dial(t)
 		c.send("GET /healthz HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n")
 		status, _ = c.read()
 	}
-	write("health while it ends", exchange(t, w, "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n"))
+	write("health while it ends", exchange(t, b, "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n"))
 	checkGolden(t, "answers.txt", record.Bytes())
 }
 
--- a/internal/frontend/web/linger.go
+++ b/internal/frontend/web/linger.go
@@ -10,8 +10,8 @@
 // lingerTimeout is how long a client may still send on a connection that has its last response.
 const lingerTimeout = 200 * time.Millisecond
 
-// lingerMessages is how many of the longest bodies a client may still send then.
-const lingerMessages = 4
+// maxLingerBodies is how many of the longest bodies a client may still send then.
+const maxLingerBodies = 4
 
 // linger closes a connection whose client is still there (lingering close, RFC 9112, 9.6): it closes the sending side,
 // discards what still arrives for a bounded time and size, and closes. Closing a socket with unread bytes would reset
@@ -23,7 +23,7 @@
 		_ = t.CloseWrite()
 	}
 	_ = c.raw.SetReadDeadline(time.Now().Add(lingerTimeout))
-	_, _ = io.CopyN(io.Discard, onlyReader{c.raw}, lingerMessages*c.server.opt.Limits.Message.MaxBodyBytes)
+	_, _ = io.CopyN(io.Discard, onlyReader{c.raw}, maxLingerBodies*c.server.opt.Limits.Message.MaxBodyBytes)
 }
 
 // onlyReader hides the other methods of a connection, so that io.Copy does not splice.
--- a/internal/frontend/web/linger_test.go
+++ b/internal/frontend/web/linger_test.go
@@ -37,15 +37,15 @@
 }
 
 // startHooked starts a testbed on a hookedListener, with limits that change may lower.
-func startHooked(t testing.TB, change func(*web.Limits)) (*testbed, *hookedListener) {
+func startHooked(t testing.TB, modify func(*web.Limits)) (*testbed, *hookedListener) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	limits := generousLimits()
-	if change != nil {
-		change(&limits)
+	if modify != nil {
+		modify(&limits)
 	}
 	listener := &hookedListener{Listener: l}
 	return startOnListener(t, listener, limits), listener
@@ -75,7 +75,7 @@
 	}
 }
 
-func (l *hookedListener) reach(reached step) {
+func (l *hookedListener) runHook(reached step) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.hook != nil {
@@ -87,15 +87,15 @@
 	n, err := c.TCPConn.Read(b)
 	switch {
 	case n > 0:
-		c.listener.reach(stepRead)
+		c.listener.runHook(stepRead)
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		c.listener.reach(stepTimeout)
+		c.listener.runHook(stepTimeout)
 	}
 	return n, err
 }
 
 func (c *hookedConn) CloseWrite() error {
-	c.listener.reach(stepCloseWrite)
+	c.listener.runHook(stepCloseWrite)
 	return c.TCPConn.CloseWrite()
 }
 
@@ -107,11 +107,11 @@
 		at     step
 		served bool
 	}{{stepRead, true}, {stepTimeout, true}, {stepCloseWrite, false}} {
-		t.Run(string(c.at), func(t *testing.T) { testCrossing(t, c.at, c.served) })
+		t.Run(string(c.at), func(t *testing.T) { testRequestDuringClose(t, c.at, c.served) })
 	}
 }
 
-func testCrossing(t *testing.T, at step, served bool) {
+func testRequestDuringClose(t *testing.T, at step, served bool) {
 	b, listener := startHooked(t, nil)
 	idle := b.dial(t)
 	idle.send(putRequest("1"))
--- a/internal/frontend/web/random_test.go
+++ b/internal/frontend/web/random_test.go
@@ -14,19 +14,19 @@
 // kinds of a random client.
 const (
 	sendsInTwoParts = iota
-	sendsHalf
-	sendsNoise
-	sendsAndLeaves
-	sendsNoiseBehind
-	clientKinds
+	sendsPart
+	sendsGarbage
+	sendsAndDisconnects
+	sendsGarbageAfterRequest
+	numClientKinds
 )
 
-// randomClient is what a client does; cut is where its request is split, and noise what it sends that is no request.
+// randomClient is what a client does; splitAt is where its request is split, and garbage what it sends that is no request.
 type randomClient struct {
-	id    string
-	kind  int
-	cut   int
-	noise string
+	id      string
+	kind    int
+	splitAt int
+	garbage string
 }
 
 // run plays the client. Where many leave at once, a valid request may be rejected.
@@ -41,19 +41,19 @@
 	}
 	switch r.kind {
 	case sendsInTwoParts:
-		c.send(request[:r.cut])
-		c.send(request[r.cut:])
+		c.send(request[:r.splitAt])
+		c.send(request[r.splitAt:])
 		expectServed()
-	case sendsHalf:
-		c.send(request[:r.cut])
-	case sendsNoise:
-		c.send(r.noise + "\r\n\r\n")
+	case sendsPart:
+		c.send(request[:r.splitAt])
+	case sendsGarbage:
+		c.send(r.garbage + "\r\n\r\n")
 		if status, _ := c.read(); status == 200 {
-			t.Errorf("noise %q is served", r.noise)
+			t.Errorf("noise %q is served", r.garbage)
 		}
-	case sendsAndLeaves:
+	case sendsAndDisconnects:
 		c.send(request)
-	case sendsNoiseBehind:
+	case sendsGarbageAfterRequest:
 		c.send(request + "\x00\r\n\r\n")
 		expectServed()
 		if status, _ := c.read(); status != 400 {
@@ -73,9 +73,9 @@
 		for range rapid.IntRange(1, 8).Draw(draw, "clients") {
 			count++
 			r := randomClient{id: fmt.Sprint("x", count)}
-			r.kind = rapid.IntRange(0, clientKinds-1).Draw(draw, "kind")
-			r.cut = rapid.IntRange(0, len(putRequest(r.id))-1).Draw(draw, "cut")
-			r.noise = string(rapid.SliceOfN(rapid.Byte(), 0, 100).Draw(draw, "noise"))
+			r.kind = rapid.IntRange(0, numClientKinds-1).Draw(draw, "kind")
+			r.splitAt = rapid.IntRange(0, len(putRequest(r.id))-1).Draw(draw, "cut")
+			r.garbage = string(rapid.SliceOfN(rapid.Byte(), 0, 100).Draw(draw, "noise"))
 			c := b.dial(t)
 			running.Go(func() { r.run(t, c) })
 		}
--- a/internal/frontend/web/readahead.go
+++ b/internal/frontend/web/readahead.go
@@ -50,7 +50,7 @@
 	var first [firstReadBytes]byte
 	for buf := first[:]; ; {
 		n, err := a.raw.Read(buf)
-		if n > 0 && !a.truncated && !a.keep(buf[:n]) {
+		if n > 0 && !a.truncated && !a.appendBuffered(buf[:n]) {
 			a.truncated = true
 			large := discardBuffers.Get().(*[discardReadBytes]byte)
 			defer discardBuffers.Put(large)
@@ -65,8 +65,8 @@
 	}
 }
 
-// keep buffers bytes if there is room for them.
-func (a *readAhead) keep(bytes []byte) bool {
+// appendBuffered buffers bytes if there is room for them.
+func (a *readAhead) appendBuffered(bytes []byte) bool {
 	if int64(len(a.buffered)+len(bytes)) > a.limit || !a.reserve(int64(len(bytes))) {
 		return false
 	}
--- a/internal/frontend/web/request.go
+++ b/internal/frontend/web/request.go
@@ -138,9 +138,9 @@
 	return extent, nil
 }
 
-// hopFields are the fields that concern the client and the gateway alone (RFC 9110, 7.6.1), or that the gateway writes
+// unforwardedFields are the fields that concern the client and the gateway alone (RFC 9110, 7.6.1), or that the gateway writes
 // itself.
-var hopFields = map[string]bool{
+var unforwardedFields = map[string]bool{
 	"connection":        true,
 	"keep-alive":        true,
 	"proxy-connection":  true,
@@ -159,7 +159,7 @@
 // idempotency key by which it knows a retry.
 func forwardedFields(fields http1.Fields) (namesAndValues []string) {
 	for _, f := range fields {
-		if !hopFields[f.Name] && !fields.HasToken("connection", f.Name) {
+		if !unforwardedFields[f.Name] && !fields.HasToken("connection", f.Name) {
 			namesAndValues = append(namesAndValues, f.Name, f.Value)
 		}
 	}
--- a/internal/frontend/web/request_test.go
+++ b/internal/frontend/web/request_test.go
@@ -9,7 +9,7 @@
 // TestInvalidRequestsAreRejected: each is rejected with its status, ends its connection and is not forwarded.
 func TestInvalidRequestsAreRejected(t *testing.T) {
 	b := start(t, generousLimits())
-	for name, change := range map[string]struct{ old, now, status string }{
+	for name, change := range map[string]struct{ old, replacement, status string }{
 		"no id":             {"X-Request-Id: r\r\n", "", "400"},
 		"two ids":           {"X-Request-Id: r\r\n", "X-Request-Id: r\r\nX-Request-Id: s\r\n", "400"},
 		"an id with spaces": {"X-Request-Id: r", "X-Request-Id: r s", "400"},
@@ -33,7 +33,7 @@
 		"60 MB":             {"Content-Length: 4", "Content-Length: 60000000", "413"},
 	} {
 		c := b.dial(t)
-		c.send(strings.Replace(putRequest("r"), change.old, change.now, 1))
+		c.send(strings.Replace(putRequest("r"), change.old, change.replacement, 1))
 		status, _ := c.read()
 		if fmt.Sprint(status) != change.status {
 			t.Errorf("%s: status %d, want %s", name, status, change.status)
--- a/internal/frontend/web/response.go
+++ b/internal/frontend/web/response.go
@@ -47,14 +47,14 @@
 	return fmt.Sprintf("%d.%03d", millis/1000, millis%1000)
 }
 
-// rejection is the response to a request or connection that the front end does not pass on. The connection ends with
+// rejectionResponse is the response to a request or connection that the front end does not pass on. The connection ends with
 // it.
-func rejection(status int, reason string) []byte {
+func rejectionResponse(status int, reason string) []byte {
 	return http1.NewResponse(status).Field("Connection", "close").Body([]byte(reason+"\n"), true)
 }
 
 // handleHealth answers a health check: the gateway is healthy until its shutdown begins.
-func (c *conn) handleHealth(request *http1.Request) (gone bool, err error) {
+func (c *conn) handleHealth(request *http1.Request) (disconnected bool, err error) {
 	if request.Method != http.MethodGet || request.Framing.Bytes > 0 || request.Framing.Chunked {
 		return false, &http1.Error{Status: http.StatusMethodNotAllowed, Reason: "GET alone"}
 	}
--- a/internal/frontend/web/script_test.go
+++ b/internal/frontend/web/script_test.go
@@ -70,11 +70,11 @@
 	case "cancelled":
 		<-nodes.attempt(argument).cancelled
 	case "idle":
-		for n := s.number(argument); web.IdleCount(s.testbed.Server) < n; {
+		for n := s.parseNumber(argument); web.IdleCount(s.testbed.Server) < n; {
 			time.Sleep(time.Millisecond)
 		}
 	case "conns":
-		s.awaitConns(s.number(argument))
+		s.awaitConns(s.parseNumber(argument))
 	default:
 		return false
 	}
@@ -113,9 +113,9 @@
 		s.sendRequest(name, "", "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n")
 	case "part":
 		text := putRequest(words[3])
-		c.send(text[:(s.number(argument)+len(text))%len(text)])
+		c.send(text[:(s.parseNumber(argument)+len(text))%len(text)])
 	case "noise":
-		c.send(strings.Repeat("n", s.number(argument)))
+		c.send(strings.Repeat("n", s.parseNumber(argument)))
 	case "dial":
 	case "close":
 		_ = c.Close()
@@ -150,7 +150,7 @@
 	}
 }
 
-func (s *script) number(text string) int {
+func (s *script) parseNumber(text string) int {
 	s.t.Helper()
 	n, err := strconv.Atoi(text)
 	if err != nil {
--- a/internal/frontend/web/server.go
+++ b/internal/frontend/web/server.go
@@ -57,17 +57,17 @@
 	acceptDone chan struct{} // closed when no connection is accepted any more
 	drained    chan struct{} // closed when no connection is accepted any more and none is left
 
-	mu           sync.Mutex // guards all below, and each connection's state
-	phase        phase
-	conns        map[*conn]bool
-	closing      int             // connections in stateClosing
-	lingering    []*conn         // connections in stateLingering, the oldest first
-	openIDs      map[string]bool // ids of requests without a response
-	bodyBytes    int64           // held for bodies and read-ahead
-	connCount    int64           // connections since the start
-	rejected     int             // connections rejected since the start
-	evicted      int             // connections closed to make room since the start
-	shortOfConns bool            // as logged last
+	mu             sync.Mutex // guards all below, and each connection's state
+	phase          phase
+	conns          map[*conn]bool
+	closing        int             // connections in stateClosing
+	lingering      []*conn         // connections in stateLingering, the oldest first
+	openIDs        map[string]bool // ids of requests without a response
+	bodyBytes      int64           // held for bodies and read-ahead
+	connCount      int64           // connections since the start
+	rejected       int             // connections rejected since the start
+	evicted        int             // connections closed to make room since the start
+	loggedShortage bool            // as logged last
 }
 
 // Start listens at an address and serves.
@@ -139,14 +139,14 @@
 	now := time.Now()
 	s.connCount++
 	admitted = s.phase < phaseNotAccepting &&
-		(s.serving() < s.opt.Limits.MaxConnections || s.evict(now, s.opt.Limits.EvictionIdleTimeout/8))
+		(s.servingCount() < s.opt.Limits.MaxConnections || s.evict(now, s.opt.Limits.EvictionIdleTimeout/8))
 	c = s.newConn(raw, now)
 	_ = raw.SetReadDeadline(c.firstDeadline) // before anybody can set another
 	s.conns[c] = true
 	if !admitted {
 		s.rejected++
 		_ = raw.SetWriteDeadline(now.Add(lingerTimeout)) // nothing is in the socket yet, so the write does not wait
-		_, _ = raw.Write(rejection(http.StatusServiceUnavailable, "too many connections"))
+		_, _ = raw.Write(rejectionResponse(http.StatusServiceUnavailable, "too many connections"))
 		c.transition(stateLingering)
 	}
 	return c, admitted
@@ -166,7 +166,7 @@
 		limit:   message.MaxBodyBytes + int64(message.MaxHeadBytes),
 		reserve: s.reserveBytes,
 	}
-	c.in = bufio.NewReaderSize(&c.ahead, http1.MaxLineBytes)
+	c.reader = bufio.NewReaderSize(&c.ahead, http1.MaxLineBytes)
 	return c
 }
 
--- a/internal/frontend/web/shutdown.go
+++ b/internal/frontend/web/shutdown.go
@@ -20,20 +20,20 @@
 	return [...]string{"serving", "draining", "not accepting", "closing", "deadline"}[p]
 }
 
-// inThePast is a deadline that wakes a read at once.
-var inThePast = time.Unix(1, 0)
+// pastDeadline is a deadline that wakes a read at once.
+var pastDeadline = time.Unix(1, 0)
 
 // Shutdown ends the server gracefully. Connections are accepted for acceptFor, since clients still come until they
 // know; those that are open are served for serveFor, since their clients have nowhere else to go. Then each is closed
 // after its response, and idle ones at once. When the context ends, the loop is stopped, which fails the requests in
 // flight.
 func (s *Server) Shutdown(ctx context.Context, acceptFor, serveFor time.Duration) {
-	began := time.Now()
+	startTime := time.Now()
 	s.mu.Lock()
-	repeated := s.phase > phaseServing
+	alreadyStarted := s.phase > phaseServing
 	s.phase = max(s.phase, phaseDraining)
 	s.mu.Unlock()
-	if repeated {
+	if alreadyStarted {
 		<-s.drained
 		return
 	}
@@ -41,7 +41,7 @@
 	if !s.stopAccepting() {
 		return
 	}
-	wait(ctx, serveFor-time.Since(began), s.drained)
+	wait(ctx, serveFor-time.Since(startTime), s.drained)
 	s.closeIdle()
 	select {
 	case <-s.drained:
@@ -96,7 +96,7 @@
 	s.phase = phaseDeadline
 	for c := range s.conns {
 		if c.state == stateReading {
-			_ = c.raw.SetReadDeadline(inThePast)
+			_ = c.raw.SetReadDeadline(pastDeadline)
 		}
 	}
 }
--- a/internal/frontend/web/shutdown_test.go
+++ b/internal/frontend/web/shutdown_test.go
@@ -16,13 +16,13 @@
 // with its response, and requests without one fail, or are rejected if they never ran.
 func TestShutdownServesOpenConnections(t *testing.T) {
 	b := start(t, generousLimits())
-	idle, inFlight, health, unplaced, incomplete := b.dial(t), b.dial(t), b.dial(t), b.dial(t), b.dial(t)
+	idle, inFlight, health, unplaceable, incomplete := b.dial(t), b.dial(t), b.dial(t), b.dial(t), b.dial(t)
 	idle.send(putRequest("1"))
 	idle.expect(200, "before the shutdown")
 	for conns := 0; conns < 5; conns, _ = b.Counts() { // all are accepted
 		time.Sleep(time.Millisecond)
 	}
-	ctx, endOfGrace := context.WithCancel(t.Context())
+	ctx, endGracePeriod := context.WithCancel(t.Context())
 	shutDown := make(chan struct{})
 	go func() {
 		b.Shutdown(ctx, 0, time.Hour)
@@ -34,7 +34,7 @@
 	b.nodes.setHolding(true)
 	inFlight.send(putRequest("in-flight"))
 	<-b.nodes.heldIDs
-	unplaced.send(strings.Replace(putRequest("unplaced"), "shard=0", "shard=7", 1)) // no node has that shard
+	unplaceable.send(strings.Replace(putRequest("unplaced"), "shard=0", "shard=7", 1)) // no node has that shard
 	for requests := 0; requests < 2; {
 		_, requests = b.Counts()
 	}
@@ -44,14 +44,14 @@
 	for !web.IsReading(b.Server) {
 		time.Sleep(time.Millisecond)
 	}
-	endOfGrace()
+	endGracePeriod()
 	incomplete.expect(408, "request that is not complete")
 	if err := incomplete.awaitEnd(); !errors.Is(err, io.EOF) {
 		t.Errorf("its connection ends with %v", err)
 	}
 	inFlight.expect(502, "request in flight at the end")
 	inFlight.expect(0, "its connection")
-	unplaced.expect(503, "request that was never forwarded")
+	unplaceable.expect(503, "request that was never forwarded")
 	idle.expect(0, "idle connection")
 	<-shutDown
 	if conns, requests := b.Counts(); conns != 0 || requests != 0 {
--- a/internal/frontend/web/testbed_test.go
+++ b/internal/frontend/web/testbed_test.go
@@ -173,8 +173,8 @@
 // client is a client's connection.
 type client struct {
 	net.Conn
-	in *bufio.Reader
-	t  testing.TB
+	reader *bufio.Reader
+	t      testing.TB
 }
 
 func (b *testbed) dial(t testing.TB) *client {
@@ -199,7 +199,7 @@
 
 // read reads a response; its status is 0 if the connection has ended.
 func (c *client) read() (status int, body string) {
-	response, err := http.ReadResponse(c.in, nil)
+	response, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
 		return 0, ""
 	}
@@ -221,7 +221,7 @@
 // awaitEnd reads to the end of a connection and returns how it ends.
 func (c *client) awaitEnd() (err error) {
 	for err == nil {
-		_, err = c.in.ReadByte()
+		_, err = c.reader.ReadByte()
 	}
 	return err
 }
--- a/internal/http1/builder.go
+++ b/internal/http1/builder.go
@@ -55,10 +55,10 @@
 	return b
 }
 
-// Body completes the message and returns it. Its length is stated if there is a body, or if stateEmpty, where the other
+// Body completes the message and returns it. Its length is stated if there is a body, or if writeZeroLength, where the other
 // side would wait for one.
-func (b *MessageBuilder) Body(body []byte, stateEmpty bool) []byte {
-	if stateEmpty || len(body) > 0 {
+func (b *MessageBuilder) Body(body []byte, writeZeroLength bool) []byte {
+	if writeZeroLength || len(body) > 0 {
 		b.Field("Content-Length", strconv.Itoa(len(body)))
 	}
 	b.buf = append(b.buf, "\r\n"...)
--- a/internal/http1/framing.go
+++ b/internal/http1/framing.go
@@ -14,8 +14,8 @@
 	UntilClose bool  // by the end of the connection, only of a response
 }
 
-// parseFraming returns the framing that the fields state. stated is false if they state none.
-func parseFraming(fields Fields) (framing Framing, stated bool, err error) {
+// parseFraming returns the framing that the fields state. explicit is false if they state none.
+func parseFraming(fields Fields) (framing Framing, explicit bool, err error) {
 	encodings, lengths := fields.Count("transfer-encoding"), fields.Count("content-length")
 	switch {
 	case encodings > 0 && lengths > 0:
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -134,18 +134,18 @@
 	}
 }
 
-// openHead is the head of a response whose body ends with the connection.
-const openHead = "HTTP/1.1 200 OK\r\n\r\n"
+// headWithoutLength is the head of a response whose body ends with the connection.
+const headWithoutLength = "HTTP/1.1 200 OK\r\n\r\n"
 
 // TestResponseWithoutLengthEndsWithConnection: it ends with the orderly end of its connection; a reset, or any other
 // error, is no end.
 func TestResponseWithoutLengthEndsWithConnection(t *testing.T) {
-	response, err := http1.ReadResponse(newReader(openHead+strings.Repeat("a", 40_000)), http1.DefaultLimits)
+	response, err := http1.ReadResponse(newReader(headWithoutLength+strings.Repeat("a", 40_000)), http1.DefaultLimits)
 	if err != nil || len(response.Body) != 40_000 || !response.Close {
 		t.Errorf("an orderly end: %v", err)
 	}
 	for _, end := range []error{syscall.ECONNRESET, os.ErrDeadlineExceeded} {
-		in := io.MultiReader(strings.NewReader(openHead+"abc"), iotest.ErrReader(end))
+		in := io.MultiReader(strings.NewReader(headWithoutLength+"abc"), iotest.ErrReader(end))
 		response, err := http1.ReadResponse(bufio.NewReaderSize(in, http1.MaxLineBytes), http1.DefaultLimits)
 		if !errors.Is(err, end) {
 			t.Errorf("%v: read as %+v, %v", end, response, err)
@@ -156,7 +156,7 @@
 // TestLongBodyIsReadIfAdmitted: a body over the usual limit is read only if AdmitLongBody admits it, and one whose
 // length is not stated up to MaxLongBody.
 func TestLongBodyIsReadIfAdmitted(t *testing.T) {
-	long := openHead + strings.Repeat("a", 70_000)
+	long := headWithoutLength + strings.Repeat("a", 70_000)
 	if _, err := http1.ReadResponse(newReader(long), http1.DefaultLimits); err == nil {
 		t.Error("a body over the limit is read")
 	}
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -56,14 +56,14 @@
 
 func readResponseBody(reader *bufio.Reader, response *Response, limits Limits) error {
 	response.Close = response.Fields.HasToken("connection", "close")
-	framing, stated, err := parseFraming(response.Fields)
+	framing, explicit, err := parseFraming(response.Fields)
 	if err != nil {
 		return err
 	}
 	if response.Status == statusNoContent || response.Status == statusNotModified {
 		return nil
 	}
-	if !stated {
+	if !explicit {
 		framing.UntilClose, response.Close = true, true
 	}
 	response.Body, err = ReadBody(reader, framing, limits)
