--- a/internal/frontend/web/conn.go
+++ b/internal/frontend/web/conn.go
@@ -13,26 +13,26 @@
 	"irispost/scheduler"
 )
 
-// conn is a client's connection. Its goroutine owns it, except for what is marked.
+// conn is a client connection. Its fields belong to its goroutine unless noted otherwise.
 type conn struct {
 	server        *Server
 	raw           net.Conn
 	ahead         readAhead
 	reader        *bufio.Reader // reads from ahead
 	session       *gateway.Session
-	firstDeadline time.Time // for the first request to be complete; zero afterwards
+	firstDeadline time.Time // deadline for receiving the first request; zero once that is being read
 
 	state connState // guarded by the server's lock
-	since time.Time // of the state; guarded by the server's lock
+	since time.Time // time of the last state change; guarded by the server's lock
 }
 
-// errLastResponse ends a connection after a response, or because no request arrives.
-var errLastResponse = errors.New("the connection ends")
+// errLastResponse makes serve close a connection after its last response, or because no request has arrived in time.
+var errLastResponse = errors.New("no further request on this connection")
 
 // continueResponse asks a client for the body of its request (RFC 9110, 15.2.1).
 var continueResponse = []byte("HTTP/1.1 100 Continue\r\n\r\n")
 
-// serve handles one request after the other, and closes the connection.
+// serve handles requests one after another and then closes the connection.
 func (c *conn) serve() {
 	defer c.ahead.discard()
 	for {
@@ -43,12 +43,12 @@
 		var rejected *http1.Error
 		switch {
 		case errors.As(err, &rejected):
-			_ = c.write(rejectionResponse(rejected.Status, rejected.Reason)) // the connection ends in any case
+			_ = c.write(rejectionResponse(rejected.Status, rejected.Reason)) // the connection is closed in any case
 		case err != nil && disconnected:
 			c.setState(stateClosed)
 			return
 		case err == nil:
-			// The deadline is set before the connection is idle, since whoever closes an idle one sets another.
+			// Set before the state becomes idle, because closing an idle connection sets another deadline.
 			_ = c.raw.SetReadDeadline(time.Now().Add(c.server.opt.Limits.IdleTimeout))
 			if c.setState(stateIdle) {
 				continue
@@ -59,10 +59,10 @@
 	}
 }
 
-// awaitRequest waits for the first byte of a request. disconnected means that the client has closed the connection.
+// awaitRequest waits for the first byte of a request. disconnected means that the connection has failed or is closed.
 //
-// Whoever closes an idle connection only wakes this goroutine, which alone knows what it has read: a request that has
-// arrived by then is served and answered.
+// To close an idle connection, other goroutines only wake this one by a read deadline, since only this one knows what
+// has been read: a request that has arrived by then is still served.
 func (c *conn) awaitRequest() (disconnected bool, err error) {
 	if _, err = c.reader.Peek(1); err != nil {
 		if !isTimeout(err) {
@@ -78,8 +78,9 @@
 	return false, nil
 }
 
-// handleRequest reads one request and answers it. disconnected means that there is no client any more to answer. An error of
-// type *http1.Error is a rejection that the client is still to get, and errLastResponse ends the connection.
+// handleRequest reads one request and responds to it. An error of type *http1.Error is a rejection that still has to
+// be sent, and errLastResponse ends the connection. With any other error, disconnected means that no response can be
+// sent any more.
 func (c *conn) handleRequest() (disconnected bool, err error) {
 	s := c.server
 	c.setRequestDeadline()
@@ -107,20 +108,20 @@
 	if err != nil {
 		return true, err
 	}
-	endRequest() // before the client can know of the result, since it may use the id again at once
+	endRequest() // before responding, because the client may reuse the ID as soon as it has the result
 	s.mu.Lock()
 	last := request.Close || s.phase >= phaseClosing || c.ahead.truncated
 	s.mu.Unlock()
 	return c.respond(resultResponse(result, last), last)
 }
 
-// setRequestDeadline bounds the time in which the request that has begun has to be complete.
+// setRequestDeadline sets the deadline for receiving the rest of the request.
 func (c *conn) setRequestDeadline() {
 	s := c.server
 	deadline := time.Now().Add(s.opt.Limits.RequestTimeout)
 	if !c.firstDeadline.IsZero() {
 		deadline, c.firstDeadline = c.firstDeadline, time.Time{}
-		if earliest := time.Now().Add(lingerTimeout); deadline.Before(earliest) { // it began at the last moment
+		if earliest := time.Now().Add(lingerTimeout); deadline.Before(earliest) { // it started just before the deadline
 			deadline = earliest
 		}
 	}
@@ -132,7 +133,7 @@
 	_ = c.raw.SetReadDeadline(deadline)
 }
 
-// maxBodyBytes is the most that a request's body can have.
+// maxBodyBytes returns the maximum size of the request's body.
 func (c *conn) maxBodyBytes(request *http1.Request) int64 {
 	if request.Framing.Chunked {
 		return c.server.opt.Limits.Message.MaxBodyBytes
@@ -140,7 +141,7 @@
 	return request.Framing.Bytes
 }
 
-// readBody reads the body of a request into its spec.
+// readBody reads the body of the request into spec.
 func (c *conn) readBody(request *http1.Request, spec *gateway.RequestSpec) error {
 	if request.ExpectContinue {
 		if err := c.write(continueResponse); err != nil {
@@ -155,8 +156,8 @@
 	return nil
 }
 
-// execute submits the request to the loop and waits for its result, or for the client to close the connection. On an
-// error there is no client any more to answer.
+// execute submits the request to the loop and waits for its result or for the client to close the connection. After an
+// error, no response can be sent any more.
 func (c *conn) execute(spec *gateway.RequestSpec) (result gateway.Result, err error) {
 	loop := c.server.opt.Loop
 	_ = c.raw.SetReadDeadline(time.Time{})
@@ -164,7 +165,7 @@
 		return result, net.ErrClosed
 	}
 	spec.Deadline = loop.Now() + spec.Deadline
-	spec.OnResult = func() { _ = c.raw.SetReadDeadline(pastDeadline) } // ends the read-ahead below
+	spec.OnResult = func() { _ = c.raw.SetReadDeadline(pastDeadline) } // interrupts the read-ahead below
 	done := loop.Submit(c.session, spec)
 	if err := c.ahead.readUntilDeadline(); err != nil {
 		loop.CloseSession(c.session)
@@ -178,7 +179,7 @@
 	return result, nil
 }
 
-// respond sends a response. The error is errLastResponse if the connection ends with it.
+// respond sends a response. If it is the last one of the connection, it returns errLastResponse.
 func (c *conn) respond(response []byte, last bool) (disconnected bool, err error) {
 	if err := c.write(response); err != nil {
 		return true, err
@@ -200,7 +201,7 @@
 	return errors.As(err, &netError) && netError.Timeout()
 }
 
-// rejectTimeout turns the timeout of a request that did not arrive completely into its rejection.
+// rejectTimeout converts a timeout while receiving a request into a rejection with status 408.
 func rejectTimeout(err error) error {
 	if isTimeout(err) {
 		return &http1.Error{Status: http.StatusRequestTimeout, Reason: "the request did not come to its end in time"}
--- a/internal/frontend/web/connstate.go
+++ b/internal/frontend/web/connstate.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// connState is the state of a client's connection. Only conn.transition changes it. The order of the constants counts:
-// those up to stateIdle have no request.
+// connState is the state of a client connection. Only conn.transition changes it. The order of the constants matters:
+// in states up to stateIdle, the connection has no request.
 type connState uint8
 
 const (
-	stateNew       connState = iota // no request has come yet
+	stateNew       connState = iota // no request has arrived yet
 	stateIdle                       // between requests
-	stateClosing                    // to be closed, unless a request has arrived
+	stateClosing                    // about to be closed, unless a request has arrived
 	stateReading                    // a request is being read
-	stateWaiting                    // the request is with the gateway's loop
+	stateWaiting                    // the request is submitted to the gateway's loop
 	stateWriting                    // the response is being written
-	stateLingering                  // the sending side is closed, and what still arrives is discarded
+	stateLingering                  // the sending side is closed, and received data is discarded
 	stateClosed
 )
 
@@ -24,8 +24,9 @@
 	return [...]string{"new", "idle", "closing", "reading", "waiting", "writing", "lingering", "closed"}[s]
 }
 
-// transition is the one place where a connection changes state. It returns false if the connection is closed or
-// lingers already. The caller holds the server's lock.
+// transition changes the state of a connection; nothing else does. It returns false, and changes nothing, if the
+// connection is closed, or if it is lingering and the new state is not stateClosed. The caller holds the server's
+// lock.
 func (c *conn) transition(to connState) bool {
 	s := c.server
 	if c.state == stateClosed || c.state == stateLingering && to != stateClosed {
@@ -48,7 +49,7 @@
 	case stateLingering:
 		s.lingering = append(s.lingering, c)
 		if s.phase < phaseNotAccepting && len(s.lingering) > s.opt.Limits.maxLingering() {
-			s.lingering[0].transition(stateClosed) // it has had the longest time
+			s.lingering[0].transition(stateClosed) // it has lingered longest
 		}
 	case stateClosed:
 		_ = c.raw.Close()
@@ -60,7 +61,7 @@
 	return true
 }
 
-// setState is transition for callers that don't hold the server's lock.
+// setState is transition for callers that do not hold the server's lock.
 func (c *conn) setState(to connState) bool {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
--- a/internal/frontend/web/evict.go
+++ b/internal/frontend/web/evict.go
@@ -4,14 +4,14 @@
 	"time"
 )
 
-// minEvictInterval is the least time between two looks for connections to close.
+// minEvictInterval is the minimum interval between two checks for connections to evict.
 const minEvictInterval = 10 * time.Millisecond
 
-// servingCount is the number of connections that are not on their way out. The caller holds the lock.
+// servingCount returns the number of connections that are neither closing nor lingering. The caller holds the lock.
 func (s *Server) servingCount() int { return len(s.conns) - len(s.lingering) - s.closing }
 
-// evictLoop closes the connections that have been idle for longest while the server is crowded. Clients hold only so
-// many connections, and those that asked once and stay connected would keep the others out.
+// evictLoop closes the connections that have been idle longest while there are more than EvictionThreshold. The number
+// of connections is limited, so clients that stay connected after a single request would keep others out.
 func (s *Server) evictLoop() {
 	ticker := time.NewTicker(max(s.opt.Limits.EvictionIdleTimeout/8, minEvictInterval))
 	defer ticker.Stop()
@@ -31,9 +31,9 @@
 	}
 }
 
-// evict closes one connection that has been in its state for at least minIdle: one that has sent no request yet if
-// there is any, else the one that has been idle for longest. It returns false if none can be closed now. The caller
-// holds the lock.
+// evict closes one connection that has been idle, or open without a request, for at least minIdle. It prefers
+// connections that have not sent any request, and among equals the one that has waited longest. It returns false if no
+// connection can be closed now. The caller holds the lock.
 func (s *Server) evict(now time.Time, minIdle time.Duration) bool {
 	if s.closeLimitReached(now) {
 		return false
@@ -55,8 +55,9 @@
 	return true
 }
 
-// closeLimitReached reports whether so many connections are on their way out that no further one should be. One that has
-// lingered for a while may be cut short for another. The caller holds the lock.
+// closeLimitReached reports whether too many connections are closing or lingering to close another. The limit does not
+// apply if the oldest lingering connection has lingered for a while, as it may be closed early to make room. The
+// caller holds the lock.
 func (s *Server) closeLimitReached(now time.Time) bool {
 	if s.closing+len(s.lingering) < s.opt.Limits.maxLingering() {
 		return false
@@ -64,7 +65,7 @@
 	return len(s.lingering) == 0 || now.Sub(s.lingering[0].since) < lingerTimeout/8
 }
 
-// evictedBefore reports whether a connection is a better one to close than another.
+// evictedBefore reports whether c should be evicted rather than other.
 func (c *conn) evictedBefore(other *conn) bool {
 	if c.state != other.state {
 		return c.state < other.state
@@ -72,8 +73,8 @@
 	return c.since.Before(other.since)
 }
 
-// logShortage logs when the server begins or ceases to reject connections, by the count of those rejected at the last
-// call. The caller holds the lock.
+// logShortage logs when the server starts or stops rejecting connections. rejectedBefore is the number of connections
+// that had been rejected at the last call. The caller holds the lock.
 func (s *Server) logShortage(rejectedBefore int) {
 	short := s.rejected > rejectedBefore
 	if short == s.loggedShortage {
--- a/internal/frontend/web/evict_test.go
+++ b/internal/frontend/web/evict_test.go
@@ -8,7 +8,7 @@
 	"irispost/internal/frontend/web"
 )
 
-// connPair returns the server's and the client's side of a connection.
+// connPair returns the server side and the client side of a new connection.
 func connPair(t *testing.T, listener net.Listener) (server, client net.Conn) {
 	t.Helper()
 	client, err := net.Dial("tcp", listener.Addr().String())
@@ -23,8 +23,8 @@
 	return server, client
 }
 
-// TestConnectionWithUnreadRequestIsNotEvicted: a connection whose request has arrived and is not read yet is not closed
-// to make room, which would leave the request without a response.
+// TestConnectionWithUnreadRequestIsNotEvicted: a connection whose request has arrived but has not been read yet is not
+// evicted, because the request would then get no response.
 func TestConnectionWithUnreadRequestIsNotEvicted(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -38,10 +38,10 @@
 		time.Sleep(time.Millisecond)
 	}
 	if got := web.EvictOne(firstServer, secondServer); got != 1 {
-		t.Errorf("connection %d is evicted, want 1", got)
+		t.Errorf("evicted connection %d, want 1", got)
 	}
 	write(t, secondClient, "PUT")
 	if got := web.EvictOne(firstServer); got != -1 {
-		t.Errorf("connection %d is evicted, where all have unread bytes", got)
+		t.Errorf("evicted connection %d, want none (-1) because all have unread bytes", got)
 	}
 }
--- a/internal/frontend/web/export_test.go
+++ b/internal/frontend/web/export_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// HasUnreadBytes is hasUnreadBytes.
+// HasUnreadBytes reports whether a connection's socket has unread bytes.
 var HasUnreadBytes = hasUnreadBytes
 
 // EvictOne gives these connections to a server, the first one idle for longest, and has it evict one. It returns the
@@ -28,20 +28,20 @@
 	return -1
 }
 
-// ServeListener starts a server on a listener.
+// ServeListener starts a server on the given listener.
 var ServeListener = serveListener
 
-// ClosingCounts returns how many connections are closing, and how many linger.
+// ClosingCounts returns the number of closing and of lingering connections.
 func ClosingCounts(s *Server) (closing, lingering int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.closing, len(s.lingering)
 }
 
-// MaxLingering is how many may linger.
+// MaxLingering returns how many connections may linger at the same time.
 func MaxLingering(l Limits) int { return l.maxLingering() }
 
-// IdleCount returns how many connections are idle.
+// IdleCount returns the number of idle connections.
 func IdleCount(s *Server) int { return countInState(s, stateIdle) }
 
 // IsReading reports whether a request is being read.
@@ -58,5 +58,5 @@
 	return count
 }
 
-// ResultResponse is the response for a request's result.
+// ResultResponse returns the response for the result of a request.
 var ResultResponse = resultResponse
--- a/internal/frontend/web/golden_test.go
+++ b/internal/frontend/web/golden_test.go
@@ -16,25 +16,26 @@
 	"irispost/scheduler"
 )
 
-// checkGolden compares messages with a file of testdata, whose lines end with LF; a CR shows as \r.
+// checkGolden compares messages with a golden file. Its lines end with LF; a CR is written as \r.
 func checkGolden(t *testing.T, file string, messages []byte) {
 	t.Helper()
 	golden.Check(t, file, bytes.ReplaceAll(messages, []byte("\r"), []byte(`\r`)))
 }
 
-// modifiedRequest is a request with one part replaced.
+// modifiedRequest returns a request with one part replaced.
 func modifiedRequest(old, replacement string) string {
 	return strings.Replace(putRequest("r"), old, replacement, 1)
 }
 
-// chunkedRequest is a request whose chunked body is this text.
+// chunkedRequest returns a request with the given text as its chunked body, framing included.
 func chunkedRequest(body string) string {
 	return strings.Replace(modifiedRequest("Content-Length: 4", "Transfer-Encoding: chunked"), "body", body, 1)
 }
 
 var longText = strings.Repeat("x", 5000)
 
-// goldenRequests are requests that a front answers by itself or on its node's behalf, each on a connection of its own.
+// goldenRequests are requests to which the front end responds, by itself or with a node's result. Each is sent on its
+// own connection.
 var goldenRequests = []struct{ name, text string }{
 	{"health", "GET /healthz HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"},
 	{"health by another method", "PUT /healthz HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n"},
@@ -69,19 +70,19 @@
 	{"long chunk", chunkedRequest("10001\r\n")},
 }
 
-// exchange sends a request on a connection of its own and reads all that comes back.
+// exchange sends a request on a new connection and reads everything up to the end of the connection.
 func exchange(t *testing.T, b *testbed, request string) []byte {
 	t.Helper()
 	c := b.dial(t)
 	c.send(request)
 	answer, err := io.ReadAll(c.reader)
 	if err != nil {
-		t.Errorf("%q: %v", request, err)
+		t.Errorf("%q: reading the response: got error %v, want none", request, err)
 	}
 	return answer
 }
 
-// TestGoldenAnswers pins, as bytes, each answer that the front makes by itself.
+// TestGoldenAnswers compares the responses that the front end generates with a golden file, byte by byte.
 func TestGoldenAnswers(t *testing.T) {
 	var record bytes.Buffer
 	write := func(name string, answer []byte) {
@@ -117,7 +118,7 @@
 	checkGolden(t, "answers.txt", record.Bytes())
 }
 
-// TestGoldenResults pins, as bytes, the answer for each result of a job.
+// TestGoldenResults compares the responses for the possible results of a request with a golden file, byte by byte.
 func TestGoldenResults(t *testing.T) {
 	var record bytes.Buffer
 	for _, c := range []struct {
--- a/internal/frontend/web/linger.go
+++ b/internal/frontend/web/linger.go
@@ -7,15 +7,16 @@
 	"time"
 )
 
-// lingerTimeout is how long a client may still send on a connection that has its last response.
+// lingerTimeout limits how long a connection lingers after its last response.
 const lingerTimeout = 200 * time.Millisecond
 
-// maxLingerBodies is how many of the longest bodies a client may still send then.
+// maxLingerBodies limits the bytes that are discarded while a connection lingers, in bodies of the maximum size.
 const maxLingerBodies = 4
 
-// linger closes a connection whose client is still there (lingering close, RFC 9112, 9.6): it closes the sending side,
-// discards what still arrives for a bounded time and size, and closes. Closing a socket with unread bytes would reset
-// the connection and could destroy the response. Nothing that arrives now is passed on.
+// linger closes a connection whose client is still connected (lingering close, RFC 9112, 9.6). It closes the sending
+// side, discards received data up to a limit of time and size, and then closes the connection. Closing a socket with
+// unread bytes would reset the connection, and the client could lose the response. No request that arrives while
+// lingering is forwarded.
 func (c *conn) linger() {
 	defer c.setState(stateClosed)
 	c.setState(stateLingering)
@@ -26,11 +27,11 @@
 	_, _ = io.CopyN(io.Discard, onlyReader{c.raw}, maxLingerBodies*c.server.opt.Limits.Message.MaxBodyBytes)
 }
 
-// onlyReader hides the other methods of a connection, so that io.Copy does not splice.
+// onlyReader hides the other methods of a connection, so that io.Copy does not use splice.
 type onlyReader struct{ io.Reader }
 
-// hasUnreadBytes reports whether bytes of the client wait in the connection's socket: it is not idle then, its request
-// has only not been read yet.
+// hasUnreadBytes reports whether the connection's socket has unread bytes from the client. Such a connection is not
+// idle: its request has arrived but has not been read yet.
 func hasUnreadBytes(raw net.Conn) bool {
 	socket, ok := raw.(syscall.Conn)
 	if !ok {
--- a/internal/frontend/web/linger_test.go
+++ b/internal/frontend/web/linger_test.go
@@ -13,7 +13,7 @@
 	"irispost/internal/frontend/web"
 )
 
-// step is a point in the life of a connection at which a test can have something happen.
+// step is a step of a connection at which a test can run a hook.
 type step string
 
 const (
@@ -22,12 +22,12 @@
 	stepCloseWrite step = "close write" // the sending side is about to be closed
 )
 
-// hookedListener is a listener whose connections run a hook at a step.
+// hookedListener is a listener whose connections run the hook at each step.
 type hookedListener struct {
 	net.Listener
-	mu   sync.Mutex // guards all below
+	mu   sync.Mutex // guards all fields below
 	hook func(step)
-	last net.Conn // the server's side of the newest connection
+	last net.Conn // server side of the most recently accepted connection
 }
 
 // hookedConn is a connection of a hookedListener.
@@ -36,7 +36,7 @@
 	listener *hookedListener
 }
 
-// startHooked starts a testbed on a hookedListener, with limits that change may lower.
+// startHooked starts a testbed on a hookedListener. modify, unless nil, may change its limits.
 func startHooked(t testing.TB, modify func(*web.Limits)) (*testbed, *hookedListener) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -63,7 +63,7 @@
 	return hooked, nil
 }
 
-// onNext has the next connection that reaches a step run a function, once.
+// onNext makes the next connection that reaches the step run a function, once.
 func (l *hookedListener) onNext(at step, run func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -99,9 +99,9 @@
 	return c.TCPConn.CloseWrite()
 }
 
-// TestRequestThatCrossesCloseIsServedOrNotForwarded has a request arrive just when its idle connection is to be closed,
-// in each order. What has arrived by then is served; what arrives after the sending side is closed is not forwarded.
-// The connection is not reset, so that the client knows.
+// TestRequestThatCrossesCloseIsServedOrNotForwarded: a request arrives while the server closes its idle connection. If
+// it arrives before the sending side is closed, it is served; if later, it is not forwarded. The connection ends with
+// an EOF and not with a reset, so that the client can tell that no further response follows.
 func TestRequestThatCrossesCloseIsServedOrNotForwarded(t *testing.T) {
 	for _, c := range []struct {
 		at     step
@@ -115,14 +115,14 @@
 	b, listener := startHooked(t, nil)
 	idle := b.dial(t)
 	idle.send(putRequest("1"))
-	idle.expect(200, "before")
+	idle.expect(200, "request before the shutdown")
 	shutDown := func() {
 		go b.Shutdown(context.Background(), 0, 0)
 		for closing, lingering := 0, 0; closing+lingering == 0; closing, lingering = web.ClosingCounts(b.Server) {
 			time.Sleep(time.Millisecond)
 		}
 	}
-	if at == stepRead { // the bytes are read, and the shutdown comes before the server knows of them
+	if at == stepRead { // the shutdown comes after the bytes are read and before the server handles them
 		listener.onNext(stepRead, shutDown)
 		idle.send(putRequest("2"))
 	} else {
@@ -135,20 +135,21 @@
 		shutDown()
 	}
 	if served {
-		idle.expect(200, "a request that had arrived")
+		idle.expect(200, "request that arrived before the close")
 	}
 	if err := idle.awaitEnd(); !errors.Is(err, io.EOF) {
-		t.Errorf("the connection ends with %v", err)
+		t.Errorf("the connection ended with %v, want EOF", err)
 	}
 	for conns := 1; conns > 0; conns, _ = b.Counts() {
 		time.Sleep(time.Millisecond)
 	}
 	if n := b.nodes.count("2"); (n == 1) != served {
-		t.Errorf("the request was forwarded %d times", n)
+		t.Errorf("the second request was forwarded %d times, want once if it is served, else never", n)
 	}
 }
 
-// TestFirstRequestAtDeadlineIsServed: a request that arrives as its connection times out without one is served.
+// TestFirstRequestAtDeadlineIsServed: a request that arrives just as the timeout for the first request expires is
+// served.
 func TestFirstRequestAtDeadlineIsServed(t *testing.T) {
 	b, listener := startHooked(t, func(l *web.Limits) { l.FirstRequestTimeout = 30 * time.Millisecond })
 	ready := make(chan *client, 1)
@@ -161,11 +162,11 @@
 	})
 	c := b.dial(t)
 	ready <- c
-	c.expect(200, "a request at the last moment")
+	c.expect(200, "first request at the deadline")
 }
 
-// TestLastResponseIsNotLostByClose: the close of a connection does not destroy its last response, whatever the client
-// still sends.
+// TestLastResponseIsNotLostByClose: the client gets the last response on a connection, followed by an EOF, even if it
+// keeps sending. Closing a socket with unread bytes would reset the connection and lose the response.
 func TestLastResponseIsNotLostByClose(t *testing.T) {
 	b := start(t, generousLimits())
 	for _, last := range []string{
@@ -174,18 +175,18 @@
 		"PUT /healthz HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\n\r\n",
 	} {
 		c := b.dial(t)
-		c.send(last + string(make([]byte, 20_000))) // more than is read with the head
+		c.send(last + string(make([]byte, 20_000))) // more than the server reads together with the head
 		if status, _ := c.read(); status == 0 {
-			t.Errorf("%q: no response", last[:12])
+			t.Errorf("%q: got no response, want one", last[:12])
 		}
 		if err := c.awaitEnd(); !errors.Is(err, io.EOF) {
-			t.Errorf("%q: the connection ends with %v", last[:12], err)
+			t.Errorf("%q: the connection ended with %v, want EOF", last[:12], err)
 		}
 	}
 }
 
-// TestLingeringIsBounded: however many connections are rejected, only so many are held open for them; each gets its
-// response.
+// TestLingeringIsBounded: the number of rejected connections that linger is limited, no matter how many are rejected.
+// Each of them gets a response.
 func TestLingeringIsBounded(t *testing.T) {
 	limits := generousLimits()
 	limits.MaxConnections = 8
@@ -198,16 +199,16 @@
 		time.Sleep(time.Millisecond)
 	}
 	for range 100 {
-		b.dial(t).expect(503, "one too many")
+		b.dial(t).expect(503, "connection above the limit")
 		if conns, _ := b.Counts(); conns > 8+web.MaxLingering(limits) {
-			t.Fatalf("%d connections are held", conns)
+			t.Fatalf("%d connections are open, want at most 8 plus those that may linger", conns)
 		}
 	}
 }
 
-// TestReadAheadWithoutMemoryEndsConnection: what a client sends while its request is in flight is buffered only while
-// there is memory for it. Past that the connection ends with the response that is due, and what was discarded is not
-// forwarded.
+// TestReadAheadWithoutMemoryEndsConnection: data that a client sends while its request is in flight is buffered only
+// while there is memory for it. Otherwise it is discarded and not forwarded, and the connection is closed after the
+// pending response.
 func TestReadAheadWithoutMemoryEndsConnection(t *testing.T) {
 	b, listener := startHooked(t, func(l *web.Limits) { l.MaxBodyBytes = 6 })
 	b.nodes.setHolding(true)
@@ -219,11 +220,11 @@
 	c.send(putRequest("y"))
 	<-read
 	b.nodes.attempt("x").serve()
-	c.expect(200, "the response that is due")
+	c.expect(200, "response that was pending")
 	if err := c.awaitEnd(); !errors.Is(err, io.EOF) {
-		t.Errorf("the connection ends with %v", err)
+		t.Errorf("the connection ended with %v, want EOF", err)
 	}
 	if n := b.nodes.count("y"); n > 0 {
-		t.Errorf("what was discarded was forwarded %d times", n)
+		t.Errorf("the discarded request was forwarded %d times, want 0", n)
 	}
 }
--- a/internal/frontend/web/random_test.go
+++ b/internal/frontend/web/random_test.go
@@ -11,7 +11,7 @@
 	"irispost/internal/testkit"
 )
 
-// kinds of a random client.
+// Kinds of random clients.
 const (
 	sendsInTwoParts = iota
 	sendsPart
@@ -21,7 +21,8 @@
 	numClientKinds
 )
 
-// randomClient is what a client does; splitAt is where its request is split, and garbage what it sends that is no request.
+// randomClient describes what a client does. splitAt is the length of the first part of its request; garbage is sent
+// instead of a request.
 type randomClient struct {
 	id      string
 	kind    int
@@ -29,14 +30,14 @@
 	garbage string
 }
 
-// run plays the client. Where many leave at once, a valid request may be rejected.
+// run runs the client. A valid request may be rejected with status 503 if many clients disconnect at once.
 func (r randomClient) run(t *testing.T, c *client) {
 	defer func() { _ = c.Close() }()
 	request := putRequest(r.id)
 	expectServed := func() {
 		status, body := c.read()
 		if (status != 200 || body != r.id+servedBody) && status != 503 {
-			t.Errorf("%s: %d %q", r.id, status, body)
+			t.Errorf("%s: status %d, body %q, want 200 and its own body, or 503", r.id, status, body)
 		}
 	}
 	switch r.kind {
@@ -49,7 +50,7 @@
 	case sendsGarbage:
 		c.send(r.garbage + "\r\n\r\n")
 		if status, _ := c.read(); status == 200 {
-			t.Errorf("noise %q is served", r.garbage)
+			t.Errorf("garbage %q: got status 200, want a rejection", r.garbage)
 		}
 	case sendsAndDisconnects:
 		c.send(request)
@@ -57,13 +58,13 @@
 		c.send(request + "\x00\r\n\r\n")
 		expectServed()
 		if status, _ := c.read(); status != 400 {
-			t.Errorf("noise behind a request: status %d, want 400", status)
+			t.Errorf("garbage after a request: status %d, want 400", status)
 		}
 	}
 }
 
-// TestRandomClientsAreServedTheirOwn: of random clients, some bad, the good ones get their own responses, and no
-// connection and no request is left in the end.
+// TestRandomClientsAreServedTheirOwn: among random clients, some of them misbehaving, those with valid requests get
+// their own responses. In the end, no connection is open and no request is without a response.
 func TestRandomClientsAreServedTheirOwn(t *testing.T) {
 	b := start(t, generousLimits())
 	count := 0
--- a/internal/frontend/web/readahead.go
+++ b/internal/frontend/web/readahead.go
@@ -5,18 +5,19 @@
 	"sync"
 )
 
-// readAhead reads what a client sends while its request is in flight, since the end of the connection shows only behind
-// it. It buffers at most one message, and only while the server has memory left for it; what arrives beyond that is
-// discarded, and the connection ends with the response that is due. One goroutine uses it.
+// readAhead reads what a client sends while its request is in flight. Without reading that, the server would not
+// notice that the client closes the connection. It buffers at most one message, and only while the server has memory
+// for it. Data beyond that is discarded, and the connection is closed after the pending response. readAhead is not
+// safe for concurrent use.
 type readAhead struct {
 	raw       net.Conn
-	limit     int64                  // bytes to buffer at most
-	reserve   func(bytes int64) bool // reserves memory, or gives it back if bytes is negative
+	limit     int64                  // maximum number of buffered bytes
+	reserve   func(bytes int64) bool // reserves memory, or releases it if bytes is negative
 	buffered  []byte
-	truncated bool // something was discarded
+	truncated bool // data was discarded
 }
 
-// Read returns what is buffered first, then what the connection has.
+// Read returns buffered data first, then reads from the connection.
 func (a *readAhead) Read(p []byte) (int, error) {
 	if len(a.buffered) == 0 {
 		return a.raw.Read(p)
@@ -29,23 +30,23 @@
 	return n, nil
 }
 
-// discard gives up what is buffered.
+// discard drops the buffered data and releases its memory.
 func (a *readAhead) discard() {
 	a.reserve(-int64(len(a.buffered)))
 	a.buffered = nil
 }
 
-// firstReadBytes and discardReadBytes are the sizes of the reads before and after something is discarded.
+// firstReadBytes and discardReadBytes are the read sizes before and after data is discarded for the first time.
 const (
 	firstReadBytes   = 512
 	discardReadBytes = 32 << 10
 )
 
-// discardBuffers are buffers for what is not kept.
+// discardBuffers holds buffers for data that is read and discarded.
 var discardBuffers = sync.Pool{New: func() any { return new([discardReadBytes]byte) }}
 
-// readUntilDeadline reads until the connection's read deadline passes, upon which it returns nil, or until the
-// connection ends, whose error it returns.
+// readUntilDeadline reads until the connection's read deadline passes, and then returns nil. If reading fails for
+// another reason, such as the client closing the connection, it returns that error.
 func (a *readAhead) readUntilDeadline() error {
 	var first [firstReadBytes]byte
 	for buf := first[:]; ; {
@@ -65,7 +66,7 @@
 	}
 }
 
-// appendBuffered buffers bytes if there is room for them.
+// appendBuffered buffers the bytes. It returns false if that would exceed the limit or the server's memory for bodies.
 func (a *readAhead) appendBuffered(bytes []byte) bool {
 	if int64(len(a.buffered)+len(bytes)) > a.limit || !a.reserve(int64(len(bytes))) {
 		return false
--- a/internal/frontend/web/request.go
+++ b/internal/frontend/web/request.go
@@ -14,7 +14,7 @@
 	"irispost/scheduler"
 )
 
-// Fields of a request that the gateway reads, in lower case.
+// Names of the request fields that the gateway reads, in lower case.
 const (
 	fieldRequestID = "x-request-id"
 	fieldClass     = "x-class"
@@ -23,31 +23,31 @@
 	fieldIO        = "x-io"
 )
 
-// maxDeadline is the longest deadline that is accepted.
+// maxDeadline is the longest accepted deadline.
 const maxDeadline = 24 * time.Hour
 
-// maxIDBytes is the longest request id that is accepted.
+// maxIDBytes is the maximum length of a request ID.
 const maxIDBytes = 64
 
-// hexDigits is the length of an extent or volume in hexadecimal.
+// hexDigits is the number of hexadecimal digits of an extent or volume.
 const hexDigits = 16
 
-// catalog is what the settings name. A request that asks for something else is rejected.
+// catalog holds the names and limits in the settings against which requests are validated.
 type catalog struct {
 	serviceLevels, requestClasses map[string]bool
-	maxUnits                      float64 // of one request; 0: not stated
+	maxUnits                      float64 // maximum units of one request; 0: no maximum
 }
 
 func newCatalog(settings scheduler.Settings) catalog {
 	names := func(list string) map[string]bool {
 		set := map[string]bool{}
-		count, _ := strconv.Atoi(settings[list+".count"]) // without a count there are none
+		count, _ := strconv.Atoi(settings[list+".count"]) // without a count, the list is empty
 		for i := range count {
 			set[settings[list+"."+strconv.Itoa(i)+".name"]] = true
 		}
 		return set
 	}
-	maxUnits, _ := strconv.ParseFloat(settings["units.largest"], 64) // 0 where it is not stated
+	maxUnits, _ := strconv.ParseFloat(settings["units.largest"], 64) // 0 if the setting is missing
 	return catalog{serviceLevels: names("plans"), requestClasses: names("products"), maxUnits: maxUnits}
 }
 
@@ -55,8 +55,8 @@
 	return &http1.Error{Status: http.StatusBadRequest, Reason: reason}
 }
 
-// parseSpec turns a request into what the loop is given. Its Deadline is the time that is left, not yet a point in
-// time.
+// parseSpec converts a request to the spec that is submitted to the loop. Its Deadline is relative: the time left to
+// the request, not yet a time of the loop's clock.
 func (c catalog) parseSpec(request *http1.Request) (*gateway.RequestSpec, error) {
 	op, err := parseMethod(request)
 	if err != nil {
@@ -138,8 +138,8 @@
 	return extent, nil
 }
 
-// unforwardedFields are the fields that concern the client and the gateway alone (RFC 9110, 7.6.1), or that the gateway writes
-// itself.
+// unforwardedFields are the fields that are not forwarded to a storage node, because they apply only to the client's
+// connection (RFC 9110, 7.6.1) or because the gateway writes them itself.
 var unforwardedFields = map[string]bool{
 	"connection":        true,
 	"keep-alive":        true,
@@ -155,8 +155,8 @@
 	fieldDeadline:       true,
 }
 
-// forwardedFields are the names and values of the fields that are forwarded to a storage node unchanged, above all the
-// idempotency key by which it knows a retry.
+// forwardedFields returns the names and values of the fields that are forwarded to a storage node unchanged. The most
+// important one is the idempotency key, by which the node recognizes a retry.
 func forwardedFields(fields http1.Fields) (namesAndValues []string) {
 	for _, f := range fields {
 		if !unforwardedFields[f.Name] && !fields.HasToken("connection", f.Name) {
@@ -166,8 +166,8 @@
 	return namesAndValues
 }
 
-// parseIO reads the X-IO field, "volume=...,units=...,shard=...,hosts=...", into the spec. All four are required, none
-// may stand twice, and others are ignored.
+// parseIO parses the X-IO field, "volume=...,units=...,shard=...,hosts=...", into the spec. All four items are
+// required, no item may be repeated, and unknown items are ignored.
 func (c catalog) parseIO(spec *gateway.RequestSpec, text string) bool {
 	seen := map[string]bool{}
 	for part := range strings.SplitSeq(text, ",") {
@@ -203,7 +203,7 @@
 	return true
 }
 
-// parseHex reads exactly 16 hexadecimal digits.
+// parseHex parses a number of exactly 16 hexadecimal digits.
 func parseHex(text string) (uint64, bool) {
 	if len(text) != hexDigits {
 		return 0, false
@@ -212,7 +212,7 @@
 	return value, err == nil
 }
 
-// isID reports whether a text is a request id that can be forwarded as it is.
+// isID reports whether the text is a valid request ID, which can be forwarded without escaping.
 func isID(text string) bool {
 	for _, c := range []byte(text) {
 		isLetter := c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z'
--- a/internal/frontend/web/request_test.go
+++ b/internal/frontend/web/request_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// TestInvalidRequestsAreRejected: each is rejected with its status, ends its connection and is not forwarded.
+// TestInvalidRequestsAreRejected: an invalid request is rejected with the right status and not forwarded, and its
+// connection is closed.
 func TestInvalidRequestsAreRejected(t *testing.T) {
 	b := start(t, generousLimits())
 	for name, change := range map[string]struct{ old, replacement, status string }{
@@ -38,15 +39,15 @@
 		if fmt.Sprint(status) != change.status {
 			t.Errorf("%s: status %d, want %s", name, status, change.status)
 		}
-		c.expect(0, name+": the end")
+		c.expect(0, name+": connection after the rejection")
 	}
 	if n := b.nodes.total(); n > 0 {
-		t.Errorf("%d were forwarded", n)
+		t.Errorf("%d attempts were made, want 0", n)
 	}
 }
 
-// TestEndToEndFieldsAreForwarded: the idempotency key goes on to the node with the request, and so does every other
-// field but those between the client and the gateway alone.
+// TestEndToEndFieldsAreForwarded: the idempotency key and all other end-to-end fields are forwarded to the node.
+// Hop-by-hop fields and those that the gateway writes itself are not.
 func TestEndToEndFieldsAreForwarded(t *testing.T) {
 	b := start(t, generousLimits())
 	b.nodes.setHolding(true)
@@ -57,6 +58,6 @@
 	want := "[idempotency-key k=1; a x-other b x-class read x-plan gold " +
 		"x-io volume=00000003b4d60021,units=2,shard=0,hosts=3]"
 	if got := fmt.Sprint(b.nodes.attempt("x").call.Headers); got != want {
-		t.Errorf("got %s, want %s", got, want)
+		t.Errorf("forwarded fields: got %s, want %s", got, want)
 	}
 }
--- a/internal/frontend/web/response.go
+++ b/internal/frontend/web/response.go
@@ -10,17 +10,18 @@
 	"irispost/scheduler"
 )
 
-// healthPath is where the platform checks a gateway's health.
+// healthPath is the path of the platform's health checks.
 const healthPath = "/healthz"
 
-// Bodies of responses. Clients may parse them.
+// Response bodies. Clients may parse them.
 var (
 	healthyBody  = []byte("ok\n")
 	rejectedBody = []byte("dismissed: trying again is harmless\n")
 	failedBody   = []byte("written off: it may have been done or not\n")
 )
 
-// resultResponse is the response for a request's result. last tells the client that the connection ends with it.
+// resultResponse returns the response for the result of a request. If last is set, it tells the client that the
+// connection closes after it.
 func resultResponse(result gateway.Result, last bool) []byte {
 	var response *http1.MessageBuilder
 	body := result.Reply.Data
@@ -41,19 +42,19 @@
 	return response.Body(body, true)
 }
 
-// retryAfter writes a duration in seconds, rounded up to the millisecond.
+// retryAfter formats a duration as seconds, rounded up to a millisecond.
 func retryAfter(wait time.Duration) string {
 	millis := (wait + time.Millisecond - 1) / time.Millisecond
 	return fmt.Sprintf("%d.%03d", millis/1000, millis%1000)
 }
 
-// rejectionResponse is the response to a request or connection that the front end does not pass on. The connection ends with
-// it.
+// rejectionResponse returns the response to a request or connection that the front end rejects. The connection is
+// closed after it.
 func rejectionResponse(status int, reason string) []byte {
 	return http1.NewResponse(status).Field("Connection", "close").Body([]byte(reason+"\n"), true)
 }
 
-// handleHealth answers a health check: the gateway is healthy until its shutdown begins.
+// handleHealth responds to a health check. The gateway is healthy until its shutdown begins.
 func (c *conn) handleHealth(request *http1.Request) (disconnected bool, err error) {
 	if request.Method != http.MethodGet || request.Framing.Bytes > 0 || request.Framing.Chunked {
 		return false, &http1.Error{Status: http.StatusMethodNotAllowed, Reason: "GET alone"}
--- a/internal/frontend/web/result_test.go
+++ b/internal/frontend/web/result_test.go
@@ -7,9 +7,9 @@
 	"irispost/internal/gateway"
 )
 
-// TestOnResultIsCalledBeforeResult: OnResult is called before the result can be had. Called after it, it would cut off
-// the next read of a connection that had gone on with the result: a request in the read-ahead got a 408, and without
-// one the connection was closed.
+// TestOnResultIsCalledBeforeResult: OnResult is called before the result is available. It used to be called after
+// that, and then interrupted the next read of a connection that had already continued with the result: a request in
+// the read-ahead was rejected with 408, and without one the connection was closed.
 func TestOnResultIsCalledBeforeResult(t *testing.T) {
 	b := start(t, generousLimits())
 	session := gateway.NewSession("s")
@@ -30,7 +30,7 @@
 		done = b.loop.Submit(session, spec)
 		close(submitted)
 		if <-early {
-			t.Fatal("the result could be had before OnResult was called")
+			t.Fatal("the result was available before OnResult was called")
 		}
 		<-done
 	}
--- a/internal/frontend/web/script_test.go
+++ b/internal/frontend/web/script_test.go
@@ -12,36 +12,36 @@
 	"irispost/internal/frontend/web"
 )
 
-// floodBytes is a response that fills the buffers of a connection whose client reads nothing.
+// floodBytes is the size of a response that fills the socket buffers of a connection whose client reads nothing.
 const floodBytes = 64 << 20
 
-// script plays clients against a testbed. Its steps are separated by ";" and consist of words.
+// script runs a script of clients against a testbed. Its steps are separated by ";" and consist of words.
 //
-// Steps of a client, which is connected by its first one:
+// Steps of a client, which connects at its first step:
 //
 //	NAME put ID         sends a request
-//	NAME chunked ID     sends one with a chunked body
-//	NAME last ID        sends one after which the connection is to close
-//	NAME part BYTES ID  sends so many bytes of a request, or all but so many
+//	NAME chunked ID     sends a request with a chunked body
+//	NAME last ID        sends a request with Connection: close
+//	NAME part BYTES ID  sends the first BYTES of a request; all but the last -BYTES if negative
 //	NAME health         sends a health check
-//	NAME noise BYTES    sends so many bytes that are no request
+//	NAME noise BYTES    sends as many bytes that are not a request
 //	NAME dial           only connects
 //	NAME close, reset   closes or resets the connection
-//	NAME STATUS         reads a response, which has to be the client's own if it is 200; 0 is the connection's end
+//	NAME STATUS         reads a response; 200 requires the client's own body, 0 a closed connection
 //
 // Steps of the nodes and the server:
 //
-//	hold, pass          from now on attempts are held, or answered at once
-//	held                waits for an attempt to be held
-//	serve ID, flood ID  answers one that is held, shortly or with floodBytes
-//	cancelled ID        waits until one that is held is cancelled
-//	idle N              waits until so many connections are idle
-//	conns N             waits until at most so many connections are open
+//	hold, pass          holds all following attempts, or answers them at once
+//	held                waits until an attempt is held
+//	serve ID, flood ID  answers a held attempt, normally or with floodBytes
+//	cancelled ID        waits until a held attempt is cancelled
+//	idle N              waits until at least N connections are idle
+//	conns N             waits until at most N connections are open; for 0, also no requests
 type script struct {
 	t       *testing.T
 	testbed *testbed
 	clients map[string]*client
-	ids     map[string][]string // of a client's requests without a response; "" for a health check
+	ids     map[string][]string // a client's unanswered requests; "" for a health check
 }
 
 func runScript(t *testing.T, b *testbed, text string) {
@@ -55,7 +55,7 @@
 	}
 }
 
-// runServerStep runs a step of the nodes or the server. It returns false if it is a step of a client.
+// runServerStep runs a step of the nodes or the server. It returns false if the step belongs to a client.
 func (s *script) runServerStep(verb, argument string) bool {
 	nodes := s.testbed.nodes
 	switch verb {
@@ -81,7 +81,7 @@
 	return true
 }
 
-// awaitConns waits until at most n connections are open, and without any also no request.
+// awaitConns waits until at most n connections are open. If n is 0, it also waits until all requests have ended.
 func (s *script) awaitConns(n int) {
 	for {
 		conns, requests := s.testbed.Counts()
@@ -146,7 +146,7 @@
 	id := s.ids[name][0]
 	s.ids[name] = s.ids[name][1:]
 	if body != id+servedBody && (id != "" || body != "ok\n") {
-		s.t.Fatalf("%s: the response to %q is %q", name, id, body)
+		s.t.Fatalf("%s: response to %q has the unexpected body %q", name, id, body)
 	}
 }
 
--- a/internal/frontend/web/server.go
+++ b/internal/frontend/web/server.go
@@ -1,11 +1,12 @@
-// Package web is the front end that accepts HTTP/1.1 from clients: each request becomes a request of the gateway's
-// loop, and its result becomes the one response. The scheduler decides what a request deserves; this package bounds
-// what clients can make the gateway hold (connections, bodies, time). Package serve starts a Server and shuts it down.
+// Package web is the front end that accepts HTTP/1.1 requests from clients. It submits each request to the gateway's
+// loop and sends the result as the only response. The scheduler decides which requests are served and when; this
+// package limits the resources that clients can use in the gateway: connections, memory for bodies, and time. Package
+// serve starts a Server and shuts it down.
 //
-// A Server owns the clients' connections, one goroutine each, and their states, all guarded by one mutex.
+// A Server owns the client connections, each served by one goroutine. One mutex guards the states of all connections.
 //
-// It is built on net and not on netpoll, which reads on into memory while its handler waits: 60 MB sent behind a
-// request that is in flight would be held completely. With net the bytes stay in the socket until they are wanted.
+// The package uses net and not netpoll, which keeps reading into memory while its handler waits: 60 MB sent after a
+// request in flight would be buffered completely. With net, the bytes stay in the socket until the package reads them.
 package web
 
 import (
@@ -23,28 +24,28 @@
 	"irispost/scheduler"
 )
 
-// Limits bound what clients can make the gateway hold.
+// Limits bound the resources that clients can use in the gateway.
 type Limits struct {
-	MaxConnections      int           // open at a time, without those that linger
+	MaxConnections      int           // open at the same time, not counting closing and lingering ones
 	EvictionThreshold   int           // above this many, connections idle for EvictionIdleTimeout are closed
-	MaxBodyBytes        int64         // of all request bodies and read-ahead together
-	FirstRequestTimeout time.Duration // from connecting to the end of the first request
+	MaxBodyBytes        int64         // total for request bodies and read-ahead of all connections
+	FirstRequestTimeout time.Duration // from connecting to the last byte of the first request
 	RequestTimeout      time.Duration // from a later request's first byte to its last
 	IdleTimeout         time.Duration // between requests
 	EvictionIdleTimeout time.Duration // between requests, above EvictionThreshold connections
-	WriteTimeout        time.Duration // a response that the client has not taken by then ends the connection
+	WriteTimeout        time.Duration // for sending a response; when it expires, the connection is closed
 	Message             http1.Limits  // of one request
 }
 
-// maxLingering is how many connections may linger at a time while others are accepted; they come on top of
+// maxLingering returns how many connections may linger at the same time while others are accepted, in addition to
 // MaxConnections.
 func (l Limits) maxLingering() int { return max(l.MaxConnections/8, 1) }
 
-// Options are what a server is started with.
+// Options configure a server.
 type Options struct {
 	GatewayName string
 	Loop        *gateway.Loop
-	Settings    scheduler.Settings // name the request classes and service levels that clients may ask for
+	Settings    scheduler.Settings // define the request classes and service levels that requests may name
 	Limits      Limits
 	Logger      *slog.Logger
 }
@@ -55,22 +56,22 @@
 	catalog    catalog
 	listener   net.Listener
 	acceptDone chan struct{} // closed when no connection is accepted any more
-	drained    chan struct{} // closed when no connection is accepted any more and none is left
+	drained    chan struct{} // closed when no connection is accepted any more and none is open
 
-	mu             sync.Mutex // guards all below, and each connection's state
+	mu             sync.Mutex // guards all fields below, and each connection's state
 	phase          phase
 	conns          map[*conn]bool
 	closing        int             // connections in stateClosing
-	lingering      []*conn         // connections in stateLingering, the oldest first
-	openIDs        map[string]bool // ids of requests without a response
-	bodyBytes      int64           // held for bodies and read-ahead
-	connCount      int64           // connections since the start
+	lingering      []*conn         // connections in stateLingering, oldest first
+	openIDs        map[string]bool // IDs of requests that have not been answered yet
+	bodyBytes      int64           // reserved for bodies and read-ahead
+	connCount      int64           // connections accepted since the start, rejected ones included
 	rejected       int             // connections rejected since the start
-	evicted        int             // connections closed to make room since the start
-	loggedShortage bool            // as logged last
+	evicted        int             // connections evicted since the start
+	loggedShortage bool            // whether a shortage of connections was logged last
 }
 
-// Start listens at an address and serves.
+// Start starts a server that listens at the address.
 func Start(addr string, opt Options) (*Server, error) {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -94,25 +95,25 @@
 	return s
 }
 
-// Addr is the address that clients connect to.
+// Addr returns the address that clients connect to.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// Counts returns the number of open connections and of requests without a response.
+// Counts returns the number of open connections and the number of requests that have not been answered yet.
 func (s *Server) Counts() (conns, requests int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns), len(s.openIDs)
 }
 
-// acceptRetryDelay is the pause after a failure to accept, which means that the process is out of file descriptors:
-// connections that are open have to end first.
+// acceptRetryDelay is the delay after a failure to accept a connection. Such a failure means that the process has run
+// out of file descriptors, so open connections have to close first.
 const acceptRetryDelay = 10 * time.Millisecond
 
 func (s *Server) acceptLoop() {
 	defer close(s.acceptDone)
 	for failing := false; ; {
 		raw, err := s.listener.Accept()
-		if errors.Is(err, net.ErrClosed) || isTimeout(err) { // Shutdown sets a deadline, after which nothing waits there
+		if errors.Is(err, net.ErrClosed) || isTimeout(err) { // no connection is pending at Shutdown's deadline
 			return
 		}
 		if failing != (err != nil) {
@@ -131,8 +132,8 @@
 	}
 }
 
-// admit takes a new connection in if there is room for it, or another that can be closed for it. If not, the connection
-// is rejected with a response and is to linger.
+// admit admits a new connection if the limit allows it or another connection can be evicted for it. Otherwise it
+// rejects the connection with a response, and the caller has to linger on it.
 func (s *Server) admit(raw net.Conn) (c *conn, admitted bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -141,11 +142,11 @@
 	admitted = s.phase < phaseNotAccepting &&
 		(s.servingCount() < s.opt.Limits.MaxConnections || s.evict(now, s.opt.Limits.EvictionIdleTimeout/8))
 	c = s.newConn(raw, now)
-	_ = raw.SetReadDeadline(c.firstDeadline) // before anybody can set another
+	_ = raw.SetReadDeadline(c.firstDeadline) // before another goroutine can set another one
 	s.conns[c] = true
 	if !admitted {
 		s.rejected++
-		_ = raw.SetWriteDeadline(now.Add(lingerTimeout)) // nothing is in the socket yet, so the write does not wait
+		_ = raw.SetWriteDeadline(now.Add(lingerTimeout)) // the socket's send buffer is empty, so the write does not block
 		_, _ = raw.Write(rejectionResponse(http.StatusServiceUnavailable, "too many connections"))
 		c.transition(stateLingering)
 	}
@@ -170,7 +171,8 @@
 	return c
 }
 
-// beginRequest registers a request, unless one of the same id is open or the memory for bodies is used up.
+// beginRequest registers a request. It rejects the request if one with the same ID is open or if there is not enough
+// memory for its body.
 func (s *Server) beginRequest(id string, bodyBytes int64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -193,8 +195,8 @@
 	s.bodyBytes -= bodyBytes
 }
 
-// reserveBytes reserves memory for read-ahead, or gives it back if bytes is negative. It returns false if there is not
-// so much left.
+// reserveBytes reserves memory for read-ahead, or releases it if bytes is negative. It returns false if there is not
+// enough memory left.
 func (s *Server) reserveBytes(bytes int64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/frontend/web/shutdown.go
+++ b/internal/frontend/web/shutdown.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// phase is how far the shutdown of a server has come. The order of the constants counts.
+// phase is the phase of a server's shutdown. The order of the constants matters.
 type phase uint8
 
 const (
 	phaseServing      phase = iota
 	phaseDraining           // connections are accepted, but health checks fail
-	phaseNotAccepting       // none are accepted; those that are open are served
+	phaseNotAccepting       // no connections are accepted, but open ones are served
 	phaseClosing            // each connection is closed after its next response
-	phaseDeadline           // requests that are not complete by now are rejected
+	phaseDeadline           // requests that have not been received completely are rejected
 )
 
 func (p phase) String() string {
 	return [...]string{"serving", "draining", "not accepting", "closing", "deadline"}[p]
 }
 
-// pastDeadline is a deadline that wakes a read at once.
+// pastDeadline is a deadline in the past, which interrupts a pending read at once.
 var pastDeadline = time.Unix(1, 0)
 
-// Shutdown ends the server gracefully. Connections are accepted for acceptFor, since clients still come until they
-// know; those that are open are served for serveFor, since their clients have nowhere else to go. Then each is closed
-// after its response, and idle ones at once. When the context ends, the loop is stopped, which fails the requests in
-// flight.
+// Shutdown shuts the server down gracefully. It accepts connections for acceptFor, because clients keep connecting
+// until they learn of the shutdown, and serves open connections for serveFor, because their clients have no other
+// gateway to go to. Then it closes idle connections at once and the others after their next response. When the context
+// ends, it stops the loop, which fails the requests in flight. Both durations start with the call.
 func (s *Server) Shutdown(ctx context.Context, acceptFor, serveFor time.Duration) {
 	startTime := time.Now()
 	s.mu.Lock()
@@ -50,7 +50,7 @@
 	}
 	s.opt.Loop.Stop()
 	s.rejectIncomplete()
-	wait(context.Background(), lingerTimeout/2, s.drained) // the last responses go out
+	wait(context.Background(), lingerTimeout/2, s.drained) // lets the last responses be sent
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
@@ -58,10 +58,10 @@
 	}
 }
 
-// stopAccepting closes the listener. It returns false if no connection is left.
+// stopAccepting closes the listener. It returns false if no connection is open.
 func (s *Server) stopAccepting() bool {
 	if l, ok := s.listener.(interface{ SetDeadline(time.Time) error }); ok {
-		// Connections that wait to be accepted are accepted first: closing the listener would reset them.
+		// Accept the connections that are already pending: closing the listener would reset them.
 		_ = l.SetDeadline(time.Now().Add(lingerTimeout / 10))
 		<-s.acceptDone
 	}
@@ -76,7 +76,7 @@
 	return true
 }
 
-// closeIdle has each connection close after its next response, and those without a request at once.
+// closeIdle closes connections without a request at once, and makes the others close after their next response.
 func (s *Server) closeIdle() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -88,8 +88,8 @@
 	}
 }
 
-// rejectIncomplete rejects requests that are still being read. Closing their connections instead would leave a request
-// whose last byte has just arrived without a response.
+// rejectIncomplete rejects requests that are still being read. If it closed their connections instead, a request whose
+// last byte has just arrived would get no response.
 func (s *Server) rejectIncomplete() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -101,7 +101,7 @@
 	}
 }
 
-// wait waits for a duration, or until the context or the channel ends it.
+// wait returns after the duration, or earlier when the context ends or done is closed.
 func wait(ctx context.Context, d time.Duration, done <-chan struct{}) {
 	select {
 	case <-time.After(d):
--- a/internal/frontend/web/shutdown_test.go
+++ b/internal/frontend/web/shutdown_test.go
@@ -12,14 +12,14 @@
 	"irispost/internal/frontend/web"
 )
 
-// TestShutdownServesOpenConnections: connections that are open when a shutdown begins are served; then each is closed
-// with its response, and requests without one fail, or are rejected if they never ran.
+// TestShutdownServesOpenConnections: connections that are open when a shutdown begins are still served. At the end of
+// the grace period, requests in flight fail, and requests that are incomplete or were never forwarded are rejected.
 func TestShutdownServesOpenConnections(t *testing.T) {
 	b := start(t, generousLimits())
 	idle, inFlight, health, unplaceable, incomplete := b.dial(t), b.dial(t), b.dial(t), b.dial(t), b.dial(t)
 	idle.send(putRequest("1"))
 	idle.expect(200, "before the shutdown")
-	for conns := 0; conns < 5; conns, _ = b.Counts() { // all are accepted
+	for conns := 0; conns < 5; conns, _ = b.Counts() { // wait until all are accepted
 		time.Sleep(time.Millisecond)
 	}
 	ctx, endGracePeriod := context.WithCancel(t.Context())
@@ -45,21 +45,21 @@
 		time.Sleep(time.Millisecond)
 	}
 	endGracePeriod()
-	incomplete.expect(408, "request that is not complete")
+	incomplete.expect(408, "incomplete request")
 	if err := incomplete.awaitEnd(); !errors.Is(err, io.EOF) {
-		t.Errorf("its connection ends with %v", err)
+		t.Errorf("the connection of the incomplete request ended with %v, want EOF", err)
 	}
 	inFlight.expect(502, "request in flight at the end")
-	inFlight.expect(0, "its connection")
+	inFlight.expect(0, "connection of the request in flight")
 	unplaceable.expect(503, "request that was never forwarded")
 	idle.expect(0, "idle connection")
 	<-shutDown
 	if conns, requests := b.Counts(); conns != 0 || requests != 0 {
-		t.Errorf("%d connections and %d requests are left", conns, requests)
+		t.Errorf("%d connections and %d requests are left, want none", conns, requests)
 	}
 }
 
-// awaitNotAccepting waits until a server accepts no connection.
+// awaitNotAccepting waits until the server accepts no connections.
 func awaitNotAccepting(b *testbed) {
 	for {
 		c, err := net.Dial("tcp", b.Addr())
--- a/internal/frontend/web/testbed_test.go
+++ b/internal/frontend/web/testbed_test.go
@@ -19,7 +19,7 @@
 	"irispost/internal/platform"
 )
 
-// settings have one service level, gold, and one request class, read, whose requests never time out within a test.
+// settings define one service level, gold, and one request class, read, whose requests do not time out within a test.
 const settings = `{"name":"n1","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"1",
 	"limits":{"cores":1,"memory_mb":64,"sockets":256},
 	"settings":{"contracts":[{"name":"gold","proportion":1.0,"base_rate":1000.0,"floor_rate":1000.0}],
@@ -28,14 +28,15 @@
 	"permissions":{"attempts_cap":3,"second_copies":true,"cancelling":true,"retry_after":true,"max_retry_after_ms":1000.0,
 	"dial_timeout_ms":250.0,"idle_close_ms":30000.0}}}`
 
-// fakeNodes stand for the storage nodes: they answer each attempt at once, or hold it until the test says so.
+// fakeNodes replaces the client of the storage nodes. It answers each attempt at once, or holds it until the test
+// answers it.
 type fakeNodes struct {
-	heldIDs chan string // of attempts as they are held
+	heldIDs chan string // request ID of each attempt when it is held
 
-	mu      sync.Mutex // guards all below
+	mu      sync.Mutex // guards all fields below
 	holding bool
-	held    map[string]*fakeAttempt // by request id
-	counts  map[string]int          // attempts by request id
+	held    map[string]*fakeAttempt // by request ID
+	counts  map[string]int          // number of attempts by request ID
 }
 
 type fakeAttempt struct {
@@ -68,21 +69,21 @@
 	n.holding = holding
 }
 
-// attempt returns the attempt that is held for a request.
+// attempt returns the held attempt of a request.
 func (n *fakeNodes) attempt(id string) *fakeAttempt {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.held[id]
 }
 
-// count returns how many attempts there were for a request.
+// count returns the number of attempts for a request.
 func (n *fakeNodes) count(id string) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.counts[id]
 }
 
-// total returns how many attempts there were.
+// total returns the number of attempts for all requests.
 func (n *fakeNodes) total() (total int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -96,7 +97,7 @@
 func (n *fakeNodes) AbortQueued(func(string) bool) {}
 func (n *fakeNodes) LateReplies() int64            { return 0 }
 
-// servedBody follows the request id in the body of a response to putRequest.
+// servedBody is the part of a response body after the request ID, in the response to putRequest.
 const servedBody = " /api?extent=7f3a9c21e0b4d655 body"
 
 func (a *fakeAttempt) serve() {
@@ -105,14 +106,14 @@
 
 func (a *fakeAttempt) Cancel() { close(a.cancelled) }
 
-// testbed is a server with its loop over fake nodes.
+// testbed is a server with a loop and fake nodes.
 type testbed struct {
 	*web.Server
 	nodes *fakeNodes
 	loop  *gateway.Loop
 }
 
-// generousLimits are limits that no test reaches unless it lowers them.
+// generousLimits returns limits that no test reaches unless it lowers them.
 func generousLimits() web.Limits {
 	return web.Limits{
 		MaxConnections:      100,
@@ -170,7 +171,7 @@
 	return &testbed{server, nodes, loop}
 }
 
-// client is a client's connection.
+// client is the client side of a connection.
 type client struct {
 	net.Conn
 	reader *bufio.Reader
@@ -187,17 +188,17 @@
 	return &client{c, bufio.NewReader(c), t}
 }
 
-// putRequest is a valid request.
+// putRequest returns a valid PUT request with the given ID.
 func putRequest(id string) string {
 	return "PUT /api?extent=7f3a9c21e0b4d655 HTTP/1.1\r\nHost: origin.svc\r\nX-Request-Id: " + id + "\r\n" +
 		"X-Class: read\r\nX-Plan: gold\r\nX-Deadline-Ms: 120000\r\nContent-Length: 4\r\n" +
 		"X-IO: volume=00000003b4d60021,units=2,shard=0,hosts=3\r\n\r\nbody"
 }
 
-// send sends a text. The server may have closed the connection already, which the next read shows.
+// send sends text. It ignores errors: if the server has closed the connection, the next read reports it.
 func (c *client) send(text string) { _, _ = io.WriteString(c, text) }
 
-// read reads a response; its status is 0 if the connection has ended.
+// read reads a response. The status is 0 if no complete response can be read.
 func (c *client) read() (status int, body string) {
 	response, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
@@ -218,7 +219,7 @@
 	}
 }
 
-// awaitEnd reads to the end of a connection and returns how it ends.
+// awaitEnd discards data until a read fails, and returns the error; io.EOF after an orderly close.
 func (c *client) awaitEnd() (err error) {
 	for err == nil {
 		_, err = c.reader.ReadByte()
@@ -226,7 +227,7 @@
 	return err
 }
 
-// write writes to a connection that is open.
+// write writes text to a connection and reports errors to the test.
 func write(t testing.TB, c net.Conn, text string) {
 	t.Helper()
 	if _, err := io.WriteString(c, text); err != nil {
--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -8,10 +8,10 @@
 	"strings"
 )
 
-// maxChunkLineBytes is the longest line with the size of a chunk.
+// maxChunkLineBytes is the maximum length of a chunk-size line, extensions included.
 const maxChunkLineBytes = 256
 
-// ReadBody reads a body of the given framing.
+// ReadBody reads a body with the given framing.
 func ReadBody(reader *bufio.Reader, framing Framing, limits Limits) ([]byte, error) {
 	switch {
 	case framing.UntilClose:
@@ -24,14 +24,14 @@
 	return readSized(reader, framing.Bytes, limits)
 }
 
-// bodyLimit is the limit of a body whose length is not stated.
+// bodyLimit limits a body whose length is not known in advance.
 type bodyLimit struct {
 	limits Limits
-	max    int64 // bytes that are allowed by now
+	max    int64 // current limit in bytes
 }
 
-// check returns an error if a body of so many bytes is over the limit. The first time that it is, AdmitLongBody decides
-// whether the limit is raised to MaxLongBody.
+// check returns an error if a body of the given size exceeds the limit. The first time that it does, AdmitLongBody
+// decides whether the limit is raised to MaxLongBody.
 func (l *bodyLimit) check(bytes int64) error {
 	if bytes > l.max && l.max < l.limits.MaxLongBody && l.limits.AdmitLongBody != nil &&
 		l.limits.AdmitLongBody(l.limits.MaxLongBody) {
@@ -98,7 +98,7 @@
 func appendChunk(reader *bufio.Reader, body []byte, size int64) ([]byte, error) {
 	start := len(body)
 	end := start + int(size)
-	body = append(body, make([]byte, size+2)...) // with the CR LF behind the chunk
+	body = append(body, make([]byte, size+2)...) // including the CR LF after the chunk
 	if _, err := io.ReadFull(reader, body[start:]); err != nil {
 		return nil, unexpectedEOF(err)
 	}
@@ -108,7 +108,8 @@
 	return body[:end], nil
 }
 
-// readUntilClose reads a body up to the end of the connection. Only an orderly end is one; a reset is an error.
+// readUntilClose reads a body until the peer closes the connection. Only an orderly close ends the body; a reset is
+// an error.
 func readUntilClose(reader *bufio.Reader, limit *bodyLimit) (body []byte, err error) {
 	for {
 		if _, err := reader.Peek(1); errors.Is(err, io.EOF) {
@@ -120,7 +121,7 @@
 		if err := limit.check(int64(len(body) + available)); err != nil {
 			return nil, err
 		}
-		part, _ := reader.Peek(available) // what is buffered is there
+		part, _ := reader.Peek(available) // cannot fail: the bytes are buffered
 		body = append(body, part...)
 		_, _ = reader.Discard(available)
 	}
--- a/internal/http1/builder.go
+++ b/internal/http1/builder.go
@@ -4,13 +4,13 @@
 	"strconv"
 )
 
-// initialBytes is the room that a message begins with, which most heads fit in.
+// initialBytes is the initial capacity of a message buffer. Most heads fit in it.
 const initialBytes = 512
 
-// MessageBuilder writes a message into memory: the start line, then fields, then the body.
+// MessageBuilder builds a message in memory: first the start line, then the fields, then the body.
 type MessageBuilder struct{ buf []byte }
 
-// NewRequest begins a request.
+// NewRequest starts a request with its request line.
 func NewRequest(method, target string) *MessageBuilder {
 	b := &MessageBuilder{make([]byte, 0, initialBytes)}
 	b.buf = append(b.buf, method...)
@@ -20,7 +20,7 @@
 	return b
 }
 
-// NewResponse begins a response.
+// NewResponse starts a response with its status line.
 func NewResponse(status int) *MessageBuilder {
 	b := &MessageBuilder{make([]byte, 0, initialBytes)}
 	b.buf = append(b.buf, "HTTP/1.1 "...)
@@ -31,7 +31,7 @@
 	return b
 }
 
-// reasonPhrase is the text behind a status, which clients ignore (RFC 9112, 4).
+// reasonPhrase returns the text after the status code, which clients ignore (RFC 9112, 4).
 func reasonPhrase(status int) string {
 	switch status {
 	case statusOK:
@@ -46,7 +46,8 @@
 	return "Refused"
 }
 
-// Field adds a field. The caller vouches for name and value: they are written as they are.
+// Field adds a field. The name and value are written without validation, so the caller must ensure that they are
+// valid.
 func (b *MessageBuilder) Field(name, value string) *MessageBuilder {
 	b.buf = append(b.buf, name...)
 	b.buf = append(b.buf, ": "...)
@@ -55,8 +56,8 @@
 	return b
 }
 
-// Body completes the message and returns it. Its length is stated if there is a body, or if writeZeroLength, where the other
-// side would wait for one.
+// Body completes the message and returns it. It adds a Content-Length if the body is not empty or writeZeroLength is
+// set. The latter is for messages after which the peer would otherwise wait for a body.
 func (b *MessageBuilder) Body(body []byte, writeZeroLength bool) []byte {
 	if writeZeroLength || len(body) > 0 {
 		b.Field("Content-Length", strconv.Itoa(len(body)))
--- a/internal/http1/framing.go
+++ b/internal/http1/framing.go
@@ -4,17 +4,17 @@
 	"strings"
 )
 
-// maxLengthDigits is the longest Content-Length that is read; it fits an int64.
+// maxLengthDigits is the maximum number of digits of a Content-Length. Any number of 18 digits fits in an int64.
 const maxLengthDigits = 18
 
 // Framing is how the length of a body is determined (RFC 9112, 6.3).
 type Framing struct {
-	Bytes      int64 // by Content-Length; 0 if another field is set
-	Chunked    bool  // by chunks
-	UntilClose bool  // by the end of the connection, only of a response
+	Bytes      int64 // body length from Content-Length; 0 if another field is set
+	Chunked    bool  // chunked transfer coding
+	UntilClose bool  // the body ends when the connection closes; only for responses
 }
 
-// parseFraming returns the framing that the fields state. explicit is false if they state none.
+// parseFraming determines the framing from the fields. explicit is false if no field specifies it.
 func parseFraming(fields Fields) (framing Framing, explicit bool, err error) {
 	encodings, lengths := fields.Count("transfer-encoding"), fields.Count("content-length")
 	switch {
@@ -37,7 +37,7 @@
 	return Framing{}, false, nil
 }
 
-// parseDecimal reads a number of decimal digits alone, at most so many. strconv would accept a sign.
+// parseDecimal parses a number that consists only of decimal digits, at most maxDigits. strconv would accept a sign.
 func parseDecimal(text string, maxDigits int) (number int64, ok bool) {
 	if len(text) == 0 || len(text) > maxDigits {
 		return 0, false
--- a/internal/http1/head.go
+++ b/internal/http1/head.go
@@ -8,8 +8,9 @@
 	"strings"
 )
 
-// readLine reads one line and returns it without CR LF; it is valid until the next read. remaining is what is left of
-// the head's limit, tooLongStatus the status of an error if that is used up.
+// readLine reads one line and returns it without CR LF. The result is valid until the next read. remaining is the
+// number of bytes that the head may still have, from which the length of the line is subtracted. If the line is longer
+// than that, the error has the status tooLongStatus.
 func readLine(reader *bufio.Reader, remaining *int, tooLongStatus int) ([]byte, error) {
 	text, err := reader.ReadSlice('\n')
 	*remaining -= len(text)
@@ -34,7 +35,7 @@
 	return text, nil
 }
 
-// readFields reads the fields after the start line, or the trailers of a body, up to the empty line.
+// readFields reads the fields after the start line, or the trailers after a chunked body, through the empty line.
 func readFields(reader *bufio.Reader, remaining *int, maxFields int) (fields Fields, err error) {
 	for {
 		text, err := readLine(reader, remaining, statusFieldsTooLarge)
@@ -58,7 +59,7 @@
 	}
 }
 
-// isToken reports whether a text is a token (RFC 9110, 5.6.2).
+// isToken reports whether the text is a token (RFC 9110, 5.6.2).
 func isToken(text []byte) bool {
 	for _, c := range text {
 		isLetter := c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z'
@@ -70,7 +71,7 @@
 	return len(text) > 0
 }
 
-// unexpectedEOF turns the end of a connection into an error that says that a message is incomplete.
+// unexpectedEOF converts io.EOF to io.ErrUnexpectedEOF, for use where a message is incomplete.
 func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -1,13 +1,13 @@
-// Package http1 reads and writes messages of HTTP/1.1 (RFC 9112) within limits. It accepts less than the grammar
-// allows: what two readers could read in two ways is an error, lest a request be hidden in the body of another (request
-// smuggling). The front end reads requests and writes responses with it; the node client and the discovery client
-// write requests and read responses.
+// Package http1 reads and writes HTTP/1.1 messages (RFC 9112) within limits. It is stricter than the grammar: a
+// message that two parsers could interpret differently is rejected, so that no request can be hidden in the body of
+// another (request smuggling). The front end uses the package to read requests and write responses; the node client
+// and the discovery client use it to write requests and read responses.
 //
-// It does no I/O but on the reader that it is given, and knows no time: who owns the connection sets its deadlines. It
-// holds no state.
+// The package does no I/O except on the reader that it is given, and keeps no state. The owner of a connection sets
+// the deadlines.
 //
-// The reader of net/http is not strict enough here: it accepts bare line feeds, folds lines, and drops a Content-Length
-// beside a Transfer-Encoding.
+// The parser of net/http is not strict enough here: it accepts bare line feeds, unfolds folded lines, and ignores a
+// Content-Length next to a Transfer-Encoding.
 package http1
 
 import (
@@ -15,29 +15,30 @@
 	"strings"
 )
 
-// Limits bound what a message may have.
+// Limits bound the size of a message.
 type Limits struct {
-	MaxHeadBytes     int   // from the start line to the empty line
+	MaxHeadBytes     int   // from the start line through the empty line
 	MaxFields        int   // lines of the head after the start line
-	MaxBodyBytes     int64 // of a body for which AdmitLongBody is not asked
-	MaxInformational int   // 1xx responses in front of a response
+	MaxBodyBytes     int64 // of a body, unless AdmitLongBody admits more
+	MaxInformational int   // 1xx responses before the final response
 
-	// AdmitLongBody decides whether a body of over MaxBodyBytes is read. It is given the length of the body, or
-	// MaxLongBody where none is stated. If it is nil, none is.
+	// AdmitLongBody decides whether a body larger than MaxBodyBytes is read. It is passed the length of the body, or
+	// MaxLongBody if the length is not known in advance. If it is nil, such bodies are rejected. ReadRequest does not
+	// call it: it rejects a Content-Length above MaxBodyBytes.
 	AdmitLongBody func(bytes int64) bool
-	MaxLongBody   int64 // most bytes of a long body whose length is not stated
+	MaxLongBody   int64 // maximum bytes of a long body whose length is not known in advance
 }
 
-// DefaultLimits are the limits of clients and storage nodes.
+// DefaultLimits are the limits for messages from clients and storage nodes.
 var DefaultLimits = Limits{MaxHeadBytes: 8 << 10, MaxFields: 64, MaxBodyBytes: 64 << 10, MaxInformational: 8}
 
-// MaxLineBytes is the longest line of a head. Readers that are passed in need a buffer of that size.
+// MaxLineBytes is the maximum length of a line in a head. Readers passed to this package need a buffer of this size.
 const MaxLineBytes = 4 << 10
 
-// Error is a message that is malformed, over a limit or otherwise not accepted.
+// Error reports that a message is malformed, exceeds a limit or is not supported.
 type Error struct {
-	Status int    // with which a server answers it
-	Reason string // for the body of that answer
+	Status int    // status code of a server's response to the message
+	Reason string // for the body of that response
 }
 
 // Error returns the reason.
@@ -47,14 +48,14 @@
 	return &Error{Status: status, Reason: fmt.Sprintf(format, args...)}
 }
 
-// Fields are the fields of a head, in their order.
+// Fields are the header fields of a message, in order.
 type Fields []Field
 
-// Field is one field; its name is in lower case.
+// Field is one header field. Its name is in lower case.
 type Field struct{ Name, Value string }
 
-// Get returns the value of the field of a name. It returns false if there is none, or more than one: nobody can tell
-// then which counts.
+// Get returns the value of the field with the given name. It returns false if there is no such field, or more than
+// one: it would be ambiguous which of them applies.
 func (f Fields) Get(name string) (value string, ok bool) {
 	for _, field := range f {
 		if field.Name != name {
@@ -68,7 +69,7 @@
 	return value, ok
 }
 
-// Count returns the number of fields of a name.
+// Count returns the number of fields with the given name.
 func (f Fields) Count(name string) (count int) {
 	for _, field := range f {
 		if field.Name == name {
@@ -78,7 +79,7 @@
 	return count
 }
 
-// HasToken reports whether the comma-separated list in the fields of a name contains a token, in whatever case.
+// HasToken reports whether the comma-separated list in the fields with the given name contains a token, ignoring case.
 func (f Fields) HasToken(name, token string) bool {
 	for _, field := range f {
 		if field.Name != name {
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -18,7 +18,7 @@
 	"irispost/internal/testkit"
 )
 
-// Heads of valid requests, but for their empty line.
+// Heads of valid requests, without the empty line.
 const (
 	getHead = "GET / HTTP/1.1\r\nHost: a\r\n"
 	putHead = "PUT / HTTP/1.1\r\nHost: a\r\n"
@@ -34,34 +34,34 @@
 		text   string
 		status int
 	}{
-		"noise":                     {"\x16\x03\x01\x02\x00\r\n\r\n", 400},
-		"words":                     {"hello there\r\n\r\n", 400},
-		"bare line feed":            {"GET / HTTP/1.1\nHost: a\n\n", 400},
-		"HTTP/1.0":                  {"GET / HTTP/1.0\r\nHost: a\r\n\r\n", 505},
-		"target without slash":      {"GET http://a/ HTTP/1.1\r\nHost: a\r\n\r\n", 400},
-		"long target":               {"GET /" + long + " HTTP/1.1\r\nHost: a\r\n\r\n", 414},
-		"long field":                {getHead + "X: " + long + "\r\n\r\n", 431},
-		"endless fields":            {getHead + strings.Repeat("X: 1\r\n", 2000), 431},
-		"folded line":               {getHead + "X: 1\r\n 2\r\n\r\n", 400},
-		"space before the colon":    {"GET / HTTP/1.1\r\nHost : a\r\n\r\n", 400},
-		"no host":                   {"GET / HTTP/1.1\r\n\r\n", 400},
-		"two hosts":                 {getHead + "Host: b\r\n\r\n", 400},
-		"zero byte":                 {"GET / HTTP/1.1\r\nHost: a\x00\r\n\r\n", 400},
-		"negative length":           {putHead + "Content-Length: -1\r\n\r\n", 400},
-		"length with a sign":        {putHead + "Content-Length: +1\r\n\r\n", 400},
-		"huge length":               {putHead + "Content-Length: 99999999999999999999999\r\n\r\n", 400},
-		"60 MB":                     {putHead + "Content-Length: 60000000\r\n\r\n", 413},
-		"two lengths":               {putHead + "Content-Length: 1\r\nContent-Length: 1\r\n\r\n", 400},
-		"length and chunks":         {putHead + "Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n", 400},
-		"chunks and length":         {putHead + "Transfer-Encoding: chunked\r\nContent-Length: 1\r\n\r\n", 400},
-		"unknown coding":            {putHead + "Transfer-Encoding: gzip, chunked\r\n\r\n", 501},
-		"coding written twice":      {putHead + "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n", 501},
-		"an expectation of another": {putHead + "Expect: gold\r\n\r\n", 417},
+		"binary data":            {"\x16\x03\x01\x02\x00\r\n\r\n", 400},
+		"no request line":        {"hello there\r\n\r\n", 400},
+		"bare line feed":         {"GET / HTTP/1.1\nHost: a\n\n", 400},
+		"HTTP/1.0":               {"GET / HTTP/1.0\r\nHost: a\r\n\r\n", 505},
+		"target without slash":   {"GET http://a/ HTTP/1.1\r\nHost: a\r\n\r\n", 400},
+		"long target":            {"GET /" + long + " HTTP/1.1\r\nHost: a\r\n\r\n", 414},
+		"long field":             {getHead + "X: " + long + "\r\n\r\n", 431},
+		"endless fields":         {getHead + strings.Repeat("X: 1\r\n", 2000), 431},
+		"folded line":            {getHead + "X: 1\r\n 2\r\n\r\n", 400},
+		"space before the colon": {"GET / HTTP/1.1\r\nHost : a\r\n\r\n", 400},
+		"no Host field":          {"GET / HTTP/1.1\r\n\r\n", 400},
+		"two Host fields":        {getHead + "Host: b\r\n\r\n", 400},
+		"zero byte":              {"GET / HTTP/1.1\r\nHost: a\x00\r\n\r\n", 400},
+		"negative length":        {putHead + "Content-Length: -1\r\n\r\n", 400},
+		"length with a sign":     {putHead + "Content-Length: +1\r\n\r\n", 400},
+		"huge length":            {putHead + "Content-Length: 99999999999999999999999\r\n\r\n", 400},
+		"60 MB":                  {putHead + "Content-Length: 60000000\r\n\r\n", 413},
+		"two lengths":            {putHead + "Content-Length: 1\r\nContent-Length: 1\r\n\r\n", 400},
+		"length and chunks":      {putHead + "Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n", 400},
+		"chunks and length":      {putHead + "Transfer-Encoding: chunked\r\nContent-Length: 1\r\n\r\n", 400},
+		"unknown coding":         {putHead + "Transfer-Encoding: gzip, chunked\r\n\r\n", 501},
+		"two codings":            {putHead + "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n", 501},
+		"unknown expectation":    {putHead + "Expect: gold\r\n\r\n", 417},
 	} {
 		_, err := http1.ReadRequest(newReader(c.text), http1.DefaultLimits)
 		var rejected *http1.Error
 		if !errors.As(err, &rejected) || rejected.Status != c.status {
-			t.Errorf("%s: %v, want status %d", name, err, c.status)
+			t.Errorf("%s: got error %v, want status %d", name, err, c.status)
 		}
 	}
 }
@@ -69,11 +69,11 @@
 func TestIncompleteRequestIsNotEndOfConnection(t *testing.T) {
 	_, err := http1.ReadRequest(newReader("GET / HTTP/1.1\r\nHo"), http1.DefaultLimits)
 	if !errors.Is(err, io.ErrUnexpectedEOF) {
-		t.Errorf("a head that is cut off: %v", err)
+		t.Errorf("truncated head: got error %v, want unexpected EOF", err)
 	}
 	_, err = http1.ReadRequest(newReader(""), http1.DefaultLimits)
 	if !errors.Is(err, io.EOF) {
-		t.Errorf("an end between two requests: %v", err)
+		t.Errorf("connection closed between two requests: got error %v, want EOF", err)
 	}
 }
 
@@ -83,12 +83,12 @@
 		"negative size":  "-1\r\n",
 		"signed size":    "+1\r\na\r\n0\r\n\r\n",
 		"huge size":      "fffffffff\r\n",
-		"too much":       "ffff\r\n" + strings.Repeat("a", 0xffff) + "\r\n2\r\nab\r\n0\r\n\r\n",
-		"longer than it": "1\r\nab\r\n0\r\n\r\n",
-		"cut off":        "5\r\nab",
+		"over the limit": "ffff\r\n" + strings.Repeat("a", 0xffff) + "\r\n2\r\nab\r\n0\r\n\r\n",
+		"too long chunk": "1\r\nab\r\n0\r\n\r\n",
+		"truncated":      "5\r\nab",
 	} {
 		if b, err := http1.ReadBody(newReader(text), http1.Framing{Chunked: true}, http1.DefaultLimits); err == nil {
-			t.Errorf("%s: read as %.20q", name, b)
+			t.Errorf("%s: got body %.20q, want an error", name, b)
 		}
 	}
 }
@@ -97,27 +97,27 @@
 	text := "3;x=y\r\nabc\r\nA\r\n0123456789\r\n0\r\nX: y\r\n\r\n"
 	body, err := http1.ReadBody(newReader(text), http1.Framing{Chunked: true}, http1.DefaultLimits)
 	if err != nil || string(body) != "abc0123456789" {
-		t.Errorf("%q, %v", body, err)
+		t.Errorf("got body %q, error %v, want abc0123456789", body, err)
 	}
 }
 
 func TestInvalidResponsesAreRejected(t *testing.T) {
 	for name, text := range map[string]string{
-		"noise":                  "\x00\x01\x02\r\n\r\n",
+		"binary data":            "\x00\x01\x02\r\n\r\n",
 		"another version":        "HTTP/1.0 200 OK\r\nContent-Length: 0\r\n\r\n",
 		"no status":              "HTTP/1.1 OK\r\nContent-Length: 0\r\n\r\n",
 		"status 99":              "HTTP/1.1 99 OK\r\nContent-Length: 0\r\n\r\n",
 		"3 GB":                   "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nabc",
 		"negative length":        "HTTP/1.1 200 OK\r\nContent-Length: -3\r\n\r\nabc",
 		"two lengths":            "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 2\r\n\r\nabc",
-		"cut off":                "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabc",
+		"truncated body":         "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabc",
 		"endless head":           "HTTP/1.1 200 OK\r\n" + strings.Repeat("X: abcdefgh\r\n", 2000),
-		"a switch of protocols":  "HTTP/1.1 101 Switch\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
-		"nothing but 100s":       strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 100),
-		"an end after the 100th": "HTTP/1.1 100 Continue\r\n\r\n",
+		"switch of protocols":    "HTTP/1.1 101 Switch\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
+		"only 1xx responses":     strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 100),
+		"EOF after 100 Continue": "HTTP/1.1 100 Continue\r\n\r\n",
 	} {
 		if a, err := http1.ReadResponse(newReader(text), http1.DefaultLimits); err == nil {
-			t.Errorf("%s: read as %+v", name, a)
+			t.Errorf("%s: got %+v, want an error", name, a)
 		}
 	}
 }
@@ -130,35 +130,35 @@
 		t.Fatal(err)
 	}
 	if response.Status != 200 || string(response.Body) != "abc" || !response.Close || reader.Buffered() != 3 {
-		t.Errorf("%+v", response)
+		t.Errorf("got %+v, want status 200, body abc, Close, and def left in the reader", response)
 	}
 }
 
-// headWithoutLength is the head of a response whose body ends with the connection.
+// headWithoutLength is the head of a response whose body ends when the connection closes.
 const headWithoutLength = "HTTP/1.1 200 OK\r\n\r\n"
 
-// TestResponseWithoutLengthEndsWithConnection: it ends with the orderly end of its connection; a reset, or any other
-// error, is no end.
+// TestResponseWithoutLengthEndsWithConnection: a response without a length ends with the orderly close of the
+// connection. A reset or any other error does not end it, but makes it fail.
 func TestResponseWithoutLengthEndsWithConnection(t *testing.T) {
 	response, err := http1.ReadResponse(newReader(headWithoutLength+strings.Repeat("a", 40_000)), http1.DefaultLimits)
 	if err != nil || len(response.Body) != 40_000 || !response.Close {
-		t.Errorf("an orderly end: %v", err)
+		t.Errorf("orderly close: got error %v, want a body of 40000 bytes and Close", err)
 	}
 	for _, end := range []error{syscall.ECONNRESET, os.ErrDeadlineExceeded} {
 		in := io.MultiReader(strings.NewReader(headWithoutLength+"abc"), iotest.ErrReader(end))
 		response, err := http1.ReadResponse(bufio.NewReaderSize(in, http1.MaxLineBytes), http1.DefaultLimits)
 		if !errors.Is(err, end) {
-			t.Errorf("%v: read as %+v, %v", end, response, err)
+			t.Errorf("connection fails with %v: got %+v, %v, want the same error", end, response, err)
 		}
 	}
 }
 
-// TestLongBodyIsReadIfAdmitted: a body over the usual limit is read only if AdmitLongBody admits it, and one whose
-// length is not stated up to MaxLongBody.
+// TestLongBodyIsReadIfAdmitted: a body above MaxBodyBytes is read only if AdmitLongBody admits it. If its length is
+// not known in advance, at most MaxLongBody bytes are read.
 func TestLongBodyIsReadIfAdmitted(t *testing.T) {
 	long := headWithoutLength + strings.Repeat("a", 70_000)
 	if _, err := http1.ReadResponse(newReader(long), http1.DefaultLimits); err == nil {
-		t.Error("a body over the limit is read")
+		t.Error("a body above the limit is read, want an error")
 	}
 	limits, requestedBytes := http1.DefaultLimits, int64(0)
 	limits.MaxLongBody = 80_000
@@ -168,21 +168,21 @@
 	}
 	response, err := http1.ReadResponse(newReader(long), limits)
 	if err != nil || len(response.Body) != 70_000 || requestedBytes != limits.MaxLongBody {
-		t.Errorf("an admitted body: %v, asked for %d", err, requestedBytes)
+		t.Errorf("admitted body: got error %v, asked to admit %d; want 70000 bytes, asked for 80000", err, requestedBytes)
 	}
 	if _, err := http1.ReadResponse(newReader(long+long), limits); err == nil {
-		t.Error("a body over MaxLongBody is read")
+		t.Error("a body above MaxLongBody is read, want an error")
 	}
 	chunk := func(bytes int) string { return fmt.Sprintf("%x\r\n%s\r\n", bytes, strings.Repeat("a", bytes)) }
 	chunked := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
 		strings.Repeat(chunk(0x4000), 4) + chunk(0x1000) + "0\r\n\r\n"
 	response, err = http1.ReadResponse(newReader(chunked), limits)
 	if err != nil || len(response.Body) != 0x11000 {
-		t.Errorf("an admitted body in chunks: %v", err)
+		t.Errorf("admitted chunked body: got error %v, want a body of 0x11000 bytes", err)
 	}
 }
 
-// TestWrittenMessagesReadBack: any request and response reads back as it was written, however the bytes arrive.
+// TestWrittenMessagesReadBack: any request or response reads back as it was written, even if it arrives byte by byte.
 func TestWrittenMessagesReadBack(t *testing.T) {
 	testkit.FixSeeds(t)
 	rapid.Check(t, func(t *rapid.T) {
@@ -199,21 +199,22 @@
 		}
 		gotBody, err := http1.ReadBody(reader, request.Framing, http1.DefaultLimits)
 		if err != nil || !bytes.Equal(gotBody, body) {
-			t.Fatalf("%+v %q %v", request, gotBody, err)
+			t.Fatalf("%+v: got body %q, error %v, want the body that was written", request, gotBody, err)
 		}
 		gotValue, ok := request.Fields.Get("x-v")
 		if request.Method != "PUT" || request.Target != target || !ok || gotValue != value {
-			t.Fatalf("%+v", request)
+			t.Fatalf("got %+v, want the method, target and X-V field that were written", request)
 		}
 		reader = byteByByte(http1.NewResponse(200).Field("X-V", value).Body(body, true))
 		response, err := http1.ReadResponse(reader, http1.DefaultLimits)
 		if err != nil || !bytes.Equal(response.Body, body) || response.Status != 200 {
-			t.Fatalf("%+v %v", response, err)
+			t.Fatalf("got %+v, error %v, want status 200 and the body that was written", response, err)
 		}
 	})
 }
 
-// TestRandomBytesStayWithinLimits: whatever arrives, nothing panics, and no body is over the limit.
+// TestRandomBytesStayWithinLimits: random sequences of valid and invalid pieces cause no panic, and no body exceeds
+// the limit.
 func TestRandomBytesStayWithinLimits(t *testing.T) {
 	pieces := []string{"GET / HTTP/1.1\r\n", "HTTP/1.1 200 OK\r\n", "Host: a\r\n", "Content-Length: 5\r\n",
 		"Content-Length: 3000000000\r\n", "Transfer-Encoding: chunked\r\n", "\r\n", "5\r\n", "abcde", "0\r\n", "\n",
@@ -226,15 +227,15 @@
 		if request, err := http1.ReadRequest(reader, limits); err == nil {
 			body, err := http1.ReadBody(reader, request.Framing, limits)
 			if err == nil && int64(len(body)) > limits.MaxBodyBytes {
-				t.Fatalf("%d bytes", len(body))
+				t.Fatalf("got a body of %d bytes, want at most MaxBodyBytes", len(body))
 			}
 			if request.Fields.Count("content-length") > 0 && request.Fields.Count("transfer-encoding") > 0 {
-				t.Fatal("framed in two ways")
+				t.Fatal("a request with both Content-Length and Transfer-Encoding is accepted")
 			}
 		}
 		response, err := http1.ReadResponse(newReader(text), limits)
 		if err == nil && (int64(len(response.Body)) > limits.MaxBodyBytes || response.Status < 200) {
-			t.Fatalf("%+v", response)
+			t.Fatalf("got %+v, want a status of at least 200 and a body of at most MaxBodyBytes", response)
 		}
 	})
 }
--- a/internal/http1/request.go
+++ b/internal/http1/request.go
@@ -5,16 +5,16 @@
 	"strings"
 )
 
-// Request is the head of a request.
+// Request is the head of a request: the request line and the fields.
 type Request struct {
 	Method, Target string
 	Fields         Fields
 	Framing        Framing
-	Close          bool // the client closes the connection after the response
-	ExpectContinue bool // the client waits for 100 Continue before it sends the body
+	Close          bool // the connection closes after the response
+	ExpectContinue bool // the client waits for 100 Continue before sending the body
 }
 
-// ReadRequest reads the head of a request. The error is io.EOF if the connection ended between two requests.
+// ReadRequest reads the head of a request. The error is io.EOF if the connection closed between two requests.
 func ReadRequest(reader *bufio.Reader, limits Limits) (*Request, error) {
 	remaining := limits.MaxHeadBytes
 	text, err := readLine(reader, &remaining, statusURITooLong)
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -10,11 +10,11 @@
 	Status int
 	Fields Fields
 	Body   []byte
-	Close  bool // the server closes the connection after it
+	Close  bool // the server closes the connection after the response
 }
 
-// ReadResponse reads a complete response and skips 1xx responses in front of it. A response without a length ends with
-// the connection (RFC 9112, 6.3), and only with its orderly end: a reset is an error.
+// ReadResponse reads a complete response and skips 1xx responses before it. A response that states no length ends when
+// the server closes the connection (RFC 9112, 6.3); a connection reset is an error.
 func ReadResponse(reader *bufio.Reader, limits Limits) (*Response, error) {
 	for range limits.MaxInformational + 1 {
 		response, err := readResponseHead(reader, limits)
@@ -28,10 +28,10 @@
 			return response, nil
 		}
 		if response.Status == statusSwitchingProtocols {
-			return nil, errorf(statusBadGateway, "a switch of protocols that nobody asked for")
+			return nil, errorf(statusBadGateway, "unsolicited response 101 Switching Protocols")
 		}
 	}
-	return nil, errorf(statusBadGateway, "over %d answers of the kind 1xx", limits.MaxInformational)
+	return nil, errorf(statusBadGateway, "more than %d informational (1xx) responses", limits.MaxInformational)
 }
 
 func readResponseHead(reader *bufio.Reader, limits Limits) (*Response, error) {
@@ -44,7 +44,7 @@
 	code, _, _ := strings.Cut(rest, " ")
 	status, ok := parseDecimal(code, 3)
 	if version != "HTTP/1.1" || !ok || status < statusContinue || status > 599 {
-		return nil, errorf(statusBadGateway, "no status line")
+		return nil, errorf(statusBadGateway, "malformed status line")
 	}
 	response := &Response{Status: int(status)}
 	response.Fields, err = readFields(reader, &remaining, limits.MaxFields)
