--- a/internal/fleet/lease/client.go
+++ b/internal/fleet/lease/client.go
@@ -9,85 +9,88 @@
 	"irispost/internal/fleet/slowstart/epoch"
 )
 
-// maxOutstanding is how many requests a client remembers. A response to an older one is ignored.
+// maxOutstanding is the number of recent requests that a client tracks. A response to an older request is ignored.
 const maxOutstanding = 16
 
-// nothing is the name of what is in effect when a gateway acts on nothing.
+// nothing is the effective name while no configuration is in effect.
 const nothing = "none"
 
-// Client is a gateway's side of leases. All its times are the gateway's clock.
+// Client is the gateway side of the lease protocol. All its times are readings of the gateway's clock.
 type Client struct {
 	holder string
-	format int // of its requests
+	format int // request format: ByDigest or 0
 	faults InjectedFaults
 
-	// What the gateway acts on.
+	// The configuration in effect at the gateway.
 	state         State
-	heldVersions  []*configversion.Version // one version, or two of which the intersection counts
-	configs       []*configversion.Config  // of the versions held
-	effective     *configversion.Config    // nil: nothing
+	heldVersions  []*configversion.Version // one version, or two whose intersection is in effect
+	configs       []*configversion.Config  // parsed heldVersions, in the same order
+	effective     *configversion.Config    // nil: none
 	effectiveName string
 	leaseUntil    Time
 	fallbackUntil Time
 
-	// The response that was accepted last.
+	// The last accepted response.
 	acceptedSeq   uint64
 	term          uint64
 	inForce       uint64
 	announced     uint64
 	leaseDuration Time
 
-	// When to send the next request, and what to say in it.
-	seq             uint64 // of the latest request
+	// When to send the next request, and what to report in it.
+	seq             uint64 // sequence number of the latest request
 	outstanding     []outstandingRequest
 	requestInterval Time
 	nextRequestAt   Time
 	requestNow      bool
 	watching        bool
-	contentMissing  bool // a version that the latest response names has come without its content
+	contentMissing  bool // the latest response names a version whose content was not received
 	fault           string
 
 	peerAddr         string
-	membershipEpoch  uint64 // of the members that the gateway knows
+	membershipEpoch  uint64 // epoch of the membership that the gateway knows
 	membershipUpdate *MembershipUpdate
 
 	logLines []string
 }
 
-// outstandingRequest is a request whose response may still come.
+// outstandingRequest is a request whose response may still arrive.
 type outstandingRequest struct {
 	seq    uint64
 	sentAt Time
 }
 
-// MembershipUpdate is what a response says of the members.
+// MembershipUpdate is the membership part of a response.
 type MembershipUpdate struct {
 	RequestedAt Time // when the request was sent
 	Membership  epoch.Membership
-	PeerAddrs   map[string]string // by member, as far as they are known
+	PeerAddrs   map[string]string // by member; members with an unknown address are left out
 }
 
-// NewClient returns the client of a gateway that holds nothing. holder names the gateway and its start.
-// Without news the client sends a request each interval.
+// NewClient returns the client of a gateway that holds no version yet. holder identifies the gateway and its
+// current run: a restarted gateway is another holder. Unless news arrives, the client sends one request per
+// interval.
 func NewClient(holder string, interval Time, faults InjectedFaults) *Client {
 	return &Client{holder: holder, requestInterval: interval, faults: faults, effectiveName: nothing, format: ByDigest}
 }
 
-// SetPeerAddr sets where other gateways reach this one. A gateway that has an address learns those of the others.
+// SetPeerAddr sets the address at which other gateways reach this one. A gateway that has an address is sent
+// those of the others.
 func (c *Client) SetPeerAddr(addr string) { c.peerAddr = addr }
 
-// RequestFullVersions makes the client send requests as earlier builds do, and so get versions with their contents.
+// RequestFullVersions makes the client use the request format of earlier builds, so that responses carry
+// versions with their contents.
 func (c *Client) RequestFullVersions() { c.format = 0 }
 
-// SetWatching says whether a watch is open that reports news at once. While one is, requests only renew the
-// lease and are sent less often.
+// SetWatching records whether a watch is open that reports news at once. While it is open, requests only renew
+// the lease and are sent less often.
 func (c *Client) SetWatching(watching bool) { c.watching = watching }
 
-// RequestNow makes the next request due at once, as there is news.
+// RequestNow makes the next request due immediately, because there is news.
 func (c *Client) RequestNow() { c.requestNow = true }
 
-// NextRequestAt returns when the next request is due. While a watch is open and no content is missing, it is
-// after half of a lease.
+// NextRequestAt returns when the next request is due. While a watch is open and no content is missing, that is
+// half a lease after the latest request.
 func (c *Client) NextRequestAt(now Time) Time {
 	if c.requestNow {
 		return now
@@ -98,7 +101,7 @@
 	return c.nextRequestAt
 }
 
-// NextRequest returns the request to send now. A lease that comes of it counts from now.
+// NextRequest returns the request to send now. A lease granted in response to it runs from now.
 func (c *Client) NextRequest(now Time) *RenewRequest {
 	c.Effective(now)
 	c.seq++
@@ -125,8 +128,8 @@
 	return request
 }
 
-// HandleResponse takes in a response, with the contents that could be fetched of its versions. A response
-// that is older than what was accepted before is ignored.
+// HandleResponse processes a response, whose versions have their contents as far as these could be fetched. A
+// response that is older than an accepted one is ignored.
 func (c *Client) HandleResponse(now Time, response *RenewResponse) {
 	c.Effective(now)
 	sentAt, known := c.sentAt(response.Seq)
@@ -134,7 +137,7 @@
 		return
 	}
 	if c.term != response.Term {
-		c.requestNow = true // the new leader has to hear what is held here
+		c.requestNow = true // report the held versions to the new leader
 	}
 	found := c.resolveVersions(response)
 	c.contentMissing = found.contentMissing
@@ -144,7 +147,7 @@
 	if response.LeaseDuration == 0 || now >= leaseUntil || len(found.versions) == 0 {
 		c.term = response.Term
 		if c.state == StateExpired || c.state == StateEnded {
-			c.transition(StateReturning, "a replica has answered again")
+			c.transition(StateReturning, "a replica responded again, no lease is in effect yet")
 		}
 		return
 	}
@@ -155,18 +158,18 @@
 	}
 	c.fallbackUntil = sentAt + c.fallbackDuration()
 	switch {
-	case !found.hasInForce: // a version that was only announced is acknowledged but not acted on
+	case !found.hasInForce: // a version that is only announced is acknowledged but not put into effect
 		c.effective = nil
 		c.effectiveName = nothing
-		c.transition(StateFollowing, "the version in force is missing")
+		c.transition(StateFollowing, "the version in force is not available")
 	case len(found.versions) == 2:
-		c.transition(StatePrepared, "a version is announced")
+		c.transition(StatePrepared, "lease granted, another version is announced")
 	default:
-		c.transition(StateActing, "under a lease")
+		c.transition(StateActing, "lease granted")
 	}
 }
 
-// leaseEnd returns when a lease expires that was requested at a time and is received now.
+// leaseEnd returns when a lease expires that was requested at sentAt and is received now.
 func (c *Client) leaseEnd(now, sentAt, duration Time) Time {
 	if c.faults.Has(FaultNoLeaseExpiry) && duration > 0 {
 		return math.MaxInt64 / 2
@@ -177,7 +180,7 @@
 	return sentAt + duration
 }
 
-// sentAt returns when a request was sent whose response may still come.
+// sentAt returns when an outstanding request was sent.
 func (c *Client) sentAt(seq uint64) (at Time, known bool) {
 	for _, request := range c.outstanding {
 		if request.seq == seq {
@@ -187,7 +190,7 @@
 	return 0, false
 }
 
-// outdated reports whether a response is older than what was accepted before.
+// outdated reports whether a response is older than one that was accepted before.
 func (c *Client) outdated(response *RenewResponse) bool {
 	return response.Seq <= c.acceptedSeq ||
 		response.Term < c.term ||
@@ -195,7 +198,7 @@
 		response.Announced < c.announced
 }
 
-// accept takes over what a response with a lease says.
+// accept records the contents of a response that grants a lease.
 func (c *Client) accept(response *RenewResponse, sentAt Time) {
 	c.acceptedSeq = response.Seq
 	c.term = response.Term
@@ -212,8 +215,8 @@
 	}
 }
 
-// setFault sets why an announced version cannot be acted on; empty: it can. The replicas are told of a change
-// at once.
+// setFault records why an announced version cannot be put into effect; empty if it can. A change is reported to
+// the replicas immediately.
 func (c *Client) setFault(fault string) {
 	if fault == c.fault {
 		return
@@ -221,35 +224,37 @@
 	c.fault = fault
 	c.requestNow = true
 	if fault != "" {
-		c.logLines = append(c.logLines, "rules: "+fault)
+		c.logLines = append(c.logLines, "configuration: "+fault)
 	}
 }
 
-// transition is the one place where the state changes.
+// transition changes the state and logs the change. Nothing else assigns the state.
 func (c *Client) transition(to State, reason string) {
 	if c.state == to {
 		return
 	}
-	c.logLines = append(c.logLines, fmt.Sprintf("rules: %s -> %s, %s: %s", c.state, to, c.effectiveName, reason))
+	c.logLines = append(c.logLines,
+		fmt.Sprintf("configuration: %s -> %s, in effect: %s (%s)", c.state, to, c.effectiveName, reason))
 	c.state = to
 }
 
-// KnownState returns what is known here of the log's state, for a watch that reports when it has changed.
+// KnownState returns the state of the log as far as the client knows it. A watch reports when that has changed.
 func (c *Client) KnownState() (term, inForce, announced uint64) {
 	return c.term, c.inForce, c.announced
 }
 
-// State returns how the gateway stands.
+// State returns the gateway's state.
 func (c *Client) State() State { return c.state }
 
-// TakeMembership returns what the latest lease says of the members, once. It is nil if nothing has come since.
+// TakeMembership returns the latest membership received and clears it. It returns nil if none has arrived since
+// the last call.
 func (c *Client) TakeMembership() *MembershipUpdate {
 	update := c.membershipUpdate
 	c.membershipUpdate = nil
 	return update
 }
 
-// TakeLogLines returns the lines to be logged, once.
+// TakeLogLines returns the pending log lines and clears them.
 func (c *Client) TakeLogLines() []string {
 	lines := c.logLines
 	c.logLines = nil
--- a/internal/fleet/lease/command.go
+++ b/internal/fleet/lease/command.go
@@ -6,7 +6,7 @@
 	"irispost/internal/fleet/configversion"
 )
 
-// Largest texts of a proposal, in bytes. They stay in each replica's log and history.
+// Size limits of a proposal's text fields, in bytes. Every replica keeps these texts in its log and history.
 const (
 	maxIDBytes     = 128
 	maxAuthorBytes = 256
@@ -14,34 +14,34 @@
 	maxReasonBytes = 2048
 )
 
-// Command is one entry of the replicas' log. Exactly one of its parts is set.
+// Command is one entry of the replicas' log. Exactly one of its fields is set.
 type Command struct {
 	Bootstrap    *Settings `json:"found,omitempty"`   // the first command of a fleet
 	Propose      *Proposal `json:"propose,omitempty"` // announces a new version
-	Activate     uint64    `json:"force,omitempty"`   // brings the announced version into force
+	Activate     uint64    `json:"force,omitempty"`   // puts the announced version into force
 	Join         []string  `json:"join,omitempty"`    // holders that may be granted leases from now on
-	Remove       []string  `json:"part,omitempty"`    // holders that act on nothing any more
-	LeaseExpired []string  `json:"away,omitempty"`    // holders without a lease, which may still act on a fallback
-	Forget       []uint64  `json:"forget,omitempty"`  // versions that nobody acts on any more; from format 2 on
+	Remove       []string  `json:"part,omitempty"`    // holders without a lease or a valid fallback
+	LeaseExpired []string  `json:"away,omitempty"`    // holders without a lease, whose fallback may still be valid
+	Forget       []uint64  `json:"forget,omitempty"`  // versions that no gateway uses any more; requires format 2
 }
 
-// Proposal asks for a new version. A retry has the same ID and becomes no second version.
+// Proposal asks for a new version. A retry has the same ID and does not create a second version.
 type Proposal struct {
 	ID             string `json:"id"`
-	Parent         uint64 `json:"parent"` // the latest version that the author knew
-	ReplacePending bool   `json:"over"`   // may take the place of a version that is announced and not in force yet
+	Parent         uint64 `json:"parent"` // the latest version known to the author
+	ReplacePending bool   `json:"over"`   // may replace a version that is announced and not in force yet
 	Author         string `json:"author"`
 	Reason         string `json:"why"`
-	CreatedAt      string `json:"time"`  // for people; nothing is decided by it
-	Content        []byte `json:"rules"` // the configuration in its canonical form
+	CreatedAt      string `json:"time"`  // informational only; no decision depends on it
+	Content        []byte `json:"rules"` // canonical form of the configuration
 
-	// A log entry of format 2 has these in place of Content. EncodeEntry sets them and Apply reads them.
+	// A log entry of format 2 holds these in place of Content. EncodeEntry sets them and Apply reads them.
 	Digest    string `json:"digest,omitempty"` // of Content
-	DeltaBase uint64 `json:"base,omitempty"`   // the version that Delta starts from: Parent, or 0 for a complete content
-	Delta     []byte `json:"-"`                // in the form of package delta
+	DeltaBase uint64 `json:"base,omitempty"`   // version that Delta is relative to: Parent, or 0 for complete content
+	Delta     []byte `json:"-"`                // encoded by package delta
 }
 
-// Validate refuses a proposal that is too large to be put into the log.
+// Validate rejects a proposal that is too large for the log.
 func (p *Proposal) Validate() error {
 	parts := []struct {
 		name      string
@@ -55,7 +55,7 @@
 	}
 	for _, part := range parts {
 		if part.size > part.max {
-			return fmt.Errorf("the proposal's %s has %d bytes, %d at most are taken", part.name, part.size, part.max)
+			return fmt.Errorf("the proposal's %s is %d bytes long, the limit is %d", part.name, part.size, part.max)
 		}
 	}
 	return nil
--- a/internal/fleet/lease/effective.go
+++ b/internal/fleet/lease/effective.go
@@ -7,16 +7,16 @@
 	"irispost/internal/fleet/configversion"
 )
 
-// resolved is what a gateway has of the versions that a response names.
+// resolved holds those versions named by a response that the gateway has.
 type resolved struct {
-	versions       []*configversion.Version // those that can be acted on, the one in force first
-	configs        []*configversion.Config  // of the versions
-	hasInForce     bool                     // the one in force is among them; without it nothing is acted on
-	contentMissing bool                     // a version has come without its content and is asked for again
-	fault          string                   // why a version cannot be acted on; empty: all can
+	versions       []*configversion.Version // usable versions, the one in force first
+	configs        []*configversion.Config  // parsed versions, in the same order
+	hasInForce     bool                     // versions includes the one in force; otherwise nothing takes effect
+	contentMissing bool                     // a version arrived without its content and has to be requested again
+	fault          string                   // why a version cannot be used; empty if all can
 }
 
-// resolveVersions finds the versions that a response names, in the response or among those that are held.
+// resolveVersions looks up the versions that a response names, in the response and among the held versions.
 func (c *Client) resolveVersions(response *RenewResponse) resolved {
 	var found resolved
 	for _, version := range c.VersionsOf(response) {
@@ -26,7 +26,7 @@
 		}
 		config, err := version.Config()
 		if err != nil {
-			found.fault = "version " + version.Name() + " is not acted on: " + err.Error()
+			found.fault = "version " + version.Name() + " cannot be used: " + err.Error()
 			continue
 		}
 		found.versions = append(found.versions, version)
@@ -38,8 +38,8 @@
 	return found
 }
 
-// VersionsOf returns the versions that a response names, the one in force first, as far as they are held or
-// in the response. Their contents may be missing.
+// VersionsOf returns the versions that a response names, the one in force first. Versions that are neither held
+// nor in the response are left out. Contents may be missing.
 func (c *Client) VersionsOf(response *RenewResponse) []*configversion.Version {
 	var versions []*configversion.Version
 	known := slices.Concat(c.heldVersions, response.Versions)
@@ -52,7 +52,8 @@
 	return versions
 }
 
-// hold makes the gateway act on other versions. The replicas are told at once, as others may wait for it.
+// hold puts other versions into effect. It makes a request due immediately, because the change of the fleet may
+// be waiting for this gateway's acknowledgement.
 func (c *Client) hold(found resolved) {
 	c.heldVersions = found.versions
 	c.configs = found.configs
@@ -69,7 +70,8 @@
 	}
 }
 
-// fallbackDuration returns for how long the fallback of all that is held counts.
+// fallbackDuration returns how long the combined fallback of the held versions stays valid: the shortest of
+// their durations.
 func (c *Client) fallbackDuration() Time {
 	shortest := c.configs[0].FallbackPolicy.Duration
 	for _, config := range c.configs[1:] {
@@ -78,26 +80,26 @@
 	return shortest
 }
 
-// Effective returns what the gateway acts on at a time, or nil for nothing. If the lease or the fallback has
-// expired by then, the state changes with it. A gateway reads its clock once for each decision and all that
-// it sends by that decision.
+// Effective returns the configuration in effect at the given time, or nil for none. It first updates the state if
+// the lease or the fallback has expired by then. A gateway reads its clock once per decision and uses that
+// reading for everything that it sends as a result.
 func (c *Client) Effective(now Time) *configversion.Config {
 	if c.state.leased() && now >= c.leaseUntil {
 		c.effective = c.heldFallback()
 		c.effectiveName = "floor of " + c.effectiveName
-		c.transition(StateExpired, "no response from the replicas for a lease")
+		c.transition(StateExpired, "lease expired without a renewal")
 	}
 	if (c.state == StateExpired || c.state == StateReturning) && now >= c.fallbackUntil && c.effective != nil {
 		c.effective = nil
 		c.effectiveName = nothing
-		c.transition(StateEnded, "no response from the replicas for the fallback's duration")
+		c.transition(StateEnded, "fallback expired without a new lease")
 	}
 	return c.effective
 }
 
-// heldFallback returns the fallback of all that is held.
+// heldFallback returns the combined fallback of the held versions.
 func (c *Client) heldFallback() *configversion.Config {
-	// Versions that are held were parsed before, so there is no error.
+	// Held versions have been parsed already, so Fallback returns no error.
 	fallback, _ := c.heldVersions[0].Fallback()
 	if len(c.heldVersions) == 2 {
 		other, _ := c.heldVersions[1].Fallback()
@@ -106,11 +108,12 @@
 	return fallback
 }
 
-// EffectiveName names what the gateway acts on, for people: a version, two with & between them, or their fallback.
+// EffectiveName describes the configuration in effect for display: one version, two versions joined by "&", or
+// their fallback.
 func (c *Client) EffectiveName() string { return c.effectiveName }
 
-// ValidUntil returns when what the gateway acts on changes at the latest if no response comes; 0: it does not
-// change.
+// ValidUntil returns when the configuration in effect expires if no further response arrives. It returns 0 if
+// nothing is going to expire.
 func (c *Client) ValidUntil() Time {
 	switch {
 	case c.state.leased():
@@ -121,7 +124,7 @@
 	return 0
 }
 
-// HeldVersions returns the numbers of the versions that count, and whether only their fallback does.
+// HeldVersions returns the numbers of the held versions, and whether only their fallback is in effect.
 func (c *Client) HeldVersions() (numbers []uint64, fallback bool) {
 	for _, v := range c.heldVersions {
 		numbers = append(numbers, v.Number)
@@ -129,7 +132,7 @@
 	return numbers, c.state == StateExpired || c.state == StateReturning && c.effective != nil
 }
 
-// LatestVersion returns the latest version that is held, parsed, or nil if none is.
+// LatestVersion returns the latest held version and its parsed configuration, or nil if none is held.
 func (c *Client) LatestVersion() (*configversion.Version, *configversion.Config) {
 	if len(c.heldVersions) == 0 {
 		return nil, nil
--- a/internal/fleet/lease/entry.go
+++ b/internal/fleet/lease/entry.go
@@ -10,12 +10,12 @@
 	"irispost/internal/fleet/delta"
 )
 
-// A log entry is a Command in one of two formats. Format 1 is its JSON, with a proposal's complete content.
-// Format 2 begins with a byte that no JSON begins with, so that a replica that does not know it stops there.
-// The length of the JSON follows (uvarint), then the JSON without the content, and then the content in the
-// form of package delta, either as a delta from its parent or complete.
+// A log entry is a Command in one of two formats. Format 1 is the command's JSON, including the complete content
+// of a proposal. Format 2 begins with a byte that cannot begin JSON, so that a replica that does not support the
+// format stops at the entry. The length of the JSON follows (uvarint), then the JSON without the content, and then
+// the content as encoded by package delta: complete, or as a delta from its parent.
 
-// formatWithDeltas is the first format with deltas, in which versions can be forgotten.
+// formatWithDeltas is the first format that supports deltas and the command to forget versions.
 const formatWithDeltas = 2
 
 // Format is the newest format of log entries and snapshots that this build reads and writes.
@@ -26,19 +26,19 @@
 
 // Errors of log entries.
 var (
-	// ErrInvalidEntry means that a committed entry cannot be applied. A replica that went on without it would
-	// differ from the others.
+	// ErrInvalidEntry means that a committed entry cannot be applied. A replica that skipped it would diverge
+	// from the others.
 	ErrInvalidEntry = errors.New("the log entry cannot be applied")
 
-	errForgetFormat     = errors.New("a log entry of format 1 cannot forget versions")
+	errForgetFormat     = errors.New("format 1 of the log does not support forgetting versions")
 	errEntryTruncated   = errors.New("the log entry is truncated")
-	errUnknownCommand   = errors.New("the log entry is of format 2 and has no command that this build knows")
-	errEncodingMismatch = errors.New("the encoded content decodes to another one")
+	errUnknownCommand   = errors.New("the log entry is of format 2 and holds no command known to this build")
+	errEncodingMismatch = errors.New("the encoded content decodes to different content")
 )
 
-// EncodeEntry writes a command for the log in a format that all replicas read. In format 2 a proposal's
-// content is a delta from its parent's content in state. Each replica that applies it has the same parent, or
-// refuses the proposal before it looks at the content.
+// EncodeEntry encodes a command as a log entry. All replicas must be able to read the format. In format 2, a
+// proposal's content is a delta from its parent's content in state. Each replica that applies the entry either has
+// the same parent or rejects the proposal before it decodes the content.
 func (c *Command) EncodeEntry(format int, state *StateMachine) ([]byte, error) {
 	if format < formatWithDeltas && len(c.Forget) > 0 {
 		return nil, errForgetFormat
@@ -65,7 +65,7 @@
 	return append(entry, content...), nil
 }
 
-// encodeContent replaces the proposal's content by its encoded form.
+// encodeContent replaces the proposal's content with its encoded form.
 func (p *Proposal) encodeContent(state *StateMachine) error {
 	p.Digest = configversion.DigestOf(p.Content)
 	p.DeltaBase = 0
@@ -78,7 +78,8 @@
 	if p.Delta, err = delta.Encode(base, p.Content); err != nil {
 		return err
 	}
-	// Every replica would stop at an entry that does not decode, so it is tried before it gets into the log.
+	// Every replica would stop at an entry that does not decode, so decoding is tested before the entry reaches the
+	// log.
 	decoded, err := delta.Decode(base, p.Delta, configversion.MaxContentBytes)
 	if err != nil {
 		return fmt.Errorf("decode the encoded content of %d bytes: %w", len(p.Content), err)
@@ -90,7 +91,7 @@
 	return nil
 }
 
-// DecodeEntry reads an entry of either format.
+// DecodeEntry decodes a log entry of either format.
 func DecodeEntry(entry []byte) (*Command, error) {
 	command := &Command{}
 	if len(entry) == 0 || entry[0] != format2Mark {
@@ -115,7 +116,7 @@
 	return command, nil
 }
 
-// decodeContent returns the content of a proposal whose parent is the announced version of state.
+// decodeContent returns the content of a proposal, whose parent must be the announced version of state.
 func (p *Proposal) decodeContent(state *StateMachine) ([]byte, error) {
 	if p.Delta == nil {
 		return p.Content, nil
@@ -124,7 +125,7 @@
 	if p.DeltaBase != 0 {
 		baseVersion := state.Version(p.DeltaBase)
 		if p.DeltaBase != p.Parent || baseVersion == nil {
-			return nil, fmt.Errorf("%w: proposal %q is a delta from version %d, and %d is announced",
+			return nil, fmt.Errorf("%w: proposal %q is a delta from version %d, but version %d is announced",
 				ErrInvalidEntry, p.ID, p.DeltaBase, state.Announced)
 		}
 		base = baseVersion.Content
@@ -135,7 +136,7 @@
 			ErrInvalidEntry, p.ID, len(p.Delta), p.DeltaBase, err)
 	}
 	if digest := configversion.DigestOf(content); digest != p.Digest {
-		return nil, fmt.Errorf("%w: proposal %q, a delta of %d bytes from version %d: its digest is %.12s instead of %.12s",
+		return nil, fmt.Errorf("%w: proposal %q, a delta of %d bytes from version %d: digest %.12s, expected %.12s",
 			ErrInvalidEntry, p.ID, len(p.Delta), p.DeltaBase, digest, p.Digest)
 	}
 	return content, nil
--- a/internal/fleet/lease/faults.go
+++ b/internal/fleet/lease/faults.go
@@ -1,24 +1,24 @@
 package lease
 
-// InjectedFaults are defects that tests put in on purpose, to show that the simulation and the model find
-// them. Only tests set them.
+// InjectedFaults is a set of deliberate defects, which prove that the simulation and the model checker detect such
+// defects. Only tests set them.
 type InjectedFaults uint32
 
-// The defects, each of which makes gateways contradict each other, or waits or memory unbounded.
+// The injectable defects. Each makes gateways contradict each other, or makes a wait or memory use unbounded.
 const (
-	FaultLeaseFromReceipt         InjectedFaults = 1 << iota // a lease counts from when it came, not from its request
+	FaultLeaseFromReceipt         InjectedFaults = 1 << iota // a lease runs from its receipt, not from its request
 	FaultNoWait                                              // a version comes into force without waiting for any gateway
-	FaultNoIntersection                                      // a prepared gateway acts on the older version alone
-	FaultNewLeaderAssumesNoLeases                            // a new leader takes nobody to hold a lease or a fallback
-	FaultIgnoreFallbacks                                     // a version does not wait for fallbacks that contradict it
-	FaultIgnoreClockDrift                                    // replicas take all clocks to run alike
-	FaultAcceptReordered                                     // a gateway takes responses in any order
-	FaultTrustEarlierTerms                                   // a request from before a term counts as sent in it
-	FaultLeaseWithoutJoin                                    // a gateway that the log does not know gets a lease
+	FaultNoIntersection                                      // a prepared gateway applies the older version alone
+	FaultNewLeaderAssumesNoLeases                            // a new leader assumes no leases or fallbacks
+	FaultIgnoreFallbacks                                     // activation ignores fallbacks that contradict it
+	FaultIgnoreClockDrift                                    // replicas assume that all clocks run at the same rate
+	FaultAcceptReordered                                     // a gateway accepts responses in any order
+	FaultTrustEarlierTerms                                   // a request of an earlier term counts as current
+	FaultLeaseWithoutJoin                                    // a gateway gets a lease before its join is committed
 	FaultNoLeaseExpiry                                       // leases never expire at gateways
-	FaultForgetHeldVersions                                  // versions are forgotten that a gateway may act on
+	FaultForgetHeldVersions                                  // versions are forgotten that a gateway may still use
 	FaultForgetNothing                                       // no version is ever forgotten
 )
 
-// Has reports whether a fault is among them.
+// Has reports whether f contains a fault.
 func (f InjectedFaults) Has(fault InjectedFaults) bool { return f&fault != 0 }
--- a/internal/fleet/lease/forget.go
+++ b/internal/fleet/lease/forget.go
@@ -1,28 +1,28 @@
 package lease
 
-// forgetBatch is how many versions must be ready before a command forgets them, as each command costs a round
+// forgetBatch is the minimum number of versions that one command forgets, because each command costs a round trip
 // to all replicas.
 const forgetBatch = 32
 
-// maxForgetBatch is how many versions one command forgets at most, as a replica writes all their contents to
-// its history at once.
+// maxForgetBatch is the maximum number of versions that one command forgets, because a replica writes all their
+// contents to its history at once.
 const maxForgetBatch = 64
 
-// retention says how much is kept of versions that nobody needs any more. The leader chooses what to forget,
-// as it alone knows what gateways may act on.
+// retention controls how many unused versions are kept. The leader chooses which versions to forget, because only
+// the leader knows which ones gateways may still use.
 type retention struct {
-	enabled      bool // all replicas read the command
-	baseVersions int  // versions before the announced one that are kept for deltas
-	batchSize    int
+	enabled      bool // all replicas can read the command
+	baseVersions int  // number of versions before the announced one that are kept as bases of deltas
+	batchSize    int  // minimum number of versions per command
 	nextCheckAt  Time
 }
 
-// AllowForget says whether all replicas can read commands that forget versions. Before they can, none is forgotten.
+// AllowForget sets whether all replicas can read commands that forget versions. Until they can, none is forgotten.
 func (m *Manager) AllowForget(allowed bool) { m.retention.enabled = allowed }
 
-// forgettable lists the versions that nobody can act on any more and that no delta needs. It returns nil if
-// they are too few to be worth a command, or if a gateway may still act on anything as it was not heard in
-// this term.
+// forgettable lists the versions that no gateway can still use and that no delta needs as its base. It returns nil
+// if they are too few to be worth a command, or if some gateway has not been heard from in this term and may
+// therefore still use any version.
 func (m *Manager) forgettable(now Time) []uint64 {
 	state, retention := m.state, &m.retention
 	if !retention.enabled || now < retention.nextCheckAt || m.faults.Has(FaultForgetNothing) {
@@ -48,9 +48,9 @@
 	return numbers
 }
 
-// versionsInUse returns the versions that gateways may act on, or on the fallback of: those that a gateway
-// has named or was granted since, until its lease and fallback have expired. known is false while a gateway
-// may act on versions that this term has not heard of.
+// versionsInUse returns the versions that gateways may still apply, themselves or their fallbacks: those that a
+// gateway has reported or was granted since, until its lease and fallback have expired. known is false while a
+// gateway may be using versions that it has not reported in this term.
 func (m *Manager) versionsInUse(now Time) (inUse map[uint64]bool, known bool) {
 	inUse = map[uint64]bool{m.state.InForce: true, m.state.Announced: true}
 	if m.faults.Has(FaultForgetHeldVersions) {
--- a/internal/fleet/lease/forget_test.go
+++ b/internal/fleet/lease/forget_test.go
@@ -8,8 +8,8 @@
 	"irispost/internal/fleet/configversion"
 )
 
-// Two requests that come out of order are granted the same. A gateway that says that it has accepted the
-// first response may accept the second one yet, so what that names is not forgotten.
+// Two requests that arrive out of order are granted the same versions. A gateway that reports having accepted the
+// first response may still accept the second one, so the versions that the second one names must not be forgotten.
 func TestVersionsOfReorderedRequestsAreKept(t *testing.T) {
 	for _, order := range [][]uint64{{1, 2}, {2, 1}} {
 		t.Run(fmt.Sprint(order), func(t *testing.T) {
@@ -28,18 +28,18 @@
 			applyAll(t, state, &Command{Propose: third})
 			m.Renew(2, &RenewRequest{Holder: "g", Seq: 3, Term: 1, AcceptedSeq: 1, HeldVersions: []uint64{1}})
 			if numbers := m.forgettable(3); numbers != nil {
-				t.Errorf("%v is to be forgotten, and the second response names 2", numbers)
+				t.Errorf("forgettable versions: got %v, want none, as the second response names version 2", numbers)
 			}
 			m.Renew(leaseDuration, &RenewRequest{Holder: "g", Seq: 4, Term: 1, AcceptedSeq: 3, HeldVersions: []uint64{1, 3}})
 			if numbers := m.forgettable(2 * leaseDuration); !slices.Equal(numbers, []uint64{2}) {
-				t.Errorf("%v is to be forgotten, and only 2 is of no use any more", numbers)
+				t.Errorf("forgettable versions: got %v, want [2], the only unused one", numbers)
 			}
 		})
 	}
 }
 
-// A gateway that acts on a fallback for an hour has its version kept, whoever leads, while a thousand others
-// come and go. Then it is forgotten, too.
+// While a gateway may act on a version's fallback for an hour, the version is kept across a change of the leader
+// and more than a thousand other versions. After that it is forgotten as well.
 func TestVersionOfALongFallbackIsKept(t *testing.T) {
 	const hour = 3600 * Time(1e9)
 	fleet := newForgetFleet(t)
@@ -58,18 +58,20 @@
 			fleet.manager = NewManager(fleet.now, 2, fleet.state, 0)
 		}
 		if fleet.state.Version(held) == nil && fleet.now < hour {
-			t.Fatalf("forgotten after %d s", fleet.now/1e9)
+			t.Fatalf("the held version was forgotten after %d s, want it kept for 3600 s", fleet.now/1e9)
 		}
 	}
 	if fleet.state.Version(held) != nil || len(fleet.state.Holders) != 1 {
-		t.Errorf("after %d s it is still there, holders %v", fleet.now/1e9, fleet.state.Holders)
+		t.Errorf("after %d s: want the held version forgotten and one holder left, got holders %v",
+			fleet.now/1e9, fleet.state.Holders)
 	}
 	if len(fleet.state.Versions) > RetainedBaseVersions+forgetBatch+2 {
-		t.Errorf("%d versions at the end, %d at most", len(fleet.state.Versions), most)
+		t.Errorf("kept versions: %d at the end (up to %d before), want at most RetainedBaseVersions+forgetBatch+2",
+			len(fleet.state.Versions), most)
 	}
 }
 
-// forgetFleet has two gateways, of which "far" is not heard any more after three leases.
+// forgetFleet is a fleet of two gateways, of which "far" sends no requests after the first three leases.
 type forgetFleet struct {
 	state   *StateMachine
 	manager *Manager
@@ -83,7 +85,7 @@
 	return &forgetFleet{state: state, manager: NewManager(0, 1, state, 0)}
 }
 
-// step proposes a version, has the gateways acknowledge it and lets four leases pass.
+// step proposes a version, lets the gateways acknowledge it and advances the time by four leases.
 func (f *forgetFleet) step(t *testing.T, content []byte) {
 	t.Helper()
 	p := &Proposal{ID: fmt.Sprint(f.now), Parent: f.state.Announced, ReplacePending: true, Content: content}
@@ -106,7 +108,7 @@
 	f.now += 4 * leaseDuration
 }
 
-// applyDue applies all commands that are due, and returns them.
+// applyDue applies and returns all commands that are due.
 func applyDue(t *testing.T, m *Manager, now Time) []*Command {
 	t.Helper()
 	var commands []*Command
--- a/internal/fleet/lease/golden_test.go
+++ b/internal/fleet/lease/golden_test.go
@@ -15,8 +15,8 @@
 	"irispost/internal/testkit/golden"
 )
 
-// The files under testdata/golden hold every form that goes over the network or to disk. Replicas and
-// gateways of other builds read and write the same forms.
+// The files under testdata/golden hold every encoding that is sent over the network or written to disk. Replicas and
+// gateways of other builds read and write the same encodings.
 
 // readGolden returns the content of a golden file.
 func readGolden(t *testing.T, name string) []byte {
@@ -28,7 +28,7 @@
 	return file
 }
 
-// goldenContent is a content that differs from others by its rate limit alone.
+// goldenContent returns a configuration in its canonical form. Results differ only in the rate limit.
 func goldenContent(limit float64) []byte {
 	config := &configversion.Config{
 		RequiredFormat:   1,
@@ -145,14 +145,14 @@
 				t.Fatal(err)
 			}
 			if !reflect.DeepEqual(read.Interface(), value) {
-				t.Errorf("read: %+v", read.Interface())
+				t.Errorf("decoded golden file: got %+v, want the encoded value", read.Interface())
 			}
 		})
 	}
 }
 
-// All of an entry is compared but a compressed content, which may change with the compressor. That in the
-// file is read.
+// Everything in an entry but its compressed content is compared with the file, as the compressed bytes may change with
+// the compressor. The file is also decoded and applied, which checks its content.
 func TestGoldenEntries(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -177,7 +177,7 @@
 				fixed = 1 + n + int(size)
 			}
 			if len(written) < fixed || !bytes.Equal(written[:fixed], file[:fixed]) {
-				t.Errorf("written:\n%q\nthe file has:\n%q", written, file)
+				t.Errorf("encoded entry: got\n%q\nwant, apart from the compressed content, that of the file:\n%q", written, file)
 			}
 			read, err := DecodeEntry(file)
 			if err != nil {
@@ -185,7 +185,7 @@
 			}
 			if c.command.Propose == nil {
 				if !reflect.DeepEqual(read, c.command) {
-					t.Errorf("read: %+v", read)
+					t.Errorf("decoded command: got %+v, want the encoded command", read)
 				}
 				return
 			}
@@ -203,13 +203,14 @@
 				Content:   goldenContent(2),
 			}
 			if !reflect.DeepEqual(version, want) {
-				t.Errorf("applied: %+v", version)
+				t.Errorf("applied version: got %+v, want version 2 with the golden proposal's content", version)
 			}
 		})
 	}
 }
 
-// goldenState has an announced version beside the one in force. In format 2 a version before them was forgotten.
+// goldenState returns a state with one version in force and a later one announced. In format 2, an earlier version has
+// been forgotten.
 func goldenState(t *testing.T, format int) *StateMachine {
 	t.Helper()
 	commands := []*Command{
@@ -249,7 +250,7 @@
 	return state
 }
 
-// A snapshot that was read is written as it was, byte for byte, in either format.
+// A snapshot that is read and written again is identical byte for byte, in either format.
 func TestGoldenSnapshots(t *testing.T) {
 	for name, format := range map[string]int{"snapshot-1.bin": 1, "snapshot-2.bin": formatWithDeltas} {
 		t.Run(name, func(t *testing.T) {
@@ -259,13 +260,13 @@
 			}
 			golden.Check(t, filepath.Join("golden", name), restored.Snapshot())
 
-			// Contents are compared as they are, and not as they are compressed.
+			// Format 0 holds the contents uncompressed, so that the comparison does not depend on the compressor.
 			state := goldenState(t, format)
 			state.Format = 0
 			restored.Format = 0
 			got, want := string(state.Snapshot()), string(restored.Snapshot())
 			if got != want || !strings.Contains(got, `"in_force"`) {
-				t.Errorf("the same commands come to:\n%s\nthe file has:\n%s", got, want)
+				t.Errorf("state after the same commands: got\n%s\nwant that of the file:\n%s", got, want)
 			}
 		})
 	}
--- a/internal/fleet/lease/holder.go
+++ b/internal/fleet/lease/holder.go
@@ -2,32 +2,33 @@
 
 import "slices"
 
-// holder is a gateway that may act on some version, as the leading replica knows it. Times are the replica's.
+// holder is the leading replica's record of a gateway that may have a version or its fallback in effect. Times are
+// readings of the replica's clock.
 type holder struct {
 	name           string
-	lastSeq        uint64   // the latest request of this term that counted
-	heldVersions   []uint64 // as that request said
+	lastSeq        uint64   // the latest request of this term that acknowledge processed
+	heldVersions   []uint64 // as reported by that request
 	grants         []grant
-	leaseUntil     Time   // it acts on no version after this
-	fallbackUntil  Time   // it acts on no fallback after this
-	unknownUntil   Time   // until then it may act on any version's fallback, as it was not heard in this term; 0: it was
-	offeredVersion uint64 // the announced version that was offered last
-	offeredAt      Time   // when it was offered first
+	leaseUntil     Time   // no version is in effect at the gateway after this
+	fallbackUntil  Time   // no fallback is in effect at the gateway after this
+	unknownUntil   Time   // until then any version's fallback may be in effect; 0 once heard from in this term
+	offeredVersion uint64 // the announced version that was offered most recently
+	offeredAt      Time   // when offeredVersion was first offered
 	lastHeardAt    Time
 	reportedState  string
 	fault          string
 	peerAddr       string
 }
 
-// grant is a response that the gateway may have accepted after its last request that counted. Until it
-// expires the gateway may act on its versions, or on their fallback.
+// grant is a response with a lease that the gateway may have accepted since it sent its last acknowledgement. Until
+// the grant expires, its versions or their fallback may be in effect at the gateway.
 type grant struct {
 	seq, inForce, announced uint64
 	expiresAt               Time
 }
 
-// acknowledge takes over what the gateway says it holds. Grants up to the response that it accepted last
-// can't be accepted any more.
+// acknowledge records the versions that the gateway reports to hold. It drops all grants up to the response that the
+// gateway accepted last, because the gateway ignores these from now on.
 func (h *holder) acknowledge(request *RenewRequest) {
 	h.lastSeq = request.Seq
 	h.heldVersions = slices.Clone(request.HeldVersions)
@@ -35,9 +36,8 @@
 	h.grants = slices.DeleteFunc(h.grants, func(g grant) bool { return g.seq <= request.AcceptedSeq })
 }
 
-// addGrant adds a grant in place of earlier ones of the same versions, and drops those that have expired.
-// Requests may come out of order and any of the responses may be accepted, so the highest sequence number is
-// kept.
+// addGrant adds a grant, which replaces earlier ones of the same versions, and drops expired grants. Requests may
+// arrive out of order and any of the responses may be accepted, so the highest sequence number is kept.
 func (h *holder) addGrant(now Time, added grant) {
 	h.grants = slices.DeleteFunc(h.grants, func(g grant) bool {
 		if g.inForce != added.inForce || g.announced != added.announced {
--- a/internal/fleet/lease/manager.go
+++ b/internal/fleet/lease/manager.go
@@ -2,30 +2,30 @@
 
 import "slices"
 
-// Manager is what the leading replica knows of the gateways. It is made anew for each term, so it knows
-// nothing of leases that earlier leaders have granted but who may have one.
+// Manager is the leading replica's view of the gateways. A new one is created for each term. Of the leases granted
+// by earlier leaders it knows only which gateways may hold one.
 type Manager struct {
 	state   *StateMachine
 	term    uint64
 	holders map[string]*holder // by name
 
-	// Commands that were handed out and may not be committed yet.
+	// Commands that NextCommand has returned and that may not be committed yet.
 	pendingJoins    map[string]bool
-	activating      uint64          // version that was handed out to come into force in this term; 0: none
-	activatingSince Time            // when it was handed out last
-	pendingRemovals map[string]Time // when each was handed out
-	pendingExpiries map[string]Time
+	activating      uint64          // version whose activation was returned in this term; 0: none
+	activatingSince Time            // when the activation was last returned
+	pendingRemovals map[string]Time // by holder, when the removal was returned
+	pendingExpiries map[string]Time // by holder, when the expiry was returned
 
-	membershipEpoch uint64 // the latest that was seen
-	membershipSince Time   // when it was seen first in this term
-	tracksMembers   bool   // some gateway has told where others reach it
+	membershipEpoch uint64 // the latest epoch seen in the state machine
+	membershipSince Time   // when that epoch was first seen in this term
+	tracksMembers   bool   // some gateway has reported its peer address
 
 	retention retention
 	faults    InjectedFaults
 }
 
-// NewManager returns the manager of a term. Each holder that the log knows may have got a lease from another
-// leader up to now.
+// NewManager returns the manager for a term. It assumes that each holder in the log may have been granted a lease by
+// another leader up to now.
 func NewManager(now Time, term uint64, state *StateMachine, faults InjectedFaults) *Manager {
 	m := &Manager{
 		state:           state,
@@ -58,8 +58,8 @@
 	return m
 }
 
-// NextCommand returns the command to append to the log now, or nil if there is none. A command that was not
-// committed is returned again after a lease.
+// NextCommand returns the command to append to the log now, or nil if there is none. A command that has not been
+// committed is returned again after the duration of a lease.
 func (m *Manager) NextCommand(now Time) *Command {
 	if len(m.pendingJoins) > 0 {
 		command := &Command{Join: sortedNames(m.pendingJoins)}
@@ -83,8 +83,8 @@
 	return nil
 }
 
-// activationDue reports whether no gateway contradicts the announced version any more, so that it can come
-// into force.
+// activationDue reports whether the announced version can come into force, as no gateway can contradict it any
+// more.
 func (m *Manager) activationDue(now Time) bool {
 	announced := m.state.Announced
 	if announced == m.state.InForce {
@@ -96,14 +96,13 @@
 	return len(m.WaitingFor(now)) == 0
 }
 
-// retryDue reports whether a command that was handed out at a time, and is not committed, is to be handed out
-// again.
+// retryDue reports whether a command that was returned at the given time, and has not been committed, is due again.
 func (m *Manager) retryDue(now, handedOut Time) bool {
 	return now > handedOut+m.state.Settings.LeaseDuration
 }
 
-// removableHolders lists the holders that cannot act on anything any more. One that has joined and was not
-// heard since is given a lease's time to be heard.
+// removableHolders lists the holders whose lease and fallback have expired. A holder that has joined and not been
+// heard from since is given the duration of a lease to send a request.
 func (m *Manager) removableHolders(now Time) []string {
 	silence := m.state.Settings.withDrift(m.state.Settings.LeaseDuration)
 	var names []string
@@ -124,7 +123,7 @@
 	return names
 }
 
-// expiredMembers lists the members whose lease has expired. They are of no interest unless gateways reach
+// expiredMembers lists the members whose lease has expired. Membership is only tracked if gateways communicate with
 // each other.
 func (m *Manager) expiredMembers(now Time) []string {
 	if !m.tracksMembers {
@@ -144,7 +143,7 @@
 	return names
 }
 
-// Applied says that a command of the log was applied to the state machine.
+// Applied updates the manager after a command of the log was applied to the state machine.
 func (m *Manager) Applied(c *Command) {
 	for _, name := range c.Remove {
 		delete(m.holders, name)
--- a/internal/fleet/lease/membership_test.go
+++ b/internal/fleet/lease/membership_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// A gateway that others reach is a member from its place in the log until its lease has expired, though it
-// may act on a fallback for longer. When it is back, that is another epoch, and the others learn how many
-// departures there were.
+// A gateway with a peer address is a member from the commit of its join until its lease has expired, although it may
+// act on its fallback for longer. When it returns, a new epoch begins, and the others learn the number of departures
+// so far.
 func TestMembershipFollowsLeases(t *testing.T) {
 	state := stateOf(t,
 		&Command{Bootstrap: &testSettings},
@@ -27,7 +27,7 @@
 	applyDue(t, m, 1)
 	joined := renew(2, "g1", 0).Membership
 	if joined == nil || joined.Epoch != 1 || !slices.Equal(joined.Members, both) || joined.Departures != 0 {
-		t.Fatalf("after both have joined: %+v", joined)
+		t.Fatalf("after both have joined: got %+v, want epoch 1, members g1 and g2, no departures", joined)
 	}
 
 	renew(3, "g2", 1)
@@ -38,13 +38,13 @@
 	expired := renew(3*leaseDuration, "g1", 1).Membership
 	alone := []string{"g1"}
 	if expired.Epoch != 2 || !slices.Equal(expired.Members, alone) || expired.Departures != 1 || expired.Age <= 0 {
-		t.Errorf("after the lease of g2: %+v", expired)
+		t.Errorf("after the lease of g2 expired: got %+v, want epoch 2, member g1, one departure, positive age", expired)
 	}
 	if !state.Holders["g2"] {
-		t.Errorf("g2 may act on its fallback, holders %v", state.Holders)
+		t.Errorf("holders: got %v, want g2 among them, as it may act on its fallback", state.Holders)
 	}
 	if known := renew(3*leaseDuration, "g1", 2).Membership; known.Members != nil {
-		t.Errorf("the members are sent again: %+v", known)
+		t.Errorf("response to a gateway that knows the epoch: got %+v, want no members", known)
 	}
 
 	renew(3*leaseDuration+1, "g2", 1)
@@ -52,6 +52,7 @@
 	response := renew(3*leaseDuration+2, "g2", 1)
 	back := response.Membership
 	if back.Epoch != 3 || !slices.Equal(back.Members, both) || back.Age > 1 || response.PeerAddrs["g2"] != "g2:1" {
-		t.Errorf("after g2 is back: %+v, %v", back, response.PeerAddrs)
+		t.Errorf("after g2 returned: got %+v, addresses %v, want epoch 3, members g1 and g2, age at most 1, address g2:1",
+			back, response.PeerAddrs)
 	}
 }
--- a/internal/fleet/lease/model_search_test.go
+++ b/internal/fleet/lease/model_search_test.go
@@ -10,21 +10,21 @@
 )
 
 const (
-	seenParts  = 64 // of the set of states that were seen, each with a lock
-	statesEach = 32 // states that a worker takes at a time
+	seenParts  = 64 // number of parts of the set of reached states, each with its own lock
+	statesEach = 32 // maximum number of states that a worker takes at a time
 )
 
-// search goes through the states of a model, with several workers.
+// search explores the states of a model with several workers.
 type search struct {
 	bounds bounds
 	faults InjectedFaults
 	second *Command // proposes the second version
 
 	mu        sync.Mutex // guards the fields below
-	more      *sync.Cond // todo, active or violation has changed
+	more      *sync.Cond // signals a change of todo, active or violation
 	todo      []*modelState
-	active    int // workers that may add to todo
-	states    int
+	active    int // number of workers that may still add to todo
+	states    int // number of states checked
 	violation string
 
 	seen [seenParts]struct {
@@ -42,7 +42,7 @@
 	return s
 }
 
-// run searches until all states are gone through or one is violated.
+// run searches until all states are explored or a violation is found.
 func (s *search) run() {
 	var workers sync.WaitGroup
 	for range runtime.GOMAXPROCS(0) {
@@ -51,7 +51,7 @@
 	workers.Wait()
 }
 
-// isNew reports whether a state was not seen before.
+// isNew adds a state's key to the set of reached states and reports whether it was not in the set before.
 func (s *search) isNew(key uint64) bool {
 	part := &s.seen[key%seenParts]
 	part.mu.Lock()
@@ -64,7 +64,7 @@
 }
 
 func (s *search) work() {
-	compatible := map[string]bool{} // what was checked already, by the names of both sides
+	compatible := map[string]bool{} // pairs already found compatible, by effective name and version in force
 	for {
 		states := s.take()
 		if states == nil {
@@ -82,7 +82,7 @@
 	}
 }
 
-// take returns some states to go through, or nil if there are none and will be none.
+// take waits for and returns some states to explore, or nil if the search is over.
 func (s *search) take() []*modelState {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -113,7 +113,8 @@
 	s.more.Broadcast()
 }
 
-// check compares what the gateways act on with what is in force.
+// check compares the configuration in effect at each gateway with the version in force. It returns a description of a
+// violation, or "" if there is none.
 func (s *search) check(state *modelState, compatible map[string]bool) string {
 	for i, client := range state.clients {
 		if state.stopped[i] {
@@ -126,7 +127,7 @@
 		name := client.EffectiveName()
 		held, _ := client.HeldVersions()
 		if s.faults&^FaultForgetHeldVersions == 0 && lacksVersion(state.committed, held) {
-			return fmt.Sprintf("gateway %d acts on %s, of which something is forgotten: %s", i, name, state.path)
+			return fmt.Sprintf("gateway %d has %s in effect, which uses a forgotten version: %s", i, name, state.path)
 		}
 		key := name + fmt.Sprint(state.committed.InForce)
 		if compatible[key] {
@@ -137,21 +138,22 @@
 			return err.Error()
 		}
 		if len(configversion.Exceeds(effective, inForce)) > 0 {
-			return fmt.Sprintf("gateway %d acts on %s, in force is %d: %s", i, name, state.committed.InForce, state.path)
+			return fmt.Sprintf("gateway %d has %s in effect, which exceeds version %d in force: %s",
+				i, name, state.committed.InForce, state.path)
 		}
 		compatible[key] = true
 	}
 	return ""
 }
 
-// successors collects the states that can follow one.
+// successors collects the states that can follow a state.
 type successors struct {
 	search *search
 	state  *modelState
 	found  []*modelState
 }
 
-// add adds the state after something has happened, unless it was seen.
+// add adds the state that follows an event, unless it was reached before.
 func (s *successors) add(happen func(next *modelState), format string, args ...any) {
 	next := s.state.clone()
 	happen(next)
@@ -162,7 +164,7 @@
 	}
 }
 
-// appendSuccessors appends the states that can follow one and were not seen.
+// appendSuccessors appends the states that can follow a state and were not reached before.
 func (s *search) appendSuccessors(found []*modelState, state *modelState) []*modelState {
 	next := &successors{s, state, found}
 	if int(state.now) < s.bounds.ticks {
@@ -178,8 +180,8 @@
 	if state.elections < s.bounds.elections {
 		next.addElections()
 	}
-	// That one of the gateways may stop is enough, as they are alike.
-	next.add(func(n *modelState) { n.stopped[0] = !n.stopped[0] }, "stop or go on")
+	// Only the first gateway can stop. That is enough, as the gateways are interchangeable.
+	next.add(func(n *modelState) { n.stopped[0] = !n.stopped[0] }, "gateway 0 stops or resumes")
 	for gateway := range state.clients {
 		next.addRequests(gateway)
 	}
@@ -194,7 +196,7 @@
 	return next.found
 }
 
-// remove removes a message.
+// remove removes the message at index i.
 func (s *modelState) remove(i int) { s.messages = slices.Delete(s.messages, i, i+1) }
 
 func (s *successors) addElections() {
@@ -206,11 +208,11 @@
 			n.elections++
 			n.elect(replica, s.search.faults)
 		}
-		s.add(elect, "elect %d", replica)
+		s.add(elect, "replica %d is elected", replica)
 	}
 }
 
-// addRequests has a gateway send a request to each replica that believes that it leads.
+// addRequests adds, for each replica that believes that it leads, the state after the gateway sends it a request.
 func (s *successors) addRequests(gateway int) {
 	if s.state.stopped[gateway] || s.state.requests[gateway] == s.search.bounds.requests {
 		return
@@ -228,11 +230,12 @@
 			sent.request = n.clients[gateway].NextRequest(n.now)
 			n.messages = append(n.messages, sent)
 		}
-		s.add(send, "%d asks %d", gateway, replica)
+		s.add(send, "gateway %d sends a request to replica %d", gateway, replica)
 	}
 }
 
-// addAnswer has a replica answer a request. Without the fault it has confirmed that it still leads.
+// addAnswer adds the state after a replica answers a request. Unless faultUnconfirmedLeader is injected, only the
+// current leader answers.
 func (s *successors) addAnswer(i int, m modelMessage) {
 	leads := s.state.leader == m.replica && s.state.term == m.term
 	if !leads && !s.search.faults.Has(faultUnconfirmedLeader) {
@@ -247,10 +250,10 @@
 		sent.response = n.managers[m.replica].Renew(n.now, m.request)
 		n.messages = append(n.messages, sent)
 	}
-	s.add(answer, "%d answers %d", m.replica, m.gateway)
+	s.add(answer, "replica %d answers gateway %d", m.replica, m.gateway)
 }
 
-// addReceipt has a gateway receive a response, with each of its contents or without.
+// addReceipt adds the states after a gateway receives a response, one for each outcome of fetching its contents.
 func (s *successors) addReceipt(i int, m modelMessage) {
 	if s.state.stopped[m.gateway] {
 		return
@@ -262,12 +265,14 @@
 			response.Versions = versions
 			n.clients[m.gateway].HandleResponse(n.now, &response)
 		}
-		s.add(receive, "%d hears %d of %d, with %d contents", m.gateway, m.response.Seq, m.response.InForce, len(versions))
+		s.add(receive, "gateway %d receives response %d with version %d in force and %d contents",
+			m.gateway, m.response.Seq, m.response.InForce, len(versions))
 	}
 }
 
-// fetchOutcomes lists the ways in which a gateway may have fetched the contents that a response names by the
-// time that it takes the response in: each of them, or not. That they come late is as if the response did.
+// fetchOutcomes lists the possible outcomes of fetching the contents that a response names, by the time that the
+// gateway processes it: each content is fetched or not. Late contents need no outcome of their own, as they are
+// equivalent to a late response.
 func (s *modelState) fetchOutcomes(response *RenewResponse, faults InjectedFaults) [][]*configversion.Version {
 	outcomes := [][]*configversion.Version{nil}
 	for _, v := range response.Versions {
--- a/internal/fleet/lease/model_state_test.go
+++ b/internal/fleet/lease/model_state_test.go
@@ -11,10 +11,10 @@
 	"irispost/internal/fleet/configversion"
 )
 
-// modelMessage is a message on its way: a request to a replica, or a response back.
+// modelMessage is a message in transit: a request to a replica, or the response.
 type modelMessage struct {
 	gateway, replica int
-	term             uint64 // of the replica when the request was sent
+	term             uint64 // the replica's term when the request was sent
 	request          *RenewRequest
 	response         *RenewResponse
 }
@@ -22,13 +22,13 @@
 // modelState is one state of a model.
 type modelState struct {
 	now  Time
-	path string // how the state was reached
+	path string // events that led to this state
 
 	log       []*Command
-	committed *StateMachine // what the log comes to
+	committed *StateMachine // state that results from the log
 
 	stateMachines [3]*StateMachine
-	applied       [3]int // entries of the log
+	applied       [3]int // number of log entries applied
 	managers      [3]*Manager
 	terms         [3]uint64
 	leader        int
@@ -36,14 +36,14 @@
 
 	clients  [2]*Client
 	stopped  [2]bool
-	requests [2]int // sent so far
+	requests [2]int // number sent so far
 
 	messages  []modelMessage
 	proposed  int
 	elections int
 
-	versions map[string]*configversion.Version // by proposal; the same for all states
-	fallback Time                              // of each version
+	versions map[string]*configversion.Version // by proposal ID; shared by all states
+	fallback Time                              // fallback duration of each version
 }
 
 func cloneStateMachine(s *StateMachine) *StateMachine {
@@ -96,10 +96,10 @@
 	return &c
 }
 
-// stateKey collects what distinguishes states.
+// stateKey is an encoding of everything that distinguishes states.
 type stateKey []byte
 
-// Ends of lists and parts in a key.
+// Terminators of lists and parts in a key.
 const (
 	endOfList = 255
 	endOfPart = 254
@@ -127,7 +127,7 @@
 	}
 }
 
-// key is a hash of all that matters for what can come.
+// key returns a hash of everything in the state that influences later states.
 func (s *modelState) key() uint64 {
 	k := make(stateKey, 0, 512)
 	k.numbers(uint64(s.now), uint64(len(s.log)))
@@ -145,7 +145,7 @@
 	for _, c := range s.clients {
 		k.client(c)
 	}
-	messages := make([]string, 0, len(s.messages)) // their order does not matter
+	messages := make([]string, 0, len(s.messages)) // sorted below, as their order does not matter
 	for _, m := range s.messages {
 		var key stateKey
 		key.message(m)
@@ -195,7 +195,7 @@
 	k.numbers(m.request.HeldVersions...)
 }
 
-// applyTo applies a command to a state machine. Versions are shared by all states, so that they are parsed once.
+// applyTo applies a command to a state machine. All states share the versions, so that each is parsed only once.
 func (s *modelState) applyTo(state *StateMachine, c *Command) {
 	if c.Propose == nil {
 		mustApply(state, c)
@@ -208,13 +208,13 @@
 	state.ProposalIDs[c.Propose.ID] = version.Number
 }
 
-// commit puts a command into the log.
+// commit appends a command to the log.
 func (s *modelState) commit(c *Command) {
 	s.log = append(s.log, c)
 	s.applyTo(s.committed, c)
 }
 
-// apply has a replica apply all of the log.
+// apply has a replica apply the log up to its end.
 func (s *modelState) apply(replica int) {
 	for ; s.applied[replica] < len(s.log); s.applied[replica]++ {
 		command := s.log[s.applied[replica]]
@@ -225,7 +225,7 @@
 	}
 }
 
-// runLeader has the leader put into the log all that is due.
+// runLeader has the leader commit all commands that are due.
 func (s *modelState) runLeader() {
 	for {
 		s.apply(s.leader)
--- a/internal/fleet/lease/model_test.go
+++ b/internal/fleet/lease/model_test.go
@@ -9,17 +9,17 @@
 	"irispost/internal/fleet/configversion"
 )
 
-// The model goes through all that can happen to three replicas, two gateways and a change from one version to
-// another, in every order, with a bounded number of ticks, requests, elections and messages on their way. A
-// state that was seen is not gone through again. All clocks run alike here: drift is for the simulation.
+// The model checker explores every order of events for three replicas, two gateways and a change from one version to
+// another, with a bounded number of ticks, requests, elections and messages in transit. States reached before are not
+// explored again. All clocks run at the same rate; the simulation covers clock drift.
 
-// bounds are what may happen in a model.
+// bounds limit the events in a model.
 type bounds struct {
 	ticks      int
-	requests   int // of each gateway
+	requests   int // per gateway
 	elections  int
-	messages   int  // on their way at a time
-	fallback   Time // of each version
+	messages   int  // in transit at a time
+	fallback   Time // fallback duration of each version
 	compatible bool // the second version does not contradict the first
 }
 
@@ -31,10 +31,11 @@
 	secondProposal = "two"
 )
 
-// wrongContent is the key of a version's number with the content of the other version.
+// wrongContent returns the key of the version that has a proposal's number but the content of the other proposal.
 func wrongContent(proposal string) string { return "not " + proposal }
 
-// IRISPOST_MODEL=1 searches the larger model.
+// No reachable state of the models may have a gateway that contradicts the version in force. The environment variable
+// IRISPOST_MODEL=1 selects larger models.
 func TestModel(t *testing.T) {
 	models := []bounds{
 		{ticks: 4, requests: 1, elections: 1, messages: 1},
@@ -53,13 +54,14 @@
 	for _, b := range models {
 		states, violation := explore(t, b, 0)
 		if violation != "" {
-			t.Errorf("%+v: %s", b, violation)
+			t.Errorf("bounds %+v: got violation %s, want none", b, violation)
 		}
-		t.Logf("%+v: %d states", b, states)
+		t.Logf("bounds %+v: %d states", b, states)
 	}
 }
 
-// How many states it takes to find a fault varies, as several workers search at a time.
+// The model checker must detect each injected fault. The number of states that it takes varies, as several workers
+// search in parallel.
 func TestModelFindsInjectedFaults(t *testing.T) {
 	for name, c := range map[string]struct {
 		fault  InjectedFaults
@@ -87,15 +89,15 @@
 		t.Run(name, func(t *testing.T) {
 			states, violation := explore(t, c.bounds, c.fault)
 			if violation == "" {
-				t.Fatalf("not found in %d states", states)
+				t.Fatalf("no violation found in %d states, want one", states)
 			}
 			t.Logf("%7d states: %s", states, violation)
 		})
 	}
 }
 
-// explore goes through all that can happen. It returns how many states there are, and how one is violated, if
-// one is.
+// explore checks all reachable states. It returns the number of states checked, and a description of a violation, or
+// "" if there is none.
 func explore(t *testing.T, b bounds, faults InjectedFaults) (states int, violation string) {
 	t.Helper()
 	first := firstState(t, b, faults)
@@ -106,7 +108,8 @@
 	return s.states, s.violation
 }
 
-// modelContent is a content in which one of two nodes serves the only shard.
+// modelContent returns a configuration in which owner, one of two nodes, serves the only shard. With b.compatible,
+// node "a" serves it in either configuration and only the node's name differs.
 func modelContent(b bounds, owner string) []byte {
 	config := &configversion.Config{
 		RequiredFormat:   1,
@@ -127,8 +130,9 @@
 	return config.Canonical()
 }
 
-// modelVersions makes the versions that the two proposals become, and each with the content of the other,
-// which a gateway takes that checks no digest. All are parsed, so that the states of a model can share them.
+// modelVersions returns the versions of the two proposals, and variants of them with the content of the other version,
+// which a gateway accepts if it does not check digests. All are already parsed, so that the states of a model can
+// share them.
 func modelVersions(t *testing.T, b bounds) map[string]*configversion.Version {
 	t.Helper()
 	versions := map[string]*configversion.Version{}
@@ -159,7 +163,7 @@
 	return versions
 }
 
-// firstState is a fleet of two gateways with the first version in force.
+// firstState returns the initial state: a fleet of two gateways with the first version in force.
 func firstState(t *testing.T, b bounds, faults InjectedFaults) *modelState {
 	t.Helper()
 	s := &modelState{
--- a/internal/fleet/lease/renew.go
+++ b/internal/fleet/lease/renew.go
@@ -7,21 +7,21 @@
 	"irispost/internal/fleet/slowstart/epoch"
 )
 
-// ByDigest is the format of requests from gateways that get versions without contents and fetch these by
-// digest. Gateways of earlier builds ask in format 0 and get versions with contents.
+// ByDigest is the request format of gateways that receive versions without contents and fetch the contents by
+// digest. Gateways of earlier builds use format 0 and receive versions with contents.
 const ByDigest = 1
 
-// RenewRequest is a gateway's request for a lease on what it acts on.
+// RenewRequest is a gateway's request to renew its lease. It also acknowledges the versions that the gateway holds.
 type RenewRequest struct {
-	Holder          string   `json:"who"` // the gateway's name and start; a gateway that is restarted is another holder
-	Seq             uint64   `json:"seq"` // counts the holder's requests, from 1
+	Holder          string   `json:"who"` // the gateway's name and run; a restarted gateway is another holder
+	Seq             uint64   `json:"seq"` // number of the holder's request, from 1
 	Term            uint64   `json:"term,omitempty"`
-	AcceptedSeq     uint64   `json:"taken,omitempty"` // the request whose response, of Term, was accepted last
-	HeldVersions    []uint64 `json:"holds,omitempty"` // the versions acted on; of two, their intersection
+	AcceptedSeq     uint64   `json:"taken,omitempty"` // request of the last accepted response, which was of Term
+	HeldVersions    []uint64 `json:"holds,omitempty"` // the versions in effect; of two, their intersection
 	Fault           string   `json:"trouble,omitempty"`
-	State           string   `json:"state"`          // for people
-	MembershipEpoch uint64   `json:"set,omitempty"`  // of the members that the gateway knows
-	PeerAddr        string   `json:"peer,omitempty"` // where other gateways reach it; empty: they do not
+	State           string   `json:"state"`          // informational only
+	MembershipEpoch uint64   `json:"set,omitempty"`  // latest membership epoch that the gateway knows
+	PeerAddr        string   `json:"peer,omitempty"` // address for other gateways; empty: they do not connect to it
 	Format          int      `json:"form,omitempty"` // ByDigest or 0
 }
 
@@ -32,13 +32,13 @@
 	InForce       uint64                   `json:"in_force"`
 	Announced     uint64                   `json:"announced"`
 	LeaseDuration Time                     `json:"lease"`              // from when the request was sent; 0: no lease yet
-	Versions      []*configversion.Version `json:"versions,omitempty"` // those of the two that the gateway lacks
-	Membership    *epoch.Membership        `json:"set,omitempty"`      // names no members if the epoch is known
-	PeerAddrs     map[string]string        `json:"peers,omitempty"`    // of the members, as far as they are known
+	Versions      []*configversion.Version `json:"versions,omitempty"` // InForce and Announced, unless held already
+	Membership    *epoch.Membership        `json:"set,omitempty"`      // without members if the gateway knows the epoch
+	PeerAddrs     map[string]string        `json:"peers,omitempty"`    // by member; unknown addresses are left out
 }
 
-// Renew answers a gateway's request. The caller has confirmed, after the request came in, that this replica
-// still led, and its state machine is as new as the log was then.
+// Renew answers a gateway's request. The caller must have confirmed, after the request arrived, that this replica
+// was still the leader, and must have applied the log up to that point.
 func (m *Manager) Renew(now Time, request *RenewRequest) *RenewResponse {
 	response := &RenewResponse{
 		Seq:       request.Seq,
@@ -47,7 +47,7 @@
 		Announced: m.state.Announced,
 	}
 	if !m.hasJoined(request.Holder) && !m.faults.Has(FaultLeaseWithoutJoin) {
-		m.pendingJoins[request.Holder] = true // the next leader would not know of a lease that the log does not know of
+		m.pendingJoins[request.Holder] = true // the next leader learns only from the log who may hold a lease
 		return response
 	}
 	if m.activationDecidedWithout(request) {
@@ -59,11 +59,12 @@
 		m.holders[request.Holder] = h
 	}
 	if request.PeerAddr != "" && !m.state.Members[request.Holder] {
-		// It is back, which the other gateways have to learn before it counts as a member.
+		// The gateway has returned. It only counts as a member again once the join is committed in a new epoch,
+		// which the other gateways learn of.
 		m.pendingJoins[request.Holder] = true
 	}
-	// Only a request that was sent in this term, after all that was received before, says what the gateway
-	// holds now.
+	// Only a request sent in this term, and after all requests received so far, reports what the gateway holds
+	// now.
 	if request.Term == m.term && request.Seq > h.lastSeq || m.faults.Has(FaultTrustEarlierTerms) {
 		h.acknowledge(request)
 	}
@@ -76,23 +77,23 @@
 	return response
 }
 
-// hasJoined reports whether the log knows a holder and is not about to remove it.
+// hasJoined reports whether a holder's join is committed and its removal is not pending.
 func (m *Manager) hasJoined(name string) bool {
 	_, removing := m.pendingRemovals[name]
 	return m.state.Holders[name] && !removing
 }
 
-// activationDecidedWithout reports whether the announced version is about to come into force and the gateway
-// does not hold it. That was decided by what was known then, so no gateway may begin to act on the version
-// before.
+// activationDecidedWithout reports whether the announced version is about to come into force and the gateway does
+// not hold it. The decision relied on what gateways held at that time, so since then no gateway may start to apply
+// the previous version.
 func (m *Manager) activationDecidedWithout(request *RenewRequest) bool {
 	announced := m.state.Announced
 	return announced != m.state.InForce && m.activating == announced && !slices.Contains(request.HeldVersions, announced)
 }
 
-// ignoresOffer reports whether a gateway goes on asking without acknowledging the announced version, a lease
-// after it was first offered. It seems to receive no responses, so what it holds has to expire. A gateway
-// that says why it cannot acknowledge is waited for.
+// ignoresOffer reports whether a gateway keeps sending requests but has not acknowledged the announced version
+// within a lease of the first offer. It apparently receives no responses, so its lease has to expire. A gateway that
+// reports why it cannot acknowledge the version is waited for.
 func (m *Manager) ignoresOffer(now Time, h *holder, request *RenewRequest) bool {
 	announced := m.state.Announced
 	if h.offeredVersion != announced {
@@ -106,7 +107,7 @@
 	return now > h.offeredAt+m.state.Settings.withDrift(m.state.Settings.LeaseDuration)
 }
 
-// grantLease records that the gateway may act on the response, and puts the lease into it.
+// grantLease adds a lease to the response and records that the gateway may accept it.
 func (m *Manager) grantLease(now Time, h *holder, request *RenewRequest, response *RenewResponse) {
 	settings := m.state.Settings
 	lease := settings.withDrift(settings.LeaseDuration)
@@ -126,7 +127,7 @@
 	response.LeaseDuration = settings.LeaseDuration
 }
 
-// longestFallback returns the longest duration of the fallbacks of versions.
+// longestFallback returns the longest fallback duration of the given versions.
 func (m *Manager) longestFallback(numbers []uint64) Time {
 	var longest Time
 	for _, number := range numbers {
@@ -135,7 +136,7 @@
 	return longest
 }
 
-// addVersions adds the versions that the gateway does not hold.
+// addVersions adds the versions that the gateway does not hold to the response.
 func (m *Manager) addVersions(request *RenewRequest, response *RenewResponse) {
 	for _, number := range response.named() {
 		version := m.state.Version(number)
@@ -149,7 +150,7 @@
 	}
 }
 
-// named lists the versions that a response names, the one in force first. There may be none in force yet.
+// named lists the numbers of the versions that a response names, the one in force first. Either may be missing.
 func (r *RenewResponse) named() []uint64 {
 	var numbers []uint64
 	if r.InForce > 0 {
@@ -161,7 +162,7 @@
 	return numbers
 }
 
-// addMembership adds the members to the response to a gateway that other gateways reach.
+// addMembership adds the membership to the response if other gateways connect to this one.
 func (m *Manager) addMembership(now Time, request *RenewRequest, response *RenewResponse) {
 	if request.PeerAddr == "" {
 		return
@@ -169,7 +170,7 @@
 	m.tracksMembers = true
 	if m.membershipEpoch != m.state.MembershipEpoch {
 		m.membershipEpoch = m.state.MembershipEpoch
-		m.membershipSince = now // which is later than it was applied, and so on the safe side
+		m.membershipSince = now // later than it was applied, which understates the age and so is safe
 	}
 	response.Membership = &epoch.Membership{
 		Epoch:         m.membershipEpoch,
--- a/internal/fleet/lease/renew_test.go
+++ b/internal/fleet/lease/renew_test.go
@@ -7,7 +7,7 @@
 	"irispost/internal/fleet/configversion"
 )
 
-// contentWithOwner is a content in which one node serves the first shard, with a fallback of a duration.
+// contentWithOwner returns a configuration in which owner serves the first shard, with the given fallback duration.
 func contentWithOwner(t *testing.T, owner string, fallback Time) []byte {
 	t.Helper()
 	config, err := configversion.Parse(configPool[0])
@@ -19,8 +19,8 @@
 	return config.Canonical()
 }
 
-// managerOf returns the manager of term 7 for a holder "g" and versions, of which the last is announced and
-// the one before it is in force.
+// managerOf returns a manager of term 7 with the holder "g" and one version for each content. The last version is
+// announced, and the one before it is in force.
 func managerOf(t *testing.T, faults InjectedFaults, contents ...[]byte) *Manager {
 	t.Helper()
 	state := stateOf(t, &Command{Bootstrap: &testSettings}, &Command{Join: []string{"g"}})
@@ -31,7 +31,7 @@
 	return NewManager(0, 7, state, faults)
 }
 
-// stateOf returns the state that commands come to.
+// stateOf returns the state after commands.
 func stateOf(t *testing.T, commands ...*Command) *StateMachine {
 	t.Helper()
 	state := NewStateMachine()
@@ -39,7 +39,7 @@
 	return state
 }
 
-// applyAll applies commands, none of which may fail.
+// applyAll applies commands and fails the test if one is rejected.
 func applyAll(t *testing.T, state *StateMachine, commands ...*Command) {
 	t.Helper()
 	for i, c := range commands {
@@ -49,26 +49,27 @@
 	}
 }
 
-// A request that was long under way says what the gateway held once. If that counted, a version would come
-// into force that contradicts the fallback that the gateway acts on since.
+// A request that was in transit for long reports versions that the gateway held at an earlier time. If the manager
+// used that report, a version could come into force that contradicts the fallback now in effect at the gateway.
 func TestRequestFromAnEarlierTermDoesNotCount(t *testing.T) {
 	for _, faults := range []InjectedFaults{0, FaultTrustEarlierTerms} {
 		a, b := contentWithOwner(t, "a", 100*leaseDuration), contentWithOwner(t, "b", 100*leaseDuration)
 		m := managerOf(t, faults, a, b, a, a)
 		m.state.Announced = 3
-		// By now it acts on the fallback of version 2.
+		// By the time that this request arrives, the fallback of version 2 is in effect at the gateway.
 		m.Renew(0, &RenewRequest{Holder: "g", Seq: 3, Term: 2, HeldVersions: []uint64{1}})
 		m.state.Announced = 4
 		command := m.NextCommand(10 * leaseDuration)
 		activated := command != nil && command.Activate == 4
 		if activated != (faults == FaultTrustEarlierTerms) {
-			t.Errorf("faults %b: %+v, %v", faults, command, m.WaitingFor(10*leaseDuration))
+			t.Errorf("faults %b: got command %+v while waiting for %v, want activation of version 4 only with the fault",
+				faults, command, m.WaitingFor(10*leaseDuration))
 		}
 	}
 }
 
-// A gateway whose requests arrive and whose responses do not would ask on for ever. One that cannot read the
-// version says so and is waited for.
+// A gateway whose requests arrive but whose responses are lost would renew its lease forever and block activation, so
+// its lease has to expire. A gateway that reports that it cannot read the version is waited for.
 func TestGatewayThatIgnoresAnOfferIsNotWaitedFor(t *testing.T) {
 	for _, fault := range []string{"", "it cannot be read"} {
 		m := managerOf(t, 0, contentWithOwner(t, "a", 0), contentWithOwner(t, "b", 0))
@@ -81,10 +82,11 @@
 		}
 		longest := 2*testSettings.withDrift(leaseDuration) + leaseDuration/2
 		if activated := activatedAt > 0; activated != (fault == "") || activatedAt > longest {
-			t.Errorf("fault %q: in force after %d ms", fault, activatedAt/nanosPerMilli)
+			t.Errorf("fault %q: activated after %d ms (0: never), want at most the longest wait, and never with a fault",
+				fault, activatedAt/nanosPerMilli)
 		}
 		if grants := len(m.holders["g"].grants); grants > 1 {
-			t.Errorf("fault %q: %d grants are kept", fault, grants)
+			t.Errorf("fault %q: %d grants are kept, want at most 1", fault, grants)
 		}
 	}
 }
--- a/internal/fleet/lease/sim_configs_test.go
+++ b/internal/fleet/lease/sim_configs_test.go
@@ -9,10 +9,11 @@
 
 var testSettings = Settings{LeaseDuration: leaseDuration, MaxClockDrift: 0.1}
 
-// configPool holds contents that agree and contradict in different ways, and last one that no build can read.
+// configPool holds configurations that agree with or contradict each other in different ways. The last one has a
+// format that no build can read.
 var configPool = makeConfigPool()
 
-// configPoolWithoutFallbacks holds the same contents, but for the last, without fallbacks.
+// configPoolWithoutFallbacks holds the same configurations, except the last, with a fallback duration of 0.
 var configPoolWithoutFallbacks = withoutFallbacks(configPool[:len(configPool)-1])
 
 func makeConfigPool() [][]byte {
--- a/internal/fleet/lease/sim_gateway_test.go
+++ b/internal/fleet/lease/sim_gateway_test.go
@@ -11,16 +11,16 @@
 
 type gateway struct {
 	clock
-	client       *Client // of the present start
+	client       *Client // of the current run
 	stopped      bool
-	cut          bool     // its messages are lost
-	reaches      *replica // the only one that it reaches; nil: all
-	fullVersions bool     // it requests as earlier builds do, and gets versions with contents
+	cut          bool     // disconnected: its messages are lost
+	reaches      *replica // the only replica that it can reach; nil: all
+	fullVersions bool     // uses the request format of earlier builds and receives versions with contents
 	cache        *content.Cache
-	diskContents [][]byte // what has been on its disk
+	diskContents [][]byte // contents ever written to its disk, oldest first
 }
 
-// start starts a gateway, which knows nothing but what is on its disk. That may be old.
+// start starts or restarts a gateway, which knows nothing but the content on its disk. The content may be stale.
 func (w *world) start(g *gateway) {
 	w.starts++
 	g.client = NewClient("g"+strconv.Itoa(w.starts), leaseDuration/4, w.faults)
@@ -63,7 +63,7 @@
 	w.post(delay, func() { w.receiveRequest(r, request, receive) })
 }
 
-// receiveRequest has a replica confirm that it leads and answer a request.
+// receiveRequest has a replica confirm its leadership and then answer a request.
 func (w *world) receiveRequest(r *replica, request *RenewRequest, receive func(*RenewResponse)) {
 	term := r.term
 	respond := func(confirmed bool, end int) {
@@ -85,10 +85,10 @@
 	})
 }
 
-// receive has a gateway take in a response, unless it was started again since.
+// receive has a gateway process a response, unless it was restarted since it sent the request.
 func (w *world) receive(g *gateway, client *Client, response *RenewResponse) {
 	switch {
-	case g.client != client: // the gateway was started again
+	case g.client != client: // the gateway was restarted
 	case g.stopped:
 		w.post(leaseDuration/10, func() { w.receive(g, client, response) })
 	default:
@@ -96,8 +96,8 @@
 	}
 }
 
-// contentFetch fetches the contents of a response's versions one after the other, and hands the response to
-// the client with those that have come in time.
+// contentFetch fetches the contents of a response's versions one after the other, then passes the response to the
+// client with those contents that arrived before the deadline.
 type contentFetch struct {
 	world    *world
 	gateway  *gateway
@@ -106,8 +106,8 @@
 	deadline Time
 }
 
-// fetchContents fetches the contents that a response names. They come from any replica, as deltas or
-// complete, and are lost, late, corrupt or another's.
+// fetchContents fetches the contents that a response names, from any replica, as deltas or complete. Some are lost,
+// late or corrupt, or belong to another version.
 func (w *world) fetchContents(g *gateway, client *Client, response *RenewResponse) {
 	var digests []string
 	for _, v := range client.VersionsOf(response) {
@@ -120,12 +120,12 @@
 	f.next(response.Versions, nil)
 }
 
-// next goes on with the versions that are left, of which the first is being fetched if fetch is not nil.
+// next continues with the remaining versions. If fetch is not nil, the first of them is being fetched.
 func (f *contentFetch) next(left []*configversion.Version, fetch *content.Fetch) {
 	w, g := f.world, f.gateway
 	inTime := w.now < f.deadline
 	switch {
-	case g.client != f.client: // the gateway was started again
+	case g.client != f.client: // the gateway was restarted
 	case g.stopped:
 		w.post(leaseDuration/10, func() { f.next(left, fetch) })
 	case fetch != nil && fetch.State() == content.StateInProgress && inTime:
@@ -142,7 +142,7 @@
 	}
 }
 
-// finish puts a content into its version if it has come.
+// finish sets a version's content if it was fetched.
 func (f *contentFetch) finish(version *configversion.Version) {
 	fetched := f.gateway.cache.Content(version.Digest)
 	if fetched == nil {
@@ -155,7 +155,7 @@
 	f.gateway.diskContents = append(f.gateway.diskContents, fetched)
 }
 
-// fetchFromReplica asks any replica for a content, as each may answer.
+// fetchFromReplica requests content from a random replica, as followers may answer such requests too.
 func (w *world) fetchFromReplica(g *gateway, fetch *content.Fetch, then func()) {
 	request := fetch.NextRequest()
 	r := w.replicas[w.rand.IntN(len(w.replicas))]
@@ -169,7 +169,7 @@
 	}
 	w.post(there/2, func() {
 		version := r.state.VersionByDigest(request.Digest)
-		if version != nil && !w.healed && w.chance(0.1) { // the content of another version
+		if version != nil && !w.healed && w.chance(0.1) { // answer with the content of another version
 			version = w.committed.Versions[w.rand.IntN(len(w.committed.Versions))]
 		}
 		w.post(back/2, func() {
@@ -179,7 +179,8 @@
 	})
 }
 
-// answerContent hands a version's content to a fetch, as a delta if the replica has the base; some are corrupt.
+// answerContent passes a version's content to a fetch, as a delta if the replica has the base. Some answers are
+// corrupted.
 func (w *world) answerContent(
 	r *replica, fetch *content.Fetch, request content.Request, version *configversion.Version,
 ) {
@@ -196,10 +197,10 @@
 		encoded = append([]byte(nil), encoded...)
 		encoded[w.rand.IntN(len(encoded))] ^= 1 << w.rand.IntN(8)
 	}
-	_ = fetch.HandleResponse(request, coding, encoded) // what is wrong is seen in the fetch's state
+	_ = fetch.HandleResponse(request, coding, encoded) // errors show in the fetch's state
 }
 
-// encodedContents keeps what was encoded in all runs, as there are few contents.
+// encodedContents caches encoded contents across runs, as there are few distinct ones.
 var encodedContents sync.Map
 
 func encodeOnce(base, bytes []byte) []byte {
--- a/internal/fleet/lease/sim_replica_test.go
+++ b/internal/fleet/lease/sim_replica_test.go
@@ -9,19 +9,19 @@
 type replica struct {
 	clock
 	state   *StateMachine
-	applied int      // entries of the log
-	manager *Manager // nil: it does not believe that it leads
+	applied int      // number of log entries applied
+	manager *Manager // nil: the replica does not believe that it leads
 	term    uint64
-	pending []*logEntry // on their way into the log
+	pending []*logEntry // proposed to the log, not committed yet
 }
 
-// logEntry is a command in the log, encoded in runs that encode.
+// logEntry is a command in the log. It is encoded only in runs with world.encodes set.
 type logEntry struct {
 	command *Command
 	encoded []byte
 }
 
-// decode returns the command as a replica reads it.
+// decode returns the command as a replica decodes it from the log.
 func (e *logEntry) decode() *Command {
 	if e.encoded == nil {
 		return e.command
@@ -33,7 +33,7 @@
 	return command
 }
 
-// enqueue has a replica that leads hand a command to the log.
+// enqueue has a leading replica propose a command to the log.
 func (w *world) enqueue(r *replica, c *Command) *logEntry {
 	entry := &logEntry{command: c}
 	if w.encodes {
@@ -46,7 +46,7 @@
 	return entry
 }
 
-// commit puts an entry into the log, unless another replica leads by now.
+// commit appends a pending entry to the log, unless another replica leads by now.
 func (w *world) commit(r *replica, entry *logEntry) {
 	i := slices.Index(r.pending, entry)
 	if i < 0 || r != w.leader {
@@ -89,7 +89,7 @@
 	}
 }
 
-// restore brings a replica that lags over a compaction to the snapshot.
+// restore replaces the state of a replica that lags behind the compacted part of the log with the snapshot.
 func (w *world) restore(r *replica) {
 	r.applied = w.firstIndex
 	if w.faults.Has(faultSkipSnapshot) {
@@ -103,23 +103,24 @@
 	r.manager = nil
 }
 
-// checkReplicas compares each replica's state with what the log comes to.
+// checkReplicas compares each replica's state with the committed one.
 func (w *world) checkReplicas() {
 	snapshot := func(state *StateMachine) string {
 		copied := *state
-		copied.Format = 0 // so that contents are in it
+		copied.Format = 0 // so that the snapshot holds the plain contents
 		return string(copied.Snapshot())
 	}
 	for i, r := range w.replicas {
 		w.apply(r, len(w.log))
 		if w.violation == "" && snapshot(r.state) != snapshot(w.committed) {
-			w.violation = fmt.Sprintf("replica %d has %d versions of %d, %d announced, and the log comes to %d of %d",
+			w.violation = fmt.Sprintf(
+				"replica %d has %d versions, %d in force, %d announced; the log results in %d versions, %d announced",
 				i, len(r.state.Versions), r.state.InForce, r.state.Announced, len(w.committed.Versions), w.committed.Announced)
 		}
 	}
 }
 
-// elect makes a replica the leader. The one before may not know.
+// elect makes a random replica the leader. The previous leader may not learn of it.
 func (w *world) elect() {
 	if w.leader != nil {
 		w.depose(w.leader)
@@ -137,8 +138,8 @@
 	r.manager.retention = w.retention
 }
 
-// depose ends a replica's leadership: some of what it has handed to the log is committed, and it may go on
-// believing that it leads, with some gateways on its side of the network.
+// depose ends a replica's leadership. Some of its pending entries are still committed, and it may continue to believe
+// that it leads, with some gateways on its side of a network partition.
 func (w *world) depose(r *replica) {
 	for _, entry := range slices.Clone(r.pending) {
 		if w.rand.IntN(2) == 0 {
@@ -157,7 +158,7 @@
 	}
 }
 
-// loseLastEntry drops an entry of the log that was committed.
+// loseLastEntry drops the last committed entry of the log.
 func (w *world) loseLastEntry() {
 	w.log = w.log[:len(w.log)-1]
 	w.committed = NewStateMachine()
@@ -171,7 +172,7 @@
 	}
 }
 
-// stopEarlierLeaders has the replicas that do not lead any more learn of it.
+// stopEarlierLeaders informs all former leaders that they no longer lead.
 func (w *world) stopEarlierLeaders() {
 	for _, r := range w.replicas {
 		if r != w.leader {
@@ -180,7 +181,7 @@
 	}
 }
 
-// runManager has a replica that believes that it leads do what is due.
+// runManager lets a replica that believes that it leads propose the command that is due, if any.
 func (w *world) runManager(r *replica) {
 	if r.manager == nil {
 		return
@@ -193,7 +194,7 @@
 	}
 }
 
-// append has the leader hand a command to the log, which takes some time.
+// append has the leader propose a command, which is committed after some delay.
 func (w *world) append(c *Command) {
 	r := w.leader
 	entry := w.enqueue(r, c)
--- a/internal/fleet/lease/sim_test.go
+++ b/internal/fleet/lease/sim_test.go
@@ -11,7 +11,8 @@
 
 const stepsPerRun = 200
 
-// IRISPOST_RUNS makes more runs than the tests do.
+// Random runs of the simulation must never show gateways that contradict the version in force, or a lost version. The
+// environment variable IRISPOST_RUNS sets the number of runs.
 func TestNoContradiction(t *testing.T) {
 	count := uint64(2000)
 	if s := os.Getenv("IRISPOST_RUNS"); s != "" {
@@ -28,7 +29,7 @@
 	t.Logf("%d runs, %d steps", count, result.steps)
 }
 
-// Each injected fault has to be found, or nothing would be shown by finding none.
+// The simulation must detect each injected fault. Otherwise runs without violations would prove nothing.
 func TestInjectedFaultsAreFound(t *testing.T) {
 	for name, fault := range map[string]InjectedFaults{ // FaultTrustEarlierTerms has TestMisleadingRequests
 		"lease from receipt":                           FaultLeaseFromReceipt,
@@ -52,23 +53,23 @@
 		t.Run(name, func(t *testing.T) {
 			result := simulateMany(20000, fault)
 			if result.seed == 0 {
-				t.Fatal("not found")
+				t.Fatal("no run of 20000 found a violation, want one")
 			}
 			t.Logf("run %5d: %s", result.seed, result.violation)
 		})
 	}
 }
 
-// simulation is the result of many runs.
+// simulation collects the results of many runs.
 type simulation struct {
 	mu        sync.Mutex
-	next      uint64 // seed
-	seed      uint64 // the first that is violated; 0: none
+	next      uint64 // next seed to run
+	seed      uint64 // lowest seed with a violation; 0: none
 	violation string
 	steps     int64 // of all runs
 }
 
-// simulateMany makes runs with the seeds from 1 to count, several at a time, up to the first that is violated.
+// simulateMany runs the simulation with the seeds from 1 to count, several in parallel, until one shows a violation.
 func simulateMany(count uint64, faults InjectedFaults) *simulation {
 	s := &simulation{next: 1}
 	var workers sync.WaitGroup
@@ -83,7 +84,7 @@
 	return s
 }
 
-// take returns the next seed, unless an earlier one is violated.
+// take returns the next seed, unless an earlier one has shown a violation.
 func (s *simulation) take(count uint64) (seed uint64, more bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -102,7 +103,9 @@
 	}
 }
 
-// simulate makes a run. Some runs without a fault are healed at their end, as that takes most of the time.
+// simulate makes one run. Without faults, or with FaultForgetNothing alone, one run in eight then heals the world and
+// checks that a last version comes into force and old ones are forgotten. Not all runs do, as this takes most of the
+// time.
 func simulate(seed uint64, faults InjectedFaults) *world {
 	w := newWorld(seed, faults)
 	for w.steps < stepsPerRun && w.violation == "" {
@@ -124,7 +127,7 @@
 	return w
 }
 
-// heal ends all faults of the network and of processes.
+// heal ends all network and process faults.
 func (w *world) heal() {
 	w.healed = true
 	for _, g := range w.gateways {
@@ -136,35 +139,35 @@
 	w.apply(w.leader, len(w.log))
 }
 
-// longestWait is how long a version may wait in a healed world: for a lease and the messages that are under
-// way, and for the longest fallback.
+// longestWait returns how long a version may take to come into force in a healed world: a lease, the messages in
+// transit and the longest fallback.
 func (w *world) longestWait() Time {
 	lease := testSettings.withDrift(testSettings.withDrift(leaseDuration)) + 10*leaseDuration
 	fallback := testSettings.withDrift(testSettings.withDrift(w.committed.longestFallback()))
 	return lease + fallback
 }
 
-// commitLast commits a last proposal and returns the version that it has become.
+// commitLast commits a final proposal and returns the number of its version.
 func (w *world) commitLast() uint64 {
 	last := &Proposal{ID: "last", Parent: w.committed.Announced, ReplacePending: true, Content: configPool[0]}
 	w.commit(w.leader, w.enqueue(w.leader, &Command{Propose: last}))
 	return w.committed.Announced
 }
 
-// checkActivation checks that the announced version comes into force in time.
+// checkActivation checks that the announced version comes into force within the longest wait.
 func (w *world) checkActivation(number uint64, longest Time) {
 	start := w.now
 	for w.committed.InForce < number && w.violation == "" && w.now < start+longest {
 		w.step()
 	}
 	if w.violation == "" && w.committed.InForce != number {
-		w.violation = fmt.Sprintf("version %d is not in force %d ms after all has healed: %v",
+		w.violation = fmt.Sprintf("version %d is not in force %d ms after all faults ended, waiting for %v",
 			number, (w.now-start)/nanosPerMilli, w.leader.manager.WaitingFor(w.leader.at(w.now)))
 	}
 }
 
-// checkForgetting checks that all versions are forgotten in time but those that are always kept. Only the
-// latest is acted on now, so it, its bases and less than a batch remain.
+// checkForgetting checks that unused versions are forgotten within the longest wait. Gateways only use the latest
+// version now, so that version, the bases before it and less than a batch remain.
 func (w *world) checkForgetting(longest Time) {
 	if !w.retention.enabled {
 		return
@@ -173,7 +176,7 @@
 	start := w.now
 	for len(w.committed.Versions) > most && w.violation == "" {
 		if w.now > start+longest {
-			w.violation = fmt.Sprintf("%d versions are kept, %d at most would do", len(w.committed.Versions), most)
+			w.violation = fmt.Sprintf("%d versions are kept, want at most %d", len(w.committed.Versions), most)
 		}
 		w.step()
 	}
--- a/internal/fleet/lease/sim_world_test.go
+++ b/internal/fleet/lease/sim_world_test.go
@@ -10,18 +10,18 @@
 	"irispost/internal/fleet/configversion"
 )
 
-// The simulation has replicas around one log, of which one leads and others may still believe that they do;
-// gateways; a network that delays, loses and reorders messages; and clocks that drift as far as the settings
-// allow. All randomness comes from the run's seed, so the order of draws is part of a run.
+// The simulation consists of replicas that share one log, one of which leads while others may still believe that they
+// do; gateways; a network that delays, loses and reorders messages; and clocks that drift up to the limit in the
+// settings. All randomness comes from the run's seed, so a change to the order of random draws changes all runs.
 
-// Faults of the simulated world, beside those of the code.
+// Faults of the simulated environment, in addition to the faults in the code.
 const (
-	faultUnconfirmedLeader InjectedFaults = 1 << (iota + 20) // a replica answers without having confirmed that it leads
-	faultWallClock                                           // gateways read a clock that is set back at times
-	faultLostLog                                             // a new leader lacks what an older one had acknowledged
-	faultSkipSnapshot                                        // a replica goes on after a compaction without the snapshot
-	faultUncheckedDigest                                     // contents are taken as they come, and from disk as they are
-	faultStaleDisk                                           // what was on a disk counts as any content
+	faultUnconfirmedLeader InjectedFaults = 1 << (iota + 20) // a replica answers without confirming its leadership
+	faultWallClock                                           // gateways use a clock that is set back at times
+	faultLostLog                                             // a new leader lacks an entry committed earlier
+	faultSkipSnapshot                                        // a replica skips the snapshot after a compaction
+	faultUncheckedDigest                                     // contents from replicas and from disk are used unchecked
+	faultStaleDisk                                           // content on disk is used for any digest
 )
 
 type world struct {
@@ -30,15 +30,15 @@
 	conditions conditions
 	now        Time // true time
 	steps      int
-	healed     bool // nothing is lost or slow any more
+	healed     bool // no more messages are lost or slow
 
-	messages  []message // by time
+	messages  []message // sorted by delivery time
 	postCount int
 
 	log        []*logEntry
-	firstIndex int    // entries before it were compacted
-	snapshot   []byte // in their place
-	encodes    bool   // entries and snapshots are encoded and decoded
+	firstIndex int    // entries before this index were compacted
+	snapshot   []byte // replaces the compacted entries
+	encodes    bool   // whether log entries and snapshots are encoded and decoded
 
 	replicas  []*replica
 	leader    *replica
@@ -46,26 +46,26 @@
 	retention retention
 
 	gateways []*gateway
-	starts   int // of gateways
+	starts   int // number of gateway starts so far
 
-	committed    *StateMachine            // what the log comes to
-	acknowledged []*configversion.Version // proposals that were answered
-	forgotten    map[uint64]string        // digests of versions that were forgotten
-	compatible   map[compatibility]bool   // what was checked already
-	violation    string                   // what went wrong first; empty: nothing
+	committed    *StateMachine            // state that results from the log
+	acknowledged []*configversion.Version // versions whose proposals were acknowledged
+	forgotten    map[uint64]string        // digests of forgotten versions, by number
+	compatible   map[compatibility]bool   // pairs already found compatible
+	violation    string                   // the violation found; empty: none
 }
 
-// conditions are what a run has much or little of, so that rare things come together in some runs.
+// conditions are a run's probabilities and limits. They are drawn per run, so that rare events coincide in some runs.
 type conditions struct {
-	loss         float64 // fraction of the messages
-	slow         float64 // fraction of the messages
+	loss         float64 // fraction of messages that are lost
+	slow         float64 // fraction of messages that are slow
 	maxDelay     Time
-	elections    float64 // a step
-	cuts         float64 // a step
-	restarts     float64 // a step
-	keepsLeading float64 // fraction of the earlier leaders that go on believing that they lead
+	elections    float64 // probability per step
+	cuts         float64 // probability per step of a network or process fault at a gateway
+	restarts     float64 // probability per step
+	keepsLeading float64 // fraction of former leaders that still believe that they lead
 	fallbacks    bool
-	extremeDrift bool // clocks drift as far as the settings allow
+	extremeDrift bool // all clocks drift at the limit in the settings
 	maxStep      Time
 }
 
@@ -136,7 +136,7 @@
 	return clock{rate: 1 + testSettings.MaxClockDrift*drift, offset: w.rand.Int64N(leaseDuration * 100)}
 }
 
-// post has something done later.
+// post schedules a function to be called after a delay.
 func (w *world) post(delay Time, deliver func()) {
 	w.postCount++
 	at := w.now + delay
@@ -144,7 +144,7 @@
 	w.messages = slices.Insert(w.messages, i, message{at, deliver})
 }
 
-// delay returns how long a message takes; negative: it is lost.
+// delay draws the delay of a message. A negative delay means that the message is lost.
 func (w *world) delay() Time {
 	if w.healed {
 		return leaseDuration / 1000
@@ -158,7 +158,7 @@
 	return w.rand.Int64N(leaseDuration / 20)
 }
 
-// step does one thing, has all that is due done and checks the world.
+// step triggers one random event, runs everything that is due and checks the invariants.
 func (w *world) step() {
 	w.steps++
 	w.doSomething(w.gateways[w.rand.IntN(len(w.gateways))])
@@ -173,7 +173,7 @@
 	w.check()
 }
 
-// doSomething does one random thing, to a gateway if it is one that happens to gateways.
+// doSomething triggers one random event. Events that affect a gateway affect g.
 func (w *world) doSomething(g *gateway) {
 	switch {
 	case w.healed:
@@ -198,7 +198,7 @@
 	}
 }
 
-// disturb stops a gateway or the messages to it, or lets them go on.
+// disturb stops or resumes a gateway, disconnects or reconnects it, or limits it to one replica.
 func (w *world) disturb(g *gateway) {
 	switch w.rand.IntN(4) {
 	case 0:
@@ -210,7 +210,7 @@
 	}
 }
 
-// advance lets time pass, up to the next message.
+// advance advances the time, either to the next message, which it delivers, or by a random amount.
 func (w *world) advance() {
 	if len(w.messages) > 0 && (w.healed || w.chance(0.8)) && w.messages[0].at <= w.now+w.conditions.maxStep {
 		next := w.messages[0]
@@ -222,21 +222,22 @@
 	w.now += w.rand.Int64N(w.conditions.maxStep)
 }
 
-// compatibility is that what a gateway acts on does not exceed the version in force.
+// compatibility identifies an effective configuration that does not exceed the version in force.
 type compatibility struct {
 	effective *configversion.Config
 	inForce   uint64
 }
 
-// check compares what each gateway acts on with what is in force by the log, and looks for lost versions.
+// check compares the configuration in effect at each gateway with the version in force, and checks that no
+// acknowledged version is lost.
 func (w *world) check() {
 	var inForce *configversion.Config
 	if v := w.committed.Version(w.committed.InForce); v != nil {
-		inForce, _ = v.Config() // nil, if no build can read it
+		inForce, _ = v.Config() // nil if no build can read it
 	}
 	for i, g := range w.gateways {
 		if violation := w.checkGateway(g, inForce); violation != "" {
-			w.violation = fmt.Sprintf("at step %d gateway %d %s", w.steps, i, violation)
+			w.violation = fmt.Sprintf("step %d: gateway %d %s", w.steps, i, violation)
 			return
 		}
 	}
@@ -246,7 +247,7 @@
 			digest = kept.Digest
 		}
 		if digest != v.Digest {
-			w.violation = fmt.Sprintf("version %s was acknowledged and is lost", v.Name())
+			w.violation = fmt.Sprintf("version %s was acknowledged but is lost", v.Name())
 		}
 	}
 }
@@ -261,28 +262,30 @@
 	}
 	held, _ := g.client.HeldVersions()
 	if w.faults&^FaultForgetHeldVersions == 0 && lacksVersion(w.committed, held) {
-		return fmt.Sprintf("acts on %s, and of %v some are forgotten", g.client.EffectiveName(), held)
+		return fmt.Sprintf("has %s in effect, but of the held versions %v some are forgotten",
+			g.client.EffectiveName(), held)
 	}
 	key := compatibility{effective, w.committed.InForce}
 	if w.compatible[key] {
 		return ""
 	}
 	if inForce == nil {
-		return fmt.Sprintf("acts on %s, and nothing is in force", g.client.EffectiveName())
+		return fmt.Sprintf("has %s in effect, but no readable version is in force", g.client.EffectiveName())
 	}
 	if list := configversion.Exceeds(effective, inForce); len(list) > 0 {
-		return fmt.Sprintf("acts on %s, in force is %d: %v", g.client.EffectiveName(), w.committed.InForce, list)
+		return fmt.Sprintf("has %s in effect, which exceeds version %d in force: %v",
+			g.client.EffectiveName(), w.committed.InForce, list)
 	}
 	w.compatible[key] = true
 	return ""
 }
 
-// lacksVersion reports whether a state has forgotten one of some versions.
+// lacksVersion reports whether a state does not have one of the given versions.
 func lacksVersion(state *StateMachine, numbers []uint64) bool {
 	return slices.ContainsFunc(numbers, func(number uint64) bool { return state.Version(number) == nil })
 }
 
-// proposal draws a proposal that was made of the leader's latest version.
+// proposal draws a proposal based on the latest version in the leader's state.
 func (w *world) proposal() *Proposal {
 	p := &Proposal{
 		ID:             strconv.Itoa(w.postCount),
--- a/internal/fleet/lease/snapshot.go
+++ b/internal/fleet/lease/snapshot.go
@@ -13,30 +13,30 @@
 	"irispost/internal/fleet/delta"
 )
 
-// A snapshot of format 1 is the state's JSON. One of format 2 is the mark, the length of a JSON (uvarint) and
-// that JSON: the state with versions without contents. The encoded content of each version follows with its
-// length, the first complete and each other as a delta from the one before it. The BLAKE3 digest of all this
-// ends it.
+// A snapshot of format 1 is the JSON of the state. A snapshot of format 2 consists of format2Mark, the length of the
+// JSON (uvarint) and the JSON, which omits the versions' contents; then, for each version, the length of its encoded
+// content and the encoded content, the first complete and each other one as a delta from the version before it; and
+// finally the BLAKE3 digest of everything before.
 
 const snapshotDigestBytes = 32
 
 // Errors of snapshots that cannot be read.
 var (
 	errSnapshotTruncated    = errors.New("the snapshot is truncated")
-	errSnapshotDigest       = errors.New("the snapshot does not have the digest that it says")
-	errSnapshotFormat       = errors.New("a newer build is needed to read the snapshot")
-	errSnapshotTrailing     = errors.New("data follows after the snapshot")
+	errSnapshotDigest       = errors.New("the snapshot's digest does not match its data")
+	errSnapshotFormat       = errors.New("the snapshot's format is newer than this build supports")
+	errSnapshotTrailing     = errors.New("the snapshot has trailing data")
 	errSnapshotInconsistent = errors.New("the snapshot is inconsistent")
 )
 
-// encodedContent is a version's content as package delta has encoded it.
+// encodedContent is a version's content as encoded by package delta.
 type encodedContent struct {
-	base  uint64 // the version that it is a delta from; 0: it is complete
+	base  uint64 // number of the version that bytes is a delta from; 0: bytes is complete
 	bytes []byte
 }
 
-// Delta returns a version's content as a delta from the version before it, if it has come or was stored so;
-// otherwise nil.
+// Delta returns a version's content as a delta from the previous version if it was received or stored in that form,
+// and nil otherwise.
 func (s *StateMachine) Delta(number uint64) []byte {
 	if c := s.encoded[number]; c.base > 0 && c.base+1 == number {
 		return c.bytes
@@ -44,7 +44,7 @@
 	return nil
 }
 
-// Snapshot writes the state in the format that its log has come to.
+// Snapshot encodes the state in the newest format that its log has used.
 func (s *StateMachine) Snapshot() []byte {
 	if s.Format < formatWithDeltas {
 		return mustMarshalState(s)
@@ -71,8 +71,8 @@
 	return append(snapshot, digest[:]...)
 }
 
-// encodedFrom returns a version's content as a delta from a base; from one without content it is complete.
-// What was encoded is kept.
+// encodedFrom returns a version's content as a delta from base, or complete if base has no content. The result is
+// cached.
 func (s *StateMachine) encodedFrom(base, version *configversion.Version) []byte {
 	if content, known := s.encoded[version.Number]; known && content.base == base.Number {
 		return content.bytes
@@ -85,7 +85,7 @@
 	return encoded
 }
 
-// mustMarshalState writes a state as JSON. It holds strings, numbers and bytes only, which can always be written.
+// mustMarshalState encodes a state as JSON. That cannot fail, as a state holds only strings, numbers and bytes.
 func mustMarshalState(s *StateMachine) []byte {
 	b, err := json.Marshal(s)
 	if err != nil {
@@ -94,13 +94,13 @@
 	return b
 }
 
-// appendSized appends a part with its length before it.
+// appendSized appends a part, preceded by its length.
 func appendSized(to, part []byte) []byte {
 	to = binary.AppendUvarint(to, uint64(len(part)))
 	return append(to, part...)
 }
 
-// Restore reads a snapshot of either format.
+// Restore decodes and checks a snapshot of either format.
 func Restore(snapshot []byte) (*StateMachine, error) {
 	s := NewStateMachine()
 	if err := s.decodeSnapshot(snapshot); err != nil {
@@ -119,43 +119,44 @@
 	if err := json.Unmarshal(snapshot, s); err != nil {
 		return err
 	}
-	if s.Announced != uint64(len(s.Versions)) { // nothing is forgotten in format 1
-		return fmt.Errorf("%w: %d versions, %d announced, %d in force",
+	if s.Announced != uint64(len(s.Versions)) { // format 1 never forgets versions
+		return fmt.Errorf("%w: it holds %d versions; version %d is announced and version %d in force",
 			errSnapshotInconsistent, len(s.Versions), s.Announced, s.InForce)
 	}
 	return nil
 }
 
-// checkVersions tells whether the versions are in order and those that count are there.
+// checkVersions checks that the versions are in ascending order and that those in force and announced are present.
 func (s *StateMachine) checkVersions() error {
 	if s.InForce > s.Announced {
-		return fmt.Errorf("%w: %d announced, %d in force", errSnapshotInconsistent, s.Announced, s.InForce)
+		return fmt.Errorf("%w: version %d is announced, but version %d is in force",
+			errSnapshotInconsistent, s.Announced, s.InForce)
 	}
 	previous := uint64(0)
 	for i, v := range s.Versions {
 		if v == nil || v.Number <= previous || v.Number > s.Announced {
-			return fmt.Errorf("%w: version %s at place %d of %d, and %d is announced",
+			return fmt.Errorf("%w: unexpected version %s at index %d of %d, version %d is announced",
 				errSnapshotInconsistent, v.Name(), i, len(s.Versions), s.Announced)
 		}
 		previous = v.Number
 	}
 	for _, number := range []uint64{s.InForce, s.Announced} {
 		if number > 0 && s.Version(number) == nil {
-			return fmt.Errorf("%w: version %d is missing, with %d in force and %d announced",
+			return fmt.Errorf("%w: version %d is missing, version %d is in force and version %d announced",
 				errSnapshotInconsistent, number, s.InForce, s.Announced)
 		}
 	}
 	return nil
 }
 
-// decodeFormat2 reads a snapshot of format 2.
+// decodeFormat2 decodes a snapshot of format 2.
 func (s *StateMachine) decodeFormat2(snapshot []byte) error {
 	if len(snapshot) < 1+snapshotDigestBytes {
 		return errSnapshotTruncated
 	}
 	body, digest := snapshot[:len(snapshot)-snapshotDigestBytes], snapshot[len(snapshot)-snapshotDigestBytes:]
 	if sum := blake3.Sum256(body); !bytes.Equal(sum[:], digest) {
-		return fmt.Errorf("%w: %x instead of %x", errSnapshotDigest, sum[:6], digest[:6])
+		return fmt.Errorf("%w: computed %x, stored %x", errSnapshotDigest, sum[:6], digest[:6])
 	}
 	header, rest, err := cutSized(body[1:])
 	if err != nil {
@@ -165,12 +166,12 @@
 		return fmt.Errorf("header: %w", err)
 	}
 	if s.Format > Format {
-		return fmt.Errorf("%w: it is of format %d, this build knows format %d", errSnapshotFormat, s.Format, Format)
+		return fmt.Errorf("%w: the snapshot has format %d, the newest supported is %d", errSnapshotFormat, s.Format, Format)
 	}
 	previous := &configversion.Version{}
 	for i, v := range s.Versions {
 		if v == nil {
-			return fmt.Errorf("%w: the header has no version at place %d", errSnapshotInconsistent, i)
+			return fmt.Errorf("%w: the header's version at index %d is null", errSnapshotInconsistent, i)
 		}
 		var encoded []byte
 		if encoded, rest, err = cutSized(rest); err != nil {
@@ -187,14 +188,14 @@
 	return nil
 }
 
-// decodeVersion fills in a version's content from its encoded form, a delta from base.
+// decodeVersion sets a version's content from its encoded form, a delta from base.
 func (s *StateMachine) decodeVersion(version, base *configversion.Version, encoded []byte) error {
 	content, err := delta.Decode(base.Content, encoded, configversion.MaxContentBytes)
 	if err != nil {
-		return fmt.Errorf("version %d, encoded from %d: %w", version.Number, base.Number, err)
+		return fmt.Errorf("version %d, a delta from version %d: %w", version.Number, base.Number, err)
 	}
 	if digest := configversion.DigestOf(content); digest != version.Digest {
-		return fmt.Errorf("%w: the content of version %d has digest %.12s instead of %.12s",
+		return fmt.Errorf("%w: the content of version %d has digest %.12s, expected %.12s",
 			errSnapshotInconsistent, version.Number, digest, version.Digest)
 	}
 	version.Content = content
@@ -202,7 +203,7 @@
 	return nil
 }
 
-// cutSized splits what appendSized has appended off the front.
+// cutSized splits a part that appendSized wrote off the front of a slice.
 func cutSized(from []byte) (part, rest []byte, err error) {
 	size, n := binary.Uvarint(from)
 	if n <= 0 || size > uint64(len(from)-n) {
--- a/internal/fleet/lease/snapshot_test.go
+++ b/internal/fleet/lease/snapshot_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// stateWithDeltas has twelve versions, of which four were forgotten.
+// stateWithDeltas returns a state with twelve versions, four of them forgotten.
 func stateWithDeltas(t *testing.T) *StateMachine {
 	t.Helper()
 	state := NewStateMachine()
@@ -31,14 +31,14 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(restored.Snapshot(), snapshot) || len(restored.Versions) != 8 {
-		t.Fatalf("%d versions are restored, or another snapshot comes of them", len(restored.Versions))
+		t.Fatalf("restored %d versions, want 8 whose snapshot is identical to the one that was read", len(restored.Versions))
 	}
 	for i := range snapshot {
 		flipped := slices.Clone(snapshot)
 		flipped[i] ^= 1 << (i % 8)
 		for _, damaged := range [][]byte{snapshot[:i], flipped} {
 			if _, err := Restore(damaged); err == nil || strings.Contains(err.Error(), "\n") {
-				t.Fatalf("damaged at byte %d of %d: %v", i, len(snapshot), err)
+				t.Fatalf("damaged at byte %d of %d: got error %v, want an error of one line", i, len(snapshot), err)
 			}
 		}
 	}
@@ -48,7 +48,7 @@
 	snapshot := stateOf(t, &Command{Propose: &Proposal{ID: "a", Content: contentOfNodes(1, 1)}}).Snapshot()
 	restored, err := Restore(snapshot)
 	if err != nil || restored.Version(1) == nil || snapshot[0] != '{' {
-		t.Errorf("%s: %v", snapshot, err)
+		t.Errorf("restoring %s: got error %v, want a snapshot in JSON that is restored with version 1", snapshot, err)
 	}
 	for _, inconsistent := range []string{
 		`{"versions":[null],"announced":1}`,
@@ -59,7 +59,7 @@
 		"",
 	} {
 		if _, err := Restore([]byte(inconsistent)); err == nil {
-			t.Errorf("%s is taken", inconsistent)
+			t.Errorf("restoring %s: got no error, want one", inconsistent)
 		}
 	}
 }
--- a/internal/fleet/lease/statemachine.go
+++ b/internal/fleet/lease/statemachine.go
@@ -11,37 +11,37 @@
 	"irispost/internal/fleet/configversion"
 )
 
-// What a state machine of format 2 keeps at least.
+// Lower bounds on what a state machine of format 2 retains.
 const (
-	RetainedBaseVersions = 8    // versions before the announced one, which deltas may start from
-	RetainedProposalIDs  = 1024 // IDs of the latest proposals, by which a retry is recognised
+	RetainedBaseVersions = 8    // versions before the announced one, as bases of deltas
+	RetainedProposalIDs  = 1024 // IDs of the latest proposals, to recognise retries
 )
 
-// Errors that say why a command changes nothing. The text of a rejected proposal says what to do.
+// Reasons why a command changes nothing. The text for a rejected proposal tells its author what to do.
 var (
 	ErrStaleParent    = errors.New("it was made of a version that is not the newest")
 	ErrVersionPending = errors.New("another version is announced and not in force yet")
 
-	errBootstrapped  = errors.New("the fleet is founded already")
+	errBootstrapped  = errors.New("the fleet is already bootstrapped")
 	errVersionNeeded = errors.New("a version that is announced or in force cannot be forgotten")
 )
 
-// StateMachine is the state that the replicas' log comes to. The same commands in the same order give the
+// StateMachine is the state that results from the replicas' log. The same commands in the same order result in the
 // same state at each replica.
 type StateMachine struct {
-	Format          int                      `json:"form,omitempty"` // of entries and snapshots; 0: the first
+	Format          int                      `json:"form,omitempty"` // newest format used in the log; 0: format 1
 	Settings        Settings                 `json:"terms"`
-	Versions        []*configversion.Version `json:"versions"` // by number, without those that were forgotten
+	Versions        []*configversion.Version `json:"versions"` // ordered by number, without forgotten ones
 	ProposalIDs     map[string]uint64        `json:"ids"`      // version numbers by proposal ID
 	InForce         uint64                   `json:"in_force"` // 0: none
 	Announced       uint64                   `json:"announced"`
-	Holders         map[string]bool          `json:"holders"` // gateways that may act on a lease or a fallback
-	Members         map[string]bool          `json:"present"` // those of the holders that may have a lease
+	Holders         map[string]bool          `json:"holders"` // gateways that may have a lease or a valid fallback
+	Members         map[string]bool          `json:"present"` // holders that may have a lease
 	MembershipEpoch uint64                   `json:"sets"`    // number of changes of Members so far
-	Departures      uint64                   `json:"parts"`   // how many times a gateway has left Members so far
+	Departures      uint64                   `json:"parts"`   // number of removals from Members so far
 
-	fallbackDurations map[uint64]Time           // by version, as far as they were needed
-	encoded           map[uint64]encodedContent // contents that were encoded already, by version
+	fallbackDurations map[uint64]Time           // by version, computed on demand
+	encoded           map[uint64]encodedContent // by version, cached
 }
 
 // NewStateMachine returns the state of an empty log.
@@ -55,7 +55,7 @@
 	}
 }
 
-// Version returns the version with a number, or nil if there is none or it was forgotten.
+// Version returns the version with the given number, or nil if it does not exist or was forgotten.
 func (s *StateMachine) Version(number uint64) *configversion.Version {
 	i, found := slices.BinarySearchFunc(s.Versions, number, func(v *configversion.Version, number uint64) int {
 		return cmp.Compare(v.Number, number)
@@ -66,7 +66,7 @@
 	return s.Versions[i]
 }
 
-// VersionByDigest returns the latest version with a digest, or nil if there is none.
+// VersionByDigest returns the latest version with the given digest, or nil if there is none.
 func (s *StateMachine) VersionByDigest(digest string) *configversion.Version {
 	for _, v := range slices.Backward(s.Versions) {
 		if v.Digest == digest {
@@ -76,9 +76,8 @@
 	return nil
 }
 
-// Apply applies the next command of the log and returns the version that a proposal has become. After an
-// error that is ErrInvalidEntry the replica cannot go on. After any other error the command has changed
-// nothing.
+// Apply applies the next command of the log. For a proposal it returns the resulting version. After
+// ErrInvalidEntry the replica cannot continue. After any other error the command has changed nothing.
 func (s *StateMachine) Apply(command *Command) (*configversion.Version, error) {
 	switch {
 	case command.Bootstrap != nil:
@@ -89,7 +88,7 @@
 	case command.Propose != nil:
 		return s.propose(command.Propose)
 	case command.Activate > 0:
-		if command.Activate == s.Announced { // a version that was replaced meanwhile never comes into force
+		if command.Activate == s.Announced { // a version that was replaced in the meantime never comes into force
 			s.InForce = command.Activate
 		}
 	case len(command.Forget) > 0:
@@ -100,7 +99,7 @@
 	return nil, nil
 }
 
-// updateMembership applies the changes of holders and members. All changes of one command count as one epoch.
+// updateMembership applies changes of holders and members. All changes of one command share one epoch.
 func (s *StateMachine) updateMembership(command *Command) {
 	next := s.MembershipEpoch + 1
 	for _, name := range command.Join {
@@ -122,7 +121,7 @@
 	}
 }
 
-// propose announces a new version, or returns the one that an earlier attempt of the same proposal has become.
+// propose announces a new version, or returns the existing one if the proposal is a retry.
 func (s *StateMachine) propose(proposal *Proposal) (*configversion.Version, error) {
 	if proposal.Delta != nil {
 		s.Format = formatWithDeltas
@@ -131,7 +130,7 @@
 		if v := s.Version(number); v != nil {
 			return v, nil
 		}
-		return &configversion.Version{Number: number, Parent: number - 1}, nil // all else of it is in the history
+		return &configversion.Version{Number: number, Parent: number - 1}, nil // the rest is in the history
 	}
 	if err := s.checkParent(proposal); err != nil {
 		return nil, err
@@ -158,17 +157,18 @@
 	return version, nil
 }
 
-// checkParent rejects a proposal that was not made of the latest version, or that would replace a pending one
-// unasked.
+// checkParent rejects a proposal that is not based on the latest version, or that would replace a pending version
+// without asking to.
 func (s *StateMachine) checkParent(proposal *Proposal) error {
 	latest := s.Version(s.Announced)
 	switch {
 	case proposal.Parent != s.Announced && latest == nil:
-		return fmt.Errorf("%w: it was made of %d, there is none yet", ErrStaleParent, proposal.Parent)
+		return fmt.Errorf("%w: it was made of %d, but there is no version yet", ErrStaleParent, proposal.Parent)
 	case proposal.Parent != s.Announced:
 		hint := ""
 		if s.Format >= formatWithDeltas && s.Announced-min(s.Announced, proposal.Parent) >= RetainedProposalIDs {
-			hint = fmt.Sprintf(" (whether it was taken before is not known: that is kept for %d versions)", RetainedProposalIDs)
+			hint = fmt.Sprintf(" (an earlier attempt may have been accepted: proposal IDs are kept for %d versions)",
+				RetainedProposalIDs)
 		}
 		return fmt.Errorf("%w: it was made of %d, the newest is %s by %s: %s%s",
 			ErrStaleParent, proposal.Parent, latest.Name(), latest.Author, latest.Reason, hint)
@@ -178,8 +178,8 @@
 	return nil
 }
 
-// newVersion makes the version that a proposal asks for. A content in a newer format than this build knows is
-// taken as it is, as a replica may be older than the gateways that are to act on it.
+// newVersion builds the version that a proposal asks for. Content in a newer format than this build supports is
+// accepted unchanged, because a replica may run an older build than the gateways that will use it.
 func (s *StateMachine) newVersion(proposal *Proposal, content []byte) (*configversion.Version, error) {
 	version := &configversion.Version{
 		Number:    s.Announced + 1,
@@ -204,12 +204,12 @@
 	return version, nil
 }
 
-// forget drops versions. If one of them may still be granted, all are kept.
+// forget discards versions. It discards none if one of them is announced or in force, and so may still be granted.
 func (s *StateMachine) forget(numbers []uint64) error {
 	s.Format = formatWithDeltas
 	for _, number := range numbers {
 		if number == s.InForce || number == s.Announced {
-			return fmt.Errorf("%w: version %d, with %d in force and %d announced",
+			return fmt.Errorf("%w: version %d was to be forgotten, version %d is in force and version %d announced",
 				errVersionNeeded, number, s.InForce, s.Announced)
 		}
 	}
@@ -220,8 +220,8 @@
 	return nil
 }
 
-// ReleaseParsed drops the parsed form of versions before the one in force, to save memory. They are parsed
-// again where they are needed.
+// ReleaseParsed drops the parsed form of versions before the one in force, to save memory. They are parsed again on
+// demand.
 func (s *StateMachine) ReleaseParsed() {
 	for _, v := range s.Versions {
 		if v.Number < s.InForce {
@@ -230,8 +230,8 @@
 	}
 }
 
-// fallbackDuration returns for how long the fallback of a version counts. It is 0 if there is no such version
-// or this build cannot read it.
+// fallbackDuration returns how long the fallback of a version stays valid. It is 0 if there is no such version or this
+// build cannot parse it.
 func (s *StateMachine) fallbackDuration(number uint64) Time {
 	if duration, known := s.fallbackDurations[number]; known {
 		return duration
@@ -241,7 +241,7 @@
 		return 0
 	}
 	var duration Time
-	// Version.Config would keep the parsed form in memory.
+	// Version.Config is not used here, as it would keep the parsed form in memory.
 	if config, err := configversion.Parse(version.Content); err == nil {
 		duration = config.FallbackPolicy.Duration
 	}
@@ -249,8 +249,8 @@
 	return duration
 }
 
-// longestFallback returns the longest duration of a fallback that some gateway may act on, which is one of
-// any version that is kept.
+// longestFallback returns the longest fallback duration of all versions that are kept. No gateway can have a longer
+// fallback in effect.
 func (s *StateMachine) longestFallback() Time {
 	var longest Time
 	for _, v := range s.Versions {
@@ -259,5 +259,5 @@
 	return longest
 }
 
-// sortedNames returns the members of a set in order.
+// sortedNames returns the elements of a set in ascending order.
 func sortedNames(set map[string]bool) []string { return slices.Sorted(maps.Keys(set)) }
--- a/internal/fleet/lease/statemachine_test.go
+++ b/internal/fleet/lease/statemachine_test.go
@@ -14,7 +14,7 @@
 	"irispost/internal/fleet/configversion"
 )
 
-// contentOfNodes is a content of so many nodes with a rate limit.
+// contentOfNodes returns a configuration with the given number of nodes and rate limit, in its canonical form.
 func contentOfNodes(nodes int, limit float64) []byte {
 	config := &configversion.Config{
 		RequiredFormat:   1,
@@ -35,7 +35,7 @@
 	return config.Canonical()
 }
 
-// encodeAndDecode returns a command as it comes out of the log.
+// encodeAndDecode returns a command as decoded from its log entry.
 func encodeAndDecode(c *Command, format int, state *StateMachine) (*Command, error) {
 	entry, err := c.EncodeEntry(format, state)
 	if err != nil {
@@ -44,14 +44,14 @@
 	return DecodeEntry(entry)
 }
 
-// replicatedStates are the states of three replicas, and what they have to come to.
+// replicatedStates holds the states of three replicas and what they are expected to hold.
 type replicatedStates struct {
 	states    [3]*StateMachine
 	contents  map[uint64][]byte // by version
 	forgotten map[uint64]bool
 }
 
-// apply has all replicas apply a command. They have to agree whether it becomes a version.
+// apply applies a command at all replicas, which have to agree whether it results in a version.
 func (r *replicatedStates) apply(t *rapid.T, c *Command, format int) *configversion.Version {
 	entry, err := c.EncodeEntry(format, r.states[0])
 	if err != nil {
@@ -65,7 +65,7 @@
 		}
 		applied, err := state.Apply(command)
 		if errors.Is(err, ErrInvalidEntry) || i > 0 && (applied == nil) != (version == nil) {
-			t.Fatalf("replica %d: %v, %v", i, applied, err)
+			t.Fatalf("replica %d: got version %v, error %v, want the same outcome as at replica 0", i, applied, err)
 		}
 		version = applied
 	}
@@ -79,14 +79,15 @@
 	p := &Proposal{ID: fmt.Sprint(number), Parent: parent, ReplacePending: true, Content: content}
 	version := r.apply(t, &Command{Propose: p}, format)
 	if accepted := version != nil; accepted != (parent == announced) {
-		t.Fatalf("version %v of parent %d, where %d was announced", version, parent, announced)
+		t.Fatalf("got version %v for parent %d with %d announced, want a version only for the announced parent",
+			version, parent, announced)
 	}
 	if version != nil {
 		r.contents[version.Number] = content
 	}
 }
 
-// forget has some of the versions forgotten that are not needed.
+// forget makes all replicas forget some of the versions that are neither in force nor announced.
 func (r *replicatedStates) forget(t *rapid.T) {
 	c := &Command{}
 	state := r.states[0]
@@ -109,8 +110,8 @@
 	r.states[i] = restored
 }
 
-// Whatever is proposed, forgotten, stored and restored, in either format: each replica has the content that
-// was proposed of each version, or nothing of those that were forgotten.
+// After any sequence of proposals, forgetting and restarts in either format, each replica has the proposed content of
+// each version that was not forgotten, and none of the forgotten versions.
 func TestReplicasKeepTheProposedContents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := &replicatedStates{
@@ -135,15 +136,16 @@
 			for number, content := range r.contents {
 				version := state.Version(number)
 				if (version == nil) != r.forgotten[number] || version != nil && !bytes.Equal(version.Content, content) {
-					t.Fatalf("replica %d has version %d as %v, forgotten %t", i, number, version, r.forgotten[number])
+					t.Fatalf("replica %d, version %d: got %v, want the proposed content, or no version if forgotten (%t)",
+						i, number, version, r.forgotten[number])
 				}
 			}
 		}
 	})
 }
 
-// A proposal that is repeated gets its version's number while its ID is kept. After that it is rejected, as
-// its parent is not the latest version.
+// A repeated proposal gets the number of its version as long as its ID is kept. After that it is rejected, as its
+// parent is no longer the latest version.
 func TestRepeatedProposalsAreRecognised(t *testing.T) {
 	const proposals = RetainedProposalIDs + 100
 	state := NewStateMachine()
@@ -171,7 +173,8 @@
 		}
 	}
 	if len(state.ProposalIDs) != RetainedProposalIDs || len(state.Versions) != 1 {
-		t.Errorf("%d IDs and %d versions are kept", len(state.ProposalIDs), len(state.Versions))
+		t.Errorf("%d IDs and %d versions are kept, want RetainedProposalIDs and 1",
+			len(state.ProposalIDs), len(state.Versions))
 	}
 	oldest := slices.Min(slices.Collect(maps.Values(state.ProposalIDs)))
 	for n := range proposals {
@@ -179,14 +182,16 @@
 		number := uint64(n + 1)
 		switch {
 		case number >= oldest && (err != nil || version.Number != number):
-			t.Fatalf("proposal %d is kept: %v, %v", n, version, err)
+			t.Fatalf("retry of proposal %d, whose ID is kept: got version %v, error %v, want its version", n, version, err)
 		case number < oldest && !errors.Is(err, ErrStaleParent):
-			t.Fatalf("proposal %d is not kept: %v, %v", n, version, err)
+			t.Fatalf("retry of proposal %d, whose ID is not kept: got version %v, error %v, want ErrStaleParent",
+				n, version, err)
 		}
 	}
 	_, err := propose(0)
 	if err == nil || !strings.Contains(err.Error(), "kept for 1024 versions") || state.Announced != proposals {
-		t.Errorf("%v, %d announced", err, state.Announced)
+		t.Errorf("got error %v with %d announced, want an error that tells for how long IDs are kept, and no new version",
+			err, state.Announced)
 	}
 }
 
@@ -197,7 +202,7 @@
 		"ID":      {ID: strings.Repeat("w", 129)},
 	} {
 		if err := p.Validate(); err == nil || !strings.Contains(err.Error(), name) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("proposal with a large %s: got error %v, want one that names it", name, err)
 		}
 	}
 }
@@ -207,9 +212,9 @@
 		&Command{Propose: &Proposal{ID: "a", Content: contentOfNodes(1, 1)}},
 		&Command{Propose: &Proposal{ID: "b", Parent: 1, ReplacePending: true, Content: contentOfNodes(1, 2)}})
 	if _, err := state.Apply(&Command{Forget: []uint64{1, 2}}); !errors.Is(err, errVersionNeeded) {
-		t.Errorf("got %v", err)
+		t.Errorf("got error %v, want errVersionNeeded", err)
 	}
 	if len(state.Versions) != 2 {
-		t.Errorf("%d versions are left", len(state.Versions))
+		t.Errorf("%d versions are kept, want 2", len(state.Versions))
 	}
 }
--- a/internal/fleet/lease/status.go
+++ b/internal/fleet/lease/status.go
@@ -9,18 +9,18 @@
 
 const nanosPerMilli = 1e6
 
-// GatewayStatus is a gateway as the leading replica knows it.
+// GatewayStatus is the status of a gateway as known to the leading replica.
 type GatewayStatus struct {
 	Holder          string   `json:"who"`
 	State           string   `json:"state"`
 	HeldVersions    []uint64 `json:"holds"`
 	LastHeardMillis Time     `json:"heard_ms_ago"`
-	LeaseLeftMillis Time     `json:"lease_ms"` // by the replica's clock; negative: it has expired
-	Unresponsive    bool     `json:"hangs"`    // not heard for three quarters of a lease
+	LeaseLeftMillis Time     `json:"lease_ms"` // by the replica's clock; negative once expired
+	Unresponsive    bool     `json:"hangs"`    // not heard from for three quarters of a lease
 	Fault           string   `json:"trouble,omitempty"`
 }
 
-// Gateways lists the gateways by name.
+// Gateways returns the status of each known gateway, sorted by name.
 func (m *Manager) Gateways(now Time) []GatewayStatus {
 	var list []GatewayStatus
 	for _, name := range sortedNames(m.state.Holders) {
@@ -41,8 +41,8 @@
 	return list
 }
 
-// WaitingFor lists the gateways that the announced version waits for before it comes into force, one line
-// each with the reason.
+// WaitingFor lists the gateways that delay the announced version's coming into force, one line each with the
+// reason.
 func (m *Manager) WaitingFor(now Time) []string {
 	if m.faults.Has(FaultNoWait) {
 		return nil
@@ -51,7 +51,7 @@
 	var list []string
 	for _, name := range sortedNames(m.state.Holders) {
 		h := m.holders[name]
-		if h == nil { // it has joined and was granted nothing yet
+		if h == nil { // it has joined but was not granted a lease yet
 			continue
 		}
 		if reason := m.waitReason(now, h, announced); reason != "" {
@@ -61,7 +61,7 @@
 	return list
 }
 
-// waitReason says why the announced version waits for a gateway; empty: it does not.
+// waitReason returns why the announced version has to wait for a gateway, or "" if it does not.
 func (m *Manager) waitReason(now Time, h *holder, announced *configversion.Config) string {
 	left := func(until Time) Time { return (until-now)/nanosPerMilli + 1 }
 	switch {
@@ -72,15 +72,17 @@
 	case m.faults.Has(FaultIgnoreFallbacks):
 		return ""
 	case now <= h.unknownUntil:
-		return fmt.Sprintf("was not heard in this term, and may act on a floor for %d ms", left(h.unknownUntil))
+		return fmt.Sprintf("has not reported its versions in this term, and may act on the floor of any version for %d ms",
+			left(h.unknownUntil))
 	case now <= h.fallbackUntil && !m.fallbackWithin(h, announced):
-		return fmt.Sprintf("may act on a floor that contradicts it for %d ms", left(h.fallbackUntil))
+		return fmt.Sprintf("may act on the floor of earlier versions, which contradicts it, for %d ms",
+			left(h.fallbackUntil))
 	}
 	return ""
 }
 
-// announcedConfig returns the configuration of the announced version, or nil if there is none or this build
-// cannot read it.
+// announcedConfig returns the configuration of the announced version, or nil if there is none or this build cannot
+// parse it.
 func (m *Manager) announcedConfig() *configversion.Config {
 	version := m.state.Version(m.state.Announced)
 	if version == nil {
@@ -93,24 +95,25 @@
 	return config
 }
 
-// fallbackWithin reports whether the fallback that a gateway may act on allows nothing that a configuration
-// forbids. The gateway acts on what the fallbacks of all versions it holds allow, so one of them within is
-// enough. It holds what it has named last, or what one of the grants since then has named.
+// fallbackWithin reports whether the fallback that may be in effect at a gateway allows nothing that a configuration
+// forbids. The gateway applies the intersection of the fallbacks of all versions that it holds, so it is enough that
+// one of them is within the configuration. The gateway holds the versions that it last reported, or those of a grant
+// since then.
 func (m *Manager) fallbackWithin(h *holder, config *configversion.Config) bool {
 	if config == nil {
 		return false
 	}
 	within := func(number uint64) bool { return m.versionFallbackWithin(number, config) }
 	for _, g := range h.grants {
-		if !within(g.inForce) { // the gateway may hold this one alone, if it cannot read the announced one
+		if !within(g.inForce) { // the gateway may hold this one alone, if it cannot parse the announced one
 			return false
 		}
 	}
 	return len(h.heldVersions) == 0 || slices.ContainsFunc(h.heldVersions, within)
 }
 
-// versionFallbackWithin reports whether a version's fallback allows nothing that a configuration forbids. Of
-// a version that was forgotten this is not known.
+// versionFallbackWithin reports whether a version's fallback allows nothing that a configuration forbids. It returns
+// false for a forgotten version, of which this is not known.
 func (m *Manager) versionFallbackWithin(number uint64, config *configversion.Config) bool {
 	if number == 0 {
 		return true
