--- a/internal/fleet/lease/client.go
+++ b/internal/fleet/lease/client.go
@@ -12,8 +12,8 @@
 // maxOutstanding is the number of recent requests that a client tracks. A response to an older request is ignored.
 const maxOutstanding = 16
 
-// nothing is the effective name while no configuration is in effect.
-const nothing = "none"
+// noEffectiveName is the effective name while no configuration is in effect.
+const noEffectiveName = "none"
 
 // Client is the gateway side of the lease protocol. All its times are readings of the gateway's clock.
 type Client struct {
@@ -71,7 +71,8 @@
 // current run: a restarted gateway is another holder. Unless news arrives, the client sends one request per
 // interval.
 func NewClient(holder string, interval Time, faults InjectedFaults) *Client {
-	return &Client{holder: holder, requestInterval: interval, faults: faults, effectiveName: nothing, format: ByDigest}
+	return &Client{holder: holder, requestInterval: interval, faults: faults,
+		effectiveName: noEffectiveName, format: ByDigest}
 }
 
 // SetPeerAddr sets the address at which other gateways reach this one. A gateway that has an address is sent
@@ -154,13 +155,13 @@
 	c.accept(response, sentAt)
 	c.leaseUntil = max(c.leaseUntil, leaseUntil)
 	if !slices.Equal(found.versions, c.heldVersions) || !c.state.leased() {
-		c.hold(found)
+		c.setHeld(found)
 	}
 	c.fallbackUntil = sentAt + c.fallbackDuration()
 	switch {
 	case !found.hasInForce: // a version that is only announced is acknowledged but not put into effect
 		c.effective = nil
-		c.effectiveName = nothing
+		c.effectiveName = noEffectiveName
 		c.transition(StateFollowing, "the version in force is not available")
 	case len(found.versions) == 2:
 		c.transition(StatePrepared, "lease granted, another version is announced")
--- a/internal/fleet/lease/effective.go
+++ b/internal/fleet/lease/effective.go
@@ -43,7 +43,7 @@
 func (c *Client) VersionsOf(response *RenewResponse) []*configversion.Version {
 	var versions []*configversion.Version
 	known := slices.Concat(c.heldVersions, response.Versions)
-	for _, number := range response.named() {
+	for _, number := range response.versionNumbers() {
 		i := slices.IndexFunc(known, func(v *configversion.Version) bool { return v.Number == number })
 		if i >= 0 {
 			versions = append(versions, known[i])
@@ -52,9 +52,9 @@
 	return versions
 }
 
-// hold puts other versions into effect. It makes a request due immediately, because the change of the fleet may
-// be waiting for this gateway's acknowledgement.
-func (c *Client) hold(found resolved) {
+// setHeld puts other versions into effect. It makes a request due immediately, because the announced version's coming
+// into force may wait for this gateway's acknowledgement.
+func (c *Client) setHeld(found resolved) {
 	c.heldVersions = found.versions
 	c.configs = found.configs
 	c.requestNow = true
@@ -91,7 +91,7 @@
 	}
 	if (c.state == StateExpired || c.state == StateReturning) && now >= c.fallbackUntil && c.effective != nil {
 		c.effective = nil
-		c.effectiveName = nothing
+		c.effectiveName = noEffectiveName
 		c.transition(StateEnded, "fallback expired without a new lease")
 	}
 	return c.effective
--- a/internal/fleet/lease/entry_test.go
+++ b/internal/fleet/lease/entry_test.go
@@ -10,7 +10,7 @@
 // stateWithBase returns a state with one version, to serve as the base of deltas.
 func stateWithBase(t *testing.T, limit float64) *StateMachine {
 	t.Helper()
-	return stateOf(t, &Command{Propose: &Proposal{ID: "a", Content: contentOfNodes(50, limit)}})
+	return stateAfter(t, &Command{Propose: &Proposal{ID: "a", Content: contentOfNodes(50, limit)}})
 }
 
 // entryWithDelta returns a log entry whose proposal is a delta from the version of stateWithBase.
--- a/internal/fleet/lease/forget_test.go
+++ b/internal/fleet/lease/forget_test.go
@@ -13,7 +13,7 @@
 func TestVersionsOfReorderedRequestsAreKept(t *testing.T) {
 	for _, order := range [][]uint64{{1, 2}, {2, 1}} {
 		t.Run(fmt.Sprint(order), func(t *testing.T) {
-			state := stateOf(t,
+			state := stateAfter(t,
 				&Command{Bootstrap: &testSettings},
 				&Command{Propose: &Proposal{ID: "a", Content: configPool[0]}},
 				&Command{Activate: 1},
@@ -81,7 +81,7 @@
 
 func newForgetFleet(t *testing.T) *forgetFleet {
 	t.Helper()
-	state := stateOf(t, &Command{Bootstrap: &testSettings}, &Command{Join: []string{"far", "near"}})
+	state := stateAfter(t, &Command{Bootstrap: &testSettings}, &Command{Join: []string{"far", "near"}})
 	return &forgetFleet{state: state, manager: NewManager(0, 1, state, 0)}
 }
 
--- a/internal/fleet/lease/golden_test.go
+++ b/internal/fleet/lease/golden_test.go
@@ -165,7 +165,7 @@
 		{"entry-join-2.bin", 2, &Command{Join: []string{"g1/1"}}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			state := stateOf(t, &Command{Propose: &Proposal{ID: "id-1", Content: goldenContent(1)}})
+			state := stateAfter(t, &Command{Propose: &Proposal{ID: "id-1", Content: goldenContent(1)}})
 			written, err := c.command.EncodeEntry(c.format, state)
 			if err != nil {
 				t.Fatal(err)
--- a/internal/fleet/lease/manager.go
+++ b/internal/fleet/lease/manager.go
@@ -97,8 +97,8 @@
 }
 
 // retryDue reports whether a command that was returned at the given time, and has not been committed, is due again.
-func (m *Manager) retryDue(now, handedOut Time) bool {
-	return now > handedOut+m.state.Settings.LeaseDuration
+func (m *Manager) retryDue(now, returnedAt Time) bool {
+	return now > returnedAt+m.state.Settings.LeaseDuration
 }
 
 // removableHolders lists the holders whose lease and fallback have expired. A holder that has joined and not been
@@ -115,7 +115,7 @@
 		if now <= max(h.leaseUntil, h.fallbackUntil, h.unknownUntil, h.lastHeardAt+silence) {
 			continue
 		}
-		if handedOut, pending := m.pendingRemovals[name]; !pending || m.retryDue(now, handedOut) {
+		if returnedAt, pending := m.pendingRemovals[name]; !pending || m.retryDue(now, returnedAt) {
 			names = append(names, name)
 			m.pendingRemovals[name] = now
 		}
@@ -135,7 +135,7 @@
 		if h == nil || now <= h.leaseUntil {
 			continue
 		}
-		if handedOut, pending := m.pendingExpiries[name]; !pending || m.retryDue(now, handedOut) {
+		if returnedAt, pending := m.pendingExpiries[name]; !pending || m.retryDue(now, returnedAt) {
 			names = append(names, name)
 			m.pendingExpiries[name] = now
 		}
--- a/internal/fleet/lease/membership_test.go
+++ b/internal/fleet/lease/membership_test.go
@@ -9,7 +9,7 @@
 // act on its fallback for longer. When it returns, a new epoch begins, and the others learn the number of departures
 // so far.
 func TestMembershipFollowsLeases(t *testing.T) {
-	state := stateOf(t,
+	state := stateAfter(t,
 		&Command{Bootstrap: &testSettings},
 		&Command{Propose: &Proposal{ID: "a", Content: configPool[3]}}, // with a fallback of six leases
 		&Command{Activate: 1})
--- a/internal/fleet/lease/model_search_test.go
+++ b/internal/fleet/lease/model_search_test.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	seenParts  = 64 // number of parts of the set of reached states, each with its own lock
-	statesEach = 32 // maximum number of states that a worker takes at a time
+	seenParts      = 64 // number of parts of the set of reached states, each with its own lock
+	maxBatchStates = 32 // maximum number of states that a worker takes at a time
 )
 
 // search explores the states of a model with several workers.
@@ -21,7 +21,7 @@
 	second *Command // proposes the second version
 
 	mu        sync.Mutex // guards the fields below
-	more      *sync.Cond // signals a change of todo, active or violation
+	changed   *sync.Cond // signals a change of todo, active or violation
 	todo      []*modelState
 	active    int // number of workers that may still add to todo
 	states    int // number of states checked
@@ -35,7 +35,7 @@
 
 func newSearch(b bounds, faults InjectedFaults) *search {
 	s := &search{bounds: b, faults: faults, second: &Command{Propose: &Proposal{ID: secondProposal}}}
-	s.more = sync.NewCond(&s.mu)
+	s.changed = sync.NewCond(&s.mu)
 	for i := range s.seen {
 		s.seen[i].keys = map[uint64]bool{}
 	}
@@ -66,7 +66,7 @@
 func (s *search) work() {
 	compatible := map[string]bool{} // pairs already found compatible, by effective name and version in force
 	for {
-		states := s.take()
+		states := s.takeBatch()
 		if states == nil {
 			return
 		}
@@ -78,30 +78,30 @@
 			}
 			found = s.appendSuccessors(found, state)
 		}
-		s.finish(len(states), found, violation)
+		s.finishBatch(len(states), found, violation)
 	}
 }
 
-// take waits for and returns some states to explore, or nil if the search is over.
-func (s *search) take() []*modelState {
+// takeBatch waits for and returns some states to explore, or nil if the search is over.
+func (s *search) takeBatch() []*modelState {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for len(s.todo) == 0 && s.active > 0 {
-		s.more.Wait()
+		s.changed.Wait()
 	}
 	if len(s.todo) == 0 || s.violation != "" {
 		s.todo = nil
-		s.more.Broadcast()
+		s.changed.Broadcast()
 		return nil
 	}
-	rest := len(s.todo) - min(len(s.todo), statesEach)
+	rest := len(s.todo) - min(len(s.todo), maxBatchStates)
 	states := slices.Clone(s.todo[rest:])
 	s.todo = s.todo[:rest]
 	s.active++
 	return states
 }
 
-func (s *search) finish(states int, found []*modelState, violation string) {
+func (s *search) finishBatch(states int, found []*modelState, violation string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.active--
@@ -110,7 +110,7 @@
 	if s.violation == "" {
 		s.violation = violation
 	}
-	s.more.Broadcast()
+	s.changed.Broadcast()
 }
 
 // check compares the configuration in effect at each gateway with the version in force. It returns a description of a
@@ -154,9 +154,9 @@
 }
 
 // add adds the state that follows an event, unless it was reached before.
-func (s *successors) add(happen func(next *modelState), format string, args ...any) {
+func (s *successors) add(event func(next *modelState), format string, args ...any) {
 	next := s.state.clone()
-	happen(next)
+	event(next)
 	next.runLeader()
 	if s.search.isNew(next.key()) {
 		next.path = s.state.path + "; " + fmt.Sprintf(format, args...)
@@ -279,7 +279,7 @@
 		id := []string{firstProposal, secondProposal}[v.Number-1]
 		fetched := []*configversion.Version{s.versions[id]}
 		if faults.Has(faultUncheckedDigest) {
-			fetched = append(fetched, s.versions[wrongContent(id)])
+			fetched = append(fetched, s.versions[wrongContentKey(id)])
 		}
 		for _, outcome := range slices.Clone(outcomes) {
 			for _, version := range fetched {
--- a/internal/fleet/lease/model_state_test.go
+++ b/internal/fleet/lease/model_state_test.go
@@ -105,94 +105,94 @@
 	endOfPart = 254
 )
 
-func (k *stateKey) numbers(list ...uint64) {
+func (k *stateKey) addNumbers(list ...uint64) {
 	for _, n := range list {
 		*k = binary.AppendUvarint(*k, n)
 	}
 	*k = append(*k, endOfList)
 }
 
-func (k *stateKey) names(set map[string]bool) {
+func (k *stateKey) addNames(set map[string]bool) {
 	for _, name := range sortedNames(set) {
 		*k = append(*k, name...)
 	}
 	*k = append(*k, endOfList)
 }
 
-func (k *stateKey) flag(on bool) {
+func (k *stateKey) addFlag(on bool) {
 	if on {
-		k.numbers(1)
+		k.addNumbers(1)
 	} else {
-		k.numbers(0)
+		k.addNumbers(0)
 	}
 }
 
 // key returns a hash of everything in the state that influences later states.
 func (s *modelState) key() uint64 {
 	k := make(stateKey, 0, 512)
-	k.numbers(uint64(s.now), uint64(len(s.log)))
-	k.numbers(uint64(len(s.committed.Versions)), s.committed.InForce, s.committed.Announced)
-	k.numbers(uint64(s.leader), s.term, uint64(s.requests[0]), uint64(s.requests[1]))
-	k.numbers(uint64(s.proposed), uint64(s.elections))
-	k.flag(s.stopped[0])
-	k.names(s.committed.Holders)
+	k.addNumbers(uint64(s.now), uint64(len(s.log)))
+	k.addNumbers(uint64(len(s.committed.Versions)), s.committed.InForce, s.committed.Announced)
+	k.addNumbers(uint64(s.leader), s.term, uint64(s.requests[0]), uint64(s.requests[1]))
+	k.addNumbers(uint64(s.proposed), uint64(s.elections))
+	k.addFlag(s.stopped[0])
+	k.addNames(s.committed.Holders)
 	for i, m := range s.managers {
-		k.numbers(uint64(s.applied[i]), s.terms[i])
+		k.addNumbers(uint64(s.applied[i]), s.terms[i])
 		if m != nil {
-			k.manager(m)
+			k.addManager(m)
 		}
 	}
 	for _, c := range s.clients {
-		k.client(c)
+		k.addClient(c)
 	}
 	messages := make([]string, 0, len(s.messages)) // sorted below, as their order does not matter
 	for _, m := range s.messages {
 		var key stateKey
-		key.message(m)
+		key.addMessage(m)
 		messages = append(messages, string(key))
 	}
 	slices.Sort(messages)
 	return xxhash.Sum64(append(k, strings.Join(messages, "")...))
 }
 
-func (k *stateKey) manager(m *Manager) {
-	k.numbers(m.term, m.activating, uint64(m.activatingSince))
-	k.names(m.pendingJoins)
+func (k *stateKey) addManager(m *Manager) {
+	k.addNumbers(m.term, m.activating, uint64(m.activatingSince))
+	k.addNames(m.pendingJoins)
 	for _, name := range []string{"g", "h"} {
 		if h := m.holders[name]; h != nil {
-			k.numbers(h.lastSeq, uint64(h.leaseUntil), uint64(h.fallbackUntil), uint64(h.unknownUntil))
-			k.numbers(h.heldVersions...)
+			k.addNumbers(h.lastSeq, uint64(h.leaseUntil), uint64(h.fallbackUntil), uint64(h.unknownUntil))
+			k.addNumbers(h.heldVersions...)
 			for _, g := range h.grants {
-				k.numbers(g.seq, g.inForce, g.announced, uint64(g.expiresAt))
+				k.addNumbers(g.seq, g.inForce, g.announced, uint64(g.expiresAt))
 			}
-			if handedOut, pending := m.pendingRemovals[name]; pending {
-				k.numbers(uint64(handedOut), 1)
+			if returnedAt, pending := m.pendingRemovals[name]; pending {
+				k.addNumbers(uint64(returnedAt), 1)
 			}
 		}
 		*k = append(*k, endOfPart)
 	}
 }
 
-func (k *stateKey) client(c *Client) {
+func (k *stateKey) addClient(c *Client) {
 	*k = append(*k, c.effectiveName...)
 	*k = append(*k, byte(c.state))
-	k.numbers(c.seq, c.acceptedSeq, c.term, c.inForce, c.announced, uint64(c.leaseUntil), uint64(c.fallbackUntil))
+	k.addNumbers(c.seq, c.acceptedSeq, c.term, c.inForce, c.announced, uint64(c.leaseUntil), uint64(c.fallbackUntil))
 	for _, request := range c.outstanding {
-		k.numbers(request.seq, uint64(request.sentAt))
+		k.addNumbers(request.seq, uint64(request.sentAt))
 	}
 	for _, v := range c.heldVersions {
-		k.numbers(v.Number)
+		k.addNumbers(v.Number)
 	}
 }
 
-func (k *stateKey) message(m modelMessage) {
-	k.numbers(uint64(m.gateway), uint64(m.replica), m.term)
+func (k *stateKey) addMessage(m modelMessage) {
+	k.addNumbers(uint64(m.gateway), uint64(m.replica), m.term)
 	if r := m.response; r != nil {
-		k.numbers(1, r.Seq, r.Term, r.InForce, r.Announced, uint64(r.LeaseDuration), uint64(len(r.Versions)))
+		k.addNumbers(1, r.Seq, r.Term, r.InForce, r.Announced, uint64(r.LeaseDuration), uint64(len(r.Versions)))
 		return
 	}
-	k.numbers(2, m.request.Seq, m.request.Term, m.request.AcceptedSeq)
-	k.numbers(m.request.HeldVersions...)
+	k.addNumbers(2, m.request.Seq, m.request.Term, m.request.AcceptedSeq)
+	k.addNumbers(m.request.HeldVersions...)
 }
 
 // applyTo applies a command to a state machine. All states share the versions, so that each is parsed only once.
--- a/internal/fleet/lease/model_test.go
+++ b/internal/fleet/lease/model_test.go
@@ -31,8 +31,8 @@
 	secondProposal = "two"
 )
 
-// wrongContent returns the key of the version that has a proposal's number but the content of the other proposal.
-func wrongContent(proposal string) string { return "not " + proposal }
+// wrongContentKey returns the key of the version that has a proposal's number but the content of the other proposal.
+func wrongContentKey(proposal string) string { return "not " + proposal }
 
 // No reachable state of the models may have a gateway that contradicts the version in force. The environment variable
 // IRISPOST_MODEL=1 selects larger models.
@@ -100,7 +100,7 @@
 // "" if there is none.
 func explore(t *testing.T, b bounds, faults InjectedFaults) (states int, violation string) {
 	t.Helper()
-	first := firstState(t, b, faults)
+	first := initialState(t, b, faults)
 	s := newSearch(b, faults)
 	s.isNew(first.key())
 	s.todo = []*modelState{first}
@@ -153,8 +153,8 @@
 	withContentOf := func(version, other *configversion.Version) *configversion.Version {
 		return &configversion.Version{Number: version.Number, Digest: other.Digest, Content: other.Content}
 	}
-	versions[wrongContent(firstProposal)] = withContentOf(one, two)
-	versions[wrongContent(secondProposal)] = withContentOf(two, one)
+	versions[wrongContentKey(firstProposal)] = withContentOf(one, two)
+	versions[wrongContentKey(secondProposal)] = withContentOf(two, one)
 	for id, version := range versions {
 		if _, err := version.Fallback(); err != nil {
 			t.Fatal(fmt.Errorf("%s: %w", id, err))
@@ -163,8 +163,8 @@
 	return versions
 }
 
-// firstState returns the initial state: a fleet of two gateways with the first version in force.
-func firstState(t *testing.T, b bounds, faults InjectedFaults) *modelState {
+// initialState returns the initial state: a fleet of two gateways with the first version in force.
+func initialState(t *testing.T, b bounds, faults InjectedFaults) *modelState {
 	t.Helper()
 	s := &modelState{
 		committed: NewStateMachine(),
--- a/internal/fleet/lease/renew.go
+++ b/internal/fleet/lease/renew.go
@@ -138,7 +138,7 @@
 
 // addVersions adds the versions that the gateway does not hold to the response.
 func (m *Manager) addVersions(request *RenewRequest, response *RenewResponse) {
-	for _, number := range response.named() {
+	for _, number := range response.versionNumbers() {
 		version := m.state.Version(number)
 		if version == nil || slices.Contains(request.HeldVersions, number) {
 			continue
@@ -150,8 +150,8 @@
 	}
 }
 
-// named lists the numbers of the versions that a response names, the one in force first. Either may be missing.
-func (r *RenewResponse) named() []uint64 {
+// versionNumbers lists the versions that a response names, the one in force first. Either may be missing.
+func (r *RenewResponse) versionNumbers() []uint64 {
 	var numbers []uint64
 	if r.InForce > 0 {
 		numbers = append(numbers, r.InForce)
--- a/internal/fleet/lease/renew_test.go
+++ b/internal/fleet/lease/renew_test.go
@@ -19,11 +19,11 @@
 	return config.Canonical()
 }
 
-// managerOf returns a manager of term 7 with the holder "g" and one version for each content. The last version is
-// announced, and the one before it is in force.
-func managerOf(t *testing.T, faults InjectedFaults, contents ...[]byte) *Manager {
+// newTestManager returns a manager of term 7 with the holder "g" and one version for each content. The last version
+// is announced, and the one before it is in force.
+func newTestManager(t *testing.T, faults InjectedFaults, contents ...[]byte) *Manager {
 	t.Helper()
-	state := stateOf(t, &Command{Bootstrap: &testSettings}, &Command{Join: []string{"g"}})
+	state := stateAfter(t, &Command{Bootstrap: &testSettings}, &Command{Join: []string{"g"}})
 	for i, content := range contents {
 		p := &Proposal{ID: strconv.Itoa(i), Parent: state.Announced, ReplacePending: true, Content: content}
 		applyAll(t, state, &Command{Activate: state.Announced}, &Command{Propose: p})
@@ -31,8 +31,8 @@
 	return NewManager(0, 7, state, faults)
 }
 
-// stateOf returns the state after commands.
-func stateOf(t *testing.T, commands ...*Command) *StateMachine {
+// stateAfter returns the state that results from commands.
+func stateAfter(t *testing.T, commands ...*Command) *StateMachine {
 	t.Helper()
 	state := NewStateMachine()
 	applyAll(t, state, commands...)
@@ -54,7 +54,7 @@
 func TestRequestFromAnEarlierTermDoesNotCount(t *testing.T) {
 	for _, faults := range []InjectedFaults{0, FaultTrustEarlierTerms} {
 		a, b := contentWithOwner(t, "a", 100*leaseDuration), contentWithOwner(t, "b", 100*leaseDuration)
-		m := managerOf(t, faults, a, b, a, a)
+		m := newTestManager(t, faults, a, b, a, a)
 		m.state.Announced = 3
 		// By the time that this request arrives, the fallback of version 2 is in effect at the gateway.
 		m.Renew(0, &RenewRequest{Holder: "g", Seq: 3, Term: 2, HeldVersions: []uint64{1}})
@@ -72,7 +72,7 @@
 // its lease has to expire. A gateway that reports that it cannot read the version is waited for.
 func TestGatewayThatIgnoresAnOfferIsNotWaitedFor(t *testing.T) {
 	for _, fault := range []string{"", "it cannot be read"} {
-		m := managerOf(t, 0, contentWithOwner(t, "a", 0), contentWithOwner(t, "b", 0))
+		m := newTestManager(t, 0, contentWithOwner(t, "a", 0), contentWithOwner(t, "b", 0))
 		activatedAt := Time(0)
 		for now := Time(0); now < 10*leaseDuration && activatedAt == 0; now += leaseDuration / 5 {
 			m.Renew(now, &RenewRequest{Holder: "g", Seq: 1 + uint64(now), Term: 7, HeldVersions: []uint64{1}, Fault: fault})
--- a/internal/fleet/lease/sim_gateway_test.go
+++ b/internal/fleet/lease/sim_gateway_test.go
@@ -13,17 +13,18 @@
 	clock
 	client       *Client // of the current run
 	stopped      bool
-	cut          bool     // disconnected: its messages are lost
-	reaches      *replica // the only replica that it can reach; nil: all
+	disconnected bool     // its messages are lost
+	onlyReplica  *replica // the only replica that it can reach; nil: all
 	fullVersions bool     // uses the request format of earlier builds and receives versions with contents
 	cache        *content.Cache
 	diskContents [][]byte // contents ever written to its disk, oldest first
 }
 
-// start starts or restarts a gateway, which knows nothing but the content on its disk. The content may be stale.
-func (w *world) start(g *gateway) {
-	w.starts++
-	g.client = NewClient("g"+strconv.Itoa(w.starts), leaseDuration/4, w.faults)
+// startGateway starts or restarts a gateway, which knows nothing but the content on its disk. That content may be
+// stale.
+func (w *world) startGateway(g *gateway) {
+	w.startCount++
+	g.client = NewClient("g"+strconv.Itoa(w.startCount), leaseDuration/4, w.faults)
 	var faults content.InjectedFaults
 	if w.faults.Has(faultUncheckedDigest) {
 		faults |= content.FaultNoDigestCheck
@@ -47,8 +48,8 @@
 	if other := w.replicas[w.rand.IntN(len(w.replicas))]; other.manager != nil {
 		r = other
 	}
-	if g.reaches != nil && g.reaches.manager != nil {
-		r = g.reaches
+	if g.onlyReplica != nil && g.onlyReplica.manager != nil {
+		r = g.onlyReplica
 	}
 	client := g.client
 	request := client.NextRequest(g.at(w.now))
@@ -56,11 +57,11 @@
 		request.Format = 0
 	}
 	delay := w.delay()
-	if delay < 0 || g.cut {
+	if delay < 0 || g.disconnected {
 		return
 	}
 	receive := func(response *RenewResponse) { w.receive(g, client, response) }
-	w.post(delay, func() { w.receiveRequest(r, request, receive) })
+	w.schedule(delay, func() { w.receiveRequest(r, request, receive) })
 }
 
 // receiveRequest has a replica confirm its leadership and then answer a request.
@@ -75,13 +76,13 @@
 		}
 		response := r.manager.Renew(r.at(w.now), request)
 		if delay := w.delay(); delay >= 0 {
-			w.post(delay, func() { receive(response) })
+			w.schedule(delay, func() { receive(response) })
 		}
 	}
-	w.post(max(w.delay(), 0)/4, func() {
+	w.schedule(max(w.delay(), 0)/4, func() {
 		confirmed := r == w.leader && r.term == term
 		end := len(w.log)
-		w.post(max(w.delay(), 0)/4, func() { respond(confirmed, end) })
+		w.schedule(max(w.delay(), 0)/4, func() { respond(confirmed, end) })
 	})
 }
 
@@ -90,7 +91,7 @@
 	switch {
 	case g.client != client: // the gateway was restarted
 	case g.stopped:
-		w.post(leaseDuration/10, func() { w.receive(g, client, response) })
+		w.schedule(leaseDuration/10, func() { w.receive(g, client, response) })
 	default:
 		w.fetchContents(g, client, response)
 	}
@@ -127,7 +128,7 @@
 	switch {
 	case g.client != f.client: // the gateway was restarted
 	case g.stopped:
-		w.post(leaseDuration/10, func() { f.next(left, fetch) })
+		w.schedule(leaseDuration/10, func() { f.next(left, fetch) })
 	case fetch != nil && fetch.State() == content.StateInProgress && inTime:
 		w.fetchFromReplica(g, fetch, func() { f.next(left, fetch) })
 	case len(left) == 0:
@@ -160,19 +161,19 @@
 	request := fetch.NextRequest()
 	r := w.replicas[w.rand.IntN(len(w.replicas))]
 	there, back := w.delay(), w.delay()
-	if there < 0 || back < 0 || g.cut {
-		w.post(leaseDuration/8, func() {
+	if there < 0 || back < 0 || g.disconnected {
+		w.schedule(leaseDuration/8, func() {
 			fetch.HandleFailure()
 			then()
 		})
 		return
 	}
-	w.post(there/2, func() {
+	w.schedule(there/2, func() {
 		version := r.state.VersionByDigest(request.Digest)
 		if version != nil && !w.healed && w.chance(0.1) { // answer with the content of another version
 			version = w.committed.Versions[w.rand.IntN(len(w.committed.Versions))]
 		}
-		w.post(back/2, func() {
+		w.schedule(back/2, func() {
 			w.answerContent(r, fetch, request, version)
 			then()
 		})
--- a/internal/fleet/lease/sim_replica_test.go
+++ b/internal/fleet/lease/sim_replica_test.go
@@ -15,7 +15,7 @@
 	pending []*logEntry // proposed to the log, not committed yet
 }
 
-// logEntry is a command in the log. It is encoded only in runs with world.encodes set.
+// logEntry is a command in the log. It is encoded only in runs with world.encodeEntries set.
 type logEntry struct {
 	command *Command
 	encoded []byte
@@ -36,7 +36,7 @@
 // enqueue has a leading replica propose a command to the log.
 func (w *world) enqueue(r *replica, c *Command) *logEntry {
 	entry := &logEntry{command: c}
-	if w.encodes {
+	if w.encodeEntries {
 		var err error
 		if entry.encoded, err = c.EncodeEntry(Format, r.state); err != nil {
 			panic(err)
@@ -66,7 +66,7 @@
 	if errors.Is(err, ErrInvalidEntry) {
 		w.violation = err.Error()
 	}
-	if w.encodes && r.applied > w.firstIndex+8 {
+	if w.encodeEntries && r.applied > w.firstIndex+8 {
 		w.firstIndex = r.applied
 		w.snapshot = r.state.Snapshot()
 	}
@@ -123,7 +123,7 @@
 // elect makes a random replica the leader. The previous leader may not learn of it.
 func (w *world) elect() {
 	if w.leader != nil {
-		w.depose(w.leader)
+		w.endLeadership(w.leader)
 	}
 	if w.faults.Has(faultLostLog) && len(w.log) > w.firstIndex+1 && w.rand.IntN(4) == 0 {
 		w.loseLastEntry()
@@ -138,22 +138,22 @@
 	r.manager.retention = w.retention
 }
 
-// depose ends a replica's leadership. Some of its pending entries are still committed, and it may continue to believe
-// that it leads, with some gateways on its side of a network partition.
-func (w *world) depose(r *replica) {
+// endLeadership ends a replica's leadership. Some of its pending entries are still committed, and it may continue to
+// believe that it leads, with some gateways on its side of a network partition.
+func (w *world) endLeadership(r *replica) {
 	for _, entry := range slices.Clone(r.pending) {
 		if w.rand.IntN(2) == 0 {
 			w.commit(r, entry)
 		}
 	}
 	r.pending = nil
-	if !w.chance(w.conditions.keepsLeading) {
+	if !w.chance(w.conditions.staleLeaders) {
 		r.manager = nil
 		return
 	}
 	for _, g := range w.gateways {
 		if w.rand.IntN(3) == 0 {
-			g.reaches = r
+			g.onlyReplica = r
 		}
 	}
 }
@@ -190,15 +190,15 @@
 		w.apply(r, len(w.log))
 	}
 	if c := r.manager.NextCommand(r.at(w.now)); c != nil && r == w.leader {
-		w.append(c)
+		w.appendCommand(c)
 	}
 }
 
-// append has the leader propose a command, which is committed after some delay.
-func (w *world) append(c *Command) {
+// appendCommand has the leader propose a command, which is committed after some delay.
+func (w *world) appendCommand(c *Command) {
 	r := w.leader
 	entry := w.enqueue(r, c)
-	w.post(max(w.delay(), 0)/4, func() { w.commit(r, entry) })
+	w.schedule(max(w.delay(), 0)/4, func() { w.commit(r, entry) })
 }
 
-func (w *world) propose() { w.append(&Command{Propose: w.proposal()}) }
+func (w *world) propose() { w.appendCommand(&Command{Propose: w.proposal()}) }
--- a/internal/fleet/lease/sim_test.go
+++ b/internal/fleet/lease/sim_test.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// simulation collects the results of many runs.
-type simulation struct {
+// simulationResult collects the results of many runs.
+type simulationResult struct {
 	mu        sync.Mutex
 	next      uint64 // next seed to run
 	seed      uint64 // lowest seed with a violation; 0: none
@@ -70,8 +70,8 @@
 }
 
 // simulateMany runs the simulation with the seeds from 1 to count, several in parallel, until one shows a violation.
-func simulateMany(count uint64, faults InjectedFaults) *simulation {
-	s := &simulation{next: 1}
+func simulateMany(count uint64, faults InjectedFaults) *simulationResult {
+	s := &simulationResult{next: 1}
 	var workers sync.WaitGroup
 	for range runtime.GOMAXPROCS(0) {
 		workers.Go(func() {
@@ -85,7 +85,7 @@
 }
 
 // take returns the next seed, unless an earlier one has shown a violation.
-func (s *simulation) take(count uint64) (seed uint64, more bool) {
+func (s *simulationResult) take(count uint64) (seed uint64, more bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	seed = s.next
@@ -93,7 +93,7 @@
 	return seed, seed <= count && (s.seed == 0 || seed < s.seed)
 }
 
-func (s *simulation) add(seed uint64, w *world) {
+func (s *simulationResult) add(seed uint64, w *world) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.steps += int64(w.steps)
@@ -132,8 +132,8 @@
 	w.healed = true
 	for _, g := range w.gateways {
 		g.stopped = false
-		g.cut = false
-		g.reaches = nil
+		g.disconnected = false
+		g.onlyReplica = nil
 	}
 	w.stopEarlierLeaders()
 	w.apply(w.leader, len(w.log))
--- a/internal/fleet/lease/sim_world_test.go
+++ b/internal/fleet/lease/sim_world_test.go
@@ -32,27 +32,27 @@
 	steps      int
 	healed     bool // no more messages are lost or slow
 
-	messages  []message // sorted by delivery time
-	postCount int
+	messages      []message // sorted by delivery time
+	scheduleCount int
 
-	log        []*logEntry
-	firstIndex int    // entries before this index were compacted
-	snapshot   []byte // replaces the compacted entries
-	encodes    bool   // whether log entries and snapshots are encoded and decoded
+	log           []*logEntry
+	firstIndex    int    // entries before this index were compacted
+	snapshot      []byte // replaces the compacted entries
+	encodeEntries bool   // whether log entries and snapshots are encoded and decoded
 
 	replicas  []*replica
 	leader    *replica
 	term      uint64
 	retention retention
 
-	gateways []*gateway
-	starts   int // number of gateway starts so far
+	gateways   []*gateway
+	startCount int // number of gateway starts so far
 
-	committed    *StateMachine            // state that results from the log
-	acknowledged []*configversion.Version // versions whose proposals were acknowledged
-	forgotten    map[uint64]string        // digests of forgotten versions, by number
-	compatible   map[compatibility]bool   // pairs already found compatible
-	violation    string                   // the violation found; empty: none
+	committed    *StateMachine             // state that results from the log
+	acknowledged []*configversion.Version  // versions whose proposals were acknowledged
+	forgotten    map[uint64]string         // digests of forgotten versions, by number
+	compatible   map[compatibilityKey]bool // pairs already found compatible
+	violation    string                    // the violation found; empty: none
 }
 
 // conditions are a run's probabilities and limits. They are drawn per run, so that rare events coincide in some runs.
@@ -61,9 +61,9 @@
 	slow         float64 // fraction of messages that are slow
 	maxDelay     Time
 	elections    float64 // probability per step
-	cuts         float64 // probability per step of a network or process fault at a gateway
+	faultToggles float64 // probability per step that a gateway's network or process fault is toggled
 	restarts     float64 // probability per step
-	keepsLeading float64 // fraction of former leaders that still believe that they lead
+	staleLeaders float64 // fraction of former leaders that still believe that they lead
 	fallbacks    bool
 	extremeDrift bool // all clocks drift at the limit in the settings
 	maxStep      Time
@@ -83,25 +83,25 @@
 
 func newWorld(seed uint64, faults InjectedFaults) *world {
 	w := &world{
-		rand:       rand.New(rand.NewPCG(seed, 1)),
-		faults:     faults,
-		committed:  NewStateMachine(),
-		compatible: map[compatibility]bool{},
-		forgotten:  map[uint64]string{},
-		encodes:    seed%16 == 1,
-		retention:  retention{enabled: seed%5 != 4, baseVersions: int(seed % 3), batchSize: 1 + int(seed/3%2)},
+		rand:          rand.New(rand.NewPCG(seed, 1)),
+		faults:        faults,
+		committed:     NewStateMachine(),
+		compatible:    map[compatibilityKey]bool{},
+		forgotten:     map[uint64]string{},
+		encodeEntries: seed%16 == 1,
+		retention:     retention{enabled: seed%5 != 4, baseVersions: int(seed % 3), batchSize: 1 + int(seed/3%2)},
 	}
 	w.conditions = conditions{
-		loss:         w.draw(0, 0.1, 0.4),
-		slow:         w.draw(0, 0.1, 0.5),
-		maxDelay:     Time(w.draw(0.1, 0.5, 2, 6) * float64(leaseDuration)),
-		elections:    w.draw(0.002, 0.02, 0.05),
-		cuts:         w.draw(0, 0.02, 0.08),
-		restarts:     w.draw(0, 0.01, 0.03),
-		keepsLeading: w.draw(0.2, 0.9),
+		loss:         w.pick(0, 0.1, 0.4),
+		slow:         w.pick(0, 0.1, 0.5),
+		maxDelay:     Time(w.pick(0.1, 0.5, 2, 6) * float64(leaseDuration)),
+		elections:    w.pick(0.002, 0.02, 0.05),
+		faultToggles: w.pick(0, 0.02, 0.08),
+		restarts:     w.pick(0, 0.01, 0.03),
+		staleLeaders: w.pick(0.2, 0.9),
 		fallbacks:    w.chance(0.5),
 		extremeDrift: w.chance(0.5),
-		maxStep:      Time(w.draw(0.05, 0.1, 0.3) * float64(leaseDuration)),
+		maxStep:      Time(w.pick(0.05, 0.1, 0.3) * float64(leaseDuration)),
 	}
 	for range 3 {
 		w.replicas = append(w.replicas, &replica{clock: w.newClock(), state: NewStateMachine()})
@@ -109,7 +109,7 @@
 	for range 2 + w.rand.IntN(3) {
 		g := &gateway{clock: w.newClock(), fullVersions: w.chance(0.3)}
 		w.gateways = append(w.gateways, g)
-		w.start(g)
+		w.startGateway(g)
 	}
 	w.log = append(w.log, &logEntry{command: &Command{Bootstrap: &testSettings}})
 	mustApply(w.committed, w.log[0].command)
@@ -126,19 +126,19 @@
 
 func (w *world) chance(probability float64) bool { return w.rand.Float64() < probability }
 
-func (w *world) draw(list ...float64) float64 { return list[w.rand.IntN(len(list))] }
+func (w *world) pick(list ...float64) float64 { return list[w.rand.IntN(len(list))] }
 
 func (w *world) newClock() clock {
 	drift := 2*w.rand.Float64() - 1
 	if w.conditions.extremeDrift {
-		drift = w.draw(-1, 1)
+		drift = w.pick(-1, 1)
 	}
 	return clock{rate: 1 + testSettings.MaxClockDrift*drift, offset: w.rand.Int64N(leaseDuration * 100)}
 }
 
-// post schedules a function to be called after a delay.
-func (w *world) post(delay Time, deliver func()) {
-	w.postCount++
+// schedule schedules a function to be called after a delay.
+func (w *world) schedule(delay Time, deliver func()) {
+	w.scheduleCount++
 	at := w.now + delay
 	i := sort.Search(len(w.messages), func(i int) bool { return w.messages[i].at > at })
 	w.messages = slices.Insert(w.messages, i, message{at, deliver})
@@ -161,7 +161,7 @@
 // step triggers one random event, runs everything that is due and checks the invariants.
 func (w *world) step() {
 	w.steps++
-	w.doSomething(w.gateways[w.rand.IntN(len(w.gateways))])
+	w.triggerEvent(w.gateways[w.rand.IntN(len(w.gateways))])
 	for _, r := range w.replicas {
 		w.runManager(r)
 	}
@@ -173,17 +173,17 @@
 	w.check()
 }
 
-// doSomething triggers one random event. Events that affect a gateway affect g.
-func (w *world) doSomething(g *gateway) {
+// triggerEvent triggers one random event. Events that affect a gateway affect g.
+func (w *world) triggerEvent(g *gateway) {
 	switch {
 	case w.healed:
 		w.advance()
 	case w.chance(w.conditions.elections):
 		w.elect()
-	case w.chance(w.conditions.cuts):
-		w.disturb(g)
+	case w.chance(w.conditions.faultToggles):
+		w.toggleFault(g)
 	case w.chance(w.conditions.restarts):
-		w.start(g)
+		w.startGateway(g)
 		g.stopped = false
 	case w.faults.Has(faultWallClock) && w.chance(0.05):
 		g.offset -= w.rand.Int64N(4 * leaseDuration)
@@ -191,22 +191,22 @@
 		w.propose()
 	case w.chance(0.05):
 		w.sendRequest(g)
-	case w.chance(0.05 * (1 - w.conditions.keepsLeading)):
+	case w.chance(0.05 * (1 - w.conditions.staleLeaders)):
 		w.stopEarlierLeaders()
 	default:
 		w.advance()
 	}
 }
 
-// disturb stops or resumes a gateway, disconnects or reconnects it, or limits it to one replica.
-func (w *world) disturb(g *gateway) {
+// toggleFault stops or resumes a gateway, disconnects or reconnects it, or limits it to one replica.
+func (w *world) toggleFault(g *gateway) {
 	switch w.rand.IntN(4) {
 	case 0:
 		g.stopped = !g.stopped
 	case 1:
-		g.reaches = w.replicas[w.rand.IntN(len(w.replicas))]
+		g.onlyReplica = w.replicas[w.rand.IntN(len(w.replicas))]
 	default:
-		g.cut = !g.cut
+		g.disconnected = !g.disconnected
 	}
 }
 
@@ -222,8 +222,8 @@
 	w.now += w.rand.Int64N(w.conditions.maxStep)
 }
 
-// compatibility identifies an effective configuration that does not exceed the version in force.
-type compatibility struct {
+// compatibilityKey identifies an effective configuration that does not exceed the version in force.
+type compatibilityKey struct {
 	effective *configversion.Config
 	inForce   uint64
 }
@@ -265,7 +265,7 @@
 		return fmt.Sprintf("has %s in effect, but of the held versions %v some are forgotten",
 			g.client.EffectiveName(), held)
 	}
-	key := compatibility{effective, w.committed.InForce}
+	key := compatibilityKey{effective, w.committed.InForce}
 	if w.compatible[key] {
 		return ""
 	}
@@ -288,7 +288,7 @@
 // proposal draws a proposal based on the latest version in the leader's state.
 func (w *world) proposal() *Proposal {
 	p := &Proposal{
-		ID:             strconv.Itoa(w.postCount),
+		ID:             strconv.Itoa(w.scheduleCount),
 		Parent:         w.leader.state.Announced,
 		ReplacePending: w.rand.IntN(2) == 0,
 		Content:        configPool[w.rand.IntN(len(configPool))],
@@ -296,6 +296,6 @@
 	if !w.conditions.fallbacks && len(p.Content) > 20 {
 		p.Content = configPoolWithoutFallbacks[w.rand.IntN(len(configPoolWithoutFallbacks))]
 	}
-	w.postCount++
+	w.scheduleCount++
 	return p
 }
--- a/internal/fleet/lease/snapshot.go
+++ b/internal/fleet/lease/snapshot.go
@@ -61,10 +61,10 @@
 			CreatedAt: v.CreatedAt,
 		}
 	}
-	snapshot := appendSized([]byte{format2Mark}, mustMarshalState(&header))
+	snapshot := appendLengthPrefixed([]byte{format2Mark}, mustMarshalState(&header))
 	previous := &configversion.Version{}
 	for _, v := range s.Versions {
-		snapshot = appendSized(snapshot, s.encodedFrom(previous, v))
+		snapshot = appendLengthPrefixed(snapshot, s.encodedFrom(previous, v))
 		previous = v
 	}
 	digest := blake3.Sum256(snapshot)
@@ -94,8 +94,8 @@
 	return b
 }
 
-// appendSized appends a part, preceded by its length.
-func appendSized(to, part []byte) []byte {
+// appendLengthPrefixed appends a part, preceded by its length.
+func appendLengthPrefixed(to, part []byte) []byte {
 	to = binary.AppendUvarint(to, uint64(len(part)))
 	return append(to, part...)
 }
@@ -158,7 +158,7 @@
 	if sum := blake3.Sum256(body); !bytes.Equal(sum[:], digest) {
 		return fmt.Errorf("%w: computed %x, stored %x", errSnapshotDigest, sum[:6], digest[:6])
 	}
-	header, rest, err := cutSized(body[1:])
+	header, rest, err := cutLengthPrefixed(body[1:])
 	if err != nil {
 		return fmt.Errorf("header: %w", err)
 	}
@@ -174,7 +174,7 @@
 			return fmt.Errorf("%w: the header's version at index %d is null", errSnapshotInconsistent, i)
 		}
 		var encoded []byte
-		if encoded, rest, err = cutSized(rest); err != nil {
+		if encoded, rest, err = cutLengthPrefixed(rest); err != nil {
 			return fmt.Errorf("version %d: %w", v.Number, err)
 		}
 		if err := s.decodeVersion(v, previous, encoded); err != nil {
@@ -203,8 +203,8 @@
 	return nil
 }
 
-// cutSized splits a part that appendSized wrote off the front of a slice.
-func cutSized(from []byte) (part, rest []byte, err error) {
+// cutLengthPrefixed splits a part that appendLengthPrefixed wrote off the front of a slice.
+func cutLengthPrefixed(from []byte) (part, rest []byte, err error) {
 	size, n := binary.Uvarint(from)
 	if n <= 0 || size > uint64(len(from)-n) {
 		return nil, nil, errSnapshotTruncated
--- a/internal/fleet/lease/snapshot_test.go
+++ b/internal/fleet/lease/snapshot_test.go
@@ -45,7 +45,7 @@
 }
 
 func TestRestoreReadsFormat1(t *testing.T) {
-	snapshot := stateOf(t, &Command{Propose: &Proposal{ID: "a", Content: contentOfNodes(1, 1)}}).Snapshot()
+	snapshot := stateAfter(t, &Command{Propose: &Proposal{ID: "a", Content: contentOfNodes(1, 1)}}).Snapshot()
 	restored, err := Restore(snapshot)
 	if err != nil || restored.Version(1) == nil || snapshot[0] != '{' {
 		t.Errorf("restoring %s: got error %v, want a snapshot in JSON that is restored with version 1", snapshot, err)
--- a/internal/fleet/lease/statemachine_test.go
+++ b/internal/fleet/lease/statemachine_test.go
@@ -208,7 +208,7 @@
 }
 
 func TestForgetRefusesTheAnnouncedVersion(t *testing.T) {
-	state := stateOf(t,
+	state := stateAfter(t,
 		&Command{Propose: &Proposal{ID: "a", Content: contentOfNodes(1, 1)}},
 		&Command{Propose: &Proposal{ID: "b", Parent: 1, ReplacePending: true, Content: contentOfNodes(1, 2)}})
 	if _, err := state.Apply(&Command{Forget: []uint64{1, 2}}); !errors.Is(err, errVersionNeeded) {
