--- a/internal/fleet/replica/cluster_test.go
+++ b/internal/fleet/replica/cluster_test.go
@@ -8,32 +8,35 @@
 	"log/slog"
 	"maps"
 	"net"
+	"net/netip"
 	"os"
 	"path/filepath"
 	"strings"
 	"testing"
 	"time"
 
+	"golang.org/x/sys/unix"
+
 	"irispost/internal/fleet/configversion"
 	"irispost/internal/fleet/content"
 	"irispost/internal/fleet/lease"
 	"irispost/internal/loopback"
 )
 
-// testCluster is replicas in one process, with their folders and addresses.
+// testCluster is a group of replicas in one process, with their folders and addresses.
 type testCluster struct {
 	t                 *testing.T
 	dir               string
 	peers             map[uint64]string
 	running           map[uint64]*Replica
-	joining           uint64         // ID of the replica that did not found the group; 0: none
-	entryFormats      map[uint64]int // of replicas that know an older format only
+	joining           uint64         // ID of a replica that is started with Options.Joining; 0: none
+	entryFormats      map[uint64]int // newest entry format of replicas that know only an older one, by ID
 	compactionEntries uint64
 	tickInterval      time.Duration
-	quiet             bool // replicas log nothing
+	quiet             bool // replicas write no logs
 }
 
-// newTestCluster finds addresses for three replicas. None is started.
+// newTestCluster returns a cluster with addresses for three replicas, none of which is started.
 func newTestCluster(t *testing.T) *testCluster {
 	t.Helper()
 	c := &testCluster{
@@ -45,7 +48,7 @@
 		tickInterval:      10 * time.Millisecond,
 	}
 	for id := uint64(1); id <= 3; id++ {
-		c.peers[id] = freeAddress(t)
+		c.peers[id] = reserveAddress(t)
 	}
 	t.Cleanup(func() {
 		for _, r := range c.running {
@@ -55,15 +58,29 @@
 	return c
 }
 
-// freeAddress is an address that nobody listens on.
-func freeAddress(t *testing.T) string {
+// reserveAddress returns an address that a replica can listen on whenever it is started. A bound socket that does not
+// listen holds the port until the test ends: as both sockets have SO_REUSEADDR, which net.Listen sets too, a replica
+// can bind to the port by its number, but the kernel assigns the port to no socket that asks for any free one. A port
+// that is only found free and released again can be assigned to another socket before the replica listens on it.
+func reserveAddress(t *testing.T) string {
 	t.Helper()
-	listener := listen(t, loopback.Own()+":0")
-	address := listener.Addr().String()
-	if err := listener.Close(); err != nil {
+	socket, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = unix.Close(socket) }) // nothing was sent on it
+	if err := unix.SetsockoptInt(socket, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1); err != nil {
+		t.Fatal(err)
+	}
+	ip := netip.MustParseAddr(loopback.Own())
+	if err := unix.Bind(socket, &unix.SockaddrInet4{Addr: ip.As4()}); err != nil {
+		t.Fatal(err)
+	}
+	bound, err := unix.Getsockname(socket)
+	if err != nil {
 		t.Fatal(err)
 	}
-	return address
+	return netip.AddrPortFrom(ip, uint16(bound.(*unix.SockaddrInet4).Port)).String()
 }
 
 func listen(t *testing.T, address string) net.Listener {
@@ -99,7 +116,7 @@
 	}
 	var r *Replica
 	var err error
-	for range 200 { // the address of a replica that has just stopped may be in use for a moment
+	for range 200 { // the address of a replica that has just stopped may still be in use for a moment
 		r, err = Start(options)
 		if err == nil || !strings.Contains(err.Error(), "in use") {
 			break
@@ -136,18 +153,18 @@
 	return client
 }
 
-// call has a replica's owner goroutine run a function and waits for its end.
+// call runs a function on a replica's owner goroutine and waits until it has returned.
 func (r *Replica) call(t *testing.T, function func()) {
 	t.Helper()
 	done := make(chan struct{})
-	r.do(context.Background(), func() {
+	r.enqueue(context.Background(), func() {
 		defer close(done)
 		function()
 	})
 	<-done
 }
 
-// machine is a copy of a replica's state machine, once so many versions are announced.
+// machine returns a copy of a replica's state machine once it has announced the version with the given number.
 func (c *testCluster) machine(id, announced uint64) *lease.StateMachine {
 	c.t.Helper()
 	for {
@@ -165,7 +182,7 @@
 	}
 }
 
-// rateLimitConfig is a small configuration with a rate limit.
+// rateLimitConfig returns the canonical form of a small configuration with a rate limit.
 func rateLimitConfig(limit float64) []byte { return smallConfig(limit).Canonical() }
 
 func smallConfig(limit float64) *configversion.Config {
@@ -180,7 +197,7 @@
 	}
 }
 
-// nodesConfig is a configuration of so many nodes; the variants differ in the nodes' ages.
+// nodesConfig returns a configuration with the given number of nodes; variants differ in the nodes' start times.
 func nodesConfig(nodes, variant int) []byte {
 	configuration := smallConfig(1)
 	configuration.Shards = nodes
@@ -195,13 +212,13 @@
 	return configuration.Canonical()
 }
 
-// namedNodesConfig is a configuration of so many nodes with names, zones and ages; each change replaces one node or
-// sets one limit.
+// namedNodesConfig returns a configuration with the given number of nodes, which have names, zones and start times.
+// Each change sets the rate limit, and half of the changes also replace one node.
 func namedNodesConfig(nodes, change int) []byte {
 	configuration := smallConfig(float64(1 + change))
 	configuration.Shards = nodes
 	for i := range nodes {
-		replaced := (change + nodes - i) / (2 * nodes) // how often it was replaced
+		replaced := (change + nodes - i) / (2 * nodes) // how often the node has been replaced
 		address := fmt.Sprintf("10.%d.%d.%d:7000", replaced%250, i/250, i%250)
 		configuration.Nodes[address] = configversion.Node{
 			Shard:     i,
@@ -213,7 +230,7 @@
 	return configuration.Canonical()
 }
 
-// propose has version n announced, in place of what is announced and not in force yet.
+// propose proposes version n, which replaces an announced version that is not in force yet.
 func propose(t *testing.T, client *Client, n uint64, configuration []byte) *configversion.Version {
 	t.Helper()
 	proposal := &lease.Proposal{ID: fmt.Sprint(n), Parent: n - 1, ReplacePending: true, Content: configuration}
@@ -224,7 +241,7 @@
 	return version
 }
 
-// proposeNamedNodes has versions announced from number first to last.
+// proposeNamedNodes proposes the versions from number first to last.
 func proposeNamedNodes(t *testing.T, client *Client, nodes int, first, last uint64) {
 	t.Helper()
 	for n := first; n <= last; n++ {
@@ -232,14 +249,14 @@
 	}
 }
 
-// fetchEventually fetches until a replica has a content: it may lag.
+// fetchEventually repeats a fetch until the replica, which may lag, has the content.
 func fetchEventually(
-	t *testing.T, address string, holding *content.Cache, digest string,
+	t *testing.T, address string, cache *content.Cache, digest string,
 ) (request content.Request, coding string, encoded []byte) {
 	t.Helper()
 	client := &Client{}
 	for deadline := time.Now().Add(time.Minute); ; time.Sleep(5 * time.Millisecond) {
-		request = holding.Fetch(digest, 1).NextRequest()
+		request = cache.Fetch(digest, 1).NextRequest()
 		coding, encoded, err := client.FetchContent(t.Context(), address, request)
 		if err == nil {
 			return request, coding, encoded
