--- a/internal/fleet/lease/sim_gateway_test.go
+++ b/internal/fleet/lease/sim_gateway_test.go
@@ -11,19 +11,20 @@
 
 type gateway struct {
 	clock
-	client       *Client // of the present start
+	client       *Client // of the current run
 	stopped      bool
-	cut          bool     // its messages are lost
-	reaches      *replica // the only one that it reaches; nil: all
-	fullVersions bool     // it requests as earlier builds do, and gets versions with contents
+	disconnected bool     // its messages are lost
+	onlyReplica  *replica // the only replica that it can reach; nil: all
+	fullVersions bool     // uses the request format of earlier builds and receives versions with contents
 	cache        *content.Cache
-	diskContents [][]byte // what has been on its disk
+	diskContents [][]byte // contents ever written to its disk, oldest first
 }
 
-// start starts a gateway, which knows nothing but what is on its disk. That may be old.
-func (w *world) start(g *gateway) {
-	w.starts++
-	g.client = NewClient("g"+strconv.Itoa(w.starts), leaseDuration/4, w.faults)
+// startGateway starts or restarts a gateway, which knows nothing but the content on its disk. That content may be
+// stale.
+func (w *world) startGateway(g *gateway) {
+	w.startCount++
+	g.client = NewClient("g"+strconv.Itoa(w.startCount), leaseDuration/4, w.faults)
 	var faults content.InjectedFaults
 	if w.faults.Has(faultUncheckedDigest) {
 		faults |= content.FaultNoDigestCheck
@@ -47,8 +48,8 @@
 	if other := w.replicas[w.rand.IntN(len(w.replicas))]; other.manager != nil {
 		r = other
 	}
-	if g.reaches != nil && g.reaches.manager != nil {
-		r = g.reaches
+	if g.onlyReplica != nil && g.onlyReplica.manager != nil {
+		r = g.onlyReplica
 	}
 	client := g.client
 	request := client.NextRequest(g.at(w.now))
@@ -56,14 +57,14 @@
 		request.Format = 0
 	}
 	delay := w.delay()
-	if delay < 0 || g.cut {
+	if delay < 0 || g.disconnected {
 		return
 	}
 	receive := func(response *RenewResponse) { w.receive(g, client, response) }
-	w.post(delay, func() { w.receiveRequest(r, request, receive) })
+	w.schedule(delay, func() { w.receiveRequest(r, request, receive) })
 }
 
-// receiveRequest has a replica confirm that it leads and answer a request.
+// receiveRequest has a replica confirm its leadership and then answer a request.
 func (w *world) receiveRequest(r *replica, request *RenewRequest, receive func(*RenewResponse)) {
 	term := r.term
 	respond := func(confirmed bool, end int) {
@@ -75,29 +76,29 @@
 		}
 		response := r.manager.Renew(r.at(w.now), request)
 		if delay := w.delay(); delay >= 0 {
-			w.post(delay, func() { receive(response) })
+			w.schedule(delay, func() { receive(response) })
 		}
 	}
-	w.post(max(w.delay(), 0)/4, func() {
+	w.schedule(max(w.delay(), 0)/4, func() {
 		confirmed := r == w.leader && r.term == term
 		end := len(w.log)
-		w.post(max(w.delay(), 0)/4, func() { respond(confirmed, end) })
+		w.schedule(max(w.delay(), 0)/4, func() { respond(confirmed, end) })
 	})
 }
 
-// receive has a gateway take in a response, unless it was started again since.
+// receive has a gateway process a response, unless it was restarted since it sent the request.
 func (w *world) receive(g *gateway, client *Client, response *RenewResponse) {
 	switch {
-	case g.client != client: // the gateway was started again
+	case g.client != client: // the gateway was restarted
 	case g.stopped:
-		w.post(leaseDuration/10, func() { w.receive(g, client, response) })
+		w.schedule(leaseDuration/10, func() { w.receive(g, client, response) })
 	default:
 		w.fetchContents(g, client, response)
 	}
 }
 
-// contentFetch fetches the contents of a response's versions one after the other, and hands the response to
-// the client with those that have come in time.
+// contentFetch fetches the contents of a response's versions one after the other, then passes the response to the
+// client with those contents that arrived before the deadline.
 type contentFetch struct {
 	world    *world
 	gateway  *gateway
@@ -106,8 +107,8 @@
 	deadline Time
 }
 
-// fetchContents fetches the contents that a response names. They come from any replica, as deltas or
-// complete, and are lost, late, corrupt or another's.
+// fetchContents fetches the contents that a response names, from any replica, as deltas or complete. Some are lost,
+// late or corrupt, or belong to another version.
 func (w *world) fetchContents(g *gateway, client *Client, response *RenewResponse) {
 	var digests []string
 	for _, v := range client.VersionsOf(response) {
@@ -120,14 +121,14 @@
 	f.next(response.Versions, nil)
 }
 
-// next goes on with the versions that are left, of which the first is being fetched if fetch is not nil.
+// next continues with the remaining versions. If fetch is not nil, the first of them is being fetched.
 func (f *contentFetch) next(left []*configversion.Version, fetch *content.Fetch) {
 	w, g := f.world, f.gateway
 	inTime := w.now < f.deadline
 	switch {
-	case g.client != f.client: // the gateway was started again
+	case g.client != f.client: // the gateway was restarted
 	case g.stopped:
-		w.post(leaseDuration/10, func() { f.next(left, fetch) })
+		w.schedule(leaseDuration/10, func() { f.next(left, fetch) })
 	case fetch != nil && fetch.State() == content.StateInProgress && inTime:
 		w.fetchFromReplica(g, fetch, func() { f.next(left, fetch) })
 	case len(left) == 0:
@@ -142,7 +143,7 @@
 	}
 }
 
-// finish puts a content into its version if it has come.
+// finish sets a version's content if it was fetched.
 func (f *contentFetch) finish(version *configversion.Version) {
 	fetched := f.gateway.cache.Content(version.Digest)
 	if fetched == nil {
@@ -155,31 +156,32 @@
 	f.gateway.diskContents = append(f.gateway.diskContents, fetched)
 }
 
-// fetchFromReplica asks any replica for a content, as each may answer.
+// fetchFromReplica requests content from a random replica, as followers may answer such requests too.
 func (w *world) fetchFromReplica(g *gateway, fetch *content.Fetch, then func()) {
 	request := fetch.NextRequest()
 	r := w.replicas[w.rand.IntN(len(w.replicas))]
 	there, back := w.delay(), w.delay()
-	if there < 0 || back < 0 || g.cut {
-		w.post(leaseDuration/8, func() {
+	if there < 0 || back < 0 || g.disconnected {
+		w.schedule(leaseDuration/8, func() {
 			fetch.HandleFailure()
 			then()
 		})
 		return
 	}
-	w.post(there/2, func() {
+	w.schedule(there/2, func() {
 		version := r.state.VersionByDigest(request.Digest)
-		if version != nil && !w.healed && w.chance(0.1) { // the content of another version
+		if version != nil && !w.healed && w.chance(0.1) { // answer with the content of another version
 			version = w.committed.Versions[w.rand.IntN(len(w.committed.Versions))]
 		}
-		w.post(back/2, func() {
+		w.schedule(back/2, func() {
 			w.answerContent(r, fetch, request, version)
 			then()
 		})
 	})
 }
 
-// answerContent hands a version's content to a fetch, as a delta if the replica has the base; some are corrupt.
+// answerContent passes a version's content to a fetch, as a delta if the replica has the base. Some answers are
+// corrupted.
 func (w *world) answerContent(
 	r *replica, fetch *content.Fetch, request content.Request, version *configversion.Version,
 ) {
@@ -196,10 +198,10 @@
 		encoded = append([]byte(nil), encoded...)
 		encoded[w.rand.IntN(len(encoded))] ^= 1 << w.rand.IntN(8)
 	}
-	_ = fetch.HandleResponse(request, coding, encoded) // what is wrong is seen in the fetch's state
+	_ = fetch.HandleResponse(request, coding, encoded) // errors show in the fetch's state
 }
 
-// encodedContents keeps what was encoded in all runs, as there are few contents.
+// encodedContents caches encoded contents across runs, as there are few distinct ones.
 var encodedContents sync.Map
 
 func encodeOnce(base, bytes []byte) []byte {
--- a/internal/serve/leak_test.go
+++ b/internal/serve/leak_test.go
@@ -17,8 +17,8 @@
 	"irispost/internal/webstandin"
 )
 
-// startLeakGateway starts a gateway behind HTTP that takes its endpoints from a list.
-func startLeakGateway(t *testing.T, list *lists) (*serve.WebGateway, *platform.Config) {
+// startLeakGateway starts an HTTP gateway that takes its endpoints from a discovery server.
+func startLeakGateway(t *testing.T, list *discoveryServer) (*serve.WebGateway, *platform.Config) {
 	t.Helper()
 	text := fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:0","discovery":%q,"seed":"1",
 		"limits":{"cores":1,"memory_mb":64,"sockets":256},
@@ -38,7 +38,7 @@
 	return g, conf
 }
 
-// dialWeb connects to a gateway behind HTTP and sends a text.
+// dialWeb connects to an HTTP gateway and sends a text.
 func dialWeb(t *testing.T, g *serve.WebGateway, text string) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", g.Frontend.Addr())
@@ -49,13 +49,14 @@
 	return c
 }
 
-// TestWebGatewayLeavesNoGoroutine: a gateway behind HTTP that has served, has had clients that are idle, leave and send
-// rubbish, and is shut down, leaves no goroutine of its front end, its node connections, its discovery or its loop.
+// TestWebGatewayLeavesNoGoroutine: after its shutdown, an HTTP gateway leaves no goroutine of its front end, its node
+// connections, its discovery client or its loop, although clients stayed idle, disconnected or sent malformed
+// requests.
 func TestWebGatewayLeavesNoGoroutine(t *testing.T) {
 	store := webstandin.Start(t)
 	targets := []discovery.Target{{UID: "s", Endpoint: store.Addr().String(), State: "ready"}}
-	list := startLists(t, discovery.Response{Revision: 1, Full: true, Targets: targets})
-	other := startLists(t, discovery.Response{Revision: 1, Full: true})
+	list := startDiscoveryServer(t, discovery.Response{Revision: 1, Full: true, Targets: targets})
+	other := startDiscoveryServer(t, discovery.Response{Revision: 1, Full: true})
 	before := goleak.IgnoreCurrent()
 	g, conf := startLeakGateway(t, list)
 	list.awaitCalls(2)
@@ -65,7 +66,7 @@
 			"X-IO: volume=00000003b4d60021,units=2,shard=0,hosts=1\r\n\r\n"
 	}
 	served := dialWeb(t, g, request("served-1"))
-	if _, err := io.ReadFull(served, make([]byte, 12)); err != nil { // and is idle
+	if _, err := io.ReadFull(served, make([]byte, 12)); err != nil { // the connection stays idle
 		t.Error(err)
 	}
 	rubbish := dialWeb(t, g, request(strings.Repeat("x y", 100)))
--- a/internal/serve/linear_test.go
+++ b/internal/serve/linear_test.go
@@ -19,32 +19,32 @@
 	"irispost/internal/standin"
 )
 
-// operation is a read, write or compare of one block, whose value is its first eight bytes.
-type operation struct {
-	kind       byte // r, w, c
+// blockOperation is a read, write, or compare and write of one block. The value of a block is its first eight bytes.
+type blockOperation struct {
+	kind       byte // r, w or c
 	block      int
 	value, old uint64
 }
 
-// result is what came of it.
-type result struct {
-	value   uint64 // read
-	unknown bool   // it may have been done, now or later, or not at all
-	other   bool   // compared, and different
+// blockResult is the outcome of a blockOperation.
+type blockResult struct {
+	value      uint64 // that was read
+	unknown    bool   // the operation may have been executed, may still be executed later, or never
+	miscompare bool   // the block differed from the compared value
 }
 
-// register is a block: reads see the last write. What is not known to be done may have happened at any time from its
-// beginning on, or never.
-var register = porcupine.NondeterministicModel{
+// registerModel models a block as a register: reads return the last write. An operation with an unknown outcome may
+// have been executed at any time after its start, or never.
+var registerModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{uint64(0)} },
 	Step: func(state, in, out any) []any {
-		now, o, r := state.(uint64), in.(operation), out.(result)
+		now, o, r := state.(uint64), in.(blockOperation), out.(blockResult)
 		switch {
 		case o.kind == 'r' && (r.unknown || r.value == now):
 			return []any{now}
 		case o.kind == 'r':
 			return nil
-		case o.kind == 'c' && r.other:
+		case o.kind == 'c' && r.miscompare:
 			if now == o.old {
 				return nil
 			}
@@ -67,27 +67,27 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// TestBlocksAreLinearizable: blocks that several sessions read, write and compare at once behave each as one register,
-// while nodes fail, lose replies and break connections, and sessions are broken off. Porcupine checks it, over some
-// seeds here; IRISPOST_SEEDS sets how many.
+// TestBlocksAreLinearizable: each block that several sessions read, write and compare concurrently is a linearizable
+// register, although nodes fail, lose responses and reset connections, and sessions break. Porcupine checks the
+// history. IRISPOST_SEEDS sets the number of seeds.
 func TestBlocksAreLinearizable(t *testing.T) {
 	seeds := 3
 	if n, err := strconv.Atoi(os.Getenv("IRISPOST_SEEDS")); err == nil {
 		seeds = n
 	}
 	for seed := range seeds {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { checkBlocks(t, uint64(seed)) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { checkLinearizability(t, uint64(seed)) })
 	}
 }
 
-// Size of a run of checkBlocks.
+// Size of one run of checkLinearizability.
 const (
 	blockClients = 4
 	blockCount   = 3
-	blockSteps   = 25 // of each client
+	blockSteps   = 25 // per client
 )
 
-// blockHistory is what the clients of a run did and saw.
+// blockHistory records the operations of the clients of a run.
 type blockHistory struct {
 	start time.Time
 
@@ -95,8 +95,9 @@
 	operations []porcupine.Operation
 }
 
-// record does an operation and records it. What may still happen after it never returns, as far as the model goes.
-func (h *blockHistory) record(client int, op operation, do func() result) result {
+// record executes an operation and records it. An operation with an unknown outcome may take effect later, so it is
+// recorded as one that returns after all others.
+func (h *blockHistory) record(client int, op blockOperation, do func() blockResult) blockResult {
 	call := time.Since(h.start)
 	out := do()
 	end := time.Since(h.start)
@@ -115,18 +116,18 @@
 	return out
 }
 
-// known returns how many operations have a known outcome.
+// known returns the number of operations with a known outcome.
 func (h *blockHistory) known() (count int) {
 	for _, o := range h.operations {
-		if !o.Output.(result).unknown {
+		if !o.Output.(blockResult).unknown {
 			count++
 		}
 	}
 	return count
 }
 
-// disturbNode changes how a node behaves until stop is closed.
-func disturbNode(t *testing.T, n *standin.Node, r *rand.Rand, stop <-chan struct{}) {
+// injectFaults changes the faults of a node at random until stop is closed, and then clears them.
+func injectFaults(t *testing.T, n *standin.Node, r *rand.Rand, stop <-chan struct{}) {
 	faults := []string{"fail 0.3", "slow 5", "reset", "well", "stall 20ms", "drop 0.02"}
 	for {
 		select {
@@ -139,46 +140,47 @@
 	}
 }
 
-// runBlockClient does random operations on a session that is broken off at times.
+// runBlockClient executes random operations in a session that it breaks at times.
 func runBlockClient(client int, d *initiator.Disk, r *rand.Rand, history *blockHistory) {
-	last := map[int]uint64{} // read last, by block
+	last := map[int]uint64{} // value read last, by block
 	for step := range blockSteps {
 		value := uint64(client*blockSteps+step) + 1
-		o := operation{kind: "rwc"[r.IntN(3)], block: r.IntN(blockCount), value: value}
+		o := blockOperation{kind: "rwc"[r.IntN(3)], block: r.IntN(blockCount), value: value}
 		o.old = last[o.block]
 		offset := int64(o.block) * 40 << 10 &^ 4095 // three blocks in two extents
 		if r.IntN(8) == 0 {
 			go d.Break()
 		}
-		out := history.record(client, o, func() result { return perform(d, &o, offset) })
+		out := history.record(client, o, func() blockResult { return perform(d, &o, offset) })
 		if !out.unknown && o.kind == 'r' {
 			last[o.block] = out.value
 		}
 	}
 }
 
-// byBlock splits a history, since blocks are independent of each other.
+// byBlock partitions a history by block, since blocks are independent of each other.
 func byBlock(operations []porcupine.Operation) [][]porcupine.Operation {
 	parts := make([][]porcupine.Operation, blockCount)
 	for _, o := range operations {
-		block := o.Input.(operation).block
+		block := o.Input.(blockOperation).block
 		parts[block] = append(parts[block], o)
 	}
 	return parts
 }
 
-func checkBlocks(t *testing.T, seed uint64) {
+func checkLinearizability(t *testing.T, seed uint64) {
 	b := diskTestbed(t, 2, 1, func(o *standin.Options) { o.UnitTime, o.Seed = 20*time.Microsecond, seed })
 	history := &blockHistory{start: time.Now()}
-	var clients, disturbers sync.WaitGroup
+	var clients, faultInjectors sync.WaitGroup
 	stop := make(chan struct{})
 	for i, n := range b.Nodes {
 		r := rand.New(rand.NewPCG(seed, uint64(i)))
-		disturbers.Go(func() { disturbNode(t, n, r, stop) })
+		faultInjectors.Go(func() { injectFaults(t, n, r, stop) })
 	}
 	for client := range blockClients {
 		opt := diskOptions(b, 0, func(o *initiator.Options) { o.ISID[5] = byte(client) })
-		d, err := initiator.Open(context.Background(), opt, 0, initiator.Retry{Timeout: farOff, NoRepeatedWrites: true})
+		d, err := initiator.Open(context.Background(), opt, 0,
+			initiator.Retry{Timeout: failureTimeout, NoRepeatedWrites: true})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -188,19 +190,19 @@
 	}
 	clients.Wait()
 	close(stop)
-	disturbers.Wait()
+	faultInjectors.Wait()
 	if known := history.known(); known < blockClients*blockSteps/4 {
 		t.Errorf("only %d of %d operations have a known outcome", known, len(history.operations))
 	}
-	model := register.ToModel()
+	model := registerModel.ToModel()
 	model.Partition = byBlock
 	if r := porcupine.CheckOperationsTimeout(model, history.operations, 20*time.Second); r != porcupine.Ok {
-		t.Errorf("the blocks are not linearizable (%v): %+v", r, history.operations)
+		t.Errorf("the history is not linearizable (%v): %+v", r, history.operations)
 	}
 }
 
-// perform does an operation once: what is not known to be done is not repeated under the same name.
-func perform(disk *initiator.Disk, op *operation, at int64) (out result) {
+// perform executes an operation once. An operation with an unknown outcome is not retried, since it may still execute.
+func perform(disk *initiator.Disk, op *blockOperation, offset int64) (out blockResult) {
 	block := func(v uint64) []byte {
 		b := bytes.Repeat([]byte{byte(v)}, 4096)
 		binary.BigEndian.PutUint64(b, v)
@@ -209,23 +211,23 @@
 		}
 		return b
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), farOff)
+	ctx, cancel := context.WithTimeout(context.Background(), failureTimeout)
 	defer cancel()
 	switch op.kind {
 	case 'r':
 		b := make([]byte, 4096)
-		_, err := disk.Read(ctx, b, at)
+		_, err := disk.Read(ctx, b, offset)
 		out.unknown, out.value = err != nil, binary.BigEndian.Uint64(b)
 		if err == nil && !bytes.Equal(b, block(out.value)) {
-			out.value = 1 << 63 // torn: no state has it
+			out.value = 1 << 63 // torn read: no state has this value
 		}
 	case 'w':
-		_, err := disk.Write(ctx, block(op.value), at)
+		_, err := disk.Write(ctx, block(op.value), offset)
 		out.unknown = err != nil
 	case 'c':
-		err := disk.Compare(ctx, block(op.old), block(op.value), at)
-		out.other = errors.Is(err, initiator.ErrMiscompare)
-		out.unknown = err != nil && !out.other
+		err := disk.Compare(ctx, block(op.old), block(op.value), offset)
+		out.miscompare = errors.Is(err, initiator.ErrMiscompare)
+		out.unknown = err != nil && !out.miscompare
 	}
 	return out
 }
--- a/internal/serve/report.go
+++ b/internal/serve/report.go
@@ -8,12 +8,12 @@
 	"irispost/internal/endpoint/membership"
 )
 
-// errStopping answers the admin socket once the loop has ended. Clients see its text.
+// errStopping is returned to clients of the admin socket, which print its text, once the loop has ended.
 var errStopping = errors.New("the gateway ends")
 
 // Status reports the gateway's requests, endpoints, configuration version and capture to the admin socket.
 func (g *Gateway) Status() (admin.Status, error) {
-	figures, running := g.Loop.Stats()
+	stats, running := g.Loop.Stats()
 	if !running {
 		return admin.Status{}, errStopping
 	}
@@ -21,13 +21,13 @@
 		Gateway:          g.Config.Name,
 		Address:          g.Frontend.Addr(),
 		Since:            g.startedAt,
-		Requests:         figures.InFlight,
-		AttemptsInFlight: figures.Attempts,
-		LateAnswers:      figures.LateReplies,
+		Requests:         stats.InFlight,
+		AttemptsInFlight: stats.Attempts,
+		LateAnswers:      stats.LateReplies,
 		RequestClasses:   map[string]admin.RequestCounts{},
 		Nodes:            map[string]int{},
 	}
-	for name, counts := range figures.Classes {
+	for name, counts := range stats.Classes {
 		status.RequestClasses[name] = admin.RequestCounts(*counts)
 	}
 	if g.fleetClient != nil {
@@ -50,7 +50,7 @@
 
 // Members reports the endpoints and their sources to the admin socket.
 func (g *Gateway) Members() (admin.EndpointReport, error) {
-	figures, running := g.Loop.Stats()
+	stats, running := g.Loop.Stats()
 	report := admin.EndpointReport{Gateway: g.Config.Name, Sources: []admin.Source{}, Nodes: []admin.Endpoint{}}
 	running = running && g.endpoints.View(func(_, scheduledAt int64, tracker *membership.Tracker) {
 		report.ScheduledAt = wallTime(scheduledAt)
@@ -61,7 +61,7 @@
 			report.Sources = append(report.Sources, sourceReport(source))
 		}
 		for _, member := range tracker.Members() {
-			report.Nodes = append(report.Nodes, endpointReport(member, figures.AttemptsByNode[member.Addr]))
+			report.Nodes = append(report.Nodes, endpointReport(member, stats.AttemptsByNode[member.Addr]))
 		}
 	})
 	if !running {
@@ -102,7 +102,7 @@
 	}
 }
 
-// wallTime converts the gateway's time, nanoseconds since the Unix epoch, where 0 means never.
+// wallTime converts a time in nanoseconds since the Unix epoch. 0 means never and gives the zero time.
 func wallTime(t membership.Time) time.Time {
 	if t == 0 {
 		return time.Time{}
@@ -110,7 +110,7 @@
 	return time.Unix(0, t)
 }
 
-// Confirm accepts the loss of endpoints and the lists that are held back until an operator confirms them.
+// Confirm applies the loss of endpoints and the lists that are held until an operator confirms them.
 func (g *Gateway) Confirm() (admin.Confirmation, error) {
 	nodes, lists, running := g.endpoints.Confirm()
 	if !running {
