--- a/internal/backend/node/abort_test.go
+++ b/internal/backend/node/abort_test.go
@@ -61,7 +61,7 @@
 		t.Errorf("%+v", reply)
 	}
 	send(c, addr, node.Call{Op: node.GetObject, IdempotencyKey: "the second"})
-	head, tail := sftp.Hello(node.ExecExtension, "1").Bytes()
+	head, tail := sftp.NewVersion(node.ExecExtension, "1").Bytes()
 	if _, err := conn.Write(append(head, tail...)); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/backend/node/connection.go
+++ b/internal/backend/node/connection.go
@@ -37,7 +37,7 @@
 	return [...]string{"dialing", "greeting", "open", "closed"}[s]
 }
 
-// connection is one connection to a node. It implements sftp.Peer.
+// connection is one connection to a node. It implements sftp.Handler.
 type connection struct {
 	client *Client
 	addr   string
@@ -130,7 +130,7 @@
 
 // dial connects to the node and greets it.
 func (c *connection) dial() {
-	conn, err := sftp.Dial(c.addr, c.client.limits, c.client.connectTimeout, func(conn *sftp.Conn) sftp.Peer {
+	conn, err := sftp.Dial(c.addr, c.client.limits, c.client.connectTimeout, func(conn *sftp.Conn) sftp.Handler {
 		c.mutex.Lock()
 		c.conn = conn
 		c.mutex.Unlock()
@@ -152,7 +152,7 @@
 	})
 }
 
-// Packet handles a packet of the node. It implements sftp.Peer.
+// Packet handles a packet of the node. It implements sftp.Handler.
 func (c *connection) Packet(frame sftp.Frame) error {
 	switch frame.Type {
 	case sftp.Version:
@@ -217,7 +217,7 @@
 	p.done(reply)
 }
 
-// Closed ends the calls of the connection. It implements sftp.Peer.
+// Closed ends the calls of the connection. It implements sftp.Handler.
 func (c *connection) Closed(reason error) {
 	if c.client.log != nil {
 		c.client.log.Debug("node connection closed", "node", c.addr, "err", reason)
--- a/internal/bench/client.go
+++ b/internal/bench/client.go
@@ -39,7 +39,7 @@
 // dial connects to a server and waits for its greeting.
 func dial(addr string) (*client, error) {
 	c := &client{ready: make(chan struct{}), waiting: map[uint32]chan sftp.Frame{}}
-	conn, err := sftp.Dial(addr, sftp.DefaultLimits, dialTimeout, func(conn *sftp.Conn) sftp.Peer {
+	conn, err := sftp.Dial(addr, sftp.DefaultLimits, dialTimeout, func(conn *sftp.Conn) sftp.Handler {
 		c.conn = conn
 		return c
 	})
--- a/internal/day/connection.go
+++ b/internal/day/connection.go
@@ -69,7 +69,7 @@
 // dial connects to a gateway and waits for its greeting.
 func dial(address string, recorder *audit.Recorder) (*connection, error) {
 	c := &connection{recorder: recorder, greeted: make(chan struct{}), waiting: map[uint32]chan response{}}
-	peer := func(conn *sftp.Conn) sftp.Peer {
+	peer := func(conn *sftp.Conn) sftp.Handler {
 		c.conn = conn
 		return c
 	}
--- a/internal/front/directory.go
+++ b/internal/front/directory.go
@@ -65,7 +65,7 @@
 		names = append(names, sftp.Entry{Name: entry.name, Attrs: attrsOf(entry.record)})
 	}
 	handle.entries = handle.entries[len(names):]
-	return sftp.Names(req.requestID, names), nil
+	return sftp.NewNames(req.requestID, names), nil
 }
 
 // listAll lists a directory, or the volumes at their root. It fails where there are more entries than the limit.
--- a/internal/front/file.go
+++ b/internal/front/file.go
@@ -49,7 +49,7 @@
 			Version:    record.Version,
 			Mode:       modeOf(attrs, defaultFileMode),
 			Modified:   t.arrived,
-			ExtentSize: t.front.options.Extent,
+			ExtentSize: t.front.options.ExtentSize,
 		})
 		if err != nil {
 			return nil, err
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -44,7 +44,7 @@
 		openFiles:   map[layout.Path]*openFile{},
 	}
 	limits := options.Limits
-	server, err := sftp.Listen(addr, limits.Wire, limits.Connections, func(conn *sftp.Conn) sftp.Peer {
+	server, err := sftp.Listen(addr, limits.Wire, limits.Connections, func(conn *sftp.Conn) sftp.Handler {
 		return newSession(front, conn)
 	})
 	if err != nil {
--- a/internal/front/golden_test.go
+++ b/internal/front/golden_test.go
@@ -44,7 +44,7 @@
 	t.Cleanup(loop.Stop)
 	loop.UpdateEndpoints(endpoint.List{Version: "1", Nodes: []endpoint.Node{nodeOf(0), nodeOf(1)}})
 	f, err := front.Start("127.0.0.1:0", front.Options{Name: c.Name, Loop: loop, Volumes: c.Volumes, Shards: c.Shards,
-		Extent: c.ExtentBytes, Units: c.Units, Limits: c.Limits, Log: log})
+		ExtentSize: c.ExtentBytes, Units: c.Units, Limits: c.Limits, Log: log})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/front/options.go
+++ b/internal/front/options.go
@@ -94,12 +94,12 @@
 
 // Options are what a front end is started with.
 type Options struct {
-	Name    string // of the gateway, unique in the installation
-	Loop    *gateway.Loop
-	Volumes map[string]*Volume // by name
-	Shards  int
-	Extent  uint32 // bytes of an extent of a new file
-	Units   Units
-	Limits  Limits
-	Log     *slog.Logger
+	Name       string // of the gateway, unique in the installation
+	Loop       *gateway.Loop
+	Volumes    map[string]*Volume // by name
+	Shards     int
+	ExtentSize uint32 // bytes of an extent of a new file
+	Units      Units
+	Limits     Limits
+	Log        *slog.Logger
 }
--- a/internal/front/parse.go
+++ b/internal/front/parse.go
@@ -240,7 +240,7 @@
 	if err != nil || fields.Done() != nil {
 		return nil, err
 	}
-	req.answer(sftp.Names(req.requestID, []sftp.Entry{{Name: path.String()}}), nil)
+	req.answer(sftp.NewNames(req.requestID, []sftp.Entry{{Name: path.String()}}), nil)
 	return nil, nil
 }
 
--- a/internal/front/request.go
+++ b/internal/front/request.go
@@ -135,11 +135,11 @@
 	switch {
 	case err != nil && err.clientGone:
 	case err != nil:
-		r.session.conn.Send(sftp.StatusOf(r.requestID, err.code, err.message))
+		r.session.conn.Send(sftp.NewStatus(r.requestID, err.code, err.message))
 	case packet != nil:
 		r.session.conn.Send(packet)
 	default:
-		r.session.conn.Send(sftp.StatusOf(r.requestID, sftp.OK, "ok"))
+		r.session.conn.Send(sftp.NewStatus(r.requestID, sftp.OK, "ok"))
 	}
 	r.setState(requestAnswered)
 }
--- a/internal/front/session.go
+++ b/internal/front/session.go
@@ -16,7 +16,7 @@
 // readAheadCheckInterval is how often a session that waits for a slot checks what the client has sent meanwhile.
 const readAheadCheckInterval = 50 * time.Millisecond
 
-// session is one client's connection. It is the sftp.Peer of that connection: Packet and Closed are called by the
+// session is one client's connection. It is the sftp.Handler of that connection: Packet and Closed are called by the
 // connection's reading goroutine, one after the other.
 type session struct {
 	front          *Front
@@ -79,7 +79,7 @@
 		return fmt.Errorf("the client speaks version %d, version %d is needed", version, sftp.ProtocolVersion)
 	}
 	s.initialized = true
-	s.conn.Send(sftp.Hello(posixRenameExtension, "1", fsyncExtension, "1", limitsExtension, "1",
+	s.conn.Send(sftp.NewVersion(posixRenameExtension, "1", fsyncExtension, "1", limitsExtension, "1",
 		SessionExtension, s.gatewaySession.Name))
 	return nil
 }
--- a/internal/serve/gateway.go
+++ b/internal/serve/gateway.go
@@ -148,14 +148,14 @@
 // listen opens the sockets for clients and operators. On an error it closes those that it has opened.
 func (g *Gateway) listen(ctx context.Context) (err error) {
 	g.Frontend, err = front.Start(g.Config.Listen, front.Options{
-		Name:    g.Config.Name,
-		Loop:    g.Loop,
-		Volumes: g.Config.Volumes,
-		Shards:  g.Config.Shards,
-		Extent:  g.Config.ExtentBytes,
-		Units:   g.Config.Units,
-		Limits:  g.Config.Limits,
-		Log:     g.logger,
+		Name:       g.Config.Name,
+		Loop:       g.Loop,
+		Volumes:    g.Config.Volumes,
+		Shards:     g.Config.Shards,
+		ExtentSize: g.Config.ExtentBytes,
+		Units:      g.Config.Units,
+		Limits:     g.Config.Limits,
+		Log:        g.logger,
 	})
 	if err != nil {
 		return err
--- a/internal/sftp/conn.go
+++ b/internal/sftp/conn.go
@@ -37,8 +37,8 @@
 	return fields.Uint32(), fields
 }
 
-// Peer handles a connection's packets, one after the other.
-type Peer interface {
+// Handler handles a connection's packets, one after the other.
+type Handler interface {
 	// Packet handles a packet. An error closes the connection.
 	Packet(Frame) error
 	// Closed is called once, with the reason, when the connection has ended.
@@ -50,7 +50,7 @@
 
 // framed reads packets from a connection for a peer.
 type framed struct {
-	Peer
+	Handler
 	conn *Conn
 }
 
@@ -79,15 +79,15 @@
 
 // Listen serves connections at an address, each with a peer that newPeer returns, at most maxConns at a time (0: no
 // limit).
-func Listen(addr string, limits Limits, maxConns int, newPeer func(*Conn) Peer) (*Server, error) {
+func Listen(addr string, limits Limits, maxConns int, newPeer func(*Conn) Handler) (*Server, error) {
 	return packetconn.Listen(addr, limits, maxConns, func(conn *Conn) packetconn.Handler {
-		return framed{Peer: newPeer(conn), conn: conn}
+		return framed{Handler: newPeer(conn), conn: conn}
 	})
 }
 
 // Dial connects to an address within a timeout, with a peer that newPeer returns.
-func Dial(addr string, limits Limits, timeout time.Duration, newPeer func(*Conn) Peer) (*Conn, error) {
+func Dial(addr string, limits Limits, timeout time.Duration, newPeer func(*Conn) Handler) (*Conn, error) {
 	return packetconn.Dial(addr, limits, timeout, func(conn *Conn) packetconn.Handler {
-		return framed{Peer: newPeer(conn), conn: conn}
+		return framed{Handler: newPeer(conn), conn: conn}
 	})
 }
--- a/internal/sftp/packet.go
+++ b/internal/sftp/packet.go
@@ -102,13 +102,13 @@
 	return p.head, p.tail
 }
 
-// StatusOf returns the answer to a request with a status and an English message (draft, section 7).
-func StatusOf(id uint32, code Code, message string) *Packet {
+// NewStatus returns the answer to a request with a status and an English message (draft, section 7).
+func NewStatus(id uint32, code Code, message string) *Packet {
 	return New(Status, id).Uint32(uint32(code)).Text(message).Text("en")
 }
 
-// Hello returns a VERSION packet with extensions, in pairs of name and data (draft, section 4).
-func Hello(extensions ...string) *Packet {
+// NewVersion returns a VERSION packet with extensions, in pairs of name and data (draft, section 4).
+func NewVersion(extensions ...string) *Packet {
 	p := New(Version, ProtocolVersion)
 	for _, field := range extensions {
 		p.Text(field)
@@ -122,8 +122,8 @@
 	Attrs Attrs
 }
 
-// Names returns the answer to a request with entries (draft, section 7).
-func Names(id uint32, entries []Entry) *Packet {
+// NewNames returns the answer to a request with entries (draft, section 7).
+func NewNames(id uint32, entries []Entry) *Packet {
 	p := New(Name, id).Uint32(uint32(len(entries)))
 	for _, entry := range entries {
 		p.Text(entry.Name).Text(entry.longName()).Attrs(entry.Attrs)
--- a/internal/sftp/sftp_test.go
+++ b/internal/sftp/sftp_test.go
@@ -84,7 +84,7 @@
 	closed = make(chan error, 8)
 	limits := DefaultLimits
 	limits.MaxPacket = 70_000
-	server, err := Listen("127.0.0.1:0", limits, 2, func(conn *Conn) Peer { return &echo{conn, closed} })
+	server, err := Listen("127.0.0.1:0", limits, 2, func(conn *Conn) Handler { return &echo{conn, closed} })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -173,14 +173,14 @@
 // written to a connection's buffers after they are gone (which ends the process).
 func TestConnectionsEndAtAnyMoment(t *testing.T) {
 	ended := make(chan error, 4000)
-	server, err := Listen("127.0.0.1:0", DefaultLimits, 0, func(conn *Conn) Peer { return &flood{conn} })
+	server, err := Listen("127.0.0.1:0", DefaultLimits, 0, func(conn *Conn) Handler { return &flood{conn} })
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(server.Close)
 	dialed := 0
 	for i := range 300 {
-		conn, err := Dial(server.Addr(), DefaultLimits, time.Minute, func(conn *Conn) Peer { return &echo{conn, ended} })
+		conn, err := Dial(server.Addr(), DefaultLimits, time.Minute, func(conn *Conn) Handler { return &echo{conn, ended} })
 		if err != nil { // closed before it was established
 			continue
 		}
--- a/internal/standin/node.go
+++ b/internal/standin/node.go
@@ -109,7 +109,7 @@
 var connectionCount atomic.Int64
 
 // accept serves a new connection.
-func (n *Node) accept(conn *sftp.Conn) sftp.Peer {
+func (n *Node) accept(conn *sftp.Conn) sftp.Handler {
 	n.lock.Lock()
 	refuses := n.faults.refuseConnections
 	n.lock.Unlock()
--- a/internal/standin/peer.go
+++ b/internal/standin/peer.go
@@ -28,7 +28,7 @@
 // Packet takes in a packet: attempts, and a plain file service by names for whoever speaks SFTP to a node directly.
 func (p *peer) Packet(frame sftp.Frame) error {
 	if frame.Type == sftp.Init {
-		p.conn.Send(sftp.Hello(node.ExecExtension, extensionVersion, node.CancelExtension, extensionVersion,
+		p.conn.Send(sftp.NewVersion(node.ExecExtension, extensionVersion, node.CancelExtension, extensionVersion,
 			FaultExtension, extensionVersion))
 		return nil
 	}
@@ -44,12 +44,12 @@
 		p.cancelAttempt(fields)
 	case FaultExtension:
 		if err := p.node.Command(fields.Text()); err != nil {
-			p.conn.Send(sftp.StatusOf(id, sftp.Failure, err.Error()))
+			p.conn.Send(sftp.NewStatus(id, sftp.Failure, err.Error()))
 		} else {
-			p.conn.Send(sftp.StatusOf(id, sftp.OK, "ok"))
+			p.conn.Send(sftp.NewStatus(id, sftp.OK, "ok"))
 		}
 	default:
-		p.conn.Send(sftp.StatusOf(id, sftp.OpUnsupported, name))
+		p.conn.Send(sftp.NewStatus(id, sftp.OpUnsupported, name))
 	}
 	return nil
 }
@@ -64,7 +64,7 @@
 func (p *peer) receiveAttempt(id uint32, fields *sftp.Fields) {
 	call, err := node.DecodeCall(fields)
 	if err != nil {
-		p.conn.Send(sftp.StatusOf(id, sftp.BadMessage, err.Error()))
+		p.conn.Send(sftp.NewStatus(id, sftp.BadMessage, err.Error()))
 		return
 	}
 	p.node.receive(&receivedAttempt{call: call, conn: p.conn, peer: p, id: id, deadline: time.Now().Add(call.Timeout)})
@@ -145,7 +145,7 @@
 }
 
 func (p *peer) sendStatus(id uint32, code sftp.Code) {
-	p.conn.Send(sftp.StatusOf(id, code, code.String()))
+	p.conn.Send(sftp.NewStatus(id, code, code.String()))
 }
 
 // executePlain executes a call of the plain file service, at once.
