--- a/internal/front/block.go
+++ b/internal/front/block.go
@@ -92,8 +92,8 @@
 	return data, blockResult(err)
 }
 
-// Write writes bytes. With through they are committed before it returns.
-func (c *Client) Write(disk *Disk, number uint32, offset uint64, data []byte, through bool) Result {
+// Write writes bytes. With writeThrough they are committed before it returns.
+func (c *Client) Write(disk *Disk, number uint32, offset uint64, data []byte, writeThrough bool) Result {
 	task := c.task(number)
 	lock, err := disk.lockRange(task, offset, offset+uint64(len(data)), false)
 	if err != nil {
@@ -101,7 +101,7 @@
 	}
 	err = task.writeFile(disk.file, offset, data)
 	disk.unlockRange(lock)
-	if err == nil && through {
+	if err == nil && writeThrough {
 		err = task.commitWritten(disk)
 	}
 	return blockResult(err)
@@ -143,7 +143,7 @@
 
 // CompareAndWrite compares bytes and, where they are equal, writes others in their place. It is atomic among all writes
 // that come through this gateway.
-func (c *Client) CompareAndWrite(disk *Disk, number uint32, offset uint64, expected, data []byte, through bool) Result {
+func (c *Client) CompareAndWrite(disk *Disk, number uint32, offset uint64, expected, data []byte, writeThrough bool) Result {
 	task := c.task(number)
 	lock, err := disk.lockRange(task, offset, offset+uint64(len(data)), true)
 	if err != nil {
@@ -165,7 +165,7 @@
 		return Result{Outcome: Mismatch, MismatchOffset: index}
 	}
 	err = task.writeFile(disk.file, offset, data)
-	if err == nil && through {
+	if err == nil && writeThrough {
 		err = task.commitWritten(disk)
 	}
 	return blockResult(err)
--- a/internal/front/commit.go
+++ b/internal/front/commit.go
@@ -102,8 +102,8 @@
 	}
 }
 
-// zeroStep is the most that one write of zeros behind a cut has, in bytes.
-const zeroStep = 32 << 10
+// maxZeroWrite is the most that one write of zeros behind a cut has, in bytes.
+const maxZeroWrite = 32 << 10
 
 // resize cuts a file or makes it longer, and commits that. A cut to nothing is committed later, with the next writes.
 func (t *task) resize(file *openFile, size uint64) *failure {
@@ -142,7 +142,7 @@
 		if err != nil || extent.Object == "" {
 			break
 		}
-		length := min(end-offset, zeroStep)
+		length := min(end-offset, maxZeroWrite)
 		if err := t.writeFile(file, offset, make([]byte, length)); err != nil {
 			return err
 		}
--- a/internal/front/fake_nodes_test.go
+++ b/internal/front/fake_nodes_test.go
@@ -23,9 +23,9 @@
 	version uint64
 }
 
-type doneCall struct{}
+type completedAttempt struct{}
 
-func (doneCall) Cancel() {}
+func (completedAttempt) Cancel() {}
 
 // AbortQueued does nothing, as no call waits.
 func (*fakeNodes) AbortQueued(func(string) bool) {}
@@ -38,14 +38,14 @@
 
 func shardOf(address string) int { return int(address[len(address)-1] - '0') }
 
-func nodeOf(shard int) endpoint.Node {
+func endpointNode(shard int) endpoint.Node {
 	return endpoint.Node{Addr: fmt.Sprint("node:", shard), Zone: "z", Shard: shard}
 }
 
 // Start executes a call at once and answers from another goroutine.
 func (n *fakeNodes) Start(address string, call *node.Call, done func(node.Reply)) node.Attempt {
 	n.lock.Lock()
-	n.calls = append(n.calls, describe(call))
+	n.calls = append(n.calls, formatCall(call))
 	reply := n.execute(shardOf(address), call)
 	n.lock.Unlock()
 	reply.Outcome, reply.Shard = node.Executed, shardOf(address)
@@ -53,7 +53,7 @@
 		reply.Shard = 1 // where the scheduler places a new object is none of this test's
 	}
 	go done(reply)
-	return doneCall{}
+	return completedAttempt{}
 }
 
 func (n *fakeNodes) execute(shard int, call *node.Call) (reply node.Reply) {
@@ -61,9 +61,9 @@
 	case node.GetRecord:
 		return node.Reply{Version: n.records[call.Name].Version, Data: n.records[call.Name].Data}
 	case node.CompareAndSwapRecord:
-		now := n.records[call.Name]
-		if now.Version != call.Version {
-			return node.Reply{Status: node.VersionConflict, Version: now.Version, Data: now.Data}
+		current := n.records[call.Name]
+		if current.Version != call.Version {
+			return node.Reply{Status: node.VersionConflict, Version: current.Version, Data: current.Data}
 		}
 		n.version++
 		n.records[call.Name] = node.ListItem{Name: call.Name, Version: n.version, Data: slices.Clone(call.Data)}
@@ -95,54 +95,54 @@
 	return node.Reply{}
 }
 
-// started matches the part of a name that says when the gateway was started, counted the number of a request of the
+// startTimePattern matches the part of a name that says when the gateway was started, requestNumberPattern the number of a request of the
 // loop, which differs between those that go side by side.
 var (
-	started = regexp.MustCompile(`(g[-/])[0-9a-z]{12}([-/])`)
-	counted = regexp.MustCompile(`#\d+ `)
+	startTimePattern     = regexp.MustCompile(`(g[-/])[0-9a-z]{12}([-/])`)
+	requestNumberPattern = regexp.MustCompile(`#\d+ `)
 )
 
-func unstarted(s string) string {
-	return counted.ReplaceAllString(started.ReplaceAllString(s, "${1}start${2}"), "#n ")
+func maskRunSpecific(s string) string {
+	return requestNumberPattern.ReplaceAllString(startTimePattern.ReplaceAllString(s, "${1}start${2}"), "#n ")
 }
 
-// describe writes down a call without what differs from run to run: times, and the start in names.
-func describe(call *node.Call) string {
+// formatCall writes down a call without what differs from run to run: times, and the start in names.
+func formatCall(call *node.Call) string {
 	data := hex.EncodeToString(call.Data)
 	if call.Op == node.CompareAndSwapRecord && len(call.Data) > 0 {
-		data = describeRecord(call.Data)
+		data = formatRecord(call.Data)
 	}
 	if len(data) > 300 {
 		data = fmt.Sprintf("%.16s... %d bytes", data, len(data)/2)
 	}
-	return unstarted(fmt.Sprintf("  op %d name %s owner %q shard %d offset %d length %d version %d volume %d",
+	return maskRunSpecific(fmt.Sprintf("  op %d name %s owner %q shard %d offset %d length %d version %d volume %d",
 		call.Op, call.Name, call.Owner, call.Shard, call.Offset, call.Length, call.Version, call.Volume) +
 		fmt.Sprintf(" units %.3g kind %d keyed %t key %s request %s data %s",
 			call.Units, call.Idempotency, call.OrderingKey != 0, call.IdempotencyKey, call.RequestID, data))
 }
 
-func describeRecord(encoded []byte) string {
+func formatRecord(encoded []byte) string {
 	record, err := layout.Decode(encoded, 0)
 	if err != nil {
 		return err.Error()
 	}
 	record.Modified = 0
-	record.ChangeID = unstarted(record.ChangeID)
-	record.MovePeer = unstarted(record.MovePeer)
-	record.LastMoveID = unstarted(record.LastMoveID)
+	record.ChangeID = maskRunSpecific(record.ChangeID)
+	record.MovePeer = maskRunSpecific(record.MovePeer)
+	record.LastMoveID = maskRunSpecific(record.LastMoveID)
 	for i := range record.Extents {
-		record.Extents[i].Object = unstarted(record.Extents[i].Object)
+		record.Extents[i].Object = maskRunSpecific(record.Extents[i].Object)
 	}
 	return hex.EncodeToString(record.Encode())
 }
 
-// take returns the calls since the last take; those that go side by side are put in the order of their text.
-func (n *fakeNodes) take() string {
+// takeCalls returns the calls since the last takeCalls; those that go side by side are put in the order of their text.
+func (n *fakeNodes) takeCalls() string {
 	n.lock.Lock()
 	defer n.lock.Unlock()
 	calls := n.calls
 	n.calls = nil
-	sideBySide := func(call string) string {
+	concurrentOpPrefix := func(call string) string {
 		for _, op := range []node.Operation{node.ListRecords, node.GetObject, node.PutObject} {
 			if prefix := fmt.Sprintf("  op %d ", op); strings.HasPrefix(call, prefix) {
 				return prefix
@@ -152,7 +152,7 @@
 	}
 	for from := 0; from < len(calls); {
 		to := from + 1
-		for to < len(calls) && sideBySide(calls[from]) != "" && sideBySide(calls[to]) == sideBySide(calls[from]) {
+		for to < len(calls) && concurrentOpPrefix(calls[from]) != "" && concurrentOpPrefix(calls[to]) == concurrentOpPrefix(calls[from]) {
 			to++
 		}
 		slices.Sort(calls[from:to])
--- a/internal/front/golden_test.go
+++ b/internal/front/golden_test.go
@@ -22,16 +22,16 @@
 	"irispost/internal/testkit/golden"
 )
 
-// bench is a front with its loop, over fakeNodes.
-type bench struct {
-	t     *testing.T
-	nodes *fakeNodes
-	front *front.Front
-	conn  net.Conn
-	out   bytes.Buffer
+// testbed is a front with its loop, over fakeNodes.
+type testbed struct {
+	t          *testing.T
+	nodes      *fakeNodes
+	front      *front.Front
+	conn       net.Conn
+	transcript bytes.Buffer
 }
 
-func newBench(t *testing.T) *bench {
+func newTestbed(t *testing.T) *testbed {
 	t.Helper()
 	c, err := config.Parse("test.hcl", fmt.Appendf(nil, testkit.Conf, "g", 2))
 	if err != nil {
@@ -42,7 +42,7 @@
 	loop := gateway.Start(gateway.Options{Name: c.Name, Seed: 1, Settings: c.Settings, QueueSize: c.EventQueueLength,
 		Clock: gateway.NewClock(), Nodes: nodes, Log: log})
 	t.Cleanup(loop.Stop)
-	loop.UpdateEndpoints(endpoint.List{Version: "1", Nodes: []endpoint.Node{nodeOf(0), nodeOf(1)}})
+	loop.UpdateEndpoints(endpoint.List{Version: "1", Nodes: []endpoint.Node{endpointNode(0), endpointNode(1)}})
 	f, err := front.Start("127.0.0.1:0", front.Options{Name: c.Name, Loop: loop, Volumes: c.Volumes, Shards: c.Shards,
 		ExtentSize: c.ExtentBytes, Units: c.Units, Limits: c.Limits, Log: log})
 	if err != nil {
@@ -54,11 +54,11 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = conn.Close() })
-	return &bench{t: t, nodes: nodes, front: f, conn: conn}
+	return &testbed{t: t, nodes: nodes, front: f, conn: conn}
 }
 
-// settle waits until no more calls come, as objects are dropped after the answer.
-func (b *bench) settle() {
+// waitForIdleNodes waits until no more calls come, as objects are dropped after the answer.
+func (b *testbed) waitForIdleNodes() {
 	b.t.Helper()
 	for last := -1; ; {
 		b.nodes.lock.Lock()
@@ -72,20 +72,20 @@
 	}
 }
 
-func (b *bench) note(what, answer string) {
+func (b *testbed) record(what, answer string) {
 	b.t.Helper()
-	b.settle()
-	fmt.Fprintf(&b.out, "%s\n%s  answer %s\n", what, b.nodes.take(), unstarted(answer))
+	b.waitForIdleNodes()
+	fmt.Fprintf(&b.transcript, "%s\n%s  answer %s\n", what, b.nodes.takeCalls(), maskRunSpecific(answer))
 }
 
-// times matches the two times of attributes, seconds the time in a line of a listing.
+// attrTimesPattern matches the two times of attributes, listingTimePattern the time in a line of a listing.
 var (
-	times   = regexp.MustCompile(`6[5-9a-f][0-9a-f]{6}6[5-9a-f][0-9a-f]{6}`)
-	seconds = regexp.MustCompile(` 1\d{9} `)
+	attrTimesPattern   = regexp.MustCompile(`6[5-9a-f][0-9a-f]{6}6[5-9a-f][0-9a-f]{6}`)
+	listingTimePattern = regexp.MustCompile(` 1\d{9} `)
 )
 
 // exchange sends one packet and reads the answer.
-func (b *bench) exchange(what string, packet *sftp.Packet) {
+func (b *testbed) exchange(what string, packet *sftp.Packet) {
 	b.t.Helper()
 	if err := packet.WriteOut(b.conn); err != nil {
 		b.t.Fatal(err)
@@ -98,22 +98,22 @@
 	if _, err := io.ReadFull(b.conn, body); err != nil {
 		b.t.Fatal(err)
 	}
-	b.note(what, describeAnswer(body))
+	b.record(what, formatAnswer(body))
 }
 
-// describeAnswer writes down an answer without the times in it.
-func describeAnswer(body []byte) string {
+// formatAnswer writes down an answer without the times in it.
+func formatAnswer(body []byte) string {
 	switch sftp.Type(body[0]) {
 	case sftp.Status, sftp.Version:
 		return fmt.Sprintf("%q", body)
 	case sftp.Attributes:
-		return times.ReplaceAllString(hex.EncodeToString(body), "time")
+		return attrTimesPattern.ReplaceAllString(hex.EncodeToString(body), "time")
 	case sftp.Name:
 		fields := sftp.NewFields(body[1:])
 		text := fmt.Sprintf("names of %d:", fields.Uint32())
 		for count := fields.Uint32(); count > 0; count-- {
 			name, line, attrs := fields.Text(), fields.Text(), fields.Attrs()
-			line = seconds.ReplaceAllString(line, " time ")
+			line = listingTimePattern.ReplaceAllString(line, " time ")
 			text += fmt.Sprintf(" %q %q size %d mode %o", name, line, attrs.Size, attrs.Mode)
 		}
 		return text
@@ -226,44 +226,44 @@
 
 // What a client's requests become at the nodes, and what it is answered, stays as it is byte for byte.
 func TestGoldenRequestsOfFilesAndDisks(t *testing.T) {
-	b := newBench(t)
+	b := newTestbed(t)
 	b.exchange("init", sftp.New(sftp.Init, sftp.ProtocolVersion))
 	for i, request := range requests {
 		packet := sftp.New(request.kind, uint32(i+1))
 		request.fields(packet)
 		b.exchange(request.name, packet)
 	}
-	b.disk()
-	golden.Check(t, "requests.txt", b.out.Bytes())
+	b.runDiskRequests()
+	golden.Check(t, "requests.txt", b.transcript.Bytes())
 }
 
-func formOf(r front.Result) string {
+func formatResult(r front.Result) string {
 	return fmt.Sprintf("outcome %d after %s at byte %d: %q", r.Outcome, r.RetryAfter, r.MismatchOffset, r.Reason)
 }
 
-// disk runs the requests of a disk's client.
-func (b *bench) disk() {
+// runDiskRequests runs the requests of a disk's client.
+func (b *testbed) runDiskRequests() {
 	b.t.Helper()
 	disk, err := b.front.OpenDisk("/meals/disk", 256<<10)
 	if err != nil {
 		b.t.Fatal(err)
 	}
-	b.note("disk", fmt.Sprint(disk.ExtentSize()))
+	b.record("disk", fmt.Sprint(disk.ExtentSize()))
 	_, err = b.front.OpenDisk("/meals/disk", 128<<10)
-	b.note("disk smaller than the file", fmt.Sprint(err))
+	b.record("disk smaller than the file", fmt.Sprint(err))
 	_, err = b.front.OpenDisk("/other/disk", 128<<10)
-	b.note("disk of no volume", fmt.Sprint(err))
+	b.record("disk of no volume", fmt.Sprint(err))
 	client := b.front.NewClient()
-	b.note("client", client.Name())
-	b.note("disk write", formOf(client.Write(disk, 1, 100, []byte("abcdef"), false)))
-	b.note("disk write through", formOf(client.Write(disk, 2, 102, []byte("xy"), true)))
+	b.record("client", client.Name())
+	b.record("disk write", formatResult(client.Write(disk, 1, 100, []byte("abcdef"), false)))
+	b.record("disk write through", formatResult(client.Write(disk, 2, 102, []byte("xy"), true)))
 	data, result := client.Read(disk, 3, 98, 10)
-	b.note("disk read", fmt.Sprintf("%q %s", data, formOf(result)))
-	b.note("disk compare, different", formOf(client.CompareAndWrite(disk, 4, 100, []byte("abcd"), []byte("1234"), false)))
-	b.note("disk compare, equal", formOf(client.CompareAndWrite(disk, 5, 100, []byte("abxy"), []byte("1234"), true)))
-	b.note("disk zero", formOf(client.Zero(disk, 6, 101, 128<<10)))
-	b.note("disk sync", formOf(client.Sync(disk, 7)))
-	b.note("disk close", fmt.Sprint(disk.Close()))
+	b.record("disk read", fmt.Sprintf("%q %s", data, formatResult(result)))
+	b.record("disk compare, different", formatResult(client.CompareAndWrite(disk, 4, 100, []byte("abcd"), []byte("1234"), false)))
+	b.record("disk compare, equal", formatResult(client.CompareAndWrite(disk, 5, 100, []byte("abxy"), []byte("1234"), true)))
+	b.record("disk zero", formatResult(client.Zero(disk, 6, 101, 128<<10)))
+	b.record("disk sync", formatResult(client.Sync(disk, 7)))
+	b.record("disk close", fmt.Sprint(disk.Close()))
 	client.Close()
-	b.note("left client", formOf(client.Write(disk, 8, 0, []byte("a"), false)))
+	b.record("left client", formatResult(client.Write(disk, 8, 0, []byte("a"), false)))
 }
--- a/internal/front/parse.go
+++ b/internal/front/parse.go
@@ -285,9 +285,9 @@
 func (f *Front) maxDataLength() int { return f.options.Limits.Wire.MaxPacket - packetOverhead }
 
 // modeOf returns the permission bits of attributes, or others where they have none.
-func modeOf(attrs sftp.Attrs, otherwise uint32) uint32 {
+func modeOf(attrs sftp.Attrs, defaultMode uint32) uint32 {
 	if attrs.HasMode {
 		return attrs.Mode & sftp.ModeBits
 	}
-	return otherwise
+	return defaultMode
 }
--- a/internal/front/record.go
+++ b/internal/front/record.go
@@ -114,7 +114,7 @@
 	if err := t.checkParent(volume, path); err != nil {
 		return nil, false, err
 	}
-	current, ours, err := t.storeFirst(volume, path, record)
+	current, ours, err := t.storeIfAbsent(volume, path, record)
 	if err != nil {
 		return nil, false, err
 	}
@@ -129,8 +129,8 @@
 	return current, true, nil
 }
 
-// storeFirst tries to store a record where there is none, until the deadline, while others make and remove one.
-func (t *task) storeFirst(volume *Volume, path layout.Path, record *layout.Record) (*layout.Record, bool, *failure) {
+// storeIfAbsent tries to store a record where there is none, until the deadline, while others make and remove one.
+func (t *task) storeIfAbsent(volume *Volume, path layout.Path, record *layout.Record) (*layout.Record, bool, *failure) {
 	version := record.Version
 	for t.beforeDeadline(volume, path) {
 		current, ours, err := t.compareAndSwap(volume, path, version, record, t.front.uniqueName())
--- a/internal/front/task.go
+++ b/internal/front/task.go
@@ -25,9 +25,9 @@
 // submit hands a request to the event loop. The deadline of a client's counts from the task's arrival, that of
 // background work from now. A key of 0 is none.
 func (t *task) submit(volume *Volume, class *RequestClass, units float64, key uint64, call node.Call) <-chan gateway.Result {
-	waitsFrom := t.arrived
+	timeoutStart := t.arrived
 	if t.gatewaySession == nil {
-		waitsFrom = t.front.options.Loop.Now()
+		timeoutStart = t.front.options.Loop.Now()
 	}
 	if !class.Ordered {
 		key = 0
@@ -41,7 +41,7 @@
 		Units:         units,
 		Key:           int64(key >> 1),
 		HasKey:        key != 0,
-		Deadline:      waitsFrom + int64(class.Timeout),
+		Deadline:      timeoutStart + int64(class.Timeout),
 		Idempotency:   class.Idempotency,
 		ClientRequest: t.requestID,
 		Call:          call,
--- a/internal/sftp/conn.go
+++ b/internal/sftp/conn.go
@@ -48,14 +48,14 @@
 // minPacketLength is that of a type and an ID or a version, without the length field, in bytes.
 const minPacketLength = 5
 
-// framed reads packets from a connection for a peer.
-type framed struct {
+// framedHandler reads packets from a connection for a peer.
+type framedHandler struct {
 	Handler
 	conn *Conn
 }
 
 // ReadPacket reads the next packet. A length out of bounds is ErrLength: what follows cannot be read.
-func (f framed) ReadPacket(reader netpoll.Reader) error {
+func (f framedHandler) ReadPacket(reader netpoll.Reader) error {
 	head, err := reader.Peek(lengthSize)
 	if err != nil {
 		return err
@@ -77,17 +77,17 @@
 	return f.Packet(Frame{Type: Type(body[0]), Body: body[1:]})
 }
 
-// Listen serves connections at an address, each with a peer that newPeer returns, at most maxConns at a time (0: no
+// Listen serves connections at an address, each with a peer that newHandler returns, at most maxConns at a time (0: no
 // limit).
-func Listen(addr string, limits Limits, maxConns int, newPeer func(*Conn) Handler) (*Server, error) {
+func Listen(addr string, limits Limits, maxConns int, newHandler func(*Conn) Handler) (*Server, error) {
 	return packetconn.Listen(addr, limits, maxConns, func(conn *Conn) packetconn.Handler {
-		return framed{Handler: newPeer(conn), conn: conn}
+		return framedHandler{Handler: newHandler(conn), conn: conn}
 	})
 }
 
-// Dial connects to an address within a timeout, with a peer that newPeer returns.
-func Dial(addr string, limits Limits, timeout time.Duration, newPeer func(*Conn) Handler) (*Conn, error) {
+// Dial connects to an address within a timeout, with a peer that newHandler returns.
+func Dial(addr string, limits Limits, timeout time.Duration, newHandler func(*Conn) Handler) (*Conn, error) {
 	return packetconn.Dial(addr, limits, timeout, func(conn *Conn) packetconn.Handler {
-		return framed{Handler: newPeer(conn), conn: conn}
+		return framedHandler{Handler: newHandler(conn), conn: conn}
 	})
 }
--- a/internal/sftp/packet.go
+++ b/internal/sftp/packet.go
@@ -8,8 +8,8 @@
 
 // Capacities of a packet's head, in bytes, with which most need not grow.
 const (
-	usualHeadLength = 96
-	longHeadLength  = 320
+	defaultHeadCapacity = 96
+	longHeadCapacity    = 320
 )
 
 // lengthSize is the size of a packet's length field, in bytes.
@@ -22,10 +22,10 @@
 }
 
 // New returns a packet of a type with a request's ID. Its length is filled in when it is sent.
-func New(packetType Type, id uint32) *Packet { return newPacket(packetType, id, usualHeadLength) }
+func New(packetType Type, id uint32) *Packet { return newPacket(packetType, id, defaultHeadCapacity) }
 
 // NewLong is New for a packet whose head is longer than usual.
-func NewLong(packetType Type, id uint32) *Packet { return newPacket(packetType, id, longHeadLength) }
+func NewLong(packetType Type, id uint32) *Packet { return newPacket(packetType, id, longHeadCapacity) }
 
 func newPacket(packetType Type, id uint32, headCapacity int) *Packet {
 	p := &Packet{head: make([]byte, lengthSize, headCapacity)}
@@ -134,7 +134,7 @@
 // longName returns the entry as a line of ls -l, with modes that stand for all files and all directories.
 func (e Entry) longName() string {
 	mode := "-rw-r--r--"
-	if e.Attrs.Mode&modeKind == ModeDirectory {
+	if e.Attrs.Mode&modeTypeMask == ModeDirectory {
 		mode = "drwxr-xr-x"
 	}
 	return fmt.Sprintf("%s 1 0 0 %d %d %s", mode, e.Attrs.Size, e.Attrs.Modified, e.Name)
--- a/internal/sftp/protocol.go
+++ b/internal/sftp/protocol.go
@@ -107,7 +107,7 @@
 	ModeDirectory = 0o040000 // the kind of a directory
 	ModeFile      = 0o100000 // the kind of a regular file
 	ModeBits      = 0o7777   // permissions
-	modeKind      = 0o170000
+	modeTypeMask  = 0o170000
 )
 
 // Decoding errors. ErrLength closes the connection; the others are answered with BadMessage.
--- a/internal/sftp/sftp_test.go
+++ b/internal/sftp/sftp_test.go
@@ -64,19 +64,19 @@
 	}
 }
 
-// echo answers each packet with its bytes, as a string without a copy.
-type echo struct {
+// echoHandler answers each packet with its bytes, as a string without a copy.
+type echoHandler struct {
 	conn   *Conn
 	closed chan error
 }
 
-func (e *echo) Packet(frame Frame) error {
+func (e *echoHandler) Packet(frame Frame) error {
 	id, fields := frame.ID()
 	e.conn.Send(New(Data, id).Tail(fields.Bytes()))
 	return nil
 }
 
-func (e *echo) Closed(cause error) { e.closed <- cause }
+func (e *echoHandler) Closed(cause error) { e.closed <- cause }
 
 // listenEcho starts a server of echoes for packets up to 70,000 bytes and two connections.
 func listenEcho(t *testing.T) (server *Server, closed chan error) {
@@ -84,7 +84,7 @@
 	closed = make(chan error, 8)
 	limits := DefaultLimits
 	limits.MaxPacket = 70_000
-	server, err := Listen("127.0.0.1:0", limits, 2, func(conn *Conn) Handler { return &echo{conn, closed} })
+	server, err := Listen("127.0.0.1:0", limits, 2, func(conn *Conn) Handler { return &echoHandler{conn, closed} })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -111,7 +111,7 @@
 	server, closed := listenEcho(t)
 	first := dial(t, server)
 	for _, size := range []int{0, 1, 4095, 5000, 65_000} {
-		exchange(t, first, size)
+		checkEcho(t, first, size)
 	}
 	second := dial(t, server)
 	send(t, second, []byte{0, 0, 0, 9, 6, 0, 0, 0, 1, 0, 0, 0, 0})
@@ -129,8 +129,8 @@
 	}
 }
 
-// exchange sends a packet with data of a size, in several writes, and checks the echo.
-func exchange(t *testing.T, conn net.Conn, size int) {
+// checkEcho sends a packet with data of a size, in several writes, and checks the echo.
+func checkEcho(t *testing.T, conn net.Conn, size int) {
 	t.Helper()
 	data := bytes.Repeat([]byte{byte(size)}, size)
 	head, tail := New(Write, uint32(size)).Tail(data).Bytes()
@@ -153,10 +153,10 @@
 	}
 }
 
-// flood answers each packet with many, from several goroutines.
-type flood struct{ conn *Conn }
+// floodHandler answers each packet with many, from several goroutines.
+type floodHandler struct{ conn *Conn }
 
-func (f *flood) Packet(Frame) error {
+func (f *floodHandler) Packet(Frame) error {
 	for range 4 {
 		go func() {
 			for n := range 50 {
@@ -167,20 +167,20 @@
 	return nil
 }
 
-func (f *flood) Closed(error) {}
+func (f *floodHandler) Closed(error) {}
 
 // Connections end at any moment, by either side, while much is sent on them: each end is reported once, and nothing is
 // written to a connection's buffers after they are gone (which ends the process).
 func TestConnectionsEndAtAnyMoment(t *testing.T) {
 	ended := make(chan error, 4000)
-	server, err := Listen("127.0.0.1:0", DefaultLimits, 0, func(conn *Conn) Handler { return &flood{conn} })
+	server, err := Listen("127.0.0.1:0", DefaultLimits, 0, func(conn *Conn) Handler { return &floodHandler{conn} })
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(server.Close)
 	dialed := 0
 	for i := range 300 {
-		conn, err := Dial(server.Addr(), DefaultLimits, time.Minute, func(conn *Conn) Handler { return &echo{conn, ended} })
+		conn, err := Dial(server.Addr(), DefaultLimits, time.Minute, func(conn *Conn) Handler { return &echoHandler{conn, ended} })
 		if err != nil { // closed before it was established
 			continue
 		}
