--- a/internal/front/attributes.go
+++ b/internal/front/attributes.go
@@ -8,7 +8,7 @@
 	"irispost/scheduler"
 )
 
-// stat answers with the attributes of a path. What was written at this gateway counts before it is committed.
+// stat responds with the attributes of a path. The size includes uncommitted writes through this gateway.
 func (s *session) stat(req *request, volume *Volume, path layout.Path) (*sftp.Packet, *failure) {
 	answer := sftp.New(sftp.Attributes, req.requestID)
 	if path.Rel == "" {
@@ -49,8 +49,8 @@
 	}
 }
 
-// setstat sets size, mode and modification time. Owners are not stored. open is the file of FSETSTAT's handle, nil for
-// SETSTAT.
+// setstat sets the size, mode and modification time. Owners are not stored. open is the file of the handle for
+// FSETSTAT and nil for SETSTAT.
 func (s *session) setstat(req *request, volume *Volume, path layout.Path, open *openFile, attrs sftp.Attrs) *failure {
 	if path.Rel == "" {
 		return failuref(sftp.Denied, "%s is set in the configuration", path)
@@ -71,7 +71,7 @@
 	return req.setModeAndTime(volume, path, attrs)
 }
 
-// setSize sets the size of the file of a handle, or of a path where open is nil.
+// setSize sets the size of the open file or, if open is nil, of the file at path.
 func (t *task) setSize(volume *Volume, path layout.Path, open *openFile, size uint64) *failure {
 	if open != nil {
 		return t.resize(open, size)
@@ -87,7 +87,8 @@
 	return t.commit(file)
 }
 
-// setModeAndTime changes a record, on top of others' changes, until the deadline.
+// setModeAndTime sets the mode and the modification time in a record. On a version conflict it retries with the
+// current record until the deadline.
 func (t *task) setModeAndTime(volume *Volume, path layout.Path, attrs sftp.Attrs) *failure {
 	for t.beforeDeadline(volume, path) {
 		record, err := t.readRecord(volume, path)
@@ -116,7 +117,8 @@
 	return rejection(0, "the file is changed by others all the time")
 }
 
-// updateOpenRecord gives an open file the record that this gateway has just stored, where it has the same extents.
+// updateOpenRecord updates the record of the open file at path to one that this gateway has just stored, provided that
+// it is newer and has the same extents.
 func (f *Front) updateOpenRecord(path layout.Path, record *layout.Record) {
 	file := f.findOpenFile(path)
 	if file == nil {
--- a/internal/front/block.go
+++ b/internal/front/block.go
@@ -7,29 +7,29 @@
 	"irispost/internal/sftp"
 )
 
-// Outcome is how a block request ended.
+// Outcome is the outcome of a block request.
 type Outcome uint8
 
 // The outcomes of block requests.
 const (
 	Succeeded  Outcome = iota
-	Rejected           // it never ran, or only read: a retry is harmless
-	Failed             // it may have been done in part or not at all
-	ClientGone         // its client has closed the connection: there is nobody to answer
-	FileGone           // the file is no longer there
-	Mismatch           // the bytes that were compared are not equal
+	Rejected           // it was not executed, or only read: it can be retried safely
+	Failed             // it may have been executed partly or not at all
+	ClientGone         // the client has closed its connection and gets no response
+	FileGone           // the file does not exist any more
+	Mismatch           // the compared bytes differ
 )
 
-// Result is the final result of a block request.
+// Result is the result of a block request.
 type Result struct {
 	Outcome        Outcome
-	RetryAfter     time.Duration // of Rejected; 0: not known
+	RetryAfter     time.Duration // of Rejected; 0: unknown
 	Reason         string        // of Rejected, Failed and FileGone
-	MismatchOffset int           // of Mismatch: the first byte that differs, in the bytes compared
+	MismatchOffset int           // of Mismatch: index of the first differing byte in the compared bytes
 }
 
-// Client is a connection of a block client, whose requests are cancelled when it closes. Its methods may be called
-// concurrently; each takes the client's number of the request.
+// Client is a connection of a block client. Closing it cancels its requests. Its methods may be called concurrently;
+// the parameter number is the client's number for the request.
 type Client struct {
 	front          *Front
 	gatewaySession *gateway.Session
@@ -40,19 +40,19 @@
 	return &Client{front: f, gatewaySession: gateway.NewSession(f.newSessionName())}
 }
 
-// Name returns the client's name, with which the IDs of its requests begin.
+// Name returns the client's name, which prefixes the IDs of its requests.
 func (c *Client) Name() string { return c.gatewaySession.Name }
 
 // Close cancels the client's requests in flight.
 func (c *Client) Close() { c.front.options.Loop.CloseSession(c.gatewaySession) }
 
-// BeginRequest counts a request in flight, for which Drain waits.
+// BeginRequest counts a request as in flight. Drain waits until EndRequest ends it.
 func (f *Front) BeginRequest() { f.inFlight.begin() }
 
-// EndRequest ends a request that BeginRequest has counted.
+// EndRequest ends a request that was counted by BeginRequest.
 func (f *Front) EndRequest() { f.inFlight.end() }
 
-// Draining tells whether the gateway is draining and takes no new requests.
+// Draining reports whether the gateway is draining and rejects new requests.
 func (f *Front) Draining() bool { return f.draining.Load() }
 
 func (c *Client) task(number uint32) *task {
@@ -78,7 +78,7 @@
 	return Result{Outcome: Failed, Reason: err.message}
 }
 
-// Read reads length bytes. What was never written, or was cut from the file, reads as zeros.
+// Read reads length bytes. Bytes that were never written, or that lie beyond the end of the file, read as zeros.
 func (c *Client) Read(disk *Disk, number uint32, offset uint64, length int) ([]byte, Result) {
 	data, err := c.task(number).readFile(disk.file, offset, length)
 	switch {
@@ -87,12 +87,12 @@
 	case err != nil && err.code == sftp.EOF:
 		return make([]byte, length), Result{Outcome: Succeeded}
 	case err != nil:
-		err.mayHaveRun = false // a read leaves nothing
+		err.mayHaveRun = false // a read has no side effects
 	}
 	return data, blockResult(err)
 }
 
-// Write writes bytes. With writeThrough they are committed before it returns.
+// Write writes bytes. With writeThrough it also commits them before it returns.
 func (c *Client) Write(disk *Disk, number uint32, offset uint64, data []byte, writeThrough bool) Result {
 	task := c.task(number)
 	lock, err := disk.lockRange(task, offset, offset+uint64(len(data)), false)
@@ -107,7 +107,7 @@
 	return blockResult(err)
 }
 
-// commitWritten commits what this task has written. Where that fails, the bytes may be there all the same.
+// commitWritten commits what this task has written. If the commit fails, the bytes may still have been written.
 func (t *task) commitWritten(disk *Disk) *failure {
 	err := t.commit(disk.file)
 	if err != nil {
@@ -116,7 +116,7 @@
 	return err
 }
 
-// Zero writes zeros, at most an extent at a time. Extents that were never written stay holes.
+// Zero writes zeros, at most an extent at a time. It skips extents that were never written: they read as zeros anyway.
 func (c *Client) Zero(disk *Disk, number uint32, offset, length uint64) Result {
 	task := c.task(number)
 	end := offset + length
@@ -141,9 +141,10 @@
 	return Result{Outcome: Succeeded}
 }
 
-// CompareAndWrite compares bytes and, where they are equal, writes others in their place. It is atomic among all writes
-// that come through this gateway.
-func (c *Client) CompareAndWrite(disk *Disk, number uint32, offset uint64, expected, data []byte, writeThrough bool) Result {
+// CompareAndWrite compares the bytes at offset with expected and, if they are equal, writes data. It is atomic with
+// respect to all writes through the same Disk.
+func (c *Client) CompareAndWrite(disk *Disk, number uint32, offset uint64, expected, data []byte,
+	writeThrough bool) Result {
 	task := c.task(number)
 	lock, err := disk.lockRange(task, offset, offset+uint64(len(data)), true)
 	if err != nil {
@@ -155,7 +156,7 @@
 	}
 	current, err := task.readFile(disk.file, offset, len(expected))
 	if err != nil && err.code != sftp.EOF {
-		err.mayHaveRun = false // a read leaves nothing
+		err.mayHaveRun = false // a read has no side effects
 		return blockResult(err)
 	}
 	if err != nil {
@@ -171,8 +172,8 @@
 	return blockResult(err)
 }
 
-// firstDifference returns the index of the first byte that differs, -1 where none does. Bytes past the end of current
-// are zeros.
+// firstDifference returns the index of the first differing byte, or -1 if there is none. Bytes past the end of current
+// count as zeros.
 func firstDifference(current, expected []byte) int {
 	for i, want := range expected {
 		got := byte(0)
@@ -186,7 +187,7 @@
 	return -1
 }
 
-// Sync commits what was written.
+// Sync commits everything that was written to the disk.
 func (c *Client) Sync(disk *Disk, number uint32) Result {
 	return blockResult(c.task(number).commit(disk.file))
 }
--- a/internal/front/commit.go
+++ b/internal/front/commit.go
@@ -8,7 +8,7 @@
 	"irispost/internal/sftp"
 )
 
-// pendingCommit is what a file has to commit, copied under its lock.
+// pendingCommit is a copy of the uncommitted state of a file, taken under the file's lock.
 type pendingCommit struct {
 	base      *layout.Record
 	written   map[int]layout.Extent
@@ -16,7 +16,8 @@
 	truncated bool
 }
 
-// takePending copies what is to be committed; nil where there is nothing. Later writes make the file dirty again.
+// takePending marks the file as clean and returns its uncommitted state, or nil if there is none. Later writes make
+// the file dirty again.
 func (f *openFile) takePending() *pendingCommit {
 	f.lock.Lock()
 	defer f.lock.Unlock()
@@ -27,7 +28,7 @@
 	return &pendingCommit{base: f.record, written: maps.Clone(f.uncommitted), size: f.size, truncated: f.truncated}
 }
 
-// nextRecord returns the record to store, and the extents that it no longer refers to.
+// nextRecord returns the record to store and the extents that it does not refer to any more.
 func (p *pendingCommit) nextRecord(modified int64) (next *layout.Record, replaced []layout.Extent) {
 	record := *p.base
 	record.Modified = modified
@@ -42,8 +43,8 @@
 	return &record, replaced
 }
 
-// commit stores what was written in the file's record, until the deadline. On top of another gateway's change the
-// extents that were written here win.
+// commit stores uncommitted writes in the file's record. On a version conflict it retries on top of the current record
+// until the deadline: extents that were written through this gateway replace those of other gateways.
 func (t *task) commit(file *openFile) *failure {
 	file.commitLock.Lock()
 	defer file.commitLock.Unlock()
@@ -60,11 +61,11 @@
 	return rejection(0, "the file is changed by others all the time")
 }
 
-// tryCommit tries to store what is pending once. It tells whether it did; where another gateway has changed the record
-// in between, the file has that record, and the next try is on top of it.
+// tryCommit makes one attempt to store the pending state and reports whether it succeeded. If another gateway has
+// changed the record meanwhile, the file takes over that record as the base of the next attempt.
 func (t *task) tryCommit(file *openFile, pending *pendingCommit) (committed bool, err *failure) {
 	next, replaced := pending.nextRecord(t.front.options.Loop.Now())
-	changeID := t.front.uniqueName() // each try is a change of its own
+	changeID := t.front.uniqueName() // each attempt is a separate change
 	current, ours, err := t.compareAndSwap(file.volume, file.path, pending.base.Version, next, changeID)
 	if err == nil && !ours && current.State != layout.Live {
 		current, err = t.readRecord(file.volume, file.path)
@@ -81,7 +82,7 @@
 	return true, nil
 }
 
-// finishCommit takes over the outcome of a try to commit.
+// finishCommit updates the file after an attempt to commit.
 func (f *openFile) finishCommit(pending *pendingCommit, current *layout.Record, ours bool, err *failure) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
@@ -102,10 +103,11 @@
 	}
 }
 
-// maxZeroWrite is the most that one write of zeros behind a cut has, in bytes.
+// maxZeroWrite is the most bytes in one write of zeros after a truncation.
 const maxZeroWrite = 32 << 10
 
-// resize cuts a file or makes it longer, and commits that. A cut to nothing is committed later, with the next writes.
+// resize truncates or extends a file and commits the change. A truncation to size 0 is left to the next commit,
+// together with the writes that follow.
 func (t *task) resize(file *openFile, size uint64) *failure {
 	oldSize, extentSize := file.sizes()
 	switch {
@@ -128,8 +130,8 @@
 	return t.commit(file)
 }
 
-// zeroRestOfExtent writes zeros from a cut to the end of its extent or of the file: they are what is to be read there
-// if the file grows again.
+// zeroRestOfExtent writes zeros from a truncation point to the end of its extent or of the file, so that these bytes
+// read as zeros if the file grows again.
 func (t *task) zeroRestOfExtent(file *openFile, cut, oldSize, extentSize uint64) *failure {
 	if cut%extentSize == 0 {
 		return nil
@@ -151,7 +153,7 @@
 	return nil
 }
 
-// shorten drops the extents behind a size.
+// shorten sets a smaller size and drops the extents beyond it.
 func (f *openFile) shorten(size, extentSize uint64) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
--- a/internal/front/counter.go
+++ b/internal/front/counter.go
@@ -2,10 +2,10 @@
 
 import "sync"
 
-// requestCounter counts requests and background work in flight. Unlike a sync.WaitGroup it may be waited for while
-// more begins.
+// requestCounter counts requests and background tasks in flight. Unlike with a sync.WaitGroup, new ones may begin
+// while others wait for the count to reach 0.
 type requestCounter struct {
-	lock    sync.Mutex // guards what follows
+	lock    sync.Mutex // guards the fields below
 	count   int
 	waiters []chan struct{}
 }
@@ -29,7 +29,7 @@
 	c.waiters = nil
 }
 
-// idle returns a channel that is closed once nothing is in flight.
+// idle returns a channel that is closed as soon as nothing is in flight.
 func (c *requestCounter) idle() <-chan struct{} {
 	c.lock.Lock()
 	defer c.lock.Unlock()
--- a/internal/front/directory.go
+++ b/internal/front/directory.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	namesPerReply  = 128 // entries of one answer to READDIR
-	recordsPerPage = 512 // records that one shard lists at a time
+	namesPerReply  = 128 // entries in a response to READDIR
+	recordsPerPage = 512 // records that a shard returns per list call
 )
 
 // dirEntry is one entry of a directory.
@@ -36,7 +36,7 @@
 	return s.addHandle(req, &openHandle{path: path})
 }
 
-// requireDirectory fails where the record of a path is not a directory's.
+// requireDirectory fails if the record of a path is not that of a directory.
 func requireDirectory(path layout.Path, record *layout.Record) *failure {
 	switch record.Kind {
 	case layout.Directory:
@@ -48,7 +48,7 @@
 	}
 }
 
-// readdir answers with the next entries of a directory. The first READDIR of a handle lists the whole directory.
+// readdir responds with the next entries of a directory. The first READDIR of a handle lists the whole directory.
 func (s *session) readdir(req *request, handle *openHandle) (*sftp.Packet, *failure) {
 	if !handle.listed {
 		entries, err := s.listAll(req, handle.path)
@@ -68,7 +68,8 @@
 	return sftp.NewNames(req.requestID, names), nil
 }
 
-// listAll lists a directory, or the volumes at their root. It fails where there are more entries than the limit.
+// listAll lists a directory or, for the root path, the volumes. It fails if a directory has more entries than the
+// limit.
 func (s *session) listAll(req *request, path layout.Path) ([]dirEntry, *failure) {
 	if path.Volume == "" {
 		return s.front.listVolumes(), nil
@@ -94,7 +95,7 @@
 	return entries
 }
 
-// mkdir makes a directory.
+// mkdir creates a directory.
 func (t *task) mkdir(volume *Volume, path layout.Path, mode uint32) *failure {
 	if path.Rel == "" {
 		return failuref(sftp.Failure, "%s is a volume", path)
@@ -106,8 +107,8 @@
 	return err
 }
 
-// rmdir removes an empty directory: it is marked as Removing, so that nothing more is made in it, then listed, then
-// removed. One that is not empty is made Live again.
+// rmdir removes an empty directory. It marks the directory as Removing, so that no more entries are created in it,
+// then lists it, and removes it if it is empty. Otherwise it sets the state back to Live.
 func (t *task) rmdir(volume *Volume, path layout.Path) *failure {
 	if path.Rel == "" {
 		return failuref(sftp.Failure, "%s is a volume", path)
@@ -134,7 +135,7 @@
 	}
 	reopened := *marked
 	reopened.State = layout.Live
-	// Where this fails, the directory stays marked as Removing.
+	// If this fails, the directory remains marked as Removing.
 	_, _, _ = t.compareAndSwap(volume, path, marked.Version, &reopened, t.front.uniqueName())
 	if err == nil {
 		err = failuref(sftp.Failure, "%s is not empty", path)
@@ -150,9 +151,9 @@
 	return err
 }
 
-// listDirectory lists at least the first entries of a directory up to a limit, by name. All shards are asked, since
-// each holds the records that hash to it. One that does not answer fails the listing, as a listing with names missing
-// would be believed.
+// listDirectory lists a directory up to a limit of entries, sorted by name. It queries all shards, as each holds the
+// records that hash to it. If one does not answer, the listing fails: a client could not tell an incomplete listing
+// from a complete one.
 func (t *task) listDirectory(volume *Volume, path layout.Path, limit int) ([]dirEntry, *failure) {
 	listing := newListing(t.front.options.Shards)
 	for listing.incomplete() {
@@ -167,11 +168,11 @@
 	return listing.entries[:min(len(listing.entries), limit)], nil
 }
 
-// listing is a directory's listing while its pages come in, by shard.
+// listing collects the pages that the shards return for a directory. lastName and more are indexed by shard.
 type listing struct {
 	entries  []dirEntry
-	lastName []string // that a shard has listed; its next page begins after it
-	more     []bool   // the shard may have more
+	lastName []string // the last name that the shard has listed; its next page starts after it
+	more     []bool   // the shard may have more records
 }
 
 func newListing(shards int) *listing {
@@ -184,7 +185,7 @@
 
 func (l *listing) incomplete() bool { return slices.Contains(l.more, true) }
 
-// listNextPages asks all shards that may have more for their next page at the same time. All answers are waited for.
+// listNextPages requests the next page from all shards that may have more, concurrently, and waits for all replies.
 func (t *task) listNextPages(volume *Volume, path layout.Path, limit int, listing *listing) *failure {
 	var shards []int
 	var results []<-chan gateway.Result
@@ -217,7 +218,7 @@
 	return nil
 }
 
-// addPage adds a page of a shard. A page that is not full is the shard's last.
+// addPage adds a page from a shard. A page with fewer than recordsPerPage records is the shard's last.
 func (l *listing) addPage(shard int, page []byte) *failure {
 	items, err := node.DecodeItems(page)
 	if err != nil {
--- a/internal/front/disk.go
+++ b/internal/front/disk.go
@@ -8,9 +8,9 @@
 	"irispost/internal/sftp"
 )
 
-// Disk is a file of a volume, served as a disk of a fixed size. Its reads and writes go the way of a file's: they have
-// the same request classes, units and ordering keys. What is written is in its extents at once, and is committed to
-// its record by Client.Sync or a write-through.
+// Disk is a file of a volume that is served as a disk of a fixed size. Its reads and writes are those of a file, with
+// the same request classes, units and ordering keys. Writes go to the extents immediately; Client.Sync or a
+// write-through commits them to the file's record.
 type Disk struct {
 	front *Front
 	file  *openFile
@@ -20,19 +20,19 @@
 	locked []*rangeLock
 }
 
-// rangeLock is a lock on bytes of a disk. Writes share it; a compare-and-write has it alone.
+// rangeLock is a lock on a byte range of a disk. Writes lock it shared, compare-and-write exclusively.
 type rangeLock struct {
-	from, to  uint64 // to excluded
+	from, to  uint64 // bytes; to is exclusive
 	exclusive bool
-	released  chan struct{} // closed when it is
+	released  chan struct{} // closed when the lock is released
 }
 
 func (l *rangeLock) conflictsWith(other *rangeLock) bool {
 	return (l.exclusive || other.exclusive) && l.from < other.to && other.from < l.to
 }
 
-// OpenDisk opens the file of a path as a disk of a size in bytes, and creates it where there is none. It fails where the
-// file is longer, as its end would not be seen. The caller closes the disk.
+// OpenDisk opens the file at path as a disk of size bytes, and creates it if it does not exist. It fails if the file
+// is longer, as its end would be inaccessible. The caller closes the disk.
 func (f *Front) OpenDisk(path string, size uint64) (*Disk, error) {
 	filePath, failure := parsePath(path)
 	if failure != nil {
@@ -61,7 +61,7 @@
 	return &Disk{front: f, file: file, size: size}, nil
 }
 
-// Close commits what was written and releases the file, also where the commit fails.
+// Close commits uncommitted writes and releases the file, even if the commit fails.
 func (d *Disk) Close() error {
 	failure := d.front.backgroundTask().commit(d.file)
 	d.file.release()
@@ -77,7 +77,7 @@
 	return extentSize
 }
 
-// lockRange locks bytes, waiting for conflicting locks at most to the task's deadline.
+// lockRange locks a byte range. It waits for conflicting locks until the task's deadline.
 func (d *Disk) lockRange(t *task, from, to uint64, exclusive bool) (*rangeLock, *failure) {
 	lock := &rangeLock{from: from, to: to, exclusive: exclusive, released: make(chan struct{})}
 	class := d.file.volume.ClassOf(Write, d.file.path, d.size)
@@ -92,7 +92,7 @@
 	}
 }
 
-// tryLock takes a lock, or returns one that it conflicts with.
+// tryLock acquires a lock and returns nil, or returns a held lock that conflicts with it.
 func (d *Disk) tryLock(lock *rangeLock) *rangeLock {
 	d.lock.Lock()
 	defer d.lock.Unlock()
@@ -112,7 +112,7 @@
 	close(lock.released)
 }
 
-// hasHole tells whether an extent was never written and is not being written.
+// hasHole reports whether an extent was never written and is not being written.
 func (d *Disk) hasHole(index int) bool {
 	d.file.lock.Lock()
 	defer d.file.lock.Unlock()
--- a/internal/front/failure.go
+++ b/internal/front/failure.go
@@ -7,14 +7,14 @@
 	"irispost/internal/sftp"
 )
 
-// failure is why a request is not answered with what it asked for. It is an error for callers outside the package.
+// failure describes why a request failed. For callers outside the package it is an error.
 type failure struct {
 	code       sftp.Code
 	message    string
-	clientGone bool          // the client has closed the connection: there is nobody to answer
-	rejected   bool          // a retry is harmless
-	retryAfter time.Duration // of a rejection; 0: not known
-	mayHaveRun bool          // of a rejection: it may have run, and is idempotent
+	clientGone bool          // the client has closed its connection and gets no response
+	rejected   bool          // it can be retried safely
+	retryAfter time.Duration // of a rejection; 0: unknown
+	mayHaveRun bool          // of a rejection: the request may have been executed and is idempotent
 }
 
 // Error returns the status code's name and the message.
@@ -24,7 +24,7 @@
 	return &failure{code: code, message: fmt.Sprintf(format, args...)}
 }
 
-// rejection is the failure of a request that a client may retry without harm. Clients parse its message.
+// rejection returns the failure of a request that a client can retry safely. Clients parse its message.
 func rejection(retryAfter time.Duration, reason string) *failure {
 	message := "dismissed: trying again is harmless"
 	if retryAfter > 0 {
@@ -36,7 +36,7 @@
 	return &failure{code: sftp.Failure, message: message, rejected: true, retryAfter: retryAfter}
 }
 
-// unknownOutcome is the failure of a request that may have been done. Clients parse its message.
+// unknownOutcome returns the failure of a request that may have been executed. Clients parse its message.
 func unknownOutcome(reason string) *failure {
 	message := "written off: it may have been done in part or not at all"
 	if reason != "" {
--- a/internal/front/fake_nodes_test.go
+++ b/internal/front/fake_nodes_test.go
@@ -14,7 +14,7 @@
 	"irispost/internal/layout"
 )
 
-// fakeNodes stands for the storage nodes of all shards and writes down each call in the order of its arrival.
+// fakeNodes simulates the storage nodes of all shards and records each call in order of arrival.
 type fakeNodes struct {
 	lock    sync.Mutex
 	calls   []string
@@ -27,13 +27,13 @@
 
 func (completedAttempt) Cancel() {}
 
-// AbortQueued does nothing, as no call waits.
+// AbortQueued does nothing, as calls are never queued.
 func (*fakeNodes) AbortQueued(func(string) bool) {}
 
 // Retain does nothing, as there are no connections.
 func (*fakeNodes) Retain(map[string]bool) {}
 
-// LateReplies returns 0, as no call is cancelled.
+// LateReplies returns 0, as calls are never cancelled.
 func (*fakeNodes) LateReplies() int64 { return 0 }
 
 func shardOf(address string) int { return int(address[len(address)-1] - '0') }
@@ -42,7 +42,7 @@
 	return endpoint.Node{Addr: fmt.Sprint("node:", shard), Zone: "z", Shard: shard}
 }
 
-// Start executes a call at once and answers from another goroutine.
+// Start executes a call immediately and replies from another goroutine.
 func (n *fakeNodes) Start(address string, call *node.Call, done func(node.Reply)) node.Attempt {
 	n.lock.Lock()
 	n.calls = append(n.calls, formatCall(call))
@@ -50,7 +50,7 @@
 	n.lock.Unlock()
 	reply.Outcome, reply.Shard = node.Executed, shardOf(address)
 	if call.Shard < 0 {
-		reply.Shard = 1 // where the scheduler places a new object is none of this test's
+		reply.Shard = 1 // this test does not depend on where the scheduler places a new object
 	}
 	go done(reply)
 	return completedAttempt{}
@@ -95,8 +95,8 @@
 	return node.Reply{}
 }
 
-// startTimePattern matches the part of a name that says when the gateway was started, requestNumberPattern the number of a request of the
-// loop, which differs between those that go side by side.
+// startTimePattern matches the start time of the gateway in a name. requestNumberPattern matches the number that the
+// event loop assigns to a request; it varies among concurrent requests.
 var (
 	startTimePattern     = regexp.MustCompile(`(g[-/])[0-9a-z]{12}([-/])`)
 	requestNumberPattern = regexp.MustCompile(`#\d+ `)
@@ -106,7 +106,8 @@
 	return requestNumberPattern.ReplaceAllString(startTimePattern.ReplaceAllString(s, "${1}start${2}"), "#n ")
 }
 
-// formatCall writes down a call without what differs from run to run: times, and the start in names.
+// formatCall formats a call without the parts that vary from run to run: times, the gateway's start time in names, and
+// request numbers.
 func formatCall(call *node.Call) string {
 	data := hex.EncodeToString(call.Data)
 	if call.Op == node.CompareAndSwapRecord && len(call.Data) > 0 {
@@ -136,7 +137,8 @@
 	return hex.EncodeToString(record.Encode())
 }
 
-// takeCalls returns the calls since the last takeCalls; those that go side by side are put in the order of their text.
+// takeCalls returns the calls since the previous takeCalls, one per line. Consecutive calls of an operation that the
+// front end issues concurrently are sorted by their text.
 func (n *fakeNodes) takeCalls() string {
 	n.lock.Lock()
 	defer n.lock.Unlock()
@@ -152,7 +154,8 @@
 	}
 	for from := 0; from < len(calls); {
 		to := from + 1
-		for to < len(calls) && concurrentOpPrefix(calls[from]) != "" && concurrentOpPrefix(calls[to]) == concurrentOpPrefix(calls[from]) {
+		for to < len(calls) && concurrentOpPrefix(calls[from]) != "" &&
+			concurrentOpPrefix(calls[to]) == concurrentOpPrefix(calls[from]) {
 			to++
 		}
 		slices.Sort(calls[from:to])
--- a/internal/front/file.go
+++ b/internal/front/file.go
@@ -9,29 +9,30 @@
 	"irispost/internal/sftp"
 )
 
-// openFile is a file that is open at this gateway, shared by all its handles and disks. What is written is in its
-// extents at once, and in its record, where other gateways see it, with a commit: at CLOSE and at fsync.
+// openFile is a file that is open at this gateway, shared by all its handles and disks. Writes go to the extents
+// immediately, and to the record, where other gateways see them, with a commit: at CLOSE and at fsync.
 type openFile struct {
 	front  *Front
 	volume *Volume
 	path   layout.Path
-	refs   int // handles and disks; guarded by the front's lock
+	refs   int // number of handles, disks and requests that use the file; guarded by front.lock
 
-	commitLock sync.Mutex // held during a commit, before lock
+	commitLock sync.Mutex // held during a commit; acquired before lock
 
-	lock        sync.Mutex     // guards what follows
-	record      *layout.Record // as last seen; it is replaced, never changed
-	uncommitted map[int]layout.Extent
-	allocating  map[int]chan struct{} // extents whose first write is in flight; closed when it is over
+	lock        sync.Mutex            // guards the fields below
+	record      *layout.Record        // as last seen; replaced, never modified
+	uncommitted map[int]layout.Extent // extents that the record does not have yet, by index
+	allocating  map[int]chan struct{} // extents whose first write is in flight; closed when it ends
 	size        uint64
-	truncated   bool // cut to nothing since the last commit: the record's extents do not count
-	dirty       bool // something is to be committed
+	truncated   bool // truncated to size 0 since the last commit: the extents in record are void
+	dirty       bool // there are uncommitted changes
 }
 
-// orderingKey is the key of requests that write an object. It stays positive when it is halved, as 0 is no key.
+// orderingKey returns the ordering key of requests that write an object. Bit 1 is set so that the key stays
+// positive after submit halves it: 0 means no key.
 func orderingKey(object string) uint64 { return xxhash.Sum64String(object) | 2 }
 
-// openFile opens a file, and creates it where the flags ask for that. The caller releases it.
+// openFile opens a file, and creates it if it does not exist and the flags say so. The caller releases it.
 func (t *task) openFile(volume *Volume, path layout.Path, flags uint32, attrs sftp.Attrs) (*openFile, *failure) {
 	if path.Rel == "" {
 		return nil, failuref(sftp.Failure, "%s is a folder", path)
@@ -71,7 +72,7 @@
 	return file, nil
 }
 
-// acquire returns the open file of a path, opened now if it is not open yet, with one more reference.
+// acquire returns the open file of a path with one more reference. It adds the file if it is not open yet.
 func (f *Front) acquire(volume *Volume, path layout.Path) *openFile {
 	f.lock.Lock()
 	defer f.lock.Unlock()
@@ -90,7 +91,7 @@
 	return file
 }
 
-// release gives a reference back.
+// release drops a reference. The file is closed with its last reference.
 func (f *openFile) release() {
 	f.front.lock.Lock()
 	defer f.front.lock.Unlock()
@@ -100,14 +101,14 @@
 	}
 }
 
-// findOpenFile returns the open file of a path, nil where it is not open here.
+// findOpenFile returns the open file of a path, or nil if it is not open at this gateway.
 func (f *Front) findOpenFile(path layout.Path) *openFile {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	return f.openFiles[path]
 }
 
-// adopt takes over a record that was read when the file was opened, unless something is to be committed or a newer
+// adopt sets the record to one that was read when the file was opened, unless there are uncommitted changes or a newer
 // record is known. The caller holds the lock.
 func (f *openFile) adopt(record *layout.Record) {
 	if f.dirty {
@@ -118,7 +119,7 @@
 	}
 }
 
-// truncate cuts the file to nothing. The caller holds the lock.
+// truncate sets the size to 0. The caller holds the lock.
 func (f *openFile) truncate() {
 	f.truncated = true
 	f.dirty = true
@@ -132,14 +133,14 @@
 	return f.size
 }
 
-// sizes returns the file's size and that of its extents, in bytes.
+// sizes returns the file size and the extent size in bytes.
 func (f *openFile) sizes() (size uint64, extentSize uint32) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	return f.size, f.record.ExtentSize
 }
 
-// extentAt returns the extent of an index; it has no object where there is a hole. The caller holds the lock.
+// extentAt returns the extent at an index. The extent of a hole has no object. The caller holds the lock.
 func (f *openFile) extentAt(index int) layout.Extent {
 	if extent, ok := f.uncommitted[index]; ok {
 		return extent
@@ -150,7 +151,7 @@
 	return f.record.ExtentAt(index)
 }
 
-// allocatedExtent returns the extent of an index, once its first write is over if one is in flight.
+// allocatedExtent returns the extent at an index. If its first write is in flight, it waits for that to end.
 func (t *task) allocatedExtent(file *openFile, class *RequestClass, index int) (layout.Extent, *failure) {
 	for {
 		file.lock.Lock()
@@ -165,7 +166,7 @@
 	}
 }
 
-// reload reads the file's record again, and takes it over where nothing is to be committed.
+// reload reads the record again and replaces the file's record unless there are uncommitted changes.
 func (f *openFile) reload(t *task) *failure {
 	record, err := t.readRecord(f.volume, f.path)
 	if err != nil {
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -1,11 +1,13 @@
-// Package front is the front end for files: it serves SFTP version 3 (draft-ietf-secsh-filexfer-02) to clients and
-// turns their requests into requests to the gateway's event loop, each a call to one storage node. A path is
-// /VOLUME/REL. The iSCSI front end (package iscsi/target) uses it for disks, each a file.
+// Package front is the front end for files. It serves SFTP version 3 (draft-ietf-secsh-filexfer-02) and translates
+// each client request into requests to the gateway's event loop, each of which is a call to one storage node. Paths
+// have the form /VOLUME/REL. The iSCSI front end (package iscsi/target) uses this package for its disks, each of
+// which is a file.
 //
-// Package serve starts a Front. It owns the clients' connections and handles, and the open files with what is written
-// but not committed (openFile, under its lock); records and objects are kept by the storage nodes. Where they lie is
-// decided by package layout, when a request goes to a node by package scheduler. A goroutine runs for each request of
-// a client; requests for the same bytes of a file wait for each other (request.orderRange).
+// Package serve starts a Front. The Front owns the client connections, their handles, and the open files with their
+// uncommitted writes (openFile, under its lock). Storage nodes hold records and objects: package layout decides on
+// which shard a record is stored, and package scheduler when a request is sent to a node and which shard gets a new
+// object. Each client request runs on its own goroutine; requests for the same bytes of a file wait for each other
+// (request.orderRange).
 package front
 
 import (
@@ -19,24 +21,24 @@
 	"irispost/internal/sftp"
 )
 
-// sendTimeout is how long Drain waits until a connection has sent its last answers.
+// sendTimeout is how long Drain waits for each connection to send its last responses.
 const sendTimeout = time.Second
 
 // Front is a running front end.
 type Front struct {
 	options     Options
-	incarnation string // of this start of the gateway, in all names that it gives
+	incarnation string // identifies this run of the gateway; part of all names that it generates
 	server      *sftp.Server
 	lastSession atomic.Int64
 	lastName    atomic.Int64
 	draining    atomic.Bool
-	inFlight    requestCounter // unanswered requests and background work
+	inFlight    requestCounter // unanswered requests and background tasks
 
-	lock      sync.Mutex // guards openFiles and their references
+	lock      sync.Mutex // guards openFiles and their reference counts
 	openFiles map[layout.Path]*openFile
 }
 
-// Start listens for SFTP clients at an address.
+// Start starts a front end that listens for SFTP clients at an address.
 func Start(addr string, options Options) (*Front, error) {
 	front := &Front{
 		options:     options,
@@ -57,7 +59,7 @@
 // Addr returns the address that clients connect to.
 func (f *Front) Addr() string { return f.server.Addr() }
 
-// Drain rejects new requests and waits until all earlier ones have their answers, or the context ends.
+// Drain rejects new requests and waits until all earlier ones are answered or the context is done.
 func (f *Front) Drain(ctx context.Context) error {
 	f.draining.Store(true)
 	select {
@@ -74,12 +76,12 @@
 // Close closes all connections of SFTP clients.
 func (f *Front) Close() { f.server.Close() }
 
-// uniqueName returns a new name of a change or an object, unique in the installation.
+// uniqueName returns a new name for a change or an object, unique in the installation.
 func (f *Front) uniqueName() string {
 	return f.options.Name + "-" + f.incarnation + "-" + strconv.FormatInt(f.lastName.Add(1), 36)
 }
 
-// newSessionName returns a new name of a session, unique in the installation.
+// newSessionName returns a new name for a session, unique in the installation.
 func (f *Front) newSessionName() string {
 	return f.options.Name + "/" + f.incarnation + "/" + strconv.FormatInt(f.lastSession.Add(1), 10)
 }
@@ -92,7 +94,7 @@
 	return nil, failuref(sftp.NoSuchFile, "there is no volume %q", path.Volume)
 }
 
-// parsePath parses a path as a client sends it.
+// parsePath parses a path that a client sent.
 func parsePath(text string) (layout.Path, *failure) {
 	path, err := layout.Parse(text)
 	if err != nil {
--- a/internal/front/golden_test.go
+++ b/internal/front/golden_test.go
@@ -22,7 +22,7 @@
 	"irispost/internal/testkit/golden"
 )
 
-// testbed is a front with its loop, over fakeNodes.
+// testbed is a front end with its event loop, on fakeNodes. It collects a transcript of requests, calls and responses.
 type testbed struct {
 	t          *testing.T
 	nodes      *fakeNodes
@@ -57,7 +57,7 @@
 	return &testbed{t: t, nodes: nodes, front: f, conn: conn}
 }
 
-// waitForIdleNodes waits until no more calls come, as objects are dropped after the answer.
+// waitForIdleNodes waits until no more calls arrive: objects are deleted in the background, after the response.
 func (b *testbed) waitForIdleNodes() {
 	b.t.Helper()
 	for last := -1; ; {
@@ -78,13 +78,13 @@
 	fmt.Fprintf(&b.transcript, "%s\n%s  answer %s\n", what, b.nodes.takeCalls(), maskRunSpecific(answer))
 }
 
-// attrTimesPattern matches the two times of attributes, listingTimePattern the time in a line of a listing.
+// attrTimesPattern matches the two times in attributes, listingTimePattern the time in a line of a listing.
 var (
 	attrTimesPattern   = regexp.MustCompile(`6[5-9a-f][0-9a-f]{6}6[5-9a-f][0-9a-f]{6}`)
 	listingTimePattern = regexp.MustCompile(` 1\d{9} `)
 )
 
-// exchange sends one packet and reads the answer.
+// exchange sends a packet and reads the response.
 func (b *testbed) exchange(what string, packet *sftp.Packet) {
 	b.t.Helper()
 	if err := packet.WriteOut(b.conn); err != nil {
@@ -101,7 +101,7 @@
 	b.record(what, formatAnswer(body))
 }
 
-// formatAnswer writes down an answer without the times in it.
+// formatAnswer formats a response without the times in it.
 func formatAnswer(body []byte) string {
 	switch sftp.Type(body[0]) {
 	case sftp.Status, sftp.Version:
@@ -122,7 +122,7 @@
 	}
 }
 
-// Fields of requests.
+// text, open, write, read and attrs append the fields of requests to a packet.
 func text(fields ...string) func(*sftp.Packet) {
 	return func(p *sftp.Packet) {
 		for _, field := range fields {
@@ -149,7 +149,8 @@
 
 const readWrite = sftp.FlagRead | sftp.FlagWrite
 
-// requests are sent one after the other; the name says the case. Handles are numbered from 1 as they are opened.
+// requests are sent one at a time, in this order; the name describes the case. Handles are numbered from 1 in the
+// order in which they are opened.
 var requests = []struct {
 	name   string
 	kind   sftp.Type
@@ -224,7 +225,8 @@
 	{"remove again", sftp.Remove, text("/meals/c")},
 }
 
-// What a client's requests become at the nodes, and what it is answered, stays as it is byte for byte.
+// TestGoldenRequestsOfFilesAndDisks compares the node calls that client requests lead to, and the responses, byte for
+// byte with the golden file.
 func TestGoldenRequestsOfFilesAndDisks(t *testing.T) {
 	b := newTestbed(t)
 	b.exchange("init", sftp.New(sftp.Init, sftp.ProtocolVersion))
@@ -241,7 +243,7 @@
 	return fmt.Sprintf("outcome %d after %s at byte %d: %q", r.Outcome, r.RetryAfter, r.MismatchOffset, r.Reason)
 }
 
-// runDiskRequests runs the requests of a disk's client.
+// runDiskRequests runs the requests of a block client.
 func (b *testbed) runDiskRequests() {
 	b.t.Helper()
 	disk, err := b.front.OpenDisk("/meals/disk", 256<<10)
@@ -259,8 +261,10 @@
 	b.record("disk write through", formatResult(client.Write(disk, 2, 102, []byte("xy"), true)))
 	data, result := client.Read(disk, 3, 98, 10)
 	b.record("disk read", fmt.Sprintf("%q %s", data, formatResult(result)))
-	b.record("disk compare, different", formatResult(client.CompareAndWrite(disk, 4, 100, []byte("abcd"), []byte("1234"), false)))
-	b.record("disk compare, equal", formatResult(client.CompareAndWrite(disk, 5, 100, []byte("abxy"), []byte("1234"), true)))
+	b.record("disk compare, different",
+		formatResult(client.CompareAndWrite(disk, 4, 100, []byte("abcd"), []byte("1234"), false)))
+	b.record("disk compare, equal",
+		formatResult(client.CompareAndWrite(disk, 5, 100, []byte("abxy"), []byte("1234"), true)))
 	b.record("disk zero", formatResult(client.Zero(disk, 6, 101, 128<<10)))
 	b.record("disk sync", formatResult(client.Sync(disk, 7)))
 	b.record("disk close", fmt.Sprint(disk.Close()))
--- a/internal/front/handle.go
+++ b/internal/front/handle.go
@@ -9,17 +9,17 @@
 	"irispost/internal/sftp"
 )
 
-// openHandle is an open file or directory of a session.
+// openHandle is a session's handle of a file or directory.
 type openHandle struct {
 	name    string
 	path    layout.Path
-	file    *openFile // nil for a directory
-	flags   uint32    // sftp.FlagRead and so on
-	entries []dirEntry
-	listed  bool // entries of the directory have been read; those that remain are still to be sent
+	file    *openFile  // nil for a directory
+	flags   uint32     // sftp.FlagRead and so on
+	entries []dirEntry // of a directory: the entries that are still to be sent
+	listed  bool       // the entries have been read
 }
 
-// open opens a file for a new handle.
+// open opens a file and responds with a new handle for it.
 func (s *session) open(req *request, volume *Volume, path layout.Path, flags uint32, attrs sftp.Attrs) (
 	*sftp.Packet, *failure) {
 	if volume == nil {
@@ -36,7 +36,8 @@
 	return answer, err
 }
 
-// close commits what was written through any handle of the file, if this one could write, and releases the file.
+// close commits what was written through any handle of the file, if this handle is open for writing, and releases the
+// file.
 func (s *session) close(req *request, handle *openHandle) *failure {
 	if handle.file == nil {
 		return nil
@@ -48,8 +49,8 @@
 	return req.commit(handle.file)
 }
 
-// takeFileHandles removes all handles and returns those of files, oldest first as far as the length of their names
-// tells.
+// takeFileHandles removes all handles and returns those of files, sorted by the length of their names. Names are
+// ascending numbers, so a shorter name is older; names of the same length are in no particular order.
 func (s *session) takeFileHandles() []*openHandle {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -64,7 +65,8 @@
 	return files
 }
 
-// addHandle names a handle and answers with the name. It fails where the connection has as many as it may.
+// addHandle assigns a name to a handle and responds with it. It fails if the connection has reached its limit of
+// handles.
 func (s *session) addHandle(req *request, handle *openHandle) (*sftp.Packet, *failure) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -77,14 +79,14 @@
 	return sftp.New(sftp.Handle, req.requestID).Text(handle.name), nil
 }
 
-// readHandle reads a handle's name from a packet and returns the handle.
+// readHandle reads a handle name from a packet and returns the handle.
 func (s *session) readHandle(fields *sftp.Fields) (*openHandle, *failure) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return s.findHandle(fields)
 }
 
-// removeHandle is readHandle, and removes the handle: neither a later request nor Closed finds it.
+// removeHandle is like readHandle but also removes the handle, so that neither a later request nor Closed finds it.
 func (s *session) removeHandle(fields *sftp.Fields) (*openHandle, *failure) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -95,7 +97,7 @@
 	return handle, err
 }
 
-// findHandle needs the session's lock.
+// findHandle implements readHandle. The caller holds the session's lock.
 func (s *session) findHandle(fields *sftp.Fields) (*openHandle, *failure) {
 	name := fields.Text()
 	if fields.Err != nil {
--- a/internal/front/options.go
+++ b/internal/front/options.go
@@ -11,10 +11,10 @@
 	"irispost/internal/sftp"
 )
 
-// OperationKind is the kind of an operation in the rules that choose its request class.
+// OperationKind is the kind of an operation. The rules that choose the request class match on it.
 type OperationKind string
 
-// The kinds of operations, by their names in the configuration.
+// The kinds of operations, with their names in the configuration.
 const (
 	Read   OperationKind = "read"   // reads bytes of a file
 	Write  OperationKind = "write"  // writes bytes of a file
@@ -22,19 +22,19 @@
 	Change OperationKind = "change" // changes a record
 )
 
-// RequestClass is a request class as far as the front end needs it.
+// RequestClass holds the settings of a request class that the front end uses.
 type RequestClass struct {
 	Name        string
-	Idempotency uint8         // idempotency, as in node.Call
-	Timeout     time.Duration // from a client's request to its deadline
-	Ordered     bool          // requests with one ordering key run one at a time
+	Idempotency uint8         // as in node.Call
+	Timeout     time.Duration // from the arrival of a client's request to its deadline
+	Ordered     bool          // requests with the same ordering key run one at a time
 }
 
-// Rule chooses the request class of some operations on a volume. The first rule that matches counts.
+// Rule assigns a request class to matching operations on a volume. The first matching rule applies.
 type Rule struct {
 	Kinds      []OperationKind
-	Match      string // a pattern (package path) for the path in the volume, or for its last name; empty: all
-	LargerThan uint64 // only files of more bytes; 0: all
+	Match      string // a pattern of path.Match for the path within the volume or its last element; empty: all
+	LargerThan uint64 // only files with more bytes than this; 0: all
 	Class      *RequestClass
 }
 
@@ -45,7 +45,7 @@
 	return r.matchesName(file) && slices.Contains(r.Kinds, kind)
 }
 
-// matchesName ignores malformed patterns, which the configuration does not let through.
+// matchesName ignores malformed patterns: the configuration parser rejects them.
 func (r *Rule) matchesName(file layout.Path) bool {
 	if r.Match == "" {
 		return true
@@ -57,14 +57,14 @@
 	return matched
 }
 
-// Volume is a customer's tree of files.
+// Volume is a customer's file tree.
 type Volume struct {
 	gateway.Volume
 	Name  string
-	Rules []Rule // never empty; the last ones match everything
+	Rules []Rule // never empty; the last rules match every operation
 }
 
-// ClassOf returns the request class of an operation on a file of a size in bytes.
+// ClassOf returns the request class of an operation on a file of size bytes.
 func (v *Volume) ClassOf(kind OperationKind, file layout.Path, size uint64) *RequestClass {
 	for i := range v.Rules {
 		if v.Rules[i].matches(kind, file, size) {
@@ -74,31 +74,31 @@
 	return v.Rules[len(v.Rules)-1].Class
 }
 
-// Units says how many units a request of some bytes counts for.
+// Units defines the units that a request is charged, by its bytes.
 type Units struct {
-	Bytes   float64 // of one unit
+	Bytes   float64 // per unit
 	Minimum float64 // units of the smallest request
 }
 
 // Of returns the units of a number of bytes.
 func (u Units) Of(bytes int) float64 { return max(u.Minimum, float64(bytes)/u.Bytes) }
 
-// Limits bound what clients may hold.
+// Limits bound the resources that clients can use.
 type Limits struct {
 	Connections int
-	Outstanding int // unanswered requests of a connection; more wait at the socket
-	Handles     int // open handles of a connection
-	Entries     int // of one directory's listing
+	Outstanding int // unanswered requests per connection; beyond that the connection is not read
+	Handles     int // open handles per connection
+	Entries     int // entries in a directory listing
 	Wire        sftp.Limits
 }
 
-// Options are what a front end is started with.
+// Options are the options of Start.
 type Options struct {
 	Name       string // of the gateway, unique in the installation
 	Loop       *gateway.Loop
 	Volumes    map[string]*Volume // by name
 	Shards     int
-	ExtentSize uint32 // bytes of an extent of a new file
+	ExtentSize uint32 // extent size of new files, in bytes
 	Units      Units
 	Limits     Limits
 	Log        *slog.Logger
--- a/internal/front/parse.go
+++ b/internal/front/parse.go
@@ -4,29 +4,29 @@
 	"irispost/internal/sftp"
 )
 
-// Extensions of OpenSSH that are offered.
+// Supported OpenSSH extensions.
 const (
 	posixRenameExtension = "posix-rename@openssh.com"
 	fsyncExtension       = "fsync@openssh.com"
 	limitsExtension      = "limits@openssh.com"
 )
 
-// packetOverhead is what a packet of data may have beside the data, in bytes.
+// packetOverhead is the space in a packet that is reserved for everything except the data, in bytes.
 const packetOverhead = 1024
 
-// Modes of what is made without one.
+// Modes of files and directories that are created without one.
 const (
 	defaultFileMode      = 0o644
 	defaultDirectoryMode = 0o755
 )
 
-// prepare parses a request and returns the work to do for it, or answers it at once and returns nil.
+// prepare parses a request and returns its handler, or answers it immediately and returns nil.
 func (s *session) prepare(req *request, packetType sftp.Type, fields *sftp.Fields) handler {
 	work, err := s.parse(req, packetType, fields)
 	if malformed := fields.Err; malformed != nil && (err == nil || err.code != sftp.OpUnsupported) {
 		work, err = nil, failuref(sftp.BadMessage, "packet of type %d: %v", packetType, malformed)
 	}
-	if err == nil && work == nil && req.state != requestAnswered { // all fields could be read, and some were left
+	if err == nil && work == nil && req.state != requestAnswered { // all fields were read, but bytes are left
 		err = failuref(sftp.BadMessage, "packet of type %d: %v", packetType, sftp.ErrExtra)
 	}
 	if err != nil {
@@ -36,8 +36,8 @@
 	return work
 }
 
-// parse reads a request's fields and puts it in order with others for its path. Where fields are malformed it returns
-// neither work nor a failure; prepare finds that by fields.
+// parse reads a request's fields and orders it after earlier requests for its path. If the fields are malformed, it
+// may return neither a handler nor a failure; prepare detects that from fields.
 func (s *session) parse(req *request, packetType sftp.Type, fields *sftp.Fields) (handler, *failure) {
 	switch packetType {
 	case sftp.Open:
@@ -186,7 +186,7 @@
 	if handle.file != nil {
 		return nil, failuref(sftp.Failure, "the handle is not a folder's")
 	}
-	req.orderPath(handle.path, true) // one after the other: each takes the entries that the one before has left
+	req.orderPath(handle.path, true) // ordered as a write: each takes the entries that the previous one left
 	return func() (*sftp.Packet, *failure) { return s.readdir(req, handle) }, nil
 }
 
@@ -234,7 +234,7 @@
 	return withStatus(func() *failure { return req.renameFile(volume, source, target, replace) }), nil
 }
 
-// parseRealpath answers at once: a path is made clean without reading anything.
+// parseRealpath responds immediately: cleaning a path needs no request to a node.
 func (s *session) parseRealpath(req *request, fields *sftp.Fields) (handler, *failure) {
 	path, err := parsePath(fields.Text())
 	if err != nil || fields.Done() != nil {
@@ -270,7 +270,8 @@
 	return withStatus(func() *failure { return req.commit(handle.file) }), nil
 }
 
-// answerLimits answers limits@openssh.com: the lengths of a packet, of a read and of a write, and the open handles.
+// answerLimits responds to limits@openssh.com with the maximum lengths of a packet, a read and a write, and the
+// maximum number of open handles.
 func (s *session) answerLimits(req *request) {
 	limits := s.front.options.Limits
 	data := uint64(s.front.maxDataLength())
@@ -281,10 +282,10 @@
 		Uint64(uint64(limits.Handles)), nil)
 }
 
-// maxDataLength is the most data of one READ or WRITE, in bytes.
+// maxDataLength returns the maximum length of the data of one READ or WRITE, in bytes.
 func (f *Front) maxDataLength() int { return f.options.Limits.Wire.MaxPacket - packetOverhead }
 
-// modeOf returns the permission bits of attributes, or others where they have none.
+// modeOf returns the permission bits of attributes, or defaultMode if they have no mode.
 func modeOf(attrs sftp.Attrs, defaultMode uint32) uint32 {
 	if attrs.HasMode {
 		return attrs.Mode & sftp.ModeBits
--- a/internal/front/read.go
+++ b/internal/front/read.go
@@ -7,8 +7,8 @@
 	"irispost/internal/sftp"
 )
 
-// readFile reads bytes. An object that is not found means that another gateway has replaced the file: its record is
-// read again, once.
+// readFile reads bytes. An object that is not found means that another gateway has replaced the file; readFile then
+// reloads the record and retries once.
 func (t *task) readFile(file *openFile, offset uint64, length int) ([]byte, *failure) {
 	data, notFound, err := t.readOnce(file, offset, length)
 	if err != nil || !notFound {
@@ -24,8 +24,8 @@
 	return data, err
 }
 
-// readOnce reads bytes by the record as it is known. Holes read as zeros. notFound tells that an object of the record
-// is gone.
+// readOnce reads bytes according to the known record. Holes read as zeros. notFound reports that an object of the
+// record does not exist any more.
 func (t *task) readOnce(file *openFile, offset uint64, length int) (data []byte, notFound bool, err *failure) {
 	size, extentSize := file.sizes()
 	if offset >= size {
@@ -42,7 +42,7 @@
 		if result == nil {
 			continue
 		}
-		// All are waited for, whatever the first says.
+		// Wait for all results, even after a failure.
 		reply, partErr := t.replyOf(<-result, node.GetObject)
 		if err == nil {
 			err = partErr
@@ -53,8 +53,9 @@
 	return joinParts(pieces, parts, length), notFound, err
 }
 
-// submitReads submits a read for each piece that lies in an object, and returns their results; those of holes are nil.
-// All extents are known before the first is submitted, so that none is in flight when this fails.
+// submitReads submits a read for each piece that is stored in an object and returns the result channels; those of
+// holes are nil. It determines all extents before it submits the first read, so that no read is in flight if it
+// fails.
 func (t *task) submitReads(file *openFile, size uint64, pieces []layout.Piece) ([]<-chan gateway.Result, *failure) {
 	class := file.volume.ClassOf(Read, file.path, size)
 	extents := make([]layout.Extent, len(pieces))
@@ -81,8 +82,8 @@
 	return results, nil
 }
 
-// joinParts joins what was read of each piece; what is missing of one reads as zeros. A single complete part is
-// returned as it is, without a copy.
+// joinParts joins the bytes that were read for each piece; bytes that are missing from a part are zeros. A single
+// complete part is returned without copying.
 func joinParts(pieces []layout.Piece, parts [][]byte, length int) []byte {
 	if len(pieces) == 0 {
 		return nil
--- a/internal/front/record.go
+++ b/internal/front/record.go
@@ -6,7 +6,7 @@
 	"irispost/internal/sftp"
 )
 
-// readRecord reads a record. Where a rename of it has begun, it completes the rename first.
+// readRecord reads a record. If a rename of it is in progress, it completes the rename first.
 func (t *task) readRecord(volume *Volume, path layout.Path) (*layout.Record, *failure) {
 	for t.beforeDeadline(volume, path) {
 		record, err := t.fetchRecord(volume, path)
@@ -28,7 +28,7 @@
 	return nil, rejection(0, "the file keeps moving")
 }
 
-// fetchRecord reads a record in whatever state it is.
+// fetchRecord reads a record in any state.
 func (t *task) fetchRecord(volume *Volume, path layout.Path) (*layout.Record, *failure) {
 	reply, err := t.execute(volume, volume.ClassOf(Lookup, path, 0), t.front.options.Units.Of(0), 0, node.Call{
 		Op:    node.GetRecord,
@@ -52,9 +52,9 @@
 	return record, nil
 }
 
-// compareAndSwap changes a record that has the given version to next, or removes it where next is nil. It returns the
-// record as it is afterwards, and whether it is the one of this change: a conflict with an earlier attempt of the same
-// change is a success.
+// compareAndSwap replaces a record that has the given version with next, or removes it if next is nil. It returns the
+// current record and whether this change made it. A version conflict with an earlier attempt of the same change, which
+// the change ID identifies, is a success.
 func (t *task) compareAndSwap(volume *Volume, path layout.Path, version uint64, next *layout.Record, changeID string) (
 	current *layout.Record, ours bool, err *failure) {
 	call := node.Call{
@@ -85,7 +85,7 @@
 	return &stored, true, nil
 }
 
-// checkParent fails where nothing can be made in the directory that holds a path.
+// checkParent fails if no entry can be created in the parent directory of a path.
 func (t *task) checkParent(volume *Volume, path layout.Path) *failure {
 	parent := path.Parent()
 	if parent.Rel == "" {
@@ -105,11 +105,11 @@
 	return nil
 }
 
-// createRecord stores a record where there is none; record.Version is that of its absence as last seen. It returns the
-// record as it is afterwards, and whether it is this one: another may have made one at the same time.
+// createRecord stores a record if there is none; record.Version is the last known version of the absent record. It
+// returns the current record and whether it is the one given: another client may have created one at the same time.
 //
-// The directory is checked before and after: one that is being removed is listed only after it was marked, so that
-// either the remover sees the new record or createRecord sees the mark.
+// The parent directory is checked before and after. rmdir lists a directory only after it has marked it as Removing,
+// so either rmdir sees the new record or createRecord sees the mark.
 func (t *task) createRecord(volume *Volume, path layout.Path, record *layout.Record) (*layout.Record, bool, *failure) {
 	if err := t.checkParent(volume, path); err != nil {
 		return nil, false, err
@@ -122,14 +122,15 @@
 		return current, ours, nil
 	}
 	if err := t.checkParent(volume, path); err != nil {
-		// The answer is that the directory is gone, whether this succeeds or not.
+		// The request fails because of the directory, whether or not this removal succeeds.
 		_, _, _ = t.compareAndSwap(volume, path, current.Version, nil, t.front.uniqueName())
 		return nil, false, err
 	}
 	return current, true, nil
 }
 
-// storeIfAbsent tries to store a record where there is none, until the deadline, while others make and remove one.
+// storeIfAbsent stores a record if there is none. If others create and remove one meanwhile, it retries until the
+// deadline.
 func (t *task) storeIfAbsent(volume *Volume, path layout.Path, record *layout.Record) (*layout.Record, bool, *failure) {
 	version := record.Version
 	for t.beforeDeadline(volume, path) {
@@ -140,7 +141,7 @@
 		if current.Kind != layout.Absent {
 			return current, ours, nil
 		}
-		version = current.Version // another has made and removed one
+		version = current.Version // another client has created and removed one
 	}
 	return nil, false, rejection(0, "the name is changed by others all the time")
 }
@@ -169,8 +170,8 @@
 	return rejection(0, "the file is changed by others all the time")
 }
 
-// deleteObjects deletes, in the background, objects that no record refers to any more. The sweep finds those that are
-// left over where this fails.
+// deleteObjects deletes objects that no record refers to any more, in the background. If it fails, Sweep finds the
+// remaining objects.
 func (f *Front) deleteObjects(volume *Volume, path layout.Path, extents []layout.Extent) {
 	if len(extents) == 0 {
 		return
--- a/internal/front/rename.go
+++ b/internal/front/rename.go
@@ -5,11 +5,11 @@
 	"irispost/internal/sftp"
 )
 
-// renameFile moves a file in four changes of records: the source is marked Moving with its target, the target is made
-// Arriving, the source is removed, the target becomes Live. Whoever meets a marked record completes the move, so a
-// gateway that dies leaves none half done. A version that was replaced never comes back, so the second change happens
-// at most once; and a target that is Arriving stays until the source is removed. So a file is never lost nor there
-// twice.
+// renameFile moves a file in four record changes: it marks the source as Moving, with the target's path; it stores
+// the target as Arriving; it removes the source; it sets the target to Live. Any task that reads a marked record
+// completes the move, so that a move is not left half done if its gateway crashes. Record versions never recur, so
+// the second change happens at most once, and an Arriving target persists until the source is removed. Thus a file is
+// neither lost nor duplicated.
 func (t *task) renameFile(volume *Volume, source, target layout.Path, replace bool) *failure {
 	if source.Volume != target.Volume {
 		return failuref(sftp.OpUnsupported, "files do not move between volumes")
@@ -38,7 +38,7 @@
 	return t.move(volume, source, target, record, replaced)
 }
 
-// move moves the file of a record from source to target, and deletes the objects of the record that it replaces.
+// move moves the file of a record from source to target and deletes the objects of the replaced record.
 func (t *task) move(volume *Volume, source, target layout.Path, record, replaced *layout.Record) *failure {
 	moving := *record
 	moving.State = layout.Moving
@@ -62,8 +62,8 @@
 	return nil
 }
 
-// completeMove completes the move of a record that is Moving: forward if the target has the version that the move
-// expects, else back. It tells whether the file has moved.
+// completeMove completes the move of a record that is Moving if the target has the version that the move expects, and
+// reverts it otherwise. It reports whether the file has moved.
 func (t *task) completeMove(volume *Volume, source layout.Path, moving *layout.Record) (moved bool, err *failure) {
 	target, parseErr := layout.Parse(moving.MovePeer)
 	if parseErr != nil {
@@ -84,8 +84,9 @@
 	return t.revertMove(volume, source, moving)
 }
 
-// revertMove makes the source Live again. Where it is no longer Moving, another has completed the move; it tells
-// whether that was forward, by the ID that a reverted move leaves in the record.
+// revertMove sets the source back to Live. If the source is not Moving any more, another task has completed or
+// reverted the move; revertMove then reports whether the file has moved, by the move ID that a reverted move leaves
+// in the record.
 func (t *task) revertMove(volume *Volume, source layout.Path, moving *layout.Record) (moved bool, err *failure) {
 	restored := *moving
 	restored.State = layout.Live
@@ -99,8 +100,8 @@
 	return current.Kind == layout.Absent || current.LastMoveID != moving.ChangeID, nil
 }
 
-// completeArrival completes the move of a record that is Arriving: it removes the source, if that is not done yet, and
-// makes the target Live.
+// completeArrival completes the move of a record that is Arriving: it removes the source, unless that is already
+// done, and sets the target to Live.
 func (t *task) completeArrival(volume *Volume, target layout.Path, arriving *layout.Record) *failure {
 	source, parseErr := layout.Parse(arriving.MovePeer)
 	if parseErr != nil {
--- a/internal/front/request.go
+++ b/internal/front/request.go
@@ -7,13 +7,13 @@
 	"irispost/internal/sftp"
 )
 
-// rangeAccess is the access of an unanswered request to bytes of a path. The draft asks (section 4.1) that requests
-// for one file have the results that they would have one at a time; those whose bytes do not overlap, or that only
-// read, run concurrently.
+// rangeAccess is the access of an unanswered request to a byte range of a path. Section 4.1 of the SFTP draft requires
+// that requests for one file have the same results as if they ran one at a time. Requests whose ranges do not overlap,
+// or that only read, run concurrently.
 type rangeAccess struct {
-	from, to uint64 // bytes, to excluded
+	from, to uint64 // bytes; to is exclusive
 	write    bool
-	done     chan struct{} // closed when the request has its answer
+	done     chan struct{} // closed when the request is answered
 }
 
 func (a *rangeAccess) conflictsWith(other *rangeAccess) bool {
@@ -24,27 +24,27 @@
 type requestState uint8
 
 const (
-	requestWaiting requestState = iota // for earlier requests for the same bytes
+	requestWaiting requestState = iota // waits for earlier requests for the same bytes
 	requestRunning
 	requestAnswered
 )
 
-// handler does a request's work and returns its answer. Without a packet and a failure that is status OK.
+// handler executes a request and returns its response. If both results are nil, the response is status OK.
 type handler = func() (*sftp.Packet, *failure)
 
-// withStatus makes a handler of work that is answered with a status only.
+// withStatus returns a handler for work whose response is only a status.
 func withStatus(work func() *failure) handler {
 	return func() (*sftp.Packet, *failure) { return nil, work() }
 }
 
-// request is a client's request. It gets exactly one answer, unless its client has closed the connection.
+// request is a client's request. It gets exactly one response, unless the client has closed its connection.
 type request struct {
 	task
 	session      *session
 	state        requestState
 	accesses     map[layout.Path]*rangeAccess
-	predecessors []<-chan struct{} // each closed when an earlier request that this one waits for has its answer
-	class        *RequestClass     // bounds the wait for predecessors; nil at the root of all volumes
+	predecessors []<-chan struct{} // each is closed when an earlier request that this one waits for is answered
+	class        *RequestClass     // its timeout bounds the wait for predecessors; nil for the root path
 }
 
 func newRequest(s *session, id uint32) *request {
@@ -60,7 +60,7 @@
 	}
 }
 
-// orderRange puts a request in order after earlier ones for the same bytes of a path.
+// orderRange orders a request after earlier conflicting requests for a byte range of a path.
 func (r *request) orderRange(path layout.Path, from, to uint64, write bool, kind OperationKind) {
 	s := r.session
 	if volume := s.front.options.Volumes[path.Volume]; volume != nil {
@@ -78,7 +78,7 @@
 	r.accesses[path] = access
 }
 
-// orderPath puts a request in order after earlier ones for any byte of a path.
+// orderPath orders a request after earlier conflicting requests for any bytes of a path.
 func (r *request) orderPath(path layout.Path, write bool) {
 	kind := Lookup
 	if write {
@@ -87,8 +87,8 @@
 	r.orderRange(path, 0, ^uint64(0), write, kind)
 }
 
-// run waits for the request's predecessors, does its work and answers. A request whose predecessors do not end before
-// its deadline has done nothing.
+// run waits for the request's predecessors, executes the request and answers it. If the predecessors do not end before
+// the deadline, the request is not executed.
 func (r *request) run(work handler) {
 	for _, predecessor := range r.predecessors {
 		if err := r.waitFor(predecessor, r.class); err != nil {
@@ -100,8 +100,7 @@
 	r.answer(work())
 }
 
-// setState is the one place where a request changes state. An answered request lets its successors run, and gives its
-// slot back.
+// setState changes the state of a request. Once answered, the request lets its successors run and releases its slot.
 func (r *request) setState(state requestState) {
 	r.state = state
 	if state != requestAnswered {
@@ -112,7 +111,7 @@
 	r.front.inFlight.end()
 }
 
-// removeAccesses ends the accesses of a request that has its answer.
+// removeAccesses ends the accesses of an answered request.
 func (s *session) removeAccesses(accesses map[layout.Path]*rangeAccess) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -127,7 +126,7 @@
 	}
 }
 
-// answer sends the one answer. A request that has it already is left as it is.
+// answer sends the response. It does nothing if the request has been answered.
 func (r *request) answer(packet *sftp.Packet, err *failure) {
 	if r.state == requestAnswered {
 		return
--- a/internal/front/session.go
+++ b/internal/front/session.go
@@ -10,25 +10,26 @@
 	"irispost/internal/sftp"
 )
 
-// SessionExtension tells a client in VERSION the name of its connection, with which the IDs of its requests begin.
+// SessionExtension is the extension in VERSION that tells a client the name of its session, which prefixes the IDs of
+// its requests.
 const SessionExtension = "session@irispost"
 
-// readAheadCheckInterval is how often a session that waits for a slot checks what the client has sent meanwhile.
+// readAheadCheckInterval is how often a session that waits for a slot checks how much the client has sent meanwhile.
 const readAheadCheckInterval = 50 * time.Millisecond
 
-// session is one client's connection. It is the sftp.Handler of that connection: Packet and Closed are called by the
-// connection's reading goroutine, one after the other.
+// session is the state of a client's connection and its sftp.Handler. Packet is called for one packet at a time, and
+// Closed on a goroutine of its own (package packetconn).
 type session struct {
 	front          *Front
 	conn           *sftp.Conn
 	gatewaySession *gateway.Session
-	slots          chan struct{} // one for each unanswered request
-	initialized    bool          // INIT has been read; only Packet uses it
+	slots          chan struct{} // holds one element for each unanswered request
+	initialized    bool          // INIT has been received; only Packet uses it
 
-	lock       sync.Mutex // guards what follows
-	lastHandle int
+	lock       sync.Mutex // guards the fields below
+	lastHandle int        // number of the latest handle; its decimal form is the handle's name
 	handles    map[string]*openHandle
-	accesses   map[layout.Path][]*rangeAccess // of unanswered requests, in the order of their arrival
+	accesses   map[layout.Path][]*rangeAccess // of unanswered requests, in order of arrival
 }
 
 func newSession(front *Front, conn *sftp.Conn) *session {
@@ -42,15 +43,15 @@
 	}
 }
 
-// Packet handles one packet. It blocks, and with it the reading of the connection, while the client has too many
-// unanswered requests.
+// Packet handles one packet. While the client has too many unanswered requests, it blocks and the connection is not
+// read.
 func (s *session) Packet(frame sftp.Frame) error {
 	if !s.initialized {
 		return s.initialize(frame)
 	}
 	id, fields := frame.ID()
 	if fields.Err != nil {
-		return fmt.Errorf("a packet of type %d without an id", frame.Type)
+		return fmt.Errorf("packet of type %d has no request ID", frame.Type)
 	}
 	if err := s.acquireSlot(); err != nil {
 		return err
@@ -69,14 +70,14 @@
 	return nil
 }
 
-// initialize answers the first packet, which has to be INIT.
+// initialize handles the first packet, which must be INIT.
 func (s *session) initialize(frame sftp.Frame) error {
 	if frame.Type != sftp.Init {
-		return fmt.Errorf("the first packet is of type %d, not INIT", frame.Type)
+		return fmt.Errorf("first packet has type %d, want INIT", frame.Type)
 	}
-	version, fields := frame.ID() // INIT has the version in the place of an ID
+	version, fields := frame.ID() // INIT has the version in place of a request ID
 	if fields.Err != nil || version < sftp.ProtocolVersion {
-		return fmt.Errorf("the client speaks version %d, version %d is needed", version, sftp.ProtocolVersion)
+		return fmt.Errorf("client supports SFTP version %d, at least version %d is required", version, sftp.ProtocolVersion)
 	}
 	s.initialized = true
 	s.conn.Send(sftp.NewVersion(posixRenameExtension, "1", fsyncExtension, "1", limitsExtension, "1",
@@ -84,8 +85,8 @@
 	return nil
 }
 
-// acquireSlot waits until the client may have one more unanswered request. It fails where the connection ends, or where
-// the client keeps on sending past the connection's limit of unread bytes.
+// acquireSlot waits until the client may have one more unanswered request. It fails if the connection ends, or if the
+// client keeps sending and exceeds the connection's read-ahead limit.
 func (s *session) acquireSlot() error {
 	select {
 	case s.slots <- struct{}{}:
@@ -102,13 +103,13 @@
 			return s.conn.Err()
 		case <-ticker.C:
 			if s.conn.ReadAheadExceeded() {
-				return fmt.Errorf("the client sends on while %d requests wait for their answers", cap(s.slots))
+				return fmt.Errorf("client exceeded the read-ahead limit while %d requests were unanswered", cap(s.slots))
 			}
 		}
 	}
 }
 
-// Closed ends the session: its requests are cancelled, and what it wrote is committed in the background.
+// Closed ends the session: it cancels its requests and commits its uncommitted writes in the background.
 func (s *session) Closed(cause error) {
 	s.front.options.Loop.CloseSession(s.gatewaySession)
 	s.front.options.Log.Debug("session closed", "session", s.gatewaySession.Name, "err", cause)
@@ -126,8 +127,8 @@
 	}()
 }
 
-// readPath reads a path from a packet. The volume is nil for the root of all volumes, and where the packet ends too
-// early, which the caller sees by fields.
+// readPath reads a path from a packet. The volume is nil for the root path, and also if the packet ends too early,
+// which the caller detects from fields.
 func (s *session) readPath(fields *sftp.Fields) (layout.Path, *Volume, *failure) {
 	text := fields.Text()
 	if fields.Err != nil {
--- a/internal/front/sweep.go
+++ b/internal/front/sweep.go
@@ -8,12 +8,12 @@
 	"irispost/internal/layout"
 )
 
-// objectsPerPage is how many objects a shard lists at a time.
+// objectsPerPage is the number of objects that a shard returns per list call.
 const objectsPerPage = 256
 
-// Sweep deletes the objects of a shard that no record refers to and that nobody has written for the time idle: what
-// was left by gateways that died between an extent's write and its commit. It returns how many objects it has seen and
-// how many it has removed, also where it fails.
+// Sweep deletes the objects of a shard that no record refers to and that were not written for the duration idle.
+// Gateways that crash between the write of an extent and its commit leave such objects. It returns the numbers of
+// objects that it has seen and removed, even if it fails.
 func (f *Front) Sweep(shard int, idle time.Duration) (seen, removed int, err error) {
 	f.inFlight.begin()
 	defer f.inFlight.end()
@@ -39,7 +39,8 @@
 	}
 }
 
-// firstVolume is the volume that lists of objects are accounted to, the same on each gateway.
+// firstVolume returns the volume to which object listings are charged. It is the first by name, so the same on all
+// gateways.
 func (f *Front) firstVolume() *Volume {
 	var first *Volume
 	for _, volume := range f.options.Volumes {
@@ -50,7 +51,7 @@
 	return first
 }
 
-// listObjects lists the next objects of a shard after a name.
+// listObjects returns the next page of a shard's objects, starting after a name.
 func (t *task) listObjects(volume *Volume, shard int, after string) ([]node.ListItem, error) {
 	class := volume.ClassOf(Lookup, layout.Path{Volume: volume.Name}, 0)
 	reply, err := t.execute(volume, class, t.front.options.Units.Of(0), 0, node.Call{
@@ -65,7 +66,7 @@
 	return node.DecodeItems(reply.Data)
 }
 
-// deleteIfOrphan deletes an object of a known volume that is old enough and that no record refers to.
+// deleteIfOrphan deletes an object if its volume is known, it has been idle long enough and no record refers to it.
 func (t *task) deleteIfOrphan(shard int, object node.ListItem, idle time.Duration) (deleted bool, err error) {
 	path, parseErr := layout.Parse(object.Owner)
 	volume := t.front.options.Volumes[path.Volume]
@@ -86,8 +87,8 @@
 	return true, nil
 }
 
-// isOrphan tells whether no record refers to an object: not its owner's, nor that of a file that was renamed, which
-// keeps its objects and they their first owner. For those the whole volume is searched.
+// isOrphan reports whether no record refers to an object. It checks the record of the object's owner first, and then
+// all records of the volume: the objects of a renamed file still name their original owner.
 func (t *task) isOrphan(volume *Volume, owner layout.Path, extent layout.Extent) (bool, *failure) {
 	record, err := t.readRecord(volume, owner)
 	if err != nil {
@@ -116,8 +117,8 @@
 	return true, nil
 }
 
-// refersTo tells whether a record has an extent. An object of that name at another shard is not the same: it is of an
-// attempt that was given up.
+// refersTo reports whether a record has an extent. An object with the same name on another shard is not part of the
+// file: an abandoned attempt has left it.
 func refersTo(record *layout.Record, extent layout.Extent) bool {
 	return slices.Contains(record.Extents, extent)
 }
--- a/internal/front/task.go
+++ b/internal/front/task.go
@@ -9,21 +9,21 @@
 	"irispost/scheduler"
 )
 
-// task is a client's request, or background work of the gateway's own, while it goes through its requests to the event
-// loop. One goroutine submits them, apart from the concurrent pieces of one write.
+// task is the execution of a client's request or of background work of the gateway. It submits requests to the event
+// loop, from one goroutine except for the concurrent pieces of a write.
 type task struct {
 	front          *Front
 	gatewaySession *gateway.Session // nil for background work
 	arrived        scheduler.Time
-	requestID      uint32 // the client's
-	mayHaveChanged bool   // a step may have changed a record, so that the whole can no longer be rejected
+	requestID      uint32 // assigned by the client
+	mayHaveChanged bool   // a step may have changed a record, so the task cannot be reported as rejected any more
 }
 
-// backgroundTask is a task that no client waits for.
+// backgroundTask returns a task that no client waits for.
 func (f *Front) backgroundTask() *task { return &task{front: f, arrived: f.options.Loop.Now()} }
 
-// submit hands a request to the event loop. The deadline of a client's counts from the task's arrival, that of
-// background work from now. A key of 0 is none.
+// submit submits a request to the event loop. Its timeout starts at the arrival of the client's request or, for
+// background work, now. A key of 0 means no ordering key.
 func (t *task) submit(volume *Volume, class *RequestClass, units float64, key uint64, call node.Call) <-chan gateway.Result {
 	timeoutStart := t.arrived
 	if t.gatewaySession == nil {
@@ -54,7 +54,8 @@
 	return t.replyOf(<-t.submit(volume, class, units, key, call), call.Op)
 }
 
-// replyOf turns the event loop's result into a reply or a failure. docs/operators.md has what each says to the client.
+// replyOf converts a result of the event loop to a reply or a failure. docs/operators.md lists what clients are told
+// in each case.
 func (t *task) replyOf(result gateway.Result, op node.Operation) (node.Reply, *failure) {
 	switch result.State {
 	case scheduler.RequestSucceeded:
@@ -77,14 +78,14 @@
 	return node.Reply{}, unknownOutcome(result.Reason)
 }
 
-// waitFor waits until a step of another task is done, at most to the deadline of a request of the class.
+// waitFor waits until a step of another task is done, or until the deadline that the class gives this task.
 func (t *task) waitFor(done <-chan struct{}, class *RequestClass) *failure {
 	select {
 	case <-done:
 		return nil
 	default:
 	}
-	if class == nil { // at the root of all volumes, where no request has steps to wait for
+	if class == nil { // for the root path, where predecessors do not wait for any node
 		<-done
 		return nil
 	}
@@ -98,7 +99,7 @@
 	}
 }
 
-// beforeDeadline tells whether a task may retry its change of a record on top of others' changes.
+// beforeDeadline reports whether a task may still retry a record change after a version conflict.
 func (t *task) beforeDeadline(volume *Volume, path layout.Path) bool {
 	return t.front.options.Loop.Now() < t.arrived+int64(volume.ClassOf(Change, path, 0).Timeout)
 }
--- a/internal/front/write.go
+++ b/internal/front/write.go
@@ -8,12 +8,13 @@
 
 const (
 	maxFileSize = 1 << 50 // bytes
-	anyShard    = -1      // the scheduler places a new object
-	// objectExists is the version of a write in place: the node does not make the object where it is gone.
+	anyShard    = -1      // the scheduler chooses the shard of a new object
+	// objectExists is the version in a write to an existing object: the node must not recreate the object if it was
+	// deleted.
 	objectExists = 1
 )
 
-// writeFile writes bytes. The pieces in each extent are written concurrently.
+// writeFile writes bytes. Pieces in different extents are written concurrently.
 func (t *task) writeFile(file *openFile, offset uint64, data []byte) *failure {
 	size, extentSize := file.sizes()
 	end := offset + uint64(len(data))
@@ -32,8 +33,8 @@
 	return nil
 }
 
-// writePieces writes all pieces, the last one on the caller's goroutine. Its failure says whether any of them may have
-// been written.
+// writePieces writes all pieces, the last one on the caller's goroutine. The failure it returns says whether any piece
+// may have been written.
 func (t *task) writePieces(file *openFile, class *RequestClass, pieces []layout.Piece, data []byte) *failure {
 	results := make(chan *failure, len(pieces))
 	last := len(pieces) - 1
@@ -60,8 +61,8 @@
 	return err
 }
 
-// writePiece writes the piece in one extent. The first write of an extent makes a new object, which may go to any
-// node; later ones wait until it is known where it is.
+// writePiece writes a piece to its extent. The first write to an extent creates an object, which may be placed on any
+// shard; concurrent writes to the extent wait until its shard is known.
 func (t *task) writePiece(file *openFile, class *RequestClass, piece layout.Piece, data []byte) *failure {
 	for {
 		file.lock.Lock()
@@ -83,7 +84,7 @@
 	}
 }
 
-// writeExtent writes in place to an extent that has an object.
+// writeExtent writes to an extent that has an object.
 func (t *task) writeExtent(file *openFile, class *RequestClass, extent layout.Extent, piece layout.Piece,
 	data []byte) *failure {
 	units := t.front.options.Units.Of(len(data))
@@ -102,8 +103,8 @@
 	return err
 }
 
-// allocateExtent makes an extent's object with its first write. A name is used for one attempt only: an object that
-// may have been made is never used.
+// allocateExtent creates the object of an extent with the extent's first write. Each attempt uses a new object name,
+// so an object whose creation has an unknown outcome is never used.
 func (t *task) allocateExtent(file *openFile, class *RequestClass, piece layout.Piece, data []byte) *failure {
 	object := t.front.uniqueName()
 	reply, err := t.execute(file.volume, class, t.front.options.Units.Of(len(data)), orderingKey(object), node.Call{
--- a/internal/sftp/bench_test.go
+++ b/internal/sftp/bench_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// BenchmarkCodec writes and reads a WRITE of 32 KiB, without a connection.
+// BenchmarkCodec encodes and decodes a WRITE packet with 32 KiB of data, without a connection.
 func BenchmarkCodec(b *testing.B) {
 	data := make([]byte, 32<<10)
 	b.SetBytes(int64(len(data)))
@@ -15,7 +15,7 @@
 		fields.Text()
 		fields.Uint64()
 		if fields.Uint32() != uint32(len(tail)) || fields.Done() != nil {
-			b.Fatal("not what was written")
+			b.Fatal("decoded packet differs from the encoded one")
 		}
 	}
 }
--- a/internal/sftp/conn.go
+++ b/internal/sftp/conn.go
@@ -13,48 +13,50 @@
 // Limits are the limits of a connection.
 type Limits = packetconn.Limits
 
-// DefaultLimits are the limits where none are configured.
+// DefaultLimits are the limits of a connection if none are configured.
 var DefaultLimits = packetconn.DefaultLimits
 
-// ErrPeerClosed tells that the peer has closed the connection.
+// ErrPeerClosed means that the peer has closed the connection.
 var ErrPeerClosed = packetconn.ErrPeerClosed
 
-// Conn is a connection that carries packets.
+// Conn is a connection that carries SFTP packets.
 type Conn = packetconn.Conn
 
-// Server accepts connections.
+// Server accepts connections and serves SFTP on them.
 type Server = packetconn.Server
 
-// Frame is a packet that was received.
+// Frame is a received packet.
 type Frame struct {
 	Type Type
-	Body []byte // after the type; memory of its own, copied once out of the connection's buffer
+	Body []byte // the bytes after the type, copied once out of the connection's buffer
 }
 
-// ID reads the request's ID, with which all packets but INIT and VERSION begin, and returns the fields after it.
+// ID reads the request ID, with which every packet except INIT and VERSION begins, and returns it with the remaining
+// fields.
 func (f Frame) ID() (uint32, *Fields) {
 	fields := NewFields(f.Body)
 	return fields.Uint32(), fields
 }
 
-// Handler handles a connection's packets, one after the other.
+// Handler handles the packets of a connection.
 type Handler interface {
-	// Packet handles a packet. An error closes the connection.
+	// Packet handles a packet. Calls are made one at a time. An error closes the connection.
 	Packet(Frame) error
-	// Closed is called once, with the reason, when the connection has ended.
+	// Closed is called once, with the reason, when the connection has ended. It runs on a goroutine of its own.
 	Closed(cause error)
 }
 
-// minPacketLength is that of a type and an ID or a version, without the length field, in bytes.
+// minPacketLength is the length of a type and an ID or version, in bytes. The length field is not counted.
 const minPacketLength = 5
 
-// framedHandler reads packets from a connection for a peer.
+// framedHandler splits the byte stream of a connection into packets and passes them to a Handler.
 type framedHandler struct {
 	Handler
 	conn *Conn
 }
 
-// ReadPacket reads the next packet. A length out of bounds is ErrLength: what follows cannot be read.
+// ReadPacket reads the next packet and handles it. It returns ErrLength for a length out of bounds, after which the
+// stream cannot be decoded any further.
 func (f framedHandler) ReadPacket(reader netpoll.Reader) error {
 	head, err := reader.Peek(lengthSize)
 	if err != nil {
@@ -62,7 +64,7 @@
 	}
 	length, limit := binary.BigEndian.Uint32(head), f.conn.Limits().MaxPacket
 	if length < minPacketLength || uint64(length) > uint64(limit) {
-		return fmt.Errorf("%w: %d bytes, from %d to %d are taken", ErrLength, length, minPacketLength, limit)
+		return fmt.Errorf("%w: got %d bytes, want %d to %d", ErrLength, length, minPacketLength, limit)
 	}
 	if err := reader.Skip(lengthSize); err != nil {
 		return err
@@ -77,15 +79,15 @@
 	return f.Packet(Frame{Type: Type(body[0]), Body: body[1:]})
 }
 
-// Listen serves connections at an address, each with a peer that newHandler returns, at most maxConns at a time (0: no
-// limit).
+// Listen accepts connections at an address, at most maxConns at a time (0: no limit). newHandler returns the handler
+// of each.
 func Listen(addr string, limits Limits, maxConns int, newHandler func(*Conn) Handler) (*Server, error) {
 	return packetconn.Listen(addr, limits, maxConns, func(conn *Conn) packetconn.Handler {
 		return framedHandler{Handler: newHandler(conn), conn: conn}
 	})
 }
 
-// Dial connects to an address within a timeout, with a peer that newHandler returns.
+// Dial connects to an address within a timeout. newHandler returns the connection's handler.
 func Dial(addr string, limits Limits, timeout time.Duration, newHandler func(*Conn) Handler) (*Conn, error) {
 	return packetconn.Dial(addr, limits, timeout, func(conn *Conn) packetconn.Handler {
 		return framedHandler{Handler: newHandler(conn), conn: conn}
--- a/internal/sftp/fields.go
+++ b/internal/sftp/fields.go
@@ -5,16 +5,16 @@
 // ownerLength is the length of the user and group IDs in attributes, in bytes.
 const ownerLength = 8
 
-// Fields reads a packet's fields one after the other. After the first error all reads return zeros.
+// Fields decodes the fields of a packet in order. After the first error all reads return zero values.
 type Fields struct {
 	rest []byte
-	Err  error // the first: ErrShort
+	Err  error // the first decoding error: ErrShort
 }
 
-// NewFields returns the fields of a packet, given its bytes after the type.
+// NewFields returns a decoder for the bytes of a packet that follow its type.
 func NewFields(body []byte) *Fields { return &Fields{rest: body} }
 
-// take returns the next n bytes, nil where there are fewer.
+// take consumes the next n bytes. If fewer are left, it sets Err and returns nil.
 func (f *Fields) take(n int) []byte {
 	if f.Err != nil || n < 0 || n > len(f.rest) {
 		if f.Err == nil {
@@ -51,7 +51,7 @@
 	return 0
 }
 
-// Bytes reads a string without a copy: it shares the packet's memory.
+// Bytes reads a string without copying it: the result shares the packet's memory.
 func (f *Fields) Bytes() []byte {
 	length := f.Uint32()
 	if f.Err == nil && uint64(length) > uint64(len(f.rest)) {
@@ -64,7 +64,7 @@
 // Text reads a string.
 func (f *Fields) Text() string { return string(f.Bytes()) }
 
-// Attrs reads attributes, and skips owners and extended ones.
+// Attrs reads file attributes. It skips the user and group IDs and extended attributes.
 func (f *Fields) Attrs() (attrs Attrs) {
 	flags := f.Uint32()
 	if flags&attrSize != 0 {
@@ -92,10 +92,10 @@
 	return attrs
 }
 
-// More tells whether bytes are left.
+// More reports whether unread bytes are left. After an error it returns false.
 func (f *Fields) More() bool { return f.Err == nil && len(f.rest) > 0 }
 
-// Done returns the first error, or ErrExtra where bytes are left.
+// Done returns the first decoding error, or ErrExtra if unread bytes are left.
 func (f *Fields) Done() error {
 	if f.Err == nil && len(f.rest) > 0 {
 		return ErrExtra
--- a/internal/sftp/packet.go
+++ b/internal/sftp/packet.go
@@ -6,7 +6,7 @@
 	"io"
 )
 
-// Capacities of a packet's head, in bytes, with which most need not grow.
+// Initial capacities of a packet's head, in bytes. Most packets fit without growing it.
 const (
 	defaultHeadCapacity = 96
 	longHeadCapacity    = 320
@@ -15,16 +15,17 @@
 // lengthSize is the size of a packet's length field, in bytes.
 const lengthSize = 4
 
-// Packet is a packet to send: its head, and a tail that is sent without a copy into the head.
+// Packet is a packet to send. It consists of a head and an optional tail, which is sent without being copied into the
+// head.
 type Packet struct {
 	head []byte
 	tail []byte
 }
 
-// New returns a packet of a type with a request's ID. Its length is filled in when it is sent.
+// New returns a packet with a type and a request ID. Its length is filled in when it is sent.
 func New(packetType Type, id uint32) *Packet { return newPacket(packetType, id, defaultHeadCapacity) }
 
-// NewLong is New for a packet whose head is longer than usual.
+// NewLong is like New, for a packet with a longer head than most.
 func NewLong(packetType Type, id uint32) *Packet { return newPacket(packetType, id, longHeadCapacity) }
 
 func newPacket(packetType Type, id uint32, headCapacity int) *Packet {
@@ -33,42 +34,42 @@
 	return p.Uint32(id)
 }
 
-// Size returns the packet's length on the connection, in bytes.
+// Size returns the encoded length of the packet in bytes, including the length field.
 func (p *Packet) Size() int { return len(p.head) + len(p.tail) }
 
-// Byte adds a byte.
+// Byte appends a byte.
 func (p *Packet) Byte(b byte) *Packet {
 	p.head = append(p.head, b)
 	return p
 }
 
-// Uint32 adds a uint32.
+// Uint32 appends a uint32.
 func (p *Packet) Uint32(n uint32) *Packet {
 	p.head = binary.BigEndian.AppendUint32(p.head, n)
 	return p
 }
 
-// Uint64 adds a uint64.
+// Uint64 appends a uint64.
 func (p *Packet) Uint64(n uint64) *Packet {
 	p.head = binary.BigEndian.AppendUint64(p.head, n)
 	return p
 }
 
-// Text adds a string.
+// Text appends a string.
 func (p *Packet) Text(s string) *Packet {
 	p.Uint32(uint32(len(s)))
 	p.head = append(p.head, s...)
 	return p
 }
 
-// Tail adds the last string. Its bytes are not copied and must stay as they are until the packet is sent.
+// Tail sets the last field, a string. Its bytes are not copied and must not change until the packet is sent.
 func (p *Packet) Tail(data []byte) *Packet {
 	p.Uint32(uint32(len(data)))
 	p.tail = data
 	return p
 }
 
-// Attrs adds attributes.
+// Attrs appends file attributes.
 func (p *Packet) Attrs(attrs Attrs) *Packet {
 	p.Uint32(attrs.flags())
 	if attrs.HasSize {
@@ -96,18 +97,18 @@
 	return flags
 }
 
-// Bytes returns the complete packet with its length, in two parts.
+// Bytes fills in the length and returns the encoded packet in two parts.
 func (p *Packet) Bytes() (head, tail []byte) {
 	binary.BigEndian.PutUint32(p.head, uint32(p.Size()-lengthSize))
 	return p.head, p.tail
 }
 
-// NewStatus returns the answer to a request with a status and an English message (draft, section 7).
+// NewStatus returns a STATUS response with an English message (section 7 of the draft).
 func NewStatus(id uint32, code Code, message string) *Packet {
 	return New(Status, id).Uint32(uint32(code)).Text(message).Text("en")
 }
 
-// NewVersion returns a VERSION packet with extensions, in pairs of name and data (draft, section 4).
+// NewVersion returns a VERSION packet with extensions, given as pairs of name and data (section 4 of the draft).
 func NewVersion(extensions ...string) *Packet {
 	p := New(Version, ProtocolVersion)
 	for _, field := range extensions {
@@ -116,13 +117,13 @@
 	return p
 }
 
-// Entry is one name of a NAME packet.
+// Entry is a file name with attributes in a NAME packet.
 type Entry struct {
 	Name  string
 	Attrs Attrs
 }
 
-// NewNames returns the answer to a request with entries (draft, section 7).
+// NewNames returns a NAME response with entries (section 7 of the draft).
 func NewNames(id uint32, entries []Entry) *Packet {
 	p := New(Name, id).Uint32(uint32(len(entries)))
 	for _, entry := range entries {
@@ -131,7 +132,7 @@
 	return p
 }
 
-// longName returns the entry as a line of ls -l, with modes that stand for all files and all directories.
+// longName returns the entry as a line of ls -l. All files show the same mode, and so do all directories.
 func (e Entry) longName() string {
 	mode := "-rw-r--r--"
 	if e.Attrs.Mode&modeTypeMask == ModeDirectory {
@@ -140,10 +141,10 @@
 	return fmt.Sprintf("%s 1 0 0 %d %d %s", mode, e.Attrs.Size, e.Attrs.Modified, e.Name)
 }
 
-// Body returns what follows the length and type. The packet must have no tail.
+// Body returns the bytes after the length and type. The packet must not have a tail.
 func (p *Packet) Body() []byte { return p.head[lengthSize+1:] }
 
-// WriteOut writes the packet to a writer that is not a Conn.
+// WriteOut writes the encoded packet to w. A Conn sends packets with Conn.Send instead.
 func (p *Packet) WriteOut(w io.Writer) error {
 	head, tail := p.Bytes()
 	_, err := w.Write(append(head[:len(head):len(head)], tail...))
--- a/internal/sftp/protocol.go
+++ b/internal/sftp/protocol.go
@@ -1,8 +1,8 @@
-// Package sftp encodes and decodes the packets of SFTP version 3 (draft-ietf-secsh-filexfer-02), and carries them
-// over connections of package packetconn. The front end (package front) serves clients by it; the node client
-// (package backend/node) and the test servers speak it with extensions. It knows no files, and owns no state but that
-// of a connection. The cryptography and the channel of the draft's section 2 are left out; packets follow each other on
-// the plain connection.
+// Package sftp encodes and decodes the packets of SFTP version 3 (draft-ietf-secsh-filexfer-02) and transfers them
+// over connections of package packetconn. The front end (package front) serves clients with it; the node client
+// (package backend/node) and the test servers use it with extensions. The package does not interpret requests and
+// holds no state except that of a connection. It does not implement the secure channel of section 2 of the draft:
+// packets are sent over an unencrypted connection.
 package sftp
 
 import (
@@ -10,10 +10,10 @@
 	"fmt"
 )
 
-// ProtocolVersion is the version of the protocol that is spoken.
+// ProtocolVersion is the SFTP version that this package implements.
 const ProtocolVersion = 3
 
-// Type is a packet's type (draft, section 3).
+// Type is a packet type (section 3 of the draft).
 type Type uint8
 
 // Packet types of SFTP version 3.
@@ -47,7 +47,7 @@
 	ExtendedReply Type = 201
 )
 
-// Code is a status code (draft, section 7).
+// Code is a status code (section 7 of the draft).
 type Code uint32
 
 // Status codes of SFTP version 3.
@@ -75,7 +75,7 @@
 	OpUnsupported: "OP_UNSUPPORTED",
 }
 
-// String returns the code's name in the draft, or "status N".
+// String returns the code's name in the draft without the SSH_FX_ prefix, or "status N" for an unknown code.
 func (c Code) String() string {
 	if int(c) < len(codeNames) {
 		return codeNames[c]
@@ -83,7 +83,7 @@
 	return fmt.Sprintf("status %d", uint32(c))
 }
 
-// Flags of OPEN (draft, section 6.3).
+// Flags of OPEN (section 6.3 of the draft).
 const (
 	FlagRead   = 0x01
 	FlagWrite  = 0x02
@@ -93,7 +93,7 @@
 	FlagExcl   = 0x20
 )
 
-// Flags of the attributes that are there (draft, section 5).
+// Flags for the attributes that are present (section 5 of the draft).
 const (
 	attrSize     = 0x00000001
 	attrOwner    = 0x00000002
@@ -102,22 +102,22 @@
 	attrExtended = 0x80000000
 )
 
-// Bits of a mode, as POSIX has them.
+// Bits of a POSIX file mode.
 const (
-	ModeDirectory = 0o040000 // the kind of a directory
-	ModeFile      = 0o100000 // the kind of a regular file
-	ModeBits      = 0o7777   // permissions
+	ModeDirectory = 0o040000 // file type: directory
+	ModeFile      = 0o100000 // file type: regular file
+	ModeBits      = 0o7777   // permissions, set-user-ID, set-group-ID and sticky bit
 	modeTypeMask  = 0o170000
 )
 
-// Decoding errors. ErrLength closes the connection; the others are answered with BadMessage.
+// Decoding errors. ErrLength closes the connection; the others are answered with status BadMessage.
 var (
 	ErrLength = errors.New("packet length out of bounds")
 	ErrShort  = errors.New("packet ends inside a field")
 	ErrExtra  = errors.New("packet goes on after its last field")
 )
 
-// Attrs are a file's attributes. Owners and extended attributes are left out.
+// Attrs are the attributes of a file. Owners and extended attributes are not represented.
 type Attrs struct {
 	HasSize, HasMode, HasTimes bool
 	Size                       uint64 // bytes
--- a/internal/sftp/sftp_test.go
+++ b/internal/sftp/sftp_test.go
@@ -11,7 +11,8 @@
 	"time"
 )
 
-// FuzzFields reads any bytes as each kind of field: nothing panics, and nothing is read past the packet.
+// FuzzFields decodes arbitrary bytes as arbitrary sequences of fields: nothing panics, no bytes beyond the packet are
+// read, and an error persists.
 func FuzzFields(f *testing.F) {
 	f.Add([]byte{0, 0, 0, 3, 'a', 'b', 'c'}, []byte{0, 1, 2})
 	attrs := Attrs{HasSize: true, Size: 9, HasTimes: true}
@@ -37,10 +38,10 @@
 			}
 		}
 		if read > len(packet) {
-			t.Errorf("%d bytes read from %d", read, len(packet))
+			t.Errorf("read %d bytes, want at most the %d of the packet", read, len(packet))
 		}
 		if fields.Err != nil && (fields.Byte() != 0 || fields.Uint32() != 0 || fields.Done() == nil) {
-			t.Error("reads go on after an error")
+			t.Error("reads after an error returned a nonzero value or no error, want zero values and the error")
 		}
 	})
 }
@@ -51,20 +52,20 @@
 	fields := NewFields(packet.Body())
 	if fields.Uint32() != 9 || fields.Text() != "handle" || fields.Uint64() != 1<<50 || fields.Attrs() != attrs ||
 		fields.Byte() != 3 || fields.Done() != nil {
-		t.Error("fields are read otherwise than they were written")
+		t.Error("decoded fields differ from the encoded ones")
 	}
 }
 
 func TestFieldsReportBytesLeftAndMissing(t *testing.T) {
 	if fields := NewFields([]byte{0, 0, 0, 1, 2, 3}); fields.Bytes()[0] != 2 || !errors.Is(fields.Done(), ErrExtra) {
-		t.Error("bytes that are left are not noticed")
+		t.Error("string followed by unread bytes: want first byte 2 and ErrExtra")
 	}
 	if fields := NewFields([]byte{0, 0, 0, 9, 2}); fields.Bytes() != nil || !errors.Is(fields.Done(), ErrShort) {
-		t.Error("a string that runs past its packet is not noticed")
+		t.Error("string with a length beyond its packet: want no bytes and ErrShort")
 	}
 }
 
-// echoHandler answers each packet with its bytes, as a string without a copy.
+// echoHandler answers each packet with a DATA packet that carries the packet's first string, without copying it.
 type echoHandler struct {
 	conn   *Conn
 	closed chan error
@@ -78,7 +79,7 @@
 
 func (e *echoHandler) Closed(cause error) { e.closed <- cause }
 
-// listenEcho starts a server of echoes for packets up to 70,000 bytes and two connections.
+// listenEcho starts an echo server for packets of up to 70,000 bytes and at most two connections.
 func listenEcho(t *testing.T) (server *Server, closed chan error) {
 	t.Helper()
 	closed = make(chan error, 8)
@@ -105,8 +106,8 @@
 	return conn
 }
 
-// Packets arrive complete whatever their size and however they are cut; a length out of bounds ends the connection with
-// its reason, and one connection more than the limit is closed.
+// TestConnections: packets arrive complete, whatever their size and however the writes split them. A length out of
+// bounds closes the connection with that reason, and a connection beyond the limit is closed.
 func TestConnections(t *testing.T) {
 	server, closed := listenEcho(t)
 	first := dial(t, server)
@@ -120,16 +121,16 @@
 	}
 	third := dial(t, server)
 	if n, err := third.Read(make([]byte, 1)); err == nil {
-		t.Errorf("a third connection is served %d bytes", n)
+		t.Errorf("third connection received %d bytes, want it closed: the limit is two", n)
 	}
 	send(t, first, binary.BigEndian.AppendUint32(nil, 70_001))
 	send(t, first, []byte{5})
 	if cause := <-closed; !errors.Is(cause, ErrLength) || !strings.Contains(cause.Error(), "70001") {
-		t.Errorf("closed because: %v", cause)
+		t.Errorf("connection closed with error %v, want ErrLength with the length 70001", cause)
 	}
 }
 
-// checkEcho sends a packet with data of a size, in several writes, and checks the echo.
+// checkEcho sends a packet with the given size of data in several writes and checks the response.
 func checkEcho(t *testing.T, conn net.Conn, size int) {
 	t.Helper()
 	data := bytes.Repeat([]byte{byte(size)}, size)
@@ -142,7 +143,7 @@
 	}
 	got := make([]byte, 13+size)
 	if _, err := io.ReadFull(conn, got); err != nil || got[4] != byte(Data) || !bytes.Equal(got[13:], data) {
-		t.Fatalf("%d bytes are echoed otherwise: %v", size, err)
+		t.Fatalf("echo of %d bytes differs from what was sent, or was not read: error %v", size, err)
 	}
 }
 
@@ -153,7 +154,7 @@
 	}
 }
 
-// floodHandler answers each packet with many, from several goroutines.
+// floodHandler answers each packet with 200 packets, sent from four goroutines.
 type floodHandler struct{ conn *Conn }
 
 func (f *floodHandler) Packet(Frame) error {
@@ -169,8 +170,9 @@
 
 func (f *floodHandler) Closed(error) {}
 
-// Connections end at any moment, by either side, while much is sent on them: each end is reported once, and nothing is
-// written to a connection's buffers after they are gone (which ends the process).
+// TestConnectionsEndAtAnyMoment closes connections from either side at various times while both sides send. Each end
+// must be reported to the client's handler exactly once. Guards against writes to a connection's buffers after
+// netpoll has released them, which crash the process.
 func TestConnectionsEndAtAnyMoment(t *testing.T) {
 	ended := make(chan error, 4000)
 	server, err := Listen("127.0.0.1:0", DefaultLimits, 0, func(conn *Conn) Handler { return &floodHandler{conn} })
@@ -180,7 +182,9 @@
 	t.Cleanup(server.Close)
 	dialed := 0
 	for i := range 300 {
-		conn, err := Dial(server.Addr(), DefaultLimits, time.Minute, func(conn *Conn) Handler { return &echoHandler{conn, ended} })
+		conn, err := Dial(server.Addr(), DefaultLimits, time.Minute, func(conn *Conn) Handler {
+			return &echoHandler{conn, ended}
+		})
 		if err != nil { // closed before it was established
 			continue
 		}
@@ -203,6 +207,6 @@
 		ends = append(ends, <-ended)
 	}
 	if len(ended) > 0 {
-		t.Errorf("%d ends were reported twice: %v", len(ended), ends)
+		t.Errorf("%d ends reported beyond one for each connection; the ends before: %v", len(ended), ends)
 	}
 }
