--- a/cmd/irispost/replay.go
+++ b/cmd/irispost/replay.go
@@ -39,8 +39,8 @@
 		if *live {
 			return replayLive(out, file, *speed, *asJSON)
 		}
-		report, err := replayFile(file, replay.Options{Until: int64(*until), Job: *request, Node: *node, Keep: *keep,
-			All: *all || *against != ""})
+		report, err := replayFile(file, replay.Options{Until: int64(*until), RequestID: *request, Node: *node,
+			KeepRecords: *keep, ContinueAfterDifference: *all || *against != ""})
 		if err != nil {
 			return err
 		}
@@ -55,7 +55,7 @@
 		switch {
 		case report.Difference != nil:
 			return errDiverged
-		case !report.Same():
+		case !report.Matches():
 			return errNoDecision
 		}
 		return nil
@@ -97,13 +97,13 @@
 	table := newTable(out)
 	writef(table, "\tthis build\t%s\n", program)
 	writef(table, "decisions\t%d\t%d\n", ours.Decisions, theirs.Decisions)
-	writef(table, "other than captured\t%d\t%d\n", ours.Differing, theirs.Differing)
+	writef(table, "other than captured\t%d\t%d\n", ours.DifferingDecisions, theirs.DifferingDecisions)
 	writef(table, "first of them\t%s\t%s\n", firstDifference(ours), firstDifference(&theirs))
-	for _, own := range ours.Products {
-		for _, other := range theirs.Products {
+	for _, own := range ours.Classes {
+		for _, other := range theirs.Classes {
 			if other.Name == own.Name {
-				writef(table, "%s: dismissed, written off\t%d, %d\t%d, %d\n", own.Name, own.Dismissed, own.WrittenOff,
-					other.Dismissed, other.WrittenOff)
+				writef(table, "%s: dismissed, written off\t%d, %d\t%d, %d\n", own.Name, own.Rejected, own.Failed,
+					other.Rejected, other.Failed)
 			}
 		}
 	}
@@ -122,19 +122,19 @@
 func writeReplay(out io.Writer, report *replay.Report) {
 	table := newTable(out)
 	sameText := "of ANOTHER text than this build's"
-	if report.SameModule {
+	if report.SamePolicySource {
 		sameText = "of the same text as this build's"
 	}
 	writef(table, "gateway %s, build %s, module %s\n", report.Gateway, report.Build, sameText)
 	writef(table, "%d records over %.3f s, %d decisions compared; the replay has %s", report.Records,
-		float64(report.Span)/1e9, report.Decisions, report.How)
-	if report.Why != "" {
-		writef(table, ": %s", report.Why)
+		float64(report.Span)/1e9, report.Decisions, report.StateName)
+	if report.Reason != "" {
+		writef(table, ": %s", report.Reason)
 	}
 	writef(table, "\n\nproduct\tjobs\tcompleted\tin goal\tdismissed\twritten off\tleft\n")
-	for _, class := range report.Products {
-		writef(table, "%s\t%d\t%d\t%d\t%d\t%d\t%d\n", class.Name, class.Jobs, class.Completed, class.InGoal, class.Dismissed,
-			class.WrittenOff, class.Left)
+	for _, class := range report.Classes {
+		writef(table, "%s\t%d\t%d\t%d\t%d\t%d\t%d\n", class.Name, class.Requests, class.Succeeded, class.WithinObjective,
+			class.Rejected, class.Failed, class.ClientCancelled)
 	}
 	for _, line := range report.Story {
 		writeln(table, line)
@@ -163,7 +163,7 @@
 	request := command.Flags().String("job", "", "the request, as logs and captures name it")
 	_ = command.MarkFlagRequired("job")
 	command.RunE = func(command *cobra.Command, args []string) error {
-		report, err := replayFile(args[0], replay.Options{Job: *request})
+		report, err := replayFile(args[0], replay.Options{RequestID: *request})
 		if err != nil {
 			return err
 		}
--- a/internal/adapter/tapfile_test.go
+++ b/internal/adapter/tapfile_test.go
@@ -76,10 +76,10 @@
 		}
 		return record, err
 	}, replay.Options{})
-	if err != nil || !report.Same() || report.Decisions != 6 {
+	if err != nil || !report.Matches() || report.Decisions != 6 {
 		t.Errorf("got report %+v and error %v; want 6 decisions that are the same, and no error", report, err)
 	}
-	if class := report.Products[0]; class.Completed != 1 || class.Left != 1 {
+	if class := report.Classes[0]; class.Succeeded != 1 || class.ClientCancelled != 1 {
 		t.Errorf("got class figures %+v, want 1 completed and 1 left", class)
 	}
 	for _, kind := range []capture.Kind{
--- a/internal/capture/reader.go
+++ b/internal/capture/reader.go
@@ -21,8 +21,8 @@
 	started  bool   // the header was read
 }
 
-// ErrCut says that a capture stops without its end; what was read until then is complete.
-var ErrCut = errors.New("the capture is cut off")
+// ErrTruncated reports a capture without an End record. All records returned before it are complete.
+var ErrTruncated = errors.New("the capture is cut off")
 
 // readBufferBytes is how much is read from a capture at a time.
 const readBufferBytes = 1 << 20
@@ -36,7 +36,7 @@
 	r := &Reader{in: bufio.NewReaderSize(in, readBufferBytes), unpacker: unpacker}
 	head := make([]byte, len(magic))
 	if _, err := io.ReadFull(r.in, head); err != nil {
-		return nil, fmt.Errorf("%w before its first block", ErrCut)
+		return nil, fmt.Errorf("%w before its first block", ErrTruncated)
 	}
 	if string(head[:len(magicName)]) != magicName {
 		return nil, errors.New("this is no capture")
@@ -49,8 +49,8 @@
 	return r, nil
 }
 
-// Next reads the next record. The end is io.EOF; a capture that stops elsewhere is ErrCut or ErrDamaged, with the
-// place.
+// Next returns the next record, or io.EOF after the End record. If the capture stops earlier, the error wraps
+// ErrTruncated or ErrCorrupt and gives the position.
 func (r *Reader) Next() (*Record, error) {
 	for len(r.rest) == 0 {
 		if err := r.block(); err != nil {
@@ -62,7 +62,7 @@
 		return nil, r.stopped(err)
 	}
 	if !r.started && record.Kind != KindHeader {
-		return nil, r.stopped(fmt.Errorf("%w: it begins with %v", ErrDamaged, record.Kind))
+		return nil, r.stopped(fmt.Errorf("%w: it begins with %v", ErrCorrupt, record.Kind))
 	}
 	r.started = true
 	r.rest = rest
@@ -86,27 +86,27 @@
 	case errors.Is(err, io.EOF) && r.ended != "":
 		return io.EOF
 	case err != nil && n == 0:
-		return r.stopped(ErrCut)
+		return r.stopped(ErrTruncated)
 	case err != nil:
-		return r.stopped(fmt.Errorf("%w inside the head of a block", ErrCut))
+		return r.stopped(fmt.Errorf("%w inside the head of a block", ErrTruncated))
 	}
 	raw, packed := binary.BigEndian.Uint32(head), binary.BigEndian.Uint32(head[blockPackedAt:])
 	if raw > maxBlockBytes || packed > maxBlockBytes {
-		return r.stopped(fmt.Errorf("%w: a block of %d bytes", ErrDamaged, raw))
+		return r.stopped(fmt.Errorf("%w: a block of %d bytes", ErrCorrupt, raw))
 	}
 	frame := make([]byte, packed)
 	if _, err := io.ReadFull(r.in, frame); err != nil {
-		return r.stopped(fmt.Errorf("%w inside a block", ErrCut))
+		return r.stopped(fmt.Errorf("%w inside a block", ErrTruncated))
 	}
 	if checksum(head[:blockChecksumAt], frame) != binary.BigEndian.Uint64(head[blockChecksumAt:]) {
-		return r.stopped(fmt.Errorf("%w: a block's checksum does not fit", ErrDamaged))
+		return r.stopped(fmt.Errorf("%w: a block's checksum does not fit", ErrCorrupt))
 	}
 	records, err := r.unpacker.DecodeAll(frame, make([]byte, 0, raw))
 	if err != nil {
-		return r.stopped(fmt.Errorf("%w: a block does not unpack: %w", ErrDamaged, err))
+		return r.stopped(fmt.Errorf("%w: a block does not unpack: %w", ErrCorrupt, err))
 	}
 	if len(records) != int(raw) {
-		return r.stopped(fmt.Errorf("%w: a block unpacks to %d bytes, not to %d", ErrDamaged, len(records), raw))
+		return r.stopped(fmt.Errorf("%w: a block unpacks to %d bytes, not to %d", ErrCorrupt, len(records), raw))
 	}
 	r.rest = records
 	r.offset += int64(blockHeadBytes) + int64(packed)
--- a/internal/capture/record.go
+++ b/internal/capture/record.go
@@ -95,23 +95,23 @@
 
 // Decision is what the scheduler decided, with requests and nodes by their names.
 type Decision struct {
-	Ended    []Answer
-	CallOff  []Execution
-	Sent     []Execution
+	Ended    []FinishedRequest
+	CallOff  []Attempt
+	Sent     []Attempt
 	Log      []string
 	Watch    bool
 	NextWake scheduler.Time
 }
 
-// Answer is the end of a request.
-type Answer struct {
+// FinishedRequest is a request that the scheduler has ended, with its final state.
+type FinishedRequest struct {
 	Job   string
 	State scheduler.RequestState
 	Wait  scheduler.Time // before a retry
 }
 
-// Execution is an attempt that is sent or cancelled. Node and Limit are of one that is sent.
-type Execution struct {
+// Attempt is an attempt that is dispatched or cancelled. Node and Limit are set only for a dispatched one.
+type Attempt struct {
 	Job    string
 	Number int
 	Node   string
@@ -130,15 +130,15 @@
 func (d *Decision) fill(decision *scheduler.Decision) {
 	d.Ended = d.Ended[:0]
 	for _, request := range decision.Finished {
-		d.Ended = append(d.Ended, Answer{request.ID, request.State, request.RetryAfter})
+		d.Ended = append(d.Ended, FinishedRequest{request.ID, request.State, request.RetryAfter})
 	}
 	d.CallOff = d.CallOff[:0]
 	for _, attempt := range decision.Cancel {
-		d.CallOff = append(d.CallOff, Execution{Job: attempt.Request.ID, Number: attempt.Number})
+		d.CallOff = append(d.CallOff, Attempt{Job: attempt.Request.ID, Number: attempt.Number})
 	}
 	d.Sent = d.Sent[:0]
 	for _, attempt := range decision.Dispatch {
-		d.Sent = append(d.Sent, Execution{attempt.Request.ID, attempt.Number, attempt.Node.Addr, attempt.Timeout})
+		d.Sent = append(d.Sent, Attempt{attempt.Request.ID, attempt.Number, attempt.Node.Addr, attempt.Timeout})
 	}
 	d.Log = decision.Log
 	d.Watch = decision.WatchEndpoints
--- a/internal/capture/recordcodec.go
+++ b/internal/capture/recordcodec.go
@@ -12,8 +12,8 @@
 	"irispost/scheduler"
 )
 
-// ErrDamaged says that bytes are not as they were written.
-var ErrDamaged = errors.New("the capture is damaged")
+// ErrCorrupt reports that the bytes read are not the bytes that were written.
+var ErrCorrupt = errors.New("the capture is damaged")
 
 // A record stands in a block as its length, a checksum of the rest, its kind and its fields.
 const (
@@ -36,21 +36,21 @@
 // nextRecord reads a record and returns the bytes after it.
 func nextRecord(in []byte) (record *Record, rest []byte, err error) {
 	if len(in) < recordHeadBytes+1 {
-		return nil, in, fmt.Errorf("%w: a record ends after %d bytes", ErrDamaged, len(in))
+		return nil, in, fmt.Errorf("%w: a record ends after %d bytes", ErrCorrupt, len(in))
 	}
 	length, available := int(binary.BigEndian.Uint32(in)), len(in)-recordHeadBytes
 	if length < 1 || length > available {
-		return nil, in, fmt.Errorf("%w: a record of %d bytes, %d are there", ErrDamaged, length, available)
+		return nil, in, fmt.Errorf("%w: a record of %d bytes, %d are there", ErrCorrupt, length, available)
 	}
 	body, rest := in[recordHeadBytes:recordHeadBytes+length], in[recordHeadBytes+length:]
 	if uint32(xxhash.Sum64(body)) != binary.BigEndian.Uint32(in[recordLengthBytes:]) {
-		return nil, in, fmt.Errorf("%w: a record's checksum does not fit", ErrDamaged)
+		return nil, in, fmt.Errorf("%w: a record's checksum does not fit", ErrCorrupt)
 	}
 	record = &Record{Kind: Kind(body[0])}
 	c := codec{in: body[1:], reading: true}
 	c.record(record)
 	if c.invalid || len(c.in) > 0 {
-		return nil, in, fmt.Errorf("%w: a record of kind %d does not hold what it should", ErrDamaged, body[0])
+		return nil, in, fmt.Errorf("%w: a record of kind %d does not hold what it should", ErrCorrupt, body[0])
 	}
 	return record, rest, nil
 }
@@ -134,13 +134,13 @@
 }
 
 func (c *codec) decision(d *Decision) {
-	list(c, &d.Ended, func(answer *Answer) {
+	list(c, &d.Ended, func(answer *FinishedRequest) {
 		c.text(&answer.Job)
 		enumeration(c, &answer.State)
 		c.signed(&answer.Wait)
 	})
-	for _, attempts := range []*[]Execution{&d.CallOff, &d.Sent} {
-		list(c, attempts, func(attempt *Execution) {
+	for _, attempts := range []*[]Attempt{&d.CallOff, &d.Sent} {
+		list(c, attempts, func(attempt *Attempt) {
 			c.text(&attempt.Job)
 			c.count(&attempt.Number)
 			c.text(&attempt.Node)
--- a/internal/capture/redact.go
+++ b/internal/capture/redact.go
@@ -29,8 +29,8 @@
 	keyContext  = "irispost 2026 redaction of captures"
 )
 
-// ErrStateNotRedactable says that a capture holds a snapshot of the scheduler, whose names cannot be replaced.
-var ErrStateNotRedactable = errors.New("the capture holds a state, which has names that cannot be replaced")
+// ErrSnapshotNotRedactable reports a capture that holds a snapshot of the scheduler, whose names cannot be replaced.
+var ErrSnapshotNotRedactable = errors.New("the capture holds a state, which has names that cannot be replaced")
 
 // NewRedactor makes a redactor with a key of 16 bytes or more.
 func NewRedactor(key []byte) (*Redactor, error) {
@@ -79,8 +79,8 @@
 	}
 }
 
-// Record replaces a record's names in place. Records come in the order of their capture, the header first.
-func (r *Redactor) Record(record *Record) {
+// RedactRecord replaces the names in a record in place. Records must be passed in capture order, the header first.
+func (r *Redactor) RedactRecord(record *Record) {
 	switch record.Kind {
 	case KindHeader:
 		r.gateway = record.Name
@@ -119,7 +119,7 @@
 	for i := range d.Ended {
 		r.replaceInRequest(&d.Ended[i].Job)
 	}
-	for _, attempts := range [][]Execution{d.CallOff, d.Sent} {
+	for _, attempts := range [][]Attempt{d.CallOff, d.Sent} {
 		for i := range attempts {
 			r.replaceInRequest(&attempts[i].Job)
 			r.replaceName(&attempts[i].Node)
@@ -155,9 +155,9 @@
 			return stopped
 		}
 		if record.Kind == KindSnapshot {
-			return ErrStateNotRedactable
+			return ErrSnapshotNotRedactable
 		}
-		redactor.Record(record)
+		redactor.RedactRecord(record)
 		if err := writer.add(record); err != nil {
 			return err
 		}
--- a/internal/relive/script.go
+++ b/internal/relive/script.go
@@ -86,7 +86,7 @@
 	}
 	for {
 		record, err := next()
-		if errors.Is(err, io.EOF) || errors.Is(err, capture.ErrCut) {
+		if errors.Is(err, io.EOF) || errors.Is(err, capture.ErrTruncated) {
 			break
 		}
 		if err != nil {
--- a/internal/replay/decide.go
+++ b/internal/replay/decide.go
@@ -14,7 +14,7 @@
 	now := capture.DecisionOf(r.scheduler.Decide(record.At))
 	if !now.Equal(record.Decision) {
 		r.differ(record, now)
-		if !r.opt.All {
+		if !r.opt.ContinueAfterDifference {
 			r.move(Diverged, "")
 			return
 		}
@@ -37,7 +37,7 @@
 
 // differ counts a decision that differs from the captured one, and reports the first.
 func (r *Replay) differ(record *capture.Record, now capture.Decision) {
-	r.report.Differing++
+	r.report.DifferingDecisions++
 	if r.report.Difference != nil {
 		return
 	}
@@ -46,7 +46,7 @@
 		At:       record.At - r.start,
 		Captured: record.Decision,
 		Now:      now,
-		Before:   slices.Clone(r.before[max(0, len(r.before)-r.opt.Keep):]),
+		Before:   slices.Clone(r.before[max(0, len(r.before)-r.opt.KeepRecords):]),
 		Job:      firstDifferingRequest(record.Decision, now),
 	}
 	if differing := r.requests[difference.Job]; differing != nil {
@@ -56,16 +56,16 @@
 }
 
 // endRequest counts a request that the scheduler ends without an answer of a node.
-func (r *Replay) endRequest(at scheduler.Time, answer capture.Answer) {
+func (r *Replay) endRequest(at scheduler.Time, answer capture.FinishedRequest) {
 	r.addToStory(answer.Job, at, "%s, to come back in %.0f ms", gateway.StateName(answer.State), millis(answer.Wait))
 	ended := r.requests[answer.Job]
 	if ended == nil {
 		return
 	}
 	if answer.State == scheduler.RequestRejected {
-		ended.class.Dismissed++
+		ended.class.Rejected++
 	} else {
-		ended.class.WrittenOff++
+		ended.class.Failed++
 	}
 	delete(r.requests, answer.Job)
 }
--- a/internal/replay/feed.go
+++ b/internal/replay/feed.go
@@ -26,7 +26,7 @@
 	case capture.KindHeader:
 		r.report.Gateway = record.Name
 		r.report.Build = record.Build
-		r.report.SameModule = record.Digest == xxhash.Sum64(scheduler.PolicySource)
+		r.report.SamePolicySource = record.Digest == xxhash.Sum64(scheduler.PolicySource)
 	case capture.KindStart:
 		r.startScheduler(record)
 	case capture.KindGap:
@@ -67,7 +67,7 @@
 		r.start = record.At
 	}
 	r.requests = map[string]*request{}
-	r.move(Running, r.report.Why)
+	r.move(Running, r.report.Reason)
 	return nil
 }
 
@@ -88,8 +88,8 @@
 // remember keeps a record for the report of a difference.
 func (r *Replay) remember(record *capture.Record) {
 	r.before = append(r.before, *record)
-	if len(r.before) > 2*r.opt.Keep {
-		r.before = append(r.before[:0], r.before[r.opt.Keep:]...)
+	if len(r.before) > 2*r.opt.KeepRecords {
+		r.before = append(r.before[:0], r.before[r.opt.KeepRecords:]...)
 	}
 }
 
@@ -124,11 +124,11 @@
 func (r *Replay) submit(record *capture.Record) {
 	class := r.classes[record.Product]
 	if class == nil {
-		class = &Product{Name: record.Product}
+		class = &ClassOutcome{Name: record.Product}
 		r.classes[record.Product] = class
-		r.report.Products = append(r.report.Products, class)
+		r.report.Classes = append(r.report.Classes, class)
 	}
-	class.Jobs++
+	class.Requests++
 	r.requests[record.Job] = &request{class: class, objective: record.At + r.goals[record.Product]}
 	r.addToStory(record.Job, record.At, "taken: %s of volume %d (%s), %.2f units, shard %d",
 		record.Product, record.Volume, record.Plan, record.Units, record.Shard)
@@ -141,9 +141,9 @@
 	r.recordAttemptEnd(record)
 	ended := r.requests[record.Job]
 	if ended != nil && record.Final && record.Outcome == scheduler.OutcomeServed {
-		ended.class.Completed++
+		ended.class.Succeeded++
 		if record.At <= ended.objective {
-			ended.class.InGoal++
+			ended.class.WithinObjective++
 		}
 		r.addToStory(record.Job, record.At, "completed")
 		delete(r.requests, record.Job)
@@ -154,7 +154,7 @@
 
 func (r *Replay) cancel(record *capture.Record) {
 	if cancelled := r.requests[record.Job]; cancelled != nil {
-		cancelled.class.Left++
+		cancelled.class.ClientCancelled++
 		r.addToStory(record.Job, record.At, "its client has gone")
 		delete(r.requests, record.Job)
 	}
--- a/internal/replay/golden_test.go
+++ b/internal/replay/golden_test.go
@@ -52,8 +52,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if !r.Same() || r.State != Ended || r.Gaps > 0 || r.Decisions != c.decisions {
-				t.Errorf("%v after %d decisions, %s %s", r.State, r.Decisions, r.Why, place(r))
+			if !r.Matches() || r.State != Ended || r.Gaps > 0 || r.Decisions != c.decisions {
+				t.Errorf("%v after %d decisions, %s %s", r.State, r.Decisions, r.Reason, place(r))
 			}
 			before, after := records(t, stored), records(t, now.Bytes())
 			for i := range max(len(before), len(after)) {
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -34,23 +34,27 @@
 // defaultKeep is how many records before a difference are kept where the options do not say.
 const defaultKeep = 20
 
-// Options narrow a replay.
+// Options select how far a replay goes and what it reports.
 type Options struct {
-	Until scheduler.Time // stop there, counted from the scheduler's start; 0: at the end
-	Job   string         // keep the story of this request
-	Node  string         // and what passed at the node of this address
-	All   bool           // go on after a difference: the counts say how far decisions part, not what would have been
-	Keep  int            // records to keep before a difference; 0: 20
+	Until     scheduler.Time // stop at this time after the scheduler's start; 0: replay to the end
+	RequestID string         // report the story of this request
+	Node      string         // report the attempts at the node with this address
+
+	// ContinueAfterDifference replays to the end of the capture. The counts then show how many decisions differ, not what
+	// would have happened: the captured outcomes after the first difference belong to other decisions.
+	ContinueAfterDifference bool
+
+	KeepRecords int // records to report from before a difference; 0: 20
 }
 
 // Replay is a replay under way.
 type Replay struct {
 	opt       Options
 	report    Report
-	start     scheduler.Time       // of the scheduler, or of its first snapshot; times in reports count from it
-	scheduler *scheduler.Scheduler // nil: until the next start or snapshot
-	classes   map[string]*Product  // by name
-	requests  map[string]*request  // that have no final answer yet, by ID
+	start     scheduler.Time           // of the scheduler, or of its first snapshot; times in reports count from it
+	scheduler *scheduler.Scheduler     // nil: until the next start or snapshot
+	classes   map[string]*ClassOutcome // by name
+	requests  map[string]*request      // that have no final answer yet, by ID
 	goals     map[string]scheduler.Time
 	before    []capture.Record    // the latest records
 	nodes     map[attempt]string  // addresses of attempts in flight
@@ -59,7 +63,7 @@
 
 // request is what the replay knows of a request without its final answer.
 type request struct {
-	class     *Product
+	class     *ClassOutcome
 	objective scheduler.Time // when its latency objective is missed
 	story     []string
 }
@@ -72,12 +76,12 @@
 
 // New begins a replay.
 func New(opt Options) *Replay {
-	if opt.Keep == 0 {
-		opt.Keep = defaultKeep
+	if opt.KeepRecords == 0 {
+		opt.KeepRecords = defaultKeep
 	}
 	return &Replay{
 		opt:      opt,
-		classes:  map[string]*Product{},
+		classes:  map[string]*ClassOutcome{},
 		requests: map[string]*request{},
 		goals:    map[string]scheduler.Time{},
 		nodes:    map[attempt]string{},
@@ -96,7 +100,7 @@
 			return r.Report(), nil
 		case errors.Is(err, io.EOF):
 			r.move(Ended, "")
-		case errors.Is(err, capture.ErrCut), errors.Is(err, capture.ErrDamaged):
+		case errors.Is(err, capture.ErrTruncated), errors.Is(err, capture.ErrCorrupt):
 			r.move(Truncated, err.Error())
 		case err != nil:
 			return nil, err
@@ -112,12 +116,12 @@
 // move is the one place where the replay changes state.
 func (r *Replay) move(to State, why string) {
 	r.report.State = to
-	r.report.Why = why
+	r.report.Reason = why
 }
 
 // Report is what the replay has come to. It may be called while it goes on.
 func (r *Replay) Report() *Report {
-	r.report.How = r.report.State.String()
-	slices.SortFunc(r.report.Products, func(a, b *Product) int { return cmp.Compare(a.Name, b.Name) })
+	r.report.StateName = r.report.State.String()
+	slices.SortFunc(r.report.Classes, func(a, b *ClassOutcome) int { return cmp.Compare(a.Name, b.Name) })
 	return &r.report
 }
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -39,7 +39,7 @@
 		}
 		for range 10 {
 			r, err := Run(open(t, b), Options{})
-			if err != nil || !r.Same() || r.State != Ended || r.Decisions < 500 {
+			if err != nil || !r.Matches() || r.State != Ended || r.Decisions < 500 {
 				t.Fatalf("%s: %v after %d decisions, %v\n%s", file, r.State, r.Decisions, err, place(r))
 			}
 		}
@@ -103,14 +103,14 @@
 			t.Fatal(err)
 		}
 		whole, err := Run(open(t, m.Bytes()), Options{})
-		if err != nil || !whole.Same() || whole.State != Ended {
+		if err != nil || !whole.Matches() || whole.State != Ended {
 			t.Fatalf("seed %d: %v %v %s", seed, whole.State, err, place(whole))
 		}
 		cut := 8 + rand.New(rand.NewPCG(seed, 6)).IntN(m.Len()-8)
 		part, err := Run(open(t, m.Bytes()[:cut]), Options{})
 		if err != nil || part.State != Truncated || part.Difference != nil || part.Records > whole.Records ||
-			!strings.Contains(part.Why, "whole records") {
-			t.Fatalf("seed %d, cut at %d of %d: %v %v %q %s", seed, cut, m.Len(), part.State, err, part.Why, place(part))
+			!strings.Contains(part.Reason, "whole records") {
+			t.Fatalf("seed %d, cut at %d of %d: %v %v %q %s", seed, cut, m.Len(), part.State, err, part.Reason, place(part))
 		}
 	}
 }
@@ -142,7 +142,7 @@
 	}
 	for cut := range m.Len() {
 		n, sum, err := count(m.Bytes()[:cut])
-		if n >= all || !errors.Is(err, capture.ErrCut) || !strings.HasPrefix(text, sum) {
+		if n >= all || !errors.Is(err, capture.ErrTruncated) || !strings.HasPrefix(text, sum) {
 			t.Fatalf("cut at %d: %d records of %d, %v", cut, n, all, err)
 		}
 	}
@@ -177,7 +177,7 @@
 		}
 		return r
 	}
-	if r := change(func(*capture.Record) {}); !r.Same() {
+	if r := change(func(*capture.Record) {}); !r.Matches() {
 		t.Fatalf("%v: if the module's decisions were changed on purpose, make the captures anew\n%s", r.State, place(r))
 	}
 	for name, alter := range map[string]func(*capture.Record){
@@ -199,7 +199,7 @@
 		},
 	} {
 		r := change(alter)
-		if r.State != Diverged || r.Difference == nil || r.Same() || r.Difference.Record < 3 ||
+		if r.State != Diverged || r.Difference == nil || r.Matches() || r.Difference.Record < 3 ||
 			r.Difference.Captured.Equal(r.Difference.Now) {
 			t.Errorf("%s: %v %+v", name, r.State, r.Difference)
 		}
@@ -211,12 +211,12 @@
 			rec.Terms["products.0.goal"] = "60"
 		}
 		return rec, err
-	}, Options{All: true})
-	if err != nil || r.State != Ended || r.Differing < 2 || r.Difference == nil || r.Same() {
-		t.Errorf("all: %v, %d differ, %v", r.State, r.Differing, err)
+	}, Options{ContinueAfterDifference: true})
+	if err != nil || r.State != Ended || r.DifferingDecisions < 2 || r.Difference == nil || r.Matches() {
+		t.Errorf("all: %v, %d differ, %v", r.State, r.DifferingDecisions, err)
 	}
-	if r := change(func(r *capture.Record) { r.Digest++ }); r.SameModule || !r.Same() {
-		t.Errorf("another text: same module %v, same decisions %v", r.SameModule, r.Same())
+	if r := change(func(r *capture.Record) { r.Digest++ }); r.SamePolicySource || !r.Matches() {
+		t.Errorf("another text: same module %v, same decisions %v", r.SamePolicySource, r.Matches())
 	}
 }
 
@@ -233,8 +233,8 @@
 		}
 		return next()
 	}, Options{})
-	if err != nil || r.State != Gapped || !strings.Contains(r.Why, "17 records") {
-		t.Errorf("%v %q %v", r.State, r.Why, err)
+	if err != nil || r.State != Gapped || !strings.Contains(r.Reason, "17 records") {
+		t.Errorf("%v %q %v", r.State, r.Reason, err)
 	}
 	job := ""
 	next = open(t, b)
@@ -249,7 +249,7 @@
 			}
 		}
 	}
-	r, err = Run(open(t, b), Options{Job: job})
+	r, err = Run(open(t, b), Options{RequestID: job})
 	story := strings.Join(r.Story, "\n")
 	for _, want := range []string{"taken:", "execution 0 is sent to", ": failed after", "execution 1 is sent to",
 		"not served"} {
@@ -272,7 +272,7 @@
 			t.Fatal(err)
 		}
 		r, err := Run(open(t, m.Bytes()), Options{})
-		if err != nil || !r.Same() || r.State != Ended || r.Decisions < 3 {
+		if err != nil || !r.Matches() || r.State != Ended || r.Decisions < 3 {
 			t.Fatalf("seed %d: %v after %d decisions, %v %s", seed, r.State, r.Decisions, err, place(r))
 		}
 	}
@@ -342,7 +342,7 @@
 		}
 		return second()
 	}, Options{})
-	if err != nil || !r.Same() || r.State != Ended || r.Gaps != 1 || r.Decisions < 150 {
+	if err != nil || !r.Matches() || r.State != Ended || r.Gaps != 1 || r.Decisions < 150 {
 		t.Errorf("%v, %d gaps, %d decisions, %v %s", r.State, r.Gaps, r.Decisions, err, place(r))
 	}
 }
@@ -386,7 +386,7 @@
 		return rec, err
 	}, Options{})
 	if err != nil || r.State != Gapped || r.Gaps == 0 || missing != s.Dropped {
-		t.Errorf("%v %q, %d gaps with %d records, %d dropped, %v", r.State, r.Why, r.Gaps, missing, s.Dropped, err)
+		t.Errorf("%v %q, %d gaps with %d records, %d dropped, %v", r.State, r.Reason, r.Gaps, missing, s.Dropped, err)
 	}
 	var m memory
 	l = limits()
@@ -395,7 +395,7 @@
 	if err := rec.Close(drive(3, 3000, rec)); err == nil || m.Len() > 21_000 {
 		t.Errorf("a full capture has %d bytes, %v", m.Len(), err)
 	}
-	if r, err := Run(open(t, m.Bytes()), Options{}); err != nil || r.State != Ended || !r.Same() {
+	if r, err := Run(open(t, m.Bytes()), Options{}); err != nil || r.State != Ended || !r.Matches() {
 		t.Errorf("a full capture: %v %v", r.State, err)
 	}
 }
@@ -430,7 +430,7 @@
 	}
 	r, err := Run(open(t, out.Bytes()), Options{})
 	whole, _ := Run(open(t, b), Options{})
-	if err != nil || !r.Same() || r.State != Ended || r.Decisions != whole.Decisions {
+	if err != nil || !r.Matches() || r.State != Ended || r.Decisions != whole.Decisions {
 		t.Errorf("%v after %d of %d decisions, %v %s", r.State, r.Decisions, whole.Decisions, err, place(r))
 	}
 	next = open(t, out.Bytes())
@@ -479,7 +479,7 @@
 	b.ResetTimer()
 	for range b.N {
 		r, err := Run(open(b, m.Bytes()), Options{})
-		if err != nil || !r.Same() || r.State != Ended {
+		if err != nil || !r.Matches() || r.State != Ended {
 			b.Fatal(r.State, err, place(r))
 		}
 		b.ReportMetric(float64(r.Records)/(b.Elapsed().Seconds()/float64(b.N)), "events/s")
--- a/internal/replay/story.go
+++ b/internal/replay/story.go
@@ -68,7 +68,7 @@
 // addToStory adds to a request's story, which is kept until its end, and longer where it is asked for.
 func (r *Replay) addToStory(id string, at scheduler.Time, format string, args ...any) {
 	line := r.timestamp(at) + fmt.Sprintf(format, args...)
-	if id == r.opt.Job {
+	if id == r.opt.RequestID {
 		r.report.Story = append(r.report.Story, line)
 	}
 	if subject := r.requests[id]; subject != nil {
--- a/internal/serve/admin_test.go
+++ b/internal/serve/admin_test.go
@@ -113,7 +113,7 @@
 		t.Fatal(err)
 	}
 	report, err := replay.Run(reader.Next, replay.Options{})
-	if err != nil || !report.Same() || report.State != replay.Ended || report.Decisions < 100 {
+	if err != nil || !report.Matches() || report.State != replay.Ended || report.Decisions < 100 {
 		t.Errorf("%v after %d decisions, %v, %+v", report.State, report.Decisions, err, report.Difference)
 	}
 }
