--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -25,7 +25,7 @@
 	VolumeLimits:       map[int64]VolumeLimit{7: {Rate: 10, Burst: 10, Slack: 1}},
 }
 
-// The functions that make events take milliseconds.
+// The following functions make events. Their times are in milliseconds.
 
 func sent(at int64, request uint32) Event {
 	return Event{At: at * ms, Type: RequestSent, Session: "g/b/1", ClientRequest: request, RequestClass: "p",
@@ -90,17 +90,17 @@
 	}
 }
 
-// end is the time of a record's last event, after all deadlines.
-const end = 1_000_000
+// endMillis is the time of the last event of each case, after all deadlines.
+const endMillis = 1_000_000
 
-var lastEvent = Event{At: end * ms, Type: NodeListed, Node: "x", State: StateReady}
+var lastEvent = Event{At: endMillis * ms, Type: NodeListed, Node: "x", State: StateReady}
 
 const (
 	firstID  = "g/b/1:1#1"
 	secondID = "g/b/1:2#2"
 )
 
-// ruleCase is a record that violates one rule, or none where rule is empty.
+// ruleCase is a list of events that violate one rule, or none if rule is empty.
 type ruleCase struct {
 	name, rule string
 	events     []Event
@@ -304,11 +304,12 @@
 		for _, c := range cases {
 			for _, result := range Check(append(c.events, lastEvent), parameters) {
 				if want := result.Name == c.rule; (result.Violations > 0) != want {
-					t.Errorf("%s: %q violated %d times: %s", c.name, result.Name, result.Violations,
-						strings.Join(result.Examples, "; "))
+					t.Errorf("%s: rule %q: got %d violations, want violations only of the rule of the case: %s",
+						c.name, result.Name, result.Violations, strings.Join(result.Examples, "; "))
 				}
 				if result.Violations > result.Checked && result.Name != RuleSlowStart && result.Name != RuleNoRequestLost {
-					t.Errorf("%s: %q violated %d times, checked %d", c.name, result.Name, result.Violations, result.Checked)
+					t.Errorf("%s: rule %q: got %d violations, want at most as many as its %d checks",
+						c.name, result.Name, result.Violations, result.Checked)
 				}
 			}
 		}
@@ -325,7 +326,7 @@
 		"one violated":    {[]RuleResult{{Checked: 9}, {Checked: 1, Violations: 1}}, false},
 	} {
 		if got := Passed(c.results); got != c.want {
-			t.Errorf("%s: %t", name, got)
+			t.Errorf("%s: got %t, want the opposite", name, got)
 		}
 	}
 }
@@ -342,6 +343,7 @@
 	if summary.Sent != 5 || summary.Succeeded != 2 || summary.Rejected != 1 || summary.Failed != 1 || summary.Lost != 1 ||
 		summary.AnsweredTwice != 1 || summary.ClientCancelled != 0 ||
 		summary.Classes[0].WithinObjective != 1 || summary.Classes[0].Sent != 5 {
-		t.Errorf("%+v", summary)
+		t.Errorf("got %+v, want 2 of 5 succeeded (1 in time), 1 rejected, 1 failed, 1 lost, 1 answered twice",
+			summary)
 	}
 }
--- a/internal/audit/check.go
+++ b/internal/audit/check.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// Names of the rules, as reports print them.
+// The names of the rules, as they appear in reports.
 const (
 	RuleNoRequestLost     = "no job is lost"
 	RuleNoDuplicateEffect = "no effect happens twice"
@@ -17,26 +17,26 @@
 	RuleVolumeLimits      = "limits are kept"
 )
 
-// maxExamples is how many violations of a rule are described.
+// maxExamples is the number of violations of a rule that are described.
 const maxExamples = 5
 
-// RuleResult is what was found of one rule.
+// RuleResult is the result of checking a rule.
 type RuleResult struct {
 	Name       string   `json:"name"`
-	Checked    int      `json:"checked"` // occasions on which it could have been violated
+	Checked    int      `json:"checked"` // number of occasions on which the rule could have been violated
 	Violations int      `json:"broken"`
 	Examples   []string `json:"first,omitempty"` // descriptions of the first few violations
 }
 
-// violated counts a violation and describes it.
-func (r *RuleResult) violated(format string, args ...any) {
+// addViolation counts a violation and adds its description to the examples.
+func (r *RuleResult) addViolation(format string, args ...any) {
 	r.Violations++
 	if len(r.Examples) < maxExamples {
 		r.Examples = append(r.Examples, fmt.Sprintf(format, args...))
 	}
 }
 
-// Passed says whether rules were checked and none was violated.
+// Passed reports whether at least one rule was checked and none was violated.
 func Passed(results []RuleResult) bool {
 	checked := false
 	for _, result := range results {
@@ -48,7 +48,7 @@
 	return checked
 }
 
-// Check checks all rules against the recorded events and returns a result for each, in a fixed order.
+// Check checks all rules against the recorded events and returns one result per rule, in a fixed order.
 func Check(events []Event, parameters Parameters) []RuleResult {
 	t := newTrace(events, parameters)
 	return []RuleResult{
@@ -62,15 +62,15 @@
 	}
 }
 
-// attempt is one attempt of a request, as the node's socket saw it.
+// attempt is an attempt of a request, as seen at the socket of its node.
 type attempt struct {
 	Event             // AttemptReceived
-	answeredAt  int64 // 0: never
-	notExecuted bool  // its answer proves that it was not executed
-	abortedAt   int64 // when it was cancelled, or its connection ended; 0: never
+	answeredAt  int64 // 0: not answered
+	notExecuted bool  // the answer proves that the attempt was not executed
+	abortedAt   int64 // when it was cancelled or its connection ended; 0: neither
 }
 
-// provenNotExecuted says whether it was known by a time that the attempt was not executed.
+// provenNotExecuted reports whether it was known at a time that the attempt was not executed.
 func (a *attempt) provenNotExecuted(at int64) bool { return a.notExecuted && a.answeredAt <= at }
 
 // attemptKey identifies an attempt.
@@ -79,23 +79,23 @@
 	number    int
 }
 
-// clientRequestKey identifies a request as its client knows it.
+// clientRequestKey identifies a request by its client's session and number.
 type clientRequestKey struct {
 	session string
 	number  uint32
 }
 
-// pause is a time in which a gateway's process was stopped by a signal.
+// pause is an interval in which a gateway's process was stopped by a signal.
 type pause struct{ from, until int64 }
 
-// trace is a record in the order of time, with the indexes that the rules need.
+// trace holds the recorded events, ordered by time, and the indexes that the rules need.
 type trace struct {
 	parameters      Parameters
 	events          []Event
 	attempts        []*attempt
 	byRequest       map[string][]*attempt
 	byClientRequest map[clientRequestKey][]*attempt
-	killed          map[string][]int64 // times, by gateway
+	killed          map[string][]int64 // times by gateway
 	pauses          map[string][]pause // by gateway
 }
 
@@ -145,14 +145,14 @@
 	return t
 }
 
-// sortedByTime returns a copy in the order of time. Events of one time stay in the order of their recording.
+// sortedByTime returns a copy sorted by time. Events with the same time stay in the order of recording.
 func sortedByTime(events []Event) []Event {
 	sorted := slices.Clone(events)
 	slices.SortStableFunc(sorted, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
 	return sorted
 }
 
-// addAttempt indexes an attempt that a node has received.
+// addAttempt indexes an attempt that a node received.
 func (t *trace) addAttempt(event Event) *attempt {
 	received := &attempt{Event: event}
 	t.attempts = append(t.attempts, received)
@@ -164,5 +164,5 @@
 	return received
 }
 
-// milliseconds converts nanoseconds for a description.
+// milliseconds converts nanoseconds to milliseconds, for descriptions.
 func milliseconds(nanoseconds int64) int64 { return nanoseconds / 1e6 }
--- a/internal/audit/parameters.go
+++ b/internal/audit/parameters.go
@@ -2,35 +2,35 @@
 
 import "strconv"
 
-// Parameters are the limits that the rules state. Times are nanoseconds.
+// Parameters are the limits that the rules check. Durations are in nanoseconds.
 type Parameters struct {
-	Slack        int64 // an answer counts for so long after the client's deadline
-	Transit      int64 // longest way of an attempt from a gateway to the node's record of it
-	DrainGrace   int64 // attempts may go to a node for so long after a gateway knows that it drains
-	ListDelay    int64 // longest way of an endpoint list from its publication to a gateway
-	DedupWindow  int64 // the nodes of a shard deduplicate by idempotency key for so long
+	Slack        int64 // how long after the client's deadline an answer still counts
+	Transit      int64 // longest time from the sending of an attempt to the event recorded at the node
+	DrainGrace   int64 // how long attempts may be sent to a node after a gateway knows that it drains
+	ListDelay    int64 // longest time from the publication of an endpoint list to its arrival at a gateway
+	DedupWindow  int64 // how long the nodes of a shard deduplicate by idempotency key
 	KeyRest      int64 // pause of an ordering key after an attempt that may still run
 	FreeRetries  float64
-	RetryShare   float64 // retries per request, beside the free ones
-	RetryWindow  int64   // of the retry budget; 0: there is none
+	RetryShare   float64 // retries per request, in addition to the free ones
+	RetryWindow  int64   // of the retry budget; 0: no retry budget
 	VolumeLimits map[int64]VolumeLimit
 
-	SlowStartFrom      float64 // share of its capacity that a node has at its start
-	SlowStartTime      int64   // until it has its full capacity
-	SlowStartMultiple  float64 // multiple of its capacity that it tolerates in a window
+	SlowStartFrom      float64 // share of its capacity that a node has when it starts
+	SlowStartTime      int64   // time until a node has its full capacity
+	SlowStartMultiple  float64 // multiple of its current capacity that a node tolerates in a window
 	SlowStartWindow    int64
-	SlowStartFreeUnits float64 // units in a window that it tolerates in any case
+	SlowStartFreeUnits float64 // units that a node tolerates in a window in any case
 }
 
 // VolumeLimit is the rate limit of a volume over all gateways.
 type VolumeLimit struct {
-	Rate  float64 // units a second
+	Rate  float64 // units per second
 	Burst float64 // units
-	Slack float64 // units by which the record may be off
+	Slack float64 // units by which the recorded events may be inaccurate
 }
 
-// ParametersFromSettings reads the parameters from the scheduler's settings, by name. A missing or malformed number
-// reads as 0. Slack, Transit, DrainGrace, ListDelay and VolumeLimits are not among the settings: the caller sets them.
+// ParametersFromSettings reads parameters from the scheduler's settings. Missing or malformed numbers are 0. It does
+// not set Slack, Transit, DrainGrace, ListDelay and the volume limits, which the caller has to provide.
 func ParametersFromSettings(settings map[string]string) Parameters {
 	number := func(name string) float64 {
 		value, _ := strconv.ParseFloat(settings[name], 64)
--- a/internal/audit/recorder.go
+++ b/internal/audit/recorder.go
@@ -7,13 +7,13 @@
 
 // Recorder collects events from any goroutine. A nil Recorder drops them.
 type Recorder struct {
-	Clock func() int64 // nanoseconds; it stamps events that have no time yet
+	Clock func() int64 // in nanoseconds; used for events without a time
 
 	lock   sync.Mutex // guards events
 	events []Event
 }
 
-// Add records an event. One without a time gets the present one.
+// Add records an event. If it has no time, it gets the current one.
 func (r *Recorder) Add(event Event) {
 	if r == nil {
 		return
@@ -26,7 +26,7 @@
 	r.events = append(r.events, event)
 }
 
-// Events returns a copy of what was recorded, in the order of recording.
+// Events returns a copy of the recorded events, in the order of recording.
 func (r *Recorder) Events() []Event {
 	r.lock.Lock()
 	defer r.lock.Unlock()
--- a/internal/audit/request_id.go
+++ b/internal/audit/request_id.go
@@ -5,9 +5,9 @@
 	"strings"
 )
 
-// parseRequestID splits the gateway's name of a request: GATEWAY/BOOT/CONNECTION:REQUEST#NUMBER for a client's request,
-// GATEWAY#NUMBER for one that the gateway has made itself. number counts the requests that a gateway has accepted;
-// clientRequest is 0 where no client has sent it.
+// parseRequestID splits a request ID: GATEWAY/BOOT/CONNECTION:REQUEST#NUMBER for a client's request, or GATEWAY#NUMBER
+// for a request that the gateway made itself, whose clientRequest is 0. number counts the requests that a gateway has
+// accepted.
 func parseRequestID(requestID string) (session string, clientRequest uint32, number int) {
 	origin, numberText, _ := strings.Cut(requestID, "#")
 	number, _ = strconv.Atoi(numberText)
--- a/internal/audit/rule_draining.go
+++ b/internal/audit/rule_draining.go
@@ -1,6 +1,7 @@
 package audit
 
-// checkDraining: a node gets no attempt later than the grace after the endpoint list said that it drains or is gone.
+// checkDraining checks that a node gets no attempt later than the list delay and the drain grace after an endpoint
+// list had it as draining or removed.
 func (t *trace) checkDraining() RuleResult {
 	result := RuleResult{Name: RuleDraining}
 	leavingSince := map[string]int64{} // by node
@@ -16,7 +17,7 @@
 			}
 		case AttemptReceived:
 			if leaving && event.At > since+t.parameters.ListDelay+t.parameters.DrainGrace {
-				result.violated("%s gets execution %d of %s %d ms after it was listed as leaving",
+				result.addViolation("node %s was sent attempt %d of request %s %d ms after it was listed as draining or removed",
 					event.Node, event.Attempt, event.RequestID, milliseconds(event.At-since))
 			}
 		}
--- a/internal/audit/rule_duplicate_effects.go
+++ b/internal/audit/rule_duplicate_effects.go
@@ -1,7 +1,7 @@
 package audit
 
-// checkNoDuplicateEffect: an idempotency key has its effect once, and requests are retried or rejected only where that
-// is safe.
+// checkNoDuplicateEffect checks that an idempotency key has its effect only once, and that requests are retried or
+// rejected only if that is safe.
 func (t *trace) checkNoDuplicateEffect() RuleResult {
 	result := RuleResult{Name: RuleNoDuplicateEffect}
 	t.checkEffects(&result)
@@ -12,7 +12,7 @@
 	return result
 }
 
-// checkEffects finds effects that a node executed more than once.
+// checkEffects finds idempotency keys whose effect was executed more than once.
 func (t *trace) checkEffects(result *RuleResult) {
 	executed := map[string]int{} // by idempotency key
 	for _, event := range t.events {
@@ -22,7 +22,7 @@
 		result.Checked++
 		executed[event.IdempotencyKey]++
 		if count := executed[event.IdempotencyKey]; count > 1 {
-			result.violated("the effect of %s is there %d times", event.IdempotencyKey, count)
+			result.addViolation("the effect of idempotency key %s was executed %d times", event.IdempotencyKey, count)
 		}
 	}
 }
@@ -35,21 +35,20 @@
 			switch {
 			case earlier.provenNotExecuted(retry.At) || retry.Idempotency == Idempotent:
 			case retry.Idempotency == NonIdempotent:
-				result.violated("single-use job %s is sent again while execution %d may have run",
+				result.addViolation("non-idempotent request %s was retried although attempt %d may have been executed",
 					retry.RequestID, earlier.Attempt)
 			case earlier.Shard != retry.Shard:
-				result.violated("referenced job %s is sent to shard %d after %d",
+				result.addViolation("keyed request %s was sent to shard %d after shard %d",
 					retry.RequestID, retry.Shard, earlier.Shard)
 			case retry.At-earlier.At > t.parameters.DedupWindow:
-				result.violated("referenced job %s is sent again after %d ms",
+				result.addViolation("keyed request %s was retried after %d ms, which is outside the deduplication window",
 					retry.RequestID, milliseconds(retry.At-earlier.At))
 			}
 		}
 	}
 }
 
-// checkRejections finds rejections of requests that may have been executed: a rejection promises that a retry is
-// harmless.
+// checkRejections finds rejections of requests that may have been executed. A rejection promises that a retry is safe.
 func (t *trace) checkRejections(result *RuleResult) {
 	for _, event := range t.events {
 		if event.Type != ResponseReceived || event.Outcome != Rejected {
@@ -59,7 +58,7 @@
 		for _, attempt := range t.byClientRequest[clientRequestKey{event.Session, event.ClientRequest}] {
 			harmless := attempt.Idempotency == Idempotent || !attempt.Writes
 			if !harmless && !attempt.provenNotExecuted(event.At) {
-				result.violated("request %d of %s is dismissed while execution %d of %s may have run",
+				result.addViolation("request %d of session %s was rejected although attempt %d of %s may have been executed",
 					event.ClientRequest, event.Session, attempt.Attempt, attempt.RequestID)
 			}
 		}
--- a/internal/audit/rule_no_request_lost.go
+++ b/internal/audit/rule_no_request_lost.go
@@ -2,11 +2,11 @@
 
 import "slices"
 
-// killNotice is how long after a gateway was killed its clients may still notice that their connections broke.
-const killNotice = int64(5e9)
+// killNoticePeriod is how long after the kill of a gateway its clients may notice that their connections broke.
+const killNoticePeriod = int64(5e9)
 
-// checkNoRequestLost: each request that a running gateway has accepted gets one answer in time, and no attempt is
-// sent after its answer.
+// checkNoRequestLost checks that each request that a running gateway has accepted gets one answer in time, and that no
+// attempt is sent after the answer.
 func (t *trace) checkNoRequestLost() RuleResult {
 	result := RuleResult{Name: RuleNoRequestLost}
 	sent := map[clientRequestKey]Event{}
@@ -33,22 +33,23 @@
 		result.Checked++
 		request := sent[key]
 		disconnect, closed := disconnected[key.session]
-		cancelledInTime := closed && !t.brokenByGateway(disconnect) && disconnect.At <= t.lastAnswer(request)
-		if answers[key] == 0 && !cancelledInTime && end > t.lastAnswer(request) {
-			result.violated("request %d of %s (%s) has no answer", key.number, key.session, request.RequestClass)
+		cancelledInTime := closed && !t.brokenByGateway(disconnect) && disconnect.At <= t.answerLimit(request)
+		if answers[key] == 0 && !cancelledInTime && end > t.answerLimit(request) {
+			result.addViolation("request %d of session %s (class %s) got no answer",
+				key.number, key.session, request.RequestClass)
 		}
 	}
 	return result
 }
 
-// checkAnswer checks one answer; count is how many its request has by now.
+// checkAnswer checks an answer. count is the number of answers that its request has got so far.
 func (t *trace) checkAnswer(result *RuleResult, answer, request Event, known bool, count int) {
 	if count > 1 {
-		result.violated("request %d of %s has %d answers", answer.ClientRequest, answer.Session, count)
+		result.addViolation("request %d of session %s got %d answers", answer.ClientRequest, answer.Session, count)
 	}
 	for _, attempt := range t.byClientRequest[clientRequestKey{answer.Session, answer.ClientRequest}] {
 		if attempt.At > answer.At+t.parameters.Slack {
-			result.violated("execution %d of %s is sent %d ms after its final answer",
+			result.addViolation("attempt %d of request %s was sent %d ms after the final answer",
 				attempt.Attempt, attempt.RequestID, milliseconds(attempt.At-answer.At))
 		}
 	}
@@ -56,34 +57,35 @@
 		return
 	}
 	if !known {
-		result.violated("an answer to request %d of %s, which was never asked", answer.ClientRequest, answer.Session)
+		result.addViolation("got an answer to request %d of session %s, which was never sent",
+			answer.ClientRequest, answer.Session)
 		return
 	}
-	if answer.At > t.lastAnswer(request) {
-		result.violated("request %d of %s (%s) is answered %d ms after its client's limit",
+	if answer.At > t.answerLimit(request) {
+		result.addViolation("request %d of session %s (class %s) was answered %d ms after its deadline",
 			answer.ClientRequest, answer.Session, request.RequestClass, milliseconds(answer.At-request.Deadline))
 	}
 }
 
-// brokenByGateway says whether a connection broke while its gateway ran.
+// brokenByGateway reports whether a connection broke although its gateway had not been killed.
 func (t *trace) brokenByGateway(disconnect Event) bool {
 	if disconnect.State != StateBroken {
 		return false
 	}
 	return !slices.ContainsFunc(t.killed[gatewayOf(disconnect.Session)], func(killed int64) bool {
-		return killed <= disconnect.At+t.parameters.Slack && disconnect.At <= killed+killNotice
+		return killed <= disconnect.At+t.parameters.Slack && disconnect.At <= killed+killNoticePeriod
 	})
 }
 
-// lastAnswer is until when an answer to a request counts: a gateway that was paused could not give it before it went
-// on.
-func (t *trace) lastAnswer(request Event) int64 {
+// answerLimit returns the latest time at which an answer to a request counts. A gateway cannot answer while it is
+// paused, so a pause extends the time.
+func (t *trace) answerLimit(request Event) int64 {
 	last := request.Deadline
 	for _, pause := range t.pauses[gatewayOf(request.Session)] {
 		switch {
 		case pause.from > request.Deadline || request.At > pause.until:
-			// The pause does not touch the request's time.
-		case request.At+t.parameters.Transit >= pause.from: // it was read once the gateway went on
+			// The pause does not overlap the time of the request.
+		case request.At+t.parameters.Transit >= pause.from: // the gateway read it after the pause
 			last = max(last, pause.until+request.Deadline-request.At)
 		default:
 			last = max(last, pause.until)
--- a/internal/audit/rule_ordering.go
+++ b/internal/audit/rule_ordering.go
@@ -2,17 +2,17 @@
 
 import "strings"
 
-// orderingHistory is how many attempts of a key are remembered: more than a gateway sends within the pause of a key.
+// orderingHistory is how many attempts of a key are kept. It is more than a gateway sends within the pause of a key.
 const orderingHistory = 64
 
-// keyQueue identifies the requests that a gateway keeps in order.
+// keyQueue identifies requests that a gateway executes in order.
 type keyQueue struct {
-	gateway string // with its boot: one that was started anew does not know what it had sent
+	gateway string // with its boot, as a restarted gateway does not know what it sent before
 	key     int64
 }
 
-// checkOrdering: nothing is sent for a request while an earlier one of its key, accepted by the same gateway, may run,
-// nor before the key has rested after an attempt that may still run.
+// checkOrdering checks that no attempt of a request is sent while an earlier request of its key, accepted by the same
+// gateway, may still run. After an attempt whose end is not known, the gateway must pause the key for KeyRest.
 func (t *trace) checkOrdering() RuleResult {
 	result := RuleResult{Name: RuleOrdering}
 	histories := map[keyQueue][]*attempt{}
@@ -32,12 +32,12 @@
 				continue
 			}
 			result.Checked++
-			if over := t.overBy(earlier); next.At < over {
-				result.violated("%s is sent for key %d while %s may run, %d ms early",
-					next.RequestID, next.OrderingKey, earlier.RequestID, milliseconds(over-next.At))
+			if end := t.presumedEnd(earlier); next.At < end {
+				result.addViolation("request %s was sent for key %d while %s may still run, %d ms too early",
+					next.RequestID, next.OrderingKey, earlier.RequestID, milliseconds(end-next.At))
 			}
 			if _, _, earlierNumber := parseRequestID(earlier.RequestID); earlierNumber > number && next.Attempt == 0 {
-				result.violated("%s is sent for key %d after the later %s",
+				result.addViolation("request %s was sent for key %d after the later request %s",
 					next.RequestID, next.OrderingKey, earlier.RequestID)
 			}
 		}
@@ -49,16 +49,16 @@
 	return result
 }
 
-// overBy is when the gateway may take an attempt as over: by its answer, or by the pause of its key after it was
-// aborted or has timed out.
-func (t *trace) overBy(a *attempt) int64 {
-	over := a.At + a.Timeout + t.parameters.KeyRest // if it timed out at the gateway
+// presumedEnd returns the time from which the gateway may presume that an attempt has ended: its answer, or the end of
+// the pause of its key after it was aborted or timed out.
+func (t *trace) presumedEnd(a *attempt) int64 {
+	end := a.At + a.Timeout + t.parameters.KeyRest // if the attempt timed out at the gateway
 	if a.abortedAt > 0 {
-		over = min(over, a.abortedAt+t.parameters.KeyRest)
+		end = min(end, a.abortedAt+t.parameters.KeyRest)
 	}
-	over -= t.parameters.Transit
+	end -= t.parameters.Transit
 	if a.answeredAt > 0 {
-		over = min(over, a.answeredAt)
+		end = min(end, a.answeredAt)
 	}
-	return over
+	return end
 }
--- a/internal/audit/rule_retry_budget.go
+++ b/internal/audit/rule_retry_budget.go
@@ -1,14 +1,14 @@
 package audit
 
-// checkRetryBudget: the retries of a gateway in any window stay under the free ones plus a share of the requests that
-// came in it.
+// checkRetryBudget checks that the retries of a gateway in any window stay within the free ones plus a share of the
+// requests that it received in the window.
 func (t *trace) checkRetryBudget() RuleResult {
 	result := RuleResult{Name: RuleRetryBudget}
 	if t.parameters.RetryWindow == 0 {
 		return result
 	}
-	clientRequests := map[string][]int64{} // times, by gateway
-	firstAttempts := map[string][]int64{}  // they count requests that gateways have made themselves too
+	clientRequests := map[string][]int64{} // times by gateway
+	firstAttempts := map[string][]int64{}  // likewise; these include requests that gateways make themselves
 	retries := map[string][]int64{}
 	for _, event := range t.events {
 		switch event.Type {
@@ -27,15 +27,15 @@
 			allowed := t.parameters.FreeRetries + t.parameters.RetryShare*requests
 			count := countAfter(retries[gateway], after)
 			result.Checked++
-			if count > allowed+1 { // an edge of the window may lie between two clocks
-				result.violated("%s sends %.0f further executions in a window, %.1f are allowed", gateway, count, allowed)
+			if count > allowed+1 { // one more is tolerated, as clocks differ at the edge of the window
+				result.addViolation("gateway %s sent %.0f retries in a window, at most %.1f are allowed", gateway, count, allowed)
 			}
 		}
 	}
 	return result
 }
 
-// countAfter counts the times after a moment. They are in ascending order.
+// countAfter returns how many of the times, which are in ascending order, are after a moment.
 func countAfter(times []int64, moment int64) float64 {
 	count := 0.0
 	for i := len(times) - 1; i >= 0 && times[i] > moment; i-- {
--- a/internal/audit/rule_volume_limits.go
+++ b/internal/audit/rule_volume_limits.go
@@ -2,10 +2,11 @@
 
 const (
 	nanosecondsPerSecond = 1e9
-	roundingTolerance    = 1e-6 // units; of the sums of floating-point numbers
+	roundingTolerance    = 1e-6 // in units, for sums of floating-point numbers
 )
 
-// checkVolumeLimits: the first attempts that all gateways send of a volume's requests stay within its token bucket.
+// checkVolumeLimits checks that the first attempts of a volume's requests, from all gateways together, stay within the
+// volume's token bucket.
 func (t *trace) checkVolumeLimits() RuleResult {
 	result := RuleResult{Name: RuleVolumeLimits}
 	type tokenBucket struct {
@@ -28,7 +29,7 @@
 		bucket.at = attempt.At
 		result.Checked++
 		if bucket.tokens < -limit.Slack-roundingTolerance {
-			result.violated("volume %d is %.1f units over its limit", attempt.Volume, -bucket.tokens)
+			result.addViolation("volume %d exceeds its limit by %.1f units", attempt.Volume, -bucket.tokens)
 		}
 	}
 	return result
--- a/internal/audit/slowstart.go
+++ b/internal/audit/slowstart.go
@@ -1,18 +1,18 @@
 package audit
 
-// integrationStep is the step, in nanoseconds, in which the capacity of a node that warms up is summed.
+// The capacity of a node that warms up is integrated numerically, in steps of integrationStep nanoseconds.
 const (
 	integrationStep           = int64(1e7)
 	integrationStepsPerSecond = 100
 )
 
-// SlowStartSummary is how nodes that warmed up were loaded.
+// SlowStartSummary summarizes the load of nodes that warmed up.
 type SlowStartSummary struct {
-	Nodes         int     `json:"nodes"`  // that warmed up
-	Overloaded    int     `json:"fallen"` // that stopped, as they were sent too much
-	PeakRatio     float64 `json:"worst"`  // the most that one was sent in a window, relative to what it tolerates
-	UnitsSent     float64 `json:"units"`  // sent to all while they warmed up
-	UnitsPossible float64 `json:"could"`  // that they could execute in that time
+	Nodes         int     `json:"nodes"`  // nodes that warmed up
+	Overloaded    int     `json:"fallen"` // nodes that stopped because they were sent too much
+	PeakRatio     float64 `json:"worst"`  // highest load of a node in a window, relative to what it tolerates
+	UnitsSent     float64 `json:"units"`  // units sent to all nodes while they warmed up
+	UnitsPossible float64 `json:"could"`  // units that the nodes could have executed in that time
 }
 
 // SummarizeSlowStart summarizes the load of nodes that warmed up.
@@ -35,8 +35,8 @@
 	return summary
 }
 
-// checkSlowStart: what all gateways send to a node that warms up stays, in any window, under the multiple of its
-// capacity or under the free units, and no node was overloaded.
+// checkSlowStart checks that the units that all gateways send to a node that warms up stay, in any window, within the
+// tolerated multiple of its capacity or within the free units, and that no node was overloaded.
 func (t *trace) checkSlowStart() RuleResult {
 	result := RuleResult{Name: RuleSlowStart}
 	t.walkSlowStart(slowStartVisitor{
@@ -44,42 +44,42 @@
 		received: func(load windowLoad) {
 			result.Checked++
 			if load.units > load.tolerated {
-				result.violated("%s gets %.1f units in a window at age %d ms, %.1f are borne",
+				result.addViolation("node %s was sent %.1f units in a window at age %d ms, it tolerates %.1f",
 					load.attempt.Node, load.units, milliseconds(load.age), load.tolerated)
 			}
 		},
-		overloaded: func(event Event) { result.violated("%s was pushed over", event.Node) },
+		overloaded: func(event Event) { result.addViolation("node %s was overloaded", event.Node) },
 	})
 	return result
 }
 
-// capacityAt is the capacity, in units a second, of a node that warms up.
+// capacityAt returns the capacity, in units per second, of a node that warms up.
 func (p Parameters) capacityAt(start Event, at int64) float64 {
 	return start.Rate * (p.SlowStartFrom + (1-p.SlowStartFrom)*float64(at-start.At)/float64(p.SlowStartTime))
 }
 
-// windowLoad is the load of a node that warms up, in the window that ends with an attempt.
+// windowLoad is the load of a node that warms up, over the window that ends with an attempt.
 type windowLoad struct {
 	attempt   Event
-	age       int64   // of the node, nanoseconds
+	age       int64   // of the node, in nanoseconds
 	units     float64 // received within the window
-	tolerated float64 // units in a window at that age
+	tolerated float64 // units that the node tolerates in a window at that age
 }
 
-// slowStartVisitor is called for what happens to nodes that warm up.
+// slowStartVisitor has the functions that are called for events of nodes that warm up.
 type slowStartVisitor struct {
-	started    func(start Event, until int64) // until it is warmed up, or the record ends
+	started    func(start Event, until int64) // until is when the node is warm or the last attempt was received
 	received   func(windowLoad)
 	overloaded func(Event)
 }
 
-// receivedUnits is what a node received at a time.
+// receivedUnits are the units of an attempt that a node received at a time.
 type receivedUnits struct {
 	at    int64
 	units float64
 }
 
-// walkSlowStart calls the visitor for each event of nodes that warm up, in the order of time.
+// walkSlowStart calls the visitor for each event of nodes that warm up, ordered by time.
 func (t *trace) walkSlowStart(visitor slowStartVisitor) {
 	starts := map[string]Event{} // by node
 	windows := map[string][]receivedUnits{}
@@ -113,19 +113,19 @@
 	}
 }
 
-// warmingUp says whether a node that started so warms up at a time.
+// warmingUp reports whether a node with the given start is still warming up at a time.
 func (t *trace) warmingUp(start Event, at int64) bool {
 	return start.Rate > 0 && t.parameters.SlowStartTime != 0 && at-start.At <= t.parameters.SlowStartTime
 }
 
-// toleratedAt is how many units a node that warms up tolerates in a window.
+// toleratedAt returns how many units a node that warms up tolerates in a window.
 func (t *trace) toleratedAt(start Event, at int64) float64 {
 	capacity := t.parameters.capacityAt(start, at)
 	window := float64(t.parameters.SlowStartWindow)
 	return max(t.parameters.SlowStartMultiple*capacity*window/nanosecondsPerSecond, t.parameters.SlowStartFreeUnits)
 }
 
-// lastAttemptAt is when the last attempt was received; 0 where there is none.
+// lastAttemptAt returns the time at which the last attempt was received, or 0 if there is none.
 func (t *trace) lastAttemptAt() int64 {
 	last := int64(0)
 	for _, event := range t.events {
--- a/internal/audit/summary.go
+++ b/internal/audit/summary.go
@@ -8,16 +8,16 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Summary counts the requests of a record by how they ended, as their clients saw it.
+// Summary counts the recorded requests by how they ended, as seen by their clients.
 type Summary struct {
 	Sent            int            `json:"jobs"`
 	Succeeded       int            `json:"completed"`
 	Rejected        int            `json:"dismissed"`
 	Failed          int            `json:"written_off"`
 	ClientCancelled int            `json:"left"` // in flight when the client's connection ended
-	Lost            int            `json:"lost"` // without an answer otherwise
+	Lost            int            `json:"lost"` // other requests without an answer
 	AnsweredTwice   int            `json:"answered_twice"`
-	Classes         []ClassSummary `json:"products"` // in the order of their names
+	Classes         []ClassSummary `json:"products"` // sorted by name
 }
 
 // ClassSummary is the summary of one request class.
@@ -25,11 +25,12 @@
 	Name            string  `json:"name"`
 	Sent            int     `json:"jobs"`
 	WithinObjective int     `json:"in_goal"` // succeeded within the latency objective
-	P50             float64 `json:"p50_ms"`  // latency of those that succeeded, milliseconds
+	P50             float64 `json:"p50_ms"`  // latency of requests that succeeded, in milliseconds
 	P99             float64 `json:"p99_ms"`
 }
 
-// Latencies are recorded in microseconds, with so many significant figures. A scenario lasts an hour at most.
+// Latencies are recorded in microseconds, with the given number of significant figures. A scenario lasts at most an
+// hour.
 const (
 	maxLatency                = int64(time.Hour / time.Microsecond)
 	latencySignificantFigures = 3
@@ -37,7 +38,7 @@
 	microsPerMillisecond      = 1000
 )
 
-// Summarize counts the requests of a record.
+// Summarize returns a summary of the requests in the recorded events.
 func Summarize(events []Event) Summary {
 	s := summarizer{
 		requests:     map[clientRequestKey]Event{},
@@ -58,13 +59,13 @@
 	return s.finish()
 }
 
-// classTotals are a request class's summary and latencies.
+// classTotals holds the summary and the latencies of a request class.
 type classTotals struct {
 	ClassSummary
 	latencies *hdrhistogram.Histogram // microseconds
 }
 
-// summarizer is the state of a summary that is being made.
+// summarizer is the state of Summarize.
 type summarizer struct {
 	summary      Summary
 	requests     map[clientRequestKey]Event
@@ -103,7 +104,7 @@
 		s.summary.Succeeded++
 		class := s.classes[request.RequestClass]
 		latency := max(1, (answer.At-request.At)/nanosPerMicrosecond)
-		_ = class.latencies.RecordValue(latency) // it fails over maxLatency, which no scenario reaches
+		_ = class.latencies.RecordValue(latency) // fails only above maxLatency, which no scenario reaches
 		if answer.At <= request.ObjectiveBy {
 			class.WithinObjective++
 		}
--- a/internal/capture/block.go
+++ b/internal/capture/block.go
@@ -9,49 +9,51 @@
 	"irispost/scheduler"
 )
 
-// A capture is its magic with the version, then blocks. A block is its head and a zstd frame of records. The head has
-// the block's lengths raw and packed, the time of its first record, its number of records, and a checksum of all that
-// and the frame.
+// A capture file consists of the magic, which includes the format version, and blocks. A block is a header and a zstd
+// frame of records. The header contains the length of the records, the length of the frame, the time of the first
+// record, the number of records, and a checksum of these fields and the frame.
 const (
-	magic     = "IRISCAP1"
-	magicName = "IRISCAP"
+	magic       = "IRISCAP1"
+	magicPrefix = "IRISCAP"
 
-	blockPackedAt   = 4
-	blockTimeAt     = blockPackedAt + 4
-	blockCountAt    = blockTimeAt + 8
-	blockChecksumAt = blockCountAt + 4
-	blockHeadBytes  = blockChecksumAt + 8
+	blockCompressedOffset = 4
+	blockTimeOffset       = blockCompressedOffset + 4
+	blockCountOffset      = blockTimeOffset + 8
+	blockChecksumOffset   = blockCountOffset + 4
+	blockHeaderBytes      = blockChecksumOffset + 8
 
-	// maxBlockBytes bounds the raw length that a reader accepts.
+	// maxBlockBytes is the largest frame, and the largest length of its uncompressed records, that a reader accepts.
 	maxBlockBytes = 64 << 20
 )
 
-// block is a number of records that are packed together.
+// block holds encoded records that are compressed and written together.
 type block struct {
-	raw   []byte
-	first scheduler.Time // of its first record
-	count int            // of its records
+	raw     []byte
+	firstAt scheduler.Time // time of the first record
+	count   int            // number of records
 }
 
-// blockOf is a block of one record.
-func blockOf(record *Record, at scheduler.Time) block { return block{appendRecord(nil, record), at, 1} }
+// singleRecordBlock returns a block of one record.
+func singleRecordBlock(record *Record, at scheduler.Time) block {
+	return block{appendRecord(nil, record), at, 1}
+}
 
-// packBlock writes a block with its head into the capacity of a buffer.
-func packBlock(packer *zstd.Encoder, b block, buffer []byte) []byte {
-	var head [blockHeadBytes]byte
-	out := packer.EncodeAll(b.raw, append(buffer[:0], head[:]...))
+// encodeBlock returns the header and the compressed records of a block. It reuses the capacity of buffer.
+func encodeBlock(encoder *zstd.Encoder, b block, buffer []byte) []byte {
+	var header [blockHeaderBytes]byte
+	out := encoder.EncodeAll(b.raw, append(buffer[:0], header[:]...))
 	binary.BigEndian.PutUint32(out, uint32(len(b.raw)))
-	binary.BigEndian.PutUint32(out[blockPackedAt:], uint32(len(out)-blockHeadBytes))
-	binary.BigEndian.PutUint64(out[blockTimeAt:], uint64(b.first))
-	binary.BigEndian.PutUint32(out[blockCountAt:], uint32(b.count))
-	binary.BigEndian.PutUint64(out[blockChecksumAt:], checksum(out[:blockChecksumAt], out[blockHeadBytes:]))
+	binary.BigEndian.PutUint32(out[blockCompressedOffset:], uint32(len(out)-blockHeaderBytes))
+	binary.BigEndian.PutUint64(out[blockTimeOffset:], uint64(b.firstAt))
+	binary.BigEndian.PutUint32(out[blockCountOffset:], uint32(b.count))
+	binary.BigEndian.PutUint64(out[blockChecksumOffset:], checksum(out[:blockChecksumOffset], out[blockHeaderBytes:]))
 	return out
 }
 
-// checksum is that of a block's head and frame.
-func checksum(head, frame []byte) uint64 {
-	digest := xxhash.New()
-	_, _ = digest.Write(head) // a digest takes all
-	_, _ = digest.Write(frame)
-	return digest.Sum64()
+// checksum returns the checksum of a block's header, up to the checksum field, and its frame.
+func checksum(header, frame []byte) uint64 {
+	hash := xxhash.New()
+	_, _ = hash.Write(header) // Write of a digest never fails
+	_, _ = hash.Write(frame)
+	return hash.Sum64()
 }
--- a/internal/capture/codec.go
+++ b/internal/capture/codec.go
@@ -5,16 +5,16 @@
 	"math"
 )
 
-// codec writes or reads values. One walk over a record's fields serves both, so that what is written and what is read
-// cannot differ.
+// codec encodes or decodes values. The same traversal of a record's fields serves both directions, so that encoding
+// and decoding cannot disagree about the format.
 type codec struct {
-	out     []byte // what is written
-	in      []byte // what is still to be read
+	out     []byte // encoded bytes
+	in      []byte // bytes still to be decoded
 	reading bool
-	invalid bool // what was read is not as it was written
+	invalid bool // the decoded bytes are malformed
 }
 
-func (c *codec) number(v *uint64) {
+func (c *codec) uvarint(v *uint64) {
 	if !c.reading {
 		c.out = binary.AppendUvarint(c.out, *v)
 		return
@@ -28,16 +28,16 @@
 	c.in = c.in[used:]
 }
 
-// signed walks over a number with its sign in the lowest bit.
-func (c *codec) signed(v *int64) {
+// zigzag encodes or decodes a signed integer with its sign in the lowest bit.
+func (c *codec) zigzag(v *int64) {
 	n := uint64(*v)<<1 ^ uint64(*v>>63)
-	c.number(&n)
+	c.uvarint(&n)
 	*v = int64(n>>1) ^ -int64(n&1)
 }
 
 func (c *codec) count(v *int) {
 	n := int64(*v)
-	c.signed(&n)
+	c.zigzag(&n)
 	*v = int(n)
 }
 
@@ -46,19 +46,19 @@
 	if *v {
 		n = 1
 	}
-	c.number(&n)
+	c.uvarint(&n)
 	*v = n == 1
 }
 
 func (c *codec) float(v *float64) {
 	n := math.Float64bits(*v)
-	c.number(&n)
+	c.uvarint(&n)
 	*v = math.Float64frombits(n)
 }
 
 func (c *codec) text(v *string) {
 	n := uint64(len(*v))
-	c.number(&n)
+	c.uvarint(&n)
 	if !c.reading {
 		c.out = append(c.out, *v...)
 		return
@@ -71,12 +71,12 @@
 	c.in = c.in[n:]
 }
 
-// list walks over a list's items.
+// list encodes or decodes the length of a list and its items.
 func list[T any](c *codec, v *[]T, item func(*T)) {
 	n := uint64(len(*v))
-	c.number(&n)
+	c.uvarint(&n)
 	if c.reading {
-		if n > uint64(len(c.in)) { // an item has a byte at least
+		if n > uint64(len(c.in)) { // each item takes at least one byte
 			c.invalid = true
 			n = 0
 		}
@@ -90,7 +90,7 @@
 	}
 }
 
-// enumeration walks over a value of a type with few values, as a count.
+// enumeration encodes or decodes an enumerated value as an integer.
 func enumeration[T ~uint8](c *codec, v *T) {
 	n := int(*v)
 	c.count(&n)
--- a/internal/capture/events.go
+++ b/internal/capture/events.go
@@ -6,8 +6,8 @@
 	"irispost/scheduler"
 )
 
-// The recorder's calls by the event loop follow. Each is made at the moment and with the arguments of a call of the
-// scheduler. Those that come with each request use one record again, so that they need no memory.
+// The event loop calls the following methods. Each accompanies a call of the scheduler, with the same time and the
+// same arguments. The methods that are called for every request reuse one record, to avoid allocations.
 
 // Start records the scheduler's start.
 func (r *Recorder) Start(now scheduler.Time, seed uint64, settings scheduler.Settings) {
@@ -19,7 +19,7 @@
 	r.EndpointUpdate(now, endpoints, true)
 }
 
-// EndpointUpdate records an endpoint list, which leaves out what has not changed unless it is complete.
+// EndpointUpdate records an endpoint list. Unless it is complete, it omits unchanged nodes.
 func (r *Recorder) EndpointUpdate(now scheduler.Time, endpoints endpoint.List, complete bool) {
 	kind := KindEndpointUpdate
 	if complete {
@@ -28,7 +28,7 @@
 	r.add(&Record{Kind: kind, At: now, Stale: endpoints.Stale, Nodes: endpoints.Nodes})
 }
 
-// EndpointListFailed records that a list could not be had; unanswered: the call ended without an answer.
+// EndpointListFailed records that fetching an endpoint list failed. unanswered is set if the call got no answer.
 func (r *Recorder) EndpointListFailed(now scheduler.Time, unanswered bool) {
 	kind := KindEndpointListFailed
 	if unanswered {
@@ -37,12 +37,12 @@
 	r.add(&Record{Kind: kind, At: now})
 }
 
-// SettingsChanged records other settings.
+// SettingsChanged records that the scheduler was given new settings.
 func (r *Recorder) SettingsChanged(now scheduler.Time, settings scheduler.Settings) {
 	r.add(&Record{Kind: KindSettingsChanged, At: now, Terms: settings})
 }
 
-// Allocated records slow-start budget for a node, of the life that began at startedAt.
+// Allocated records an allocation of the slow-start budget of a node, for the start of the node at startedAt.
 func (r *Recorder) Allocated(
 	now scheduler.Time, addr string, startedAt scheduler.Time, units float64, expiresAt scheduler.Time,
 ) {
@@ -54,7 +54,8 @@
 	r.add(&Record{Kind: KindStreamStarted, At: now, Job: request, Number: number})
 }
 
-// Submitted records a request with its volume, service level and class, and how many gateways serve the volume.
+// Submitted records a request with its volume, service level and class, and the number of gateways that serve the
+// volume.
 func (r *Recorder) Submitted(
 	now scheduler.Time, request *scheduler.Request, volume int64, level, class string, gateways float64, keyed bool,
 ) {
@@ -75,7 +76,8 @@
 	r.add(record)
 }
 
-// AttemptEnded records an attempt's outcome, with what the node has served of other gateways and its load report.
+// AttemptEnded records an attempt's outcome. others are the units that the node has served for other gateways;
+// inflight and latency are the node's load report.
 func (r *Recorder) AttemptEnded(
 	now scheduler.Time, request string, number int, outcome scheduler.Outcome, took scheduler.Time, final bool,
 	others float64, inflight int, latency scheduler.Time,
@@ -94,7 +96,8 @@
 	r.add(record)
 }
 
-// NeedsSnapshot tells whether records were dropped, so that a replay needs a snapshot of the scheduler to go on.
+// NeedsSnapshot reports whether a replay needs a snapshot of the scheduler to continue, because records were dropped
+// or a new file was started.
 func (r *Recorder) NeedsSnapshot() bool { return r.needsSnapshot.Load() }
 
 // Snapshot records the scheduler's full state.
@@ -102,18 +105,18 @@
 	r.needsSnapshot.Store(false)
 	state, err := snapshot.Take(s, scheduler.StoredNames)
 	if err != nil {
-		r.add(&Record{Kind: KindGap, At: now}) // a replay cannot begin here
+		r.add(&Record{Kind: KindGap, At: now}) // without a snapshot, a replay cannot start here
 		return
 	}
 	r.add(&Record{Kind: KindSnapshot, At: now, State: string(state)})
 }
 
-// ClientCancelled records that a request's client has gone.
+// ClientCancelled records that the client of a request has cancelled it or disconnected.
 func (r *Recorder) ClientCancelled(now scheduler.Time, request string) {
 	r.add(&Record{Kind: KindClientCancelled, At: now, Job: request})
 }
 
-// Decided records what the scheduler decided.
+// Decided records a decision of the scheduler.
 func (r *Recorder) Decided(now scheduler.Time, decision *scheduler.Decision) {
 	record := &r.scratch
 	record.Kind = KindDecided
--- a/internal/capture/record.go
+++ b/internal/capture/record.go
@@ -1,7 +1,7 @@
-// Package capture writes down all that a gateway's scheduler is told and what it decides, and reads it back. The event
-// loop writes by a Recorder, tools read by a Reader, and Redact copies a capture without its names. A recorder owns its
-// file and the goroutines that write it; it decides nothing, and its calls never wait for the disk.
-// docs/capture.md describes the format.
+// Package capture records the inputs and decisions of a gateway's scheduler, and reads them back. The event loop
+// writes a capture with a Recorder, tools read it with a Reader, and Redact copies it with its names replaced by
+// hashes. A recorder owns its file and the goroutines that write it. It does not influence decisions, and its calls
+// never wait for the disk. docs/capture.md describes the format.
 package capture
 
 import (
@@ -12,33 +12,33 @@
 	"irispost/scheduler"
 )
 
-// Kind is what a record is of, by its number in the file.
+// Kind is the kind of a record, as numbered in the file.
 type Kind uint8
 
-// The kinds of records. Their numbers and names are stored and shown; they stay.
+// The kinds of records. Their numbers are stored and their names are printed by tools, so both must not change.
 const (
-	KindHeader             Kind = iota + 1 // what is captured: always the first record
+	KindHeader             Kind = iota + 1 // the captured gateway; always the first record
 	KindStart                              // the scheduler was started
 	KindEndpointList                       // a complete endpoint list
 	KindSubmitted                          // a request was submitted
-	KindAttemptEnded                       // an attempt has ended
-	KindClientCancelled                    // a client has cancelled
-	KindDecided                            // the scheduler was asked, and decided
+	KindAttemptEnded                       // an attempt ended
+	KindClientCancelled                    // a client cancelled a request
+	KindDecided                            // the scheduler made a decision
 	KindGap                                // records were dropped here
-	KindEnd                                // the capture was closed; without it, it was cut off
-	KindSnapshot                           // a snapshot of the scheduler: a replay may begin here
-	KindEndpointUpdate                     // an endpoint list that leaves out what has not changed
-	KindEndpointListFailed                 // an endpoint list could not be had
-	KindStreamStarted                      // an attempt's response has started
-	KindEndpointListSilent                 // a call for the endpoint list ended without an answer
-	KindSettingsChanged                    // the scheduler acts on other settings from here on
+	KindEnd                                // the capture was closed; a capture without it is truncated
+	KindSnapshot                           // a snapshot of the scheduler: a replay can start here
+	KindEndpointUpdate                     // an endpoint list that omits unchanged nodes
+	KindEndpointListFailed                 // fetching an endpoint list failed
+	KindStreamStarted                      // an attempt's response started
+	KindEndpointListSilent                 // a call for the endpoint list got no answer
+	KindSettingsChanged                    // the scheduler was given new settings
 	KindAllocated                          // slow-start budget was allocated for a node
 )
 
 var kindNames = [...]string{"", "header", "start", "list", "take", "ended", "left", "decided", "gap", "end", "state",
 	"part of a list", "no list", "begun", "silent list", "terms", "loan"}
 
-// String is the name of a kind, as tools show it.
+// String returns the name of the kind, as tools print it.
 func (k Kind) String() string {
 	if int(k) < len(kindNames) {
 		return kindNames[k]
@@ -46,54 +46,54 @@
 	return fmt.Sprintf("kind %d", k)
 }
 
-// Record is one call of the scheduler or one decision. Which fields count depends on its kind. Tools show records as
-// JSON by the names of the fields, which therefore stay.
+// Record is one call of the scheduler or one decision. The comments name the kinds, without their prefix, for which a
+// field is valid. Tools print records as JSON under the names of the fields, so these must not change.
 type Record struct {
 	Kind Kind
 	At   scheduler.Time
 
-	Name   string // Header: the gateway; End: the reason
-	Build  string // Header: of the gateway
-	Digest uint64 // Header: of the scheduler's source text
+	Name   string // Header: the gateway; End: why the capture ended
+	Build  string // Header: version of the gateway's program
+	Digest uint64 // Header: digest of the scheduler's source text
 
 	Seed  uint64             // Start
-	Terms scheduler.Settings // Start, Agreed
-
-	Stale bool            // Listed, ListedPart
-	Nodes []endpoint.Node // Listed, ListedPart
-
-	Job     string  // Take, Ended, Left, Begun: the request
-	Volume  int64   // Take
-	Plan    string  // Take: the service level
-	Product string  // Take: the request class
-	Hosts   float64 // Take: gateways that serve the volume
-	Keyed   bool    // Take
-	Units   float64 // Take, Lent
-	Shard   int     // Take
-	Key     int64   // Take
-	Write   bool    // Take
-	StopBy  scheduler.Time
-
-	Number   int               // Ended, Begun: the attempt
-	Outcome  scheduler.Outcome // Ended
-	Took     scheduler.Time    // Ended
-	Final    bool              // Ended: the request has its answer
-	Others   float64           // Ended: served units of other gateways
-	Inflight int               // Ended: the node's load report, for people: the scheduler is not told
-	Latency  scheduler.Time    // Ended: likewise
+	Terms scheduler.Settings // Start, SettingsChanged
+
+	Stale bool            // EndpointList, EndpointUpdate
+	Nodes []endpoint.Node // EndpointList, EndpointUpdate
+
+	Job     string         // Submitted, AttemptEnded, ClientCancelled, StreamStarted: the request
+	Volume  int64          // Submitted
+	Plan    string         // Submitted: the service level
+	Product string         // Submitted: the request class
+	Hosts   float64        // Submitted: gateways that serve the volume
+	Keyed   bool           // Submitted
+	Units   float64        // Submitted, Allocated
+	Shard   int            // Submitted
+	Key     int64          // Submitted
+	Write   bool           // Submitted
+	StopBy  scheduler.Time // Submitted: the deadline
+
+	Number   int               // AttemptEnded, StreamStarted: the attempt
+	Outcome  scheduler.Outcome // AttemptEnded
+	Took     scheduler.Time    // AttemptEnded: duration of the attempt
+	Final    bool              // AttemptEnded: the request has its final answer
+	Others   float64           // AttemptEnded: units that the node served for other gateways
+	Inflight int               // AttemptEnded: from the node's load report; for display, not an input of the scheduler
+	Latency  scheduler.Time    // AttemptEnded: likewise
 
 	Decision Decision // Decided
 
-	Dropped int // Gap: records
+	Dropped int // Gap: number of dropped records
 
-	State string // State: a snapshot of the scheduler
+	State string // Snapshot: the encoded scheduler
 
-	Node string         // Lent
-	Born scheduler.Time // Lent: the start of the node that is meant
-	Till scheduler.Time // Lent: when the allocation expires
+	Node string         // Allocated
+	Born scheduler.Time // Allocated: the start of the node for which the allocation is valid
+	Till scheduler.Time // Allocated: when the allocation expires
 }
 
-// Decision is what the scheduler decided, with requests and nodes by their names.
+// Decision is a decision of the scheduler, with requests identified by ID and nodes by address.
 type Decision struct {
 	Ended    []FinishedRequest
 	CallOff  []Attempt
@@ -107,7 +107,7 @@
 type FinishedRequest struct {
 	Job   string
 	State scheduler.RequestState
-	Wait  scheduler.Time // before a retry
+	Wait  scheduler.Time // that the client is told to wait before a retry
 }
 
 // Attempt is an attempt that is dispatched or cancelled. Node and Limit are set only for a dispatched one.
@@ -118,15 +118,15 @@
 	Limit  scheduler.Time
 }
 
-// DecisionOf names what the scheduler decided. It keeps nothing of the scheduler's.
+// DecisionOf converts a decision of the scheduler. The result shares no memory with the scheduler.
 func DecisionOf(decision *scheduler.Decision) (named Decision) {
 	named.fill(decision)
 	named.Log = slices.Clone(named.Log)
 	return named
 }
 
-// fill names what the scheduler decided, in the slices that d has. The log lines are the scheduler's own, until its
-// next decision.
+// fill converts a decision of the scheduler, reusing the slices of d. The log lines are not copied and stay valid only
+// until the scheduler's next decision.
 func (d *Decision) fill(decision *scheduler.Decision) {
 	d.Ended = d.Ended[:0]
 	for _, request := range decision.Finished {
@@ -145,7 +145,7 @@
 	d.NextWake = decision.NextWake
 }
 
-// Equal tells whether two decisions are the same.
+// Equal reports whether two decisions are the same.
 func (d Decision) Equal(other Decision) bool {
 	return slices.Equal(d.Ended, other.Ended) &&
 		slices.Equal(d.CallOff, other.CallOff) &&
--- a/internal/capture/recordcodec.go
+++ b/internal/capture/recordcodec.go
@@ -13,64 +13,66 @@
 )
 
 // ErrCorrupt reports that the bytes read are not the bytes that were written.
-var ErrCorrupt = errors.New("the capture is damaged")
+var ErrCorrupt = errors.New("the capture is corrupt")
 
-// A record stands in a block as its length, a checksum of the rest, its kind and its fields.
+// A record is encoded as a length, a checksum, its kind and its fields. Length and checksum cover the kind and the
+// fields.
 const (
 	recordLengthBytes = 4
-	recordHeadBytes   = recordLengthBytes + 4
+	recordHeaderBytes = recordLengthBytes + 4
 )
 
-// appendRecord appends a record to a block.
+// appendRecord appends an encoded record to out.
 func appendRecord(out []byte, record *Record) []byte {
 	start := len(out)
-	var head [recordHeadBytes]byte // filled in below
-	c := codec{out: append(append(out, head[:]...), byte(record.Kind))}
-	c.record(record) // it only reads the record
-	body := c.out[start+recordHeadBytes:]
+	var header [recordHeaderBytes]byte // filled in below
+	c := codec{out: append(append(out, header[:]...), byte(record.Kind))}
+	c.record(record) // an encoding codec does not modify the record
+	body := c.out[start+recordHeaderBytes:]
 	binary.BigEndian.PutUint32(c.out[start:], uint32(len(body)))
 	binary.BigEndian.PutUint32(c.out[start+recordLengthBytes:], uint32(xxhash.Sum64(body)))
 	return c.out
 }
 
-// nextRecord reads a record and returns the bytes after it.
+// nextRecord decodes the first record of in and returns the bytes after it.
 func nextRecord(in []byte) (record *Record, rest []byte, err error) {
-	if len(in) < recordHeadBytes+1 {
-		return nil, in, fmt.Errorf("%w: a record ends after %d bytes", ErrCorrupt, len(in))
+	if len(in) < recordHeaderBytes+1 {
+		return nil, in, fmt.Errorf("%w: only %d bytes are left for a record", ErrCorrupt, len(in))
 	}
-	length, available := int(binary.BigEndian.Uint32(in)), len(in)-recordHeadBytes
+	length, available := int(binary.BigEndian.Uint32(in)), len(in)-recordHeaderBytes
 	if length < 1 || length > available {
-		return nil, in, fmt.Errorf("%w: a record of %d bytes, %d are there", ErrCorrupt, length, available)
+		return nil, in, fmt.Errorf("%w: a record has a length of %d bytes, %d are left in the block",
+			ErrCorrupt, length, available)
 	}
-	body, rest := in[recordHeadBytes:recordHeadBytes+length], in[recordHeadBytes+length:]
+	body, rest := in[recordHeaderBytes:recordHeaderBytes+length], in[recordHeaderBytes+length:]
 	if uint32(xxhash.Sum64(body)) != binary.BigEndian.Uint32(in[recordLengthBytes:]) {
-		return nil, in, fmt.Errorf("%w: a record's checksum does not fit", ErrCorrupt)
+		return nil, in, fmt.Errorf("%w: the checksum of a record does not match", ErrCorrupt)
 	}
 	record = &Record{Kind: Kind(body[0])}
 	c := codec{in: body[1:], reading: true}
 	c.record(record)
 	if c.invalid || len(c.in) > 0 {
-		return nil, in, fmt.Errorf("%w: a record of kind %d does not hold what it should", ErrCorrupt, body[0])
+		return nil, in, fmt.Errorf("%w: the fields of a record of kind %d are malformed", ErrCorrupt, body[0])
 	}
 	return record, rest, nil
 }
 
-// record walks over the fields of a record's kind.
+// record encodes or decodes the fields that a record of its kind has.
 func (c *codec) record(r *Record) {
-	c.signed(&r.At)
+	c.zigzag(&r.At)
 	switch r.Kind {
 	case KindHeader:
 		c.text(&r.Name)
 		c.text(&r.Build)
-		c.number(&r.Digest)
+		c.uvarint(&r.Digest)
 	case KindStart:
-		c.number(&r.Seed)
+		c.uvarint(&r.Seed)
 		c.settings(&r.Terms)
 	case KindAllocated:
 		c.text(&r.Node)
-		c.signed(&r.Born)
+		c.zigzag(&r.Born)
 		c.float(&r.Units)
-		c.signed(&r.Till)
+		c.zigzag(&r.Till)
 	case KindSettingsChanged:
 		c.settings(&r.Terms)
 	case KindEndpointList, KindEndpointUpdate:
@@ -104,55 +106,55 @@
 	c.text(&n.Zone)
 	c.count(&n.Shard)
 	c.float(&n.Weight)
-	c.signed(&n.StartedAt)
+	c.zigzag(&n.StartedAt)
 	enumeration(c, &n.Health)
 }
 
 func (c *codec) submission(r *Record) {
 	c.text(&r.Job)
-	c.signed(&r.Volume)
+	c.zigzag(&r.Volume)
 	c.text(&r.Plan)
 	c.text(&r.Product)
 	c.float(&r.Hosts)
 	c.flag(&r.Keyed)
 	c.float(&r.Units)
 	c.count(&r.Shard)
-	c.signed(&r.Key)
+	c.zigzag(&r.Key)
 	c.flag(&r.Write)
-	c.signed(&r.StopBy)
+	c.zigzag(&r.StopBy)
 }
 
 func (c *codec) attemptEnd(r *Record) {
 	c.text(&r.Job)
 	c.count(&r.Number)
 	enumeration(c, &r.Outcome)
-	c.signed(&r.Took)
+	c.zigzag(&r.Took)
 	c.flag(&r.Final)
 	c.float(&r.Others)
 	c.count(&r.Inflight)
-	c.signed(&r.Latency)
+	c.zigzag(&r.Latency)
 }
 
 func (c *codec) decision(d *Decision) {
 	list(c, &d.Ended, func(answer *FinishedRequest) {
 		c.text(&answer.Job)
 		enumeration(c, &answer.State)
-		c.signed(&answer.Wait)
+		c.zigzag(&answer.Wait)
 	})
 	for _, attempts := range []*[]Attempt{&d.CallOff, &d.Sent} {
 		list(c, attempts, func(attempt *Attempt) {
 			c.text(&attempt.Job)
 			c.count(&attempt.Number)
 			c.text(&attempt.Node)
-			c.signed(&attempt.Limit)
+			c.zigzag(&attempt.Limit)
 		})
 	}
 	list(c, &d.Log, c.text)
 	c.flag(&d.Watch)
-	c.signed(&d.NextWake)
+	c.zigzag(&d.NextWake)
 }
 
-// settings are written in the order of their names, so that equal captures are equal files.
+// settings encodes or decodes settings, sorted by name so that equal captures are equal files.
 func (c *codec) settings(settings *scheduler.Settings) {
 	var names []string
 	for name := range *settings {
--- a/internal/capture/recorder.go
+++ b/internal/capture/recorder.go
@@ -14,17 +14,17 @@
 	"irispost/scheduler"
 )
 
-// Limits bound a recorder.
+// Limits are the sizes and intervals of a recorder.
 type Limits struct {
-	BlockBytes    int           // raw bytes after which a block is closed
-	FlushInterval time.Duration // after which a block is closed at the latest; so much is lost when a gateway is killed
-	QueuedBlocks  int           // blocks that may wait for the disk; one more is dropped and counted
-	FileBytes     int64         // of a file; then the next begins, or the capture ends where there is none
-	FileAge       time.Duration // of a file, likewise; 0: no limit
-	KeptFiles     int           // of a capture in a folder; the oldest are removed
+	BlockBytes    int           // uncompressed size at which a block is closed
+	FlushInterval time.Duration // interval at which blocks are closed; a killed gateway loses the records of this time
+	QueuedBlocks  int           // blocks that may wait for the disk; further ones are dropped and counted
+	FileBytes     int64         // maximum size of a file; then the next one starts, or a capture to a single file ends
+	FileAge       time.Duration // maximum age of a file of a capture to a folder; 0: no limit
+	KeptFiles     int           // files kept of a capture to a folder; older ones are removed
 }
 
-// DefaultLimits are the limits of a capture that has none of its own.
+// DefaultLimits are the limits of a capture for which none are configured.
 var DefaultLimits = Limits{
 	BlockBytes:    256 << 10,
 	FlushInterval: 200 * time.Millisecond,
@@ -34,63 +34,64 @@
 	KeptFiles:     16,
 }
 
-// spareBuffers is how many buffers of written blocks are kept for the next ones.
-const spareBuffers = 2
+// maxFreeBuffers is the number of buffers of written blocks that are kept for reuse.
+const maxFreeBuffers = 2
 
-// Recorder writes a capture. The event loop alone calls it, but for Status and Close; its calls never wait for the
-// disk. Two goroutines of its own flush and write; they end with Close.
+// Recorder writes a capture. All methods but Status and Close are called by the event loop only and never wait for the
+// disk. One goroutine of the recorder closes blocks at intervals, another one writes them; Close ends both.
 type Recorder struct {
 	limits  Limits
 	header  Record
-	scratch Record // what the loop is writing down, used again; only the fields of its kind count
+	scratch Record // reused by the event loop; only the fields of its kind are valid
 
-	// The open block. The lock is held by the loop and by the flusher.
-	lock  sync.Mutex
-	raw   []byte
-	count int            // its records
-	first scheduler.Time // of its first record
-	lost  int            // records that were dropped since the last block that was handed on
+	// The open block. The lock guards it, as the event loop and the flushing goroutine use it.
+	lock            sync.Mutex
+	raw             []byte
+	count           int            // number of records
+	firstAt         scheduler.Time // time of the first record
+	unreportedDrops int            // records dropped since the last queued block
 
-	blocks chan block  // to the writer
-	spare  chan []byte // buffers of blocks that are written
-	stop   chan struct{}
-	close  sync.Once
+	blocks      chan block  // queued for the writer
+	freeBuffers chan []byte // buffers of written blocks
+	stop        chan struct{}
+	close       sync.Once
 
-	needsSnapshot atomic.Bool // records were dropped, and no state has come since
+	needsSnapshot atomic.Bool // records were dropped or a file was started, and no snapshot was recorded since
 	written       atomic.Int64
 	dropped       atomic.Int64
 
-	done chan struct{} // closed by the writer at its end
-	err  error         // the writer's, read after done
+	done chan struct{} // closed when the writer has ended
+	err  error         // of the writer; valid once done is closed
 }
 
-// openFile opens the next file of a capture; nil: it has one file only.
-type openFile func() (io.WriteCloser, error)
+// fileOpener opens the next file of a capture. It is nil for a capture to a single file.
+type fileOpener func() (io.WriteCloser, error)
 
-// NewRecorder writes a capture to out, which is closed with it.
+// NewRecorder starts a capture to out, which Close closes. name is the name of the gateway, build the version of the
+// program.
 func NewRecorder(out io.WriteCloser, name, build string, limits Limits) *Recorder {
 	return newRecorder(out, nil, name, build, limits)
 }
 
-func newRecorder(out io.WriteCloser, next openFile, name, build string, limits Limits) *Recorder {
+func newRecorder(out io.WriteCloser, next fileOpener, name, build string, limits Limits) *Recorder {
 	r := &Recorder{
-		limits: limits,
-		header: Record{Kind: KindHeader, Name: name, Build: build, Digest: xxhash.Sum64(scheduler.PolicySource)},
-		blocks: make(chan block, max(limits.QueuedBlocks, 1)),
-		spare:  make(chan []byte, spareBuffers),
-		stop:   make(chan struct{}),
-		done:   make(chan struct{}),
+		limits:      limits,
+		header:      Record{Kind: KindHeader, Name: name, Build: build, Digest: xxhash.Sum64(scheduler.PolicySource)},
+		blocks:      make(chan block, max(limits.QueuedBlocks, 1)),
+		freeBuffers: make(chan []byte, maxFreeBuffers),
+		stop:        make(chan struct{}),
+		done:        make(chan struct{}),
 	}
-	w := &fileWriter{recorder: r, next: next}
+	w := &fileWriter{recorder: r, openNext: next}
 	go w.run(out)
 	go r.flush()
 	r.add(&r.header)
 	return r
 }
 
-// CreateInDir writes a capture to files NAME-TIME.N.iriscap in a folder. When one is full, or old, the next begins with
-// a snapshot of the scheduler, so that each can be replayed by itself; the oldest files are removed. It returns the
-// first file's name.
+// CreateInDir starts a capture to files NAME-TIME.N.iriscap in a folder and returns the first file's name. When a file
+// is full or too old, the capture continues in the next and a snapshot of the scheduler is recorded, so that each file
+// can be replayed on its own. The oldest files are removed.
 func CreateInDir(dir, name, build string, limits Limits) (r *Recorder, first string, err error) {
 	stem := filepath.Join(dir, name+"-"+time.Now().UTC().Format("20060102T150405.000000"))
 	fileName := func(number int) string { return fmt.Sprintf("%s.%d.iriscap", stem, number) }
@@ -98,7 +99,7 @@
 	next := func() (io.WriteCloser, error) {
 		number++
 		if oldest := number - limits.KeptFiles; limits.KeptFiles > 0 && oldest > 0 {
-			_ = os.Remove(fileName(oldest)) // one that is gone already is no fault
+			_ = os.Remove(fileName(oldest)) // it may have been removed already
 		}
 		return createFile(fileName(number))
 	}
@@ -109,7 +110,7 @@
 	return newRecorder(out, next, name, build, limits), fileName(1), nil
 }
 
-// Create writes a capture to a new file.
+// Create starts a capture to a new file.
 func Create(file, name, build string, limits Limits) (*Recorder, error) {
 	out, err := createFile(file)
 	if err != nil {
@@ -122,54 +123,54 @@
 	return os.OpenFile(name, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600)
 }
 
-// add adds a record to the open block.
+// add appends a record to the open block.
 func (r *Recorder) add(record *Record) {
 	r.lock.Lock()
 	if r.count == 0 {
-		r.first = record.At
+		r.firstAt = record.At
 	}
 	r.raw = appendRecord(r.raw, record)
 	r.count++
 	if len(r.raw) >= r.limits.BlockBytes {
-		r.handOn()
+		r.enqueueBlock()
 	}
 	r.lock.Unlock()
 }
 
-// handOn hands the open block to the writer, or drops it if too many wait; the lock is held.
-func (r *Recorder) handOn() {
+// enqueueBlock queues the open block for the writer, or drops it if the queue is full. The caller holds the lock.
+func (r *Recorder) enqueueBlock() {
 	if r.count == 0 {
 		return
 	}
 	select {
 	case r.blocks <- r.openBlock():
-		if r.lost > 0 {
+		if r.unreportedDrops > 0 {
 			r.needsSnapshot.Store(true)
 		}
-		r.lost = 0
+		r.unreportedDrops = 0
 	default:
-		r.lost += r.count
+		r.unreportedDrops += r.count
 		r.dropped.Add(int64(r.count))
 	}
 	r.count = 0
 	select {
-	case r.raw = <-r.spare:
+	case r.raw = <-r.freeBuffers:
 	default:
 		r.raw = make([]byte, 0, r.limits.BlockBytes+r.limits.BlockBytes/4)
 	}
 }
 
-// openBlock is the open block. One that follows dropped ones begins with how many records are missing. The lock is
-// held.
+// openBlock returns the open block. If records were dropped before it, a gap record precedes it. The caller holds the
+// lock.
 func (r *Recorder) openBlock() block {
-	if r.lost == 0 {
-		return block{r.raw, r.first, r.count}
+	if r.unreportedDrops == 0 {
+		return block{r.raw, r.firstAt, r.count}
 	}
-	gap := appendRecord(nil, &Record{Kind: KindGap, At: r.first, Dropped: r.lost})
-	return block{append(gap, r.raw...), r.first, r.count + 1}
+	gap := appendRecord(nil, &Record{Kind: KindGap, At: r.firstAt, Dropped: r.unreportedDrops})
+	return block{append(gap, r.raw...), r.firstAt, r.count + 1}
 }
 
-// flush hands on what is open at intervals, until Close.
+// flush queues the open block at intervals, until Close.
 func (r *Recorder) flush() {
 	tick := time.NewTicker(r.limits.FlushInterval)
 	defer tick.Stop()
@@ -179,22 +180,22 @@
 			return
 		case <-tick.C:
 			r.lock.Lock()
-			r.handOn()
+			r.enqueueBlock()
 			r.lock.Unlock()
 		}
 	}
 }
 
-// Status is how a capture stands.
+// Status is the progress of a capture.
 type Status struct {
-	Written int64 // bytes, of all files
-	Dropped int64 // records
+	Written int64 // bytes in all files
+	Dropped int64 // number of records
 }
 
-// Status tells how the capture stands, to any goroutine.
+// Status returns the progress of the capture. It may be called by any goroutine.
 func (r *Recorder) Status() Status { return Status{r.written.Load(), r.dropped.Load()} }
 
-// Close ends the capture and waits until it is written. It returns the first error of the writer.
+// Close ends the capture, waits until it is written and returns the first error of the writer.
 func (r *Recorder) Close(now scheduler.Time) error {
 	r.close.Do(func() {
 		close(r.stop)
@@ -202,7 +203,7 @@
 		r.lock.Lock()
 		defer r.lock.Unlock()
 		if r.count > 0 {
-			r.blocks <- r.openBlock() // the loop has ended: here the disk may be waited for
+			r.blocks <- r.openBlock() // may wait for the disk, as the event loop has ended
 			r.raw, r.count = nil, 0
 		}
 		close(r.blocks)
--- a/internal/capture/redact.go
+++ b/internal/capture/redact.go
@@ -14,13 +14,13 @@
 )
 
 // Redactor replaces names by keyed hashes (BLAKE3): addresses and zones of nodes, service levels, request classes, and
-// the gateway. The same name gets the same hash under one key, so a replay decides the same. Names of requests stay:
-// ties are ordered by them, and they hold only the gateway's name, which is replaced in them, and numbers.
+// the gateway. Under one key, a name always gets the same hash, so a replay makes the same decisions. Request IDs are
+// kept, as the scheduler orders ties by them. They contain only numbers and the gateway's name, which is replaced.
 type Redactor struct {
 	key     [32]byte
 	gateway string
-	hashes  map[string]string // by the name that they replace
-	names   []string          // that were replaced, the longest first, as log lines may hold one within another
+	hashes  map[string]string // by original name
+	names   []string          // original names, the longest first, as one name may be part of another in log lines
 }
 
 const (
@@ -30,19 +30,19 @@
 )
 
 // ErrSnapshotNotRedactable reports a capture that holds a snapshot of the scheduler, whose names cannot be replaced.
-var ErrSnapshotNotRedactable = errors.New("the capture holds a state, which has names that cannot be replaced")
+var ErrSnapshotNotRedactable = errors.New("the capture contains a scheduler snapshot, whose names cannot be replaced")
 
-// NewRedactor makes a redactor with a key of 16 bytes or more.
+// NewRedactor returns a redactor with a key of at least 16 bytes.
 func NewRedactor(key []byte) (*Redactor, error) {
 	if len(key) < minKeyBytes {
-		return nil, fmt.Errorf("the key has %d bytes, %d are needed", len(key), minKeyBytes)
+		return nil, fmt.Errorf("the key has %d bytes, at least %d are required", len(key), minKeyBytes)
 	}
 	r := &Redactor{hashes: map[string]string{}}
 	blake3.DeriveKey(keyContext, key, r.key[:])
 	return r, nil
 }
 
-// replaceName replaces a name; an empty one stays.
+// replaceName replaces a name by its hash, unless it is empty.
 func (r *Redactor) replaceName(name *string) {
 	if *name == "" {
 		return
@@ -57,12 +57,12 @@
 }
 
 func (r *Redactor) hash(name string) string {
-	digest, _ := blake3.NewKeyed(r.key[:]) // fails only for a key of another length
-	_, _ = digest.Write([]byte(name))      // a hash takes all
+	digest, _ := blake3.NewKeyed(r.key[:]) // fails only if the key is not 32 bytes long
+	_, _ = digest.Write([]byte(name))      // Write of a hash never fails
 	return "x" + hex.EncodeToString(digest.Sum(nil)[:hashBytes])
 }
 
-// insertName puts a name behind those that are as long or longer.
+// insertName inserts a name after those that are at least as long.
 func (r *Redactor) insertName(name string) {
 	at := 0
 	for at < len(r.names) && len(r.names[at]) >= len(name) {
@@ -71,8 +71,8 @@
 	r.names = slices.Insert(r.names, at, name)
 }
 
-// replaceInRequest replaces the gateway's name in a request's. All requests of a gateway begin alike, so their order
-// stays.
+// replaceInRequest replaces the gateway's name in a request ID. All IDs of a gateway start with its name, so their
+// order is preserved.
 func (r *Redactor) replaceInRequest(request *string) {
 	if rest, ok := strings.CutPrefix(*request, r.gateway); ok && r.gateway != "" {
 		*request = r.hashes[r.gateway] + rest
@@ -103,7 +103,7 @@
 	r.replaceInRequest(&record.Job)
 }
 
-// settings are settings with the names of service levels and request classes replaced.
+// settings returns a copy of settings with the names of service levels and request classes replaced.
 func (r *Redactor) settings(settings scheduler.Settings) scheduler.Settings {
 	redacted := scheduler.Settings{}
 	for key, value := range settings {
@@ -132,8 +132,8 @@
 	}
 }
 
-// Redact copies a capture with its names replaced. What it could not read to its end is copied as far as it goes, and
-// the reader's error is returned.
+// Redact copies a capture with its names replaced. If the capture is truncated or corrupt, the records before that
+// point are copied, and the reader's error is returned.
 func Redact(in *Reader, out io.Writer, key []byte) error {
 	redactor, err := NewRedactor(key)
 	if err != nil {
@@ -144,15 +144,15 @@
 		return err
 	}
 	for {
-		record, stopped := in.Next()
-		if stopped != nil {
+		record, readErr := in.Next()
+		if readErr != nil {
 			if err := writer.flush(); err != nil {
 				return err
 			}
-			if errors.Is(stopped, io.EOF) {
+			if errors.Is(readErr, io.EOF) {
 				return nil
 			}
-			return stopped
+			return readErr
 		}
 		if record.Kind == KindSnapshot {
 			return ErrSnapshotNotRedactable
--- a/internal/capture/syncwriter.go
+++ b/internal/capture/syncwriter.go
@@ -6,40 +6,40 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// syncWriter writes a capture and waits for its disk, where a Recorder drops what the disk does not take in time.
+// syncWriter writes a capture synchronously: it waits for the disk, where a Recorder drops records.
 type syncWriter struct {
-	out    io.Writer
-	packer *zstd.Encoder
-	open   block
+	out     io.Writer
+	encoder *zstd.Encoder
+	pending block
 }
 
 func newSyncWriter(out io.Writer) (*syncWriter, error) {
-	packer, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1))
+	encoder, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1))
 	if err != nil {
 		return nil, err
 	}
 	_, err = io.WriteString(out, magic)
-	return &syncWriter{out: out, packer: packer}, err
+	return &syncWriter{out: out, encoder: encoder}, err
 }
 
 func (w *syncWriter) add(record *Record) error {
-	if w.open.count == 0 {
-		w.open.first = record.At
+	if w.pending.count == 0 {
+		w.pending.firstAt = record.At
 	}
-	w.open.raw = appendRecord(w.open.raw, record)
-	w.open.count++
-	if len(w.open.raw) < DefaultLimits.BlockBytes {
+	w.pending.raw = appendRecord(w.pending.raw, record)
+	w.pending.count++
+	if len(w.pending.raw) < DefaultLimits.BlockBytes {
 		return nil
 	}
 	return w.flush()
 }
 
-// flush writes the open block.
+// flush writes the pending block, if it has any records.
 func (w *syncWriter) flush() error {
-	if w.open.count == 0 {
+	if w.pending.count == 0 {
 		return nil
 	}
-	_, err := w.out.Write(packBlock(w.packer, w.open, nil))
-	w.open = block{raw: w.open.raw[:0]}
+	_, err := w.out.Write(encodeBlock(w.encoder, w.pending, nil))
+	w.pending = block{raw: w.pending.raw[:0]}
 	return err
 }
--- a/internal/relive/behavior.go
+++ b/internal/relive/behavior.go
@@ -9,28 +9,28 @@
 	"irispost/scheduler"
 )
 
-// windowLength is the time in which a node's behavior counts as one.
+// windowLength is the interval in which the behavior of a node is summarized.
 const windowLength = 250 * scheduler.Millisecond
 
-// minUnits is the size, in units, that smaller attempts count as when their pace is computed.
+// minUnits is the smallest size of an attempt, in units, by which its duration is divided.
 const minUnits = 0.01
 
-// defaultPace is the pace of a node that has served nothing, in nanoseconds a unit.
-const defaultPace = float64(time.Millisecond)
+// defaultUnitTime is the time per unit, in nanoseconds, of a node that has served nothing.
+const defaultUnitTime = float64(time.Millisecond)
 
-// nodeBehavior is how a captured node did, by windows of time since the start.
+// nodeBehavior is the behavior of a captured node.
 type nodeBehavior struct {
-	windows map[int64]*window
+	windows map[int64]*window // by time since the start, divided by windowLength
 }
 
-// window is how a node did in a window: the attempts that were sent to it then.
+// window summarizes the attempts that were sent to a node within an interval.
 type window struct {
-	paces        []float64 // of what was served, nanoseconds a unit
+	unitTimes    []float64 // of served attempts, nanoseconds per unit
 	failed       int
 	unresponsive int
 }
 
-// add takes in the end of an attempt at a time after the start.
+// add counts an attempt that ended at a time after the start.
 func (b *nodeBehavior) add(record *capture.Record, at scheduler.Time, units float64) {
 	index := (at - record.Took) / windowLength
 	w := b.windows[index]
@@ -40,7 +40,7 @@
 	}
 	switch record.Outcome {
 	case scheduler.OutcomeServed:
-		w.paces = append(w.paces, float64(record.Took)/max(units, minUnits))
+		w.unitTimes = append(w.unitTimes, float64(record.Took)/max(units, minUnits))
 	case scheduler.OutcomeError, scheduler.OutcomeReset, scheduler.OutcomeOverloaded:
 		w.failed++
 	case scheduler.OutcomeTimeout, scheduler.OutcomeConnectFailed:
@@ -48,28 +48,28 @@
 	}
 }
 
-// usualPace is the median time of a unit.
-func (b *nodeBehavior) usualPace() time.Duration {
-	var paces []float64
+// medianUnitTime returns the median time per unit over all windows.
+func (b *nodeBehavior) medianUnitTime() time.Duration {
+	var unitTimes []float64
 	for _, w := range b.windows {
-		paces = append(paces, w.paces...)
+		unitTimes = append(unitTimes, w.unitTimes...)
 	}
-	if len(paces) == 0 {
-		return time.Duration(defaultPace)
+	if len(unitTimes) == 0 {
+		return time.Duration(defaultUnitTime)
 	}
-	return time.Duration(median(paces))
+	return time.Duration(median(unitTimes))
 }
 
-// commands are the commands to a test node that make it behave so in a window: how long a unit takes against the usual
-// pace, what share fails, and whether it answers at all.
-func (w *window) commands(usualPace time.Duration) []string {
-	served := len(w.paces)
+// commands returns the commands that make a test node behave like the captured node in the window: the time per unit
+// relative to the median, the share of attempts that fail, and whether the node answers at all.
+func (w *window) commands(medianUnitTime time.Duration) []string {
+	served := len(w.unitTimes)
 	commands := []string{"well"}
 	if served == 0 && w.unresponsive > 0 {
 		commands = append(commands, "hang")
 	}
 	if served > 0 {
-		commands = append(commands, fmt.Sprintf("slow %.3f", median(w.paces)/float64(usualPace)))
+		commands = append(commands, fmt.Sprintf("slow %.3f", median(w.unitTimes)/float64(medianUnitTime)))
 	}
 	if w.failed > 0 {
 		commands = append(commands, fmt.Sprintf("fail %.3f", float64(w.failed)/float64(w.failed+served)))
@@ -77,7 +77,7 @@
 	return commands
 }
 
-// median returns the upper median of values; there is at least one.
+// median returns the upper median of values, of which there must be at least one.
 func median(values []float64) float64 {
 	sorted := slices.Sorted(slices.Values(values))
 	return sorted[len(sorted)/2]
--- a/internal/relive/nodes.go
+++ b/internal/relive/nodes.go
@@ -10,23 +10,24 @@
 	"irispost/internal/standin"
 )
 
-// commandNode gives the test node in place of a captured one commands.
-func (p *play) commandNode(address string, commands []string) error {
-	standinNode := p.nodes[address]
-	if standinNode == nil {
-		return nil // it is not listed yet
+// sendCommands sends commands to the test node that replaces a captured node.
+func (p *play) sendCommands(address string, commands []string) error {
+	testNode := p.nodes[address]
+	if testNode == nil {
+		return nil // the node is not listed yet
 	}
 	for _, command := range commands {
-		if err := standinNode.Command(command); err != nil {
+		if err := testNode.Command(command); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// updateEndpoints starts the nodes that are new and gives the gateway the list, with the addresses of the test nodes.
+// updateEndpoints starts test nodes for new and restarted nodes, and passes the list to the gateway with the addresses
+// of the test nodes.
 func (p *play) updateEndpoints(record *capture.Record) error {
-	if record.Kind == capture.KindEndpointList { // a full list: nodes that it does not name are gone
+	if record.Kind == capture.KindEndpointList { // a complete list: nodes that it does not contain were removed
 		for address, listed := range p.listed {
 			listed.Health = endpoint.Removed
 			p.listed[address] = listed
@@ -57,8 +58,8 @@
 	return nil
 }
 
-// playedNode is a captured node as it is listed in this play: with its test node's address and, where it started
-// during the capture, start.
+// playedNode returns the list entry of a captured node in this play. It has the address of the test node and, if the
+// captured node started during the capture, the start time of the test node.
 func (p *play) playedNode(address string) endpoint.Node {
 	listed := p.listed[address]
 	listed.Addr = p.nodes[address].Addr()
@@ -70,7 +71,7 @@
 	return listed
 }
 
-// startNode starts the test node of a captured one, in place of the one before.
+// startNode starts the test node of a captured node. It replaces the test node of an earlier start.
 func (p *play) startNode(captured endpoint.Node) error {
 	if p.stores[captured.Shard] == nil {
 		store, err := standin.NewStore("")
@@ -88,7 +89,7 @@
 		Shard:       captured.Shard,
 		Store:       p.stores[captured.Shard],
 		Cores:       nodeCores,
-		UnitTime:    p.script.nodes[captured.Addr].usualPace(),
+		UnitTime:    p.script.nodes[captured.Addr].medianUnitTime(),
 		Queue:       nodeQueue,
 		DedupWindow: nodeDedupWindow,
 		Seed:        p.script.Seed,
@@ -102,7 +103,7 @@
 }
 
 func (p *play) close() {
-	for _, standinNode := range p.nodes {
-		standinNode.Close()
+	for _, testNode := range p.nodes {
+		testNode.Close()
 	}
 }
--- a/internal/relive/play.go
+++ b/internal/relive/play.go
@@ -19,21 +19,21 @@
 	"irispost/scheduler"
 )
 
-// Settings of the gateway and the test nodes of a play.
+// Settings of the gateway and the test nodes in a play.
 const (
 	dialTimeout        = time.Second
 	connectionsPerNode = 2
 	loopQueueSize      = 4096
-	nodeCores          = 64 // the captured pace has the waits of the node in it already
+	nodeCores          = 64 // many, as captured durations already include waiting for a core
 	nodeQueue          = 4096
 	nodeDedupWindow    = time.Minute
 )
 
-// Options are how a script is played.
+// Options control how a script is played.
 type Options struct {
-	Speed float64 // times the captured pace; durations such as latency objectives stay; 0: 1
-	Slack time.Duration
-	Log   *slog.Logger // of the gateway; nil: discarded
+	Speed float64       // relative to the capture; durations such as latency objectives are not scaled; 0: 1
+	Slack time.Duration // tolerance of the rules: Slack, Transit and ListDelay of audit.Parameters
+	Log   *slog.Logger  // log of the gateway; nil: discarded
 }
 
 // Report is the result of a play.
@@ -45,13 +45,13 @@
 	AnsweredTwice int                      `json:"answered_twice"`
 }
 
-// Passed says whether no rule was violated and something was checked.
+// Passed reports whether rules were checked and none was violated.
 func (r *Report) Passed() bool {
 	return audit.Passed(r.Rules) && r.Lost == 0 && r.AnsweredTwice == 0
 }
 
-// play is a script that is being played. Its timeline runs on the goroutine of Play; each request has one that waits
-// for its result.
+// play is a script that is being played. Its steps run on the goroutine of Play. Each request has a goroutine that
+// waits for its result.
 type play struct {
 	script   *Script
 	options  Options
@@ -60,18 +60,19 @@
 	loop     *gateway.Loop
 	stores   map[int]*standin.Store    // by shard
 	nodes    map[string]*standin.Node  // by captured address
-	listed   map[string]endpoint.Node  // as captured last, by captured address
+	listed   map[string]endpoint.Node  // last captured state, by captured address
 	volumes  map[int64]*gateway.Volume // by ID
 	classes  map[string]requestClass   // by name
-	requests int                       // so far
-	waiting  sync.WaitGroup            // for results
+	requests int                       // number submitted so far
+	waiting  sync.WaitGroup            // for the results of requests
 
-	lock     sync.Mutex                  // guards what follows
-	sessions map[string]*gateway.Session // of requests in flight, by captured name
+	lock     sync.Mutex                  // guards the fields below
+	sessions map[string]*gateway.Session // of requests in flight, by captured request ID
 	replayed map[string]*ClassOutcome    // by request class
 }
 
-// Play plays a script until its end; where the context is done before, it returns the context's error.
+// Play plays a script to its end and returns the report. If the context is done earlier, it returns the context's
+// error.
 func Play(ctx context.Context, script *Script, options Options) (*Report, error) {
 	if options.Speed <= 0 {
 		options.Speed = 1
@@ -84,7 +85,7 @@
 	client := node.NewClient(dialTimeout, connectionsPerNode, sftp.DefaultLimits, options.Log)
 	defer client.Close()
 	settings := maps.Clone(script.Settings)
-	settings["discovery"] = "told" // lists come at their captured times, whoever polled for them
+	settings["discovery"] = "told" // endpoint lists arrive at their captured times instead of being polled
 	p.loop = gateway.Start(gateway.Options{
 		Name:      script.Gateway,
 		Seed:      script.Seed,
@@ -123,9 +124,9 @@
 	return p
 }
 
-// report checks the record of a play that is over.
+// report checks the recorded events of a play that is over.
 func (p *play) report() *Report {
-	// The record ends past all deadlines, so that requests without an answer count as lost.
+	// An event after all deadlines makes requests without an answer count as lost.
 	end := p.clock.Now() + int64(time.Minute)
 	p.recorder.Add(audit.Event{Type: audit.NodeListed, State: audit.StateReady, At: end})
 	parameters := audit.ParametersFromSettings(p.script.Settings)
@@ -144,13 +145,13 @@
 	}
 }
 
-// step is something that happens at a time after the start.
+// step is an action at a time after the start.
 type step struct {
 	at  scheduler.Time
 	run func() error
 }
 
-// run runs the steps of the script at their times.
+// run runs the steps of the script at their times, scaled by the speed.
 func (p *play) run(ctx context.Context) error {
 	steps := p.steps()
 	began := time.Now()
@@ -168,17 +169,17 @@
 	return nil
 }
 
-// steps returns the events of the script and the changes of the nodes' behavior, in their order.
+// steps returns the events of the script and the changes of the nodes' behavior, ordered by time.
 func (p *play) steps() []step {
 	var steps []step
 	for _, event := range p.script.events {
 		steps = append(steps, step{event.at, func() error { return p.playEvent(event) }})
 	}
 	for address, behavior := range p.script.nodes {
-		usualPace := behavior.usualPace()
+		medianUnitTime := behavior.medianUnitTime()
 		for index, window := range behavior.windows {
-			commands := window.commands(usualPace)
-			steps = append(steps, step{index * windowLength, func() error { return p.commandNode(address, commands) }})
+			commands := window.commands(medianUnitTime)
+			steps = append(steps, step{index * windowLength, func() error { return p.sendCommands(address, commands) }})
 		}
 	}
 	slices.SortStableFunc(steps, func(a, b step) int { return cmp.Compare(a.at, b.at) })
--- a/internal/relive/relive_test.go
+++ b/internal/relive/relive_test.go
@@ -13,7 +13,7 @@
 	"irispost/internal/capture"
 )
 
-// readScript reads a script from the bytes of a capture.
+// readScript reads a script from the content of a capture.
 func readScript(t *testing.T, content []byte) *Script {
 	t.Helper()
 	reader, err := capture.NewReader(bytes.NewReader(content))
@@ -27,8 +27,9 @@
 	return script
 }
 
-// Captures of past failures, one of them cut off, are played through a real gateway at twice their pace: all requests
-// arrive, each gets one answer, and no rule is violated. How many are within their objective is not judged here.
+// Captures of past failures, one of them truncated, are played through a real gateway at twice their speed. All
+// requests must arrive, each must get one answer, and no rule may be violated. The number of requests within their
+// objective depends on the machine and is not checked.
 func TestPlayAnswersAllCapturedRequests(t *testing.T) {
 	for _, name := range []string{"failing", "cold"} {
 		t.Run(name, func(t *testing.T) {
@@ -46,20 +47,21 @@
 				t.Fatal(err)
 			}
 			if !report.Passed() {
-				t.Fatalf("%+v", report)
+				t.Fatalf("got %+v, want no violations and no request lost or answered twice", report)
 			}
 			for class, captured := range report.Captured {
 				replayed := report.Replayed[class]
-				if replayed == nil || replayed.Requests != captured.Requests || ended(replayed) != replayed.Requests {
-					t.Errorf("%s: captured %+v, replayed %+v", class, captured, replayed)
+				if replayed == nil || replayed.Requests != captured.Requests || countEnded(replayed) != replayed.Requests {
+					t.Errorf("class %s: captured %+v, got replayed %+v, want as many requests, all ended",
+						class, captured, replayed)
 				}
 			}
 		})
 	}
 }
 
-// ended counts the requests that ended in one of the ways.
-func ended(o *ClassOutcome) int {
+// countEnded returns the number of requests that ended, in whichever way.
+func countEnded(o *ClassOutcome) int {
 	return o.WithinObjective + o.Late + o.Rejected + o.Failed + o.ClientCancelled
 }
 
@@ -71,7 +73,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	if _, err := Play(ctx, readScript(t, content), Options{}); !errors.Is(err, context.Canceled) {
-		t.Errorf("%v", err)
+		t.Errorf("got error %v, want context.Canceled", err)
 	}
 }
 
@@ -90,10 +92,10 @@
 			return records[next-1], nil
 		})
 		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v", want, err)
+			t.Errorf("want an error with %q, got %v", want, err)
 		}
 		if incomplete := new(IncompleteError); !errors.As(err, &incomplete) && !errors.Is(err, errNothingToPlay) {
-			t.Errorf("%s: %T", want, err)
+			t.Errorf("error with %q: got type %T, want *IncompleteError or errNothingToPlay", want, err)
 		}
 	}
 }
--- a/internal/relive/requests.go
+++ b/internal/relive/requests.go
@@ -10,10 +10,10 @@
 	"irispost/scheduler"
 )
 
-// Each request has a session of its own, in which it is the only one.
+// onlyRequest is the request number within a session. Each request has its own session.
 const onlyRequest = 1
 
-// submit submits a captured request as it was, but for its bytes.
+// submit submits a captured request. The capture does not contain its data, so callOf makes up some.
 func (p *play) submit(arrival *capture.Record) {
 	p.requests++
 	session := gateway.NewSession(p.script.Gateway + "/relive/" + strconv.Itoa(p.requests))
@@ -50,7 +50,7 @@
 	})
 }
 
-// volume returns a captured request's volume.
+// volume returns the volume of a captured request.
 func (p *play) volume(arrival *capture.Record) *gateway.Volume {
 	if p.volumes[arrival.Volume] == nil {
 		p.volumes[arrival.Volume] = &gateway.Volume{
@@ -62,7 +62,7 @@
 	return p.volumes[arrival.Volume]
 }
 
-// callOf is the call to a node in place of a captured one.
+// callOf returns the call to a node for a captured request.
 func callOf(arrival *capture.Record) node.Call {
 	if arrival.Write {
 		return node.Call{Op: node.PutObject, Name: arrival.Job, Shard: arrival.Shard, Data: []byte("x")}
@@ -70,7 +70,7 @@
 	return node.Call{Op: node.GetObject, Name: "none", Shard: arrival.Shard}
 }
 
-// finish records and counts the result of a request.
+// finish records the result of a request and counts it.
 func (p *play) finish(arrival *capture.Record, session *gateway.Session, result gateway.Result, objectiveBy int64) {
 	at := p.loop.Now()
 	p.lock.Lock()
@@ -88,7 +88,7 @@
 		outcome.Rejected++
 	case scheduler.RequestClientCancelled:
 		outcome.ClientCancelled++
-		return // the client gets no answer
+		return // a client that cancelled gets no answer
 	default:
 		answer.Outcome = audit.Failed
 		outcome.Failed++
@@ -96,7 +96,8 @@
 	p.recorder.Add(answer)
 }
 
-// cancel closes the session of a captured request whose client has gone, unless it has its answer here already.
+// cancel closes the session of a request whose client cancelled it in the capture, unless it was already answered in
+// this play.
 func (p *play) cancel(requestID string) {
 	p.lock.Lock()
 	session := p.sessions[requestID]
--- a/internal/relive/script.go
+++ b/internal/relive/script.go
@@ -1,9 +1,10 @@
-// Package relive plays a capture through a real gateway: the captured arrivals and endpoint lists at their times,
-// against test nodes on loopback that behave as the captured nodes did. The rules are checked from the sockets, and
-// the outcomes are compared by request class: no two runs in real time are the same.
+// Package relive plays a capture through a real gateway in real time. The captured requests and endpoint lists arrive
+// at their captured times, and test nodes on loopback imitate the behavior of the captured nodes. The rules of
+// package audit are checked from events on the sockets. As no two runs in real time are the same, outcomes are
+// compared only as counts by request class.
 //
-// The command irispost replay --live calls Read and Play. A Script is not changed by playing it; a play owns its
-// gateway, nodes and client sessions, and ends with Play.
+// The command irispost replay --live calls Read and Play. Play does not modify the Script. It starts a gateway, test
+// nodes and client sessions, and ends them before it returns.
 package relive
 
 import (
@@ -15,32 +16,33 @@
 	"irispost/scheduler"
 )
 
-var errNothingToPlay = errors.New("the capture holds no start and no arrivals to play")
+var errNothingToPlay = errors.New("the capture contains no start of the scheduler or no events to play")
 
-// IncompleteError says that a capture cannot be played, as what was before one of its records is not known.
+// IncompleteError reports that a capture cannot be played because what happened before one of its records is unknown.
 type IncompleteError struct {
-	Kind capture.Kind   // of the record
-	At   scheduler.Time // after the start of the scheduler, nanoseconds
+	Kind capture.Kind   // of the record: a snapshot or a gap
+	At   scheduler.Time // of the record, in nanoseconds after the start of the scheduler
 }
 
-// Error names the record and its time.
+// Error returns a message with the kind of the record and its time.
 func (e *IncompleteError) Error() string {
 	seconds := float64(e.At) / float64(scheduler.Second)
-	return fmt.Sprintf("the capture has a %v %.3f s after its start, it cannot be played whole", e.Kind, seconds)
+	return fmt.Sprintf("the capture is incomplete and cannot be played: it contains a %v %.3f s after its start",
+		e.Kind, seconds)
 }
 
-// Script is what a capture says happened, as far as it can be played.
+// Script contains the events of a capture that can be played, and the captured outcomes to compare with.
 type Script struct {
 	Gateway   string
 	Seed      uint64
 	Settings  scheduler.Settings
-	StartedAt scheduler.Time           // of the captured scheduler
+	StartedAt scheduler.Time           // start of the captured scheduler
 	Captured  map[string]*ClassOutcome // by request class
 	events    []event
 	nodes     map[string]*nodeBehavior // by captured address
 }
 
-// ClassOutcome counts how the requests of a class ended.
+// ClassOutcome counts the requests of a class by how they ended.
 type ClassOutcome struct {
 	Requests        int `json:"Jobs"`
 	WithinObjective int `json:"InGoal"`
@@ -59,7 +61,7 @@
 	}
 }
 
-// outcomeOf returns the outcome of a class, which it adds where there is none yet.
+// outcomeOf returns the outcome of a class. It adds one to the map if there is none yet.
 func outcomeOf(outcomes map[string]*ClassOutcome, class string) *ClassOutcome {
 	if outcomes[class] == nil {
 		outcomes[class] = &ClassOutcome{}
@@ -67,16 +69,16 @@
 	return outcomes[class]
 }
 
-// event is something that came to the gateway from outside, at a time after the start. One of the three is set.
+// event is an input of the gateway at a time after the start. One of arrival, cancelled and list is set.
 type event struct {
 	at        scheduler.Time
 	arrival   *capture.Record
-	cancelled string // the captured name of a request whose client has gone
+	cancelled string // captured ID of a request whose client cancelled it
 	list      *capture.Record
 }
 
-// Read makes a script of a capture. One that is cut off is played as far as it goes; one with a gap, or that begins
-// with a state, gives an *IncompleteError.
+// Read builds a script from the records of a capture. Of a truncated capture, the complete records are played. A
+// capture with a gap or a snapshot is rejected with an *IncompleteError.
 func Read(next func() (*capture.Record, error)) (*Script, error) {
 	r := &scriptReader{
 		script:     &Script{Captured: map[string]*ClassOutcome{}, nodes: map[string]*nodeBehavior{}},
@@ -93,7 +95,7 @@
 			return nil, err
 		}
 		if record.Kind == capture.KindStart && r.script.Settings != nil {
-			break // a second start of the scheduler: what came before is what is played
+			break // only the events before a second start of the scheduler are played
 		}
 		if err := r.add(record); err != nil {
 			return nil, err
@@ -111,15 +113,15 @@
 	number    int
 }
 
-// scriptReader is the state of a script that is being read.
+// scriptReader is the state of reading a script.
 type scriptReader struct {
 	script     *Script
-	nodeOf     map[attemptKey]string      // address that an attempt was sent to
-	arrivals   map[string]*capture.Record // of requests whose client has not gone, by name
+	nodeOf     map[attemptKey]string      // address to which an attempt was sent
+	arrivals   map[string]*capture.Record // of requests that their clients have not cancelled, by request ID
 	objectives map[string]scheduler.Time  // latency objective by request class
 }
 
-// add takes in a record.
+// add adds a record to the script.
 func (r *scriptReader) add(record *capture.Record) error {
 	at := record.At - r.script.StartedAt
 	switch record.Kind {
@@ -161,12 +163,13 @@
 	}
 }
 
-// outcome is the outcome of the class of a request that has arrived.
+// outcome returns the captured outcome of the class of a request.
 func (r *scriptReader) outcome(arrival *capture.Record) *ClassOutcome {
 	return outcomeOf(r.script.Captured, arrival.Product)
 }
 
-// attemptEnded takes in the end of an attempt: for its node's behaviour and, where it was served, for its request.
+// attemptEnded adds the end of an attempt to the behavior of its node and, if the request succeeded with it, to the
+// outcome of the request's class.
 func (r *scriptReader) attemptEnded(record *capture.Record, at scheduler.Time) {
 	arrival := r.arrivals[record.Job]
 	if arrival == nil {
@@ -181,7 +184,7 @@
 	}
 }
 
-// decided takes in a decision: where attempts were sent, and which requests were answered without success.
+// decided adds a decision: the nodes to which attempts were sent, and the requests that were rejected or failed.
 func (r *scriptReader) decided(record *capture.Record) {
 	for _, sent := range record.Decision.Sent {
 		r.nodeOf[attemptKey{sent.Job, sent.Number}] = sent.Node
--- a/internal/relive/settings.go
+++ b/internal/relive/settings.go
@@ -8,15 +8,15 @@
 	"irispost/scheduler"
 )
 
-// requestClass is what a play needs of a request class in the captured settings.
+// requestClass contains the settings of a request class that a play needs.
 type requestClass struct {
 	name        string
-	idempotency uint8 // audit.Idempotent and so on
-	ordered     bool  // requests of one key run in their order
+	idempotency uint8 // audit.Idempotent, audit.Keyed or audit.NonIdempotent
+	ordered     bool  // requests with the same key are executed in order
 	objective   scheduler.Time
 }
 
-// requestClasses reads the request classes of settings. Their keys are those of the captured form.
+// requestClasses reads the request classes from settings, which have the keys of captured settings.
 func requestClasses(settings scheduler.Settings) []requestClass {
 	idempotencies := map[string]uint8{"referenced": audit.Keyed, "single-use": audit.NonIdempotent}
 	var classes []requestClass
@@ -33,13 +33,13 @@
 	return classes
 }
 
-// number reads a number of settings; 0 where it is missing or malformed.
+// number returns a number from settings, or 0 if it is missing or malformed.
 func number(settings scheduler.Settings, name string) float64 {
 	value, _ := strconv.ParseFloat(strings.TrimSpace(settings[name]), 64)
 	return value
 }
 
-// milliseconds reads a time of settings, which is in milliseconds.
+// milliseconds returns a duration from settings, which contain it in milliseconds.
 func milliseconds(settings scheduler.Settings, name string) scheduler.Time {
 	return scheduler.Time(number(settings, name) * float64(scheduler.Millisecond))
 }
--- a/internal/replay/decide.go
+++ b/internal/replay/decide.go
@@ -8,20 +8,20 @@
 	"irispost/scheduler"
 )
 
-// decide asks the scheduler and compares.
-func (r *Replay) decide(record *capture.Record) {
+// compareDecision lets the scheduler decide, compares the decision with the captured one, and adds it to the report.
+func (r *Replay) compareDecision(record *capture.Record) {
 	r.report.Decisions++
 	now := capture.DecisionOf(r.scheduler.Decide(record.At))
 	if !now.Equal(record.Decision) {
-		r.differ(record, now)
-		if !r.opt.ContinueAfterDifference {
-			r.move(Diverged, "")
+		r.recordDifference(record, now)
+		if !r.options.ContinueAfterDifference {
+			r.setState(Diverged, "")
 			return
 		}
 	}
 	for _, sent := range now.Sent {
-		r.nodes[attempt{sent.Job, sent.Number}] = sent.Node
-		node := r.node(sent.Node)
+		r.attemptNodes[attempt{sent.Job, sent.Number}] = sent.Node
+		node := r.observedNode(sent.Node)
 		node.inFlight++
 		r.addToStory(sent.Job, record.At, "execution %d is sent to %s, which now has %d out from here; "+
 			"%d jobs have no answer yet", sent.Number, sent.Node, node.inFlight, len(r.requests))
@@ -35,8 +35,8 @@
 	}
 }
 
-// differ counts a decision that differs from the captured one, and reports the first.
-func (r *Replay) differ(record *capture.Record, now capture.Decision) {
+// recordDifference counts a decision that differs from the captured one, and reports the first such decision.
+func (r *Replay) recordDifference(record *capture.Record, now capture.Decision) {
 	r.report.DifferingDecisions++
 	if r.report.Difference != nil {
 		return
@@ -46,7 +46,7 @@
 		At:       record.At - r.start,
 		Captured: record.Decision,
 		Now:      now,
-		Before:   slices.Clone(r.before[max(0, len(r.before)-r.opt.KeepRecords):]),
+		Before:   slices.Clone(r.recent[max(0, len(r.recent)-r.options.KeepRecords):]),
 		Job:      firstDifferingRequest(record.Decision, now),
 	}
 	if differing := r.requests[difference.Job]; differing != nil {
@@ -55,7 +55,7 @@
 	r.report.Difference = difference
 }
 
-// endRequest counts a request that the scheduler ends without an answer of a node.
+// endRequest counts a request that the scheduler rejected or failed.
 func (r *Replay) endRequest(at scheduler.Time, answer capture.FinishedRequest) {
 	r.addToStory(answer.Job, at, "%s, to come back in %.0f ms", gateway.StateName(answer.State), millis(answer.Wait))
 	ended := r.requests[answer.Job]
@@ -70,7 +70,8 @@
 	delete(r.requests, answer.Job)
 }
 
-// firstDifferingRequest is the first request that two decisions treat otherwise; empty: they differ in other things.
+// firstDifferingRequest returns the first request that two decisions treat differently, or "" if they differ only in
+// other respects.
 func firstDifferingRequest(a, b capture.Decision) string {
 	if answer, differs := firstDiffering(a.Ended, b.Ended); differs {
 		return answer.Job
@@ -84,7 +85,7 @@
 	return ""
 }
 
-// firstDiffering is the first item that two lists do not have in common, of the first where both have one.
+// firstDiffering returns the first item in which two lists differ: that of a, or that of b if a is shorter.
 func firstDiffering[Item comparable](a, b []Item) (item Item, differs bool) {
 	for i := range max(len(a), len(b)) {
 		if i >= len(a) {
--- a/internal/replay/driver_test.go
+++ b/internal/replay/driver_test.go
@@ -10,7 +10,7 @@
 	"irispost/scheduler"
 )
 
-// driver makes the calls of a gateway's event loop at random, of the scheduler and of a recorder alike.
+// driver imitates a gateway's event loop: it makes random calls of a scheduler and the matching calls of a recorder.
 type driver struct {
 	random    *rand.Rand
 	recorder  *capture.Recorder
@@ -38,8 +38,8 @@
 	return d
 }
 
-// event makes one call. number names the request that it may submit.
-func (d *driver) event(number int) {
+// randomEvent makes one random call. number is the number of the request that it may submit.
+func (d *driver) randomEvent(number int) {
 	d.now += scheduler.Time(d.random.IntN(int(4 * scheduler.Millisecond)))
 	switch percent := d.random.IntN(100); {
 	case percent < 50:
@@ -47,7 +47,7 @@
 	case percent < 97 && len(d.inFlight) > 0:
 		d.endAttempt()
 	case percent == 97:
-		d.change()
+		d.rareEvent()
 	case percent == 98:
 		d.updateEndpoints()
 	case len(d.inFlight) > 0:
@@ -90,7 +90,7 @@
 	d.scheduler.Submit(d.now, request, volume, level, class, 2, write)
 }
 
-// outcomes are drawn with their weights.
+// outcomes are drawn from uniformly; repeated ones are more likely.
 var outcomes = []scheduler.Outcome{scheduler.OutcomeServed, scheduler.OutcomeServed, scheduler.OutcomeServed,
 	scheduler.OutcomeError, scheduler.OutcomeTimeout, scheduler.OutcomeOverloaded}
 
@@ -105,8 +105,8 @@
 	d.scheduler.AttemptFinished(d.now, request.ID, ended.Number, outcome, took, final, 0.5)
 }
 
-// change makes one of the rare calls.
-func (d *driver) change() {
+// rareEvent makes one of the calls that are rare in a gateway.
+func (d *driver) rareEvent() {
 	switch d.random.IntN(3) {
 	case 0:
 		settings := maps.Clone(d.settings)
@@ -127,7 +127,7 @@
 	}
 }
 
-// decide asks the scheduler, and does what it decides.
+// decide lets the scheduler decide, and carries out the decision.
 func (d *driver) decide() {
 	decision := d.scheduler.Decide(d.now)
 	d.recorder.Decided(d.now, decision)
--- a/internal/replay/feed.go
+++ b/internal/replay/feed.go
@@ -12,10 +12,10 @@
 	"irispost/scheduler"
 )
 
-// Feed takes one record. A snapshot that cannot be restored is an error.
+// Feed replays one record. It returns an error if the record is a snapshot that cannot be restored.
 func (r *Replay) Feed(record *capture.Record) error {
-	if r.opt.Until > 0 && r.scheduler != nil && record.At-r.start > r.opt.Until {
-		r.move(Ended, "the time asked for")
+	if r.options.Until > 0 && r.scheduler != nil && record.At-r.start > r.options.Until {
+		r.setState(Ended, "stopped at the requested time")
 		return nil
 	}
 	r.report.Records++
@@ -31,15 +31,16 @@
 		r.startScheduler(record)
 	case capture.KindGap:
 		r.report.Gaps++
-		r.move(Gapped, fmt.Sprintf("%d records were dropped, %.3f s after the start", record.Dropped, seconds(r.report.Span)))
+		r.setState(Gapped, fmt.Sprintf("%d records were dropped, %.3f s after the start",
+			record.Dropped, seconds(r.report.Span)))
 		r.scheduler = nil
 	case capture.KindSnapshot:
 		return r.restore(record)
 	case capture.KindEnd:
 	default:
-		if r.scheduler != nil { // otherwise the record is of a time that cannot be replayed
-			r.call(record)
-			r.remember(record)
+		if r.scheduler != nil { // otherwise there is no scheduler state to replay the record on
+			r.repeatCall(record)
+			r.keepRecent(record)
 		}
 	}
 	return nil
@@ -48,31 +49,32 @@
 func (r *Replay) startScheduler(record *capture.Record) {
 	r.scheduler = scheduler.New(record.At, record.Seed, record.Terms)
 	r.start = record.At
-	r.requests = map[string]*request{} // of one that was killed, nothing is left
-	r.learnObjectives(record.Terms)
-	r.move(Running, "")
+	r.requests = map[string]*request{} // the requests of a scheduler that was killed are lost
+	r.readObjectives(record.Terms)
+	r.setState(Running, "")
 }
 
-// restore goes on from a snapshot. What the replay itself knows of requests is void.
+// restore continues from a snapshot after a gap or at the start of a capture. The snapshot does not contain the
+// replay's own records of requests, so these start anew.
 func (r *Replay) restore(record *capture.Record) error {
 	if r.scheduler != nil {
-		return nil // it is there already, and was compared so far
+		return nil // the scheduler is already in this state, and was compared up to here
 	}
 	restored, err := snapshot.Restore[scheduler.Scheduler]([]byte(record.State), scheduler.StoredNames)
 	if err != nil {
-		return fmt.Errorf("record %d, the module's state: %w", r.report.Records, err)
+		return fmt.Errorf("restoring the scheduler snapshot in record %d: %w", r.report.Records, err)
 	}
 	r.scheduler = restored
 	if r.start == 0 {
 		r.start = record.At
 	}
 	r.requests = map[string]*request{}
-	r.move(Running, r.report.Reason)
+	r.setState(Running, r.report.Reason)
 	return nil
 }
 
-// learnObjectives takes the request classes' latency objectives from settings.
-func (r *Replay) learnObjectives(settings scheduler.Settings) {
+// readObjectives reads the latency objectives of the request classes from settings.
+func (r *Replay) readObjectives(settings scheduler.Settings) {
 	for i := 0; ; i++ {
 		class := fmt.Sprintf("products.%d.", i)
 		name, present := settings[class+"name"]
@@ -80,21 +82,21 @@
 			return
 		}
 		var millis float64
-		_, _ = fmt.Sscan(settings[class+"goal"], &millis) // a class without an objective has 0
-		r.goals[name] = scheduler.Time(millis * 1e6)
+		_, _ = fmt.Sscan(settings[class+"goal"], &millis) // 0 for a class without an objective
+		r.objectives[name] = scheduler.Time(millis * 1e6)
 	}
 }
 
-// remember keeps a record for the report of a difference.
-func (r *Replay) remember(record *capture.Record) {
-	r.before = append(r.before, *record)
-	if len(r.before) > 2*r.opt.KeepRecords {
-		r.before = append(r.before[:0], r.before[r.opt.KeepRecords:]...)
+// keepRecent keeps a record for the report of a difference. At least the last KeepRecords records are kept.
+func (r *Replay) keepRecent(record *capture.Record) {
+	r.recent = append(r.recent, *record)
+	if len(r.recent) > 2*r.options.KeepRecords {
+		r.recent = append(r.recent[:0], r.recent[r.options.KeepRecords:]...)
 	}
 }
 
-// call repeats a call of the scheduler, or asks it for a decision.
-func (r *Replay) call(record *capture.Record) {
+// repeatCall repeats the captured call of the scheduler.
+func (r *Replay) repeatCall(record *capture.Record) {
 	now := record.At
 	switch record.Kind {
 	case capture.KindEndpointList, capture.KindEndpointUpdate:
@@ -103,7 +105,7 @@
 	case capture.KindEndpointListFailed, capture.KindEndpointListSilent:
 		r.scheduler.EndpointListFailed(now, record.Kind == capture.KindEndpointListSilent)
 	case capture.KindSettingsChanged:
-		r.learnObjectives(record.Terms)
+		r.readObjectives(record.Terms)
 		r.scheduler.ApplySettings(now, record.Terms)
 	case capture.KindAllocated:
 		r.scheduler.AllocateSlowStart(now, record.Node, record.Born, record.Units, record.Till)
@@ -117,7 +119,7 @@
 	case capture.KindClientCancelled:
 		r.cancel(record)
 	case capture.KindDecided:
-		r.decide(record)
+		r.compareDecision(record)
 	}
 }
 
@@ -129,7 +131,7 @@
 		r.report.Classes = append(r.report.Classes, class)
 	}
 	class.Requests++
-	r.requests[record.Job] = &request{class: class, objective: record.At + r.goals[record.Product]}
+	r.requests[record.Job] = &request{class: class, objectiveBy: record.At + r.objectives[record.Product]}
 	r.addToStory(record.Job, record.At, "taken: %s of volume %d (%s), %.2f units, shard %d",
 		record.Product, record.Volume, record.Plan, record.Units, record.Shard)
 	submitted := &scheduler.Request{ID: record.Job, Units: record.Units, Shard: record.Shard, Key: record.Key,
@@ -138,11 +140,11 @@
 }
 
 func (r *Replay) endAttempt(record *capture.Record) {
-	r.recordAttemptEnd(record)
+	r.describeAttemptEnd(record)
 	ended := r.requests[record.Job]
 	if ended != nil && record.Final && record.Outcome == scheduler.OutcomeServed {
 		ended.class.Succeeded++
-		if record.At <= ended.objective {
+		if record.At <= ended.objectiveBy {
 			ended.class.WithinObjective++
 		}
 		r.addToStory(record.Job, record.At, "completed")
--- a/internal/replay/golden_test.go
+++ b/internal/replay/golden_test.go
@@ -10,10 +10,10 @@
 	"irispost/internal/testkit/golden"
 )
 
-// records reads a capture to its end. The digest of the module's text changes with each text, so it does not count.
+// records reads a capture to its end. It clears the digest of the scheduler's source, which changes with every edit.
 func records(t *testing.T, b []byte) (all []*capture.Record) {
 	t.Helper()
-	next := open(t, b)
+	next := openCapture(t, b)
 	for {
 		rec, err := next()
 		if err != nil {
@@ -24,17 +24,17 @@
 	}
 }
 
-// Captures written by an earlier build, from the scheduler's start and from a snapshot, replay without a difference,
-// and what is written of the same events now is the same, record by record.
+// Captures that an earlier build wrote, one from the scheduler's start and one from a snapshot, must replay without a
+// difference, and this build must write the same records for the same events.
 func TestCapturesOfAnEarlierBuildStayReadable(t *testing.T) {
 	for _, c := range []struct {
 		name      string
-		from      int // the event before which the recorder begins to listen; 0: at the module's start
+		from      int // the event before which the capture starts; 0: the scheduler's start
 		decisions int64
 	}{{"start", 0, 156}, {"state", 120, 79}} {
 		t.Run(c.name, func(t *testing.T) {
-			var now memory
-			rec := capture.NewRecorder(&now, "g", "b", limits())
+			var now memoryFile
+			rec := capture.NewRecorder(&now, "g", "b", testLimits())
 			if err := rec.Close(driveFrom(41, 250, c.from, rec)); err != nil {
 				t.Fatal(err)
 			}
@@ -48,17 +48,18 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			r, err := Run(open(t, stored), Options{})
+			r, err := Run(openCapture(t, stored), Options{})
 			if err != nil {
 				t.Fatal(err)
 			}
 			if !r.Matches() || r.State != Ended || r.Gaps > 0 || r.Decisions != c.decisions {
-				t.Errorf("%v after %d decisions, %s %s", r.State, r.Decisions, r.Reason, place(r))
+				t.Errorf("stored capture: got state %v after %d decisions, reason %q, want it ended without a difference\n%s",
+					r.State, r.Decisions, r.Reason, describeDifference(r))
 			}
 			before, after := records(t, stored), records(t, now.Bytes())
 			for i := range max(len(before), len(after)) {
 				if i >= len(before) || i >= len(after) || !reflect.DeepEqual(before[i], after[i]) {
-					t.Fatalf("record %d of %d is written otherwise, of %d", i, len(before), len(after))
+					t.Fatalf("record %d differs: %d records stored, %d written now", i, len(before), len(after))
 				}
 			}
 		})
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -1,6 +1,6 @@
-// Package replay feeds a capture to a fresh scheduler and compares what it decides. Command-line tools and tests call
-// it. It does no I/O of its own: records come from whoever reads them, one goroutine feeds them, and a Replay owns the
-// scheduler that it feeds.
+// Package replay feeds a capture to a new scheduler and compares its decisions with the captured ones. Command-line
+// tools and tests use it. The package does no I/O: the caller reads the records and feeds them from one goroutine. A
+// Replay owns its scheduler.
 package replay
 
 import (
@@ -13,26 +13,26 @@
 	"irispost/scheduler"
 )
 
-// State is how a replay stands. Only Replay.move changes it.
+// State is the state of a replay. Only Replay.setState changes it.
 type State uint8
 
-// The states of a replay, in their order: from Parted on it is over.
+// The states of a replay. From Diverged on, the replay is over; Run relies on this order.
 const (
-	Waiting State = iota // for the scheduler's start
+	Waiting State = iota // for the scheduler's start or a snapshot
 	Running
-	Gapped    // records are missing; it goes on at the next snapshot
-	Diverged  // the scheduler decided otherwise than in the capture
-	Ended     // the capture was read to its end
-	Truncated // the capture stops without its end; all that was there has been replayed
+	Gapped    // records are missing; the replay continues at the next snapshot
+	Diverged  // a decision differs from the captured one
+	Ended     // the capture was replayed to its end or to Options.Until
+	Truncated // the capture is truncated or corrupt; all records before that point were replayed
 )
 
 var stateNames = [...]string{"waiting", "running", "gapped", "parted", "ended", "cut"}
 
-// String is the name of a state, as reports have it.
+// String returns the name of the state, as reports contain it.
 func (s State) String() string { return stateNames[s] }
 
-// defaultKeep is how many records before a difference are kept where the options do not say.
-const defaultKeep = 20
+// defaultKeepRecords is the value of Options.KeepRecords if it is 0.
+const defaultKeepRecords = 20
 
 // Options select how far a replay goes and what it reports.
 type Options struct {
@@ -47,61 +47,61 @@
 	KeepRecords int // records to report from before a difference; 0: 20
 }
 
-// Replay is a replay under way.
+// Replay is a replay in progress.
 type Replay struct {
-	opt       Options
-	report    Report
-	start     scheduler.Time           // of the scheduler, or of its first snapshot; times in reports count from it
-	scheduler *scheduler.Scheduler     // nil: until the next start or snapshot
-	classes   map[string]*ClassOutcome // by name
-	requests  map[string]*request      // that have no final answer yet, by ID
-	goals     map[string]scheduler.Time
-	before    []capture.Record    // the latest records
-	nodes     map[attempt]string  // addresses of attempts in flight
-	observed  map[string]*observe // nodes, by address
+	options      Options
+	report       Report
+	start        scheduler.Time           // of the scheduler or its first snapshot; reported times are relative to it
+	scheduler    *scheduler.Scheduler     // nil until the next start or snapshot
+	classes      map[string]*ClassOutcome // by name
+	requests     map[string]*request      // without a final answer, by ID
+	objectives   map[string]scheduler.Time
+	recent       []capture.Record      // the last records fed
+	attemptNodes map[attempt]string    // node addresses of attempts in flight
+	observed     map[string]*nodeStats // by address
 }
 
-// request is what the replay knows of a request without its final answer.
+// request is a request without a final answer.
 type request struct {
-	class     *ClassOutcome
-	objective scheduler.Time // when its latency objective is missed
-	story     []string
+	class       *ClassOutcome
+	objectiveBy scheduler.Time // latest answer within its latency objective
+	story       []string
 }
 
-// attempt names an attempt.
+// attempt identifies an attempt.
 type attempt struct {
 	request string
 	number  int
 }
 
-// New begins a replay.
-func New(opt Options) *Replay {
-	if opt.KeepRecords == 0 {
-		opt.KeepRecords = defaultKeep
+// New returns a replay that waits for its first record.
+func New(options Options) *Replay {
+	if options.KeepRecords == 0 {
+		options.KeepRecords = defaultKeepRecords
 	}
 	return &Replay{
-		opt:      opt,
-		classes:  map[string]*ClassOutcome{},
-		requests: map[string]*request{},
-		goals:    map[string]scheduler.Time{},
-		nodes:    map[attempt]string{},
-		observed: map[string]*observe{},
+		options:      options,
+		classes:      map[string]*ClassOutcome{},
+		requests:     map[string]*request{},
+		objectives:   map[string]scheduler.Time{},
+		attemptNodes: map[attempt]string{},
+		observed:     map[string]*nodeStats{},
 	}
 }
 
-// Run replays all records that next brings, until the end, a difference, or a capture that cannot be read on. Other
-// errors of next, and of a snapshot that cannot be restored, are returned.
-func Run(next func() (*capture.Record, error), opt Options) (*Report, error) {
-	r := New(opt)
-	for r.report.State < Diverged { // waiting, running or gapped
+// Run replays the records that next returns, until the end of the capture, the first difference, or a point at which
+// the capture is truncated or corrupt. Other errors of next are returned, as are errors in restoring a snapshot.
+func Run(next func() (*capture.Record, error), options Options) (*Report, error) {
+	r := New(options)
+	for r.report.State < Diverged { // Waiting, Running or Gapped
 		record, err := next()
 		switch {
 		case errors.Is(err, io.EOF) && r.report.State == Gapped:
 			return r.Report(), nil
 		case errors.Is(err, io.EOF):
-			r.move(Ended, "")
+			r.setState(Ended, "")
 		case errors.Is(err, capture.ErrTruncated), errors.Is(err, capture.ErrCorrupt):
-			r.move(Truncated, err.Error())
+			r.setState(Truncated, err.Error())
 		case err != nil:
 			return nil, err
 		default:
@@ -113,13 +113,13 @@
 	return r.Report(), nil
 }
 
-// move is the one place where the replay changes state.
-func (r *Replay) move(to State, why string) {
+// setState changes the state and the reason that is reported for it. Nothing else changes the state.
+func (r *Replay) setState(to State, reason string) {
 	r.report.State = to
-	r.report.Reason = why
+	r.report.Reason = reason
 }
 
-// Report is what the replay has come to. It may be called while it goes on.
+// Report returns the report. It may be called before the replay is over.
 func (r *Replay) Report() *Report {
 	r.report.StateName = r.report.State.String()
 	slices.SortFunc(r.report.Classes, func(a, b *ClassOutcome) int { return cmp.Compare(a.Name, b.Name) })
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -16,7 +16,7 @@
 	"irispost/scheduler"
 )
 
-func open(t testing.TB, b []byte) func() (*capture.Record, error) {
+func openCapture(t testing.TB, b []byte) func() (*capture.Record, error) {
 	t.Helper()
 	r, err := capture.NewReader(bytes.NewReader(b))
 	if err != nil {
@@ -25,59 +25,60 @@
 	return r.Next
 }
 
-// The captures of past failures replay to the same decisions, ten times over. If the scheduler was changed on purpose,
-// testdata/make.sh makes them anew.
+// The captures of past failures replay to the same decisions, ten times in a row. After an intended change of the
+// scheduler's decisions, testdata/make.sh generates them again.
 func TestPastFailuresReplay(t *testing.T) {
 	files, _ := filepath.Glob("testdata/*.iriscap")
 	if len(files) != 4 {
-		t.Fatalf("%d captures", len(files))
+		t.Fatalf("got %d captures, want 4", len(files))
 	}
 	for _, file := range files {
 		b, err := os.ReadFile(file)
 		if err != nil || len(b) > 200<<10 {
-			t.Fatalf("%s: %d bytes, %v", file, len(b), err)
+			t.Fatalf("%s: got %d bytes, error %v, want at most 200 KiB", file, len(b), err)
 		}
 		for range 10 {
-			r, err := Run(open(t, b), Options{})
+			r, err := Run(openCapture(t, b), Options{})
 			if err != nil || !r.Matches() || r.State != Ended || r.Decisions < 500 {
-				t.Fatalf("%s: %v after %d decisions, %v\n%s", file, r.State, r.Decisions, err, place(r))
+				t.Fatalf("%s: got state %v after %d decisions, error %v, want it ended with the same decisions, at least 500\n%s",
+					file, r.State, r.Decisions, err, describeDifference(r))
 			}
 		}
 	}
 }
 
-func place(r *Report) string {
+func describeDifference(r *Report) string {
 	if r.Difference == nil {
 		return ""
 	}
-	return fmt.Sprintf("record %d, job %s\ncaptured %+v\nnow      %+v\n%s", r.Difference.Record, r.Difference.Job,
+	return fmt.Sprintf("record %d, request %s\ncaptured %+v\nnow      %+v\n%s", r.Difference.Record, r.Difference.Job,
 		r.Difference.Captured, r.Difference.Now, strings.Join(r.Difference.Story, "\n"))
 }
 
-type memory struct{ bytes.Buffer }
+type memoryFile struct{ bytes.Buffer }
 
-func (*memory) Close() error { return nil }
+func (*memoryFile) Close() error { return nil }
 
-// drive makes so many calls at random of a scheduler and a recorder, as a gateway would. It returns the time at the
-// end.
+// drive makes a number of random calls of a scheduler and a recorder, as a gateway would, and returns the time after
+// the last one.
 func drive(seed uint64, events int, recorder *capture.Recorder) scheduler.Time {
 	return driveFrom(seed, events, 0, recorder)
 }
 
-// driveFrom has the recorder listen only after some events, as when a capture is started while serving.
-func driveFrom(seed uint64, events, from int, later *capture.Recorder) scheduler.Time {
-	recorder := later
+// driveFrom is drive with a capture that starts only before event from, as when it is started while a gateway serves.
+func driveFrom(seed uint64, events, from int, captureRecorder *capture.Recorder) scheduler.Time {
+	recorder := captureRecorder
 	if from > 0 {
-		var unread memory
-		recorder = capture.NewRecorder(&unread, "g", "b", limits())
+		var discarded memoryFile
+		recorder = capture.NewRecorder(&discarded, "g", "b", testLimits())
 	}
 	d := newDriver(seed, recorder)
 	for n := range events {
 		if n == from && from > 0 {
-			d.recorder = later
+			d.recorder = captureRecorder
 			d.recorder.Snapshot(d.now, d.scheduler)
 		}
-		d.event(n)
+		d.randomEvent(n)
 		if d.random.IntN(3) > 0 {
 			d.decide()
 		}
@@ -85,41 +86,43 @@
 	return d.now
 }
 
-func limits() capture.Limits {
+func testLimits() capture.Limits {
 	l := capture.DefaultLimits
 	l.BlockBytes = 2 << 10
 	l.QueuedBlocks = 4096
 	return l
 }
 
-// A capture of a gateway that was killed at any moment, cut at any byte, replays to the same decisions up to its last
-// whole block, and says where it stops.
+// A capture that ends at an arbitrary byte, as after a gateway was killed, replays to the same decisions up to its
+// last complete block, and the report says where it stops.
 func TestCaptureOfAKilledGatewayReplaysToItsLastBlock(t *testing.T) {
 	for seed := range uint64(100) {
-		var m memory
-		rec := capture.NewRecorder(&m, "g", "b", limits())
+		var m memoryFile
+		rec := capture.NewRecorder(&m, "g", "b", testLimits())
 		now := drive(seed, 300, rec)
 		if err := rec.Close(now); err != nil {
 			t.Fatal(err)
 		}
-		whole, err := Run(open(t, m.Bytes()), Options{})
+		whole, err := Run(openCapture(t, m.Bytes()), Options{})
 		if err != nil || !whole.Matches() || whole.State != Ended {
-			t.Fatalf("seed %d: %v %v %s", seed, whole.State, err, place(whole))
+			t.Fatalf("seed %d, whole capture: got state %v, error %v, want it ended with the same decisions\n%s",
+				seed, whole.State, err, describeDifference(whole))
 		}
 		cut := 8 + rand.New(rand.NewPCG(seed, 6)).IntN(m.Len()-8)
-		part, err := Run(open(t, m.Bytes()[:cut]), Options{})
+		part, err := Run(openCapture(t, m.Bytes()[:cut]), Options{})
 		if err != nil || part.State != Truncated || part.Difference != nil || part.Records > whole.Records ||
-			!strings.Contains(part.Reason, "whole records") {
-			t.Fatalf("seed %d, cut at %d of %d: %v %v %q %s", seed, cut, m.Len(), part.State, err, part.Reason, place(part))
+			!strings.Contains(part.Reason, "complete records") {
+			t.Fatalf("seed %d, cut at byte %d of %d: got state %v, error %v, reason %q, want a truncated capture\n%s",
+				seed, cut, m.Len(), part.State, err, part.Reason, describeDifference(part))
 		}
 	}
 }
 
-// Each record that can be read is as it was written: with the capture cut at each byte of its last block, and with each
-// byte flipped.
+// Wherever a capture is cut and whichever byte has a flipped bit, the records that can be read are as they were
+// written, and the reader reports an error.
 func TestCutAndFlippedBytesAreNoticed(t *testing.T) {
-	var m memory
-	l := limits()
+	var m memoryFile
+	l := testLimits()
 	l.BlockBytes = 1 << 10
 	rec := capture.NewRecorder(&m, "g", "b", l)
 	if err := rec.Close(drive(1, 40, rec)); err != nil {
@@ -143,7 +146,8 @@
 	for cut := range m.Len() {
 		n, sum, err := count(m.Bytes()[:cut])
 		if n >= all || !errors.Is(err, capture.ErrTruncated) || !strings.HasPrefix(text, sum) {
-			t.Fatalf("cut at %d: %d records of %d, %v", cut, n, all, err)
+			t.Fatalf("cut at byte %d: read %d of %d records, error %v, want fewer unchanged ones and ErrTruncated",
+				cut, n, all, err)
 		}
 	}
 	for at := range m.Len() {
@@ -151,20 +155,21 @@
 		b[at] ^= 1 << (at % 8)
 		n, sum, err := count(b)
 		if n >= all || errors.Is(err, io.EOF) || !strings.HasPrefix(text, sum) {
-			t.Fatalf("byte %d flipped: %d records of %d are believed, %v", at, n, all, err)
+			t.Fatalf("bit flipped in byte %d: read %d of %d records, error %v, want fewer unchanged ones and an error",
+				at, n, all, err)
 		}
 	}
 }
 
-// A scheduler that decides otherwise is noticed at the first place, with the request and its story; a capture of
-// another source text says so.
+// A replay stops at the first decision that differs and reports it with the request and its story, or it continues to
+// the end if the options say so. A capture made with another scheduler source is reported as such.
 func TestFirstDifferenceIsReported(t *testing.T) {
 	b, err := os.ReadFile("testdata/failing.iriscap")
 	if err != nil {
 		t.Fatal(err)
 	}
 	change := func(alter func(*capture.Record)) *Report {
-		next := open(t, b)
+		next := openCapture(t, b)
 		r, err := Run(func() (*capture.Record, error) {
 			rec, err := next()
 			if err == nil {
@@ -178,7 +183,8 @@
 		return r
 	}
 	if r := change(func(*capture.Record) {}); !r.Matches() {
-		t.Fatalf("%v: if the module's decisions were changed on purpose, make the captures anew\n%s", r.State, place(r))
+		t.Fatalf("got state %v, want the same decisions; after an intended change, generate the captures again\n%s",
+			r.State, describeDifference(r))
 	}
 	for name, alter := range map[string]func(*capture.Record){
 		"a shorter goal": func(r *capture.Record) {
@@ -201,10 +207,10 @@
 		r := change(alter)
 		if r.State != Diverged || r.Difference == nil || r.Matches() || r.Difference.Record < 3 ||
 			r.Difference.Captured.Equal(r.Difference.Now) {
-			t.Errorf("%s: %v %+v", name, r.State, r.Difference)
+			t.Errorf("%s: got state %v, difference %+v, want a difference after record 2", name, r.State, r.Difference)
 		}
 	}
-	next := open(t, b) // going on after differences, to the end
+	next := openCapture(t, b) // continuing after differences, to the end
 	r, err := Run(func() (*capture.Record, error) {
 		rec, err := next()
 		if err == nil && rec.Kind == capture.KindStart {
@@ -213,20 +219,23 @@
 		return rec, err
 	}, Options{ContinueAfterDifference: true})
 	if err != nil || r.State != Ended || r.DifferingDecisions < 2 || r.Difference == nil || r.Matches() {
-		t.Errorf("all: %v, %d differ, %v", r.State, r.DifferingDecisions, err)
+		t.Errorf("replay past differences: got state %v, %d differing decisions, error %v, want it ended with at least 2",
+			r.State, r.DifferingDecisions, err)
 	}
 	if r := change(func(r *capture.Record) { r.Digest++ }); r.SamePolicySource || !r.Matches() {
-		t.Errorf("another text: same module %v, same decisions %v", r.SamePolicySource, r.Matches())
+		t.Errorf("capture of another source: got same source %v, same decisions %v, want false, true",
+			r.SamePolicySource, r.Matches())
 	}
 }
 
-// A replay stops at a gap, and says how much is missing; it tells a job's story; it stops at a time asked for.
+// A replay that ends in a gap reports how many records are missing. A replay reports the story of a request, and stops
+// at the time in its options.
 func TestReplayStopsAtAGapAndAtATime(t *testing.T) {
 	b, err := os.ReadFile("testdata/failing.iriscap")
 	if err != nil {
 		t.Fatal(err)
 	}
-	next, n := open(t, b), 0
+	next, n := openCapture(t, b), 0
 	r, err := Run(func() (*capture.Record, error) {
 		if n++; n == 300 {
 			return &capture.Record{Kind: capture.KindGap, Dropped: 17}, nil
@@ -234,65 +243,68 @@
 		return next()
 	}, Options{})
 	if err != nil || r.State != Gapped || !strings.Contains(r.Reason, "17 records") {
-		t.Errorf("%v %q %v", r.State, r.Reason, err)
+		t.Errorf("after a gap: got state %v, reason %q, error %v, want gapped with 17 records", r.State, r.Reason, err)
 	}
-	job := ""
-	next = open(t, b)
-	for job == "" { // one that was sent twice
+	requestID := ""
+	next = openCapture(t, b)
+	for requestID == "" { // the first request with a second attempt
 		rec, err := next()
 		if err != nil {
 			t.Fatal(err)
 		}
 		for _, e := range rec.Decision.Sent {
 			if e.Number == 1 {
-				job = e.Job
+				requestID = e.Job
 			}
 		}
 	}
-	r, err = Run(open(t, b), Options{RequestID: job})
+	r, err = Run(openCapture(t, b), Options{RequestID: requestID})
 	story := strings.Join(r.Story, "\n")
 	for _, want := range []string{"taken:", "execution 0 is sent to", ": failed after", "execution 1 is sent to",
 		"not served"} {
 		if !strings.Contains(story, want) {
-			t.Errorf("no %q in\n%s (%v)", want, story, err)
+			t.Errorf("story lacks %q:\n%s (error %v)", want, story, err)
 		}
 	}
-	r, err = Run(open(t, b), Options{Until: scheduler.Second})
+	r, err = Run(openCapture(t, b), Options{Until: scheduler.Second})
 	if err != nil || r.Span > scheduler.Second || r.Decisions == 0 || r.State != Ended {
-		t.Errorf("%v after %d ms, %v", r.State, r.Span/scheduler.Millisecond, err)
+		t.Errorf("replay until 1 s: got state %v after %d ms, error %v, want it ended with some decisions",
+			r.State, r.Span/scheduler.Millisecond, err)
 	}
 }
 
-// A capture that begins while the gateway serves, at any moment, replays from the module's state to the same decisions.
+// A capture that starts at any moment while the gateway serves replays from its snapshot to the same decisions.
 func TestCaptureThatStartsWhileServingReplays(t *testing.T) {
 	for seed := range uint64(30) {
-		var m memory
-		rec := capture.NewRecorder(&m, "g", "b", limits())
+		var m memoryFile
+		rec := capture.NewRecorder(&m, "g", "b", testLimits())
 		if err := rec.Close(driveFrom(seed, 400, 1+int(seed*13)%390, rec)); err != nil {
 			t.Fatal(err)
 		}
-		r, err := Run(open(t, m.Bytes()), Options{})
+		r, err := Run(openCapture(t, m.Bytes()), Options{})
 		if err != nil || !r.Matches() || r.State != Ended || r.Decisions < 3 {
-			t.Fatalf("seed %d: %v after %d decisions, %v %s", seed, r.State, r.Decisions, err, place(r))
+			t.Fatalf("seed %d: got state %v after %d decisions, error %v, want it ended with 3 or more, all the same\n%s",
+				seed, r.State, r.Decisions, err, describeDifference(r))
 		}
 	}
 }
 
-// A capture goes on in the next file when one is full; each file replays by itself, and so many are kept.
+// A capture continues in the next file when one is full. Each file replays on its own, and only the configured number
+// of files is kept.
 func TestEachFileOfACaptureReplaysByItself(t *testing.T) {
 	decisions := int64(0)
-	// How many records are kept is up to how far the writer is behind the driver.
+	// How many records the kept files contain depends on how far the writer lags behind the driver.
 	for seed := uint64(9); decisions == 0 && seed < 40; seed++ {
-		decisions = filesThatFollow(t, seed)
+		decisions = replayRotatedFiles(t, seed)
 	}
 	if decisions == 0 {
-		t.Error("no decisions in the files that are kept")
+		t.Error("got no decisions in the kept files of any seed, want at least one")
 	}
 }
 
-func filesThatFollow(t *testing.T, seed uint64) (decisions int64) {
+func replayRotatedFiles(t *testing.T, seed uint64) (decisions int64) {
 	dir := t.TempDir()
-	l := limits()
+	l := testLimits()
 	l.FileBytes, l.KeptFiles = 40_000, 3
 	rec, first, err := capture.CreateInDir(dir, "g", "b", l)
 	if err != nil {
@@ -303,26 +315,27 @@
 	}
 	files, _ := filepath.Glob(filepath.Join(dir, "*.iriscap"))
 	if _, err := os.Stat(first); len(files) != 3 || !os.IsNotExist(err) {
-		t.Fatalf("%v are kept, the first: %v", files, err)
+		t.Fatalf("got files %v, stat of the first: %v, want 3 files without the first", files, err)
 	}
 	for _, file := range files {
 		b, err := os.ReadFile(file)
 		if err != nil || len(b) > 50_000 {
 			t.Fatal(len(b), err)
 		}
-		r, err := Run(open(t, b), Options{})
+		r, err := Run(openCapture(t, b), Options{})
 		if err != nil || r.Difference != nil || r.State != Ended && r.State != Waiting {
-			t.Errorf("%s: %v, %v %s", file, r.State, err, place(r))
+			t.Errorf("%s: got state %v, error %v, want it ended or waiting, without a difference\n%s",
+				file, r.State, err, describeDifference(r))
 		}
 		decisions += r.Decisions
 	}
 	return decisions
 }
 
-// Records that are missing are passed over, and the replay goes on at the next state.
+// After missing records, the replay continues at the next snapshot.
 func TestReplayGoesOnAfterAGapAtTheNextSnapshot(t *testing.T) {
-	var m memory
-	rec := capture.NewRecorder(&m, "g", "b", limits())
+	var m memoryFile
+	rec := capture.NewRecorder(&m, "g", "b", testLimits())
 	if err := rec.Close(driveFrom(7, 600, 300, rec)); err != nil {
 		t.Fatal(err)
 	}
@@ -330,7 +343,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	first, second, n := open(t, b), open(t, m.Bytes()), 0
+	first, second, n := openCapture(t, b), openCapture(t, m.Bytes()), 0
 	r, err := Run(func() (*capture.Record, error) {
 		switch n++; {
 		case n < 200:
@@ -343,41 +356,42 @@
 		return second()
 	}, Options{})
 	if err != nil || !r.Matches() || r.State != Ended || r.Gaps != 1 || r.Decisions < 150 {
-		t.Errorf("%v, %d gaps, %d decisions, %v %s", r.State, r.Gaps, r.Decisions, err, place(r))
+		t.Errorf("got state %v, %d gaps, %d decisions, error %v, want it ended, 1 gap, at least 150 decisions\n%s",
+			r.State, r.Gaps, r.Decisions, err, describeDifference(r))
 	}
 }
 
-// slow is a disk that stands still until it is let go.
-type slow struct {
-	memory
-	free chan struct{}
+// blockedFile is a file whose writes block until unblock is closed.
+type blockedFile struct {
+	memoryFile
+	unblock chan struct{}
 }
 
-func (s *slow) Write(b []byte) (int, error) {
-	<-s.free
-	return s.memory.Write(b)
+func (s *blockedFile) Write(b []byte) (int, error) {
+	<-s.unblock
+	return s.memoryFile.Write(b)
 }
 
-// A disk that stands still holds up nobody: blocks are dropped and counted, and the capture says where. A capture that
-// is full ends, and says so.
+// A blocked disk does not block the recorder's callers: blocks are dropped and counted, and gap records say where. A
+// capture that reaches its maximum size ends with an error.
 func TestSlowAndFullDisksHoldUpNobody(t *testing.T) {
-	l := limits()
+	l := testLimits()
 	l.QueuedBlocks = 2
-	disk := &slow{free: make(chan struct{})}
+	disk := &blockedFile{unblock: make(chan struct{})}
 	rec := capture.NewRecorder(disk, "g", "b", l)
 	now := drive(3, 2000, rec)
 	s := rec.Status()
 	if s.Dropped == 0 {
-		t.Error("nothing is dropped while the disk stands still")
+		t.Error("got no dropped records while the disk was blocked")
 	}
-	close(disk.free)
+	close(disk.unblock)
 	for rec.Status().Written < 1000 {
 		time.Sleep(time.Millisecond)
 	}
 	if err := rec.Close(now); err != nil {
 		t.Fatal(err)
 	}
-	missing, next := int64(0), open(t, disk.Bytes())
+	missing, next := int64(0), openCapture(t, disk.Bytes())
 	r, err := Run(func() (*capture.Record, error) {
 		rec, err := next()
 		if err == nil {
@@ -386,28 +400,29 @@
 		return rec, err
 	}, Options{})
 	if err != nil || r.State != Gapped || r.Gaps == 0 || missing != s.Dropped {
-		t.Errorf("%v %q, %d gaps with %d records, %d dropped, %v", r.State, r.Reason, r.Gaps, missing, s.Dropped, err)
+		t.Errorf("got state %v, reason %q, %d gaps of %d records, %d dropped, error %v, want all dropped ones in gaps",
+			r.State, r.Reason, r.Gaps, missing, s.Dropped, err)
 	}
-	var m memory
-	l = limits()
+	var m memoryFile
+	l = testLimits()
 	l.FileBytes = 20_000
 	rec = capture.NewRecorder(&m, "g", "b", l)
 	if err := rec.Close(drive(3, 3000, rec)); err == nil || m.Len() > 21_000 {
-		t.Errorf("a full capture has %d bytes, %v", m.Len(), err)
+		t.Errorf("full capture: got %d bytes, error %v, want at most 21000 and an error", m.Len(), err)
 	}
-	if r, err := Run(open(t, m.Bytes()), Options{}); err != nil || r.State != Ended || !r.Matches() {
-		t.Errorf("a full capture: %v %v", r.State, err)
+	if r, err := Run(openCapture(t, m.Bytes()), Options{}); err != nil || r.State != Ended || !r.Matches() {
+		t.Errorf("replay of a full capture: got state %v, error %v, want it ended with the same decisions", r.State, err)
 	}
 }
 
-// A redacted capture holds none of the names, and replays to the same decisions.
+// A redacted capture contains none of the names and replays to the same decisions.
 func TestRedactedCaptureHoldsNoNamesAndReplays(t *testing.T) {
 	b, err := os.ReadFile("testdata/cold.iriscap")
 	if err != nil {
 		t.Fatal(err)
 	}
 	names := map[string]bool{}
-	next := open(t, b)
+	next := openCapture(t, b)
 	for {
 		rec, err := next()
 		if err != nil {
@@ -428,12 +443,13 @@
 	if err := capture.Redact(in, &out, []byte("a key of enough bytes")); err != nil {
 		t.Fatal(err)
 	}
-	r, err := Run(open(t, out.Bytes()), Options{})
-	whole, _ := Run(open(t, b), Options{})
+	r, err := Run(openCapture(t, out.Bytes()), Options{})
+	whole, _ := Run(openCapture(t, b), Options{})
 	if err != nil || !r.Matches() || r.State != Ended || r.Decisions != whole.Decisions {
-		t.Errorf("%v after %d of %d decisions, %v %s", r.State, r.Decisions, whole.Decisions, err, place(r))
+		t.Errorf("got state %v after %d decisions, want it ended after %d; error %v\n%s",
+			r.State, r.Decisions, whole.Decisions, err, describeDifference(r))
 	}
-	next = open(t, out.Bytes())
+	next = openCapture(t, out.Bytes())
 	for {
 		rec, err := next()
 		if err != nil {
@@ -442,34 +458,34 @@
 		text := fmt.Sprintf("%+v", *rec)
 		for name, is := range names {
 			if is && len(name) > 2 && strings.Contains(text, name) {
-				t.Fatalf("%q stands in %s", name, text)
+				t.Fatalf("name %q found in redacted record %s", name, text)
 			}
 		}
 		if strings.Contains(rec.Job, "g1/") {
-			t.Fatalf("job %s", rec.Job)
+			t.Fatalf("gateway name found in request ID %s", rec.Job)
 		}
 	}
 	if _, err := capture.NewRedactor([]byte("short")); err == nil {
-		t.Error("a short key is taken")
+		t.Error("short key: got no error, want one")
 	}
 }
 
 func TestOtherFilesAreRejected(t *testing.T) {
 	for text, want := range map[string]string{
-		"":                "cut off",
-		"IRIS":            "cut off",
-		"some other file": "no capture",
+		"":                "truncated",
+		"IRIS":            "truncated",
+		"some other file": "not a capture",
 		"IRISCAP7....":    `"7"`,
 	} {
 		if _, err := capture.NewReader(strings.NewReader(text)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v", text, err)
+			t.Errorf("file content %q: got error %v, want one that names the problem", text, err)
 		}
 	}
 }
 
-// BenchmarkReplay replays a capture of a million events, made by chance.
+// BenchmarkReplay replays a capture of 800,000 random calls and the decisions between them.
 func BenchmarkReplay(b *testing.B) {
-	var m memory
+	var m memoryFile
 	l := capture.DefaultLimits
 	l.QueuedBlocks = 4096
 	rec := capture.NewRecorder(&m, "g", "b", l)
@@ -478,9 +494,9 @@
 	}
 	b.ResetTimer()
 	for range b.N {
-		r, err := Run(open(b, m.Bytes()), Options{})
+		r, err := Run(openCapture(b, m.Bytes()), Options{})
 		if err != nil || !r.Matches() || r.State != Ended {
-			b.Fatal(r.State, err, place(r))
+			b.Fatal(r.State, err, describeDifference(r))
 		}
 		b.ReportMetric(float64(r.Records)/(b.Elapsed().Seconds()/float64(b.N)), "events/s")
 		b.ReportMetric(float64(r.Records), "events")
--- a/internal/replay/report.go
+++ b/internal/replay/report.go
@@ -5,21 +5,21 @@
 	"irispost/scheduler"
 )
 
-// Report is what a replay came to.
+// Report is the result of a replay, or of its part so far.
 type Report struct {
 	State              State           `json:"-"`
 	StateName          string          `json:"state"`
-	Reason             string          `json:"why,omitempty"` // of a cut or gap
+	Reason             string          `json:"why,omitempty"` // such as where the capture is truncated
 	Gateway            string          `json:"gateway"`
 	Build              string          `json:"build"`
-	SamePolicySource   bool            `json:"same_module"` // the capture's scheduler has this build's source text
+	SamePolicySource   bool            `json:"same_module"` // the capture is of this build's scheduler source
 	Records            int64           `json:"records"`
 	Decisions          int64           `json:"decisions"`
 	Gaps               int             `json:"gaps"`
 	Span               scheduler.Time  `json:"span_ns"`
 	Classes            []*ClassOutcome `json:"products"`
 	Difference         *Difference     `json:"difference,omitempty"`
-	DifferingDecisions int64           `json:"differing"` // decisions
+	DifferingDecisions int64           `json:"differing"` // number of decisions that differ
 	Story              []string        `json:"story,omitempty"`
 }
 
@@ -37,13 +37,14 @@
 	ClientCancelled int    `json:"left"`
 }
 
-// Difference is the first place where the scheduler decided otherwise. Its JSON names are those of the fields.
+// Difference is the first decision that differs from the captured one. The fields are encoded to JSON under their own
+// names, which must not change.
 type Difference struct {
 	Record   int64
 	At       scheduler.Time // since the scheduler's start
 	Captured capture.Decision
 	Now      capture.Decision
-	Before   []capture.Record // the latest records before it
-	Job      string           // the first request that is decided on otherwise
-	Story    []string         // of that request
+	Before   []capture.Record // the last records before it
+	Job      string           // the first request whose treatment differs; empty: none
+	Story    []string         // the story of that request
 }
--- a/internal/replay/story.go
+++ b/internal/replay/story.go
@@ -7,72 +7,74 @@
 	"irispost/scheduler"
 )
 
-// observe is what the replay has observed of a node.
-type observe struct {
-	inFlight int            // attempts, from this gateway
-	latency  scheduler.Time // of served attempts, averaged
-	failures float64        // share of attempts that were not served, averaged
-	held     int            // by its last load report
+// nodeStats are statistics of the attempts at a node, as observed by the replay.
+type nodeStats struct {
+	inFlight         int            // attempts of this gateway
+	meanLatency      scheduler.Time // moving average over served attempts
+	failureShare     float64        // moving average of the share of attempts that were not served
+	reportedInFlight int            // attempts in flight by the node's last load report
 }
 
-// averageWeight is the weight of the latest attempt in the averages: one in so many.
+// averageWeight is the divisor of the moving averages: the latest attempt has a weight of 1/averageWeight.
 const averageWeight = 8
 
-// node is what was observed of the node of an address.
-func (r *Replay) node(addr string) *observe {
+// observedNode returns the statistics of the node with an address, which it creates if needed.
+func (r *Replay) observedNode(addr string) *nodeStats {
 	node := r.observed[addr]
 	if node == nil {
-		node = &observe{}
+		node = &nodeStats{}
 		r.observed[addr] = node
 	}
 	return node
 }
 
-// observeEnd notes an attempt's outcome at its node, and returns what is observed of the node since.
-func (r *Replay) observeEnd(record *capture.Record) (addr string, node *observe) {
+// observeAttemptEnd adds an attempt's outcome to the statistics of its node, and returns the node's address and
+// statistics.
+func (r *Replay) observeAttemptEnd(record *capture.Record) (addr string, node *nodeStats) {
 	ended := attempt{record.Job, record.Number}
-	addr = r.nodes[ended]
-	delete(r.nodes, ended)
-	node = r.node(addr)
+	addr = r.attemptNodes[ended]
+	delete(r.attemptNodes, ended)
+	node = r.observedNode(addr)
 	failed := 1.0
 	if record.Outcome == scheduler.OutcomeServed {
 		failed = 0
-		node.latency += (record.Took - node.latency) / averageWeight
-		node.held = record.Inflight
+		node.meanLatency += (record.Took - node.meanLatency) / averageWeight
+		node.reportedInFlight = record.Inflight
 	}
-	node.failures += (failed - node.failures) / averageWeight
+	node.failureShare += (failed - node.failureShare) / averageWeight
 	node.inFlight = max(node.inFlight-1, 0)
 	return addr, node
 }
 
-// recordAttemptEnd adds an attempt's outcome to the stories of its request and its node.
-func (r *Replay) recordAttemptEnd(record *capture.Record) {
-	addr, node := r.observeEnd(record)
+// describeAttemptEnd adds an attempt's outcome to the stories of its request and its node.
+func (r *Replay) describeAttemptEnd(record *capture.Record) {
+	addr, node := r.observeAttemptEnd(record)
 	outcome := outcomeName(record.Outcome)
-	latency, failures := millis(node.latency), 100*node.failures
+	latency, failures := millis(node.meanLatency), 100*node.failureShare
 	r.addToStory(record.Job, record.At, "execution %d at %s: %s after %.1f ms; "+
 		"the node lately: %.1f ms, %.0f%% not served, %d out from here, %d held",
-		record.Number, addr, outcome, millis(record.Took), latency, failures, node.inFlight, node.held)
+		record.Number, addr, outcome, millis(record.Took), latency, failures, node.inFlight, node.reportedInFlight)
 	r.addToNodeStory(addr, record.At, "%s, execution %d: %s after %.1f ms; "+
 		"lately %.1f ms, %.0f%% not served, %d out, %d held",
-		record.Job, record.Number, outcome, millis(record.Took), latency, failures, node.inFlight, node.held)
+		record.Job, record.Number, outcome, millis(record.Took), latency, failures, node.inFlight, node.reportedInFlight)
 }
 
-// addToNodeStory adds to a node's story, if it is asked for.
+// addToNodeStory adds a line to the reported story if it is that of the node.
 func (r *Replay) addToNodeStory(addr string, at scheduler.Time, format string, args ...any) {
-	if addr != "" && addr == r.opt.Node {
+	if addr != "" && addr == r.options.Node {
 		r.report.Story = append(r.report.Story, r.timestamp(at)+fmt.Sprintf(format, args...))
 	}
 }
 
-// addToStory adds to a request's story, which is kept until its end, and longer where it is asked for.
+// addToStory adds a line to a request's story. Stories are kept while their requests are open, as one of them may be
+// reported with a difference; that of the request in the options is reported in any case.
 func (r *Replay) addToStory(id string, at scheduler.Time, format string, args ...any) {
 	line := r.timestamp(at) + fmt.Sprintf(format, args...)
-	if id == r.opt.RequestID {
+	if id == r.options.RequestID {
 		r.report.Story = append(r.report.Story, line)
 	}
-	if subject := r.requests[id]; subject != nil {
-		subject.story = append(subject.story, line)
+	if open := r.requests[id]; open != nil {
+		open.story = append(open.story, line)
 	}
 }
 
