--- a/internal/serve/web_test.go
+++ b/internal/serve/web_test.go
@@ -18,64 +18,64 @@
 	"irispost/internal/webstandin"
 )
 
-// lists is a stand-in for discovery: a watch answers when there is something newer.
-type lists struct {
+// discoveryServer is a test server for discovery. A watch is answered once there is a newer revision of the list.
+type discoveryServer struct {
 	*httptest.Server
-	lock     sync.Mutex // guards all below
+	mu       sync.Mutex // guards the fields below
 	changed  sync.Cond
 	response discovery.Response
-	calls    int // calls
+	calls    int
 }
 
-func startLists(t *testing.T, response discovery.Response) *lists {
+func startDiscoveryServer(t *testing.T, response discovery.Response) *discoveryServer {
 	t.Helper()
-	l := &lists{response: response}
-	l.changed.L = &l.lock
+	l := &discoveryServer{response: response}
+	l.changed.L = &l.mu
 	l.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		l.lock.Lock()
-		defer l.lock.Unlock()
+		l.mu.Lock()
+		defer l.mu.Unlock()
 		l.calls++
 		l.changed.Broadcast()
 		for r.FormValue("from") == fmt.Sprint(l.response.Revision) && r.Context().Err() == nil {
 			l.changed.Wait()
 		}
-		_ = json.NewEncoder(w).Encode(l.response) // the gateway may have gone
+		_ = json.NewEncoder(w).Encode(l.response) // the gateway may have closed the connection
 	}))
 	t.Cleanup(func() {
-		l.update(func(*discovery.Response) {}) // ends the watches
+		l.update(func(*discovery.Response) {}) // answers the pending watches
 		l.CloseClientConnections()
 		l.Close()
 	})
 	return l
 }
 
-// update makes a new revision of the list.
-func (l *lists) update(change func(*discovery.Response)) {
-	l.lock.Lock()
-	defer l.lock.Unlock()
+// update changes the list and increments its revision.
+func (l *discoveryServer) update(change func(*discovery.Response)) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	l.response.Revision++
 	change(&l.response)
 	l.changed.Broadcast()
 }
 
-// awaitCalls waits until the list has been asked for so often.
-func (l *lists) awaitCalls(n int) {
-	l.lock.Lock()
-	defer l.lock.Unlock()
+// awaitCalls waits until the list has been requested n times.
+func (l *discoveryServer) awaitCalls(n int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	for l.calls < n {
 		l.changed.Wait()
 	}
 }
 
-// webTestbed is a gateway behind HTTP over stand-in nodes, one for each shard.
+// webTestbed is an HTTP gateway with test nodes, one per shard.
 type webTestbed struct {
-	t       *testing.T
-	nodes   []*webstandin.Node
-	lists   [2]*lists // the gateway is configured with the first
-	conf    *platform.Config
-	gateway *serve.WebGateway
-	client  *http.Client
-	count   int // of requests
+	t            *testing.T
+	nodes        []*webstandin.Node
+	discovery    [2]*discoveryServer // the gateway is configured with the first one
+	conf         *platform.Config
+	gateway      *serve.WebGateway
+	client       *http.Client
+	requestCount int // number of requests sent
 }
 
 func startWebTestbed(t *testing.T) *webTestbed {
@@ -93,8 +93,8 @@
 			State:    "ready",
 		})
 	}
-	for i := range b.lists {
-		b.lists[i] = startLists(t, response)
+	for i := range b.discovery {
+		b.discovery[i] = startDiscoveryServer(t, response)
 	}
 	text := fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:0","discovery":%q,"seed":"1",
 		"limits":{"cores":1,"memory_mb":64,"sockets":256},
@@ -103,7 +103,7 @@
 		"domain":{"unit_mean":2.0,"largest":8},
 		"lanes":[{"name":"read","effect":"read_like","target_ms":60000.0,"hard_limit_ms":120000.0}],
 		"permissions":{"attempts_cap":3,"second_copies":true,"cancelling":true,"retry_after":true,
-		"max_retry_after_ms":1000.0,"dial_timeout_ms":5000.0,"idle_close_ms":60000.0}}}`, b.lists[0].Listener.Addr().String())
+		"max_retry_after_ms":1000.0,"dial_timeout_ms":5000.0,"idle_close_ms":60000.0}}}`, b.discovery[0].Listener.Addr().String())
 	var err error
 	if b.conf, err = platform.Parse([]byte(text), func(string) string { return "" }); err != nil {
 		t.Fatal(err)
@@ -115,11 +115,11 @@
 	return b
 }
 
-// put sends a request of a kind of webstandin for a shard. done gets the status and the body of its response.
-func (b *webTestbed) put(kind string, shard int) (id string, done chan string) {
+// sendRequest sends a request of a webstandin kind for a shard. done receives the status and body of the response.
+func (b *webTestbed) sendRequest(kind string, shard int) (id string, done chan string) {
 	b.t.Helper()
-	b.count++
-	id, done = fmt.Sprintf("%s-%d", kind, b.count), make(chan string, 1)
+	b.requestCount++
+	id, done = fmt.Sprintf("%s-%d", kind, b.requestCount), make(chan string, 1)
 	url := "http://" + b.gateway.Frontend.Addr() + "/api?extent=7f3a9c21e0b4d655"
 	request, err := http.NewRequest(http.MethodPut, url, strings.NewReader("body"))
 	if err != nil {
@@ -146,7 +146,7 @@
 	return fmt.Sprint(response.StatusCode, " ", string(body))
 }
 
-// countsAgree reports whether what the gateway counts agrees with what its nodes see on their sockets.
+// countsAgree reports whether the gateway's counts agree with what its nodes observe on their sockets.
 func (b *webTestbed) countsAgree() bool {
 	stats, running := b.gateway.Loop.Stats()
 	open, idle := b.gateway.Nodes.ConnectionCounts()
@@ -162,33 +162,33 @@
 	return running && stats.Attempts == attempts && stats.InFlight == requests && open-idle == attempts && open == conns
 }
 
-// TestWebGatewayCountsAgreeWithNodes: what a gateway counts of attempts, connections and requests agrees with what its
-// nodes see on their sockets, under load and after it, and each request is sent once.
+// TestWebGatewayCountsAgreeWithNodes: the gateway's counts of attempts, connections and requests agree with what its
+// nodes observe on their sockets, under load and afterwards, and each request is sent once.
 func TestWebGatewayCountsAgreeWithNodes(t *testing.T) {
 	b := startWebTestbed(t)
-	b.lists[0].awaitCalls(2) // the first list has arrived
+	b.discovery[0].awaitCalls(2) // the first list has arrived
 	held := map[string]chan string{}
 	for i := range 6 {
-		id, done := b.put("held", i%3)
+		id, done := b.sendRequest("held", i%3)
 		held[id] = done
 	}
-	until(func() bool { n, _ := b.nodes[0].Counts(); return n > 0 && b.countsAgree() })
+	waitFor(func() bool { n, _ := b.nodes[0].Counts(); return n > 0 && b.countsAgree() })
 	for _, n := range b.nodes {
 		close(n.Release)
 	}
 	for id, done := range held {
 		if got := <-done; got != "200 "+id+"body" {
-			t.Errorf("%s: %q", id, got)
+			t.Errorf("%s: response %q, want status 200 with the ID and the body", id, got)
 		}
 	}
-	until(func() bool {
+	waitFor(func() bool {
 		stats, _ := b.gateway.Loop.Stats()
 		return stats.Attempts == 0 && stats.InFlight == 0 && b.countsAgree()
 	})
 	for _, n := range b.nodes {
 		for id, times := range n.Seen {
 			if times != 1 {
-				t.Errorf("%s was sent %d times", id, times)
+				t.Errorf("%s was sent %d times, want once", id, times)
 			}
 		}
 	}
@@ -196,18 +196,19 @@
 	b.checkShutdown()
 }
 
-// checkReload has the address of discovery change, and the list that it has there lose a node.
+// checkReload reloads the gateway with the address of another discovery server, from whose list it then removes a
+// node.
 func (b *webTestbed) checkReload() {
 	b.t.Helper()
 	moved := *b.conf
-	moved.Discovery = b.lists[1].Listener.Addr().String()
+	moved.Discovery = b.discovery[1].Listener.Addr().String()
 	b.gateway.Reload(&moved)
-	b.lists[1].awaitCalls(1)
-	b.lists[1].update(func(r *discovery.Response) { r.Targets = r.Targets[:2] })
-	b.lists[1].awaitCalls(2)
-	until(func() bool { _, conns := b.nodes[2].Counts(); return conns == 0 }) // its idle connections are closed
-	if _, done := b.put("served", 1); (<-done)[:3] != "200" {
-		b.t.Error("a node that is still listed does not serve")
+	b.discovery[1].awaitCalls(1)
+	b.discovery[1].update(func(r *discovery.Response) { r.Targets = r.Targets[:2] })
+	b.discovery[1].awaitCalls(2)
+	waitFor(func() bool { _, conns := b.nodes[2].Counts(); return conns == 0 }) // its idle connections are closed
+	if _, done := b.sendRequest("served", 1); (<-done)[:3] != "200" {
+		b.t.Error("a request to a node that is still listed failed")
 	}
 }
 
@@ -216,7 +217,7 @@
 	b.client.CloseIdleConnections()
 	b.gateway.Shutdown()
 	if conns, requests := b.gateway.Frontend.Counts(); conns != 0 || requests != 0 {
-		b.t.Errorf("%d connections and %d requests are left", conns, requests)
+		b.t.Errorf("after the shutdown: %d connections and %d requests, want none", conns, requests)
 	}
-	until(func() bool { open, _ := b.gateway.Nodes.ConnectionCounts(); return open == 0 })
+	waitFor(func() bool { open, _ := b.gateway.Nodes.ConnectionCounts(); return open == 0 })
 }
