--- a/internal/admin/client.go
+++ b/internal/admin/client.go
@@ -56,26 +56,26 @@
 }
 
 // call does one request and reads its answer.
-func call[Answer any](client *Client, method, path string, body any) (answer Answer, err error) {
+func call[Result any](client *Client, method, path string, body any) (result Result, err error) {
 	encoded, err := json.Marshal(body)
 	if err != nil {
-		return answer, err
+		return result, err
 	}
 	request, err := http.NewRequest(method, "http://gateway"+path, bytes.NewReader(encoded))
 	if err != nil {
-		return answer, err
+		return result, err
 	}
 	response, err := client.http.Do(request)
 	if err != nil {
-		return answer, fmt.Errorf("the gateway does not answer: %w", err)
+		return result, fmt.Errorf("the gateway does not answer: %w", err)
 	}
 	defer func() { _ = response.Body.Close() }()
-	text, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
+	responseBody, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
-		return answer, err
+		return result, err
 	}
 	if response.StatusCode != http.StatusOK {
-		return answer, &GatewayError{Message: string(bytes.TrimSpace(text))}
+		return result, &GatewayError{Message: string(bytes.TrimSpace(responseBody))}
 	}
-	return answer, json.Unmarshal(text, &answer)
+	return result, json.Unmarshal(responseBody, &result)
 }
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -17,15 +17,15 @@
 	"irispost/internal/admin"
 )
 
-// gateway is one whose every figure is set, so that each field shows.
-type gateway struct{ err error }
+// fakeGateway is one whose every figure is set, so that each field shows.
+type fakeGateway struct{ err error }
 
 var (
 	since = time.Date(2026, 1, 2, 3, 4, 5, 6000, time.UTC)
 	held  = admin.HeldLoss{Since: since, Nodes: 3, LeavesNoNodes: true}
 )
 
-func (g gateway) Status() (admin.Status, error) {
+func (g fakeGateway) Status() (admin.Status, error) {
 	return admin.Status{
 		Gateway:          "g1",
 		Address:          "127.0.0.1:1",
@@ -43,7 +43,7 @@
 	}, g.err
 }
 
-func (g gateway) Members() (admin.EndpointReport, error) {
+func (g fakeGateway) Members() (admin.EndpointReport, error) {
 	return admin.EndpointReport{
 		Gateway:            "g1",
 		SchedulerUpdatedAt: since,
@@ -76,15 +76,15 @@
 	}, g.err
 }
 
-func (g gateway) Confirm() (admin.Confirmation, error) {
+func (g fakeGateway) Confirm() (admin.Confirmation, error) {
 	return admin.Confirmation{Nodes: 1, Lists: 2}, g.err
 }
 
-func (g gateway) StartCapture(folder string) (admin.Capture, error) {
+func (g fakeGateway) StartCapture(folder string) (admin.Capture, error) {
 	return admin.Capture{On: true, File: folder + "/f"}, g.err
 }
 
-func (g gateway) StopCapture() (admin.Capture, error) { return admin.Capture{}, g.err }
+func (g fakeGateway) StopCapture() (admin.Capture, error) { return admin.Capture{}, g.err }
 
 // transport connects to a socket, once for each request.
 func transport(socket string) *http.Transport {
@@ -93,11 +93,11 @@
 	}}
 }
 
-// serve serves a gateway at a socket, and writes down each request that comes there.
-func serve(t *testing.T, stub gateway, record *bytes.Buffer) string {
+// serveRecorded serves a gateway at a socket, and writes down each request that comes there.
+func serveRecorded(t *testing.T, gateway fakeGateway, record *bytes.Buffer) string {
 	t.Helper()
 	dir := t.TempDir()
-	s, err := admin.Listen(filepath.Join(dir, "inner"), stub)
+	s, err := admin.Listen(filepath.Join(dir, "inner"), gateway)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -112,25 +112,25 @@
 		if err != nil {
 			t.Error(err)
 		}
-		q, err := http.NewRequest(r.Method, "http://gateway"+r.URL.Path, bytes.NewReader(body))
+		request, err := http.NewRequest(r.Method, "http://gateway"+r.URL.Path, bytes.NewReader(body))
 		if err != nil {
 			t.Error(err)
 			return
 		}
-		a, err := inner.RoundTrip(q)
+		response, err := inner.RoundTrip(request)
 		if err != nil {
 			t.Error(err)
 			return
 		}
-		defer func() { _ = a.Body.Close() }()
-		answer, err := io.ReadAll(a.Body)
+		defer func() { _ = response.Body.Close() }()
+		responseBody, err := io.ReadAll(response.Body)
 		if err != nil {
 			t.Error(err)
 		}
 		fmt.Fprintf(record, "%s %s\n%s\n", r.Method, r.URL.Path, body)
-		fmt.Fprintf(record, "%d %s\n%s\n", a.StatusCode, a.Header.Get("Content-Type"), answer)
-		w.WriteHeader(a.StatusCode)
-		if _, err := w.Write(answer); err != nil {
+		fmt.Fprintf(record, "%d %s\n%s\n", response.StatusCode, response.Header.Get("Content-Type"), responseBody)
+		w.WriteHeader(response.StatusCode)
+		if _, err := w.Write(responseBody); err != nil {
 			t.Error(err)
 		}
 	})}
@@ -147,8 +147,8 @@
 	return filepath.Join(dir, "outer")
 }
 
-// golden compares a text with a file of testdata, which UPDATE_GOLDEN=1 writes.
-func golden(t *testing.T, file string, got []byte) {
+// checkGolden compares a text with a file of testdata, which UPDATE_GOLDEN=1 writes.
+func checkGolden(t *testing.T, file string, got []byte) {
 	t.Helper()
 	path := filepath.Join("testdata", file)
 	if os.Getenv("UPDATE_GOLDEN") == "1" {
@@ -174,7 +174,7 @@
 	}{{"socket.txt", nil}, {"socket-ended.txt", errors.New("the gateway ends")}} {
 		t.Run(c.file, func(t *testing.T) {
 			var record bytes.Buffer
-			socket := serve(t, gateway{c.err}, &record)
+			socket := serveRecorded(t, fakeGateway{c.err}, &record)
 			client := admin.Dial(socket, time.Minute)
 			for _, call := range []func() (any, error){
 				func() (any, error) { return client.Status() },
@@ -188,21 +188,21 @@
 				fmt.Fprintf(&record, "client: error %v\n\n", err)
 			}
 			raw := http.Client{Transport: transport(socket)}
-			for _, q := range []string{"GET /metrics", "POST /capture/start", "POST /status", "GET /nothing"} {
-				method, path, _ := strings.Cut(q, " ")
-				r, err := http.NewRequestWithContext(t.Context(), method, "http://gateway"+path, strings.NewReader("{"))
+			for _, route := range []string{"GET /metrics", "POST /capture/start", "POST /status", "GET /nothing"} {
+				method, path, _ := strings.Cut(route, " ")
+				request, err := http.NewRequestWithContext(t.Context(), method, "http://gateway"+path, strings.NewReader("{"))
 				if err != nil {
 					t.Fatal(err)
 				}
-				answer, err := raw.Do(r)
+				response, err := raw.Do(request)
 				if err != nil {
 					t.Fatal(err)
 				}
-				if err := answer.Body.Close(); err != nil {
+				if err := response.Body.Close(); err != nil {
 					t.Error(err)
 				}
 			}
-			golden(t, c.file, record.Bytes())
+			checkGolden(t, c.file, record.Bytes())
 		})
 	}
 }
--- a/internal/admin/metrics.go
+++ b/internal/admin/metrics.go
@@ -32,9 +32,9 @@
 func (c collector) Describe(chan<- *prometheus.Desc) {}
 
 // Collect asks the gateway once. A gateway that does not answer has the metric up alone.
-func (c collector) Collect(to chan<- prometheus.Metric) {
+func (c collector) Collect(metrics chan<- prometheus.Metric) {
 	gauge := func(d *prometheus.Desc, v float64, labels ...string) {
-		to <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, v, labels...)
+		metrics <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, v, labels...)
 	}
 	status, err := c.gateway.Status()
 	if err != nil {
@@ -44,10 +44,10 @@
 	gauge(descUp, 1)
 	gauge(descRequests, float64(status.Requests))
 	gauge(descAttempts, float64(status.AttemptsInFlight))
-	to <- prometheus.MustNewConstMetric(descLateAnswers, prometheus.CounterValue, float64(status.LateAnswers))
+	metrics <- prometheus.MustNewConstMetric(descLateAnswers, prometheus.CounterValue, float64(status.LateAnswers))
 	for class, counts := range status.RequestClasses {
 		for outcome, n := range counts.byOutcome() {
-			to <- prometheus.MustNewConstMetric(descResults, prometheus.CounterValue, float64(n), class, outcome)
+			metrics <- prometheus.MustNewConstMetric(descResults, prometheus.CounterValue, float64(n), class, outcome)
 		}
 	}
 	for state, n := range status.Nodes {
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -83,35 +83,35 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /status", func(w http.ResponseWriter, _ *http.Request) {
 		status, err := gateway.Status()
-		answer(w, status, err)
+		writeResult(w, status, err)
 	})
 	mux.HandleFunc("GET /members", func(w http.ResponseWriter, _ *http.Request) {
 		report, err := gateway.Members()
-		answer(w, report, err)
+		writeResult(w, report, err)
 	})
 	mux.HandleFunc("POST /members/confirm", func(w http.ResponseWriter, _ *http.Request) {
 		confirmation, err := gateway.Confirm()
-		answer(w, confirmation, err)
+		writeResult(w, confirmation, err)
 	})
 	mux.HandleFunc("POST /capture/start", func(w http.ResponseWriter, r *http.Request) {
 		var request struct{ Folder string }
 		if err := json.NewDecoder(io.LimitReader(r.Body, maxRequestBytes)).Decode(&request); err != nil {
-			answer(w, nil, fmt.Errorf("bad request: %w", err))
+			writeResult(w, nil, fmt.Errorf("bad request: %w", err))
 			return
 		}
 		capture, err := gateway.StartCapture(request.Folder)
-		answer(w, capture, err)
+		writeResult(w, capture, err)
 	})
 	mux.HandleFunc("POST /capture/stop", func(w http.ResponseWriter, _ *http.Request) {
 		capture, err := gateway.StopCapture()
-		answer(w, capture, err)
+		writeResult(w, capture, err)
 	})
 	mux.Handle("GET /metrics", metricsHandler(gateway))
 	return mux
 }
 
-// answer writes a result as JSON, or an error as text with status 409.
-func answer(w http.ResponseWriter, result any, err error) {
+// writeResult writes a result as JSON, or an error as text with status 409.
+func writeResult(w http.ResponseWriter, result any, err error) {
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusConflict)
 		return
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -12,7 +12,7 @@
 	"irispost/internal/layout"
 )
 
-func example(t *testing.T) string {
+func exampleConfig(t *testing.T) string {
 	t.Helper()
 	b, err := os.ReadFile("../../examples/canteen.hcl")
 	if err != nil {
@@ -22,7 +22,7 @@
 }
 
 func TestParseFillsTheSchedulersSettings(t *testing.T) {
-	g, err := Parse("canteen.hcl", []byte(example(t)))
+	g, err := Parse("canteen.hcl", []byte(exampleConfig(t)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -46,7 +46,7 @@
 
 // The first rule that fits names the product: by operation, pattern and size.
 func TestFirstVolumeRuleThatFitsNamesTheClass(t *testing.T) {
-	g, err := Parse("c.hcl", []byte(strings.Replace(example(t), "volume \"orders\" {", `volume "orders" {
+	g, err := Parse("c.hcl", []byte(strings.Replace(exampleConfig(t), "volume \"orders\" {", `volume "orders" {
   product "bulk-read" {
     for   = ["read"]
     match = "exports/*"
@@ -59,7 +59,7 @@
 		t.Fatal(err)
 	}
 	for _, c := range []struct {
-		sort front.OperationKind
+		kind front.OperationKind
 		rel  string
 		size uint64
 		want string
@@ -70,8 +70,8 @@
 		{front.Write, "exports/may", 1 << 30, "order-write"},
 		{front.Change, "a", 0, "order-change"},
 	} {
-		if p := g.Volumes["orders"].ClassOf(c.sort, layout.Path{Volume: "orders", Rel: c.rel}, c.size); p.Name != c.want {
-			t.Errorf("%s of %s with %d bytes is %s", c.sort, c.rel, c.size, p.Name)
+		if p := g.Volumes["orders"].ClassOf(c.kind, layout.Path{Volume: "orders", Rel: c.rel}, c.size); p.Name != c.want {
+			t.Errorf("%s of %s with %d bytes is %s", c.kind, c.rel, c.size, p.Name)
 		}
 	}
 }
@@ -100,7 +100,7 @@
 		{`gateway "canteen"`, `gateway "a/b"`, "slash"},
 		{`multiple = 2`, `multiple = `, "canteen.hcl"},
 	} {
-		text := example(t)
+		text := exampleConfig(t)
 		if !strings.Contains(text, c.old) {
 			t.Fatalf("the example has no %q", c.old)
 		}
@@ -132,7 +132,7 @@
 // withoutEndpointFile is the example without the short form of its one source.
 func withoutEndpointFile(t *testing.T) string {
 	t.Helper()
-	return strings.Replace(example(t), "  nodes    = \"nodes.hcl\"\n", "", 1)
+	return strings.Replace(exampleConfig(t), "  nodes    = \"nodes.hcl\"\n", "", 1)
 }
 
 func TestSourcesAreReadInTheirOrder(t *testing.T) {
@@ -168,10 +168,10 @@
 		g.EndpointCacheDir != "kept" || g.FirstListTimeout != 5*time.Second {
 		t.Errorf("%+v", g.Sources)
 	}
-	x := g.Sources[1].XDS
-	if x.Address != "127.0.0.1:18000" || x.Incremental || len(x.Clusters) != 2 || x.NodeID != "canteen" ||
-		x.InitialFetchTimeout != 3*time.Second || x.MaxBackoff != 5*time.Second {
-		t.Errorf("%+v", x)
+	options := g.Sources[1].XDS
+	if options.Address != "127.0.0.1:18000" || options.Incremental || len(options.Clusters) != 2 || options.NodeID != "canteen" ||
+		options.InitialFetchTimeout != 3*time.Second || options.MaxBackoff != 5*time.Second {
+		t.Errorf("%+v", options)
 	}
 	if m := g.Membership; m.MaxLossRatio != 0.3 || m.HoldDown != 20e9 || m.RemovalGrace != 1e9 ||
 		m.MaxFlaps != 2 || m.StaleAfter != 60e9 {
@@ -181,7 +181,7 @@
 
 func TestWrongSourcesAreRejectedWithTheirPlace(t *testing.T) {
 	text := withoutEndpointFile(t)
-	for more, want := range map[string]string{
+	for blocks, want := range map[string]string{
 		"":                            "No list of nodes",
 		"source \"xds\" \"p\" {\n}\n": "needs address",
 		"source \"xds\" \"p\" {\n address = \"nowhere\"\n}\n":                                  "no host with a port",
@@ -197,12 +197,12 @@
 		"source \"own\" \"p\" {\n file = \"x\"\n}\nmembers {\n hold = \"2\"\n}\n":              "no unit",
 		"source \"own\" \"p\" {\n file = \"x\"\n}\nmembers {\n flaps = 1.5\n}\n":               "whole number",
 	} {
-		_, err := Parse("c.hcl", []byte(text+more))
+		_, err := Parse("c.hcl", []byte(text+blocks))
 		if err == nil || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), "c.hcl:") {
-			t.Errorf("%s: %v", more, err)
+			t.Errorf("%s: %v", blocks, err)
 		}
 	}
-	_, err := Parse("c.hcl", []byte(example(t)+"source \"own\" \"p\" {\n file = \"x\"\n}\n"))
+	_, err := Parse("c.hcl", []byte(exampleConfig(t)+"source \"own\" \"p\" {\n file = \"x\"\n}\n"))
 	if err == nil || !strings.Contains(err.Error(), "Two ways") {
 		t.Error(err)
 	}
@@ -210,7 +210,7 @@
 
 // Targets and their units; what is wrong is refused with its line.
 func TestDisksAreReadOrRejected(t *testing.T) {
-	text := example(t) + `
+	text := exampleConfig(t) + `
 disks {
   listen = "127.0.0.1:3260"
   queue  = 64
--- a/internal/config/disks.go
+++ b/internal/config/disks.go
@@ -33,14 +33,14 @@
 	limits.Pace.InitialBound = min(limits.Pace.InitialBound, limits.Pace.MaxBound)
 	limits.Unread = int(d.bytes(block.UnsentBytes, 64<<10, 1<<30, int64(limits.Unread)))
 	limits.Wire.MaxUnsent = max(limits.Wire.MaxUnsent, limits.Unread+2*limits.Pace.MaxBytes)
-	shownBy := map[string]string{} // which logical unit shows a file, by the file's path
+	lunByFile := map[string]string{} // which logical unit shows a file, by the file's path
 	for _, targetBlock := range block.Targets {
-		disks.Targets = append(disks.Targets, d.target(&targetBlock, config, shownBy))
+		disks.Targets = append(disks.Targets, d.target(&targetBlock, config, lunByFile))
 	}
 	config.Disks = disks
 }
 
-func (d *decoder) target(block *targetBlock, config *Config, shownBy map[string]string) Target {
+func (d *decoder) target(block *targetBlock, config *Config, lunByFile map[string]string) Target {
 	if !validTargetName(block.Name) {
 		d.reject(block.Range, "Bad name", "A target's name begins with iqn., eui. or naa. and has up to %d bytes "+
 			"(RFC 7143, 4.2.7): \"iqn.2026-01.example:disk\".", maxTargetNameBytes)
@@ -56,10 +56,10 @@
 	}
 	for _, lunBlock := range block.LUNs {
 		number, err := strconv.ParseUint(lunBlock.Number, 10, lunBits)
-		if _, twice := t.LUNs[uint16(number)]; err != nil || twice {
+		if _, duplicate := t.LUNs[uint16(number)]; err != nil || duplicate {
 			d.reject(lunBlock.Range, "Bad number", "A unit's number is its own, from 0 to 16383, not %q.", lunBlock.Number)
 		}
-		t.LUNs[uint16(number)] = d.lun(&lunBlock, block.Name, config, shownBy)
+		t.LUNs[uint16(number)] = d.lun(&lunBlock, block.Name, config, lunByFile)
 	}
 	if len(t.LUNs) == 0 {
 		d.reject(block.Range, "No unit", "A target has at least one lun block.")
@@ -74,7 +74,7 @@
 	return strings.HasPrefix(name, "iqn.") || strings.HasPrefix(name, "eui.") || strings.HasPrefix(name, "naa.")
 }
 
-func (d *decoder) lun(block *lunBlock, targetName string, config *Config, shownBy map[string]string) LUN {
+func (d *decoder) lun(block *lunBlock, targetName string, config *Config, lunByFile map[string]string) LUN {
 	lun := LUN{
 		File:       block.File,
 		Size:       uint64(d.bytes(block.Size, smallBlock, 1<<50, 0)),
@@ -90,9 +90,9 @@
 	if err != nil || file.Rel == "" || config.Volumes[file.Volume] == nil {
 		d.reject(block.Range, "No such file", "%q is no file of a volume of this gateway.", block.File)
 	}
-	if other := shownBy[file.String()]; other != "" {
+	if other := lunByFile[file.String()]; other != "" {
 		d.reject(block.Range, "File twice", "%s is shown by %s already.", block.File, other)
 	}
-	shownBy[file.String()] = targetName + " lun " + block.Number
+	lunByFile[file.String()] = targetName + " lun " + block.Number
 	return lun
 }
--- a/internal/config/gateway.go
+++ b/internal/config/gateway.go
@@ -43,8 +43,8 @@
 	c.Settings = scheduler.Settings{"number": "0", "discovery": "told", "tells.others": "true"}
 	c.Settings["gateways"] = strconv.Itoa(d.count(block.GatewayCount, 1, 1<<20, 1))
 	c.Settings["units.mean"] = formatNumber(d.number(blocks.Units.Mean, 1e-3, 1e6, 1))
-	largest := max(c.Units.Of(int(c.ExtentBytes)), 1)
-	c.Settings["units.largest"] = formatNumber(d.number(blocks.Units.Maximum, 1e-3, 1e6, largest))
+	defaultMaximum := max(c.Units.Of(int(c.ExtentBytes)), 1)
+	c.Settings["units.largest"] = formatNumber(d.number(blocks.Units.Maximum, 1e-3, 1e6, defaultMaximum))
 	d.sources(blocks, c)
 	d.membership(blocks.Membership, c)
 	scheduling := blocks.scheduling()
--- a/internal/config/scheduling.go
+++ b/internal/config/scheduling.go
@@ -41,19 +41,19 @@
 		settings["further.free"] = formatNumber(d.number(block.FreeRetries, 0, maxUnits, 0))
 		settings["further.share"] = formatNumber(d.number(block.Ratio, 0, 100, 0))
 	}
-	attempts := orDefault(blocks.Attempts)
+	attempts := orEmpty(blocks.Attempts)
 	settings["executions.most"] = strconv.Itoa(d.count(attempts.MaxAttempts, 1, 100, 3))
 	settings["second_copies"] = formatFlag(attempts.Hedging)
 	settings["calling_off"] = formatFlag(attempts.Cancelling)
-	rejections := orDefault(blocks.Rejections)
+	rejections := orEmpty(blocks.Rejections)
 	settings["retry_after"] = formatFlag(rejections.RetryAfter)
 	settings["retry_after.most"] = formatMillis(d.duration(rejections.MaxRetryAfter, 0, time.Hour, time.Second))
-	keyOrder := orDefault(blocks.KeyOrder)
+	keyOrder := orEmpty(blocks.KeyOrder)
 	settings["key.rest"] = formatMillis(d.duration(keyOrder.BlockedTime, 0, time.Minute, 50*time.Millisecond))
 }
 
-// orDefault is a block, or one with nothing set where it is missing.
-func orDefault[Block any](block *Block) *Block {
+// orEmpty is a block, or one with nothing set where it is missing.
+func orEmpty[Block any](block *Block) *Block {
 	if block == nil {
 		return new(Block)
 	}
--- a/internal/config/sources.go
+++ b/internal/config/sources.go
@@ -173,7 +173,7 @@
 
 // membership reads how changes of the endpoint list are damped and held.
 func (d *decoder) membership(block *membershipBlock, config *Config) {
-	block = orDefault(block)
+	block = orEmpty(block)
 	defaults := membership.DefaultSettings
 	duration := func(e hcl.Expression, fallback membership.Time) membership.Time {
 		return int64(d.duration(e, 0, day, time.Duration(fallback)))
--- a/internal/config/version.go
+++ b/internal/config/version.go
@@ -55,7 +55,7 @@
 	version := &configversion.Config{
 		RequiredFormat:   configversion.Format,
 		Shards:           d.count(blocks.Shards, 1, 1<<16, 1),
-		MeanRequestUnits: d.number(orDefault(blocks.Units).Mean, 1e-3, 1e6, 1),
+		MeanRequestUnits: d.number(orEmpty(blocks.Units).Mean, 1e-3, 1e6, 1),
 	}
 	if block := blocks.Fallback; block != nil {
 		version.FallbackPolicy = configversion.FallbackPolicy{
--- a/internal/config/volumes.go
+++ b/internal/config/volumes.go
@@ -21,7 +21,7 @@
 	names := map[int64]string{} // by volume ID
 	for _, block := range blocks.Volumes {
 		volume := d.volume(&block, config)
-		if other, twice := names[volume.ID]; twice {
+		if other, duplicate := names[volume.ID]; duplicate {
 			d.reject(block.ID.Range(), "Id twice", "Volume %q has the id %d already.", other, volume.ID)
 		}
 		names[volume.ID] = block.Name
--- a/internal/layout/layout_test.go
+++ b/internal/layout/layout_test.go
@@ -58,7 +58,7 @@
 
 // A record is decoded as it was encoded; one with any byte changed, or cut anywhere, is not.
 func TestDecodeReturnsTheRecordOrFails(t *testing.T) {
-	sameSeeds(t)
+	fixSeed(t)
 	rapid.Check(t, func(t *rapid.T) {
 		r := drawRecord(t)
 		b := r.Encode()
@@ -77,27 +77,27 @@
 
 // Pieces cover each byte once, in order, and none crosses an extent's edge.
 func TestSplitByExtentCoversEachByteOnce(t *testing.T) {
-	sameSeeds(t)
+	fixSeed(t)
 	rapid.Check(t, func(t *rapid.T) {
 		offset, length := rapid.Uint64Range(0, 1<<40).Draw(t, "offset"), rapid.IntRange(0, 1<<20).Draw(t, "length")
 		extent := rapid.Uint32Range(4096, 1<<20).Draw(t, "extent")
-		at := 0
+		covered := 0
 		for _, p := range SplitByExtent(offset, length, extent) {
-			if p.DataOffset != at || p.Length <= 0 || uint64(p.ExtentIndex)*uint64(extent)+p.ExtentOffset != offset+uint64(at) ||
+			if p.DataOffset != covered || p.Length <= 0 || uint64(p.ExtentIndex)*uint64(extent)+p.ExtentOffset != offset+uint64(covered) ||
 				p.ExtentOffset+uint64(p.Length) > uint64(extent) {
-				t.Fatalf("piece %+v at %d", p, at)
+				t.Fatalf("piece %+v at %d", p, covered)
 			}
-			at += p.Length
+			covered += p.Length
 		}
-		if at != length {
-			t.Fatalf("%d of %d bytes", at, length)
+		if covered != length {
+			t.Fatalf("%d of %d bytes", covered, length)
 		}
 	})
 }
 
 // When shards are added, a record moves to a new one or stays; each shard holds its part.
 func TestHomeShardMovesOnlyToNewShards(t *testing.T) {
-	count := make([]int, 8)
+	recordsByShard := make([]int, 8)
 	for i := range 8000 {
 		name := strings.Repeat("x", i%7) + string(rune('a'+i%26)) + strings.Repeat("y", i/26%99) + string(rune('a'+i/2574))
 		p := Path{Volume: "v", Rel: name}
@@ -105,9 +105,9 @@
 		if a != b && b != 7 {
 			t.Fatalf("%s moves from shard %d to %d", p, a, b)
 		}
-		count[b]++
+		recordsByShard[b]++
 	}
-	for shard, n := range count {
+	for shard, n := range recordsByShard {
 		if n < 500 {
 			t.Errorf("shard %d holds %d of 8000", shard, n)
 		}
@@ -117,10 +117,10 @@
 // Merge returns the extents that are no longer referenced, and nothing else.
 func TestMergeReturnsReplacedExtents(t *testing.T) {
 	r := &Record{Size: 10, Extents: []Extent{{0, "a"}, {}, {1, "c"}}}
-	lost := r.Merge(map[int]Extent{0: {2, "x"}, 3: {0, "z"}}, 400)
-	if !reflect.DeepEqual(lost, []Extent{{0, "a"}}) || r.Size != 400 ||
+	replaced := r.Merge(map[int]Extent{0: {2, "x"}, 3: {0, "z"}}, 400)
+	if !reflect.DeepEqual(replaced, []Extent{{0, "a"}}) || r.Size != 400 ||
 		!reflect.DeepEqual(r.Extents, []Extent{{2, "x"}, {}, {1, "c"}, {0, "z"}}) {
-		t.Errorf("lost %v, record %+v", lost, r)
+		t.Errorf("lost %v, record %+v", replaced, r)
 	}
 }
 
@@ -133,8 +133,8 @@
 	})
 }
 
-// sameSeeds has the checks draw the same each time.
-func sameSeeds(t *testing.T) {
+// fixSeed has the checks draw the same each time.
+func fixSeed(t *testing.T) {
 	t.Helper()
 	if err := flag.Set("rapid.nofailfile", "true"); err != nil {
 		t.Fatal(err)
--- a/internal/layout/record.go
+++ b/internal/layout/record.go
@@ -71,13 +71,13 @@
 
 // Merge puts extents that one gateway has written, by index, over a record that another may have changed since: by
 // whole extents, the last to commit wins. It returns the extents that are replaced, whose objects nothing refers to.
-func (r *Record) Merge(written map[int]Extent, size uint64) (rewritten []Extent) {
+func (r *Record) Merge(written map[int]Extent, size uint64) (replaced []Extent) {
 	for index, extent := range written {
 		if old := r.ExtentAt(index); old.Object != "" && old.Object != extent.Object {
-			rewritten = append(rewritten, old)
+			replaced = append(replaced, old)
 		}
 		r.SetExtent(index, extent)
 	}
 	r.Size = max(r.Size, size)
-	return rewritten
+	return replaced
 }
--- a/internal/platform/check.go
+++ b/internal/platform/check.go
@@ -73,10 +73,10 @@
 	if err := s.checkNumber(item+".repeat_window_ms", 0, false); err != nil {
 		return err
 	}
-	if err := s.checkWord(item+".effect", wire.KnownEffect, true); err != nil {
+	if err := s.checkEnum(item+".effect", wire.KnownEffect, true); err != nil {
 		return err
 	}
-	return s.checkWord(item+".group", wire.KnownGroup, false)
+	return s.checkEnum(item+".group", wire.KnownGroup, false)
 }
 
 func (s settings) checkServiceLevel(item string) error {
@@ -86,8 +86,8 @@
 		}
 	}
 	limit := s[item+".never_over"]
-	limited := limit != "" && !isZero(limit)
-	return s.checkNumber(item+".burst", 0, limited)
+	hasLimit := limit != "" && !isZero(limit)
+	return s.checkNumber(item+".burst", 0, hasLimit)
 }
 
 // checkNumbers checks optional settings that have to be numbers from 0 on.
@@ -101,22 +101,22 @@
 }
 
 // checkNumber checks that a setting is a number between least and maxNumber.
-func (s settings) checkNumber(path string, least float64, required bool) error {
+func (s settings) checkNumber(path string, minimum float64, required bool) error {
 	value, given := s[path]
 	if !given && !required {
 		return nil
 	}
 	number, err := strconv.ParseFloat(value, 64)
-	if given && err == nil && number >= least && number <= maxNumber {
+	if given && err == nil && number >= minimum && number <= maxNumber {
 		return nil
 	}
-	return &SettingError{path, fmt.Sprintf("is %s, and has to be a number from %g on", s.quoted(path), least)}
+	return &SettingError{path, fmt.Sprintf("is %s, and has to be a number from %g on", s.quoted(path), minimum)}
 }
 
-// checkWord checks that a setting is one of the known words.
-func (s settings) checkWord(path string, known func(word string) bool, required bool) error {
+// checkEnum checks that a setting is one of the known words.
+func (s settings) checkEnum(path string, valid func(word string) bool, required bool) error {
 	value, given := s[path]
-	if given && known(value) || !given && !required {
+	if given && valid(value) || !given && !required {
 		return nil
 	}
 	return &SettingError{path, fmt.Sprintf("is %s, which is not known", s.quoted(path))}
@@ -137,17 +137,17 @@
 	if err != nil {
 		return &SettingError{path, "names none"}
 	}
-	numbers := map[string]int{} // by name
+	indexByName := map[string]int{} // by name
 	for i := range count {
 		item := path + "." + strconv.Itoa(i)
 		name := s[item+".name"]
 		if name == "" {
 			return &SettingError{item + ".name", "is " + s.quoted(item+".name")}
 		}
-		if other, taken := numbers[name]; taken {
+		if other, duplicate := indexByName[name]; duplicate {
 			return &SettingError{item + ".name", fmt.Sprintf("is %q, as that of %s.%d", name, path, other)}
 		}
-		numbers[name] = i
+		indexByName[name] = i
 		if err := check(item); err != nil {
 			return err
 		}
--- a/internal/platform/golden_test.go
+++ b/internal/platform/golden_test.go
@@ -11,10 +11,10 @@
 	"irispost/internal/testkit/golden"
 )
 
-// formOf returns a configuration as JSON under names of the test's own.
-func formOf(t *testing.T, c *platform.Config) []byte {
+// encodeConfig returns a configuration as JSON under names of the test's own.
+func encodeConfig(t *testing.T, c *platform.Config) []byte {
 	t.Helper()
-	form, err := json.MarshalIndent(map[string]any{
+	encoded, err := json.MarshalIndent(map[string]any{
 		"name":      c.Name,
 		"listen":    c.Listen,
 		"discovery": c.Discovery,
@@ -32,7 +32,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return append(form, '\n')
+	return append(encoded, '\n')
 }
 
 // withoutKeys writes a configuration without these texts to a file of its own.
@@ -55,7 +55,7 @@
 // A configuration is read from its file alone, and with what the file leaves out from the environment.
 func TestGoldenSettings(t *testing.T) {
 	complete := filepath.Join("testdata", "config.json")
-	short := withoutKeys(t, complete, `"name": "n3",`, `"listen": "10.0.0.4:8080",`, `"discovery": "10.2.0.1:8500",`,
+	partial := withoutKeys(t, complete, `"name": "n3",`, `"listen": "10.0.0.4:8080",`, `"discovery": "10.2.0.1:8500",`,
 		`"ask_every_ms": 10000.0,`)
 	env := map[string]string{
 		"PROXY_NAME":      "of the environment",
@@ -64,13 +64,13 @@
 	}
 	for _, c := range []struct{ want, config string }{
 		{"settings.json", complete},
-		{"settings-of-environment.json", short},
+		{"settings-of-environment.json", partial},
 	} {
 		env["PROXY_CONFIG"] = c.config
 		config, err := platform.Load(func(name string) string { return env[name] })
 		if err != nil {
 			t.Fatal(err)
 		}
-		golden.Check(t, c.want, formOf(t, config))
+		golden.Check(t, c.want, encodeConfig(t, config))
 	}
 }
--- a/internal/snapshot/decode.go
+++ b/internal/snapshot/decode.go
@@ -34,12 +34,12 @@
 		return nil, ErrCorrupt
 	}
 	d := &decoder{rest: content[headerBytes:]}
-	first := d.object(1, root)
-	for at := 0; at < len(d.objects) && d.err == nil; at++ {
-		if !d.objects[at].IsValid() {
+	decodedRoot := d.object(1, root)
+	for i := 0; i < len(d.objects) && d.err == nil; i++ {
+		if !d.objects[i].IsValid() {
 			return nil, ErrCorrupt
 		}
-		d.value(d.objects[at].Elem())
+		d.value(d.objects[i].Elem())
 	}
 	if d.err == nil && len(d.rest) > 0 {
 		d.err = ErrCorrupt
@@ -47,7 +47,7 @@
 	if d.err != nil {
 		return nil, d.err
 	}
-	return first.Interface().(*T), nil
+	return decodedRoot.Interface().(*T), nil
 }
 
 type decoder struct {
@@ -112,12 +112,12 @@
 // length reads the length of a slice or map, which is written plus one; 0 is nil. Each item has a byte at least, but
 // for empty structs.
 func (d *decoder) length() (n int, present bool) {
-	written := d.uint()
-	if written > uint64(len(d.rest))+1 {
+	encodedLength := d.uint()
+	if encodedLength > uint64(len(d.rest))+1 {
 		d.err = ErrCorrupt
 		return 0, false
 	}
-	return int(written) - 1, written > 0
+	return int(encodedLength) - 1, encodedLength > 0
 }
 
 func (d *decoder) slice(v reflect.Value) {
--- a/internal/snapshot/encode.go
+++ b/internal/snapshot/encode.go
@@ -19,32 +19,32 @@
 	if v.Kind() != reflect.Pointer || v.IsNil() {
 		return nil, errors.New("a snapshot begins with a pointer")
 	}
-	e := &encoder{numbers: map[unsafe.Pointer]map[reflect.Type]uint64{}}
+	e := &encoder{objectNumbers: map[unsafe.Pointer]map[reflect.Type]uint64{}}
 	e.out = binary.BigEndian.AppendUint64(nil, Shape(v.Type(), names))
-	e.number(v)
-	for at := 0; at < len(e.objects); at++ { // objects are written in the order in which they are first met
-		e.value(e.objects[at].Elem())
+	e.objectNumber(v)
+	for i := 0; i < len(e.objects); i++ { // objects are written in the order in which they are first met
+		e.value(e.objects[i].Elem())
 	}
 	return binary.BigEndian.AppendUint64(e.out, xxhash.Sum64(e.out)), e.err
 }
 
 type encoder struct {
-	out     []byte
-	numbers map[unsafe.Pointer]map[reflect.Type]uint64 // of objects, from 1
-	objects []reflect.Value                            // pointers to them, by number
-	err     error                                      // the last type that was rejected
+	out           []byte
+	objectNumbers map[unsafe.Pointer]map[reflect.Type]uint64 // of objects, from 1
+	objects       []reflect.Value                            // pointers to them, by number
+	err           error                                      // the last type that was rejected
 }
 
-// number is a pointer's object, counted from 1; 0 is nil. A struct and its first field share an address, so the type
+// objectNumber is a pointer's object, counted from 1; 0 is nil. A struct and its first field share an address, so the type
 // counts as well.
-func (e *encoder) number(p reflect.Value) uint64 {
+func (e *encoder) objectNumber(p reflect.Value) uint64 {
 	if p.IsNil() {
 		return 0
 	}
-	byType := e.numbers[p.UnsafePointer()]
+	byType := e.objectNumbers[p.UnsafePointer()]
 	if byType == nil {
 		byType = map[reflect.Type]uint64{}
-		e.numbers[p.UnsafePointer()] = byType
+		e.objectNumbers[p.UnsafePointer()] = byType
 	}
 	if byType[p.Type()] == 0 {
 		e.objects = append(e.objects, p)
@@ -73,7 +73,7 @@
 		e.uint(uint64(v.Len()))
 		e.out = append(e.out, v.String()...)
 	case reflect.Pointer:
-		e.uint(e.number(v))
+		e.uint(e.objectNumber(v))
 	case reflect.Slice:
 		if v.IsNil() {
 			e.uint(0)
@@ -111,13 +111,13 @@
 		value reflect.Value
 	}
 	var entries []entry
-	written := e.out
+	outBefore := e.out
 	for pairs := v.MapRange(); pairs.Next(); {
 		e.out = nil
 		e.value(pairs.Key())
 		entries = append(entries, entry{e.out, pairs.Value()})
 	}
-	e.out = written
+	e.out = outBefore
 	slices.SortFunc(entries, func(a, b entry) int { return slices.Compare(a.key, b.key) })
 	for _, entry := range entries {
 		e.out = append(e.out, entry.key...)
--- a/internal/snapshot/scheduler_test.go
+++ b/internal/snapshot/scheduler_test.go
@@ -57,12 +57,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, err := Take(restored, scheduler.StoredNames)
+	encodedAgain, err := Take(restored, scheduler.StoredNames)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !bytes.Equal(again, state) {
-		t.Errorf("the state comes back as\n%x, not\n%x", again, state)
+	if !bytes.Equal(encodedAgain, state) {
+		t.Errorf("the state comes back as\n%x, not\n%x", encodedAgain, state)
 	}
 }
 
@@ -71,9 +71,9 @@
 	root := reflect.TypeFor[*scheduler.Scheduler]()
 	shape := shapeText(root, scheduler.StoredNames)
 	for key := range scheduler.StoredNames {
-		fewer := maps.Clone(scheduler.StoredNames)
-		delete(fewer, key)
-		if shapeText(root, fewer) == shape {
+		otherNames := maps.Clone(scheduler.StoredNames)
+		delete(otherNames, key)
+		if shapeText(root, otherNames) == shape {
 			t.Errorf("nothing that a state reaches is called %s", key)
 		}
 	}
--- a/internal/snapshot/shape.go
+++ b/internal/snapshot/shape.go
@@ -18,10 +18,10 @@
 // So a rename in code changes no shape, and snapshots that were written before it are still read.
 type Names map[string]string
 
-// stored is the name in snapshots of one in code.
-func (n Names) stored(name, fallback string) string {
-	if earlier, renamed := n[name]; renamed {
-		return earlier
+// storedName is the name in snapshots of one in code.
+func (n Names) storedName(name, fallback string) string {
+	if stored, renamed := n[name]; renamed {
+		return stored
 	}
 	return fallback
 }
@@ -35,7 +35,7 @@
 	seen := map[reflect.Type]bool{}
 	var walk func(reflect.Type)
 	walk = func(t reflect.Type) {
-		fmt.Fprintf(&text, "%s %s;", t.Kind(), names.stored(t.Name(), t.Name()))
+		fmt.Fprintf(&text, "%s %s;", t.Kind(), names.storedName(t.Name(), t.Name()))
 		if seen[t] {
 			return
 		}
@@ -44,7 +44,7 @@
 		case reflect.Struct:
 			for i := range t.NumField() {
 				field := t.Field(i)
-				fmt.Fprintf(&text, "%s:", names.stored(t.Name()+"."+field.Name, field.Name))
+				fmt.Fprintf(&text, "%s:", names.storedName(t.Name()+"."+field.Name, field.Name))
 				walk(field.Type)
 			}
 		case reflect.Map:
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -28,11 +28,11 @@
 func sample() *graph {
 	a, b := &item{name: "a"}, &item{name: "b"}
 	a.next, b.next = b, a
-	t := &graph{on: true, small: -7, big: math.MaxUint64, share: math.Inf(1), words: map[string]string{"x": "y", "": "z"},
+	g := &graph{on: true, small: -7, big: math.MaxUint64, share: math.Inf(1), words: map[string]string{"x": "y", "": "z"},
 		items: []*item{a, b, a, nil}, byItem: map[*item][]int{a: {1, 2}, b: nil}, empty: []int{}}
-	t.nested.at = [2]int64{-1, math.MinInt64}
-	t.self = t
-	return t
+	g.nested.at = [2]int64{-1, math.MinInt64}
+	g.self = g
+	return g
 }
 
 func encodedSample(t *testing.T) []byte {
@@ -50,7 +50,7 @@
 		t.Fatal(err)
 	}
 	a, b := g.items[0], g.items[1]
-	for what, holds := range map[string]bool{
+	for property, ok := range map[string]bool{
 		"numbers":        g.on && g.small == -7 && g.big == math.MaxUint64 && math.IsInf(g.share, 1),
 		"a nested array": g.nested.at == [2]int64{-1, math.MinInt64},
 		"texts":          len(g.words) == 2 && g.words["x"] == "y" && g.words[""] == "z",
@@ -59,8 +59,8 @@
 		"keys":           len(g.byItem) == 2 && len(g.byItem[a]) == 2,
 		"nil and empty":  g.none == nil && g.empty != nil,
 	} {
-		if !holds {
-			t.Errorf("%s: %+v", what, g)
+		if !ok {
+			t.Errorf("%s: %+v", property, g)
 		}
 	}
 }
