--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -17,7 +17,7 @@
 	"irispost/internal/admin"
 )
 
-// fakeGateway is one whose every figure is set, so that each field shows.
+// fakeGateway is a gateway with every field of its reports set, so that each of them is in the golden files.
 type fakeGateway struct{ err error }
 
 var (
@@ -86,14 +86,15 @@
 
 func (g fakeGateway) StopCapture() (admin.Capture, error) { return admin.Capture{}, g.err }
 
-// transport connects to a socket, once for each request.
+// transport returns a transport that opens a new connection to a Unix socket for each request.
 func transport(socket string) *http.Transport {
 	return &http.Transport{DisableKeepAlives: true, DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
 		return (&net.Dialer{}).DialContext(ctx, "unix", socket)
 	}}
 }
 
-// serveRecorded serves a gateway at a socket, and writes down each request that comes there.
+// serveRecorded serves a gateway's admin API behind a proxy that records each request and its response. It returns
+// the path of the proxy's socket.
 func serveRecorded(t *testing.T, gateway fakeGateway, record *bytes.Buffer) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -147,7 +148,7 @@
 	return filepath.Join(dir, "outer")
 }
 
-// checkGolden compares a text with a file of testdata, which UPDATE_GOLDEN=1 writes.
+// checkGolden compares got with a file in testdata. UPDATE_GOLDEN=1 rewrites the file.
 func checkGolden(t *testing.T, file string, got []byte) {
 	t.Helper()
 	path := filepath.Join("testdata", file)
@@ -161,12 +162,12 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(got, want) {
-		t.Errorf("%s differs:\n%s\nwanted:\n%s", path, got, want)
+		t.Errorf("%s: got\n%s\nwant\n%s", path, got, want)
 	}
 }
 
-// TestGoldenSocket pins each request and answer of the socket, what the client makes of them, and the metrics with
-// help and type.
+// TestGoldenSocket compares all requests and responses on the admin socket, the errors that the client returns, and
+// the metrics with their help and type, with golden files.
 func TestGoldenSocket(t *testing.T) {
 	for _, c := range []struct {
 		file string
--- a/internal/admin/metrics.go
+++ b/internal/admin/metrics.go
@@ -7,10 +7,10 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// collector reports a gateway's status as Prometheus metrics. It keeps no counts: each scrape asks the gateway.
+// collector exports a gateway's status as Prometheus metrics. It keeps no counts; each scrape queries the gateway.
 type collector struct{ gateway Gateway }
 
-// desc describes a metric irispost_NAME.
+// desc returns the description of the metric irispost_NAME.
 func desc(name, help string, labels ...string) *prometheus.Desc {
 	return prometheus.NewDesc("irispost_"+name, help, labels, nil)
 }
@@ -28,10 +28,10 @@
 	descUp = desc("up", "1 where the gateway's loop answers.")
 )
 
-// Describe sends nothing: which metrics there are depends on the gateway's status.
+// Describe sends nothing, because the set of metrics depends on the gateway's status (an unchecked collector).
 func (c collector) Describe(chan<- *prometheus.Desc) {}
 
-// Collect asks the gateway once. A gateway that does not answer has the metric up alone.
+// Collect queries the gateway once. If the gateway does not answer, the metric up is the only one.
 func (c collector) Collect(metrics chan<- prometheus.Metric) {
 	gauge := func(d *prometheus.Desc, v float64, labels ...string) {
 		metrics <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, v, labels...)
@@ -59,7 +59,7 @@
 	}
 }
 
-// byOutcome are the counts by the values of the label outcome.
+// byOutcome returns the counts by the value of the label outcome.
 func (c RequestCounts) byOutcome() map[string]int64 {
 	return map[string]int64{
 		"taken":       c.Accepted,
@@ -70,7 +70,7 @@
 	}
 }
 
-// metricsHandler serves the metrics of a gateway.
+// metricsHandler returns a handler that serves a gateway's metrics.
 func metricsHandler(gateway Gateway) http.Handler {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(collector{gateway})
--- a/internal/admin/report.go
+++ b/internal/admin/report.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// Status is how a gateway stands: the answer of GET /status.
+// Status is the state of a gateway: the response to GET /status.
 type Status struct {
 	Gateway          string                   `json:"gateway"`
-	Address          string                   `json:"address"` // of its file front end
+	Address          string                   `json:"address"` // of the file front end
 	Since            time.Time                `json:"since"`   // its start
-	Requests         int                      `json:"held"`    // in flight: without their final answer
+	Requests         int                      `json:"held"`    // in flight: without a final response
 	AttemptsInFlight int                      `json:"out"`
-	LateAnswers      int64                    `json:"late"` // of nodes, after their attempt was given up
+	LateAnswers      int64                    `json:"late"` // responses of nodes to attempts that had been abandoned
 	RequestClasses   map[string]RequestCounts `json:"products"`
 	Capture          Capture                  `json:"capture"`
-	Nodes            map[string]int           `json:"nodes"` // numbers of nodes by Endpoint.State
+	Nodes            map[string]int           `json:"nodes"` // number of nodes by Endpoint.State
 	HeldLoss         *HeldLoss                `json:"lost,omitempty"`
-	Version          string                   `json:"rules,omitempty"` // with the state, of one that follows replicas
+	Version          string                   `json:"rules,omitempty"` // with its state; empty if it follows no replicas
 }
 
-// RequestCounts count a request class's requests since the gateway's start, by their results.
+// RequestCounts counts the requests of a request class by their results since the gateway started.
 type RequestCounts struct {
 	Accepted  int64 `json:"taken"`
 	Succeeded int64 `json:"completed"`
@@ -26,29 +26,29 @@
 	Cancelled int64 `json:"left"` // by their clients
 }
 
-// Capture is how a gateway's capture stands: the answer of POST /capture/start and /capture/stop.
+// Capture is the state of a gateway's capture: the response to POST /capture/start and POST /capture/stop.
 type Capture struct {
 	On      bool   `json:"on"`
-	File    string `json:"file,omitempty"` // the present or the last one
+	File    string `json:"file,omitempty"` // current or last file
 	Written int64  `json:"written"`        // bytes
 	Dropped int64  `json:"dropped"`        // records
 	Error   string `json:"error,omitempty"`
 }
 
-// EndpointReport is the gateway's endpoint list with its sources: the answer of GET /members.
+// EndpointReport is the gateway's endpoint list with its sources: the response to GET /members.
 type EndpointReport struct {
 	Gateway            string     `json:"gateway"`
-	SchedulerUpdatedAt time.Time  `json:"told"` // the last update of the scheduler's list; zero: none yet
+	SchedulerUpdatedAt time.Time  `json:"told"` // last update of the scheduler's endpoint list; zero: none yet
 	HeldLoss           *HeldLoss  `json:"held,omitempty"`
 	Sources            []Source   `json:"sources"`
 	Nodes              []Endpoint `json:"nodes"`
 }
 
-// HeldLoss is a loss of nodes, reported by the sources, that is held and not in force yet.
+// HeldLoss is a loss of nodes that the sources have reported and that is held down, so it is not in force yet.
 type HeldLoss struct {
 	Since         time.Time `json:"since"`
 	Nodes         int       `json:"nodes"`
-	LeavesNoNodes bool      `json:"all"` // it waits for a confirmation or for the source's next update, however long
+	LeavesNoNodes bool      `json:"all"` // held without a time limit, until a confirmation or the source's next update
 }
 
 // Source is a source of the endpoint list.
@@ -58,11 +58,11 @@
 	Since           time.Time `json:"since"` // of the state
 	LastError       string    `json:"trouble,omitempty"`
 	Version         string    `json:"version"`           // in force
-	ReceivedAt      time.Time `json:"heard"`             // the version in force; zero: none was
-	Nodes           int       `json:"nodes"`             // of that version
-	HeldVersion     string    `json:"held,omitempty"`    // a version that is held as older than the one in force
+	ReceivedAt      time.Time `json:"heard"`             // when the version in force was received; zero: there is none
+	Nodes           int       `json:"nodes"`             // in that version
+	HeldVersion     string    `json:"held,omitempty"`    // held back because it is older than the one in force
 	RejectedUpdates int       `json:"refused"`           // since the start
-	LastRejection   string    `json:"refusal,omitempty"` // its reason
+	LastRejection   string    `json:"refusal,omitempty"` // reason
 	LastRejectionAt time.Time `json:"refused_at,omitzero"`
 }
 
@@ -80,8 +80,8 @@
 	AttemptsInFlight int       `json:"out"`
 }
 
-// Confirmation is what a confirmation has put in force: the answer of POST /members/confirm.
+// Confirmation counts what a confirmation has put in force: the response to POST /members/confirm.
 type Confirmation struct {
-	Nodes int `json:"nodes"` // lost nodes that were held
-	Lists int `json:"lists"` // lists that were held as old
+	Nodes int `json:"nodes"` // lost nodes that were held down
+	Lists int `json:"lists"` // lists that were held back as older
 }
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -1,6 +1,6 @@
 // Package admin connects command-line tools to a gateway on the same machine: HTTP over a Unix socket that only the
-// gateway's own user may open. Server is run by package serve, Client by the commands. The server owns its socket file
-// and no other state: each answer is asked of the gateway.
+// gateway's own user may open. Package serve runs the Server, the commands use the Client. The server owns its socket
+// file and no other state; it gets each response from the gateway.
 package admin
 
 import (
@@ -14,21 +14,21 @@
 	"time"
 )
 
-// ErrSocketInUse says that another gateway answers at the path of an admin socket.
+// ErrSocketInUse is returned if another gateway already serves an admin socket at the path.
 var ErrSocketInUse = errors.New("is served by another gateway")
 
 const (
-	// probeTimeout bounds the probe whether a gateway answers at a socket already.
+	// probeTimeout limits the check whether another gateway serves the socket.
 	probeTimeout      = time.Second
 	readHeaderTimeout = 5 * time.Second
 	maxRequestBytes   = 1 << 16
 )
 
-// Gateway is what the server asks of a gateway, from any goroutine.
+// Gateway is the interface through which the server calls a gateway. Its methods must be safe for concurrent use.
 type Gateway interface {
 	Status() (Status, error)
 	Members() (EndpointReport, error)
-	Confirm() (Confirmation, error)              // puts in force what is held
+	Confirm() (Confirmation, error)              // puts held losses and lists in force
 	StartCapture(folder string) (Capture, error) // folder: empty for the configured one
 	StopCapture() (Capture, error)
 }
@@ -39,34 +39,34 @@
 	path string
 }
 
-// Listen serves at the path of a socket until Close. A socket that a dead gateway left is replaced; one that is served
-// is ErrSocketInUse.
+// Listen serves the admin socket at path until Close. It replaces a socket that a dead gateway has left, and returns
+// ErrSocketInUse if the socket is still served.
 func Listen(path string, gateway Gateway) (*Server, error) {
 	listener, err := listen(path)
 	if err != nil {
 		return nil, err
 	}
 	s := &Server{http: &http.Server{Handler: handler(gateway), ReadHeaderTimeout: readHeaderTimeout}, path: path}
-	go func() { _ = s.http.Serve(listener) }() // it returns when the server is closed
+	go func() { _ = s.http.Serve(listener) }() // returns when the server is closed
 	return s, nil
 }
 
-// Close stops serving and removes the socket. Answers that are under way are cut off.
+// Close stops the server and removes the socket. It cuts off responses that are in progress.
 func (s *Server) Close() {
 	_ = s.http.Close()
-	_ = os.Remove(s.path) // the listener has removed it, where it was closed in time
+	_ = os.Remove(s.path) // usually gone already: closing the listener removes it, unless Serve has not begun
 }
 
-// listen opens the socket for the gateway's own user alone.
+// listen opens the socket with access for the gateway's own user only.
 func listen(path string) (net.Listener, error) {
 	if conn, err := net.DialTimeout("unix", path, probeTimeout); err == nil {
 		_ = conn.Close()
 		return nil, fmt.Errorf("admin socket %s %w", path, ErrSocketInUse)
 	}
 	if info, err := os.Lstat(path); err == nil && info.Mode()&os.ModeSocket == 0 {
-		return nil, fmt.Errorf("admin socket %s: there is a file of another kind", path)
+		return nil, fmt.Errorf("admin socket %s: the path holds a file of another kind", path)
 	}
-	_ = os.Remove(path) // where it cannot be removed, the next step fails
+	_ = os.Remove(path) // if this fails, Listen below fails too
 	listener, err := net.Listen("unix", path)
 	if err != nil {
 		return nil, fmt.Errorf("admin socket: %w", err)
@@ -78,7 +78,7 @@
 	return listener, nil
 }
 
-// handler has the routes of the socket.
+// handler returns the routes of the admin socket.
 func handler(gateway Gateway) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /status", func(w http.ResponseWriter, _ *http.Request) {
@@ -110,12 +110,12 @@
 	return mux
 }
 
-// writeResult writes a result as JSON, or an error as text with status 409.
+// writeResult responds with a result as JSON, or with an error as text and status 409.
 func writeResult(w http.ResponseWriter, result any, err error) {
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusConflict)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(result) // it fails where the client has gone
+	_ = json.NewEncoder(w).Encode(result) // fails if the client has disconnected
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,8 +1,8 @@
-// Package config reads the files that operators write in HCL: a gateway's configuration and the content of a
-// configuration version. It checks them and returns the values that a gateway is started with, or the version itself.
-// Command-line tools, tests and the scenario player call it. It owns no state; Load alone reads a file.
+// Package config reads the HCL files that operators write: a gateway's configuration and the content of a
+// configuration version. It validates them and returns the values with which a gateway starts, or the version.
+// Command-line tools, tests and the scenario player call it. The package owns no state; only Load reads a file.
 //
-// What it rejects it names with file, line and column. docs/operators.md lists every key with its unit and default.
+// Errors name the file, line and column. docs/operators.md lists every key with its unit and default.
 package config
 
 import (
@@ -23,18 +23,18 @@
 	"irispost/scheduler"
 )
 
-// Config is a gateway's configuration, checked. Paths are relative to the folder of its file.
+// Config is a validated gateway configuration. Paths are relative to the folder of its file.
 type Config struct {
 	Name               string
 	Listen             string   // address of the file front end
-	Sources            []Source // of the endpoint list, by precedence; empty for a gateway that follows replicas
+	Sources            []Source // of the endpoint list, in order of precedence; empty if the gateway follows replicas
 	Membership         membership.Settings
-	Follow             *FleetClient  // nil: the gateway follows no replicas
-	EndpointCacheDir   string        // for the last accepted list of each source; empty: none is cached
-	FirstListTimeout   time.Duration // how long the start waits for the first list of every source
+	Follow             *FleetClient  // nil: the gateway does not follow replicas
+	EndpointCacheDir   string        // holds the last accepted list of each source; empty: lists are not cached
+	FirstListTimeout   time.Duration // how long startup waits for the first list of every source
 	Shards             int
-	ExtentBytes        uint32 // of a new file
-	Seed               uint64 // of the scheduler's random draws
+	ExtentBytes        uint32 // extent size of new files
+	Seed               uint64 // of the scheduler's random numbers
 	ConnectTimeout     time.Duration
 	ConnectionsPerNode int
 	ShutdownTimeout    time.Duration
@@ -42,60 +42,60 @@
 	Limits             front.Limits
 	Units              front.Units
 	SweepInterval      time.Duration // 0: orphaned objects are not swept
-	SweepMinAge        time.Duration // since the last write of an object that a sweep may remove
+	SweepMinAge        time.Duration // minimum time since the last write of an object that a sweep may remove
 	AdminSocket        string        // path of the Unix socket; empty: none
-	CaptureDir         string        // empty: a capture needs a folder of its own
+	CaptureDir         string        // empty: a request to start a capture must name a folder
 	CaptureAtStart     bool
 	CaptureLimits      capture.Limits
 	Disks              *Disks // nil: none
 	RequestClasses     map[string]*RequestClass
 	Volumes            map[string]*front.Volume
-	VolumeLimits       map[int64]RateLimit // by volume ID, for volumes whose service level has a rate limit
-	Settings           scheduler.Settings  // the same values as the scheduler's start values
+	VolumeLimits       map[int64]RateLimit // by volume ID; only volumes whose service level has a rate limit
+	Settings           scheduler.Settings  // the same configuration as the scheduler's initial settings
 }
 
-// RequestClass is a class of requests, as front ends and clients know it.
+// RequestClass is a request class as front ends and clients see it.
 type RequestClass struct {
 	front.RequestClass
 	LatencyObjective time.Duration
-	DedupWindow      time.Duration // for which nodes recognise a repeat; 0: they do not
+	DedupWindow      time.Duration // how long nodes recognise a repeated request; 0: they do not
 }
 
 // RateLimit is a volume's token bucket: its rate in units per second, its burst in units, and the slack in units by
 // which a check lets a volume exceed it.
 type RateLimit struct{ Rate, Burst, Slack float64 }
 
-// SourceKind is where an endpoint source has its list from, as the configuration names it.
+// SourceKind is the kind of an endpoint source, by its name in the configuration.
 type SourceKind string
 
 // The kinds of endpoint sources.
 const (
-	SourceOwnFile SourceKind = "own"      // a file in the form of package endpoint
+	SourceOwnFile SourceKind = "own"      // a file in the format of package endpoint
 	SourceXDSFile SourceKind = "xds-file" // files with Envoy clusters and endpoints
 	SourceXDS     SourceKind = "xds"      // an xDS management server
 )
 
-// Source is a source of the endpoint list. Its files are as the configuration names them.
+// Source is a source of the endpoint list. Its file names are those in the configuration.
 type Source struct {
 	Name      string
 	Kind      SourceKind
 	File      string      // of SourceOwnFile
 	Clusters  string      // of SourceXDSFile
 	Endpoints string      // of SourceXDSFile
-	XDS       xds.Options // of SourceXDS; whoever runs it adds seed and log
+	XDS       xds.Options // of SourceXDS; the caller adds seed and log
 }
 
-// FleetClient is how a gateway follows the replicas of the configuration log.
+// FleetClient configures how a gateway follows the replicas of the configuration log.
 type FleetClient struct {
-	Replicas     []string          // addresses
-	PollInterval time.Duration     // between two renewals of the lease
-	VersionLog   string            // file that records which versions were acted on; empty: none
-	CacheDir     string            // for the last content; empty: it is not cached
-	PeerAddress  string            // where other gateways reach this one for slow-start budgets; empty: they do not
-	PeerRoutes   map[string]string // from the addresses that other gateways give to those that reach them
+	Replicas     []string          // host:port
+	PollInterval time.Duration     // between renewals of the lease
+	VersionLog   string            // file that records which versions the gateway has applied; empty: none
+	CacheDir     string            // holds the last content; empty: it is not cached
+	PeerAddress  string            // where other gateways ask this one for slow-start budgets; empty: they cannot
+	PeerRoutes   map[string]string // by the address that a gateway announces: the address that reaches it
 }
 
-// Disks are a gateway's iSCSI targets.
+// Disks configures a gateway's iSCSI targets.
 type Disks struct {
 	Listen  string
 	Limits  target.Limits
@@ -109,7 +109,7 @@
 	LUNs    map[uint16]LUN
 }
 
-// LUN is a file that is shown as a disk.
+// LUN is a file that is exported as a logical unit.
 type LUN struct {
 	File       string
 	Size       uint64 // bytes
@@ -117,7 +117,8 @@
 	ReadOnly   bool
 }
 
-// Load reads and checks a gateway's configuration file. A configuration that is rejected is an error of type Problems.
+// Load reads and validates a gateway's configuration file. For an invalid configuration the error is of type
+// Problems.
 func Load(file string) (*Config, error) {
 	src, err := os.ReadFile(file)
 	if err != nil {
@@ -126,7 +127,7 @@
 	return Parse(file, src)
 }
 
-// Parse checks the text of a gateway's configuration; file is its name in errors of type Problems.
+// Parse validates the text of a gateway's configuration. Errors are of type Problems and refer to it as file.
 func Parse(file string, src []byte) (*Config, error) {
 	var blocks gatewayFile
 	if _, err := decode(file, src, &blocks); err != nil {
@@ -140,7 +141,7 @@
 	return c, nil
 }
 
-// decode parses HCL into a struct of blocks.
+// decode parses HCL into a struct that describes the blocks.
 func decode(file string, src []byte, blocks any) (hcl.Body, error) {
 	parsed, diags := hclparse.NewParser().ParseHCL(src, file)
 	if diags.HasErrors() {
@@ -152,10 +153,10 @@
 	return parsed.Body, nil
 }
 
-// Problems are the reasons why a file is rejected, one line each: file:line,column: reason.
+// Problems lists why a file is rejected, one line for each reason: file:line,column: reason.
 type Problems []string
 
-// Error joins the lines.
+// Error returns the reasons, one on each line.
 func (p Problems) Error() string { return strings.Join(p, "\n") }
 
 func problemsOf(diags hcl.Diagnostics) Problems {
--- a/internal/config/decoder.go
+++ b/internal/config/decoder.go
@@ -11,8 +11,8 @@
 	"github.com/zclconf/go-cty/cty"
 )
 
-// decoder reads values and collects what is wrong with them, so that one run reports all of it. A value that is absent
-// or rejected is read as its fallback.
+// decoder reads values and collects all errors in them, so that one run reports every error. A value that is missing
+// or cannot be read is replaced by its fallback.
 type decoder struct{ diags hcl.Diagnostics }
 
 func (d *decoder) reject(at hcl.Range, summary, format string, args ...any) {
@@ -20,7 +20,8 @@
 		Detail: fmt.Sprintf(format, args...), Subject: &at})
 }
 
-// value evaluates an expression. It is not present where it is absent, null or wrong; only what is wrong is rejected.
+// value evaluates an expression. present is false if the value is missing, null or invalid; only invalid values are
+// reported.
 func (d *decoder) value(expression hcl.Expression) (value cty.Value, present bool) {
 	if expression == nil {
 		return cty.NilVal, false
@@ -36,12 +37,12 @@
 		return fallback
 	}
 	if value.Type() != cty.Number {
-		d.reject(expression.Range(), "Not a number", "A number from %v to %v is expected here.", minimum, maximum)
+		d.reject(expression.Range(), "Not a number", "A number from %v to %v is expected.", minimum, maximum)
 		return fallback
 	}
 	n, _ := value.AsBigFloat().Float64()
 	if n < minimum || n > maximum || math.IsNaN(n) {
-		d.reject(expression.Range(), "Out of bounds", "%v is not between %v and %v.", n, minimum, maximum)
+		d.reject(expression.Range(), "Out of range", "%v is not between %v and %v.", n, minimum, maximum)
 	}
 	return n
 }
@@ -60,26 +61,26 @@
 		return fallback
 	}
 	if value.Type() != cty.String {
-		d.reject(expression.Range(), "Not a text", "A text in quotes is expected here.")
+		d.reject(expression.Range(), "Not a string", "A quoted string is expected.")
 		return fallback
 	}
 	return value.AsString()
 }
 
-// textMap reads an object whose values are texts.
+// textMap reads an object whose values are strings.
 func (d *decoder) textMap(expression hcl.Expression) map[string]string {
 	value, present := d.value(expression)
 	if !present {
 		return nil
 	}
 	if !value.Type().IsObjectType() && !value.Type().IsMapType() {
-		d.reject(expression.Range(), "No names with texts", "Write { \"10.0.0.1:7200\" = \"127.0.0.1:9000\" }.")
+		d.reject(expression.Range(), "Not a map of strings", "Write for example { \"10.0.0.1:7200\" = \"127.0.0.1:9000\" }.")
 		return nil
 	}
 	texts := map[string]string{}
 	for name, text := range value.AsValueMap() {
 		if text.IsNull() || text.Type() != cty.String {
-			d.reject(expression.Range(), "Not a text", "%q has no text in quotes.", name)
+			d.reject(expression.Range(), "Not a string", "The value of %q must be a quoted string.", name)
 			continue
 		}
 		texts[name] = text.AsString()
@@ -94,17 +95,17 @@
 	}
 	duration, err := time.ParseDuration(text)
 	if err != nil {
-		d.reject(expression.Range(), "Not a span of time",
-			"%q has no unit that is known. Write for example \"300ms\", \"2.5s\" or \"10m\".", text)
+		d.reject(expression.Range(), "Not a duration",
+			"%q is not a number with a known unit. Write for example \"300ms\", \"2.5s\" or \"10m\".", text)
 		return fallback
 	}
 	if duration < minimum || duration > maximum {
-		d.reject(expression.Range(), "Out of bounds", "%v is not between %v and %v.", duration, minimum, maximum)
+		d.reject(expression.Range(), "Out of range", "%v is not between %v and %v.", duration, minimum, maximum)
 	}
 	return duration
 }
 
-// binaryUnits are the suffixes of sizes with their bytes.
+// binaryUnits maps the suffixes of sizes to bytes.
 var binaryUnits = map[string]int64{"KiB": 1 << 10, "MiB": 1 << 20, "GiB": 1 << 30}
 
 func (d *decoder) bytes(expression hcl.Expression, minimum, maximum, fallback int64) int64 {
@@ -120,22 +121,22 @@
 	}
 	n, err := strconv.ParseInt(strings.TrimSuffix(number, "B"), 10, 62)
 	if err != nil {
-		d.reject(expression.Range(), "Not a size", "%q is no whole number of B, KiB, MiB or GiB.", text)
+		d.reject(expression.Range(), "Not a size", "%q is not a whole number of B, KiB, MiB or GiB.", text)
 		return fallback
 	}
 	if n > maximum/unit || n*unit < minimum {
-		d.reject(expression.Range(), "Out of bounds", "%s is not between %d and %d bytes.", text, minimum, maximum)
+		d.reject(expression.Range(), "Out of range", "%s is not between %d and %d bytes.", text, minimum, maximum)
 		return fallback
 	}
 	return n * unit
 }
 
-// formatMillis writes a duration as the scheduler's settings have it, in milliseconds.
+// formatMillis formats a duration in milliseconds, as in the scheduler's settings.
 func formatMillis(d time.Duration) string {
 	return formatNumber(float64(d) / float64(time.Millisecond))
 }
 
 func formatNumber(n float64) string { return strconv.FormatFloat(n, 'f', -1, 64) }
 
-// formatFlag writes a flag that is on unless it is set otherwise.
+// formatFlag formats an optional flag, which is true by default.
 func formatFlag(flag *bool) string { return strconv.FormatBool(flag == nil || *flag) }
--- a/internal/config/gateway.go
+++ b/internal/config/gateway.go
@@ -15,7 +15,7 @@
 const (
 	day = 24 * time.Hour
 
-	// maxUnits bounds figures in units and in units a second.
+	// maxUnits is the upper bound of values in units and in units per second.
 	maxUnits = 1e12
 )
 
@@ -56,7 +56,7 @@
 	return c
 }
 
-// gateway reads the attributes of the gateway block, and the event queue of its limits.
+// gateway reads the attributes of the gateway block and the length of the event queue in its limits block.
 func (d *decoder) gateway(block *gatewayBlock) *Config {
 	c := &Config{
 		Name:               block.Name,
@@ -73,12 +73,13 @@
 		VolumeLimits:       map[int64]RateLimit{},
 	}
 	if c.Name == "" || strings.ContainsAny(c.Name, "/:# ") {
-		d.reject(block.Range, "Bad name", "A gateway's name is not empty and has no space, slash, colon or number sign.")
+		d.reject(block.Range, "Invalid gateway name",
+			"The name must not be empty or have a space, slash, colon or number sign.")
 	}
 	return c
 }
 
-// limits reads what one client connection may hold.
+// limits reads the limits of client connections.
 func (d *decoder) limits(block *limitsBlock, config *Config) {
 	wire := sftp.DefaultLimits
 	wire.MaxPacket = int(d.bytes(block.PacketBytes, 34<<10, 16<<20, int64(wire.MaxPacket)))
@@ -94,7 +95,7 @@
 	}
 }
 
-// capture reads where captures go and how large they get. Without the block they have the default limits.
+// capture reads the folder and limits of captures. Without the block the default limits apply.
 func (d *decoder) capture(block *captureBlock, config *Config) {
 	config.CaptureLimits = capture.DefaultLimits
 	if block == nil {
@@ -103,7 +104,7 @@
 	config.CaptureAtStart = block.AtStart == nil || *block.AtStart
 	config.CaptureDir = d.text(block.Dir, "")
 	if config.CaptureDir == "" {
-		d.reject(block.Dir.Range(), "No folder", "A capture needs a folder to lie in.")
+		d.reject(block.Dir.Range(), "No capture folder", "The capture block needs a folder for its files.")
 	}
 	limits := &config.CaptureLimits
 	limits.FileBytes = d.bytes(block.FileBytes, 1<<20, 1<<40, limits.FileBytes)
--- a/internal/config/scheduling.go
+++ b/internal/config/scheduling.go
@@ -9,7 +9,7 @@
 	"irispost/scheduler"
 )
 
-// schedulingBlocks are the blocks of scheduling settings, which a gateway's file and a configuration version share.
+// schedulingBlocks holds the blocks of scheduling settings that a gateway's file and a configuration version share.
 type schedulingBlocks struct {
 	SlowStart      *slowStartBlock
 	Retries        *retriesBlock
@@ -18,7 +18,7 @@
 	KeyOrder       *keyOrderBlock
 	ServiceLevels  []serviceLevelBlock
 	RequestClasses []requestClassBlock
-	Missing        hcl.Range // what a missing block is reported at
+	Missing        hcl.Range // where a missing block is reported
 }
 
 func (f *gatewayFile) scheduling() schedulingBlocks {
@@ -26,8 +26,8 @@
 		KeyOrder: f.KeyOrder, ServiceLevels: f.ServiceLevels, RequestClasses: f.RequestClasses, Missing: f.Gateway.Range}
 }
 
-// scheduling reads the settings of slow start, retries, attempts, rejections and key queues. Blocks that are missing
-// have defaults, but for slow start and the retry budget: without their blocks there is neither.
+// scheduling reads the settings of slow start, retries, attempts, rejections and key queues. Missing blocks have
+// defaults, except those of slow start and of the retry budget: without its block, neither is in use.
 func (d *decoder) scheduling(blocks *schedulingBlocks, settings scheduler.Settings) {
 	if block := blocks.SlowStart; block != nil {
 		settings["cold.from"] = formatNumber(d.number(block.StartShare, 0.001, 1, 1))
@@ -52,7 +52,7 @@
 	settings["key.rest"] = formatMillis(d.duration(keyOrder.BlockedTime, 0, time.Minute, 50*time.Millisecond))
 }
 
-// orEmpty is a block, or one with nothing set where it is missing.
+// orEmpty returns a block, or an empty one if it is missing.
 func orEmpty[Block any](block *Block) *Block {
 	if block == nil {
 		return new(Block)
@@ -60,7 +60,7 @@
 	return block
 }
 
-// serviceLevelKey is the name of a value of the service level at an index, among the scheduler's settings.
+// serviceLevelKey returns the scheduler setting that holds a value of the service level at index.
 func serviceLevelKey(index int, value string) string {
 	return "plans." + strconv.Itoa(index) + "." + value
 }
@@ -69,7 +69,7 @@
 	names := map[string]bool{}
 	for i, block := range blocks.ServiceLevels {
 		if names[block.Name] {
-			d.reject(block.Range, "Plan twice", "There is a plan %q already.", block.Name)
+			d.reject(block.Range, "Duplicate plan", "A plan %q is already defined.", block.Name)
 		}
 		names[block.Name] = true
 		set := func(name, value string) { settings[serviceLevelKey(i, name)] = value }
@@ -84,11 +84,11 @@
 	}
 	settings["plans.count"] = strconv.Itoa(len(blocks.ServiceLevels))
 	if len(blocks.ServiceLevels) == 0 {
-		d.reject(blocks.Missing, "No plan", "At least one plan block is needed.")
+		d.reject(blocks.Missing, "No plans", "At least one plan block is required.")
 	}
 }
 
-// The words of a request class's idempotency and dedup scope, in the file and in the scheduler's settings.
+// The values of a request class's idempotency and dedup scope in the file and in the scheduler's settings.
 const (
 	wordIdempotent    = "replayable"
 	wordKeyed         = "referenced"
@@ -99,14 +99,14 @@
 	wordDedupSameShard = "shard"
 )
 
-// idempotencies are the numbers that front ends and nodes know the words by.
+// idempotencies maps the words for idempotency to the values that front ends and nodes use.
 var idempotencies = map[string]scheduler.Idempotency{
 	wordIdempotent:    scheduler.Idempotent,
 	wordKeyed:         scheduler.IdempotencyKeyed,
 	wordNonIdempotent: scheduler.NonIdempotent,
 }
 
-// requestClassKey is the name of a value of the request class at an index, among the scheduler's settings.
+// requestClassKey returns the scheduler setting that holds a value of the request class at index.
 func requestClassKey(index int, value string) string {
 	return "products." + strconv.Itoa(index) + "." + value
 }
@@ -120,17 +120,17 @@
 
 func (d *decoder) requestClass(index int, block *requestClassBlock, config *Config) {
 	if config.RequestClasses[block.Name] != nil {
-		d.reject(block.Range, "Product twice", "There is a product %q already.", block.Name)
+		d.reject(block.Range, "Duplicate product", "A product %q is already defined.", block.Name)
 	}
 	idempotency := d.text(block.Idempotency, wordIdempotent)
 	if _, known := idempotencies[idempotency]; !known {
-		d.reject(block.Idempotency.Range(), "No such kind",
+		d.reject(block.Idempotency.Range(), "Unknown kind",
 			"A product is \"replayable\", \"referenced\" or \"single-use\", not %q.", idempotency)
 	}
 	scope := d.text(block.DedupScope, wordDedupAllNodes)
 	if scope != wordDedupAllNodes && scope != wordDedupSameZone && scope != wordDedupSameShard {
-		d.reject(block.DedupScope.Range(), "No such group",
-			"The nodes that know a repeat are \"all\", those of a \"zone\" or of a \"shard\", not %q.", scope)
+		d.reject(block.DedupScope.Range(), "Unknown group",
+			"The nodes that recognise a repeat are \"all\", those of a \"zone\" or of a \"shard\", not %q.", scope)
 	}
 	class := &RequestClass{LatencyObjective: d.duration(block.LatencyObjective, time.Millisecond, time.Hour, time.Second)}
 	class.Name = block.Name
@@ -138,12 +138,13 @@
 	class.Ordered = block.Ordered
 	class.Timeout = d.duration(block.ClientTimeout, time.Millisecond, time.Hour, time.Second)
 	if class.Timeout < class.LatencyObjective {
-		d.reject(block.ClientTimeout.Range(), "Patience under the goal",
-			"A client that waits %v cannot have its answer after %v.", class.Timeout, class.LatencyObjective)
+		d.reject(block.ClientTimeout.Range(), "Patience below the goal",
+			"The patience %v is less than the goal %v: requests would time out before the goal has passed.",
+			class.Timeout, class.LatencyObjective)
 	}
 	class.DedupWindow = d.duration(block.DedupWindow, 0, time.Hour, 0)
 	if idempotency == wordKeyed && class.DedupWindow == 0 {
-		d.reject(block.Range, "No window", "A referenced product needs a window: how long the nodes know a repeat.")
+		d.reject(block.Range, "No window", "A referenced product needs a window: how long nodes recognise a repeat.")
 	}
 	config.RequestClasses[block.Name] = class
 
--- a/internal/config/schema.go
+++ b/internal/config/schema.go
@@ -2,7 +2,8 @@
 
 import "github.com/hashicorp/hcl/v2"
 
-// The blocks of a gateway's file. Durations, sizes and numbers stay expressions: the decoder checks units and bounds.
+// The blocks of a gateway's file. Durations, sizes and numbers remain expressions, so that the decoder can check
+// their units and ranges.
 type (
 	gatewayFile struct {
 		Gateway        gatewayBlock        `hcl:"gateway,block"`
--- a/internal/config/sources.go
+++ b/internal/config/sources.go
@@ -12,39 +12,40 @@
 	"irispost/internal/endpoint/xds"
 )
 
-// The forms of the xDS protocol, as the configuration names them.
+// The variants of the xDS protocol, by their names in the configuration.
 const (
 	protocolIncremental = "delta"
 	protocolFullState   = "whole"
 )
 
-// sources reads where the endpoint list comes from: the replicas, the one file of the gateway block, or the source
-// blocks in their order of precedence.
+// sources reads where the endpoint list comes from: the replicas, the file in the gateway block, or the source blocks
+// in order of precedence.
 func (d *decoder) sources(blocks *gatewayFile, config *Config) {
 	file := d.text(blocks.Gateway.EndpointFile, "")
 	switch {
 	case blocks.Follow != nil:
 		config.Follow = d.follow(blocks.Follow, file != "" || len(blocks.Sources) > 0)
 	case file != "" && len(blocks.Sources) > 0:
-		d.reject(blocks.Gateway.EndpointFile.Range(), "Two ways to name sources",
-			"Where there are source blocks, the list's file is one of them: source \"own\" \"NAME\" { file = %q }.", file)
+		d.reject(blocks.Gateway.EndpointFile.Range(), "Conflicting endpoint sources",
+			"nodes and source blocks exclude each other. Write source \"own\" \"NAME\" { file = %q } instead.", file)
 	case file != "":
 		config.Sources = []Source{{Name: "nodes", Kind: SourceOwnFile, File: file}}
 	case len(blocks.Sources) == 0:
-		d.reject(blocks.Gateway.Range, "No list of nodes",
-			"Name its file with nodes = \"nodes.hcl\", or write a source block.")
+		d.reject(blocks.Gateway.Range, "No endpoint source",
+			"Set nodes = \"nodes.hcl\" in the gateway block, or write a source block.")
 	}
 	names := map[string]bool{}
 	for _, block := range blocks.Sources {
 		if names[block.Name] || block.Name == "" || strings.ContainsAny(block.Name, "/ ") {
-			d.reject(block.Range, "Bad name", "A source's name is its own, is not empty and has no space or slash.")
+			d.reject(block.Range, "Invalid source name",
+				"The name must be unique, must not be empty and must not have a space or slash.")
 		}
 		names[block.Name] = true
 		config.Sources = append(config.Sources, d.source(&block, config.Name))
 	}
 }
 
-// follow reads how the gateway follows the replicas. It has no endpoint source besides.
+// follow reads how the gateway follows the replicas. Such a gateway has no endpoint source.
 func (d *decoder) follow(block *followBlock, hasSources bool) *FleetClient {
 	client := &FleetClient{
 		Replicas:     block.Replicas,
@@ -55,26 +56,26 @@
 		PeerRoutes:   d.textMap(block.PeerRoutes),
 	}
 	if hasSources {
-		d.reject(block.Range, "Two lists of nodes",
-			"A gateway that follows has its list from the version in force, so it has no source and no nodes.")
+		d.reject(block.Range, "Conflicting endpoint sources",
+			"A gateway with a follow block has the list of the version in force: remove nodes and the source blocks.")
 	}
 	if len(block.Replicas) == 0 {
-		d.reject(block.Range, "No keepers", "Name the keepers' addresses: keepers = [\"10.0.0.1:7100\", ...].")
+		d.reject(block.Range, "No keepers", "List the addresses of the keepers: keepers = [\"10.0.0.1:7100\", ...].")
 	}
 	for _, addr := range block.Replicas {
 		if _, _, err := net.SplitHostPort(addr); err != nil {
-			d.reject(block.Range, "Not an address", "%q is no host with a port.", addr)
+			d.reject(block.Range, "Not an address", "%q is not of the form host:port.", addr)
 		}
 	}
 	return client
 }
 
-// source reads a source block of the gateway of a name. What its kind does not have is rejected.
+// source reads a source block of the named gateway. It rejects attributes that the kind of source does not have.
 func (d *decoder) source(block *sourceBlock, gateway string) Source {
 	source := Source{Name: block.Name, Kind: SourceKind(block.Kind)}
 	if source.Kind != SourceOwnFile && source.Kind != SourceXDS && source.Kind != SourceXDSFile {
-		d.reject(block.Range, "No such kind", "A source is \"own\" (a file in our own form), "+
-			"\"xds-file\" (files in xDS form) or \"xds\" (a management server), not %q.", block.Kind)
+		d.reject(block.Range, "Unknown kind", "A source is \"own\" (a file in irispost's own format), "+
+			"\"xds-file\" (files with xDS resources) or \"xds\" (a management server), not %q.", block.Kind)
 		return source
 	}
 	d.checkSourceAttributes(block)
@@ -87,7 +88,8 @@
 	return source
 }
 
-// checkSourceAttributes rejects attributes of other kinds, and misses those that the block's kind needs.
+// checkSourceAttributes rejects attributes that belong to other kinds of sources, and reports required attributes
+// that are missing.
 func (d *decoder) checkSourceAttributes(block *sourceBlock) {
 	kind := SourceKind(block.Kind)
 	for _, attribute := range []struct {
@@ -112,11 +114,12 @@
 	} {
 		_, present := d.value(attribute.value)
 		if present && attribute.of != kind {
-			d.reject(attribute.value.Range(), "Not of this kind",
-				"A source of kind %q has no %s.", kind, attribute.name)
+			d.reject(attribute.value.Range(), "Unsupported attribute",
+				"A source of kind %q has no attribute %s.", kind, attribute.name)
 		}
 		if !present && attribute.of == kind && attribute.required {
-			d.reject(block.Range, "Something is missing", "A source of kind %q needs %s.", kind, attribute.name)
+			d.reject(block.Range, "Missing attribute",
+				"A source of kind %q needs the attribute %s.", kind, attribute.name)
 		}
 	}
 }
@@ -124,8 +127,8 @@
 func (d *decoder) xdsOptions(block *sourceBlock, gateway string) xds.Options {
 	protocol := d.text(block.Protocol, protocolIncremental)
 	if protocol != protocolIncremental && protocol != protocolFullState {
-		d.reject(block.Protocol.Range(), "No such form",
-			"The protocol has the forms \"delta\" and \"whole\" (state of the world), not %q.", protocol)
+		d.reject(block.Protocol.Range(), "Unknown form",
+			"The form of the protocol is \"delta\" (incremental) or \"whole\" (state of the world), not %q.", protocol)
 	}
 	options := xds.Options{
 		Address:             d.text(block.Address, ""),
@@ -139,31 +142,31 @@
 		MaxMessageBytes:     int(d.bytes(block.MessageBytes, 64<<10, 1<<30, xds.DefaultMaxMessageBytes)),
 	}
 	if options.MaxBackoff < options.MinBackoff {
-		d.reject(block.Range, "Pauses the wrong way round", "pause_most %v is under pause %v.",
+		d.reject(block.Range, "Conflicting pauses", "pause_most %v is less than pause %v.",
 			options.MaxBackoff, options.MinBackoff)
 	}
 	if _, _, err := net.SplitHostPort(options.Address); err != nil && options.Address != "" {
-		d.reject(block.Address.Range(), "Not an address", "%q is no host with a port.", options.Address)
+		d.reject(block.Address.Range(), "Not an address", "%q is not of the form host:port.", options.Address)
 	}
 	options.Clusters = d.clusterNames(block.ClusterNames)
 	return options
 }
 
-// clusterNames reads the names of the clusters that are subscribed to; none: all of them.
+// clusterNames reads the names of the clusters to subscribe to; none: all clusters.
 func (d *decoder) clusterNames(expression hcl.Expression) []string {
 	value, present := d.value(expression)
 	if !present {
 		return nil
 	}
 	if !value.CanIterateElements() {
-		d.reject(expression.Range(), "Not a list", "The names of clusters are expected here: [\"storage\"].")
+		d.reject(expression.Range(), "Not a list", "A list of cluster names is expected, for example [\"storage\"].")
 		return nil
 	}
 	var names []string
 	for elements := value.ElementIterator(); elements.Next(); {
 		_, name := elements.Element()
 		if name.Type() != cty.String || name.AsString() == "" {
-			d.reject(expression.Range(), "Not a name", "A cluster's name is a text.")
+			d.reject(expression.Range(), "Not a cluster name", "A cluster name must be a string that is not empty.")
 			continue
 		}
 		names = append(names, name.AsString())
@@ -171,7 +174,7 @@
 	return names
 }
 
-// membership reads how changes of the endpoint list are damped and held.
+// membership reads the settings that damp and hold down changes of the endpoint list, and those of the start.
 func (d *decoder) membership(block *membershipBlock, config *Config) {
 	block = orEmpty(block)
 	defaults := membership.DefaultSettings
--- a/internal/config/version.go
+++ b/internal/config/version.go
@@ -11,8 +11,8 @@
 	"irispost/scheduler"
 )
 
-// versionFile is the content of a configuration version as operators write it: the scheduling blocks of a gateway's
-// configuration, the fallback policy, and the endpoint list in the form of package endpoint.
+// versionFile is the content of a configuration version as operators write it: the scheduling blocks, as in a
+// gateway's configuration, the fallback policy, and the endpoint list in the format of package endpoint.
 type versionFile struct {
 	Shards         hcl.Expression      `hcl:"shards"`
 	Units          *unitsBlock         `hcl:"units,block"`
@@ -38,8 +38,8 @@
 		KeyOrder: f.KeyOrder, ServiceLevels: f.ServiceLevels, RequestClasses: f.RequestClasses, Missing: missing}
 }
 
-// ParseVersion checks the text of a configuration version; file is its name in errors, which are of type Problems where
-// a key or value is at fault.
+// ParseVersion validates the text of a configuration version. Errors refer to it as file; they are of type Problems
+// if a key or value is invalid.
 func ParseVersion(file string, src []byte) (*configversion.Config, error) {
 	var blocks versionFile
 	body, err := decode(file, src, &blocks)
--- a/internal/config/volumes.go
+++ b/internal/config/volumes.go
@@ -10,7 +10,7 @@
 	"irispost/scheduler"
 )
 
-// maxNameBytes bounds a volume's name, which is a folder's.
+// maxNameBytes is the longest name of a volume, which is the name of a folder.
 const maxNameBytes = 255
 
 func (d *decoder) volumes(blocks *gatewayFile, config *Config) {
@@ -22,11 +22,11 @@
 	for _, block := range blocks.Volumes {
 		volume := d.volume(&block, config)
 		if other, duplicate := names[volume.ID]; duplicate {
-			d.reject(block.ID.Range(), "Id twice", "Volume %q has the id %d already.", other, volume.ID)
+			d.reject(block.ID.Range(), "Duplicate volume id", "Volume %q already has the id %d.", other, volume.ID)
 		}
 		names[volume.ID] = block.Name
 		if i, known := serviceLevels[volume.ServiceLevel]; !known {
-			d.reject(block.ServiceLevel.Range(), "No such plan", "There is no plan %q.", volume.ServiceLevel)
+			d.reject(block.ServiceLevel.Range(), "Unknown plan", "There is no plan %q.", volume.ServiceLevel)
 		} else if limit, limited := rateLimit(config.Settings, i); limited {
 			config.VolumeLimits[volume.ID] = limit
 		}
@@ -34,18 +34,18 @@
 		config.Volumes[block.Name] = volume
 	}
 	if len(blocks.Volumes) == 0 {
-		d.reject(blocks.Gateway.Range, "No volume", "At least one volume block is needed.")
+		d.reject(blocks.Gateway.Range, "No volumes", "At least one volume block is required.")
 	}
 }
 
 func (d *decoder) volume(block *volumeBlock, config *Config) *front.Volume {
 	name := block.Name
 	if config.Volumes[name] != nil {
-		d.reject(block.Range, "Volume twice", "There is a volume %q already.", name)
+		d.reject(block.Range, "Duplicate volume", "A volume %q is already defined.", name)
 	}
 	reserved := name == "" || name == "." || name == ".."
 	if reserved || strings.ContainsAny(name, "/\x00") || len(name) > maxNameBytes {
-		d.reject(block.Range, "Bad name", "A volume's name is a folder's name: not empty, without slash, at most %d bytes.",
+		d.reject(block.Range, "Invalid volume name", "The name must be a folder name: not empty, no slash, at most %d bytes.",
 			maxNameBytes)
 	}
 	return &front.Volume{Name: name, Volume: gateway.Volume{
@@ -55,7 +55,8 @@
 	}}
 }
 
-// rateLimit is the token bucket of the service level at an index. A setting that is no number was rejected before.
+// rateLimit returns the token bucket of the service level at index. Settings that are not numbers have been rejected
+// before.
 func rateLimit(settings scheduler.Settings, index int) (limit RateLimit, limited bool) {
 	number := func(value string) float64 {
 		n, _ := strconv.ParseFloat(settings[serviceLevelKey(index, value)], 64)
@@ -65,8 +66,8 @@
 	return limit, limit.Rate > 0
 }
 
-// volumeRules reads which requests of a volume are of which class. Each operation has a rule that fits all of its
-// requests.
+// volumeRules reads the rules that assign a volume's requests to request classes. Each operation needs a rule that
+// matches all of its requests.
 func (d *decoder) volumeRules(block *volumeBlock, volume *front.Volume, config *Config) {
 	covered := map[front.OperationKind]bool{}
 	for _, rule := range block.Rules {
@@ -74,8 +75,8 @@
 	}
 	for _, operation := range []front.OperationKind{front.Read, front.Write, front.Lookup, front.Change} {
 		if !covered[operation] {
-			d.reject(block.Range, "Operations without a product",
-				"Volume %q has no product block for %q without match and larger.", block.Name, operation)
+			d.reject(block.Range, "Operation without a product",
+				"Volume %q needs a product block for %q without match and larger.", block.Name, operation)
 		}
 	}
 }
@@ -85,12 +86,12 @@
 ) {
 	class := config.RequestClasses[block.RequestClass]
 	if class == nil {
-		d.reject(block.Range, "No such product", "There is no product %q.", block.RequestClass)
+		d.reject(block.Range, "Unknown product", "There is no product %q.", block.RequestClass)
 		return
 	}
 	rule := front.Rule{Match: block.Match, LargerThan: uint64(d.bytes(block.LargerThan, 0, 1<<40, 0)), Class: &class.RequestClass}
 	if _, err := path.Match(block.Match, "x"); err != nil {
-		d.reject(block.Range, "Bad pattern", "%q: %v.", block.Match, err)
+		d.reject(block.Range, "Invalid pattern", "%q: %v.", block.Match, err)
 	}
 	for _, word := range block.Operations {
 		operation := front.OperationKind(word)
@@ -103,30 +104,31 @@
 	volume.Rules = append(volume.Rules, rule)
 }
 
-// checkIdempotency rejects a class that promises another effect of repeats than the operation has.
+// checkIdempotency rejects a request class whose idempotency, ordering or dedup scope does not fit the operation, so
+// that a repeat would not have the effect that the class promises.
 func (d *decoder) checkIdempotency(block *volumeRuleBlock, operation front.OperationKind, class *RequestClass, config *Config) {
-	const summary = "Kind does not fit"
+	const summary = "Wrong kind of product"
 	idempotency := scheduler.Idempotency(class.Idempotency)
 	switch operation {
 	case front.Read, front.Lookup:
 		if idempotency != scheduler.Idempotent {
 			d.reject(block.Range, summary,
-				"%q operations change nothing, so product %q has to be replayable.", operation, class.Name)
+				"%q operations change nothing, so product %q must be replayable.", operation, class.Name)
 		}
 	case front.Write:
 		if idempotency != scheduler.Idempotent || !class.Ordered {
 			d.reject(block.Range, summary,
-				"%q operations put bytes at their place: product %q has to be replayable and in_turn, "+
-					"so that an old write never comes after a new one.", operation, class.Name)
+				"%q operations write bytes at a fixed offset, so product %q must be replayable and in_turn: "+
+					"otherwise an old write could overwrite a newer one.", operation, class.Name)
 		}
 	case front.Change:
 		if idempotency != scheduler.IdempotencyKeyed || config.dedupScope(class.Name) != wordDedupSameShard {
 			d.reject(block.Range, summary,
-				"%q operations change a record at its home shard: product %q has to be referenced "+
+				"%q operations change a record at its home shard, so product %q must be referenced "+
 					"with group \"shard\".", operation, class.Name)
 		}
 	default:
-		d.reject(block.Range, "No such operation",
+		d.reject(block.Range, "Unknown operation",
 			"Operations are \"read\", \"write\", \"look\" and \"change\", not %q.", operation)
 	}
 }
--- a/internal/layout/encoding.go
+++ b/internal/layout/encoding.go
@@ -8,21 +8,22 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// recordFormat is the first byte of an encoded record.
+// recordFormat is the format number, the first byte of an encoded record.
 const recordFormat = 1
 
 // Lengths in an encoded record, in bytes.
 const (
-	fixedLength     = 35 // format, kind, state and the numbers
+	fixedLength     = 35 // format, kind, state and the integers of fixed size
 	checksumLength  = 8
 	minRecordLength = fixedLength + 4 + checksumLength // with three empty strings and no extents
 )
 
-// ErrCorruptRecord tells that the bytes of a stored record are not as Encode wrote them.
-var ErrCorruptRecord = errors.New("the record is damaged")
+// ErrCorruptRecord is returned for a stored record that differs from what Encode wrote.
+var ErrCorruptRecord = errors.New("the record is corrupt")
 
-// Encode returns the form in which nodes store the record: the fixed fields in big-endian order, the strings and
-// extents with lengths as varints, and a checksum (xxHash64) of all. The version is left out; the node has it.
+// Encode returns the form in which nodes store the record: the fields of fixed size in big-endian order, the strings
+// and extents with varint lengths, and a checksum (xxHash64) of all of these. It omits the version, which the node
+// keeps.
 func (r *Record) Encode() []byte {
 	encoded := []byte{recordFormat, byte(r.Kind), byte(r.State)}
 	encoded = binary.BigEndian.AppendUint32(encoded, r.Mode)
@@ -45,8 +46,8 @@
 	return append(binary.AppendUvarint(encoded, uint64(len(text))), text...)
 }
 
-// Decode reads a record that Encode wrote, and that a node stores with a version. It fails with ErrCorruptRecord, also
-// where the record has a format that this build does not know.
+// Decode decodes a record that Encode wrote; version is the one that the node stores with it. It fails with
+// ErrCorruptRecord if the record is corrupt or has a format that this build does not know.
 func Decode(encoded []byte, version uint64) (*Record, error) {
 	if len(encoded) < minRecordLength {
 		return nil, ErrCorruptRecord
@@ -56,7 +57,7 @@
 		return nil, ErrCorruptRecord
 	}
 	if encoded[0] != recordFormat {
-		return nil, fmt.Errorf("%w: its form is %d, this build reads %d", ErrCorruptRecord, encoded[0], recordFormat)
+		return nil, fmt.Errorf("%w: its format is %d, this build reads format %d", ErrCorruptRecord, encoded[0], recordFormat)
 	}
 	record := &Record{
 		Version:     version,
@@ -73,7 +74,7 @@
 	record.MovePeer = reader.text()
 	record.LastMoveID = reader.text()
 	count := reader.number()
-	if reader.malformed || count > uint64(len(reader.remaining)) { // an extent has at least two bytes
+	if reader.malformed || count > uint64(len(reader.remaining)) { // an extent takes at least two bytes
 		return nil, ErrCorruptRecord
 	}
 	for range count {
@@ -86,7 +87,7 @@
 	return record, nil
 }
 
-// recordReader reads the fields of variable length. After a malformed one it gives zeros.
+// recordReader reads the fields of variable length. It returns zero values from the first malformed field on.
 type recordReader struct {
 	remaining []byte
 	malformed bool
--- a/internal/layout/golden_test.go
+++ b/internal/layout/golden_test.go
@@ -10,7 +10,7 @@
 	"irispost/internal/testkit/golden"
 )
 
-// Nodes hold encoded records, so their bytes stay as they are, and records that were stored stay readable.
+// Nodes store encoded records, so the encoding must not change, and stored records must remain readable.
 func TestGoldenStoredRecords(t *testing.T) {
 	extents := []Extent{{Shard: 1, Object: "g0-abc-1"}, {}, {Shard: 300, Object: "g1-abc-2"}}
 	records := []Record{
@@ -31,7 +31,7 @@
 		record.Version = uint64(i + 1)
 		decoded, err := Decode(encoded, record.Version)
 		if err != nil || !reflect.DeepEqual(*decoded, record) {
-			t.Errorf("%+v is read as %+v, %v", record, decoded, err)
+			t.Errorf("decoded record: got %+v, %v, want %+v", decoded, err, record)
 		}
 	}
 	golden.Check(t, "records.txt", out.Bytes())
--- a/internal/layout/layout_test.go
+++ b/internal/layout/layout_test.go
@@ -31,7 +31,7 @@
 	} {
 		p, err := Parse(c.in)
 		if !errors.Is(err, c.err) || err == nil && p.String() != c.out {
-			t.Errorf("%.40q is %q, %v", c.in, p.String(), err)
+			t.Errorf("path %.40q: got %q and error %v, want the path or error of the case", c.in, p.String(), err)
 		}
 	}
 }
@@ -56,26 +56,27 @@
 	return r
 }
 
-// A record is decoded as it was encoded; one with any byte changed, or cut anywhere, is not.
+// Decode returns the record that was encoded. It rejects an encoded record with a changed byte, or truncated
+// anywhere.
 func TestDecodeReturnsTheRecordOrFails(t *testing.T) {
 	fixSeed(t)
 	rapid.Check(t, func(t *rapid.T) {
 		r := drawRecord(t)
 		b := r.Encode()
 		if got, err := Decode(b, r.Version); err != nil || !reflect.DeepEqual(got, r) {
-			t.Fatalf("%+v comes back as %+v, %v", r, got, err)
+			t.Fatalf("decoded record: got %+v, %v, want %+v", got, err, r)
 		}
 		if _, err := Decode(b[:rapid.IntRange(0, len(b)-1).Draw(t, "cut")], 1); err == nil {
-			t.Fatal("a record that was cut is read")
+			t.Fatal("a truncated record was accepted, want an error")
 		}
 		b[rapid.IntRange(0, len(b)-1).Draw(t, "byte")] ^= byte(rapid.IntRange(1, 255).Draw(t, "by"))
 		if _, err := Decode(b, 1); err == nil {
-			t.Fatal("a record with a byte changed is read")
+			t.Fatal("a record with a changed byte was accepted, want an error")
 		}
 	})
 }
 
-// Pieces cover each byte once, in order, and none crosses an extent's edge.
+// The pieces cover each byte exactly once and in order, and no piece crosses the boundary of an extent.
 func TestSplitByExtentCoversEachByteOnce(t *testing.T) {
 	fixSeed(t)
 	rapid.Check(t, func(t *rapid.T) {
@@ -83,19 +84,21 @@
 		extent := rapid.Uint32Range(4096, 1<<20).Draw(t, "extent")
 		covered := 0
 		for _, p := range SplitByExtent(offset, length, extent) {
-			if p.DataOffset != covered || p.Length <= 0 || uint64(p.ExtentIndex)*uint64(extent)+p.ExtentOffset != offset+uint64(covered) ||
+			if p.DataOffset != covered || p.Length <= 0 ||
+				uint64(p.ExtentIndex)*uint64(extent)+p.ExtentOffset != offset+uint64(covered) ||
 				p.ExtentOffset+uint64(p.Length) > uint64(extent) {
-				t.Fatalf("piece %+v at %d", p, covered)
+				t.Fatalf("got piece %+v, want one at byte %d of the data that lies within one extent", p, covered)
 			}
 			covered += p.Length
 		}
 		if covered != length {
-			t.Fatalf("%d of %d bytes", covered, length)
+			t.Fatalf("the pieces cover %d bytes, want %d", covered, length)
 		}
 	})
 }
 
-// When shards are added, a record moves to a new one or stays; each shard holds its part.
+// When a shard is added, a record either stays or moves to the new shard, and every shard gets its share of the
+// records.
 func TestHomeShardMovesOnlyToNewShards(t *testing.T) {
 	recordsByShard := make([]int, 8)
 	for i := range 8000 {
@@ -103,13 +106,13 @@
 		p := Path{Volume: "v", Rel: name}
 		a, b := p.HomeShard(7), p.HomeShard(8)
 		if a != b && b != 7 {
-			t.Fatalf("%s moves from shard %d to %d", p, a, b)
+			t.Fatalf("%s moves from shard %d to %d, want it to stay or to move to shard 7", p, a, b)
 		}
 		recordsByShard[b]++
 	}
 	for shard, n := range recordsByShard {
 		if n < 500 {
-			t.Errorf("shard %d holds %d of 8000", shard, n)
+			t.Errorf("shard %d holds %d of 8000 records, want at least 500", shard, n)
 		}
 	}
 }
@@ -120,7 +123,7 @@
 	replaced := r.Merge(map[int]Extent{0: {2, "x"}, 3: {0, "z"}}, 400)
 	if !reflect.DeepEqual(replaced, []Extent{{0, "a"}}) || r.Size != 400 ||
 		!reflect.DeepEqual(r.Extents, []Extent{{2, "x"}, {}, {1, "c"}, {0, "z"}}) {
-		t.Errorf("lost %v, record %+v", replaced, r)
+		t.Errorf("got replaced extents %v and record %+v, want [{0 a}] and the merged extents with size 400", replaced, r)
 	}
 }
 
@@ -128,12 +131,12 @@
 	f.Add((&Record{ChangeID: "m", Extents: []Extent{{1, "o"}}}).Encode())
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if r, err := Decode(b, 1); err == nil && string(r.Encode()) != string(b) {
-			t.Errorf("%x is read and written otherwise", b)
+			t.Errorf("%x was accepted, but encodes to other bytes again", b)
 		}
 	})
 }
 
-// fixSeed has the checks draw the same each time.
+// fixSeed makes rapid draw the same values in every run and write no failure files.
 func fixSeed(t *testing.T) {
 	t.Helper()
 	if err := flag.Set("rapid.nofailfile", "true"); err != nil {
--- a/internal/layout/record.go
+++ b/internal/layout/record.go
@@ -1,27 +1,27 @@
 package layout
 
-// Kind is the kind of a record. Its numbers are stored.
+// Kind is the kind of a record. Its values are stored by nodes.
 type Kind uint8
 
 // The kinds of records.
 const (
 	File Kind = iota
 	Directory
-	Absent // there is no record; its version is that of the removal, as long as the node remembers it
+	Absent // no record exists; its version is that of the removal as long as the node remembers it
 )
 
-// State is the state of a record. Its numbers are stored.
+// State is the state of a record. Its values are stored by nodes.
 type State uint8
 
 // The states of a record.
 const (
 	Live     State = iota
-	Moving         // a file that is being renamed to MovePeer, by the change ChangeID
-	Arriving       // a file that is being renamed from MovePeer, which has to be removed before anything else
-	Removing       // a directory that is about to be removed: nothing is made in it
+	Moving         // a file that the change ChangeID is renaming to MovePeer
+	Arriving       // a file that is being renamed from MovePeer, which must be removed before any other change
+	Removing       // a directory that is about to be removed: nothing may be created in it
 )
 
-// Extent is a run of a file's bytes, stored as an object. One without an object is a hole.
+// Extent is a contiguous range of a file's bytes, stored as one object. An extent without an object is a hole.
 type Extent struct {
 	Shard  int
 	Object string
@@ -29,21 +29,21 @@
 
 // Record describes a file or directory. It is changed by compare-and-swap on Version.
 type Record struct {
-	Version     uint64 // given by the node that stores it
+	Version     uint64 // assigned by the node that stores the record
 	Kind        Kind
 	State       State
 	Mode        uint32 // POSIX permission bits
 	Size        uint64 // bytes
 	Modified    int64  // nanoseconds since 1970
-	ExtentSize  uint32 // bytes; the same for the life of a file
-	ChangeID    string // of the change that made this version; unique
-	MovePeer    string // of Moving and Arriving: the path of the other record
-	PeerVersion uint64 // and its version, which the move replaces or removes
-	LastMoveID  string // the ChangeID of the latest move's first change, whether it was completed or reverted
+	ExtentSize  uint32 // bytes; constant over the life of a file
+	ChangeID    string // of the change that wrote this version; unique
+	MovePeer    string // in Moving and Arriving: path of the other record of the move
+	PeerVersion uint64 // version of the other record, which the move replaces or removes
+	LastMoveID  string // ChangeID of the first change of the latest move, whether that was completed or reverted
 	Extents     []Extent
 }
 
-// ExtentAt returns the extent of an index. Behind the last there are holes.
+// ExtentAt returns the extent at index. Past the last extent there are holes.
 func (r *Record) ExtentAt(index int) Extent {
 	if index < len(r.Extents) {
 		return r.Extents[index]
@@ -51,7 +51,7 @@
 	return Extent{}
 }
 
-// SetExtent sets the extent of an index, with holes before it where there were none.
+// SetExtent sets the extent at index. It fills a gap before it with holes.
 func (r *Record) SetExtent(index int, extent Extent) {
 	for len(r.Extents) <= index {
 		r.Extents = append(r.Extents, Extent{})
@@ -69,8 +69,9 @@
 	return stored
 }
 
-// Merge puts extents that one gateway has written, by index, over a record that another may have changed since: by
-// whole extents, the last to commit wins. It returns the extents that are replaced, whose objects nothing refers to.
+// Merge sets the extents that a gateway has written, by index, in a record that another gateway may have changed in
+// the meantime. For each extent the last commit wins. Merge returns the replaced extents, whose objects are no longer
+// referenced.
 func (r *Record) Merge(written map[int]Extent, size uint64) (replaced []Extent) {
 	for index, extent := range written {
 		if old := r.ExtentAt(index); old.Object != "" && old.Object != extent.Object {
--- a/internal/layout/split.go
+++ b/internal/layout/split.go
@@ -3,12 +3,12 @@
 // Piece is the part of a read or write that lies in one extent.
 type Piece struct {
 	ExtentIndex  int
-	ExtentOffset uint64 // of its first byte in the extent
-	DataOffset   int    // of its first byte in the data that is read or written
+	ExtentOffset uint64 // of the first byte in the extent
+	DataOffset   int    // of the first byte in the data that is read or written
 	Length       int    // bytes
 }
 
-// SplitByExtent splits the length bytes of a file from offset on into pieces, in their order.
+// SplitByExtent splits the length bytes at offset in a file into pieces, in ascending order.
 func SplitByExtent(offset uint64, length int, extentSize uint32) (pieces []Piece) {
 	for done := 0; done < length; {
 		position := offset + uint64(done)
--- a/internal/platform/check.go
+++ b/internal/platform/check.go
@@ -7,10 +7,10 @@
 	"irispost/internal/wire"
 )
 
-// maxNumber bounds all numbers of settings.
+// maxNumber is the upper bound of all numeric settings.
 const maxNumber = 1e15
 
-// SettingError tells that a setting is missing or not valid.
+// SettingError reports a setting that is missing or invalid.
 type SettingError struct {
 	Path    string
 	Problem string
@@ -19,7 +19,7 @@
 // Error implements error.
 func (e *SettingError) Error() string { return "settings: " + e.Path + " " + e.Problem }
 
-// optionalNumbers are the settings that have to be numbers from 0 on where they are given.
+// optionalNumbers are the settings that may be missing but otherwise must be numbers of at least 0.
 var optionalNumbers = []string{
 	"contract.drain_grace_ms",
 	"contract.cold_ms",
@@ -36,17 +36,17 @@
 	"domain.young_limit",
 }
 
-// optionalPermissions are checked after them.
+// optionalPermissions are like optionalNumbers, but are checked last.
 var optionalPermissions = []string{
 	"permissions.max_retry_after_ms",
 	"permissions.dial_timeout_ms",
 	"permissions.idle_close_ms",
 }
 
-// check rejects settings that nobody could act on, and names the first by its path, with its value.
+// check returns a SettingError with the path and value of the first setting that is missing or invalid.
 func (s settings) check() error {
 	if s.isEmptyList("lanes") {
-		return &SettingError{"lanes", "names none"}
+		return &SettingError{"lanes", "has no items"}
 	}
 	if err := s.checkItems("lanes", s.checkRequestClass); err != nil {
 		return err
@@ -90,7 +90,7 @@
 	return s.checkNumber(item+".burst", 0, hasLimit)
 }
 
-// checkNumbers checks optional settings that have to be numbers from 0 on.
+// checkNumbers checks optional settings that must be numbers of at least 0.
 func (s settings) checkNumbers(paths []string) error {
 	for _, path := range paths {
 		if err := s.checkNumber(path, 0, false); err != nil {
@@ -100,7 +100,7 @@
 	return nil
 }
 
-// checkNumber checks that a setting is a number between least and maxNumber.
+// checkNumber checks that a setting is a number from minimum to maxNumber.
 func (s settings) checkNumber(path string, minimum float64, required bool) error {
 	value, given := s[path]
 	if !given && !required {
@@ -110,34 +110,34 @@
 	if given && err == nil && number >= minimum && number <= maxNumber {
 		return nil
 	}
-	return &SettingError{path, fmt.Sprintf("is %s, and has to be a number from %g on", s.quoted(path), minimum)}
+	return &SettingError{path, fmt.Sprintf("is %s, but must be a number of at least %g", s.quoted(path), minimum)}
 }
 
-// checkEnum checks that a setting is one of the known words.
+// checkEnum checks that a setting has one of the valid values.
 func (s settings) checkEnum(path string, valid func(word string) bool, required bool) error {
 	value, given := s[path]
 	if given && valid(value) || !given && !required {
 		return nil
 	}
-	return &SettingError{path, fmt.Sprintf("is %s, which is not known", s.quoted(path))}
+	return &SettingError{path, fmt.Sprintf("is %s, which is not a known value", s.quoted(path))}
 }
 
-// isEmptyList tells whether a list has no items, or is missing.
+// isEmptyList reports whether a list is empty or missing.
 func (s settings) isEmptyList(path string) bool {
 	count, err := strconv.Atoi(s[path+".count"])
 	return err != nil || count == 0
 }
 
-// checkItems checks each item of a list of objects, whose names have to differ.
+// checkItems checks each item of a list of objects. The names of the items must be unique.
 func (s settings) checkItems(path string, check func(item string) error) error {
 	if s[path+".count"] == "" {
 		return nil
 	}
 	count, err := strconv.Atoi(s[path+".count"])
 	if err != nil {
-		return &SettingError{path, "names none"}
+		return &SettingError{path, "has no items"}
 	}
-	indexByName := map[string]int{} // by name
+	indexByName := map[string]int{}
 	for i := range count {
 		item := path + "." + strconv.Itoa(i)
 		name := s[item+".name"]
@@ -145,7 +145,7 @@
 			return &SettingError{item + ".name", "is " + s.quoted(item+".name")}
 		}
 		if other, duplicate := indexByName[name]; duplicate {
-			return &SettingError{item + ".name", fmt.Sprintf("is %q, as that of %s.%d", name, path, other)}
+			return &SettingError{item + ".name", fmt.Sprintf("is %q, which is also the name of %s.%d", name, path, other)}
 		}
 		indexByName[name] = i
 		if err := check(item); err != nil {
@@ -155,7 +155,7 @@
 	return nil
 }
 
-// quoted returns a setting's value for an error.
+// quoted returns a setting's value for an error message.
 func (s settings) quoted(path string) string {
 	value, given := s[path]
 	if !given {
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -1,5 +1,5 @@
-// Package platform reads what the platform gives a gateway that it starts: the environment and a JSON configuration.
-// The gateway's command calls it at the start and on a reload. It keeps no state; only Load does I/O.
+// Package platform reads the environment and the JSON configuration that the platform passes to a gateway. The
+// gateway's command calls it at startup and on a reload. The package keeps no state; only Load does I/O.
 package platform
 
 import (
@@ -16,7 +16,7 @@
 	"irispost/scheduler"
 )
 
-// Environment variables. All but the first stand in for what the configuration leaves out.
+// Environment variables. All but the first are defaults for values that the configuration leaves out.
 const (
 	envConfig    = "PROXY_CONFIG" // path of the configuration
 	envName      = "PROXY_NAME"
@@ -24,10 +24,10 @@
 	envDiscovery = "PROXY_DISCOVERY"
 )
 
-// Errors of a configuration that is not complete.
+// Errors for an incomplete configuration.
 var (
-	ErrNoConfig  = errors.New(envConfig + " names no configuration")
-	ErrNoTimeout = errors.New("settings: permissions.dial_timeout_ms and permissions.idle_close_ms have to be above 0")
+	ErrNoConfig  = errors.New(envConfig + " is not set")
+	ErrNoTimeout = errors.New("settings: permissions.dial_timeout_ms and permissions.idle_close_ms must be above 0")
 )
 
 // Config is a gateway's configuration.
@@ -39,13 +39,13 @@
 	Cores           float64
 	MemoryBytes     int64
 	MaxSockets      int
-	CachedEndpoints *discovery.Response // the list as this gateway had it last; nil: none
-	Settings        scheduler.Settings  // the scheduler's
-	DialTimeout     time.Duration       // limit of a connection to a node
-	IdleTimeout     time.Duration       // nodes close connections that have been idle for so long
+	CachedEndpoints *discovery.Response // the last endpoint list that this gateway had; nil: none
+	Settings        scheduler.Settings  // of the scheduler
+	DialTimeout     time.Duration       // for connecting to a node
+	IdleTimeout     time.Duration       // after which nodes close an idle connection
 }
 
-// configFile is the JSON form.
+// configFile is the JSON form of a configuration.
 type configFile struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
@@ -60,7 +60,7 @@
 	Settings        json.RawMessage     `json:"settings"`
 }
 
-// Load reads the configuration that the environment names.
+// Load reads the configuration file whose path is in the environment.
 func Load(env func(name string) string) (*Config, error) {
 	path := env(envConfig)
 	if path == "" {
@@ -77,7 +77,7 @@
 	return c, nil
 }
 
-// Parse reads a configuration from its JSON form. env gives what that leaves out.
+// Parse reads a configuration from its JSON form. Values that are not in it are taken from env.
 func Parse(src []byte, env func(name string) string) (*Config, error) {
 	var f configFile
 	if err := json.Unmarshal(src, &f); err != nil {
@@ -93,7 +93,7 @@
 	return c, nil
 }
 
-// config checks and converts all but the settings.
+// config validates and converts everything but the settings.
 func (f *configFile) config(env func(name string) string) (*Config, error) {
 	orEnv := func(value, name string) string {
 		if value == "" {
@@ -123,13 +123,14 @@
 		return nil, fmt.Errorf("seed: %q is not a number of up to 16 hex digits", f.Seed)
 	}
 	if c.MaxSockets <= 0 || c.MemoryBytes <= 0 || c.Cores <= 0 {
-		return nil, fmt.Errorf("limits: %v cores, %v MB and %d sockets", c.Cores, f.Limits.MemoryMB, c.MaxSockets)
+		return nil, fmt.Errorf("limits: %v cores, %v MB and %d sockets; all must be above 0",
+			c.Cores, f.Limits.MemoryMB, c.MaxSockets)
 	}
 	return c, nil
 }
 
-// readSettings reads the platform's settings: those for the scheduler under its names, and the time limits of
-// connections.
+// readSettings reads the platform's settings: those of the scheduler, which it stores under the scheduler's names,
+// and the timeouts of connections.
 func (c *Config) readSettings(src json.RawMessage) error {
 	decoder := json.NewDecoder(bytes.NewReader(src))
 	decoder.UseNumber()
@@ -147,7 +148,7 @@
 	if err := flat.check(); err != nil {
 		return err
 	}
-	c.Settings["discovery"] = "ask" // whatever the setting: over HTTP the list is polled
+	c.Settings["discovery"] = "ask" // regardless of the setting: over HTTP the list is always polled
 	if c.DialTimeout == 0 || c.IdleTimeout == 0 {
 		return ErrNoTimeout
 	}
--- a/internal/platform/golden_test.go
+++ b/internal/platform/golden_test.go
@@ -11,7 +11,7 @@
 	"irispost/internal/testkit/golden"
 )
 
-// encodeConfig returns a configuration as JSON under names of the test's own.
+// encodeConfig returns a configuration as JSON with fixed key names, which do not depend on the names of its fields.
 func encodeConfig(t *testing.T, c *platform.Config) []byte {
 	t.Helper()
 	encoded, err := json.MarshalIndent(map[string]any{
@@ -35,7 +35,8 @@
 	return append(encoded, '\n')
 }
 
-// withoutKeys writes a configuration without these texts to a file of its own.
+// withoutKeys removes the first occurrence of each text in keys from a configuration and writes the result to a new
+// file.
 func withoutKeys(t *testing.T, config string, keys ...string) string {
 	t.Helper()
 	src, err := os.ReadFile(config)
@@ -52,7 +53,8 @@
 	return file
 }
 
-// A configuration is read from its file alone, and with what the file leaves out from the environment.
+// The settings match the golden files when the configuration file is complete, and when the environment supplies what
+// the file leaves out.
 func TestGoldenSettings(t *testing.T) {
 	complete := filepath.Join("testdata", "config.json")
 	partial := withoutKeys(t, complete, `"name": "n3",`, `"listen": "10.0.0.4:8080",`, `"discovery": "10.2.0.1:8500",`,
--- a/internal/platform/grace.go
+++ b/internal/platform/grace.go
@@ -5,22 +5,23 @@
 	"time"
 )
 
-// The platform kills a gateway that it ends after the longest time limit of its request classes, of which it counts
-// maxDrain at most, and killDelay more.
+// The platform lets a gateway that it shuts down drain for the longest time limit of its request classes, but for no
+// longer than maxDrain, and kills it killDelay after that.
 const (
 	maxDrain  = 3 * time.Second
 	killDelay = 700 * time.Millisecond
 )
 
-// maxLongPoll leaves three of the six seconds after which changes count as delivered that a poll without a response
-// missed: one until that is noticed, and two for the polls that follow.
+// maxLongPoll is the longest that a poll may wait for changes. Changes that a poll missed because it got no response
+// count as delivered after six seconds. Waiting for three of these leaves one second to notice that there is no
+// response, and two for the polls that follow.
 const maxLongPoll = 3 * time.Second
 
-// pollsPerInterval is how many polls fit into the time after which a gateway that has not polled counts as up to date
-// all the same, so that a service that does not respond is noticed before.
+// pollsPerInterval is the number of polls in the time after which a gateway counts as up to date even if it has not
+// polled. With several polls in that time, a service that does not respond is noticed before it has passed.
 const pollsPerInterval = 4
 
-// ShutdownGrace is how long a gateway has from being told to end until it is killed.
+// ShutdownGrace returns the time from the platform's request to shut down until it kills the gateway.
 func (c *Config) ShutdownGrace() time.Duration {
 	longest := 0.0
 	for i := range c.count("products.count") {
@@ -29,7 +30,7 @@
 	return min(milliseconds(longest), maxDrain) + killDelay
 }
 
-// LongPoll is how long the discovery service may let a poll wait for changes.
+// LongPoll returns how long the discovery service may hold a poll while there are no changes.
 func (c *Config) LongPoll() time.Duration {
 	interval := c.number("list.every")
 	if interval <= 0 {
@@ -38,7 +39,7 @@
 	return min(milliseconds(interval/pollsPerInterval), maxLongPoll)
 }
 
-// number returns a setting of the scheduler; 0: it has none, or one that is no number.
+// number returns a numeric setting of the scheduler, or 0 if it is missing or not a number.
 func (c *Config) number(name string) float64 {
 	value, err := strconv.ParseFloat(c.Settings[name], 64)
 	if err != nil {
@@ -47,7 +48,7 @@
 	return value
 }
 
-// count returns a setting of the scheduler that counts; 0: it has none, or one that is no number.
+// count returns an integer setting of the scheduler, or 0 if it is missing or not an integer.
 func (c *Config) count(name string) int {
 	value, err := strconv.Atoi(c.Settings[name])
 	if err != nil {
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -24,13 +24,13 @@
 
 func emptyEnv(string) string { return "" }
 
-// replaced returns the complete configuration with texts replaced, given in pairs of old and new.
+// replaced returns the complete configuration with replacements, given as pairs of an old and a new text.
 func replaced(t *testing.T, pairs ...string) []byte {
 	t.Helper()
 	config := complete
 	for i := 0; i < len(pairs); i += 2 {
 		if !strings.Contains(config, pairs[i]) {
-			t.Fatalf("the configuration has no %s", pairs[i])
+			t.Fatalf("the complete configuration does not contain %s", pairs[i])
 		}
 		config = strings.Replace(config, pairs[i], pairs[i+1], 1)
 	}
@@ -43,23 +43,24 @@
 		t.Fatal(err)
 	}
 	if c.Name != "n3" || c.Seed != 0x8c1f30d27a5be964 || c.MemoryBytes != 48<<20 || c.MaxSockets != 256 {
-		t.Errorf("%+v", c)
+		t.Errorf("got %+v, want name n3, seed 8c1f30d27a5be964, 48 MiB and 256 sockets", c)
 	}
 	if c.CachedEndpoints.Revision != 41 || c.DialTimeout != 250*time.Millisecond || c.IdleTimeout != 30*time.Second {
-		t.Errorf("%+v", c)
+		t.Errorf("got %+v, want revision 41 of the cached endpoints, dial timeout 250ms, idle timeout 30s", c)
 	}
 	for name, want := range map[string]string{"products.0.name": "a b", "products.count": "2", "list.every": "10000.0"} {
 		if got := c.Settings[name]; got != want {
-			t.Errorf("%s is %q, want %q", name, got, want)
+			t.Errorf("setting %s: got %q, want %q", name, got, want)
 		}
 	}
 	if c.ShutdownGrace() != 3700*time.Millisecond || c.LongPoll() != 2500*time.Millisecond {
-		t.Errorf("shutdown grace %v, long poll %v", c.ShutdownGrace(), c.LongPoll())
+		t.Errorf("got shutdown grace %v and long poll %v, want 3.7s and 2.5s", c.ShutdownGrace(), c.LongPoll())
 	}
 }
 
-// The list is polled also where the platform's setting is that it is pushed. Without an interval, polls leave three of
-// six seconds.
+// The endpoint list is polled even if the platform's setting asks for push. Without a configured interval, a poll
+// waits for at most three seconds, which leaves three of the six seconds after which missed changes count as
+// delivered.
 func TestListIsPolledWhereItIsPushed(t *testing.T) {
 	src := replaced(t, `"ask_every_ms":10000.0`, "", `"settings":{`, `"settings":{"discovery":"push",`)
 	c, err := platform.Parse(src, emptyEnv)
@@ -67,7 +68,7 @@
 		t.Fatal(err)
 	}
 	if c.Settings["discovery"] != "ask" || c.LongPoll() != 3*time.Second {
-		t.Errorf("%q, long poll %v", c.Settings["discovery"], c.LongPoll())
+		t.Errorf("got discovery %q and long poll %v, want \"ask\" and 3s", c.Settings["discovery"], c.LongPoll())
 	}
 }
 
@@ -78,7 +79,7 @@
 		t.Fatal(err)
 	}
 	if c.Name != "of PROXY_NAME" || c.Discovery != "10.2.0.1:8500" || c.ShutdownGrace() != 3200*time.Millisecond {
-		t.Errorf("%+v", c)
+		t.Errorf("got %+v, want the name from the environment, the discovery address of the file, shutdown grace 3.2s", c)
 	}
 }
 
@@ -93,19 +94,19 @@
 		"unknown effect":        {`"effect":"read_like"`, `"effect":"maybe"`, `lanes.0.effect is "maybe"`},
 		"no effect":             {`"effect":"read_like",`, "", "lanes.0.effect is missing"},
 		"unknown group":         {`"group":"cell"`, `"group":"town"`, `lanes.1.group is "town"`},
-		"name twice":            {`"name":"c"`, `"name":"a b"`, `lanes.1.name is "a b", as that of lanes.0`},
+		"name twice":            {`"name":"c"`, `"name":"a b"`, `lanes.1.name is "a b", which is also the name of lanes.0`},
 		"class without a name":  {`{"name":"c"`, `{"other":"c"`, "lanes.1.name is missing"},
 		"negative time":         {`"hard_limit_ms":4000`, `"hard_limit_ms":-1`, `lanes.1.hard_limit_ms is "-1"`},
 		"no time":               {`"hard_limit_ms":4000`, `"other":1`, "lanes.1.hard_limit_ms is missing"},
 		"word for a number":     {`"ask_every_ms":10000.0`, `"ask_every_ms":"soon"`, `contract.ask_every_ms is "soon"`},
 		"negative rate":         {`"base_rate":4.2`, `"base_rate":-4.2`, `contracts.0.base_rate is "-4.2"`},
 		"limit without a burst": {`,"burst":8`, "", "contracts.0.burst is missing"},
-		"no classes":            {`"lanes":[`, `"other":[`, "lanes names none"},
+		"no classes":            {`"lanes":[`, `"other":[`, "lanes has no items"},
 		"word for a target":     {`"name":"c"`, `"name":"c","target_ms":"x"`, `lanes.1.target_ms is "x"`},
 		"word for a window":     {`"name":"c"`, `"name":"c","repeat_window_ms":"x"`, `lanes.1.repeat_window_ms is "x"`},
 		"infinite rate":         {`"base_rate":4.2`, `"base_rate":1e16`, `contracts.0.base_rate is "1e16"`},
 		"level without a name":  {`{"name":"gold",`, `{"name":"",`, `contracts.0.name is ""`},
-		"no list of levels":     {`"contracts":[`, `"contracts":{"count":"x"},"other":[`, "contracts names none"},
+		"no list of levels":     {`"contracts":[`, `"contracts":{"count":"x"},"other":[`, "contracts has no items"},
 		"no attempts":           {`"dial_timeout_ms"`, `"attempts_cap":0,"dial_timeout_ms"`, `permissions.attempts_cap is "0"`},
 		"negative retry time":   {`"dial_timeout_ms"`, `"max_retry_after_ms":-1,"dial_timeout_ms"`, `max_retry_after_ms is "-1"`},
 		"settings not JSON":     {`"settings":{`, `"settings":[`, "invalid character"},
@@ -121,22 +122,22 @@
 
 func TestLoadNamesTheFileOfAnError(t *testing.T) {
 	if _, err := platform.Load(emptyEnv); !errors.Is(err, platform.ErrNoConfig) {
-		t.Errorf("no configuration: %v", err)
+		t.Errorf("without a configuration: got error %v, want ErrNoConfig", err)
 	}
 	file := filepath.Join(t.TempDir(), "config.json")
 	env := func(string) string { return file }
 	if _, err := platform.Load(env); !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("no file: %v", err)
+		t.Errorf("missing file: got error %v, want ErrNotExist", err)
 	}
 	if err := os.WriteFile(file, []byte("{}"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := platform.Load(env); err == nil || !strings.HasPrefix(err.Error(), file+": ") {
-		t.Errorf("invalid file: %v", err)
+		t.Errorf("invalid file: got error %v, want one that begins with the file name", err)
 	}
 }
 
-// An error of a setting names its path.
+// An invalid setting is reported with its path.
 func TestSettingErrorNamesThePath(t *testing.T) {
 	_, err := platform.Parse(replaced(t, `"base_rate":4.2`, `"base_rate":"many"`), emptyEnv)
 	var setting *platform.SettingError
--- a/internal/platform/settings.go
+++ b/internal/platform/settings.go
@@ -9,10 +9,10 @@
 	"irispost/internal/wire"
 )
 
-// settings are the platform's settings by their path, such as lanes.0.name.
+// settings maps the path of each platform setting, such as lanes.0.name, to its value.
 type settings map[string]string
 
-// duration returns a setting in milliseconds; 0: there is none, or it is not above 0.
+// duration returns a setting that is given in milliseconds, or 0 if it is missing, malformed or not above 0.
 func (s settings) duration(path string) time.Duration {
 	ns, ok := wire.ParseTime([]byte(s[path]))
 	if !ok || ns < 0 {
@@ -21,8 +21,8 @@
 	return time.Duration(ns)
 }
 
-// flatten calls set for each value of a JSON tree: a list of objects becomes its count and its items, a list of plain
-// values one text, as in the first message of the frame protocol.
+// flatten calls set for each value of a JSON tree. A list of scalars becomes one comma-separated text; any other list
+// becomes its count and its items, as in the first message of the frame protocol.
 func flatten(path string, value any, set func(path, value string)) {
 	switch value := value.(type) {
 	case map[string]any:
@@ -55,7 +55,8 @@
 	return path + "." + name
 }
 
-// plainTexts returns the texts of a list of plain values; false: it is empty, or has other values.
+// plainTexts returns the texts of a list of scalars. It returns false if the list is empty or has an object or a list
+// in it.
 func plainTexts(list []any) (texts []string, ok bool) {
 	for _, item := range list {
 		switch item.(type) {
@@ -67,7 +68,7 @@
 	return texts, len(list) > 0
 }
 
-// plainText returns a JSON value as a text; null is empty.
+// plainText returns a JSON scalar as text; null becomes the empty string.
 func plainText(value any) string {
 	switch value := value.(type) {
 	case json.Number:
--- a/internal/snapshot/decode.go
+++ b/internal/snapshot/decode.go
@@ -11,16 +11,16 @@
 )
 
 // ErrCorrupt is returned for a snapshot that was changed after it was written, or that holds other types.
-var ErrCorrupt = errors.New("the snapshot is damaged, or of another build")
+var ErrCorrupt = errors.New("the snapshot is corrupt or was written by an incompatible build")
 
-// headerBytes and checksumBytes frame the objects of a snapshot.
+// Lengths in bytes of the shape before the objects of a snapshot and of the checksum after them.
 const (
 	headerBytes   = 8
 	checksumBytes = 8
 )
 
-// Restore decodes a snapshot whose root object is a T. It returns ErrCorrupt if the bytes have changed since they were
-// written, or if the stored type, by its stored names, is not that of T.
+// Restore decodes a snapshot whose root object is a T. It returns ErrCorrupt if the bytes have changed since they
+// were written, or if the stored type, by its stored names, is not that of T.
 func Restore[T any](b []byte, names Names) (*T, error) {
 	root := reflect.TypeFor[*T]()
 	if len(b) < headerBytes+checksumBytes {
@@ -52,11 +52,11 @@
 
 type decoder struct {
 	rest    []byte
-	objects []reflect.Value // pointers to them, by number from 1; one that was not met yet is not valid
+	objects []reflect.Value // pointers to the objects, by number - 1; invalid until first reached
 	err     error
 }
 
-// object is the object of a number, made when it is first met.
+// object returns a pointer to object n, which it allocates on first use, or a nil pointer for 0.
 func (d *decoder) object(n uint64, t reflect.Type) reflect.Value {
 	if n == 0 {
 		return reflect.Zero(t)
@@ -109,8 +109,8 @@
 	return text
 }
 
-// length reads the length of a slice or map, which is written plus one; 0 is nil. Each item has a byte at least, but
-// for empty structs.
+// length reads the length of a slice or map, which is encoded plus one; 0 is nil. It rejects lengths above the number
+// of bytes left, because each item takes at least one byte, unless it is an empty struct.
 func (d *decoder) length() (n int, present bool) {
 	encodedLength := d.uint()
 	if encodedLength > uint64(len(d.rest))+1 {
@@ -149,12 +149,12 @@
 	}
 }
 
-// value reads into a value that is zero.
+// value decodes into v, which must be zero.
 func (d *decoder) value(v reflect.Value) {
 	if d.err != nil {
 		return
 	}
-	if v.CanAddr() { // fields that are not exported may be set this way only
+	if v.CanAddr() { // reflection cannot set unexported fields otherwise
 		v = reflect.NewAt(v.Type(), v.Addr().UnsafePointer()).Elem()
 	}
 	switch v.Kind() {
@@ -183,6 +183,6 @@
 	case reflect.Map:
 		d.mapping(v)
 	default:
-		d.err = fmt.Errorf("a snapshot cannot hold a %v", v.Type())
+		d.err = fmt.Errorf("values of type %v are not supported in a snapshot", v.Type())
 	}
 }
--- a/internal/snapshot/encode.go
+++ b/internal/snapshot/encode.go
@@ -12,17 +12,17 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Take encodes the object that root points to, and all that it reaches. A type that has no place in a snapshot is an
-// error.
+// Take encodes the object that root points to and everything that it reaches. It returns an error if it reaches a
+// type that is not supported.
 func Take(root any, names Names) ([]byte, error) {
 	v := reflect.ValueOf(root)
 	if v.Kind() != reflect.Pointer || v.IsNil() {
-		return nil, errors.New("a snapshot begins with a pointer")
+		return nil, errors.New("the root of a snapshot must be a pointer that is not nil")
 	}
 	e := &encoder{objectNumbers: map[unsafe.Pointer]map[reflect.Type]uint64{}}
 	e.out = binary.BigEndian.AppendUint64(nil, Shape(v.Type(), names))
 	e.objectNumber(v)
-	for i := 0; i < len(e.objects); i++ { // objects are written in the order in which they are first met
+	for i := 0; i < len(e.objects); i++ { // first reached, first encoded; this may append further objects
 		e.value(e.objects[i].Elem())
 	}
 	return binary.BigEndian.AppendUint64(e.out, xxhash.Sum64(e.out)), e.err
@@ -30,13 +30,13 @@
 
 type encoder struct {
 	out           []byte
-	objectNumbers map[unsafe.Pointer]map[reflect.Type]uint64 // of objects, from 1
-	objects       []reflect.Value                            // pointers to them, by number
-	err           error                                      // the last type that was rejected
+	objectNumbers map[unsafe.Pointer]map[reflect.Type]uint64 // by address and type, from 1
+	objects       []reflect.Value                            // pointers to the objects, by number - 1
+	err           error                                      // names the last type that was rejected
 }
 
-// objectNumber is a pointer's object, counted from 1; 0 is nil. A struct and its first field share an address, so the type
-// counts as well.
+// objectNumber returns the number of the object that p points to, from 1, or 0 for nil. A struct and its first field
+// share an address, so objects are told apart by type as well.
 func (e *encoder) objectNumber(p reflect.Value) uint64 {
 	if p.IsNil() {
 		return 0
@@ -94,12 +94,13 @@
 	case reflect.Map:
 		e.mapping(v)
 	default:
-		e.err = fmt.Errorf("a snapshot cannot hold a %v", v.Type())
+		e.err = fmt.Errorf("values of type %v are not supported in a snapshot", v.Type())
 	}
 }
 
-// mapping writes a map in the order of its encoded keys, so that equal graphs are equal snapshots. Objects that are met
-// first as keys have their numbers by the map's own order, so such maps may differ between two snapshots of one graph.
+// mapping encodes a map in the order of its encoded keys, so that equal graphs have equal snapshots. This does not
+// hold for maps with pointers as keys: objects that are first reached as keys get their numbers in the iteration
+// order of the map, which may differ between two snapshots of the same graph.
 func (e *encoder) mapping(v reflect.Value) {
 	if v.IsNil() {
 		e.uint(0)
--- a/internal/snapshot/scheduler_test.go
+++ b/internal/snapshot/scheduler_test.go
@@ -12,7 +12,7 @@
 	"irispost/scheduler"
 )
 
-// smallState is a scheduler with requests in several states, one of them over.
+// smallState returns a scheduler with requests in several states, one of them completed.
 func smallState() *scheduler.Scheduler {
 	now := scheduler.Second
 	s := scheduler.New(now, 7, scheduler.Settings{
@@ -44,7 +44,7 @@
 	return s
 }
 
-// The stored form of a scheduler's state is that of the build that first wrote it, name by name and byte by byte.
+// The snapshot of a scheduler has the same names and bytes as in earlier builds, so that captures stay readable.
 func TestStoredStateOfASchedulerIsThatOfEarlierBuilds(t *testing.T) {
 	shape := shapeText(reflect.TypeFor[*scheduler.Scheduler](), scheduler.StoredNames)
 	golden.Check(t, "scheduler.shape", []byte(strings.ReplaceAll(shape, ";", ";\n")))
@@ -62,11 +62,12 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(encodedAgain, state) {
-		t.Errorf("the state comes back as\n%x, not\n%x", encodedAgain, state)
+		t.Errorf("state after a restore: got\n%x, want\n%x", encodedAgain, state)
 	}
 }
 
-// Each stored name is of a type or field that a state reaches by now.
+// Each key of scheduler.StoredNames is a type or field that the scheduler reaches. An entry that a rename in the code
+// has left behind would have no effect, and earlier snapshots would be rejected.
 func TestStoredNamesAreOfTypesAndFieldsThatExist(t *testing.T) {
 	root := reflect.TypeFor[*scheduler.Scheduler]()
 	shape := shapeText(root, scheduler.StoredNames)
@@ -74,7 +75,7 @@
 		otherNames := maps.Clone(scheduler.StoredNames)
 		delete(otherNames, key)
 		if shapeText(root, otherNames) == shape {
-			t.Errorf("nothing that a state reaches is called %s", key)
+			t.Errorf("the scheduler reaches no type or field %s, which has a stored name", key)
 		}
 	}
 }
--- a/internal/snapshot/shape.go
+++ b/internal/snapshot/shape.go
@@ -1,9 +1,10 @@
-// Package snapshot encodes a graph of objects and decodes an equal one: numbers, strings, slices, maps, structs and the
-// pointers between them, exported or not. Pointers to one object are pointers to one object again. Functions, channels
-// and interfaces are rejected. Captures hold a snapshot of the scheduler, from which a replay begins.
+// Package snapshot encodes an object graph and decodes an equal one. The graph may hold numbers, strings, slices,
+// maps, structs, with their unexported fields, and pointers. Pointers to the same object point to the same object
+// after decoding. Functions, channels and interfaces are rejected. Captures hold a snapshot of the scheduler, from
+// which a replay starts.
 //
-// A snapshot begins with the digest of its type (Shape) and ends with a checksum of all before it; between them are the
-// objects in the order in which they are first met. The package is pure and owns no state.
+// A snapshot starts with the digest of its type (Shape) and ends with a checksum of all preceding bytes. Between them
+// are the objects in the order in which the encoder first reaches them. The package does no I/O and owns no state.
 package snapshot
 
 import (
@@ -14,11 +15,12 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Names gives the stored names of types ("Type") and of their fields ("Type.field") that are called otherwise in code.
-// So a rename in code changes no shape, and snapshots that were written before it are still read.
+// Names maps types ("Type") and fields ("Type.field") to their stored names where these differ from the names in the
+// code. Thus a rename in the code does not change the shape, and snapshots that were written before can still be
+// read.
 type Names map[string]string
 
-// storedName is the name in snapshots of one in code.
+// storedName returns the stored name of a type or field, or fallback if it has none of its own.
 func (n Names) storedName(name, fallback string) string {
 	if stored, renamed := n[name]; renamed {
 		return stored
@@ -26,10 +28,11 @@
 	return fallback
 }
 
-// Shape is a digest of a type with all that it reaches: a snapshot is read only by a build with the same shape.
+// Shape returns a digest of a type and of everything that it reaches. A build can read a snapshot only if the shapes
+// are equal.
 func Shape(t reflect.Type, names Names) uint64 { return xxhash.Sum64String(shapeText(t, names)) }
 
-// shapeText lists the kinds and stored names of a type and of all types and fields that it reaches, in their order.
+// shapeText lists the kinds and stored names of a type and of all types and fields that it reaches, in order.
 func shapeText(t reflect.Type, names Names) string {
 	var text strings.Builder
 	seen := map[reflect.Type]bool{}
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -60,7 +60,7 @@
 		"nil and empty":  g.none == nil && g.empty != nil,
 	} {
 		if !ok {
-			t.Errorf("%s: %+v", property, g)
+			t.Errorf("%s: not as encoded, got %+v", property, g)
 		}
 	}
 }
@@ -71,16 +71,16 @@
 		flipped := bytes.Clone(encoded)
 		flipped[i] ^= 4
 		if _, err := Restore[graph](flipped, nil); err == nil {
-			t.Fatalf("byte %d flipped is believed", i)
+			t.Fatalf("a snapshot with byte %d changed was accepted, want an error", i)
 		}
 		if _, err := Restore[graph](encoded[:i], nil); err == nil {
-			t.Fatalf("a snapshot cut at %d is believed", i)
+			t.Fatalf("a snapshot truncated to %d bytes was accepted, want an error", i)
 		}
 	}
 	if _, err := Restore[item](encoded, nil); err == nil {
-		t.Error("a snapshot of another type is read")
+		t.Error("a snapshot of another type was accepted, want an error")
 	}
 	if _, err := Take(&struct{ f func() }{}, nil); err == nil {
-		t.Error("a function is taken")
+		t.Error("a function was encoded, want an error")
 	}
 }
