--- a/internal/config/version.go
+++ b/internal/config/version.go
@@ -11,8 +11,8 @@
 	"irispost/scheduler"
 )
 
-// versionFile is the content of a configuration version as operators write it: the scheduling blocks of a gateway's
-// configuration, the fallback policy, and the endpoint list in the form of package endpoint.
+// versionFile is the content of a configuration version as operators write it: the scheduling blocks, as in a
+// gateway's configuration, the fallback policy, and the endpoint list in the format of package endpoint.
 type versionFile struct {
 	Shards         hcl.Expression      `hcl:"shards"`
 	Units          *unitsBlock         `hcl:"units,block"`
@@ -38,8 +38,8 @@
 		KeyOrder: f.KeyOrder, ServiceLevels: f.ServiceLevels, RequestClasses: f.RequestClasses, Missing: missing}
 }
 
-// ParseVersion checks the text of a configuration version; file is its name in errors, which are of type Problems where
-// a key or value is at fault.
+// ParseVersion validates the text of a configuration version. Errors refer to it as file; they are of type Problems
+// if a key or value is invalid.
 func ParseVersion(file string, src []byte) (*configversion.Config, error) {
 	var blocks versionFile
 	body, err := decode(file, src, &blocks)
@@ -55,7 +55,7 @@
 	version := &configversion.Config{
 		RequiredFormat:   configversion.Format,
 		Shards:           d.count(blocks.Shards, 1, 1<<16, 1),
-		MeanRequestUnits: d.number(orDefault(blocks.Units).Mean, 1e-3, 1e6, 1),
+		MeanRequestUnits: d.number(orEmpty(blocks.Units).Mean, 1e-3, 1e6, 1),
 	}
 	if block := blocks.Fallback; block != nil {
 		version.FallbackPolicy = configversion.FallbackPolicy{
@@ -82,8 +82,8 @@
 	return version, nil
 }
 
-// Contradictions lists where a gateway's own settings contradict a configuration version, a line each.
-func (c *Config) Contradictions(version *configversion.Config) []string {
+// Conflicts lists where a gateway's own settings conflict with a configuration version, one line for each conflict.
+func (c *Config) Conflicts(version *configversion.Config) []string {
 	own := &configversion.Config{RequiredFormat: version.RequiredFormat, Shards: c.Shards, Nodes: version.Nodes,
 		FallbackPolicy: version.FallbackPolicy}
 	own.MeanRequestUnits, _ = strconv.ParseFloat(c.Settings["units.mean"], 64) // written by formatNumber
