--- a/internal/sftp/conn.go
+++ b/internal/sftp/conn.go
@@ -64,7 +64,8 @@
 	}
 	length, limit := binary.BigEndian.Uint32(head), f.conn.Limits().MaxPacket
 	if length < minPacketLength || uint64(length) > uint64(limit) {
-		return fmt.Errorf("%w: got %d bytes, want %d to %d", ErrLength, length, minPacketLength, limit)
+		// The node client gives this text as the reason of failed calls, and clients get it in status texts.
+		return fmt.Errorf("%w: %d bytes, from %d to %d are taken", ErrLength, length, minPacketLength, limit)
 	}
 	if err := reader.Skip(lengthSize); err != nil {
 		return err
