--- a/internal/adapter/endpoints.go
+++ b/internal/adapter/endpoints.go
@@ -63,13 +63,13 @@
 	if name := fields.Bytes("message"); string(name) != lineEntry {
 		return n, state, fmt.Errorf("expected an ENTRY line, got %q", name)
 	}
-	fields.Number("heft")
+	fields.Float64("heft")
 	fields.Skip() // generation_hw
 	n.Zone = fields.Text("failure_domain")
 	n.Addr = fields.Text("node")
 	n.StartedAt = fields.Time("born_ms")
 	n.Shard = int(fields.Int("block"))
-	state = fields.Availability("availability")
+	state = fields.EndpointState("availability")
 	if fields.Err != nil {
 		return n, state, fmt.Errorf("entry at line %d: %w", a.in.Line, fields.Err)
 	}
--- a/internal/adapter/instance.go
+++ b/internal/adapter/instance.go
@@ -63,7 +63,7 @@
 }
 
 func (i *instance) start(now scheduler.Time, fields *wire.Fields) {
-	seed := fields.Seed("entropy")
+	seed := fields.Uint64("entropy")
 	settings := wire.ReadSettings(fields)
 	if fields.Err != nil {
 		return
@@ -78,13 +78,13 @@
 func (i *instance) submit(now scheduler.Time, fields *wire.Fields) {
 	r := &scheduler.Request{ID: fields.Text("tid")}
 	fields.Skip() // repeat: not used; the scheduler decides by the remaining time
-	gateways := fields.Number("n_hosts")
+	gateways := fields.Float64("n_hosts")
 	volume := fields.Int("disk")
-	r.Units = fields.Number("quota_units")
+	r.Units = fields.Float64("quota_units")
 	r.Write = fields.Bool("update")
 	serviceLevel := fields.Text("tier")
 	r.Deadline = fields.Time("deadline_ms")
-	key, hasKey := fields.Key("extent")
+	key, hasKey := fields.OptionalInt("extent")
 	r.Key = key
 	class := fields.Text("profile")
 	r.Shard = int(fields.Int("shard"))
@@ -118,8 +118,8 @@
 	outcome := fields.Outcome("ending")
 	took := fields.Time("rtt_ms")
 	final := fields.Bool("final")
-	fields.Number("seen_use") // the scheduler does not use the volume's meter
-	unitsElsewhere := fields.Number("by_others")
+	fields.Float64("seen_use") // the scheduler does not use the volume's meter
+	unitsElsewhere := fields.Float64("by_others")
 	if fields.Err != nil {
 		return
 	}
@@ -167,7 +167,7 @@
 func (i *instance) allocated(now scheduler.Time, fields *wire.Fields) {
 	addr := fields.Text("node")
 	startedAt := fields.Time("born_ms")
-	units := fields.Number("quota_units")
+	units := fields.Float64("quota_units")
 	expiresAt := fields.Time("till_ms")
 	if fields.Err != nil {
 		return
--- a/internal/backend/node/golden_test.go
+++ b/internal/backend/node/golden_test.go
@@ -60,6 +60,6 @@
 	fmt.Fprintf(&out, "outcomes %d\n", []node.Outcome{node.Failed, node.Executed, node.QueueFull, node.WrongShard,
 		node.ConnectFailed, node.ConnectionReset})
 	fmt.Fprintf(&out, "extensions %s %s\n", node.ExecExtension, node.CancelExtension)
-	fmt.Fprintf(&out, "metrics %s %s %s\n", node.InflightMetric, node.LatencyMetric, node.ElsewhereMetric)
+	fmt.Fprintf(&out, "metrics %s %s %s\n", node.InFlightMetric, node.LatencyMetric, node.UnitsElsewhereMetric)
 	golden.Check(t, "messages.txt", []byte(out.String()))
 }
--- a/internal/backend/node/loadreport.go
+++ b/internal/backend/node/loadreport.go
@@ -12,9 +12,9 @@
 // Names of the metrics of a load report in ORCA form, in its named_metrics (xds.data.orca.v3.OrcaLoadReport). What
 // else such a report holds is not used: the scheduler measures nodes itself.
 const (
-	InflightMetric  = "irispost.inflight"   // requests that the node holds
-	LatencyMetric   = "irispost.latency_us" // its recent service time in microseconds, without waiting
-	ElsewhereMetric = "irispost.others"     // as Reply.UnitsElsewhere
+	InFlightMetric       = "irispost.inflight"   // requests that the node holds
+	LatencyMetric        = "irispost.latency_us" // its recent service time in microseconds, without waiting
+	UnitsElsewhereMetric = "irispost.others"     // as Reply.UnitsElsewhere
 )
 
 const (
@@ -26,9 +26,9 @@
 // encodeReport encodes a reply's load report in ORCA form.
 func (r *Reply) encodeReport() string {
 	b, err := proto.MarshalOptions{Deterministic: true}.Marshal(&orcav3.OrcaLoadReport{NamedMetrics: map[string]float64{
-		InflightMetric:  float64(r.InFlight),
-		LatencyMetric:   float64(r.Latency.Microseconds()),
-		ElsewhereMetric: r.UnitsElsewhere,
+		InFlightMetric:       float64(r.InFlight),
+		LatencyMetric:        float64(r.Latency.Microseconds()),
+		UnitsElsewhereMetric: r.UnitsElsewhere,
 	}})
 	if err != nil {
 		return "" // a reply without a report
@@ -51,8 +51,8 @@
 			return fmt.Errorf("a load report with %s = %v", name, value)
 		}
 	}
-	r.InFlight = int(metrics[InflightMetric])
+	r.InFlight = int(metrics[InFlightMetric])
 	r.Latency = time.Duration(metrics[LatencyMetric] * float64(time.Microsecond))
-	r.UnitsElsewhere = metrics[ElsewhereMetric]
+	r.UnitsElsewhere = metrics[UnitsElsewhereMetric]
 	return nil
 }
--- a/internal/backend/node/loadreport_test.go
+++ b/internal/backend/node/loadreport_test.go
@@ -69,8 +69,8 @@
 func TestInvalidReportIsIgnoredAndItsReplyCounts(t *testing.T) {
 	for want, report := range map[string][]byte{
 		"cannot parse": {0xff},
-		"NaN":          encodeMetrics(t, map[string]float64{node.ElsewhereMetric: math.NaN()}),
-		"-1":           encodeMetrics(t, map[string]float64{node.InflightMetric: -1}),
+		"NaN":          encodeMetrics(t, map[string]float64{node.UnitsElsewhereMetric: math.NaN()}),
+		"-1":           encodeMetrics(t, map[string]float64{node.InFlightMetric: -1}),
 		"+Inf":         encodeMetrics(t, map[string]float64{"anything": math.Inf(1)}),
 		"bytes":        make([]byte, 17<<10),
 	} {
--- a/internal/backend/webnode/client.go
+++ b/internal/backend/webnode/client.go
@@ -27,8 +27,8 @@
 	IdleTimeout    time.Duration // an idle connection is closed after it
 	ReuseDelay     time.Duration // a connection that brought a response is not reused sooner
 	MaxConnections int           // open at a time, to all nodes
-	Bounds         http1.Limits  // of one response
-	MaxLongBody    int64         // longest body accepted over Bounds, in bytes; some nodes send such
+	ResponseLimits http1.Limits  // of one response
+	MaxLongBody    int64         // longest body accepted over ResponseLimits, in bytes; some nodes send such
 	LongBodyBudget int64         // bytes of all such bodies in memory at a time
 }
 
--- a/internal/backend/webnode/client_test.go
+++ b/internal/backend/webnode/client_test.go
@@ -23,7 +23,7 @@
 		ConnectTimeout: time.Minute,
 		IdleTimeout:    time.Minute,
 		MaxConnections: maxConnections,
-		Bounds:         http1.DefaultLimits,
+		ResponseLimits: http1.DefaultLimits,
 		MaxLongBody:    250_000,
 		LongBodyBudget: 300_000,
 	}
--- a/internal/backend/webnode/longbody.go
+++ b/internal/backend/webnode/longbody.go
@@ -10,7 +10,7 @@
 // readResponse reads a response. A body over the usual limit is accepted while the budget for such bodies lasts.
 func (c *Client) readResponse(reader *bufio.Reader) (*http1.Response, error) {
 	reserved := int64(0)
-	limits := c.opt.Bounds
+	limits := c.opt.ResponseLimits
 	limits.MaxLongBody = c.opt.MaxLongBody
 	limits.AdmitLongBody = func(bytes int64) bool {
 		ok := c.reserveLongBody(bytes)
--- a/internal/capacity/measure_connections_test.go
+++ b/internal/capacity/measure_connections_test.go
@@ -25,7 +25,7 @@
 			ConnectTimeout: time.Minute,
 			IdleTimeout:    time.Minute,
 			MaxConnections: 4000,
-			Bounds:         http1.DefaultLimits,
+			ResponseLimits: http1.DefaultLimits,
 			MaxLongBody:    1,
 			LongBodyBudget: 1,
 		})
--- a/internal/serve/web.go
+++ b/internal/serve/web.go
@@ -110,7 +110,7 @@
 		IdleTimeout:    conf.IdleTimeout * nodeIdleNumerator / nodeIdleDenominator,
 		ReuseDelay:     reuseDelay,
 		MaxConnections: int(nodeSocketShare * float64(conf.MaxSockets)),
-		Bounds:         http1.DefaultLimits,
+		ResponseLimits: http1.DefaultLimits,
 		MaxLongBody:    conf.MemoryBytes / longBodyDivisor,
 		LongBodyBudget: int64(longBodyMemoryShare * float64(conf.MemoryBytes)),
 	}
--- a/internal/wire/enums.go
+++ b/internal/wire/enums.go
@@ -24,8 +24,8 @@
 	return outcomes[code]
 }
 
-// Availability reads the state of a node in an endpoint list. A word that is not known is an error.
-func (f *Fields) Availability(name string) scheduler.EndpointState {
+// EndpointState reads the state of a node in an endpoint list. A word that is not known is an error.
+func (f *Fields) EndpointState(name string) scheduler.EndpointState {
 	switch word := f.Text(name); word {
 	case "ready":
 		return scheduler.EndpointReady
--- a/internal/wire/fields.go
+++ b/internal/wire/fields.go
@@ -86,8 +86,8 @@
 	return v
 }
 
-// Key reads a whole number that may be absent, and tells whether it is there.
-func (f *Fields) Key(name string) (int64, bool) {
+// OptionalInt reads a whole number that may be absent, and tells whether it is there.
+func (f *Fields) OptionalInt(name string) (int64, bool) {
 	part := f.optional()
 	if part == nil {
 		return 0, false
@@ -99,8 +99,8 @@
 	return v, ok
 }
 
-// Seed reads a whole number of up to 64 bits without a sign that has to be there.
-func (f *Fields) Seed(name string) uint64 {
+// Uint64 reads a whole number of up to 64 bits without a sign that has to be there.
+func (f *Fields) Uint64(name string) uint64 {
 	part := f.Bytes(name)
 	if part == nil {
 		return 0
@@ -112,8 +112,8 @@
 	return v
 }
 
-// Number reads a finite number; one that is absent is 0.
-func (f *Fields) Number(name string) float64 {
+// Float64 reads a finite number; one that is absent is 0.
+func (f *Fields) Float64(name string) float64 {
 	part := f.optional()
 	if part == nil {
 		return 0
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -43,7 +43,7 @@
 	}
 	for _, word := range []string{"ready", "draining", "gone", "other", "-"} {
 		f := Fields{rest: []byte(word), more: true}
-		state := f.Availability("availability")
+		state := f.EndpointState("availability")
 		fmt.Fprintf(&out, "availability %s -> %d, %v\n", word, state, f.Err)
 	}
 	golden.Check(t, "names.txt", []byte(out.String()))
@@ -58,9 +58,9 @@
 	}{
 		{"bool", func(f *Fields) any { return f.Bool("v") }},
 		{"int", func(f *Fields) any { return f.Int("v") }},
-		{"key", func(f *Fields) any { v, ok := f.Key("v"); return fmt.Sprint(v, " ", ok) }},
-		{"number", func(f *Fields) any { return f.Number("v") }},
-		{"seed", func(f *Fields) any { return f.Seed("v") }},
+		{"key", func(f *Fields) any { v, ok := f.OptionalInt("v"); return fmt.Sprint(v, " ", ok) }},
+		{"number", func(f *Fields) any { return f.Float64("v") }},
+		{"seed", func(f *Fields) any { return f.Uint64("v") }},
 		{"text", func(f *Fields) any { return f.Text("v") }},
 		{"time", func(f *Fields) any { return f.Time("v") }},
 	}
