--- a/internal/backend/node/call.go
+++ b/internal/backend/node/call.go
@@ -37,7 +37,7 @@
 		Text(c.RequestID).
 		Uint32(uint32(c.Attempt)).
 		Uint64(uint64(c.Volume)).
-		Uint32(uint32(c.Units*thousandths + 0.5)).
+		Uint32(uint32(c.Units*unitScale + 0.5)).
 		Uint32(uint32(max(c.Timeout.Milliseconds(), 1))).
 		Byte(c.Idempotency).
 		Uint64(uint64(c.OrderingKey)).
@@ -59,7 +59,7 @@
 		RequestID:      fields.Text(),
 		Attempt:        int(fields.Uint32()),
 		Volume:         int64(fields.Uint64()),
-		Units:          float64(fields.Uint32()) / thousandths,
+		Units:          float64(fields.Uint32()) / unitScale,
 		Timeout:        time.Duration(fields.Uint32()) * time.Millisecond,
 		Idempotency:    fields.Byte(),
 		OrderingKey:    int64(fields.Uint64()),
--- a/internal/backend/node/client.go
+++ b/internal/backend/node/client.go
@@ -17,10 +17,10 @@
 	perNode        int           // connections to a node
 	log            *slog.Logger  // nil: nothing is logged
 
-	mutex       sync.Mutex // guards what follows; it is taken before that of a connection
-	connections map[string][]*connection
-	rotation    uint // number of calls started, by which they take turns on the connections
-	closed      bool
+	mutex        sync.Mutex // guards what follows; it is taken before that of a connection
+	connections  map[string][]*connection
+	callsStarted uint // number of calls started, by which they take turns on the connections
+	closed       bool
 
 	lateReplies         atomic.Int64
 	invalidReportLogged atomic.Bool
@@ -58,7 +58,7 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	list := c.connections[addr]
-	c.rotation++
+	c.callsStarted++
 	switch {
 	case len(list) < c.perNode && !c.closed:
 		conn := newConnection(c, addr)
@@ -66,7 +66,7 @@
 		go conn.dial()
 		return conn
 	case len(list) > 0:
-		return list[c.rotation%uint(len(list))]
+		return list[c.callsStarted%uint(len(list))]
 	}
 	return nil
 }
--- a/internal/backend/node/client_test.go
+++ b/internal/backend/node/client_test.go
@@ -80,11 +80,13 @@
 	}
 }
 
-// settle returns when all that was sent before has reached the node.
-func settle(c *node.Client, addr string) { run(c, addr, node.Call{Op: node.GetObject, Shard: 9}) }
+// awaitDelivery returns when all that was sent before has reached the node.
+func awaitDelivery(c *node.Client, addr string) {
+	run(c, addr, node.Call{Op: node.GetObject, Shard: 9})
+}
 
-// oneByte is a call that writes an object x.
-var oneByte = node.Call{Op: node.PutObject, Name: "x", Shard: 0, Units: 1, Timeout: time.Minute, Data: []byte("1")}
+// writeOneByte is a call that writes an object x.
+var writeOneByte = node.Call{Op: node.PutObject, Name: "x", Shard: 0, Units: 1, Timeout: time.Minute, Data: []byte("1")}
 
 // swapRecord is a call that writes a record which does not exist.
 var swapRecord = node.Call{Op: node.CompareAndSwapRecord, Idempotency: 1, IdempotencyKey: "m", Name: "/v/x", Shard: 0,
@@ -114,8 +116,8 @@
 func TestFullQueueIsReplied(t *testing.T) {
 	c, n := newClient(t), startBusyNode(t)
 	setFault(t, n, "hang")
-	send(c, n.Addr(), oneByte)
-	settle(c, n.Addr())
+	send(c, n.Addr(), writeOneByte)
+	awaitDelivery(c, n.Addr())
 	if reply := run(c, n.Addr(), node.Call{Op: node.GetObject, Shard: 0}); reply.Outcome != node.QueueFull {
 		t.Errorf("%+v", reply)
 	}
@@ -124,10 +126,10 @@
 func TestCancelledCallDoesNotRun(t *testing.T) {
 	c, n := newClient(t), startBusyNode(t)
 	setFault(t, n, "hang")
-	attempt, done := send(c, n.Addr(), oneByte)
-	settle(c, n.Addr())
+	attempt, done := send(c, n.Addr(), writeOneByte)
+	awaitDelivery(c, n.Addr())
 	attempt.Cancel()
-	settle(c, n.Addr())
+	awaitDelivery(c, n.Addr())
 	setFault(t, n, "well")
 	reply := runWithRetries(c, n.Addr(), node.Call{Op: node.GetObject, Name: "x", Shard: 0})
 	if reply.Status != node.NotFound {
@@ -141,13 +143,13 @@
 func TestAbandonedCallRunsAndItsReplyIsLate(t *testing.T) {
 	c, n := newClient(t), startBusyNode(t)
 	setFault(t, n, "hang")
-	attempt, done := send(c, n.Addr(), oneByte)
-	settle(c, n.Addr())
+	attempt, done := send(c, n.Addr(), writeOneByte)
+	awaitDelivery(c, n.Addr())
 	attempt.(*node.PendingCall).Abandon()
-	settle(c, n.Addr())
+	awaitDelivery(c, n.Addr())
 	setFault(t, n, "well")
 	for c.LateReplies() == 0 {
-		settle(c, n.Addr())
+		awaitDelivery(c, n.Addr())
 	}
 	reply := runWithRetries(c, n.Addr(), node.Call{Op: node.GetObject, Name: "x", Shard: 0, Length: 9})
 	if string(reply.Data) != "1" {
@@ -161,8 +163,8 @@
 func TestBrokenConnectionEndsItsCall(t *testing.T) {
 	c, n := newClient(t), startBusyNode(t)
 	setFault(t, n, "hang")
-	_, done := send(c, n.Addr(), oneByte)
-	settle(c, n.Addr())
+	_, done := send(c, n.Addr(), writeOneByte)
+	awaitDelivery(c, n.Addr())
 	setFault(t, n, "reset")
 	if reply := <-done; reply.Outcome != node.ConnectionReset {
 		t.Errorf("%+v", reply)
--- a/internal/backend/node/connection.go
+++ b/internal/backend/node/connection.go
@@ -90,7 +90,7 @@
 	case open:
 		c.sendQueued()
 	case closed:
-		failed = c.takeAll()
+		failed = c.endAll()
 	}
 	return failed
 }
@@ -105,9 +105,9 @@
 	c.queued = nil
 }
 
-// takeAll ends all calls of the connection and returns them; the mutex is held.
-func (c *connection) takeAll() []*PendingCall {
-	all := c.takeQueued()
+// endAll ends all calls of the connection and returns them; the mutex is held.
+func (c *connection) endAll() []*PendingCall {
+	all := c.endQueued()
 	for _, p := range c.inFlight {
 		p.ended = true
 		all = append(all, p)
@@ -116,8 +116,8 @@
 	return all
 }
 
-// takeQueued ends the calls that wait for the connection and returns them; the mutex is held.
-func (c *connection) takeQueued() (ended []*PendingCall) {
+// endQueued ends the calls that wait for the connection and returns them; the mutex is held.
+func (c *connection) endQueued() (ended []*PendingCall) {
 	for _, p := range c.queued {
 		if !p.ended {
 			p.ended = true
@@ -242,7 +242,7 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	reply := Reply{Outcome: ConnectFailed, Message: errNodeUnavailable.Error()}
-	for _, p := range c.takeQueued() {
+	for _, p := range c.endQueued() {
 		go p.done(reply)
 	}
 }
--- a/internal/backend/node/loadreport_test.go
+++ b/internal/backend/node/loadreport_test.go
@@ -15,8 +15,8 @@
 	"irispost/internal/standin"
 )
 
-// encode returns a packet's bytes after its length, type and ID.
-func encode(t *testing.T, p *sftp.Packet) []byte {
+// encodeBody returns a packet's bytes after its length, type and ID.
+func encodeBody(t *testing.T, p *sftp.Packet) []byte {
 	t.Helper()
 	var b strings.Builder
 	if err := p.WriteOut(&b); err != nil {
@@ -25,8 +25,8 @@
 	return []byte(b.String())[9:]
 }
 
-// decode decodes a reply.
-func decode(t *testing.T, b []byte) node.Reply {
+// decodeReply decodes a reply.
+func decodeReply(t *testing.T, b []byte) node.Reply {
 	t.Helper()
 	reply, err := node.DecodeReply(sftp.NewFields(b))
 	if err != nil {
@@ -50,7 +50,7 @@
 	t.Helper()
 	const orcaFlag = 0x80
 	p := sftp.New(sftp.ExtendedReply, 1).Byte(orcaFlag | byte(node.Executed)).Byte(byte(node.OK)).Uint64(1).Uint32(2)
-	return encode(t, p.Text(string(report)).Text("").Tail(data))
+	return encodeBody(t, p.Text(string(report)).Text("").Tail(data))
 }
 
 func TestReplyIsDecodedAsItWasEncodedInEitherForm(t *testing.T) {
@@ -58,7 +58,7 @@
 		Latency: 1500 * time.Microsecond, UnitsElsewhere: 2.25, Message: "why", Data: []byte("data")}
 	for _, orca := range []bool{false, true} {
 		reply.ORCA = orca
-		got := decode(t, encode(t, reply.Packet(9)))
+		got := decodeReply(t, encodeBody(t, reply.Packet(9)))
 		got.ORCA = orca
 		if !reflect.DeepEqual(got, reply) {
 			t.Errorf("%+v comes back as %+v", reply, got)
@@ -74,7 +74,7 @@
 		"+Inf":         encodeMetrics(t, map[string]float64{"anything": math.Inf(1)}),
 		"bytes":        make([]byte, 17<<10),
 	} {
-		reply := decode(t, replyWithReport(t, report, []byte("x")))
+		reply := decodeReply(t, replyWithReport(t, report, []byte("x")))
 		if reply.ReportErr == nil || !strings.Contains(reply.ReportErr.Error(), want) {
 			t.Errorf("%s: %v", want, reply.ReportErr)
 		}
@@ -85,7 +85,7 @@
 }
 
 func TestReportWithoutMetricsIsZero(t *testing.T) {
-	reply := decode(t, replyWithReport(t, encodeMetrics(t, nil), nil))
+	reply := decodeReply(t, replyWithReport(t, encodeMetrics(t, nil), nil))
 	if reply.ReportErr != nil || reply.UnitsElsewhere != 0 {
 		t.Errorf("%+v", reply)
 	}
--- a/internal/backend/node/protocol.go
+++ b/internal/backend/node/protocol.go
@@ -65,5 +65,5 @@
 	ConnectionReset                // the connection broke while it was in flight; it may have run
 )
 
-// thousandths scale the units of a message, which the protocol has as whole numbers.
-const thousandths = 1000
+// unitScale scale the units of a message, which the protocol has as whole numbers.
+const unitScale = 1000
--- a/internal/backend/node/reply.go
+++ b/internal/backend/node/reply.go
@@ -41,7 +41,7 @@
 		Uint32(uint32(r.Shard)).
 		Uint32(uint32(r.InFlight)).
 		Uint32(uint32(r.Latency.Microseconds())).
-		Uint32(uint32(r.UnitsElsewhere*thousandths + 0.5)).
+		Uint32(uint32(r.UnitsElsewhere*unitScale + 0.5)).
 		Text(r.Message).
 		Tail(r.Data)
 }
@@ -60,7 +60,7 @@
 	} else {
 		r.InFlight = int(fields.Uint32())
 		r.Latency = time.Duration(fields.Uint32()) * time.Microsecond
-		r.UnitsElsewhere = float64(fields.Uint32()) / thousandths
+		r.UnitsElsewhere = float64(fields.Uint32()) / unitScale
 	}
 	r.Message = fields.Text()
 	r.Data = fields.Bytes()
--- a/internal/backend/webnode/conn.go
+++ b/internal/backend/webnode/conn.go
@@ -109,7 +109,7 @@
 // that belong to no request, which would be taken for the response. Nothing is written then, and the attempt gets
 // another connection.
 func (c *conn) reuse(attempt *Attempt) {
-	if c.isQuiet() {
+	if c.isSocketIdle() {
 		c.write(attempt)
 		return
 	}
@@ -125,18 +125,18 @@
 	}
 }
 
-// isQuiet reports whether nothing waits to be read from the socket.
-func (c *conn) isQuiet() bool {
+// isSocketIdle reports whether nothing waits to be read from the socket.
+func (c *conn) isSocketIdle() bool {
 	rawConn, err := c.raw.(syscall.Conn).SyscallConn()
 	if err != nil {
 		return false
 	}
-	quiet := false
+	idle := false
 	err = rawConn.Control(func(fd uintptr) {
 		_, _, err := syscall.Recvfrom(int(fd), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = err == syscall.EAGAIN
+		idle = err == syscall.EAGAIN
 	})
-	return quiet && err == nil
+	return idle && err == nil
 }
 
 // release gives back a connection that nothing was written to.
--- a/internal/backend/webnode/golden_test.go
+++ b/internal/backend/webnode/golden_test.go
@@ -16,7 +16,7 @@
 // TestGoldenRequests pins the bytes of a request to a node: order and names of its fields, and its body. The time left,
 // which differs from run to run, is masked.
 func TestGoldenRequests(t *testing.T) {
-	var record bytes.Buffer
+	var transcript bytes.Buffer
 	for _, call := range []node.Call{
 		{Op: node.GetObject, Name: "/api?extent=7f3a9c21e0b4d655", IdempotencyKey: "r"},
 		{Op: node.PutObject, Name: "/api?extent=7f3a9c21e0b4d655", IdempotencyKey: "w", Data: []byte("body")},
@@ -27,10 +27,10 @@
 		n, c := newScriptedNode(t), newClient(t, 1, nil)
 		call.Timeout = time.Hour
 		c.Start(n.Addr().String(), &call, func(node.Reply) {})
-		fmt.Fprintf(&record, "--- %s\n%s\n", call.IdempotencyKey, readAll(t, n.accept(), len(call.Data)))
+		fmt.Fprintf(&transcript, "--- %s\n%s\n", call.IdempotencyKey, readAll(t, n.accept(), len(call.Data)))
 	}
 	deadline := regexp.MustCompile(`(X-Deadline-Ms: )3[56]\d{5}\r`)
-	text := deadline.ReplaceAll(record.Bytes(), []byte("${1}LEFT\r"))
+	text := deadline.ReplaceAll(transcript.Bytes(), []byte("${1}LEFT\r"))
 	golden.Check(t, "requests.txt", bytes.ReplaceAll(text, []byte("\r"), []byte(`\r`))) // lines of the file end with LF
 }
 
--- a/internal/backend/webnode/reuse_test.go
+++ b/internal/backend/webnode/reuse_test.go
@@ -32,13 +32,13 @@
 	c.openConns = 1
 	idle.transition(stateIdle)
 	c.mu.Unlock()
-	if !idle.isQuiet() {
+	if !idle.isSocketIdle() {
 		t.Error("a connection without unread bytes is not quiet")
 	}
 	if _, err := peer.Write([]byte("HTTP/1.1 200 OK\r\n")); err != nil {
 		t.Fatal(err)
 	}
-	for idle.isQuiet() {
+	for idle.isSocketIdle() {
 		time.Sleep(time.Millisecond)
 	}
 	c.Start(addr, &node.Call{Op: node.GetObject, Name: "/"}, func(node.Reply) {})
--- a/internal/packetconn/conn.go
+++ b/internal/packetconn/conn.go
@@ -45,8 +45,8 @@
 	err      error       // why the connection was closed; nil: it is open
 	onClosed func(error) // called once, on a goroutine of its own
 
-	writing  sync.Mutex // held while the socket's buffers are written to; it guards released
-	released bool       // netpoll has taken the buffers away
+	writeMutex sync.Mutex // held while the socket's buffers are written to; it guards released
+	released   bool       // netpoll has taken the buffers away
 }
 
 // newConn wraps a netpoll connection. Start begins to send.
@@ -82,9 +82,9 @@
 
 // release keeps the writer off the buffers that netpoll takes away, and closes the connection.
 func (c *Conn) release() {
-	c.writing.Lock()
+	c.writeMutex.Lock()
 	c.released = true
-	c.writing.Unlock()
+	c.writeMutex.Unlock()
 	c.Close(ErrPeerClosed)
 }
 
@@ -211,8 +211,8 @@
 
 // write hands packets to the socket.
 func (c *Conn) write(batch []Packet) error {
-	c.writing.Lock()
-	defer c.writing.Unlock()
+	c.writeMutex.Lock()
+	defer c.writeMutex.Unlock()
 	if c.released {
 		return ErrPeerClosed
 	}
--- a/internal/wire/fields.go
+++ b/internal/wire/fields.go
@@ -36,8 +36,8 @@
 }
 
 // failNotInteger keeps the error that a part is no whole number.
-func (f *Fields) failNotInteger(name string, part []byte) {
-	f.fail(name, fmt.Sprintf("%q is not a whole number", part))
+func (f *Fields) failNotInteger(name string, field []byte) {
+	f.fail(name, fmt.Sprintf("%q is not a whole number", field))
 }
 
 // optional reads a part that may be absent; nil if it is. An absent part is "-", or not there at the end of the line.
@@ -45,26 +45,26 @@
 	if !f.more {
 		return nil
 	}
-	part := f.rest
+	field := f.rest
 	if i := bytes.IndexByte(f.rest, '\t'); i >= 0 {
-		part = f.rest[:i]
+		field = f.rest[:i]
 		f.rest = f.rest[i+1:]
 	} else {
 		f.more = false
 	}
-	if len(part) == 1 && part[0] == '-' {
+	if len(field) == 1 && field[0] == '-' {
 		return nil
 	}
-	return part
+	return field
 }
 
 // Bytes reads a part that has to be there. It is valid until the reader's next line.
 func (f *Fields) Bytes(name string) []byte {
-	part := f.optional()
-	if part == nil {
+	field := f.optional()
+	if field == nil {
 		f.fail(name, "missing")
 	}
-	return part
+	return field
 }
 
 // Text reads a part that has to be there as a string.
@@ -75,55 +75,55 @@
 
 // Int reads a whole number that has to be there.
 func (f *Fields) Int(name string) int64 {
-	part := f.Bytes(name)
-	if part == nil {
+	field := f.Bytes(name)
+	if field == nil {
 		return 0
 	}
-	v, ok := parseInteger(part)
+	v, ok := parseInteger(field)
 	if !ok {
-		f.failNotInteger(name, part)
+		f.failNotInteger(name, field)
 	}
 	return v
 }
 
 // OptionalInt reads a whole number that may be absent, and tells whether it is there.
 func (f *Fields) OptionalInt(name string) (int64, bool) {
-	part := f.optional()
-	if part == nil {
+	field := f.optional()
+	if field == nil {
 		return 0, false
 	}
-	v, ok := parseInteger(part)
+	v, ok := parseInteger(field)
 	if !ok {
-		f.failNotInteger(name, part)
+		f.failNotInteger(name, field)
 	}
 	return v, ok
 }
 
 // Uint64 reads a whole number of up to 64 bits without a sign that has to be there.
 func (f *Fields) Uint64(name string) uint64 {
-	part := f.Bytes(name)
-	if part == nil {
+	field := f.Bytes(name)
+	if field == nil {
 		return 0
 	}
-	v, err := strconv.ParseUint(string(part), 10, 64)
+	v, err := strconv.ParseUint(string(field), 10, 64)
 	if err != nil {
-		f.failNotInteger(name, part)
+		f.failNotInteger(name, field)
 	}
 	return v
 }
 
 // Float64 reads a finite number; one that is absent is 0.
 func (f *Fields) Float64(name string) float64 {
-	part := f.optional()
-	if part == nil {
+	field := f.optional()
+	if field == nil {
 		return 0
 	}
-	if v, ok := parseInteger(part); ok {
+	if v, ok := parseInteger(field); ok {
 		return float64(v)
 	}
-	v, err := strconv.ParseFloat(string(part), 64)
+	v, err := strconv.ParseFloat(string(field), 64)
 	if err != nil || math.IsNaN(v) || math.IsInf(v, 0) {
-		f.fail(name, fmt.Sprintf("%q is not a number", part))
+		f.fail(name, fmt.Sprintf("%q is not a number", field))
 		return 0
 	}
 	return v
@@ -131,26 +131,26 @@
 
 // Bool reads a part that has to be 0 or 1.
 func (f *Fields) Bool(name string) bool {
-	part := f.Bytes(name)
+	field := f.Bytes(name)
 	switch {
-	case part == nil:
+	case field == nil:
 		return false
-	case len(part) != 1 || part[0] != '0' && part[0] != '1':
-		f.fail(name, fmt.Sprintf("%q is neither 0 nor 1", part))
+	case len(field) != 1 || field[0] != '0' && field[0] != '1':
+		f.fail(name, fmt.Sprintf("%q is neither 0 nor 1", field))
 		return false
 	}
-	return part[0] == '1'
+	return field[0] == '1'
 }
 
 // Time reads milliseconds with fractions as whole nanoseconds; a time that is absent is 0.
 func (f *Fields) Time(name string) scheduler.Time {
-	part := f.optional()
-	if part == nil {
+	field := f.optional()
+	if field == nil {
 		return 0
 	}
-	t, ok := ParseTime(part)
+	t, ok := ParseTime(field)
 	if !ok {
-		f.fail(name, fmt.Sprintf("%q is not a time", part))
+		f.fail(name, fmt.Sprintf("%q is not a time", field))
 	}
 	return t
 }
--- a/internal/wire/numbers.go
+++ b/internal/wire/numbers.go
@@ -13,25 +13,25 @@
 
 // ParseTime turns a decimal number of milliseconds into whole nanoseconds, without floating-point arithmetic. Digits
 // below them are dropped. It returns false for text that is no such number.
-func ParseTime(part []byte) (scheduler.Time, bool) {
-	head, tail, _ := bytes.Cut(part, []byte{'.'})
-	minus := len(head) > 0 && head[0] == '-'
-	if minus {
-		head = head[1:]
+func ParseTime(field []byte) (scheduler.Time, bool) {
+	whole, fraction, _ := bytes.Cut(field, []byte{'.'})
+	negative := len(whole) > 0 && whole[0] == '-'
+	if negative {
+		whole = whole[1:]
 	}
-	ms, ok := parseInteger(head)
+	ms, ok := parseInteger(whole)
 	if !ok || ms < 0 || ms > maxMilliseconds {
 		return 0, false
 	}
 	ns, unit := ms*scheduler.Millisecond, scheduler.Millisecond
-	for _, c := range tail {
+	for _, c := range fraction {
 		if c < '0' || c > '9' {
 			return 0, false
 		}
 		unit /= 10
 		ns += int64(c-'0') * unit
 	}
-	if minus {
+	if negative {
 		ns = -ns
 	}
 	return ns, true
@@ -41,26 +41,26 @@
 const safeDigits = 18
 
 // parseInteger reads a plain decimal integer. One of more than safeDigits digits must not be negative.
-func parseInteger(part []byte) (int64, bool) {
-	minus := len(part) > 0 && part[0] == '-'
-	if minus {
-		part = part[1:]
+func parseInteger(field []byte) (int64, bool) {
+	negative := len(field) > 0 && field[0] == '-'
+	if negative {
+		field = field[1:]
 	}
 	switch {
-	case len(part) == 0 || len(part) > safeDigits+1:
+	case len(field) == 0 || len(field) > safeDigits+1:
 		return 0, false
-	case len(part) == safeDigits+1:
-		v, err := strconv.ParseInt(string(part), 10, 64)
-		return v, err == nil && !minus
+	case len(field) == safeDigits+1:
+		v, err := strconv.ParseInt(string(field), 10, 64)
+		return v, err == nil && !negative
 	}
 	var v int64
-	for _, c := range part {
+	for _, c := range field {
 		if c < '0' || c > '9' {
 			return 0, false
 		}
 		v = v*10 + int64(c-'0')
 	}
-	if minus {
+	if negative {
 		v = -v
 	}
 	return v, true
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -106,7 +106,7 @@
 
 // cutItem takes the item's number out of the path LIST.NUMBER.FIELD and puts "#" in its place. Other paths stay as
 // they are.
-func cutItem(path string) (general, item string, isItem bool) {
+func cutItem(path string) (pattern, item string, isItem bool) {
 	list, rest, _ := strings.Cut(path, ".")
 	item, field, hasField := strings.Cut(rest, ".")
 	if !hasField || item == "" || strings.Trim(item, "0123456789") != "" {
