--- a/internal/backend/node/abort_test.go
+++ b/internal/backend/node/abort_test.go
@@ -10,7 +10,7 @@
 	"irispost/internal/sftp"
 )
 
-// listen returns a listener on loopback that is closed with the test.
+// listen returns a loopback listener that is closed at the end of the test.
 func listen(t *testing.T) net.Listener {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -25,7 +25,7 @@
 	return listener
 }
 
-// readUntil reads from a connection until it has read a text, and returns all it has read.
+// readUntil reads from a connection until the received bytes contain text, and returns them.
 func readUntil(t *testing.T, conn net.Conn, text string) []byte {
 	t.Helper()
 	var got []byte
@@ -39,8 +39,8 @@
 	return got
 }
 
-// TestQueuedCallIsAbortedAtUnavailableNode: what waits for a connection to be greeted is not sent once its node is
-// unavailable; what is started after that is.
+// TestQueuedCallIsAbortedAtUnavailableNode: once a node is unavailable, a call that waits for its VERSION packet
+// fails and is never sent. A call that is started later is sent.
 func TestQueuedCallIsAbortedAtUnavailableNode(t *testing.T) {
 	listener := listen(t)
 	addr := listener.Addr().String()
@@ -54,11 +54,11 @@
 	t.Cleanup(func() { _ = conn.Close() })
 	c.AbortQueued(func(a string) bool { return a != addr })
 	if len(first) > 0 {
-		t.Error("a call to a node that stays available has ended")
+		t.Error("a call to a node that stays available has ended, want it to wait")
 	}
 	c.AbortQueued(func(a string) bool { return a == addr })
 	if reply := <-first; reply.Outcome != node.ConnectFailed {
-		t.Errorf("%+v", reply)
+		t.Errorf("call to an unavailable node: reply %+v, want outcome ConnectFailed", reply)
 	}
 	send(c, addr, node.Call{Op: node.GetObject, IdempotencyKey: "the second"})
 	head, tail := sftp.Hello(node.ExecExtension, "1").Bytes()
--- a/internal/backend/node/attempt.go
+++ b/internal/backend/node/attempt.go
@@ -1,29 +1,30 @@
 package node
 
-// Attempt is a call that was started, as its caller sees it.
+// Attempt is the handle of a call that was started.
 type Attempt interface {
-	// Cancel ends the wait for the reply, and lets the node know where the protocol can.
+	// Cancel stops waiting for the reply, and tells the node so if the protocol allows it.
 	Cancel()
 }
 
-// PendingCall is a call that waits for its connection or for its reply. It implements Attempt.
+// PendingCall is a call that waits for its connection to open or for its reply. It implements Attempt.
 type PendingCall struct {
 	call *Call
 	done func(Reply)
-	conn *connection // set once, when the call is given to it; nil: no connection took it
+	conn *connection // set once, when the call is assigned to a connection; nil: none was available
 
 	// Guarded by the connection's mutex.
-	id    uint32 // of the SFTP request; 0: not sent
+	id    uint32 // ID of the SFTP request; 0: not sent
 	ended bool
 }
 
-// Abandon ends the wait for the reply, which will be dropped and counted as late. The node is not told.
+// Abandon stops waiting for the reply without telling the node. A reply that arrives later is dropped and counted as
+// late.
 func (p *PendingCall) Abandon() { p.stopWaiting(false) }
 
-// Cancel ends the wait for the reply, and asks the node to drop the call if it has not begun it.
+// Cancel stops waiting for the reply, and asks the node to drop the call if it has not begun.
 func (p *PendingCall) Cancel() { p.stopWaiting(true) }
 
-// stopWaiting ends the wait for the reply. A call that waits for its connection then is not sent.
+// stopWaiting ends the call without a reply. If the call still waits for its connection, it is never sent.
 func (p *PendingCall) stopWaiting(notifyNode bool) {
 	c := p.conn
 	if c == nil {
--- a/internal/backend/node/call.go
+++ b/internal/backend/node/call.go
@@ -6,30 +6,30 @@
 	"irispost/internal/sftp"
 )
 
-// Call is the request of one attempt.
+// Call is the request that one attempt sends to a node.
 type Call struct {
 	Gateway        string
-	RequestID      string // unique among all requests of all gateways
+	RequestID      string // unique among the requests of all gateways
 	Attempt        int    // number of the attempt, from 0
 	Volume         int64
 	Units          float64
-	Timeout        time.Duration // the time that the client still waits; a node does not begin it later
-	StartWithin    time.Duration // it must not begin later than that from now; 0: no such limit
+	Timeout        time.Duration // how long the client still waits; a node does not begin the call after that
+	StartWithin    time.Duration // the call must begin within this time; 0: no limit; not part of the packet
 	Idempotency    uint8         // 0 idempotent, 1 with an idempotency key, 2 not idempotent
-	OrderingKey    int64         // requests of one key run in order; 0: none
-	Shard          int           // that has to serve it; below 0: any
-	IdempotencyKey string        // by which a node recognises a repeat
-	Headers        []string      // passed on unchanged, name and value in turn, where the protocol has headers
+	OrderingKey    int64         // requests with the same key run in order; 0: none
+	Shard          int           // the shard that has to serve the call; below 0: any
+	IdempotencyKey string        // by which a node recognizes a repeated request
+	Headers        []string      // names and values alternating, passed on unchanged if the protocol has headers
 	Op             Operation
-	Name           string // of the object or record; of the folder for ListRecords
-	Owner          string // the path that an object belongs to; for lists the name after which the list goes on
-	Offset         uint64 // in the object
-	Length         uint32 // of a read in bytes, or items of a list at most
-	Version        uint64 // that a swap expects; for a write, 1: the object has to exist
-	Data           []byte // of a write or swap
+	Name           string // of the object or record; for ListRecords of the folder
+	Owner          string // the path that an object belongs to; for lists the name after which the list continues
+	Offset         uint64 // in the object, in bytes
+	Length         uint32 // bytes to read, or the maximum number of list items
+	Version        uint64 // the version that a swap expects; 1 in a write: the object has to exist
+	Data           []byte // to write or swap in
 }
 
-// Packet encodes the call under the ID of an SFTP request. The packet refers to Data.
+// Packet encodes the call as an SFTP request with the given ID. The packet refers to Data and does not copy it.
 func (c *Call) Packet(id uint32) *sftp.Packet {
 	return sftp.NewLong(sftp.Extended, id).
 		Text(ExecExtension).
@@ -52,7 +52,7 @@
 		Tail(c.Data)
 }
 
-// DecodeCall decodes what follows the extension's name in a request.
+// DecodeCall decodes a call from the fields that follow the extension's name in an SFTP request.
 func DecodeCall(fields *sftp.Fields) (*Call, error) {
 	c := &Call{
 		Gateway:        fields.Text(),
@@ -82,8 +82,8 @@
 	return c, nil
 }
 
-// CancelPacket encodes the request that asks a node to drop an attempt that it has not begun. It has no reply. The
-// attempt's call was sent under callID on the same connection.
+// CancelPacket encodes a request that asks a node to drop an attempt that it has not begun. The node does not reply
+// to it. callID is the SFTP request ID under which the attempt's call was sent on the same connection.
 func CancelPacket(id, callID uint32, c *Call) *sftp.Packet {
 	return sftp.New(sftp.Extended, id).
 		Text(CancelExtension).
--- a/internal/backend/node/call_test.go
+++ b/internal/backend/node/call_test.go
@@ -22,24 +22,25 @@
 	}
 	got.Data = nil
 	if !reflect.DeepEqual(*got, call) {
-		t.Errorf("%+v comes back as %+v", call, got)
+		t.Errorf("call %+v is decoded as %+v", call, got)
 	}
 }
 
-// FuzzDecode decodes any bytes as each message: none makes the decoder panic, or return more than the bytes can hold.
+// FuzzDecode decodes arbitrary bytes as each message: no input makes a decoder panic, or return more than the input
+// can hold.
 func FuzzDecode(f *testing.F) {
 	f.Add((&node.Call{RequestID: "j", Op: node.GetObject}).Packet(1).Body())
 	f.Add((&node.Reply{Message: "x"}).Packet(1).Body())
 	f.Add(node.EncodeItems([]node.ListItem{{Name: "a", Data: []byte("b")}}))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if call, err := node.DecodeCall(sftp.NewFields(b)); err == nil && call == nil {
-			t.Error("no call and no error")
+			t.Error("DecodeCall returned neither a call nor an error")
 		}
 		if reply, err := node.DecodeReply(sftp.NewFields(b)); err == nil && len(reply.Data) > len(b) {
-			t.Error("more data than bytes")
+			t.Error("DecodeReply returned more data than the input has bytes")
 		}
 		if items, err := node.DecodeItems(b); err == nil && len(items) > len(b) {
-			t.Error("more items than bytes")
+			t.Error("DecodeItems returned more items than the input has bytes")
 		}
 	})
 }
--- a/internal/backend/node/client.go
+++ b/internal/backend/node/client.go
@@ -10,24 +10,24 @@
 	"irispost/internal/sftp"
 )
 
-// Client holds a gateway's connections to its nodes. Its methods may be called from any goroutine.
+// Client holds a gateway's connections to its storage nodes. Its methods may be called from any goroutine.
 type Client struct {
 	limits         sftp.Limits
-	connectTimeout time.Duration // for a connection and again for the node's greeting
-	perNode        int           // connections to a node
+	connectTimeout time.Duration // to connect, and again for the node's VERSION packet
+	perNode        int           // maximum number of connections to a node
 	log            *slog.Logger  // nil: nothing is logged
 
-	mutex        sync.Mutex // guards what follows; it is taken before that of a connection
+	mutex        sync.Mutex // guards the fields below; locked before a connection's mutex
 	connections  map[string][]*connection
-	callsStarted uint // number of calls started, by which they take turns on the connections
+	callsStarted uint // number of calls started; selects connections in round-robin order
 	closed       bool
 
 	lateReplies         atomic.Int64
 	invalidReportLogged atomic.Bool
 }
 
-// NewClient returns a client that waits connectTimeout for a connection at most, and has up to perNode connections to
-// a node.
+// NewClient returns a client that gives up connecting after connectTimeout, and opens up to perNode connections to a
+// node.
 func NewClient(connectTimeout time.Duration, perNode int, limits sftp.Limits, log *slog.Logger) *Client {
 	return &Client{
 		limits:         limits,
@@ -38,10 +38,10 @@
 	}
 }
 
-// LateReplies counts the replies that came after their call was given up, and were dropped.
+// LateReplies returns how many replies arrived after their call was cancelled or abandoned, and were dropped.
 func (c *Client) LateReplies() int64 { return c.lateReplies.Load() }
 
-// Start sends a call to the node at an address. done is called once, from another goroutine, unless the call is
+// Start sends a call to the node at addr. done is called once, from another goroutine, unless the call is
 // cancelled or abandoned first.
 func (c *Client) Start(addr string, call *Call, done func(Reply)) Attempt {
 	p := &PendingCall{call: call, done: done}
@@ -52,8 +52,8 @@
 	return p
 }
 
-// connectionTo returns the connection for the next call to a node, a new one while there are fewer than may be; nil
-// if the client is closed.
+// connectionTo returns the connection for the next call to a node: a new one while there are fewer than perNode. It
+// returns nil if the client is closed and has no connection to the node.
 func (c *Client) connectionTo(addr string) *connection {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// remove takes a connection out of the client, if it is there.
+// remove removes a connection from the client's list, if it is there.
 func (c *Client) remove(conn *connection) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -81,7 +81,8 @@
 	}
 }
 
-// AbortQueued fails the calls that wait for a connection to a node for which unavailable is true. It does not block.
+// AbortQueued fails the calls that wait for a connection to a node for which unavailable returns true. It does not
+// wait for the connection or the callers.
 func (c *Client) AbortQueued(unavailable func(addr string) bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -95,7 +96,7 @@
 	}
 }
 
-// Retain closes the idle connections to all nodes but these.
+// Retain closes the idle connections to all nodes whose address is not in addrs.
 func (c *Client) Retain(addrs map[string]bool) {
 	var others []*connection
 	c.mutex.Lock()
@@ -110,7 +111,7 @@
 	}
 }
 
-// Close closes all connections. Calls in flight end, and so does each that is started later.
+// Close closes all connections. Calls in flight fail, and so do calls that are started later.
 func (c *Client) Close() {
 	var all []*connection
 	c.mutex.Lock()
@@ -124,9 +125,10 @@
 	}
 }
 
-// logInvalidReport logs that a node's load report is invalid, once for all nodes.
+// logInvalidReport logs the first invalid load report of any node.
 func (c *Client) logInvalidReport(addr string, err error) {
 	if c.invalidReportLogged.CompareAndSwap(false, true) {
-		c.log.Warn("invalid load report ignored, its reply counts; further ones are not logged", "node", addr, "err", err)
+		c.log.Warn("invalid load report ignored, its reply is used; later invalid reports are not logged",
+			"node", addr, "err", err)
 	}
 }
--- a/internal/backend/node/client_test.go
+++ b/internal/backend/node/client_test.go
@@ -9,7 +9,7 @@
 	"irispost/internal/standin"
 )
 
-// newClient returns a client with one connection to a node.
+// newClient returns a client that opens at most one connection to a node.
 func newClient(t *testing.T) *node.Client {
 	t.Helper()
 	c := node.NewClient(2*time.Second, 1, sftp.DefaultLimits, nil)
@@ -32,7 +32,7 @@
 	return n
 }
 
-// openStore opens a stand-in's store in a folder; empty: in memory.
+// openStore opens a stand-in node's store in dir, or in memory if dir is empty.
 func openStore(t *testing.T, dir string) *standin.Store {
 	t.Helper()
 	store, err := standin.NewStore(dir)
@@ -42,13 +42,13 @@
 	return store
 }
 
-// startBusyNode starts a node that runs one call at a time and queues one.
+// startBusyNode starts a node that runs one call at a time and queues at most one more.
 func startBusyNode(t *testing.T) *standin.Node {
 	t.Helper()
 	return startNode(t, standin.Options{Cores: 1, UnitTime: time.Millisecond, Queue: 1})
 }
 
-// setFault gives a stand-in node a fault; "well" ends all.
+// setFault sets a fault at a stand-in node; "well" clears all faults.
 func setFault(t *testing.T, n *standin.Node, fault string) {
 	t.Helper()
 	if err := n.Command(fault); err != nil {
@@ -56,7 +56,7 @@
 	}
 }
 
-// send starts a call, and returns the attempt with a channel for its reply.
+// send starts a call and returns the attempt and a channel that receives its reply.
 func send(c *node.Client, addr string, call node.Call) (node.Attempt, chan node.Reply) {
 	done := make(chan node.Reply, 1)
 	if call.Timeout == 0 {
@@ -71,7 +71,7 @@
 	return <-done
 }
 
-// runWithRetries runs a call again while the node's queue is full.
+// runWithRetries repeats a call until the node's queue has room for it.
 func runWithRetries(c *node.Client, addr string, call node.Call) node.Reply {
 	for {
 		if reply := run(c, addr, call); reply.Outcome != node.QueueFull {
@@ -80,15 +80,16 @@
 	}
 }
 
-// awaitDelivery returns when all that was sent before has reached the node.
+// awaitDelivery returns when the node has received all packets that were sent before. Its own call never runs,
+// because the node does not hold shard 9.
 func awaitDelivery(c *node.Client, addr string) {
 	run(c, addr, node.Call{Op: node.GetObject, Shard: 9})
 }
 
-// writeOneByte is a call that writes an object x.
+// writeOneByte is a call that writes one byte to the object x.
 var writeOneByte = node.Call{Op: node.PutObject, Name: "x", Shard: 0, Units: 1, Timeout: time.Minute, Data: []byte("1")}
 
-// swapRecord is a call that writes a record which does not exist.
+// swapRecord is a call that creates the record /v/x.
 var swapRecord = node.Call{Op: node.CompareAndSwapRecord, Idempotency: 1, IdempotencyKey: "m", Name: "/v/x", Shard: 0,
 	Data: []byte("one")}
 
@@ -104,12 +105,12 @@
 		"offset too far out":         {node.Call{Op: node.PutObject, Name: "far", Offset: 1 << 63}, node.Failed, node.OK},
 	} {
 		if reply := run(c, n.Addr(), test.call); reply.Outcome != test.outcome || reply.Status != test.status {
-			t.Errorf("%s: %+v", name, reply)
+			t.Errorf("%s: reply %+v, want another outcome or status", name, reply)
 		}
 	}
 	setFault(t, n, "fail 1")
 	if reply := run(c, n.Addr(), node.Call{Op: node.GetObject, Name: "none", Shard: 0}); reply.Outcome != node.Failed {
-		t.Errorf("node that fails all: %+v", reply)
+		t.Errorf("node that fails all calls: reply %+v, want outcome Failed", reply)
 	}
 }
 
@@ -119,7 +120,7 @@
 	send(c, n.Addr(), writeOneByte)
 	awaitDelivery(c, n.Addr())
 	if reply := run(c, n.Addr(), node.Call{Op: node.GetObject, Shard: 0}); reply.Outcome != node.QueueFull {
-		t.Errorf("%+v", reply)
+		t.Errorf("full queue: reply %+v, want outcome QueueFull", reply)
 	}
 }
 
@@ -133,10 +134,10 @@
 	setFault(t, n, "well")
 	reply := runWithRetries(c, n.Addr(), node.Call{Op: node.GetObject, Name: "x", Shard: 0})
 	if reply.Status != node.NotFound {
-		t.Errorf("what was cancelled before it began has run: %+v", reply)
+		t.Errorf("object of a write that was cancelled before it began: %+v, want status NotFound", reply)
 	}
 	if c.LateReplies() != 0 || len(done) != 0 {
-		t.Errorf("%d late replies counted, %d handed on", c.LateReplies(), len(done))
+		t.Errorf("%d late replies and %d replies to the caller, want 0 and 0", c.LateReplies(), len(done))
 	}
 }
 
@@ -153,10 +154,10 @@
 	}
 	reply := runWithRetries(c, n.Addr(), node.Call{Op: node.GetObject, Name: "x", Shard: 0, Length: 9})
 	if string(reply.Data) != "1" {
-		t.Errorf("what was only abandoned has not run: %+v", reply)
+		t.Errorf("object of an abandoned write: reply %+v, want data \"1\"", reply)
 	}
 	if c.LateReplies() != 1 || len(done) != 0 {
-		t.Errorf("%d late replies counted, %d handed on", c.LateReplies(), len(done))
+		t.Errorf("%d late replies and %d replies to the caller, want 1 and 0", c.LateReplies(), len(done))
 	}
 }
 
@@ -167,16 +168,16 @@
 	awaitDelivery(c, n.Addr())
 	setFault(t, n, "reset")
 	if reply := <-done; reply.Outcome != node.ConnectionReset {
-		t.Errorf("%+v", reply)
+		t.Errorf("broken connection: reply %+v, want outcome ConnectionReset", reply)
 	}
 }
 
 func TestConnectionThatIsClosedAtOnceProvesThatNothingRan(t *testing.T) {
 	c, n := newClient(t), startBusyNode(t)
 	setFault(t, n, "refuse")
-	for range 50 { // at whatever moment of the connection's beginning it is closed
+	for range 50 { // the node may close the connection at different moments of the connection setup
 		if reply := run(c, n.Addr(), node.Call{Op: node.GetObject, Shard: 0}); reply.Outcome != node.ConnectFailed {
-			t.Errorf("%+v", reply)
+			t.Errorf("connection closed at once: reply %+v, want outcome ConnectFailed", reply)
 		}
 	}
 }
@@ -185,7 +186,7 @@
 	c, n := newClient(t), startBusyNode(t)
 	n.Close()
 	if reply := run(c, n.Addr(), node.Call{Op: node.GetObject, Shard: 0}); reply.Outcome != node.ConnectFailed {
-		t.Errorf("%+v", reply)
+		t.Errorf("node that does not listen: reply %+v, want outcome ConnectFailed", reply)
 	}
 }
 
@@ -197,12 +198,12 @@
 			if err != nil {
 				return
 			}
-			_, _ = conn.Write([]byte{0, 0, 0, 5, 2, 0, 0, 0, 3}) // VERSION without extensions; the client may have gone
+			_, _ = conn.Write([]byte{0, 0, 0, 5, 2, 0, 0, 0, 3}) // VERSION without extensions; the client may be gone
 		}
 	}()
 	reply := run(newClient(t), listener.Addr().String(), node.Call{Op: node.GetObject})
 	if reply.Outcome != node.ConnectFailed {
-		t.Errorf("%+v", reply)
+		t.Errorf("node without the extension: reply %+v, want outcome ConnectFailed", reply)
 	}
 }
 
@@ -211,12 +212,12 @@
 	swap := swapRecord
 	first, second := run(c, n.Addr(), swap), run(c, n.Addr(), swap)
 	if first.Status != node.OK || first.Version == 0 || second.Version != first.Version || second.Status != node.OK {
-		t.Errorf("%+v, again %+v", first, second)
+		t.Errorf("first reply %+v, repeat %+v, want status OK and one version for both", first, second)
 	}
 	swap.IdempotencyKey = "other"
 	reply := run(c, n.Addr(), swap)
 	if reply.Status != node.VersionConflict || reply.Version != first.Version || string(reply.Data) != "one" {
-		t.Errorf("another change: %+v", reply)
+		t.Errorf("swap with another key: reply %+v, want a conflict with the record of the first swap", reply)
 	}
 }
 
@@ -229,10 +230,10 @@
 	restarted := startNode(t, standin.Options{Store: openStore(t, dir)})
 	record := run(c, restarted.Addr(), node.Call{Op: node.GetRecord, Name: "/v/x", Shard: 0})
 	if swapped.Version == 0 || record.Version != swapped.Version || string(record.Data) != "one" {
-		t.Errorf("the record comes back as %+v", record)
+		t.Errorf("the record after a restart: %+v, want the version and data of the swap", record)
 	}
 	object := run(c, restarted.Addr(), node.Call{Op: node.GetObject, Name: "o", Shard: 0, Length: 10})
 	if string(object.Data) != "\x00\x00zz" {
-		t.Errorf("the object comes back as %+v", object)
+		t.Errorf("the object after a restart: %+v, want data \"\\x00\\x00zz\"", object)
 	}
 }
--- a/internal/backend/node/connection.go
+++ b/internal/backend/node/connection.go
@@ -9,17 +9,17 @@
 	"irispost/internal/sftp"
 )
 
-// Reasons for which a connection is closed.
+// Reasons why the client closes a connection.
 var (
-	errNoGreeting   = errors.New("the node does not greet")
-	errNotListed    = errors.New("the node is no longer listed")
+	errNoGreeting   = errors.New("the node sent no VERSION packet in time")
+	errNotListed    = errors.New("the node is not in the endpoint list")
 	errClientClosed = errors.New("the gateway ends")
 )
 
-// Reasons for which a call fails that was not sent. Clients see them in the final answer.
+// Reasons why a call fails before it is sent. Clients see them in the result of their request.
 var (
-	errConnectionEnded = errors.New("the connection has just ended")
-	errNodeUnavailable = errors.New("the node is left")
+	errConnectionEnded = errors.New("the connection was closed before the call was sent")
+	errNodeUnavailable = errors.New("the node takes no new requests")
 )
 
 // connectionState is the state of a connection to a node. Only connection.setState changes it.
@@ -27,12 +27,12 @@
 
 const (
 	dialing  connectionState = iota
-	greeting                 // connected, the node's VERSION is awaited
+	greeting                 // connected, waiting for the node's VERSION packet
 	open
 	closed
 )
 
-// String names the state.
+// String returns the state's name.
 func (s connectionState) String() string {
 	return [...]string{"dialing", "greeting", "open", "closed"}[s]
 }
@@ -42,19 +42,19 @@
 	client *Client
 	addr   string
 
-	mutex    sync.Mutex // guards what follows
+	mutex    sync.Mutex // guards the fields below
 	state    connectionState
-	conn     *sftp.Conn // nil until the node has accepted the connection
-	nextID   uint32     // the last ID of an SFTP request that was used
+	conn     *sftp.Conn // nil until connected
+	nextID   uint32     // the SFTP request ID that was used last
 	inFlight map[uint32]*PendingCall
-	queued   []*PendingCall // wait until the connection is open
+	queued   []*PendingCall // calls that wait until the connection is open
 }
 
 func newConnection(client *Client, addr string) *connection {
 	return &connection{client: client, addr: addr, inFlight: map[uint32]*PendingCall{}}
 }
 
-// start sends a call, or queues it until the connection is open; false if the connection is closed.
+// start sends a call, or queues it until the connection is open. It returns false if the connection is closed.
 func (c *connection) start(p *PendingCall) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -70,7 +70,7 @@
 	return true
 }
 
-// send sends a call; the mutex is held. If the connection has closed in the meantime, Closed ends the call.
+// send sends a call. The caller holds the mutex. If the connection closes in the meantime, Closed fails the call.
 func (c *connection) send(p *PendingCall) {
 	c.nextID++
 	p.id = c.nextID
@@ -78,7 +78,8 @@
 	c.conn.Send(p.call.Packet(p.id))
 }
 
-// setState changes the connection's state, and returns the calls that fail by it. A closed connection stays closed.
+// setState changes the connection's state. On closing, it returns the calls that the caller has to fail. A closed
+// connection stays closed.
 func (c *connection) setState(to connectionState) (failed []*PendingCall) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -95,7 +96,7 @@
 	return failed
 }
 
-// sendQueued sends the calls that wait for the connection; the mutex is held.
+// sendQueued sends the calls that wait for the connection. The caller holds the mutex.
 func (c *connection) sendQueued() {
 	for _, p := range c.queued {
 		if !p.ended {
@@ -105,7 +106,7 @@
 	c.queued = nil
 }
 
-// endAll ends all calls of the connection and returns them; the mutex is held.
+// endAll marks all calls of the connection as ended and returns them. The caller holds the mutex.
 func (c *connection) endAll() []*PendingCall {
 	all := c.endQueued()
 	for _, p := range c.inFlight {
@@ -116,7 +117,7 @@
 	return all
 }
 
-// endQueued ends the calls that wait for the connection and returns them; the mutex is held.
+// endQueued marks the calls that wait for the connection as ended and returns them. The caller holds the mutex.
 func (c *connection) endQueued() (ended []*PendingCall) {
 	for _, p := range c.queued {
 		if !p.ended {
@@ -128,7 +129,7 @@
 	return ended
 }
 
-// dial connects to the node and greets it.
+// dial connects to the node, sends INIT and closes the connection if the node does not answer it in time.
 func (c *connection) dial() {
 	conn, err := sftp.Dial(c.addr, c.client.limits, c.client.connectTimeout, func(conn *sftp.Conn) sftp.Peer {
 		c.mutex.Lock()
@@ -152,7 +153,7 @@
 	})
 }
 
-// Packet handles a packet of the node. It implements sftp.Peer.
+// Packet handles a packet from the node. It implements sftp.Peer.
 func (c *connection) Packet(frame sftp.Frame) error {
 	switch frame.Type {
 	case sftp.Version:
@@ -163,10 +164,10 @@
 		c.handleStatus(frame)
 		return nil
 	}
-	return fmt.Errorf("%s sends packets of type %d", c.addr, frame.Type)
+	return fmt.Errorf("%s sent a packet of unexpected type %d", c.addr, frame.Type)
 }
 
-// handleVersion opens the connection if the node offers the extension for calls.
+// handleVersion marks the connection as open if the node offers the extension for calls.
 func (c *connection) handleVersion(frame sftp.Frame) error {
 	_, fields := frame.ID()
 	for fields.More() {
@@ -177,15 +178,15 @@
 		}
 		fields.Text() // the extension's version
 	}
-	return fmt.Errorf("%s does not offer %s", c.addr, ExecExtension)
+	return fmt.Errorf("%s does not offer the extension %s", c.addr, ExecExtension)
 }
 
-// handleReply ends the call that a reply is to.
+// handleReply ends the call that a reply belongs to.
 func (c *connection) handleReply(frame sftp.Frame) error {
 	id, fields := frame.ID()
 	reply, err := DecodeReply(fields)
 	if err != nil {
-		return fmt.Errorf("answer of %s: %w", c.addr, err)
+		return fmt.Errorf("invalid reply from %s: %w", c.addr, err)
 	}
 	if reply.ReportErr != nil {
 		c.client.logInvalidReport(c.addr, reply.ReportErr)
@@ -194,14 +195,16 @@
 	return nil
 }
 
-// handleStatus ends a call that the node could not read. It has most likely not run, but that is not proven.
+// handleStatus fails a call that the node could not decode. The call has most likely not run, but a status does not
+// prove that, so the outcome is Failed.
 func (c *connection) handleStatus(frame sftp.Frame) {
 	id, fields := frame.ID()
 	code := sftp.Code(fields.Uint32())
 	c.finish(id, Reply{Outcome: Failed, Message: fmt.Sprint(code, " ", fields.Text())})
 }
 
-// finish ends the call of an ID with its reply. A reply to a call that was given up is counted and dropped.
+// finish ends the call with the given request ID. A reply to a call that was cancelled or abandoned is counted as
+// late and dropped.
 func (c *connection) finish(id uint32, reply Reply) {
 	c.mutex.Lock()
 	p := c.inFlight[id]
@@ -217,7 +220,7 @@
 	p.done(reply)
 }
 
-// Closed ends the calls of the connection. It implements sftp.Peer.
+// Closed fails the calls of the connection. It implements sftp.Peer.
 func (c *connection) Closed(reason error) {
 	if c.client.log != nil {
 		c.client.log.Debug("node connection closed", "node", c.addr, "err", reason)
@@ -225,7 +228,7 @@
 	c.close(reason)
 }
 
-// close takes the connection away from the client and ends its calls. It may be called more than once.
+// close removes the connection from the client and fails its calls. It may be called more than once.
 func (c *connection) close(reason error) {
 	c.client.remove(c)
 	for _, p := range c.setState(closed) {
@@ -237,7 +240,7 @@
 	}
 }
 
-// abortQueued ends the calls that wait for the connection.
+// abortQueued fails the calls that wait for the connection.
 func (c *connection) abortQueued() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -247,7 +250,7 @@
 	}
 }
 
-// closeIdle closes the connection if it has no calls.
+// closeIdle closes the connection if no call uses or waits for it.
 func (c *connection) closeIdle() {
 	c.mutex.Lock()
 	conn := c.conn
@@ -258,7 +261,7 @@
 	}
 }
 
-// shutDown closes the connection whatever its calls.
+// shutDown closes the connection, whatever its state, and fails its calls.
 func (c *connection) shutDown() {
 	c.mutex.Lock()
 	conn := c.conn
--- a/internal/backend/node/golden_test.go
+++ b/internal/backend/node/golden_test.go
@@ -11,7 +11,7 @@
 	"irispost/internal/testkit/golden"
 )
 
-// packetHex writes out a packet as it goes to the connection, 32 bytes a line.
+// packetHex returns the bytes of a packet as they are sent, in hexadecimal, 32 bytes per line.
 func packetHex(t *testing.T, p *sftp.Packet) string {
 	t.Helper()
 	var packet, out strings.Builder
@@ -26,7 +26,8 @@
 	return out.String()
 }
 
-// TestMessagesMatchGolden compares the bytes of each message to and from a node, and what they are read as.
+// TestMessagesMatchGolden compares the bytes of each message and the numbers and names of the protocol with the
+// golden file.
 func TestMessagesMatchGolden(t *testing.T) {
 	var out strings.Builder
 	calls := []node.Call{
--- a/internal/backend/node/loadreport.go
+++ b/internal/backend/node/loadreport.go
@@ -9,21 +9,21 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Names of the metrics of a load report in ORCA form, in its named_metrics (xds.data.orca.v3.OrcaLoadReport). What
-// else such a report holds is not used: the scheduler measures nodes itself.
+// Names of the metrics in the named_metrics of an ORCA load report (xds.data.orca.v3.OrcaLoadReport). All other
+// fields of a report are ignored, because the scheduler measures the nodes itself.
 const (
 	InFlightMetric       = "irispost.inflight"   // requests that the node holds
-	LatencyMetric        = "irispost.latency_us" // its recent service time in microseconds, without waiting
-	UnitsElsewhereMetric = "irispost.others"     // as Reply.UnitsElsewhere
+	LatencyMetric        = "irispost.latency_us" // its recent service time in microseconds, without time in its queue
+	UnitsElsewhereMetric = "irispost.others"     // Reply.UnitsElsewhere
 )
 
 const (
-	orcaFlag      = 0x80     // is set in the outcome byte of a reply whose load report is in ORCA form
+	orcaFlag      = 0x80     // set in the outcome byte of a reply with an ORCA load report
 	maxReportSize = 16 << 10 // bytes; a longer report is invalid
-	maxMetric     = 1e12     // a metric above it is invalid
+	maxMetric     = 1e12     // a larger metric is invalid
 )
 
-// encodeReport encodes a reply's load report in ORCA form.
+// encodeReport encodes the reply's load report as an ORCA report.
 func (r *Reply) encodeReport() string {
 	b, err := proto.MarshalOptions{Deterministic: true}.Marshal(&orcav3.OrcaLoadReport{NamedMetrics: map[string]float64{
 		InFlightMetric:       float64(r.InFlight),
@@ -31,24 +31,24 @@
 		UnitsElsewhereMetric: r.UnitsElsewhere,
 	}})
 	if err != nil {
-		return "" // a reply without a report
+		return "" // the reply is sent without a report
 	}
 	return string(b)
 }
 
-// decodeReport takes a load report in ORCA form into the reply. One that is invalid changes nothing.
+// decodeReport sets the load fields of the reply from an ORCA report. An invalid report changes nothing.
 func (r *Reply) decodeReport(b []byte) error {
 	if len(b) > maxReportSize {
-		return fmt.Errorf("a load report of %d bytes, %d may be", len(b), maxReportSize)
+		return fmt.Errorf("load report of %d bytes, at most %d bytes are allowed", len(b), maxReportSize)
 	}
 	report := &orcav3.OrcaLoadReport{}
 	if err := proto.Unmarshal(b, report); err != nil {
-		return fmt.Errorf("a load report: %w", err)
+		return fmt.Errorf("parsing load report: %w", err)
 	}
 	metrics := report.GetNamedMetrics()
 	for name, value := range metrics {
 		if math.IsNaN(value) || value < 0 || value > maxMetric {
-			return fmt.Errorf("a load report with %s = %v", name, value)
+			return fmt.Errorf("load report: invalid metric %s = %v", name, value)
 		}
 	}
 	r.InFlight = int(metrics[InFlightMetric])
--- a/internal/backend/node/loadreport_test.go
+++ b/internal/backend/node/loadreport_test.go
@@ -25,7 +25,7 @@
 	return []byte(b.String())[9:]
 }
 
-// decodeReply decodes a reply.
+// decodeReply decodes a reply and fails the test on an error.
 func decodeReply(t *testing.T, b []byte) node.Reply {
 	t.Helper()
 	reply, err := node.DecodeReply(sftp.NewFields(b))
@@ -35,7 +35,7 @@
 	return reply
 }
 
-// encodeMetrics encodes a load report in ORCA form.
+// encodeMetrics encodes an ORCA load report with the given metrics.
 func encodeMetrics(t *testing.T, metrics map[string]float64) []byte {
 	t.Helper()
 	b, err := proto.Marshal(&orcav3.OrcaLoadReport{NamedMetrics: metrics, CpuUtilization: 0.5})
@@ -45,7 +45,7 @@
 	return b
 }
 
-// replyWithReport encodes a reply with a load report in ORCA form.
+// replyWithReport encodes a reply that contains the encoded ORCA load report.
 func replyWithReport(t *testing.T, report, data []byte) []byte {
 	t.Helper()
 	const orcaFlag = 0x80
@@ -61,7 +61,7 @@
 		got := decodeReply(t, encodeBody(t, reply.Packet(9)))
 		got.ORCA = orca
 		if !reflect.DeepEqual(got, reply) {
-			t.Errorf("%+v comes back as %+v", reply, got)
+			t.Errorf("reply %+v is decoded as %+v", reply, got)
 		}
 	}
 }
@@ -76,10 +76,11 @@
 	} {
 		reply := decodeReply(t, replyWithReport(t, report, []byte("x")))
 		if reply.ReportErr == nil || !strings.Contains(reply.ReportErr.Error(), want) {
-			t.Errorf("%s: %v", want, reply.ReportErr)
+			t.Errorf("want a report error that contains %q, got %v", want, reply.ReportErr)
 		}
 		if reply.Outcome != node.Executed || string(reply.Data) != "x" || reply.UnitsElsewhere+float64(reply.InFlight) != 0 {
-			t.Errorf("%s: %+v", want, reply)
+			t.Errorf("report that is invalid for %q: reply %+v, want outcome Executed, data \"x\" and a load of zero",
+				want, reply)
 		}
 	}
 }
@@ -87,11 +88,11 @@
 func TestReportWithoutMetricsIsZero(t *testing.T) {
 	reply := decodeReply(t, replyWithReport(t, encodeMetrics(t, nil), nil))
 	if reply.ReportErr != nil || reply.UnitsElsewhere != 0 {
-		t.Errorf("%+v", reply)
+		t.Errorf("report without metrics: reply %+v, want no report error and 0 units elsewhere", reply)
 	}
 }
 
-// TestReportOfAStandInNode: the report tells of the units that others were served.
+// TestReportOfAStandInNode: the report counts the units that the volume was served through another gateway.
 func TestReportOfAStandInNode(t *testing.T) {
 	n := startNode(t, standin.Options{ORCA: true})
 	c := newClient(t)
@@ -101,6 +102,6 @@
 	call.Gateway, call.RequestID, call.IdempotencyKey = "g2", "b", "b"
 	reply := run(c, n.Addr(), call)
 	if reply.Outcome != node.Executed || reply.UnitsElsewhere != 2 || reply.ReportErr != nil {
-		t.Errorf("%+v", reply)
+		t.Errorf("reply %+v, want outcome Executed, 2 units elsewhere and no report error", reply)
 	}
 }
--- a/internal/backend/node/protocol.go
+++ b/internal/backend/node/protocol.go
@@ -1,12 +1,12 @@
-// Package node is a gateway's client of the storage nodes that speak the node protocol: its messages, the
-// connections, and the outcome of each attempt. The gateway's loop calls the client; stand-in nodes use the messages.
-// docs/node-protocol.md describes the protocol.
+// Package node is the gateway's client for storage nodes that speak the node protocol. It defines the messages, keeps
+// the connections and reports the outcome of each attempt. The gateway's loop calls the client; stand-in nodes use
+// the message types. docs/node-protocol.md describes the protocol.
 //
-// Nodes speak SFTP version 3. What that lacks, one stateless attempt of a request with its idempotency key, travels in
-// SSH_FXP_EXTENDED requests that a node offers in its VERSION packet.
+// Nodes speak SFTP version 3. SFTP has no stateless attempt of a request with an idempotency key; the protocol sends
+// these as SSH_FXP_EXTENDED requests, an extension that a node offers in its VERSION packet.
 //
-// A Client owns its connections, each with a goroutine to connect and those of package packetconn. Nothing persists.
-// The messages are pure.
+// A Client owns its connections. Each has a goroutine that connects, and those of package packetconn. No state is
+// stored. Encoding and decoding messages has no side effects.
 package node
 
 import "errors"
@@ -19,51 +19,51 @@
 
 var (
 	errUnknownOperation = errors.New("no such operation")
-	errUnknownOutcome   = errors.New("no such outcome")
+	errUnknownOutcome   = errors.New("unknown outcome or status")
 )
 
-// Operation is what an attempt does at a node. Its numbers are the protocol's.
+// Operation is what an attempt does at a node. Its values are those of the protocol.
 type Operation uint8
 
-// Operations on objects, which hold bytes, and on records, which are replaced as a whole.
+// Operations on objects, which are read and written in parts, and on records, which are replaced as a whole.
 const (
 	GetObject            Operation = iota + 1 // reads bytes of an object
-	PutObject                                 // writes bytes of an object at an offset; creates one if there is none
+	PutObject                                 // writes bytes at an offset of an object, which is created if needed
 	DeleteObject                              // removes an object
 	GetRecord                                 // reads a record
-	CompareAndSwapRecord                      // replaces a record if it has the version; without data it is removed
-	ListRecords                               // lists the records of a folder, after a name
-	ListObjects                               // lists the objects, after a name
+	CompareAndSwapRecord                      // replaces a record of the expected version, or removes it without data
+	ListRecords                               // lists the records of a folder that follow a name
+	ListObjects                               // lists the objects that follow a name
 )
 
-// Writes tells whether the operation changes something.
+// Writes reports whether the operation changes an object or a record.
 func (o Operation) Writes() bool {
 	return o == PutObject || o == DeleteObject || o == CompareAndSwapRecord
 }
 
-// Status is the result of an operation that was carried out. Its numbers are the protocol's.
+// Status is the result of an operation that the node executed. Its values are those of the protocol.
 type Status uint8
 
 // Results of an operation.
 const (
 	OK              Status = iota
-	NotFound               // there is no such object or record
-	VersionConflict        // the record has another version, which the reply holds
+	NotFound               // the object or record does not exist
+	VersionConflict        // the record has another version, which the reply contains
 )
 
-// Outcome is how an attempt ended, as far as node and connection can tell. The numbers up to WrongShard are the
-// protocol's.
+// Outcome is how an attempt ended, as far as the node's reply or the connection shows. The values up to WrongShard
+// are those of the protocol.
 type Outcome uint8
 
 // Outcomes of an attempt.
 const (
-	Failed          Outcome = iota // the node failed it, and may have carried it out
-	Executed                       // the node carried it out; Status is the result
-	QueueFull                      // the node's queue is full; it never ran
-	WrongShard                     // the node does not hold the shard; it never ran
-	ConnectFailed                  // no connection came up; it never ran
-	ConnectionReset                // the connection broke while it was in flight; it may have run
+	Failed          Outcome = iota // the node reported a failure, but may have executed the operation
+	Executed                       // the node executed the operation; Status is the result
+	QueueFull                      // the node's queue was full; the attempt never ran
+	WrongShard                     // the node does not hold the shard; the attempt never ran
+	ConnectFailed                  // not connected, or the request was not sent in full; it never ran
+	ConnectionReset                // the connection broke while the attempt was in flight; it may have run
 )
 
-// unitScale scale the units of a message, which the protocol has as whole numbers.
+// unitScale converts units to the whole thousandths of units that messages contain.
 const unitScale = 1000
--- a/internal/backend/node/reply.go
+++ b/internal/backend/node/reply.go
@@ -6,22 +6,22 @@
 	"irispost/internal/sftp"
 )
 
-// Reply is a node's reply to a call, or what stands for it where none came.
+// Reply is a node's reply to a call, or the outcome that the client reports if no reply arrived.
 type Reply struct {
 	Outcome        Outcome
 	Status         Status
 	Version        uint64        // of the record
-	Shard          int           // the node's
+	Shard          int           // the shard that the node holds
 	InFlight       int           // load report: requests that the node holds
-	Latency        time.Duration // load report: recent service time, without waiting
-	UnitsElsewhere float64       // units served the volume through other gateways since the last reply to this one
-	Message        string        // why it failed
-	Data           []byte        // bytes of an object, a record or a list
-	ORCA           bool          // the load report is encoded in ORCA form
-	ReportErr      error         // why the load report that came is invalid; the reply counts all the same
+	Latency        time.Duration // load report: recent service time, without time in the node's queue
+	UnitsElsewhere float64       // units the volume was served through other gateways since the last reply to this one
+	Message        string        // why the attempt failed
+	Data           []byte        // content of an object or record, or an encoded list
+	ORCA           bool          // the load report is encoded as an ORCA report
+	ReportErr      error         // why the received load report is invalid; the rest of the reply is valid
 }
 
-// Packet encodes the reply to the request of an ID. The packet refers to Data.
+// Packet encodes the reply to the SFTP request with the given ID. The packet refers to Data and does not copy it.
 func (r *Reply) Packet(id uint32) *sftp.Packet {
 	p := sftp.New(sftp.ExtendedReply, id)
 	if r.ORCA {
@@ -46,7 +46,7 @@
 		Tail(r.Data)
 }
 
-// DecodeReply decodes what follows the request's ID in a reply.
+// DecodeReply decodes a reply from the fields that follow the request ID in an SFTP packet.
 func DecodeReply(fields *sftp.Fields) (Reply, error) {
 	outcome := fields.Byte()
 	r := Reply{
@@ -73,13 +73,13 @@
 	return r, nil
 }
 
-// ListItem is one record or object of a list.
+// ListItem is a record or an object in a list.
 type ListItem struct {
-	Name    string // path of a record, or name of an object
-	Owner   string // path that an object belongs to
-	Version uint64 // of a record
-	Age     uint32 // seconds since an object was last written
-	Data    []byte // of a record
+	Name    string // path of a record or name of an object
+	Owner   string // path that the object belongs to
+	Version uint64 // of the record
+	Age     uint32 // seconds since the object was last written
+	Data    []byte // of the record
 }
 
 // EncodeItems encodes a list as the data of a reply.
--- a/internal/backend/webnode/attempt.go
+++ b/internal/backend/webnode/attempt.go
@@ -6,20 +6,20 @@
 	"irispost/internal/backend/node"
 )
 
-// Attempt is an attempt that is in flight or waits for a connection.
+// Attempt is a call that was started: it waits for a connection, is in flight or is finished.
 type Attempt struct {
 	client    *Client
 	addr      string
 	call      *node.Call
 	done      func(node.Reply)
-	startedAt time.Time // the call's timeouts count from then
+	startedAt time.Time // the call's timeouts count from here
 
-	conn      *conn     // nil while it waits for one; guarded by the client's lock, as are those below
-	waitUntil time.Time // it waits for a connection no longer than this
+	conn      *conn     // nil while waiting for one; the client's lock guards this field and those below
+	waitUntil time.Time // when the wait for a connection ends
 	finished  bool
 }
 
-// Cancel ends an attempt without a reply and closes its connection, which tells the node.
+// Cancel ends the attempt without a reply and closes its connection, by which the node learns of it.
 func (a *Attempt) Cancel() {
 	a.client.mu.Lock()
 	defer a.client.mu.Unlock()
@@ -32,7 +32,8 @@
 	}
 }
 
-// finish reports the reply of an attempt, unless it is finished already. The caller doesn't hold the lock.
+// finish reports the reply of the attempt. If the attempt is finished already, the reply is dropped, and counted as
+// late if the node executed the attempt. The caller must not hold the lock.
 func (a *Attempt) finish(reply node.Reply) {
 	a.client.mu.Lock()
 	finished := a.finished
@@ -46,7 +47,7 @@
 	}
 }
 
-// fail finishes an attempt with an outcome other than a response.
+// fail finishes the attempt with an outcome for which there is no response.
 func (a *Attempt) fail(outcome node.Outcome, message string) {
 	a.finish(node.Reply{Outcome: outcome, Message: message})
 }
--- a/internal/backend/webnode/client.go
+++ b/internal/backend/webnode/client.go
@@ -1,12 +1,12 @@
-// Package webnode is a gateway's client of the storage nodes that speak HTTP/1.1: it keeps connections, sends one
-// attempt at a time on each, and reports the outcome. It never sends an attempt twice. Package serve makes a Client,
-// and the gateway's loop calls it through the interface gateway.NodeClient.
+// Package webnode is the gateway's client for storage nodes that speak HTTP/1.1. It keeps connections, sends one
+// attempt at a time on each, and reports the outcome. It never sends an attempt twice. Package serve creates the
+// Client, and the gateway's loop calls it through the interface gateway.NodeClient.
 //
-// A Client owns its connections, with a goroutine each that reads, and the attempts that wait for a connection; one
+// A Client owns its connections, each with a goroutine that reads, and the attempts that wait for a connection. One
 // mutex guards them all.
 //
-// It is built on net and not on netpoll, which reads on into memory while nobody takes what it read: a response that
-// claims to have 3 GB has to stay in the socket.
+// It uses package net and not netpoll, because netpoll reads into memory even while nobody consumes what it has read.
+// A response that claims to have 3 GB must stay in the socket.
 package webnode
 
 import (
@@ -20,16 +20,16 @@
 	"irispost/internal/http1"
 )
 
-// Options are what a client is started with.
+// Options configure a Client.
 type Options struct {
-	Host           string        // Host field of requests
-	ConnectTimeout time.Duration // for a connection to come up, and for an attempt to wait until one may be opened
-	IdleTimeout    time.Duration // an idle connection is closed after it
-	ReuseDelay     time.Duration // a connection that brought a response is not reused sooner
-	MaxConnections int           // open at a time, to all nodes
-	ResponseLimits http1.Limits  // of one response
-	MaxLongBody    int64         // longest body accepted over ResponseLimits, in bytes; some nodes send such
-	LongBodyBudget int64         // bytes of all such bodies in memory at a time
+	Host           string        // Host header of requests
+	ConnectTimeout time.Duration // for a dial, and for an attempt to wait until a connection may be opened
+	IdleTimeout    time.Duration // an idle connection is closed after this time
+	ReuseDelay     time.Duration // minimum time between the response and the reuse of a connection
+	MaxConnections int           // maximum number of open connections to all nodes
+	ResponseLimits http1.Limits  // for one response
+	MaxLongBody    int64         // most bytes of a body over ResponseLimits, a long body; some nodes send such bodies
+	LongBodyBudget int64         // most bytes of all long bodies in memory
 }
 
 // Client holds a gateway's connections to its storage nodes.
@@ -38,16 +38,16 @@
 	dial          func(ctx context.Context, network, addr string) (net.Conn, error)
 	closed        chan struct{}
 	lateReplies   atomic.Int64
-	longBodyBytes atomic.Int64 // of long bodies that are in memory
+	longBodyBytes atomic.Int64 // bytes of the long bodies in memory
 
-	mu        sync.Mutex         // guards all below, each connection's state and each attempt's
-	idle      map[string][]*conn // by address, the one used last at the end
+	mu        sync.Mutex         // guards the fields below and the state of connections and attempts
+	idle      map[string][]*conn // by address, the most recently used last
 	openConns int                // including those that are being dialed
 	dialing   map[*conn]bool
-	waiting   []*Attempt // that have no connection yet, the first one first
+	waiting   []*Attempt // attempts without a connection, oldest first
 }
 
-// NewClient makes a client and starts its periodic work.
+// NewClient returns a client and starts the goroutine that expires idle connections and waiting attempts.
 func NewClient(opt Options) *Client {
 	c := &Client{
 		opt:     opt,
@@ -60,8 +60,8 @@
 	return c
 }
 
-// Start sends an attempt to the node at an address. done is called at most once, on another goroutine, and not after
-// the attempt is cancelled.
+// Start sends an attempt to the node at addr. done is called at most once, on another goroutine, and not after the
+// attempt is cancelled.
 func (c *Client) Start(addr string, call *node.Call, done func(node.Reply)) node.Attempt {
 	a := &Attempt{client: c, addr: addr, call: call, done: done, startedAt: time.Now()}
 	c.mu.Lock()
@@ -70,7 +70,8 @@
 	return a
 }
 
-// startOrWait gives an attempt a connection, or has it wait for one. The caller holds the lock.
+// startOrWait assigns a connection to an attempt, or queues the attempt until one is available. The caller holds the
+// lock.
 func (c *Client) startOrWait(attempt *Attempt) {
 	if !c.assignConn(attempt) {
 		attempt.waitUntil = time.Now().Add(c.opt.ConnectTimeout)
@@ -78,8 +79,8 @@
 	}
 }
 
-// assignConn gives an attempt an idle connection, or else a new one. It returns false if neither can be had. The caller
-// holds the lock.
+// assignConn assigns an idle connection to an attempt, or else a new one. It returns false if neither is available.
+// The caller holds the lock.
 func (c *Client) assignConn(attempt *Attempt) bool {
 	if idle := c.reusableConn(attempt.addr); idle != nil {
 		idle.transition(stateWriting)
@@ -99,7 +100,7 @@
 	return true
 }
 
-// startWaiting starts attempts that wait for a connection, in order, while there are connections to be had. The caller
+// startWaiting starts attempts that wait for a connection, in order, while connections are available. The caller
 // holds the lock.
 func (c *Client) startWaiting() {
 	for len(c.waiting) > 0 && (c.waiting[0].finished || c.assignConn(c.waiting[0])) {
@@ -107,7 +108,7 @@
 	}
 }
 
-// LateReplies returns how many replies arrived after their attempt had timed out, and were discarded.
+// LateReplies returns how many replies arrived after their attempt was finished, and were dropped.
 func (c *Client) LateReplies() int64 { return c.lateReplies.Load() }
 
 // ConnectionCounts returns how many connections are open or being dialed, and how many of them are idle.
@@ -120,7 +121,7 @@
 	return c.openConns, idle
 }
 
-// Close closes idle connections and stops the periodic work. Attempts in flight go on.
+// Close closes the idle connections and stops the goroutine that NewClient started. Attempts in flight continue.
 func (c *Client) Close() {
 	close(c.closed)
 	c.Retain(nil)
--- a/internal/backend/webnode/client_test.go
+++ b/internal/backend/webnode/client_test.go
@@ -15,7 +15,7 @@
 	"irispost/internal/webstandin"
 )
 
-// newClient starts a client of at most so many connections, with options that change may alter.
+// newClient starts a client of at most maxConnections connections. change, if not nil, alters its options.
 func newClient(t testing.TB, maxConnections int, change func(*webnode.Options)) *webnode.Client {
 	t.Helper()
 	opt := webnode.Options{
@@ -35,7 +35,7 @@
 	return c
 }
 
-// startPut starts an attempt at a stand-in node, whose id tells the node what to do.
+// startPut starts an attempt at a stand-in node. The part of id before the "-" selects what the node does.
 func startPut(c *webnode.Client, s *webstandin.Node, id string) (node.Attempt, chan node.Reply) {
 	done := make(chan node.Reply, 2)
 	call := &node.Call{
@@ -48,7 +48,7 @@
 	return c.Start(s.Addr().String(), call, func(reply node.Reply) { done <- reply }), done
 }
 
-// randomAttempt is an attempt with what its node does.
+// randomAttempt is an attempt; kind selects what the node does.
 type randomAttempt struct {
 	kind, id  string
 	attempt   node.Attempt
@@ -56,19 +56,20 @@
 	cancelled bool
 }
 
-// check waits for the reply of an attempt, which has to be the one of its kind.
+// check waits for the reply to the attempt and compares it with the one expected for its kind.
 func (a *randomAttempt) check(r *rapid.T) {
 	reply := <-a.done
 	want := webstandin.Behaviors[a.kind].Outcome
 	if reply.Outcome != want {
-		r.Fatalf("%s: %+v, want outcome %d", a.id, reply, want)
+		r.Fatalf("%s: reply %+v, want outcome %d", a.id, reply, want)
 	}
 	unitsElsewhere := 0.0
 	if a.kind == "elsewhere" {
 		unitsElsewhere = 3
 	}
 	if want == node.Executed && (string(reply.Data) != a.id+"+body" || reply.UnitsElsewhere != unitsElsewhere) {
-		r.Fatalf("%s: %+v", a.id, reply)
+		r.Fatalf("%s: reply %+v, want the request's id and body as data, and units elsewhere only for kind elsewhere",
+			a.id, reply)
 	}
 }
 
@@ -87,14 +88,14 @@
 			cancelled.cancelled = true
 		}
 		if open, _ := c.ConnectionCounts(); open > maxConnections {
-			r.Fatalf("%d connections are open, %d may be", open, maxConnections)
+			r.Fatalf("%d connections are open, want at most %d", open, maxConnections)
 		}
 	}
 	return all
 }
 
-// TestRandomAttemptsHaveOneOutcome: of random attempts over few connections, some cancelled, each has one outcome, the
-// right one, and is sent once at most.
+// TestRandomAttemptsHaveOneOutcome starts random attempts over a few connections and cancels some. Each other attempt
+// has exactly one outcome, the expected one, and every attempt is sent at most once.
 func TestRandomAttemptsHaveOneOutcome(t *testing.T) {
 	testkit.FixSeeds(t)
 	rapid.Check(t, func(r *rapid.T) {
@@ -111,13 +112,14 @@
 		defer s.Unlock()
 		for _, a := range all {
 			if len(a.done) > 0 && !a.cancelled || s.Seen[a.id] > 1 {
-				r.Fatalf("%s: sent %d times, %d further outcomes", a.id, s.Seen[a.id], len(a.done))
+				r.Fatalf("%s: sent %d times, %d further outcomes, want <= 1 and 0", a.id, s.Seen[a.id], len(a.done))
 			}
 		}
 	})
 }
 
-// TestCancelClosesConnection: else the attempt would be in flight still while another is sent.
+// TestCancelClosesConnection: a cancelled attempt closes its connection. Otherwise the next attempt could be sent on
+// it while the cancelled one is still in flight.
 func TestCancelClosesConnection(t *testing.T) {
 	s, c := webstandin.Start(t), newClient(t, 10, nil)
 	attempt, done := startPut(c, s, "held-1")
@@ -126,45 +128,45 @@
 	close(s.Release)
 	<-s.Disconnected
 	if open, _ := c.ConnectionCounts(); open != 0 || len(done) != 0 {
-		t.Errorf("%d connections are open, %d replies", open, len(done))
+		t.Errorf("%d connections are open, %d replies, want none", open, len(done))
 	}
 }
 
-// TestConnectAndIdleTimeouts: an attempt fails if no connection becomes free in time, or if the node refuses one, and a
-// connection that is idle for too long is closed.
+// TestConnectAndIdleTimeouts: an attempt fails if no connection becomes available in time or if the node refuses the
+// connection, and a connection that is idle for too long is closed.
 func TestConnectAndIdleTimeouts(t *testing.T) {
 	s := webstandin.Start(t)
 	c := newClient(t, 1, func(o *webnode.Options) { o.ConnectTimeout = 40 * time.Millisecond })
 	_, first := startPut(c, s, "held-1")
 	<-s.WaitingIDs
 	if _, done := startPut(c, s, "served-2"); (<-done).Outcome != node.ConnectFailed {
-		t.Error("no connection became free, and the outcome is another")
+		t.Error("no connection became available: the outcome is not ConnectFailed")
 	}
 	close(s.Release)
 	<-first
 	idle := newClient(t, 1, func(o *webnode.Options) { o.IdleTimeout = 20 * time.Millisecond })
 	_, done := startPut(idle, s, "served-3")
 	<-done
-	<-s.Disconnected // it is closed though the node keeps it
+	<-s.Disconnected // by the client: the node keeps the connection open
 	if err := s.Close(); err != nil {
 		t.Error(err)
 	}
 	if _, done := startPut(idle, s, "served-4"); (<-done).Outcome != node.ConnectFailed {
-		t.Error("the node refuses, and the outcome is another")
+		t.Error("the node refused the connection: the outcome is not ConnectFailed")
 	}
 }
 
-// TestLongBodiesWithinBudget: a body over the usual limit is accepted while the budget lasts, and counts against it
-// until it is garbage.
+// TestLongBodiesWithinBudget: a body over the usual limit is accepted while the budget allows it, and counts against
+// the budget until it is garbage-collected.
 func TestLongBodiesWithinBudget(t *testing.T) {
 	s, c := webstandin.Start(t), newClient(t, 10, nil)
 	get := func(id string) node.Reply { _, done := startPut(c, s, id); return <-done }
 	first := get("long-1")
 	if first.Outcome != node.Executed || len(first.Data) != 200_000 {
-		t.Fatalf("outcome %d, %d bytes", first.Outcome, len(first.Data))
+		t.Fatalf("long body: outcome %d, %d bytes, want Executed and 200000 bytes", first.Outcome, len(first.Data))
 	}
 	if second := get("long-2"); second.Outcome != node.Failed {
-		t.Errorf("over the budget: outcome %d", second.Outcome)
+		t.Errorf("long body over the budget: outcome %d, want Failed", second.Outcome)
 	}
 	runtime.KeepAlive(first.Data)
 	first = node.Reply{}
--- a/internal/backend/webnode/conn.go
+++ b/internal/backend/webnode/conn.go
@@ -16,7 +16,7 @@
 const (
 	stateDialing connState = iota
 	stateWriting           // a request is being written
-	stateWaiting           // it is written; the response is awaited
+	stateWaiting           // the request is written; waiting for its response
 	stateIdle
 	stateClosed
 )
@@ -25,7 +25,7 @@
 	return [...]string{"dialing", "writing", "waiting", "idle", "closed"}[s]
 }
 
-// conn is one connection to a node, which carries one attempt at a time. The client's lock guards it.
+// conn is a connection to a node. It carries one attempt at a time. The client's lock guards its fields.
 type conn struct {
 	client     *Client
 	addr       string
@@ -34,10 +34,10 @@
 	attempt    *Attempt // nil while idle
 	idleSince  time.Time
 	cancelDial context.CancelFunc
-	written    chan struct{} // closed when the attempt's bytes are with the socket, or won't be
+	written    chan struct{} // closed when the write of the attempt's request has ended or is not going to happen
 }
 
-// transition is the one place where a connection changes state. The caller holds the lock.
+// transition changes the connection's state and updates the client's lists and counts. The caller holds the lock.
 func (c *conn) transition(to connState) {
 	client := c.client
 	if c.state == stateIdle {
@@ -77,7 +77,7 @@
 	}
 }
 
-// connect dials and sends the attempt that the connection was opened for.
+// connect dials the node and sends the attempt that the connection was opened for.
 func (c *conn) connect(ctx context.Context) {
 	client, attempt := c.client, c.attempt
 	raw, err := client.dial(ctx, "tcp", c.addr)
@@ -105,8 +105,8 @@
 	return "connecting: " + err.Error()
 }
 
-// reuse sends an attempt on a connection that was idle, unless something has arrived on it meanwhile: its end, or bytes
-// that belong to no request, which would be taken for the response. Nothing is written then, and the attempt gets
+// reuse sends an attempt on a connection that was idle. If the node has closed the connection meanwhile, or has sent
+// bytes that belong to no request and would be taken for the response, nothing is written and the attempt gets
 // another connection.
 func (c *conn) reuse(attempt *Attempt) {
 	if c.isSocketIdle() {
@@ -125,7 +125,7 @@
 	}
 }
 
-// isSocketIdle reports whether nothing waits to be read from the socket.
+// isSocketIdle reports whether the node has neither sent bytes that are unread nor closed the connection.
 func (c *conn) isSocketIdle() bool {
 	rawConn, err := c.raw.(syscall.Conn).SyscallConn()
 	if err != nil {
@@ -139,7 +139,7 @@
 	return idle && err == nil
 }
 
-// release gives back a connection that nothing was written to.
+// release makes the connection idle again without writing its attempt.
 func (c *conn) release() {
 	client := c.client
 	defer close(c.written)
--- a/internal/backend/webnode/exchange.go
+++ b/internal/backend/webnode/exchange.go
@@ -12,23 +12,23 @@
 	"irispost/internal/http1"
 )
 
-// Fields of a response that the gateway reads, in lower case.
+// Header fields of a response that the client reads, in lower case.
 const (
 	fieldNotRun          = "x-not-run"
 	fieldServedElsewhere = "x-served-elsewhere"
 )
 
-// maxUnitsElsewhere bounds what a node may report to have served through other gateways.
+// maxUnitsElsewhere is an exclusive limit on the units that a node may report as served through other gateways.
 const maxUnitsElsewhere = 1e12
 
-// write sends an attempt, unless it is too late for it after the wait for a connection.
+// write sends an attempt, unless its deadline passed while it waited for the connection.
 func (c *conn) write(attempt *Attempt) {
 	call := attempt.call
 	elapsed := time.Since(attempt.startedAt)
 	remaining := call.Timeout - elapsed
 	if remaining <= 0 || call.StartWithin > 0 && elapsed >= call.StartWithin {
 		c.release()
-		attempt.fail(node.ConnectFailed, "too late to send")
+		attempt.fail(node.ConnectFailed, "the deadline passed before the request was sent")
 		return
 	}
 	request := c.client.encodeRequest(call, remaining)
@@ -46,12 +46,12 @@
 	switch {
 	case err == nil && closed:
 		attempt.fail(node.ConnectionReset, "the connection was closed while the request was written")
-	case err != nil: // the node never got its last byte, so it never ran
-		attempt.fail(node.ConnectFailed, fmt.Sprintf("%d of %d bytes written: %v", n, len(request), err))
+	case err != nil: // the node did not get the last byte, so the request never ran
+		attempt.fail(node.ConnectFailed, fmt.Sprintf("%d of %d request bytes written: %v", n, len(request), err))
 	}
 }
 
-// encodeRequest writes a call as a request. remaining is how long the gateway waits for the response.
+// encodeRequest encodes a call as an HTTP request. remaining is how long the gateway still waits for the response.
 func (c *Client) encodeRequest(call *node.Call, remaining time.Duration) []byte {
 	request := http1.NewRequest(method(call.Op), call.Name).
 		Field("Host", c.opt.Host).
@@ -70,7 +70,7 @@
 	return http.MethodGet
 }
 
-// readLoop reads what the node sends, for as long as the connection is open.
+// readLoop reads responses until the connection is closed.
 func (c *conn) readLoop() {
 	reader := bufio.NewReaderSize(c.raw, http1.MaxLineBytes)
 	for {
@@ -80,7 +80,7 @@
 		}
 		response, err := c.client.readResponse(reader)
 		reply := toReply(response, err)
-		reusable := err == nil && !response.Close && reader.Buffered() == 0 // what follows a response belongs to nobody
+		reusable := err == nil && !response.Close && reader.Buffered() == 0 // further bytes belong to no request
 		closed := c.endExchange(reusable)
 		attempt.finish(reply)
 		if closed {
@@ -89,13 +89,13 @@
 	}
 }
 
-// awaitResponse waits for the first byte of a response and returns the attempt that it belongs to. It returns false if
-// the connection ends, or brings bytes that no attempt waits for.
+// awaitResponse waits for the first byte of a response and returns the attempt that it belongs to. It closes the
+// connection and returns false if the node closes the connection or sends bytes that no attempt waits for.
 func (c *conn) awaitResponse(reader *bufio.Reader) (attempt *Attempt, ok bool) {
 	client := c.client
 	_, err := reader.Peek(1)
 	client.mu.Lock()
-	if err == nil && c.state == stateWriting { // a response can be here before the writer is back from the socket
+	if err == nil && c.state == stateWriting { // the response can arrive before the writer's Write has returned
 		written := c.written
 		client.mu.Unlock()
 		<-written
@@ -108,13 +108,14 @@
 	}
 	c.close()
 	client.mu.Unlock()
-	if state == stateWaiting { // in another state the writer finds the connection closed
+	if state == stateWaiting { // in other states no attempt waits, or its writer finds the connection closed
 		attempt.fail(node.ConnectionReset, err.Error())
 	}
 	return nil, false
 }
 
-// endExchange makes a connection idle after a response, or closes it. It reports whether it is closed.
+// endExchange makes the connection idle after a response, or closes it if it is not reusable. It reports whether the
+// connection is closed.
 func (c *conn) endExchange(reusable bool) (closed bool) {
 	c.client.mu.Lock()
 	defer c.client.mu.Unlock()
@@ -129,7 +130,7 @@
 	return c.state == stateClosed
 }
 
-// toReply translates a response, or the failure to read one, into the outcome of an attempt.
+// toReply converts a response, or the error from reading it, into the reply to the attempt.
 func toReply(response *http1.Response, err error) node.Reply {
 	if err != nil {
 		var malformed *http1.Error
--- a/internal/backend/webnode/export_test.go
+++ b/internal/backend/webnode/export_test.go
@@ -5,7 +5,7 @@
 	"net"
 )
 
-// SetDial has a client's connections come up by a function of the test's, until anything is sent.
+// SetDial replaces the function that opens a client's connections. It must not be called while a dial is starting.
 func SetDial(c *Client, dial func(ctx context.Context, network, addr string) (net.Conn, error)) {
 	c.dial = dial
 }
--- a/internal/backend/webnode/golden_test.go
+++ b/internal/backend/webnode/golden_test.go
@@ -13,8 +13,8 @@
 	"irispost/internal/testkit/golden"
 )
 
-// TestGoldenRequests pins the bytes of a request to a node: order and names of its fields, and its body. The time left,
-// which differs from run to run, is masked.
+// TestGoldenRequests compares the bytes of requests to a node, with the order and names of their fields and the body,
+// with the golden file. The value of X-Deadline-Ms is masked, since it differs from run to run.
 func TestGoldenRequests(t *testing.T) {
 	var transcript bytes.Buffer
 	for _, call := range []node.Call{
@@ -31,11 +31,11 @@
 	}
 	deadline := regexp.MustCompile(`(X-Deadline-Ms: )3[56]\d{5}\r`)
 	text := deadline.ReplaceAll(transcript.Bytes(), []byte("${1}LEFT\r"))
-	golden.Check(t, "requests.txt", bytes.ReplaceAll(text, []byte("\r"), []byte(`\r`))) // lines of the file end with LF
+	golden.Check(t, "requests.txt", bytes.ReplaceAll(text, []byte("\r"), []byte(`\r`))) // the file has LF line ends
 }
 
-// readAll reads a request, closes the sending side, upon which the client closes the connection, and returns all that
-// the client has sent.
+// readAll reads a request, closes the node's sending side, so that the client closes the connection, and returns all
+// bytes that the client has sent.
 func readAll(t *testing.T, c *scriptedConn, bodyBytes int) []byte {
 	t.Helper()
 	if err := c.SetReadDeadline(time.Now().Add(30 * time.Second)); err != nil {
@@ -47,7 +47,7 @@
 		n, err := c.Read(buf)
 		sent = append(sent, buf[:n]...)
 		if err != nil {
-			t.Fatalf("%v after %q", err, sent)
+			t.Fatalf("reading the request: %v after %q", err, sent)
 		}
 	}
 	if err := c.Conn.(*net.TCPConn).CloseWrite(); err != nil {
--- a/internal/backend/webnode/longbody.go
+++ b/internal/backend/webnode/longbody.go
@@ -7,7 +7,7 @@
 	"irispost/internal/http1"
 )
 
-// readResponse reads a response. A body over the usual limit is accepted while the budget for such bodies lasts.
+// readResponse reads a response. A body over the usual limit is accepted if the budget for long bodies allows it.
 func (c *Client) readResponse(reader *bufio.Reader) (*http1.Response, error) {
 	reserved := int64(0)
 	limits := c.opt.ResponseLimits
@@ -22,7 +22,7 @@
 	response, err := http1.ReadResponse(reader, limits)
 	switch {
 	case reserved > 0 && err == nil:
-		c.longBodyBytes.Add(int64(len(response.Body)) - reserved) // the most was reserved if no length was stated
+		c.longBodyBytes.Add(int64(len(response.Body)) - reserved) // without a stated length, MaxLongBody was reserved
 		c.releaseWhenFreed(response.Body)
 	case reserved > 0:
 		c.longBodyBytes.Add(-reserved)
@@ -30,7 +30,8 @@
 	return response, err
 }
 
-// reserveLongBody reserves memory for a long body. It returns false if there is not so much left.
+// reserveLongBody reserves bytes of the budget for a long body. It returns false if the body is too long or too
+// little of the budget is left.
 func (c *Client) reserveLongBody(bytes int64) bool {
 	if bytes > c.opt.MaxLongBody {
 		return false
@@ -42,7 +43,8 @@
 	return true
 }
 
-// releaseWhenFreed gives a long body's memory back to the budget once the body is garbage, whoever held it last.
+// releaseWhenFreed returns a long body's bytes to the budget when the garbage collector finds the body unreachable,
+// whoever held it last.
 func (c *Client) releaseWhenFreed(body []byte) {
 	runtime.AddCleanup(&body[0], func(bytes int64) { c.longBodyBytes.Add(-bytes) }, int64(len(body)))
 }
--- a/internal/backend/webnode/order_test.go
+++ b/internal/backend/webnode/order_test.go
@@ -14,7 +14,7 @@
 	"irispost/internal/backend/webnode"
 )
 
-// scriptedNode is a node whose connections the test handles step by step.
+// scriptedNode is a node whose side of each connection the test controls step by step.
 type scriptedNode struct {
 	net.Listener
 	t testing.TB
@@ -55,7 +55,7 @@
 	return request
 }
 
-// respond answers 200. The client may have closed the connection already.
+// respond sends a response with status 200. It ignores errors, since the client may have closed the connection.
 func (c *scriptedConn) respond(body string) {
 	_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: "+strconv.Itoa(len(body))+"\r\n\r\n"+body)
 }
@@ -69,19 +69,19 @@
 func expectData(t *testing.T, done <-chan node.Reply, data string) {
 	t.Helper()
 	if reply := <-done; string(reply.Data) != data {
-		t.Errorf("%+v, want data %q", reply, data)
+		t.Errorf("reply %+v, want data %q", reply, data)
 	}
 }
 
 func expectConnectFailed(t *testing.T, done <-chan node.Reply, what string) {
 	t.Helper()
 	if reply := <-done; reply.Outcome != node.ConnectFailed {
-		t.Errorf("%s: %+v", what, reply)
+		t.Errorf("%s: reply %+v, want outcome ConnectFailed", what, reply)
 	}
 }
 
-// TestSecondResponseIsNotNextAttempts: a node may send a second response some milliseconds after the first, which must
-// not be taken for the next attempt's.
+// TestSecondResponseIsNotNextAttempts: a second response that a node sends some milliseconds after the first must not
+// be taken for the response to the next attempt.
 func TestSecondResponseIsNotNextAttempts(t *testing.T) {
 	n, c := newScriptedNode(t), newClient(t, 10, func(o *webnode.Options) { o.ReuseDelay = time.Hour })
 	_, firstDone := startGet(c, n, node.Call{IdempotencyKey: "a", Timeout: time.Minute})
@@ -90,17 +90,17 @@
 	first.respond("a's")
 	expectData(t, firstDone, "a's")
 	_, secondDone := startGet(c, n, node.Call{IdempotencyKey: "b", Timeout: time.Minute})
-	second := n.accept() // not on the one that has just brought a response
+	second := n.accept() // not on the connection that has just received a response
 	second.readRequest()
 	first.respond("a's again")
 	if first.readRequest() != nil {
-		t.Error("the connection that brought a second response is reused")
+		t.Error("the connection that received a second response was reused")
 	}
 	second.respond("b's")
 	expectData(t, secondDone, "b's")
 }
 
-// TestHeadersReachNode: further fields of a call reach the node as they are.
+// TestHeadersReachNode: a call's header fields reach the node unchanged.
 func TestHeadersReachNode(t *testing.T) {
 	n, c := newScriptedNode(t), newClient(t, 10, nil)
 	startGet(c, n, node.Call{
@@ -110,11 +110,11 @@
 	})
 	header := n.accept().readRequest().Header
 	if header.Get("Idempotency-Key") != "k 1" || len(header["X-Other"]) != 1 || header.Get("X-Request-Id") != "a" {
-		t.Errorf("%v", header)
+		t.Errorf("header %v, want Idempotency-Key \"k 1\", one X-Other and X-Request-Id \"a\"", header)
 	}
 }
 
-// TestIdleConnectionIsReused: attempts one after the other use one connection.
+// TestIdleConnectionIsReused: consecutive attempts use one connection.
 func TestIdleConnectionIsReused(t *testing.T) {
 	n, c := newScriptedNode(t), newClient(t, 10, nil)
 	for i := range 3 {
@@ -131,14 +131,14 @@
 		<-done
 	}
 	if open, idle := c.ConnectionCounts(); open != 1 || idle != 1 {
-		t.Errorf("%d open, %d idle", open, idle)
+		t.Errorf("%d connections open, %d idle, want 1 and 1", open, idle)
 	}
 }
 
-// TestTimeoutsCountFromStart: the time that a connection takes to come up is taken off the deadline that the node gets,
-// and past the timeout nothing is sent.
+// TestTimeoutsCountFromStart: the time that dialing takes is subtracted from the deadline that is sent to the node.
+// An attempt whose timeout passes while dialing is not sent.
 func TestTimeoutsCountFromStart(t *testing.T) {
-	const dialTime = 20 * time.Millisecond // at least
+	const dialTime = 20 * time.Millisecond // minimum time of a dial
 	n, c := newScriptedNode(t), newClient(t, 10, nil)
 	webnode.SetDial(c, func(_ context.Context, network, addr string) (net.Conn, error) {
 		time.Sleep(dialTime)
@@ -148,7 +148,7 @@
 	request := n.accept().readRequest()
 	millis, err := strconv.ParseInt(request.Header.Get("X-Deadline-Ms"), 10, 64)
 	if err != nil || millis > (time.Hour-dialTime).Milliseconds() || millis < time.Minute.Milliseconds() {
-		t.Errorf("the node's deadline is %d ms, %v", millis, err)
+		t.Errorf("the node's deadline is %d ms, error %v, want at most one hour less the dial time", millis, err)
 	}
 	for what, call := range map[string]node.Call{
 		"start":   {Timeout: time.Hour, StartWithin: dialTime},
@@ -158,15 +158,15 @@
 		_, done := startGet(c, n, call)
 		conn := n.accept()
 		expectConnectFailed(t, done, "too late for the "+what)
-		c.Retain(nil) // closes the connection, which is idle
+		c.Retain(nil) // closes the connection, which is idle now
 		if conn.readRequest() != nil {
-			t.Errorf("too late for the %s: it was sent", what)
+			t.Errorf("too late for the %s: the request was sent", what)
 		}
 	}
 }
 
-// TestAbortQueuedFailsWhatHasNotBegun: attempts that wait for a connection to a node fail at once when it must get no
-// new requests, and are not sent later; those in flight go on.
+// TestAbortQueuedFailsWhatHasNotBegun: when a node must get no new requests, attempts that wait for a connection to
+// it fail and are not sent later. Attempts in flight continue.
 func TestAbortQueuedFailsWhatHasNotBegun(t *testing.T) {
 	n, c := newScriptedNode(t), newClient(t, 2, nil)
 	_, inFlight := startGet(c, n, node.Call{IdempotencyKey: "a", Timeout: time.Minute})
@@ -174,51 +174,51 @@
 	first.readRequest()
 	mayConnect := make(chan bool)
 	webnode.SetDial(c, func(_ context.Context, network, addr string) (net.Conn, error) {
-		<-mayConnect // it comes up in the end, whatever the context says
+		<-mayConnect // succeeds in the end, even if the context is cancelled
 		return net.Dial(network, addr)
 	})
 	_, dialing := startGet(c, n, node.Call{IdempotencyKey: "b", Timeout: time.Minute})
 	_, waiting := startGet(c, n, node.Call{IdempotencyKey: "c", Timeout: time.Minute})
 	c.AbortQueued(func(addr string) bool { return addr != n.Addr().String() })
 	if len(dialing)+len(waiting) > 0 {
-		t.Error("an attempt at a node that stays has ended")
+		t.Error("an attempt at a node that is not excluded has ended")
 	}
 	c.AbortQueued(func(addr string) bool { return addr == n.Addr().String() })
 	expectConnectFailed(t, waiting, "waiting for a free connection")
 	close(mayConnect)
 	if n.accept().readRequest() != nil {
-		t.Error("it was sent on a connection that came up late")
+		t.Error("an aborted attempt was sent when its dial ended")
 	}
 	expectConnectFailed(t, dialing, "waiting for its connection")
 	first.respond("a's")
 	expectData(t, inFlight, "a's")
 }
 
-// TestCancelBeforeWriteSendsNothing cancels an attempt at each step before its bytes are sent: nothing is written, and
-// no outcome is reported.
+// TestCancelBeforeWriteSendsNothing cancels an attempt while it is dialing and one between dial and write: nothing is
+// written, and no outcome is reported.
 func TestCancelBeforeWriteSendsNothing(t *testing.T) {
 	n, c := newScriptedNode(t), newClient(t, 10, nil)
 	toCancel := make(chan node.Attempt)
 	webnode.SetDial(c, func(_ context.Context, network, addr string) (net.Conn, error) {
 		conn, err := net.Dial(network, addr)
-		(<-toCancel).Cancel() // between the connection and the write
+		(<-toCancel).Cancel() // after the connection is open and before the write
 		return conn, err
 	})
 	connected, connectedDone := startGet(c, n, node.Call{IdempotencyKey: "a", Timeout: time.Minute})
 	toCancel <- connected
 	if n.accept().readRequest() != nil {
-		t.Error("cancelled before the write, it was sent")
+		t.Error("an attempt that was cancelled before the write was sent")
 	}
-	webnode.SetDial(c, func(ctx context.Context, _, _ string) (net.Conn, error) { // never comes up
+	webnode.SetDial(c, func(ctx context.Context, _, _ string) (net.Conn, error) { // never succeeds
 		<-ctx.Done()
 		return nil, ctx.Err()
 	})
 	dialing, dialingDone := startGet(c, n, node.Call{IdempotencyKey: "b", Timeout: time.Minute})
-	dialing.Cancel() // its dial ends with it
+	dialing.Cancel() // also cancels the dial
 	for open := 1; open > 0; open, _ = c.ConnectionCounts() {
 		time.Sleep(time.Millisecond)
 	}
 	if len(connectedDone)+len(dialingDone) > 0 {
-		t.Error("a cancelled attempt has an outcome")
+		t.Error("a cancelled attempt has an outcome, want none")
 	}
 }
--- a/internal/backend/webnode/pool.go
+++ b/internal/backend/webnode/pool.go
@@ -7,11 +7,11 @@
 	"irispost/internal/backend/node"
 )
 
-// reusableConn is the idle connection to a node that was used last, of those idle for the reuse delay; nil if there is
-// none. The caller holds the lock.
+// reusableConn returns the most recently used connection to a node that has been idle for at least the reuse delay,
+// or nil if there is none. The caller holds the lock.
 //
-// A node may send a second response some milliseconds after the first. On a connection that is reused by then it would
-// be taken for the next attempt's response.
+// The delay is needed because a node may send a second response some milliseconds after the first. If the connection
+// had been reused by then, that response would be taken for the next attempt's.
 func (c *Client) reusableConn(addr string) *conn {
 	list := c.idle[addr]
 	for i := len(list) - 1; i >= 0; i-- {
@@ -22,8 +22,8 @@
 	return nil
 }
 
-// closeOldestIdle closes the connection that has been idle for longest, to whatever node. It returns false if none is
-// idle. The caller holds the lock.
+// closeOldestIdle closes the connection that has been idle for longest, to whichever node. It returns false if no
+// connection is idle. The caller holds the lock.
 func (c *Client) closeOldestIdle() bool {
 	var oldest *conn
 	for _, list := range c.idle {
@@ -38,11 +38,11 @@
 	return true
 }
 
-// minExpireInterval is the least time between two rounds of expireLoop.
+// minExpireInterval is the minimum time between two rounds of expireLoop.
 const minExpireInterval = 10 * time.Millisecond
 
-// expireLoop closes connections that have been idle for too long and fails attempts that have waited for a connection
-// for too long.
+// expireLoop periodically closes connections that have been idle longer than IdleTimeout, and fails attempts that
+// have waited for a connection longer than ConnectTimeout.
 func (c *Client) expireLoop() {
 	ticker := time.NewTicker(max(min(c.opt.IdleTimeout, c.opt.ConnectTimeout)/4, minExpireInterval))
 	defer ticker.Stop()
@@ -53,12 +53,13 @@
 		case <-ticker.C:
 		}
 		for _, attempt := range c.expire(time.Now()) {
-			attempt.fail(node.ConnectFailed, "no connection became available")
+			attempt.fail(node.ConnectFailed, "no connection became available in time")
 		}
 	}
 }
 
-// expire closes the connections that have been idle for too long, and returns the attempts that wait no longer.
+// expire closes the connections that have been idle for too long. It removes the attempts whose wait is over from the
+// queue and returns them.
 func (c *Client) expire(now time.Time) (expired []*Attempt) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -74,8 +75,8 @@
 	return expired
 }
 
-// AbortQueued fails the attempts that wait for a connection to a node that must get no new requests, by its address.
-// It does not wait.
+// AbortQueued fails the attempts that wait for a connection to a node for which isExcluded returns true, and closes
+// the connections to it that are being dialed. It does not block.
 func (c *Client) AbortQueued(isExcluded func(addr string) bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -88,14 +89,14 @@
 			c.waiting = append(c.waiting, attempt)
 		}
 	}
-	for conn := range c.dialing { // after the others, since those that wait take the connections closed here
+	for conn := range c.dialing { // last, because attempts that still wait may replace these
 		if isExcluded(conn.addr) {
-			conn.close() // connect reports it
+			conn.close() // connect fails its attempt
 		}
 	}
 }
 
-// Retain closes the idle connections to nodes whose address is not named.
+// Retain closes the idle connections to all nodes whose address is not in addrs.
 func (c *Client) Retain(addrs map[string]bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/backend/webnode/reuse_test.go
+++ b/internal/backend/webnode/reuse_test.go
@@ -8,8 +8,8 @@
 	"irispost/internal/backend/node"
 )
 
-// TestConnectionWithUnreadBytesIsNotReused: an idle connection on which something has arrived that its reader has not
-// got to yet is not written to, and the attempt gets another.
+// TestConnectionWithUnreadBytesIsNotReused: if bytes have arrived on an idle connection and its reader has not read
+// them yet, nothing is written to it and the attempt gets another connection.
 func TestConnectionWithUnreadBytesIsNotReused(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -33,7 +33,7 @@
 	idle.transition(stateIdle)
 	c.mu.Unlock()
 	if !idle.isSocketIdle() {
-		t.Error("a connection without unread bytes is not quiet")
+		t.Error("isSocketIdle returned false before any bytes arrived, want true")
 	}
 	if _, err := peer.Write([]byte("HTTP/1.1 200 OK\r\n")); err != nil {
 		t.Fatal(err)
@@ -42,7 +42,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	c.Start(addr, &node.Call{Op: node.GetObject, Name: "/"}, func(node.Reply) {})
-	if fresh, err := l.Accept(); err != nil { // the other connection
+	if fresh, err := l.Accept(); err != nil { // the connection that replaces the idle one
 		t.Error(err)
 	} else {
 		_ = fresh.Close()
--- a/internal/packetconn/conn.go
+++ b/internal/packetconn/conn.go
@@ -13,74 +13,75 @@
 // ErrPeerClosed means that the peer has closed the connection.
 var ErrPeerClosed = errors.New("the peer closed the connection")
 
-// sentPollInterval is how often WaitSent looks at the queue.
+// sentPollInterval is how often WaitSent checks the queue.
 const sentPollInterval = time.Millisecond
 
-// Packet is what is sent: its bytes in two parts, of which the second is not copied.
+// Packet is a packet to send. Its bytes come in two parts, so that a payload need not be copied behind the header.
 type Packet interface {
-	Size() int // length of both parts in bytes
+	Size() int // total length of both parts in bytes
 	Bytes() (head, tail []byte)
 }
 
-// Handler takes a connection's packets, one after the other.
+// Handler reads a connection's packets, one at a time.
 type Handler interface {
-	// ReadPacket reads one packet and waits for its bytes. An error closes the connection.
+	// ReadPacket reads one packet and blocks until it has arrived in full. An error closes the connection.
 	ReadPacket(netpoll.Reader) error
-	// Closed is called once when the connection has ended, on a goroutine of its own.
+	// Closed is called once, on its own goroutine, when the connection has been closed.
 	Closed(reason error)
 }
 
-// Conn is a connection that carries packets. Its methods may be called from any goroutine; packets are read by one
-// caller.
+// Conn is a connection that carries packets. Its methods may be called from any goroutine. Packets are read by one
+// goroutine at a time.
 type Conn struct {
 	raw    netpoll.Connection
 	limits Limits
-	done   chan struct{} // closed when the connection is
+	done   chan struct{} // closed when the connection is closed
 
-	mutex    sync.Mutex // guards what follows
-	wake     sync.Cond  // the queue or err has changed
+	mutex    sync.Mutex // guards the fields below, up to onClosed
+	wake     sync.Cond  // signalled when queue or err changes
 	queue    []Packet
-	unsent   int         // bytes in the queue
-	sending  bool        // a batch is on its way to the socket
-	err      error       // why the connection was closed; nil: it is open
-	onClosed func(error) // called once, on a goroutine of its own
+	unsent   int         // bytes of the packets in the queue
+	sending  bool        // a batch is being written to the socket
+	err      error       // why the connection was closed; nil while it is open
+	onClosed func(error) // called once, on its own goroutine
 
-	writeMutex sync.Mutex // held while the socket's buffers are written to; it guards released
-	released   bool       // netpoll has taken the buffers away
+	writeMutex sync.Mutex // held while writing to netpoll's buffers; guards released
+	released   bool       // netpoll reclaims the buffers; they must not be written to
 }
 
-// newConn wraps a netpoll connection. Start begins to send.
+// newConn wraps a netpoll connection. Nothing is sent before start is called.
 func newConn(raw netpoll.Connection, limits Limits) *Conn {
 	c := &Conn{raw: raw, limits: limits, done: make(chan struct{})}
 	c.wake.L = &c.mutex
-	_ = raw.SetWriteTimeout(limits.WriteTimeout) // netpoll only notes it and returns no error
+	_ = raw.SetWriteTimeout(limits.WriteTimeout) // netpoll only stores the value; it never returns an error
 	return c
 }
 
-// start starts to send, and has onClosed called when the connection ends, in whatever way that comes.
+// start starts the goroutine that sends. onClosed is called once when the connection is closed, whatever the reason.
 func (c *Conn) start(onClosed func(error)) {
 	c.mutex.Lock()
 	c.onClosed = onClosed
 	reason := c.err
 	c.mutex.Unlock()
-	if reason != nil { // it ended before it began
+	if reason != nil { // it was closed before start
 		go onClosed(reason)
 		return
 	}
-	// netpoll takes a connection's buffers away when that ends, whoever writes to them. The callback that was added last
-	// runs before that is done: it waits for the writer, whose flush has been broken off by then.
-	_ = c.raw.AddCloseCallback(func(netpoll.Connection) error { // netpoll returns no error
+	// When a connection ends, netpoll reclaims its buffers even if another goroutine is writing to them. The callback
+	// that was added last runs before that, so it waits for the writer, whose flush netpoll has aborted by then.
+	_ = c.raw.AddCloseCallback(func(netpoll.Connection) error { // never returns an error
 		c.release()
 		return nil
 	})
-	if !c.raw.IsActive() { // it ended before the callback was added
+	if !c.raw.IsActive() { // it ended before the callback was added, so the callback may not run
 		c.release()
 		return
 	}
 	go c.sendLoop()
 }
 
-// release keeps the writer off the buffers that netpoll takes away, and closes the connection.
+// release waits until nobody writes to the buffers that netpoll is about to reclaim, prevents further writes, and
+// closes the connection.
 func (c *Conn) release() {
 	c.writeMutex.Lock()
 	c.released = true
@@ -88,23 +89,24 @@
 	c.Close(ErrPeerClosed)
 }
 
-// Limits are the connection's.
+// Limits returns the connection's limits.
 func (c *Conn) Limits() Limits { return c.limits }
 
-// Done is closed when the connection is.
+// Done returns a channel that is closed when the connection is closed.
 func (c *Conn) Done() <-chan struct{} { return c.done }
 
-// RemoteAddr is the peer's address.
+// RemoteAddr returns the peer's address.
 func (c *Conn) RemoteAddr() string { return c.raw.RemoteAddr().String() }
 
-// Err is the reason for which the connection was closed; nil while it is open.
+// Err returns the reason why the connection was closed, or nil while it is open.
 func (c *Conn) Err() error {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.err
 }
 
-// Close closes the connection for a reason; nil stands for net.ErrClosed. Only the first call has an effect.
+// Close closes the connection. Err then returns the reason, or net.ErrClosed if the reason is nil. Only the first
+// call has an effect.
 func (c *Conn) Close(reason error) {
 	c.mutex.Lock()
 	if c.err != nil {
@@ -119,17 +121,17 @@
 	onClosed := c.onClosed
 	c.mutex.Unlock()
 	c.wake.Broadcast()
-	_ = c.raw.Close() // the connection is given up, whatever its state
+	_ = c.raw.Close() // an error is of no use: the connection is not used again
 	if onClosed != nil {
 		go onClosed(reason)
 	}
 }
 
-// ReadAheadExceeded tells whether the peer has sent more ahead of what is read than it may. netpoll reads on while
-// its handler waits, so a handler that waits has to look.
+// ReadAheadExceeded reports whether more than MaxReadAhead bytes have arrived that the handler has not read yet.
+// netpoll continues to read from the socket while a handler blocks, so a handler that blocks has to check this.
 func (c *Conn) ReadAheadExceeded() bool { return c.raw.Reader().Len() > c.limits.MaxReadAhead }
 
-// readLoop hands the packets that have come to the handler.
+// readLoop has the handler read the packets that have arrived.
 func (c *Conn) readLoop(h Handler) {
 	for c.raw.Reader().Len() > 0 && c.Err() == nil {
 		if err := h.ReadPacket(c.raw.Reader()); err != nil {
@@ -139,7 +141,8 @@
 	}
 }
 
-// Send queues a packet. It does not block; false if the connection is closed.
+// Send queues a packet and does not block. It returns false if the connection is closed, or if it has to be closed
+// because more than MaxUnsent bytes would be queued.
 func (c *Conn) Send(packet Packet) bool {
 	c.mutex.Lock()
 	if c.err != nil {
@@ -150,22 +153,23 @@
 	c.unsent += packet.Size()
 	exceeded := c.unsent > c.limits.MaxUnsent
 	c.mutex.Unlock()
-	if exceeded { // on a goroutine of its own, since Closed may want locks that the caller holds
-		go c.Close(fmt.Errorf("the peer left over %d bytes unread", c.limits.MaxUnsent))
+	if exceeded { // on another goroutine, since Close may need locks that the caller holds
+		go c.Close(fmt.Errorf("the peer does not read: over %d bytes are queued for it", c.limits.MaxUnsent))
 		return false
 	}
 	c.wake.Signal()
 	return true
 }
 
-// Unsent is how many bytes wait to be handed to the socket.
+// Unsent returns how many queued bytes have not been taken for writing to the socket.
 func (c *Conn) Unsent() int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.unsent
 }
 
-// WaitSent waits until what was queued has been handed to the socket, the connection is closed, or the time is up.
+// WaitSent waits until all queued packets have been written to the socket, the connection is closed, or the timeout
+// has passed.
 func (c *Conn) WaitSent(timeout time.Duration) {
 	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(sentPollInterval) {
 		c.mutex.Lock()
@@ -177,7 +181,7 @@
 	}
 }
 
-// sendLoop writes what is queued, all that is there at a time, until the connection is closed.
+// sendLoop writes the queued packets in batches until the connection is closed.
 func (c *Conn) sendLoop() {
 	for {
 		batch := c.nextBatch()
@@ -191,7 +195,7 @@
 	}
 }
 
-// nextBatch waits for packets in the queue and takes all; nil if the connection is closed.
+// nextBatch waits until the queue has packets and takes all of them. It returns nil if the connection is closed.
 func (c *Conn) nextBatch() []Packet {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -209,7 +213,7 @@
 	return batch
 }
 
-// write hands packets to the socket.
+// write writes packets to the socket and flushes them.
 func (c *Conn) write(batch []Packet) error {
 	c.writeMutex.Lock()
 	defer c.writeMutex.Unlock()
--- a/internal/packetconn/dial.go
+++ b/internal/packetconn/dial.go
@@ -7,7 +7,7 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// Dial connects to a TCP address, with a handler made for the connection.
+// Dial connects to a TCP address. newHandler creates the handler of the connection.
 func Dial(addr string, limits Limits, timeout time.Duration, newHandler func(*Conn) Handler) (*Conn, error) {
 	raw, err := netpoll.DialConnection("tcp", addr, timeout)
 	if err != nil {
@@ -21,7 +21,7 @@
 		return nil
 	})
 	if err != nil {
-		c.Close(err) // the handler learns of it by Closed
+		c.Close(err) // the handler is told by Closed
 	}
 	return c, nil
 }
--- a/internal/packetconn/limits.go
+++ b/internal/packetconn/limits.go
@@ -1,8 +1,8 @@
-// Package packetconn carries packets over netpoll connections: a queue to send from, limits in both directions, and
-// one end for each connection, in whatever way that comes. What a packet is, is its handler's concern. The SFTP and
-// iSCSI front ends and the node client are built on it.
+// Package packetconn carries packets over netpoll connections. It provides a send queue, limits in both directions,
+// and a single close notification per connection, whatever ends it. The handler defines the format of packets. The
+// SFTP and iSCSI front ends and the node client are built on this package.
 //
-// A Conn owns its netpoll connection and one goroutine that sends; packets are read on netpoll's goroutines.
+// A Conn owns its netpoll connection and one goroutine that sends. Packets are read on netpoll's goroutines.
 package packetconn
 
 import (
@@ -12,20 +12,21 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// netpoll logs each connection that breaks; the owner of a connection learns of that by Closed.
+// init discards the logs of netpoll, which logs each connection that breaks. The owner of a connection learns of that
+// by Handler.Closed.
 func init() {
-	_ = netpoll.Configure(netpoll.Config{LoggerOutput: io.Discard}) // fails only for a number of pollers
+	_ = netpoll.Configure(netpoll.Config{LoggerOutput: io.Discard}) // can fail only if a number of pollers is set
 }
 
-// Limits are a connection's.
+// Limits are the limits of a connection.
 type Limits struct {
-	MaxPacket    int           // longest packet that is read, in bytes
-	MaxReadAhead int           // bytes that the peer may send ahead of what is read; past it the connection is closed
-	MaxUnsent    int           // bytes that may wait for a peer that does not read; past it the connection is closed
+	MaxPacket    int           // maximum length of a packet that is read, in bytes
+	MaxReadAhead int           // bytes that may have arrived and not been read; beyond that the connection is closed
+	MaxUnsent    int           // bytes that may be queued for sending; beyond that the connection is closed
 	WriteTimeout time.Duration // a flush that takes longer closes the connection
 }
 
-// DefaultLimits are used where the configuration has none.
+// DefaultLimits are used where the configuration sets no limits.
 var DefaultLimits = Limits{
 	MaxPacket:    256<<10 + 1024,
 	MaxReadAhead: 32 << 20,
--- a/internal/packetconn/server.go
+++ b/internal/packetconn/server.go
@@ -10,10 +10,10 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// shutdownTimeout is how long Close waits for netpoll's end.
+// shutdownTimeout is how long Close waits for netpoll to shut down.
 const shutdownTimeout = time.Second
 
-// Server accepts connections.
+// Server accepts connections and creates a Handler for each.
 type Server struct {
 	loop           netpoll.EventLoop
 	listener       net.Listener
@@ -25,8 +25,8 @@
 	conns map[*Conn]bool
 }
 
-// Listen serves connections at a TCP address with a handler made for each, up to maxConnections at a time (0: no
-// limit).
+// Listen starts a server at a TCP address. newHandler creates the handler of each connection. At most maxConnections
+// are open at a time (0: no limit).
 func Listen(addr string, limits Limits, maxConnections int, newHandler func(*Conn) Handler) (*Server, error) {
 	listener, err := netpoll.CreateListener("tcp", addr)
 	if err != nil {
@@ -41,14 +41,14 @@
 	}
 	s.loop, err = netpoll.NewEventLoop(handleRequest, netpoll.WithOnPrepare(s.accept))
 	if err != nil {
-		_ = listener.Close() // nothing was accepted on it
+		_ = listener.Close() // no connection was accepted on it
 		return nil, err
 	}
-	go func() { _ = s.loop.Serve(listener) }() // returns when Close shuts it down
+	go func() { _ = s.loop.Serve(listener) }() // returns when Close shuts the loop down
 	return s, nil
 }
 
-// servedKey is the key under which a connection's context holds its servedConn.
+// servedKey is the context key of a connection's servedConn.
 type servedKey struct{}
 
 // servedConn is a connection with its handler.
@@ -57,7 +57,8 @@
 	handler Handler
 }
 
-// handleRequest reads what has come on a connection. netpoll calls it with the context that accept has made.
+// handleRequest reads the packets that have arrived on a connection. netpoll calls it with the context that accept
+// returned.
 func handleRequest(ctx context.Context, _ netpoll.Connection) error {
 	if served, ok := ctx.Value(servedKey{}).(*servedConn); ok {
 		served.conn.readLoop(served.handler)
@@ -65,11 +66,12 @@
 	return nil
 }
 
-// accept prepares a connection that netpoll has accepted, and returns its context. One too many is closed.
+// accept prepares a connection that netpoll has accepted, and returns its context. It closes connections over the
+// limit.
 func (s *Server) accept(raw netpoll.Connection) context.Context {
 	c := newConn(raw, s.limits)
 	if !s.add(c) {
-		c.Close(fmt.Errorf("%d connections are open, no more are taken", s.maxConnections))
+		c.Close(fmt.Errorf("the limit of %d open connections is reached", s.maxConnections))
 		return context.Background()
 	}
 	served := &servedConn{conn: c, handler: s.newHandler(c)}
@@ -80,7 +82,7 @@
 	return context.WithValue(context.Background(), servedKey{}, served)
 }
 
-// add adds an open connection; false if there are as many as may be.
+// add adds an open connection. It returns false if maxConnections are open.
 func (s *Server) add(c *Conn) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -97,10 +99,10 @@
 	delete(s.conns, c)
 }
 
-// Addr is the address that the server listens at.
+// Addr returns the address that the server listens on.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// Conns lists the open connections.
+// Conns returns the open connections.
 func (s *Server) Conns() (list []*Conn) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -110,13 +112,13 @@
 	return list
 }
 
-// Close stops listening and closes all connections. It waits up to a second for netpoll's end.
+// Close stops listening and closes all connections. It waits up to shutdownTimeout for netpoll to shut down.
 func (s *Server) Close() {
 	for _, c := range s.Conns() {
 		c.Close(net.ErrClosed)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
-	_ = s.loop.Shutdown(ctx) // an error only says that the wait was cut short
-	_ = s.listener.Close()   // Shutdown has closed it already, if it has come that far
+	_ = s.loop.Shutdown(ctx) // an error only means that the timeout has passed
+	_ = s.listener.Close()   // fails if Shutdown has closed it already
 }
--- a/internal/wire/enums.go
+++ b/internal/wire/enums.go
@@ -2,7 +2,7 @@
 
 import "irispost/scheduler"
 
-// outcomes are the scheduler's, by completion code.
+// outcomes maps completion codes, the indexes, to the scheduler's outcomes.
 var outcomes = [...]scheduler.Outcome{
 	scheduler.OutcomeError,
 	scheduler.OutcomeServed,
@@ -14,7 +14,7 @@
 	scheduler.OutcomeMisdirected,
 }
 
-// Outcome reads a completion code. A code that is not known is an error.
+// Outcome reads a completion code. An unknown code is an error.
 func (f *Fields) Outcome(name string) scheduler.Outcome {
 	code := f.Int(name)
 	if code < 0 || code >= int64(len(outcomes)) {
@@ -24,7 +24,7 @@
 	return outcomes[code]
 }
 
-// EndpointState reads the state of a node in an endpoint list. A word that is not known is an error.
+// EndpointState reads the state of a node in an endpoint list. An unknown word is an error.
 func (f *Fields) EndpointState(name string) scheduler.EndpointState {
 	switch word := f.Text(name); word {
 	case "ready":
--- a/internal/wire/fields.go
+++ b/internal/wire/fields.go
@@ -9,38 +9,40 @@
 	"irispost/scheduler"
 )
 
-// FieldError says what is wrong with a part of a line.
+// FieldError describes what is wrong with a field of a line.
 type FieldError struct {
-	Field   string // its name
+	Field   string // name of the field
 	Problem string
 }
 
-// Error implements error.
+// Error returns the name of the field and the problem.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Problem }
 
-// Fields are the parts of a line, read from the left. Each method that reads one takes its name for errors.
+// Fields reads the tab-separated fields of a line from left to right. The methods that read a field take its name,
+// which they use in errors.
 type Fields struct {
 	rest []byte
 	more bool
-	Err  error // about the first part that is missing or malformed, a *FieldError; nil: none is
+	Err  error // a *FieldError about the first missing or malformed field; nil if there is none
 }
 
-// More tells whether parts are left.
+// More reports whether fields are left.
 func (f *Fields) More() bool { return f.more }
 
-// fail keeps an error unless there is one already.
+// fail sets Err unless it is set already.
 func (f *Fields) fail(name, problem string) {
 	if f.Err == nil {
 		f.Err = &FieldError{Field: name, Problem: problem}
 	}
 }
 
-// failNotInteger keeps the error that a part is no whole number.
+// failNotInteger sets the error that a field is not a whole number.
 func (f *Fields) failNotInteger(name string, field []byte) {
 	f.fail(name, fmt.Sprintf("%q is not a whole number", field))
 }
 
-// optional reads a part that may be absent; nil if it is. An absent part is "-", or not there at the end of the line.
+// optional reads a field that may be absent and returns nil if it is. An absent field is "-" or is left out at the
+// end of the line.
 func (f *Fields) optional() []byte {
 	if !f.more {
 		return nil
@@ -58,7 +60,7 @@
 	return field
 }
 
-// Bytes reads a part that has to be there. It is valid until the reader's next line.
+// Bytes reads a required field. The bytes are valid until the reader's next line.
 func (f *Fields) Bytes(name string) []byte {
 	field := f.optional()
 	if field == nil {
@@ -67,13 +69,13 @@
 	return field
 }
 
-// Text reads a part that has to be there as a string.
+// Text reads a required field as a string.
 func (f *Fields) Text(name string) string { return string(f.Bytes(name)) }
 
-// Skip passes over a part.
+// Skip skips a field.
 func (f *Fields) Skip() { f.optional() }
 
-// Int reads a whole number that has to be there.
+// Int reads a required whole number.
 func (f *Fields) Int(name string) int64 {
 	field := f.Bytes(name)
 	if field == nil {
@@ -86,7 +88,7 @@
 	return v
 }
 
-// OptionalInt reads a whole number that may be absent, and tells whether it is there.
+// OptionalInt reads a whole number that may be absent. It returns false if the field is absent or malformed.
 func (f *Fields) OptionalInt(name string) (int64, bool) {
 	field := f.optional()
 	if field == nil {
@@ -99,7 +101,7 @@
 	return v, ok
 }
 
-// Uint64 reads a whole number of up to 64 bits without a sign that has to be there.
+// Uint64 reads a required unsigned whole number of up to 64 bits.
 func (f *Fields) Uint64(name string) uint64 {
 	field := f.Bytes(name)
 	if field == nil {
@@ -112,7 +114,7 @@
 	return v
 }
 
-// Float64 reads a finite number; one that is absent is 0.
+// Float64 reads a finite number. An absent field is 0.
 func (f *Fields) Float64(name string) float64 {
 	field := f.optional()
 	if field == nil {
@@ -129,7 +131,7 @@
 	return v
 }
 
-// Bool reads a part that has to be 0 or 1.
+// Bool reads a required field that must be 0 or 1.
 func (f *Fields) Bool(name string) bool {
 	field := f.Bytes(name)
 	switch {
@@ -142,7 +144,7 @@
 	return field[0] == '1'
 }
 
-// Time reads milliseconds with fractions as whole nanoseconds; a time that is absent is 0.
+// Time reads a time in milliseconds, with fractions, as whole nanoseconds. An absent field is 0.
 func (f *Fields) Time(name string) scheduler.Time {
 	field := f.optional()
 	if field == nil {
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -13,8 +13,8 @@
 	"irispost/scheduler"
 )
 
-// TestNamesMatchGolden compares what the scheduler gets for each setting, word, completion code and availability of
-// the wire.
+// TestNamesMatchGolden compares the translations of all setting names, values, completion codes and endpoint states
+// of the wire with the golden file.
 func TestNamesMatchGolden(t *testing.T) {
 	var out strings.Builder
 	translate := func(path, value string) {
@@ -49,7 +49,7 @@
 	golden.Check(t, "names.txt", []byte(out.String()))
 }
 
-// TestValuesMatchGolden compares how each value is read from a line and written to one.
+// TestValuesMatchGolden compares how values of each type are read and written with the golden file.
 func TestValuesMatchGolden(t *testing.T) {
 	var out bytes.Buffer
 	readers := []struct {
--- a/internal/wire/numbers.go
+++ b/internal/wire/numbers.go
@@ -8,11 +8,11 @@
 	"irispost/scheduler"
 )
 
-// maxMilliseconds is the longest time that is read; more would not fit in nanoseconds.
+// maxMilliseconds is the longest time that is accepted. More would overflow the nanoseconds.
 const maxMilliseconds = math.MaxInt64/scheduler.Millisecond - 1
 
-// ParseTime turns a decimal number of milliseconds into whole nanoseconds, without floating-point arithmetic. Digits
-// below them are dropped. It returns false for text that is no such number.
+// ParseTime converts a decimal number of milliseconds to whole nanoseconds without floating-point arithmetic. It
+// drops digits below a nanosecond, and returns false if the text is not such a number.
 func ParseTime(field []byte) (scheduler.Time, bool) {
 	whole, fraction, _ := bytes.Cut(field, []byte{'.'})
 	negative := len(whole) > 0 && whole[0] == '-'
@@ -37,10 +37,10 @@
 	return ns, true
 }
 
-// safeDigits is the most digits of which every number fits in 64 bits.
+// safeDigits is the largest number of digits with which every integer fits in an int64.
 const safeDigits = 18
 
-// parseInteger reads a plain decimal integer. One of more than safeDigits digits must not be negative.
+// parseInteger parses a decimal integer. A number of safeDigits+1 digits must not be negative.
 func parseInteger(field []byte) (int64, bool) {
 	negative := len(field) > 0 && field[0] == '-'
 	if negative {
--- a/internal/wire/reader.go
+++ b/internal/wire/reader.go
@@ -1,6 +1,6 @@
-// Package wire reads and writes the lines of the bench's protocol and translates its names to the scheduler's. The
-// adapter calls it, and package platform for the names of settings. It decides nothing and keeps no state but the
-// buffers of a reader or writer.
+// Package wire reads and writes the lines of the bench's protocol and translates its names to the scheduler's.
+// Package adapter uses it for both, and package platform for the names of settings. It makes no decisions and keeps
+// no state except the buffers of a Reader or Writer.
 package wire
 
 import (
@@ -10,22 +10,22 @@
 	"io"
 )
 
-// readBufferSize is that of a reader in bytes. Longer lines are read as well, with a copy.
+// readBufferSize is the size of a Reader's buffer in bytes. Longer lines are copied.
 const readBufferSize = 1 << 20
 
-// Reader hands out one line after the other.
+// Reader reads lines.
 type Reader struct {
 	in       *bufio.Reader
-	longLine []byte // of a line that does not fit the buffer
-	Line     int    // number of the line that was handed out last, from 1
+	longLine []byte // copy of a line that does not fit into the buffer
+	Line     int    // number of the line that was read last, from 1, empty lines included
 }
 
-// NewReader returns a reader of an input.
+// NewReader returns a Reader that reads from in.
 func NewReader(in io.Reader) *Reader {
 	return &Reader{in: bufio.NewReaderSize(in, readBufferSize)}
 }
 
-// Next returns the parts of the next line that is not empty. They are valid until the next call.
+// Next returns the fields of the next line that is not empty. They are valid until the next call.
 // At the end of input the error is io.EOF.
 func (r *Reader) Next() (Fields, error) {
 	for {
@@ -41,7 +41,7 @@
 	}
 }
 
-// readLine reads a line with its end. It may return a last line without an end together with an error.
+// readLine reads a line with its line end. The last line of the input may have none, and is returned with an error.
 func (r *Reader) readLine() ([]byte, error) {
 	line, err := r.in.ReadSlice('\n')
 	if !errors.Is(err, bufio.ErrBufferFull) {
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -6,8 +6,8 @@
 	"irispost/scheduler"
 )
 
-// settingNames gives each setting's name at the scheduler for its path on the wire. "#" stands for the number of a
-// list's item. Settings that are not here are left out.
+// settingNames maps each setting's path on the wire to the scheduler's name. "#" stands for the index of a list item.
+// Settings that are not in the map are ignored.
 var settingNames = map[string]string{
 	"balancers":                      "gateways",
 	"slot_no":                        "number",
@@ -59,22 +59,24 @@
 	"resolution_ms":                  "tick",
 }
 
-// settingValues gives the scheduler's words for the wire's, by the last part of the setting's name at the scheduler.
-// Words that are not here are the same at both.
+// settingValues maps values on the wire to the scheduler's, by the last part of the scheduler's name of the setting.
+// All other values are the same on both sides.
 var settingValues = map[string]map[string]string{
 	"kind":  {"read_like": "replayable", "idempotency_key": "referenced", "non_idempotent": "single-use"},
 	"group": {"cell": "shard"},
 }
 
-// KnownEffect tells whether the wire has such a word for the idempotency of a class's requests.
+// KnownEffect reports whether word is a value of the wire for the idempotency of a request class.
 func KnownEffect(word string) bool { return settingValues["kind"][word] != "" }
 
-// KnownGroup tells whether the wire has such a word for the nodes that recognise a repeat by its idempotency key.
+// KnownGroup reports whether word is a value of the wire for the group of nodes that recognize a repeated request by
+// its idempotency key.
 func KnownGroup(word string) bool {
 	return word == "all" || word == "zone" || settingValues["group"][word] != ""
 }
 
-// ReadSettings reads the settings that are left on the line, PATH=VALUE each. Parts of another form are left out.
+// ReadSettings reads the remaining fields of a line as settings of the form PATH=VALUE. It ignores fields without a
+// "=".
 func ReadSettings(f *Fields) scheduler.Settings {
 	settings := scheduler.Settings{}
 	for f.More() {
@@ -86,8 +88,8 @@
 	return settings
 }
 
-// TranslateSetting adds a setting of the wire to the settings by the scheduler's name and word. One that the
-// scheduler does not know is left out.
+// TranslateSetting adds a setting of the wire to settings, under the scheduler's name and with the scheduler's value.
+// It ignores a setting that the scheduler does not know.
 func TranslateSetting(settings scheduler.Settings, path, value string) {
 	path, item, isItem := cutItem(path)
 	name, known := settingNames[path]
@@ -104,8 +106,8 @@
 	settings[name] = value
 }
 
-// cutItem takes the item's number out of the path LIST.NUMBER.FIELD and puts "#" in its place. Other paths stay as
-// they are.
+// cutItem splits a path LIST.INDEX.FIELD into the pattern LIST.#.FIELD and the index. Any other path is returned
+// unchanged.
 func cutItem(path string) (pattern, item string, isItem bool) {
 	list, rest, _ := strings.Cut(path, ".")
 	item, field, hasField := strings.Cut(rest, ".")
