--- a/internal/frontend/web/random_test.go
+++ b/internal/frontend/web/random_test.go
@@ -11,59 +11,60 @@
 	"irispost/internal/testkit"
 )
 
-// kinds of a random client.
+// Kinds of random clients.
 const (
 	sendsInTwoParts = iota
-	sendsHalf
-	sendsNoise
-	sendsAndLeaves
-	sendsNoiseBehind
-	clientKinds
+	sendsPart
+	sendsGarbage
+	sendsAndDisconnects
+	sendsGarbageAfterRequest
+	numClientKinds
 )
 
-// randomClient is what a client does; cut is where its request is split, and noise what it sends that is no request.
+// randomClient describes what a client does. splitAt is the length of the first part of its request; garbage is sent
+// instead of a request.
 type randomClient struct {
-	id    string
-	kind  int
-	cut   int
-	noise string
+	id      string
+	kind    int
+	splitAt int
+	garbage string
 }
 
-// run plays the client. Where many leave at once, a valid request may be rejected.
+// run runs the client. A valid request may be rejected with status 503 if many clients disconnect at once.
 func (r randomClient) run(t *testing.T, c *client) {
 	defer func() { _ = c.Close() }()
 	request := putRequest(r.id)
 	expectServed := func() {
 		status, body := c.read()
 		if (status != 200 || body != r.id+servedBody) && status != 503 {
-			t.Errorf("%s: %d %q", r.id, status, body)
+			t.Errorf("%s: status %d, body %q, want 200 and its own body, or 503", r.id, status, body)
 		}
 	}
 	switch r.kind {
 	case sendsInTwoParts:
-		c.send(request[:r.cut])
-		c.send(request[r.cut:])
+		c.send(request[:r.splitAt])
+		c.send(request[r.splitAt:])
 		expectServed()
-	case sendsHalf:
-		c.send(request[:r.cut])
-	case sendsNoise:
-		c.send(r.noise + "\r\n\r\n")
+	case sendsPart:
+		c.send(request[:r.splitAt])
+	case sendsGarbage:
+		c.send(r.garbage + "\r\n\r\n")
 		if status, _ := c.read(); status == 200 {
-			t.Errorf("noise %q is served", r.noise)
+			t.Errorf("garbage %q: got status 200, want a rejection", r.garbage)
 		}
-	case sendsAndLeaves:
+	case sendsAndDisconnects:
 		c.send(request)
-	case sendsNoiseBehind:
+	case sendsGarbageAfterRequest:
 		c.send(request + "\x00\r\n\r\n")
 		expectServed()
 		if status, _ := c.read(); status != 400 {
-			t.Errorf("noise behind a request: status %d, want 400", status)
+			t.Errorf("garbage after a request: status %d, want 400", status)
 		}
 	}
 }
 
-// TestRandomClientsAreServedTheirOwn: of random clients, some bad, the good ones get their own responses, and no
-// connection and no request is left in the end.
+// TestRandomClientsAreServedTheirOwn: among random clients, some of them misbehaving, those with valid requests get
+// their own responses. In the end, no connection is open and no request is without a response.
 func TestRandomClientsAreServedTheirOwn(t *testing.T) {
 	b := start(t, generousLimits())
 	count := 0
@@ -73,9 +74,9 @@
 		for range rapid.IntRange(1, 8).Draw(draw, "clients") {
 			count++
 			r := randomClient{id: fmt.Sprint("x", count)}
-			r.kind = rapid.IntRange(0, clientKinds-1).Draw(draw, "kind")
-			r.cut = rapid.IntRange(0, len(putRequest(r.id))-1).Draw(draw, "cut")
-			r.noise = string(rapid.SliceOfN(rapid.Byte(), 0, 100).Draw(draw, "noise"))
+			r.kind = rapid.IntRange(0, numClientKinds-1).Draw(draw, "kind")
+			r.splitAt = rapid.IntRange(0, len(putRequest(r.id))-1).Draw(draw, "cut")
+			r.garbage = string(rapid.SliceOfN(rapid.Byte(), 0, 100).Draw(draw, "noise"))
 			c := b.dial(t)
 			running.Go(func() { r.run(t, c) })
 		}
--- a/internal/frontend/web/script_test.go
+++ b/internal/frontend/web/script_test.go
@@ -12,36 +12,36 @@
 	"irispost/internal/frontend/web"
 )
 
-// floodBytes is a response that fills the buffers of a connection whose client reads nothing.
+// floodBytes is the size of a response that fills the socket buffers of a connection whose client reads nothing.
 const floodBytes = 64 << 20
 
-// script plays clients against a testbed. Its steps are separated by ";" and consist of words.
+// script runs a script of clients against a testbed. Its steps are separated by ";" and consist of words.
 //
-// Steps of a client, which is connected by its first one:
+// Steps of a client, which connects at its first step:
 //
 //	NAME put ID         sends a request
-//	NAME chunked ID     sends one with a chunked body
-//	NAME last ID        sends one after which the connection is to close
-//	NAME part BYTES ID  sends so many bytes of a request, or all but so many
+//	NAME chunked ID     sends a request with a chunked body
+//	NAME last ID        sends a request with Connection: close
+//	NAME part BYTES ID  sends the first BYTES of a request; all but the last -BYTES if negative
 //	NAME health         sends a health check
-//	NAME noise BYTES    sends so many bytes that are no request
+//	NAME noise BYTES    sends as many bytes that are not a request
 //	NAME dial           only connects
 //	NAME close, reset   closes or resets the connection
-//	NAME STATUS         reads a response, which has to be the client's own if it is 200; 0 is the connection's end
+//	NAME STATUS         reads a response; 200 requires the client's own body, 0 a closed connection
 //
 // Steps of the nodes and the server:
 //
-//	hold, pass          from now on attempts are held, or answered at once
-//	held                waits for an attempt to be held
-//	serve ID, flood ID  answers one that is held, shortly or with floodBytes
-//	cancelled ID        waits until one that is held is cancelled
-//	idle N              waits until so many connections are idle
-//	conns N             waits until at most so many connections are open
+//	hold, pass          holds all following attempts, or answers them at once
+//	held                waits until an attempt is held
+//	serve ID, flood ID  answers a held attempt, normally or with floodBytes
+//	cancelled ID        waits until a held attempt is cancelled
+//	idle N              waits until at least N connections are idle
+//	conns N             waits until at most N connections are open; for 0, also no requests
 type script struct {
 	t       *testing.T
 	testbed *testbed
 	clients map[string]*client
-	ids     map[string][]string // of a client's requests without a response; "" for a health check
+	ids     map[string][]string // a client's unanswered requests; "" for a health check
 }
 
 func runScript(t *testing.T, b *testbed, text string) {
@@ -55,7 +55,7 @@
 	}
 }
 
-// runServerStep runs a step of the nodes or the server. It returns false if it is a step of a client.
+// runServerStep runs a step of the nodes or the server. It returns false if the step belongs to a client.
 func (s *script) runServerStep(verb, argument string) bool {
 	nodes := s.testbed.nodes
 	switch verb {
@@ -70,18 +70,18 @@
 	case "cancelled":
 		<-nodes.attempt(argument).cancelled
 	case "idle":
-		for n := s.number(argument); web.IdleCount(s.testbed.Server) < n; {
+		for n := s.parseNumber(argument); web.IdleCount(s.testbed.Server) < n; {
 			time.Sleep(time.Millisecond)
 		}
 	case "conns":
-		s.awaitConns(s.number(argument))
+		s.awaitConns(s.parseNumber(argument))
 	default:
 		return false
 	}
 	return true
 }
 
-// awaitConns waits until at most n connections are open, and without any also no request.
+// awaitConns waits until at most n connections are open. If n is 0, it also waits until all requests have ended.
 func (s *script) awaitConns(n int) {
 	for {
 		conns, requests := s.testbed.Counts()
@@ -113,9 +113,9 @@
 		s.sendRequest(name, "", "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n")
 	case "part":
 		text := putRequest(words[3])
-		c.send(text[:(s.number(argument)+len(text))%len(text)])
+		c.send(text[:(s.parseNumber(argument)+len(text))%len(text)])
 	case "noise":
-		c.send(strings.Repeat("n", s.number(argument)))
+		c.send(strings.Repeat("n", s.parseNumber(argument)))
 	case "dial":
 	case "close":
 		_ = c.Close()
@@ -146,11 +146,11 @@
 	id := s.ids[name][0]
 	s.ids[name] = s.ids[name][1:]
 	if body != id+servedBody && (id != "" || body != "ok\n") {
-		s.t.Fatalf("%s: the response to %q is %q", name, id, body)
+		s.t.Fatalf("%s: response to %q has the unexpected body %q", name, id, body)
 	}
 }
 
-func (s *script) number(text string) int {
+func (s *script) parseNumber(text string) int {
 	s.t.Helper()
 	n, err := strconv.Atoi(text)
 	if err != nil {
@@ -184,10 +184,10 @@
 		{"half a head", shortTimeouts, "a part 40 x; a 408"},
 		{"half a body", shortTimeouts, "a part -2 x; a 408; b put y; b 200; b part 40 z; b 408"},
 		{"idle for too long", shortTimeouts, "a put x; a 200; a 0"},
-		{"no connection free", func(l *web.Limits) { l.MaxConnections, l.CrowdedIdleTimeout = 3, 0 },
+		{"no connection free", func(l *web.Limits) { l.MaxConnections, l.EvictionIdleTimeout = 3, 0 },
 			"hold; a put a; held; b put b; held; s dial; c put c; s 0; held; d dial; d 503; " +
 				"serve a; a 200; serve b; b 200; serve c; c 200"},
-		{"crowd", func(l *web.Limits) { l.CrowdedConnections, l.CrowdedIdleTimeout = 2, 200*time.Millisecond },
+		{"crowd", func(l *web.Limits) { l.EvictionThreshold, l.EvictionIdleTimeout = 2, 200*time.Millisecond },
 			"a put 1; a 200; idle 1; b put 2; b 200; idle 2; c put 3; c 200; hold; d put d; held; conns 2; " +
 				"a 0; b 0; serve d; d 200"},
 		{"no memory for bodies", func(l *web.Limits) { l.MaxBodyBytes = 6 },
