--- a/internal/backend/node/golden_test.go
+++ b/internal/backend/node/golden_test.go
@@ -11,7 +11,7 @@
 	"irispost/internal/testkit/golden"
 )
 
-// packetHex writes out a packet as it goes to the connection, 32 bytes a line.
+// packetHex returns the bytes of a packet as they are sent, in hexadecimal, 32 bytes per line.
 func packetHex(t *testing.T, p *sftp.Packet) string {
 	t.Helper()
 	var packet, out strings.Builder
@@ -26,7 +26,8 @@
 	return out.String()
 }
 
-// TestMessagesMatchGolden compares the bytes of each message to and from a node, and what they are read as.
+// TestMessagesMatchGolden compares the bytes of each message and the numbers and names of the protocol with the
+// golden file.
 func TestMessagesMatchGolden(t *testing.T) {
 	var out strings.Builder
 	calls := []node.Call{
@@ -60,6 +61,6 @@
 	fmt.Fprintf(&out, "outcomes %d\n", []node.Outcome{node.Failed, node.Executed, node.QueueFull, node.WrongShard,
 		node.ConnectFailed, node.ConnectionReset})
 	fmt.Fprintf(&out, "extensions %s %s\n", node.ExecExtension, node.CancelExtension)
-	fmt.Fprintf(&out, "metrics %s %s %s\n", node.InflightMetric, node.LatencyMetric, node.ElsewhereMetric)
+	fmt.Fprintf(&out, "metrics %s %s %s\n", node.InFlightMetric, node.LatencyMetric, node.UnitsElsewhereMetric)
 	golden.Check(t, "messages.txt", []byte(out.String()))
 }
--- a/internal/backend/node/loadreport_test.go
+++ b/internal/backend/node/loadreport_test.go
@@ -15,8 +15,8 @@
 	"irispost/internal/standin"
 )
 
-// encode returns a packet's bytes after its length, type and ID.
-func encode(t *testing.T, p *sftp.Packet) []byte {
+// encodeBody returns a packet's bytes after its length, type and ID.
+func encodeBody(t *testing.T, p *sftp.Packet) []byte {
 	t.Helper()
 	var b strings.Builder
 	if err := p.WriteOut(&b); err != nil {
@@ -25,8 +25,8 @@
 	return []byte(b.String())[9:]
 }
 
-// decode decodes a reply.
-func decode(t *testing.T, b []byte) node.Reply {
+// decodeReply decodes a reply and fails the test on an error.
+func decodeReply(t *testing.T, b []byte) node.Reply {
 	t.Helper()
 	reply, err := node.DecodeReply(sftp.NewFields(b))
 	if err != nil {
@@ -35,7 +35,7 @@
 	return reply
 }
 
-// encodeMetrics encodes a load report in ORCA form.
+// encodeMetrics encodes an ORCA load report with the given metrics.
 func encodeMetrics(t *testing.T, metrics map[string]float64) []byte {
 	t.Helper()
 	b, err := proto.Marshal(&orcav3.OrcaLoadReport{NamedMetrics: metrics, CpuUtilization: 0.5})
@@ -45,12 +45,12 @@
 	return b
 }
 
-// replyWithReport encodes a reply with a load report in ORCA form.
+// replyWithReport encodes a reply that contains the encoded ORCA load report.
 func replyWithReport(t *testing.T, report, data []byte) []byte {
 	t.Helper()
 	const orcaFlag = 0x80
 	p := sftp.New(sftp.ExtendedReply, 1).Byte(orcaFlag | byte(node.Executed)).Byte(byte(node.OK)).Uint64(1).Uint32(2)
-	return encode(t, p.Text(string(report)).Text("").Tail(data))
+	return encodeBody(t, p.Text(string(report)).Text("").Tail(data))
 }
 
 func TestReplyIsDecodedAsItWasEncodedInEitherForm(t *testing.T) {
@@ -58,10 +58,10 @@
 		Latency: 1500 * time.Microsecond, UnitsElsewhere: 2.25, Message: "why", Data: []byte("data")}
 	for _, orca := range []bool{false, true} {
 		reply.ORCA = orca
-		got := decode(t, encode(t, reply.Packet(9)))
+		got := decodeReply(t, encodeBody(t, reply.Packet(9)))
 		got.ORCA = orca
 		if !reflect.DeepEqual(got, reply) {
-			t.Errorf("%+v comes back as %+v", reply, got)
+			t.Errorf("reply %+v is decoded as %+v", reply, got)
 		}
 	}
 }
@@ -69,29 +69,30 @@
 func TestInvalidReportIsIgnoredAndItsReplyCounts(t *testing.T) {
 	for want, report := range map[string][]byte{
 		"cannot parse": {0xff},
-		"NaN":          encodeMetrics(t, map[string]float64{node.ElsewhereMetric: math.NaN()}),
-		"-1":           encodeMetrics(t, map[string]float64{node.InflightMetric: -1}),
+		"NaN":          encodeMetrics(t, map[string]float64{node.UnitsElsewhereMetric: math.NaN()}),
+		"-1":           encodeMetrics(t, map[string]float64{node.InFlightMetric: -1}),
 		"+Inf":         encodeMetrics(t, map[string]float64{"anything": math.Inf(1)}),
 		"bytes":        make([]byte, 17<<10),
 	} {
-		reply := decode(t, replyWithReport(t, report, []byte("x")))
+		reply := decodeReply(t, replyWithReport(t, report, []byte("x")))
 		if reply.ReportErr == nil || !strings.Contains(reply.ReportErr.Error(), want) {
-			t.Errorf("%s: %v", want, reply.ReportErr)
+			t.Errorf("want a report error that contains %q, got %v", want, reply.ReportErr)
 		}
 		if reply.Outcome != node.Executed || string(reply.Data) != "x" || reply.UnitsElsewhere+float64(reply.InFlight) != 0 {
-			t.Errorf("%s: %+v", want, reply)
+			t.Errorf("report that is invalid for %q: reply %+v, want outcome Executed, data \"x\" and a load of zero",
+				want, reply)
 		}
 	}
 }
 
 func TestReportWithoutMetricsIsZero(t *testing.T) {
-	reply := decode(t, replyWithReport(t, encodeMetrics(t, nil), nil))
+	reply := decodeReply(t, replyWithReport(t, encodeMetrics(t, nil), nil))
 	if reply.ReportErr != nil || reply.UnitsElsewhere != 0 {
-		t.Errorf("%+v", reply)
+		t.Errorf("report without metrics: reply %+v, want no report error and 0 units elsewhere", reply)
 	}
 }
 
-// TestReportOfAStandInNode: the report tells of the units that others were served.
+// TestReportOfAStandInNode: the report counts the units that the volume was served through another gateway.
 func TestReportOfAStandInNode(t *testing.T) {
 	n := startNode(t, standin.Options{ORCA: true})
 	c := newClient(t)
@@ -101,6 +102,6 @@
 	call.Gateway, call.RequestID, call.IdempotencyKey = "g2", "b", "b"
 	reply := run(c, n.Addr(), call)
 	if reply.Outcome != node.Executed || reply.UnitsElsewhere != 2 || reply.ReportErr != nil {
-		t.Errorf("%+v", reply)
+		t.Errorf("reply %+v, want outcome Executed, 2 units elsewhere and no report error", reply)
 	}
 }
