--- a/internal/fleet/lease/sim_world_test.go
+++ b/internal/fleet/lease/sim_world_test.go
@@ -10,18 +10,18 @@
 	"irispost/internal/fleet/configversion"
 )
 
-// The simulation has replicas around one log, of which one leads and others may still believe that they do;
-// gateways; a network that delays, loses and reorders messages; and clocks that drift as far as the settings
-// allow. All randomness comes from the run's seed, so the order of draws is part of a run.
+// The simulation consists of replicas that share one log, one of which leads while others may still believe that they
+// do; gateways; a network that delays, loses and reorders messages; and clocks that drift up to the limit in the
+// settings. All randomness comes from the run's seed, so a change to the order of random draws changes all runs.
 
-// Faults of the simulated world, beside those of the code.
+// Faults of the simulated environment, in addition to the faults in the code.
 const (
-	faultUnconfirmedLeader InjectedFaults = 1 << (iota + 20) // a replica answers without having confirmed that it leads
-	faultWallClock                                           // gateways read a clock that is set back at times
-	faultLostLog                                             // a new leader lacks what an older one had acknowledged
-	faultSkipSnapshot                                        // a replica goes on after a compaction without the snapshot
-	faultUncheckedDigest                                     // contents are taken as they come, and from disk as they are
-	faultStaleDisk                                           // what was on a disk counts as any content
+	faultUnconfirmedLeader InjectedFaults = 1 << (iota + 20) // a replica answers without confirming its leadership
+	faultWallClock                                           // gateways use a clock that is set back at times
+	faultLostLog                                             // a new leader lacks an entry committed earlier
+	faultSkipSnapshot                                        // a replica skips the snapshot after a compaction
+	faultUncheckedDigest                                     // contents from replicas and from disk are used unchecked
+	faultStaleDisk                                           // content on disk is used for any digest
 )
 
 type world struct {
@@ -30,42 +30,42 @@
 	conditions conditions
 	now        Time // true time
 	steps      int
-	healed     bool // nothing is lost or slow any more
+	healed     bool // no more messages are lost or slow
 
-	messages  []message // by time
-	postCount int
+	messages      []message // sorted by delivery time
+	scheduleCount int
 
-	log        []*logEntry
-	firstIndex int    // entries before it were compacted
-	snapshot   []byte // in their place
-	encodes    bool   // entries and snapshots are encoded and decoded
+	log           []*logEntry
+	firstIndex    int    // entries before this index were compacted
+	snapshot      []byte // replaces the compacted entries
+	encodeEntries bool   // whether log entries and snapshots are encoded and decoded
 
 	replicas  []*replica
 	leader    *replica
 	term      uint64
 	retention retention
 
-	gateways []*gateway
-	starts   int // of gateways
+	gateways   []*gateway
+	startCount int // number of gateway starts so far
 
-	committed    *StateMachine            // what the log comes to
-	acknowledged []*configversion.Version // proposals that were answered
-	forgotten    map[uint64]string        // digests of versions that were forgotten
-	compatible   map[compatibility]bool   // what was checked already
-	violation    string                   // what went wrong first; empty: nothing
+	committed    *StateMachine             // state that results from the log
+	acknowledged []*configversion.Version  // versions whose proposals were acknowledged
+	forgotten    map[uint64]string         // digests of forgotten versions, by number
+	compatible   map[compatibilityKey]bool // pairs already found compatible
+	violation    string                    // the violation found; empty: none
 }
 
-// conditions are what a run has much or little of, so that rare things come together in some runs.
+// conditions are a run's probabilities and limits. They are drawn per run, so that rare events coincide in some runs.
 type conditions struct {
-	loss         float64 // fraction of the messages
-	slow         float64 // fraction of the messages
+	loss         float64 // fraction of messages that are lost
+	slow         float64 // fraction of messages that are slow
 	maxDelay     Time
-	elections    float64 // a step
-	cuts         float64 // a step
-	restarts     float64 // a step
-	keepsLeading float64 // fraction of the earlier leaders that go on believing that they lead
+	elections    float64 // probability per step
+	faultToggles float64 // probability per step that a gateway's network or process fault is toggled
+	restarts     float64 // probability per step
+	staleLeaders float64 // fraction of former leaders that still believe that they lead
 	fallbacks    bool
-	extremeDrift bool // clocks drift as far as the settings allow
+	extremeDrift bool // all clocks drift at the limit in the settings
 	maxStep      Time
 }
 
@@ -83,25 +83,25 @@
 
 func newWorld(seed uint64, faults InjectedFaults) *world {
 	w := &world{
-		rand:       rand.New(rand.NewPCG(seed, 1)),
-		faults:     faults,
-		committed:  NewStateMachine(),
-		compatible: map[compatibility]bool{},
-		forgotten:  map[uint64]string{},
-		encodes:    seed%16 == 1,
-		retention:  retention{enabled: seed%5 != 4, baseVersions: int(seed % 3), batchSize: 1 + int(seed/3%2)},
+		rand:          rand.New(rand.NewPCG(seed, 1)),
+		faults:        faults,
+		committed:     NewStateMachine(),
+		compatible:    map[compatibilityKey]bool{},
+		forgotten:     map[uint64]string{},
+		encodeEntries: seed%16 == 1,
+		retention:     retention{enabled: seed%5 != 4, baseVersions: int(seed % 3), batchSize: 1 + int(seed/3%2)},
 	}
 	w.conditions = conditions{
-		loss:         w.draw(0, 0.1, 0.4),
-		slow:         w.draw(0, 0.1, 0.5),
-		maxDelay:     Time(w.draw(0.1, 0.5, 2, 6) * float64(leaseDuration)),
-		elections:    w.draw(0.002, 0.02, 0.05),
-		cuts:         w.draw(0, 0.02, 0.08),
-		restarts:     w.draw(0, 0.01, 0.03),
-		keepsLeading: w.draw(0.2, 0.9),
+		loss:         w.pick(0, 0.1, 0.4),
+		slow:         w.pick(0, 0.1, 0.5),
+		maxDelay:     Time(w.pick(0.1, 0.5, 2, 6) * float64(leaseDuration)),
+		elections:    w.pick(0.002, 0.02, 0.05),
+		faultToggles: w.pick(0, 0.02, 0.08),
+		restarts:     w.pick(0, 0.01, 0.03),
+		staleLeaders: w.pick(0.2, 0.9),
 		fallbacks:    w.chance(0.5),
 		extremeDrift: w.chance(0.5),
-		maxStep:      Time(w.draw(0.05, 0.1, 0.3) * float64(leaseDuration)),
+		maxStep:      Time(w.pick(0.05, 0.1, 0.3) * float64(leaseDuration)),
 	}
 	for range 3 {
 		w.replicas = append(w.replicas, &replica{clock: w.newClock(), state: NewStateMachine()})
@@ -109,7 +109,7 @@
 	for range 2 + w.rand.IntN(3) {
 		g := &gateway{clock: w.newClock(), fullVersions: w.chance(0.3)}
 		w.gateways = append(w.gateways, g)
-		w.start(g)
+		w.startGateway(g)
 	}
 	w.log = append(w.log, &logEntry{command: &Command{Bootstrap: &testSettings}})
 	mustApply(w.committed, w.log[0].command)
@@ -126,25 +126,25 @@
 
 func (w *world) chance(probability float64) bool { return w.rand.Float64() < probability }
 
-func (w *world) draw(list ...float64) float64 { return list[w.rand.IntN(len(list))] }
+func (w *world) pick(list ...float64) float64 { return list[w.rand.IntN(len(list))] }
 
 func (w *world) newClock() clock {
 	drift := 2*w.rand.Float64() - 1
 	if w.conditions.extremeDrift {
-		drift = w.draw(-1, 1)
+		drift = w.pick(-1, 1)
 	}
 	return clock{rate: 1 + testSettings.MaxClockDrift*drift, offset: w.rand.Int64N(leaseDuration * 100)}
 }
 
-// post has something done later.
-func (w *world) post(delay Time, deliver func()) {
-	w.postCount++
+// schedule schedules a function to be called after a delay.
+func (w *world) schedule(delay Time, deliver func()) {
+	w.scheduleCount++
 	at := w.now + delay
 	i := sort.Search(len(w.messages), func(i int) bool { return w.messages[i].at > at })
 	w.messages = slices.Insert(w.messages, i, message{at, deliver})
 }
 
-// delay returns how long a message takes; negative: it is lost.
+// delay draws the delay of a message. A negative delay means that the message is lost.
 func (w *world) delay() Time {
 	if w.healed {
 		return leaseDuration / 1000
@@ -158,10 +158,10 @@
 	return w.rand.Int64N(leaseDuration / 20)
 }
 
-// step does one thing, has all that is due done and checks the world.
+// step triggers one random event, runs everything that is due and checks the invariants.
 func (w *world) step() {
 	w.steps++
-	w.doSomething(w.gateways[w.rand.IntN(len(w.gateways))])
+	w.triggerEvent(w.gateways[w.rand.IntN(len(w.gateways))])
 	for _, r := range w.replicas {
 		w.runManager(r)
 	}
@@ -173,17 +173,17 @@
 	w.check()
 }
 
-// doSomething does one random thing, to a gateway if it is one that happens to gateways.
-func (w *world) doSomething(g *gateway) {
+// triggerEvent triggers one random event. Events that affect a gateway affect g.
+func (w *world) triggerEvent(g *gateway) {
 	switch {
 	case w.healed:
 		w.advance()
 	case w.chance(w.conditions.elections):
 		w.elect()
-	case w.chance(w.conditions.cuts):
-		w.disturb(g)
+	case w.chance(w.conditions.faultToggles):
+		w.toggleFault(g)
 	case w.chance(w.conditions.restarts):
-		w.start(g)
+		w.startGateway(g)
 		g.stopped = false
 	case w.faults.Has(faultWallClock) && w.chance(0.05):
 		g.offset -= w.rand.Int64N(4 * leaseDuration)
@@ -191,26 +191,26 @@
 		w.propose()
 	case w.chance(0.05):
 		w.sendRequest(g)
-	case w.chance(0.05 * (1 - w.conditions.keepsLeading)):
+	case w.chance(0.05 * (1 - w.conditions.staleLeaders)):
 		w.stopEarlierLeaders()
 	default:
 		w.advance()
 	}
 }
 
-// disturb stops a gateway or the messages to it, or lets them go on.
-func (w *world) disturb(g *gateway) {
+// toggleFault stops or resumes a gateway, disconnects or reconnects it, or limits it to one replica.
+func (w *world) toggleFault(g *gateway) {
 	switch w.rand.IntN(4) {
 	case 0:
 		g.stopped = !g.stopped
 	case 1:
-		g.reaches = w.replicas[w.rand.IntN(len(w.replicas))]
+		g.onlyReplica = w.replicas[w.rand.IntN(len(w.replicas))]
 	default:
-		g.cut = !g.cut
+		g.disconnected = !g.disconnected
 	}
 }
 
-// advance lets time pass, up to the next message.
+// advance advances the time, either to the next message, which it delivers, or by a random amount.
 func (w *world) advance() {
 	if len(w.messages) > 0 && (w.healed || w.chance(0.8)) && w.messages[0].at <= w.now+w.conditions.maxStep {
 		next := w.messages[0]
@@ -222,21 +222,22 @@
 	w.now += w.rand.Int64N(w.conditions.maxStep)
 }
 
-// compatibility is that what a gateway acts on does not exceed the version in force.
-type compatibility struct {
+// compatibilityKey identifies an effective configuration that does not exceed the version in force.
+type compatibilityKey struct {
 	effective *configversion.Config
 	inForce   uint64
 }
 
-// check compares what each gateway acts on with what is in force by the log, and looks for lost versions.
+// check compares the configuration in effect at each gateway with the version in force, and checks that no
+// acknowledged version is lost.
 func (w *world) check() {
 	var inForce *configversion.Config
 	if v := w.committed.Version(w.committed.InForce); v != nil {
-		inForce, _ = v.Config() // nil, if no build can read it
+		inForce, _ = v.Config() // nil if no build can read it
 	}
 	for i, g := range w.gateways {
 		if violation := w.checkGateway(g, inForce); violation != "" {
-			w.violation = fmt.Sprintf("at step %d gateway %d %s", w.steps, i, violation)
+			w.violation = fmt.Sprintf("step %d: gateway %d %s", w.steps, i, violation)
 			return
 		}
 	}
@@ -246,7 +247,7 @@
 			digest = kept.Digest
 		}
 		if digest != v.Digest {
-			w.violation = fmt.Sprintf("version %s was acknowledged and is lost", v.Name())
+			w.violation = fmt.Sprintf("version %s was acknowledged but is lost", v.Name())
 		}
 	}
 }
@@ -261,31 +262,33 @@
 	}
 	held, _ := g.client.HeldVersions()
 	if w.faults&^FaultForgetHeldVersions == 0 && lacksVersion(w.committed, held) {
-		return fmt.Sprintf("acts on %s, and of %v some are forgotten", g.client.EffectiveName(), held)
+		return fmt.Sprintf("has %s in effect, but of the held versions %v some are forgotten",
+			g.client.EffectiveName(), held)
 	}
-	key := compatibility{effective, w.committed.InForce}
+	key := compatibilityKey{effective, w.committed.InForce}
 	if w.compatible[key] {
 		return ""
 	}
 	if inForce == nil {
-		return fmt.Sprintf("acts on %s, and nothing is in force", g.client.EffectiveName())
+		return fmt.Sprintf("has %s in effect, but no readable version is in force", g.client.EffectiveName())
 	}
 	if list := configversion.Exceeds(effective, inForce); len(list) > 0 {
-		return fmt.Sprintf("acts on %s, in force is %d: %v", g.client.EffectiveName(), w.committed.InForce, list)
+		return fmt.Sprintf("has %s in effect, which exceeds version %d in force: %v",
+			g.client.EffectiveName(), w.committed.InForce, list)
 	}
 	w.compatible[key] = true
 	return ""
 }
 
-// lacksVersion reports whether a state has forgotten one of some versions.
+// lacksVersion reports whether a state does not have one of the given versions.
 func lacksVersion(state *StateMachine, numbers []uint64) bool {
 	return slices.ContainsFunc(numbers, func(number uint64) bool { return state.Version(number) == nil })
 }
 
-// proposal draws a proposal that was made of the leader's latest version.
+// proposal draws a proposal based on the latest version in the leader's state.
 func (w *world) proposal() *Proposal {
 	p := &Proposal{
-		ID:             strconv.Itoa(w.postCount),
+		ID:             strconv.Itoa(w.scheduleCount),
 		Parent:         w.leader.state.Announced,
 		ReplacePending: w.rand.IntN(2) == 0,
 		Content:        configPool[w.rand.IntN(len(configPool))],
@@ -293,6 +296,6 @@
 	if !w.conditions.fallbacks && len(p.Content) > 20 {
 		p.Content = configPoolWithoutFallbacks[w.rand.IntN(len(configPoolWithoutFallbacks))]
 	}
-	w.postCount++
+	w.scheduleCount++
 	return p
 }
--- a/internal/serve/web.go
+++ b/internal/serve/web.go
@@ -110,7 +110,7 @@
 		IdleTimeout:    conf.IdleTimeout * nodeIdleNumerator / nodeIdleDenominator,
 		ReuseDelay:     reuseDelay,
 		MaxConnections: int(nodeSocketShare * float64(conf.MaxSockets)),
-		Bounds:         http1.DefaultLimits,
+		ResponseLimits: http1.DefaultLimits,
 		MaxLongBody:    conf.MemoryBytes / longBodyDivisor,
 		LongBodyBudget: int64(longBodyMemoryShare * float64(conf.MemoryBytes)),
 	}
@@ -119,12 +119,12 @@
 func clientLimits(conf *platform.Config) web.Limits {
 	return web.Limits{
 		MaxConnections:      int(clientSocketShare * float64(conf.MaxSockets)),
-		CrowdedConnections:  int(crowdedSocketShare * float64(conf.MaxSockets)),
+		EvictionThreshold:   int(crowdedSocketShare * float64(conf.MaxSockets)),
 		MaxBodyBytes:        int64(bodyMemoryShare * float64(conf.MemoryBytes)),
 		FirstRequestTimeout: requestTimeout,
 		RequestTimeout:      requestTimeout,
 		IdleTimeout:         clientIdleTimeout,
-		CrowdedIdleTimeout:  crowdedIdleTimeout,
+		EvictionIdleTimeout: crowdedIdleTimeout,
 		WriteTimeout:        clientWriteTimeout,
 		Message:             http1.DefaultLimits,
 	}
--- a/internal/snapshot/decode.go
+++ b/internal/snapshot/decode.go
@@ -10,59 +10,59 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ErrDamaged says that a snapshot is not as it was written, or is of other types.
-var ErrDamaged = errors.New("the snapshot is damaged, or of another build")
+// ErrCorrupt is returned for a snapshot that was changed after it was written, or that holds other types.
+var ErrCorrupt = errors.New("the snapshot is corrupt or was written by an incompatible build")
 
-// headerBytes and checksumBytes frame the objects of a snapshot.
+// Lengths in bytes of the shape before the objects of a snapshot and of the checksum after them.
 const (
 	headerBytes   = 8
 	checksumBytes = 8
 )
 
-// Restore decodes the graph of a snapshot, whose root points to a T. A snapshot of another type, by the names that are
-// stored, or one that has been changed is ErrDamaged.
+// Restore decodes a snapshot whose root object is a T. It returns ErrCorrupt if the bytes have changed since they
+// were written, or if the stored type, by its stored names, is not that of T.
 func Restore[T any](b []byte, names Names) (*T, error) {
 	root := reflect.TypeFor[*T]()
 	if len(b) < headerBytes+checksumBytes {
-		return nil, ErrDamaged
+		return nil, ErrCorrupt
 	}
 	content, checksum := b[:len(b)-checksumBytes], b[len(b)-checksumBytes:]
 	if xxhash.Sum64(content) != binary.BigEndian.Uint64(checksum) {
-		return nil, ErrDamaged
+		return nil, ErrCorrupt
 	}
 	if binary.BigEndian.Uint64(content) != Shape(root, names) {
-		return nil, ErrDamaged
+		return nil, ErrCorrupt
 	}
 	d := &decoder{rest: content[headerBytes:]}
-	first := d.object(1, root)
-	for at := 0; at < len(d.objects) && d.err == nil; at++ {
-		if !d.objects[at].IsValid() {
-			return nil, ErrDamaged
+	decodedRoot := d.object(1, root)
+	for i := 0; i < len(d.objects) && d.err == nil; i++ {
+		if !d.objects[i].IsValid() {
+			return nil, ErrCorrupt
 		}
-		d.value(d.objects[at].Elem())
+		d.value(d.objects[i].Elem())
 	}
 	if d.err == nil && len(d.rest) > 0 {
-		d.err = ErrDamaged
+		d.err = ErrCorrupt
 	}
 	if d.err != nil {
 		return nil, d.err
 	}
-	return first.Interface().(*T), nil
+	return decodedRoot.Interface().(*T), nil
 }
 
 type decoder struct {
 	rest    []byte
-	objects []reflect.Value // pointers to them, by number from 1; one that was not met yet is not valid
+	objects []reflect.Value // pointers to the objects, by number - 1; invalid until first reached
 	err     error
 }
 
-// object is the object of a number, made when it is first met.
+// object returns a pointer to object n, which it allocates on first use, or a nil pointer for 0.
 func (d *decoder) object(n uint64, t reflect.Type) reflect.Value {
 	if n == 0 {
 		return reflect.Zero(t)
 	}
 	if n > uint64(len(d.objects))+uint64(len(d.rest))+1 {
-		d.err = ErrDamaged
+		d.err = ErrCorrupt
 		return reflect.Zero(t)
 	}
 	for uint64(len(d.objects)) < n {
@@ -72,7 +72,7 @@
 		d.objects[n-1] = reflect.New(t.Elem())
 	}
 	if d.objects[n-1].Type() != t {
-		d.err = ErrDamaged
+		d.err = ErrCorrupt
 		return reflect.Zero(t)
 	}
 	return d.objects[n-1]
@@ -81,7 +81,7 @@
 func (d *decoder) uint() uint64 {
 	n, used := binary.Uvarint(d.rest)
 	if used <= 0 {
-		d.err = ErrDamaged
+		d.err = ErrCorrupt
 		return 0
 	}
 	d.rest = d.rest[used:]
@@ -91,7 +91,7 @@
 func (d *decoder) int() int64 {
 	n, used := binary.Varint(d.rest)
 	if used <= 0 {
-		d.err = ErrDamaged
+		d.err = ErrCorrupt
 		return 0
 	}
 	d.rest = d.rest[used:]
@@ -101,7 +101,7 @@
 func (d *decoder) text() string {
 	n := d.uint()
 	if n > uint64(len(d.rest)) {
-		d.err = ErrDamaged
+		d.err = ErrCorrupt
 		return ""
 	}
 	text := string(d.rest[:n])
@@ -109,15 +109,15 @@
 	return text
 }
 
-// length reads the length of a slice or map, which is written plus one; 0 is nil. Each item has a byte at least, but
-// for empty structs.
+// length reads the length of a slice or map, which is encoded plus one; 0 is nil. It rejects lengths above the number
+// of bytes left, because each item takes at least one byte, unless it is an empty struct.
 func (d *decoder) length() (n int, present bool) {
-	written := d.uint()
-	if written > uint64(len(d.rest))+1 {
-		d.err = ErrDamaged
+	encodedLength := d.uint()
+	if encodedLength > uint64(len(d.rest))+1 {
+		d.err = ErrCorrupt
 		return 0, false
 	}
-	return int(written) - 1, written > 0
+	return int(encodedLength) - 1, encodedLength > 0
 }
 
 func (d *decoder) slice(v reflect.Value) {
@@ -149,12 +149,12 @@
 	}
 }
 
-// value reads into a value that is zero.
+// value decodes into v, which must be zero.
 func (d *decoder) value(v reflect.Value) {
 	if d.err != nil {
 		return
 	}
-	if v.CanAddr() { // fields that are not exported may be set this way only
+	if v.CanAddr() { // reflection cannot set unexported fields otherwise
 		v = reflect.NewAt(v.Type(), v.Addr().UnsafePointer()).Elem()
 	}
 	switch v.Kind() {
@@ -183,6 +183,6 @@
 	case reflect.Map:
 		d.mapping(v)
 	default:
-		d.err = fmt.Errorf("a snapshot cannot hold a %v", v.Type())
+		d.err = fmt.Errorf("values of type %v are not supported in a snapshot", v.Type())
 	}
 }
--- a/internal/testkit/testaddr/testaddr_test.go
+++ b/internal/testkit/testaddr/testaddr_test.go
@@ -31,7 +31,7 @@
 		reserved[addr] = true
 	}
 	for range 2000 {
-		listener, err := net.Listen("tcp", loopback.Own()+":0")
+		listener, err := net.Listen("tcp", loopback.ProcessAddr()+":0")
 		if err != nil {
 			t.Fatal(err)
 		}
