--- a/cmd/irispost/web_test.go
+++ b/cmd/irispost/web_test.go
@@ -43,7 +43,7 @@
 
 // startWeb starts a gateway process with a limit of 128 file descriptors. It returns before the gateway is listening.
 func startWeb(t testing.TB, list, more string, env ...string) *webProcess {
-	l, err := net.Listen("tcp", loopback.Own()+":0") // an address that is free
+	l, err := net.Listen("tcp", loopback.ProcessAddr()+":0") // an address that is free
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -265,7 +265,7 @@
 // remain connected.
 func TestIdleClientsWhileTheListIsDown(t *testing.T) {
 	store := webstandin.Start(t)
-	free, err := net.Listen("tcp", loopback.Own()+":0")
+	free, err := net.Listen("tcp", loopback.ProcessAddr()+":0")
 	if err != nil {
 		t.Fatal(err)
 	}
