--- a/cmd/irispost/endpoints.go
+++ b/cmd/irispost/endpoints.go
@@ -14,11 +14,11 @@
 
 func endpointsCommand() *cobra.Command {
 	command := &cobra.Command{Use: "endpoints", Aliases: []string{"members"}, Args: cobra.NoArgs,
-		Short: "Show the nodes of gateways, where they come from, and what is held"}
-	sockets := command.Flags().StringSlice("socket", []string{"irispost.sock"}, "admin sockets of gateways")
-	asJSON := command.Flags().Bool("json", false, "print them as JSON, a line each gateway")
-	confirm := command.Flags().Bool("confirm", false, "put in force what is held")
-	timeout := command.Flags().Duration("within", 5*time.Second, "how long a gateway may take to answer")
+		Short: "Show gateways' nodes, the sources of the nodes, and changes that are held"}
+	sockets := command.Flags().StringSlice("socket", []string{"irispost.sock"}, "paths of the gateways' admin sockets")
+	asJSON := command.Flags().Bool("json", false, "print JSON, one line per gateway")
+	confirm := command.Flags().Bool("confirm", false, "confirm held changes, which puts them in force")
+	timeout := command.Flags().Duration("within", 5*time.Second, "timeout for the response of a gateway")
 	command.RunE = func(command *cobra.Command, _ []string) error {
 		out := command.OutOrStdout()
 		var errs []error
@@ -40,7 +40,7 @@
 	return command
 }
 
-// endpointReport asks a gateway for its endpoints; where confirm is set, it puts in force what it holds before.
+// endpointReport requests a gateway's endpoint report. If confirm is set, it confirms held changes first.
 func endpointReport(out io.Writer, socket string, timeout time.Duration, confirm bool) (admin.EndpointReport, error) {
 	client := admin.Dial(socket, timeout)
 	if confirm {
@@ -53,7 +53,7 @@
 	return client.Members()
 }
 
-// writeEndpoints writes a report for people, with ages at a time.
+// writeEndpoints prints a report as text. Ages are relative to now.
 func writeEndpoints(out io.Writer, report admin.EndpointReport, now time.Time) {
 	age := func(t time.Time) string {
 		if t.IsZero() {
@@ -63,9 +63,10 @@
 	}
 	writef(out, "gateway %s, told its decision module %s ago\n", report.Gateway, age(report.SchedulerUpdatedAt))
 	if loss := report.HeldLoss; loss != nil {
-		writef(out, "HELD for %s: %d nodes are gone or unwell by the sources and are kept.", age(loss.Since), loss.Nodes)
+		writef(out, "HELD for %s: %d nodes are missing or unhealthy according to the sources and are kept.",
+			age(loss.Since), loss.Nodes)
 		if loss.LeavesNoNodes {
-			writef(out, " Nothing would be left, so it waits for the source's next word or for --confirm.")
+			writef(out, " No node would be left, so it waits for the source's next update or for --confirm.")
 		}
 		writeln(out)
 	}
@@ -77,7 +78,7 @@
 			last = fmt.Sprintf("%s ago: %s", age(source.LastRejectionAt), source.LastRejection)
 		}
 		if source.HeldVersion != "" {
-			last = fmt.Sprintf("version %q was left already, and is held; %s", source.HeldVersion, last)
+			last = fmt.Sprintf("version %q is older than the one in force and is held; %s", source.HeldVersion, last)
 		}
 		writef(table, "%s\t%s\t%s\t%s\t%s\t%d\t%d\t%s\n", source.Name, source.State, age(source.Since), source.Version,
 			age(source.ReceivedAt), source.Nodes, source.RejectedUpdates, last)
