--- a/cmd/irispost/golden_test.go
+++ b/cmd/irispost/golden_test.go
@@ -11,17 +11,18 @@
 	"irispost/internal/testkit/golden"
 )
 
-// Commands with their aliases and flags: scripts of operators call them.
+// The names of commands, aliases and flags, and the flags' defaults, do not change: operators' scripts depend on
+// them.
 func TestGoldenCommands(t *testing.T) {
 	t.Setenv("IRISPOST_AT", "")
 	var b strings.Builder
-	listCommand(&b, "", program())
+	listCommand(&b, "", rootCommand())
 	golden.Check(t, "commands.txt", []byte(b.String()))
 }
 
-// Scripts call commands by names that have been replaced since.
+// Former names of commands still work as aliases: operators' scripts may use them.
 func TestEarlierNamesOfCommandsStillWork(t *testing.T) {
-	for earlier, now := range map[string]string{
+	for alias, current := range map[string]string{
 		"day":           "irispost scenario",
 		"fleet keepers": "irispost fleet replicas",
 		"keeper":        "irispost replica",
@@ -32,18 +33,18 @@
 		"rules show":    "irispost versions show",
 		"xds-standin":   "irispost xds-server",
 	} {
-		command, _, err := program().Find(strings.Fields(earlier))
+		command, _, err := rootCommand().Find(strings.Fields(alias))
 		if err != nil {
 			t.Error(err)
 			continue
 		}
-		if path := command.CommandPath(); path != now {
-			t.Errorf("%q is the command %q, not %q", earlier, path, now)
+		if path := command.CommandPath(); path != current {
+			t.Errorf("alias %q: got command %q, want %q", alias, path, current)
 		}
 	}
 }
 
-// listCommand writes a command and its sub-commands, which cobra has sorted by name.
+// listCommand writes a command and its subcommands, which cobra sorts by name.
 func listCommand(b *strings.Builder, parent string, c *cobra.Command) {
 	name := strings.TrimSpace(parent + " " + c.Use)
 	fmt.Fprintf(b, "%s\n", name)
