--- a/internal/backend/webnode/client_test.go
+++ b/internal/backend/webnode/client_test.go
@@ -111,8 +111,8 @@
 		s.Lock()
 		defer s.Unlock()
 		for _, a := range all {
-			if len(a.done) > 0 && !a.cancelled || s.Seen[a.id] > 1 {
-				r.Fatalf("%s: sent %d times, %d further outcomes, want <= 1 and 0", a.id, s.Seen[a.id], len(a.done))
+			if len(a.done) > 0 && !a.cancelled || s.ReceivedCounts[a.id] > 1 {
+				r.Fatalf("%s: sent %d times, %d further outcomes, want <= 1 and 0", a.id, s.ReceivedCounts[a.id], len(a.done))
 			}
 		}
 	})
--- a/internal/serve/concurrent_test.go
+++ b/internal/serve/concurrent_test.go
@@ -62,7 +62,7 @@
 			t.Error(err)
 		}
 	}
-	if n := testbed.Stores[0].Objects() + testbed.Stores[1].Objects(); n != 0 {
+	if n := testbed.Stores[0].ObjectCount() + testbed.Stores[1].ObjectCount(); n != 0 {
 		t.Errorf("%d objects remain after removal of the files, want 0", n)
 	}
 }
--- a/internal/serve/members_test.go
+++ b/internal/serve/members_test.go
@@ -66,7 +66,7 @@
 	}
 	m.server = s
 	useXDSServer(m.Testbed, s, delta)
-	m.Gateway("g0")
+	m.StartGateway("g0")
 	stop := make(chan struct{})
 	var running sync.WaitGroup
 	for i := range 8 {
@@ -336,7 +336,7 @@
 	}
 	useXDSServer(testbed, s, true)
 	testbed.Conf += "members {\n  folder = \"" + dir + "\"\n  first = \"20s\"\n}\n"
-	g := testbed.Gateway("g0")
+	g := testbed.StartGateway("g0")
 	if err := put(testbed.Client(0), "/meals/f", randomBytes(1, 100_000)); err != nil {
 		t.Fatal(err)
 	}
@@ -352,7 +352,7 @@
 	testbed.Gateways = nil
 	s.Close()
 	testbed.Conf = strings.Replace(testbed.Conf, "20s", "10ms", 1)
-	g = testbed.Gateway("g0")
+	g = testbed.StartGateway("g0")
 	testkit.RetryUntilDone(t, "get", func() error { _, err := get(testbed.Client(0), "/meals/f"); return err })
 	v, err := g.Members()
 	if err != nil {
--- a/internal/serve/sweep_test.go
+++ b/internal/serve/sweep_test.go
@@ -18,7 +18,7 @@
 	if err := testbed.Client(1).Rename("/meals/kept", "/meals/moved"); err != nil {
 		t.Fatal(err)
 	}
-	inUse := testbed.Stores[0].Objects() + testbed.Stores[1].Objects()
+	inUse := testbed.Stores[0].ObjectCount() + testbed.Stores[1].ObjectCount()
 	conn := dialRaw(t, testbed, 0)
 	conn.handshake()
 	handle := conn.open("/meals/lost", sftp.FlagWrite|sftp.FlagCreate)
@@ -26,7 +26,7 @@
 	if code, text := conn.receiveStatus(); code != sftp.OK {
 		t.Fatal(text)
 	}
-	if n := testbed.Stores[0].Objects() + testbed.Stores[1].Objects(); n != inUse+1 {
+	if n := testbed.Stores[0].ObjectCount() + testbed.Stores[1].ObjectCount(); n != inUse+1 {
 		t.Fatalf("%d objects after the write, want one more than the previous %d", n, inUse)
 	}
 	testbed.Gateways[0].Loop.Stop() // no commit succeeds after this
--- a/internal/serve/web_test.go
+++ b/internal/serve/web_test.go
@@ -186,7 +186,7 @@
 		return stats.Attempts == 0 && stats.InFlight == 0 && b.countsAgree()
 	})
 	for _, n := range b.nodes {
-		for id, times := range n.Seen {
+		for id, times := range n.ReceivedCounts {
 			if times != 1 {
 				t.Errorf("%s was sent %d times, want once", id, times)
 			}
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -71,8 +71,8 @@
 	return s, nil
 }
 
-// Objects counts the objects that exist.
-func (s *Store) Objects() int {
+// ObjectCount returns the number of objects in the store.
+func (s *Store) ObjectCount() int {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return len(s.objects)
--- a/internal/testkit/testbed.go
+++ b/internal/testkit/testbed.go
@@ -46,7 +46,7 @@
 		bed.startNode(shard, change)
 	}
 	for i := range gateways {
-		bed.Gateway(fmt.Sprintf("g%d", i))
+		bed.StartGateway(fmt.Sprintf("g%d", i))
 	}
 	t.Cleanup(bed.close)
 	return bed
@@ -97,8 +97,8 @@
 	return list
 }
 
-// Gateway starts one more gateway.
-func (b *Testbed) Gateway(name string) *serve.Gateway {
+// StartGateway starts a gateway under the given name.
+func (b *Testbed) StartGateway(name string) *serve.Gateway {
 	b.T.Helper()
 	parsed, err := config.Parse("test.hcl", fmt.Appendf(nil, b.Conf, name, len(b.Nodes)))
 	if err != nil {
--- a/internal/webstandin/node.go
+++ b/internal/webstandin/node.go
@@ -24,10 +24,10 @@
 	WaitingIDs   chan string   // IDs of requests that wait
 	Disconnected chan bool     // gets a value when a connection has ended
 
-	sync.Mutex                 // guards what follows
-	Waiting     int            // requests that wait for Release
-	Connections int            // that are open
-	Seen        map[string]int // requests that were read completely, by ID
+	sync.Mutex                    // guards what follows
+	Waiting        int            // requests that wait for Release
+	Connections    int            // that are open
+	ReceivedCounts map[string]int // requests that were read completely, by ID
 }
 
 // Start starts a node on loopback, until the test ends.
@@ -38,11 +38,11 @@
 		t.Fatal(err)
 	}
 	n := &Node{
-		Listener:     listener,
-		Seen:         map[string]int{},
-		Release:      make(chan struct{}),
-		WaitingIDs:   make(chan string, eventBuffer),
-		Disconnected: make(chan bool, eventBuffer),
+		Listener:       listener,
+		ReceivedCounts: map[string]int{},
+		Release:        make(chan struct{}),
+		WaitingIDs:     make(chan string, eventBuffer),
+		Disconnected:   make(chan bool, eventBuffer),
 	}
 	t.Cleanup(func() { _ = listener.Close() }) // a test may have closed it before
 	go func() {
@@ -90,7 +90,7 @@
 // respond does with a request what its ID says, and says whether the connection goes on.
 func (n *Node) respond(conn net.Conn, reader io.Reader, id string, body []byte) bool {
 	n.Lock()
-	n.Seen[id]++
+	n.ReceivedCounts[id]++
 	n.Unlock()
 	name, _, _ := strings.Cut(id, "-")
 	if name == waitingBehavior {
