--- a/internal/bench/bench.go
+++ b/internal/bench/bench.go
@@ -1,7 +1,8 @@
-// Package bench measures what a gateway adds to requests of a client that sends the same requests to its storage node
-// directly, in one run: a gateway as it is, one that writes a capture, and one that follows replicas.
+// Package bench measures the overhead of a gateway. In one run, a client sends the same requests to a storage node
+// directly and through three gateways: a plain one, one that writes a capture, and one that follows replicas.
 //
-// It is used by `irispost bench`. A run owns its processes and folder and removes them at its end.
+// It is used by `irispost bench`. A run starts its own processes and creates a temporary folder. It stops the
+// processes and removes the folder at the end.
 package bench
 
 import (
@@ -15,15 +16,15 @@
 	"irispost/internal/sftp"
 )
 
-// testCase is the kind of requests that is measured.
+// testCase is a kind of load that is measured.
 type testCase struct {
 	name        string
 	operation   sftp.Type
-	bytes       int // of a request
-	outstanding int // requests at once
+	bytes       int // size of a request
+	outstanding int // number of concurrent requests
 }
 
-// testCases returns all cases, in the order of the table.
+// testCases returns all cases in the order of the table.
 func testCases() (cases []testCase) {
 	operations := []struct {
 		name string
@@ -39,8 +40,9 @@
 	return cases
 }
 
-// Run measures all cases and writes a table. It starts the program as gateways and replicas; profile is the file for
-// a processor profile of the plain gateway, or "". Each case is measured for the given time, in a number of rounds.
+// Run measures all cases and writes a table of the results to out. It starts the executable program as gateways and
+// replicas. profile is the file for a CPU profile of the plain gateway, or empty for none. Each case is measured in the
+// given number of rounds. In a round, the node and every gateway are measured in turn, each for the duration each.
 func Run(out io.Writer, program, profile string, each time.Duration, rounds int) error {
 	bed, err := startTestbed(program, profile)
 	if err != nil {
@@ -48,8 +50,8 @@
 	}
 	defer bed.close()
 	table := newTable(out)
-	var captured, following []float64 // ratios of rates to the plain gateway's, one of each case
-	requests := 0.0                   // that the capture has
+	var captured, following []float64 // per case: ratio of the request rate to the plain gateway's
+	requests := 0.0                   // number of requests in the capture
 	for _, c := range testCases() {
 		measured := bed.measure(c, each, max(rounds, 1))
 		table.writeCase(c, measured)
@@ -68,19 +70,19 @@
 	return nil
 }
 
-// writeRatios writes the summary of ratios over all cases.
+// writeRatios writes the median, least and largest ratio over all cases.
 func writeRatios(out io.Writer, name string, ratios []float64) {
 	sorted := slices.Sorted(slices.Values(ratios))
 	_, _ = fmt.Fprintf(out, "%s/through over the %d cases: median %.2f, least %.2f, most %.2f\n",
-		name, len(sorted), sorted[len(sorted)/2], sorted[0], sorted[len(sorted)-1]) // the table before it was written
+		name, len(sorted), sorted[len(sorted)/2], sorted[0], sorted[len(sorted)-1]) // Flush has succeeded on out
 }
 
-// writeCaptureSize writes the mean size of a request in the capture.
+// writeCaptureSize writes the mean number of bytes that the capture holds per request.
 func writeCaptureSize(out io.Writer, dir string, requests float64) {
 	files, _ := filepath.Glob(filepath.Join(dir, "*.iriscap")) // the pattern is valid
 	for _, file := range files {
 		if info, err := os.Stat(file); err == nil {
-			_, _ = fmt.Fprintf(out, "the capture has %.1f bytes a job\n", float64(info.Size())/requests) // likewise
+			_, _ = fmt.Fprintf(out, "the capture has %.1f bytes a job\n", float64(info.Size())/requests) // as in writeRatios
 		}
 	}
 }
--- a/internal/bench/client.go
+++ b/internal/bench/client.go
@@ -14,29 +14,29 @@
 	greetingTimeout = 5 * time.Second
 )
 
-// errNoGreeting is returned for a server that does not send its protocol version in time.
-var errNoGreeting = errors.New("does not greet")
+// errNoGreeting is returned if the server does not send its SFTP version within greetingTimeout.
+var errNoGreeting = errors.New("sent no SFTP version in time")
 
-// statusError is returned for a request that was answered with a status other than OK.
+// statusError is returned for a request whose response is a status other than OK.
 type statusError struct {
 	code sftp.Code
 	text string
 }
 
-// Error returns code and text.
+// Error returns the code and the text of the status.
 func (e *statusError) Error() string { return fmt.Sprintf("%v: %s", e.code, e.text) }
 
-// client is an SFTP client with many requests at once over one connection.
+// client is an SFTP client that sends concurrent requests over one connection.
 type client struct {
 	conn  *sftp.Conn
-	ready chan struct{} // closed by the server's greeting
+	ready chan struct{} // closed when the server's SFTP version arrives
 
-	lock    sync.Mutex                 // guards all below
+	lock    sync.Mutex                 // guards the fields below
 	waiting map[uint32]chan sftp.Frame // by request ID
 	lastID  uint32
 }
 
-// dial connects to a server and waits for its greeting.
+// dial connects to a server and waits for its SFTP version.
 func dial(addr string) (*client, error) {
 	c := &client{ready: make(chan struct{}), waiting: map[uint32]chan sftp.Frame{}}
 	conn, err := sftp.Dial(addr, sftp.DefaultLimits, dialTimeout, func(conn *sftp.Conn) sftp.Handler {
@@ -55,7 +55,7 @@
 	}
 }
 
-// Packet receives a frame from the connection and passes it to the request that waits for it.
+// Packet passes a received frame to the request that waits for it. A frame without such a request is dropped.
 func (c *client) Packet(frame sftp.Frame) error {
 	if frame.Type == sftp.Version {
 		close(c.ready)
@@ -72,10 +72,11 @@
 	return nil
 }
 
-// Closed does nothing: requests see the end of the connection by themselves.
+// Closed does nothing. Waiting requests detect the end of the connection themselves.
 func (c *client) Closed(error) {}
 
-// request sends a request and waits for its response. The channel is used for it and has to have room for one frame.
+// request sends a request and waits for its response. response is the channel that receives it. The channel needs a
+// buffer of one frame so that Packet does not block.
 func (c *client) request(operation sftp.Type, response chan sftp.Frame, fields func(*sftp.Packet)) (sftp.Frame, error) {
 	c.lock.Lock()
 	c.lastID++
@@ -93,7 +94,7 @@
 	}
 }
 
-// statusOf returns the error of a status frame; nil: it is OK, or no status.
+// statusOf returns the error of a status frame, or nil if the status is OK or the frame is no status.
 func statusOf(frame sftp.Frame) error {
 	if frame.Type != sftp.Status {
 		return nil
--- a/internal/bench/load.go
+++ b/internal/bench/load.go
@@ -12,39 +12,39 @@
 )
 
 const (
-	// fileCount is how many files a case is spread over, so that it does not measure the order of one extent's
-	// writes.
+	// fileCount is the number of files that a case accesses in turn. With a single file, writes to one extent, which
+	// the gateway executes in order, would limit the result.
 	fileCount = 64
 
 	fileBytes  = 256 << 10
-	writeBytes = 32 << 10 // of a request when files are filled
+	writeBytes = 32 << 10 // size of a request that fills a file
 
 	maximumMicros     = 60_000_000
 	significantDigits = 3
 )
 
-// load is a client with open files at a gateway, or at the node directly.
-type load struct {
+// loadClient is a client with open files at a gateway or at the node.
+type loadClient struct {
 	client  *client
 	handles []string
 }
 
 // loadResult is the result of one measurement.
 type loadResult struct {
-	rate   float64 // requests a second
-	p50    float64 // microseconds
-	p99    float64 // microseconds
-	cpu    float64 // processor time of the gateway for a request, microseconds
-	failed int     // requests
+	rate   float64 // requests per second
+	p50    float64 // median latency in microseconds
+	p99    float64 // 99th percentile of the latency in microseconds
+	cpu    float64 // CPU time of the gateway per request, in microseconds
+	failed int     // number of failed requests
 }
 
-// openLoad connects to an address, and creates and fills the files, whose names begin with a prefix.
-func openLoad(addr, prefix string) (*load, error) {
+// newLoadClient connects to an address, and creates and fills files whose names start with prefix.
+func newLoadClient(addr, prefix string) (*loadClient, error) {
 	client, err := dial(addr)
 	if err != nil {
 		return nil, err
 	}
-	l := &load{client: client}
+	l := &loadClient{client: client}
 	for i := range fileCount {
 		if err := l.createFile(prefix + strconv.Itoa(i)); err != nil {
 			return nil, err
@@ -53,7 +53,7 @@
 	return l, nil
 }
 
-func (l *load) createFile(name string) error {
+func (l *loadClient) createFile(name string) error {
 	response := make(chan sftp.Frame, 1)
 	frame, err := l.client.request(sftp.Open, response, func(packet *sftp.Packet) {
 		packet.Text(name).Uint32(sftp.FlagRead | sftp.FlagWrite | sftp.FlagCreate).Attrs(sftp.Attrs{})
@@ -75,8 +75,9 @@
 	return nil
 }
 
-// measure keeps a case's number of requests outstanding for a time. pid is the gateway's process; 0: none.
-func (l *load) measure(testCase testCase, each time.Duration, pid int) loadResult {
+// measure keeps the case's number of requests outstanding for the duration each. pid is the process whose CPU time is
+// measured; 0: none.
+func (l *loadClient) measure(testCase testCase, each time.Duration, pid int) loadResult {
 	var running sync.WaitGroup
 	var lock sync.Mutex // guards latencies and failed
 	latencies := newHistogram()
@@ -93,10 +94,10 @@
 		})
 	}
 	running.Wait()
-	took := time.Since(startedAt)
+	elapsed := time.Since(startedAt)
 	count := float64(latencies.TotalCount())
 	result := loadResult{
-		rate:   count / took.Seconds(),
+		rate:   count / elapsed.Seconds(),
 		p50:    float64(latencies.ValueAtQuantile(50)),
 		p99:    float64(latencies.ValueAtQuantile(99)),
 		failed: failed,
@@ -107,9 +108,9 @@
 	return result
 }
 
-// sendRequests sends one request after another until a time; data is the content of writes. It returns the latencies
-// of those that were answered, in microseconds, and the number of those that failed.
-func (l *load) sendRequests(testCase testCase, worker int, data []byte, until time.Time) (
+// sendRequests sends one request after another until the given time. data is the content of writes. It returns the
+// latencies of the successful requests, in microseconds, and the number of failed ones.
+func (l *loadClient) sendRequests(testCase testCase, worker int, data []byte, until time.Time) (
 	latencies *hdrhistogram.Histogram, failed int) {
 	latencies = newHistogram()
 	response := make(chan sftp.Frame, 1)
@@ -129,7 +130,7 @@
 			failed++
 			continue
 		}
-		_ = latencies.RecordValue(max(1, time.Since(startedAt).Microseconds())) // one over a minute is not counted
+		_ = latencies.RecordValue(max(1, time.Since(startedAt).Microseconds())) // over a minute is not counted
 	}
 	return latencies, failed
 }
@@ -138,7 +139,7 @@
 	return hdrhistogram.New(1, maximumMicros, significantDigits)
 }
 
-// processorTime returns the processor time that a process has used; 0 if the system does not know it.
+// processorTime returns the CPU time that a process has used, or 0 if it cannot be read.
 func processorTime(pid int) time.Duration {
 	used, err := meter.Process(pid)
 	if err != nil {
--- a/internal/bench/replicas.go
+++ b/internal/bench/replicas.go
@@ -19,13 +19,13 @@
 	proposeTimeout = 20 * time.Second
 )
 
-// replicaGroup is three replicas in processes of their own.
+// replicaGroup is a group of replicas, each in a process of its own.
 type replicaGroup struct {
 	addrs    []string
 	commands []*exec.Cmd
 }
 
-// startReplicas starts the replicas, with the bench's settings and its node as their first version.
+// startReplicas starts the replicas and proposes the benchmark's settings and its node as the first version.
 func startReplicas(program, dir, nodeAddr string) (*replicaGroup, error) {
 	group := &replicaGroup{}
 	if err := group.start(program, dir); err != nil {
@@ -39,13 +39,14 @@
 	return group, nil
 }
 
-// start starts the processes, at ports that are reserved for all of them until each starts.
+// start starts the processes. A listener reserves each replica's port until just before the replica starts, since all
+// replicas need the addresses of their peers.
 func (g *replicaGroup) start(program, dir string) error {
 	var peers []string
 	var reserved []net.Listener
 	defer func() {
 		for _, listener := range reserved {
-			_ = listener.Close() // those that are closed already return an error
+			_ = listener.Close() // it fails for those that are closed already
 		}
 	}()
 	for i := range replicaCount {
@@ -58,7 +59,7 @@
 		peers = append(peers, "--peer", fmt.Sprintf("%d=%s", i+1, listener.Addr()))
 	}
 	for i, addr := range g.addrs {
-		_ = reserved[i].Close() // the replica listens there next
+		_ = reserved[i].Close() // the replica listens on this address
 		number := strconv.Itoa(i + 1)
 		args := []string{"keeper", "--number", number, "--listen", addr, "--dir", filepath.Join(dir, "keeper"+number)}
 		command := exec.Command(program, append(args, peers...)...)
@@ -80,17 +81,17 @@
 	first.SetFromSettings(parsed.Settings)
 	first.Nodes[nodeAddr] = configversion.Node{}
 	client := &replica.Client{Replicas: g.addrs, Timeout: proposeTimeout}
-	_, err = client.Propose(&lease.Proposal{ID: "bench", Reason: "what is measured", Content: first.Canonical()})
+	_, err = client.Propose(&lease.Proposal{ID: "bench", Reason: "benchmark configuration", Content: first.Canonical()})
 	return err
 }
 
-// stop kills the processes and waits for them. A group that was not started has nothing to stop.
+// stop kills the processes and waits for them to exit. It does nothing if g is nil.
 func (g *replicaGroup) stop() {
 	if g == nil {
 		return
 	}
 	for _, command := range g.commands {
-		_ = command.Process.Kill() // it may have exited already
-		_ = command.Wait()         // it reports the kill
+		_ = command.Process.Kill() // it fails if the process has exited
+		_ = command.Wait()         // a killed process counts as an error
 	}
 }
--- a/internal/bench/table.go
+++ b/internal/bench/table.go
@@ -8,7 +8,7 @@
 	"text/tabwriter"
 )
 
-// table is the table of all cases. What cannot be written is reported by Flush.
+// table writes one row per case. Flush reports write errors.
 type table struct {
 	*tabwriter.Writer
 }
@@ -28,7 +28,7 @@
 	_, _ = fmt.Fprintln(t, strings.Join(cells, "\t")+"\t") // Flush reports the error
 }
 
-// writeCase writes the row of a case: medians over its rounds.
+// writeCase writes the row of a case, with medians over its rounds.
 func (t table) writeCase(testCase testCase, results caseResults) {
 	rate := func(r loadResult) float64 { return r.rate }
 	p50 := func(r loadResult) float64 { return r.p50 }
@@ -51,7 +51,7 @@
 	)
 }
 
-// median returns the median of a value over results.
+// median returns the median of a value over results. For an even number of results it is the larger middle value.
 func median(results []loadResult, value func(loadResult) float64) float64 {
 	var values []float64
 	for _, result := range results {
@@ -61,8 +61,8 @@
 	return values[len(values)/2]
 }
 
-// medianRatio returns the median of the ratios of rates, each of two measurements that followed each other: a machine
-// that gets slower meanwhile hardly changes it.
+// medianRatio returns the median of the ratios of rates. Each ratio is of two measurements of the same round, so that a
+// machine that becomes slower during the run has little effect on it.
 func medianRatio(results, base []loadResult) float64 {
 	var ratios []float64
 	for i := range results {
--- a/internal/bench/table_test.go
+++ b/internal/bench/table_test.go
@@ -12,7 +12,7 @@
 	results := []loadResult{{rate: 90}, {rate: 10}, {rate: 30}}
 	base := []loadResult{{rate: 100}, {rate: 20}, {rate: 40}}
 	if got := medianRatio(results, base); got != 0.75 { // of 0.9, 0.5 and 0.75
-		t.Errorf("%v", got)
+		t.Errorf("median ratio: got %v, want 0.75", got)
 	}
 }
 
@@ -30,14 +30,14 @@
 	}
 	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
 	if len(lines) != 2 {
-		t.Fatalf("%q", lines)
+		t.Fatalf("got lines %q, want a header and one row", lines)
 	}
 	want := "read 4096 16 1000 800 0.80 50 90 12.3 0.75 0.50 3"
 	if got := strings.Join(strings.Fields(lines[1]), " "); got != want {
-		t.Errorf("%s, want %s", got, want)
+		t.Errorf("row: got %s, want %s", got, want)
 	}
 	if !strings.HasSuffix(lines[0], "captured/through  followed/through  failed") {
-		t.Errorf("%q", lines[0])
+		t.Errorf("header: got %q, want it to end with the ratios and the failures", lines[0])
 	}
 }
 
@@ -45,7 +45,7 @@
 	capture := captureConfig("/folder")
 	for _, want := range []string{`gateway "captured" {`, `folder = "/folder"`, `nodes  = "nodes.hcl"`} {
 		if !strings.Contains(capture, want) {
-			t.Errorf("the capture's configuration lacks %s", want)
+			t.Errorf("configuration with capture: got no %s, want it", want)
 		}
 	}
 	follow := followConfig([]string{"a:1", "b:2"})
@@ -53,6 +53,6 @@
 		t.Error(follow)
 	}
 	if strings.Contains(follow, "nodes.hcl") {
-		t.Error("the following gateway has a list of nodes too")
+		t.Error("configuration that follows replicas: got a node list, want none")
 	}
 }
--- a/internal/bench/testbed.go
+++ b/internal/bench/testbed.go
@@ -11,25 +11,25 @@
 	"irispost/internal/standin"
 )
 
-// Options of the test node.
+// Options of the simulated node.
 const (
-	nodeCores     = 2
-	nodeQueue     = 4096
-	nodeKeyWindow = time.Minute // for which it knows idempotency keys
+	nodeCores       = 2
+	nodeQueue       = 4096
+	nodeDedupWindow = time.Minute // how long it keeps replies by idempotency key
 )
 
-// testbed is a test node with the gateways that are compared.
+// testbed holds a simulated node and the gateways that are compared.
 type testbed struct {
 	dir       string
 	node      *standin.Node
-	direct    *load // at the node
+	direct    *loadClient // client at the node
 	through   *gatewayProcess
 	captured  *gatewayProcess
 	replicas  *replicaGroup
 	following *gatewayProcess
 }
 
-// startTestbed starts the node, the gateways and the replicas.
+// startTestbed starts the node, the gateways and the replicas, and connects the clients.
 func startTestbed(program, profile string) (*testbed, error) {
 	bed := &testbed{}
 	if err := bed.start(program, profile); err != nil {
@@ -49,7 +49,7 @@
 		Store:       store,
 		Cores:       nodeCores,
 		Queue:       nodeQueue,
-		DedupWindow: nodeKeyWindow,
+		DedupWindow: nodeDedupWindow,
 	}
 	if b.node, err = standin.Start(options); err != nil {
 		return err
@@ -64,7 +64,7 @@
 	if err := b.startGateways(program, profile); err != nil {
 		return err
 	}
-	b.direct, err = openLoad(b.node.Addr(), "plain")
+	b.direct, err = newLoadClient(b.node.Addr(), "plain")
 	return err
 }
 
@@ -82,26 +82,26 @@
 	return err
 }
 
-// close ends what was started.
+// close stops everything that was started and removes the folder.
 func (b *testbed) close() {
 	b.following.stop()
 	b.replicas.stop()
 	b.captured.stop()
 	b.through.stop()
 	if b.dir != "" {
-		_ = os.RemoveAll(b.dir) // a folder in the system's temporary one may stay
+		_ = os.RemoveAll(b.dir) // on failure, the folder is left in the system's temporary folder
 	}
 	if b.node != nil {
 		b.node.Close()
 	}
 }
 
-// caseResults are the results of a case, one for each round.
+// caseResults holds the results of a case, one per round.
 type caseResults struct {
 	direct, through, captured, following []loadResult
 }
 
-// failed returns the number of requests that failed.
+// failed returns the number of failed requests over all rounds.
 func (r caseResults) failed() (count int) {
 	for _, results := range [][]loadResult{r.direct, r.through, r.captured, r.following} {
 		for _, result := range results {
@@ -111,7 +111,7 @@
 	return count
 }
 
-// measure measures a case at the node and at all gateways in turn, in a number of rounds.
+// measure measures a case in a number of rounds, in each at the node and then at each gateway.
 func (b *testbed) measure(c testCase, each time.Duration, rounds int) (results caseResults) {
 	for range rounds {
 		results.direct = append(results.direct, b.direct.measure(c, each, 0))
@@ -122,14 +122,14 @@
 	return results
 }
 
-// captureConfig returns the configuration of a gateway that writes a capture.
+// captureConfig returns the configuration of a gateway that writes a capture to dir.
 func captureConfig(dir string) string {
 	config := strings.Replace(gatewayConfig, `"bench"`, `"captured"`, 1)
 	capture := fmt.Sprintf("  capture {\n    folder = %q\n  }\n", dir)
 	return strings.Replace(config, "  limits {", capture+"  limits {", 1)
 }
 
-// followConfig returns the configuration of a gateway that follows replicas in place of a list of nodes.
+// followConfig returns the configuration of a gateway that follows replicas instead of reading a node list.
 func followConfig(replicaAddrs []string) string {
 	config := strings.Replace(gatewayConfig, `"bench"`, `"followed"`, 1)
 	config = strings.Replace(config, `  nodes  = "nodes.hcl"`+"\n", "", 1)
@@ -181,5 +181,5 @@
 }
 `
 
-// volumePrefix is the path of the configured volume at a gateway.
+// volumePrefix is the path prefix of files in the configured volume.
 const volumePrefix = "/v/"
--- a/internal/standin/execution.go
+++ b/internal/standin/execution.go
@@ -9,30 +9,30 @@
 	"irispost/internal/sftp"
 )
 
-// latencyWeight is the weight of the average latency against the latest execution's.
+// latencyWeight sets the weight of a new sample in the moving average of the execution time: 1/latencyWeight.
 const latencyWeight = 8
 
-// deferredWriteInterval is how often deferred writes are done.
+// deferredWriteInterval is the interval at which the node performs deferred writes.
 const deferredWriteInterval = time.Second
 
-// receivedAttempt is an attempt that a node has received.
+// receivedAttempt is an attempt that the node has received.
 type receivedAttempt struct {
 	call      *node.Call
 	conn      *sftp.Conn
-	id        uint32 // of the packet
+	id        uint32 // SFTP request ID
 	deadline  time.Time
 	peer      *peer
-	cancelled bool // under the node's lock
+	cancelled bool // guarded by the node's lock
 }
 
-// volumeUse is what a volume was served by a node, in units.
-type volumeUse struct {
+// volumeUsage counts the units that a node has executed for a volume.
+type volumeUsage struct {
 	total     float64
 	byGateway map[string]float64
-	reported  map[string]float64 // what others were served, as reported to a gateway last
+	reported  map[string]float64 // by gateway: units of the other gateways that were reported to it so far
 }
 
-// receive takes in an attempt: it is rejected or queued or, with cores that take no time, executed at once.
+// receive rejects an attempt, queues it, or executes it at once if executions take no time.
 func (n *Node) receive(attempt *receivedAttempt) {
 	call := attempt.call
 	now := time.Now()
@@ -43,7 +43,7 @@
 	}
 	n.attemptsReceived++
 	n.recordReceived(attempt)
-	if n.overloads(call.Units, now) {
+	if n.exceedsSlowStartLimit(call.Units, now) {
 		n.lock.Unlock()
 		n.options.Recorder.Add(audit.Event{Type: audit.NodeOverloaded, Node: n.address})
 		go n.Close()
@@ -51,7 +51,7 @@
 	}
 	if rejection, rejected := n.reject(call); rejected {
 		n.lock.Unlock()
-		n.answer(attempt, rejection)
+		n.sendReply(attempt, rejection)
 		return
 	}
 	n.inFlight++
@@ -86,11 +86,11 @@
 	})
 }
 
-// reject returns the answer to an attempt that the node does not take. The lock is held.
+// reject returns the reply to an attempt that the node does not accept. The caller holds the lock.
 func (n *Node) reject(call *node.Call) (rejection node.Reply, rejected bool) {
 	switch {
 	case call.Shard >= 0 && call.Shard != n.options.Shard:
-		message := fmt.Sprintf("shard %d is not here", call.Shard)
+		message := fmt.Sprintf("shard %d is not served by this node", call.Shard)
 		return node.Reply{Outcome: node.WrongShard, Message: message}, true
 	case n.options.UnitTime > 0 && len(n.queue) >= n.options.Queue:
 		return node.Reply{Outcome: node.QueueFull, Message: "the node's queue is full"}, true
@@ -98,7 +98,7 @@
 	return node.Reply{}, false
 }
 
-// runCore executes queued attempts, one after the other, until the node closes.
+// runCore executes queued attempts one at a time until the node is closed.
 func (n *Node) runCore() {
 	for {
 		n.lock.Lock()
@@ -112,31 +112,32 @@
 		next := n.queue[0]
 		n.queue = n.queue[1:]
 		now := time.Now()
-		if next.cancelled || now.After(next.deadline) { // one whose time is up is not begun
+		if next.cancelled || now.After(next.deadline) { // dropped without a reply
 			n.inFlight--
 			n.lock.Unlock()
 			continue
 		}
 		stall := n.faults.stalledUntil.Sub(now)
-		took := n.timeOf(next.call, now)
+		duration := n.executionTime(next.call, now)
 		n.lock.Unlock()
-		time.Sleep(max(stall, 0) + took)
-		n.execute(next, took)
+		time.Sleep(max(stall, 0) + duration)
+		n.execute(next, duration)
 	}
 }
 
-// timeOf is how long a core takes for an attempt; a part of a write's time is put off. The lock is held.
-func (n *Node) timeOf(call *node.Call, now time.Time) time.Duration {
-	took := time.Duration(call.Units * float64(n.options.UnitTime) * n.faults.slowFactor / n.speed(now))
+// executionTime returns how long a core takes to execute a call. It adds the deferred share of a write to the pending
+// deferred time. The caller holds the lock.
+func (n *Node) executionTime(call *node.Call, now time.Time) time.Duration {
+	duration := time.Duration(call.Units * float64(n.options.UnitTime) * n.faults.slowFactor / n.speed(now))
 	if call.Op.Writes() && n.options.DeferredWriteShare > 0 {
-		deferred := time.Duration(float64(took) * n.options.DeferredWriteShare)
+		deferred := time.Duration(float64(duration) * n.options.DeferredWriteShare)
 		n.deferred += deferred
-		took -= deferred
+		duration -= deferred
 	}
-	return took
+	return duration
 }
 
-// runDeferredWrites does what was put off, at intervals, in place of the cores.
+// runDeferredWrites performs the deferred writes at intervals by stalling all cores for their time.
 func (n *Node) runDeferredWrites() {
 	for {
 		time.Sleep(deferredWriteInterval)
@@ -153,8 +154,9 @@
 	}
 }
 
-// execute executes an attempt, whose time has passed already, and answers it.
-func (n *Node) execute(attempt *receivedAttempt, took time.Duration) {
+// execute executes an attempt and replies to it, subject to the injected faults. The caller has already waited for
+// duration, the simulated execution time.
+func (n *Node) execute(attempt *receivedAttempt, duration time.Duration) {
 	call := attempt.call
 	n.lock.Lock()
 	if n.closed {
@@ -162,12 +164,12 @@
 		return
 	}
 	fails := n.random.Float64() < n.faults.failShare
-	hasEffect := n.random.Float64() < 0.5 // where it fails
+	hasEffect := n.random.Float64() < 0.5 // used only if the execution fails
 	answerLost := n.random.Float64() < n.faults.dropShare
 	n.inFlight--
-	n.latency += (took - n.latency) / latencyWeight
+	n.latency += (duration - n.latency) / latencyWeight
 	n.lock.Unlock()
-	reply := node.Reply{Outcome: node.Failed, Message: "the node failed it"}
+	reply := node.Reply{Outcome: node.Failed, Message: "injected failure"}
 	if !fails || hasEffect {
 		executed := n.executeCall(call)
 		if !fails {
@@ -175,14 +177,14 @@
 		}
 	}
 	if reply.Outcome == node.Executed {
-		reply.UnitsElsewhere = n.countUse(call)
+		reply.UnitsElsewhere = n.recordUsage(call)
 	}
 	if !answerLost {
-		n.answer(attempt, reply)
+		n.sendReply(attempt, reply)
 	}
 }
 
-// executeCall executes a call on the store, and records its effect.
+// executeCall executes a call on the store and records an event if the call had an effect.
 func (n *Node) executeCall(call *node.Call) node.Reply {
 	reply, hadEffect := n.options.Store.execute(call, time.Now(), n.options.DedupWindow)
 	if hadEffect {
@@ -200,26 +202,26 @@
 	return reply
 }
 
-// countUse counts the use of a volume, and returns what other gateways were served of it since this gateway's last
-// answer, in units.
-func (n *Node) countUse(call *node.Call) float64 {
+// recordUsage counts a call's units as used by its volume and gateway. It returns the units of the volume that were
+// executed for other gateways since the last report to this gateway.
+func (n *Node) recordUsage(call *node.Call) float64 {
 	n.lock.Lock()
 	defer n.lock.Unlock()
-	use := n.served[call.Volume]
-	if use == nil {
-		use = &volumeUse{byGateway: map[string]float64{}, reported: map[string]float64{}}
-		n.served[call.Volume] = use
+	usage := n.usageByVolume[call.Volume]
+	if usage == nil {
+		usage = &volumeUsage{byGateway: map[string]float64{}, reported: map[string]float64{}}
+		n.usageByVolume[call.Volume] = usage
 	}
-	use.total += call.Units
-	use.byGateway[call.Gateway] += call.Units
-	others := use.total - use.byGateway[call.Gateway]
-	unreported := others - use.reported[call.Gateway]
-	use.reported[call.Gateway] = others
+	usage.total += call.Units
+	usage.byGateway[call.Gateway] += call.Units
+	others := usage.total - usage.byGateway[call.Gateway]
+	unreported := others - usage.reported[call.Gateway]
+	usage.reported[call.Gateway] = others
 	return unreported
 }
 
-// answer sends an answer with the load report.
-func (n *Node) answer(attempt *receivedAttempt, reply node.Reply) {
+// sendReply adds the load report to a reply, records the reply and sends it.
+func (n *Node) sendReply(attempt *receivedAttempt, reply node.Reply) {
 	n.lock.Lock()
 	reply.InFlight = n.inFlight
 	reply.Latency = n.latency
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -8,24 +8,24 @@
 	"time"
 )
 
-// errReset is why the fault "reset" closes connections.
-var errReset = errors.New("reset")
+// errReset is the reason with which the faults "reset" and "refuse" close connections.
+var errReset = errors.New("connection reset by fault injection")
 
-// faults are the faults in force.
+// faults holds the faults that are injected.
 type faults struct {
-	failShare         float64 // share of executions that fail; half of them have their effect all the same
-	slowFactor        float64 // of the time of executions
-	dropShare         float64 // share of answers that are lost
-	hang              bool    // nothing is executed
+	failShare         float64 // fraction of executions that fail; half of them take effect nevertheless
+	slowFactor        float64 // multiplies the execution time
+	dropShare         float64 // fraction of replies that are not sent
+	hang              bool    // queued attempts are not executed
 	refuseConnections bool
-	isolatedGateway   string // its packets are lost both ways; empty: none
+	isolatedGateway   string // attempts from this gateway are dropped without a reply; empty: none
 	stalledUntil      time.Time
 }
 
 var noFaults = faults{slowFactor: 1}
 
-// Command sets a fault: "fail SHARE", "slow FACTOR", "drop SHARE", "hang", "stall DURATION", "refuse", "cut GATEWAY",
-// "reset" (breaks all connections), or "well" for an end to all.
+// Command injects a fault: "fail SHARE", "slow FACTOR", "drop SHARE", "hang", "stall DURATION", "refuse" (closes all
+// connections and refuses new ones), "cut GATEWAY" or "reset" (closes all connections). "well" ends all faults.
 func (n *Node) Command(text string) error {
 	name, argument, _ := strings.Cut(text, " ")
 	n.lock.Lock()
@@ -57,16 +57,16 @@
 	case "well":
 		*faults = noFaults
 	default:
-		return fmt.Errorf("no such trouble: %q", text)
+		return fmt.Errorf("unknown fault command: %q", text)
 	}
 	return nil
 }
 
-// parseFaultNumber sets a fault's number, which must not be negative.
+// parseFaultNumber parses the argument of the named fault, a number that must not be negative, and stores it.
 func parseFaultNumber(name, text string, number *float64) error {
 	parsed, err := strconv.ParseFloat(text, 64)
 	if err != nil || parsed < 0 {
-		return fmt.Errorf("%q needs a number", name)
+		return fmt.Errorf("fault %q requires a non-negative number", name)
 	}
 	*number = parsed
 	return nil
--- a/internal/standin/node.go
+++ b/internal/standin/node.go
@@ -1,8 +1,9 @@
-// Package standin is a small storage node for tests, scripted scenarios and demonstrations: it holds a shard's data,
-// takes its time over the attempts that it receives, and has faults on command.
+// Package standin implements a simulated storage node for tests, scripted scenarios and demonstrations. The node stores
+// a shard's data, simulates the execution time of the attempts that it receives, and injects faults on command.
 //
-// A Node has a goroutine for each of its cores; its queue, load figures and faults are under its lock. The data are in
-// a Store, which outlives nodes. What passes on its sockets is recorded for package audit.
+// A Node runs one goroutine for each of its cores; one lock guards its queue, load figures and faults. The data are in
+// a Store, which outlives the nodes that serve it. The node records attempts, replies, cancellations and the ends of
+// connections as events for package audit.
 package standin
 
 import (
@@ -16,71 +17,71 @@
 	"irispost/internal/sftp"
 )
 
-// maxPacketSize is the largest packet that a node reads, in bytes.
+// maxPacketSize is the size of the largest packet that a node accepts, in bytes.
 const maxPacketSize = 4 << 20
 
-// randomStream is the second half of the seed of a node's random source.
+// randomStream is the second word of the seed of a node's random number generator.
 const randomStream = 7
 
-// Options are what a node is made of.
+// Options configures a Node.
 type Options struct {
-	Addr               string // to listen at
+	Addr               string // address to listen on
 	Zone               string
 	Shard              int
 	Store              *Store
-	Cores              int           // attempts executed at a time
-	UnitTime           time.Duration // of a core for a unit; 0: none, and no queue
-	Queue              int           // attempts that may wait
-	DeferredWriteShare float64       // share of a write's time that is done later, in one go
-	DedupWindow        time.Duration // how long idempotency keys are remembered
-
-	SlowStart          bool    // it warms up
-	SlowStartFrom      float64 // share of its speed that it has at its start
-	SlowStartTime      time.Duration
-	SlowStartMultiple  float64 // sent more than this multiple of its capacity in the window, it stops; 0: it bears all
-	SlowStartWindow    time.Duration
-	SlowStartFreeUnits float64 // units in a window that it bears in any case
-
-	ORCA     bool // load reports have the ORCA form
-	Seed     uint64
-	Recorder *audit.Recorder // nil: none
+	Cores              int           // number of attempts executed concurrently
+	UnitTime           time.Duration // time that a core takes for a unit; 0: none, and no queue
+	Queue              int           // capacity of the queue, in attempts
+	DeferredWriteShare float64       // fraction of a write's execution time that is deferred and spent in batches
+	DedupWindow        time.Duration // how long replies are kept by idempotency key
+
+	SlowStart          bool          // the node starts at reduced speed
+	SlowStartFrom      float64       // initial fraction of the full speed
+	SlowStartTime      time.Duration // time until the node reaches its full speed
+	SlowStartMultiple  float64       // the node stops if it receives over this multiple of its capacity; 0: no limit
+	SlowStartWindow    time.Duration // window over which the received units are summed
+	SlowStartFreeUnits float64       // units in a window that the node tolerates in any case
+
+	ORCA     bool            // send load reports in the ORCA format
+	Seed     uint64          // of the random number generator
+	Recorder *audit.Recorder // receives the node's events; nil: none
 }
 
-// Node is a running test node.
+// Node is a running simulated storage node.
 type Node struct {
 	options   Options
 	server    *sftp.Server
 	address   string
 	startedAt time.Time
 
-	lock             sync.Mutex // guards what follows
+	lock             sync.Mutex // guards the fields below
 	wakeCores        sync.Cond
 	random           *rand.Rand
 	queue            []*receivedAttempt
-	inFlight         int           // waiting or being executed
-	attemptsReceived int64         // whatever became of them
-	latency          time.Duration // exponentially weighted average of the time of an execution
-	deferred         time.Duration // time of writes that was put off
-	served           map[int64]*volumeUse
-	warmUpLoad       []receivedUnits // in the slow-start window
+	inFlight         int           // number of attempts that are queued or being executed
+	attemptsReceived int64         // including rejected and lost ones
+	latency          time.Duration // exponentially weighted moving average of the execution time
+	deferred         time.Duration // execution time of writes that is still deferred
+	usageByVolume    map[int64]*volumeUsage
+	slowStartLoad    []receivedUnits // attempts received in the slow-start window
 	faults           faults
 	closed           bool
 }
 
-// receivedUnits is what a node received at a time.
+// receivedUnits is the size of an attempt and the time of its arrival.
 type receivedUnits struct {
 	at    time.Time
 	units float64
 }
 
-// Start starts a node.
+// Start starts a node that listens on options.Addr.
 func Start(options Options) (*Node, error) {
 	n := &Node{
-		options:   options,
-		startedAt: time.Now(),
-		served:    map[int64]*volumeUse{},
-		random:    rand.New(rand.NewPCG(options.Seed, randomStream)),
-		faults:    noFaults,
+		options:       options,
+		startedAt:     time.Now(),
+		usageByVolume: map[int64]*volumeUsage{},
+		random:        rand.New(rand.NewPCG(options.Seed, randomStream)),
+		faults:        noFaults,
 	}
 	n.wakeCores.L = &n.lock
 	limits := sftp.DefaultLimits
@@ -105,34 +106,35 @@
 	return n, nil
 }
 
-// connectionCount numbers the connections to all nodes of a process.
+// connectionCount is the number of the latest connection. All nodes of a process share it, so that the numbers are
+// unique in a recording.
 var connectionCount atomic.Int64
 
-// accept serves a new connection.
+// accept returns the handler of a new connection. It closes the connection if the fault "refuse" is injected.
 func (n *Node) accept(conn *sftp.Conn) sftp.Handler {
 	n.lock.Lock()
 	refuses := n.faults.refuseConnections
 	n.lock.Unlock()
 	if refuses {
-		conn.Close(net.ErrClosed) // at once, before it could greet
+		conn.Close(net.ErrClosed) // before the SFTP version exchange
 	}
 	return &peer{node: n, conn: conn, number: connectionCount.Add(1), handles: map[string]string{}}
 }
 
-// Addr returns the address that it serves at.
+// Addr returns the address that the node listens on.
 func (n *Node) Addr() string { return n.address }
 
-// StartedAt returns when it started.
+// StartedAt returns the time at which the node started.
 func (n *Node) StartedAt() time.Time { return n.startedAt }
 
-// AttemptsReceived counts the attempts that have come in, whatever became of them.
+// AttemptsReceived returns the number of attempts received, including those that were rejected or lost.
 func (n *Node) AttemptsReceived() int64 {
 	n.lock.Lock()
 	defer n.lock.Unlock()
 	return n.attemptsReceived
 }
 
-// Close stops it at once: what it has in flight is lost.
+// Close stops the node at once. Attempts in flight are lost.
 func (n *Node) Close() {
 	n.lock.Lock()
 	n.closed = true
@@ -142,12 +144,12 @@
 	n.server.Close()
 }
 
-// capacity is what a node executes when it is warmed up, in units a second. UnitTime is over 0.
+// capacity returns the rate at full speed, in units per second. UnitTime must be positive.
 func (n *Node) capacity() float64 {
 	return float64(n.options.Cores) / n.options.UnitTime.Seconds()
 }
 
-// speed is the share of its full speed that a node has: under 1 while it warms up.
+// speed returns the current fraction of the full speed: less than 1 during slow start.
 func (n *Node) speed(now time.Time) float64 {
 	age := now.Sub(n.startedAt)
 	if !n.options.SlowStart || age >= n.options.SlowStartTime {
@@ -157,22 +159,22 @@
 	return from + (1-from)*float64(age)/float64(n.options.SlowStartTime)
 }
 
-// overloads adds an attempt to the load of a node that warms up, and says whether it is more than the node bears. The
-// lock is held.
-func (n *Node) overloads(units float64, now time.Time) bool {
+// exceedsSlowStartLimit adds an attempt to the load received during slow start, and reports whether that load now
+// exceeds what the node tolerates. The caller holds the lock.
+func (n *Node) exceedsSlowStartLimit(units float64, now time.Time) bool {
 	options := &n.options
 	speed := n.speed(now)
 	if !options.SlowStart || speed >= 1 || options.SlowStartMultiple <= 0 || options.UnitTime <= 0 {
 		return false
 	}
-	n.warmUpLoad = append(n.warmUpLoad, receivedUnits{now, units})
-	for now.Sub(n.warmUpLoad[0].at) > options.SlowStartWindow {
-		n.warmUpLoad = n.warmUpLoad[1:]
+	n.slowStartLoad = append(n.slowStartLoad, receivedUnits{now, units})
+	for now.Sub(n.slowStartLoad[0].at) > options.SlowStartWindow {
+		n.slowStartLoad = n.slowStartLoad[1:]
 	}
 	sum := 0.0
-	for _, received := range n.warmUpLoad {
+	for _, received := range n.slowStartLoad {
 		sum += received.units
 	}
-	possible := n.capacity() * n.speed(now) * options.SlowStartWindow.Seconds()
-	return sum > max(options.SlowStartMultiple*possible, options.SlowStartFreeUnits)
+	windowCapacity := n.capacity() * n.speed(now) * options.SlowStartWindow.Seconds()
+	return sum > max(options.SlowStartMultiple*windowCapacity, options.SlowStartFreeUnits)
 }
--- a/internal/standin/peer.go
+++ b/internal/standin/peer.go
@@ -8,24 +8,25 @@
 	"irispost/internal/sftp"
 )
 
-// FaultExtension carries a fault's command to a test node.
+// FaultExtension is the SFTP extended request that carries a command for Node.Command.
 const FaultExtension = "fault@irispost"
 
 const (
 	extensionVersion = "1"
-	plainFileOwner   = "plain" // of objects that the plain file service creates
+	plainFileOwner   = "plain" // owner of objects that the file service creates
 	plainFileMode    = 0o644
 )
 
-// peer is one connection to the node.
+// peer handles one connection to the node.
 type peer struct {
 	node    *Node
 	number  int64
 	conn    *sftp.Conn
-	handles map[string]string // of the plain file service
+	handles map[string]string // open handles of the file service; a handle is the file's name
 }
 
-// Packet takes in a packet: attempts, and a plain file service by names for whoever speaks SFTP to a node directly.
+// Packet handles a packet: an attempt, its cancellation, a fault command, or a request of the file service, which lets
+// SFTP clients access objects by name without a gateway.
 func (p *peer) Packet(frame sftp.Frame) error {
 	if frame.Type == sftp.Init {
 		p.conn.Send(sftp.NewVersion(node.ExecExtension, extensionVersion, node.CancelExtension, extensionVersion,
@@ -54,7 +55,7 @@
 	return nil
 }
 
-// Closed records the end of the connection; attempts that came over it go on.
+// Closed records the end of the connection. Attempts that were received on it continue.
 func (p *peer) Closed(error) {
 	p.node.options.Recorder.Add(audit.Event{
 		Type: audit.NodeConnectionEnded, Node: p.node.address, Connection: p.number,
@@ -70,7 +71,7 @@
 	p.node.receive(&receivedAttempt{call: call, conn: p.conn, peer: p, id: id, deadline: time.Now().Add(call.Timeout)})
 }
 
-// cancelAttempt cancels an attempt that waits; one that is being executed goes on.
+// cancelAttempt cancels a queued attempt. An attempt that is being executed continues.
 func (p *peer) cancelAttempt(fields *sftp.Fields) {
 	id := fields.Uint32()
 	p.node.lock.Lock()
@@ -87,7 +88,7 @@
 	})
 }
 
-// serveFile serves files by name, each one object.
+// serveFile handles a request of the file service. Each file is one object of the same name.
 func (p *peer) serveFile(packetType sftp.Type, id uint32, fields *sftp.Fields) {
 	switch packetType {
 	case sftp.Open:
@@ -99,7 +100,7 @@
 		call := node.Call{Op: node.GetObject, Name: fields.Text()}
 		call.Offset = fields.Uint64()
 		call.Length = fields.Uint32()
-		data := p.executePlain(call).Data
+		data := p.executeFileCall(call).Data
 		if len(data) == 0 {
 			p.sendStatus(id, sftp.EOF)
 			return
@@ -109,7 +110,7 @@
 		call := node.Call{Op: node.PutObject, Name: fields.Text(), Owner: plainFileOwner}
 		call.Offset = fields.Uint64()
 		call.Data = fields.Bytes()
-		p.executePlain(call)
+		p.executeFileCall(call)
 		p.sendStatus(id, sftp.OK)
 	case sftp.Stat, sftp.Lstat, sftp.Fstat:
 		size, exists := p.node.options.Store.objectSize(fields.Text())
@@ -120,7 +121,7 @@
 		attributes := sftp.Attrs{HasSize: true, Size: size, HasMode: true, Mode: sftp.ModeFile | plainFileMode}
 		p.conn.Send(sftp.New(sftp.Attributes, id).Attrs(attributes))
 	case sftp.Remove:
-		p.executePlain(node.Call{Op: node.DeleteObject, Name: fields.Text()})
+		p.executeFileCall(node.Call{Op: node.DeleteObject, Name: fields.Text()})
 		p.sendStatus(id, sftp.OK)
 	default:
 		p.sendStatus(id, sftp.OpUnsupported)
@@ -135,10 +136,10 @@
 		return
 	}
 	if flags&sftp.FlagTrunc != 0 {
-		p.executePlain(node.Call{Op: node.DeleteObject, Name: name})
+		p.executeFileCall(node.Call{Op: node.DeleteObject, Name: name})
 	}
 	if flags&sftp.FlagCreate != 0 {
-		p.executePlain(node.Call{Op: node.PutObject, Name: name, Owner: plainFileOwner})
+		p.executeFileCall(node.Call{Op: node.PutObject, Name: name, Owner: plainFileOwner})
 	}
 	p.handles[name] = name
 	p.conn.Send(sftp.New(sftp.Handle, id).Text(name))
@@ -148,8 +149,8 @@
 	p.conn.Send(sftp.NewStatus(id, code, code.String()))
 }
 
-// executePlain executes a call of the plain file service, at once.
-func (p *peer) executePlain(call node.Call) node.Reply {
+// executeFileCall executes a call of the file service at once, bypassing the queue, the faults and the recorder.
+func (p *peer) executeFileCall(call node.Call) node.Reply {
 	reply, _ := p.node.options.Store.execute(&call, time.Now(), 0)
 	return reply
 }
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -10,19 +10,20 @@
 	"irispost/internal/backend/node"
 )
 
-// forgetInterval is after how many versions idempotency keys and removed records are forgotten.
-const forgetInterval = 1024
+// expiryInterval is the number of record versions between two expiry runs.
+const expiryInterval = 1024
 
-// Store is a shard's data. It outlives the nodes that serve it, as drives that are moved to another machine do. In a
-// folder each object and record is a file of its own, replaced atomically; idempotency keys are in memory only.
+// Store holds a shard's data. It outlives the nodes that serve it, like drives that are moved to another machine. A
+// store with a folder keeps each object and each record in a file of its own, which is replaced atomically. Idempotency
+// keys are kept in memory only.
 type Store struct {
-	dir string // empty: in memory
+	dir string // empty: data are kept in memory only
 
-	lock    sync.Mutex // guards what follows
+	lock    sync.Mutex // guards the fields below
 	objects map[string]*object
 	records map[string]*record
 	replies map[string]keyedReply // by idempotency key
-	version uint64                // the latest of a record
+	version uint64                // the latest version given to any record
 }
 
 type object struct {
@@ -33,17 +34,17 @@
 
 type record struct {
 	version   uint64
-	data      []byte // empty: it was removed, and the version is that of its removal
+	data      []byte // empty: the record was removed, in this version
 	changedAt time.Time
 }
 
-// keyedReply is the answer to a request with an idempotency key.
+// keyedReply is the reply to a call with an idempotency key, kept to answer repetitions.
 type keyedReply struct {
 	at    time.Time
 	reply node.Reply
 }
 
-// NewStore makes a store in a folder, with what is there already; an empty path makes one in memory.
+// NewStore opens the store in a folder, which is created if it does not exist. If dir is empty, the store is in memory.
 func NewStore(dir string) (*Store, error) {
 	s := &Store{
 		dir:     dir,
@@ -78,7 +79,7 @@
 	return len(s.objects)
 }
 
-// objectSize returns an object's size in bytes, and whether it exists.
+// objectSize returns the size of an object in bytes, and whether the object exists.
 func (s *Store) objectSize(name string) (size uint64, exists bool) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -89,8 +90,8 @@
 	return uint64(len(o.data)), true
 }
 
-// execute executes a call, or returns the answer to an earlier one with its idempotency key. hadEffect says whether the
-// call was executed now, and successfully.
+// execute executes a call, or returns the reply to an earlier call with the same idempotency key. hadEffect reports
+// whether the call was executed now and succeeded.
 func (s *Store) execute(call *node.Call, now time.Time, dedupWindow time.Duration) (reply node.Reply, hadEffect bool) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -104,15 +105,15 @@
 	reply = s.apply(call, now)
 	if keyed {
 		s.replies[call.IdempotencyKey] = keyedReply{now, reply}
-		if s.version%forgetInterval == 1 {
-			s.forget(now, dedupWindow)
+		if s.version%expiryInterval == 1 {
+			s.expire(now, dedupWindow)
 		}
 	}
 	return reply, reply.Outcome == node.Executed && reply.Status == node.OK
 }
 
-// forget forgets idempotency keys and removed records that are older than the window. The lock is held.
-func (s *Store) forget(now time.Time, dedupWindow time.Duration) {
+// expire discards idempotency keys and removed records that are older than the window. The caller holds the lock.
+func (s *Store) expire(now time.Time, dedupWindow time.Duration) {
 	for key, earlier := range s.replies {
 		if now.Sub(earlier.at) >= dedupWindow {
 			delete(s.replies, key)
--- a/internal/standin/store_calls.go
+++ b/internal/standin/store_calls.go
@@ -9,12 +9,12 @@
 	"irispost/internal/backend/node"
 )
 
-// maxObjectSize is the offset, in bytes, up to which an object may be written.
+// maxObjectSize is the largest offset, in bytes, at which a write to an object may start.
 const maxObjectSize = 1 << 30
 
-var errObjectTooLarge = errors.New("an object ends at 2^30 bytes at most")
+var errObjectTooLarge = errors.New("write offset exceeds the limit of 2^30 bytes")
 
-// apply executes a call. The lock is held.
+// apply executes a call. The caller holds the lock.
 func (s *Store) apply(call *node.Call, now time.Time) node.Reply {
 	switch call.Op {
 	case node.GetObject:
@@ -50,7 +50,7 @@
 	return node.Reply{Outcome: node.Executed, Data: slices.Clone(o.data[from:until])}
 }
 
-// putObject writes a part of an object. A version in the call says that the object has to exist.
+// putObject writes a range of an object. A call with a version requires that the object exists.
 func (s *Store) putObject(call *node.Call, now time.Time) node.Reply {
 	if call.Offset > maxObjectSize {
 		return failed(errObjectTooLarge)
@@ -94,7 +94,7 @@
 	return reply
 }
 
-// compareAndSwapRecord replaces a record of the version that the call names; empty data remove it.
+// compareAndSwapRecord replaces a record if its version is that of the call. Empty data remove the record.
 func (s *Store) compareAndSwapRecord(call *node.Call, now time.Time) node.Reply {
 	r := s.records[call.Name]
 	if r == nil {
@@ -117,10 +117,10 @@
 	return node.Reply{Outcome: node.Executed, Version: s.version}
 }
 
-// listRecords lists the records of a folder, from after the name in the call's Owner on.
+// listRecords lists the records of a folder in the order of their names, starting after the name in call.Owner.
 func (s *Store) listRecords(call *node.Call) node.Reply {
 	prefix := strings.TrimSuffix(call.Name, "/") + "/"
-	items := page(s.records, call.Owner, int(call.Length), func(name string, r *record) (node.ListItem, bool) {
+	items := listPage(s.records, call.Owner, int(call.Length), func(name string, r *record) (node.ListItem, bool) {
 		rest, inFolder := strings.CutPrefix(name, prefix)
 		listed := inFolder && len(r.data) > 0 && !strings.Contains(rest, "/")
 		return node.ListItem{Name: name, Version: r.version, Data: r.data}, listed
@@ -128,17 +128,18 @@
 	return node.Reply{Outcome: node.Executed, Data: node.EncodeItems(items)}
 }
 
-// listObjects lists all objects, from after the name in the call's Owner on.
+// listObjects lists all objects in the order of their names, starting after the name in call.Owner.
 func (s *Store) listObjects(call *node.Call, now time.Time) node.Reply {
-	items := page(s.objects, call.Owner, int(call.Length), func(name string, o *object) (node.ListItem, bool) {
+	items := listPage(s.objects, call.Owner, int(call.Length), func(name string, o *object) (node.ListItem, bool) {
 		age := uint32(now.Sub(o.writtenAt) / time.Second)
 		return node.ListItem{Name: name, Owner: o.owner, Age: age}, true
 	})
 	return node.Reply{Outcome: node.Executed, Data: node.EncodeItems(items)}
 }
 
-// page lists up to limit items in the order of their names, from after a name on. item says whether one is listed.
-func page[T any](
+// listPage lists up to limit items in the order of their names, starting after the given name. item returns an item and
+// whether it is to be listed.
+func listPage[T any](
 	all map[string]T, after string, limit int, item func(string, T) (node.ListItem, bool),
 ) []node.ListItem {
 	var names []string
--- a/internal/standin/store_files.go
+++ b/internal/standin/store_files.go
@@ -12,8 +12,8 @@
 	"github.com/google/renameio/v2"
 )
 
-// A file of a store's folder has a header and the data. The header, big-endian: kind (1 byte), version (8), time of
-// writing in nanoseconds (8), lengths of name and owner (2 each); then name, owner and data.
+// A file consists of a header, the name, the owner and the data. The header is big-endian: kind (1 byte), version (8),
+// time of writing in Unix nanoseconds (8), length of the name (2) and length of the owner (2).
 const (
 	fileSuffix      = ".irispost"
 	objectFile byte = 'o'
@@ -25,10 +25,10 @@
 	ownerLengthOffset = 19
 	headerSize        = 21
 
-	maxNameInFileName = 40 // last characters of the name that the file's name shows
+	maxNameInFileName = 40 // length of the suffix of the name that is part of the file name, in bytes
 )
 
-// fileContent is what a file holds beside its kind and name.
+// fileContent is the content of a file without its kind and name.
 type fileContent struct {
 	version   uint64
 	writtenAt time.Time
@@ -36,7 +36,7 @@
 	data      []byte
 }
 
-// loadFile takes in a file of the folder. Files that are none of the store's are ignored.
+// loadFile adds the object or record of a file to the store. Files that the store did not write are ignored.
 func (s *Store) loadFile(fileName string, content []byte) {
 	if len(content) < headerSize || !strings.HasSuffix(fileName, fileSuffix) {
 		return
@@ -59,13 +59,14 @@
 	}
 }
 
-// filePath is the path of an object's or record's file: a readable part of its name, and a hash of it.
+// filePath returns the path of the file of an object or record. The file name has a readable suffix of the name and a
+// hash of the full name.
 func (s *Store) filePath(kind byte, name string) string {
-	shown := strings.Map(plainCharacter, name[max(0, len(name)-maxNameInFileName):])
-	return filepath.Join(s.dir, fmt.Sprintf("%c%s-%016x%s", kind, shown, xxhash.Sum64String(name), fileSuffix))
+	readable := strings.Map(sanitizeRune, name[max(0, len(name)-maxNameInFileName):])
+	return filepath.Join(s.dir, fmt.Sprintf("%c%s-%016x%s", kind, readable, xxhash.Sum64String(name), fileSuffix))
 }
 
-// writeFile replaces a file of the folder atomically.
+// writeFile atomically replaces the file of an object or record.
 func (s *Store) writeFile(kind byte, name string, content fileContent) error {
 	if s.dir == "" {
 		return nil
@@ -89,8 +90,8 @@
 	return os.Remove(s.filePath(kind, name))
 }
 
-// plainCharacter replaces characters that do not belong into a file's name.
-func plainCharacter(r rune) rune {
+// sanitizeRune replaces all but ASCII letters, digits and hyphens by underscores, for use in a file name.
+func sanitizeRune(r rune) rune {
 	switch {
 	case r >= 'a' && r <= 'z', r >= 'A' && r <= 'Z', r >= '0' && r <= '9', r == '-':
 		return r
--- a/internal/standin/store_test.go
+++ b/internal/standin/store_test.go
@@ -14,7 +14,7 @@
 	t.Helper()
 	reply, _ := store.execute(&call, time.Unix(1, 2), time.Minute)
 	if reply.Outcome != node.Executed {
-		t.Fatalf("%v of %q: %+v", call.Op, call.Name, reply)
+		t.Fatalf("%v of %q: got reply %+v, want one with the outcome Executed", call.Op, call.Name, reply)
 	}
 	return reply
 }
@@ -36,18 +36,19 @@
 
 	after := newStore(t, dir)
 	if got := execute(t, after, node.Call{Op: node.GetObject, Name: "object", Length: 9}); string(got.Data) != "abc" {
-		t.Errorf("the object has %q", got.Data)
+		t.Errorf("object data after reopening: got %q, want abc", got.Data)
 	}
 	if owner := after.objects["object"].owner; owner != "owner" {
-		t.Errorf("the object's owner is %q", owner)
+		t.Errorf("object owner after reopening: got %q, want owner", owner)
 	}
 	record := execute(t, after, node.Call{Op: node.GetRecord, Name: "folder/record"})
 	if string(record.Data) != "r" || record.Version != swapped.Version {
-		t.Errorf("the record has %q in version %d, not %d", record.Data, record.Version, swapped.Version)
+		t.Errorf("record after reopening: got data %q, version %d; want data r, version %d",
+			record.Data, record.Version, swapped.Version)
 	}
 }
 
-// Folders of earlier builds are read: the form of a file stays.
+// Folders that were written by earlier builds must remain readable, so the file format must not change.
 func TestStoreFileMatchesEarlierBuilds(t *testing.T) {
 	dir := t.TempDir()
 	execute(t, newStore(t, dir), node.Call{Op: node.PutObject, Name: "dir/a", Owner: "me", Data: []byte("abc")})
@@ -73,15 +74,17 @@
 	now := time.Unix(1, 0)
 	first, hadEffect := store.execute(&call, now, time.Minute)
 	if !hadEffect || first.Status != node.OK {
-		t.Fatalf("%+v, effect %t", first, hadEffect)
+		t.Fatalf("first call: got reply %+v, effect %t; want status OK, effect true", first, hadEffect)
 	}
 	repeated, hadEffect := store.execute(&call, now.Add(time.Second), time.Minute)
 	if hadEffect || repeated.Status != node.OK || repeated.Version != first.Version {
-		t.Errorf("%+v, effect %t, within the window", repeated, hadEffect)
+		t.Errorf("repetition within the window: got reply %+v, effect %t; want the first reply, effect false",
+			repeated, hadEffect)
 	}
 	late, hadEffect := store.execute(&call, now.Add(time.Hour), time.Minute)
 	if hadEffect || late.Status != node.VersionConflict {
-		t.Errorf("%+v, effect %t, after the window", late, hadEffect)
+		t.Errorf("repetition after the window: got reply %+v, effect %t; want a version conflict, effect false",
+			late, hadEffect)
 	}
 }
 
@@ -93,17 +96,17 @@
 	t.Cleanup(n.Close)
 	for _, text := range []string{"", "sulk", "fail", "slow x", "drop -1", "stall 5"} {
 		if err := n.Command(text); err == nil {
-			t.Errorf("%q is taken", text)
+			t.Errorf("command %q: got no error, want one", text)
 		}
 	}
 	for _, text := range []string{
 		"fail 0.5", "slow 2", "drop 1", "hang", "stall 1ms", "cut g1", "refuse", "reset", "well",
 	} {
 		if err := n.Command(text); err != nil {
-			t.Errorf("%q: %v", text, err)
+			t.Errorf("command %q: got error %v, want none", text, err)
 		}
 	}
 	if n.faults != noFaults {
-		t.Errorf("%+v is in force after the end of all faults", n.faults)
+		t.Errorf("faults after \"well\": got %+v, want none", n.faults)
 	}
 }
--- a/internal/testkit/golden/golden.go
+++ b/internal/testkit/golden/golden.go
@@ -1,6 +1,6 @@
-// Package golden compares forms that scripts and stored files rely on with files under testdata. Only tests import it.
-// It owns no state but the flag -update, with which go test writes the files anew: a change of a file is a change of
-// the form.
+// Package golden compares formats that scripts and stored files depend on with golden files in testdata. Only tests
+// import it. Its only state is the flag -update, with which go test rewrites the golden files. A change of a golden
+// file means that the format has changed.
 package golden
 
 import (
@@ -15,9 +15,10 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// Check fails the test where got differs from testdata/name.
+// Check fails the test if got differs from the file testdata/name. The failure message shows the first line that
+// differs.
 func Check(t *testing.T, name string, got []byte) {
 	t.Helper()
 	file := filepath.Join("testdata", name)
@@ -47,7 +48,7 @@
 	}
 }
 
-// quotedLine returns a line for a message, or that there is none.
+// quotedLine returns a quoted line for a failure message, or "nothing" if there is no such line.
 func quotedLine(lines []string, index int) string {
 	if index >= len(lines) {
 		return "nothing"
@@ -55,8 +56,9 @@
 	return fmt.Sprintf("%q", lines[index])
 }
 
-// CheckJSON fills a record, which is a pointer to its zero value, with values that all differ, and compares its JSON
-// form with testdata/name. The file, read into another such record, has to be written the same.
+// CheckJSON fills a record, given as a pointer to its zero value, with distinct values and compares its JSON encoding
+// with the file testdata/name. It also fails the test if the file does not stay the same when it is decoded and
+// encoded again.
 func CheckJSON(t *testing.T, name string, record any) {
 	t.Helper()
 	count := 0
@@ -73,7 +75,7 @@
 		t.Fatalf("%s: %v", name, err)
 	}
 	if !bytes.Equal(marshal(t, decoded), want) {
-		t.Fatalf("%s is read, and written otherwise", name)
+		t.Fatalf("%s: decoding and encoding again does not reproduce the file", name)
 	}
 }
 
@@ -86,7 +88,7 @@
 	return append(text, '\n')
 }
 
-// fill gives each part of a value a value of its own; count counts them.
+// fill sets each part of a value to a distinct value (booleans to true). count is the number of parts set so far.
 func fill(t *testing.T, value reflect.Value, count *int) {
 	t.Helper()
 	*count++
@@ -113,11 +115,11 @@
 	case reflect.Float32, reflect.Float64:
 		value.SetFloat(float64(*count) + 0.5)
 	default:
-		t.Fatalf("a %s cannot be filled", value.Type())
+		t.Fatalf("cannot fill a value of type %s", value.Type())
 	}
 }
 
-// fillStruct fills the fields of a struct that JSON has.
+// fillStruct fills the fields of a struct that its JSON encoding contains.
 func fillStruct(t *testing.T, value reflect.Value, count *int) {
 	t.Helper()
 	for i := range value.NumField() {
@@ -128,7 +130,7 @@
 	}
 }
 
-// fillMap gives a map one entry.
+// fillMap sets a map to one with a single entry.
 func fillMap(t *testing.T, value reflect.Value, count *int) {
 	t.Helper()
 	key := reflect.New(value.Type().Key()).Elem()
--- a/internal/testkit/golden/hcl.go
+++ b/internal/testkit/golden/hcl.go
@@ -6,17 +6,17 @@
 	"strings"
 )
 
-// HCLKeys lists the blocks and attributes that gohcl reads into a struct, a line each, blocks indented by their depth.
-// It panics where a struct has a tag that gohcl does not know.
-func HCLKeys(form any) []byte {
+// HCLKeys lists the blocks and attributes that gohcl decodes into a struct, one per line and indented by the nesting of
+// the blocks. It panics if a struct has an hcl tag of a kind that it does not support.
+func HCLKeys(value any) []byte {
 	var list strings.Builder
-	writeHCLKeys(&list, "", reflect.TypeOf(form))
+	writeHCLKeys(&list, "", reflect.TypeOf(value))
 	return []byte(list.String())
 }
 
-func writeHCLKeys(list *strings.Builder, indent string, form reflect.Type) {
-	for i := range form.NumField() {
-		field := form.Field(i)
+func writeHCLKeys(list *strings.Builder, indent string, structType reflect.Type) {
+	for i := range structType.NumField() {
+		field := structType.Field(i)
 		name, kind, tagged := strings.Cut(field.Tag.Get("hcl"), ",")
 		switch {
 		case field.Tag.Get("hcl") == "" || kind == "def_range":
@@ -33,12 +33,12 @@
 		case !tagged || kind == "attr":
 			fmt.Fprintf(list, "%s%s %s\n", indent, name, field.Type)
 		default:
-			panic("hcl tag " + field.Tag.Get("hcl") + " is not known here")
+			panic("hcl tag " + field.Tag.Get("hcl") + " is not supported")
 		}
 	}
 }
 
-// blockType returns the struct of a block's field, and how often the block may stand.
+// blockType returns the struct type of a block's field, and how often the block may occur.
 func blockType(field reflect.Type) (block reflect.Type, many string) {
 	switch field.Kind() {
 	case reflect.Slice:
--- a/internal/testkit/helpers.go
+++ b/internal/testkit/helpers.go
@@ -15,7 +15,7 @@
 	retryDelay = 20 * time.Millisecond
 )
 
-// FixSeeds lets the property checks of a test draw the same values each time.
+// FixSeeds makes the property checks (package rapid) of a test draw the same values in each run.
 func FixSeeds(t testing.TB) {
 	t.Helper()
 	for name, value := range map[string]string{"rapid.nofailfile": "true", "rapid.seed": "7"} {
@@ -25,7 +25,7 @@
 	}
 }
 
-// Dial connects the client of pkg/sftp to an address.
+// Dial connects an SFTP client (package pkg/sftp) to an address.
 func Dial(address string) (*pkgsftp.Client, error) {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -34,8 +34,8 @@
 	return pkgsftp.NewClientPipe(conn, conn, pkgsftp.UseConcurrentWrites(true))
 }
 
-// RetryUntilDone does something until it succeeds, as a client does whose requests are rejected or whose attempts have
-// failed. The test fails with another error, or after many retries.
+// RetryUntilDone repeats an operation until it succeeds, like a client whose requests are rejected or whose attempts
+// fail. The test fails if the operation returns any other error, or still fails after maxRetries calls.
 func RetryUntilDone(t testing.TB, what string, do func() error) {
 	t.Helper()
 	var err error
--- a/internal/testkit/list_source.go
+++ b/internal/testkit/list_source.go
@@ -6,17 +6,17 @@
 	"irispost/internal/endpoint"
 )
 
-// ListSource is an endpoint source for tests.
+// ListSource is an endpoint source whose lists a test provides.
 type ListSource struct {
 	first   endpoint.List
-	updates chan endpoint.List // unbuffered: a test goes on when the gateway has the list
+	updates chan endpoint.List // unbuffered, so that a send returns only once Run has received the list
 }
 
 func newListSource(first endpoint.List) *ListSource {
 	return &ListSource{first: first, updates: make(chan endpoint.List)}
 }
 
-// Run passes on the first list and then the updates, until the context is done.
+// Run passes the first list and then the updates to the subscriber, until the context is done.
 func (s *ListSource) Run(ctx context.Context, to endpoint.Subscriber) error {
 	to.OnLink(true, "")
 	to.OnUpdate(s.first)
--- a/internal/testkit/testaddr/testaddr_test.go
+++ b/internal/testkit/testaddr/testaddr_test.go
@@ -8,19 +8,19 @@
 	"irispost/internal/testkit/testaddr"
 )
 
-// listen returns a listener at an address that is closed with the test.
+// listen returns a listener on an address. It is closed when the test ends.
 func listen(t *testing.T, addr string) net.Listener {
 	t.Helper()
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = listener.Close() }) // a second Close returns an error
+	t.Cleanup(func() { _ = listener.Close() }) // it fails if the test has closed the listener
 	return listener
 }
 
-// TestReservedAddressIsAssignedToNoOther: sockets that ask for any free port do not get a reserved one, while a server
-// can listen on it by its number, and again after it has served and closed.
+// TestReservedAddressIsAssignedToNoOther checks that sockets that ask for any free port do not get a reserved one. A
+// server can listen on the reserved port by its number, and again after it has accepted a connection and closed.
 func TestReservedAddressIsAssignedToNoOther(t *testing.T) {
 	reserved := map[string]bool{}
 	for range 100 {
--- a/internal/testkit/testbed.go
+++ b/internal/testkit/testbed.go
@@ -1,5 +1,5 @@
-// Package testkit sets up small installations on loopback for tests: test nodes, endpoint lists and gateways in the
-// test's process. A Testbed ends with its test. Only tests import it.
+// Package testkit sets up small installations on loopback addresses for tests: simulated nodes, endpoint lists and
+// gateways, all in the test's process. A Testbed is closed at the end of its test. Only tests import this package.
 package testkit
 
 import (
@@ -19,26 +19,28 @@
 	"irispost/internal/standin"
 )
 
-// logVariable is the environment variable that sends the log of gateways to standard error.
+// logVariable is the environment variable that, if not empty, makes gateways log to standard error.
 const logVariable = "IRISPOST_TEST_LOG"
 
 // zone is the zone of all nodes of a testbed.
 const zone = "z"
 
-// Testbed is a small installation. It is used by the test's goroutine only.
+// Testbed is a small installation. Only the test's goroutine may use it.
 type Testbed struct {
 	T        testing.TB
-	Conf     string // configuration of the gateways that are started from now on, with the verbs of the constant Conf
+	Conf     string // configuration of gateways that are started later, with the same verbs as the constant Conf
 	Stores   []*standin.Store
 	Nodes    []*standin.Node
 	Sources  []*ListSource
 	Gateways []*serve.Gateway
 
-	// EndpointSources returns the sources of the gateways that are started from now on; nil: lists by UpdateEndpoints.
+	// EndpointSources returns the endpoint sources of a gateway that is started later. If it is nil, gateways get their
+	// lists from UpdateEndpoints.
 	EndpointSources func(gateway string) []manager.NamedSource
 }
 
-// Start starts nodes, one for each shard, and gateways, until the test ends. change may alter each node's options.
+// Start starts one node per shard and the given number of gateways, and closes them when the test ends. change, if not
+// nil, may change each node's options.
 func Start(t testing.TB, conf string, shards, gateways int, change func(*standin.Options)) *Testbed {
 	t.Helper()
 	bed := &Testbed{T: t, Conf: conf}
@@ -88,7 +90,7 @@
 	b.Nodes = append(b.Nodes, node)
 }
 
-// List returns the list of all nodes as they are.
+// List returns an endpoint list of all nodes.
 func (b *Testbed) List() endpoint.List {
 	var list endpoint.List
 	for shard, node := range b.Nodes {
@@ -126,20 +128,21 @@
 	return []manager.NamedSource{{Name: "test", Source: source}}
 }
 
-// UpdateEndpoints gives all gateways a list.
+// UpdateEndpoints sends a new endpoint list to all gateways.
 func (b *Testbed) UpdateEndpoints(list endpoint.List) {
 	for _, source := range b.Sources {
 		source.updates <- list
 	}
 }
 
-// Client connects the client of pkg/sftp, which is independent of this project, to a gateway until the test ends.
+// Client connects an SFTP client to a gateway and closes it when the test ends. The client, package pkg/sftp, is
+// independent of this project.
 func (b *Testbed) Client(gateway int) *pkgsftp.Client {
 	b.T.Helper()
 	client, err := Dial(b.Gateways[gateway].Frontend.Addr())
 	if err != nil {
 		b.T.Fatal(err)
 	}
-	b.T.Cleanup(func() { _ = client.Close() }) // a test may have closed it or its gateway
+	b.T.Cleanup(func() { _ = client.Close() }) // it fails if the test has closed the client or its gateway
 	return client
 }
--- a/internal/webstandin/behavior.go
+++ b/internal/webstandin/behavior.go
@@ -6,36 +6,36 @@
 	"irispost/internal/backend/node"
 )
 
-// afterResponse is what a node does with a connection after a response.
-type afterResponse int
+// connAction is what a node does with the connection after a response.
+type connAction int
 
 const (
-	keepOpen     afterResponse = iota // it goes on with the next request
-	stopReplying                      // it reads on and never responds again
+	keepOpen     connAction = iota // continue with the next request
+	stopReplying                   // discard all further input and send nothing more
 	closeConn
 	resetConn
 )
 
-// Behavior is what a test node does with a request.
+// Behavior describes how a node handles a request.
 type Behavior struct {
-	response string // lengthPlaceholder and bodyPlaceholder are replaced
-	then     afterResponse
-	Outcome  node.Outcome // that the attempt has at a client
+	response string // raw response; lengthPlaceholder and bodyPlaceholder are replaced
+	action   connAction
+	Outcome  node.Outcome // outcome of the attempt that a client must report
 }
 
-// Placeholders in responses: the body is the request's ID and body.
+// Placeholders in responses. The response body is the request's ID followed by the request body.
 const (
 	lengthPlaceholder = "LEN"
 	bodyPlaceholder   = "BODY"
 )
 
-// success is a complete response with more header fields.
-func success(fields string) string {
+// successResponse returns a complete response with the given additional header fields.
+func successResponse(fields string) string {
 	return "HTTP/1.1 200 OK\r\n" + fields + "Content-Length: " + lengthPlaceholder + "\r\n\r\n" + bodyPlaceholder
 }
 
-// empty is a response without a body.
-func empty(status, fields string) string {
+// emptyResponse returns a response without a body.
+func emptyResponse(status, fields string) string {
 	return "HTTP/1.1 " + status + "\r\n" + fields + "Content-Length: 0\r\n\r\n"
 }
 
@@ -48,22 +48,22 @@
 	longLength    = 200_000
 )
 
-// waitingBehavior is the behavior that waits for Node.Release before it responds.
+// waitingBehavior is the name of the behavior that waits for Node.Release before it responds.
 const waitingBehavior = "held"
 
-// Behaviors are what a test node does with a request, by the first part of its ID, up to a hyphen.
+// Behaviors maps the prefix of a request ID, up to the first hyphen, to the behavior of the node.
 var Behaviors = map[string]Behavior{
-	"served":        {success(""), keepOpen, node.Executed},
-	waitingBehavior: {success(""), keepOpen, node.Executed},
-	"close":         {success("Connection: close\r\n"), closeConn, node.Executed},
-	"elsewhere":     {success(loadReport), keepOpen, node.Executed},
-	"oddreport":     {success(badLoadReport), keepOpen, node.Executed},
-	"hints":         {informational + success(""), keepOpen, node.Executed},
-	"twice":         {success("") + success(""), keepOpen, node.Executed},
-	"error":         {empty("500 Oh", ""), keepOpen, node.Failed},
-	"full":          {empty("503 Full", notRun), keepOpen, node.QueueFull},
-	"over":          {empty("504 Over", notRun), keepOpen, node.WrongShard},
-	"busy":          {empty("503 Busy", ""), keepOpen, node.Failed},
+	"served":        {successResponse(""), keepOpen, node.Executed},
+	waitingBehavior: {successResponse(""), keepOpen, node.Executed},
+	"close":         {successResponse("Connection: close\r\n"), closeConn, node.Executed},
+	"elsewhere":     {successResponse(loadReport), keepOpen, node.Executed},
+	"oddreport":     {successResponse(badLoadReport), keepOpen, node.Executed},
+	"hints":         {informational + successResponse(""), keepOpen, node.Executed},
+	"twice":         {successResponse("") + successResponse(""), keepOpen, node.Executed},
+	"error":         {emptyResponse("500 Oh", ""), keepOpen, node.Failed},
+	"full":          {emptyResponse("503 Full", notRun), keepOpen, node.QueueFull},
+	"over":          {emptyResponse("504 Over", notRun), keepOpen, node.WrongShard},
+	"busy":          {emptyResponse("503 Busy", ""), keepOpen, node.Failed},
 	"reset":         {"", closeConn, node.ConnectionReset},
 	"half":          {"HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\nabc", closeConn, node.ConnectionReset},
 	"noise":         {"\x00\x01\x02\x03\r\n\r\n", stopReplying, node.Failed},
--- a/internal/webstandin/node.go
+++ b/internal/webstandin/node.go
@@ -1,6 +1,6 @@
-// Package webstandin is a storage node that speaks HTTP/1.1, for tests: the ID of a request says what the node does
-// with it (Behaviors). Tests of the HTTP node client and of the web gateway start it; it ends with the test. Each
-// connection has a goroutine of its own; the counts are under the node's lock.
+// Package webstandin implements a simulated storage node that speaks HTTP/1.1. The ID of a request selects how the node
+// handles it (see Behaviors). Tests of the HTTP node client and of the web gateway start the node; it stops at the end
+// of the test. Each connection is served by a goroutine of its own; the node's lock guards the counts.
 package webstandin
 
 import (
@@ -14,23 +14,23 @@
 	"testing"
 )
 
-// eventBuffer is how many events a test may leave unread before connections wait for it.
+// eventBuffer is the capacity of the event channels. A connection blocks when a test leaves more events unread.
 const eventBuffer = 1000
 
-// Node is a test node.
+// Node is a running simulated storage node.
 type Node struct {
 	net.Listener
-	Release      chan struct{} // closed to let the requests go on that wait
-	WaitingIDs   chan string   // IDs of requests that wait
-	Disconnected chan bool     // gets a value when a connection has ended
+	Release      chan struct{} // closed by the test to let the waiting requests continue
+	WaitingIDs   chan string   // receives the ID of each request that starts to wait
+	Disconnected chan bool     // receives a value when a connection has ended
 
-	sync.Mutex                    // guards what follows
-	Waiting        int            // requests that wait for Release
-	Connections    int            // that are open
-	ReceivedCounts map[string]int // requests that were read completely, by ID
+	sync.Mutex                    // guards the fields below
+	Waiting        int            // number of requests that wait for Release
+	Connections    int            // number of open connections
+	ReceivedCounts map[string]int // by request ID: how many requests were read completely
 }
 
-// Start starts a node on loopback, until the test ends.
+// Start starts a node on a loopback address. It stops accepting connections when the test ends.
 func Start(t testing.TB) *Node {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -44,7 +44,7 @@
 		WaitingIDs:     make(chan string, eventBuffer),
 		Disconnected:   make(chan bool, eventBuffer),
 	}
-	t.Cleanup(func() { _ = listener.Close() }) // a test may have closed it before
+	t.Cleanup(func() { _ = listener.Close() }) // it fails if the test has closed the listener
 	go func() {
 		for {
 			conn, err := listener.Accept()
@@ -57,7 +57,7 @@
 	return n
 }
 
-// Counts returns how many requests wait for Release, and how many connections are open.
+// Counts returns the number of requests that wait for Release and the number of open connections.
 func (n *Node) Counts() (waiting, connections int) {
 	n.Lock()
 	defer n.Unlock()
@@ -65,10 +65,10 @@
 }
 
 func (n *Node) serve(conn net.Conn) {
-	n.count(0, 1)
+	n.addCounts(0, 1)
 	defer func() {
 		_ = conn.Close() // the client may have closed it
-		n.count(0, -1)
+		n.addCounts(0, -1)
 		n.Disconnected <- true
 	}()
 	reader := bufio.NewReader(conn)
@@ -87,25 +87,25 @@
 	}
 }
 
-// respond does with a request what its ID says, and says whether the connection goes on.
+// respond handles a request with the behavior that its ID selects, and reports whether to keep the connection open.
 func (n *Node) respond(conn net.Conn, reader io.Reader, id string, body []byte) bool {
 	n.Lock()
 	n.ReceivedCounts[id]++
 	n.Unlock()
 	name, _, _ := strings.Cut(id, "-")
 	if name == waitingBehavior {
-		n.count(1, 0)
+		n.addCounts(1, 0)
 		n.WaitingIDs <- id
 		<-n.Release
-		n.count(-1, 0)
+		n.addCounts(-1, 0)
 	}
 	behavior := Behaviors[name]
 	text := id + string(body)
 	placeholders := strings.NewReplacer(lengthPlaceholder, strconv.Itoa(len(text)), bodyPlaceholder, text)
-	_, _ = io.WriteString(conn, placeholders.Replace(behavior.response)) // the client may have gone
-	switch behavior.then {
+	_, _ = io.WriteString(conn, placeholders.Replace(behavior.response)) // it fails if the client has disconnected
+	switch behavior.action {
 	case stopReplying:
-		_, _ = io.Copy(io.Discard, reader) // until the client goes
+		_, _ = io.Copy(io.Discard, reader) // until the client disconnects
 		return false
 	case closeConn:
 		return false
@@ -116,7 +116,7 @@
 	return true
 }
 
-func (n *Node) count(waiting, connections int) {
+func (n *Node) addCounts(waiting, connections int) {
 	n.Lock()
 	defer n.Unlock()
 	n.Waiting += waiting
--- a/internal/xdsstandin/command.go
+++ b/internal/xdsstandin/command.go
@@ -12,32 +12,32 @@
 	"irispost/internal/endpoint/xds"
 )
 
-// Commands lists what Command understands.
-const Commands = `add ADDR SHARD [ZONE]     a node, started now
-drain ADDR                one is draining
-unwell ADDR               one is not healthy
-ready ADDR                one is healthy
-remove ADDR               one is left out
-nothing                   no node is left
-everybody STANDING        ready, draining or unwell, all at once
-broken endpoints|clusters an update that is wrong
-mend                      the update that is right, with the version that the wrong one had
-old                       back to what was before the last change, after a cut
-cut                       all streams are cut
-refuse on|off             new streams are refused
-slow SPAN                 answers take so long
-mute on|off               nothing goes out any more
-nonces on|off             all answers have one nonce
-blurt                     endpoints go out without being asked for
-restart                   the server starts anew, with its versions`
-
-// maxArguments is how many arguments a command has at most.
+// Commands describes the commands that Command executes, one per line.
+const Commands = `add ADDR SHARD [ZONE]     add a node that has just started
+drain ADDR                mark a node as draining
+unwell ADDR               mark a node as unhealthy
+ready ADDR                mark a node as healthy
+remove ADDR               remove a node
+nothing                   remove all nodes
+everybody STANDING        mark all nodes as ready, draining or unwell
+broken endpoints|clusters serve a malformed resource
+mend                      serve the correct resources under the version of the malformed one
+old                       revert the last change and cut all streams
+cut                       cut all streams
+refuse on|off             refuse new streams
+slow SPAN                 delay each response by SPAN, such as 500ms
+mute on|off               send no responses
+nonces on|off             use the same nonce in all responses
+blurt                     send all endpoints to all clients, requested or not
+restart                   restart the server, with versions from the beginning`
+
+// maxArguments is the largest number of arguments of a command.
 const maxArguments = 3
 
-// malformedAddress is that of the node in a broken update.
+// malformedAddress is the address of the endpoint in a malformed assignment.
 const malformedAddress = "127.0.0.1:1"
 
-// command is a command with its arguments; those that are not given are empty.
+// command is a parsed command. Arguments that are not given are empty.
 type command struct {
 	name      string
 	arguments [maxArguments]string
@@ -53,7 +53,7 @@
 	return parsed
 }
 
-// healthOfCommand is the health that a word in a command stands for.
+// healthOfCommand maps a word in a command to a node's health.
 var healthOfCommand = map[string]endpoint.Health{
 	"drain":    endpoint.Draining,
 	"draining": endpoint.Draining,
@@ -61,7 +61,7 @@
 	"ready":    endpoint.Ready,
 }
 
-// Command executes one of the commands that Commands lists.
+// Command executes one of the commands that Commands describes.
 func (s *Server) Command(text string) error {
 	parsed := parseCommand(text)
 	argument := parsed.arguments[0]
@@ -77,7 +77,7 @@
 	case "everybody":
 		return s.setHealthOfAll(argument)
 	case "broken":
-		return s.putBroken(argument)
+		return s.putMalformed(argument)
 	case "mend":
 		s.repair()
 	case "old":
@@ -85,11 +85,11 @@
 	case "cut":
 		s.CutStreams()
 	case "refuse":
-		return s.switchFault(parsed, &s.faults.refuseStreams)
+		return s.setFault(parsed, &s.faults.refuseStreams)
 	case "mute":
-		return s.switchFault(parsed, &s.faults.silent)
+		return s.setFault(parsed, &s.faults.silent)
 	case "nonces":
-		return s.switchFault(parsed, &s.faults.sameNonce)
+		return s.setFault(parsed, &s.faults.sameNonce)
 	case "slow":
 		return s.setDelay(argument)
 	case "blurt":
@@ -106,7 +106,7 @@
 	address, shardText, zone := c.arguments[0], c.arguments[1], c.arguments[2]
 	shard, err := strconv.Atoi(shardText)
 	if err != nil {
-		return fmt.Errorf("shard %q is no number", shardText)
+		return fmt.Errorf("shard %q is not a number", shardText)
 	}
 	s.UpdateNodes(func(nodes []endpoint.Node) []endpoint.Node {
 		added := endpoint.Node{Addr: address, Shard: shard, Zone: zone, StartedAt: time.Now().UnixNano()}
@@ -116,7 +116,7 @@
 }
 
 func (s *Server) setHealth(address string, health endpoint.Health) error {
-	err := fmt.Errorf("there is no node %q", address)
+	err := fmt.Errorf("no node %q", address)
 	s.UpdateNodes(func(nodes []endpoint.Node) []endpoint.Node {
 		for i := range nodes {
 			if nodes[i].Addr == address {
@@ -129,11 +129,11 @@
 	return err
 }
 
-// setHealthOfAll sets the health of all nodes that are not removed.
+// setHealthOfAll sets the health of all nodes, except those that are removed.
 func (s *Server) setHealthOfAll(word string) error {
 	health, known := healthOfCommand[word]
 	if !known {
-		return fmt.Errorf("a standing is ready, draining or unwell, not %q", word)
+		return fmt.Errorf("standing must be ready, draining or unwell, not %q", word)
 	}
 	s.UpdateNodes(func(nodes []endpoint.Node) []endpoint.Node {
 		for i := range nodes {
@@ -146,8 +146,9 @@
 	return nil
 }
 
-// putBroken puts a malformed resource of the first cluster in force.
-func (s *Server) putBroken(what string) error {
+// putMalformed serves a malformed resource for the first cluster: an endpoint without metadata, or a cluster without an
+// EDS configuration.
+func (s *Server) putMalformed(what string) error {
 	name := s.clusterName(0)
 	switch what {
 	case "endpoints":
@@ -159,12 +160,12 @@
 		cluster.EdsClusterConfig = nil
 		s.PutResources(xds.ClusterType, map[string]proto.Message{name: cluster})
 	default:
-		return fmt.Errorf("endpoints or clusters can be broken, not %q", what)
+		return fmt.Errorf("broken must be followed by endpoints or clusters, not %q", what)
 	}
 	return nil
 }
 
-// repair puts the resources of the nodes in force again, with the version that the broken ones had.
+// repair rebuilds the resources from the nodes and serves them under the version that the malformed ones had.
 func (s *Server) repair() {
 	s.lock.Lock()
 	for resourceType := range s.resources {
@@ -172,12 +173,12 @@
 	}
 	s.rebuild()
 	for resourceType, version := range s.versions {
-		// What was not broken keeps its version.
+		// A type without malformed resources keeps its version.
 		s.lastVersions[resourceType] = max(s.lastVersions[resourceType], version)
 	}
 	for st := range s.streams {
 		for _, sub := range st.subscriptions {
-			sub.changed = true // the version is the same, its content is not
+			sub.changed = true // the content differs although the version is the same
 			clear(sub.sentVersions)
 		}
 	}
@@ -185,11 +186,11 @@
 	s.changed.Broadcast()
 }
 
-// switchFault switches a fault on or off.
-func (s *Server) switchFault(c command, fault *bool) error {
+// setFault turns a fault on or off, as the command's argument says.
+func (s *Server) setFault(c command, fault *bool) error {
 	argument := c.arguments[0]
 	if argument != "on" && argument != "off" {
-		return fmt.Errorf("%s is on or off, not %q", c.name, argument)
+		return fmt.Errorf("%s must be on or off, not %q", c.name, argument)
 	}
 	s.lock.Lock()
 	*fault = argument == "on"
@@ -201,7 +202,7 @@
 func (s *Server) setDelay(text string) error {
 	delay, err := time.ParseDuration(text)
 	if err != nil {
-		return fmt.Errorf("slow %q: a span such as 500ms is expected", text)
+		return fmt.Errorf("slow %q: not a duration such as 500ms", text)
 	}
 	s.lock.Lock()
 	defer s.lock.Unlock()
--- a/internal/xdsstandin/incremental.go
+++ b/internal/xdsstandin/incremental.go
@@ -13,10 +13,10 @@
 
 type incrementalStream = grpc.BidiStreamingServer[discoveryv3.DeltaDiscoveryRequest, discoveryv3.DeltaDiscoveryResponse]
 
-// unknownVersion is the version of a resource that a client has from another server.
+// unknownVersion replaces a client's initial version of a resource that this server cannot have assigned.
 const unknownVersion = -1
 
-// DeltaAggregatedResources serves the incremental form.
+// DeltaAggregatedResources serves a stream of the incremental variant of xDS.
 func (s *Server) DeltaAggregatedResources(wire incrementalStream) error {
 	return s.serveStream(func(st *stream) protocol {
 		return protocol{
@@ -25,7 +25,7 @@
 				if err != nil {
 					return err
 				}
-				s.received(st, request.GetNode().GetId(), func() { s.applyDeltaRequest(st, request) })
+				s.updateStream(st, request.GetNode().GetId(), func() { s.applyDeltaRequest(st, request) })
 				return nil
 			},
 			prepare: func(resourceType string, sub *subscription) func() error {
@@ -39,7 +39,7 @@
 	})
 }
 
-// applyDeltaRequest takes in a request. The lock is held.
+// applyDeltaRequest updates a stream's subscription and the acknowledgements from a request. The caller holds the lock.
 func (s *Server) applyDeltaRequest(st *stream, request *discoveryv3.DeltaDiscoveryRequest) {
 	resourceType := request.GetTypeUrl()
 	first := st.subscriptions[resourceType] == nil
@@ -71,7 +71,8 @@
 	}
 }
 
-// prepareDeltaResponse makes the response that a stream has to get of a type; nil: none. The lock is held.
+// prepareDeltaResponse returns the next response of a type for a stream, or nil if none is due. The caller holds the
+// lock.
 func (s *Server) prepareDeltaResponse(
 	st *stream, resourceType string, sub *subscription,
 ) *discoveryv3.DeltaDiscoveryResponse {
--- a/internal/xdsstandin/messages.go
+++ b/internal/xdsstandin/messages.go
@@ -20,22 +20,22 @@
 
 const typeURLPrefix = "type.googleapis.com/"
 
-// Fields of an endpoint's metadata.
+// Keys of an endpoint's metadata.
 const (
 	metadataShard     = "shard"
 	metadataStartedAt = "born"
 )
 
-// pack writes a message with its type. Equal messages have equal bytes.
+// pack wraps a message in an Any. The encoding is deterministic, so that equal messages have equal bytes.
 func pack(message proto.Message) *anypb.Any {
 	value, err := proto.MarshalOptions{Deterministic: true}.Marshal(message)
 	if err != nil {
-		panic(err) // a message of this package that cannot be written is a fault of the program
+		panic(err) // all messages are built in this package or by tests, and can be encoded
 	}
 	return &anypb.Any{TypeUrl: typeURLPrefix + string(message.ProtoReflect().Descriptor().FullName()), Value: value}
 }
 
-// protoTTL is a time to live as the wire has it; nil where there is none.
+// protoTTL returns the protobuf form of a time to live, or nil if it is 0.
 func protoTTL(ttl time.Duration) *durationpb.Duration {
 	if ttl == 0 {
 		return nil
@@ -43,7 +43,7 @@
 	return durationpb.New(ttl)
 }
 
-// Cluster is a cluster whose endpoints come on the same stream.
+// Cluster returns an EDS cluster whose endpoints are sent on the same aggregated stream.
 func Cluster(name string) *clusterv3.Cluster {
 	sameStream := &corev3.ConfigSource{
 		ResourceApiVersion:    corev3.ApiVersion_V3,
@@ -62,7 +62,7 @@
 	endpoint.Unhealthy: corev3.HealthStatus_UNHEALTHY,
 }
 
-// Assignment is a cluster's nodes as endpoints, by zone and priority. Removed nodes are left out.
+// Assignment returns a cluster's nodes as endpoints, grouped by zone and priority. Removed nodes are omitted.
 func Assignment(name string, nodes []endpoint.Node) *endpointv3.ClusterLoadAssignment {
 	assignment := &endpointv3.ClusterLoadAssignment{ClusterName: name}
 	type localityKey struct {
@@ -89,7 +89,7 @@
 	return assignment
 }
 
-// Endpoint is a node as an endpoint. A malformed port is 0.
+// Endpoint returns a node as an endpoint. A port that cannot be parsed becomes 0.
 func Endpoint(node endpoint.Node) *endpointv3.LbEndpoint {
 	message := &endpointv3.LbEndpoint{
 		HealthStatus: healthStatuses[node.Health],
--- a/internal/xdsstandin/resources.go
+++ b/internal/xdsstandin/resources.go
@@ -11,30 +11,30 @@
 	"irispost/internal/endpoint/xds"
 )
 
-// maxHistory is how many earlier states Revert can go back to.
+// maxHistory is the largest number of earlier states that Revert can restore.
 const maxHistory = 16
 
-// resource is a resource with its version.
+// resource is a packed resource with its version and time to live.
 type resource struct {
 	version int
 	body    *anypb.Any
 	ttl     time.Duration // 0: none
 }
 
-// resourcesByType are resources by type and name.
+// resourcesByType maps a type URL and a resource name to the resource.
 type resourcesByType map[string]map[string]resource
 
 func newResources() resourcesByType {
 	return resourcesByType{xds.ClusterType: {}, xds.EndpointType: {}}
 }
 
-// snapshot is what was served at a time.
+// snapshot holds the resources and versions that were served before a change.
 type snapshot struct {
 	resources resourcesByType
 	versions  map[string]int
 }
 
-// rebuild makes the resources of the nodes. The lock is held.
+// rebuild builds all resources from the nodes. The caller holds the lock.
 func (s *Server) rebuild() {
 	next := map[string]map[string]proto.Message{xds.ClusterType: {}, xds.EndpointType: {}}
 	for index := range s.clusterCount {
@@ -51,7 +51,7 @@
 	s.replaceResources(next)
 }
 
-// replaceResources makes these the resources, with a new version for what differs. The lock is held.
+// replaceResources replaces all resources and assigns new versions to those that differ. The caller holds the lock.
 func (s *Server) replaceResources(next map[string]map[string]proto.Message) {
 	s.saveSnapshot()
 	for resourceType, messages := range next {
@@ -62,7 +62,7 @@
 	s.changed.Broadcast()
 }
 
-// replaceType replaces the resources of a type and says whether one has changed. The lock is held.
+// replaceType replaces the resources of a type and reports whether any has changed. The caller holds the lock.
 func (s *Server) replaceType(resourceType string, messages map[string]proto.Message) bool {
 	current := s.resources[resourceType]
 	changed := false
@@ -84,14 +84,14 @@
 	return changed
 }
 
-// nextVersion gives a type its next version and returns it. The lock is held.
+// nextVersion assigns the next version to a type and returns it. The caller holds the lock.
 func (s *Server) nextVersion(resourceType string) int {
 	s.lastVersions[resourceType]++
 	s.versions[resourceType] = s.lastVersions[resourceType]
 	return s.versions[resourceType]
 }
 
-// saveSnapshot adds what is served to the history. The lock is held.
+// saveSnapshot adds the current resources and versions to the history. The caller holds the lock.
 func (s *Server) saveSnapshot() {
 	saved := snapshot{resources: resourcesByType{}, versions: maps.Clone(s.versions)}
 	for _, resourceType := range resourceTypes {
@@ -103,8 +103,8 @@
 	}
 }
 
-// Revert goes back to what was served before the last change, with the versions that it had, and cuts the streams: as a
-// replica does that lags behind.
+// Revert restores the resources and versions from before the last change and cuts all streams. It simulates clients
+// that reconnect to a replica of the server that lags behind.
 func (s *Server) Revert() {
 	s.lock.Lock()
 	if count := len(s.history); count > 0 {
@@ -117,8 +117,8 @@
 	s.CutStreams()
 }
 
-// PutResources puts resources of a type in force as they are, right or wrong; those that it does not name stay. A nil
-// message removes one.
+// PutResources serves the given resources of a type without checking them. A nil message removes a resource; resources
+// that are not named stay.
 func (s *Server) PutResources(resourceType string, messages map[string]proto.Message) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -138,7 +138,7 @@
 	s.changed.Broadcast()
 }
 
-// SetTTL gives all resources of a type a time to live, with a new version.
+// SetTTL sets the time to live of all resources of a type, under a new version.
 func (s *Server) SetTTL(resourceType string, ttl time.Duration) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -151,7 +151,7 @@
 	s.changed.Broadcast()
 }
 
-// SendHeartbeats sends heartbeats of all resources of a type to each stream: they renew the time to live.
+// SendHeartbeats sends heartbeats to each stream for the resources of a type. They renew the time to live.
 func (s *Server) SendHeartbeats(resourceType string) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -161,7 +161,7 @@
 	s.changed.Broadcast()
 }
 
-// SendUnrequested sends all resources of a type to each stream, whether it wants them or not.
+// SendUnrequested sends all resources of a type to each stream, whether it has subscribed to them or not.
 func (s *Server) SendUnrequested(resourceType string) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
--- a/internal/xdsstandin/server.go
+++ b/internal/xdsstandin/server.go
@@ -1,8 +1,9 @@
-// Package xdsstandin is a small xDS management server for tests, scenarios and demonstrations: it serves nodes as
-// clusters and endpoints over aggregated streams, state-of-the-world and incremental, and has faults on command.
+// Package xdsstandin implements a small xDS management server for tests, scenarios and demonstrations. It serves nodes
+// as clusters and endpoints over aggregated streams, in both the state-of-the-world and the incremental variant, and
+// injects faults on command.
 //
-// A Server owns its nodes, resources and streams, all under one lock. Each stream has two goroutines: one receives
-// requests, and one waits for what has to be sent.
+// A Server owns its nodes, resources and streams, which one lock guards. Each stream has two goroutines: one receives
+// requests, the other waits until a response is due and sends it.
 package xdsstandin
 
 import (
@@ -19,43 +20,44 @@
 	"irispost/internal/endpoint/xds"
 )
 
-// Largest messages, in bytes.
+// Largest gRPC messages, in bytes.
 const (
 	maxReceivedSize = 64 << 20
 	maxSentSize     = 1 << 30
 )
 
-// resourceTypes are the types that are served, in the order in which a stream gets them.
+// resourceTypes lists the types that are served, in the order in which they are sent on a stream.
 var resourceTypes = []string{xds.ClusterType, xds.EndpointType}
 
 // Server is a running management server.
 type Server struct {
-	clusterCount int // clusters that the nodes are spread over, by their shards
+	clusterCount int // a node belongs to the cluster with the index shard % clusterCount
 
-	lock         sync.Mutex // guards what follows
-	changed      *sync.Cond // something changed, or a client has acknowledged
+	lock         sync.Mutex // guards the fields below
+	changed      *sync.Cond // signals changes of the fields below, and acknowledgements
 	address      string
 	grpcServer   *grpc.Server
 	nodes        []endpoint.Node
 	resources    resourcesByType
-	versions     map[string]int // by type
-	lastVersions map[string]int // the largest version given to anything of a type
-	history      []snapshot     // what was served before, the latest last
+	versions     map[string]int // by type: the version that is served
+	lastVersions map[string]int // by type: the latest version that was assigned
+	history      []snapshot     // earlier states, oldest first
 	acks         []Ack
 	streams      map[*stream]bool
-	openedCount  int // of streams
+	openedCount  int // number of streams opened since the start
 	faults       faults
 }
 
-// faults are the faults in force.
+// faults holds the faults that are injected.
 type faults struct {
 	delay         time.Duration // before each response
-	refuseStreams bool
-	sameNonce     bool // all responses have one nonce
-	silent        bool // nothing is sent
+	refuseStreams bool          // new streams fail
+	sameNonce     bool          // all responses have the same nonce
+	silent        bool          // no responses are sent
 }
 
-// Start starts a server that serves nodes in so many clusters, called storage or storage-0, storage-1 ...
+// Start starts a server that serves nodes in the given number of clusters. A single cluster is named storage; several
+// are named storage-0, storage-1 and so on.
 func Start(address string, clusters int, nodes ...endpoint.Node) (*Server, error) {
 	s := &Server{
 		clusterCount: max(clusters, 1),
@@ -87,14 +89,14 @@
 	return nil
 }
 
-// Addr returns the address that it serves at.
+// Addr returns the address that the server listens on.
 func (s *Server) Addr() string {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return s.address
 }
 
-// Close stops it and ends all streams.
+// Close stops the server and ends all streams.
 func (s *Server) Close() {
 	s.lock.Lock()
 	grpcServer := s.grpcServer
@@ -103,7 +105,7 @@
 	s.changed.Broadcast()
 }
 
-// Restart stops it and starts it at the same address, with versions that begin anew.
+// Restart stops the server and starts it again at the same address. Versions start from the beginning.
 func (s *Server) Restart() error {
 	s.Close()
 	s.lock.Lock()
@@ -119,7 +121,7 @@
 	return s.listen(address)
 }
 
-// UpdateNodes changes the nodes. change gets a copy.
+// UpdateNodes replaces the nodes by the result of change, which receives a copy of them.
 func (s *Server) UpdateNodes(change func([]endpoint.Node) []endpoint.Node) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -127,14 +129,14 @@
 	s.rebuild()
 }
 
-// Nodes returns the nodes as they are served.
+// Nodes returns a copy of the nodes, including removed ones.
 func (s *Server) Nodes() []endpoint.Node {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return slices.Clone(s.nodes)
 }
 
-// clusterName is the name of a cluster.
+// clusterName returns the name of the cluster with an index.
 func (s *Server) clusterName(index int) string {
 	if s.clusterCount == 1 {
 		return "storage"
--- a/internal/xdsstandin/state_of_the_world.go
+++ b/internal/xdsstandin/state_of_the_world.go
@@ -12,7 +12,7 @@
 
 type stateOfTheWorldStream = grpc.BidiStreamingServer[discoveryv3.DiscoveryRequest, discoveryv3.DiscoveryResponse]
 
-// StreamAggregatedResources serves the state-of-the-world form.
+// StreamAggregatedResources serves a stream of the state-of-the-world variant of xDS.
 func (s *Server) StreamAggregatedResources(wire stateOfTheWorldStream) error {
 	return s.serveStream(func(st *stream) protocol {
 		return protocol{
@@ -21,7 +21,7 @@
 				if err != nil {
 					return err
 				}
-				s.received(st, request.GetNode().GetId(), func() { s.applyRequest(st, request) })
+				s.updateStream(st, request.GetNode().GetId(), func() { s.applyRequest(st, request) })
 				return nil
 			},
 			prepare: func(resourceType string, sub *subscription) func() error {
@@ -35,7 +35,7 @@
 	})
 }
 
-// applyRequest takes in a request. The lock is held.
+// applyRequest updates a stream's subscription and the acknowledgements from a request. The caller holds the lock.
 func (s *Server) applyRequest(st *stream, request *discoveryv3.DiscoveryRequest) {
 	resourceType := request.GetTypeUrl()
 	nonce := request.GetResponseNonce()
@@ -50,7 +50,7 @@
 		})
 	}
 	if nonce != sub.nonce && !s.faults.sameNonce {
-		return // it answers an older response than the last
+		return // it refers to an older response than the latest
 	}
 	sub.wildcard = resourceType == xds.ClusterType && len(request.GetResourceNames()) == 0
 	before := sub.names
@@ -59,14 +59,14 @@
 		sub.names[name] = true
 		sub.changed = sub.changed || !before[name]
 	}
-	if nonce == "" { // the stream's first of the type: what the client has counts if it is the same
+	if nonce == "" { // first request of the type: a client that has the current version gets no response
 		version := s.versions[resourceType]
 		sub.changed = request.GetVersionInfo() != strconv.Itoa(version)
 		sub.sentVersion = version
 	}
 }
 
-// prepareResponse makes the response that a stream has to get of a type; nil: none. The lock is held.
+// prepareResponse returns the next response of a type for a stream, or nil if none is due. The caller holds the lock.
 func (s *Server) prepareResponse(st *stream, resourceType string, sub *subscription) *discoveryv3.DiscoveryResponse {
 	version := s.versions[resourceType]
 	upToDate := sub.sentVersion == version && !sub.changed && st.heartbeatType != resourceType
@@ -83,13 +83,14 @@
 	sub.nonce = response.Nonce
 	for _, name := range s.wantedNames(resourceType, sub) {
 		heartbeat := st.heartbeatType == resourceType
-		response.Resources = append(response.Resources, s.resources[resourceType][name].wireForm(name, heartbeat))
+		response.Resources = append(response.Resources, s.resources[resourceType][name].toAny(name, heartbeat))
 	}
 	return response
 }
 
-// wireForm is a resource as a response has it: wrapped where it has a time to live, without its body in a heartbeat.
-func (r resource) wireForm(name string, heartbeat bool) *anypb.Any {
+// toAny returns a resource as part of a response. A resource with a time to live is wrapped in a Resource message; a
+// heartbeat is such a message without the body.
+func (r resource) toAny(name string, heartbeat bool) *anypb.Any {
 	switch {
 	case heartbeat:
 		return pack(&discoveryv3.Resource{Name: name, Ttl: protoTTL(r.ttl)})
--- a/internal/xdsstandin/stream.go
+++ b/internal/xdsstandin/stream.go
@@ -10,29 +10,29 @@
 )
 
 var (
-	errStreamCut     = status.Error(codes.Unavailable, "the stand-in cuts the stream")
-	errStreamRefused = status.Error(codes.Unavailable, "the stand-in refuses streams")
+	errStreamCut     = status.Error(codes.Unavailable, "stream cut by fault injection")
+	errStreamRefused = status.Error(codes.Unavailable, "stream refused by fault injection")
 )
 
-// stream is a client's stream. The server's lock guards it.
+// stream is the state of a client's stream. The server's lock guards it.
 type stream struct {
 	nodeID          string // Node.id of the client
-	cut             bool   // by the server
-	ended           bool   // by the client
+	cut             bool   // the server is to end it
+	ended           bool   // the client has ended it
 	responseCount   int
-	heartbeatType   string // heartbeats of this type are due; empty: none
-	unrequestedType string // this type is sent without a request; empty: none
+	heartbeatType   string // type for which heartbeats are due; empty: none
+	unrequestedType string // type that is due to be sent without a subscription; empty: none
 	subscriptions   map[string]*subscription
 }
 
-// subscription is what a stream wants of a type.
+// subscription is a stream's subscription to a type and what was sent for it.
 type subscription struct {
-	wildcard     bool // all resources
-	names        map[string]bool
-	sentVersions map[string]int // incremental: by name
-	sentVersion  int            // state of the world: the version that was sent last
-	changed      bool           // state of the world: names were added
-	nonce        string         // of the last response
+	wildcard     bool            // subscribed to all resources
+	names        map[string]bool // names of the subscribed resources
+	sentVersions map[string]int  // incremental: version that was sent last, by name
+	sentVersion  int             // state of the world: the version that was sent last
+	changed      bool            // state of the world: a response is due although the version is the same
+	nonce        string          // of the latest response
 }
 
 func newSubscription() *subscription {
@@ -46,29 +46,30 @@
 	return st.subscriptions[resourceType]
 }
 
-// protocol is how one of the two forms of xDS receives and sends on a stream.
+// protocol receives and sends on a stream in one of the two variants of xDS.
 type protocol struct {
-	// receive takes in one request.
+	// receive waits for a request and handles it.
 	receive func() error
-	// prepare returns how to send what the client has to get of a type; nil: nothing. The lock is held.
+	// prepare returns a function that sends the next response of a type, or nil if none is due. The caller holds the
+	// server's lock.
 	prepare func(resourceType string, sub *subscription) (send func() error)
 }
 
-// serveStream serves a stream until it ends; newProtocol gets it.
+// serveStream serves a stream until it ends. newProtocol returns the protocol for the stream's state.
 func (s *Server) serveStream(newProtocol func(*stream) protocol) error {
 	st, err := s.openStream()
 	if err != nil {
 		return err
 	}
 	defer s.closeStream(st)
-	form := newProtocol(st)
+	variant := newProtocol(st)
 	go func() {
-		for form.receive() == nil {
+		for variant.receive() == nil {
 		}
-		s.received(st, "", func() { st.ended = true })
+		s.updateStream(st, "", func() { st.ended = true })
 	}()
 	for {
-		send, delay, err := s.nextResponse(st, form)
+		send, delay, err := s.nextResponse(st, variant)
 		if send == nil {
 			return err
 		}
@@ -98,8 +99,8 @@
 	s.changed.Broadcast()
 }
 
-// received changes a stream's state under the lock, after a request. An empty nodeID leaves the known one.
-func (s *Server) received(st *stream, nodeID string, change func()) {
+// updateStream sets a stream's node ID, unless nodeID is empty, and calls change, both under the lock.
+func (s *Server) updateStream(st *stream, nodeID string, change func()) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	if nodeID != "" {
@@ -109,9 +110,9 @@
 	s.changed.Broadcast()
 }
 
-// nextResponse waits until something has to be sent, and returns how and after which delay; a nil function says that
-// the stream ends.
-func (s *Server) nextResponse(st *stream, form protocol) (send func() error, delay time.Duration, err error) {
+// nextResponse waits until a response is due and returns the function that sends it and the delay before it. If the
+// stream is to end, the function is nil.
+func (s *Server) nextResponse(st *stream, variant protocol) (send func() error, delay time.Duration, err error) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	for {
@@ -122,7 +123,7 @@
 			return nil, 0, nil
 		}
 		for _, resourceType := range resourceTypes {
-			if send := s.prepareType(st, form, resourceType); send != nil {
+			if send := s.prepareType(st, variant, resourceType); send != nil {
 				return send, s.faults.delay, nil
 			}
 		}
@@ -130,8 +131,9 @@
 	}
 }
 
-// prepareType returns how to send what a stream has to get of a type; nil: nothing. The lock is held.
-func (s *Server) prepareType(st *stream, form protocol, resourceType string) (send func() error) {
+// prepareType returns a function that sends the next response of a type on a stream, or nil if none is due. The caller
+// holds the lock.
+func (s *Server) prepareType(st *stream, variant protocol, resourceType string) (send func() error) {
 	sub := st.subscriptions[resourceType]
 	if st.unrequestedType == resourceType {
 		sub = newSubscription()
@@ -141,7 +143,7 @@
 	if sub == nil || s.faults.silent {
 		return nil
 	}
-	send = form.prepare(resourceType, sub)
+	send = variant.prepare(resourceType, sub)
 	if st.heartbeatType == resourceType {
 		st.heartbeatType = ""
 	}
@@ -151,7 +153,7 @@
 	return send
 }
 
-// nextNonce is the nonce of a stream's next response. The lock is held.
+// nextNonce returns the nonce of a stream's next response. The caller holds the lock.
 func (s *Server) nextNonce(st *stream) string {
 	st.responseCount++
 	if s.faults.sameNonce {
@@ -160,7 +162,8 @@
 	return strconv.Itoa(st.responseCount)
 }
 
-// wantedNames returns the names of a type that a stream wants and that exist, in order. The lock is held.
+// wantedNames returns the sorted names of the existing resources of a type to which a stream is subscribed. The caller
+// holds the lock.
 func (s *Server) wantedNames(resourceType string, sub *subscription) (names []string) {
 	for name := range s.resources[resourceType] {
 		if sub.wildcard || sub.names[name] {
@@ -171,7 +174,7 @@
 	return names
 }
 
-// CutStreams ends all streams without notice.
+// CutStreams ends all streams with the status Unavailable.
 func (s *Server) CutStreams() {
 	s.lock.Lock()
 	defer s.lock.Unlock()
