--- a/internal/iscsi/initiator/login.go
+++ b/internal/iscsi/initiator/login.go
@@ -111,7 +111,7 @@
 		digests = "CRC32C,None"
 	}
 	pairs := []iscsi.Pair{
-		{Key: negotiate.SessionKey, Value: "?"},
+		{Key: negotiate.SessionNameKey, Value: "?"},
 		{Key: "HeaderDigest", Value: digests},
 		{Key: "DataDigest", Value: digests},
 		{Key: "MaxRecvDataSegmentLength", Value: strconv.Itoa(s.options.Segment)},
@@ -159,7 +159,7 @@
 	s.params.InitialR2T = keys["InitialR2T"] != "No"
 	s.params.ImmediateData = keys["ImmediateData"] != "No"
 	s.digests = iscsi.Digests{Header: keys["HeaderDigest"] == digestCRC32C, Data: keys["DataDigest"] == digestCRC32C}
-	s.name = keys[negotiate.SessionKey]
+	s.name = keys[negotiate.SessionNameKey]
 	if s.name == "" || s.name == notUnderstoodValue {
 		s.name = s.conn.LocalAddr().String()
 	}
--- a/internal/iscsi/negotiate/login.go
+++ b/internal/iscsi/negotiate/login.go
@@ -64,15 +64,15 @@
 	Text          []byte
 }
 
-// Answer is what the answer to a login request says.
-type Answer struct {
+// Response is the content of a login response.
+type Response struct {
 	Current, Next Stage
 	Transit       bool
 	Pairs         []iscsi.Pair
 }
 
 // Step handles a request. A rejection ends the login.
-func (l *Login) Step(request Request) (answer Answer, rejection *Rejection) {
+func (l *Login) Step(request Request) (answer Response, rejection *Rejection) {
 	if rejection := l.begin(request); rejection != nil {
 		return answer, rejection
 	}
@@ -121,7 +121,7 @@
 }
 
 // answerAll answers the keys of a complete text.
-func (l *Login) answerAll(pairs []iscsi.Pair, answer *Answer) *Rejection {
+func (l *Login) answerAll(pairs []iscsi.Pair, answer *Response) *Rejection {
 	if rejection := l.readNames(pairs); rejection != nil {
 		return rejection
 	}
@@ -161,11 +161,11 @@
 		return missingParameter("it does not say its InitiatorName")
 	case !l.Discovery && l.Target == "":
 		return missingParameter("it does not say which TargetName")
-	case !l.Discovery && !l.options.Target(l.Target):
+	case !l.Discovery && !l.options.TargetExists(l.Target):
 		reason := fmt.Sprintf("there is no target %q", l.Target)
 		return &Rejection{Class: ClassInitiatorError, Detail: DetailTargetNotFound, Reason: reason}
 	}
-	l.account = l.options.Account(l.Initiator, l.Target)
+	l.account = l.options.AccountFor(l.Initiator, l.Target)
 	if l.stage == Operational && l.account.Secret != "" {
 		return authenticationFailure("it does not prove who it is")
 	}
@@ -173,7 +173,7 @@
 }
 
 // transition ends a stage. The security stage goes on, without a rejection, while the initiator has not authenticated.
-func (l *Login) transition(next Stage, answer *Answer) *Rejection {
+func (l *Login) transition(next Stage, answer *Response) *Rejection {
 	if next != Operational && next != FullFeature || next <= l.stage {
 		return initiatorError("stage %d does not follow stage %d", next, l.stage)
 	}
@@ -190,7 +190,7 @@
 	}
 	if !l.Discovery && !l.answered[keyPortalGroup] {
 		l.answered[keyPortalGroup] = true
-		answer.add(keyPortalGroup, strconv.Itoa(l.options.Portal))
+		answer.add(keyPortalGroup, strconv.Itoa(l.options.PortalGroupTag))
 	}
 	l.Params.FirstBurst = min(l.Params.FirstBurst, l.Params.MaxBurst)
 	l.stage = next
@@ -199,7 +199,7 @@
 	return nil
 }
 
-func (a *Answer) add(key, value string) {
+func (a *Response) add(key, value string) {
 	a.Pairs = append(a.Pairs, iscsi.Pair{Key: key, Value: value})
 }
 
--- a/internal/iscsi/negotiate/negotiate_test.go
+++ b/internal/iscsi/negotiate/negotiate_test.go
@@ -16,12 +16,12 @@
 
 func options(account Account) Options {
 	return Options{
-		Params:    Preferred,
-		Digests:   true,
-		Portal:    1,
-		Target:    func(name string) bool { return name == disk },
-		Account:   func(_, _ string) Account { return account },
-		Challenge: func() []byte { return []byte(testChallenge) },
+		Params:         Preferred,
+		Digests:        true,
+		PortalGroupTag: 1,
+		TargetExists:   func(name string) bool { return name == disk },
+		AccountFor:     func(_, _ string) Account { return account },
+		NewChallenge:   func() []byte { return []byte(testChallenge) },
 	}
 }
 
@@ -44,7 +44,7 @@
 var names = []string{"InitiatorName=" + iqn, "TargetName=" + disk, "SessionType=Normal"}
 
 // step sends a request that has to be answered with these keys; none: with any.
-func step(t *testing.T, login *Login, current, next Stage, pairs []string, want ...string) Answer {
+func step(t *testing.T, login *Login, current, next Stage, pairs []string, want ...string) Response {
 	t.Helper()
 	answer, rejection := login.Step(Request{Current: current, Next: next, Transit: next != current, Text: text(pairs...)})
 	if rejection != nil {
--- a/internal/iscsi/negotiate/operational.go
+++ b/internal/iscsi/negotiate/operational.go
@@ -7,8 +7,8 @@
 	"irispost/internal/iscsi"
 )
 
-// SessionKey asks for the gateway's name of the session (a key of our own, RFC 7143, 13.23).
-const SessionKey = "X-org.irispost.session"
+// SessionNameKey is a private extension key (RFC 7143, 13.23) that requests the name of the session in the gateway.
+const SessionNameKey = "X-org.irispost.session"
 
 const (
 	notUnderstood = "NotUnderstood"
@@ -66,9 +66,9 @@
 		return strconv.Itoa(l.Params.TimeToWait), rejection
 	case "DefaultTime2Retain":
 		return answerMinimum(pair, ours.TimeToRetain, &l.Params.TimeToRetain, 0, maxSeconds)
-	case SessionKey:
-		if l.options.Session != nil {
-			return l.options.Session(), nil
+	case SessionNameKey:
+		if l.options.SessionName != nil {
+			return l.options.SessionName(), nil
 		}
 	case keyPortalGroup, "TargetAddress", "TargetAlias":
 		return "", initiatorError("%s is the target's to say", pair.Key)
--- a/internal/iscsi/negotiate/params.go
+++ b/internal/iscsi/negotiate/params.go
@@ -65,13 +65,13 @@
 
 // Options are a target's side of a login.
 type Options struct {
-	Params    Params
-	Digests   bool                   // digests are offered; they are used where the initiator wants them
-	Portal    int                    // TargetPortalGroupTag
-	Target    func(name string) bool // whether there is a target of a name
-	Account   func(initiator, target string) Account
-	Challenge func() []byte // 16 random bytes
-	Session   func() string // the session's name in logs and records, for initiators that ask; nil: it is not told
+	Params         Params
+	Digests        bool                   // digests are offered; they are used where the initiator wants them
+	PortalGroupTag int                    // TargetPortalGroupTag
+	TargetExists   func(name string) bool // whether there is a target of a name
+	AccountFor     func(initiator, target string) Account
+	NewChallenge   func() []byte // 16 random bytes
+	SessionName    func() string // the session's name in logs and records, for initiators that ask; nil: it is not told
 }
 
 // Status classes and details of a login that is rejected (RFC 7143, 11.13.5).
--- a/internal/iscsi/negotiate/security.go
+++ b/internal/iscsi/negotiate/security.go
@@ -81,7 +81,7 @@
 		return nil, authenticationFailure("CHAP_A=%.40s: MD5 (5) is spoken", pair.Value)
 	}
 	l.chap = chapChallenged
-	l.challenge = l.options.Challenge()
+	l.challenge = l.options.NewChallenge()
 	l.id = l.challenge[0]
 	return []iscsi.Pair{
 		{Key: "CHAP_A", Value: chapMD5},
--- a/internal/iscsi/target/answer.go
+++ b/internal/iscsi/target/answer.go
@@ -23,7 +23,7 @@
 	case !t.aborted:
 		t.send(status, sense, data)
 	case t.reportAbort:
-		t.send(scsi.Aborted, nil, nil)
+		t.send(scsi.TaskAborted, nil, nil)
 	}
 	t.setState(taskOver)
 	x.lock.Unlock()
--- a/internal/iscsi/target/login.go
+++ b/internal/iscsi/target/login.go
@@ -52,9 +52,9 @@
 }
 
 // negotiate has the login handle a request, unless the request cannot lead to a session here.
-func (x *session) negotiate(pdu *iscsi.PDU) (negotiate.Answer, *negotiate.Rejection) {
-	reject := func(class, detail byte, reason string) (negotiate.Answer, *negotiate.Rejection) {
-		return negotiate.Answer{}, &negotiate.Rejection{Class: class, Detail: detail, Reason: reason}
+func (x *session) negotiate(pdu *iscsi.PDU) (negotiate.Response, *negotiate.Rejection) {
+	reject := func(class, detail byte, reason string) (negotiate.Response, *negotiate.Rejection) {
+		return negotiate.Response{}, &negotiate.Rejection{Class: class, Detail: detail, Reason: reason}
 	}
 	switch {
 	case pdu.Header[iscsi.OffsetStatus] > 0: // the least version that the initiator speaks
--- a/internal/iscsi/target/server.go
+++ b/internal/iscsi/target/server.go
@@ -92,8 +92,8 @@
 	}
 }
 
-// Break closes all connections, as a crash does.
-func (s *Server) Break() { s.listener.Close() }
+// CloseAbruptly closes all connections without a logout, as a crash would.
+func (s *Server) CloseAbruptly() { s.listener.Close() }
 
 // Close closes all connections, and commits what was written.
 func (s *Server) Close() error {
@@ -137,17 +137,17 @@
 // loginOptions returns the options of a session's login, but for the session's name.
 func (s *Server) loginOptions() negotiate.Options {
 	return negotiate.Options{
-		Params:  s.options.Params,
-		Digests: true,
-		Portal:  portalGroup,
-		Target:  func(name string) bool { return s.targets[name] != nil },
-		Account: func(_, target string) negotiate.Account {
+		Params:         s.options.Params,
+		Digests:        true,
+		PortalGroupTag: portalGroup,
+		TargetExists:   func(name string) bool { return s.targets[name] != nil },
+		AccountFor: func(_, target string) negotiate.Account {
 			if t := s.targets[target]; t != nil {
 				return t.Account
 			}
 			return negotiate.Account{} // a discovery session, which is told names alone
 		},
-		Challenge: func() []byte {
+		NewChallenge: func() []byte {
 			challenge := make([]byte, challengeLength)
 			rand.Read(challenge) // never fails
 			return challenge
--- a/internal/iscsi/target/session.go
+++ b/internal/iscsi/target/session.go
@@ -74,7 +74,7 @@
 		statSN:     1,
 	}
 	options := server.loginOptions()
-	options.Session = x.client.Name
+	options.SessionName = x.client.Name
 	x.login = negotiate.NewLogin(options)
 	x.loginTimer = time.AfterFunc(server.options.Limits.Login, func() {
 		if x.currentState() == stateLoggingIn {
--- a/internal/iscsi/target/task.go
+++ b/internal/iscsi/target/task.go
@@ -112,10 +112,10 @@
 	command, sense := missing.Parse(cdb)
 	switch {
 	case sense == nil && command.Kind == scsi.ReportLUNs:
-		data, _ := missing.Answer(&command, t.session.target.luns())
+		data, _ := missing.ResponseData(&command, t.session.target.luns())
 		t.answer(scsi.Good, nil, data)
 	case sense == nil && command.Kind == scsi.Inquiry && !command.VitalProductData:
-		data, _ := missing.Answer(&command, nil)
+		data, _ := missing.ResponseData(&command, nil)
 		if len(data) > 0 {
 			data[0] = noDevice
 		}
@@ -130,7 +130,7 @@
 func (t *task) answerWithoutData() bool {
 	switch t.command.Kind {
 	case scsi.Inquiry, scsi.ReportLUNs, scsi.ReadCapacity10, scsi.ReadCapacity16, scsi.ModeSense, scsi.RequestSense:
-		data, sense := t.unit.Answer(&t.command, t.session.target.luns())
+		data, sense := t.unit.ResponseData(&t.command, t.session.target.luns())
 		if sense != nil {
 			t.answerSense(sense)
 			return true
@@ -142,7 +142,7 @@
 	case t.disk == nil:
 		t.answerSense(scsi.BecomingReady)
 		return true
-	case t.command.Kind == scsi.TestReady:
+	case t.command.Kind == scsi.TestUnitReady:
 		t.answer(scsi.Good, nil, nil)
 		return true
 	}
@@ -224,7 +224,7 @@
 	switch {
 	case t.aborted || x.state == stateEnded:
 		x.lock.Unlock()
-		t.endWith(scsi.Aborted)
+		t.endWith(scsi.TaskAborted)
 	case x.conn.Unsent() > x.server.options.Limits.Unread:
 		x.lock.Unlock()
 		t.endWith(scsi.TaskSetFull)
@@ -289,9 +289,9 @@
 	x.lock.Unlock()
 	switch {
 	case removed:
-		t.answer(scsi.Aborted, nil, nil)
+		t.answer(scsi.TaskAborted, nil, nil)
 	case state == taskCollecting:
-		t.endWith(scsi.Aborted)
+		t.endWith(scsi.TaskAborted)
 	}
 	return t.done
 }
--- a/internal/scsi/answer.go
+++ b/internal/scsi/answer.go
@@ -41,9 +41,9 @@
 	return fmt.Appendf(nil, "%-*.*s", length, length, text)
 }
 
-// Answer returns the answer of a command that needs no data but what the unit is, cut to its allocation length; nil for
-// other commands. luns are the numbers of the target's units.
-func (u *Unit) Answer(command *Command, luns []uint16) ([]byte, *Sense) {
+// ResponseData returns the data of the response to a command that does not access the medium, truncated to the command's
+// allocation length, and nil for all other commands. luns are the logical unit numbers of the target.
+func (u *Unit) ResponseData(command *Command, luns []uint16) ([]byte, *Sense) {
 	var answer []byte
 	var sense *Sense
 	switch command.Kind {
--- a/internal/scsi/command.go
+++ b/internal/scsi/command.go
@@ -5,7 +5,7 @@
 
 // The kinds of commands. Those from Read on concern blocks.
 const (
-	TestReady        CommandKind = iota // TEST UNIT READY, START STOP UNIT
+	TestUnitReady    CommandKind = iota // TEST UNIT READY, START STOP UNIT
 	Inquiry                             // INQUIRY
 	ReportLUNs                          // REPORT LUNS
 	ReadCapacity10                      // READ CAPACITY (10)
@@ -55,7 +55,7 @@
 		return blockSize, 0
 	case Unmap:
 		return uint64(c.AllocationLength), 0
-	case TestReady, SynchronizeCache, Verify:
+	case TestUnitReady, SynchronizeCache, Verify:
 		return 0, 0
 	}
 	return 0, uint64(c.AllocationLength)
--- a/internal/scsi/golden_test.go
+++ b/internal/scsi/golden_test.go
@@ -62,7 +62,7 @@
 	}
 	brings, most := command.DataLengths(unit)
 	fmt.Fprintf(out, "%x: kind %d, block %d, %d blocks, brings %d, answers %d", block, command.Kind, command.LBA, command.Blocks, brings, most)
-	answer, sense := unit.Answer(&command, []uint16{0, 300})
+	answer, sense := unit.ResponseData(&command, []uint16{0, 300})
 	if sense != nil {
 		fmt.Fprintf(out, ", %s", sense)
 	}
--- a/internal/scsi/parse.go
+++ b/internal/scsi/parse.go
@@ -72,7 +72,7 @@
 	}
 	switch cdb[0] {
 	case opTestUnitReady, opStartStop:
-		return Command{Kind: TestReady}, nil
+		return Command{Kind: TestUnitReady}, nil
 	case opRequestSense, opInquiry, opReportLuns, opReadCapacity10, opServiceIn16, opModeSense6, opModeSense10:
 		return parseQuery(cdb)
 	case opRead6, opRead10, opRead16:
@@ -93,7 +93,7 @@
 	return Command{}, InvalidOpcode
 }
 
-// parseQuery parses the commands that Unit.Answer answers.
+// parseQuery parses the commands whose response Unit.ResponseData builds.
 func parseQuery(cdb []byte) (Command, *Sense) {
 	be := binary.BigEndian
 	switch cdb[0] {
--- a/internal/scsi/scsi_test.go
+++ b/internal/scsi/scsi_test.go
@@ -100,7 +100,7 @@
 	if sense != nil {
 		t.Fatal(sense)
 	}
-	answer, sense := unit.Answer(&command, []uint16{0, 300})
+	answer, sense := unit.ResponseData(&command, []uint16{0, 300})
 	if sense != nil {
 		t.Fatal(sense)
 	}
@@ -172,7 +172,7 @@
 		t.Errorf("caching page: %x", answer)
 	}
 	command, _ := unit.Parse(buildCDB(opModeSense6, 2, 1, 0x1c, 4, 1, 255))
-	if _, sense := unit.Answer(&command, nil); sense != InvalidField {
+	if _, sense := unit.ResponseData(&command, nil); sense != InvalidField {
 		t.Errorf("a page that is not there: %v", sense)
 	}
 }
@@ -237,7 +237,7 @@
 		if command.Kind >= Read && command.Kind != Unmap && command.LBA+command.Blocks > unit.Blocks {
 			t.Errorf("%+v is past the end", command)
 		}
-		_, _ = unit.Answer(&command, []uint16{0}) // read or refused
+		_, _ = unit.ResponseData(&command, []uint16{0}) // read or refused
 		_, _ = unit.ParseUnmap(data)
 	})
 }
--- a/internal/scsi/sense.go
+++ b/internal/scsi/sense.go
@@ -14,7 +14,7 @@
 	CheckCondition Status = 0x02
 	Busy           Status = 0x08 // it never ran: a retry is harmless
 	TaskSetFull    Status = 0x28 // the queue is full, and it never ran either
-	Aborted        Status = 0x40
+	TaskAborted    Status = 0x40
 )
 
 // Sense is why a command ended with CheckCondition: key, additional code and qualifier (SPC-4, 4.5).
--- a/internal/serve/iscsi_test.go
+++ b/internal/serve/iscsi_test.go
@@ -269,11 +269,11 @@
 		}
 		done <- code
 	}()
-	if p := w.expectPDU(iscsi.Response, 13); p.Header[3] != byte(scsi.Aborted) {
+	if p := w.expectPDU(iscsi.Response, 13); p.Header[3] != byte(scsi.TaskAborted) {
 		t.Errorf("after the reset: want TASK ABORTED, got header %x", p.Header)
 	}
 	command(t, testbed.Nodes[0], "well")
-	if p := w.expectPDU(iscsi.Response, 12); p.Header[3] != byte(scsi.Aborted) {
+	if p := w.expectPDU(iscsi.Response, 12); p.Header[3] != byte(scsi.TaskAborted) {
 		t.Errorf("after the reset: want TASK ABORTED, got header %x", p.Header)
 	}
 	if code := <-done; code != 0 {
--- a/internal/serve/shutdown.go
+++ b/internal/serve/shutdown.go
@@ -36,7 +36,7 @@
 // Kill stops the gateway as a crash would: connections close, and requests in flight get no response.
 func (g *Gateway) Kill() {
 	if g.ISCSI != nil {
-		g.ISCSI.Break()
+		g.ISCSI.CloseAbruptly()
 	}
 	g.Frontend.Close()
 	g.stopAll()
