--- a/internal/iscsi/negotiate/login.go
+++ b/internal/iscsi/negotiate/login.go
@@ -29,18 +29,18 @@
 // Login is a target's side of a login. Params, Initiator, Target and Discovery are final when it has reached
 // FullFeature.
 type Login struct {
-	options         Options
-	stage           Stage
-	started         bool
-	requests        int
-	text            []byte          // of a request whose rest follows
-	answered        map[string]bool // keys that were answered, each once
-	segmentDeclared bool            // ours
+	options            Options
+	stage              Stage
+	started            bool
+	requestCount       int
+	text               []byte          // of a request whose rest follows
+	processed          map[string]bool // keys that were answered, each once
+	maxSegmentDeclared bool            // ours
 
 	account   Account
 	chap      chapState
 	challenge []byte
-	id        byte // of the challenge, ours and then the initiator's
+	chapID    byte // of the challenge, ours and then the initiator's
 
 	Params    Params
 	Initiator string
@@ -50,7 +50,7 @@
 
 // NewLogin returns a login that has not begun.
 func NewLogin(options Options) *Login {
-	return &Login{options: options, Params: Defaults, answered: map[string]bool{}}
+	return &Login{options: options, Params: Defaults, processed: map[string]bool{}}
 }
 
 // Stage returns the login's stage.
@@ -72,39 +72,39 @@
 }
 
 // Step handles a request. A rejection ends the login.
-func (l *Login) Step(request Request) (answer Response, rejection *Rejection) {
-	if rejection := l.begin(request); rejection != nil {
-		return answer, rejection
+func (l *Login) Step(request Request) (response Response, rejection *Rejection) {
+	if rejection := l.checkStage(request); rejection != nil {
+		return response, rejection
 	}
 	l.text = append(l.text, request.Text...)
 	if len(l.text) > maxTextLength {
-		return answer, initiatorError("over %d bytes of text", maxTextLength)
+		return response, initiatorError("over %d bytes of text", maxTextLength)
 	}
-	answer.Current, answer.Next = l.stage, request.Next
+	response.Current, response.Next = l.stage, request.Next
 	if request.Continue {
 		if request.Transit {
-			return answer, initiatorError("a text that goes on and a stage that ends")
+			return response, initiatorError("a text that goes on and a stage that ends")
 		}
-		return answer, nil
+		return response, nil
 	}
 	pairs, err := iscsi.DecodeText(l.text)
 	l.text = nil
 	if err != nil {
-		return answer, initiatorError("%v", err)
+		return response, initiatorError("%v", err)
 	}
-	if rejection := l.answerAll(pairs, &answer); rejection != nil {
-		return answer, rejection
+	if rejection := l.processPairs(pairs, &response); rejection != nil {
+		return response, rejection
 	}
 	if request.Transit {
-		rejection = l.transition(request.Next, &answer)
+		rejection = l.transition(request.Next, &response)
 	}
-	return answer, rejection
+	return response, rejection
 }
 
 // begin checks that a request comes in its stage.
-func (l *Login) begin(request Request) *Rejection {
-	l.requests++
-	if l.requests > maxRequests {
+func (l *Login) checkStage(request Request) *Rejection {
+	l.requestCount++
+	if l.requestCount > maxRequests {
 		return initiatorError("no end after %d requests", maxRequests)
 	}
 	if !l.started {
@@ -121,18 +121,18 @@
 }
 
 // answerAll answers the keys of a complete text.
-func (l *Login) answerAll(pairs []iscsi.Pair, answer *Response) *Rejection {
+func (l *Login) processPairs(pairs []iscsi.Pair, response *Response) *Rejection {
 	if rejection := l.readNames(pairs); rejection != nil {
 		return rejection
 	}
 	for _, pair := range pairs {
-		answers, rejection := l.answerKey(pair)
+		responses, rejection := l.processKey(pair)
 		if rejection != nil {
 			return rejection
 		}
-		answer.Pairs = append(answer.Pairs, answers...)
+		response.Pairs = append(response.Pairs, responses...)
 	}
-	if l.stage == Security && l.chap == chapNotStarted && !l.answered[keyAuthMethod] && l.account.Secret == "" {
+	if l.stage == Security && l.chap == chapNotStarted && !l.processed[keyAuthMethod] && l.account.Secret == "" {
 		l.chap = chapAuthenticated
 	}
 	return nil
@@ -173,54 +173,54 @@
 }
 
 // transition ends a stage. The security stage goes on, without a rejection, while the initiator has not authenticated.
-func (l *Login) transition(next Stage, answer *Response) *Rejection {
+func (l *Login) transition(next Stage, response *Response) *Rejection {
 	if next != Operational && next != FullFeature || next <= l.stage {
 		return initiatorError("stage %d does not follow stage %d", next, l.stage)
 	}
 	if l.stage == Security && l.account.Secret != "" && l.chap != chapAuthenticated {
-		if l.chap == chapNotStarted && l.answered[keyAuthMethod] {
+		if l.chap == chapNotStarted && l.processed[keyAuthMethod] {
 			return authenticationFailure("it does not prove who it is")
 		}
 		return nil
 	}
-	if next == FullFeature && !l.segmentDeclared {
-		l.segmentDeclared = true
+	if next == FullFeature && !l.maxSegmentDeclared {
+		l.maxSegmentDeclared = true
 		l.Params.OwnMaxSegment = l.options.Params.OwnMaxSegment
-		answer.add(keyMaxSegment, strconv.Itoa(l.options.Params.OwnMaxSegment))
+		response.add(keyMaxSegment, strconv.Itoa(l.options.Params.OwnMaxSegment))
 	}
-	if !l.Discovery && !l.answered[keyPortalGroup] {
-		l.answered[keyPortalGroup] = true
-		answer.add(keyPortalGroup, strconv.Itoa(l.options.PortalGroupTag))
+	if !l.Discovery && !l.processed[keyPortalGroup] {
+		l.processed[keyPortalGroup] = true
+		response.add(keyPortalGroup, strconv.Itoa(l.options.PortalGroupTag))
 	}
 	l.Params.FirstBurst = min(l.Params.FirstBurst, l.Params.MaxBurst)
 	l.stage = next
-	answer.Transit = true
-	answer.Next = next
+	response.Transit = true
+	response.Next = next
 	return nil
 }
 
-func (a *Response) add(key, value string) {
-	a.Pairs = append(a.Pairs, iscsi.Pair{Key: key, Value: value})
+func (r *Response) add(key, value string) {
+	r.Pairs = append(r.Pairs, iscsi.Pair{Key: key, Value: value})
 }
 
 // answerKey answers a key, with none or several. Only keys of CHAP may come twice.
-func (l *Login) answerKey(pair iscsi.Pair) ([]iscsi.Pair, *Rejection) {
+func (l *Login) processKey(pair iscsi.Pair) ([]iscsi.Pair, *Rejection) {
 	isCHAP := strings.HasPrefix(pair.Key, chapPrefix)
-	if l.answered[pair.Key] && !isCHAP {
+	if l.processed[pair.Key] && !isCHAP {
 		return nil, initiatorError("%s is there twice", pair.Key)
 	}
 	if isCHAP || pair.Key == keyAuthMethod {
 		if l.stage != Security {
 			return nil, initiatorError("%s outside of the security stage", pair.Key)
 		}
-		return l.answerSecurityKey(pair)
+		return l.processSecurityKey(pair)
 	}
-	l.answered[pair.Key] = true
+	l.processed[pair.Key] = true
 	switch pair.Key {
 	case keyInitiatorName, "InitiatorAlias", keyTargetName, keySessionType:
 		return nil, nil // declared
 	}
-	value, rejection := l.answerOperationalKey(pair)
+	value, rejection := l.negotiateOperationalKey(pair)
 	if rejection != nil || value == "" {
 		return nil, rejection
 	}
--- a/internal/iscsi/negotiate/negotiate_test.go
+++ b/internal/iscsi/negotiate/negotiate_test.go
@@ -9,23 +9,23 @@
 	"irispost/internal/iscsi"
 )
 
-const iqn, disk = "iqn.2026-01.example:host", "iqn.2026-01.example:disk"
+const initiatorName, targetName = "iqn.2026-01.example:host", "iqn.2026-01.example:disk"
 
 // testChallenge stands for 16 random bytes.
 const testChallenge = "0123456789abcdef"
 
-func options(account Account) Options {
+func testOptions(account Account) Options {
 	return Options{
 		Params:         Preferred,
 		Digests:        true,
 		PortalGroupTag: 1,
-		TargetExists:   func(name string) bool { return name == disk },
+		TargetExists:   func(name string) bool { return name == targetName },
 		AccountFor:     func(_, _ string) Account { return account },
 		NewChallenge:   func() []byte { return []byte(testChallenge) },
 	}
 }
 
-func text(pairs ...string) []byte {
+func encodeText(pairs ...string) []byte {
 	var list []iscsi.Pair
 	for _, pair := range pairs {
 		key, value, _ := strings.Cut(pair, "=")
@@ -34,23 +34,23 @@
 	return iscsi.EncodeText(list)
 }
 
-func lines(pairs []iscsi.Pair) (out []string) {
+func formatPairs(pairs []iscsi.Pair) (out []string) {
 	for _, pair := range pairs {
 		out = append(out, pair.Key+"="+pair.Value)
 	}
 	return out
 }
 
-var names = []string{"InitiatorName=" + iqn, "TargetName=" + disk, "SessionType=Normal"}
+var nameKeys = []string{"InitiatorName=" + initiatorName, "TargetName=" + targetName, "SessionType=Normal"}
 
 // step sends a request that has to be answered with these keys; none: with any.
 func step(t *testing.T, login *Login, current, next Stage, pairs []string, want ...string) Response {
 	t.Helper()
-	answer, rejection := login.Step(Request{Current: current, Next: next, Transit: next != current, Text: text(pairs...)})
+	answer, rejection := login.Step(Request{Current: current, Next: next, Transit: next != current, Text: encodeText(pairs...)})
 	if rejection != nil {
 		t.Fatal(rejection)
 	}
-	got := lines(answer.Pairs)
+	got := formatPairs(answer.Pairs)
 	for _, line := range want {
 		if !slices.Contains(got, line) {
 			t.Errorf("no %s in %q", line, got)
@@ -64,8 +64,8 @@
 
 // A login as hosts do it: security without authentication, then the parameters.
 func TestLoginWithoutAuthentication(t *testing.T) {
-	login := NewLogin(options(Account{}))
-	step(t, login, Security, Operational, append(slices.Clone(names), "AuthMethod=CHAP,None"),
+	login := NewLogin(testOptions(Account{}))
+	step(t, login, Security, Operational, append(slices.Clone(nameKeys), "AuthMethod=CHAP,None"),
 		"AuthMethod=None", "TargetPortalGroupTag=1")
 	step(t, login, Operational, FullFeature, []string{
 		"HeaderDigest=CRC32C,None", "DataDigest=None", "InitialR2T=No", "ImmediateData=Yes", "MaxRecvDataSegmentLength=262144",
@@ -78,22 +78,22 @@
 		"MaxRecvDataSegmentLength=262144")
 	want := Params{HeaderDigest: true, ImmediateData: true, PeerMaxSegment: 262144, OwnMaxSegment: 256 << 10,
 		MaxBurst: 1 << 20, FirstBurst: 65536, MaxOutstandingR2T: 1, TimeToWait: 2}
-	if login.Params != want || login.Stage() != FullFeature || login.Initiator != iqn || login.Target != disk {
+	if login.Params != want || login.Stage() != FullFeature || login.Initiator != initiatorName || login.Target != targetName {
 		t.Errorf("%+v, not %+v", login.Params, want)
 	}
 }
 
 func TestLoginInTheOperationalStageHasDefaults(t *testing.T) {
-	login := NewLogin(options(Account{}))
-	step(t, login, Operational, FullFeature, names, "MaxRecvDataSegmentLength=262144", "TargetPortalGroupTag=1")
+	login := NewLogin(testOptions(Account{}))
+	step(t, login, Operational, FullFeature, nameKeys, "MaxRecvDataSegmentLength=262144", "TargetPortalGroupTag=1")
 	if login.Params.MaxBurst != 262144 || !login.Params.InitialR2T {
 		t.Errorf("%+v", login.Params)
 	}
 }
 
 func TestDiscoveryLoginNeedsNoTarget(t *testing.T) {
-	login := NewLogin(options(Account{}))
-	step(t, login, Operational, FullFeature, []string{"InitiatorName=" + iqn, "SessionType=Discovery"},
+	login := NewLogin(testOptions(Account{}))
+	step(t, login, Operational, FullFeature, []string{"InitiatorName=" + initiatorName, "SessionType=Discovery"},
 		"MaxRecvDataSegmentLength=262144")
 	if !login.Discovery {
 		t.Error("no discovery session")
@@ -104,18 +104,18 @@
 func TestCHAPOneWayAndMutual(t *testing.T) {
 	account := Account{Name: "host", Secret: "twelve chars", TargetName: "disk", TargetSecret: "other secret"}
 	for _, mutual := range []bool{false, true} {
-		login := NewLogin(options(account))
-		first := text(append(slices.Clone(names), "AuthMethod=None,CHAP")...)
+		login := NewLogin(testOptions(account))
+		first := encodeText(append(slices.Clone(nameKeys), "AuthMethod=None,CHAP")...)
 		out, rejection := login.Step(Request{Current: Security, Next: Security, Continue: true, Text: first[:20]})
 		if rejection != nil || len(out.Pairs) > 0 {
 			t.Fatal(out, rejection)
 		}
 		out, rejection = login.Step(Request{Current: Security, Next: Security, Text: first[20:]})
-		if rejection != nil || !slices.Contains(lines(out.Pairs), "AuthMethod=CHAP") {
+		if rejection != nil || !slices.Contains(formatPairs(out.Pairs), "AuthMethod=CHAP") {
 			t.Fatal(out, rejection)
 		}
 		out = step(t, login, Security, Security, []string{"CHAP_A=7,5"})
-		got := lines(out.Pairs)
+		got := formatPairs(out.Pairs)
 		if len(got) != 3 || got[0] != "CHAP_A=5" {
 			t.Fatal(got)
 		}
@@ -129,8 +129,8 @@
 		}
 		out = step(t, login, Security, Operational, proof)
 		want := "CHAP_R=" + EncodeBinary(CHAPResponse(9, account.TargetSecret, []byte("abcdefgh")))
-		if slices.Contains(lines(out.Pairs), want) != mutual {
-			t.Errorf("mutual %v: %q", mutual, lines(out.Pairs))
+		if slices.Contains(formatPairs(out.Pairs), want) != mutual {
+			t.Errorf("mutual %v: %q", mutual, formatPairs(out.Pairs))
 		}
 		if !out.Transit || login.Stage() != Operational {
 			t.Errorf("%+v", out)
@@ -143,10 +143,10 @@
 	secret := Account{Name: "host", Secret: "twelve chars"}
 	type request = Request
 	first := func(pairs ...string) request {
-		return request{Current: Security, Next: Operational, Transit: true, Text: text(append(slices.Clone(names), pairs...)...)}
+		return request{Current: Security, Next: Operational, Transit: true, Text: encodeText(append(slices.Clone(nameKeys), pairs...)...)}
 	}
 	second := func(pairs ...string) request {
-		return request{Current: Operational, Next: FullFeature, Transit: true, Text: text(append(slices.Clone(names), pairs...)...)}
+		return request{Current: Operational, Next: FullFeature, Transit: true, Text: encodeText(append(slices.Clone(nameKeys), pairs...)...)}
 	}
 	for name, c := range map[string]struct {
 		account       Account
@@ -154,14 +154,14 @@
 		class, detail byte
 	}{
 		"no name":           {Account{}, []request{{Current: Security, Next: Operational, Transit: true}}, 2, 7},
-		"no target":         {Account{}, []request{{Current: Security, Text: text("InitiatorName=a")}}, 2, 7},
-		"another target":    {Account{}, []request{{Current: Security, Text: text("InitiatorName=a", "TargetName=b")}}, 2, 3},
+		"no target":         {Account{}, []request{{Current: Security, Text: encodeText("InitiatorName=a")}}, 2, 7},
+		"another target":    {Account{}, []request{{Current: Security, Text: encodeText("InitiatorName=a", "TargetName=b")}}, 2, 3},
 		"full at once":      {Account{}, []request{{Current: FullFeature}}, 2, 0},
 		"a stage back":      {Account{}, []request{second(), {Current: Security}}, 2, 0},
-		"to the same stage": {Account{}, []request{{Current: Operational, Next: Operational, Transit: true, Text: text(names...)}}, 2, 0},
+		"to the same stage": {Account{}, []request{{Current: Operational, Next: Operational, Transit: true, Text: encodeText(nameKeys...)}}, 2, 0},
 		"odd text":          {Account{}, []request{{Current: Security, Text: []byte("what")}}, 2, 0},
 		"on and over":       {Account{}, []request{{Current: Security, Continue: true, Transit: true}}, 2, 0},
-		"odd session":       {Account{}, []request{{Current: Security, Text: text("InitiatorName=a", "SessionType=Odd")}}, 2, 0},
+		"odd session":       {Account{}, []request{{Current: Security, Text: encodeText("InitiatorName=a", "SessionType=Odd")}}, 2, 0},
 		"twice":             {Account{}, []request{second("InitialR2T=No", "InitialR2T=No")}, 2, 0},
 		"neither":           {Account{}, []request{second("InitialR2T=Maybe")}, 2, 0},
 		"no number":         {Account{}, []request{second("MaxBurstLength=much")}, 2, 0},
@@ -173,16 +173,16 @@
 		"no proof":          {secret, []request{first("AuthMethod=None")}, 2, 1},
 		"past the proof":    {secret, []request{second()}, 2, 1},
 		"chosen, not proven": {secret, []request{first("AuthMethod=CHAP"),
-			{Current: Security, Next: FullFeature, Transit: true, Text: text("CHAP_N=host")}}, 2, 1},
-		"another algorithm": {secret, []request{first("AuthMethod=CHAP"), {Current: Security, Text: text("CHAP_A=6")}}, 2, 1},
-		"another's name": {secret, []request{first("AuthMethod=CHAP"), {Current: Security, Text: text("CHAP_A=5")},
-			{Current: Security, Text: text("CHAP_N=you")}}, 2, 1},
-		"a wrong proof": {secret, []request{first("AuthMethod=CHAP"), {Current: Security, Text: text("CHAP_A=5")},
-			{Current: Security, Text: text("CHAP_N=host", "CHAP_R=0x00")}}, 2, 1},
-		"a proof without a name": {secret, []request{first("AuthMethod=CHAP"), {Current: Security, Text: text("CHAP_A=5")},
-			{Current: Security, Text: text("CHAP_R=" + EncodeBinary(CHAPResponse('0', secret.Secret, []byte(testChallenge))))}}, 2, 1},
+			{Current: Security, Next: FullFeature, Transit: true, Text: encodeText("CHAP_N=host")}}, 2, 1},
+		"another algorithm": {secret, []request{first("AuthMethod=CHAP"), {Current: Security, Text: encodeText("CHAP_A=6")}}, 2, 1},
+		"another's name": {secret, []request{first("AuthMethod=CHAP"), {Current: Security, Text: encodeText("CHAP_A=5")},
+			{Current: Security, Text: encodeText("CHAP_N=you")}}, 2, 1},
+		"a wrong proof": {secret, []request{first("AuthMethod=CHAP"), {Current: Security, Text: encodeText("CHAP_A=5")},
+			{Current: Security, Text: encodeText("CHAP_N=host", "CHAP_R=0x00")}}, 2, 1},
+		"a proof without a name": {secret, []request{first("AuthMethod=CHAP"), {Current: Security, Text: encodeText("CHAP_A=5")},
+			{Current: Security, Text: encodeText("CHAP_R=" + EncodeBinary(CHAPResponse('0', secret.Secret, []byte(testChallenge))))}}, 2, 1},
 	} {
-		login := NewLogin(options(c.account))
+		login := NewLogin(testOptions(c.account))
 		var rejection *Rejection
 		for _, r := range c.requests {
 			if rejection != nil {
@@ -200,12 +200,12 @@
 // Our own challenge sent back authenticates nobody.
 func TestReflectedChallengeIsRejected(t *testing.T) {
 	account := Account{Name: "host", Secret: "twelve chars", TargetName: "disk", TargetSecret: "other secret"}
-	login := NewLogin(options(account))
-	step(t, login, Security, Security, append(slices.Clone(names), "AuthMethod=CHAP"))
+	login := NewLogin(testOptions(account))
+	step(t, login, Security, Security, append(slices.Clone(nameKeys), "AuthMethod=CHAP"))
 	step(t, login, Security, Security, []string{"CHAP_A=5"})
 	challenge := []byte(testChallenge)
 	response := CHAPResponse(testChallenge[0], account.Secret, challenge)
-	_, rejection := login.Step(Request{Current: Security, Text: text("CHAP_N=host", "CHAP_R="+EncodeBinary(response),
+	_, rejection := login.Step(Request{Current: Security, Text: encodeText("CHAP_N=host", "CHAP_R="+EncodeBinary(response),
 		"CHAP_I=1", "CHAP_C="+EncodeBinary(challenge))})
 	if rejection == nil || rejection.Detail != DetailAuthentication || !strings.Contains(rejection.Reason, "own challenge") {
 		t.Errorf("a reflected challenge: %v", rejection)
@@ -213,7 +213,7 @@
 }
 
 func TestLoginIsBoundedInRequestsAndText(t *testing.T) {
-	login := NewLogin(options(Account{}))
+	login := NewLogin(testOptions(Account{}))
 	for range maxRequests {
 		if _, rejection := login.Step(Request{Current: Security, Continue: true}); rejection != nil {
 			t.Fatal(rejection)
@@ -222,7 +222,7 @@
 	if _, rejection := login.Step(Request{Current: Security, Continue: true}); rejection == nil {
 		t.Error("no end")
 	}
-	login = NewLogin(options(Account{}))
+	login = NewLogin(testOptions(Account{}))
 	long := bytes.Repeat([]byte{'x'}, maxTextLength+1)
 	if _, rejection := login.Step(Request{Current: Security, Continue: true, Text: long}); rejection == nil {
 		t.Error("too much is taken")
@@ -231,9 +231,9 @@
 
 // Any requests end in a login or a rejection, never full without a proof where one is due.
 func FuzzLogin(f *testing.F) {
-	f.Add(byte(0x85), text(append(slices.Clone(names), "AuthMethod=CHAP")...), byte(0x87), text("CHAP_N=host", "CHAP_R=0x00"))
+	f.Add(byte(0x85), encodeText(append(slices.Clone(nameKeys), "AuthMethod=CHAP")...), byte(0x87), encodeText("CHAP_N=host", "CHAP_R=0x00"))
 	f.Fuzz(func(t *testing.T, a byte, first []byte, b byte, second []byte) {
-		login := NewLogin(options(Account{Name: "host", Secret: "twelve chars"}))
+		login := NewLogin(testOptions(Account{Name: "host", Secret: "twelve chars"}))
 		for _, r := range []struct {
 			flags byte
 			text  []byte
--- a/internal/iscsi/negotiate/operational.go
+++ b/internal/iscsi/negotiate/operational.go
@@ -26,13 +26,13 @@
 )
 
 // answerOperationalKey answers a key of RFC 7143, 13; empty: it needs no answer.
-func (l *Login) answerOperationalKey(pair iscsi.Pair) (string, *Rejection) {
+func (l *Login) negotiateOperationalKey(pair iscsi.Pair) (string, *Rejection) {
 	ours := &l.options.Params
 	switch pair.Key {
 	case "HeaderDigest":
-		return l.answerDigest(pair, &l.Params.HeaderDigest)
+		return l.negotiateDigest(pair, &l.Params.HeaderDigest)
 	case "DataDigest":
-		return l.answerDigest(pair, &l.Params.DataDigest)
+		return l.negotiateDigest(pair, &l.Params.DataDigest)
 	case "InitialR2T":
 		theirs, rejection := parseBool(pair)
 		l.Params.InitialR2T = theirs || ours.InitialR2T
@@ -49,11 +49,11 @@
 		l.Params.PeerMaxSegment = theirs
 		return "", rejection
 	case "MaxBurstLength":
-		return answerMinimum(pair, ours.MaxBurst, &l.Params.MaxBurst, minSegment, max24Bits)
+		return negotiateMinimum(pair, ours.MaxBurst, &l.Params.MaxBurst, minSegment, max24Bits)
 	case "FirstBurstLength":
-		return answerMinimum(pair, ours.FirstBurst, &l.Params.FirstBurst, minSegment, max24Bits)
+		return negotiateMinimum(pair, ours.FirstBurst, &l.Params.FirstBurst, minSegment, max24Bits)
 	case "MaxOutstandingR2T":
-		return answerMinimum(pair, ours.MaxOutstandingR2T, &l.Params.MaxOutstandingR2T, 1, max16Bits)
+		return negotiateMinimum(pair, ours.MaxOutstandingR2T, &l.Params.MaxOutstandingR2T, 1, max16Bits)
 	case "MaxConnections":
 		_, rejection := parseNumber(pair, 1, max16Bits)
 		return "1", rejection
@@ -65,7 +65,7 @@
 		l.Params.TimeToWait = max(theirs, ours.TimeToWait)
 		return strconv.Itoa(l.Params.TimeToWait), rejection
 	case "DefaultTime2Retain":
-		return answerMinimum(pair, ours.TimeToRetain, &l.Params.TimeToRetain, 0, maxSeconds)
+		return negotiateMinimum(pair, ours.TimeToRetain, &l.Params.TimeToRetain, 0, maxSeconds)
 	case SessionNameKey:
 		if l.options.SessionName != nil {
 			return l.options.SessionName(), nil
@@ -77,7 +77,7 @@
 }
 
 // answerMinimum answers a number with the smaller one of both ends, and sets the parameter to it.
-func answerMinimum(pair iscsi.Pair, ours int, parameter *int, least, most int) (string, *Rejection) {
+func negotiateMinimum(pair iscsi.Pair, ours int, parameter *int, least, most int) (string, *Rejection) {
 	theirs, rejection := parseNumber(pair, least, most)
 	if rejection == nil {
 		*parameter = min(theirs, ours)
@@ -86,7 +86,7 @@
 }
 
 // answerDigest answers a list of digests with the first that is offered here.
-func (l *Login) answerDigest(pair iscsi.Pair, parameter *bool) (string, *Rejection) {
+func (l *Login) negotiateDigest(pair iscsi.Pair, parameter *bool) (string, *Rejection) {
 	for _, digest := range strings.Split(pair.Value, ",") {
 		if digest == digestNone || digest == digestCRC32C && l.options.Digests {
 			*parameter = digest == digestCRC32C
--- a/internal/iscsi/negotiate/security.go
+++ b/internal/iscsi/negotiate/security.go
@@ -31,39 +31,39 @@
 )
 
 // answerSecurityKey answers a key of the security stage: AuthMethod None, or CHAP with MD5 (RFC 7143, 12.1).
-func (l *Login) answerSecurityKey(pair iscsi.Pair) ([]iscsi.Pair, *Rejection) {
+func (l *Login) processSecurityKey(pair iscsi.Pair) ([]iscsi.Pair, *Rejection) {
 	switch pair.Key {
 	case keyAuthMethod:
-		return l.selectMethod(pair)
+		return l.selectAuthMethod(pair)
 	case "CHAP_A":
 		return l.sendChallenge(pair)
 	case "CHAP_N":
 		if l.chap != chapChallenged || !equalSecret([]byte(pair.Value), []byte(l.account.Name)) {
 			return nil, authenticationFailure("CHAP_N is of nobody known")
 		}
-		l.answered["CHAP_N"] = true
+		l.processed["CHAP_N"] = true
 		return nil, nil
 	case "CHAP_R":
 		return nil, l.checkResponse(pair)
 	case "CHAP_I":
 		id, rejection := parseNumber(pair, 0, 255)
-		l.id = byte(id)
+		l.chapID = byte(id)
 		if rejection != nil || l.chap != chapAuthenticated {
 			return nil, authenticationFailure("CHAP_I out of its order")
 		}
-		l.answered["CHAP_I"] = true
+		l.processed["CHAP_I"] = true
 		return nil, nil
 	case "CHAP_C":
-		return l.answerChallenge(pair)
+		return l.respondToChallenge(pair)
 	}
 	return nil, authenticationFailure("%s is not known", pair.Key)
 }
 
-func (l *Login) selectMethod(pair iscsi.Pair) ([]iscsi.Pair, *Rejection) {
-	if l.answered[keyAuthMethod] {
+func (l *Login) selectAuthMethod(pair iscsi.Pair) ([]iscsi.Pair, *Rejection) {
+	if l.processed[keyAuthMethod] {
 		return nil, initiatorError("AuthMethod is there twice")
 	}
-	l.answered[keyAuthMethod] = true
+	l.processed[keyAuthMethod] = true
 	offered := strings.Split(pair.Value, ",")
 	if l.account.Secret == "" && slices.Contains(offered, methodNone) {
 		l.chap = chapAuthenticated
@@ -82,10 +82,10 @@
 	}
 	l.chap = chapChallenged
 	l.challenge = l.options.NewChallenge()
-	l.id = l.challenge[0]
+	l.chapID = l.challenge[0]
 	return []iscsi.Pair{
 		{Key: "CHAP_A", Value: chapMD5},
-		{Key: "CHAP_I", Value: strconv.Itoa(int(l.id))},
+		{Key: "CHAP_I", Value: strconv.Itoa(int(l.chapID))},
 		{Key: "CHAP_C", Value: EncodeBinary(l.challenge)},
 	}, nil
 }
@@ -93,8 +93,8 @@
 // checkResponse checks the initiator's response to our challenge.
 func (l *Login) checkResponse(pair iscsi.Pair) *Rejection {
 	got, err := DecodeBinary(pair.Value)
-	want := CHAPResponse(l.id, l.account.Secret, l.challenge)
-	if l.chap != chapChallenged || !l.answered["CHAP_N"] || err != nil || !equalSecret(got, want) {
+	want := CHAPResponse(l.chapID, l.account.Secret, l.challenge)
+	if l.chap != chapChallenged || !l.processed["CHAP_N"] || err != nil || !equalSecret(got, want) {
 		return authenticationFailure("CHAP_R does not prove it")
 	}
 	l.chap = chapAuthenticated
@@ -102,16 +102,16 @@
 }
 
 // answerChallenge answers the initiator's challenge. Our own, sent back, is rejected: its answer is what we ask for.
-func (l *Login) answerChallenge(pair iscsi.Pair) ([]iscsi.Pair, *Rejection) {
+func (l *Login) respondToChallenge(pair iscsi.Pair) ([]iscsi.Pair, *Rejection) {
 	challenge, err := DecodeBinary(pair.Value)
-	inOrder := l.chap == chapAuthenticated && l.answered["CHAP_I"]
+	inOrder := l.chap == chapAuthenticated && l.processed["CHAP_I"]
 	if err != nil || len(challenge) == 0 || len(challenge) > maxChallengeLength || !inOrder || l.account.TargetSecret == "" {
 		return nil, authenticationFailure("CHAP_C cannot be answered")
 	}
 	if equalSecret(challenge, l.challenge) {
 		return nil, authenticationFailure("our own challenge is sent back")
 	}
-	response := CHAPResponse(l.id, l.account.TargetSecret, challenge)
+	response := CHAPResponse(l.chapID, l.account.TargetSecret, challenge)
 	return []iscsi.Pair{
 		{Key: "CHAP_N", Value: l.account.TargetName},
 		{Key: "CHAP_R", Value: EncodeBinary(response)},
--- a/internal/iscsi/target/answer.go
+++ b/internal/iscsi/target/answer.go
@@ -13,10 +13,10 @@
 // answer gives the command its one answer: data with its status, or the status alone. A command that was aborted by its
 // own session gets none.
 func (t *task) answer(status scsi.Status, sense *scsi.Sense, data []byte) {
-	x := t.session
-	x.lock.Lock()
-	if t.state == taskOver {
-		x.lock.Unlock()
+	sess := t.session
+	sess.lock.Lock()
+	if t.state == taskEnded {
+		sess.lock.Unlock()
 		return
 	}
 	switch {
@@ -25,9 +25,9 @@
 	case t.reportAbort:
 		t.send(scsi.TaskAborted, nil, nil)
 	}
-	t.setState(taskOver)
-	x.lock.Unlock()
-	x.server.options.Front.EndRequest()
+	t.setState(taskEnded)
+	sess.lock.Unlock()
+	sess.server.options.Front.EndRequest()
 }
 
 // send sends the answer. The caller holds the session's lock.
@@ -64,10 +64,10 @@
 
 // sendData sends data in sequences of Data-In, with status GOOD in the last PDU. The caller holds the session's lock.
 func (t *task) sendData(data []byte, flags byte, residual uint32) {
-	x := t.session
+	sess := t.session
 	dataSN, burst := uint32(0), 0
 	for offset := 0; offset < len(data); dataSN++ {
-		length := min(len(data)-offset, x.params.PeerMaxSegment, x.params.MaxBurst-burst)
+		length := min(len(data)-offset, sess.params.PeerMaxSegment, sess.params.MaxBurst-burst)
 		pdu := iscsi.New(iscsi.DataIn, 0).
 			SetLUN(t.lun[:]).
 			SetUint32(iscsi.OffsetTag, t.tag).
@@ -82,10 +82,10 @@
 			pdu.SetByte(iscsi.OffsetFlags, iscsi.Final|iscsi.HasStatus|flags).
 				SetByte(iscsi.OffsetStatus, byte(scsi.Good)).
 				SetUint32(iscsi.OffsetResidual, residual)
-		} else if burst == x.params.MaxBurst {
+		} else if burst == sess.params.MaxBurst {
 			pdu.SetByte(iscsi.OffsetFlags, iscsi.Final)
 			burst = 0
 		}
-		x.send(pdu, last)
+		sess.send(pdu, last)
 	}
 }
--- a/internal/iscsi/target/login.go
+++ b/internal/iscsi/target/login.go
@@ -15,44 +15,44 @@
 )
 
 // handleLogin handles a login request. A rejection is answered, and closes the connection.
-func (x *session) handleLogin(pdu *iscsi.PDU) error {
+func (sess *session) handleLogin(pdu *iscsi.PDU) error {
 	if pdu.Opcode() != iscsi.LoginRequest {
 		return fmt.Errorf("a PDU of kind %#x before the login", byte(pdu.Opcode()))
 	}
-	x.lock.Lock()
-	if !x.started {
-		x.started = true
-		x.expCmdSN = pdu.Uint32(iscsi.OffsetCmdSN)
-		x.maxCmdSN = x.expCmdSN
-		copy(x.identity.isid[:], pdu.ISID())
+	sess.lock.Lock()
+	if !sess.started {
+		sess.started = true
+		sess.expCmdSN = pdu.Uint32(iscsi.OffsetCmdSN)
+		sess.maxCmdSN = sess.expCmdSN
+		copy(sess.identity.isid[:], pdu.ISID())
 	}
-	x.lock.Unlock()
-	answer, rejection := x.negotiate(pdu)
+	sess.lock.Unlock()
+	response, rejection := sess.stepLogin(pdu)
 	out := iscsi.New(iscsi.LoginResponse, 0).SetUint32(iscsi.OffsetTag, pdu.Tag())
 	copy(out.ISID(), pdu.ISID())
 	if rejection != nil {
-		x.rejectLogin(pdu, out, rejection)
+		sess.rejectLogin(pdu, out, rejection)
 		return rejection
 	}
-	flags := byte(answer.Current) << currentStageShift
-	if answer.Transit {
-		flags |= iscsi.Final | byte(answer.Next)
+	flags := byte(response.Current) << currentStageShift
+	if response.Transit {
+		flags |= iscsi.Final | byte(response.Next)
 	}
-	out.SetByte(iscsi.OffsetFlags, flags).SetData(iscsi.EncodeText(answer.Pairs))
-	if !answer.Transit || answer.Next != negotiate.FullFeature {
-		x.sendLocked(out, true)
+	out.SetByte(iscsi.OffsetFlags, flags).SetData(iscsi.EncodeText(response.Pairs))
+	if !response.Transit || response.Next != negotiate.FullFeature {
+		sess.lockAndSend(out, true)
 		return nil
 	}
-	x.enterFullFeature(out)
-	x.lock.Lock()
-	defer x.lock.Unlock()
-	x.send(out, true)
-	x.digests = iscsi.Digests{Header: x.params.HeaderDigest, Data: x.params.DataDigest} // of what follows
+	sess.enterFullFeature(out)
+	sess.lock.Lock()
+	defer sess.lock.Unlock()
+	sess.send(out, true)
+	sess.digests = iscsi.Digests{Header: sess.params.HeaderDigest, Data: sess.params.DataDigest} // of what follows
 	return nil
 }
 
 // negotiate has the login handle a request, unless the request cannot lead to a session here.
-func (x *session) negotiate(pdu *iscsi.PDU) (negotiate.Response, *negotiate.Rejection) {
+func (sess *session) stepLogin(pdu *iscsi.PDU) (negotiate.Response, *negotiate.Rejection) {
 	reject := func(class, detail byte, reason string) (negotiate.Response, *negotiate.Rejection) {
 		return negotiate.Response{}, &negotiate.Rejection{Class: class, Detail: detail, Reason: reason}
 	}
@@ -61,10 +61,10 @@
 		return reject(negotiate.ClassInitiatorError, negotiate.DetailUnsupportedVersion, "version 0 is spoken")
 	case pdu.Uint16(iscsi.OffsetTSIH) != 0:
 		return reject(negotiate.ClassInitiatorError, negotiate.DetailTooManyConnections, "a session has one connection")
-	case x.server.options.Front.Draining():
+	case sess.server.options.Front.Draining():
 		return reject(negotiate.ClassTargetError, negotiate.DetailServiceUnavailable, "the gateway is stopping")
 	}
-	return x.login.Step(negotiate.Request{
+	return sess.login.Step(negotiate.Request{
 		Current:  negotiate.Stage(pdu.Flags() >> currentStageShift & stageMask),
 		Next:     negotiate.Stage(pdu.Flags() & stageMask),
 		Transit:  pdu.Final(),
@@ -73,37 +73,37 @@
 	})
 }
 
-func (x *session) rejectLogin(pdu, out *iscsi.PDU, rejection *negotiate.Rejection) {
-	x.server.options.Log.Warn("login rejected",
-		"remote", x.conn.RemoteAddr(), "initiator", x.login.Initiator, "err", rejection.Reason)
+func (sess *session) rejectLogin(pdu, out *iscsi.PDU, rejection *negotiate.Rejection) {
+	sess.server.options.Log.Warn("login rejected",
+		"remote", sess.conn.RemoteAddr(), "initiator", sess.login.Initiator, "err", rejection.Reason)
 	out.SetByte(iscsi.OffsetFlags, pdu.Flags()&currentStageMask).
 		SetByte(iscsi.OffsetStatusClass, rejection.Class).
 		SetByte(iscsi.OffsetStatusDetail, rejection.Detail)
-	x.sendLocked(out, true)
-	x.conn.WaitSent(sendTimeout)
+	sess.lockAndSend(out, true)
+	sess.conn.WaitSent(sendTimeout)
 }
 
 // enterFullFeature begins the full feature phase, before the answer out is sent.
-func (x *session) enterFullFeature(out *iscsi.PDU) {
-	x.loginTimer.Stop()
-	login := x.login
-	x.identity.initiator = login.Initiator
-	x.identity.target = login.Target
+func (sess *session) enterFullFeature(out *iscsi.PDU) {
+	sess.loginTimer.Stop()
+	login := sess.login
+	sess.identity.initiator = login.Initiator
+	sess.identity.target = login.Target
 	if !login.Discovery {
-		x.target = x.server.targets[login.Target]
-		x.server.pacerLock.Lock()
-		x.pacing = x.server.pacer.NewSession()
-		x.server.pacerLock.Unlock()
+		sess.target = sess.server.targets[login.Target]
+		sess.server.pacerLock.Lock()
+		sess.pacing = sess.server.pacer.NewSession()
+		sess.server.pacerLock.Unlock()
 	}
-	x.lock.Lock()
-	x.params = login.Params
-	x.tsih = uint16(x.server.lastTSIH.Add(1)%0xffff + 1) // never 0, which is a new session's
-	x.setState(stateFullFeature)
-	x.lock.Unlock()
-	out.SetUint16(iscsi.OffsetTSIH, x.tsih)
+	sess.lock.Lock()
+	sess.params = login.Params
+	sess.tsih = uint16(sess.server.lastTSIH.Add(1)%0xffff + 1) // never 0, which is a new session's
+	sess.setState(stateFullFeature)
+	sess.lock.Unlock()
+	out.SetUint16(iscsi.OffsetTSIH, sess.tsih)
 	if !login.Discovery {
-		x.server.addSession(x)
+		sess.server.addSession(sess)
 	}
-	x.server.options.Log.Info("session established", "initiator", login.Initiator, "target", login.Target,
-		"discovery", login.Discovery, "digests", x.params.HeaderDigest || x.params.DataDigest)
+	sess.server.options.Log.Info("session established", "initiator", login.Initiator, "target", login.Target,
+		"discovery", login.Discovery, "digests", sess.params.HeaderDigest || sess.params.DataDigest)
 }
--- a/internal/iscsi/target/management.go
+++ b/internal/iscsi/target/management.go
@@ -29,56 +29,56 @@
 
 // manageTasks executes a task management function. It is answered when what it aborts has ended: after that, no effect
 // of the aborted tasks comes any more.
-func (x *session) manageTasks(pdu *iscsi.PDU) {
-	if x.target == nil {
-		x.reject(pdu, rejectProtocolError)
+func (sess *session) handleTaskManagement(pdu *iscsi.PDU) {
+	if sess.target == nil {
+		sess.reject(pdu, rejectProtocolError)
 		return
 	}
-	tasks, response := x.selectTasks(pdu)
+	tasks, response := sess.selectTasks(pdu)
 	if response != responseComplete {
-		x.answerManagement(pdu, response)
+		sess.answerManagement(pdu, response)
 		return
 	}
 	var ends []<-chan struct{}
 	for _, t := range tasks {
-		ends = append(ends, t.abort(t.session == x))
+		ends = append(ends, t.abort(t.session == sess))
 	}
 	go func() {
 		for _, end := range ends {
 			<-end
 		}
-		x.answerManagement(pdu, responseComplete)
+		sess.answerManagement(pdu, responseComplete)
 	}()
 }
 
-func (x *session) answerManagement(pdu *iscsi.PDU, response byte) {
-	x.sendLocked(iscsi.New(iscsi.TaskManagementResponse, iscsi.Final).
+func (sess *session) answerManagement(pdu *iscsi.PDU, response byte) {
+	sess.lockAndSend(iscsi.New(iscsi.TaskManagementResponse, iscsi.Final).
 		SetByte(iscsi.OffsetResponse, response).
 		SetUint32(iscsi.OffsetTag, pdu.Tag()), true)
 }
 
 // selectTasks returns the tasks that a function aborts, or why it aborts none.
-func (x *session) selectTasks(pdu *iscsi.PDU) (tasks []*task, response byte) {
+func (sess *session) selectTasks(pdu *iscsi.PDU) (tasks []*task, response byte) {
 	switch function := pdu.Flags() & functionMask; function {
 	case functionAbortTask:
-		x.lock.Lock()
-		defer x.lock.Unlock()
-		t := x.tasks[pdu.Uint32(iscsi.OffsetReferencedTag)]
+		sess.lock.Lock()
+		defer sess.lock.Unlock()
+		t := sess.tasks[pdu.Uint32(iscsi.OffsetReferencedTag)]
 		if t == nil {
 			return nil, responseNoTask
 		}
 		return []*task{t}, responseComplete
 	case functionAbortTaskSet, functionClearTaskSet, functionLUNReset:
 		lun, known := scsi.DecodeLUN(pdu.LUN())
-		unit := x.target.Units[lun]
+		unit := sess.target.Units[lun]
 		if !known || unit == nil {
 			return nil, responseNoLUN
 		}
-		tasks = x.tasksOf(unit)
+		tasks = sess.tasksOf(unit)
 		if function == functionAbortTaskSet {
 			return tasks, responseComplete
 		}
-		for _, other := range x.server.otherSessions(x) {
+		for _, other := range sess.server.otherSessions(sess) {
 			tasks = append(tasks, other.tasksOf(unit)...)
 		}
 		return tasks, responseComplete
@@ -89,11 +89,11 @@
 }
 
 // tasksOf returns the session's tasks at a unit.
-func (x *session) tasksOf(unit *Unit) (tasks []*task) {
-	x.lock.Lock()
-	defer x.lock.Unlock()
-	for _, tag := range slices.Sorted(maps.Keys(x.tasks)) {
-		if t := x.tasks[tag]; t.unit == unit {
+func (sess *session) tasksOf(unit *Unit) (tasks []*task) {
+	sess.lock.Lock()
+	defer sess.lock.Unlock()
+	for _, tag := range slices.Sorted(maps.Keys(sess.tasks)) {
+		if t := sess.tasks[tag]; t.unit == unit {
 			tasks = append(tasks, t)
 		}
 	}
--- a/internal/iscsi/target/requests.go
+++ b/internal/iscsi/target/requests.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	maxOutOfOrder = 32       // requests kept whose predecessors have not come
-	maxTextLength = 64 << 10 // bytes of a text request in parts
-	goOnTag       = 1        // the transfer tag of an answer that asks for the rest of a text
+	maxOutOfOrder   = 32       // requests kept whose predecessors have not come
+	maxTextLength   = 64 << 10 // bytes of a text request in parts
+	continuationTag = 1        // the transfer tag of an answer that asks for the rest of a text
 )
 
 // Reasons why a connection is closed.
@@ -22,23 +22,23 @@
 )
 
 // handleRequest handles a PDU of the full feature phase. Requests that have a command number are executed in its order.
-func (x *session) handleRequest(pdu *iscsi.PDU) error {
+func (sess *session) handleRequest(pdu *iscsi.PDU) error {
 	switch pdu.Opcode() {
 	case iscsi.DataOut:
-		return x.handleData(pdu)
+		return sess.handleDataOut(pdu)
 	case iscsi.SNACK:
-		x.reject(pdu, rejectSNACK) // nothing is kept to be sent again
+		sess.reject(pdu, rejectSNACK) // nothing is kept to be sent again
 		return nil
 	case iscsi.Command, iscsi.TaskManagementRequest, iscsi.TextRequest, iscsi.LogoutRequest, iscsi.NopOut:
 	default:
-		x.reject(pdu, rejectProtocolError)
+		sess.reject(pdu, rejectProtocolError)
 		return fmt.Errorf("a PDU of kind %#x in the full feature phase", byte(pdu.Opcode()))
 	}
 	if pdu.Immediate() {
-		return x.execute(pdu)
+		return sess.execute(pdu)
 	}
-	for next := x.inOrder(pdu); next != nil; next = x.nextInOrder() {
-		if err := x.execute(next); err != nil {
+	for next := sess.acceptRequest(pdu); next != nil; next = sess.nextBuffered() {
+		if err := sess.execute(next); err != nil {
 			return err
 		}
 	}
@@ -47,120 +47,120 @@
 
 // inOrder returns a request if it has the next command number. Others are kept until it has come; repeats, those out of
 // the window and too many are ignored, and have to be sent again (RFC 7143, 4.2.2.1).
-func (x *session) inOrder(pdu *iscsi.PDU) *iscsi.PDU {
+func (sess *session) acceptRequest(pdu *iscsi.PDU) *iscsi.PDU {
 	number := pdu.Uint32(iscsi.OffsetCmdSN)
-	x.lock.Lock()
-	defer x.lock.Unlock()
-	if int32(number-x.expCmdSN) < 0 || int32(number-x.maxCmdSN) > 0 {
+	sess.lock.Lock()
+	defer sess.lock.Unlock()
+	if int32(number-sess.expCmdSN) < 0 || int32(number-sess.maxCmdSN) > 0 {
 		return nil
 	}
-	if number != x.expCmdSN {
-		if len(x.outOfOrder) < maxOutOfOrder {
-			x.outOfOrder[number] = pdu
+	if number != sess.expCmdSN {
+		if len(sess.outOfOrder) < maxOutOfOrder {
+			sess.outOfOrder[number] = pdu
 		}
 		return nil
 	}
-	x.expCmdSN++
+	sess.expCmdSN++
 	return pdu
 }
 
 // nextInOrder returns the kept request that has the next command number; nil: it has not come.
-func (x *session) nextInOrder() *iscsi.PDU {
-	x.lock.Lock()
-	defer x.lock.Unlock()
-	pdu := x.outOfOrder[x.expCmdSN]
+func (sess *session) nextBuffered() *iscsi.PDU {
+	sess.lock.Lock()
+	defer sess.lock.Unlock()
+	pdu := sess.outOfOrder[sess.expCmdSN]
 	if pdu != nil {
-		delete(x.outOfOrder, x.expCmdSN)
-		x.expCmdSN++
+		delete(sess.outOfOrder, sess.expCmdSN)
+		sess.expCmdSN++
 	}
 	return pdu
 }
 
 // execute executes a request whose turn has come.
-func (x *session) execute(pdu *iscsi.PDU) error {
+func (sess *session) execute(pdu *iscsi.PDU) error {
 	switch pdu.Opcode() {
 	case iscsi.NopOut:
-		x.answerNop(pdu)
+		sess.answerNop(pdu)
 	case iscsi.TextRequest:
-		x.answerText(pdu)
+		sess.answerText(pdu)
 	case iscsi.LogoutRequest:
-		return x.logout(pdu)
+		return sess.logout(pdu)
 	case iscsi.TaskManagementRequest:
-		x.manageTasks(pdu)
+		sess.handleTaskManagement(pdu)
 	case iscsi.Command:
-		if x.target == nil {
-			x.reject(pdu, rejectProtocolError)
+		if sess.target == nil {
+			sess.reject(pdu, rejectProtocolError)
 			return errCommandInDiscovery
 		}
-		x.handleCommand(pdu)
+		sess.handleCommand(pdu)
 	}
 	return nil
 }
 
 // answerNop answers a ping. A NOP-Out without a tag is none.
-func (x *session) answerNop(pdu *iscsi.PDU) {
+func (sess *session) answerNop(pdu *iscsi.PDU) {
 	if pdu.Tag() == iscsi.NoTag {
 		return
 	}
-	x.lock.Lock()
-	defer x.lock.Unlock()
+	sess.lock.Lock()
+	defer sess.lock.Unlock()
 	answer := iscsi.New(iscsi.NopIn, iscsi.Final).
 		SetLUN(pdu.LUN()).
 		SetUint32(iscsi.OffsetTag, pdu.Tag()).
 		SetUint32(iscsi.OffsetTransferTag, iscsi.NoTag).
-		SetData(pdu.Data[:min(len(pdu.Data), x.params.PeerMaxSegment)])
-	x.send(answer, true)
+		SetData(pdu.Data[:min(len(pdu.Data), sess.params.PeerMaxSegment)])
+	sess.send(answer, true)
 }
 
 // answerText answers a text request, which may come in parts (RFC 7143, 11.10).
-func (x *session) answerText(pdu *iscsi.PDU) {
+func (sess *session) answerText(pdu *iscsi.PDU) {
 	more := pdu.Flags()&iscsi.Continue != 0
-	x.lock.Lock()
-	x.text = append(x.text, pdu.Data...)
-	text := x.text
+	sess.lock.Lock()
+	sess.text = append(sess.text, pdu.Data...)
+	text := sess.text
 	if !more || len(text) > maxTextLength {
-		x.text = nil
+		sess.text = nil
 	}
-	x.lock.Unlock()
+	sess.lock.Unlock()
 	answer := iscsi.New(iscsi.TextResponse, iscsi.Final).
 		SetUint32(iscsi.OffsetTag, pdu.Tag()).
 		SetUint32(iscsi.OffsetTransferTag, iscsi.NoTag)
 	if more {
 		if len(text) > maxTextLength {
-			x.reject(pdu, rejectProtocolError)
+			sess.reject(pdu, rejectProtocolError)
 			return
 		}
-		answer.SetByte(iscsi.OffsetFlags, 0).SetUint32(iscsi.OffsetTransferTag, goOnTag)
-		x.sendLocked(answer, true)
+		answer.SetByte(iscsi.OffsetFlags, 0).SetUint32(iscsi.OffsetTransferTag, continuationTag)
+		sess.lockAndSend(answer, true)
 		return
 	}
 	pairs, err := iscsi.DecodeText(text)
 	if err != nil {
-		x.reject(pdu, rejectInvalidField)
+		sess.reject(pdu, rejectInvalidField)
 		return
 	}
-	answer.SetData(iscsi.EncodeText(x.answerPairs(pairs)))
-	if len(answer.Data) > x.params.PeerMaxSegment {
-		x.reject(pdu, rejectNotSupported) // more targets than one answer holds
+	answer.SetData(iscsi.EncodeText(sess.answerTextKeys(pairs)))
+	if len(answer.Data) > sess.params.PeerMaxSegment {
+		sess.reject(pdu, rejectNotSupported) // more targets than one answer holds
 		return
 	}
-	x.sendLocked(answer, true)
+	sess.lockAndSend(answer, true)
 }
 
 // answerPairs answers the keys of a text request, of which SendTargets is known (RFC 7143, Appendix C).
-func (x *session) answerPairs(pairs []iscsi.Pair) (answers []iscsi.Pair) {
+func (sess *session) answerTextKeys(pairs []iscsi.Pair) (answers []iscsi.Pair) {
 	for _, pair := range pairs {
 		if pair.Key != "SendTargets" {
 			answers = append(answers, iscsi.Pair{Key: pair.Key, Value: "NotUnderstood"})
 			continue
 		}
-		for _, name := range slices.Sorted(maps.Keys(x.server.targets)) {
-			if !x.sendsTarget(pair.Value, name) {
+		for _, name := range slices.Sorted(maps.Keys(sess.server.targets)) {
+			if !sess.listsTarget(pair.Value, name) {
 				continue
 			}
 			answers = append(answers,
 				iscsi.Pair{Key: "TargetName", Value: name},
-				iscsi.Pair{Key: "TargetAddress", Value: fmt.Sprintf("%s,%d", x.server.Addr(), portalGroup)})
+				iscsi.Pair{Key: "TargetAddress", Value: fmt.Sprintf("%s,%d", sess.server.Addr(), portalGroup)})
 		}
 	}
 	return answers
@@ -168,11 +168,11 @@
 
 // sendsTarget tells whether a target belongs to the answer to SendTargets: in a discovery session all or the one that
 // is named, in another its own only.
-func (x *session) sendsTarget(requested, name string) bool {
-	if x.target == nil {
+func (sess *session) listsTarget(requested, name string) bool {
+	if sess.target == nil {
 		return requested == "All" || requested == name
 	}
-	return x.target.Name == name && (requested == "" || requested == name)
+	return sess.target.Name == name && (requested == "" || requested == name)
 }
 
 // Logout requests and answers (RFC 7143, 11.14 and 11.15).
@@ -183,38 +183,38 @@
 )
 
 // logout answers, and ends the session.
-func (x *session) logout(pdu *iscsi.PDU) error {
+func (sess *session) logout(pdu *iscsi.PDU) error {
 	answer := iscsi.New(iscsi.LogoutResponse, iscsi.Final).SetUint32(iscsi.OffsetTag, pdu.Tag())
-	x.lock.Lock()
+	sess.lock.Lock()
 	if pdu.Flags()&logoutReasonMask > logoutCloseConnection {
-		x.send(answer.SetByte(iscsi.OffsetResponse, logoutRecoveryNotAllowed), true)
-		x.lock.Unlock()
+		sess.send(answer.SetByte(iscsi.OffsetResponse, logoutRecoveryNotAllowed), true)
+		sess.lock.Unlock()
 		return nil
 	}
-	x.setState(stateLoggingOut)
-	answer.SetUint16(iscsi.OffsetTime2Wait, uint16(x.params.TimeToWait)).
-		SetUint16(iscsi.OffsetTime2Retain, uint16(x.params.TimeToRetain))
-	x.send(answer, true)
-	x.lock.Unlock()
-	x.conn.WaitSent(sendTimeout)
+	sess.setState(stateLoggingOut)
+	answer.SetUint16(iscsi.OffsetTime2Wait, uint16(sess.params.TimeToWait)).
+		SetUint16(iscsi.OffsetTime2Retain, uint16(sess.params.TimeToRetain))
+	sess.send(answer, true)
+	sess.lock.Unlock()
+	sess.conn.WaitSent(sendTimeout)
 	return errLoggedOut
 }
 
 // An async message that asks for a logout (RFC 7143, 11.9.1).
 const (
 	asyncRequestLogout = 1
-	logoutWithin       = 3 // seconds
+	logoutDeadline     = 3 // seconds
 )
 
 // requestLogout asks the initiator to log out.
-func (x *session) requestLogout() {
-	x.lock.Lock()
-	defer x.lock.Unlock()
-	if x.state != stateFullFeature {
+func (sess *session) requestLogout() {
+	sess.lock.Lock()
+	defer sess.lock.Unlock()
+	if sess.state != stateFullFeature {
 		return
 	}
-	x.send(iscsi.New(iscsi.AsyncMessage, iscsi.Final).
+	sess.send(iscsi.New(iscsi.AsyncMessage, iscsi.Final).
 		SetUint32(iscsi.OffsetTag, iscsi.NoTag).
 		SetByte(iscsi.OffsetAsyncEvent, asyncRequestLogout).
-		SetUint16(iscsi.OffsetAsyncParameter, logoutWithin), true)
+		SetUint16(iscsi.OffsetAsyncParameter, logoutDeadline), true)
 }
--- a/internal/iscsi/target/run.go
+++ b/internal/iscsi/target/run.go
@@ -88,7 +88,7 @@
 
 // finish ends a command that ran with its result.
 func (t *task) finish(result front.Result, data []byte) {
-	t.leavePacer(loadOutcome(result.Outcome))
+	t.releasePacer(pacerOutcome(result.Outcome))
 	switch result.Outcome {
 	case front.Succeeded:
 		t.answer(scsi.Good, nil, data)
@@ -110,7 +110,7 @@
 }
 
 // loadOutcome is what an outcome tells the pacer of load.
-func loadOutcome(outcome front.Outcome) pace.Outcome {
+func pacerOutcome(outcome front.Outcome) pace.Outcome {
 	switch outcome {
 	case front.Succeeded, front.Mismatch:
 		return pace.Served
@@ -123,7 +123,7 @@
 
 // fail ends a command that ran with a sense.
 func (t *task) fail(sense *scsi.Sense) {
-	t.leavePacer(pace.Failed)
+	t.releasePacer(pace.Failed)
 	t.answerSense(sense)
 	t.session.server.startCommands()
 }
--- a/internal/iscsi/target/server.go
+++ b/internal/iscsi/target/server.go
@@ -157,33 +157,33 @@
 
 // addSession adds a session. One of the same identity is closed, and its requests are cancelled (session reinstatement,
 // RFC 7143, 6.3.5).
-func (s *Server) addSession(x *session) {
+func (s *Server) addSession(sess *session) {
 	s.lock.Lock()
-	replaced := s.sessions[x.identity]
-	s.sessions[x.identity] = x
+	replaced := s.sessions[sess.identity]
+	s.sessions[sess.identity] = sess
 	s.lock.Unlock()
 	if replaced == nil {
 		return
 	}
-	s.options.Log.Info("session reinstated", "initiator", x.identity.initiator, "target", x.identity.target)
+	s.options.Log.Info("session reinstated", "initiator", sess.identity.initiator, "target", sess.identity.target)
 	replaced.conn.Close(errReinstated)
 	replaced.end()
 }
 
-func (s *Server) removeSession(x *session) {
+func (s *Server) removeSession(sess *session) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	if s.sessions[x.identity] == x {
-		delete(s.sessions, x.identity)
+	if s.sessions[sess.identity] == sess {
+		delete(s.sessions, sess.identity)
 	}
 }
 
 // otherSessions returns the sessions with a session's target but itself.
-func (s *Server) otherSessions(x *session) (others []*session) {
+func (s *Server) otherSessions(sess *session) (others []*session) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	for _, session := range s.sessions {
-		if session != x && session.target == x.target {
+		if session != sess && session.target == sess.target {
 			others = append(others, session)
 		}
 	}
@@ -203,6 +203,6 @@
 		if command == nil {
 			return
 		}
-		command.Owner.(*task).begin()
+		command.Owner.(*task).start()
 	}
 }
--- a/internal/iscsi/target/session.go
+++ b/internal/iscsi/target/session.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	maxLoginData    = 8192            // bytes of a PDU before the parameters are negotiated
-	discoveryWindow = 8               // commands of a discovery session
-	sendTimeout     = 1 * time.Second // for the last answer of a session
+	maxLoginData           = 8192            // bytes of a PDU before the parameters are negotiated
+	discoveryCommandWindow = 8               // commands of a discovery session
+	sendTimeout            = 1 * time.Second // for the last answer of a session
 )
 
 // Reasons why a connection is closed.
@@ -65,7 +65,7 @@
 }
 
 func newSession(server *Server, conn *packetconn.Conn) *session {
-	x := &session{
+	sess := &session{
 		server:     server,
 		conn:       conn,
 		client:     server.options.Front.NewClient(),
@@ -74,139 +74,139 @@
 		statSN:     1,
 	}
 	options := server.loginOptions()
-	options.SessionName = x.client.Name
-	x.login = negotiate.NewLogin(options)
-	x.loginTimer = time.AfterFunc(server.options.Limits.Login, func() {
-		if x.currentState() == stateLoggingIn {
+	options.SessionName = sess.client.Name
+	sess.login = negotiate.NewLogin(options)
+	sess.loginTimer = time.AfterFunc(server.options.Limits.Login, func() {
+		if sess.currentState() == stateLoggingIn {
 			conn.Close(errLoginTimeout)
 		}
 	})
-	return x
+	return sess
 }
 
 // setState is the one place where a session's state changes. The caller holds the lock.
-func (x *session) setState(state sessionState) { x.state = state }
+func (sess *session) setState(state sessionState) { sess.state = state }
 
-func (x *session) currentState() sessionState {
-	x.lock.Lock()
-	defer x.lock.Unlock()
-	return x.state
+func (sess *session) currentState() sessionState {
+	sess.lock.Lock()
+	defer sess.lock.Unlock()
+	return sess.state
 }
 
 // Closed ends the session: its requests are cancelled.
-func (x *session) Closed(cause error) {
-	x.server.options.Log.Debug("session closed", "initiator", x.identity.initiator, "err", cause)
-	x.end()
+func (sess *session) Closed(cause error) {
+	sess.server.options.Log.Debug("session closed", "initiator", sess.identity.initiator, "err", cause)
+	sess.end()
 }
 
 // end ends the session, once.
-func (x *session) end() {
-	x.loginTimer.Stop()
-	x.lock.Lock()
-	before := x.state
-	x.setState(stateEnded)
-	x.lock.Unlock()
+func (sess *session) end() {
+	sess.loginTimer.Stop()
+	sess.lock.Lock()
+	before := sess.state
+	sess.setState(stateEnded)
+	sess.lock.Unlock()
 	if before == stateEnded || before == stateLoggingIn {
 		return
 	}
-	x.server.removeSession(x)
-	if x.target == nil {
+	sess.server.removeSession(sess)
+	if sess.target == nil {
 		return
 	}
-	x.client.Close()
-	x.server.pacerLock.Lock()
-	waiting := x.pacing.Close()
-	x.server.pacerLock.Unlock()
+	sess.client.Close()
+	sess.server.pacerLock.Lock()
+	waiting := sess.pacing.Close()
+	sess.server.pacerLock.Unlock()
 	for _, command := range waiting {
 		command.Owner.(*task).discard()
 	}
-	x.endTasksThatWaitForData()
+	sess.endTasksAwaitingData()
 }
 
 // endTasksThatWaitForData ends tasks whose data will not come any more.
-func (x *session) endTasksThatWaitForData() {
-	x.lock.Lock()
-	var collecting, gathering []*task
-	for _, t := range x.tasks {
+func (sess *session) endTasksAwaitingData() {
+	sess.lock.Lock()
+	var receivingSolicited, receivingUnsolicited []*task
+	for _, t := range sess.tasks {
 		switch t.state {
-		case taskCollecting:
+		case taskReceivingSolicited:
 			t.setState(taskRunning)
-			collecting = append(collecting, t)
-		case taskGathering:
-			gathering = append(gathering, t)
+			receivingSolicited = append(receivingSolicited, t)
+		case taskReceivingUnsolicited:
+			receivingUnsolicited = append(receivingUnsolicited, t)
 		}
 	}
-	x.lock.Unlock()
-	for _, t := range collecting {
+	sess.lock.Unlock()
+	for _, t := range receivingSolicited {
 		t.finish(front.Result{Outcome: front.ClientGone}, nil)
 	}
-	for _, t := range gathering {
+	for _, t := range receivingUnsolicited {
 		t.discard()
 	}
 }
 
 // ReadPacket reads and handles the next PDU. An error closes the connection.
-func (x *session) ReadPacket(reader netpoll.Reader) error {
-	x.lock.Lock()
-	digests, maxData := x.digests, x.params.OwnMaxSegment
-	if x.state == stateLoggingIn {
+func (sess *session) ReadPacket(reader netpoll.Reader) error {
+	sess.lock.Lock()
+	digests, maxData := sess.digests, sess.params.OwnMaxSegment
+	if sess.state == stateLoggingIn {
 		maxData = maxLoginData
 	}
-	x.lock.Unlock()
+	sess.lock.Unlock()
 	pdu, err := iscsi.Read(reader, digests, maxData)
 	if err != nil {
 		return err
 	}
 	if pdu.BadDataDigest && pdu.Opcode() != iscsi.DataOut {
-		x.reject(pdu, rejectDataDigest)
+		sess.reject(pdu, rejectDataDigest)
 		return errDataDigest
 	}
-	switch x.currentState() {
+	switch sess.currentState() {
 	case stateLoggingIn:
-		return x.handleLogin(pdu)
+		return sess.handleLogin(pdu)
 	case stateEnded:
 		return packetconn.ErrPeerClosed
 	}
-	return x.handleRequest(pdu)
+	return sess.handleRequest(pdu)
 }
 
 // send fills in the session's numbers and sends a PDU. With status the PDU has a number of its own. The caller holds
 // the lock.
-func (x *session) send(pdu *iscsi.PDU, status bool) {
-	x.raiseMaxCmdSN()
-	pdu.SetUint32(iscsi.OffsetExpCmdSN, x.expCmdSN)
-	pdu.SetUint32(iscsi.OffsetMaxCmdSN, x.maxCmdSN)
+func (sess *session) send(pdu *iscsi.PDU, status bool) {
+	sess.raiseMaxCmdSN()
+	pdu.SetUint32(iscsi.OffsetExpCmdSN, sess.expCmdSN)
+	pdu.SetUint32(iscsi.OffsetMaxCmdSN, sess.maxCmdSN)
 	if pdu.Opcode() != iscsi.DataIn || status {
-		pdu.SetUint32(iscsi.OffsetStatSN, x.statSN)
+		pdu.SetUint32(iscsi.OffsetStatSN, sess.statSN)
 	}
 	if status {
-		x.statSN++
+		sess.statSN++
 	}
-	x.conn.Send(pdu.Encode(x.digests))
+	sess.conn.Send(pdu.Encode(sess.digests))
 }
 
 // sendLocked is send for callers that do not hold the lock.
-func (x *session) sendLocked(pdu *iscsi.PDU, status bool) {
-	x.lock.Lock()
-	defer x.lock.Unlock()
-	x.send(pdu, status)
+func (sess *session) lockAndSend(pdu *iscsi.PDU, status bool) {
+	sess.lock.Lock()
+	defer sess.lock.Unlock()
+	sess.send(pdu, status)
 }
 
 // raiseMaxCmdSN opens the command window as far as the pacer allows. A window never shrinks (RFC 7143, 4.2.2.1). The
 // caller holds the lock.
-func (x *session) raiseMaxCmdSN() {
+func (sess *session) raiseMaxCmdSN() {
 	free := int32(1)
 	switch {
-	case x.pacing != nil:
-		x.server.pacerLock.Lock()
-		free = int32(x.pacing.Window() - x.pacing.Outstanding())
-		x.server.pacerLock.Unlock()
-	case x.state != stateLoggingIn:
-		free = discoveryWindow
+	case sess.pacing != nil:
+		sess.server.pacerLock.Lock()
+		free = int32(sess.pacing.Window() - sess.pacing.Outstanding())
+		sess.server.pacerLock.Unlock()
+	case sess.state != stateLoggingIn:
+		free = discoveryCommandWindow
 	}
-	maxCmdSN := x.expCmdSN + uint32(max(free, 0)) - 1
-	if int32(maxCmdSN-x.maxCmdSN) > 0 {
-		x.maxCmdSN = maxCmdSN
+	maxCmdSN := sess.expCmdSN + uint32(max(free, 0)) - 1
+	if int32(maxCmdSN-sess.maxCmdSN) > 0 {
+		sess.maxCmdSN = maxCmdSN
 	}
 }
 
@@ -221,10 +221,10 @@
 )
 
 // reject answers a PDU that cannot be handled (RFC 7143, 11.17).
-func (x *session) reject(pdu *iscsi.PDU, reason byte) {
+func (sess *session) reject(pdu *iscsi.PDU, reason byte) {
 	answer := iscsi.New(iscsi.Reject, iscsi.Final).
 		SetByte(iscsi.OffsetResponse, reason).
 		SetUint32(iscsi.OffsetTag, iscsi.NoTag).
 		SetData(slices.Clone(pdu.Header[:]))
-	x.sendLocked(answer, true)
+	sess.lockAndSend(answer, true)
 }
--- a/internal/iscsi/target/task.go
+++ b/internal/iscsi/target/task.go
@@ -11,11 +11,11 @@
 type taskState uint8
 
 const (
-	taskGathering  taskState = iota // its unsolicited data is on its way
-	taskQueued                      // it waits for its turn
-	taskCollecting                  // its turn has come, and its data is solicited
-	taskRunning                     // its requests are in flight
-	taskOver                        // it has its answer, or will have none
+	taskReceivingUnsolicited taskState = iota // its unsolicited data is on its way
+	taskQueued                                // it waits for its turn
+	taskReceivingSolicited                    // its turn has come, and its data is solicited
+	taskRunning                               // its requests are in flight
+	taskEnded                                 // it has its answer, or will have none
 )
 
 // task is a SCSI command. It gets exactly one answer, unless it was aborted or its session has ended.
@@ -41,35 +41,35 @@
 	nextDataSN       uint32 // of unsolicited data
 	solicited        uint32 // bytes that were asked for, or have come unsolicited
 	r2tCount         uint32 // R2Ts sent
-	transfers        []*transfer
+	outstandingR2Ts  []*r2t
 }
 
 // setState is the one place where a task's state changes. The caller holds the session's lock.
 func (t *task) setState(state taskState) {
 	t.state = state
-	if state == taskOver {
+	if state == taskEnded {
 		delete(t.session.tasks, t.tag)
 		close(t.done)
 	}
 }
 
 // handleCommand handles a SCSI command.
-func (x *session) handleCommand(pdu *iscsi.PDU) {
+func (sess *session) handleCommand(pdu *iscsi.PDU) {
 	t := &task{
-		session:        x,
+		session:        sess,
 		tag:            pdu.Tag(),
 		expectedLength: pdu.Uint32(iscsi.OffsetExpectedLength),
 		done:           make(chan struct{}),
 	}
 	copy(t.lun[:], pdu.LUN())
-	x.server.options.Front.BeginRequest()
-	if !x.addTask(t) {
-		x.server.options.Front.EndRequest()
-		x.reject(pdu, rejectTaskInProgress)
+	sess.server.options.Front.BeginRequest()
+	if !sess.addTask(t) {
+		sess.server.options.Front.EndRequest()
+		sess.reject(pdu, rejectTaskInProgress)
 		return
 	}
 	if lun, known := scsi.DecodeLUN(t.lun[:]); known {
-		t.unit = x.target.Units[lun]
+		t.unit = sess.target.Units[lun]
 	}
 	if t.unit == nil {
 		t.answerMissingUnit(pdu.CDB())
@@ -79,29 +79,29 @@
 	t.command = command
 	if sense != nil {
 		if name := scsi.ReservationName(pdu.CDB()[0]); name != "" {
-			x.server.options.Log.Info("reservation rejected", "command", name, "initiator", x.identity.initiator)
+			sess.server.options.Log.Info("reservation rejected", "command", name, "initiator", sess.identity.initiator)
 		}
 		t.answerSense(sense)
 		return
 	}
-	if x.server.options.Front.Draining() {
+	if sess.server.options.Front.Draining() {
 		t.answer(scsi.Busy, nil, nil)
 		return
 	}
 	t.disk = t.unit.disk.Load()
 	if !t.answerWithoutData() {
-		t.receive(pdu)
+		t.receiveCommandData(pdu)
 	}
 }
 
 // addTask adds a task; false: its tag is in use.
-func (x *session) addTask(t *task) bool {
-	x.lock.Lock()
-	defer x.lock.Unlock()
-	if x.tasks[t.tag] != nil {
+func (sess *session) addTask(t *task) bool {
+	sess.lock.Lock()
+	defer sess.lock.Unlock()
+	if sess.tasks[t.tag] != nil {
 		return false
 	}
-	x.tasks[t.tag] = t
+	sess.tasks[t.tag] = t
 	return true
 }
 
@@ -150,35 +150,35 @@
 }
 
 // receive takes the immediate data of a command, and queues the command unless more unsolicited data follows.
-func (t *task) receive(pdu *iscsi.PDU) {
-	x := t.session
-	if brings, _ := t.command.DataLengths(&t.unit.Unit); brings > 0 {
-		if pdu.Flags()&iscsi.Writes == 0 || uint64(t.expectedLength) < brings {
+func (t *task) receiveCommandData(pdu *iscsi.PDU) {
+	sess := t.session
+	if dataOut, _ := t.command.DataLengths(&t.unit.Unit); dataOut > 0 {
+		if pdu.Flags()&iscsi.Writes == 0 || uint64(t.expectedLength) < dataOut {
 			t.answerSense(scsi.InvalidField) // it says that it brings less than it asks to write
 			return
 		}
-		t.dataLength = uint32(brings)
+		t.dataLength = uint32(dataOut)
 	}
-	x.lock.Lock()
-	if !t.mayBeImmediate(pdu.Data) {
-		x.lock.Unlock()
+	sess.lock.Lock()
+	if !t.acceptsImmediateData(pdu.Data) {
+		sess.lock.Unlock()
 		t.answerSense(scsi.NotEnoughUnsolicitedData)
 		return
 	}
 	t.data = append(t.data, pdu.Data[:min(len(pdu.Data), int(t.dataLength))]...)
 	t.unsolicited = uint32(len(pdu.Data))
-	moreFollows := t.dataLength > 0 && !pdu.Final() && !x.params.InitialR2T
+	moreFollows := t.dataLength > 0 && !pdu.Final() && !sess.params.InitialR2T
 	if moreFollows {
-		t.unsolicitedLimit = uint32(min(x.params.FirstBurst, int(t.expectedLength)))
+		t.unsolicitedLimit = uint32(min(sess.params.FirstBurst, int(t.expectedLength)))
 	}
-	x.lock.Unlock()
+	sess.lock.Unlock()
 	if !moreFollows {
 		t.enqueue()
 	}
 }
 
 // mayBeImmediate tells whether data may come with its command. The caller holds the session's lock.
-func (t *task) mayBeImmediate(data []byte) bool {
+func (t *task) acceptsImmediateData(data []byte) bool {
 	params := &t.session.params
 	if len(data) == 0 {
 		return true
@@ -188,25 +188,25 @@
 
 // enqueue has the task wait for its turn.
 func (t *task) enqueue() {
-	x := t.session
-	x.lock.Lock()
+	sess := t.session
+	sess.lock.Lock()
 	switch {
-	case t.state == taskOver:
-		x.lock.Unlock()
+	case t.state == taskEnded:
+		sess.lock.Unlock()
 		return
-	case x.state == stateEnded:
-		t.setState(taskOver)
-		x.lock.Unlock()
-		x.server.options.Front.EndRequest()
+	case sess.state == stateEnded:
+		t.setState(taskEnded)
+		sess.lock.Unlock()
+		sess.server.options.Front.EndRequest()
 		return
 	}
 	t.setState(taskQueued)
 	t.paced = &pace.Command{Cost: t.cost(), Owner: t}
-	x.server.pacerLock.Lock()
-	x.pacing.Enqueue(t.paced)
-	x.server.pacerLock.Unlock()
-	x.lock.Unlock()
-	x.server.startCommands()
+	sess.server.pacerLock.Lock()
+	sess.pacing.Enqueue(t.paced)
+	sess.server.pacerLock.Unlock()
+	sess.lock.Unlock()
+	sess.server.startCommands()
 }
 
 // cost is the bytes that a task counts for: those that it brings, or reads.
@@ -218,38 +218,38 @@
 }
 
 // begin begins a command whose turn has come: its data is solicited, or it runs.
-func (t *task) begin() {
-	x := t.session
-	x.lock.Lock()
+func (t *task) start() {
+	sess := t.session
+	sess.lock.Lock()
 	switch {
-	case t.aborted || x.state == stateEnded:
-		x.lock.Unlock()
-		t.endWith(scsi.TaskAborted)
-	case x.conn.Unsent() > x.server.options.Limits.Unread:
-		x.lock.Unlock()
-		t.endWith(scsi.TaskSetFull)
+	case t.aborted || sess.state == stateEnded:
+		sess.lock.Unlock()
+		t.endWithStatus(scsi.TaskAborted)
+	case sess.conn.Unsent() > sess.server.options.Limits.Unread:
+		sess.lock.Unlock()
+		t.endWithStatus(scsi.TaskSetFull)
 	case uint32(len(t.data)) < t.dataLength:
-		t.setState(taskCollecting)
+		t.setState(taskReceivingSolicited)
 		t.data = append(make([]byte, 0, t.dataLength), t.data...)
 		t.solicited = uint32(len(t.data))
 		t.solicitData()
-		x.lock.Unlock()
+		sess.lock.Unlock()
 	default:
 		t.setState(taskRunning)
-		x.lock.Unlock()
+		sess.lock.Unlock()
 		go t.run()
 	}
 }
 
 // endWith ends a command that has begun with a status that tells nothing of the nodes' load.
-func (t *task) endWith(status scsi.Status) {
-	t.leavePacer(pace.Failed)
+func (t *task) endWithStatus(status scsi.Status) {
+	t.releasePacer(pace.Failed)
 	t.answer(status, nil, nil)
 	t.session.server.startCommands()
 }
 
 // leavePacer tells the pacer that the command no longer runs.
-func (t *task) leavePacer(outcome pace.Outcome) {
+func (t *task) releasePacer(outcome pace.Outcome) {
 	s := t.session.server
 	s.pacerLock.Lock()
 	defer s.pacerLock.Unlock()
@@ -258,40 +258,40 @@
 
 // discard ends a command without an answer, as its session has ended.
 func (t *task) discard() {
-	x := t.session
-	x.lock.Lock()
-	if t.state == taskOver {
-		x.lock.Unlock()
+	sess := t.session
+	sess.lock.Lock()
+	if t.state == taskEnded {
+		sess.lock.Unlock()
 		return
 	}
-	t.setState(taskOver)
-	x.lock.Unlock()
-	x.server.options.Front.EndRequest()
+	t.setState(taskEnded)
+	sess.lock.Unlock()
+	sess.server.options.Front.EndRequest()
 }
 
 // abort aborts a command: at once while it waits, else when its requests have ended. Aborted by its own session it gets
 // no answer; by another, TASK ABORTED. The channel is closed when it is over.
 func (t *task) abort(own bool) <-chan struct{} {
-	x := t.session
-	x.lock.Lock()
+	sess := t.session
+	sess.lock.Lock()
 	t.aborted = true
 	t.reportAbort = !own
 	state := t.state
-	removed := state == taskGathering
+	removed := state == taskReceivingUnsolicited
 	switch state {
 	case taskQueued:
-		x.server.pacerLock.Lock()
-		removed = x.pacing.Remove(t.paced)
-		x.server.pacerLock.Unlock()
-	case taskCollecting:
+		sess.server.pacerLock.Lock()
+		removed = sess.pacing.Remove(t.paced)
+		sess.server.pacerLock.Unlock()
+	case taskReceivingSolicited:
 		t.setState(taskRunning) // its data is ignored from now on
 	}
-	x.lock.Unlock()
+	sess.lock.Unlock()
 	switch {
 	case removed:
 		t.answer(scsi.TaskAborted, nil, nil)
-	case state == taskCollecting:
-		t.endWith(scsi.TaskAborted)
+	case state == taskReceivingSolicited:
+		t.endWithStatus(scsi.TaskAborted)
 	}
 	return t.done
 }
--- a/internal/scsi/answer.go
+++ b/internal/scsi/answer.go
@@ -10,15 +10,15 @@
 
 // What units say of themselves.
 const (
-	vendor   = "IRISPOST"
-	model    = "VOLUME"
-	revision = "1"
+	vendorID  = "IRISPOST"
+	productID = "VOLUME"
+	revision  = "1"
 )
 
 // Lengths of fields in inquiry data, in bytes.
 const (
-	vendorLength          = 8
-	modelLength           = 16
+	vendorIDLength        = 8
+	productIDLength       = 16
 	revisionLength        = 4
 	standardInquiryLength = 96
 )
@@ -27,9 +27,9 @@
 const (
 	pageSupported            = 0x00
 	pageSerialNumber         = 0x80
-	pageIdentification       = 0x83
+	pageDeviceIdentification = 0x83
 	pageBlockLimits          = 0xb0
-	pageCharacteristics      = 0xb1
+	pageBlockCharacteristics = 0xb1
 	pageLogicalProvisioning  = 0xb2
 	maxCompareAndWriteBlocks = 255
 	maxUnmapDescriptors      = 256
@@ -83,11 +83,11 @@
 }
 
 func (u *Unit) readCapacity16() []byte {
-	const thinWithZeros = 0xc0 // LBPME and LBPRZ: space is given as it is written, and reads as zeros before
+	const lbpmeAndLbprz = 0xc0 // LBPME and LBPRZ: space is given as it is written, and reads as zeros before
 	answer := make([]byte, 32)
 	binary.BigEndian.PutUint64(answer, u.Blocks-1)
 	binary.BigEndian.PutUint32(answer[8:], u.BlockSize)
-	answer[14] = thinWithZeros
+	answer[14] = lbpmeAndLbprz
 	return answer
 }
 
@@ -98,15 +98,15 @@
 	var page []byte
 	switch command.Page {
 	case pageSupported:
-		page = []byte{pageSupported, pageSerialNumber, pageIdentification, pageBlockLimits, pageCharacteristics,
+		page = []byte{pageSupported, pageSerialNumber, pageDeviceIdentification, pageBlockLimits, pageBlockCharacteristics,
 			pageLogicalProvisioning}
 	case pageSerialNumber:
 		page = []byte(u.Serial)
-	case pageIdentification:
-		page = u.identification()
+	case pageDeviceIdentification:
+		page = u.deviceIdentification()
 	case pageBlockLimits:
 		page = u.blockLimits()
-	case pageCharacteristics:
+	case pageBlockCharacteristics:
 		page = make([]byte, 60)
 		page[1] = 1 // a medium that does not rotate
 	case pageLogicalProvisioning:
@@ -120,8 +120,8 @@
 // standardInquiry is the same for all units (SPC-4, 6.4.2).
 func standardInquiry() []byte {
 	answer := []byte{0, 0, 6, 0x12, standardInquiryLength - 5, 0, 0, 2} // a disk, SPC-4, format 2, with a queue
-	answer = append(answer, paddedText(vendor, vendorLength)...)
-	answer = append(answer, paddedText(model, modelLength)...)
+	answer = append(answer, paddedText(vendorID, vendorIDLength)...)
+	answer = append(answer, paddedText(productID, productIDLength)...)
 	answer = append(answer, paddedText(revision, revisionLength)...)
 	answer = append(answer, make([]byte, 22)...)
 	for _, version := range []uint16{0x00a0, 0x0960, 0x0460, 0x04c0} { // SAM-5, iSCSI, SPC-4, SBC-3
@@ -131,12 +131,12 @@
 }
 
 // identification has two names of the unit: the vendor's with the serial number, and a binary one.
-func (u *Unit) identification() []byte {
-	name := append(paddedText(vendor, vendorLength), u.Serial...)
+func (u *Unit) deviceIdentification() []byte {
+	name := append(paddedText(vendorID, vendorIDLength), u.Serial...)
 	page := append([]byte{2, 1, 0, byte(len(name))}, name...) // ASCII, by vendor
 	page = append(page, 1, 3, 0, 8)                           // binary, NAA
-	local := xxhash.Sum64String(u.Serial)&(1<<60-1) | naaLocallyAssigned<<60
-	return binary.BigEndian.AppendUint64(page, local)
+	naaIdentifier := xxhash.Sum64String(u.Serial)&(1<<60-1) | naaLocallyAssigned<<60
+	return binary.BigEndian.AppendUint64(page, naaIdentifier)
 }
 
 func (u *Unit) blockLimits() []byte {
--- a/internal/scsi/parse.go
+++ b/internal/scsi/parse.go
@@ -7,48 +7,48 @@
 
 // Opcodes (SPC-4, SBC-3).
 const (
-	opTestUnitReady  = 0x00
-	opRequestSense   = 0x03
-	opRead6          = 0x08
-	opWrite6         = 0x0a
-	opInquiry        = 0x12
-	opReserve6       = 0x16
-	opRelease6       = 0x17
-	opModeSense6     = 0x1a
-	opStartStop      = 0x1b
-	opReadCapacity10 = 0x25
-	opRead10         = 0x28
-	opWrite10        = 0x2a
-	opVerify10       = 0x2f
-	opSync10         = 0x35
-	opWriteSame10    = 0x41
-	opUnmap          = 0x42
-	opReserve10      = 0x56
-	opRelease10      = 0x57
-	opModeSense10    = 0x5a
-	opPersistentIn   = 0x5e
-	opPersistentOut  = 0x5f
-	opRead16         = 0x88
-	opCompareWrite   = 0x89
-	opWrite16        = 0x8a
-	opVerify16       = 0x8f
-	opSync16         = 0x91
-	opWriteSame16    = 0x93
-	opServiceIn16    = 0x9e
-	opReportLuns     = 0xa0
+	opTestUnitReady     = 0x00
+	opRequestSense      = 0x03
+	opRead6             = 0x08
+	opWrite6            = 0x0a
+	opInquiry           = 0x12
+	opReserve6          = 0x16
+	opRelease6          = 0x17
+	opModeSense6        = 0x1a
+	opStartStop         = 0x1b
+	opReadCapacity10    = 0x25
+	opRead10            = 0x28
+	opWrite10           = 0x2a
+	opVerify10          = 0x2f
+	opSync10            = 0x35
+	opWriteSame10       = 0x41
+	opUnmap             = 0x42
+	opReserve10         = 0x56
+	opRelease10         = 0x57
+	opModeSense10       = 0x5a
+	opPersistentIn      = 0x5e
+	opPersistentOut     = 0x5f
+	opRead16            = 0x88
+	opCompareWrite      = 0x89
+	opWrite16           = 0x8a
+	opVerify16          = 0x8f
+	opSync16            = 0x91
+	opWriteSame16       = 0x93
+	opServiceActionIn16 = 0x9e
+	opReportLuns        = 0xa0
 )
 
 const (
-	cdbLength              = 16   // bytes of the longest command descriptor block that is parsed
-	serviceReadCapacity16  = 0x10 // the service action of SERVICE ACTION IN (16) that is known
-	read6DefaultBlocks     = 256  // that 0 stands for
-	read6LBAMask           = 1<<21 - 1
-	minReportLunsLength    = 16
-	readCapacity10Length   = 8
-	protectionFieldShift   = 5    // of byte 1: protection information, which is not stored here
-	flagForceUnitAccess    = 0x08 // of byte 1
-	verifyUnsupportedFlags = 0xe6 // of byte 1: protection, and a comparison with data that comes
-	writeSameUnsupported   = 0xf6 // of byte 1: protection, anchoring, and blocks with their numbers in them
+	cdbLength                   = 16   // bytes of the longest command descriptor block that is parsed
+	serviceActionReadCapacity16 = 0x10 // the service action of SERVICE ACTION IN (16) that is known
+	read6DefaultBlocks          = 256  // that 0 stands for
+	read6LBAMask                = 1<<21 - 1
+	minReportLunsLength         = 16
+	readCapacity10Length        = 8
+	protectionFieldShift        = 5    // of byte 1: protection information, which is not stored here
+	flagForceUnitAccess         = 0x08 // of byte 1
+	verifyUnsupportedFlags      = 0xe6 // of byte 1: protection, and a comparison with data that comes
+	writeSameUnsupported        = 0xf6 // of byte 1: protection, anchoring, and blocks with their numbers in them
 )
 
 // reservationNames are the commands that are known and rejected: who reserved a unit here would rely on what does not
@@ -73,7 +73,7 @@
 	switch cdb[0] {
 	case opTestUnitReady, opStartStop:
 		return Command{Kind: TestUnitReady}, nil
-	case opRequestSense, opInquiry, opReportLuns, opReadCapacity10, opServiceIn16, opModeSense6, opModeSense10:
+	case opRequestSense, opInquiry, opReportLuns, opReadCapacity10, opServiceActionIn16, opModeSense6, opModeSense10:
 		return parseQuery(cdb)
 	case opRead6, opRead10, opRead16:
 		return u.parseReadWrite(Read, cdb)
@@ -117,9 +117,9 @@
 		return c, nil
 	case opReadCapacity10:
 		return Command{Kind: ReadCapacity10, AllocationLength: readCapacity10Length}, nil
-	case opServiceIn16:
+	case opServiceActionIn16:
 		c := Command{Kind: ReadCapacity16, AllocationLength: allocationLength(cdb[10:])}
-		if cdb[1]&0x1f != serviceReadCapacity16 {
+		if cdb[1]&0x1f != serviceActionReadCapacity16 {
 			return c, InvalidOpcode
 		}
 		return c, nil
--- a/internal/scsi/scsi_test.go
+++ b/internal/scsi/scsi_test.go
@@ -58,8 +58,8 @@
 		"unknown":           {buildCDB(0xff), Command{}, InvalidOpcode},
 		"inquiry":           {buildCDB(opInquiry, 3, 2, 96), Command{Kind: Inquiry, AllocationLength: 96}, nil},
 		"inquiry, odd page": {buildCDB(opInquiry, 2, 1, 0x80, 3, 2, 96), Command{}, InvalidField},
-		"capacity 16":       {buildCDB(opServiceIn16, 1, 1, 0x10, 10, 4, 32), Command{Kind: ReadCapacity16, AllocationLength: 32}, nil},
-		"other service":     {buildCDB(opServiceIn16, 1, 1, 0x12), Command{}, InvalidOpcode},
+		"capacity 16":       {buildCDB(opServiceActionIn16, 1, 1, 0x10, 10, 4, 32), Command{Kind: ReadCapacity16, AllocationLength: 32}, nil},
+		"other service":     {buildCDB(opServiceActionIn16, 1, 1, 0x12), Command{}, InvalidOpcode},
 		"luns, short":       {buildCDB(opReportLuns, 6, 4, 8), Command{}, InvalidField},
 	} {
 		got, sense := unit.Parse(c.cdb)
@@ -94,7 +94,7 @@
 }
 
 // answerTo parses and answers a command.
-func answerTo(t *testing.T, unit *Unit, block []byte) []byte {
+func mustRespond(t *testing.T, unit *Unit, block []byte) []byte {
 	t.Helper()
 	command, sense := unit.Parse(block)
 	if sense != nil {
@@ -109,16 +109,16 @@
 
 func TestInquiryDescribesTheUnit(t *testing.T) {
 	unit, be := testUnit(), binary.BigEndian
-	answer := answerTo(t, unit, buildCDB(opInquiry, 3, 2, 255))
+	answer := mustRespond(t, unit, buildCDB(opInquiry, 3, 2, 255))
 	if len(answer) != 96 || int(answer[4])+5 != len(answer) || string(answer[8:16]) != "IRISPOST" {
 		t.Errorf("inquiry: %x", answer)
 	}
-	if answer := answerTo(t, unit, buildCDB(opInquiry, 3, 2, 36)); len(answer) != 36 {
+	if answer := mustRespond(t, unit, buildCDB(opInquiry, 3, 2, 36)); len(answer) != 36 {
 		t.Errorf("a short inquiry: %d bytes", len(answer))
 	}
-	pages := answerTo(t, unit, buildCDB(opInquiry, 1, 1, 1, 3, 2, 255))
+	pages := mustRespond(t, unit, buildCDB(opInquiry, 1, 1, 1, 3, 2, 255))
 	for _, page := range pages[4:] {
-		answer := answerTo(t, unit, buildCDB(opInquiry, 1, 1, 1, 2, 1, uint64(page), 3, 2, 255))
+		answer := mustRespond(t, unit, buildCDB(opInquiry, 1, 1, 1, 2, 1, uint64(page), 3, 2, 255))
 		if answer[1] != page || int(be.Uint16(answer[2:]))+4 != len(answer) {
 			t.Errorf("page %x: %x", page, answer)
 		}
@@ -133,21 +133,21 @@
 
 func TestReadCapacity(t *testing.T) {
 	unit, be := testUnit(), binary.BigEndian
-	if answer := answerTo(t, unit, buildCDB(opReadCapacity10)); be.Uint32(answer) != 999 || be.Uint32(answer[4:]) != 4096 {
+	if answer := mustRespond(t, unit, buildCDB(opReadCapacity10)); be.Uint32(answer) != 999 || be.Uint32(answer[4:]) != 4096 {
 		t.Errorf("capacity (10): %x", answer)
 	}
-	answer := answerTo(t, unit, buildCDB(opServiceIn16, 1, 1, 0x10, 10, 4, 32))
+	answer := mustRespond(t, unit, buildCDB(opServiceActionIn16, 1, 1, 0x10, 10, 4, 32))
 	if be.Uint64(answer) != 999 || be.Uint32(answer[8:]) != 4096 {
 		t.Errorf("capacity (16): %x", answer)
 	}
 	unit.Blocks = 1 << 40
-	if answer := answerTo(t, unit, buildCDB(opReadCapacity10)); be.Uint32(answer) != 0xffffffff {
+	if answer := mustRespond(t, unit, buildCDB(opReadCapacity10)); be.Uint32(answer) != 0xffffffff {
 		t.Errorf("capacity (10) of a big unit: %x", answer)
 	}
 }
 
 func TestReportLUNsIsDecoded(t *testing.T) {
-	answer := answerTo(t, testUnit(), buildCDB(opReportLuns, 6, 4, 64))
+	answer := mustRespond(t, testUnit(), buildCDB(opReportLuns, 6, 4, 64))
 	if binary.BigEndian.Uint32(answer) != 16 || len(answer) != 24 {
 		t.Errorf("luns: %x", answer)
 	}
@@ -163,11 +163,11 @@
 
 func TestModeSense(t *testing.T) {
 	unit, be := testUnit(), binary.BigEndian
-	answer := answerTo(t, unit, buildCDB(opModeSense6, 2, 1, 0x3f, 4, 1, 255))
+	answer := mustRespond(t, unit, buildCDB(opModeSense6, 2, 1, 0x3f, 4, 1, 255))
 	if int(answer[0])+1 != len(answer) || answer[3] != 8 || be.Uint32(answer[4:]) != 1000 {
 		t.Errorf("modes: %x", answer)
 	}
-	answer = answerTo(t, unit, buildCDB(opModeSense10, 1, 1, 8, 2, 1, 0x08, 7, 2, 255))
+	answer = mustRespond(t, unit, buildCDB(opModeSense10, 1, 1, 8, 2, 1, 0x08, 7, 2, 255))
 	if int(be.Uint16(answer))+2 != len(answer) || answer[8] != 8 || answer[10]&4 == 0 {
 		t.Errorf("caching page: %x", answer)
 	}
