--- a/internal/iscsi/negotiate/login.go
+++ b/internal/iscsi/negotiate/login.go
@@ -11,11 +11,11 @@
 // Limits of a login.
 const (
 	maxRequests   = 32
-	maxTextLength = 64 << 10 // bytes of the text of one request in parts
+	maxTextLength = 64 << 10 // bytes of text, over all requests that continue it
 	maxNameLength = 223      // bytes of an iSCSI name
 )
 
-// Keys that the login itself acts on.
+// Keys that are handled by the login itself and not only negotiated.
 const (
 	keyInitiatorName = "InitiatorName"
 	keyTargetName    = "TargetName"
@@ -26,41 +26,41 @@
 	chapPrefix       = "CHAP_"
 )
 
-// Login is a target's side of a login. Params, Initiator, Target and Discovery are final when it has reached
+// Login is the target's side of a login. Params, Initiator, Target and Discovery are final once the stage is
 // FullFeature.
 type Login struct {
 	options            Options
 	stage              Stage
 	started            bool
 	requestCount       int
-	text               []byte          // of a request whose rest follows
-	processed          map[string]bool // keys that were answered, each once
-	maxSegmentDeclared bool            // ours
+	text               []byte          // received so far of a text that spans several requests
+	processed          map[string]bool // keys received or sent so far; only CHAP keys may be repeated
+	maxSegmentDeclared bool            // whether this target has sent its MaxRecvDataSegmentLength
 
 	account   Account
 	chap      chapState
 	challenge []byte
-	chapID    byte // of the challenge, ours and then the initiator's
+	chapID    byte // CHAP_I of the target's challenge, and later of the initiator's
 
 	Params    Params
 	Initiator string
 	Target    string
-	Discovery bool // no target: the initiator asks for the list of targets only
+	Discovery bool // discovery session: it has no target and only lists the targets
 }
 
-// NewLogin returns a login that has not begun.
+// NewLogin returns a login that has not received a request yet.
 func NewLogin(options Options) *Login {
 	return &Login{options: options, Params: Defaults, processed: map[string]bool{}}
 }
 
-// Stage returns the login's stage.
+// Stage returns the current stage.
 func (l *Login) Stage() Stage { return l.stage }
 
-// Request is what a login request says.
+// Request is the content of a login request.
 type Request struct {
 	Current, Next Stage
-	Transit       bool // to stage Next
-	Continue      bool // the text goes on in the next request
+	Transit       bool // requests the transition to stage Next
+	Continue      bool // the text continues in the next request
 	Text          []byte
 }
 
@@ -71,19 +71,19 @@
 	Pairs         []iscsi.Pair
 }
 
-// Step handles a request. A rejection ends the login.
+// Step processes a login request and returns the response. A rejection ends the login.
 func (l *Login) Step(request Request) (response Response, rejection *Rejection) {
 	if rejection := l.checkStage(request); rejection != nil {
 		return response, rejection
 	}
 	l.text = append(l.text, request.Text...)
 	if len(l.text) > maxTextLength {
-		return response, initiatorError("over %d bytes of text", maxTextLength)
+		return response, initiatorError("login text exceeds %d bytes", maxTextLength)
 	}
 	response.Current, response.Next = l.stage, request.Next
 	if request.Continue {
 		if request.Transit {
-			return response, initiatorError("a text that goes on and a stage that ends")
+			return response, initiatorError("Continue and Transit are both set")
 		}
 		return response, nil
 	}
@@ -101,26 +101,26 @@
 	return response, rejection
 }
 
-// begin checks that a request comes in its stage.
+// checkStage counts a request and checks that its current stage is that of the login.
 func (l *Login) checkStage(request Request) *Rejection {
 	l.requestCount++
 	if l.requestCount > maxRequests {
-		return initiatorError("no end after %d requests", maxRequests)
+		return initiatorError("login not complete after %d requests", maxRequests)
 	}
 	if !l.started {
 		if request.Current != Security && request.Current != Operational {
-			return initiatorError("it begins in stage %d", request.Current)
+			return initiatorError("login begins in stage %d", request.Current)
 		}
 		l.stage = request.Current
 		l.started = true
 	}
 	if request.Current != l.stage {
-		return initiatorError("a request of stage %d in stage %d", request.Current, l.stage)
+		return initiatorError("request for stage %d received in stage %d", request.Current, l.stage)
 	}
 	return nil
 }
 
-// answerAll answers the keys of a complete text.
+// processPairs processes the pairs of a complete text and adds the responses to them.
 func (l *Login) processPairs(pairs []iscsi.Pair, response *Response) *Rejection {
 	if rejection := l.readNames(pairs); rejection != nil {
 		return rejection
@@ -138,7 +138,7 @@
 	return nil
 }
 
-// readNames reads who logs in at which target, which the first text has to say.
+// readNames reads the names of the initiator and the target and the session type, which the first text must contain.
 func (l *Login) readNames(pairs []iscsi.Pair) *Rejection {
 	if l.Initiator != "" {
 		return nil
@@ -158,28 +158,29 @@
 	}
 	switch {
 	case l.Initiator == "" || len(l.Initiator) > maxNameLength:
-		return missingParameter("it does not say its InitiatorName")
+		return missingParameter("InitiatorName is missing or too long")
 	case !l.Discovery && l.Target == "":
-		return missingParameter("it does not say which TargetName")
+		return missingParameter("TargetName is missing")
 	case !l.Discovery && !l.options.TargetExists(l.Target):
-		reason := fmt.Sprintf("there is no target %q", l.Target)
+		reason := fmt.Sprintf("target %q does not exist", l.Target)
 		return &Rejection{Class: ClassInitiatorError, Detail: DetailTargetNotFound, Reason: reason}
 	}
 	l.account = l.options.AccountFor(l.Initiator, l.Target)
 	if l.stage == Operational && l.account.Secret != "" {
-		return authenticationFailure("it does not prove who it is")
+		return authenticationFailure("the initiator skipped the security stage, but the target requires CHAP")
 	}
 	return nil
 }
 
-// transition ends a stage. The security stage goes on, without a rejection, while the initiator has not authenticated.
+// transition moves to the next stage. Until a required CHAP authentication has succeeded, the login stays in the
+// security stage without a rejection.
 func (l *Login) transition(next Stage, response *Response) *Rejection {
 	if next != Operational && next != FullFeature || next <= l.stage {
-		return initiatorError("stage %d does not follow stage %d", next, l.stage)
+		return initiatorError("invalid transition to stage %d from stage %d", next, l.stage)
 	}
 	if l.stage == Security && l.account.Secret != "" && l.chap != chapAuthenticated {
 		if l.chap == chapNotStarted && l.processed[keyAuthMethod] {
-			return authenticationFailure("it does not prove who it is")
+			return authenticationFailure("the initiator ended the security stage without CHAP")
 		}
 		return nil
 	}
@@ -203,22 +204,22 @@
 	r.Pairs = append(r.Pairs, iscsi.Pair{Key: key, Value: value})
 }
 
-// answerKey answers a key, with none or several. Only keys of CHAP may come twice.
+// processKey processes a key and returns any number of pairs as the response. Only CHAP keys may be repeated.
 func (l *Login) processKey(pair iscsi.Pair) ([]iscsi.Pair, *Rejection) {
 	isCHAP := strings.HasPrefix(pair.Key, chapPrefix)
 	if l.processed[pair.Key] && !isCHAP {
-		return nil, initiatorError("%s is there twice", pair.Key)
+		return nil, initiatorError("key %s is repeated", pair.Key)
 	}
 	if isCHAP || pair.Key == keyAuthMethod {
 		if l.stage != Security {
-			return nil, initiatorError("%s outside of the security stage", pair.Key)
+			return nil, initiatorError("key %s outside the security stage", pair.Key)
 		}
 		return l.processSecurityKey(pair)
 	}
 	l.processed[pair.Key] = true
 	switch pair.Key {
 	case keyInitiatorName, "InitiatorAlias", keyTargetName, keySessionType:
-		return nil, nil // declared
+		return nil, nil // declarative: no response
 	}
 	value, rejection := l.negotiateOperationalKey(pair)
 	if rejection != nil || value == "" {
--- a/internal/iscsi/negotiate/negotiate_test.go
+++ b/internal/iscsi/negotiate/negotiate_test.go
@@ -11,7 +11,7 @@
 
 const initiatorName, targetName = "iqn.2026-01.example:host", "iqn.2026-01.example:disk"
 
-// testChallenge stands for 16 random bytes.
+// testChallenge replaces the 16 random bytes of a challenge.
 const testChallenge = "0123456789abcdef"
 
 func testOptions(account Account) Options {
@@ -43,7 +43,7 @@
 
 var nameKeys = []string{"InitiatorName=" + initiatorName, "TargetName=" + targetName, "SessionType=Normal"}
 
-// step sends a request that has to be answered with these keys; none: with any.
+// step sends a request and checks that the response has exactly the wanted pairs, or any pairs if none are given.
 func step(t *testing.T, login *Login, current, next Stage, pairs []string, want ...string) Response {
 	t.Helper()
 	answer, rejection := login.Step(Request{Current: current, Next: next, Transit: next != current, Text: encodeText(pairs...)})
@@ -53,16 +53,16 @@
 	got := formatPairs(answer.Pairs)
 	for _, line := range want {
 		if !slices.Contains(got, line) {
-			t.Errorf("no %s in %q", line, got)
+			t.Errorf("want pair %s, got %q", line, got)
 		}
 	}
 	if len(want) > 0 && len(got) != len(want) {
-		t.Errorf("%q, %q was expected", got, want)
+		t.Errorf("got pairs %q, want %q", got, want)
 	}
 	return answer
 }
 
-// A login as hosts do it: security without authentication, then the parameters.
+// A typical login of a host: the security stage without authentication, then the operational parameters.
 func TestLoginWithoutAuthentication(t *testing.T) {
 	login := NewLogin(testOptions(Account{}))
 	step(t, login, Security, Operational, append(slices.Clone(nameKeys), "AuthMethod=CHAP,None"),
@@ -79,7 +79,7 @@
 	want := Params{HeaderDigest: true, ImmediateData: true, PeerMaxSegment: 262144, OwnMaxSegment: 256 << 10,
 		MaxBurst: 1 << 20, FirstBurst: 65536, MaxOutstandingR2T: 1, TimeToWait: 2}
 	if login.Params != want || login.Stage() != FullFeature || login.Initiator != initiatorName || login.Target != targetName {
-		t.Errorf("%+v, not %+v", login.Params, want)
+		t.Errorf("got parameters %+v, want %+v, in stage FullFeature with both names", login.Params, want)
 	}
 }
 
@@ -87,7 +87,7 @@
 	login := NewLogin(testOptions(Account{}))
 	step(t, login, Operational, FullFeature, nameKeys, "MaxRecvDataSegmentLength=262144", "TargetPortalGroupTag=1")
 	if login.Params.MaxBurst != 262144 || !login.Params.InitialR2T {
-		t.Errorf("%+v", login.Params)
+		t.Errorf("got parameters %+v, want MaxBurst 262144 and InitialR2T", login.Params)
 	}
 }
 
@@ -96,11 +96,11 @@
 	step(t, login, Operational, FullFeature, []string{"InitiatorName=" + initiatorName, "SessionType=Discovery"},
 		"MaxRecvDataSegmentLength=262144")
 	if !login.Discovery {
-		t.Error("no discovery session")
+		t.Error("got a normal session, want a discovery session")
 	}
 }
 
-// CHAP, one way and both; a text in parts.
+// One-way and mutual CHAP, and a text that spans two requests.
 func TestCHAPOneWayAndMutual(t *testing.T) {
 	account := Account{Name: "host", Secret: "twelve chars", TargetName: "disk", TargetSecret: "other secret"}
 	for _, mutual := range []bool{false, true} {
@@ -130,22 +130,22 @@
 		out = step(t, login, Security, Operational, proof)
 		want := "CHAP_R=" + EncodeBinary(CHAPResponse(9, account.TargetSecret, []byte("abcdefgh")))
 		if slices.Contains(formatPairs(out.Pairs), want) != mutual {
-			t.Errorf("mutual %v: %q", mutual, formatPairs(out.Pairs))
+			t.Errorf("mutual %v: got pairs %q, want the target's CHAP_R only if mutual", mutual, formatPairs(out.Pairs))
 		}
 		if !out.Transit || login.Stage() != Operational {
-			t.Errorf("%+v", out)
+			t.Errorf("got %+v, want the transition to stage Operational", out)
 		}
 	}
 }
 
-// What is rejected, with the class and detail that the protocol has for it.
+// Each invalid login is rejected with the status class and detail of RFC 7143, 11.13.5.
 func TestRejectedLogins(t *testing.T) {
 	secret := Account{Name: "host", Secret: "twelve chars"}
 	type request = Request
-	first := func(pairs ...string) request {
+	securityRequest := func(pairs ...string) request {
 		return request{Current: Security, Next: Operational, Transit: true, Text: encodeText(append(slices.Clone(nameKeys), pairs...)...)}
 	}
-	second := func(pairs ...string) request {
+	operationalRequest := func(pairs ...string) request {
 		return request{Current: Operational, Next: FullFeature, Transit: true, Text: encodeText(append(slices.Clone(nameKeys), pairs...)...)}
 	}
 	for name, c := range map[string]struct {
@@ -153,51 +153,51 @@
 		requests      []request
 		class, detail byte
 	}{
-		"no name":           {Account{}, []request{{Current: Security, Next: Operational, Transit: true}}, 2, 7},
-		"no target":         {Account{}, []request{{Current: Security, Text: encodeText("InitiatorName=a")}}, 2, 7},
-		"another target":    {Account{}, []request{{Current: Security, Text: encodeText("InitiatorName=a", "TargetName=b")}}, 2, 3},
-		"full at once":      {Account{}, []request{{Current: FullFeature}}, 2, 0},
-		"a stage back":      {Account{}, []request{second(), {Current: Security}}, 2, 0},
-		"to the same stage": {Account{}, []request{{Current: Operational, Next: Operational, Transit: true, Text: encodeText(nameKeys...)}}, 2, 0},
-		"odd text":          {Account{}, []request{{Current: Security, Text: []byte("what")}}, 2, 0},
-		"on and over":       {Account{}, []request{{Current: Security, Continue: true, Transit: true}}, 2, 0},
-		"odd session":       {Account{}, []request{{Current: Security, Text: encodeText("InitiatorName=a", "SessionType=Odd")}}, 2, 0},
-		"twice":             {Account{}, []request{second("InitialR2T=No", "InitialR2T=No")}, 2, 0},
-		"neither":           {Account{}, []request{second("InitialR2T=Maybe")}, 2, 0},
-		"no number":         {Account{}, []request{second("MaxBurstLength=much")}, 2, 0},
-		"too small":         {Account{}, []request{second("MaxRecvDataSegmentLength=511")}, 2, 0},
-		"too big":           {Account{}, []request{second("MaxRecvDataSegmentLength=16777216")}, 2, 0},
-		"no digest":         {Account{}, []request{second("DataDigest=MD5")}, 2, 0},
-		"the target's":      {Account{}, []request{second("TargetPortalGroupTag=1")}, 2, 0},
-		"chap late":         {Account{}, []request{second("CHAP_A=5")}, 2, 0},
-		"no proof":          {secret, []request{first("AuthMethod=None")}, 2, 1},
-		"past the proof":    {secret, []request{second()}, 2, 1},
-		"chosen, not proven": {secret, []request{first("AuthMethod=CHAP"),
+		"no name":                {Account{}, []request{{Current: Security, Next: Operational, Transit: true}}, 2, 7},
+		"no target":              {Account{}, []request{{Current: Security, Text: encodeText("InitiatorName=a")}}, 2, 7},
+		"another target":         {Account{}, []request{{Current: Security, Text: encodeText("InitiatorName=a", "TargetName=b")}}, 2, 3},
+		"starts in full feature": {Account{}, []request{{Current: FullFeature}}, 2, 0},
+		"earlier stage":          {Account{}, []request{operationalRequest(), {Current: Security}}, 2, 0},
+		"to the same stage":      {Account{}, []request{{Current: Operational, Next: Operational, Transit: true, Text: encodeText(nameKeys...)}}, 2, 0},
+		"malformed text":         {Account{}, []request{{Current: Security, Text: []byte("what")}}, 2, 0},
+		"continue and transit":   {Account{}, []request{{Current: Security, Continue: true, Transit: true}}, 2, 0},
+		"unknown session type":   {Account{}, []request{{Current: Security, Text: encodeText("InitiatorName=a", "SessionType=Odd")}}, 2, 0},
+		"repeated key":           {Account{}, []request{operationalRequest("InitialR2T=No", "InitialR2T=No")}, 2, 0},
+		"invalid boolean":        {Account{}, []request{operationalRequest("InitialR2T=Maybe")}, 2, 0},
+		"invalid number":         {Account{}, []request{operationalRequest("MaxBurstLength=much")}, 2, 0},
+		"too small":              {Account{}, []request{operationalRequest("MaxRecvDataSegmentLength=511")}, 2, 0},
+		"too big":                {Account{}, []request{operationalRequest("MaxRecvDataSegmentLength=16777216")}, 2, 0},
+		"unsupported digest":     {Account{}, []request{operationalRequest("DataDigest=MD5")}, 2, 0},
+		"key of the target":      {Account{}, []request{operationalRequest("TargetPortalGroupTag=1")}, 2, 0},
+		"CHAP after security":    {Account{}, []request{operationalRequest("CHAP_A=5")}, 2, 0},
+		"no CHAP offered":        {secret, []request{securityRequest("AuthMethod=None")}, 2, 1},
+		"security stage skipped": {secret, []request{operationalRequest()}, 2, 1},
+		"CHAP not completed": {secret, []request{securityRequest("AuthMethod=CHAP"),
 			{Current: Security, Next: FullFeature, Transit: true, Text: encodeText("CHAP_N=host")}}, 2, 1},
-		"another algorithm": {secret, []request{first("AuthMethod=CHAP"), {Current: Security, Text: encodeText("CHAP_A=6")}}, 2, 1},
-		"another's name": {secret, []request{first("AuthMethod=CHAP"), {Current: Security, Text: encodeText("CHAP_A=5")},
+		"unsupported algorithm": {secret, []request{securityRequest("AuthMethod=CHAP"), {Current: Security, Text: encodeText("CHAP_A=6")}}, 2, 1},
+		"wrong CHAP_N": {secret, []request{securityRequest("AuthMethod=CHAP"), {Current: Security, Text: encodeText("CHAP_A=5")},
 			{Current: Security, Text: encodeText("CHAP_N=you")}}, 2, 1},
-		"a wrong proof": {secret, []request{first("AuthMethod=CHAP"), {Current: Security, Text: encodeText("CHAP_A=5")},
+		"wrong CHAP_R": {secret, []request{securityRequest("AuthMethod=CHAP"), {Current: Security, Text: encodeText("CHAP_A=5")},
 			{Current: Security, Text: encodeText("CHAP_N=host", "CHAP_R=0x00")}}, 2, 1},
-		"a proof without a name": {secret, []request{first("AuthMethod=CHAP"), {Current: Security, Text: encodeText("CHAP_A=5")},
+		"CHAP_R without CHAP_N": {secret, []request{securityRequest("AuthMethod=CHAP"), {Current: Security, Text: encodeText("CHAP_A=5")},
 			{Current: Security, Text: encodeText("CHAP_R=" + EncodeBinary(CHAPResponse('0', secret.Secret, []byte(testChallenge))))}}, 2, 1},
 	} {
 		login := NewLogin(testOptions(c.account))
 		var rejection *Rejection
 		for _, r := range c.requests {
 			if rejection != nil {
-				t.Errorf("%s: rejected too early: %v", name, rejection)
+				t.Errorf("%s: rejected before the last request: %v", name, rejection)
 			}
 			_, rejection = login.Step(r)
 		}
 		entered := login.Stage() == FullFeature && c.requests[0].Current != Operational
 		if rejection == nil || rejection.Class != c.class || rejection.Detail != c.detail || entered {
-			t.Errorf("%s: %v, stage %d", name, rejection, login.Stage())
+			t.Errorf("%s: got %v in stage %d, want a rejection with the class and detail of this case, outside FullFeature", name, rejection, login.Stage())
 		}
 	}
 }
 
-// Our own challenge sent back authenticates nobody.
+// Reflection attack: an initiator sends the target's own challenge back, to get the response that the target expects.
 func TestReflectedChallengeIsRejected(t *testing.T) {
 	account := Account{Name: "host", Secret: "twelve chars", TargetName: "disk", TargetSecret: "other secret"}
 	login := NewLogin(testOptions(account))
@@ -208,7 +208,7 @@
 	_, rejection := login.Step(Request{Current: Security, Text: encodeText("CHAP_N=host", "CHAP_R="+EncodeBinary(response),
 		"CHAP_I=1", "CHAP_C="+EncodeBinary(challenge))})
 	if rejection == nil || rejection.Detail != DetailAuthentication || !strings.Contains(rejection.Reason, "own challenge") {
-		t.Errorf("a reflected challenge: %v", rejection)
+		t.Errorf("got %v, want an authentication failure because of the reflected challenge", rejection)
 	}
 }
 
@@ -220,16 +220,16 @@
 		}
 	}
 	if _, rejection := login.Step(Request{Current: Security, Continue: true}); rejection == nil {
-		t.Error("no end")
+		t.Error("login not rejected after maxRequests requests")
 	}
 	login = NewLogin(testOptions(Account{}))
 	long := bytes.Repeat([]byte{'x'}, maxTextLength+1)
 	if _, rejection := login.Step(Request{Current: Security, Continue: true, Text: long}); rejection == nil {
-		t.Error("too much is taken")
+		t.Error("login text longer than maxTextLength accepted")
 	}
 }
 
-// Any requests end in a login or a rejection, never full without a proof where one is due.
+// No sequence of requests leaves the security stage without CHAP if the account has a secret.
 func FuzzLogin(f *testing.F) {
 	f.Add(byte(0x85), encodeText(append(slices.Clone(nameKeys), "AuthMethod=CHAP")...), byte(0x87), encodeText("CHAP_N=host", "CHAP_R=0x00"))
 	f.Fuzz(func(t *testing.T, a byte, first []byte, b byte, second []byte) {
@@ -250,7 +250,7 @@
 			}
 		}
 		if login.Stage() != Security {
-			t.Errorf("stage %d without a proof", login.Stage())
+			t.Errorf("got stage %d without CHAP, want Security", login.Stage())
 		}
 	})
 }
--- a/internal/iscsi/negotiate/operational.go
+++ b/internal/iscsi/negotiate/operational.go
@@ -16,16 +16,17 @@
 	digestNone    = "None"
 )
 
-// Bounds of numbers (RFC 7143, 13).
+// Bounds of numerical values (RFC 7143, 13).
 const (
 	minSegment = 512
 	max24Bits  = 1<<24 - 1
 	max16Bits  = 1<<16 - 1
 	maxSeconds = 3600
-	maxLevel   = 2 // of error recovery
+	maxLevel   = 2 // ErrorRecoveryLevel
 )
 
-// answerOperationalKey answers a key of RFC 7143, 13; empty: it needs no answer.
+// negotiateOperationalKey returns the value of the response to an operational key (RFC 7143, 13), or "" if the key
+// needs no response.
 func (l *Login) negotiateOperationalKey(pair iscsi.Pair) (string, *Rejection) {
 	ours := &l.options.Params
 	switch pair.Key {
@@ -71,12 +72,12 @@
 			return l.options.SessionName(), nil
 		}
 	case keyPortalGroup, "TargetAddress", "TargetAlias":
-		return "", initiatorError("%s is the target's to say", pair.Key)
+		return "", initiatorError("only the target may send %s", pair.Key)
 	}
 	return notUnderstood, nil
 }
 
-// answerMinimum answers a number with the smaller one of both ends, and sets the parameter to it.
+// negotiateMinimum negotiates a number whose result is the smaller of the two sides' values, and stores the result.
 func negotiateMinimum(pair iscsi.Pair, ours int, parameter *int, least, most int) (string, *Rejection) {
 	theirs, rejection := parseNumber(pair, least, most)
 	if rejection == nil {
@@ -85,7 +86,7 @@
 	return strconv.Itoa(*parameter), rejection
 }
 
-// answerDigest answers a list of digests with the first that is offered here.
+// negotiateDigest selects the first digest of the initiator's list that the target supports.
 func (l *Login) negotiateDigest(pair iscsi.Pair, parameter *bool) (string, *Rejection) {
 	for _, digest := range strings.Split(pair.Value, ",") {
 		if digest == digestNone || digest == digestCRC32C && l.options.Digests {
@@ -93,13 +94,13 @@
 			return digest, nil
 		}
 	}
-	return "", initiatorError("%s=%.40s has nothing that is spoken here", pair.Key, pair.Value)
+	return "", initiatorError("%s=%.40s: none of these digests is supported", pair.Key, pair.Value)
 }
 
 func parseNumber(pair iscsi.Pair, least, most int) (int, *Rejection) {
 	number, err := strconv.ParseInt(pair.Value, 0, 32)
 	if err != nil || number < int64(least) || number > int64(most) {
-		return 0, initiatorError("%s=%.40s is no number from %d to %d", pair.Key, pair.Value, least, most)
+		return 0, initiatorError("%s=%.40s is not a number from %d to %d", pair.Key, pair.Value, least, most)
 	}
 	return int(number), nil
 }
--- a/internal/iscsi/negotiate/params.go
+++ b/internal/iscsi/negotiate/params.go
@@ -1,38 +1,38 @@
-// Package negotiate is the login of an iSCSI session (RFC 7143, 6 and 13) as a state machine: keys of each request in,
-// keys of each answer out, and at the end the parameters of the session. The target's login is a Login (package
-// iscsi/target calls it); the initiator uses the parameters and the functions of CHAP. It is pure: no I/O, no clock,
-// and random challenges are an option.
+// Package negotiate implements the target's side of an iSCSI login (RFC 7143, 6 and 13) as a state machine, Login. It
+// takes the keys of each login request, returns the keys of the response, and ends with the parameters of the session.
+// Package iscsi/target drives a Login; the initiator uses the parameter types and the CHAP functions. The package is
+// pure: no I/O and no clock, and Options supplies the random challenges.
 package negotiate
 
 import "fmt"
 
-// Stage is a stage of a login (RFC 7143, 6.3), by its number on the wire.
+// Stage is a login stage (RFC 7143, 6.3), with its value on the wire.
 type Stage uint8
 
-// The stages of a login.
+// Login stages.
 const (
 	Security    Stage = 0
 	Operational Stage = 1
 	FullFeature Stage = 3
 )
 
-// Params are the parameters of a session.
+// Params are the negotiated parameters of a session.
 type Params struct {
 	HeaderDigest, DataDigest bool
 	InitialR2T               bool
 	ImmediateData            bool
-	PeerMaxSegment           int // bytes of data that the peer takes in a PDU
-	OwnMaxSegment            int // and that this end takes
-	MaxBurst                 int // bytes of a Data-In sequence, or of an R2T
-	FirstBurst               int // unsolicited bytes of a write
-	MaxOutstandingR2T        int // of one command
-	TimeToWait, TimeToRetain int // seconds
+	PeerMaxSegment           int // maximum bytes of data in a PDU to the peer
+	OwnMaxSegment            int // maximum bytes of data in a PDU from the peer
+	MaxBurst                 int // maximum bytes of a Data-In sequence, or of the data for one R2T
+	FirstBurst               int // maximum unsolicited bytes of a write
+	MaxOutstandingR2T        int // maximum outstanding R2Ts of one command
+	TimeToWait, TimeToRetain int // DefaultTime2Wait and DefaultTime2Retain, in seconds
 }
 
-// defaultSegment is the longest data of a PDU where none is declared, in bytes.
+// defaultSegment is the MaxRecvDataSegmentLength of a side that declares none, in bytes.
 const defaultSegment = 8192
 
-// Defaults are the parameters of RFC 7143, 13, where a key is not negotiated.
+// Defaults are the values of keys that are not negotiated (RFC 7143, 13).
 var Defaults = Params{
 	InitialR2T:        true,
 	ImmediateData:     true,
@@ -45,7 +45,7 @@
 	TimeToRetain:      20,
 }
 
-// Preferred are the parameters that a target here asks for.
+// Preferred are the values that irispost's target prefers in negotiations.
 var Preferred = Params{
 	InitialR2T:        false,
 	ImmediateData:     true,
@@ -57,24 +57,24 @@
 	TimeToRetain:      0,
 }
 
-// Account says who may log in. Without a secret, everybody may.
+// Account holds CHAP credentials. Without a Secret any initiator may log in.
 type Account struct {
 	Name, Secret             string // of the initiator
-	TargetName, TargetSecret string // of the target, where the initiator asks it to authenticate too
+	TargetName, TargetSecret string // of the target, for mutual CHAP
 }
 
-// Options are a target's side of a login.
+// Options configure the target's side of a login.
 type Options struct {
 	Params         Params
-	Digests        bool                   // digests are offered; they are used where the initiator wants them
-	PortalGroupTag int                    // TargetPortalGroupTag
-	TargetExists   func(name string) bool // whether there is a target of a name
+	Digests        bool                   // whether CRC32C digests are accepted if the initiator proposes them
+	PortalGroupTag int                    // value of the TargetPortalGroupTag key
+	TargetExists   func(name string) bool // whether a target with this name exists
 	AccountFor     func(initiator, target string) Account
-	NewChallenge   func() []byte // 16 random bytes
-	SessionName    func() string // the session's name in logs and records, for initiators that ask; nil: it is not told
+	NewChallenge   func() []byte // returns 16 random bytes
+	SessionName    func() string // the session's name in logs and records, for SessionNameKey; nil: key unsupported
 }
 
-// Status classes and details of a login that is rejected (RFC 7143, 11.13.5).
+// Status classes and details of rejected logins (RFC 7143, 11.13.5).
 const (
 	ClassInitiatorError = 2
 	ClassTargetError    = 3
@@ -89,13 +89,13 @@
 	DetailServiceUnavailable = 1 // of ClassTargetError
 )
 
-// Rejection is why a login ends (RFC 7143, 11.13.5).
+// Rejection is the reason for a rejected login, with its status class and detail (RFC 7143, 11.13.5).
 type Rejection struct {
 	Class, Detail byte
 	Reason        string
 }
 
-// Error returns class and detail in hexadecimal, and the reason.
+// Error returns the class and the detail in hexadecimal, followed by the reason.
 func (r *Rejection) Error() string {
 	return fmt.Sprintf("login refused, %02x%02x: %s", r.Class, r.Detail, r.Reason)
 }
--- a/internal/iscsi/negotiate/security.go
+++ b/internal/iscsi/negotiate/security.go
@@ -13,24 +13,25 @@
 	"irispost/internal/iscsi"
 )
 
-// chapState is the state of the initiator's authentication by CHAP.
+// chapState is the state of the initiator's CHAP authentication.
 type chapState uint8
 
 const (
-	chapNotStarted    chapState = iota // no method was negotiated yet
-	chapSelected                       // CHAP is the method
-	chapChallenged                     // our challenge is sent
-	chapAuthenticated                  // or none is needed
+	chapNotStarted    chapState = iota // no authentication method has been negotiated
+	chapSelected                       // CHAP has been negotiated
+	chapChallenged                     // the target has sent its challenge
+	chapAuthenticated                  // the initiator has authenticated, or needs no authentication
 )
 
 const (
-	chapMD5            = "5" // the algorithm that is spoken
+	chapMD5            = "5" // the only supported algorithm
 	maxChallengeLength = 1024
 	methodNone         = "None"
 	methodCHAP         = "CHAP"
 )
 
-// answerSecurityKey answers a key of the security stage: AuthMethod None, or CHAP with MD5 (RFC 7143, 12.1).
+// processSecurityKey processes a key of the security stage: AuthMethod, with the methods None and CHAP with MD5
+// (RFC 7143, 12.1), and the keys of CHAP.
 func (l *Login) processSecurityKey(pair iscsi.Pair) ([]iscsi.Pair, *Rejection) {
 	switch pair.Key {
 	case keyAuthMethod:
@@ -39,7 +40,7 @@
 		return l.sendChallenge(pair)
 	case "CHAP_N":
 		if l.chap != chapChallenged || !equalSecret([]byte(pair.Value), []byte(l.account.Name)) {
-			return nil, authenticationFailure("CHAP_N is of nobody known")
+			return nil, authenticationFailure("CHAP_N is unknown or out of order")
 		}
 		l.processed["CHAP_N"] = true
 		return nil, nil
@@ -49,19 +50,19 @@
 		id, rejection := parseNumber(pair, 0, 255)
 		l.chapID = byte(id)
 		if rejection != nil || l.chap != chapAuthenticated {
-			return nil, authenticationFailure("CHAP_I out of its order")
+			return nil, authenticationFailure("CHAP_I is invalid or out of order")
 		}
 		l.processed["CHAP_I"] = true
 		return nil, nil
 	case "CHAP_C":
 		return l.respondToChallenge(pair)
 	}
-	return nil, authenticationFailure("%s is not known", pair.Key)
+	return nil, authenticationFailure("unknown key %s", pair.Key)
 }
 
 func (l *Login) selectAuthMethod(pair iscsi.Pair) ([]iscsi.Pair, *Rejection) {
 	if l.processed[keyAuthMethod] {
-		return nil, initiatorError("AuthMethod is there twice")
+		return nil, initiatorError("key AuthMethod is repeated")
 	}
 	l.processed[keyAuthMethod] = true
 	offered := strings.Split(pair.Value, ",")
@@ -73,12 +74,12 @@
 		l.chap = chapSelected
 		return []iscsi.Pair{{Key: keyAuthMethod, Value: methodCHAP}}, nil
 	}
-	return nil, authenticationFailure("none of %.40q will do", pair.Value)
+	return nil, authenticationFailure("AuthMethod: none of the offered methods %.40q is acceptable", pair.Value)
 }
 
 func (l *Login) sendChallenge(pair iscsi.Pair) ([]iscsi.Pair, *Rejection) {
 	if l.chap != chapSelected || !slices.Contains(strings.Split(pair.Value, ","), chapMD5) {
-		return nil, authenticationFailure("CHAP_A=%.40s: MD5 (5) is spoken", pair.Value)
+		return nil, authenticationFailure("CHAP_A=%.40s is out of order or does not offer MD5 (5)", pair.Value)
 	}
 	l.chap = chapChallenged
 	l.challenge = l.options.NewChallenge()
@@ -90,26 +91,27 @@
 	}, nil
 }
 
-// checkResponse checks the initiator's response to our challenge.
+// checkResponse checks the initiator's response to the target's challenge.
 func (l *Login) checkResponse(pair iscsi.Pair) *Rejection {
 	got, err := DecodeBinary(pair.Value)
 	want := CHAPResponse(l.chapID, l.account.Secret, l.challenge)
 	if l.chap != chapChallenged || !l.processed["CHAP_N"] || err != nil || !equalSecret(got, want) {
-		return authenticationFailure("CHAP_R does not prove it")
+		return authenticationFailure("CHAP_R is wrong or out of order")
 	}
 	l.chap = chapAuthenticated
 	return nil
 }
 
-// answerChallenge answers the initiator's challenge. Our own, sent back, is rejected: its answer is what we ask for.
+// respondToChallenge responds to the initiator's challenge. It rejects the target's own challenge sent back: the
+// response would be the one that the target expects from the initiator (reflection attack).
 func (l *Login) respondToChallenge(pair iscsi.Pair) ([]iscsi.Pair, *Rejection) {
 	challenge, err := DecodeBinary(pair.Value)
 	inOrder := l.chap == chapAuthenticated && l.processed["CHAP_I"]
 	if err != nil || len(challenge) == 0 || len(challenge) > maxChallengeLength || !inOrder || l.account.TargetSecret == "" {
-		return nil, authenticationFailure("CHAP_C cannot be answered")
+		return nil, authenticationFailure("CHAP_C is invalid or out of order, or the target has no secret for mutual CHAP")
 	}
 	if equalSecret(challenge, l.challenge) {
-		return nil, authenticationFailure("our own challenge is sent back")
+		return nil, authenticationFailure("CHAP_C is the target's own challenge")
 	}
 	response := CHAPResponse(l.chapID, l.account.TargetSecret, challenge)
 	return []iscsi.Pair{
@@ -118,10 +120,10 @@
 	}, nil
 }
 
-// equalSecret compares in a time that does not depend on the bytes.
+// equalSecret compares in constant time.
 func equalSecret(a, b []byte) bool { return subtle.ConstantTimeCompare(a, b) == 1 }
 
-// CHAPResponse returns the response to a challenge of CHAP (RFC 1994, 4.1).
+// CHAPResponse returns the response to a CHAP challenge (RFC 1994, 4.1).
 func CHAPResponse(id byte, secret string, challenge []byte) []byte {
 	message := append([]byte{id}, secret...)
 	message = append(message, challenge...)
@@ -129,12 +131,12 @@
 	return sum[:]
 }
 
-// EncodeBinary writes a binary value in hexadecimal.
+// EncodeBinary encodes a binary value in hexadecimal.
 func EncodeBinary(value []byte) string { return "0x" + hex.EncodeToString(value) }
 
-var errNotBinary = errors.New("no binary value")
+var errNotBinary = errors.New("binary value has neither the prefix 0x nor 0b")
 
-// DecodeBinary reads a binary value in hexadecimal or base 64 (RFC 7143, 6.1).
+// DecodeBinary decodes a binary value in hexadecimal or base64 (RFC 7143, 6.1).
 func DecodeBinary(text string) ([]byte, error) {
 	switch {
 	case strings.HasPrefix(text, "0x"), strings.HasPrefix(text, "0X"):
--- a/internal/iscsi/target/answer.go
+++ b/internal/iscsi/target/answer.go
@@ -7,11 +7,11 @@
 	"irispost/internal/scsi"
 )
 
-// answerSense answers a command with a sense.
+// answerSense ends a command with CHECK CONDITION and sense data.
 func (t *task) answerSense(sense *scsi.Sense) { t.answer(scsi.CheckCondition, sense, nil) }
 
-// answer gives the command its one answer: data with its status, or the status alone. A command that was aborted by its
-// own session gets none.
+// answer sends a command's only response, either data with the status or the status alone, and ends the command. A
+// command that was aborted by its own session gets no response; one aborted by another session gets TASK ABORTED.
 func (t *task) answer(status scsi.Status, sense *scsi.Sense, data []byte) {
 	sess := t.session
 	sess.lock.Lock()
@@ -30,7 +30,7 @@
 	sess.server.options.Front.EndRequest()
 }
 
-// send sends the answer. The caller holds the session's lock.
+// send sends the response and computes the residual count. The caller holds the session's lock.
 func (t *task) send(status scsi.Status, sense *scsi.Sense, data []byte) {
 	transferred := uint32(len(data))
 	if t.dataLength > 0 && status == scsi.Good {
@@ -62,7 +62,8 @@
 	t.session.send(answer, true)
 }
 
-// sendData sends data in sequences of Data-In, with status GOOD in the last PDU. The caller holds the session's lock.
+// sendData sends data as sequences of Data-In PDUs. The last PDU carries status GOOD. The caller holds the session's
+// lock.
 func (t *task) sendData(data []byte, flags byte, residual uint32) {
 	sess := t.session
 	dataSN, burst := uint32(0), 0
--- a/internal/iscsi/target/data.go
+++ b/internal/iscsi/target/data.go
@@ -5,15 +5,16 @@
 	"irispost/internal/scsi"
 )
 
-// transfer is a run of a command's data that was solicited with an R2T.
+// r2t is an outstanding R2T: a range of a command's data that has been solicited.
 type r2t struct {
 	tag        uint32
-	nextOffset uint32 // of the next byte
-	end        uint32
+	nextOffset uint32 // offset of the next byte to be received
+	end        uint32 // offset after the last byte
 	nextDataSN uint32
 }
 
-// solicitData asks for a command's data, as far as R2Ts may be outstanding. The caller holds the session's lock.
+// solicitData sends R2Ts for a command's remaining data, up to MaxOutstandingR2T at a time. The caller holds the
+// session's lock.
 func (t *task) solicitData() {
 	sess := t.session
 	for t.solicited < t.dataLength && len(t.outstandingR2Ts) < sess.params.MaxOutstandingR2T {
@@ -32,7 +33,7 @@
 	}
 }
 
-// newTransferTag returns a tag that is not iscsi.NoTag. The caller holds the lock.
+// newTransferTag returns the next target transfer tag, never iscsi.NoTag. The caller holds the lock.
 func (sess *session) newTransferTag() uint32 {
 	sess.lastTransferTag++
 	if sess.lastTransferTag == iscsi.NoTag {
@@ -41,17 +42,17 @@
 	return sess.lastTransferTag
 }
 
-// dataOutcome is what becomes of a command with a Data-Out.
+// dataOutcome is the effect of a Data-Out PDU on its command.
 type dataOutcome uint8
 
 const (
 	dataIncomplete dataOutcome = iota
-	dataComplete               // the unsolicited data of a task that gathers, all data of one that collects
-	dataInvalid
+	dataComplete               // all unsolicited data has arrived, or, while receiving solicited data, all data
+	dataInvalid                // out of sequence, or outside the range that was solicited or may be sent unsolicited
 	dataBadDigest
 )
 
-// handleData handles a Data-Out. One whose command has ended is ignored.
+// handleDataOut handles a Data-Out PDU. It ignores PDUs whose command has ended.
 func (sess *session) handleDataOut(pdu *iscsi.PDU) error {
 	sess.lock.Lock()
 	t := sess.tasks[pdu.Tag()]
@@ -82,7 +83,8 @@
 	return nil
 }
 
-// failData ends a command whose data cannot be used, by its state when the data came.
+// failTransfer ends a command after invalid data. before is the command's state when the data arrived; a command that
+// receives unsolicited data does not occupy the pacer yet.
 func (t *task) failTransfer(before taskState, sense *scsi.Sense) {
 	if before == taskReceivingUnsolicited {
 		t.answerSense(sense)
@@ -91,7 +93,7 @@
 	t.fail(sense)
 }
 
-// takeData takes the data of a Data-Out. The caller holds the session's lock.
+// receiveData stores the data of a Data-Out PDU. The caller holds the session's lock.
 func (t *task) receiveData(pdu *iscsi.PDU) dataOutcome {
 	switch {
 	case pdu.BadDataDigest:
--- a/internal/iscsi/target/login.go
+++ b/internal/iscsi/target/login.go
@@ -7,17 +7,17 @@
 	"irispost/internal/iscsi/negotiate"
 )
 
-// Fields of a login's flags (RFC 7143, 11.12).
+// Fields of the login flags (RFC 7143, 11.12).
 const (
 	currentStageShift = 2
 	stageMask         = 3
 	currentStageMask  = stageMask << currentStageShift
 )
 
-// handleLogin handles a login request. A rejection is answered, and closes the connection.
+// handleLogin handles a login request. A rejected login gets a response, and its error closes the connection.
 func (sess *session) handleLogin(pdu *iscsi.PDU) error {
 	if pdu.Opcode() != iscsi.LoginRequest {
-		return fmt.Errorf("a PDU of kind %#x before the login", byte(pdu.Opcode()))
+		return fmt.Errorf("unexpected PDU opcode %#x during the login", byte(pdu.Opcode()))
 	}
 	sess.lock.Lock()
 	if !sess.started {
@@ -47,22 +47,23 @@
 	sess.lock.Lock()
 	defer sess.lock.Unlock()
 	sess.send(out, true)
-	sess.digests = iscsi.Digests{Header: sess.params.HeaderDigest, Data: sess.params.DataDigest} // of what follows
+	sess.digests = iscsi.Digests{Header: sess.params.HeaderDigest, Data: sess.params.DataDigest} // from the next PDU on
 	return nil
 }
 
-// negotiate has the login handle a request, unless the request cannot lead to a session here.
+// stepLogin passes a request to the login state machine. It rejects requests that this target cannot serve: another
+// protocol version, a further connection of a session, and any login while the gateway is draining.
 func (sess *session) stepLogin(pdu *iscsi.PDU) (negotiate.Response, *negotiate.Rejection) {
 	reject := func(class, detail byte, reason string) (negotiate.Response, *negotiate.Rejection) {
 		return negotiate.Response{}, &negotiate.Rejection{Class: class, Detail: detail, Reason: reason}
 	}
 	switch {
-	case pdu.Header[iscsi.OffsetStatus] > 0: // the least version that the initiator speaks
-		return reject(negotiate.ClassInitiatorError, negotiate.DetailUnsupportedVersion, "version 0 is spoken")
+	case pdu.Header[iscsi.OffsetStatus] > 0: // Version-min: the lowest version that the initiator supports
+		return reject(negotiate.ClassInitiatorError, negotiate.DetailUnsupportedVersion, "only protocol version 0 is supported")
 	case pdu.Uint16(iscsi.OffsetTSIH) != 0:
-		return reject(negotiate.ClassInitiatorError, negotiate.DetailTooManyConnections, "a session has one connection")
+		return reject(negotiate.ClassInitiatorError, negotiate.DetailTooManyConnections, "only one connection per session is supported")
 	case sess.server.options.Front.Draining():
-		return reject(negotiate.ClassTargetError, negotiate.DetailServiceUnavailable, "the gateway is stopping")
+		return reject(negotiate.ClassTargetError, negotiate.DetailServiceUnavailable, "the gateway is draining")
 	}
 	return sess.login.Step(negotiate.Request{
 		Current:  negotiate.Stage(pdu.Flags() >> currentStageShift & stageMask),
@@ -83,7 +84,8 @@
 	sess.conn.WaitSent(sendTimeout)
 }
 
-// enterFullFeature begins the full feature phase, before the answer out is sent.
+// enterFullFeature begins the full feature phase and sets the TSIH in out, the login response, which is sent
+// afterwards.
 func (sess *session) enterFullFeature(out *iscsi.PDU) {
 	sess.loginTimer.Stop()
 	login := sess.login
@@ -97,7 +99,7 @@
 	}
 	sess.lock.Lock()
 	sess.params = login.Params
-	sess.tsih = uint16(sess.server.lastTSIH.Add(1)%0xffff + 1) // never 0, which is a new session's
+	sess.tsih = uint16(sess.server.lastTSIH.Add(1)%0xffff + 1) // never 0, which requests a new session
 	sess.setState(stateFullFeature)
 	sess.lock.Unlock()
 	out.SetUint16(iscsi.OffsetTSIH, sess.tsih)
--- a/internal/iscsi/target/management.go
+++ b/internal/iscsi/target/management.go
@@ -18,7 +18,7 @@
 	functionTaskReassign = 8
 )
 
-// Answers to task management functions (RFC 7143, 11.6.1).
+// Responses to task management functions (RFC 7143, 11.6.1).
 const (
 	responseComplete       = 0
 	responseNoTask         = 1
@@ -27,8 +27,8 @@
 	responseNotSupported   = 5
 )
 
-// manageTasks executes a task management function. It is answered when what it aborts has ended: after that, no effect
-// of the aborted tasks comes any more.
+// handleTaskManagement executes a task management function. The response is sent once all aborted tasks have ended, so
+// that none of them has any effect after it.
 func (sess *session) handleTaskManagement(pdu *iscsi.PDU) {
 	if sess.target == nil {
 		sess.reject(pdu, rejectProtocolError)
@@ -57,7 +57,7 @@
 		SetUint32(iscsi.OffsetTag, pdu.Tag()), true)
 }
 
-// selectTasks returns the tasks that a function aborts, or why it aborts none.
+// selectTasks returns the tasks that a function aborts. A response other than responseComplete says why it aborts none.
 func (sess *session) selectTasks(pdu *iscsi.PDU) (tasks []*task, response byte) {
 	switch function := pdu.Flags() & functionMask; function {
 	case functionAbortTask:
@@ -88,7 +88,7 @@
 	return nil, responseNotSupported
 }
 
-// tasksOf returns the session's tasks at a unit.
+// tasksOf returns the session's tasks on a unit, in order of their tags.
 func (sess *session) tasksOf(unit *Unit) (tasks []*task) {
 	sess.lock.Lock()
 	defer sess.lock.Unlock()
--- a/internal/iscsi/target/requests.go
+++ b/internal/iscsi/target/requests.go
@@ -10,29 +10,30 @@
 )
 
 const (
-	maxOutOfOrder   = 32       // requests kept whose predecessors have not come
-	maxTextLength   = 64 << 10 // bytes of a text request in parts
-	continuationTag = 1        // the transfer tag of an answer that asks for the rest of a text
+	maxOutOfOrder   = 32       // buffered requests that arrived before an earlier one
+	maxTextLength   = 64 << 10 // bytes of a text request, over all PDUs that continue it
+	continuationTag = 1        // target transfer tag of a response that requests the rest of a text
 )
 
-// Reasons why a connection is closed.
+// Errors that close a connection.
 var (
-	errCommandInDiscovery = errors.New("a command in a discovery session")
+	errCommandInDiscovery = errors.New("SCSI command in a discovery session")
 	errLoggedOut          = errors.New("logged out")
 )
 
-// handleRequest handles a PDU of the full feature phase. Requests that have a command number are executed in its order.
+// handleRequest handles a PDU of the full feature phase. Non-immediate requests are executed in the order of their
+// CmdSN.
 func (sess *session) handleRequest(pdu *iscsi.PDU) error {
 	switch pdu.Opcode() {
 	case iscsi.DataOut:
 		return sess.handleDataOut(pdu)
 	case iscsi.SNACK:
-		sess.reject(pdu, rejectSNACK) // nothing is kept to be sent again
+		sess.reject(pdu, rejectSNACK) // no PDUs are kept for retransmission
 		return nil
 	case iscsi.Command, iscsi.TaskManagementRequest, iscsi.TextRequest, iscsi.LogoutRequest, iscsi.NopOut:
 	default:
 		sess.reject(pdu, rejectProtocolError)
-		return fmt.Errorf("a PDU of kind %#x in the full feature phase", byte(pdu.Opcode()))
+		return fmt.Errorf("unexpected PDU opcode %#x in the full feature phase", byte(pdu.Opcode()))
 	}
 	if pdu.Immediate() {
 		return sess.execute(pdu)
@@ -45,8 +46,9 @@
 	return nil
 }
 
-// inOrder returns a request if it has the next command number. Others are kept until it has come; repeats, those out of
-// the window and too many are ignored, and have to be sent again (RFC 7143, 4.2.2.1).
+// acceptRequest returns a request that has the expected CmdSN. It buffers later requests, up to maxOutOfOrder, until
+// the missing one has arrived. Duplicates, requests outside the command window and those beyond the limit are ignored;
+// the initiator has to send them again (RFC 7143, 4.2.2.1).
 func (sess *session) acceptRequest(pdu *iscsi.PDU) *iscsi.PDU {
 	number := pdu.Uint32(iscsi.OffsetCmdSN)
 	sess.lock.Lock()
@@ -64,7 +66,7 @@
 	return pdu
 }
 
-// nextInOrder returns the kept request that has the next command number; nil: it has not come.
+// nextBuffered removes and returns the buffered request that has the expected CmdSN, or nil if there is none.
 func (sess *session) nextBuffered() *iscsi.PDU {
 	sess.lock.Lock()
 	defer sess.lock.Unlock()
@@ -76,7 +78,7 @@
 	return pdu
 }
 
-// execute executes a request whose turn has come.
+// execute executes an immediate request, or one that is next in CmdSN order.
 func (sess *session) execute(pdu *iscsi.PDU) error {
 	switch pdu.Opcode() {
 	case iscsi.NopOut:
@@ -97,7 +99,7 @@
 	return nil
 }
 
-// answerNop answers a ping. A NOP-Out without a tag is none.
+// answerNop responds to a NOP-Out ping. A NOP-Out without an initiator task tag needs no response.
 func (sess *session) answerNop(pdu *iscsi.PDU) {
 	if pdu.Tag() == iscsi.NoTag {
 		return
@@ -112,7 +114,7 @@
 	sess.send(answer, true)
 }
 
-// answerText answers a text request, which may come in parts (RFC 7143, 11.10).
+// answerText responds to a text request, which may span several PDUs (RFC 7143, 11.10).
 func (sess *session) answerText(pdu *iscsi.PDU) {
 	more := pdu.Flags()&iscsi.Continue != 0
 	sess.lock.Lock()
@@ -141,13 +143,14 @@
 	}
 	answer.SetData(iscsi.EncodeText(sess.answerTextKeys(pairs)))
 	if len(answer.Data) > sess.params.PeerMaxSegment {
-		sess.reject(pdu, rejectNotSupported) // more targets than one answer holds
+		sess.reject(pdu, rejectNotSupported) // the targets do not fit into one response
 		return
 	}
 	sess.lockAndSend(answer, true)
 }
 
-// answerPairs answers the keys of a text request, of which SendTargets is known (RFC 7143, Appendix C).
+// answerTextKeys returns the response to the keys of a text request. SendTargets is the only supported key (RFC 7143,
+// Appendix C).
 func (sess *session) answerTextKeys(pairs []iscsi.Pair) (answers []iscsi.Pair) {
 	for _, pair := range pairs {
 		if pair.Key != "SendTargets" {
@@ -166,8 +169,8 @@
 	return answers
 }
 
-// sendsTarget tells whether a target belongs to the answer to SendTargets: in a discovery session all or the one that
-// is named, in another its own only.
+// listsTarget reports whether the response to SendTargets includes a target. A discovery session may list all targets
+// or one by its name; a normal session lists only its own.
 func (sess *session) listsTarget(requested, name string) bool {
 	if sess.target == nil {
 		return requested == "All" || requested == name
@@ -175,14 +178,15 @@
 	return sess.target.Name == name && (requested == "" || requested == name)
 }
 
-// Logout requests and answers (RFC 7143, 11.14 and 11.15).
+// Values in logout requests and responses (RFC 7143, 11.14 and 11.15).
 const (
 	logoutReasonMask         = 0x7f
-	logoutCloseConnection    = 1 // the larger of the reasons that end the session
-	logoutRecoveryNotAllowed = 2 // the answer to others
+	logoutCloseConnection    = 1 // close the connection; like reason 0, close the session, it ends the session
+	logoutRecoveryNotAllowed = 2 // response to the other reasons
 )
 
-// logout answers, and ends the session.
+// logout sends the response and returns an error that ends the session. A logout for connection recovery is refused,
+// and the session continues.
 func (sess *session) logout(pdu *iscsi.PDU) error {
 	answer := iscsi.New(iscsi.LogoutResponse, iscsi.Final).SetUint32(iscsi.OffsetTag, pdu.Tag())
 	sess.lock.Lock()
@@ -200,7 +204,7 @@
 	return errLoggedOut
 }
 
-// An async message that asks for a logout (RFC 7143, 11.9.1).
+// Values in an asynchronous message that requests a logout (RFC 7143, 11.9.1).
 const (
 	asyncRequestLogout = 1
 	logoutDeadline     = 3 // seconds
--- a/internal/iscsi/target/run.go
+++ b/internal/iscsi/target/run.go
@@ -6,7 +6,7 @@
 	"irispost/internal/scsi"
 )
 
-// run carries out a command on its disk.
+// run executes a command on its disk and ends it.
 func (t *task) run() {
 	command, client := &t.command, t.session.client
 	blockSize := uint64(t.unit.BlockSize)
@@ -44,7 +44,7 @@
 	t.finish(result, data)
 }
 
-// unmap writes zeros to ranges, up to the first that fails.
+// unmap writes zeros to the ranges in order and stops at the first failure.
 func (t *task) unmap(ranges []scsi.Range) front.Result {
 	blockSize := uint64(t.unit.BlockSize)
 	for _, unmapped := range ranges {
@@ -56,7 +56,7 @@
 	return front.Result{Outcome: front.Succeeded}
 }
 
-// writeSame writes one block over a range, at most an extent at a time.
+// writeSame writes one block to each block of a range, at most one extent per write.
 func (t *task) writeSame(offset, length uint64) front.Result {
 	unit, client := t.unit, t.session.client
 	if allZeros(t.data) {
@@ -86,7 +86,7 @@
 	return true
 }
 
-// finish ends a command that ran with its result.
+// finish ends a running command with the result of its requests.
 func (t *task) finish(result front.Result, data []byte) {
 	t.releasePacer(pacerOutcome(result.Outcome))
 	switch result.Outcome {
@@ -109,7 +109,7 @@
 	t.session.server.startCommands()
 }
 
-// loadOutcome is what an outcome tells the pacer of load.
+// pacerOutcome returns the outcome that the pacer counts. A mismatch counts as served.
 func pacerOutcome(outcome front.Outcome) pace.Outcome {
 	switch outcome {
 	case front.Succeeded, front.Mismatch:
@@ -121,7 +121,7 @@
 	}
 }
 
-// fail ends a command that ran with a sense.
+// fail ends a running command with sense data.
 func (t *task) fail(sense *scsi.Sense) {
 	t.releasePacer(pace.Failed)
 	t.answerSense(sense)
--- a/internal/iscsi/target/server.go
+++ b/internal/iscsi/target/server.go
@@ -15,19 +15,19 @@
 )
 
 const (
-	portalGroup     = 1  // the one portal group that there is
+	portalGroup     = 1  // tag of the only portal group
 	challengeLength = 16 // bytes
 )
 
-// errReinstated closes a connection whose session another has replaced.
-var errReinstated = errors.New("the initiator has begun the session anew")
+// errReinstated closes the connection of a session that was replaced by session reinstatement.
+var errReinstated = errors.New("session reinstated by the initiator")
 
-// Server serves targets at an address.
+// Server serves targets on one address.
 type Server struct {
 	options  Options
 	targets  map[string]*Target
 	listener *packetconn.Server
-	ready    chan struct{} // closed when listener is set
+	ready    chan struct{} // closed once listener is set; connections wait for it
 	lastTSIH atomic.Uint32 // target session identifying handles
 
 	lock     sync.Mutex // guards sessions
@@ -37,7 +37,7 @@
 	pacer     *pace.Pacer
 }
 
-// identity is what identifies a session (RFC 7143, 4.4.1.1): an initiator has one of an ISID with a target.
+// identity identifies a session (RFC 7143, 4.4.1.1): an initiator has at most one session with a target for each ISID.
 type identity struct {
 	initiator, target string
 	isid              [6]byte
@@ -59,7 +59,7 @@
 	}
 	for _, target := range options.Targets {
 		if s.targets[target.Name] != nil {
-			return nil, fmt.Errorf("target %q is there twice", target.Name)
+			return nil, fmt.Errorf("duplicate target %q", target.Name)
 		}
 		s.targets[target.Name] = target
 	}
@@ -79,7 +79,7 @@
 // Addr returns the address that initiators connect to.
 func (s *Server) Addr() string { return s.listener.Addr() }
 
-// Drain closes all command windows and asks all initiators to log out.
+// Drain closes the command windows of all sessions and requests all initiators to log out.
 func (s *Server) Drain() {
 	s.pacerLock.Lock()
 	s.pacer.Close()
@@ -95,7 +95,7 @@
 // CloseAbruptly closes all connections without a logout, as a crash would.
 func (s *Server) CloseAbruptly() { s.listener.Close() }
 
-// Close closes all connections, and commits what was written.
+// Close closes all connections and disks. Closing a disk commits its writes.
 func (s *Server) Close() error {
 	s.listener.Close()
 	var err error
@@ -109,13 +109,13 @@
 	return err
 }
 
-// Status is a summary of a server.
+// Status summarizes the state of a server.
 type Status struct {
-	State    string // of the pacer: open, slow or closed
+	State    string // state of the pacer: open, slow or closed
 	Sessions int
-	Running  int // commands
-	Waiting  int // commands
-	Bound    int // of running commands
+	Running  int // running commands
+	Waiting  int // queued commands
+	Bound    int // current maximum of running commands
 }
 
 // Status returns a summary of the server.
@@ -134,7 +134,7 @@
 	}
 }
 
-// loginOptions returns the options of a session's login, but for the session's name.
+// loginOptions returns the options of a login, without SessionName.
 func (s *Server) loginOptions() negotiate.Options {
 	return negotiate.Options{
 		Params:         s.options.Params,
@@ -145,18 +145,18 @@
 			if t := s.targets[target]; t != nil {
 				return t.Account
 			}
-			return negotiate.Account{} // a discovery session, which is told names alone
+			return negotiate.Account{} // discovery session: it only lists targets and needs no authentication
 		},
 		NewChallenge: func() []byte {
 			challenge := make([]byte, challengeLength)
-			rand.Read(challenge) // never fails
+			rand.Read(challenge) // never returns an error
 			return challenge
 		},
 	}
 }
 
-// addSession adds a session. One of the same identity is closed, and its requests are cancelled (session reinstatement,
-// RFC 7143, 6.3.5).
+// addSession adds a session. An existing session with the same identity is closed and its requests are cancelled
+// (session reinstatement, RFC 7143, 6.3.5).
 func (s *Server) addSession(sess *session) {
 	s.lock.Lock()
 	replaced := s.sessions[sess.identity]
@@ -178,7 +178,7 @@
 	}
 }
 
-// otherSessions returns the sessions with a session's target but itself.
+// otherSessions returns all other sessions with the same target.
 func (s *Server) otherSessions(sess *session) (others []*session) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -190,7 +190,7 @@
 	return others
 }
 
-// startCommands starts all commands that the pacer lets run.
+// startCommands starts all commands that the pacer admits.
 func (s *Server) startCommands() {
 	for {
 		s.pacerLock.Lock()
--- a/internal/iscsi/target/session.go
+++ b/internal/iscsi/target/session.go
@@ -16,15 +16,15 @@
 )
 
 const (
-	maxLoginData           = 8192            // bytes of a PDU before the parameters are negotiated
-	discoveryCommandWindow = 8               // commands of a discovery session
-	sendTimeout            = 1 * time.Second // for the last answer of a session
+	maxLoginData           = 8192            // maximum bytes of data in a login PDU
+	discoveryCommandWindow = 8               // command window of a discovery session
+	sendTimeout            = 1 * time.Second // limit for sending the last response of a session
 )
 
-// Reasons why a connection is closed.
+// Errors that close a connection.
 var (
-	errLoginTimeout = errors.New("the login takes too long")
-	errDataDigest   = errors.New("a data digest does not fit")
+	errLoginTimeout = errors.New("login timed out")
+	errDataDigest   = errors.New("data digest mismatch")
 )
 
 // sessionState is the state of a session. Only session.setState changes it.
@@ -37,31 +37,31 @@
 	stateEnded
 )
 
-// session is one initiator's connection. It is the packetconn.Handler of that connection: ReadPacket is called by the
-// connection's goroutine, Closed once at its end.
+// session is an iSCSI session with its only connection. It implements packetconn.Handler: the connection's goroutine
+// calls ReadPacket, and Closed is called once when the connection has ended.
 type session struct {
 	server     *Server
 	conn       *packetconn.Conn
 	login      *negotiate.Login
-	loginTimer *time.Timer // closes the connection of a login that takes too long
+	loginTimer *time.Timer // closes the connection if the login exceeds its time limit
 	client     *front.Client
 	pacing     *pace.Session // nil before the full feature phase, and in a discovery session
-	target     *Target       // likewise
+	target     *Target       // nil in the same cases as pacing
 	identity   identity
 
-	lock            sync.Mutex // guards what follows, and the tasks
+	lock            sync.Mutex // guards the fields below and the state of the tasks
 	state           sessionState
 	digests         iscsi.Digests
 	params          negotiate.Params
 	tsih            uint16
-	started         bool   // the first login request has come
-	expCmdSN        uint32 // the next command number
-	maxCmdSN        uint32 // the last one in the window
+	started         bool   // the first login request has been received
+	expCmdSN        uint32 // next expected CmdSN
+	maxCmdSN        uint32 // last CmdSN in the command window
 	statSN          uint32
-	lastTransferTag uint32 // of an R2T
+	lastTransferTag uint32 // target transfer tag of the latest R2T
 	tasks           map[uint32]*task
-	outOfOrder      map[uint32]*iscsi.PDU // requests that came before an earlier one, by command number
-	text            []byte                // of a text request in parts
+	outOfOrder      map[uint32]*iscsi.PDU // requests that arrived before an earlier one, by CmdSN
+	text            []byte                // received so far of a text request that spans several PDUs
 }
 
 func newSession(server *Server, conn *packetconn.Conn) *session {
@@ -84,7 +84,7 @@
 	return sess
 }
 
-// setState is the one place where a session's state changes. The caller holds the lock.
+// setState sets the session's state; nothing else does. The caller holds the lock.
 func (sess *session) setState(state sessionState) { sess.state = state }
 
 func (sess *session) currentState() sessionState {
@@ -93,13 +93,13 @@
 	return sess.state
 }
 
-// Closed ends the session: its requests are cancelled.
+// Closed ends the session and cancels its requests.
 func (sess *session) Closed(cause error) {
 	sess.server.options.Log.Debug("session closed", "initiator", sess.identity.initiator, "err", cause)
 	sess.end()
 }
 
-// end ends the session, once.
+// end ends the session. Further calls have no effect.
 func (sess *session) end() {
 	sess.loginTimer.Stop()
 	sess.lock.Lock()
@@ -123,7 +123,7 @@
 	sess.endTasksAwaitingData()
 }
 
-// endTasksThatWaitForData ends tasks whose data will not come any more.
+// endTasksAwaitingData ends the tasks whose data can no longer arrive.
 func (sess *session) endTasksAwaitingData() {
 	sess.lock.Lock()
 	var receivingSolicited, receivingUnsolicited []*task
@@ -145,7 +145,7 @@
 	}
 }
 
-// ReadPacket reads and handles the next PDU. An error closes the connection.
+// ReadPacket reads and handles the next PDU. If it returns an error, the connection is closed.
 func (sess *session) ReadPacket(reader netpoll.Reader) error {
 	sess.lock.Lock()
 	digests, maxData := sess.digests, sess.params.OwnMaxSegment
@@ -170,8 +170,8 @@
 	return sess.handleRequest(pdu)
 }
 
-// send fills in the session's numbers and sends a PDU. With status the PDU has a number of its own. The caller holds
-// the lock.
+// send sets the sequence numbers of a PDU and sends it. status says that the PDU carries a status and consumes a
+// StatSN. The caller holds the lock.
 func (sess *session) send(pdu *iscsi.PDU, status bool) {
 	sess.raiseMaxCmdSN()
 	pdu.SetUint32(iscsi.OffsetExpCmdSN, sess.expCmdSN)
@@ -185,15 +185,15 @@
 	sess.conn.Send(pdu.Encode(sess.digests))
 }
 
-// sendLocked is send for callers that do not hold the lock.
+// lockAndSend acquires the lock and calls send.
 func (sess *session) lockAndSend(pdu *iscsi.PDU, status bool) {
 	sess.lock.Lock()
 	defer sess.lock.Unlock()
 	sess.send(pdu, status)
 }
 
-// raiseMaxCmdSN opens the command window as far as the pacer allows. A window never shrinks (RFC 7143, 4.2.2.1). The
-// caller holds the lock.
+// raiseMaxCmdSN extends the command window as far as the pacer allows. MaxCmdSN never decreases (RFC 7143, 4.2.2.1).
+// The caller holds the lock.
 func (sess *session) raiseMaxCmdSN() {
 	free := int32(1)
 	switch {
@@ -210,7 +210,7 @@
 	}
 }
 
-// Reasons of a Reject (RFC 7143, 11.17.1).
+// Reasons in a Reject PDU (RFC 7143, 11.17.1).
 const (
 	rejectDataDigest     = 0x02
 	rejectSNACK          = 0x03
@@ -220,7 +220,7 @@
 	rejectInvalidField   = 0x09
 )
 
-// reject answers a PDU that cannot be handled (RFC 7143, 11.17).
+// reject sends a Reject PDU with the header of the rejected PDU (RFC 7143, 11.17).
 func (sess *session) reject(pdu *iscsi.PDU, reason byte) {
 	answer := iscsi.New(iscsi.Reject, iscsi.Final).
 		SetByte(iscsi.OffsetResponse, reason).
--- a/internal/iscsi/target/target.go
+++ b/internal/iscsi/target/target.go
@@ -1,12 +1,13 @@
-// Package target serves files of volumes as disks over iSCSI (RFC 7143): error recovery level 0, one connection a
-// session. Its commands become the same requests to the gateway's event loop as those of the file front end (package
-// front). How many commands run, and whose is next, is decided by package pace; which request goes to which node when,
-// by package scheduler.
+// Package target is an iSCSI target (RFC 7143) that exports files of volumes as disks. It supports error recovery level
+// 0 and one connection per session. It turns SCSI commands into the same requests to the gateway's event loop as the
+// file front end (package front). Package pace decides how many commands run and which session's command is next;
+// package scheduler decides when and to which node a request is sent.
 //
-// Package serve starts a Server. It owns the sessions and their tasks, each session under its own lock, and the pacer
-// under another. A connection's goroutine reads its PDUs; each running command has a goroutine.
+// Package serve starts a Server. The Server owns the sessions with their tasks, each session guarded by its own lock,
+// and the pacer, guarded by pacerLock. One goroutine per connection reads PDUs, and each running command has a
+// goroutine.
 //
-// Locks are taken in this order: a session's, then the server's pacerLock. The server's lock is held alone.
+// Lock order: a session's lock, then the server's pacerLock. No other lock is held together with the server's lock.
 package target
 
 import (
@@ -21,26 +22,27 @@
 	"irispost/internal/scsi"
 )
 
-// Unit is a logical unit: a disk, and what SCSI says of it. Until it has its disk it is not ready.
+// Unit is a logical unit: its SCSI properties and the disk that stores its data. It is not ready until SetDisk is
+// called.
 type Unit struct {
 	scsi.Unit
 	disk atomic.Pointer[front.Disk]
 }
 
-// SetDisk gives the unit its disk, which the server closes with itself.
+// SetDisk sets the unit's disk. Server.Close closes the disk.
 func (u *Unit) SetDisk(disk *front.Disk) { u.disk.Store(disk) }
 
-// Target is a named set of units.
+// Target is an iSCSI target: a named set of logical units.
 type Target struct {
 	Name    string
 	Units   map[uint16]*Unit  // by logical unit number
-	Account negotiate.Account // who may log in; without a secret everybody
+	Account negotiate.Account // CHAP credentials; without a secret any initiator may log in
 }
 
-// maxLUNs is how many numbers flat addressing has.
+// maxLUNs is the number of logical unit numbers in flat space addressing.
 const maxLUNs = 1 << 14
 
-// luns returns the numbers of a target's units, in order.
+// luns returns the logical unit numbers of a target in ascending order.
 func (t *Target) luns() []uint16 {
 	var numbers []uint16
 	for number := range uint16(maxLUNs) {
@@ -54,16 +56,16 @@
 	return numbers
 }
 
-// Limits bound a server.
+// Limits are the resource limits of a server.
 type Limits struct {
 	Connections int
-	Login       time.Duration // a login that takes longer is closed
-	Unread      int           // bytes that an initiator may leave unread; past it commands are answered TASK SET FULL
+	Login       time.Duration // time limit of a login, after which its connection is closed
+	Unread      int           // bytes that an initiator may leave unread; above it commands end with TASK SET FULL
 	Wire        packetconn.Limits
 	Pace        pace.Limits
 }
 
-// DefaultLimits are the limits where none are configured.
+// DefaultLimits are the limits used unless others are configured.
 var DefaultLimits = Limits{
 	Connections: 1024,
 	Login:       10 * time.Second,
@@ -77,7 +79,7 @@
 	Pace: pace.Limits{MinWindow: 2, MaxWindow: 256, InitialBound: 32, MaxBound: 512, MaxBytes: 32 << 20, Quantum: 64 << 10},
 }
 
-// Options are what a server is started with.
+// Options configure a server.
 type Options struct {
 	Front   *front.Front
 	Targets []*Target
--- a/internal/iscsi/target/task.go
+++ b/internal/iscsi/target/task.go
@@ -7,44 +7,45 @@
 	"irispost/internal/scsi"
 )
 
-// taskState is the state of a command. Only task.setState changes it.
+// taskState is the state of a task. Only task.setState changes it.
 type taskState uint8
 
 const (
-	taskReceivingUnsolicited taskState = iota // its unsolicited data is on its way
-	taskQueued                                // it waits for its turn
-	taskReceivingSolicited                    // its turn has come, and its data is solicited
-	taskRunning                               // its requests are in flight
-	taskEnded                                 // it has its answer, or will have none
+	taskReceivingUnsolicited taskState = iota // its unsolicited data is being received
+	taskQueued                                // it waits in the pacer's queue
+	taskReceivingSolicited                    // the pacer has started it, and its remaining data is solicited
+	taskRunning                               // its requests to the event loop are in flight
+	taskEnded                                 // its response has been sent, or there will be none
 )
 
-// task is a SCSI command. It gets exactly one answer, unless it was aborted or its session has ended.
+// task is a SCSI command. It gets exactly one response, unless it was aborted by its own session or its session has
+// ended.
 type task struct {
 	session        *session
-	unit           *Unit       // nil: there is none of the number
-	disk           *front.Disk // nil before its file is open
+	unit           *Unit       // nil: the logical unit does not exist
+	disk           *front.Disk // nil until the unit has its disk
 	tag            uint32
 	lun            [8]byte
 	command        scsi.Command
-	expectedLength uint32        // bytes that the initiator expects to transfer, either way
-	dataLength     uint32        // bytes that the command brings
+	expectedLength uint32        // Expected Data Transfer Length, in either direction
+	dataLength     uint32        // bytes of Data-Out
 	paced          *pace.Command // set when the task is queued
-	done           chan struct{} // closed when it is over
+	done           chan struct{} // closed when the task has ended
 
-	// The session's lock guards what follows.
+	// The session's lock guards the fields below.
 	state            taskState
 	aborted          bool
-	reportAbort      bool   // aborted by another session: its answer says so
-	data             []byte // that has come
-	unsolicited      uint32 // bytes that have come unsolicited
-	unsolicitedLimit uint32 // bytes that may come unsolicited
-	nextDataSN       uint32 // of unsolicited data
-	solicited        uint32 // bytes that were asked for, or have come unsolicited
+	reportAbort      bool   // aborted by another session: the response is TASK ABORTED
+	data             []byte // received Data-Out
+	unsolicited      uint32 // unsolicited bytes received
+	unsolicitedLimit uint32 // maximum unsolicited bytes
+	nextDataSN       uint32 // next DataSN of unsolicited data
+	solicited        uint32 // bytes solicited so far, plus those received unsolicited
 	r2tCount         uint32 // R2Ts sent
 	outstandingR2Ts  []*r2t
 }
 
-// setState is the one place where a task's state changes. The caller holds the session's lock.
+// setState sets the task's state; nothing else does. The caller holds the session's lock.
 func (t *task) setState(state taskState) {
 	t.state = state
 	if state == taskEnded {
@@ -53,7 +54,7 @@
 	}
 }
 
-// handleCommand handles a SCSI command.
+// handleCommand creates the task of a SCSI command and answers, queues or rejects the command.
 func (sess *session) handleCommand(pdu *iscsi.PDU) {
 	t := &task{
 		session:        sess,
@@ -94,7 +95,7 @@
 	}
 }
 
-// addTask adds a task; false: its tag is in use.
+// addTask adds a task to the session. It returns false if the tag is in use.
 func (sess *session) addTask(t *task) bool {
 	sess.lock.Lock()
 	defer sess.lock.Unlock()
@@ -105,9 +106,9 @@
 	return true
 }
 
-// answerMissingUnit answers a command to a unit that is not there (SPC-4, 6.4.2 and 6.33).
+// answerMissingUnit responds to a command for a logical unit that does not exist (SPC-4, 6.4.2 and 6.33).
 func (t *task) answerMissingUnit(cdb []byte) {
-	const noDevice = 0x7f // there is none, and cannot be
+	const noDevice = 0x7f // peripheral qualifier 3, device type 0x1f: no device is supported at this LUN
 	missing := &scsi.Unit{BlockSize: 512, Blocks: 1}
 	command, sense := missing.Parse(cdb)
 	switch {
@@ -125,8 +126,8 @@
 	}
 }
 
-// answerWithoutData answers a command that needs no data of the disk, and any while the disk is not ready; false: the
-// command needs data.
+// answerWithoutData responds to commands that do not access the medium, and to all commands while the disk is not
+// ready. It returns false if the command has to access the medium.
 func (t *task) answerWithoutData() bool {
 	switch t.command.Kind {
 	case scsi.Inquiry, scsi.ReportLUNs, scsi.ReadCapacity10, scsi.ReadCapacity16, scsi.ModeSense, scsi.RequestSense:
@@ -149,12 +150,13 @@
 	return false
 }
 
-// receive takes the immediate data of a command, and queues the command unless more unsolicited data follows.
+// receiveCommandData stores the immediate data of a command, and queues the command unless more unsolicited data
+// follows.
 func (t *task) receiveCommandData(pdu *iscsi.PDU) {
 	sess := t.session
 	if dataOut, _ := t.command.DataLengths(&t.unit.Unit); dataOut > 0 {
 		if pdu.Flags()&iscsi.Writes == 0 || uint64(t.expectedLength) < dataOut {
-			t.answerSense(scsi.InvalidField) // it says that it brings less than it asks to write
+			t.answerSense(scsi.InvalidField) // the initiator announces less data than the command writes
 			return
 		}
 		t.dataLength = uint32(dataOut)
@@ -177,7 +179,7 @@
 	}
 }
 
-// mayBeImmediate tells whether data may come with its command. The caller holds the session's lock.
+// acceptsImmediateData reports whether the parameters allow this immediate data. The caller holds the session's lock.
 func (t *task) acceptsImmediateData(data []byte) bool {
 	params := &t.session.params
 	if len(data) == 0 {
@@ -186,7 +188,7 @@
 	return params.ImmediateData && len(data) <= params.FirstBurst && uint32(len(data)) <= t.expectedLength
 }
 
-// enqueue has the task wait for its turn.
+// enqueue adds the task to the pacer's queue.
 func (t *task) enqueue() {
 	sess := t.session
 	sess.lock.Lock()
@@ -209,7 +211,7 @@
 	sess.server.startCommands()
 }
 
-// cost is the bytes that a task counts for: those that it brings, or reads.
+// cost returns a task's cost to the pacer: the bytes of its Data-Out, or those that it reads.
 func (t *task) cost() int {
 	if t.command.Kind == scsi.Read || t.command.Kind == scsi.Verify {
 		return int(t.command.Blocks * uint64(t.unit.BlockSize))
@@ -217,7 +219,8 @@
 	return int(t.dataLength)
 }
 
-// begin begins a command whose turn has come: its data is solicited, or it runs.
+// start starts a command that the pacer has admitted: it solicits the remaining data, or runs the command if there is
+// none.
 func (t *task) start() {
 	sess := t.session
 	sess.lock.Lock()
@@ -241,14 +244,15 @@
 	}
 }
 
-// endWith ends a command that has begun with a status that tells nothing of the nodes' load.
+// endWithStatus ends a started command that was not executed, so that its status says nothing about the load of the
+// nodes.
 func (t *task) endWithStatus(status scsi.Status) {
 	t.releasePacer(pace.Failed)
 	t.answer(status, nil, nil)
 	t.session.server.startCommands()
 }
 
-// leavePacer tells the pacer that the command no longer runs.
+// releasePacer reports to the pacer that the command no longer runs.
 func (t *task) releasePacer(outcome pace.Outcome) {
 	s := t.session.server
 	s.pacerLock.Lock()
@@ -256,7 +260,7 @@
 	s.pacer.Done(t.paced, outcome)
 }
 
-// discard ends a command without an answer, as its session has ended.
+// discard ends a command without a response, since its session has ended.
 func (t *task) discard() {
 	sess := t.session
 	sess.lock.Lock()
@@ -269,8 +273,9 @@
 	sess.server.options.Front.EndRequest()
 }
 
-// abort aborts a command: at once while it waits, else when its requests have ended. Aborted by its own session it gets
-// no answer; by another, TASK ABORTED. The channel is closed when it is over.
+// abort aborts a command. A waiting command ends at once, a running one when its requests have ended. A command aborted
+// by its own session gets no response, one aborted by another session gets TASK ABORTED. The returned channel is closed
+// when the command has ended.
 func (t *task) abort(own bool) <-chan struct{} {
 	sess := t.session
 	sess.lock.Lock()
@@ -284,7 +289,7 @@
 		removed = sess.pacing.Remove(t.paced)
 		sess.server.pacerLock.Unlock()
 	case taskReceivingSolicited:
-		t.setState(taskRunning) // its data is ignored from now on
+		t.setState(taskRunning) // further Data-Out is ignored
 	}
 	sess.lock.Unlock()
 	switch {
--- a/internal/scsi/answer.go
+++ b/internal/scsi/answer.go
@@ -8,14 +8,14 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// What units say of themselves.
+// Identification of the units in INQUIRY data (SPC-4, 6.4.2).
 const (
 	vendorID  = "IRISPOST"
 	productID = "VOLUME"
 	revision  = "1"
 )
 
-// Lengths of fields in inquiry data, in bytes.
+// Lengths of fields in INQUIRY data, in bytes.
 const (
 	vendorIDLength        = 8
 	productIDLength       = 16
@@ -23,7 +23,7 @@
 	standardInquiryLength = 96
 )
 
-// Pages of vital product data (SPC-4, 7.8; SBC-3, 6.5).
+// Vital product data (VPD) pages (SPC-4, 7.8; SBC-3, 6.5), and values in them.
 const (
 	pageSupported            = 0x00
 	pageSerialNumber         = 0x80
@@ -36,13 +36,13 @@
 	naaLocallyAssigned       = 3
 )
 
-// paddedText is a text in a field of a length, filled with spaces.
+// paddedText returns text truncated or padded with spaces to the given length.
 func paddedText(text string, length int) []byte {
 	return fmt.Appendf(nil, "%-*.*s", length, length, text)
 }
 
-// ResponseData returns the data of the response to a command that does not access the medium, truncated to the command's
-// allocation length, and nil for all other commands. luns are the logical unit numbers of the target.
+// ResponseData returns the data of the response to a command that does not access the medium, truncated to the
+// command's allocation length, and nil for all other commands. luns are the logical unit numbers of the target.
 func (u *Unit) ResponseData(command *Command, luns []uint16) ([]byte, *Sense) {
 	var answer []byte
 	var sense *Sense
@@ -83,7 +83,7 @@
 }
 
 func (u *Unit) readCapacity16() []byte {
-	const lbpmeAndLbprz = 0xc0 // LBPME and LBPRZ: space is given as it is written, and reads as zeros before
+	const lbpmeAndLbprz = 0xc0 // thin provisioning: unmapped blocks read as zeros
 	answer := make([]byte, 32)
 	binary.BigEndian.PutUint64(answer, u.Blocks-1)
 	binary.BigEndian.PutUint32(answer[8:], u.BlockSize)
@@ -108,18 +108,18 @@
 		page = u.blockLimits()
 	case pageBlockCharacteristics:
 		page = make([]byte, 60)
-		page[1] = 1 // a medium that does not rotate
+		page[1] = 1 // MEDIUM ROTATION RATE: non-rotating
 	case pageLogicalProvisioning:
-		page = []byte{0, 0xc4, 2, 0} // UNMAP and WRITE SAME (16) give space back, which reads as zeros; thin
+		page = []byte{0, 0xc4, 2, 0} // LBPU, LBPWS, LBPRZ (unmapped blocks read as zeros); thin provisioned
 	default:
 		return nil, InvalidField
 	}
 	return append([]byte{0, command.Page, 0, byte(len(page))}, page...), nil
 }
 
-// standardInquiry is the same for all units (SPC-4, 6.4.2).
+// standardInquiry returns the standard INQUIRY data, which is the same for all units (SPC-4, 6.4.2).
 func standardInquiry() []byte {
-	answer := []byte{0, 0, 6, 0x12, standardInquiryLength - 5, 0, 0, 2} // a disk, SPC-4, format 2, with a queue
+	answer := []byte{0, 0, 6, 0x12, standardInquiryLength - 5, 0, 0, 2} // disk, SPC-4, response data format 2, CMDQUE
 	answer = append(answer, paddedText(vendorID, vendorIDLength)...)
 	answer = append(answer, paddedText(productID, productIDLength)...)
 	answer = append(answer, paddedText(revision, revisionLength)...)
@@ -130,10 +130,11 @@
 	return append(answer, make([]byte, standardInquiryLength-len(answer))...)
 }
 
-// identification has two names of the unit: the vendor's with the serial number, and a binary one.
+// deviceIdentification returns two designators of the unit: a T10 vendor ID with the serial number, and an NAA
+// identifier that is a hash of the serial number.
 func (u *Unit) deviceIdentification() []byte {
 	name := append(paddedText(vendorID, vendorIDLength), u.Serial...)
-	page := append([]byte{2, 1, 0, byte(len(name))}, name...) // ASCII, by vendor
+	page := append([]byte{2, 1, 0, byte(len(name))}, name...) // ASCII, T10 vendor ID based
 	page = append(page, 1, 3, 0, 8)                           // binary, NAA
 	naaIdentifier := xxhash.Sum64String(u.Serial)&(1<<60-1) | naaLocallyAssigned<<60
 	return binary.BigEndian.AppendUint64(page, naaIdentifier)
@@ -148,7 +149,7 @@
 	binary.BigEndian.PutUint32(page[8:], min(granularity, u.MaxTransferBlocks)) // optimal transfer length
 	binary.BigEndian.PutUint32(page[16:], MaxUnmapBlocks)
 	binary.BigEndian.PutUint32(page[20:], maxUnmapDescriptors)
-	binary.BigEndian.PutUint32(page[24:], granularity) // of UNMAP
+	binary.BigEndian.PutUint32(page[24:], granularity) // optimal unmap granularity
 	binary.BigEndian.PutUint64(page[32:], MaxUnmapBlocks)
 	return page
 }
--- a/internal/scsi/command.go
+++ b/internal/scsi/command.go
@@ -1,9 +1,9 @@
 package scsi
 
-// CommandKind is what a command asks for.
+// CommandKind is the operation of a command, independent of the length of its CDB.
 type CommandKind uint8
 
-// The kinds of commands. Those from Read on concern blocks.
+// Command kinds. Those from Read on access blocks.
 const (
 	TestUnitReady    CommandKind = iota // TEST UNIT READY, START STOP UNIT
 	Inquiry                             // INQUIRY
@@ -11,34 +11,34 @@
 	ReadCapacity10                      // READ CAPACITY (10)
 	ReadCapacity16                      // READ CAPACITY (16)
 	ModeSense                           // MODE SENSE
-	RequestSense                        // REQUEST SENSE: there is none, as senses come with the answers
-	Read                                // READ
-	Write                               // WRITE
-	Verify                              // VERIFY, whether blocks can be read
-	SynchronizeCache                    // SYNCHRONIZE CACHE
-	Unmap                               // UNMAP: ranges come as data
-	WriteSame                           // WRITE SAME: one block, over a range
+	RequestSense                        // REQUEST SENSE; always empty: sense data is returned with the status
+	Read                                // READ (6), (10) and (16)
+	Write                               // WRITE (6), (10) and (16)
+	Verify                              // VERIFY (10) and (16), without a comparison: checks that the blocks can be read
+	SynchronizeCache                    // SYNCHRONIZE CACHE (10) and (16)
+	Unmap                               // UNMAP; the ranges are in the parameter list
+	WriteSame                           // WRITE SAME (10) and (16): writes one block to each block of a range
 	CompareAndWrite                     // COMPARE AND WRITE
 )
 
-// Command is a command that was parsed.
+// Command is a parsed command.
 type Command struct {
 	Kind   CommandKind
-	LBA    uint64 // of the first block
+	LBA    uint64 // first block
 	Blocks uint64
 
-	AllocationLength        int   // bytes that the answer may have, of commands that are answered with a page
-	VitalProductData        bool  // INQUIRY: a page of vital product data
-	Page                    uint8 // INQUIRY, MODE SENSE
+	AllocationLength        int   // maximum length of the response data; UNMAP: length of the parameter list
+	VitalProductData        bool  // INQUIRY: a vital product data page is requested
+	Page                    uint8 // INQUIRY and MODE SENSE: page code; of MODE SENSE also the page control
 	LongForm                bool  // MODE SENSE (10)
-	DisableBlockDescriptors bool  // MODE SENSE
+	DisableBlockDescriptors bool  // MODE SENSE: the response has no block descriptor
 
-	ForceUnitAccess bool // what is written is to be committed before the answer
-	UnmapBlocks     bool // WRITE SAME: the blocks are to read as zeros, and may give their space back
-	NoDataOut       bool // WRITE SAME: no block comes, zeros are meant
+	ForceUnitAccess bool // the data has to be committed before the response
+	UnmapBlocks     bool // WRITE SAME: the blocks may be unmapped, and then read as zeros
+	NoDataOut       bool // WRITE SAME: there is no Data-Out; zeros are written
 }
 
-// DataLengths returns how many bytes a command brings, and with how many at most it is answered.
+// DataLengths returns the number of bytes of a command's Data-Out, and the maximum number of bytes of its Data-In.
 func (c *Command) DataLengths(unit *Unit) (out, in uint64) {
 	blockSize := uint64(unit.BlockSize)
 	switch c.Kind {
--- a/internal/scsi/golden_test.go
+++ b/internal/scsi/golden_test.go
@@ -9,8 +9,8 @@
 	"irispost/internal/testkit/golden"
 )
 
-// Initiators rest on each byte of what a unit answers: every opcode with several fields is parsed and answered, for a
-// unit that can be written and one that cannot.
+// Initiators depend on each byte of a unit's responses. This test compares the results of every opcode, with several
+// values in its fields, on a writable and a read-only unit.
 func TestGoldenCommandsAndAnswers(t *testing.T) {
 	var out bytes.Buffer
 	for _, u := range []*Unit{
@@ -49,19 +49,20 @@
 	golden.Check(t, "commands.txt", out.Bytes())
 }
 
-// describe writes down what becomes of a command; commands that are not known are left out.
-func describe(out *bytes.Buffer, unit *Unit, block []byte) {
-	command, sense := unit.Parse(block)
+// describe writes the result of parsing and answering a command. It omits unsupported opcodes, except those of
+// reservations.
+func describe(out *bytes.Buffer, unit *Unit, cdb []byte) {
+	command, sense := unit.Parse(cdb)
 	if sense != nil {
 		if sense != InvalidOpcode {
-			fmt.Fprintf(out, "%x: %s, info %d %t\n", block, sense, sense.Information, sense.Valid)
-		} else if name := ReservationName(block[0]); name != "" {
-			fmt.Fprintf(out, "%x: %s is refused\n", block, name)
+			fmt.Fprintf(out, "%x: %s, info %d %t\n", cdb, sense, sense.Information, sense.Valid)
+		} else if name := ReservationName(cdb[0]); name != "" {
+			fmt.Fprintf(out, "%x: %s is refused\n", cdb, name)
 		}
 		return
 	}
-	brings, most := command.DataLengths(unit)
-	fmt.Fprintf(out, "%x: kind %d, block %d, %d blocks, brings %d, answers %d", block, command.Kind, command.LBA, command.Blocks, brings, most)
+	dataOut, maxDataIn := command.DataLengths(unit)
+	fmt.Fprintf(out, "%x: kind %d, block %d, %d blocks, brings %d, answers %d", cdb, command.Kind, command.LBA, command.Blocks, dataOut, maxDataIn)
 	answer, sense := unit.ResponseData(&command, []uint16{0, 300})
 	if sense != nil {
 		fmt.Fprintf(out, ", %s", sense)
--- a/internal/scsi/modes.go
+++ b/internal/scsi/modes.go
@@ -5,8 +5,8 @@
 	"math"
 )
 
-// Mode pages (SPC-4, 7.5; SBC-3, 6.4), and values of a MODE SENSE's page control, which are the upper two bits of its
-// page code.
+// Mode page codes (SPC-4, 7.5; SBC-3, 6.4), and values of the page control field of MODE SENSE, the upper two bits of
+// its page code.
 const (
 	pageCaching  = 0x08
 	pageControl  = 0x0a
@@ -16,10 +16,10 @@
 	savedValues      = 3
 )
 
-// Bits of the mode parameter header's device-specific byte.
+// Bits of the DEVICE-SPECIFIC PARAMETER byte in the mode parameter header.
 const (
 	headerWriteProtected  = 0x80
-	headerForceUnitAccess = 0x10 // FUA is honoured
+	headerForceUnitAccess = 0x10 // DPOFUA: the FUA bit is supported
 )
 
 type modePage struct {
@@ -29,9 +29,9 @@
 
 func modePages() []modePage {
 	return []modePage{
-		// WCE: what was written is committed after a SYNCHRONIZE CACHE.
+		// WCE: without FUA, writes are not committed until a SYNCHRONIZE CACHE.
 		{pageCaching, append([]byte{0x04}, make([]byte, 17)...)},
-		// Senses in fixed format, commands in any order, aborts are reported (TAS).
+		// Sense data in fixed format, unrestricted reordering of commands, aborted tasks are reported (TAS).
 		{pageControl, []byte{0x02, 0x10, 0, 0x40, 0, 0, 0xff, 0xff, 0, 0}},
 	}
 }
@@ -49,7 +49,7 @@
 		}
 		found = true
 		body := page.body
-		if control == changeableValues { // nothing can be changed
+		if control == changeableValues { // no value is changeable
 			body = make([]byte, len(body))
 		}
 		pages = append(pages, page.code, byte(len(body)))
@@ -61,7 +61,7 @@
 	return u.modeParameters(command, pages), nil
 }
 
-// modeParameters puts the header and the block descriptor before mode pages.
+// modeParameters returns the mode parameter header, the block descriptor unless it is disabled, and the mode pages.
 func (u *Unit) modeParameters(command *Command, pages []byte) []byte {
 	flags := byte(headerForceUnitAccess)
 	if u.ReadOnly {
--- a/internal/scsi/parse.go
+++ b/internal/scsi/parse.go
@@ -39,20 +39,20 @@
 )
 
 const (
-	cdbLength                   = 16   // bytes of the longest command descriptor block that is parsed
-	serviceActionReadCapacity16 = 0x10 // the service action of SERVICE ACTION IN (16) that is known
-	read6DefaultBlocks          = 256  // that 0 stands for
+	cdbLength                   = 16   // bytes of the longest supported command descriptor block
+	serviceActionReadCapacity16 = 0x10 // the only supported service action of SERVICE ACTION IN (16)
+	read6DefaultBlocks          = 256  // number of blocks that a length of 0 stands for
 	read6LBAMask                = 1<<21 - 1
 	minReportLunsLength         = 16
 	readCapacity10Length        = 8
-	protectionFieldShift        = 5    // of byte 1: protection information, which is not stored here
+	protectionFieldShift        = 5    // of byte 1; protection information is not supported
 	flagForceUnitAccess         = 0x08 // of byte 1
-	verifyUnsupportedFlags      = 0xe6 // of byte 1: protection, and a comparison with data that comes
-	writeSameUnsupported        = 0xf6 // of byte 1: protection, anchoring, and blocks with their numbers in them
+	verifyUnsupportedFlags      = 0xe6 // of byte 1: protection information, and the comparison with Data-Out
+	writeSameUnsupported        = 0xf6 // of byte 1: protection information, ANCHOR, PBDATA, LBDATA (addresses in blocks)
 )
 
-// reservationNames are the commands that are known and rejected: who reserved a unit here would rely on what does not
-// hold at other gateways.
+// reservationNames holds the names of the reservation commands, which are rejected: a reservation at this gateway would
+// not hold at other gateways, but an initiator would rely on it.
 var reservationNames = map[byte]string{
 	opReserve6:      "RESERVE (6)",
 	opRelease6:      "RELEASE (6)",
@@ -62,10 +62,11 @@
 	opPersistentOut: "PERSISTENT RESERVE OUT",
 }
 
-// ReservationName returns the name of a command about reservations, which all are rejected; empty for others.
+// ReservationName returns the name of a reservation command, and "" for any other opcode. Units support none of them.
 func ReservationName(opcode byte) string { return reservationNames[opcode] }
 
-// Parse parses a command descriptor block. Commands that are unknown, or out of bounds for the unit, get a sense.
+// Parse parses a command descriptor block. It returns sense data for unsupported and invalid commands, and for those
+// that exceed the unit's capacity or limits.
 func (u *Unit) Parse(cdb []byte) (Command, *Sense) {
 	if len(cdb) < cdbLength {
 		cdb = append(append([]byte{}, cdb...), make([]byte, cdbLength-len(cdb))...)
@@ -99,7 +100,7 @@
 	switch cdb[0] {
 	case opRequestSense:
 		c := Command{Kind: RequestSense, AllocationLength: int(cdb[4])}
-		if cdb[1]&1 != 0 { // descriptor format
+		if cdb[1]&1 != 0 { // DESC: sense data in descriptor format
 			return c, InvalidField
 		}
 		return c, nil
@@ -136,10 +137,10 @@
 	return int(min(binary.BigEndian.Uint32(field), math.MaxInt32))
 }
 
-// is16 tells whether a command has 16 bytes, by its group (SPC-4, 4.2.5.1).
+// is16 reports whether a CDB has 16 bytes, which follows from the group code (SPC-4, 4.2.5.1).
 func is16(cdb []byte) bool { return cdb[0]>>5 == 4 }
 
-// parseRange returns the first block and the number of blocks of a command of 10 or 16 bytes.
+// parseRange returns the first block and the number of blocks of a 10-byte or 16-byte CDB.
 func parseRange(cdb []byte) (lba, blocks uint64) {
 	if is16(cdb) {
 		return binary.BigEndian.Uint64(cdb[2:]), uint64(binary.BigEndian.Uint32(cdb[10:]))
@@ -185,7 +186,7 @@
 
 func (u *Unit) parseUnmapCommand(cdb []byte) (Command, *Sense) {
 	c := Command{Kind: Unmap, AllocationLength: int(binary.BigEndian.Uint16(cdb[7:]))}
-	if cdb[1]&1 != 0 { // anchored space is not kept
+	if cdb[1]&1 != 0 { // ANCHOR is not supported
 		return c, InvalidField
 	}
 	if u.ReadOnly {
@@ -201,7 +202,7 @@
 	if cdb[1]&writeSameUnsupported != 0 || c.NoDataOut && !c.UnmapBlocks {
 		return c, InvalidField
 	}
-	if c.Blocks == 0 { // to the last block
+	if c.Blocks == 0 { // up to the last block
 		c.Blocks = u.Blocks - min(c.LBA, u.Blocks)
 	}
 	if c.Blocks > MaxUnmapBlocks {
@@ -223,7 +224,8 @@
 	return c, u.checkRange(&c)
 }
 
-// checkRange checks that a command's blocks are there, are not too many, and may be written.
+// checkRange checks a command's blocks against the unit's capacity, its maximum transfer length and its write
+// protection.
 func (u *Unit) checkRange(c *Command) *Sense {
 	transfers := c.Kind == Read || c.Kind == Write || c.Kind == Verify
 	writes := c.Kind == Write || c.Kind == WriteSame || c.Kind == CompareAndWrite
--- a/internal/scsi/sense.go
+++ b/internal/scsi/sense.go
@@ -5,23 +5,24 @@
 	"fmt"
 )
 
-// Status is the status of a command that has ended (SAM-5).
+// Status is the status of a completed command (SAM-5).
 type Status uint8
 
-// Status codes, as SAM-5 numbers them.
+// Status codes of SAM-5.
 const (
 	Good           Status = 0x00
 	CheckCondition Status = 0x02
-	Busy           Status = 0x08 // it never ran: a retry is harmless
-	TaskSetFull    Status = 0x28 // the queue is full, and it never ran either
+	Busy           Status = 0x08 // the command was not executed and can be retried safely
+	TaskSetFull    Status = 0x28 // the queue is full; the command was not executed
 	TaskAborted    Status = 0x40
 )
 
-// Sense is why a command ended with CheckCondition: key, additional code and qualifier (SPC-4, 4.5).
+// Sense is the sense data of a command that ended with CheckCondition: the sense key, the additional sense code and its
+// qualifier (SPC-4, 4.5).
 type Sense struct {
 	Key, Code, Qualifier uint8
-	Information          uint32 // a block's number or a byte's, by the code
-	Valid                bool   // Information is there
+	Information          uint32 // a block address, or for Miscompare a byte offset
+	Valid                bool   // Information is present
 }
 
 // Sense keys (SPC-4, 4.5.6).
@@ -33,7 +34,7 @@
 	keyMiscompare     = 0xe
 )
 
-// Senses that units give.
+// Sense data that units return.
 var (
 	InvalidOpcode            = &Sense{Key: keyIllegalRequest, Code: 0x20}
 	InvalidField             = &Sense{Key: keyIllegalRequest, Code: 0x24}
@@ -43,17 +44,17 @@
 	LUNNotSupported          = &Sense{Key: keyIllegalRequest, Code: 0x25}
 	NotReady                 = &Sense{Key: keyNotReady, Code: 0x04}
 	BecomingReady            = &Sense{Key: keyNotReady, Code: 0x04, Qualifier: 0x01}
-	CommandTimeout           = &Sense{Key: keyAbortedCommand, Code: 0x08, Qualifier: 0x01} // it may have been done in part
+	CommandTimeout           = &Sense{Key: keyAbortedCommand, Code: 0x08, Qualifier: 0x01} // may have been executed in part
 	Miscompare               = &Sense{Key: keyMiscompare, Code: 0x1d}
 	WriteProtected           = &Sense{Key: keyDataProtect, Code: 0x27}
-	NotEnoughUnsolicitedData = &Sense{Key: keyAbortedCommand, Code: 0x0c, Qualifier: 0x0d} // not enough unsolicited data
-	CRCError                 = &Sense{Key: keyAbortedCommand, Code: 0x47, Qualifier: 0x05} // of the protocol service
+	NotEnoughUnsolicitedData = &Sense{Key: keyAbortedCommand, Code: 0x0c, Qualifier: 0x0d} // also misplaced Data-Out
+	CRCError                 = &Sense{Key: keyAbortedCommand, Code: 0x47, Qualifier: 0x05} // data digest mismatch
 )
 
-// savingNotSupported is the sense of a MODE SENSE that asks for saved pages.
+// savingNotSupported is returned for a MODE SENSE that requests saved values.
 var savingNotSupported = &Sense{Key: keyIllegalRequest, Code: 0x39}
 
-// senseCode is what a sense is told apart by.
+// senseCode identifies sense data regardless of the Information field.
 type senseCode struct{ key, code, qualifier uint8 }
 
 func (s *Sense) senseCode() senseCode { return senseCode{s.Key, s.Code, s.Qualifier} }
@@ -74,7 +75,7 @@
 	CRCError.senseCode():                 "a digest does not fit",
 }
 
-// Text says in words what a sense means; "unnamed" for senses that units here do not give.
+// Text describes the sense data in words. It returns "unnamed" if the sense data has no text in senseTexts.
 func (s *Sense) Text() string {
 	if text, known := senseTexts[s.senseCode()]; known {
 		return text
@@ -82,25 +83,25 @@
 	return "unnamed"
 }
 
-// Error returns the sense's numbers and its text.
+// Error returns the sense key, the code, the qualifier and the text.
 func (s *Sense) Error() string {
 	return fmt.Sprintf("sense %x/%02x/%02x (%s)", s.Key, s.Code, s.Qualifier, s.Text())
 }
 
-// Sense data in fixed format (SPC-4, 4.5.3).
+// Values in fixed-format sense data (SPC-4, 4.5.3).
 const (
 	fixedSenseLength    = 18
-	minFixedSenseLength = 14 // with code and qualifier
+	minFixedSenseLength = 14 // up to the qualifier
 	fixedSenseFormat    = 0x70
 	informationValid    = 0x80
 )
 
-// Bytes returns the sense in fixed format.
+// Bytes encodes the sense data in fixed format.
 func (s *Sense) Bytes() []byte {
 	b := make([]byte, fixedSenseLength)
 	b[0] = fixedSenseFormat
 	b[2] = s.Key
-	b[7] = fixedSenseLength - 8 // additional length
+	b[7] = fixedSenseLength - 8 // additional sense length
 	b[12] = s.Code
 	b[13] = s.Qualifier
 	if s.Valid {
@@ -110,7 +111,7 @@
 	return b
 }
 
-// DecodeSense reads a sense in fixed format; false: it is in another.
+// DecodeSense decodes sense data in fixed format. It returns false if the data is too short or in another format.
 func DecodeSense(b []byte) (*Sense, bool) {
 	if len(b) < minFixedSenseLength || b[0]&^informationValid != fixedSenseFormat {
 		return nil, false
--- a/internal/scsi/unit.go
+++ b/internal/scsi/unit.go
@@ -1,27 +1,28 @@
-// Package scsi parses the SCSI commands of a direct-access block device (SPC-4 and SBC-3 of T10, as far as a disk
-// needs them) and answers those that need no data. The iSCSI target (package iscsi/target) calls it and carries out
-// reads and writes; the initiator uses its senses and unit numbers. It is pure: no I/O, no clock, no state.
+// Package scsi parses the SCSI commands of a direct-access block device (the parts of T10's SPC-4 and SBC-3 that a disk
+// needs) and builds the responses to commands that do not access the medium. The iSCSI target (package iscsi/target)
+// uses it and executes the reads and writes; the initiator uses its sense data and logical unit numbers. The package is
+// pure: no I/O, no clock, no state.
 package scsi
 
 import "encoding/binary"
 
-// MaxUnmapBlocks bounds the blocks of one UNMAP or WRITE SAME.
+// MaxUnmapBlocks is the maximum number of blocks of one UNMAP or WRITE SAME.
 const MaxUnmapBlocks = 1 << 16
 
-// Unit is a disk, as far as answers without its data need it.
+// Unit describes a logical unit, a disk, without access to its data.
 type Unit struct {
 	Serial            string
 	BlockSize         uint32 // bytes
 	Blocks            uint64
 	ReadOnly          bool
-	MaxTransferBlocks uint32 // of one command
-	ExtentSize        uint32 // bytes; the granularity of transfers and of unmapping
+	MaxTransferBlocks uint32 // maximum transfer length of one command
+	ExtentSize        uint32 // bytes; the optimal granularity of transfers and of unmapping
 }
 
-// extentBlocks is the number of blocks of an extent, at least one.
+// extentBlocks returns the number of blocks of an extent, at least one.
 func (u *Unit) extentBlocks() uint32 { return max(u.ExtentSize/u.BlockSize, 1) }
 
-// Addressing methods of a logical unit number (SAM-5, 4.7), in its upper two bits, and their largest numbers.
+// Addressing methods of logical unit numbers (SAM-5, 4.7), encoded in the upper two bits, and their largest numbers.
 const (
 	peripheralAddressing = 0
 	flatAddressing       = 1
@@ -29,7 +30,7 @@
 	maxFlatLUN           = 1<<14 - 1
 )
 
-// EncodeLUN returns the 8 bytes of a logical unit number in peripheral or flat addressing.
+// EncodeLUN encodes a logical unit number in 8 bytes, with peripheral device or flat space addressing.
 func EncodeLUN(number uint16) []byte {
 	b := make([]byte, 8)
 	if number <= maxPeripheralLUN {
@@ -40,7 +41,8 @@
 	return b
 }
 
-// DecodeLUN reads the 8 bytes of a logical unit number; false: it is in a form that EncodeLUN does not give.
+// DecodeLUN decodes the 8 bytes of a logical unit number. It returns false for addressing methods and levels that
+// EncodeLUN does not use.
 func DecodeLUN(b []byte) (uint16, bool) {
 	first := binary.BigEndian.Uint16(b)
 	for _, lowerLevel := range b[2:8] {
@@ -57,16 +59,16 @@
 	return 0, false
 }
 
-// Range is a run of blocks.
+// Range is a range of consecutive blocks.
 type Range struct{ LBA, Blocks uint64 }
 
-// Sizes in the parameter list of UNMAP (SBC-3, 5.28.2), in bytes.
+// Lengths in the UNMAP parameter list (SBC-3, 5.28.2), in bytes.
 const (
 	unmapHeaderSize     = 8
 	unmapDescriptorSize = 16
 )
 
-// ParseUnmap parses the parameter list of an UNMAP. Empty ranges are left out.
+// ParseUnmap parses an UNMAP parameter list. It omits empty ranges.
 func (u *Unit) ParseUnmap(list []byte) (ranges []Range, sense *Sense) {
 	if len(list) == 0 {
 		return nil, nil
@@ -99,5 +101,5 @@
 	return ranges, nil
 }
 
-// contains tells whether the unit has all blocks of a range. An empty range may be just behind the last block.
+// contains reports whether a range lies within the unit. An empty range may begin right after the last block.
 func (u *Unit) contains(lba, blocks uint64) bool { return lba <= u.Blocks && blocks <= u.Blocks-lba }
