--- a/internal/backend/node/connection.go
+++ b/internal/backend/node/connection.go
@@ -37,7 +37,7 @@
 	return [...]string{"dialing", "greeting", "open", "closed"}[s]
 }
 
-// connection is one connection to a node. It implements sftp.Peer.
+// connection is one connection to a node. It implements sftp.Handler.
 type connection struct {
 	client *Client
 	addr   string
@@ -131,7 +131,7 @@
 
 // dial connects to the node, sends INIT and closes the connection if the node does not answer it in time.
 func (c *connection) dial() {
-	conn, err := sftp.Dial(c.addr, c.client.limits, c.client.connectTimeout, func(conn *sftp.Conn) sftp.Peer {
+	conn, err := sftp.Dial(c.addr, c.client.limits, c.client.connectTimeout, func(conn *sftp.Conn) sftp.Handler {
 		c.mutex.Lock()
 		c.conn = conn
 		c.mutex.Unlock()
@@ -153,7 +153,7 @@
 	})
 }
 
-// Packet handles a packet from the node. It implements sftp.Peer.
+// Packet handles a packet from the node. It implements sftp.Handler.
 func (c *connection) Packet(frame sftp.Frame) error {
 	switch frame.Type {
 	case sftp.Version:
@@ -220,7 +220,7 @@
 	p.done(reply)
 }
 
-// Closed fails the calls of the connection. It implements sftp.Peer.
+// Closed fails the calls of the connection. It implements sftp.Handler.
 func (c *connection) Closed(reason error) {
 	if c.client.log != nil {
 		c.client.log.Debug("node connection closed", "node", c.addr, "err", reason)
