--- a/internal/iscsi/negotiate/operational.go
+++ b/internal/iscsi/negotiate/operational.go
@@ -7,8 +7,8 @@
 	"irispost/internal/iscsi"
 )
 
-// SessionKey asks for the gateway's name of the session (a key of our own, RFC 7143, 13.23).
-const SessionKey = "X-org.irispost.session"
+// SessionNameKey is a private extension key (RFC 7143, 13.23) that requests the name of the session in the gateway.
+const SessionNameKey = "X-org.irispost.session"
 
 const (
 	notUnderstood = "NotUnderstood"
@@ -16,23 +16,24 @@
 	digestNone    = "None"
 )
 
-// Bounds of numbers (RFC 7143, 13).
+// Bounds of numerical values (RFC 7143, 13).
 const (
 	minSegment = 512
 	max24Bits  = 1<<24 - 1
 	max16Bits  = 1<<16 - 1
 	maxSeconds = 3600
-	maxLevel   = 2 // of error recovery
+	maxLevel   = 2 // ErrorRecoveryLevel
 )
 
-// answerOperationalKey answers a key of RFC 7143, 13; empty: it needs no answer.
-func (l *Login) answerOperationalKey(pair iscsi.Pair) (string, *Rejection) {
+// negotiateOperationalKey returns the value of the response to an operational key (RFC 7143, 13), or "" if the key
+// needs no response.
+func (l *Login) negotiateOperationalKey(pair iscsi.Pair) (string, *Rejection) {
 	ours := &l.options.Params
 	switch pair.Key {
 	case "HeaderDigest":
-		return l.answerDigest(pair, &l.Params.HeaderDigest)
+		return l.negotiateDigest(pair, &l.Params.HeaderDigest)
 	case "DataDigest":
-		return l.answerDigest(pair, &l.Params.DataDigest)
+		return l.negotiateDigest(pair, &l.Params.DataDigest)
 	case "InitialR2T":
 		theirs, rejection := parseBool(pair)
 		l.Params.InitialR2T = theirs || ours.InitialR2T
@@ -49,11 +50,11 @@
 		l.Params.PeerMaxSegment = theirs
 		return "", rejection
 	case "MaxBurstLength":
-		return answerMinimum(pair, ours.MaxBurst, &l.Params.MaxBurst, minSegment, max24Bits)
+		return negotiateMinimum(pair, ours.MaxBurst, &l.Params.MaxBurst, minSegment, max24Bits)
 	case "FirstBurstLength":
-		return answerMinimum(pair, ours.FirstBurst, &l.Params.FirstBurst, minSegment, max24Bits)
+		return negotiateMinimum(pair, ours.FirstBurst, &l.Params.FirstBurst, minSegment, max24Bits)
 	case "MaxOutstandingR2T":
-		return answerMinimum(pair, ours.MaxOutstandingR2T, &l.Params.MaxOutstandingR2T, 1, max16Bits)
+		return negotiateMinimum(pair, ours.MaxOutstandingR2T, &l.Params.MaxOutstandingR2T, 1, max16Bits)
 	case "MaxConnections":
 		_, rejection := parseNumber(pair, 1, max16Bits)
 		return "1", rejection
@@ -65,19 +66,19 @@
 		l.Params.TimeToWait = max(theirs, ours.TimeToWait)
 		return strconv.Itoa(l.Params.TimeToWait), rejection
 	case "DefaultTime2Retain":
-		return answerMinimum(pair, ours.TimeToRetain, &l.Params.TimeToRetain, 0, maxSeconds)
-	case SessionKey:
-		if l.options.Session != nil {
-			return l.options.Session(), nil
+		return negotiateMinimum(pair, ours.TimeToRetain, &l.Params.TimeToRetain, 0, maxSeconds)
+	case SessionNameKey:
+		if l.options.SessionName != nil {
+			return l.options.SessionName(), nil
 		}
 	case keyPortalGroup, "TargetAddress", "TargetAlias":
-		return "", initiatorError("%s is the target's to say", pair.Key)
+		return "", initiatorError("only the target may send %s", pair.Key)
 	}
 	return notUnderstood, nil
 }
 
-// answerMinimum answers a number with the smaller one of both ends, and sets the parameter to it.
-func answerMinimum(pair iscsi.Pair, ours int, parameter *int, least, most int) (string, *Rejection) {
+// negotiateMinimum negotiates a number whose result is the smaller of the two sides' values, and stores the result.
+func negotiateMinimum(pair iscsi.Pair, ours int, parameter *int, least, most int) (string, *Rejection) {
 	theirs, rejection := parseNumber(pair, least, most)
 	if rejection == nil {
 		*parameter = min(theirs, ours)
@@ -85,21 +86,21 @@
 	return strconv.Itoa(*parameter), rejection
 }
 
-// answerDigest answers a list of digests with the first that is offered here.
-func (l *Login) answerDigest(pair iscsi.Pair, parameter *bool) (string, *Rejection) {
+// negotiateDigest selects the first digest of the initiator's list that the target supports.
+func (l *Login) negotiateDigest(pair iscsi.Pair, parameter *bool) (string, *Rejection) {
 	for _, digest := range strings.Split(pair.Value, ",") {
 		if digest == digestNone || digest == digestCRC32C && l.options.Digests {
 			*parameter = digest == digestCRC32C
 			return digest, nil
 		}
 	}
-	return "", initiatorError("%s=%.40s has nothing that is spoken here", pair.Key, pair.Value)
+	return "", initiatorError("%s=%.40s: none of these digests is supported", pair.Key, pair.Value)
 }
 
 func parseNumber(pair iscsi.Pair, least, most int) (int, *Rejection) {
 	number, err := strconv.ParseInt(pair.Value, 0, 32)
 	if err != nil || number < int64(least) || number > int64(most) {
-		return 0, initiatorError("%s=%.40s is no number from %d to %d", pair.Key, pair.Value, least, most)
+		return 0, initiatorError("%s=%.40s is not a number from %d to %d", pair.Key, pair.Value, least, most)
 	}
 	return int(number), nil
 }
