--- a/internal/backend/node/connection.go
+++ b/internal/backend/node/connection.go
@@ -11,15 +11,15 @@
 
 // Reasons why the client closes a connection.
 var (
-	errNoGreeting   = errors.New("the node sent no VERSION packet in time")
-	errNotListed    = errors.New("the node is not in the endpoint list")
+	errNoGreeting   = errors.New("the node does not greet")
+	errNotListed    = errors.New("the node is no longer listed")
 	errClientClosed = errors.New("the gateway ends")
 )
 
 // Reasons why a call fails before it is sent. Clients see them in the result of their request.
 var (
-	errConnectionEnded = errors.New("the connection was closed before the call was sent")
-	errNodeUnavailable = errors.New("the node takes no new requests")
+	errConnectionEnded = errors.New("the connection has just ended")
+	errNodeUnavailable = errors.New("the node is left")
 )
 
 // connectionState is the state of a connection to a node. Only connection.setState changes it.
@@ -164,7 +164,7 @@
 		c.handleStatus(frame)
 		return nil
 	}
-	return fmt.Errorf("%s sent a packet of unexpected type %d", c.addr, frame.Type)
+	return fmt.Errorf("%s sends packets of type %d", c.addr, frame.Type)
 }
 
 // handleVersion marks the connection as open if the node offers the extension for calls.
@@ -178,7 +178,7 @@
 		}
 		fields.Text() // the extension's version
 	}
-	return fmt.Errorf("%s does not offer the extension %s", c.addr, ExecExtension)
+	return fmt.Errorf("%s does not offer %s", c.addr, ExecExtension)
 }
 
 // handleReply ends the call that a reply belongs to.
@@ -186,7 +186,7 @@
 	id, fields := frame.ID()
 	reply, err := DecodeReply(fields)
 	if err != nil {
-		return fmt.Errorf("invalid reply from %s: %w", c.addr, err)
+		return fmt.Errorf("answer of %s: %w", c.addr, err)
 	}
 	if reply.ReportErr != nil {
 		c.client.logInvalidReport(c.addr, reply.ReportErr)
--- a/internal/backend/node/protocol.go
+++ b/internal/backend/node/protocol.go
@@ -19,7 +19,7 @@
 
 var (
 	errUnknownOperation = errors.New("no such operation")
-	errUnknownOutcome   = errors.New("unknown outcome or status")
+	errUnknownOutcome   = errors.New("no such outcome")
 )
 
 // Operation is what an attempt does at a node. Its values are those of the protocol.
--- a/internal/backend/webnode/exchange.go
+++ b/internal/backend/webnode/exchange.go
@@ -28,7 +28,7 @@
 	remaining := call.Timeout - elapsed
 	if remaining <= 0 || call.StartWithin > 0 && elapsed >= call.StartWithin {
 		c.release()
-		attempt.fail(node.ConnectFailed, "the deadline passed before the request was sent")
+		attempt.fail(node.ConnectFailed, "too late to send")
 		return
 	}
 	request := c.client.encodeRequest(call, remaining)
@@ -47,7 +47,7 @@
 	case err == nil && closed:
 		attempt.fail(node.ConnectionReset, "the connection was closed while the request was written")
 	case err != nil: // the node did not get the last byte, so the request never ran
-		attempt.fail(node.ConnectFailed, fmt.Sprintf("%d of %d request bytes written: %v", n, len(request), err))
+		attempt.fail(node.ConnectFailed, fmt.Sprintf("%d of %d bytes written: %v", n, len(request), err))
 	}
 }
 
--- a/internal/backend/webnode/pool.go
+++ b/internal/backend/webnode/pool.go
@@ -53,7 +53,7 @@
 		case <-ticker.C:
 		}
 		for _, attempt := range c.expire(time.Now()) {
-			attempt.fail(node.ConnectFailed, "no connection became available in time")
+			attempt.fail(node.ConnectFailed, "no connection became available")
 		}
 	}
 }
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -28,10 +28,10 @@
 			return response, nil
 		}
 		if response.Status == statusSwitchingProtocols {
-			return nil, errorf(statusBadGateway, "unsolicited response 101 Switching Protocols")
+			return nil, errorf(statusBadGateway, "a switch of protocols that nobody asked for")
 		}
 	}
-	return nil, errorf(statusBadGateway, "more than %d informational (1xx) responses", limits.MaxInformational)
+	return nil, errorf(statusBadGateway, "over %d answers of the kind 1xx", limits.MaxInformational)
 }
 
 func readResponseHead(reader *bufio.Reader, limits Limits) (*Response, error) {
@@ -44,7 +44,7 @@
 	code, _, _ := strings.Cut(rest, " ")
 	status, ok := parseDecimal(code, 3)
 	if version != "HTTP/1.1" || !ok || status < statusContinue || status > 599 {
-		return nil, errorf(statusBadGateway, "malformed status line")
+		return nil, errorf(statusBadGateway, "no status line")
 	}
 	response := &Response{Status: int(status)}
 	response.Fields, err = readFields(reader, &remaining, limits.MaxFields)
--- a/internal/layout/encoding.go
+++ b/internal/layout/encoding.go
@@ -19,7 +19,7 @@
 )
 
 // ErrCorruptRecord is returned for a stored record that differs from what Encode wrote.
-var ErrCorruptRecord = errors.New("the record is corrupt")
+var ErrCorruptRecord = errors.New("the record is damaged")
 
 // Encode returns the form in which nodes store the record: the fields of fixed size in big-endian order, the strings
 // and extents with varint lengths, and a checksum (xxHash64) of all of these. It omits the version, which the node
@@ -57,7 +57,7 @@
 		return nil, ErrCorruptRecord
 	}
 	if encoded[0] != recordFormat {
-		return nil, fmt.Errorf("%w: its format is %d, this build reads format %d", ErrCorruptRecord, encoded[0], recordFormat)
+		return nil, fmt.Errorf("%w: its form is %d, this build reads %d", ErrCorruptRecord, encoded[0], recordFormat)
 	}
 	record := &Record{
 		Version:     version,
--- a/internal/packetconn/conn.go
+++ b/internal/packetconn/conn.go
@@ -154,7 +154,7 @@
 	exceeded := c.unsent > c.limits.MaxUnsent
 	c.mutex.Unlock()
 	if exceeded { // on another goroutine, since Close may need locks that the caller holds
-		go c.Close(fmt.Errorf("the peer does not read: over %d bytes are queued for it", c.limits.MaxUnsent))
+		go c.Close(fmt.Errorf("the peer left over %d bytes unread", c.limits.MaxUnsent))
 		return false
 	}
 	c.wake.Signal()
