--- a/internal/fleet/rig/link.go
+++ b/internal/fleet/rig/link.go
@@ -1,6 +1,7 @@
 package rig
 
 import (
+	"context"
 	"net"
 	"sync"
 	"time"
@@ -9,11 +10,12 @@
 // Link is a TCP proxy to one address that can inject faults. As each link has its own address, every pair of processes
 // can have a link of its own.
 type Link struct {
-	listener net.Listener
-	target   string
-	latency  time.Duration
-	closed   chan struct{}
-	running  sync.WaitGroup // goroutines of accept and serve
+	listener    net.Listener
+	target      string
+	latency     time.Duration
+	closed      chan struct{}
+	cancelDials context.CancelFunc
+	running     sync.WaitGroup // goroutines of accept and serve
 
 	mutex       sync.Mutex // guards the fields below and connection.dataLost of each connection
 	fault       Fault
@@ -30,15 +32,17 @@
 	if err != nil {
 		return nil, err
 	}
+	ctx, cancel := context.WithCancel(context.Background())
 	link := &Link{
 		listener:    listener,
 		target:      target,
 		latency:     latency,
 		closed:      make(chan struct{}),
+		cancelDials: cancel,
 		connections: map[*connection]bool{},
 	}
 	link.running.Add(1)
-	go link.accept()
+	go link.accept(ctx)
 	return link, nil
 }
 
@@ -59,9 +63,10 @@
 	}
 }
 
-// Close resets all connections and waits until they have ended.
+// Close cancels outstanding dials, resets all connections and waits until they have ended.
 func (l *Link) Close() {
-	close(l.closed)
+	close(l.closed) // before the connections are reset, so that register resets later ones
+	l.cancelDials()
 	_ = l.listener.Close() // the link is ending, so there is nothing to do about an error
 	l.mutex.Lock()
 	for c := range l.connections {
@@ -71,8 +76,8 @@
 	l.running.Wait()
 }
 
-// accept accepts connections and serves them until the link is closed.
-func (l *Link) accept() {
+// accept accepts connections and serves them until the link is closed. ctx ends their dials.
+func (l *Link) accept(ctx context.Context) {
 	defer l.running.Done()
 	for {
 		client, err := l.listener.Accept()
@@ -82,27 +87,27 @@
 		l.running.Add(1)
 		go func() {
 			defer l.running.Done()
-			l.serve(client.(*net.TCPConn))
+			l.serve(ctx, client.(*net.TCPConn))
 		}()
 	}
 }
 
-// serve forwards the bytes of one connection until both directions have ended.
-func (l *Link) serve(client *net.TCPConn) {
+// serve forwards the bytes of one connection until both directions have ended. ctx ends its dial.
+func (l *Link) serve(ctx context.Context, client *net.TCPConn) {
 	c := &connection{link: l, client: client}
 	if l.currentFault().Reset {
 		c.reset()
 		return
 	}
-	server, err := net.Dial("tcp", l.target)
+	server, err := new(net.Dialer).DialContext(ctx, "tcp", l.target)
 	if err != nil {
 		c.reset()
 		return
 	}
 	c.server = server.(*net.TCPConn)
-	l.mutex.Lock()
-	l.connections[c] = true
-	l.mutex.Unlock()
+	if !l.register(c) {
+		return
+	}
 
 	var directions sync.WaitGroup
 	directions.Add(2)
@@ -122,6 +127,28 @@
 	l.mutex.Unlock()
 }
 
+// register adds a connection to those that Close and SetFault reset. If the link was closed or given a fault with
+// Reset during the dial, it resets the connection instead and returns false.
+func (l *Link) register(c *connection) bool {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	if l.isClosed() || l.fault.Reset {
+		c.reset()
+		return false
+	}
+	l.connections[c] = true
+	return true
+}
+
+func (l *Link) isClosed() bool {
+	select {
+	case <-l.closed:
+		return true
+	default:
+		return false
+	}
+}
+
 func (l *Link) currentFault() Fault {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/internal/fleet/rig/link_test.go
+++ b/internal/fleet/rig/link_test.go
@@ -2,12 +2,22 @@
 
 import (
 	"bytes"
+	"errors"
+	"fmt"
 	"io"
 	"net"
+	"os"
+	"strings"
+	"syscall"
 	"testing"
 	"time"
+
+	"golang.org/x/sys/unix"
 )
 
+// hangTimeout is how long a test waits for what takes a few seconds at most. Only a link that hangs exceeds it.
+const hangTimeout = 30 * time.Second
+
 func listen(t *testing.T) *net.TCPListener {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -96,8 +106,142 @@
 		connections: map[*connection]bool{},
 		closed:      make(chan struct{}),
 	}
-	link.serve(accepted)
+	link.serve(t.Context(), accepted)
 	if received, err := io.ReadAll(conn); err != nil || !bytes.Equal(received, sent) {
 		t.Errorf("%d bytes arrived, want the %d bytes that were sent; error %v", len(received), len(sent), err)
 	}
 }
+
+// fullTarget is a listening socket whose accept queue is full. The kernel ignores the SYN packets of further dials, so
+// these hang.
+type fullTarget struct {
+	fd      int
+	address string
+}
+
+func newFullTarget(t *testing.T) *fullTarget {
+	t.Helper()
+	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = unix.Close(fd) })
+	if err := unix.Bind(fd, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
+		t.Fatal(err)
+	}
+	if err := unix.Listen(fd, 0); err != nil { // the queue holds one connection
+		t.Fatal(err)
+	}
+	bound, err := unix.Getsockname(fd)
+	if err != nil {
+		t.Fatal(err)
+	}
+	target := &fullTarget{fd: fd, address: fmt.Sprintf("127.0.0.1:%d", bound.(*unix.SockaddrInet4).Port)}
+	dial(t, target.address)
+	return target
+}
+
+// awaitDial waits until a dial to the target is outstanding: until a socket to its port is in state SYN_SENT.
+func (f *fullTarget) awaitDial(t *testing.T) {
+	t.Helper()
+	var port int
+	if _, err := fmt.Sscanf(f.address, "127.0.0.1:%d", &port); err != nil {
+		t.Fatal(err)
+	}
+	remote := fmt.Sprintf("0100007F:%04X", port)
+	for end := time.Now().Add(hangTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
+		sockets, err := os.ReadFile("/proc/net/tcp")
+		if err != nil {
+			t.Fatal(err)
+		}
+		for line := range strings.Lines(string(sockets)) {
+			// The fields are the number, the local address, the remote address and the state; 02 is SYN_SENT.
+			if fields := strings.Fields(line); len(fields) > 3 && fields[2] == remote && fields[3] == "02" {
+				return
+			}
+		}
+	}
+	t.Fatal("no dial to the target is outstanding")
+}
+
+// accept takes one connection out of the accept queue, so that an outstanding dial succeeds when the kernel repeats
+// its SYN packet.
+func (f *fullTarget) accept(t *testing.T) {
+	t.Helper()
+	fd, _, err := unix.Accept(f.fd)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = unix.Close(fd) })
+}
+
+// awaitEnd waits until a function has returned.
+func awaitEnd(t *testing.T, name string, function func()) {
+	t.Helper()
+	ended := make(chan struct{})
+	go func() {
+		defer close(ended)
+		function()
+	}()
+	select {
+	case <-ended:
+	case <-time.After(hangTimeout):
+		t.Fatalf("%s has not returned within %v", name, hangTimeout)
+	}
+}
+
+// checkReset checks that a connection is reset.
+func checkReset(t *testing.T, conn *net.TCPConn) {
+	t.Helper()
+	if err := conn.SetReadDeadline(time.Now().Add(hangTimeout)); err != nil {
+		t.Fatal(err)
+	}
+	if n, err := conn.Read(make([]byte, 1)); n > 0 || !errors.Is(err, syscall.ECONNRESET) {
+		t.Errorf("client read %d bytes, error %v, want a reset", n, err)
+	}
+}
+
+// TestCloseEndsOutstandingDial checks that Close does not wait for a dial to a target that does not respond.
+func TestCloseEndsOutstandingDial(t *testing.T) {
+	target := newFullTarget(t)
+	link, err := NewLink(target.address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	client := dial(t, link.Addr())
+	target.awaitDial(t)
+	awaitEnd(t, "Close", link.Close)
+	checkReset(t, client)
+}
+
+// TestConnectionAfterCloseIsReset checks that a connection whose dial ends after Close is reset and not served.
+func TestConnectionAfterCloseIsReset(t *testing.T) {
+	target, clients := listen(t), listen(t)
+	link, err := NewLink(target.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	link.Close()
+	client := dial(t, clients.Addr().String())
+	accepted, err := clients.AcceptTCP()
+	if err != nil {
+		t.Fatal(err)
+	}
+	awaitEnd(t, "serve", func() { link.serve(t.Context(), accepted) })
+	checkReset(t, client)
+}
+
+// TestResetDuringDial checks that a connection is reset if a fault with Reset is set while the link dials the target.
+func TestResetDuringDial(t *testing.T) {
+	target := newFullTarget(t)
+	link, err := NewLink(target.address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	client := dial(t, link.Addr())
+	target.awaitDial(t)
+	link.SetFault(Fault{Reset: true})
+	target.accept(t)
+	checkReset(t, client)
+	awaitEnd(t, "Close", link.Close)
+}
