--- a/cmd/irispost/web_test.go
+++ b/cmd/irispost/web_test.go
@@ -16,19 +16,19 @@
 	"testing"
 	"time"
 
-	"irispost/internal/loopback"
+	"irispost/internal/testkit/testaddr"
 	"irispost/internal/webstandin"
 )
 
-// webProcess is a gateway behind HTTP that runs as a process of its own.
+// webProcess is a gateway with an HTTP front end, run as a process.
 type webProcess struct {
 	*exec.Cmd
-	t      testing.TB
-	file   string
-	addr   string
-	lock   sync.Mutex
-	logged []string
-	over   chan error // the end of the process
+	t        testing.TB
+	file     string
+	addr     string
+	lock     sync.Mutex
+	logLines []string
+	over     chan error // receives the exit error of the process
 }
 
 func webConfig(listen, list, more string) string {
@@ -41,15 +41,10 @@
 		"max_retry_after_ms":1000.0,"dial_timeout_ms":5000.0,"idle_close_ms":60000.0}}}`, listen, list, more)
 }
 
-// startWeb starts one with so many descriptors at most. Its address is known once it is up.
+// startWeb starts a gateway process with a limit of 128 file descriptors. It returns before the gateway is listening.
 func startWeb(t testing.TB, list, more string, env ...string) *webProcess {
-	l, err := net.Listen("tcp", loopback.ProcessAddr()+":0") // an address that is free
-	if err != nil {
-		t.Fatal(err)
-	}
 	file := filepath.Join(t.TempDir(), "proxy.json")
-	w := &webProcess{t: t, file: file, addr: l.Addr().String(), over: make(chan error, 1)}
-	_ = l.Close()
+	w := &webProcess{t: t, file: file, addr: testaddr.Reserve(t), over: make(chan error, 1)}
 	w.write(webConfig(w.addr, list, more))
 	self, err := os.Executable()
 	if err != nil {
@@ -67,7 +62,7 @@
 	go func() {
 		for lines := bufio.NewScanner(log); lines.Scan(); {
 			w.lock.Lock()
-			w.logged = append(w.logged, lines.Text())
+			w.logLines = append(w.logLines, lines.Text())
 			w.lock.Unlock()
 		}
 		w.over <- w.Wait()
@@ -76,7 +71,7 @@
 	return w
 }
 
-// signal sends a signal. A process that has ended already takes none.
+// signal sends a signal, unless the process has exited already.
 func (w *webProcess) signal(s syscall.Signal) {
 	w.t.Helper()
 	if err := w.Process.Signal(s); err != nil && !errors.Is(err, os.ErrProcessDone) {
@@ -93,12 +88,12 @@
 	}
 }
 
-// waitForLog waits until the log has a text so often.
-func (w *webProcess) waitForLog(text string, often int) {
-	for n := 0; n < often; time.Sleep(time.Millisecond) {
+// waitForLog waits until the log has a number of lines that contain the text.
+func (w *webProcess) waitForLog(text string, count int) {
+	for n := 0; n < count; time.Sleep(time.Millisecond) {
 		n = 0
 		w.lock.Lock()
-		for _, line := range w.logged {
+		for _, line := range w.logLines {
 			if strings.Contains(line, text) {
 				n++
 			}
@@ -107,12 +102,12 @@
 	}
 }
 
-// ready waits until it can be put to use.
-func (w *webProcess) ready() {
+// waitUntilReady waits until the health check succeeds.
+func (w *webProcess) waitUntilReady() {
 	for {
-		if a, err := http.Get("http://" + w.addr + "/healthz"); err == nil {
-			_ = a.Body.Close()
-			if a.StatusCode == 200 {
+		if response, err := http.Get("http://" + w.addr + "/healthz"); err == nil {
+			_ = response.Body.Close()
+			if response.StatusCode == 200 {
 				return
 			}
 		}
@@ -120,156 +115,154 @@
 	}
 }
 
-// put asks for a write on a connection of its own.
-func (w *webProcess) put(id string) (status int, body string) {
-	q, _ := http.NewRequest("PUT", "http://"+w.addr+"/api?extent=7f3a9c21e0b4d655", strings.NewReader("body"))
+// sendWrite sends a write request on a new connection. A connection failure is returned as status 0.
+func (w *webProcess) sendWrite(id string) (status int, body string) {
+	request, _ := http.NewRequest("PUT", "http://"+w.addr+"/api?extent=7f3a9c21e0b4d655", strings.NewReader("body"))
 	for name, v := range map[string]string{"X-Request-Id": id, "X-Class": "read", "X-Plan": "gold",
 		"X-Deadline-Ms": "120000",
 		"X-IO":          "volume=00000003b4d60021,units=2,shard=0,hosts=1"} {
-		q.Header.Set(name, v)
+		request.Header.Set(name, v)
 	}
-	q.Close = true
-	a, err := http.DefaultClient.Do(q)
+	request.Close = true
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return 0, err.Error()
 	}
-	defer func() { _ = a.Body.Close() }()
-	b, _ := io.ReadAll(a.Body)
-	return a.StatusCode, string(b)
+	defer func() { _ = response.Body.Close() }()
+	content, _ := io.ReadAll(response.Body)
+	return response.StatusCode, string(content)
 }
 
-// listOf is a complete list of one node at a revision.
-func listOf(revision int, node string) string {
+// listResponse returns a discovery response with a full endpoint list of one node.
+func listResponse(revision int, node string) string {
 	return fmt.Sprintf(`{"rev":%d,"all":true,"targets":[{"uid":"s","endpoint":%q,"az":"a","pod_group":0,`+
 		`"state":"ready","boot_ms":0}]}`, revision, node)
 }
 
-// listAt is a service whose list is one node, and which holds watches.
-func listAt(t testing.TB, addr, node string) (l net.Listener, asked chan string) {
-	l, err := net.Listen("tcp", addr)
+// startDiscovery starts a discovery service with a list of one node, revision 7, which never changes: watches from
+// that revision wait. requests receives the URL of each request.
+func startDiscovery(t testing.TB, addr, node string) (listener net.Listener, requests chan string) {
+	listener, err := net.Listen("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	asked = make(chan string, 1000)
+	requests = make(chan string, 1000)
 	quit := make(chan bool)
-	s := &http.Server{Handler: http.HandlerFunc(func(a http.ResponseWriter, q *http.Request) {
-		asked <- q.URL.String()
-		if q.FormValue("from") == "7" {
+	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
+		requests <- request.URL.String()
+		if request.FormValue("from") == "7" {
 			select {
 			case <-quit:
-			case <-q.Context().Done():
+			case <-request.Context().Done():
 			}
 		}
-		_, _ = fmt.Fprint(a, listOf(7, node))
+		_, _ = fmt.Fprint(w, listResponse(7, node))
 	})}
-	go func() { _ = s.Serve(l) }()
+	go func() { _ = server.Serve(listener) }()
 	t.Cleanup(func() {
 		close(quit)
-		_ = s.Close()
+		_ = server.Close()
 	})
-	return l, asked
+	return listener, requests
 }
 
-// TestSignalsInAnyOrder: a signal that comes early, twice, or with a new configuration ends a gateway in order; a
-// configuration that cannot be read changes nothing.
+// Signals that arrive during startup, twice, or along with a new configuration still lead to a clean shutdown. A
+// reload with an invalid configuration changes nothing.
 func TestSignalsInAnyOrder(t *testing.T) {
 	store := webstandin.Start(t)
-	one, asked := listAt(t, "127.0.0.1:0", store.Addr().String())
-	two, moved := listAt(t, "127.0.0.1:0", store.Addr().String())
+	current, currentRequests := startDiscovery(t, "127.0.0.1:0", store.Addr().String())
+	other, otherRequests := startDiscovery(t, "127.0.0.1:0", store.Addr().String())
 	t.Run("configurations", func(t *testing.T) {
-		w := startWeb(t, one.Addr().String(), "")
-		w.ready()
-		<-asked
-		unknownEffect := strings.Replace(webConfig(w.addr, two.Addr().String(), ""), "read_like", "perhaps", 1)
-		for i, bad := range []string{"", `{"name":`, unknownEffect} {
-			w.write(bad)
+		w := startWeb(t, current.Addr().String(), "")
+		w.waitUntilReady()
+		<-currentRequests
+		unknownEffect := strings.Replace(webConfig(w.addr, other.Addr().String(), ""), "read_like", "perhaps", 1)
+		for i, invalid := range []string{"", `{"name":`, unknownEffect} {
+			w.write(invalid)
 			w.signal(syscall.SIGHUP)
-			w.waitForLog("the old one stays", i+1)
+			w.waitForLog("keeping the current configuration", i+1)
 		}
-		if status, body := w.put("served-1"); status != 200 || len(moved) > 0 {
-			t.Errorf("with the old configuration: %d %q, %d calls at the new list", status, body, len(moved))
+		if status, body := w.sendWrite("served-1"); status != 200 || len(otherRequests) > 0 {
+			t.Errorf("after invalid reloads: got status %d %q and %d requests at the other discovery service, want 200 and 0",
+				status, body, len(otherRequests))
 		}
-		w.write(webConfig(w.addr, two.Addr().String(), ""))
+		w.write(webConfig(w.addr, other.Addr().String(), ""))
 		w.signal(syscall.SIGHUP)
-		<-moved
-		w.signal(syscall.SIGHUP) // the same again
+		<-otherRequests
+		w.signal(syscall.SIGHUP) // reload without a change
 		w.signal(syscall.SIGTERM)
-		w.signal(syscall.SIGHUP) // while it ends
+		w.signal(syscall.SIGHUP) // during shutdown
 		w.signal(syscall.SIGTERM)
-		w.waitForLog("the gateway ends", 1)
-		if status, body := w.put("served-2"); status != 200 && status != 0 {
-			t.Errorf("while it ends: %d %q", status, body)
+		w.waitForLog("gateway is shutting down", 1)
+		if status, body := w.sendWrite("served-2"); status != 200 && status != 0 {
+			t.Errorf("during shutdown: got status %d %q, want 200 or a connection failure", status, body)
 		}
 		if err := <-w.over; err != nil {
-			t.Errorf("it ends with %v", err)
+			t.Errorf("after SIGTERM: got exit error %v, want none", err)
 		}
 	})
 	t.Run("an end before it is ready", func(t *testing.T) {
-		for i := range 20 { // from before its first line of code to after it is up
-			w := startWeb(t, one.Addr().String(), "")
+		for i := range 20 { // from before the start of main to after the gateway is up
+			w := startWeb(t, current.Addr().String(), "")
 			time.Sleep(time.Duration(i) * 2 * time.Millisecond)
 			w.signal(syscall.SIGTERM)
 			if err := <-w.over; err != nil && !strings.Contains(err.Error(), "terminated") {
-				t.Errorf("after %d ms: %v", 2*i, err)
+				t.Errorf("SIGTERM after %d ms: got exit error %v, want none or terminated", 2*i, err)
 			}
 		}
 	})
 }
 
-// TestReadyWhateverTheListDoes: with a list that refuses, is unresponsive, or is corrupt, with a known one or none, a
-// gateway can be put to use, and says what it cannot do at once.
+// A gateway becomes ready even if its discovery service refuses connections, does not respond or responds with a
+// corrupt list. If its configuration contains a known list, it serves from that.
 func TestReadyWhateverTheListDoes(t *testing.T) {
 	store := webstandin.Start(t)
-	known := fmt.Sprintf(`"known":%s,`, listOf(6, store.Addr().String()))
-	unresponsive, err := net.Listen("tcp", "127.0.0.1:0") // takes calls and says nothing
+	known := fmt.Sprintf(`"known":%s,`, listResponse(6, store.Addr().String()))
+	unresponsive, err := net.Listen("tcp", "127.0.0.1:0") // accepts connections and never responds
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = unresponsive.Close() }()
-	corrupt := &http.Server{Handler: http.HandlerFunc(func(a http.ResponseWriter, _ *http.Request) {
-		_, _ = io.WriteString(a, `{"rev":"x"}`)
+	corrupt := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		_, _ = io.WriteString(w, `{"rev":"x"}`)
 	})}
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	corruptListener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	go func() { _ = corrupt.Serve(l) }()
+	go func() { _ = corrupt.Serve(corruptListener) }()
 	defer func() { _ = corrupt.Close() }()
-	for what, list := range map[string]string{
+	for behavior, list := range map[string]string{
 		"refuses":      "127.0.0.1:1",
 		"unresponsive": unresponsive.Addr().String(),
-		"corrupt":      l.Addr().String(),
+		"corrupt":      corruptListener.Addr().String(),
 	} {
-		for _, has := range []string{"", known} {
-			w := startWeb(t, list, has)
-			began := time.Now()
-			w.ready()
-			t.Logf("the list %s, known %t: ready after %v", what, has != "", time.Since(began))
-			if has != "" {
-				if status, body := w.put("served-1"); status != 200 {
-					t.Errorf("the list %s: %d %q from the known one", what, status, body)
+		for _, knownList := range []string{"", known} {
+			w := startWeb(t, list, knownList)
+			started := time.Now()
+			w.waitUntilReady()
+			t.Logf("discovery %s, known list %t: ready after %v", behavior, knownList != "", time.Since(started))
+			if knownList != "" {
+				if status, body := w.sendWrite("served-1"); status != 200 {
+					t.Errorf("discovery %s: got status %d %q with a known list, want 200", behavior, status, body)
 				}
 			}
 			_ = w.Process.Kill()
 			if err := <-w.over; err == nil {
-				t.Errorf("the list %s: it ends by itself before it is killed", what)
+				t.Errorf("discovery %s: the gateway exited without an error before it was killed", behavior)
 			}
 		}
 	}
 }
 
-// TestIdleClientsWhileTheListIsDown fill what a gateway has of descriptors while its list cannot be reached. When that
-// is back, it is received, its node is reached and a new client is served, while the idle ones stay.
+// Idle clients use up a gateway's file descriptors while its discovery service is down. When the service is back, the
+// gateway still has descriptors to fetch the list, connect to its node and serve a new client, while the idle clients
+// remain connected.
 func TestIdleClientsWhileTheListIsDown(t *testing.T) {
 	store := webstandin.Start(t)
-	free, err := net.Listen("tcp", loopback.ProcessAddr()+":0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	addr := free.Addr().String()
-	_ = free.Close()
+	addr := testaddr.Reserve(t)
 	w := startWeb(t, addr, "")
-	w.ready()
+	w.waitUntilReady()
 	var idle []net.Conn
 	for range 300 {
 		if c, err := net.Dial("tcp", w.addr); err == nil {
@@ -279,7 +272,7 @@
 	}
 	stop := make(chan bool)
 	defer close(stop)
-	go func() { // they come again
+	go func() { // idle clients reconnect continuously
 		for i := 0; ; i = (i + 1) % len(idle) {
 			select {
 			case <-stop:
@@ -291,28 +284,28 @@
 			}
 		}
 	}()
-	_, asked := listAt(t, addr, store.Addr().String())
-	back := time.Now()
-	for q := <-asked; !strings.Contains(q, "from=7"); q = <-asked { // heard, and watched from then on
+	_, requests := startDiscovery(t, addr, store.Addr().String())
+	restarted := time.Now()
+	for url := <-requests; !strings.Contains(url, "from=7"); url = <-requests { // until the gateway has the list and watches it
 	}
 	received := time.Now()
 	for i := 0; ; i++ {
-		status, body := w.put(fmt.Sprint("served-", i))
+		status, body := w.sendWrite(fmt.Sprint("served-", i))
 		if status == 200 {
-			t.Logf("received %v after the list came back, a new client served %v after that, at its try %d",
-				received.Sub(back), time.Since(received), i+1)
+			t.Logf("list received %v after the discovery service came back, new client served %v later, on attempt %d",
+				received.Sub(restarted), time.Since(received), i+1)
 			break
 		}
 		if status != 503 && status != 0 {
-			t.Fatalf("%d %q", status, body)
+			t.Fatalf("got status %d %q, want 200, 503 or a connection failure", status, body)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 	w.lock.Lock()
 	defer w.lock.Unlock()
-	for _, line := range w.logged {
+	for _, line := range w.logLines {
 		if strings.Contains(line, "too many open files") {
-			t.Errorf("%s", line)
+			t.Errorf("ran out of file descriptors: %s", line)
 			break
 		}
 	}
