--- a/cmd/irispost/disk.go
+++ b/cmd/irispost/disk.go
@@ -18,7 +18,7 @@
 type diskFlags struct {
 	options initiator.Options
 	lun     uint16
-	retry   initiator.Retry
+	retry   initiator.RetryPolicy
 }
 
 // addPortal adds the flags of commands that call a portal.
@@ -80,7 +80,7 @@
 		}
 		defer func() { _ = disk.Close() }()
 		writef(command.OutOrStdout(), "%s unit %d: %s, %d blocks of %d bytes, %d bytes\n", flags.options.Target, flags.lun,
-			disk.Model, disk.Count, disk.Block, disk.Size())
+			disk.Model, disk.BlockCount, disk.BlockSize, disk.Size())
 		return nil
 	}
 	return command
@@ -154,7 +154,7 @@
 // writeDisk writes a reader's bytes from an offset on, the last block filled with zeros.
 func writeDisk(ctx context.Context, disk *initiator.Disk, in io.Reader, offset int64) error {
 	buffer := make([]byte, diskChunk)
-	block := int(disk.Block)
+	block := int(disk.BlockSize)
 	for {
 		n, err := io.ReadFull(in, buffer)
 		if err != nil && !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
--- a/cmd/irispost/diskbench.go
+++ b/cmd/irispost/diskbench.go
@@ -38,8 +38,8 @@
 			return err
 		}
 		defer func() { _ = disk.Close() }()
-		if *size <= 0 || *size%int(disk.Block) != 0 || int64(*size) > disk.Size() {
-			return fmt.Errorf("%d bytes are not whole blocks of %d within the disk", *size, disk.Block)
+		if *size <= 0 || *size%int(disk.BlockSize) != 0 || int64(*size) > disk.Size() {
+			return fmt.Errorf("%d bytes are not whole blocks of %d within the disk", *size, disk.BlockSize)
 		}
 		places := min(disk.Size(), benchBytes) / int64(*size)
 		for place := range places { // so that reads meet what was written
--- a/internal/day/disk_client.go
+++ b/internal/day/disk_client.go
@@ -131,7 +131,7 @@
 	switch {
 	case event.Lost != nil:
 		state := audit.StateBroken
-		if errors.Is(event.Lost, initiator.ErrClosed) {
+		if errors.Is(event.Lost, initiator.ErrLoggedOut) {
 			state = audit.StateClosed
 		}
 		c.recorder.Add(audit.Event{Type: audit.ClientDisconnected, Session: event.Session, State: state})
--- a/internal/iscsi/initiator/command.go
+++ b/internal/iscsi/initiator/command.go
@@ -96,7 +96,7 @@
 		}
 		return reply, nil
 	case <-ctx.Done():
-		_, _ = s.Abort(lun, tag) // the caller has given up either way
+		_, _ = s.AbortTask(lun, tag) // the caller has given up either way
 		return Reply{}, ctx.Err()
 	}
 }
@@ -124,9 +124,9 @@
 	return response, nil
 }
 
-// Abort aborts a command: after this, no effect of it comes any more. It returns the target's response (RFC 7143,
-// 11.6.1).
-func (s *Session) Abort(lun uint16, tag uint32) (byte, error) {
+// AbortTask aborts a command. Once it returns, the command has no further effect. It returns the target's response
+// (RFC 7143, 11.6.1).
+func (s *Session) AbortTask(lun uint16, tag uint32) (byte, error) {
 	response, err := s.manageTask(functionAbortTask, lun, tag)
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -134,9 +134,9 @@
 	return response, err
 }
 
-// Reset resets a unit: all commands at it are aborted, of all sessions. It returns the target's response (RFC 7143,
-// 11.6.1).
-func (s *Session) Reset(lun uint16) (byte, error) {
+// ResetLUN resets a logical unit: all its commands are aborted, those of other sessions too. It returns the target's
+// response (RFC 7143, 11.6.1).
+func (s *Session) ResetLUN(lun uint16) (byte, error) {
 	return s.manageTask(functionLUNReset, lun, iscsi.NoTag)
 }
 
--- a/internal/iscsi/initiator/disk.go
+++ b/internal/iscsi/initiator/disk.go
@@ -14,21 +14,21 @@
 
 // Errors of disks.
 var (
-	ErrUnknown    = errors.New("iscsi: it may have been done in part or not at all")
-	ErrMiscompare = errors.New("iscsi: the blocks hold something else")
-	ErrBusy       = errors.New("iscsi: the target is busy, trying again is harmless")
-	ErrOutOfRange = errors.New("iscsi: past the end of the disk")
+	ErrOutcomeUnknown = errors.New("iscsi: it may have been done in part or not at all")
+	ErrMiscompare     = errors.New("iscsi: the blocks hold something else")
+	ErrBusy           = errors.New("iscsi: the target is busy, trying again is harmless")
+	ErrOutOfRange     = errors.New("iscsi: past the end of the disk")
 )
 
-// Retry says how long a disk retries.
-type Retry struct {
+// RetryPolicy configures the retries of a Disk.
+type RetryPolicy struct {
 	Timeout          time.Duration // from a request's beginning; 0: 30 s
 	MinBackoff       time.Duration // first backoff after BUSY, or before a reconnect; doubled each time; 0: 20 ms
 	MaxBackoff       time.Duration // longest backoff; 0: 1 s
 	NoRepeatedWrites bool          // writes are retried only where they never ran: for blocks that others write as well, see Disk
 }
 
-// Defaults of Retry.
+// Defaults of RetryPolicy.
 const (
 	defaultRetryFor   = 30 * time.Second
 	defaultMinBackoff = 20 * time.Millisecond
@@ -43,16 +43,16 @@
 
 // Disk is a logical unit. Its methods may be called concurrently. A session that is lost is replaced by a new one.
 //
-// What is harmless to repeat is retried: reads, and writes of given blocks. A write whose outcome is not known may have
-// been done, and is then done again: where others write the same blocks, what they wrote in between is lost, so
-// Retry.Once is for them. A compare with its write is retried only if it never ran.
+// Operations that are safe to repeat are retried: reads, and writes of given blocks. A write with an unknown outcome may
+// have been done and is then done again, which overwrites what others wrote to the same blocks in between. Set
+// RetryPolicy.NoRepeatedWrites for blocks with several writers. CompareAndWrite is retried only if it was not executed.
 type Disk struct {
-	Block uint32 // bytes of a block
-	Count uint64 // blocks
-	Model string
+	BlockSize  uint32 // bytes of a block
+	BlockCount uint64 // blocks
+	Model      string
 
 	options     Options
-	retry       Retry
+	retry       RetryPolicy
 	lun         uint16
 	maxTransfer int // bytes of a READ or WRITE
 
@@ -61,7 +61,7 @@
 }
 
 // Open opens a unit, and waits until it is ready.
-func Open(ctx context.Context, options Options, lun uint16, retry Retry) (*Disk, error) {
+func Open(ctx context.Context, options Options, lun uint16, retry RetryPolicy) (*Disk, error) {
 	retry.Timeout = cmp.Or(retry.Timeout, defaultRetryFor)
 	retry.MinBackoff = cmp.Or(retry.MinBackoff, defaultMinBackoff)
 	retry.MaxBackoff = cmp.Or(retry.MaxBackoff, defaultMaxBackoff)
@@ -91,8 +91,8 @@
 	if err != nil || len(capacity.Data) < minCapacityLength {
 		return fmt.Errorf("iscsi: the size of disk %d is not told: %w", d.lun, err)
 	}
-	d.Count = binary.BigEndian.Uint64(capacity.Data) + 1
-	d.Block = binary.BigEndian.Uint32(capacity.Data[8:])
+	d.BlockCount = binary.BigEndian.Uint64(capacity.Data) + 1
+	d.BlockSize = binary.BigEndian.Uint32(capacity.Data[8:])
 	d.readTransferLimit(ctx)
 	return nil
 }
@@ -102,7 +102,7 @@
 	const minLimitsLength = 12
 	limits, err := d.command(ctx, newCDB(opInquiry, 1, pageBlockLimits, 0, 64), nil, 64, true)
 	if err == nil && len(limits.Data) >= minLimitsLength {
-		d.maxTransfer = int(binary.BigEndian.Uint32(limits.Data[8:])) * int(d.Block)
+		d.maxTransfer = int(binary.BigEndian.Uint32(limits.Data[8:])) * int(d.BlockSize)
 	}
 	if d.maxTransfer <= 0 {
 		d.maxTransfer = defaultTransfer
@@ -132,21 +132,21 @@
 
 // checkRange checks that a range is whole blocks within the disk.
 func (d *Disk) checkRange(offset int64, length int) error {
-	size := int64(d.Block)
+	size := int64(d.BlockSize)
 	if offset < 0 || offset%size != 0 || int64(length)%size != 0 {
-		return fmt.Errorf("iscsi: %d bytes at %d are not whole blocks of %d", length, offset, d.Block)
+		return fmt.Errorf("iscsi: %d bytes at %d are not whole blocks of %d", length, offset, d.BlockSize)
 	}
-	if uint64(offset)/uint64(size)+uint64(length)/uint64(size) > d.Count {
+	if uint64(offset)/uint64(size)+uint64(length)/uint64(size) > d.BlockCount {
 		return ErrOutOfRange
 	}
 	return nil
 }
 
 // lba returns the number of the block at an offset.
-func (d *Disk) lba(offset int64) uint64 { return uint64(offset) / uint64(d.Block) }
+func (d *Disk) lba(offset int64) uint64 { return uint64(offset) / uint64(d.BlockSize) }
 
 // Size returns the disk's size in bytes.
-func (d *Disk) Size() int64 { return int64(d.Count) * int64(d.Block) }
+func (d *Disk) Size() int64 { return int64(d.BlockCount) * int64(d.BlockSize) }
 
 // ReadAt reads whole blocks (io.ReaderAt).
 func (d *Disk) ReadAt(p []byte, offset int64) (int, error) {
@@ -160,7 +160,7 @@
 	}
 	for done < len(p) {
 		length := min(len(p)-done, d.maxTransfer)
-		cdb := blockCDB(opRead16, d.lba(offset+int64(done)), length/int(d.Block))
+		cdb := blockCDB(opRead16, d.lba(offset+int64(done)), length/int(d.BlockSize))
 		reply, err := d.command(ctx, cdb, nil, length, true)
 		if err != nil {
 			return done, err
@@ -185,7 +185,7 @@
 	}
 	for done < len(p) {
 		length := min(len(p)-done, d.maxTransfer)
-		cdb := blockCDB(opWrite16, d.lba(offset+int64(done)), length/int(d.Block))
+		cdb := blockCDB(opWrite16, d.lba(offset+int64(done)), length/int(d.BlockSize))
 		if _, err := d.command(ctx, cdb, p[done:done+length], 0, !d.retry.NoRepeatedWrites); err != nil {
 			return done, err
 		}
@@ -197,13 +197,13 @@
 // maxCompareBlocks is how many blocks a COMPARE AND WRITE has at most.
 const maxCompareBlocks = 255
 
-// Compare compares blocks, and writes others in their place if they are equal, atomically. It fails with ErrDifferent
-// where they are not equal, and with ErrUnknown where it may have been done; reading tells whether it was.
-func (d *Disk) Compare(ctx context.Context, want, next []byte, offset int64) error {
+// CompareAndWrite atomically compares blocks with want and, if they are equal, replaces them by next. It returns
+// ErrMiscompare if they differ, and ErrOutcomeUnknown if the write may have been done; a read shows whether it was.
+func (d *Disk) CompareAndWrite(ctx context.Context, want, next []byte, offset int64) error {
 	if err := d.checkRange(offset, len(want)); err != nil {
 		return err
 	}
-	blocks := len(want) / int(d.Block)
+	blocks := len(want) / int(d.BlockSize)
 	if len(next) != len(want) || blocks > maxCompareBlocks {
 		return fmt.Errorf("iscsi: %d and %d bytes cannot be compared and written", len(want), len(next))
 	}
@@ -223,18 +223,18 @@
 	if err := d.checkRange(offset, length); err != nil {
 		return err
 	}
-	list := unmapList(d.lba(offset), length/int(d.Block))
+	list := unmapList(d.lba(offset), length/int(d.BlockSize))
 	_, err := d.command(ctx, unmapCDB(len(list)), list, 0, true)
 	return err
 }
 
-// Break breaks the session off, as a crash does; the next request begins another.
-func (d *Disk) Break() {
+// Disconnect closes the connection without a logout, as a crash would; the next request opens a new session.
+func (d *Disk) Disconnect() {
 	d.lock.Lock()
 	session := d.current
 	d.lock.Unlock()
 	if session != nil {
-		session.Break()
+		session.Disconnect()
 	}
 }
 
--- a/internal/iscsi/initiator/example_test.go
+++ b/internal/iscsi/initiator/example_test.go
@@ -18,20 +18,20 @@
 		Name:    "iqn.2026-01.example:host",
 		Target:  "iqn.2026-01.example:orders",
 		Account: negotiate.Account{Name: "host", Secret: "twelve bytes or more"},
-	}, 0, initiator.Retry{NoRepeatedWrites: true})
+	}, 0, initiator.RetryPolicy{NoRepeatedWrites: true})
 	if err != nil {
 		log.Fatal(err)
 	}
 	defer func() { _ = disk.Close() }()
-	old := make([]byte, disk.Block)
+	old := make([]byte, disk.BlockSize)
 	if _, err := disk.ReadAt(old, 0); err != nil {
 		log.Fatal(err)
 	}
 	next := append([]byte("changed"), old[7:]...)
-	switch err := disk.Compare(ctx, old, next, 0); {
+	switch err := disk.CompareAndWrite(ctx, old, next, 0); {
 	case errors.Is(err, initiator.ErrMiscompare):
 		fmt.Println("somebody else was first")
-	case errors.Is(err, initiator.ErrUnknown):
+	case errors.Is(err, initiator.ErrOutcomeUnknown):
 		fmt.Println("read the block to know")
 	case err != nil:
 		log.Fatal(err)
--- a/internal/iscsi/initiator/golden_test.go
+++ b/internal/iscsi/initiator/golden_test.go
@@ -165,8 +165,8 @@
 		{"discovery", nil, runDiscovery},
 		{"plain disk", nil, runDisk},
 		{"disk with digests", func(o *initiator.Options) { o.Digests = true }, runDisk},
-		{"disk that solicits", func(o *initiator.Options) { o.Solicit = true }, runDisk},
-		{"disk in small segments", func(o *initiator.Options) { o.Segment = 1024 }, runDisk},
+		{"disk that solicits", func(o *initiator.Options) { o.SolicitedOnly = true }, runDisk},
+		{"disk in small segments", func(o *initiator.Options) { o.MaxRecvSegment = 1024 }, runDisk},
 		{"read-only disk", nil, runReadOnlyDisk},
 		{"session", nil, runSession},
 		{"CHAP", func(o *initiator.Options) {
@@ -200,7 +200,7 @@
 	for target, luns := range map[string][]uint16{"iqn.2026-01.example:open": {0, 3}, "iqn.2026-01.example:secret": {0}} {
 		for _, lun := range luns {
 			o := initiator.Options{Address: portal, Name: "iqn.2026-01.example:other", Target: target, Account: account}
-			disk, err := initiator.Open(t.Context(), o, lun, initiator.Retry{Timeout: time.Minute})
+			disk, err := initiator.Open(t.Context(), o, lun, initiator.RetryPolicy{Timeout: time.Minute})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -229,23 +229,23 @@
 func runUnit(t *testing.T, o initiator.Options, lun uint16) string {
 	t.Helper()
 	ctx := t.Context()
-	disk, err := initiator.Open(ctx, o, lun, initiator.Retry{Timeout: time.Minute})
+	disk, err := initiator.Open(ctx, o, lun, initiator.RetryPolicy{Timeout: time.Minute})
 	if err != nil {
 		return err.Error()
 	}
-	block := int(disk.Block)
+	block := int(disk.BlockSize)
 	data := bytes.Repeat([]byte{7}, 3*block)
-	result := fmt.Sprintf("%s, %d blocks of %d", disk.Model, disk.Count, disk.Block)
+	result := fmt.Sprintf("%s, %d blocks of %d", disk.Model, disk.BlockCount, disk.BlockSize)
 	_, err = disk.Write(ctx, data, int64(block))
 	result += fmt.Sprintf(", write %v", err)
 	read := make([]byte, len(data))
 	_, err = disk.Read(ctx, read, int64(block))
 	result += fmt.Sprintf(", read %x %v", read[0], err)
-	err = disk.Compare(ctx, read[:block], make([]byte, block), int64(block))
+	err = disk.CompareAndWrite(ctx, read[:block], make([]byte, block), int64(block))
 	result += fmt.Sprintf(", compare %v", err)
-	err = disk.Compare(ctx, data[:block], make([]byte, block), 2*int64(block))
+	err = disk.CompareAndWrite(ctx, data[:block], make([]byte, block), 2*int64(block))
 	result += fmt.Sprintf(", compare %v", err)
-	err = disk.Compare(ctx, data[:block], make([]byte, block), 2*int64(block))
+	err = disk.CompareAndWrite(ctx, data[:block], make([]byte, block), 2*int64(block))
 	result += fmt.Sprintf(", compare %v", err)
 	result += fmt.Sprintf(", unmap %v", disk.Unmap(ctx, 0, block))
 	result += fmt.Sprintf(", sync %v", disk.Sync(ctx))
@@ -273,11 +273,11 @@
 		result += fmt.Sprintf(", %x: status %x, %v, %d bytes, residual %d, %v",
 			op, reply.Status, reply.Sense, len(reply.Data), reply.Residual, err)
 	}
-	code, err := s.Abort(0, 99)
+	code, err := s.AbortTask(0, 99)
 	result += fmt.Sprintf(", abort %d %v", code, err)
-	code, err = s.Reset(0)
+	code, err = s.ResetLUN(0)
 	result += fmt.Sprintf(", reset %d %v", code, err)
-	code, err = s.Reset(9)
+	code, err = s.ResetLUN(9)
 	result += fmt.Sprintf(", reset of no unit %d %v", code, err)
 	return result + fmt.Sprintf(", close %v, %v", s.Close(), s.Err())
 }
--- a/internal/iscsi/initiator/login.go
+++ b/internal/iscsi/initiator/login.go
@@ -114,7 +114,7 @@
 		{Key: negotiate.SessionKey, Value: "?"},
 		{Key: "HeaderDigest", Value: digests},
 		{Key: "DataDigest", Value: digests},
-		{Key: "MaxRecvDataSegmentLength", Value: strconv.Itoa(s.options.Segment)},
+		{Key: "MaxRecvDataSegmentLength", Value: strconv.Itoa(s.options.MaxRecvSegment)},
 		{Key: "DefaultTime2Wait", Value: "0"},
 		{Key: "DefaultTime2Retain", Value: "0"},
 		{Key: "ErrorRecoveryLevel", Value: "0"},
@@ -123,8 +123,8 @@
 		return pairs
 	}
 	return append(pairs,
-		iscsi.Pair{Key: "InitialR2T", Value: yesOrNo(s.options.Solicit)},
-		iscsi.Pair{Key: "ImmediateData", Value: yesOrNo(!s.options.Solicit)},
+		iscsi.Pair{Key: "InitialR2T", Value: yesOrNo(s.options.SolicitedOnly)},
+		iscsi.Pair{Key: "ImmediateData", Value: yesOrNo(!s.options.SolicitedOnly)},
 		iscsi.Pair{Key: "MaxBurstLength", Value: preferredMaxBurst},
 		iscsi.Pair{Key: "FirstBurstLength", Value: preferredFirst},
 		iscsi.Pair{Key: "MaxOutstandingR2T", Value: preferredR2T},
@@ -140,7 +140,7 @@
 
 // adopt takes over what the target has answered in the operational stage.
 func (s *Session) adopt(keys map[string]string) error {
-	s.params.OwnMaxSegment = s.options.Segment
+	s.params.OwnMaxSegment = s.options.MaxRecvSegment
 	for key, parameter := range map[string]*int{
 		"MaxRecvDataSegmentLength": &s.params.PeerMaxSegment,
 		"MaxBurstLength":           &s.params.MaxBurst,
--- a/internal/iscsi/initiator/options.go
+++ b/internal/iscsi/initiator/options.go
@@ -20,16 +20,16 @@
 
 // Options are what a session is opened with.
 type Options struct {
-	Address string  // of the portal
-	Name    string  // the initiator's: iqn....
-	Target  string  // empty: a discovery session
-	ISID    [6]byte // tells sessions of one initiator apart; the same reinstates a session
-	Account negotiate.Account
-	Digests bool
-	Timeout time.Duration // for connecting and logging in; 0: 10 s
-	Segment int           // bytes of data taken in a PDU; 0: 256 KiB
-	Solicit bool          // no data is sent before it is asked for
-	OnEvent func(Event)   // called with commands and their answers, in their order; it must not wait. nil: nobody
+	Address        string  // of the portal
+	Name           string  // the initiator's: iqn....
+	Target         string  // empty: a discovery session
+	ISID           [6]byte // tells sessions of one initiator apart; the same reinstates a session
+	Account        negotiate.Account
+	Digests        bool
+	Timeout        time.Duration // for connecting and logging in; 0: 10 s
+	MaxRecvSegment int           // bytes of data taken in a PDU; 0: 256 KiB
+	SolicitedOnly  bool          // no data is sent before it is asked for
+	OnEvent        func(Event)   // called with commands and their answers, in their order; it must not wait. nil: nobody
 }
 
 // Event is a command that was sent or answered, or the loss of a session.
@@ -44,8 +44,8 @@
 
 // Errors of sessions.
 var (
-	ErrLost   = errors.New("iscsi: the session is lost")
-	ErrClosed = errors.New("iscsi: logged out")
+	ErrSessionLost = errors.New("iscsi: the session is lost")
+	ErrLoggedOut   = errors.New("iscsi: logged out")
 )
 
 // Reasons why a session is lost or a login fails.
--- a/internal/iscsi/initiator/receive.go
+++ b/internal/iscsi/initiator/receive.go
@@ -13,7 +13,7 @@
 // receive handles what the target sends, until the session is lost.
 func (s *Session) receive(reader connReader) {
 	for {
-		pdu, err := iscsi.Read(reader, s.digests, s.options.Segment)
+		pdu, err := iscsi.Read(reader, s.digests, s.options.MaxRecvSegment)
 		if err == nil && pdu.BadDataDigest {
 			err = errDataDigest
 		}
@@ -61,7 +61,7 @@
 	case iscsi.NopIn:
 		s.handleNop(pdu)
 	case iscsi.LogoutResponse:
-		return ErrClosed
+		return ErrLoggedOut
 	case iscsi.AsyncMessage:
 		s.logoutRequested = true
 	case iscsi.Reject:
--- a/internal/iscsi/initiator/retry.go
+++ b/internal/iscsi/initiator/retry.go
@@ -30,7 +30,7 @@
 		case isOwnFault(err):
 			return reply, err
 		case err != nil && sent && !repeatable:
-			return reply, fmt.Errorf("%w: %w", ErrUnknown, err)
+			return reply, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 		case err == nil:
 			var verdict verdict
 			verdict, err = judge(reply)
@@ -73,7 +73,7 @@
 	sense := reply.Sense
 	switch {
 	case sense == nil:
-		return verdictRetryIfRepeatable, fmt.Errorf("%w: status %#02x", ErrUnknown, byte(reply.Status))
+		return verdictRetryIfRepeatable, fmt.Errorf("%w: status %#02x", ErrOutcomeUnknown, byte(reply.Status))
 	case sense.Key == scsi.Miscompare.Key:
 		return verdictFinal, ErrMiscompare
 	case sense.Key == scsi.LBAOutOfRange.Key && sense.Code == scsi.LBAOutOfRange.Code:
@@ -81,7 +81,7 @@
 	case sense.Key == scsi.BecomingReady.Key && sense.Qualifier == scsi.BecomingReady.Qualifier:
 		return verdictRetry, sense
 	case sense.Key == scsi.CommandTimeout.Key:
-		return verdictRetryIfRepeatable, fmt.Errorf("%w: %w", ErrUnknown, sense)
+		return verdictRetryIfRepeatable, fmt.Errorf("%w: %w", ErrOutcomeUnknown, sense)
 	}
 	return verdictFinal, sense
 }
--- a/internal/iscsi/initiator/session.go
+++ b/internal/iscsi/initiator/session.go
@@ -59,8 +59,8 @@
 	if options.Timeout == 0 {
 		options.Timeout = defaultDialTimeout
 	}
-	if options.Segment == 0 {
-		options.Segment = defaultSegment
+	if options.MaxRecvSegment == 0 {
+		options.MaxRecvSegment = defaultSegment
 	}
 	ctx, cancel := context.WithTimeout(ctx, options.Timeout)
 	defer cancel()
@@ -164,7 +164,7 @@
 	if s.err != nil {
 		return
 	}
-	s.err = fmt.Errorf("%w: %w", ErrLost, cause)
+	s.err = fmt.Errorf("%w: %w", ErrSessionLost, cause)
 	_ = s.conn.Close()
 	s.report(Event{Session: s.name, Lost: cause})
 	for _, call := range s.calls {
@@ -203,7 +203,7 @@
 	pdu := s.newRequest(iscsi.LogoutRequest, iscsi.Final, s.newTag()).SetImmediate()
 	s.lock.Unlock()
 	err := s.write(pdu)
-	timeout := time.AfterFunc(logoutTimeout, s.Break)
+	timeout := time.AfterFunc(logoutTimeout, s.Disconnect)
 	defer timeout.Stop()
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -213,5 +213,5 @@
 	return err
 }
 
-// Break breaks the connection off, as a crash does.
-func (s *Session) Break() { s.fail(net.ErrClosed) }
+// Disconnect closes the connection without a logout, as a crash would.
+func (s *Session) Disconnect() { s.fail(net.ErrClosed) }
--- a/internal/iscsi/pdu_test.go
+++ b/internal/iscsi/pdu_test.go
@@ -95,7 +95,7 @@
 		t.Errorf("%v, %v", got, err)
 	}
 	for _, bad := range []string{"novalue\x00", "=x\x00", string(bytes.Repeat([]byte{'k'}, 64)) + "=v\x00"} {
-		if _, err := DecodeText([]byte(bad)); !errors.Is(err, ErrText) {
+		if _, err := DecodeText([]byte(bad)); !errors.Is(err, ErrMalformedText) {
 			t.Errorf("%q: %v", bad, err)
 		}
 	}
--- a/internal/iscsi/text.go
+++ b/internal/iscsi/text.go
@@ -12,10 +12,10 @@
 // Pair is a key of a text with its value.
 type Pair struct{ Key, Value string }
 
-// ErrText tells that a text is not made of keys and values.
-var ErrText = errors.New("iscsi: a text is not made of key=value pairs")
+// ErrMalformedText is returned for text that is not a list of key=value pairs.
+var ErrMalformedText = errors.New("iscsi: a text is not made of key=value pairs")
 
-// DecodeText reads the keys and values of a text (RFC 7143, 6.1). It fails with ErrText.
+// DecodeText parses the key=value pairs of a text (RFC 7143, 6.1). Its errors wrap ErrMalformedText.
 func DecodeText(text []byte) (pairs []Pair, err error) {
 	for _, part := range strings.Split(string(text), "\x00") {
 		if part == "" {
@@ -23,7 +23,7 @@
 		}
 		key, value, found := strings.Cut(part, "=")
 		if !found || key == "" || len(key) > maxKeyLength {
-			return nil, fmt.Errorf("%w: %.40q", ErrText, part)
+			return nil, fmt.Errorf("%w: %.40q", ErrMalformedText, part)
 		}
 		pairs = append(pairs, Pair{Key: key, Value: value})
 	}
--- a/internal/serve/disk_test.go
+++ b/internal/serve/disk_test.go
@@ -70,7 +70,7 @@
 
 func openDisk(t testing.TB, o initiator.Options, lun uint16) *initiator.Disk {
 	t.Helper()
-	d, err := initiator.Open(context.Background(), o, lun, initiator.Retry{Timeout: failureTimeout})
+	d, err := initiator.Open(context.Background(), o, lun, initiator.RetryPolicy{Timeout: failureTimeout})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -85,14 +85,14 @@
 	for i, change := range []func(*initiator.Options){
 		func(*initiator.Options) {},
 		func(o *initiator.Options) { o.Digests = true },
-		func(o *initiator.Options) { o.Solicit = true },
-		func(o *initiator.Options) { o.Segment, o.Solicit, o.Digests = 512, true, true },
+		func(o *initiator.Options) { o.SolicitedOnly = true },
+		func(o *initiator.Options) { o.MaxRecvSegment, o.SolicitedOnly, o.Digests = 512, true, true },
 	} {
 		d := openDisk(t, diskOptions(b, 0, func(o *initiator.Options) {
 			o.ISID[5] = byte(i)
 			change(o)
 		}), 0)
-		if d.Block != 4096 || d.Size() != 16<<20 || !strings.Contains(d.Model, "IRISPOST") {
+		if d.BlockSize != 4096 || d.Size() != 16<<20 || !strings.Contains(d.Model, "IRISPOST") {
 			t.Fatalf("want blocks of 4096 bytes, 16 MiB and model IRISPOST: %+v", d)
 		}
 		for _, n := range []int{4096, 64 << 10, 300 << 10 &^ 4095, 5 << 20} {
@@ -128,7 +128,7 @@
 func TestDiskRejectsUnalignedAndPastEnd(t *testing.T) {
 	b := diskTestbed(t, 3, 1, nil)
 	small := openDisk(t, diskOptions(b, 0, nil), 3)
-	if small.Block != 512 || small.Count != 2048 {
+	if small.BlockSize != 512 || small.BlockCount != 2048 {
 		t.Errorf("want 2048 blocks of 512 bytes: %+v", small)
 	}
 	if _, err := small.WriteAt(randomBytes(1, 1536), 512); err != nil {
@@ -161,7 +161,7 @@
 	if _, err := d.ReadAt(got, 0); err != nil || !bytes.Equal(got, data) {
 		t.Errorf("after UNMAP the disk does not read back as expected, error %v", err)
 	}
-	err := d.Compare(t.Context(), make([]byte, 4096), randomBytes(6, 4096), 0)
+	err := d.CompareAndWrite(t.Context(), make([]byte, 4096), randomBytes(6, 4096), 0)
 	if !errors.Is(err, initiator.ErrMiscompare) {
 		t.Errorf("COMPARE AND WRITE: error %v, want a miscompare", err)
 	}
@@ -181,7 +181,7 @@
 	if _, err := d.ReadAt(now, offset); err != nil {
 		return false, err
 	}
-	err = d.Compare(ctx, now, counterBlock(binary.BigEndian.Uint64(now)+1), offset)
+	err = d.CompareAndWrite(ctx, now, counterBlock(binary.BigEndian.Uint64(now)+1), offset)
 	if errors.Is(err, initiator.ErrMiscompare) {
 		return false, nil
 	}
@@ -370,7 +370,7 @@
 			for step := range 60 {
 				at := int64(k)<<20 + int64(r.IntN(64))*4096
 				if step%20 == 7 {
-					d.Break()
+					d.Disconnect()
 				}
 				if b := blocks[at]; b != nil && r.IntN(2) == 0 {
 					got := make([]byte, 4096)
--- a/internal/serve/frontends_bench_test.go
+++ b/internal/serve/frontends_bench_test.go
@@ -39,7 +39,7 @@
 func benchmarkFrontEnds(b *testing.B, size, depth int, write bool) {
 	testbed := testkit.Start(b, testkit.Conf+disksConf, 1, 1, nil)
 	d, err := initiator.Open(context.Background(), diskOptions(testbed, 0, nil), 0,
-		initiator.Retry{Timeout: failureTimeout})
+		initiator.RetryPolicy{Timeout: failureTimeout})
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/serve/iscsi_test.go
+++ b/internal/serve/iscsi_test.go
@@ -263,7 +263,7 @@
 	w.expectPDU(iscsi.ReadyToTransfer, 13)
 	done := make(chan byte, 1)
 	go func() {
-		code, err := s.Reset(0)
+		code, err := s.ResetLUN(0)
 		if err != nil {
 			t.Error(err)
 		}
--- a/internal/serve/linear_test.go
+++ b/internal/serve/linear_test.go
@@ -149,7 +149,7 @@
 		o.old = last[o.block]
 		offset := int64(o.block) * 40 << 10 &^ 4095 // three blocks in two extents
 		if r.IntN(8) == 0 {
-			go d.Break()
+			go d.Disconnect()
 		}
 		out := history.record(client, o, func() blockResult { return perform(d, &o, offset) })
 		if !out.unknown && o.kind == 'r' {
@@ -180,7 +180,7 @@
 	for client := range blockClients {
 		opt := diskOptions(b, 0, func(o *initiator.Options) { o.ISID[5] = byte(client) })
 		d, err := initiator.Open(context.Background(), opt, 0,
-			initiator.Retry{Timeout: failureTimeout, NoRepeatedWrites: true})
+			initiator.RetryPolicy{Timeout: failureTimeout, NoRepeatedWrites: true})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -225,7 +225,7 @@
 		_, err := disk.Write(ctx, block(op.value), offset)
 		out.unknown = err != nil
 	case 'c':
-		err := disk.Compare(ctx, block(op.old), block(op.value), offset)
+		err := disk.CompareAndWrite(ctx, block(op.old), block(op.value), offset)
 		out.miscompare = errors.Is(err, initiator.ErrMiscompare)
 		out.unknown = err != nil && !out.miscompare
 	}
