--- a/internal/iscsi/encoding.go
+++ b/internal/iscsi/encoding.go
@@ -23,7 +23,7 @@
 }
 
 // padding returns the bytes from a length to the next multiple of 4.
-func padding(length int) int { return -length & 3 }
+func padLength(length int) int { return -length & 3 }
 
 // Offsets of lengths in a header: additional headers in words of 4 bytes, and 3 bytes for the data.
 const (
@@ -43,14 +43,14 @@
 // Encode fills in the lengths and adds padding and digests. Data that needs neither is not copied, and must stay as it
 // is until the PDU is sent.
 func (p *PDU) Encode(digests Digests) *EncodedPDU {
-	length, pad := len(p.Data), padding(len(p.Data))
+	length, pad := len(p.Data), padLength(len(p.Data))
 	p.Header[offsetAdditionalLength] = byte((len(p.AdditionalHeaders) + 3) / 4)
 	p.Header[offsetDataLength] = byte(length >> 16)
 	p.Header[offsetDataLength+1] = byte(length >> 8)
 	p.Header[offsetDataLength+2] = byte(length)
 	head := append([]byte{}, p.Header[:]...)
 	head = append(head, p.AdditionalHeaders...)
-	head = append(head, make([]byte, padding(len(p.AdditionalHeaders)))...)
+	head = append(head, make([]byte, padLength(len(p.AdditionalHeaders)))...)
 	if digests.Header {
 		head = append(head, crc32c(head)...)
 	}
@@ -121,7 +121,7 @@
 }
 
 func (p *PDU) readData(source Source, hasDigest bool, length int) error {
-	padded, err := source.ReadBinary(length + padding(length))
+	padded, err := source.ReadBinary(length + padLength(length))
 	if err != nil {
 		return err
 	}
--- a/internal/iscsi/initiator/command.go
+++ b/internal/iscsi/initiator/command.go
@@ -8,7 +8,7 @@
 )
 
 // attributeSimple is the task attribute of a command, in its flags (RFC 7143, 11.3.1).
-const attributeSimple = 0x01
+const taskAttributeSimple = 0x01
 
 // Task management functions (RFC 7143, 11.5.1).
 const (
@@ -22,22 +22,22 @@
 func (s *Session) Start(lun uint16, cdb, out []byte, in int) (uint32, <-chan Reply, error) {
 	s.lock.Lock()
 	for s.err == nil && int32(s.cmdSN-s.maxCmdSN) > 0 {
-		s.changed.Wait()
+		s.stateChanged.Wait()
 	}
 	if s.err != nil {
 		defer s.lock.Unlock()
 		return 0, nil, s.err
 	}
 	tag := s.newTag()
-	started := &call{opcode: cdb[0], out: out, maxIn: in, done: make(chan Reply, 1)}
-	s.calls[tag] = started
+	pending := &pendingCommand{opcode: cdb[0], out: out, maxIn: in, done: make(chan Reply, 1)}
+	s.pendingCommands[tag] = pending
 	immediate, unsolicited := s.splitFirstBurst(len(out))
 	pdu := s.newCommand(tag, lun, cdb, len(out), in).SetData(out[:immediate])
 	if unsolicited == 0 {
 		pdu.SetByte(iscsi.OffsetFlags, pdu.Flags()|iscsi.Final)
 	}
 	s.cmdSN++
-	s.report(Event{Session: s.name, Tag: tag, Op: started.opcode, Sent: true})
+	s.emitEvent(Event{Session: s.name, Tag: tag, Op: pending.opcode, Sent: true})
 	s.writeLock.Lock() // before lock is released: commands are sent in the order of their numbers
 	s.lock.Unlock()
 	err := s.writeLocked(pdu)
@@ -50,12 +50,12 @@
 		data := out[immediate : immediate+unsolicited]
 		s.sendData(tag, iscsi.NoTag, scsi.EncodeLUN(lun), uint32(immediate), data)
 	}
-	return tag, started.done, nil
+	return tag, pending.done, nil
 }
 
 // newCommand returns a command without its data. The caller holds the lock.
 func (s *Session) newCommand(tag uint32, lun uint16, cdb []byte, out, in int) *iscsi.PDU {
-	flags, expected := byte(attributeSimple), in
+	flags, expected := byte(taskAttributeSimple), in
 	if in > 0 {
 		flags |= iscsi.Reads
 	}
@@ -102,7 +102,7 @@
 }
 
 // manageTask sends a task management function and waits for its answer.
-func (s *Session) manageTask(function byte, lun uint16, referenced uint32) (byte, error) {
+func (s *Session) requestTaskManagement(function byte, lun uint16, referenced uint32) (byte, error) {
 	s.lock.Lock()
 	if s.err != nil {
 		defer s.lock.Unlock()
@@ -110,7 +110,7 @@
 	}
 	tag := s.newTag()
 	answer := make(chan byte, 1)
-	s.managements[tag] = answer
+	s.pendingTaskManagement[tag] = answer
 	pdu := s.newRequest(iscsi.TaskManagementRequest, iscsi.Final|function, tag).
 		SetImmediate().
 		SetLUN(scsi.EncodeLUN(lun)).
@@ -127,17 +127,17 @@
 // AbortTask aborts a command. Once it returns, the command has no further effect. It returns the target's response
 // (RFC 7143, 11.6.1).
 func (s *Session) AbortTask(lun uint16, tag uint32) (byte, error) {
-	response, err := s.manageTask(functionAbortTask, lun, tag)
+	response, err := s.requestTaskManagement(functionAbortTask, lun, tag)
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	delete(s.calls, tag)
+	delete(s.pendingCommands, tag)
 	return response, err
 }
 
 // ResetLUN resets a logical unit: all its commands are aborted, those of other sessions too. It returns the target's
 // response (RFC 7143, 11.6.1).
 func (s *Session) ResetLUN(lun uint16) (byte, error) {
-	return s.manageTask(functionLUNReset, lun, iscsi.NoTag)
+	return s.requestTaskManagement(functionLUNReset, lun, iscsi.NoTag)
 }
 
 // Ping sends a ping and waits for its answer.
@@ -149,7 +149,7 @@
 	}
 	tag := s.newTag()
 	answer := make(chan struct{})
-	s.pings[tag] = answer
+	s.pendingPings[tag] = answer
 	pdu := s.newRequest(iscsi.NopOut, iscsi.Final, tag).
 		SetImmediate().
 		SetUint32(iscsi.OffsetTransferTag, iscsi.NoTag).
--- a/internal/iscsi/initiator/discover.go
+++ b/internal/iscsi/initiator/discover.go
@@ -45,7 +45,7 @@
 	s.lock.Lock()
 	tag := s.newTag()
 	answer := make(chan []byte, 1)
-	s.texts[tag] = answer
+	s.pendingTexts[tag] = answer
 	pdu := s.newRequest(iscsi.TextRequest, iscsi.Final, tag).
 		SetImmediate().
 		SetUint32(iscsi.OffsetTransferTag, iscsi.NoTag).
--- a/internal/iscsi/initiator/disk.go
+++ b/internal/iscsi/initiator/disk.go
@@ -30,15 +30,15 @@
 
 // Defaults of RetryPolicy.
 const (
-	defaultRetryFor   = 30 * time.Second
-	defaultMinBackoff = 20 * time.Millisecond
-	defaultMaxBackoff = time.Second
+	defaultRetryTimeout = 30 * time.Second
+	defaultMinBackoff   = 20 * time.Millisecond
+	defaultMaxBackoff   = time.Second
 )
 
 // Lengths of transfers, in bytes.
 const (
-	defaultTransfer = 256 << 10 // of a disk that does not say what it takes
-	maxTransfer     = 4 << 20
+	defaultMaxTransfer = 256 << 10 // of a disk that does not say what it takes
+	transferLimit      = 4 << 20
 )
 
 // Disk is a logical unit. Its methods may be called concurrently. A session that is lost is replaced by a new one.
@@ -62,7 +62,7 @@
 
 // Open opens a unit, and waits until it is ready.
 func Open(ctx context.Context, options Options, lun uint16, retry RetryPolicy) (*Disk, error) {
-	retry.Timeout = cmp.Or(retry.Timeout, defaultRetryFor)
+	retry.Timeout = cmp.Or(retry.Timeout, defaultRetryTimeout)
 	retry.MinBackoff = cmp.Or(retry.MinBackoff, defaultMinBackoff)
 	retry.MaxBackoff = cmp.Or(retry.MaxBackoff, defaultMaxBackoff)
 	d := &Disk{options: options, retry: retry, lun: lun}
@@ -105,9 +105,9 @@
 		d.maxTransfer = int(binary.BigEndian.Uint32(limits.Data[8:])) * int(d.BlockSize)
 	}
 	if d.maxTransfer <= 0 {
-		d.maxTransfer = defaultTransfer
+		d.maxTransfer = defaultMaxTransfer
 	}
-	d.maxTransfer = min(d.maxTransfer, maxTransfer)
+	d.maxTransfer = min(d.maxTransfer, transferLimit)
 }
 
 // session returns the current session, or a new one where that is lost or has to log out.
--- a/internal/iscsi/initiator/golden_test.go
+++ b/internal/iscsi/initiator/golden_test.go
@@ -18,7 +18,7 @@
 	"irispost/internal/testkit/golden"
 )
 
-const disks = `
+const disksConfig = `
 disks {
   listen = "127.0.0.1:0"
   target "iqn.2026-01.example:open" {
@@ -91,7 +91,7 @@
 // forward passes on all bytes, and writes down the PDUs that they are.
 func (r *recorder) forward(record *bytes.Buffer, from, to net.Conn) {
 	defer func() { _ = to.Close() }()
-	source := &source{reader: io.TeeReader(from, to)}
+	source := &pduSource{reader: io.TeeReader(from, to)}
 	login := true
 	for {
 		digests := iscsi.Digests{Header: r.digests && !login, Data: r.digests && !login}
@@ -99,7 +99,7 @@
 		if err != nil {
 			return
 		}
-		fmt.Fprintf(record, "%s\n", describe(p))
+		fmt.Fprintf(record, "%s\n", formatPDU(p))
 		if p.BadDataDigest {
 			r.t.Error("a data digest does not fit")
 		}
@@ -109,32 +109,32 @@
 }
 
 // source reads PDUs from a reader.
-type source struct{ reader io.Reader }
+type pduSource struct{ reader io.Reader }
 
-func (s *source) ReadBinary(n int) ([]byte, error) {
+func (s *pduSource) ReadBinary(n int) ([]byte, error) {
 	b := make([]byte, n)
 	_, err := io.ReadFull(s.reader, b)
 	return b, err
 }
 
-func (s *source) Release() error { return nil }
+func (s *pduSource) Release() error { return nil }
 
 // Parts of texts that differ from run to run.
 var (
-	chap    = regexp.MustCompile(`CHAP_([ICR])=[0-9a-fx]+`)
-	session = regexp.MustCompile(`session=[^\x00]+`)
-	address = regexp.MustCompile(`127\.0\.0\.1:\d+`)
+	chapPattern    = regexp.MustCompile(`CHAP_([ICR])=[0-9a-fx]+`)
+	sessionPattern = regexp.MustCompile(`session=[^\x00]+`)
+	addressPattern = regexp.MustCompile(`127\.0\.0\.1:\d+`)
 )
 
 // describe writes down a PDU: its header, further headers and data. The length of a login's or a text's data is left
 // out with what differs in it.
-func describe(p *iscsi.PDU) string {
+func formatPDU(p *iscsi.PDU) string {
 	head, data := p.Header, p.Data
 	switch p.Opcode() {
 	case 0x03, 0x04, 0x23, 0x24:
-		data = chap.ReplaceAll(data, []byte("CHAP_$1=value"))
-		data = session.ReplaceAll(data, []byte("session=name"))
-		data = address.ReplaceAll(data, []byte("address"))
+		data = chapPattern.ReplaceAll(data, []byte("CHAP_$1=value"))
+		data = sessionPattern.ReplaceAll(data, []byte("session=name"))
+		data = addressPattern.ReplaceAll(data, []byte("address"))
 		head[5], head[6], head[7] = 0, 0, 0
 		return fmt.Sprintf("  %x %x %q", head, p.AdditionalHeaders, data)
 	}
@@ -146,16 +146,16 @@
 }
 
 // take waits for the end of the connection and returns what was recorded.
-func (r *recorder) take() string {
+func (r *recorder) recording() string {
 	<-r.finished
 	return "sent:\n" + r.sent.String() + "answered:\n" + r.answered.String()
 }
 
 // What an initiator and a target of this project send each other stays as it is byte for byte.
 func TestGoldenPDUsOfSessions(t *testing.T) {
-	b := testkit.Start(t, testkit.Conf+disks, 2, 1, nil)
+	b := testkit.Start(t, testkit.Conf+disksConfig, 2, 1, nil)
 	portal := b.Gateways[0].ISCSI.Addr()
-	ready(t, portal)
+	waitUntilReady(t, portal)
 	var out bytes.Buffer
 	for _, c := range []struct {
 		name   string
@@ -188,13 +188,13 @@
 		recorder := newRecorder(t, portal, o.Digests)
 		o.Address = recorder.listener.Addr().String()
 		result := c.run(t, o)
-		fmt.Fprintf(&out, "%s: %s\n%s", c.name, result, recorder.take())
+		fmt.Fprintf(&out, "%s: %s\n%s", c.name, result, recorder.recording())
 	}
 	golden.Check(t, "pdus.txt", out.Bytes())
 }
 
 // ready waits until the units have their files.
-func ready(t *testing.T, portal string) {
+func waitUntilReady(t *testing.T, portal string) {
 	t.Helper()
 	account := negotiate.Account{Name: "host", Secret: "a secret of a host"}
 	for target, luns := range map[string][]uint16{"iqn.2026-01.example:open": {0, 3}, "iqn.2026-01.example:secret": {0}} {
@@ -212,7 +212,7 @@
 func runDiscovery(t *testing.T, o initiator.Options) string {
 	t.Helper()
 	found, err := initiator.Discover(t.Context(), o)
-	return address.ReplaceAllString(fmt.Sprint(found, err), "address")
+	return addressPattern.ReplaceAllString(fmt.Sprint(found, err), "address")
 }
 
 func runDisk(t *testing.T, o initiator.Options) string {
--- a/internal/iscsi/initiator/login.go
+++ b/internal/iscsi/initiator/login.go
@@ -12,27 +12,27 @@
 )
 
 const (
-	loginTag           = 1
-	currentStageShift  = 2         // of the current stage in a login's flags
-	maxLoginData       = 64 << 10  // bytes of an answer
-	minSegment         = 512       // bytes that a target may declare
-	preferredMaxBurst  = "1048576" // bytes
-	preferredFirst     = "262144"  // bytes, FirstBurstLength
-	preferredR2T       = "4"
-	digestCRC32C       = "CRC32C"
-	chapMD5            = "5"
-	ownChallengeID     = 7
-	notUnderstoodValue = "NotUnderstood"
+	loginTag                   = 1
+	currentStageShift          = 2         // of the current stage in a login's flags
+	maxLoginData               = 64 << 10  // bytes of an answer
+	minSegment                 = 512       // bytes that a target may declare
+	preferredMaxBurst          = "1048576" // bytes
+	preferredFirstBurst        = "262144"  // bytes, FirstBurstLength
+	preferredMaxOutstandingR2T = "4"
+	digestCRC32C               = "CRC32C"
+	chapMD5                    = "5"
+	ownChallengeID             = 7
+	notUnderstoodValue         = "NotUnderstood"
 )
 
 // loginAnswer is what a target answers to a login request.
-type loginAnswer struct {
+type loginResponse struct {
 	keys    map[string]string
 	transit bool // to the next stage
 }
 
 // sendLogin sends keys of a login and reads the answer.
-func (s *Session) sendLogin(reader connReader, current, next negotiate.Stage, pairs []iscsi.Pair) (loginAnswer, error) {
+func (s *Session) exchangeLogin(reader connReader, current, next negotiate.Stage, pairs []iscsi.Pair) (loginResponse, error) {
 	flags := byte(current)<<currentStageShift | byte(next)
 	if current != next {
 		flags |= iscsi.Final
@@ -40,18 +40,18 @@
 	pdu := s.newRequest(iscsi.LoginRequest, flags, loginTag).SetImmediate().SetData(iscsi.EncodeText(pairs))
 	copy(pdu.ISID(), s.options.ISID[:])
 	if err := s.write(pdu); err != nil {
-		return loginAnswer{}, err
+		return loginResponse{}, err
 	}
 	answer, err := iscsi.Read(reader, iscsi.Digests{}, maxLoginData)
 	if err != nil {
-		return loginAnswer{}, err
+		return loginResponse{}, err
 	}
 	if answer.Opcode() != iscsi.LoginResponse {
-		return loginAnswer{}, fmt.Errorf("iscsi: a login is answered by a PDU of kind %#x", byte(answer.Opcode()))
+		return loginResponse{}, fmt.Errorf("iscsi: a login is answered by a PDU of kind %#x", byte(answer.Opcode()))
 	}
 	if class := answer.Header[iscsi.OffsetStatusClass]; class != 0 {
 		detail := answer.Header[iscsi.OffsetStatusDetail]
-		return loginAnswer{}, &negotiate.Rejection{Class: class, Detail: detail, Reason: "the target says so"}
+		return loginResponse{}, &negotiate.Rejection{Class: class, Detail: detail, Reason: "the target says so"}
 	}
 	s.expStatSN = answer.Uint32(iscsi.OffsetStatSN) + 1
 	s.maxCmdSN = answer.Uint32(iscsi.OffsetMaxCmdSN)
@@ -61,12 +61,12 @@
 	for _, pair := range answers {
 		keys[pair.Key] = pair.Value
 	}
-	return loginAnswer{keys: keys, transit: answer.Final()}, err
+	return loginResponse{keys: keys, transit: answer.Final()}, err
 }
 
 // login logs in. Nobody else uses the session yet.
 func (s *Session) login(reader connReader) error {
-	answer, err := s.sendLogin(reader, negotiate.Security, negotiate.Operational, s.securityKeys())
+	answer, err := s.exchangeLogin(reader, negotiate.Security, negotiate.Operational, s.securityKeys())
 	if err != nil {
 		return err
 	}
@@ -77,16 +77,16 @@
 		}
 	}
 	if !transit {
-		return errSecurityNotEnded
+		return errSecurityStageIncomplete
 	}
-	answer, err = s.sendLogin(reader, negotiate.Operational, negotiate.FullFeature, s.operationalKeys())
+	answer, err = s.exchangeLogin(reader, negotiate.Operational, negotiate.FullFeature, s.operationalKeys())
 	if err != nil {
 		return err
 	}
 	if !answer.transit {
-		return errLoginNotEnded
+		return errLoginIncomplete
 	}
-	return s.adopt(answer.keys)
+	return s.applyOperationalKeys(answer.keys)
 }
 
 func (s *Session) securityKeys() []iscsi.Pair {
@@ -126,8 +126,8 @@
 		iscsi.Pair{Key: "InitialR2T", Value: yesOrNo(s.options.SolicitedOnly)},
 		iscsi.Pair{Key: "ImmediateData", Value: yesOrNo(!s.options.SolicitedOnly)},
 		iscsi.Pair{Key: "MaxBurstLength", Value: preferredMaxBurst},
-		iscsi.Pair{Key: "FirstBurstLength", Value: preferredFirst},
-		iscsi.Pair{Key: "MaxOutstandingR2T", Value: preferredR2T},
+		iscsi.Pair{Key: "FirstBurstLength", Value: preferredFirstBurst},
+		iscsi.Pair{Key: "MaxOutstandingR2T", Value: preferredMaxOutstandingR2T},
 		iscsi.Pair{Key: "MaxConnections", Value: "1"})
 }
 
@@ -139,7 +139,7 @@
 }
 
 // adopt takes over what the target has answered in the operational stage.
-func (s *Session) adopt(keys map[string]string) error {
+func (s *Session) applyOperationalKeys(keys map[string]string) error {
 	s.params.OwnMaxSegment = s.options.MaxRecvSegment
 	for key, parameter := range map[string]*int{
 		"MaxRecvDataSegmentLength": &s.params.PeerMaxSegment,
@@ -171,7 +171,7 @@
 func (s *Session) authenticate(reader connReader) (transit bool, err error) {
 	account := &s.options.Account
 	selected := []iscsi.Pair{{Key: "CHAP_A", Value: chapMD5}}
-	answer, err := s.sendLogin(reader, negotiate.Security, negotiate.Security, selected)
+	answer, err := s.exchangeLogin(reader, negotiate.Security, negotiate.Security, selected)
 	if err != nil {
 		return false, err
 	}
@@ -190,14 +190,14 @@
 			iscsi.Pair{Key: "CHAP_I", Value: strconv.Itoa(ownChallengeID)},
 			iscsi.Pair{Key: "CHAP_C", Value: negotiate.EncodeBinary(ownChallenge)})
 	}
-	answer, err = s.sendLogin(reader, negotiate.Security, negotiate.Operational, pairs)
+	answer, err = s.exchangeLogin(reader, negotiate.Security, negotiate.Operational, pairs)
 	if err != nil {
 		return false, err
 	}
 	if ownChallenge != nil {
 		want := negotiate.CHAPResponse(ownChallengeID, account.TargetSecret, ownChallenge)
 		if answer.keys["CHAP_R"] != negotiate.EncodeBinary(want) {
-			return false, errNotAuthenticated
+			return false, errTargetNotAuthenticated
 		}
 	}
 	return answer.transit, nil
--- a/internal/iscsi/initiator/options.go
+++ b/internal/iscsi/initiator/options.go
@@ -14,8 +14,8 @@
 
 // Defaults of Options.
 const (
-	defaultDialTimeout = 10 * time.Second
-	defaultSegment     = 256 << 10
+	defaultDialTimeout    = 10 * time.Second
+	defaultMaxRecvSegment = 256 << 10
 )
 
 // Options are what a session is opened with.
@@ -50,10 +50,10 @@
 
 // Reasons why a session is lost or a login fails.
 var (
-	errDataDigest       = errors.New("a data digest does not fit")
-	errSecurityNotEnded = errors.New("iscsi: the target does not end the security stage")
-	errLoginNotEnded    = errors.New("iscsi: the target does not end the login")
-	errNotAuthenticated = errors.New("iscsi: the target does not prove who it is")
+	errDataDigest              = errors.New("a data digest does not fit")
+	errSecurityStageIncomplete = errors.New("iscsi: the target does not end the security stage")
+	errLoginIncomplete         = errors.New("iscsi: the target does not end the login")
+	errTargetNotAuthenticated  = errors.New("iscsi: the target does not prove who it is")
 )
 
 // Reply is a command's answer.
--- a/internal/iscsi/initiator/receive.go
+++ b/internal/iscsi/initiator/receive.go
@@ -36,7 +36,7 @@
 	}
 	if maxCmdSN := pdu.Uint32(iscsi.OffsetMaxCmdSN); int32(maxCmdSN-s.maxCmdSN) > 0 {
 		s.maxCmdSN = maxCmdSN
-		s.changed.Broadcast()
+		s.stateChanged.Broadcast()
 	}
 	if hasStatus(pdu) {
 		s.expStatSN = pdu.Uint32(iscsi.OffsetStatSN) + 1
@@ -49,14 +49,14 @@
 	case iscsi.ReadyToTransfer:
 		return s.handleR2T(pdu)
 	case iscsi.TaskManagementResponse:
-		if answer := s.managements[pdu.Tag()]; answer != nil {
+		if answer := s.pendingTaskManagement[pdu.Tag()]; answer != nil {
 			answer <- pdu.Header[iscsi.OffsetResponse]
-			delete(s.managements, pdu.Tag())
+			delete(s.pendingTaskManagement, pdu.Tag())
 		}
 	case iscsi.TextResponse:
-		if answer := s.texts[pdu.Tag()]; answer != nil {
+		if answer := s.pendingTexts[pdu.Tag()]; answer != nil {
 			answer <- pdu.Data
-			delete(s.texts, pdu.Tag())
+			delete(s.pendingTexts, pdu.Tag())
 		}
 	case iscsi.NopIn:
 		s.handleNop(pdu)
@@ -83,37 +83,37 @@
 
 // handleData handles a Data-In. One of an aborted command is ignored. The caller holds the lock.
 func (s *Session) handleData(pdu *iscsi.PDU) error {
-	call := s.calls[pdu.Tag()]
-	if call == nil {
+	command := s.pendingCommands[pdu.Tag()]
+	if command == nil {
 		return nil
 	}
 	offset := pdu.Uint32(iscsi.OffsetBufferOffset)
-	if int(offset) != len(call.in) || len(call.in)+len(pdu.Data) > call.maxIn {
-		return fmt.Errorf("data at %d of %d bytes, %d were expected next", offset, call.maxIn, len(call.in))
+	if int(offset) != len(command.in) || len(command.in)+len(pdu.Data) > command.maxIn {
+		return fmt.Errorf("data at %d of %d bytes, %d were expected next", offset, command.maxIn, len(command.in))
 	}
-	call.in = append(call.in, pdu.Data...)
+	command.in = append(command.in, pdu.Data...)
 	if hasStatus(pdu) {
-		s.finish(call, pdu, nil)
+		s.finish(command, pdu, nil)
 	}
 	return nil
 }
 
 // handleResponse handles the answer to a command without data. The caller holds the lock.
 func (s *Session) handleResponse(pdu *iscsi.PDU) {
-	call := s.calls[pdu.Tag()]
-	if call == nil {
+	command := s.pendingCommands[pdu.Tag()]
+	if command == nil {
 		return
 	}
 	var sense *scsi.Sense
 	if len(pdu.Data) > senseLengthSize {
 		sense, _ = scsi.DecodeSense(pdu.Data[senseLengthSize:])
 	}
-	s.finish(call, pdu, sense)
+	s.finish(command, pdu, sense)
 }
 
 // finish ends a command with its answer. The caller holds the lock.
-func (s *Session) finish(call *call, pdu *iscsi.PDU, sense *scsi.Sense) {
-	reply := Reply{Status: scsi.Status(pdu.Header[iscsi.OffsetStatus]), Sense: sense, Data: call.in}
+func (s *Session) finish(command *pendingCommand, pdu *iscsi.PDU, sense *scsi.Sense) {
+	reply := Reply{Status: scsi.Status(pdu.Header[iscsi.OffsetStatus]), Sense: sense, Data: command.in}
 	residual := int(pdu.Uint32(iscsi.OffsetResidual))
 	switch {
 	case pdu.Flags()&iscsi.Underflow != 0:
@@ -121,45 +121,45 @@
 	case pdu.Flags()&iscsi.Overflow != 0:
 		reply.Residual = -residual
 	}
-	delete(s.calls, pdu.Tag())
-	s.report(Event{Session: s.name, Tag: pdu.Tag(), Op: call.opcode, Status: reply.Status})
-	call.done <- reply
-	close(call.done)
+	delete(s.pendingCommands, pdu.Tag())
+	s.emitEvent(Event{Session: s.name, Tag: pdu.Tag(), Op: command.opcode, Status: reply.Status})
+	command.done <- reply
+	close(command.done)
 }
 
 // handleR2T has the data that the target asks for sent, after that of earlier R2Ts (DataSequenceInOrder). The caller
 // holds the lock.
 func (s *Session) handleR2T(pdu *iscsi.PDU) error {
-	call := s.calls[pdu.Tag()]
-	if call == nil {
+	command := s.pendingCommands[pdu.Tag()]
+	if command == nil {
 		return nil
 	}
 	offset, length := pdu.Uint32(iscsi.OffsetBufferOffset), pdu.Uint32(iscsi.OffsetDesiredLength)
-	if uint64(offset)+uint64(length) > uint64(len(call.out)) || length == 0 {
-		return fmt.Errorf("%d bytes at %d are asked for, %d are there", length, offset, len(call.out))
+	if uint64(offset)+uint64(length) > uint64(len(command.out)) || length == 0 {
+		return fmt.Errorf("%d bytes at %d are asked for, %d are there", length, offset, len(command.out))
 	}
-	data := call.out[offset : offset+length]
-	call.solicited = append(call.solicited, func() {
+	data := command.out[offset : offset+length]
+	command.queuedR2Ts = append(command.queuedR2Ts, func() {
 		s.sendData(pdu.Tag(), pdu.Uint32(iscsi.OffsetTransferTag), pdu.LUN(), offset, data)
 	})
-	if !call.sending {
-		call.sending = true
-		go s.sendSolicited(call)
+	if !command.answeringR2Ts {
+		command.answeringR2Ts = true
+		go s.answerR2Ts(command)
 	}
 	return nil
 }
 
 // sendSolicited answers a command's R2Ts, one after the other.
-func (s *Session) sendSolicited(call *call) {
+func (s *Session) answerR2Ts(command *pendingCommand) {
 	for {
 		s.lock.Lock()
-		if len(call.solicited) == 0 {
-			call.sending = false
+		if len(command.queuedR2Ts) == 0 {
+			command.answeringR2Ts = false
 			s.lock.Unlock()
 			return
 		}
-		send := call.solicited[0]
-		call.solicited = call.solicited[1:]
+		send := command.queuedR2Ts[0]
+		command.queuedR2Ts = command.queuedR2Ts[1:]
 		s.lock.Unlock()
 		send()
 	}
@@ -191,9 +191,9 @@
 
 // handleNop handles the answer to a ping, and answers the target's ping. The caller holds the lock.
 func (s *Session) handleNop(pdu *iscsi.PDU) {
-	if answer := s.pings[pdu.Tag()]; answer != nil {
+	if answer := s.pendingPings[pdu.Tag()]; answer != nil {
 		close(answer)
-		delete(s.pings, pdu.Tag())
+		delete(s.pendingPings, pdu.Tag())
 	}
 	transferTag := pdu.Uint32(iscsi.OffsetTransferTag)
 	if transferTag == iscsi.NoTag {
--- a/internal/iscsi/initiator/retry.go
+++ b/internal/iscsi/initiator/retry.go
@@ -11,12 +11,12 @@
 )
 
 // verdict says whether a command is retried after an answer.
-type verdict uint8
+type retryDecision uint8
 
 const (
-	verdictFinal             verdict = iota
-	verdictRetry                     // it never ran
-	verdictRetryIfRepeatable         // it may have run
+	neverRetry        retryDecision = iota
+	alwaysRetry                     // it never ran
+	retryIfRepeatable               // it may have run
 )
 
 // command has a command executed until its answer is final or its time is up. repeatable: to repeat it is harmless,
@@ -27,14 +27,14 @@
 	for backoff := d.retry.MinBackoff; ; backoff = min(2*backoff, d.retry.MaxBackoff) {
 		reply, sent, err := d.execute(ctx, cdb, out, in)
 		switch {
-		case isOwnFault(err):
+		case isInitiatorError(err):
 			return reply, err
 		case err != nil && sent && !repeatable:
 			return reply, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 		case err == nil:
-			var verdict verdict
-			verdict, err = judge(reply)
-			if verdict == verdictFinal || verdict == verdictRetryIfRepeatable && !repeatable {
+			var decision retryDecision
+			decision, err = classifyReply(reply)
+			if decision == neverRetry || decision == retryIfRepeatable && !repeatable {
 				return reply, err
 			}
 		}
@@ -57,31 +57,31 @@
 }
 
 // isOwnFault tells whether a login was rejected for a fault of the initiator's: it would be rejected again.
-func isOwnFault(err error) bool {
+func isInitiatorError(err error) bool {
 	var rejection *negotiate.Rejection
 	return errors.As(err, &rejection) && rejection.Class == negotiate.ClassInitiatorError
 }
 
 // judge returns what an answer means: no error where the command succeeded.
-func judge(reply Reply) (verdict, error) {
+func classifyReply(reply Reply) (retryDecision, error) {
 	switch reply.Status {
 	case scsi.Good:
-		return verdictFinal, nil
+		return neverRetry, nil
 	case scsi.Busy, scsi.TaskSetFull:
-		return verdictRetry, ErrBusy
+		return alwaysRetry, ErrBusy
 	}
 	sense := reply.Sense
 	switch {
 	case sense == nil:
-		return verdictRetryIfRepeatable, fmt.Errorf("%w: status %#02x", ErrOutcomeUnknown, byte(reply.Status))
+		return retryIfRepeatable, fmt.Errorf("%w: status %#02x", ErrOutcomeUnknown, byte(reply.Status))
 	case sense.Key == scsi.Miscompare.Key:
-		return verdictFinal, ErrMiscompare
+		return neverRetry, ErrMiscompare
 	case sense.Key == scsi.LBAOutOfRange.Key && sense.Code == scsi.LBAOutOfRange.Code:
-		return verdictFinal, ErrOutOfRange
+		return neverRetry, ErrOutOfRange
 	case sense.Key == scsi.BecomingReady.Key && sense.Qualifier == scsi.BecomingReady.Qualifier:
-		return verdictRetry, sense
+		return alwaysRetry, sense
 	case sense.Key == scsi.CommandTimeout.Key:
-		return verdictRetryIfRepeatable, fmt.Errorf("%w: %w", ErrOutcomeUnknown, sense)
+		return retryIfRepeatable, fmt.Errorf("%w: %w", ErrOutcomeUnknown, sense)
 	}
-	return verdictFinal, sense
+	return neverRetry, sense
 }
--- a/internal/iscsi/initiator/session.go
+++ b/internal/iscsi/initiator/session.go
@@ -30,28 +30,28 @@
 
 	writeLock sync.Mutex // held while a PDU is written; taken after lock
 
-	lock            sync.Mutex // guards what follows
-	changed         *sync.Cond // of lock: maxCmdSN or err has changed
-	tag             uint32     // the last one given
-	cmdSN           uint32
-	maxCmdSN        uint32
-	expStatSN       uint32
-	calls           map[uint32]*call
-	managements     map[uint32]chan byte
-	texts           map[uint32]chan []byte
-	pings           map[uint32]chan struct{}
-	err             error // why the session is lost; nil: it is not
-	logoutRequested bool  // by the target
+	lock                  sync.Mutex // guards what follows
+	stateChanged          *sync.Cond // of lock: maxCmdSN or err has changed
+	lastTag               uint32     // the last one given
+	cmdSN                 uint32
+	maxCmdSN              uint32
+	expStatSN             uint32
+	pendingCommands       map[uint32]*pendingCommand
+	pendingTaskManagement map[uint32]chan byte
+	pendingTexts          map[uint32]chan []byte
+	pendingPings          map[uint32]chan struct{}
+	err                   error // why the session is lost; nil: it is not
+	logoutRequested       bool  // by the target
 }
 
 // call is a command in flight.
-type call struct {
-	opcode    byte
-	out, in   []byte
-	maxIn     int // bytes
-	done      chan Reply
-	solicited []func() // R2Ts that wait to be answered, in their order
-	sending   bool     // a goroutine answers R2Ts
+type pendingCommand struct {
+	opcode        byte
+	out, in       []byte
+	maxIn         int // bytes
+	done          chan Reply
+	queuedR2Ts    []func() // R2Ts that wait to be answered, in their order
+	answeringR2Ts bool     // a goroutine answers R2Ts
 }
 
 // Dial connects and logs in. An empty target makes a discovery session.
@@ -60,7 +60,7 @@
 		options.Timeout = defaultDialTimeout
 	}
 	if options.MaxRecvSegment == 0 {
-		options.MaxRecvSegment = defaultSegment
+		options.MaxRecvSegment = defaultMaxRecvSegment
 	}
 	ctx, cancel := context.WithTimeout(ctx, options.Timeout)
 	defer cancel()
@@ -69,17 +69,17 @@
 		return nil, err
 	}
 	s := &Session{
-		options:     options,
-		conn:        conn,
-		params:      negotiate.Defaults,
-		cmdSN:       firstCmdSN,
-		maxCmdSN:    firstCmdSN,
-		calls:       map[uint32]*call{},
-		managements: map[uint32]chan byte{},
-		texts:       map[uint32]chan []byte{},
-		pings:       map[uint32]chan struct{}{},
+		options:               options,
+		conn:                  conn,
+		params:                negotiate.Defaults,
+		cmdSN:                 firstCmdSN,
+		maxCmdSN:              firstCmdSN,
+		pendingCommands:       map[uint32]*pendingCommand{},
+		pendingTaskManagement: map[uint32]chan byte{},
+		pendingTexts:          map[uint32]chan []byte{},
+		pendingPings:          map[uint32]chan struct{}{},
 	}
-	s.changed = sync.NewCond(&s.lock)
+	s.stateChanged = sync.NewCond(&s.lock)
 	reader := connReader{bufio.NewReaderSize(conn, readBufferSize)}
 	deadline, _ := ctx.Deadline()
 	_ = conn.SetDeadline(deadline) // a connection that has failed fails the login
@@ -124,8 +124,8 @@
 
 // newTag returns a new initiator task tag. The caller holds the lock.
 func (s *Session) newTag() uint32 {
-	s.tag++
-	return s.tag
+	s.lastTag++
+	return s.lastTag
 }
 
 // newRequest returns a request with the session's numbers. The caller holds the lock.
@@ -166,28 +166,28 @@
 	}
 	s.err = fmt.Errorf("%w: %w", ErrSessionLost, cause)
 	_ = s.conn.Close()
-	s.report(Event{Session: s.name, Lost: cause})
-	for _, call := range s.calls {
-		close(call.done)
+	s.emitEvent(Event{Session: s.name, Lost: cause})
+	for _, command := range s.pendingCommands {
+		close(command.done)
 	}
-	for _, answer := range s.managements {
+	for _, answer := range s.pendingTaskManagement {
 		close(answer)
 	}
-	for _, answer := range s.texts {
+	for _, answer := range s.pendingTexts {
 		close(answer)
 	}
-	for _, answer := range s.pings {
+	for _, answer := range s.pendingPings {
 		close(answer)
 	}
-	s.calls = nil
-	s.managements = nil
-	s.texts = nil
-	s.pings = nil
-	s.changed.Broadcast()
+	s.pendingCommands = nil
+	s.pendingTaskManagement = nil
+	s.pendingTexts = nil
+	s.pendingPings = nil
+	s.stateChanged.Broadcast()
 }
 
 // report passes an event on. The caller holds the lock.
-func (s *Session) report(event Event) {
+func (s *Session) emitEvent(event Event) {
 	if s.options.OnEvent != nil {
 		s.options.OnEvent(event)
 	}
@@ -208,7 +208,7 @@
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	for s.err == nil {
-		s.changed.Wait()
+		s.stateChanged.Wait()
 	}
 	return err
 }
--- a/internal/iscsi/pace/pace.go
+++ b/internal/iscsi/pace/pace.go
@@ -10,8 +10,8 @@
 import "slices"
 
 const (
-	boundCut    = 0.7 // what is left of the bound after a rejection
-	windowShare = 2   // a session's window in a crowd, in even shares of the bound
+	boundDecreaseFactor = 0.7 // what is left of the bound after a rejection
+	windowFactor        = 2   // a session's window in a crowd, in even shares of the bound
 )
 
 // Limits are the bounds of a Pacer.
@@ -58,16 +58,16 @@
 
 // Pacer paces the sessions of a target. It is not safe for concurrent use.
 type Pacer struct {
-	limits       Limits
-	state        State
-	stateChanged bool // since TakeStateChange
-	bound        float64
-	sinceCut     int // commands that ended since the bound was cut
-	running      int
-	runningBytes int
-	waiting      int
-	sessions     int        // with anything waiting or running
-	round        []*Session // with something waiting, in the order of their turns
+	limits             Limits
+	state              State
+	stateChanged       bool // since TakeStateChange
+	bound              float64
+	endedSinceDecrease int // commands that ended since the bound was cut
+	running            int
+	runningBytes       int
+	waiting            int
+	busySessions       int        // with anything waiting or running
+	activeList         []*Session // with something waiting, in the order of their turns
 }
 
 // New returns a Pacer.
@@ -107,17 +107,17 @@
 	if p.running >= p.Bound() {
 		return nil
 	}
-	for len(p.round) > 0 {
-		session := p.round[0]
+	for len(p.activeList) > 0 {
+		session := p.activeList[0]
 		if len(session.queue) == 0 {
-			session.inRound = false
-			p.round = p.round[1:]
+			session.inActiveList = false
+			p.activeList = p.activeList[1:]
 			continue
 		}
 		command := session.queue[0]
 		if command.Cost > session.deficit {
 			session.deficit += p.limits.Quantum
-			p.round = append(p.round[1:], session)
+			p.activeList = append(p.activeList[1:], session)
 			continue
 		}
 		if p.running > 0 && p.runningBytes+command.Cost > p.limits.MaxBytes {
@@ -147,28 +147,28 @@
 	atBound := p.running >= p.Bound()
 	session.running--
 	if session.idle() {
-		p.sessions--
+		p.busySessions--
 	}
 	p.running--
 	p.runningBytes -= command.Cost
-	p.sinceCut++
+	p.endedSinceDecrease++
 	switch {
-	case outcome == Rejected && p.sinceCut >= p.Bound():
-		p.cutBound()
+	case outcome == Rejected && p.endedSinceDecrease >= p.Bound():
+		p.decreaseBound()
 	case outcome == Served && atBound:
-		p.raiseBound()
+		p.increaseBound()
 	}
 }
 
-func (p *Pacer) cutBound() {
-	p.bound = max(1, p.bound*boundCut)
-	p.sinceCut = 0
+func (p *Pacer) decreaseBound() {
+	p.bound = max(1, p.bound*boundDecreaseFactor)
+	p.endedSinceDecrease = 0
 	if p.state == Open {
 		p.setState(Slow)
 	}
 }
 
-func (p *Pacer) raiseBound() {
+func (p *Pacer) increaseBound() {
 	p.bound = min(p.bound+1/p.bound, float64(p.limits.MaxBound))
 	if p.state == Slow && p.bound >= float64(p.limits.InitialBound) {
 		p.setState(Open)
@@ -187,11 +187,11 @@
 
 // Session is one of a target's sessions.
 type Session struct {
-	pacer   *Pacer
-	queue   []*Command
-	running int
-	deficit int  // bytes that it may still start in this turn
-	inRound bool // of the pacer
+	pacer        *Pacer
+	queue        []*Command
+	running      int
+	deficit      int  // bytes that it may still start in this turn
+	inActiveList bool // of the pacer
 }
 
 // NewSession adds a session.
@@ -205,7 +205,7 @@
 	waiting := s.queue
 	s.queue = nil
 	if len(waiting) > 0 && s.running == 0 {
-		s.pacer.sessions--
+		s.pacer.busySessions--
 	}
 	s.pacer.waiting -= len(waiting)
 	return waiting
@@ -215,15 +215,15 @@
 func (s *Session) Enqueue(command *Command) {
 	p := s.pacer
 	if s.idle() {
-		p.sessions++
+		p.busySessions++
 	}
 	command.session = s
 	s.queue = append(s.queue, command)
 	p.waiting++
-	if !s.inRound {
-		s.inRound = true
+	if !s.inActiveList {
+		s.inActiveList = true
 		s.deficit = 0
-		p.round = append(p.round, s)
+		p.activeList = append(p.activeList, s)
 	}
 }
 
@@ -236,7 +236,7 @@
 	s.queue = append(s.queue[:index:index], s.queue[index+1:]...) // a copy: the array may be shared
 	s.pacer.waiting--
 	if s.idle() {
-		s.pacer.sessions--
+		s.pacer.busySessions--
 	}
 	return true
 }
@@ -251,7 +251,7 @@
 	case p.waiting < p.Bound():
 		return p.limits.MaxWindow
 	}
-	share := windowShare * p.Bound() / max(p.sessions, 1)
+	share := windowFactor * p.Bound() / max(p.busySessions, 1)
 	return min(max(share, p.limits.MinWindow), p.limits.MaxWindow)
 }
 
--- a/internal/iscsi/pace/pace_test.go
+++ b/internal/iscsi/pace/pace_test.go
@@ -41,31 +41,31 @@
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			m.step(rapid.IntRange(0, 9).Draw(t, "what"))
 			m.startAll()
-			m.check()
+			m.checkInvariants()
 		}
 	})
 }
 
-func (m *model) step(what int) {
+func (m *model) step(action int) {
 	switch {
-	case what == 0:
+	case action == 0:
 		m.sessions = append(m.sessions, m.pacer.NewSession())
-	case what <= 3 && len(m.sessions) > 0:
+	case action <= 3 && len(m.sessions) > 0:
 		session := rapid.SampledFrom(m.sessions).Draw(m.t, "session")
 		command := &Command{Cost: rapid.IntRange(0, 400).Draw(m.t, "cost")}
 		session.Enqueue(command)
 		m.waiting[session] = append(m.waiting[session], command)
-	case what >= 4 && what <= 6 && len(m.running) > 0:
+	case action >= 4 && action <= 6 && len(m.running) > 0:
 		index := rapid.IntRange(0, len(m.running)-1).Draw(m.t, "which")
 		m.pacer.Done(m.running[index], Outcome(rapid.IntRange(0, 2).Draw(m.t, "outcome")))
 		m.running = slices.Delete(m.running, index, index+1)
-	case what == 7 && len(m.sessions) > 0:
+	case action == 7 && len(m.sessions) > 0:
 		m.closeSession(rapid.IntRange(0, len(m.sessions)-1).Draw(m.t, "session"))
-	case what == 8 && len(m.sessions) > 0:
+	case action == 8 && len(m.sessions) > 0:
 		m.remove(rapid.SampledFrom(m.sessions).Draw(m.t, "session"))
-	case what == 9 && m.pacer.State() == Closed:
+	case action == 9 && m.pacer.State() == Closed:
 		m.pacer.Reopen()
-	case what == 9:
+	case action == 9:
 		m.pacer.Close()
 	}
 }
@@ -103,7 +103,7 @@
 	}
 }
 
-func (m *model) check() {
+func (m *model) checkInvariants() {
 	p := m.pacer
 	waiting, bytes, busy := 0, 0, 0
 	for _, session := range m.sessions {
@@ -116,9 +116,9 @@
 	for _, command := range m.running {
 		bytes += command.Cost
 	}
-	if p.Waiting() != waiting || p.Running() != len(m.running) || p.runningBytes != bytes || p.sessions < busy {
+	if p.Waiting() != waiting || p.Running() != len(m.running) || p.runningBytes != bytes || p.busySessions < busy {
 		m.t.Fatalf("%d wait of %d, %d run of %d, %d bytes of %d, %d busy of %d",
-			p.Waiting(), waiting, p.Running(), len(m.running), p.runningBytes, bytes, p.sessions, busy)
+			p.Waiting(), waiting, p.Running(), len(m.running), p.runningBytes, bytes, p.busySessions, busy)
 	}
 	if len(m.running) > p.limits.MaxBound || len(m.running) > 1 && bytes > m.limits.MaxBytes {
 		m.t.Fatalf("%d run with %d bytes", len(m.running), bytes)
@@ -132,18 +132,18 @@
 }
 
 func (m *model) checkWindow(window int) {
-	least, most := min(m.limits.MinWindow, m.limits.MaxWindow), m.limits.MaxWindow
+	lowest, highest := min(m.limits.MinWindow, m.limits.MaxWindow), m.limits.MaxWindow
 	if m.pacer.State() == Closed {
-		least, most = 0, 0
+		lowest, highest = 0, 0
 	}
-	if window < least || window > most {
+	if window < lowest || window > highest {
 		m.t.Fatalf("a window of %d while %v", window, m.pacer.State())
 	}
 }
 
 // serve has a gateway of some slots serve sessions that keep their depths for some rounds, and counts what is served by
 // session.
-func serve(pacer *Pacer, depths []int, cost []int, slots, rounds int, seed uint64) (served []int) {
+func simulate(pacer *Pacer, depths []int, cost []int, slots, rounds int, seed uint64) (served []int) {
 	random := rand.New(rand.NewPCG(seed, 1))
 	sessions := make([]*Session, len(depths))
 	served = make([]int, len(depths))
@@ -178,15 +178,15 @@
 // A session with one command at a time is not starved by one with 256, and two with more than their share have even
 // shares of the bytes.
 func TestSessionsShareByBytes(t *testing.T) {
-	served := serve(New(DefaultLimits), []int{1, 256}, []int{4096, 4096}, 4, 10_000, 1)
+	served := simulate(New(DefaultLimits), []int{1, 256}, []int{4096, 4096}, 4, 10_000, 1)
 	if served[0] < 800 || served[0]+served[1] < 39_000 { // alone it would have 10,000; with 16 inside it waits about four rounds
 		t.Errorf("served %v", served)
 	}
-	served = serve(New(DefaultLimits), []int{32, 256}, []int{4096, 4096}, 4, 10_000, 2)
+	served = simulate(New(DefaultLimits), []int{32, 256}, []int{4096, 4096}, 4, 10_000, 2)
 	if ratio := float64(served[0]) / float64(served[1]); ratio < 0.9 || ratio > 1.1 {
 		t.Errorf("depths 32 and 256: %v, ratio %.2f", served, ratio)
 	}
-	served = serve(New(DefaultLimits), []int{256, 256}, []int{4096, 65536}, 4, 10_000, 3)
+	served = simulate(New(DefaultLimits), []int{256, 256}, []int{4096, 65536}, 4, 10_000, 3)
 	if ratio := float64(served[0]) / float64(16*served[1]); ratio < 0.9 || ratio > 1.1 {
 		t.Errorf("4 KiB and 64 KiB: %v, ratio of bytes %.2f", served, ratio)
 	}
--- a/internal/iscsi/pdu_test.go
+++ b/internal/iscsi/pdu_test.go
@@ -9,9 +9,9 @@
 )
 
 // plain reads from bytes.
-type plain struct{ *bytes.Reader }
+type bufferSource struct{ *bytes.Reader }
 
-func (p plain) ReadBinary(n int) ([]byte, error) {
+func (p bufferSource) ReadBinary(n int) ([]byte, error) {
 	if n > p.Len() {
 		return nil, io.ErrUnexpectedEOF
 	}
@@ -20,9 +20,9 @@
 	return b, err
 }
 
-func (p plain) Release() error { return nil }
+func (p bufferSource) Release() error { return nil }
 
-func wire(p *PDU, d Digests) []byte {
+func encode(p *PDU, d Digests) []byte {
 	head, tail := p.Encode(d).Bytes()
 	return append(append([]byte{}, head...), tail...)
 }
@@ -40,11 +40,11 @@
 			if len(p.AdditionalHeaders) == 0 {
 				p.AdditionalHeaders = nil
 			}
-			b := wire(p, d)
+			b := encode(p, d)
 			if len(b)%4 != 0 {
 				t.Errorf("%d bytes", len(b))
 			}
-			got, err := Read(plain{bytes.NewReader(b)}, d, 100)
+			got, err := Read(bufferSource{bytes.NewReader(b)}, d, 100)
 			same := reflect.DeepEqual(got, p) && got.Opcode() == Command && got.Tag() == 77 && got.Final() && !got.Immediate()
 			if err != nil || !same {
 				t.Errorf("%+v is read as %+v, %v", p, got, err)
@@ -64,11 +64,11 @@
 func TestReadNoticesFlippedBits(t *testing.T) {
 	d := Digests{true, true}
 	p := New(DataOut, Final).SetUint32(16, 1).SetData([]byte("twelve bytes"))
-	encoded := wire(p, d)
+	encoded := encode(p, d)
 	for at := range encoded {
 		b := bytes.Clone(encoded)
 		b[at] ^= 0x10
-		got, err := Read(plain{bytes.NewReader(b)}, d, 1<<20)
+		got, err := Read(bufferSource{bytes.NewReader(b)}, d, 1<<20)
 		if at < headerSize+4 && err == nil || at >= headerSize+4 && (err != nil || !got.BadDataDigest) {
 			t.Errorf("byte %d flipped: %v", at, err)
 		}
@@ -78,12 +78,12 @@
 // Lengths that are longer than was agreed, or than what there is.
 func TestReadRejectsWrongLengths(t *testing.T) {
 	p := New(DataOut, Final).SetData(make([]byte, 101))
-	if _, err := Read(plain{bytes.NewReader(wire(p, Digests{}))}, Digests{}, 100); !errors.Is(err, ErrTooLong) {
+	if _, err := Read(bufferSource{bytes.NewReader(encode(p, Digests{}))}, Digests{}, 100); !errors.Is(err, ErrTooLong) {
 		t.Error(err)
 	}
-	b := wire(p, Digests{})
+	b := encode(p, Digests{})
 	for n := range b {
-		if _, err := Read(plain{bytes.NewReader(b[:n])}, Digests{}, 1000); err == nil {
+		if _, err := Read(bufferSource{bytes.NewReader(b[:n])}, Digests{}, 1000); err == nil {
 			t.Errorf("%d bytes of %d are read", n, len(b))
 		}
 	}
@@ -103,14 +103,14 @@
 
 // Any bytes are read or rejected; what is read is written second as it was.
 func FuzzRead(f *testing.F) {
-	f.Add(wire(New(Command, Final).SetData([]byte("abc")), Digests{true, true}), true, true)
+	f.Add(encode(New(Command, Final).SetData([]byte("abc")), Digests{true, true}), true, true)
 	f.Fuzz(func(t *testing.T, b []byte, head, data bool) {
 		d := Digests{head, data}
-		p, err := Read(plain{bytes.NewReader(b)}, d, 1<<16)
+		p, err := Read(bufferSource{bytes.NewReader(b)}, d, 1<<16)
 		if err != nil || p.BadDataDigest {
 			return
 		}
-		second, err := Read(plain{bytes.NewReader(wire(p, d))}, d, 1<<16)
+		second, err := Read(bufferSource{bytes.NewReader(encode(p, d))}, d, 1<<16)
 		same := second != nil && second.Header == p.Header && bytes.Equal(second.Data, p.Data) &&
 			bytes.Equal(second.AdditionalHeaders, p.AdditionalHeaders)
 		if err != nil || !same {
