--- a/internal/iscsi/encoding.go
+++ b/internal/iscsi/encoding.go
@@ -8,12 +8,12 @@
 	"hash/crc32"
 )
 
-// Digests tells which digests a connection's PDUs have, in one direction.
+// Digests says which digests the PDUs of one direction of a connection carry.
 type Digests struct{ Header, Data bool }
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// crc32c returns a digest as it is on the wire: CRC32C, lowest byte first (RFC 7143, 13.1, with RFC 3385).
+// crc32c returns the CRC32C digest of parts in wire order: least significant byte first (RFC 7143, 13.1; RFC 3385).
 func crc32c(parts ...[]byte) []byte {
 	sum := uint32(0)
 	for _, part := range parts {
@@ -22,26 +22,27 @@
 	return binary.LittleEndian.AppendUint32(nil, sum)
 }
 
-// padding returns the bytes from a length to the next multiple of 4.
+// padLength returns the number of bytes that pad a length to the next multiple of 4.
 func padLength(length int) int { return -length & 3 }
 
-// Offsets of lengths in a header: additional headers in words of 4 bytes, and 3 bytes for the data.
+// Offsets of the length fields in a header. The length of the additional headers is one byte and counts words of 4
+// bytes; that of the data is 3 bytes and counts bytes.
 const (
 	offsetAdditionalLength = 4
 	offsetDataLength       = 5
 )
 
-// EncodedPDU is a PDU that is ready to be sent. It is a packetconn.Packet.
+// EncodedPDU is a PDU in its wire format. It implements packetconn.Packet.
 type EncodedPDU struct{ head, tail []byte }
 
-// Size returns the PDU's length on the connection, in bytes.
+// Size returns the length of the encoded PDU in bytes.
 func (e *EncodedPDU) Size() int { return len(e.head) + len(e.tail) }
 
-// Bytes returns the complete PDU, in two parts.
+// Bytes returns the encoded PDU in two parts: head has the headers, tail the data.
 func (e *EncodedPDU) Bytes() (head, tail []byte) { return e.head, e.tail }
 
-// Encode fills in the lengths and adds padding and digests. Data that needs neither is not copied, and must stay as it
-// is until the PDU is sent.
+// Encode sets the length fields and adds padding and digests. Data that needs neither padding nor a digest is not
+// copied and must not change until the PDU is sent.
 func (p *PDU) Encode(digests Digests) *EncodedPDU {
 	length, pad := len(p.Data), padLength(len(p.Data))
 	p.Header[offsetAdditionalLength] = byte((len(p.AdditionalHeaders) + 3) / 4)
@@ -66,22 +67,22 @@
 	return &EncodedPDU{head: head, tail: tail}
 }
 
-// Errors of Read.
+// Errors returned by Read.
 var (
-	ErrTooLong      = errors.New("iscsi: a PDU is longer than was agreed")
-	ErrHeaderDigest = errors.New("iscsi: a header digest does not fit")
+	ErrTooLong      = errors.New("iscsi: PDU data exceeds the allowed length")
+	ErrHeaderDigest = errors.New("iscsi: header digest mismatch")
 )
 
-// Source is what PDUs are read from: a netpoll.Reader, or a buffered connection.
+// Source is a stream that PDUs are read from: a netpoll.Reader or a buffered connection.
 type Source interface {
-	// ReadBinary returns the next n bytes, in memory that later reads do not change.
+	// ReadBinary returns the next n bytes in memory that later reads do not overwrite.
 	ReadBinary(n int) ([]byte, error)
-	// Release tells that the memory of what was read before may be used again.
+	// Release allows the source to reuse the memory of earlier reads.
 	Release() error
 }
 
-// Read reads a PDU with at most maxData bytes of data. ErrTooLong and ErrHeaderDigest mean that what follows cannot be
-// read. A wrong data digest is no error, but marks the PDU.
+// Read reads a PDU with at most maxData bytes of data. After any error, ErrTooLong and ErrHeaderDigest included,
+// nothing more can be read from the source. A wrong data digest is not an error: it sets BadDataDigest.
 func Read(source Source, digests Digests, maxData int) (*PDU, error) {
 	p := &PDU{}
 	header, err := source.ReadBinary(headerSize)
@@ -91,7 +92,7 @@
 	copy(p.Header[:], header)
 	length := p.dataLength()
 	if length > maxData {
-		return nil, fmt.Errorf("%w: %d bytes of data, %d may be", ErrTooLong, length, maxData)
+		return nil, fmt.Errorf("%w: got %d bytes, at most %d are allowed", ErrTooLong, length, maxData)
 	}
 	if additional := 4 * int(p.Header[offsetAdditionalLength]); additional > 0 {
 		if p.AdditionalHeaders, err = source.ReadBinary(additional); err != nil {
--- a/internal/iscsi/initiator/cdb.go
+++ b/internal/iscsi/initiator/cdb.go
@@ -2,7 +2,7 @@
 
 import "encoding/binary"
 
-// Opcodes of the commands that a disk sends (SPC-4, SBC-3).
+// SCSI command opcodes, service actions, VPD pages and lengths that a Disk uses (SPC-4, SBC-3).
 const (
 	opTestUnitReady      = 0x00
 	opInquiry            = 0x12
@@ -17,13 +17,13 @@
 	pageBlockLimits       = 0xb0
 
 	cdbLength          = 16
-	readCapacityLength = 32 // bytes of the answer
+	readCapacityLength = 32 // allocation length in bytes
 )
 
-// newCDB returns a command descriptor block of 16 bytes that begins with the given ones.
+// newCDB returns a command descriptor block of 16 bytes that begins with first and ends with zeros.
 func newCDB(first ...byte) []byte { return append(first, make([]byte, cdbLength-len(first))...) }
 
-// blockCDB returns a READ (16), WRITE (16) or one with their fields.
+// blockCDB returns the CDB of a READ (16), a WRITE (16) or another command with the same layout.
 func blockCDB(opcode byte, lba uint64, blocks int) []byte {
 	cdb := newCDB(opcode)
 	binary.BigEndian.PutUint64(cdb[2:], lba)
@@ -50,7 +50,7 @@
 	return cdb
 }
 
-// unmapList returns the parameter list of an UNMAP of one range (SBC-3, 5.28.2).
+// unmapList returns the parameter list of an UNMAP command for one range (SBC-3, 5.28.2).
 func unmapList(lba uint64, blocks int) []byte {
 	const length, descriptorsLength = 24, 16
 	list := make([]byte, length)
--- a/internal/iscsi/initiator/command.go
+++ b/internal/iscsi/initiator/command.go
@@ -7,7 +7,7 @@
 	"irispost/internal/scsi"
 )
 
-// attributeSimple is the task attribute of a command, in its flags (RFC 7143, 11.3.1).
+// taskAttributeSimple is the task attribute SIMPLE in the flags of a SCSI command (RFC 7143, 11.3.1).
 const taskAttributeSimple = 0x01
 
 // Task management functions (RFC 7143, 11.5.1).
@@ -16,9 +16,9 @@
 	functionLUNReset  = 5
 )
 
-// Start sends a command as soon as the command window allows, and returns its tag and the channel of its answer, which
-// is closed without one if the session is lost. out is what the command brings, in how many bytes it is answered with
-// at most.
+// Start sends a SCSI command as soon as the command window allows. It returns the task tag and a channel that
+// delivers the reply; the channel is closed without a reply if the session is lost. out is the data to send, in the
+// maximum number of bytes to receive.
 func (s *Session) Start(lun uint16, cdb, out []byte, in int) (uint32, <-chan Reply, error) {
 	s.lock.Lock()
 	for s.err == nil && int32(s.cmdSN-s.maxCmdSN) > 0 {
@@ -38,7 +38,7 @@
 	}
 	s.cmdSN++
 	s.emitEvent(Event{Session: s.name, Tag: tag, Op: pending.opcode, Sent: true})
-	s.writeLock.Lock() // before lock is released: commands are sent in the order of their numbers
+	s.writeLock.Lock() // taken before lock is released, so that commands are sent in the order of their CmdSN
 	s.lock.Unlock()
 	err := s.writeLocked(pdu)
 	s.writeLock.Unlock()
@@ -53,7 +53,7 @@
 	return tag, pending.done, nil
 }
 
-// newCommand returns a command without its data. The caller holds the lock.
+// newCommand returns the PDU of a SCSI command without its data. The caller holds the lock.
 func (s *Session) newCommand(tag uint32, lun uint16, cdb []byte, out, in int) *iscsi.PDU {
 	flags, expected := byte(taskAttributeSimple), in
 	if in > 0 {
@@ -70,8 +70,8 @@
 	return pdu
 }
 
-// splitFirstBurst returns how many of a command's bytes go with the command, and how many after it before they are
-// asked for.
+// splitFirstBurst returns how many bytes of a command's data are sent as immediate data in the command PDU, and how
+// many as unsolicited Data-Out PDUs after it.
 func (s *Session) splitFirstBurst(out int) (immediate, unsolicited int) {
 	burst := min(out, s.params.FirstBurst)
 	if s.params.ImmediateData {
@@ -83,7 +83,7 @@
 	return immediate, unsolicited
 }
 
-// Do sends a command and waits for its answer. If the context ends before, the command is aborted.
+// Do sends a SCSI command and waits for its reply. If the context ends first, it aborts the command.
 func (s *Session) Do(ctx context.Context, lun uint16, cdb, out []byte, in int) (Reply, error) {
 	tag, done, err := s.Start(lun, cdb, out, in)
 	if err != nil {
@@ -96,12 +96,12 @@
 		}
 		return reply, nil
 	case <-ctx.Done():
-		_, _ = s.AbortTask(lun, tag) // the caller has given up either way
+		_, _ = s.AbortTask(lun, tag) // Do returns the context's error in any case
 		return Reply{}, ctx.Err()
 	}
 }
 
-// manageTask sends a task management function and waits for its answer.
+// requestTaskManagement sends a task management function and returns the response code.
 func (s *Session) requestTaskManagement(function byte, lun uint16, referenced uint32) (byte, error) {
 	s.lock.Lock()
 	if s.err != nil {
@@ -140,7 +140,7 @@
 	return s.requestTaskManagement(functionLUNReset, lun, iscsi.NoTag)
 }
 
-// Ping sends a ping and waits for its answer.
+// Ping sends a NOP-Out and waits for the NOP-In that answers it.
 func (s *Session) Ping() error {
 	s.lock.Lock()
 	if s.err != nil {
--- a/internal/iscsi/initiator/discover.go
+++ b/internal/iscsi/initiator/discover.go
@@ -8,17 +8,17 @@
 	"irispost/internal/iscsi"
 )
 
-// DiscoveredTarget is a target that a portal has told of.
+// DiscoveredTarget is a target that a portal reports.
 type DiscoveredTarget struct{ Name, Address string }
 
-// Discover asks a portal for its targets, and returns them by name.
+// Discover requests the list of targets from a portal and returns it sorted by name.
 func Discover(ctx context.Context, options Options) ([]DiscoveredTarget, error) {
 	options.Target = ""
 	s, err := Dial(ctx, options)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = s.Close() }() // the answer has come, or has not
+	defer func() { _ = s.Close() }() // the result is known by now
 	text, err := s.sendTargets(ctx)
 	if err != nil {
 		return nil, err
@@ -31,7 +31,7 @@
 			targets = append(targets, DiscoveredTarget{Name: pair.Value})
 		case "TargetAddress":
 			if len(targets) > 0 {
-				address, _, _ := strings.Cut(pair.Value, ",") // without the portal group
+				address, _, _ := strings.Cut(pair.Value, ",") // without the portal group tag
 				targets[len(targets)-1].Address = address
 			}
 		}
@@ -40,7 +40,7 @@
 	return targets, err
 }
 
-// sendTargets asks for all targets, and returns the answer's text.
+// sendTargets requests all targets (SendTargets=All) and returns the text of the response.
 func (s *Session) sendTargets(ctx context.Context) ([]byte, error) {
 	s.lock.Lock()
 	tag := s.newTag()
--- a/internal/iscsi/initiator/example_test.go
+++ b/internal/iscsi/initiator/example_test.go
@@ -10,7 +10,7 @@
 	"irispost/internal/iscsi/negotiate"
 )
 
-// A disk is opened, a block changed only if nobody else has, and committed.
+// Opens a disk, changes a block unless another initiator has changed it in the meantime, and commits the change.
 func ExampleOpen() {
 	ctx := context.Background()
 	disk, err := initiator.Open(ctx, initiator.Options{
@@ -30,9 +30,9 @@
 	next := append([]byte("changed"), old[7:]...)
 	switch err := disk.CompareAndWrite(ctx, old, next, 0); {
 	case errors.Is(err, initiator.ErrMiscompare):
-		fmt.Println("somebody else was first")
+		fmt.Println("another initiator has changed the block")
 	case errors.Is(err, initiator.ErrOutcomeUnknown):
-		fmt.Println("read the block to know")
+		fmt.Println("outcome unknown: read the block to find out")
 	case err != nil:
 		log.Fatal(err)
 	}
@@ -41,7 +41,7 @@
 	}
 }
 
-// A portal's targets.
+// Lists the targets of a portal.
 func ExampleDiscover() {
 	targets, err := initiator.Discover(context.Background(), initiator.Options{
 		Address: "127.0.0.1:3260",
--- a/internal/iscsi/initiator/golden_test.go
+++ b/internal/iscsi/initiator/golden_test.go
@@ -48,12 +48,12 @@
 }
 `
 
-// recorder forwards one connection to a target and writes down the PDUs of both directions.
+// recorder is a proxy for one connection to a target. It records the PDUs of both directions.
 type recorder struct {
 	t        *testing.T
 	listener net.Listener
-	digests  bool          // of PDUs after the login
-	finished chan struct{} // closed when the connection has ended
+	digests  bool          // whether PDUs after the login carry digests
+	finished chan struct{} // closed when the connection is closed
 	sent     bytes.Buffer
 	answered bytes.Buffer
 }
@@ -88,7 +88,7 @@
 	directions.Wait()
 }
 
-// forward passes on all bytes, and writes down the PDUs that they are.
+// forward copies all bytes from one connection to the other and records them as PDUs.
 func (r *recorder) forward(record *bytes.Buffer, from, to net.Conn) {
 	defer func() { _ = to.Close() }()
 	source := &pduSource{reader: io.TeeReader(from, to)}
@@ -101,14 +101,14 @@
 		}
 		fmt.Fprintf(record, "%s\n", formatPDU(p))
 		if p.BadDataDigest {
-			r.t.Error("a data digest does not fit")
+			r.t.Error("got a PDU with a wrong data digest, want a matching one")
 		}
 		kind := p.Opcode()
 		login = login && (kind == 0x03 || kind == 0x23) && p.Flags()&0x83 != 0x83
 	}
 }
 
-// source reads PDUs from a reader.
+// pduSource is an iscsi.Source that reads from an io.Reader.
 type pduSource struct{ reader io.Reader }
 
 func (s *pduSource) ReadBinary(n int) ([]byte, error) {
@@ -119,15 +119,15 @@
 
 func (s *pduSource) Release() error { return nil }
 
-// Parts of texts that differ from run to run.
+// Patterns of those parts of texts that differ between runs.
 var (
 	chapPattern    = regexp.MustCompile(`CHAP_([ICR])=[0-9a-fx]+`)
 	sessionPattern = regexp.MustCompile(`session=[^\x00]+`)
 	addressPattern = regexp.MustCompile(`127\.0\.0\.1:\d+`)
 )
 
-// describe writes down a PDU: its header, further headers and data. The length of a login's or a text's data is left
-// out with what differs in it.
+// formatPDU formats the header, the additional headers and the data of a PDU. In logins and texts it replaces values
+// that differ between runs, and the length of the data.
 func formatPDU(p *iscsi.PDU) string {
 	head, data := p.Header, p.Data
 	switch p.Opcode() {
@@ -145,13 +145,13 @@
 	return fmt.Sprintf("  %x %x %s", head, p.AdditionalHeaders, text)
 }
 
-// take waits for the end of the connection and returns what was recorded.
+// recording waits until the connection is closed and returns the recorded PDUs.
 func (r *recorder) recording() string {
 	<-r.finished
 	return "sent:\n" + r.sent.String() + "answered:\n" + r.answered.String()
 }
 
-// What an initiator and a target of this project send each other stays as it is byte for byte.
+// The PDUs between this initiator and the project's target stay the same byte for byte.
 func TestGoldenPDUsOfSessions(t *testing.T) {
 	b := testkit.Start(t, testkit.Conf+disksConfig, 2, 1, nil)
 	portal := b.Gateways[0].ISCSI.Addr()
@@ -193,7 +193,7 @@
 	golden.Check(t, "pdus.txt", out.Bytes())
 }
 
-// ready waits until the units have their files.
+// waitUntilReady waits until the files of all logical units are open.
 func waitUntilReady(t *testing.T, portal string) {
 	t.Helper()
 	account := negotiate.Account{Name: "host", Secret: "a secret of a host"}
@@ -225,7 +225,7 @@
 	return runUnit(t, o, 3)
 }
 
-// runUnit opens a unit and has it do one of each request of a disk.
+// runUnit opens a logical unit and sends each kind of request that a Disk can send.
 func runUnit(t *testing.T, o initiator.Options, lun uint16) string {
 	t.Helper()
 	ctx := t.Context()
@@ -255,7 +255,7 @@
 	return result
 }
 
-// runSession sends the requests that no disk sends.
+// runSession sends requests that a Disk never sends.
 func runSession(t *testing.T, o initiator.Options) string {
 	t.Helper()
 	s, err := initiator.Dial(t.Context(), o)
--- a/internal/iscsi/initiator/login.go
+++ b/internal/iscsi/initiator/login.go
@@ -13,11 +13,11 @@
 
 const (
 	loginTag                   = 1
-	currentStageShift          = 2         // of the current stage in a login's flags
-	maxLoginData               = 64 << 10  // bytes of an answer
-	minSegment                 = 512       // bytes that a target may declare
-	preferredMaxBurst          = "1048576" // bytes
-	preferredFirstBurst        = "262144"  // bytes, FirstBurstLength
+	currentStageShift          = 2         // position of the current stage (CSG) in the flags of a login request
+	maxLoginData               = 64 << 10  // maximum length of a login response's data in bytes
+	minSegment                 = 512       // lowest length in bytes that a target may declare
+	preferredMaxBurst          = "1048576" // MaxBurstLength, bytes
+	preferredFirstBurst        = "262144"  // FirstBurstLength, bytes
 	preferredMaxOutstandingR2T = "4"
 	digestCRC32C               = "CRC32C"
 	chapMD5                    = "5"
@@ -25,13 +25,13 @@
 	notUnderstoodValue         = "NotUnderstood"
 )
 
-// loginAnswer is what a target answers to a login request.
+// loginResponse is a target's response to a login request.
 type loginResponse struct {
 	keys    map[string]string
-	transit bool // to the next stage
+	transit bool // the target agrees to enter the next stage
 }
 
-// sendLogin sends keys of a login and reads the answer.
+// exchangeLogin sends a login request with pairs and reads the response.
 func (s *Session) exchangeLogin(reader connReader, current, next negotiate.Stage, pairs []iscsi.Pair) (loginResponse, error) {
 	flags := byte(current)<<currentStageShift | byte(next)
 	if current != next {
@@ -47,7 +47,7 @@
 		return loginResponse{}, err
 	}
 	if answer.Opcode() != iscsi.LoginResponse {
-		return loginResponse{}, fmt.Errorf("iscsi: a login is answered by a PDU of kind %#x", byte(answer.Opcode()))
+		return loginResponse{}, fmt.Errorf("iscsi: unexpected response to a login request, opcode %#x", byte(answer.Opcode()))
 	}
 	if class := answer.Header[iscsi.OffsetStatusClass]; class != 0 {
 		detail := answer.Header[iscsi.OffsetStatusDetail]
@@ -64,7 +64,7 @@
 	return loginResponse{keys: keys, transit: answer.Final()}, err
 }
 
-// login logs in. Nobody else uses the session yet.
+// login runs the login phase. No other goroutine uses the session yet.
 func (s *Session) login(reader connReader) error {
 	answer, err := s.exchangeLogin(reader, negotiate.Security, negotiate.Operational, s.securityKeys())
 	if err != nil {
@@ -138,7 +138,7 @@
 	return "No"
 }
 
-// adopt takes over what the target has answered in the operational stage.
+// applyOperationalKeys applies the parameters that the target returned in the operational stage.
 func (s *Session) applyOperationalKeys(keys map[string]string) error {
 	s.params.OwnMaxSegment = s.options.MaxRecvSegment
 	for key, parameter := range map[string]*int{
@@ -152,7 +152,7 @@
 		}
 		number, err := strconv.Atoi(value)
 		if err != nil || number < minSegment {
-			return fmt.Errorf("iscsi: the target answers %s=%q", key, value)
+			return fmt.Errorf("iscsi: target returned an invalid parameter: %s=%q", key, value)
 		}
 		*parameter = number
 	}
@@ -166,8 +166,8 @@
 	return nil
 }
 
-// authenticate answers the target's challenge, and challenges the target where a secret for that is known. It tells
-// whether the security stage has ended.
+// authenticate answers the target's CHAP challenge, and challenges the target if the account has a secret for it.
+// transit reports whether the target has ended the security stage.
 func (s *Session) authenticate(reader connReader) (transit bool, err error) {
 	account := &s.options.Account
 	selected := []iscsi.Pair{{Key: "CHAP_A", Value: chapMD5}}
@@ -179,7 +179,7 @@
 	id, idErr := strconv.Atoi(answer.keys["CHAP_I"])
 	err = errors.Join(err, idErr)
 	if err != nil || answer.keys["CHAP_A"] != chapMD5 {
-		return false, fmt.Errorf("iscsi: the target's challenge cannot be read: %w", err)
+		return false, fmt.Errorf("iscsi: invalid CHAP challenge from the target: %w", err)
 	}
 	response := negotiate.CHAPResponse(byte(id), account.Secret, challenge)
 	pairs := []iscsi.Pair{{Key: "CHAP_N", Value: account.Name}, {Key: "CHAP_R", Value: negotiate.EncodeBinary(response)}}
@@ -203,8 +203,8 @@
 	return answer.transit, nil
 }
 
-// newChallenge returns a challenge that the target cannot foresee: it depends on a secret, the target's challenge and
-// the time.
+// newChallenge returns a challenge that an impostor cannot predict, because it depends on a secret, besides the
+// target's challenge and the time.
 func newChallenge(id byte, secret string, challenge []byte) []byte {
 	hash := negotiate.CHAPResponse(id, secret, challenge)
 	return binary.BigEndian.AppendUint64(hash, uint64(time.Now().UnixNano()))
--- a/internal/iscsi/initiator/options.go
+++ b/internal/iscsi/initiator/options.go
@@ -1,7 +1,9 @@
-// Package initiator is a client of iSCSI targets (RFC 7143): sessions with many commands in flight, and disks with
-// blocks that are read and written, with reconnects and retries by what each answer promises. The command line
-// (irispost disk), scripted days and tests use it. A Session owns a connection and its outstanding requests, under a
-// lock, and has one goroutine that reads; a Disk owns the session that it uses.
+// Package initiator is an iSCSI initiator (RFC 7143). A Session sends SCSI commands to a target, many at a time. A
+// Disk reads and writes blocks of a logical unit; it reconnects, and retries a command if the target's reply allows
+// it. The command line (irispost disk), scripted days and tests use the package.
+//
+// A Session owns a connection and its outstanding requests, which are guarded by a lock, and one goroutine that reads
+// from the connection. A Disk owns the session that it uses.
 package initiator
 
 import (
@@ -18,48 +20,48 @@
 	defaultMaxRecvSegment = 256 << 10
 )
 
-// Options are what a session is opened with.
+// Options configure a session.
 type Options struct {
-	Address        string  // of the portal
-	Name           string  // the initiator's: iqn....
-	Target         string  // empty: a discovery session
-	ISID           [6]byte // tells sessions of one initiator apart; the same reinstates a session
+	Address        string  // address of the portal
+	Name           string  // name of the initiator: iqn....
+	Target         string  // name of the target; empty: discovery session
+	ISID           [6]byte // identifies a session of the initiator; a login with the same ISID reinstates it
 	Account        negotiate.Account
 	Digests        bool
-	Timeout        time.Duration // for connecting and logging in; 0: 10 s
-	MaxRecvSegment int           // bytes of data taken in a PDU; 0: 256 KiB
-	SolicitedOnly  bool          // no data is sent before it is asked for
-	OnEvent        func(Event)   // called with commands and their answers, in their order; it must not wait. nil: nobody
+	Timeout        time.Duration // for connection and login; 0: 10 s
+	MaxRecvSegment int           // MaxRecvDataSegmentLength, in bytes; 0: 256 KiB
+	SolicitedOnly  bool          // send data only in answer to R2Ts: InitialR2T=Yes, ImmediateData=No
+	OnEvent        func(Event)   // called for each event, in order; must not block; may be nil
 }
 
-// Event is a command that was sent or answered, or the loss of a session.
+// Event is a command that was sent, a reply to one, or the loss of a session.
 type Event struct {
-	Session string // the gateway's name of it, or the connection's address
+	Session string // see Session.Name
 	Tag     uint32
-	Op      byte // the command's first byte
+	Op      byte // opcode of the command
 	Sent    bool
-	Status  scsi.Status // of an answer
-	Lost    error       // why the session is lost; no more events follow
+	Status  scsi.Status // of a reply
+	Lost    error       // cause of the loss; no events follow
 }
 
-// Errors of sessions.
+// Errors returned by the methods of Session.
 var (
 	ErrSessionLost = errors.New("iscsi: the session is lost")
 	ErrLoggedOut   = errors.New("iscsi: logged out")
 )
 
-// Reasons why a session is lost or a login fails.
+// Causes of a lost session or a failed login.
 var (
-	errDataDigest              = errors.New("a data digest does not fit")
-	errSecurityStageIncomplete = errors.New("iscsi: the target does not end the security stage")
-	errLoginIncomplete         = errors.New("iscsi: the target does not end the login")
-	errTargetNotAuthenticated  = errors.New("iscsi: the target does not prove who it is")
+	errDataDigest              = errors.New("data digest mismatch")
+	errSecurityStageIncomplete = errors.New("iscsi: target did not end the security stage")
+	errLoginIncomplete         = errors.New("iscsi: target did not end the login phase")
+	errTargetNotAuthenticated  = errors.New("iscsi: target failed to authenticate")
 )
 
-// Reply is a command's answer.
+// Reply is the result of a SCSI command.
 type Reply struct {
 	Status   scsi.Status
-	Sense    *scsi.Sense // of CheckCondition
+	Sense    *scsi.Sense // if Status is CheckCondition
 	Data     []byte
-	Residual int // bytes that were expected and not transferred; below 0: that would have been transferred beyond
+	Residual int // bytes expected but not transferred; negative: bytes beyond those expected
 }
--- a/internal/iscsi/initiator/receive.go
+++ b/internal/iscsi/initiator/receive.go
@@ -7,10 +7,10 @@
 	"irispost/internal/scsi"
 )
 
-// senseLengthSize is the size of the length before sense data, in bytes.
+// senseLengthSize is the size in bytes of the length field before sense data.
 const senseLengthSize = 2
 
-// receive handles what the target sends, until the session is lost.
+// receive reads and handles PDUs from the target until the session is lost.
 func (s *Session) receive(reader connReader) {
 	for {
 		pdu, err := iscsi.Read(reader, s.digests, s.options.MaxRecvSegment)
@@ -27,7 +27,7 @@
 	}
 }
 
-// handle handles a PDU. An error loses the session.
+// handle handles a PDU. An error ends the session.
 func (s *Session) handle(pdu *iscsi.PDU) error {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -65,23 +65,23 @@
 	case iscsi.AsyncMessage:
 		s.logoutRequested = true
 	case iscsi.Reject:
-		return fmt.Errorf("the target rejects a PDU, reason %#x", pdu.Header[iscsi.OffsetResponse])
+		return fmt.Errorf("target rejected a PDU, reason %#x", pdu.Header[iscsi.OffsetResponse])
 	}
 	return nil
 }
 
-// hasStatus tells whether a PDU has a status number of its own.
+// hasStatus reports whether a PDU has a StatSN of its own.
 func hasStatus(pdu *iscsi.PDU) bool {
 	switch pdu.Opcode() {
 	case iscsi.NopIn:
-		return pdu.Tag() != iscsi.NoTag // without a tag it asks for an answer
+		return pdu.Tag() != iscsi.NoTag // a NOP-In without a tag is a ping by the target
 	case iscsi.DataIn:
 		return pdu.Flags()&iscsi.HasStatus != 0
 	}
 	return pdu.Opcode() != iscsi.ReadyToTransfer
 }
 
-// handleData handles a Data-In. One of an aborted command is ignored. The caller holds the lock.
+// handleData handles a Data-In PDU. It ignores data of aborted commands. The caller holds the lock.
 func (s *Session) handleData(pdu *iscsi.PDU) error {
 	command := s.pendingCommands[pdu.Tag()]
 	if command == nil {
@@ -89,7 +89,7 @@
 	}
 	offset := pdu.Uint32(iscsi.OffsetBufferOffset)
 	if int(offset) != len(command.in) || len(command.in)+len(pdu.Data) > command.maxIn {
-		return fmt.Errorf("data at %d of %d bytes, %d were expected next", offset, command.maxIn, len(command.in))
+		return fmt.Errorf("unexpected Data-In at offset %d of %d bytes, want offset %d", offset, command.maxIn, len(command.in))
 	}
 	command.in = append(command.in, pdu.Data...)
 	if hasStatus(pdu) {
@@ -98,7 +98,7 @@
 	return nil
 }
 
-// handleResponse handles the answer to a command without data. The caller holds the lock.
+// handleResponse handles a SCSI Response PDU. The caller holds the lock.
 func (s *Session) handleResponse(pdu *iscsi.PDU) {
 	command := s.pendingCommands[pdu.Tag()]
 	if command == nil {
@@ -111,7 +111,7 @@
 	s.finish(command, pdu, sense)
 }
 
-// finish ends a command with its answer. The caller holds the lock.
+// finish delivers the reply to a command and forgets the command. The caller holds the lock.
 func (s *Session) finish(command *pendingCommand, pdu *iscsi.PDU, sense *scsi.Sense) {
 	reply := Reply{Status: scsi.Status(pdu.Header[iscsi.OffsetStatus]), Sense: sense, Data: command.in}
 	residual := int(pdu.Uint32(iscsi.OffsetResidual))
@@ -127,8 +127,8 @@
 	close(command.done)
 }
 
-// handleR2T has the data that the target asks for sent, after that of earlier R2Ts (DataSequenceInOrder). The caller
-// holds the lock.
+// handleR2T queues the data that an R2T requests. It is sent after that of the command's earlier R2Ts, as
+// DataSequenceInOrder requires. The caller holds the lock.
 func (s *Session) handleR2T(pdu *iscsi.PDU) error {
 	command := s.pendingCommands[pdu.Tag()]
 	if command == nil {
@@ -136,7 +136,7 @@
 	}
 	offset, length := pdu.Uint32(iscsi.OffsetBufferOffset), pdu.Uint32(iscsi.OffsetDesiredLength)
 	if uint64(offset)+uint64(length) > uint64(len(command.out)) || length == 0 {
-		return fmt.Errorf("%d bytes at %d are asked for, %d are there", length, offset, len(command.out))
+		return fmt.Errorf("invalid R2T for %d bytes at offset %d of %d", length, offset, len(command.out))
 	}
 	data := command.out[offset : offset+length]
 	command.queuedR2Ts = append(command.queuedR2Ts, func() {
@@ -149,7 +149,7 @@
 	return nil
 }
 
-// sendSolicited answers a command's R2Ts, one after the other.
+// answerR2Ts sends the data of a command's queued R2Ts, one after the other.
 func (s *Session) answerR2Ts(command *pendingCommand) {
 	for {
 		s.lock.Lock()
@@ -165,7 +165,8 @@
 	}
 }
 
-// sendData sends data of a command from an offset on: what an R2T has asked for, or unsolicited.
+// sendData sends data of a command as Data-Out PDUs, solicited or unsolicited. offset is that of data within the
+// command's data.
 func (s *Session) sendData(tag, transferTag uint32, lun []byte, offset uint32, data []byte) {
 	dataSN := uint32(0)
 	for sent := 0; sent < len(data); dataSN++ {
@@ -189,7 +190,8 @@
 	}
 }
 
-// handleNop handles the answer to a ping, and answers the target's ping. The caller holds the lock.
+// handleNop handles a NOP-In: the answer to a ping, or a ping by the target, which it answers. The caller holds the
+// lock.
 func (s *Session) handleNop(pdu *iscsi.PDU) {
 	if answer := s.pendingPings[pdu.Tag()]; answer != nil {
 		close(answer)
@@ -203,5 +205,5 @@
 		SetImmediate().
 		SetLUN(pdu.LUN()).
 		SetUint32(iscsi.OffsetTransferTag, transferTag)
-	go func() { _ = s.write(answer) }() // the reader notices a connection that has failed
+	go func() { _ = s.write(answer) }() // a broken connection is detected by receive
 }
--- a/internal/iscsi/initiator/retry.go
+++ b/internal/iscsi/initiator/retry.go
@@ -10,17 +10,17 @@
 	"irispost/internal/scsi"
 )
 
-// verdict says whether a command is retried after an answer.
+// retryDecision says whether a command is retried after a reply.
 type retryDecision uint8
 
 const (
 	neverRetry        retryDecision = iota
-	alwaysRetry                     // it never ran
-	retryIfRepeatable               // it may have run
+	alwaysRetry                     // the command was not executed
+	retryIfRepeatable               // the command may have been executed
 )
 
-// command has a command executed until its answer is final or its time is up. repeatable: to repeat it is harmless,
-// whatever became of it.
+// command executes a command, with retries, until its reply is final or the timeout has passed. repeatable says that
+// the command may be executed again even if it was executed before.
 func (d *Disk) command(ctx context.Context, cdb, out []byte, in int, repeatable bool) (Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, d.retry.Timeout)
 	defer cancel()
@@ -46,7 +46,8 @@
 	}
 }
 
-// execute sends a command on the current session, or a new one. sent tells whether it may have reached the target.
+// execute executes a command once, on the current session or a new one. sent reports whether the command may have
+// reached the target.
 func (d *Disk) execute(ctx context.Context, cdb, out []byte, in int) (reply Reply, sent bool, err error) {
 	session, err := d.session(ctx)
 	if err != nil {
@@ -56,13 +57,14 @@
 	return reply, true, err
 }
 
-// isOwnFault tells whether a login was rejected for a fault of the initiator's: it would be rejected again.
+// isInitiatorError reports whether a login was rejected because of an error of the initiator. A retry would be
+// rejected too.
 func isInitiatorError(err error) bool {
 	var rejection *negotiate.Rejection
 	return errors.As(err, &rejection) && rejection.Class == negotiate.ClassInitiatorError
 }
 
-// judge returns what an answer means: no error where the command succeeded.
+// classifyReply returns whether to retry a command after a reply, and its error, or nil if it succeeded.
 func classifyReply(reply Reply) (retryDecision, error) {
 	switch reply.Status {
 	case scsi.Good:
--- a/internal/iscsi/initiator/session.go
+++ b/internal/iscsi/initiator/session.go
@@ -16,23 +16,23 @@
 const (
 	firstCmdSN     = 1
 	readBufferSize = 64 << 10    // bytes
-	logoutTimeout  = time.Second // for the answer
+	logoutTimeout  = time.Second // for the logout response
 )
 
-// Session is a connection to a target. Its methods may be called concurrently.
+// Session is a session with a target over one connection. Its methods may be called concurrently.
 type Session struct {
 	options Options
 	conn    net.Conn
 	params  negotiate.Params
 	digests iscsi.Digests
 	name    string
-	TSIH    uint16 // the target's handle of the session
+	TSIH    uint16 // target session identifying handle
 
-	writeLock sync.Mutex // held while a PDU is written; taken after lock
+	writeLock sync.Mutex // held while a PDU is written; may be acquired while lock is held, not the reverse
 
-	lock                  sync.Mutex // guards what follows
-	stateChanged          *sync.Cond // of lock: maxCmdSN or err has changed
-	lastTag               uint32     // the last one given
+	lock                  sync.Mutex // guards the fields below
+	stateChanged          *sync.Cond // uses lock; signals that maxCmdSN or err has changed
+	lastTag               uint32     // last initiator task tag in use
 	cmdSN                 uint32
 	maxCmdSN              uint32
 	expStatSN             uint32
@@ -40,21 +40,21 @@
 	pendingTaskManagement map[uint32]chan byte
 	pendingTexts          map[uint32]chan []byte
 	pendingPings          map[uint32]chan struct{}
-	err                   error // why the session is lost; nil: it is not
-	logoutRequested       bool  // by the target
+	err                   error // cause of the loss of the session, or nil
+	logoutRequested       bool  // by the target, see LogoutRequested
 }
 
-// call is a command in flight.
+// pendingCommand is a command in flight.
 type pendingCommand struct {
 	opcode        byte
 	out, in       []byte
-	maxIn         int // bytes
+	maxIn         int // maximum length of in, in bytes
 	done          chan Reply
-	queuedR2Ts    []func() // R2Ts that wait to be answered, in their order
-	answeringR2Ts bool     // a goroutine answers R2Ts
+	queuedR2Ts    []func() // functions that send the data of queued R2Ts, in the order of the R2Ts
+	answeringR2Ts bool     // whether a goroutine runs answerR2Ts
 }
 
-// Dial connects and logs in. An empty target makes a discovery session.
+// Dial connects to a portal and logs in. If no target is given, it opens a discovery session.
 func Dial(ctx context.Context, options Options) (*Session, error) {
 	if options.Timeout == 0 {
 		options.Timeout = defaultDialTimeout
@@ -82,7 +82,7 @@
 	s.stateChanged = sync.NewCond(&s.lock)
 	reader := connReader{bufio.NewReaderSize(conn, readBufferSize)}
 	deadline, _ := ctx.Deadline()
-	_ = conn.SetDeadline(deadline) // a connection that has failed fails the login
+	_ = conn.SetDeadline(deadline) // bounds the time of the login
 	if err := s.login(reader); err != nil {
 		_ = conn.Close()
 		return nil, err
@@ -92,30 +92,31 @@
 	return s, nil
 }
 
-// connReader is an iscsi.Source of a buffered connection.
+// connReader is an iscsi.Source that reads from a buffered connection.
 type connReader struct{ *bufio.Reader }
 
-// ReadBinary reads n bytes into memory of their own.
+// ReadBinary reads n bytes into newly allocated memory.
 func (r connReader) ReadBinary(n int) ([]byte, error) {
 	b := make([]byte, n)
 	_, err := io.ReadFull(r.Reader, b)
 	return b, err
 }
 
-// Release has nothing to do.
+// Release does nothing, since ReadBinary allocates.
 func (r connReader) Release() error { return nil }
 
-// Name returns the gateway's name of the session, or the connection's address.
+// Name returns the gateway's name for the session, or the local address of the connection if the target sends no
+// name.
 func (s *Session) Name() string { return s.name }
 
-// LogoutRequested tells whether the target has asked to log out.
+// LogoutRequested reports whether the target has requested a logout.
 func (s *Session) LogoutRequested() bool {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return s.logoutRequested
 }
 
-// Err returns why the session is lost; nil: it is not.
+// Err returns the error that ended the session, or nil if the session is active.
 func (s *Session) Err() error {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -128,7 +129,7 @@
 	return s.lastTag
 }
 
-// newRequest returns a request with the session's numbers. The caller holds the lock.
+// newRequest returns a request PDU with the current CmdSN and ExpStatSN. The caller holds the lock.
 func (s *Session) newRequest(opcode iscsi.Opcode, flags byte, tag uint32) *iscsi.PDU {
 	return iscsi.New(opcode, flags).
 		SetUint32(iscsi.OffsetTag, tag).
@@ -136,7 +137,7 @@
 		SetUint32(iscsi.OffsetExpStatSN, s.expStatSN)
 }
 
-// write sends a PDU as it is.
+// write sends a PDU.
 func (s *Session) write(pdu *iscsi.PDU) error {
 	s.writeLock.Lock()
 	defer s.writeLock.Unlock()
@@ -150,14 +151,14 @@
 	return err
 }
 
-// writeOrFail sends a PDU. Where that fails, the session is lost.
+// writeOrFail sends a PDU, and ends the session if that fails.
 func (s *Session) writeOrFail(pdu *iscsi.PDU) {
 	if err := s.write(pdu); err != nil {
 		s.fail(err)
 	}
 }
 
-// fail ends the session, once: whoever waits for an answer gets none.
+// fail ends the session and closes the channels of all pending requests. Only the first call has an effect.
 func (s *Session) fail(cause error) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -186,14 +187,14 @@
 	s.stateChanged.Broadcast()
 }
 
-// report passes an event on. The caller holds the lock.
+// emitEvent calls the event handler, if there is one. The caller holds the lock.
 func (s *Session) emitEvent(event Event) {
 	if s.options.OnEvent != nil {
 		s.options.OnEvent(event)
 	}
 }
 
-// Close logs out and closes the connection. It does nothing where the session is lost.
+// Close logs out and closes the connection. It does nothing if the session is lost.
 func (s *Session) Close() error {
 	s.lock.Lock()
 	if s.err != nil {
--- a/internal/iscsi/pace/pace.go
+++ b/internal/iscsi/pace/pace.go
@@ -1,29 +1,30 @@
-// Package pace decides how fast the sessions of a target may send commands, and whose goes next: a bound on running
-// commands that is learned from how they end, turns between sessions by bytes, and each session's command window.
+// Package pace implements flow control for the sessions of an iSCSI target. It limits the number of running commands
+// by a bound that adapts to their outcomes, shares it among sessions by deficit round robin over bytes, and sets each
+// session's command window.
 //
-// The target (package iscsi/target) calls it under one lock. It owns the queues of commands that wait; it knows neither
-// nodes nor request classes. The scheduler behind it decides what goes to which node when; this package only keeps
-// commands waiting at the initiator, who can be made to wait, instead of in the scheduler, which would reject them. It
-// is pure: no I/O, no clock.
+// The target (package iscsi/target) calls it under one lock. The package owns the queues of waiting commands and
+// knows nothing of nodes or request classes. The scheduler behind it decides when a request goes to which node; this
+// package only keeps excess commands at the initiator, which can be made to wait, because the scheduler would reject
+// them. It does no I/O and reads no clock.
 package pace
 
 import "slices"
 
 const (
-	boundDecreaseFactor = 0.7 // what is left of the bound after a rejection
-	windowFactor        = 2   // a session's window in a crowd, in even shares of the bound
+	boundDecreaseFactor = 0.7 // factor applied to the bound after a rejection
+	windowFactor        = 2   // a session's window under contention, as a multiple of its even share of the bound
 )
 
-// Limits are the bounds of a Pacer.
+// Limits configure a Pacer.
 type Limits struct {
-	MinWindow, MaxWindow int // the window of a session, in commands: in a crowd at least, without one at most
-	InitialBound         int // the bound on running commands to begin with
-	MaxBound             int // and at most
-	MaxBytes             int // of data that running commands may hold; one command always runs
-	Quantum              int // bytes of a session's turn
+	MinWindow, MaxWindow int // window of a session in commands: minimum under contention, and maximum
+	InitialBound         int // initial bound on the number of running commands
+	MaxBound             int // maximum of that bound
+	MaxBytes             int // total cost of running commands in bytes; a single command may exceed it
+	Quantum              int // bytes added to a session's deficit counter in each turn
 }
 
-// DefaultLimits are the limits where none are configured.
+// DefaultLimits are the limits used if none are configured.
 var DefaultLimits = Limits{MinWindow: 2, MaxWindow: 256, InitialBound: 32, MaxBound: 512, MaxBytes: 64 << 20, Quantum: 64 << 10}
 
 // State is the state of a Pacer.
@@ -31,28 +32,28 @@
 
 // The states of a Pacer.
 const (
-	Open   State = iota // commands run as they come
-	Slow                // commands were rejected, and the bound is lower than it was
-	Closed              // windows are closed; commands that were taken run
+	Open   State = iota // normal operation
+	Slow                // the bound was reduced after rejections and has not recovered
+	Closed              // windows are closed; queued commands still run
 )
 
-// String returns the state's name in logs.
+// String returns the name of the state as it appears in logs.
 func (s State) String() string { return [...]string{"open", "slow", "closed"}[s] }
 
-// Outcome is how a command has ended, as far as it tells of load.
+// Outcome is the result of a command as far as it indicates load.
 type Outcome uint8
 
 // The outcomes of commands.
 const (
 	Served Outcome = iota
 	Rejected
-	Failed // for a reason that tells nothing of load
+	Failed // for a reason unrelated to load
 )
 
-// Command is a command that waits or runs.
+// Command is a waiting or running command.
 type Command struct {
 	Cost    int // bytes
-	Owner   any // the caller's
+	Owner   any // set and used by the caller only
 	session *Session
 }
 
@@ -60,14 +61,14 @@
 type Pacer struct {
 	limits             Limits
 	state              State
-	stateChanged       bool // since TakeStateChange
+	stateChanged       bool // since the last TakeStateChange
 	bound              float64
-	endedSinceDecrease int // commands that ended since the bound was cut
+	endedSinceDecrease int // commands that ended since the bound was last decreased
 	running            int
 	runningBytes       int
 	waiting            int
-	busySessions       int        // with anything waiting or running
-	activeList         []*Session // with something waiting, in the order of their turns
+	busySessions       int        // number of sessions with waiting or running commands
+	activeList         []*Session // sessions in the order of their turns; emptied ones are removed by Next
 }
 
 // New returns a Pacer.
@@ -76,23 +77,23 @@
 // State returns the pacer's state.
 func (p *Pacer) State() State { return p.state }
 
-// Bound returns how many commands may run.
+// Bound returns the maximum number of running commands.
 func (p *Pacer) Bound() int { return max(int(p.bound), 1) }
 
-// Running returns the number of commands that run.
+// Running returns the number of running commands.
 func (p *Pacer) Running() int { return p.running }
 
-// Waiting returns the number of commands that wait.
+// Waiting returns the number of waiting commands.
 func (p *Pacer) Waiting() int { return p.waiting }
 
-// TakeStateChange tells whether the state has changed since the last call.
+// TakeStateChange reports whether the state has changed since the last call.
 func (p *Pacer) TakeStateChange() bool {
 	changed := p.stateChanged
 	p.stateChanged = false
 	return changed
 }
 
-// setState is the one place where the state changes.
+// setState changes the state and records the change for TakeStateChange.
 func (p *Pacer) setState(state State) {
 	if p.state != state {
 		p.state = state
@@ -100,9 +101,9 @@
 	}
 }
 
-// Next returns the command that runs now; nil: none may. Each session's turn has a quantum of bytes, and what is left
-// of it is kept for its next turn as long as it has something waiting: deficit round robin (Shreedhar and Varghese,
-// 1995).
+// Next starts the next command and returns it, or nil if none may start. It selects commands by deficit round robin
+// (Shreedhar and Varghese, 1995): each turn adds a quantum of bytes to a session's deficit counter, and what a turn
+// does not use is kept as long as the session has waiting commands.
 func (p *Pacer) Next() *Command {
 	if p.running >= p.Bound() {
 		return nil
@@ -121,7 +122,7 @@
 			continue
 		}
 		if p.running > 0 && p.runningBytes+command.Cost > p.limits.MaxBytes {
-			return nil // it waits for bytes, and no other passes it
+			return nil // no other command overtakes one that waits for bytes
 		}
 		p.start(command)
 		return command
@@ -129,7 +130,7 @@
 	return nil
 }
 
-// start moves the first command of its session's queue to those that run.
+// start counts the first command of its session's queue as running and removes it from the queue.
 func (p *Pacer) start(command *Command) {
 	session := command.session
 	session.deficit -= command.Cost
@@ -140,8 +141,9 @@
 	p.runningBytes += command.Cost
 }
 
-// Done ends a command that ran, and adapts the bound to the outcome: it is cut by a rejection, once for all commands
-// that ran together, and grows by one for each round of served commands while it is reached.
+// Done ends a running command and adapts the bound to its outcome. A rejection decreases the bound, but only once for
+// all commands that ran at the same time. While the bound is reached, it grows by one for each round of served
+// commands, that is for as many as the bound.
 func (p *Pacer) Done(command *Command, outcome Outcome) {
 	session := command.session
 	atBound := p.running >= p.Bound()
@@ -175,32 +177,32 @@
 	}
 }
 
-// Close closes all windows. Commands that were taken run.
+// Close closes the windows of all sessions. Queued commands still run.
 func (p *Pacer) Close() { p.setState(Closed) }
 
-// Reopen ends what Close began.
+// Reopen undoes Close.
 func (p *Pacer) Reopen() {
 	if p.state == Closed {
 		p.setState(Open)
 	}
 }
 
-// Session is one of a target's sessions.
+// Session is a session of a target with its queue of commands.
 type Session struct {
 	pacer        *Pacer
 	queue        []*Command
 	running      int
-	deficit      int  // bytes that it may still start in this turn
-	inActiveList bool // of the pacer
+	deficit      int  // deficit counter: bytes that the session may still start in this turn
+	inActiveList bool // whether the session is in the pacer's activeList
 }
 
-// NewSession adds a session.
+// NewSession returns a new session of the pacer.
 func (p *Pacer) NewSession() *Session { return &Session{pacer: p} }
 
-// idle tells whether a session has nothing waiting or running.
+// idle reports whether the session has no waiting or running commands.
 func (s *Session) idle() bool { return len(s.queue) == 0 && s.running == 0 }
 
-// Close removes a session, and returns its commands that waited. Those that run still have to be Done.
+// Close removes the session and returns its waiting commands. Done must still be called for the running ones.
 func (s *Session) Close() []*Command {
 	waiting := s.queue
 	s.queue = nil
@@ -211,7 +213,7 @@
 	return waiting
 }
 
-// Enqueue has a command wait for its turn.
+// Enqueue adds a command to the session's queue.
 func (s *Session) Enqueue(command *Command) {
 	p := s.pacer
 	if s.idle() {
@@ -227,13 +229,13 @@
 	}
 }
 
-// Remove removes a command that waits; false: it does not.
+// Remove removes a waiting command and reports whether it was in the queue.
 func (s *Session) Remove(command *Command) bool {
 	index := slices.Index(s.queue, command)
 	if index < 0 {
 		return false
 	}
-	s.queue = append(s.queue[:index:index], s.queue[index+1:]...) // a copy: the array may be shared
+	s.queue = append(s.queue[:index:index], s.queue[index+1:]...) // a copy, because the array may be shared
 	s.pacer.waiting--
 	if s.idle() {
 		s.pacer.busySessions--
@@ -241,8 +243,8 @@
 	return true
 }
 
-// Window returns how many unanswered commands a session may have: all that it wants while there is no crowd, else its
-// share of those that run soon.
+// Window returns the maximum number of unanswered commands of the session. Without contention, that is while fewer
+// commands wait than may run, it is MaxWindow; otherwise it is based on the session's even share of the bound.
 func (s *Session) Window() int {
 	p := s.pacer
 	switch {
@@ -255,5 +257,5 @@
 	return min(max(share, p.limits.MinWindow), p.limits.MaxWindow)
 }
 
-// Outstanding returns how many unanswered commands a session has.
+// Outstanding returns the number of unanswered commands of the session.
 func (s *Session) Outstanding() int { return len(s.queue) + s.running }
--- a/internal/iscsi/pace/pace_test.go
+++ b/internal/iscsi/pace/pace_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// model is a pacer with what it should hold.
+// model is a pacer together with its expected contents.
 type model struct {
 	t        *rapid.T
 	limits   Limits
@@ -19,13 +19,14 @@
 	running  []*Command
 }
 
-// Random arrivals, ends, closed sessions and closings: nothing is lost or comes twice, the bounds hold, the order within
-// a session is kept, and nothing waits while there is room.
+// Checks invariants of the pacer under random sequences of arriving, completed and removed commands, closed sessions
+// and a closed pacer: no command is lost or started twice, the limits hold, each session's order is kept, and
+// commands do not wait while none runs.
 func TestPacerKeepsItsBoundsAndOrder(t *testing.T) {
 	if err := flag.Set("rapid.nofailfile", "true"); err != nil {
 		t.Fatal(err)
 	}
-	if err := flag.Set("rapid.seed", "7"); err != nil { // the same verdict every time
+	if err := flag.Set("rapid.seed", "7"); err != nil { // for reproducible results
 		t.Fatal(err)
 	}
 	rapid.Check(t, func(t *rapid.T) {
@@ -73,7 +74,7 @@
 func (m *model) closeSession(index int) {
 	session := m.sessions[index]
 	if returned := session.Close(); len(returned) != len(m.waiting[session]) {
-		m.t.Fatalf("%d are returned of %d that wait", len(returned), len(m.waiting[session]))
+		m.t.Fatalf("Close returned %d commands, want the %d waiting ones", len(returned), len(m.waiting[session]))
 	}
 	delete(m.waiting, session)
 	m.sessions = slices.Delete(m.sessions, index, index+1)
@@ -86,17 +87,17 @@
 	}
 	index := rapid.IntRange(0, len(waiting)-1).Draw(m.t, "remove")
 	if !session.Remove(waiting[index]) || session.Remove(&Command{}) {
-		m.t.Fatal("a command that waits is not found, or one that does not is")
+		m.t.Fatal("Remove did not find a waiting command, or found one that was never queued")
 	}
 	m.waiting[session] = slices.Delete(slices.Clone(waiting), index, index+1)
 }
 
-// startAll starts what may run.
+// startAll starts all commands that may run.
 func (m *model) startAll() {
 	for command := m.pacer.Next(); command != nil; command = m.pacer.Next() {
 		waiting := m.waiting[command.session]
 		if slices.Contains(m.running, command) || len(waiting) == 0 || waiting[0] != command {
-			m.t.Fatal("a command runs twice, or out of its session's order")
+			m.t.Fatal("Next returned a command that is running already, or not the first of its session")
 		}
 		m.waiting[command.session] = waiting[1:]
 		m.running = append(m.running, command)
@@ -117,17 +118,17 @@
 		bytes += command.Cost
 	}
 	if p.Waiting() != waiting || p.Running() != len(m.running) || p.runningBytes != bytes || p.busySessions < busy {
-		m.t.Fatalf("%d wait of %d, %d run of %d, %d bytes of %d, %d busy of %d",
+		m.t.Fatalf("got %d waiting, want %d; got %d running, want %d; got %d bytes, want %d; got %d busy sessions, want at least %d",
 			p.Waiting(), waiting, p.Running(), len(m.running), p.runningBytes, bytes, p.busySessions, busy)
 	}
 	if len(m.running) > p.limits.MaxBound || len(m.running) > 1 && bytes > m.limits.MaxBytes {
-		m.t.Fatalf("%d run with %d bytes", len(m.running), bytes)
+		m.t.Fatalf("%d commands run with %d bytes in total, want no more than the limits", len(m.running), bytes)
 	}
 	if waiting > 0 && len(m.running) == 0 {
-		m.t.Fatal("all wait, and nothing runs")
+		m.t.Fatal("commands wait, but none runs")
 	}
 	if p.bound < 1 || p.bound > float64(m.limits.MaxBound) {
-		m.t.Fatalf("a bound of %v", p.bound)
+		m.t.Fatalf("got a bound of %v, want one from 1 to MaxBound", p.bound)
 	}
 }
 
@@ -137,11 +138,12 @@
 		lowest, highest = 0, 0
 	}
 	if window < lowest || window > highest {
-		m.t.Fatalf("a window of %d while %v", window, m.pacer.State())
+		m.t.Fatalf("got a window of %d in state %v, want one within the limits and 0 if closed", window, m.pacer.State())
 	}
 }
 
-// serve has a gateway of some slots serve sessions that keep their depths for some rounds, and counts what is served by
+// simulate simulates a gateway that completes at most slots commands in each round, in random order, for sessions
+// that keep a constant queue depth as far as their windows allow. It returns the number of completed commands by
 // session.
 func simulate(pacer *Pacer, depths []int, cost []int, slots, rounds int, seed uint64) (served []int) {
 	random := rand.New(rand.NewPCG(seed, 1))
@@ -165,7 +167,7 @@
 			command := running[k]
 			running = slices.Delete(running, k, k+1)
 			outcome := Served
-			if len(running) > 4*slots { // more than it can do
+			if len(running) > 4*slots { // overload
 				outcome = Rejected
 			}
 			pacer.Done(command, outcome)
@@ -175,25 +177,25 @@
 	return served
 }
 
-// A session with one command at a time is not starved by one with 256, and two with more than their share have even
-// shares of the bytes.
+// A session with one command at a time is not starved by one with 256 outstanding commands. Two sessions that each
+// ask for more than their share get equal shares of the bytes.
 func TestSessionsShareByBytes(t *testing.T) {
 	served := simulate(New(DefaultLimits), []int{1, 256}, []int{4096, 4096}, 4, 10_000, 1)
-	if served[0] < 800 || served[0]+served[1] < 39_000 { // alone it would have 10,000; with 16 inside it waits about four rounds
-		t.Errorf("served %v", served)
+	if served[0] < 800 || served[0]+served[1] < 39_000 { // alone: 10,000; with 16 running it waits about four rounds
+		t.Errorf("depths 1 and 256: got %v commands served, want at least 800 for the first session and 39,000 in total", served)
 	}
 	served = simulate(New(DefaultLimits), []int{32, 256}, []int{4096, 4096}, 4, 10_000, 2)
 	if ratio := float64(served[0]) / float64(served[1]); ratio < 0.9 || ratio > 1.1 {
-		t.Errorf("depths 32 and 256: %v, ratio %.2f", served, ratio)
+		t.Errorf("depths 32 and 256: got %v commands served, ratio %.2f; want a ratio from 0.9 to 1.1", served, ratio)
 	}
 	served = simulate(New(DefaultLimits), []int{256, 256}, []int{4096, 65536}, 4, 10_000, 3)
 	if ratio := float64(served[0]) / float64(16*served[1]); ratio < 0.9 || ratio > 1.1 {
-		t.Errorf("4 KiB and 64 KiB: %v, ratio of bytes %.2f", served, ratio)
+		t.Errorf("4 KiB and 64 KiB: got %v commands served, ratio of bytes %.2f; want a ratio from 0.9 to 1.1", served, ratio)
 	}
 }
 
-// The bound falls when commands are rejected, once for all that ran together, and grows again step by step; each change
-// of state is reported once.
+// The bound decreases once for all rejected commands that ran at the same time, and grows back step by step up to its
+// maximum. Each change of state is reported once.
 func TestBoundFollowsRejections(t *testing.T) {
 	pacer := New(Limits{MinWindow: 1, MaxWindow: 100, InitialBound: 10, MaxBound: 20, MaxBytes: 1 << 30, Quantum: 1})
 	session := pacer.NewSession()
@@ -208,24 +210,24 @@
 	}
 	first := fill()
 	if len(first) != 10 || session.Window() != 20 {
-		t.Fatalf("%d run, window %d", len(first), session.Window())
+		t.Fatalf("got %d running commands and a window of %d, want 10 and 20", len(first), session.Window())
 	}
 	for _, command := range first {
 		pacer.Done(command, Rejected)
 	}
 	if pacer.Bound() != 7 || pacer.State() != Slow || !pacer.TakeStateChange() || pacer.TakeStateChange() {
-		t.Errorf("bound %d, %v", pacer.Bound(), pacer.State())
+		t.Errorf("got bound %d, state %v; want bound 7, state slow, reported once", pacer.Bound(), pacer.State())
 	}
 	for n := 0; pacer.State() == Slow; n++ {
 		if n > 200 {
-			t.Fatalf("bound %v does not come back", pacer.bound)
+			t.Fatalf("the bound is still at %v after 200 rounds without rejections, want state open", pacer.bound)
 		}
 		for _, command := range fill() {
 			pacer.Done(command, Served)
 		}
 	}
 	if !pacer.TakeStateChange() || pacer.Bound() < 10 {
-		t.Errorf("bound %d, %v", pacer.Bound(), pacer.State())
+		t.Errorf("got bound %d, state %v; want at least 10 and a reported change", pacer.Bound(), pacer.State())
 	}
 	for range 500 {
 		for _, command := range fill() {
@@ -233,10 +235,10 @@
 		}
 	}
 	if pacer.Bound() != 20 {
-		t.Errorf("bound %d, 20 is the most", pacer.Bound())
+		t.Errorf("got bound %d, want 20, the maximum", pacer.Bound())
 	}
 	pacer.Close()
 	if session.Window() != 0 || pacer.Next() == nil {
-		t.Error("closed, what was taken goes on and nothing new is taken")
+		t.Error("closed pacer: the window is not 0, or queued commands no longer run")
 	}
 }
--- a/internal/iscsi/text.go
+++ b/internal/iscsi/text.go
@@ -6,14 +6,14 @@
 	"strings"
 )
 
-// maxKeyLength is the longest key of a text, in bytes (RFC 7143, 6.1).
+// maxKeyLength is the maximum length of a key in bytes (RFC 7143, 6.1).
 const maxKeyLength = 63
 
-// Pair is a key of a text with its value.
+// Pair is a key=value pair of a text.
 type Pair struct{ Key, Value string }
 
 // ErrMalformedText is returned for text that is not a list of key=value pairs.
-var ErrMalformedText = errors.New("iscsi: a text is not made of key=value pairs")
+var ErrMalformedText = errors.New("iscsi: malformed text, not a list of key=value pairs")
 
 // DecodeText parses the key=value pairs of a text (RFC 7143, 6.1). Its errors wrap ErrMalformedText.
 func DecodeText(text []byte) (pairs []Pair, err error) {
@@ -30,7 +30,7 @@
 	return pairs, nil
 }
 
-// EncodeText writes keys and values as a text.
+// EncodeText encodes pairs as a text.
 func EncodeText(pairs []Pair) (text []byte) {
 	for _, pair := range pairs {
 		text = append(text, pair.Key...)
