--- a/internal/wire/fields.go
+++ b/internal/wire/fields.go
@@ -9,148 +9,150 @@
 	"irispost/scheduler"
 )
 
-// FieldError says what is wrong with a part of a line.
+// FieldError describes what is wrong with a field of a line.
 type FieldError struct {
-	Field   string // its name
+	Field   string // name of the field
 	Problem string
 }
 
-// Error implements error.
+// Error returns the name of the field and the problem.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Problem }
 
-// Fields are the parts of a line, read from the left. Each method that reads one takes its name for errors.
+// Fields reads the tab-separated fields of a line from left to right. The methods that read a field take its name,
+// which they use in errors.
 type Fields struct {
 	rest []byte
 	more bool
-	Err  error // about the first part that is missing or malformed, a *FieldError; nil: none is
+	Err  error // a *FieldError about the first missing or malformed field; nil if there is none
 }
 
-// More tells whether parts are left.
+// More reports whether fields are left.
 func (f *Fields) More() bool { return f.more }
 
-// fail keeps an error unless there is one already.
+// fail sets Err unless it is set already.
 func (f *Fields) fail(name, problem string) {
 	if f.Err == nil {
 		f.Err = &FieldError{Field: name, Problem: problem}
 	}
 }
 
-// failNotInteger keeps the error that a part is no whole number.
-func (f *Fields) failNotInteger(name string, part []byte) {
-	f.fail(name, fmt.Sprintf("%q is not a whole number", part))
+// failNotInteger sets the error that a field is not a whole number.
+func (f *Fields) failNotInteger(name string, field []byte) {
+	f.fail(name, fmt.Sprintf("%q is not a whole number", field))
 }
 
-// optional reads a part that may be absent; nil if it is. An absent part is "-", or not there at the end of the line.
+// optional reads a field that may be absent and returns nil if it is. An absent field is "-" or is left out at the
+// end of the line.
 func (f *Fields) optional() []byte {
 	if !f.more {
 		return nil
 	}
-	part := f.rest
+	field := f.rest
 	if i := bytes.IndexByte(f.rest, '\t'); i >= 0 {
-		part = f.rest[:i]
+		field = f.rest[:i]
 		f.rest = f.rest[i+1:]
 	} else {
 		f.more = false
 	}
-	if len(part) == 1 && part[0] == '-' {
+	if len(field) == 1 && field[0] == '-' {
 		return nil
 	}
-	return part
+	return field
 }
 
-// Bytes reads a part that has to be there. It is valid until the reader's next line.
+// Bytes reads a required field. The bytes are valid until the reader's next line.
 func (f *Fields) Bytes(name string) []byte {
-	part := f.optional()
-	if part == nil {
+	field := f.optional()
+	if field == nil {
 		f.fail(name, "missing")
 	}
-	return part
+	return field
 }
 
-// Text reads a part that has to be there as a string.
+// Text reads a required field as a string.
 func (f *Fields) Text(name string) string { return string(f.Bytes(name)) }
 
-// Skip passes over a part.
+// Skip skips a field.
 func (f *Fields) Skip() { f.optional() }
 
-// Int reads a whole number that has to be there.
+// Int reads a required whole number.
 func (f *Fields) Int(name string) int64 {
-	part := f.Bytes(name)
-	if part == nil {
+	field := f.Bytes(name)
+	if field == nil {
 		return 0
 	}
-	v, ok := parseInteger(part)
+	v, ok := parseInteger(field)
 	if !ok {
-		f.failNotInteger(name, part)
+		f.failNotInteger(name, field)
 	}
 	return v
 }
 
-// Key reads a whole number that may be absent, and tells whether it is there.
-func (f *Fields) Key(name string) (int64, bool) {
-	part := f.optional()
-	if part == nil {
+// OptionalInt reads a whole number that may be absent. It returns false if the field is absent or malformed.
+func (f *Fields) OptionalInt(name string) (int64, bool) {
+	field := f.optional()
+	if field == nil {
 		return 0, false
 	}
-	v, ok := parseInteger(part)
+	v, ok := parseInteger(field)
 	if !ok {
-		f.failNotInteger(name, part)
+		f.failNotInteger(name, field)
 	}
 	return v, ok
 }
 
-// Seed reads a whole number of up to 64 bits without a sign that has to be there.
-func (f *Fields) Seed(name string) uint64 {
-	part := f.Bytes(name)
-	if part == nil {
+// Uint64 reads a required unsigned whole number of up to 64 bits.
+func (f *Fields) Uint64(name string) uint64 {
+	field := f.Bytes(name)
+	if field == nil {
 		return 0
 	}
-	v, err := strconv.ParseUint(string(part), 10, 64)
+	v, err := strconv.ParseUint(string(field), 10, 64)
 	if err != nil {
-		f.failNotInteger(name, part)
+		f.failNotInteger(name, field)
 	}
 	return v
 }
 
-// Number reads a finite number; one that is absent is 0.
-func (f *Fields) Number(name string) float64 {
-	part := f.optional()
-	if part == nil {
+// Float64 reads a finite number. An absent field is 0.
+func (f *Fields) Float64(name string) float64 {
+	field := f.optional()
+	if field == nil {
 		return 0
 	}
-	if v, ok := parseInteger(part); ok {
+	if v, ok := parseInteger(field); ok {
 		return float64(v)
 	}
-	v, err := strconv.ParseFloat(string(part), 64)
+	v, err := strconv.ParseFloat(string(field), 64)
 	if err != nil || math.IsNaN(v) || math.IsInf(v, 0) {
-		f.fail(name, fmt.Sprintf("%q is not a number", part))
+		f.fail(name, fmt.Sprintf("%q is not a number", field))
 		return 0
 	}
 	return v
 }
 
-// Bool reads a part that has to be 0 or 1.
+// Bool reads a required field that must be 0 or 1.
 func (f *Fields) Bool(name string) bool {
-	part := f.Bytes(name)
+	field := f.Bytes(name)
 	switch {
-	case part == nil:
+	case field == nil:
 		return false
-	case len(part) != 1 || part[0] != '0' && part[0] != '1':
-		f.fail(name, fmt.Sprintf("%q is neither 0 nor 1", part))
+	case len(field) != 1 || field[0] != '0' && field[0] != '1':
+		f.fail(name, fmt.Sprintf("%q is neither 0 nor 1", field))
 		return false
 	}
-	return part[0] == '1'
+	return field[0] == '1'
 }
 
-// Time reads milliseconds with fractions as whole nanoseconds; a time that is absent is 0.
+// Time reads a time in milliseconds, with fractions, as whole nanoseconds. An absent field is 0.
 func (f *Fields) Time(name string) scheduler.Time {
-	part := f.optional()
-	if part == nil {
+	field := f.optional()
+	if field == nil {
 		return 0
 	}
-	t, ok := ParseTime(part)
+	t, ok := ParseTime(field)
 	if !ok {
-		f.fail(name, fmt.Sprintf("%q is not a time", part))
+		f.fail(name, fmt.Sprintf("%q is not a time", field))
 	}
 	return t
 }
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -13,8 +13,8 @@
 	"irispost/scheduler"
 )
 
-// TestNamesMatchGolden compares what the scheduler gets for each setting, word, completion code and availability of
-// the wire.
+// TestNamesMatchGolden compares the translations of all setting names, values, completion codes and endpoint states
+// of the wire with the golden file.
 func TestNamesMatchGolden(t *testing.T) {
 	var out strings.Builder
 	translate := func(path, value string) {
@@ -43,13 +43,13 @@
 	}
 	for _, word := range []string{"ready", "draining", "gone", "other", "-"} {
 		f := Fields{rest: []byte(word), more: true}
-		state := f.Availability("availability")
+		state := f.EndpointState("availability")
 		fmt.Fprintf(&out, "availability %s -> %d, %v\n", word, state, f.Err)
 	}
 	golden.Check(t, "names.txt", []byte(out.String()))
 }
 
-// TestValuesMatchGolden compares how each value is read from a line and written to one.
+// TestValuesMatchGolden compares how values of each type are read and written with the golden file.
 func TestValuesMatchGolden(t *testing.T) {
 	var out bytes.Buffer
 	readers := []struct {
@@ -58,9 +58,9 @@
 	}{
 		{"bool", func(f *Fields) any { return f.Bool("v") }},
 		{"int", func(f *Fields) any { return f.Int("v") }},
-		{"key", func(f *Fields) any { v, ok := f.Key("v"); return fmt.Sprint(v, " ", ok) }},
-		{"number", func(f *Fields) any { return f.Number("v") }},
-		{"seed", func(f *Fields) any { return f.Seed("v") }},
+		{"key", func(f *Fields) any { v, ok := f.OptionalInt("v"); return fmt.Sprint(v, " ", ok) }},
+		{"number", func(f *Fields) any { return f.Float64("v") }},
+		{"seed", func(f *Fields) any { return f.Uint64("v") }},
 		{"text", func(f *Fields) any { return f.Text("v") }},
 		{"time", func(f *Fields) any { return f.Time("v") }},
 	}
