--- a/internal/iscsi/initiator/options.go
+++ b/internal/iscsi/initiator/options.go
@@ -55,7 +55,7 @@
 	errDataDigest              = errors.New("data digest mismatch")
 	errSecurityStageIncomplete = errors.New("iscsi: target did not end the security stage")
 	errLoginIncomplete         = errors.New("iscsi: target did not end the login phase")
-	errTargetNotAuthenticated  = errors.New("iscsi: target failed to authenticate")
+	errTargetNotAuthenticated  = errors.New("iscsi: target does not prove its identity")
 )
 
 // Reply is the result of a SCSI command.
