--- a/cmd/irispost/disk_test.go
+++ b/cmd/irispost/disk_test.go
@@ -10,7 +10,8 @@
 	"irispost/internal/testkit"
 )
 
-// A disk is found, told of, written, read back and measured.
+// The disk commands discover a target, show its size, write data, read the same data back, and run the benchmark.
+// Each output or error contains the expected text.
 func TestDisksAreFoundReadWrittenAndMeasured(t *testing.T) {
 	const name = "iqn.2026-01.example:d"
 	const disks = `disks {
@@ -23,14 +24,14 @@
   }
 }
 `
-	w := testkit.Start(t, testkit.Conf+disks, 2, 1, nil)
+	bed := testkit.Start(t, testkit.Conf+disks, 2, 1, nil)
 	dir := t.TempDir()
 	from, to := filepath.Join(dir, "from"), filepath.Join(dir, "to")
 	data := bytes.Repeat([]byte("menu of the week\n"), 10_000)
 	if err := os.WriteFile(from, data, 0o644); err != nil {
 		t.Fatal(err)
 	}
-	at := w.Gateways[0].ISCSI.Addr()
+	at := bed.Gateways[0].ISCSI.Addr()
 	for _, c := range []struct {
 		args, out string
 		fails     bool
@@ -49,10 +50,10 @@
 			out += err.Error()
 		}
 		if (err != nil) != c.fails || !strings.Contains(out, c.out) {
-			t.Errorf("%s: %q, %v", c.args, out, err)
+			t.Errorf("disk %s: got output %q and error %v, want the text and outcome of the case", c.args, out, err)
 		}
 	}
 	if got, err := os.ReadFile(to); err != nil || !bytes.HasPrefix(got, data) || len(got) != 172032 {
-		t.Errorf("%d bytes come back, %v", len(got), err)
+		t.Errorf("read back %d bytes, error %v; want 172032 bytes that begin with the data written", len(got), err)
 	}
 }
