--- a/cmd/irispost/diskbench.go
+++ b/cmd/irispost/diskbench.go
@@ -38,9 +38,9 @@
 			return err
 		}
 		defer func() { _ = disk.Close() }()
-		if *size <= 0 || *size%int(disk.Block) != 0 || int64(*size) > disk.Size() {
+		if *size <= 0 || *size%int(disk.BlockSize) != 0 || int64(*size) > disk.Size() {
 			return fmt.Errorf("--size %d: must be one or more whole blocks of %d bytes, and at most the size of the disk",
-				*size, disk.Block)
+				*size, disk.BlockSize)
 		}
 		slots := min(disk.Size(), benchBytes) / int64(*size)
 		for slot := range slots { // so that reads return written data
