--- a/internal/iscsi/initiator/command.go
+++ b/internal/iscsi/initiator/command.go
@@ -7,8 +7,8 @@
 	"irispost/internal/scsi"
 )
 
-// attributeSimple is the task attribute of a command, in its flags (RFC 7143, 11.3.1).
-const attributeSimple = 0x01
+// taskAttributeSimple is the task attribute SIMPLE in the flags of a SCSI command (RFC 7143, 11.3.1).
+const taskAttributeSimple = 0x01
 
 // Task management functions (RFC 7143, 11.5.1).
 const (
@@ -16,29 +16,29 @@
 	functionLUNReset  = 5
 )
 
-// Start sends a command as soon as the command window allows, and returns its tag and the channel of its answer, which
-// is closed without one if the session is lost. out is what the command brings, in how many bytes it is answered with
-// at most.
+// Start sends a SCSI command as soon as the command window allows. It returns the task tag and a channel that
+// delivers the reply; the channel is closed without a reply if the session is lost. out is the data to send, in the
+// maximum number of bytes to receive.
 func (s *Session) Start(lun uint16, cdb, out []byte, in int) (uint32, <-chan Reply, error) {
 	s.lock.Lock()
 	for s.err == nil && int32(s.cmdSN-s.maxCmdSN) > 0 {
-		s.changed.Wait()
+		s.stateChanged.Wait()
 	}
 	if s.err != nil {
 		defer s.lock.Unlock()
 		return 0, nil, s.err
 	}
 	tag := s.newTag()
-	started := &call{opcode: cdb[0], out: out, maxIn: in, done: make(chan Reply, 1)}
-	s.calls[tag] = started
+	pending := &pendingCommand{opcode: cdb[0], out: out, maxIn: in, done: make(chan Reply, 1)}
+	s.pendingCommands[tag] = pending
 	immediate, unsolicited := s.splitFirstBurst(len(out))
 	pdu := s.newCommand(tag, lun, cdb, len(out), in).SetData(out[:immediate])
 	if unsolicited == 0 {
 		pdu.SetByte(iscsi.OffsetFlags, pdu.Flags()|iscsi.Final)
 	}
 	s.cmdSN++
-	s.report(Event{Session: s.name, Tag: tag, Op: started.opcode, Sent: true})
-	s.writeLock.Lock() // before lock is released: commands are sent in the order of their numbers
+	s.emitEvent(Event{Session: s.name, Tag: tag, Op: pending.opcode, Sent: true})
+	s.writeLock.Lock() // taken before lock is released, so that commands are sent in the order of their CmdSN
 	s.lock.Unlock()
 	err := s.writeLocked(pdu)
 	s.writeLock.Unlock()
@@ -50,12 +50,12 @@
 		data := out[immediate : immediate+unsolicited]
 		s.sendData(tag, iscsi.NoTag, scsi.EncodeLUN(lun), uint32(immediate), data)
 	}
-	return tag, started.done, nil
+	return tag, pending.done, nil
 }
 
-// newCommand returns a command without its data. The caller holds the lock.
+// newCommand returns the PDU of a SCSI command without its data. The caller holds the lock.
 func (s *Session) newCommand(tag uint32, lun uint16, cdb []byte, out, in int) *iscsi.PDU {
-	flags, expected := byte(attributeSimple), in
+	flags, expected := byte(taskAttributeSimple), in
 	if in > 0 {
 		flags |= iscsi.Reads
 	}
@@ -70,8 +70,8 @@
 	return pdu
 }
 
-// splitFirstBurst returns how many of a command's bytes go with the command, and how many after it before they are
-// asked for.
+// splitFirstBurst returns how many bytes of a command's data are sent as immediate data in the command PDU, and how
+// many as unsolicited Data-Out PDUs after it.
 func (s *Session) splitFirstBurst(out int) (immediate, unsolicited int) {
 	burst := min(out, s.params.FirstBurst)
 	if s.params.ImmediateData {
@@ -83,7 +83,7 @@
 	return immediate, unsolicited
 }
 
-// Do sends a command and waits for its answer. If the context ends before, the command is aborted.
+// Do sends a SCSI command and waits for its reply. If the context ends first, it aborts the command.
 func (s *Session) Do(ctx context.Context, lun uint16, cdb, out []byte, in int) (Reply, error) {
 	tag, done, err := s.Start(lun, cdb, out, in)
 	if err != nil {
@@ -96,13 +96,13 @@
 		}
 		return reply, nil
 	case <-ctx.Done():
-		_, _ = s.Abort(lun, tag) // the caller has given up either way
+		_, _ = s.AbortTask(lun, tag) // Do returns the context's error in any case
 		return Reply{}, ctx.Err()
 	}
 }
 
-// manageTask sends a task management function and waits for its answer.
-func (s *Session) manageTask(function byte, lun uint16, referenced uint32) (byte, error) {
+// requestTaskManagement sends a task management function and returns the response code.
+func (s *Session) requestTaskManagement(function byte, lun uint16, referenced uint32) (byte, error) {
 	s.lock.Lock()
 	if s.err != nil {
 		defer s.lock.Unlock()
@@ -110,7 +110,7 @@
 	}
 	tag := s.newTag()
 	answer := make(chan byte, 1)
-	s.managements[tag] = answer
+	s.pendingTaskManagement[tag] = answer
 	pdu := s.newRequest(iscsi.TaskManagementRequest, iscsi.Final|function, tag).
 		SetImmediate().
 		SetLUN(scsi.EncodeLUN(lun)).
@@ -124,23 +124,23 @@
 	return response, nil
 }
 
-// Abort aborts a command: after this, no effect of it comes any more. It returns the target's response (RFC 7143,
-// 11.6.1).
-func (s *Session) Abort(lun uint16, tag uint32) (byte, error) {
-	response, err := s.manageTask(functionAbortTask, lun, tag)
+// AbortTask aborts a command. Once it returns, the command has no further effect. It returns the target's response
+// (RFC 7143, 11.6.1).
+func (s *Session) AbortTask(lun uint16, tag uint32) (byte, error) {
+	response, err := s.requestTaskManagement(functionAbortTask, lun, tag)
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	delete(s.calls, tag)
+	delete(s.pendingCommands, tag)
 	return response, err
 }
 
-// Reset resets a unit: all commands at it are aborted, of all sessions. It returns the target's response (RFC 7143,
-// 11.6.1).
-func (s *Session) Reset(lun uint16) (byte, error) {
-	return s.manageTask(functionLUNReset, lun, iscsi.NoTag)
+// ResetLUN resets a logical unit: all its commands are aborted, those of other sessions too. It returns the target's
+// response (RFC 7143, 11.6.1).
+func (s *Session) ResetLUN(lun uint16) (byte, error) {
+	return s.requestTaskManagement(functionLUNReset, lun, iscsi.NoTag)
 }
 
-// Ping sends a ping and waits for its answer.
+// Ping sends a NOP-Out and waits for the NOP-In that answers it.
 func (s *Session) Ping() error {
 	s.lock.Lock()
 	if s.err != nil {
@@ -149,7 +149,7 @@
 	}
 	tag := s.newTag()
 	answer := make(chan struct{})
-	s.pings[tag] = answer
+	s.pendingPings[tag] = answer
 	pdu := s.newRequest(iscsi.NopOut, iscsi.Final, tag).
 		SetImmediate().
 		SetUint32(iscsi.OffsetTransferTag, iscsi.NoTag).
--- a/internal/iscsi/initiator/login.go
+++ b/internal/iscsi/initiator/login.go
@@ -12,27 +12,27 @@
 )
 
 const (
-	loginTag           = 1
-	currentStageShift  = 2         // of the current stage in a login's flags
-	maxLoginData       = 64 << 10  // bytes of an answer
-	minSegment         = 512       // bytes that a target may declare
-	preferredMaxBurst  = "1048576" // bytes
-	preferredFirst     = "262144"  // bytes, FirstBurstLength
-	preferredR2T       = "4"
-	digestCRC32C       = "CRC32C"
-	chapMD5            = "5"
-	ownChallengeID     = 7
-	notUnderstoodValue = "NotUnderstood"
+	loginTag                   = 1
+	currentStageShift          = 2         // position of the current stage (CSG) in the flags of a login request
+	maxLoginData               = 64 << 10  // maximum length of a login response's data in bytes
+	minSegment                 = 512       // lowest length in bytes that a target may declare
+	preferredMaxBurst          = "1048576" // MaxBurstLength, bytes
+	preferredFirstBurst        = "262144"  // FirstBurstLength, bytes
+	preferredMaxOutstandingR2T = "4"
+	digestCRC32C               = "CRC32C"
+	chapMD5                    = "5"
+	ownChallengeID             = 7
+	notUnderstoodValue         = "NotUnderstood"
 )
 
-// loginAnswer is what a target answers to a login request.
-type loginAnswer struct {
+// loginResponse is a target's response to a login request.
+type loginResponse struct {
 	keys    map[string]string
-	transit bool // to the next stage
+	transit bool // the target agrees to enter the next stage
 }
 
-// sendLogin sends keys of a login and reads the answer.
-func (s *Session) sendLogin(reader connReader, current, next negotiate.Stage, pairs []iscsi.Pair) (loginAnswer, error) {
+// exchangeLogin sends a login request with pairs and reads the response.
+func (s *Session) exchangeLogin(reader connReader, current, next negotiate.Stage, pairs []iscsi.Pair) (loginResponse, error) {
 	flags := byte(current)<<currentStageShift | byte(next)
 	if current != next {
 		flags |= iscsi.Final
@@ -40,18 +40,18 @@
 	pdu := s.newRequest(iscsi.LoginRequest, flags, loginTag).SetImmediate().SetData(iscsi.EncodeText(pairs))
 	copy(pdu.ISID(), s.options.ISID[:])
 	if err := s.write(pdu); err != nil {
-		return loginAnswer{}, err
+		return loginResponse{}, err
 	}
 	answer, err := iscsi.Read(reader, iscsi.Digests{}, maxLoginData)
 	if err != nil {
-		return loginAnswer{}, err
+		return loginResponse{}, err
 	}
 	if answer.Opcode() != iscsi.LoginResponse {
-		return loginAnswer{}, fmt.Errorf("iscsi: a login is answered by a PDU of kind %#x", byte(answer.Opcode()))
+		return loginResponse{}, fmt.Errorf("iscsi: unexpected response to a login request, opcode %#x", byte(answer.Opcode()))
 	}
 	if class := answer.Header[iscsi.OffsetStatusClass]; class != 0 {
 		detail := answer.Header[iscsi.OffsetStatusDetail]
-		return loginAnswer{}, &negotiate.Rejection{Class: class, Detail: detail, Reason: "the target says so"}
+		return loginResponse{}, &negotiate.Rejection{Class: class, Detail: detail, Reason: "the target says so"}
 	}
 	s.expStatSN = answer.Uint32(iscsi.OffsetStatSN) + 1
 	s.maxCmdSN = answer.Uint32(iscsi.OffsetMaxCmdSN)
@@ -61,12 +61,12 @@
 	for _, pair := range answers {
 		keys[pair.Key] = pair.Value
 	}
-	return loginAnswer{keys: keys, transit: answer.Final()}, err
+	return loginResponse{keys: keys, transit: answer.Final()}, err
 }
 
-// login logs in. Nobody else uses the session yet.
+// login runs the login phase. No other goroutine uses the session yet.
 func (s *Session) login(reader connReader) error {
-	answer, err := s.sendLogin(reader, negotiate.Security, negotiate.Operational, s.securityKeys())
+	answer, err := s.exchangeLogin(reader, negotiate.Security, negotiate.Operational, s.securityKeys())
 	if err != nil {
 		return err
 	}
@@ -77,16 +77,16 @@
 		}
 	}
 	if !transit {
-		return errSecurityNotEnded
+		return errSecurityStageIncomplete
 	}
-	answer, err = s.sendLogin(reader, negotiate.Operational, negotiate.FullFeature, s.operationalKeys())
+	answer, err = s.exchangeLogin(reader, negotiate.Operational, negotiate.FullFeature, s.operationalKeys())
 	if err != nil {
 		return err
 	}
 	if !answer.transit {
-		return errLoginNotEnded
+		return errLoginIncomplete
 	}
-	return s.adopt(answer.keys)
+	return s.applyOperationalKeys(answer.keys)
 }
 
 func (s *Session) securityKeys() []iscsi.Pair {
@@ -111,10 +111,10 @@
 		digests = "CRC32C,None"
 	}
 	pairs := []iscsi.Pair{
-		{Key: negotiate.SessionKey, Value: "?"},
+		{Key: negotiate.SessionNameKey, Value: "?"},
 		{Key: "HeaderDigest", Value: digests},
 		{Key: "DataDigest", Value: digests},
-		{Key: "MaxRecvDataSegmentLength", Value: strconv.Itoa(s.options.Segment)},
+		{Key: "MaxRecvDataSegmentLength", Value: strconv.Itoa(s.options.MaxRecvSegment)},
 		{Key: "DefaultTime2Wait", Value: "0"},
 		{Key: "DefaultTime2Retain", Value: "0"},
 		{Key: "ErrorRecoveryLevel", Value: "0"},
@@ -123,11 +123,11 @@
 		return pairs
 	}
 	return append(pairs,
-		iscsi.Pair{Key: "InitialR2T", Value: yesOrNo(s.options.Solicit)},
-		iscsi.Pair{Key: "ImmediateData", Value: yesOrNo(!s.options.Solicit)},
+		iscsi.Pair{Key: "InitialR2T", Value: yesOrNo(s.options.SolicitedOnly)},
+		iscsi.Pair{Key: "ImmediateData", Value: yesOrNo(!s.options.SolicitedOnly)},
 		iscsi.Pair{Key: "MaxBurstLength", Value: preferredMaxBurst},
-		iscsi.Pair{Key: "FirstBurstLength", Value: preferredFirst},
-		iscsi.Pair{Key: "MaxOutstandingR2T", Value: preferredR2T},
+		iscsi.Pair{Key: "FirstBurstLength", Value: preferredFirstBurst},
+		iscsi.Pair{Key: "MaxOutstandingR2T", Value: preferredMaxOutstandingR2T},
 		iscsi.Pair{Key: "MaxConnections", Value: "1"})
 }
 
@@ -138,9 +138,9 @@
 	return "No"
 }
 
-// adopt takes over what the target has answered in the operational stage.
-func (s *Session) adopt(keys map[string]string) error {
-	s.params.OwnMaxSegment = s.options.Segment
+// applyOperationalKeys applies the parameters that the target returned in the operational stage.
+func (s *Session) applyOperationalKeys(keys map[string]string) error {
+	s.params.OwnMaxSegment = s.options.MaxRecvSegment
 	for key, parameter := range map[string]*int{
 		"MaxRecvDataSegmentLength": &s.params.PeerMaxSegment,
 		"MaxBurstLength":           &s.params.MaxBurst,
@@ -152,26 +152,26 @@
 		}
 		number, err := strconv.Atoi(value)
 		if err != nil || number < minSegment {
-			return fmt.Errorf("iscsi: the target answers %s=%q", key, value)
+			return fmt.Errorf("iscsi: target returned an invalid parameter: %s=%q", key, value)
 		}
 		*parameter = number
 	}
 	s.params.InitialR2T = keys["InitialR2T"] != "No"
 	s.params.ImmediateData = keys["ImmediateData"] != "No"
 	s.digests = iscsi.Digests{Header: keys["HeaderDigest"] == digestCRC32C, Data: keys["DataDigest"] == digestCRC32C}
-	s.name = keys[negotiate.SessionKey]
+	s.name = keys[negotiate.SessionNameKey]
 	if s.name == "" || s.name == notUnderstoodValue {
 		s.name = s.conn.LocalAddr().String()
 	}
 	return nil
 }
 
-// authenticate answers the target's challenge, and challenges the target where a secret for that is known. It tells
-// whether the security stage has ended.
+// authenticate answers the target's CHAP challenge, and challenges the target if the account has a secret for it.
+// transit reports whether the target has ended the security stage.
 func (s *Session) authenticate(reader connReader) (transit bool, err error) {
 	account := &s.options.Account
 	selected := []iscsi.Pair{{Key: "CHAP_A", Value: chapMD5}}
-	answer, err := s.sendLogin(reader, negotiate.Security, negotiate.Security, selected)
+	answer, err := s.exchangeLogin(reader, negotiate.Security, negotiate.Security, selected)
 	if err != nil {
 		return false, err
 	}
@@ -179,7 +179,7 @@
 	id, idErr := strconv.Atoi(answer.keys["CHAP_I"])
 	err = errors.Join(err, idErr)
 	if err != nil || answer.keys["CHAP_A"] != chapMD5 {
-		return false, fmt.Errorf("iscsi: the target's challenge cannot be read: %w", err)
+		return false, fmt.Errorf("iscsi: invalid CHAP challenge from the target: %w", err)
 	}
 	response := negotiate.CHAPResponse(byte(id), account.Secret, challenge)
 	pairs := []iscsi.Pair{{Key: "CHAP_N", Value: account.Name}, {Key: "CHAP_R", Value: negotiate.EncodeBinary(response)}}
@@ -190,21 +190,21 @@
 			iscsi.Pair{Key: "CHAP_I", Value: strconv.Itoa(ownChallengeID)},
 			iscsi.Pair{Key: "CHAP_C", Value: negotiate.EncodeBinary(ownChallenge)})
 	}
-	answer, err = s.sendLogin(reader, negotiate.Security, negotiate.Operational, pairs)
+	answer, err = s.exchangeLogin(reader, negotiate.Security, negotiate.Operational, pairs)
 	if err != nil {
 		return false, err
 	}
 	if ownChallenge != nil {
 		want := negotiate.CHAPResponse(ownChallengeID, account.TargetSecret, ownChallenge)
 		if answer.keys["CHAP_R"] != negotiate.EncodeBinary(want) {
-			return false, errNotAuthenticated
+			return false, errTargetNotAuthenticated
 		}
 	}
 	return answer.transit, nil
 }
 
-// newChallenge returns a challenge that the target cannot foresee: it depends on a secret, the target's challenge and
-// the time.
+// newChallenge returns a challenge that an impostor cannot predict, because it depends on a secret, besides the
+// target's challenge and the time.
 func newChallenge(id byte, secret string, challenge []byte) []byte {
 	hash := negotiate.CHAPResponse(id, secret, challenge)
 	return binary.BigEndian.AppendUint64(hash, uint64(time.Now().UnixNano()))
--- a/internal/iscsi/target/session.go
+++ b/internal/iscsi/target/session.go
@@ -16,15 +16,15 @@
 )
 
 const (
-	maxLoginData    = 8192            // bytes of a PDU before the parameters are negotiated
-	discoveryWindow = 8               // commands of a discovery session
-	sendTimeout     = 1 * time.Second // for the last answer of a session
+	maxLoginData           = 8192            // maximum bytes of data in a login PDU
+	discoveryCommandWindow = 8               // command window of a discovery session
+	sendTimeout            = 1 * time.Second // limit for sending the last response of a session
 )
 
-// Reasons why a connection is closed.
+// Errors that close a connection.
 var (
-	errLoginTimeout = errors.New("the login takes too long")
-	errDataDigest   = errors.New("a data digest does not fit")
+	errLoginTimeout = errors.New("login timed out")
+	errDataDigest   = errors.New("data digest mismatch")
 )
 
 // sessionState is the state of a session. Only session.setState changes it.
@@ -37,35 +37,35 @@
 	stateEnded
 )
 
-// session is one initiator's connection. It is the packetconn.Handler of that connection: ReadPacket is called by the
-// connection's goroutine, Closed once at its end.
+// session is an iSCSI session with its only connection. It implements packetconn.Handler: the connection's goroutine
+// calls ReadPacket, and Closed is called once when the connection has ended.
 type session struct {
 	server     *Server
 	conn       *packetconn.Conn
 	login      *negotiate.Login
-	loginTimer *time.Timer // closes the connection of a login that takes too long
+	loginTimer *time.Timer // closes the connection if the login exceeds its time limit
 	client     *front.Client
 	pacing     *pace.Session // nil before the full feature phase, and in a discovery session
-	target     *Target       // likewise
+	target     *Target       // nil in the same cases as pacing
 	identity   identity
 
-	lock            sync.Mutex // guards what follows, and the tasks
+	lock            sync.Mutex // guards the fields below and the state of the tasks
 	state           sessionState
 	digests         iscsi.Digests
 	params          negotiate.Params
 	tsih            uint16
-	started         bool   // the first login request has come
-	expCmdSN        uint32 // the next command number
-	maxCmdSN        uint32 // the last one in the window
+	started         bool   // the first login request has been received
+	expCmdSN        uint32 // next expected CmdSN
+	maxCmdSN        uint32 // last CmdSN in the command window
 	statSN          uint32
-	lastTransferTag uint32 // of an R2T
+	lastTransferTag uint32 // target transfer tag of the latest R2T
 	tasks           map[uint32]*task
-	outOfOrder      map[uint32]*iscsi.PDU // requests that came before an earlier one, by command number
-	text            []byte                // of a text request in parts
+	outOfOrder      map[uint32]*iscsi.PDU // requests that arrived before an earlier one, by CmdSN
+	text            []byte                // received so far of a text request that spans several PDUs
 }
 
 func newSession(server *Server, conn *packetconn.Conn) *session {
-	x := &session{
+	sess := &session{
 		server:     server,
 		conn:       conn,
 		client:     server.options.Front.NewClient(),
@@ -74,143 +74,143 @@
 		statSN:     1,
 	}
 	options := server.loginOptions()
-	options.Session = x.client.Name
-	x.login = negotiate.NewLogin(options)
-	x.loginTimer = time.AfterFunc(server.options.Limits.Login, func() {
-		if x.currentState() == stateLoggingIn {
+	options.SessionName = sess.client.Name
+	sess.login = negotiate.NewLogin(options)
+	sess.loginTimer = time.AfterFunc(server.options.Limits.Login, func() {
+		if sess.currentState() == stateLoggingIn {
 			conn.Close(errLoginTimeout)
 		}
 	})
-	return x
+	return sess
 }
 
-// setState is the one place where a session's state changes. The caller holds the lock.
-func (x *session) setState(state sessionState) { x.state = state }
+// setState sets the session's state; nothing else does. The caller holds the lock.
+func (sess *session) setState(state sessionState) { sess.state = state }
 
-func (x *session) currentState() sessionState {
-	x.lock.Lock()
-	defer x.lock.Unlock()
-	return x.state
+func (sess *session) currentState() sessionState {
+	sess.lock.Lock()
+	defer sess.lock.Unlock()
+	return sess.state
 }
 
-// Closed ends the session: its requests are cancelled.
-func (x *session) Closed(cause error) {
-	x.server.options.Log.Debug("session closed", "initiator", x.identity.initiator, "err", cause)
-	x.end()
+// Closed ends the session and cancels its requests.
+func (sess *session) Closed(cause error) {
+	sess.server.options.Log.Debug("session closed", "initiator", sess.identity.initiator, "err", cause)
+	sess.end()
 }
 
-// end ends the session, once.
-func (x *session) end() {
-	x.loginTimer.Stop()
-	x.lock.Lock()
-	before := x.state
-	x.setState(stateEnded)
-	x.lock.Unlock()
+// end ends the session. Further calls have no effect.
+func (sess *session) end() {
+	sess.loginTimer.Stop()
+	sess.lock.Lock()
+	before := sess.state
+	sess.setState(stateEnded)
+	sess.lock.Unlock()
 	if before == stateEnded || before == stateLoggingIn {
 		return
 	}
-	x.server.removeSession(x)
-	if x.target == nil {
+	sess.server.removeSession(sess)
+	if sess.target == nil {
 		return
 	}
-	x.client.Close()
-	x.server.pacerLock.Lock()
-	waiting := x.pacing.Close()
-	x.server.pacerLock.Unlock()
+	sess.client.Close()
+	sess.server.pacerLock.Lock()
+	waiting := sess.pacing.Close()
+	sess.server.pacerLock.Unlock()
 	for _, command := range waiting {
 		command.Owner.(*task).discard()
 	}
-	x.endTasksThatWaitForData()
+	sess.endTasksAwaitingData()
 }
 
-// endTasksThatWaitForData ends tasks whose data will not come any more.
-func (x *session) endTasksThatWaitForData() {
-	x.lock.Lock()
-	var collecting, gathering []*task
-	for _, t := range x.tasks {
+// endTasksAwaitingData ends the tasks whose data can no longer arrive.
+func (sess *session) endTasksAwaitingData() {
+	sess.lock.Lock()
+	var receivingSolicited, receivingUnsolicited []*task
+	for _, t := range sess.tasks {
 		switch t.state {
-		case taskCollecting:
+		case taskReceivingSolicited:
 			t.setState(taskRunning)
-			collecting = append(collecting, t)
-		case taskGathering:
-			gathering = append(gathering, t)
+			receivingSolicited = append(receivingSolicited, t)
+		case taskReceivingUnsolicited:
+			receivingUnsolicited = append(receivingUnsolicited, t)
 		}
 	}
-	x.lock.Unlock()
-	for _, t := range collecting {
+	sess.lock.Unlock()
+	for _, t := range receivingSolicited {
 		t.finish(front.Result{Outcome: front.ClientGone}, nil)
 	}
-	for _, t := range gathering {
+	for _, t := range receivingUnsolicited {
 		t.discard()
 	}
 }
 
-// ReadPacket reads and handles the next PDU. An error closes the connection.
-func (x *session) ReadPacket(reader netpoll.Reader) error {
-	x.lock.Lock()
-	digests, maxData := x.digests, x.params.OwnMaxSegment
-	if x.state == stateLoggingIn {
+// ReadPacket reads and handles the next PDU. If it returns an error, the connection is closed.
+func (sess *session) ReadPacket(reader netpoll.Reader) error {
+	sess.lock.Lock()
+	digests, maxData := sess.digests, sess.params.OwnMaxSegment
+	if sess.state == stateLoggingIn {
 		maxData = maxLoginData
 	}
-	x.lock.Unlock()
+	sess.lock.Unlock()
 	pdu, err := iscsi.Read(reader, digests, maxData)
 	if err != nil {
 		return err
 	}
 	if pdu.BadDataDigest && pdu.Opcode() != iscsi.DataOut {
-		x.reject(pdu, rejectDataDigest)
+		sess.reject(pdu, rejectDataDigest)
 		return errDataDigest
 	}
-	switch x.currentState() {
+	switch sess.currentState() {
 	case stateLoggingIn:
-		return x.handleLogin(pdu)
+		return sess.handleLogin(pdu)
 	case stateEnded:
 		return packetconn.ErrPeerClosed
 	}
-	return x.handleRequest(pdu)
+	return sess.handleRequest(pdu)
 }
 
-// send fills in the session's numbers and sends a PDU. With status the PDU has a number of its own. The caller holds
-// the lock.
-func (x *session) send(pdu *iscsi.PDU, status bool) {
-	x.raiseMaxCmdSN()
-	pdu.SetUint32(iscsi.OffsetExpCmdSN, x.expCmdSN)
-	pdu.SetUint32(iscsi.OffsetMaxCmdSN, x.maxCmdSN)
+// send sets the sequence numbers of a PDU and sends it. status says that the PDU carries a status and consumes a
+// StatSN. The caller holds the lock.
+func (sess *session) send(pdu *iscsi.PDU, status bool) {
+	sess.raiseMaxCmdSN()
+	pdu.SetUint32(iscsi.OffsetExpCmdSN, sess.expCmdSN)
+	pdu.SetUint32(iscsi.OffsetMaxCmdSN, sess.maxCmdSN)
 	if pdu.Opcode() != iscsi.DataIn || status {
-		pdu.SetUint32(iscsi.OffsetStatSN, x.statSN)
+		pdu.SetUint32(iscsi.OffsetStatSN, sess.statSN)
 	}
 	if status {
-		x.statSN++
+		sess.statSN++
 	}
-	x.conn.Send(pdu.Encode(x.digests))
+	sess.conn.Send(pdu.Encode(sess.digests))
 }
 
-// sendLocked is send for callers that do not hold the lock.
-func (x *session) sendLocked(pdu *iscsi.PDU, status bool) {
-	x.lock.Lock()
-	defer x.lock.Unlock()
-	x.send(pdu, status)
+// lockAndSend acquires the lock and calls send.
+func (sess *session) lockAndSend(pdu *iscsi.PDU, status bool) {
+	sess.lock.Lock()
+	defer sess.lock.Unlock()
+	sess.send(pdu, status)
 }
 
-// raiseMaxCmdSN opens the command window as far as the pacer allows. A window never shrinks (RFC 7143, 4.2.2.1). The
-// caller holds the lock.
-func (x *session) raiseMaxCmdSN() {
+// raiseMaxCmdSN extends the command window as far as the pacer allows. MaxCmdSN never decreases (RFC 7143, 4.2.2.1).
+// The caller holds the lock.
+func (sess *session) raiseMaxCmdSN() {
 	free := int32(1)
 	switch {
-	case x.pacing != nil:
-		x.server.pacerLock.Lock()
-		free = int32(x.pacing.Window() - x.pacing.Outstanding())
-		x.server.pacerLock.Unlock()
-	case x.state != stateLoggingIn:
-		free = discoveryWindow
+	case sess.pacing != nil:
+		sess.server.pacerLock.Lock()
+		free = int32(sess.pacing.Window() - sess.pacing.Outstanding())
+		sess.server.pacerLock.Unlock()
+	case sess.state != stateLoggingIn:
+		free = discoveryCommandWindow
 	}
-	maxCmdSN := x.expCmdSN + uint32(max(free, 0)) - 1
-	if int32(maxCmdSN-x.maxCmdSN) > 0 {
-		x.maxCmdSN = maxCmdSN
+	maxCmdSN := sess.expCmdSN + uint32(max(free, 0)) - 1
+	if int32(maxCmdSN-sess.maxCmdSN) > 0 {
+		sess.maxCmdSN = maxCmdSN
 	}
 }
 
-// Reasons of a Reject (RFC 7143, 11.17.1).
+// Reasons in a Reject PDU (RFC 7143, 11.17.1).
 const (
 	rejectDataDigest     = 0x02
 	rejectSNACK          = 0x03
@@ -220,11 +220,11 @@
 	rejectInvalidField   = 0x09
 )
 
-// reject answers a PDU that cannot be handled (RFC 7143, 11.17).
-func (x *session) reject(pdu *iscsi.PDU, reason byte) {
+// reject sends a Reject PDU with the header of the rejected PDU (RFC 7143, 11.17).
+func (sess *session) reject(pdu *iscsi.PDU, reason byte) {
 	answer := iscsi.New(iscsi.Reject, iscsi.Final).
 		SetByte(iscsi.OffsetResponse, reason).
 		SetUint32(iscsi.OffsetTag, iscsi.NoTag).
 		SetData(slices.Clone(pdu.Header[:]))
-	x.sendLocked(answer, true)
+	sess.lockAndSend(answer, true)
 }
--- a/internal/serve/iscsi_test.go
+++ b/internal/serve/iscsi_test.go
@@ -263,17 +263,17 @@
 	w.expectPDU(iscsi.ReadyToTransfer, 13)
 	done := make(chan byte, 1)
 	go func() {
-		code, err := s.Reset(0)
+		code, err := s.ResetLUN(0)
 		if err != nil {
 			t.Error(err)
 		}
 		done <- code
 	}()
-	if p := w.expectPDU(iscsi.Response, 13); p.Header[3] != byte(scsi.Aborted) {
+	if p := w.expectPDU(iscsi.Response, 13); p.Header[3] != byte(scsi.TaskAborted) {
 		t.Errorf("after the reset: want TASK ABORTED, got header %x", p.Header)
 	}
 	command(t, testbed.Nodes[0], "well")
-	if p := w.expectPDU(iscsi.Response, 12); p.Header[3] != byte(scsi.Aborted) {
+	if p := w.expectPDU(iscsi.Response, 12); p.Header[3] != byte(scsi.TaskAborted) {
 		t.Errorf("after the reset: want TASK ABORTED, got header %x", p.Header)
 	}
 	if code := <-done; code != 0 {
