--- a/internal/day/agreement.go
+++ b/internal/day/agreement.go
@@ -47,7 +47,7 @@
 		return nil, err
 	}
 	for _, g := range r.testbed.gateways {
-		g.stop()
+		g.kill()
 		r.collectActivations(g)
 	}
 	agreement, err := rig.AuditPairs(r.activations, versions, r.convergenceBound(), end)
--- a/internal/day/client.go
+++ b/internal/day/client.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	setUpAttempts         = 50
-	setUpDelay            = 100 * time.Millisecond
-	reconnectDelay        = 200 * time.Millisecond
-	longerThanAnyScenario = 24 * time.Hour // longer than any scenario
+	setUpAttempts  = 50
+	setUpDelay     = 100 * time.Millisecond
+	reconnectDelay = 200 * time.Millisecond
+	idleDelay      = 24 * time.Hour // longer than any scenario
 )
 
 // clientTotals are what all clients have seen, with retries counted as part of the first attempt.
@@ -93,11 +93,11 @@
 
 // class returns the request class of operations that are served as one request. The first names it; the longest
 // objective and timeout hold.
-func (c *client) class(sorts ...front.OperationKind) requestClass {
+func (c *client) class(operations ...front.OperationKind) requestClass {
 	var class requestClass
-	for i, sort := range sorts {
+	for i, operation := range operations {
 		path := layout.Path{Volume: c.plan.Volume, Rel: c.files[0]}
-		configured := c.volume.ClassOf(sort, path, uint64(c.plan.Bytes*c.plan.Blocks))
+		configured := c.volume.ClassOf(operation, path, uint64(c.plan.Bytes*c.plan.Blocks))
 		if i == 0 {
 			class.name = configured.Name
 		}
@@ -134,7 +134,7 @@
 	next := began.Add(c.plan.From)
 	for number := 1; ; number++ {
 		if c.plan.Until > 0 && next.After(began.Add(c.plan.Until)) {
-			next = began.Add(longerThanAnyScenario) // it sends nothing more, and waits for the end
+			next = began.Add(idleDelay) // it sends nothing more, and waits for the end
 		}
 		next = next.Add(time.Duration(c.random.ExpFloat64() / c.plan.Rate * float64(time.Second)))
 		select {
--- a/internal/day/connection.go
+++ b/internal/day/connection.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	dialTimeout     = time.Second
-	greetingTimeout = 5 * time.Second
-	lateAnswerWait  = 5 * time.Second // how long after its deadline a client waits for an answer, to record it
+	dialTimeout      = time.Second
+	handshakeTimeout = 5 * time.Second
+	lateResponseWait = 5 * time.Second // how long after its deadline a client waits for an answer, to record it
 )
 
 var (
-	errConnectionLost = errors.New("the connection broke")
-	errNoGreeting     = errors.New("the gateway does not greet")
-	errNoAnswer       = errors.New("no answer")
+	errConnectionLost   = errors.New("the connection broke")
+	errHandshakeTimeout = errors.New("the gateway does not greet")
+	errNoResponse       = errors.New("no answer")
 )
 
 // statusError is an SFTP status other than OK.
@@ -54,10 +54,10 @@
 
 // connection is a client's connection to a gateway. It records the requests and answers that pass.
 type connection struct {
-	conn     *sftp.Conn
-	recorder *audit.Recorder
-	session  string        // the gateway's name of the connection; set before greeted is closed
-	greeted  chan struct{} // closed with the gateway's greeting
+	conn          *sftp.Conn
+	recorder      *audit.Recorder
+	session       string        // the gateway's name of the connection; set before handshakeDone is closed
+	handshakeDone chan struct{} // closed with the gateway's greeting
 
 	lock    sync.Mutex // guards what follows
 	lastID  uint32
@@ -68,7 +68,7 @@
 
 // dial connects to a gateway and waits for its greeting.
 func dial(address string, recorder *audit.Recorder) (*connection, error) {
-	c := &connection{recorder: recorder, greeted: make(chan struct{}), waiting: map[uint32]chan response{}}
+	c := &connection{recorder: recorder, handshakeDone: make(chan struct{}), waiting: map[uint32]chan response{}}
 	peer := func(conn *sftp.Conn) sftp.Handler {
 		c.conn = conn
 		return c
@@ -79,13 +79,13 @@
 	}
 	conn.Send(sftp.New(sftp.Init, sftp.ProtocolVersion))
 	select {
-	case <-c.greeted:
+	case <-c.handshakeDone:
 		return c, nil
 	case <-conn.Done():
 		return nil, errConnectionLost
-	case <-time.After(greetingTimeout):
+	case <-time.After(handshakeTimeout):
 		conn.Close(nil)
-		return nil, errNoGreeting
+		return nil, errHandshakeTimeout
 	}
 }
 
@@ -93,15 +93,15 @@
 func (c *connection) Packet(frame sftp.Frame) error {
 	id, body := frame.ID()
 	if frame.Type == sftp.Version {
-		c.greet(body)
+		c.completeHandshake(body)
 		return nil
 	}
-	answer := response{packetType: frame.Type, body: body}
+	received := response{packetType: frame.Type, body: body}
 	event := audit.Event{Type: audit.ResponseReceived, Session: c.session, ClientRequest: id}
 	if frame.Type == sftp.Status {
-		answer.code = sftp.Code(body.Uint32())
-		answer.text = body.Text()
-		event.Outcome = outcomeOf(answer.text)
+		received.code = sftp.Code(body.Uint32())
+		received.text = body.Text()
+		event.Outcome = outcomeOf(received.text)
 	}
 	c.recorder.Add(event)
 	c.lock.Lock()
@@ -109,7 +109,7 @@
 	delete(c.waiting, id)
 	c.lock.Unlock()
 	if waiter != nil {
-		waiter <- answer
+		waiter <- received
 	}
 	return nil
 }
@@ -126,8 +126,8 @@
 	return audit.Succeeded
 }
 
-// greet takes the name of the session from the gateway's greeting.
-func (c *connection) greet(extensions *sftp.Fields) {
+// completeHandshake takes the name of the session from the gateway's greeting.
+func (c *connection) completeHandshake(extensions *sftp.Fields) {
 	for extensions.More() {
 		name := extensions.Text()
 		data := extensions.Text()
@@ -136,7 +136,7 @@
 		}
 	}
 	c.recorder.Add(audit.Event{Type: audit.ClientConnected, Session: c.session})
-	close(c.greeted)
+	close(c.handshakeDone)
 }
 
 // Closed records the end of the connection, and ends the requests that wait.
@@ -182,18 +182,18 @@
 	fields(packet)
 	c.recorder.Add(class.sentEvent(c.recorder.Clock(), c.session, id))
 	c.conn.Send(packet)
-	time.AfterFunc(class.timeout+lateAnswerWait, func() { c.giveUp(id) })
+	time.AfterFunc(class.timeout+lateResponseWait, func() { c.expire(id) })
 	return waiter
 }
 
-// giveUp ends the wait for an answer that does not come: the audit finds it lost, and the client must not wait for
+// expire ends the wait for an answer that does not come: the audit finds it lost, and the client must not wait for
 // ever.
-func (c *connection) giveUp(id uint32) {
+func (c *connection) expire(id uint32) {
 	c.lock.Lock()
 	waiter := c.waiting[id]
 	delete(c.waiting, id)
 	c.lock.Unlock()
 	if waiter != nil {
-		waiter <- response{err: errNoAnswer}
+		waiter <- response{err: errNoResponse}
 	}
 }
--- a/internal/day/disk_client.go
+++ b/internal/day/disk_client.go
@@ -55,15 +55,16 @@
 			sizes[plan.Volume] += plan.Count * plan.Bytes * plan.Blocks
 		}
 	}
-	var units strings.Builder
+	var logicalUnits strings.Builder
 	for lun, volume := range s.diskVolumes() {
-		fmt.Fprintf(&units, "    lun \"%d\" {\n      file = \"/%s/disk\"\n      size = \"%dB\"\n    }\n",
+		fmt.Fprintf(&logicalUnits, "    lun \"%d\" {\n      file = \"/%s/disk\"\n      size = \"%dB\"\n    }\n",
 			lun, volume, sizes[volume])
 	}
-	if units.Len() == 0 {
+	if logicalUnits.Len() == 0 {
 		return ""
 	}
-	return "\ndisks {\n  listen = \"127.0.0.1:0\"\n  target \"" + diskTarget + "\" {\n" + units.String() + "  }\n}\n"
+	return "\ndisks {\n  listen = \"127.0.0.1:0\"\n  target \"" + diskTarget + "\" {\n" +
+		logicalUnits.String() + "  }\n}\n"
 }
 
 // diskVolumes returns the volumes with disk clients: the index of each is the number of its logical unit.
@@ -136,7 +137,7 @@
 		}
 		c.recorder.Add(audit.Event{Type: audit.ClientDisconnected, Session: event.Session, State: state})
 	case event.Sent:
-		class := c.class(sortOfCommand(event.Op))
+		class := c.class(operationOfCommand(event.Op))
 		class.timeout += targetQueueTime
 		c.recorder.Add(class.sentEvent(c.recorder.Clock(), event.Session, event.Tag))
 	default:
@@ -144,12 +145,12 @@
 			Type:          audit.ResponseReceived,
 			Session:       event.Session,
 			ClientRequest: event.Tag,
-			Outcome:       outcomeOfStatus(event.Status),
+			Outcome:       outcomeOfDiskStatus(event.Status),
 		})
 	}
 }
 
-func sortOfCommand(operation byte) front.OperationKind {
+func operationOfCommand(operation byte) front.OperationKind {
 	switch operation {
 	case opRead10:
 		return front.Read
@@ -159,7 +160,7 @@
 	return front.Change
 }
 
-func outcomeOfStatus(status scsi.Status) audit.Outcome {
+func outcomeOfDiskStatus(status scsi.Status) audit.Outcome {
 	switch status {
 	case scsi.Good:
 		return audit.Succeeded
--- a/internal/day/file_client.go
+++ b/internal/day/file_client.go
@@ -17,9 +17,9 @@
 
 // roundTrip does one request and waits for its answer.
 func (c *client) roundTrip(
-	connection *connection, packetType sftp.Type, fields func(*sftp.Packet), sorts ...front.OperationKind,
+	connection *connection, packetType sftp.Type, fields func(*sftp.Packet), operations ...front.OperationKind,
 ) response {
-	return <-connection.send(packetType, c.class(sorts...), fields)
+	return <-connection.send(packetType, c.class(operations...), fields)
 }
 
 // openFile opens a file and returns its handle.
@@ -81,17 +81,17 @@
 	if c.plan.Operation == OperationCreate {
 		return c.createFile(connection, request)
 	}
-	answer, err := c.awaitAnswer(connection, c.sendOperation(connection, handle, request))
+	received, err := c.awaitResponse(connection, c.sendOperation(connection, handle, request))
 	if err != nil {
 		return err
 	}
-	if err := answer.failure(); err != nil {
+	if err := received.failure(); err != nil {
 		return err
 	}
 	if c.plan.Operation != OperationRead {
 		return nil
 	}
-	if data := answer.body.Bytes(); !untorn(data) || len(data) != c.plan.Bytes {
+	if data := received.body.Bytes(); !untorn(data) || len(data) != c.plan.Bytes {
 		c.totals.tornReads.Add(1)
 		return &tornReadError{len(data)}
 	}
@@ -117,13 +117,13 @@
 	}
 }
 
-// awaitAnswer waits for an answer, and closes the connection where the plan says that the client does not wait longer.
-func (c *client) awaitAnswer(connection *connection, answer <-chan response) (response, error) {
+// awaitResponse waits for a response. If the plan sets CancelAfter, it closes the connection after that time.
+func (c *client) awaitResponse(connection *connection, pending <-chan response) (response, error) {
 	if c.plan.CancelAfter == 0 {
-		return <-answer, nil
+		return <-pending, nil
 	}
 	select {
-	case received := <-answer:
+	case received := <-pending:
 		return received, nil
 	case <-time.After(c.plan.CancelAfter):
 		connection.close()
--- a/internal/day/gateway_instance.go
+++ b/internal/day/gateway_instance.go
@@ -83,7 +83,7 @@
 		return err
 	}
 	if t.options.Program == "" {
-		return t.startGatewayHere(instance)
+		return t.startGatewayInProcess(instance)
 	}
 	attempts := 1
 	if t.script.Fleet.Peers { // it has an address that was chosen before
@@ -98,8 +98,8 @@
 	return err
 }
 
-// startGatewayHere starts a gateway in this process.
-func (t *testbed) startGatewayHere(instance *gatewayInstance) error {
+// startGatewayInProcess starts a gateway in this process.
+func (t *testbed) startGatewayInProcess(instance *gatewayInstance) error {
 	parsed, err := config.Load(instance.configFile)
 	if err != nil {
 		return err
@@ -162,8 +162,8 @@
 	_ = command.Wait()
 }
 
-// stop ends a gateway as a crash does.
-func (g *gatewayInstance) stop() {
+// kill ends a gateway as a crash does.
+func (g *gatewayInstance) kill() {
 	g.lock.Lock()
 	inProcess, process := g.inProcess, g.process
 	g.inProcess = nil
--- a/internal/day/golden_test.go
+++ b/internal/day/golden_test.go
@@ -7,6 +7,6 @@
 )
 
 func TestScriptKeysAndReportMatchGolden(t *testing.T) {
-	t.Run("keys", func(t *testing.T) { golden.Check(t, "day-keys.txt", golden.HCLKeys(scriptForm{})) })
+	t.Run("keys", func(t *testing.T) { golden.Check(t, "day-keys.txt", golden.HCLKeys(scriptFile{})) })
 	t.Run("record", func(t *testing.T) { golden.CheckJSON(t, "report.json", &Report{}) })
 }
--- a/internal/day/operator.go
+++ b/internal/day/operator.go
@@ -25,7 +25,7 @@
 func (r *replicaSet) operatorClient(timeout time.Duration) *replica.Client {
 	client := &replica.Client{Timeout: timeout}
 	for name, address := range r.addresses {
-		if strings.HasPrefix(name, replicaLetter) {
+		if strings.HasPrefix(name, replicaPrefix) {
 			client.Replicas = append(client.Replicas, address)
 		}
 	}
@@ -108,13 +108,13 @@
 	for ctx.Err() == nil {
 		version, err := client.Propose(proposal)
 		if err == nil {
-			r.count(&r.announcedCount)
+			r.increment(&r.announcedCount)
 			r.testbed.options.Logf("version %s is announced", version.Name())
 			return true
 		}
 		var rejected *replica.RejectedError
 		if errors.As(err, &rejected) {
-			r.count(&r.rejectedCount)
+			r.increment(&r.rejectedCount)
 			r.testbed.options.Logf("a proposal is refused: %v", err)
 			return false
 		}
@@ -129,7 +129,7 @@
 	return fmt.Sprint("day ", r.proposalCount)
 }
 
-func (r *replicaSet) count(counter *int) {
+func (r *replicaSet) increment(counter *int) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	*counter++
--- a/internal/day/parse.go
+++ b/internal/day/parse.go
@@ -15,17 +15,17 @@
 
 // Limits and defaults of scripts.
 const (
-	maxGateways      = 64
-	maxPeers         = 16 // gateways with a link for each pair
-	maxLength        = time.Hour
-	maxRate          = 1e5
-	maxRequestBytes  = 256 << 10
-	defaultBytes     = 16 << 10
-	defaultTransit   = 50 * time.Millisecond
-	defaultGrace     = 2 * time.Second
-	defaultSlack     = 250 * time.Millisecond
-	defaultLease     = time.Second
-	defaultRetryWait = 100 * time.Millisecond
+	maxGateways          = 64
+	maxGatewaysWithPeers = 16 // gateways with a link for each pair
+	maxLength            = time.Hour
+	maxRate              = 1e5
+	maxRequestBytes      = 256 << 10
+	defaultBytes         = 16 << 10
+	defaultTransit       = 50 * time.Millisecond
+	defaultDrainGrace    = 2 * time.Second
+	defaultSlack         = 250 * time.Millisecond
+	defaultLease         = time.Second
+	defaultRetryDelay    = 100 * time.Millisecond
 )
 
 var operations = []Operation{
@@ -34,7 +34,7 @@
 
 // nodeActions are the first words of what can happen to a node: commands of test nodes, and the two of this package.
 var nodeActions = []string{
-	"fail", "slow", "drop", "hang", "stall", "refuse", "cut", "reset", actionDie, actionReplace,
+	"fail", "slow", "drop", "hang", "stall", "refuse", "cut", "reset", actionCrash, actionReplace,
 }
 
 // ScriptError lists what is wrong with a script, each with its place.
@@ -49,14 +49,14 @@
 	if diagnostics.HasErrors() {
 		return nil, diagnostics
 	}
-	var form scriptForm
-	if diagnostics := gohcl.DecodeBody(parsed.Body, nil, &form); diagnostics.HasErrors() {
+	var decoded scriptFile
+	if diagnostics := gohcl.DecodeBody(parsed.Body, nil, &decoded); diagnostics.HasErrors() {
 		return nil, diagnostics
 	}
 	p := &parser{
-		form:  &form,
-		top:   hcl.Range{Filename: file, Start: hcl.InitialPos, End: hcl.InitialPos},
-		nodes: map[string]bool{},
+		file:      &decoded,
+		fileRange: hcl.Range{Filename: file, Start: hcl.InitialPos, End: hcl.InitialPos},
+		nodes:     map[string]bool{},
 	}
 	script := p.script()
 	if len(p.problems) > 0 {
@@ -67,13 +67,13 @@
 
 // parser turns a script's form into a Script and collects what is wrong with it.
 type parser struct {
-	form     *scriptForm
-	top      hcl.Range       // place of problems that concern no single block
-	nodes    map[string]bool // names so far
-	problems []string
+	file      *scriptFile
+	fileRange hcl.Range       // place of problems that concern no single block
+	nodes     map[string]bool // names so far
+	problems  []string
 }
 
-func (p *parser) reject(at hcl.Range, format string, args ...any) {
+func (p *parser) addProblem(at hcl.Range, format string, args ...any) {
 	p.problems = append(p.problems, fmt.Sprintf("%s: %s", at, fmt.Sprintf(format, args...)))
 }
 
@@ -84,60 +84,60 @@
 	}
 	duration, err := time.ParseDuration(text)
 	if err != nil || duration < 0 {
-		p.reject(at, "%s = %q is not a span such as \"2.5s\"", key, text)
+		p.addProblem(at, "%s = %q is not a span such as \"2.5s\"", key, text)
 	}
 	return duration
 }
 
 func (p *parser) script() *Script {
-	form := p.form
+	file := p.file
 	script := &Script{
-		Seed:       form.Seed,
-		Transit:    p.duration(p.top, "transit", form.Transit, defaultTransit),
-		Length:     p.duration(p.top, "length", form.Length, 0),
-		Config:     form.Config,
-		Gateways:   form.Gateways,
-		Shards:     form.Shards,
-		DrainGrace: p.duration(p.top, "grace", form.DrainGrace, defaultGrace),
-		Slack:      p.duration(p.top, "slack", form.Slack, defaultSlack),
+		Seed:       file.Seed,
+		Transit:    p.duration(p.fileRange, "transit", file.Transit, defaultTransit),
+		Length:     p.duration(p.fileRange, "length", file.Length, 0),
+		Config:     file.Config,
+		Gateways:   file.Gateways,
+		Shards:     file.Shards,
+		DrainGrace: p.duration(p.fileRange, "grace", file.DrainGrace, defaultDrainGrace),
+		Slack:      p.duration(p.fileRange, "slack", file.Slack, defaultSlack),
 	}
 	if script.Gateways < 1 || script.Gateways > maxGateways || script.Length <= 0 || script.Length > maxLength {
-		p.reject(p.top, "a day has 1 to 64 gateways and lasts up to an hour")
+		p.addProblem(p.fileRange, "a day has 1 to 64 gateways and lasts up to an hour")
 	}
 	script.Fleet = p.fleet()
-	for _, node := range form.Nodes {
+	for _, node := range file.Nodes {
 		script.Nodes = append(script.Nodes, p.node(node))
 	}
-	if len(p.nodes) == 0 || len(form.Clients) == 0 {
-		p.reject(p.top, "a day needs a node and a client")
+	if len(p.nodes) == 0 || len(file.Clients) == 0 {
+		p.addProblem(p.fileRange, "a day needs a node and a client")
 	}
-	for _, client := range form.Clients {
+	for _, client := range file.Clients {
 		script.Clients = append(script.Clients, p.client(client))
 	}
-	for _, fault := range form.Faults {
+	for _, fault := range file.Faults {
 		script.Faults = append(script.Faults, p.fault(fault))
 	}
 	return script
 }
 
 func (p *parser) fleet() FleetPlan {
-	form := p.form
+	file := p.file
 	fleet := FleetPlan{
-		Replicas:      form.Replicas,
-		LeaseDuration: p.duration(p.top, "lease", form.LeaseDuration, defaultLease),
-		MaxClockDrift: form.MaxClockDrift,
-		Fallback:      p.duration(p.top, "floor", form.Fallback, 0),
-		Peers:         form.Peers,
+		Replicas:      file.Replicas,
+		LeaseDuration: p.duration(p.fileRange, "lease", file.LeaseDuration, defaultLease),
+		MaxClockDrift: file.MaxClockDrift,
+		Fallback:      p.duration(p.fileRange, "floor", file.Fallback, 0),
+		Peers:         file.Peers,
 	}
-	if form.Peers && (form.Replicas == 0 || form.Gateways > maxPeers) {
-		p.reject(p.top, "peers = true: a day with keepers and up to 16 gateways, as each pair has a link")
+	if file.Peers && (file.Replicas == 0 || file.Gateways > maxGatewaysWithPeers) {
+		p.addProblem(p.fileRange, "peers = true: a day with keepers and up to 16 gateways, as each pair has a link")
 	}
-	if !slices.Contains([]int{0, 1, 3, 5}, form.Replicas) {
-		p.reject(p.top, "keepers = %d: one, three or five", form.Replicas)
+	if !slices.Contains([]int{0, 1, 3, 5}, file.Replicas) {
+		p.addProblem(p.fileRange, "keepers = %d: one, three or five", file.Replicas)
 	}
-	for _, change := range form.Changes {
-		if form.Replicas == 0 {
-			p.reject(change.Range, "the day has no keepers")
+	for _, change := range file.Changes {
+		if file.Replicas == 0 {
+			p.addProblem(change.Range, "the day has no keepers")
 		}
 		fleet.Changes = append(fleet.Changes, ChangePlan{
 			At:           p.duration(change.Range, "at", change.At, 0),
@@ -150,121 +150,121 @@
 	return fleet
 }
 
-func (p *parser) node(form nodeForm) NodePlan {
-	if p.nodes[form.Name] {
-		p.reject(form.Range, "there is a node %q already", form.Name)
+func (p *parser) node(block nodeBlock) NodePlan {
+	if p.nodes[block.Name] {
+		p.addProblem(block.Range, "there is a node %q already", block.Name)
 	}
-	p.nodes[form.Name] = true
+	p.nodes[block.Name] = true
 	return NodePlan{
-		Name:               form.Name,
-		Shard:              form.Shard,
-		Zone:               form.Zone,
-		Cores:              max(form.Cores, 1),
-		UnitTime:           p.duration(form.Range, "unit", form.UnitTime, 0),
-		Queue:              max(form.Queue, 1),
-		DeferredWriteShare: form.DeferredWriteShare,
+		Name:               block.Name,
+		Shard:              block.Shard,
+		Zone:               block.Zone,
+		Cores:              max(block.Cores, 1),
+		UnitTime:           p.duration(block.Range, "unit", block.UnitTime, 0),
+		Queue:              max(block.Queue, 1),
+		DeferredWriteShare: block.DeferredWriteShare,
 	}
 }
 
-func (p *parser) client(form clientForm) ClientPlan {
-	if !slices.Contains(operations, Operation(form.Operation)) {
-		p.reject(form.Range,
-			"do = %q: clients \"read\", \"write\", \"create\", \"look\", \"disk-read\" or \"disk-write\"", form.Operation)
+func (p *parser) client(block clientBlock) ClientPlan {
+	if !slices.Contains(operations, Operation(block.Operation)) {
+		p.addProblem(block.Range,
+			"do = %q: clients \"read\", \"write\", \"create\", \"look\", \"disk-read\" or \"disk-write\"", block.Operation)
 	}
-	if form.Rate <= 0 || form.Rate > maxRate {
-		p.reject(form.Range, "rate = %v is not over 0 and up to 100000", form.Rate)
+	if block.Rate <= 0 || block.Rate > maxRate {
+		p.addProblem(block.Range, "rate = %v is not over 0 and up to 100000", block.Rate)
 	}
-	if form.Gateway != "" && !isGateway(form.Gateway, p.form.Gateways) {
-		p.rejectGateway(form.Range, form.Gateway)
+	if block.Gateway != "" && !isGateway(block.Gateway, p.file.Gateways) {
+		p.addUnknownGateway(block.Range, block.Gateway)
 	}
-	if form.Bytes == 0 {
-		form.Bytes = defaultBytes
+	if block.Bytes == 0 {
+		block.Bytes = defaultBytes
 	}
-	if form.Bytes%blockSize != 0 || form.Bytes < 0 || form.Bytes > maxRequestBytes {
-		p.reject(form.Range, "bytes = %d is not a multiple of %d up to %d", form.Bytes, blockSize, maxRequestBytes)
+	if block.Bytes%blockSize != 0 || block.Bytes < 0 || block.Bytes > maxRequestBytes {
+		p.addProblem(block.Range, "bytes = %d is not a multiple of %d up to %d", block.Bytes, blockSize, maxRequestBytes)
 	}
 	return ClientPlan{
-		Name:        form.Name,
-		Count:       max(form.Count, 1),
-		Volume:      form.Volume,
-		Operation:   Operation(form.Operation),
-		Rate:        form.Rate,
-		Bytes:       form.Bytes,
-		Files:       max(form.Files, 1),
-		Blocks:      max(form.Blocks, 1),
-		Retries:     form.Retries,
-		RetryDelay:  p.duration(form.Range, "pause", form.RetryDelay, defaultRetryWait),
-		CancelAfter: p.duration(form.Range, "leaves_after", form.CancelAfter, 0),
-		Gateway:     form.Gateway,
-		From:        p.duration(form.Range, "from", form.From, 0),
-		Until:       p.duration(form.Range, "until", form.Until, 0),
+		Name:        block.Name,
+		Count:       max(block.Count, 1),
+		Volume:      block.Volume,
+		Operation:   Operation(block.Operation),
+		Rate:        block.Rate,
+		Bytes:       block.Bytes,
+		Files:       max(block.Files, 1),
+		Blocks:      max(block.Blocks, 1),
+		Retries:     block.Retries,
+		RetryDelay:  p.duration(block.Range, "pause", block.RetryDelay, defaultRetryDelay),
+		CancelAfter: p.duration(block.Range, "leaves_after", block.CancelAfter, 0),
+		Gateway:     block.Gateway,
+		From:        p.duration(block.Range, "from", block.From, 0),
+		Until:       p.duration(block.Range, "until", block.Until, 0),
 	}
 }
 
-func (p *parser) rejectGateway(at hcl.Range, name string) {
-	p.reject(at, "there is no gateway %q, they are called g1 to g%d", name, p.form.Gateways)
+func (p *parser) addUnknownGateway(at hcl.Range, name string) {
+	p.addProblem(at, "there is no gateway %q, they are called g1 to g%d", name, p.file.Gateways)
 }
 
-func (p *parser) fault(form faultForm) FaultPlan {
-	action, _, _ := strings.Cut(form.Action, " ")
-	needsReplicas := form.Replica != "" || len(form.Between) > 0 || action == actionStop
+func (p *parser) fault(block faultBlock) FaultPlan {
+	action, _, _ := strings.Cut(block.Action, " ")
+	needsReplicas := block.Replica != "" || len(block.Between) > 0 || action == actionPause
 	switch {
-	case form.ManagementServer != "":
-		if form.Gateway != "" || form.Node != "" || form.Action != "" {
-			p.reject(form.Range, "plane = %q stands alone", form.ManagementServer)
+	case block.ManagementServer != "":
+		if block.Gateway != "" || block.Node != "" || block.Action != "" {
+			p.addProblem(block.Range, "plane = %q stands alone", block.ManagementServer)
 		}
-	case needsReplicas && p.form.Replicas == 0:
-		p.reject(form.Range, "the day has no keepers")
-	case len(form.Between) > 0:
-		p.checkNetworkFault(form)
-	case form.Replica != "":
-		p.checkReplicaFault(form, action)
-	case form.Gateway != "":
-		p.checkGatewayFault(form, action)
-	case !p.nodes[form.Node]:
-		p.reject(form.Range, "there is no node %q", form.Node)
+	case needsReplicas && p.file.Replicas == 0:
+		p.addProblem(block.Range, "the day has no keepers")
+	case len(block.Between) > 0:
+		p.checkNetworkFault(block)
+	case block.Replica != "":
+		p.checkReplicaFault(block, action)
+	case block.Gateway != "":
+		p.checkGatewayFault(block, action)
+	case !p.nodes[block.Node]:
+		p.addProblem(block.Range, "there is no node %q", block.Node)
 	case !slices.Contains(nodeActions, action):
-		p.reject(form.Range, "do = %q: no such trouble", form.Action)
+		p.addProblem(block.Range, "do = %q: no such trouble", block.Action)
 	}
 	return FaultPlan{
-		At:               p.duration(form.Range, "at", form.At, 0),
-		For:              p.duration(form.Range, "for", form.For, 0),
-		Replica:          form.Replica,
-		Between:          form.Between,
-		Node:             form.Node,
-		Gateway:          form.Gateway,
-		ManagementServer: form.ManagementServer,
-		Action:           form.Action,
+		At:               p.duration(block.Range, "at", block.At, 0),
+		For:              p.duration(block.Range, "for", block.For, 0),
+		Replica:          block.Replica,
+		Between:          block.Between,
+		Node:             block.Node,
+		Gateway:          block.Gateway,
+		ManagementServer: block.ManagementServer,
+		Action:           block.Action,
 	}
 }
 
-func (p *parser) checkNetworkFault(form faultForm) {
-	if _, err := rig.ParseFault(form.Action); err != nil || len(form.Between) != 2 {
-		p.reject(form.Range, "between = [\"k1\", \"g1,g2\"] names two sides; %v", err)
+func (p *parser) checkNetworkFault(block faultBlock) {
+	if _, err := rig.ParseFault(block.Action); err != nil || len(block.Between) != 2 {
+		p.addProblem(block.Range, "between = [\"k1\", \"g1,g2\"] names two sides; %v", err)
 	}
-	for _, name := range strings.Split(strings.Join(form.Between, ","), ",") {
-		if !isGateway(name, p.form.Gateways) && !isReplica(name, p.form.Replicas) {
-			p.reject(form.Range, "there is no process %q", name)
+	for _, name := range strings.Split(strings.Join(block.Between, ","), ",") {
+		if !isGateway(name, p.file.Gateways) && !isReplica(name, p.file.Replicas) {
+			p.addProblem(block.Range, "there is no process %q", name)
 		}
 	}
 }
 
-func (p *parser) checkReplicaFault(form faultForm, action string) {
-	known := form.Replica == allReplicas || isReplica(form.Replica, p.form.Replicas)
-	possible := action == actionKill || action == actionStop && form.Replica != allReplicas
+func (p *parser) checkReplicaFault(block faultBlock, action string) {
+	known := block.Replica == allReplicas || isReplica(block.Replica, p.file.Replicas)
+	possible := action == actionKill || action == actionPause && block.Replica != allReplicas
 	if !known || !possible {
-		p.reject(form.Range, "keeper = %q, do = %q: k1 to k%d can be killed or stopped, all can be killed",
-			form.Replica, form.Action, p.form.Replicas)
+		p.addProblem(block.Range, "keeper = %q, do = %q: k1 to k%d can be killed or stopped, all can be killed",
+			block.Replica, block.Action, p.file.Replicas)
 	}
 }
 
-func (p *parser) checkGatewayFault(form faultForm, action string) {
-	known := isGateway(form.Gateway, p.form.Gateways)
+func (p *parser) checkGatewayFault(block faultBlock, action string) {
+	known := isGateway(block.Gateway, p.file.Gateways)
 	switch {
-	case action == actionStop && known:
+	case action == actionPause && known:
 	case action != actionKill:
-		p.reject(form.Range, "do = %q: gateways can be killed only", form.Action)
+		p.addProblem(block.Range, "do = %q: gateways can be killed only", block.Action)
 	case !known:
-		p.rejectGateway(form.Range, form.Gateway)
+		p.addUnknownGateway(block.Range, block.Gateway)
 	}
 }
--- a/internal/day/replica_faults.go
+++ b/internal/day/replica_faults.go
@@ -15,7 +15,7 @@
 	switch {
 	case len(fault.Between) > 0:
 		return r.networkFaultSteps(fault)
-	case fault.Action == actionStop:
+	case fault.Action == actionPause:
 		name := fault.Replica + fault.Gateway // one of them is empty
 		return []step{
 			{fault.At, func() { r.signalProcess(name, syscall.SIGSTOP) }},
@@ -55,7 +55,7 @@
 func (r *replicaSet) killReplicaSteps(fault FaultPlan) []step {
 	var names []string
 	for name := range r.addresses {
-		if fault.Replica == name || fault.Replica == allReplicas && strings.HasPrefix(name, replicaLetter) {
+		if fault.Replica == name || fault.Replica == allReplicas && strings.HasPrefix(name, replicaPrefix) {
 			names = append(names, name)
 		}
 	}
@@ -63,7 +63,7 @@
 		{fault.At, func() {
 			for _, name := range names {
 				r.testbed.options.Logf("%s is killed", name)
-				kill(r.takeProcess(name))
+				kill(r.removeProcess(name))
 			}
 		}},
 		{fault.At + fault.For, func() {
@@ -77,8 +77,8 @@
 	}
 }
 
-// takeProcess removes a replica's process from those that run, and returns it.
-func (r *replicaSet) takeProcess(name string) *exec.Cmd {
+// removeProcess removes a replica's process from those that run, and returns it.
+func (r *replicaSet) removeProcess(name string) *exec.Cmd {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	process := r.processes[name]
--- a/internal/day/replicas.go
+++ b/internal/day/replicas.go
@@ -207,7 +207,7 @@
 func (r *replicaSet) replicaArguments(name string) []string {
 	args := []string{
 		"keeper",
-		"--number", strings.TrimPrefix(name, replicaLetter),
+		"--number", strings.TrimPrefix(name, replicaPrefix),
 		"--listen", r.addresses[name],
 		"--dir", filepath.Join(r.testbed.dir, name),
 		"--lease", r.plan.LeaseDuration.String(),
@@ -216,7 +216,7 @@
 		"--compact", replicaCompactAfter,
 	}
 	for other, address := range r.addresses {
-		number, found := strings.CutPrefix(other, replicaLetter)
+		number, found := strings.CutPrefix(other, replicaPrefix)
 		if !found {
 			continue
 		}
@@ -254,7 +254,7 @@
 	if r.plan.Peers {
 		peers = fmt.Sprintf("  peer = %q\n  reach = {\n", r.addresses[instance.name])
 		for key, link := range r.links {
-			if key.from == instance.name && strings.HasPrefix(key.to, gatewayLetter) {
+			if key.from == instance.name && strings.HasPrefix(key.to, gatewayPrefix) {
 				peers += fmt.Sprintf("    %q = %q\n", r.addresses[key.to], link.Addr())
 			}
 		}
--- a/internal/day/script.go
+++ b/internal/day/script.go
@@ -104,8 +104,8 @@
 // Actions of faults beside the commands of test nodes and the link faults of package rig.
 const (
 	actionKill    = "kill"    // of a gateway or replica: it is started again at the end of the fault
-	actionStop    = "stop"    // of a gateway or replica: SIGSTOP, and SIGCONT at the end of the fault
-	actionDie     = "die"     // of a node: it stops at once; a new one takes its place at the end of the fault
+	actionPause   = "stop"    // of a gateway or replica: SIGSTOP, and SIGCONT at the end of the fault
+	actionCrash   = "die"     // of a node: it stops at once; a new one takes its place at the end of the fault
 	actionReplace = "replace" // of a node: a new one takes its place, and the old one drains
 	actionRecover = "well"    // ends the faults of a node
 )
@@ -142,13 +142,13 @@
 
 // Processes have a letter and a number as their name: g1 is a gateway, k1 a replica.
 const (
-	gatewayLetter = "g"
-	replicaLetter = "k"
+	gatewayPrefix = "g"
+	replicaPrefix = "k"
 )
 
-func gatewayName(number int) string { return fmt.Sprintf("%s%d", gatewayLetter, number) }
+func gatewayName(number int) string { return fmt.Sprintf("%s%d", gatewayPrefix, number) }
 
-func replicaName(number int) string { return fmt.Sprintf("%s%d", replicaLetter, number) }
+func replicaName(number int) string { return fmt.Sprintf("%s%d", replicaPrefix, number) }
 
 // isGateway says whether a scenario with so many gateways has one of the name.
 func isGateway(name string, gateways int) bool {
--- a/internal/day/script_form.go
+++ b/internal/day/script_form.go
@@ -2,28 +2,28 @@
 
 import "github.com/hashicorp/hcl/v2"
 
-// scriptForm is a script as its HCL file has it. The keys are fixed: scripts are kept outside of this repository too.
-type scriptForm struct {
-	Seed          uint64       `hcl:"seed,optional"`
-	Length        string       `hcl:"length"`
-	Config        string       `hcl:"config"`
-	Gateways      int          `hcl:"gateways"`
-	Shards        int          `hcl:"shards,optional"`
-	DrainGrace    string       `hcl:"grace,optional"`
-	Slack         string       `hcl:"slack,optional"`
-	Transit       string       `hcl:"transit,optional"`
-	Replicas      int          `hcl:"keepers,optional"`
-	LeaseDuration string       `hcl:"lease,optional"`
-	MaxClockDrift float64      `hcl:"drift,optional"`
-	Fallback      string       `hcl:"floor,optional"`
-	Peers         bool         `hcl:"peers,optional"`
-	Changes       []changeForm `hcl:"change,block"`
-	Nodes         []nodeForm   `hcl:"node,block"`
-	Clients       []clientForm `hcl:"client,block"`
-	Faults        []faultForm  `hcl:"trouble,block"`
+// scriptFile is a script as its HCL file has it. The keys are fixed: scripts are kept outside of this repository too.
+type scriptFile struct {
+	Seed          uint64        `hcl:"seed,optional"`
+	Length        string        `hcl:"length"`
+	Config        string        `hcl:"config"`
+	Gateways      int           `hcl:"gateways"`
+	Shards        int           `hcl:"shards,optional"`
+	DrainGrace    string        `hcl:"grace,optional"`
+	Slack         string        `hcl:"slack,optional"`
+	Transit       string        `hcl:"transit,optional"`
+	Replicas      int           `hcl:"keepers,optional"`
+	LeaseDuration string        `hcl:"lease,optional"`
+	MaxClockDrift float64       `hcl:"drift,optional"`
+	Fallback      string        `hcl:"floor,optional"`
+	Peers         bool          `hcl:"peers,optional"`
+	Changes       []changeBlock `hcl:"change,block"`
+	Nodes         []nodeBlock   `hcl:"node,block"`
+	Clients       []clientBlock `hcl:"client,block"`
+	Faults        []faultBlock  `hcl:"trouble,block"`
 }
 
-type nodeForm struct {
+type nodeBlock struct {
 	Name               string    `hcl:"name,label"`
 	Shard              int       `hcl:"shard"`
 	Zone               string    `hcl:"zone,optional"`
@@ -34,7 +34,7 @@
 	Range              hcl.Range `hcl:",def_range"`
 }
 
-type clientForm struct {
+type clientBlock struct {
 	Name        string    `hcl:"name,label"`
 	Count       int       `hcl:"count,optional"`
 	Volume      string    `hcl:"volume"`
@@ -52,7 +52,7 @@
 	Range       hcl.Range `hcl:",def_range"`
 }
 
-type changeForm struct {
+type changeBlock struct {
 	At           string    `hcl:"at"`
 	Every        string    `hcl:"every,optional"`
 	ServiceLevel string    `hcl:"plan"`
@@ -61,7 +61,7 @@
 	Range        hcl.Range `hcl:",def_range"`
 }
 
-type faultForm struct {
+type faultBlock struct {
 	Replica          string    `hcl:"keeper,optional"`
 	Between          []string  `hcl:"between,optional"`
 	At               string    `hcl:"at"`
--- a/internal/day/testbed.go
+++ b/internal/day/testbed.go
@@ -22,7 +22,7 @@
 	detectionDelay  = 500 * time.Millisecond // until the endpoint list shows that a node has failed
 	listDelay       = time.Second            // until gateways have a list, at most
 	drainTime       = 3 * time.Second        // a node that is replaced drains for so long
-	planeClusters   = 2                      // clusters that a management server spreads the nodes over
+	clusterCount    = 2                      // clusters that a management server spreads the nodes over
 )
 
 // Values of Options.EndpointSource.
@@ -102,7 +102,7 @@
 	case "", sourceFile:
 		return nil
 	case sourceIncremental, sourceStateOfTheWorld:
-		server, err := xdsstandin.Start(anyLoopbackPort, planeClusters)
+		server, err := xdsstandin.Start(anyLoopbackPort, clusterCount)
 		if err != nil {
 			return err
 		}
@@ -115,7 +115,7 @@
 
 func (t *testbed) close() {
 	for _, g := range t.gateways {
-		g.stop()
+		g.kill()
 	}
 	if t.replicas != nil {
 		t.replicas.close()
--- a/internal/day/timeline.go
+++ b/internal/day/timeline.go
@@ -53,16 +53,16 @@
 // faultSteps returns the steps of a fault.
 func (t *testbed) faultSteps(fault FaultPlan) []step {
 	switch {
-	case fault.Replica != "" || len(fault.Between) > 0 || fault.Action == actionStop:
+	case fault.Replica != "" || len(fault.Between) > 0 || fault.Action == actionPause:
 		return t.replicas.faultSteps(fault)
 	case fault.ManagementServer != "":
 		return []step{{fault.At, func() { t.commandManagementServer(fault.ManagementServer) }}}
 	case fault.Gateway != "":
 		return t.killGatewaySteps(fault)
-	case fault.Action == actionDie:
-		return t.dieSteps(fault)
+	case fault.Action == actionCrash:
+		return t.crashNodeSteps(fault)
 	case fault.Action == actionReplace:
-		return t.replaceSteps(fault)
+		return t.replaceNodeSteps(fault)
 	}
 	steps := []step{{fault.At, func() { t.commandNode(fault.Node, fault.Action) }}}
 	if fault.For > 0 {
@@ -96,8 +96,8 @@
 	return t.nodes[name].node
 }
 
-// dieSteps: a node stops, the list shows it, and at the end of the fault a new one takes its place.
-func (t *testbed) dieSteps(fault FaultPlan) []step {
+// crashNodeSteps: a node stops, the list shows it, and at the end of the fault a new one takes its place.
+func (t *testbed) crashNodeSteps(fault FaultPlan) []step {
 	slot := t.nodes[fault.Node]
 	var old *standin.Node
 	return []step{
@@ -115,8 +115,8 @@
 	}
 }
 
-// replaceSteps: a new node takes the place of one, which drains and then stops.
-func (t *testbed) replaceSteps(fault FaultPlan) []step {
+// replaceNodeSteps: a new node takes the place of one, which drains and then stops.
+func (t *testbed) replaceNodeSteps(fault FaultPlan) []step {
 	slot := t.nodes[fault.Node]
 	var old *standin.Node
 	return []step{
@@ -150,7 +150,7 @@
 		{fault.At, func() {
 			t.options.Logf("%s is killed", g.name)
 			t.recorder.Add(audit.Event{Type: audit.GatewayKilled, Gateway: g.name})
-			g.stop()
+			g.kill()
 			if t.replicas != nil {
 				t.replicas.collectActivations(g)
 			}
