--- a/internal/day/agreement.go
+++ b/internal/day/agreement.go
@@ -10,23 +10,24 @@
 	"irispost/internal/fleet/rig"
 )
 
-// versionsTimeout is how long the replicas may take to list all versions.
+// versionsTimeout limits the request that lists all versions.
 const versionsTimeout = 20 * time.Second
 
-// activationFile is where a gateway records what it acts on.
+// activationFile returns the path where a gateway records its activations: which versions it acts on and since when.
 func (r *replicaSet) activationFile(g *gatewayInstance) string {
 	return filepath.Join(r.testbed.dir, g.name+".acts")
 }
 
-// collectActivations takes up the record of a gateway that has ended: from then on it acts on nothing.
+// collectActivations reads the activations of a gateway that has ended, and adds one without versions: from now on it
+// acts on nothing.
 func (r *replicaSet) collectActivations(instance *gatewayInstance) {
 	file, err := os.Open(r.activationFile(instance))
 	if err != nil {
-		return // it has acted on nothing
+		return // the gateway has acted on nothing
 	}
 	defer func() {
-		_ = file.Close()                          // it was only read
-		_ = os.Remove(r.activationFile(instance)) // the scenario's folder is removed at its end
+		_ = file.Close()                          // the file was only read
+		_ = os.Remove(r.activationFile(instance)) // if this fails, the file is removed with the scenario's folder
 	}()
 	list, err := rig.ReadActivations(file)
 	if err != nil {
@@ -39,7 +40,8 @@
 	r.activations[instance.name] = append(r.activations[instance.name], list...)
 }
 
-// auditAgreement ends all gateways and checks that no two acted on configurations that contradict each other.
+// auditAgreement kills all gateways, and checks that no two acted on conflicting configurations for longer than the
+// convergence bound.
 func (r *replicaSet) auditAgreement() (*rig.Agreement, error) {
 	end := monotonic()
 	versions, err := r.operatorClient(versionsTimeout).Versions(1)
@@ -52,12 +54,13 @@
 	}
 	agreement, err := rig.AuditPairs(r.activations, versions, r.convergenceBound(), end)
 	r.lock.Lock()
-	r.testbed.options.Logf("%d versions were announced, %d proposals refused", r.announcedCount, r.rejectedCount)
+	r.testbed.options.Logf("%d versions announced, %d proposals rejected", r.announcedCount, r.rejectedCount)
 	r.lock.Unlock()
 	return &agreement, err
 }
 
-// convergenceBound is the time, in nanoseconds, that docs/fleet.md states for this scenario's lease and clock drift.
+// convergenceBound returns the bound stated in docs/fleet.md, in nanoseconds, for the lease duration and the clock
+// drift of this scenario.
 func (r *replicaSet) convergenceBound() int64 {
 	return replica.ConvergenceBound(lease.Settings{
 		LeaseDuration: int64(r.plan.LeaseDuration),
--- a/internal/day/client.go
+++ b/internal/day/client.go
@@ -18,16 +18,16 @@
 	setUpAttempts  = 50
 	setUpDelay     = 100 * time.Millisecond
 	reconnectDelay = 200 * time.Millisecond
-	idleDelay      = 24 * time.Hour // longer than any scenario
+	idleDelay      = 24 * time.Hour // exceeds maxLength, the longest scenario
 )
 
-// clientTotals are what all clients have seen, with retries counted as part of the first attempt.
+// clientTotals counts the requests of all clients. A request and its retries count as one.
 type clientTotals struct {
 	lock            sync.Mutex // guards requests and withinObjective
 	requests        int
 	withinObjective int
 
-	tornReads atomic.Int64 // answers with bytes that no client wrote
+	tornReads atomic.Int64 // read responses with torn blocks or of a wrong length
 }
 
 func (t *clientTotals) add(withinObjective bool) {
@@ -39,14 +39,14 @@
 	}
 }
 
-// requestClass is what a request counts as for its client.
+// requestClass holds the limits by which a client judges its requests of a class.
 type requestClass struct {
 	name      string
 	objective time.Duration // latency objective
-	timeout   time.Duration // longest wait for the answer
+	timeout   time.Duration // longest wait for the response
 }
 
-// sentEvent is the record of a request of the class that is sent at a time, in nanoseconds.
+// sentEvent returns the audit event of a request of this class that is sent at the given time, in nanoseconds.
 func (r requestClass) sentEvent(at int64, session string, request uint32) audit.Event {
 	return audit.Event{
 		At:            at,
@@ -59,40 +59,41 @@
 	}
 }
 
-// client is one scripted client. Its run goroutine draws from random and starts a goroutine for each request.
+// client is one scripted client. Once it is set up, only its run goroutine draws from random. It starts a goroutine
+// for each request.
 type client struct {
 	plan           ClientPlan
 	name           string
-	gatewayAddress func() string // it may change
+	gatewayAddress func() string // changes when the gateway restarts
 	volume         *front.Volume
 	config         *config.Config
 	recorder       *audit.Recorder
 	totals         *clientTotals
 	random         *rand.Rand
-	files          []string // names
+	files          []string // names within the volume
 	stop           chan struct{}
 
-	// Of a disk client.
+	// Set for disk clients only.
 	targetAddress func() string
 	lun           uint16
-	diskOffset    int64 // where the client's part of the disk begins
+	diskOffset    int64 // start of the client's part of the disk, in bytes
 
 	lock       sync.Mutex // guards what follows
 	connection *connection
-	handles    []string // of the files, on the connection
+	handles    []string // of files, in the same order; valid on connection
 	disk       *diskSession
 }
 
-// scriptedRequest is a request that a client has drawn.
+// scriptedRequest is a request with its randomly chosen parameters.
 type scriptedRequest struct {
-	file   int // index
+	file   int // index in client.files
 	block  int
-	number int    // of the client's requests, from 1 on
-	data   []byte // nil where the operation sends none
+	number int    // counts the client's requests from 1
+	data   []byte // nil if the operation sends no data
 }
 
-// class returns the request class of operations that are served as one request. The first names it; the longest
-// objective and timeout hold.
+// class returns the request class of a request that the gateway may serve as any of the operations. It has the name of
+// the first one's class, and the longest objective and timeout of all.
 func (c *client) class(operations ...front.OperationKind) requestClass {
 	var class requestClass
 	for i, operation := range operations {
@@ -107,7 +108,8 @@
 	return class
 }
 
-// setUp connects, creates the client's files and fills them, in as many attempts as it takes.
+// setUp connects the client, and creates and fills its files or its part of the disk. It makes up to setUpAttempts
+// attempts.
 func (c *client) setUp() error {
 	var err error
 	for range setUpAttempts {
@@ -116,10 +118,10 @@
 		}
 		time.Sleep(setUpDelay)
 	}
-	return fmt.Errorf("client %s: %w", c.name, err)
+	return fmt.Errorf("setting up client %s: %w", c.name, err)
 }
 
-// connect connects anew and opens the client's files or disk; prepare fills them.
+// connect makes a new connection and opens the client's files or disk. With prepare, it also fills them with data.
 func (c *client) connect(prepare bool) error {
 	if c.plan.Operation.onDisk() {
 		return c.connectDisk(prepare)
@@ -127,14 +129,15 @@
 	return c.connectFiles(prepare)
 }
 
-// run sends requests at the client's rate until it is stopped. Requests do not wait for each other.
+// run sends requests until the client is stopped. Arrivals are a Poisson process of the client's rate, and a request
+// does not wait for the responses of earlier ones.
 func (c *client) run() {
 	var requests sync.WaitGroup
 	began := time.Now()
 	next := began.Add(c.plan.From)
 	for number := 1; ; number++ {
 		if c.plan.Until > 0 && next.After(began.Add(c.plan.Until)) {
-			next = began.Add(idleDelay) // it sends nothing more, and waits for the end
+			next = began.Add(idleDelay) // no more requests until the client is stopped
 		}
 		next = next.Add(time.Duration(c.random.ExpFloat64() / c.plan.Rate * float64(time.Second)))
 		select {
@@ -149,7 +152,8 @@
 	}
 }
 
-// drawRequest draws the next request. The order of the draws is fixed, so that a seed gives the same requests again.
+// drawRequest chooses the next request at random. The order of the draws is fixed, so that the same seed gives the
+// same requests.
 func (c *client) drawRequest(number int) scriptedRequest {
 	request := scriptedRequest{number: number}
 	request.file = c.random.IntN(len(c.files))
@@ -160,7 +164,7 @@
 	return request
 }
 
-// disconnect closes the client's connections.
+// disconnect closes the client's connection or disk session.
 func (c *client) disconnect() {
 	c.lock.Lock()
 	connection, disk := c.connection, c.disk
@@ -169,25 +173,25 @@
 		connection.close()
 	}
 	if disk != nil {
-		_ = disk.Close() // the scenario is over
+		_ = disk.Close() // no request is left that could be affected
 	}
 }
 
-// objective is the latency objective of a request of the client.
+// objective returns the latency objective of the client's requests.
 func (c *client) objective() time.Duration {
 	switch c.plan.Operation {
 	case OperationRead, OperationDiskRead:
 		return c.class(front.Read).objective
 	case OperationStat:
 		return c.class(front.Lookup).objective
-	case OperationCreate: // open, write and close each have their objective
+	case OperationCreate: // the sum over open, write and close
 		return c.class(front.Write).objective + 2*c.class(front.Change).objective
 	default:
 		return c.class(front.Write).objective
 	}
 }
 
-// runRequest does one request with its retries, and counts it once.
+// runRequest sends a request and its retries, and counts them as one request.
 func (c *client) runRequest(request scriptedRequest) {
 	objective := c.objective()
 	began := time.Now()
@@ -201,7 +205,7 @@
 	c.totals.add(served && time.Since(began) <= objective)
 }
 
-// attempt sends a request once and returns nil where it was served. A connection that broke is replaced.
+// attempt sends a request once and returns nil if it was served. A lost connection is replaced in the background.
 func (c *client) attempt(request scriptedRequest) error {
 	c.lock.Lock()
 	connection, disk := c.connection, c.disk
@@ -217,7 +221,7 @@
 	case connection != nil:
 		err = c.fileAttempt(connection, handle, request)
 	default:
-		return errConnectionLost // it is being replaced
+		return errConnectionLost // reconnect is replacing the connection
 	}
 	if errors.Is(err, errConnectionLost) {
 		c.reconnect(connection, disk)
@@ -225,7 +229,7 @@
 	return err
 }
 
-// reconnect replaces a connection that broke; only the first call for a connection does.
+// reconnect replaces a lost connection. Only the first call for a connection has an effect.
 func (c *client) reconnect(connection *connection, disk *diskSession) {
 	c.lock.Lock()
 	current := c.connection == connection && c.disk == disk
@@ -237,7 +241,7 @@
 	if !current {
 		return
 	}
-	go func() { // it ends with the scenario at the latest
+	go func() { // ends with the scenario at the latest
 		for c.connect(false) != nil {
 			select {
 			case <-c.stop:
--- a/internal/day/client_group.go
+++ b/internal/day/client_group.go
@@ -7,14 +7,14 @@
 	"slices"
 )
 
-// startClients makes the script's clients and waits until all have their files.
+// startClients creates the script's clients and waits until all are set up.
 func (t *testbed) startClients(totals *clientTotals) ([]*client, error) {
 	var clients []*client
-	diskOffsets := map[string]int64{} // by volume
+	diskOffsets := map[string]int64{} // end of the allocated parts of the disk, by volume
 	for group, plan := range t.script.Clients {
 		volume := t.config.Volumes[plan.Volume]
 		if volume == nil {
-			return nil, fmt.Errorf("client %q: there is no volume %q", plan.Name, plan.Volume)
+			return nil, fmt.Errorf("client %q: volume %q does not exist in the configuration", plan.Name, plan.Volume)
 		}
 		for i := range plan.Count {
 			g := t.gatewayFor(plan, group+i)
@@ -44,7 +44,8 @@
 	return clients, setUpAll(clients)
 }
 
-// gatewayFor is the gateway that a client uses: the one that its plan names, or one by the client's index.
+// gatewayFor returns the gateway that a client uses: the one that its plan names or, by default, the one that the
+// index selects.
 func (t *testbed) gatewayFor(plan ClientPlan, index int) *gatewayInstance {
 	named := slices.IndexFunc(t.gateways, func(g *gatewayInstance) bool { return g.name == plan.Gateway })
 	if named >= 0 {
@@ -53,7 +54,7 @@
 	return t.gateways[index%len(t.gateways)]
 }
 
-// setUpAll sets all clients up at the same time.
+// setUpAll sets up all clients concurrently.
 func setUpAll(clients []*client) error {
 	results := make(chan error, len(clients))
 	for _, c := range clients {
--- a/internal/day/connection.go
+++ b/internal/day/connection.go
@@ -15,13 +15,13 @@
 const (
 	dialTimeout      = time.Second
 	handshakeTimeout = 5 * time.Second
-	lateResponseWait = 5 * time.Second // how long after its deadline a client waits for an answer, to record it
+	lateResponseWait = 5 * time.Second // wait after a request's deadline, so that a late response is recorded
 )
 
 var (
-	errConnectionLost   = errors.New("the connection broke")
-	errHandshakeTimeout = errors.New("the gateway does not greet")
-	errNoResponse       = errors.New("no answer")
+	errConnectionLost   = errors.New("connection to the gateway lost")
+	errHandshakeTimeout = errors.New("the gateway did not complete the SFTP handshake in time")
+	errNoResponse       = errors.New("no response")
 )
 
 // statusError is an SFTP status other than OK.
@@ -32,16 +32,16 @@
 
 func (e *statusError) Error() string { return fmt.Sprintf("%v: %s", e.code, e.text) }
 
-// response is the answer to a request, or why there is none.
+// response is the response to a request, or the reason why there is none.
 type response struct {
 	packetType sftp.Type
 	body       *sftp.Fields
-	code       sftp.Code // of a status
-	text       string    // of a status
-	err        error     // the connection ended, or no answer came
+	code       sftp.Code // of a status packet
+	text       string    // of a status packet
+	err        error     // set if the connection ended or no response came
 }
 
-// failure returns why the request was not served; nil: it was.
+// failure returns why the request was not served, or nil if it was served.
 func (r response) failure() error {
 	switch {
 	case r.err != nil:
@@ -52,21 +52,21 @@
 	return nil
 }
 
-// connection is a client's connection to a gateway. It records the requests and answers that pass.
+// connection is a client's SFTP connection to a gateway. It records the requests and responses on it for the audit.
 type connection struct {
 	conn          *sftp.Conn
 	recorder      *audit.Recorder
-	session       string        // the gateway's name of the connection; set before handshakeDone is closed
-	handshakeDone chan struct{} // closed with the gateway's greeting
+	session       string        // assigned by the gateway; set before handshakeDone is closed
+	handshakeDone chan struct{} // closed when the gateway's version packet has arrived
 
 	lock    sync.Mutex // guards what follows
 	lastID  uint32
-	waiting map[uint32]chan response // by request
+	waiting map[uint32]chan response // by request ID
 	ended   bool
-	closing bool // by this client
+	closing bool // the client closes the connection
 }
 
-// dial connects to a gateway and waits for its greeting.
+// dial connects to a gateway and waits for the end of the SFTP handshake.
 func dial(address string, recorder *audit.Recorder) (*connection, error) {
 	c := &connection{recorder: recorder, handshakeDone: make(chan struct{}), waiting: map[uint32]chan response{}}
 	peer := func(conn *sftp.Conn) sftp.Handler {
@@ -89,7 +89,7 @@
 	}
 }
 
-// Packet records an answer and passes it to whoever waits for it.
+// Packet records a response and passes it to the request that waits for it.
 func (c *connection) Packet(frame sftp.Frame) error {
 	id, body := frame.ID()
 	if frame.Type == sftp.Version {
@@ -114,8 +114,8 @@
 	return nil
 }
 
-// outcomeOf reads the outcome from the text of a gateway's status. Other failures are answers of the node: the request
-// was executed.
+// outcomeOf returns the outcome that the message of a gateway's status stands for. Other statuses, failures included,
+// are results from the node: the request was executed and counts as succeeded.
 func outcomeOf(text string) audit.Outcome {
 	switch {
 	case strings.HasPrefix(text, "dismissed"):
@@ -126,7 +126,7 @@
 	return audit.Succeeded
 }
 
-// completeHandshake takes the name of the session from the gateway's greeting.
+// completeHandshake takes the session name from the extensions of the gateway's version packet.
 func (c *connection) completeHandshake(extensions *sftp.Fields) {
 	for extensions.More() {
 		name := extensions.Text()
@@ -139,7 +139,7 @@
 	close(c.handshakeDone)
 }
 
-// Closed records the end of the connection, and ends the requests that wait.
+// Closed records the end of the connection and fails the requests that wait for a response.
 func (c *connection) Closed(error) {
 	c.lock.Lock()
 	c.ended = true
@@ -165,7 +165,7 @@
 	c.conn.Close(nil)
 }
 
-// send sends a request. The channel gets one response.
+// send sends a request and returns the channel that receives its one response.
 func (c *connection) send(packetType sftp.Type, class requestClass, fields func(*sftp.Packet)) <-chan response {
 	waiter := make(chan response, 1)
 	c.lock.Lock()
@@ -186,8 +186,8 @@
 	return waiter
 }
 
-// expire ends the wait for an answer that does not come: the audit finds it lost, and the client must not wait for
-// ever.
+// expire fails a request that is still without a response, so that the client does not wait forever. The audit counts
+// the request as lost.
 func (c *connection) expire(id uint32) {
 	c.lock.Lock()
 	waiter := c.waiting[id]
--- a/internal/day/day.go
+++ b/internal/day/day.go
@@ -1,9 +1,10 @@
-// Package day plays scripted scenarios over real loopback sockets: nodes, gateways, replicas and clients, and faults at
-// their times. It records what passes on the sockets and lets package audit check the rules from that record alone.
+// Package day plays scripted scenarios: it runs nodes, gateways, replicas and clients on loopback sockets and injects
+// faults at scripted times. It records the messages on the sockets, and package audit checks the rules from that
+// record alone.
 //
-// The command irispost day calls Load and Play. The state of a scenario is a testbed; the timeline of faults runs on
-// the goroutine of Play, each client on one of its own. Gateways run in this process or, with replicas always, as
-// processes of their own.
+// The command "irispost scenario" calls Load and Play. A testbed holds the state of a scenario. The timeline of faults
+// runs on the goroutine that called Play, and each client on its own goroutine. Gateways run in this process or as
+// separate processes; a scenario with replicas needs separate processes.
 package day
 
 import (
@@ -24,15 +25,16 @@
 	Seed    uint64 `json:"seed"`
 	Seconds int    `json:"seconds"`
 	audit.Summary
-	Requests    int                    `json:"requests"` // with retries of clients counted as part of the first attempt
-	ServedShare float64                `json:"service"`  // the share of them that was served within its objective
+	Requests    int                    `json:"requests"` // a request and its retries by the client count as one
+	ServedShare float64                `json:"service"`  // share of Requests that were served within their objective
 	TornReads   int64                  `json:"torn_reads"`
 	Rules       []audit.RuleResult     `json:"rules"`
-	Agreement   *rig.Agreement         `json:"agreement,omitempty"` // of a scenario with replicas
+	Agreement   *rig.Agreement         `json:"agreement,omitempty"` // nil in a scenario without replicas
 	SlowStart   audit.SlowStartSummary `json:"cold"`
 }
 
-// Passed says whether rules were checked and none was violated.
+// Passed reports whether all checks passed: the rules, the agreement of the gateways if there are replicas, and no
+// lost request, duplicate response or torn read. An agreement that compared nothing does not pass.
 func (r *Report) Passed() bool {
 	if a := r.Agreement; a != nil && (a.Violations > 0 || a.Pairs == 0 || a.Versions == 0) {
 		return false
@@ -40,16 +42,16 @@
 	return audit.Passed(r.Rules) && r.Lost == 0 && r.AnsweredTwice == 0 && r.TornReads == 0
 }
 
-// Options are how a scenario is played.
+// Options selects how a scenario is played.
 type Options struct {
-	Program        string    // the irispost program, for gateways as processes of their own; empty: in this process
-	GatewayLog     io.Writer // of the gateways; nil: discarded
+	Program        string    // path of irispost, to run gateways as separate processes; empty: in this process
+	GatewayLog     io.Writer // receives the logs of gateways and replicas; nil: discarded
 	Logf           func(format string, args ...any)
-	EndpointSource string // of the gateways: own or empty (a file), delta or whole (a management server)
-	Capture        string // folder for the gateways' captures; empty: none
+	EndpointSource string // "own" or empty: a file; "delta": incremental xDS; "whole": state-of-the-world xDS
+	Capture        string // folder for the gateways' captures; empty: no captures
 }
 
-// Play plays a scenario until its end or until the context is done. It reports what came to pass by then.
+// Play plays a scenario until its end or until the context is done, and reports on the time until then.
 func Play(ctx context.Context, script *Script, options Options) (*Report, error) {
 	source, err := os.ReadFile(script.Config)
 	if err != nil {
@@ -63,7 +65,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = os.RemoveAll(dir) }() // what is left is in the system's folder for temporary files
+	defer func() { _ = os.RemoveAll(dir) }() // what remains is in the system's folder for temporary files
 	if options.Logf == nil {
 		options.Logf = func(string, ...any) {}
 	}
@@ -90,7 +92,7 @@
 	if err != nil {
 		return nil, err
 	}
-	options.Logf("%d nodes, %d gateways and %d clients stand; the day lasts %v",
+	options.Logf("started %d nodes, %d gateways and %d clients; the scenario takes %v",
 		len(t.nodes), len(t.gateways), len(clients), script.Length)
 	var running sync.WaitGroup
 	for _, client := range clients {
@@ -104,9 +106,9 @@
 	return t.report(totals)
 }
 
-// report checks the record of a scenario that is over.
+// report audits the recorded events after the end of a scenario.
 func (t *testbed) report(totals *clientTotals) (*Report, error) {
-	// The record ends past all deadlines, so that requests without an answer count as lost.
+	// The last event is later than all deadlines, so that requests without a response count as lost.
 	end := t.clock.Now() + int64(time.Minute)
 	t.recorder.Add(audit.Event{Type: audit.NodeListed, State: audit.StateReady, At: end})
 	events := t.recorder.Events()
--- a/internal/day/day_test.go
+++ b/internal/day/day_test.go
@@ -19,7 +19,7 @@
 		files = append(files, found...)
 	}
 	if len(files) < 10 {
-		t.Errorf("%d scripts found", len(files))
+		t.Errorf("found %d scripts, want at least 10", len(files))
 	}
 	for _, file := range files {
 		if _, err := Load(file); err != nil {
@@ -35,24 +35,24 @@
 	}
 	example := string(source)
 	for _, c := range []struct{ old, new, want string }{
-		{`length   = "22s"`, `length = "22"`, "not a span"},
+		{`length   = "22s"`, `length = "22"`, "not a duration"},
 		{`gateways = 2`, `gateways = 0`, "1 to 64 gateways"},
-		{`node = "a"`, `node = "z"`, `no node "z"`},
-		{`do   = "hang"`, `do = "sulk"`, "no such trouble"},
+		{`node = "a"`, `node = "z"`, `node "z" does not exist`},
+		{`do   = "hang"`, `do = "sulk"`, "not an action on nodes"},
 		{`gateway = "g2"`, `gateway = "g9"`, "g1 to g2"},
 		{`do     = "read"`, `do = "sing"`, "sing"},
 		{`bytes  = 131072`, `bytes = 5`, "multiple of 4096"},
 		{`rate   = 15`, `rate = -1`, "rate = -1"},
 	} {
 		if !strings.Contains(example, c.old) {
-			t.Fatalf("the example has no %q", c.old)
+			t.Fatalf("the example does not contain %q", c.old)
 		}
 		_, err := Parse("day.hcl", []byte(strings.Replace(example, c.old, c.new, 1)))
 		if err == nil || !strings.Contains(err.Error(), c.want) || !strings.Contains(err.Error(), "day.hcl:") {
-			t.Errorf("%q: %v", c.new, err)
+			t.Errorf("Parse with %q: got error %v, want one that names the position and the problem", c.new, err)
 		}
 		if scriptError := new(ScriptError); !errors.As(err, &scriptError) || len(scriptError.Problems) == 0 {
-			t.Errorf("%q: %T is no list of problems", c.new, err)
+			t.Errorf("Parse with %q: got an error of type %T, want a *ScriptError with problems", c.new, err)
 		}
 	}
 }
@@ -61,23 +61,24 @@
 	data := make([]byte, 2*blockSize)
 	copy(data, strings.Repeat("12345678", blockSize/8))
 	if !untorn(data) {
-		t.Error("two blocks of one word each count as torn")
+		t.Error("untorn: got false for two blocks that repeat one word, want true")
 	}
 	data[blockSize+9]++
 	if untorn(data) {
-		t.Error("a torn block is not found")
+		t.Error("untorn: got true for data with a torn block, want false")
 	}
 }
 
-// The example scenarios with all their faults, cut short: no rule is violated, whatever the machine's speed. The share
-// that is served within its objective is not judged here.
+// TestPlayShortScenariosWithoutViolation plays shortened example scenarios with their faults. No rule may be violated,
+// whatever the speed of the machine. The share of requests served within their objective depends on that speed and is
+// not checked.
 func TestPlayShortScenariosWithoutViolation(t *testing.T) {
 	for _, name := range []string{"bad-morning", "replacement", "mixed", "rolling"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			script := shortScript(t, "../../examples/day-"+name+".hcl")
 			options := Options{}
-			if name == "rolling" { // under a management server, until it has restarted
+			if name == "rolling" { // with a management server, long enough for its restart
 				script.Length = 7 * time.Second
 				options.EndpointSource = sourceIncremental
 			}
@@ -86,14 +87,14 @@
 				t.Fatal(err)
 			}
 			if !report.Passed() || report.Sent == 0 || report.Succeeded == 0 {
-				t.Errorf("%+v", report)
+				t.Errorf("got report %+v, want one that passed with requests sent and served", report)
 			}
 		})
 	}
 }
 
-// shortScript loads a script and plays it in a third of its time, at half the rate. A slow machine is late: that each
-// request is answered, and once, is what is checked.
+// shortScript loads a script and reduces its duration to a third and its request rates to half. As a slow machine
+// responds late, it allows more time for responses and attempts: the test checks that each request gets one response.
 func shortScript(t *testing.T, file string) *Script {
 	t.Helper()
 	script, err := Load(file)
--- a/internal/day/disk_client.go
+++ b/internal/day/disk_client.go
@@ -18,36 +18,36 @@
 const (
 	iscsiPrefix = "iqn.2026-01.irispost:"
 
-	// diskTarget is the name of the target that the gateways of a scenario serve, with a logical unit for each volume
-	// that has disk clients.
+	// diskTarget is the name of the target that each gateway of a scenario serves. It has a logical unit for each
+	// volume with disk clients.
 	diskTarget = iscsiPrefix + "day"
 
-	// targetQueueTime is how long a command may wait at the target for its turn, beyond its class's timeout.
+	// targetQueueTime is added to the timeout of a command's class, for the time that it may be queued at the target.
 	targetQueueTime = 20 * time.Second
 )
 
-// SCSI commands of disk clients: operation codes and the layout of their 10-byte descriptor blocks.
+// SCSI commands of disk clients: operation codes and the layout of their 10-byte command descriptor blocks (CDB).
 const (
 	opRead10             = 0x28
 	opWrite10            = 0x2a
 	opSynchronizeCache10 = 0x35
-	commandBlockSize     = 16 // as iSCSI carries it
-	cdbAddress           = 2  // offset of the first block's address, 4 bytes
-	cdbLength            = 7  // offset of the number of blocks, 2 bytes
+	commandBlockSize     = 16 // size of the CDB field in an iSCSI PDU
+	cdbAddress           = 2  // offset of the logical block address, 4 bytes
+	cdbLength            = 7  // offset of the transfer length in blocks, 2 bytes
 )
 
-// diskStatusError is a SCSI status other than good.
+// diskStatusError is a SCSI status other than GOOD.
 type diskStatusError struct {
 	status scsi.Status
-	sense  *scsi.Sense // nil where the target has sent none
+	sense  *scsi.Sense // nil if the target sent none
 }
 
 func (e *diskStatusError) Error() string {
-	return fmt.Sprintf("status %#x, %v", byte(e.status), e.sense)
+	return fmt.Sprintf("SCSI status %#x, sense %v", byte(e.status), e.sense)
 }
 
-// diskBlock returns the block of a configuration that serves a disk of each volume with disk clients; empty: there is
-// none.
+// diskBlock returns the configuration block that makes a gateway serve one disk of each volume with disk clients. It
+// is empty if there are no such volumes.
 func (s *Script) diskBlock() string {
 	sizes := map[string]int{}
 	for _, plan := range s.Clients {
@@ -67,7 +67,7 @@
 		logicalUnits.String() + "  }\n}\n"
 }
 
-// diskVolumes returns the volumes with disk clients: the index of each is the number of its logical unit.
+// diskVolumes returns the volumes with disk clients. The index of a volume is the number (LUN) of its logical unit.
 func (s *Script) diskVolumes() (volumes []string) {
 	for _, plan := range s.Clients {
 		if plan.Operation.onDisk() && !slices.Contains(volumes, plan.Volume) {
@@ -77,14 +77,14 @@
 	return volumes
 }
 
-// diskSession is a client's session with a target.
+// diskSession is a client's iSCSI session with a gateway's target.
 type diskSession struct {
 	*initiator.Session
 	lun    uint16
-	offset int64 // where the client's part begins, bytes
+	offset int64 // start of the client's part of the disk, in bytes
 }
 
-// connectDisk connects a disk client; prepare fills its part.
+// connectDisk connects a disk client. With prepare, it also fills the client's part of the disk.
 func (c *client) connectDisk(prepare bool) error {
 	session, err := initiator.Dial(context.Background(), initiator.Options{
 		Address: c.targetAddress(),
@@ -98,7 +98,7 @@
 	disk := &diskSession{session, c.lun, c.diskOffset}
 	if prepare {
 		if err := c.fillDisk(disk); err != nil {
-			_ = session.Close() // the next attempt connects anew
+			_ = session.Close() // the next attempt makes a new session
 			return err
 		}
 	}
@@ -108,7 +108,7 @@
 	return nil
 }
 
-// fillDisk writes all blocks of the client's part and syncs them.
+// fillDisk writes all blocks of the client's part of the disk and synchronizes the cache.
 func (c *client) fillDisk(disk *diskSession) error {
 	for block := range c.plan.Blocks {
 		if err := c.diskAttempt(disk, true, block, randomBlocks(c.plan.Bytes, c.random)); err != nil {
@@ -127,7 +127,7 @@
 	return nil
 }
 
-// recordDiskEvent records what passes on a session.
+// recordDiskEvent records an event of an iSCSI session for the audit.
 func (c *client) recordDiskEvent(event initiator.Event) {
 	switch {
 	case event.Lost != nil:
@@ -170,7 +170,7 @@
 	return audit.Failed
 }
 
-// diskAttempt reads or writes one block of the client's part, and checks what it has read.
+// diskAttempt reads or writes the data of one request in the client's part of the disk, and checks the data of a read.
 func (c *client) diskAttempt(disk *diskSession, write bool, block int, data []byte) error {
 	first := (disk.offset + int64(block*c.plan.Bytes)) / blockSize
 	command := make([]byte, commandBlockSize)
--- a/internal/day/file_client.go
+++ b/internal/day/file_client.go
@@ -10,12 +10,14 @@
 
 const syncExtension = "fsync@openssh.com"
 
-// tornReadError is an answer with bytes that no client wrote.
+// tornReadError is a read response with torn blocks, whose bytes no client wrote, or of a wrong length.
 type tornReadError struct{ bytes int }
 
-func (e *tornReadError) Error() string { return fmt.Sprintf("%d bytes that nobody wrote", e.bytes) }
+func (e *tornReadError) Error() string {
+	return fmt.Sprintf("read returned %d bytes, with torn blocks or of a wrong length", e.bytes)
+}
 
-// roundTrip does one request and waits for its answer.
+// roundTrip sends a request and waits for its response.
 func (c *client) roundTrip(
 	connection *connection, packetType sftp.Type, fields func(*sftp.Packet), operations ...front.OperationKind,
 ) response {
@@ -33,7 +35,7 @@
 	return opened.body.Text(), nil
 }
 
-// connectFiles connects and opens the client's files; prepare fills them.
+// connectFiles connects, and opens or creates the client's files. With prepare, it also fills them.
 func (c *client) connectFiles(prepare bool) error {
 	connection, err := dial(c.gatewayAddress(), c.recorder)
 	if err != nil {
@@ -76,7 +78,7 @@
 	return synced.failure()
 }
 
-// fileAttempt does one attempt of a request and checks what it returns.
+// fileAttempt sends a request once, and checks the data of a read.
 func (c *client) fileAttempt(connection *connection, handle string, request scriptedRequest) error {
 	if c.plan.Operation == OperationCreate {
 		return c.createFile(connection, request)
@@ -117,7 +119,7 @@
 	}
 }
 
-// awaitResponse waits for a response. If the plan sets CancelAfter, it closes the connection after that time.
+// awaitResponse waits for a response. If the plan has a CancelAfter, it closes the connection after that time.
 func (c *client) awaitResponse(connection *connection, pending <-chan response) (response, error) {
 	if c.plan.CancelAfter == 0 {
 		return <-pending, nil
--- a/internal/day/gateway_instance.go
+++ b/internal/day/gateway_instance.go
@@ -16,37 +16,37 @@
 	"irispost/internal/serve"
 )
 
-// A process's address may be taken for a moment by a connection that another process makes: its start is retried.
+// The start of a process is retried, as a connection of another process may hold its port for a moment.
 const (
 	startAttempts = 40
 	startDelay    = 50 * time.Millisecond
 )
 
-// Lines of a configuration that a scenario replaces.
+// Lines of the configuration that a scenario replaces.
 var (
 	nodesLine  = regexp.MustCompile(`(?m)^  nodes +=.*$`)
 	shardsLine = regexp.MustCompile(`(?m)^  shards +=.*$`)
 )
 
-// gatewayInstance is a gateway of the script, in this process or as one of its own.
+// gatewayInstance is a gateway of the script, in this process or as a separate process.
 type gatewayInstance struct {
 	name       string
 	configFile string
 
 	lock        sync.Mutex // guards what follows
 	address     string     // of the SFTP front end
-	diskAddress string     // of the iSCSI target; empty: none
+	diskAddress string     // of the iSCSI target; empty if there is none
 	inProcess   *serve.Gateway
 	process     *exec.Cmd
 }
 
-// gatewayConfig returns the script's configuration as this gateway needs it: with its name, this scenario's sources and
-// free ports.
+// gatewayConfig returns the script's configuration with the changes for this gateway: its name, the scenario's
+// endpoint source, and addresses with free ports.
 func (t *testbed) gatewayConfig(instance *gatewayInstance) (string, error) {
 	header := fmt.Sprintf("gateway %q", instance.name)
 	head, rest, found := strings.Cut(t.configText, `gateway "`+t.config.Name+`"`)
 	if !found {
-		return "", fmt.Errorf("%s: write the gateway block as: gateway %q {", t.script.Config, t.config.Name)
+		return "", fmt.Errorf("%s: the gateway block must start with: gateway %q {", t.script.Config, t.config.Name)
 	}
 	text := head + header + rest
 	text = strings.Replace(text, quoted(t.config.Sources[0].File), quoted(t.listFile()), 1)
@@ -73,7 +73,7 @@
 
 func quoted(text string) string { return fmt.Sprintf("%q", text) }
 
-// startGateway starts a gateway, as a process of its own or in this one.
+// startGateway starts a gateway, in this process or as a separate process.
 func (t *testbed) startGateway(instance *gatewayInstance) error {
 	text, err := t.gatewayConfig(instance)
 	if err != nil {
@@ -86,7 +86,7 @@
 		return t.startGatewayInProcess(instance)
 	}
 	attempts := 1
-	if t.script.Fleet.Peers { // it has an address that was chosen before
+	if t.script.Fleet.Peers { // its address was chosen before and may be in use for a moment
 		attempts = startAttempts
 	}
 	for range attempts {
@@ -98,7 +98,6 @@
 	return err
 }
 
-// startGatewayInProcess starts a gateway in this process.
 func (t *testbed) startGatewayInProcess(instance *gatewayInstance) error {
 	parsed, err := config.Load(instance.configFile)
 	if err != nil {
@@ -118,8 +117,8 @@
 	return nil
 }
 
-// startGatewayProcess starts a gateway's process, and waits until it prints its addresses: the last word of a line
-// each.
+// startGatewayProcess starts a gateway as a separate process and waits until it has printed its addresses. Each
+// address is the last word of a line.
 func (t *testbed) startGatewayProcess(instance *gatewayInstance) error {
 	command := exec.Command(t.options.Program, "serve", "--config", instance.configFile)
 	command.Stderr = t.options.GatewayLog
@@ -140,7 +139,7 @@
 	}
 	if err != nil {
 		kill(command)
-		return fmt.Errorf("gateway %s does not start: %w", instance.name, err)
+		return fmt.Errorf("gateway %s did not start: %w", instance.name, err)
 	}
 	instance.lock.Lock()
 	defer instance.lock.Unlock()
@@ -156,13 +155,13 @@
 	return line[strings.LastIndexByte(line, ' ')+1:], err
 }
 
-// kill ends a process and waits for its end. Both calls fail for one that has ended by itself.
+// kill kills a process and waits for its end. The errors are ignored, as both calls fail if it has already ended.
 func kill(command *exec.Cmd) {
 	_ = command.Process.Kill()
 	_ = command.Wait()
 }
 
-// kill ends a gateway as a crash does.
+// kill ends the gateway without a shutdown, as a crash would.
 func (g *gatewayInstance) kill() {
 	g.lock.Lock()
 	inProcess, process := g.inProcess, g.process
@@ -177,14 +176,14 @@
 	}
 }
 
-// frontendAddress is the address of the SFTP front end, which changes with a restart.
+// frontendAddress returns the address of the SFTP front end. It changes when the gateway restarts.
 func (g *gatewayInstance) frontendAddress() string {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	return g.address
 }
 
-// targetAddress is the address of the iSCSI target, which changes with a restart.
+// targetAddress returns the address of the iSCSI target. It changes when the gateway restarts.
 func (g *gatewayInstance) targetAddress() string {
 	g.lock.Lock()
 	defer g.lock.Unlock()
--- a/internal/day/operator.go
+++ b/internal/day/operator.go
@@ -20,8 +20,8 @@
 	proposalReason  = "the day's script"
 )
 
-// operatorClient speaks to the replicas as an operator: without links between, as the operators' machine is not part of
-// the scenario's faults.
+// operatorClient returns a client that an operator uses to reach the replicas. It connects to them directly and not
+// through links, as the scenario has no faults on the network of the operators.
 func (r *replicaSet) operatorClient(timeout time.Duration) *replica.Client {
 	client := &replica.Client{Timeout: timeout}
 	for name, address := range r.addresses {
@@ -32,8 +32,8 @@
 	return client
 }
 
-// proposeList lets the operator propose a list, with the rate limits in force. A list that was not proposed yet is out
-// of date.
+// proposeList makes the operator propose an endpoint list, with the rate limits that the changes so far have set. It
+// replaces a list that is still to be proposed, which is out of date.
 func (r *replicaSet) proposeList(list endpoint.List) {
 	proposed := configversion.Intersect(r.baseConfig, r.baseConfig) // a copy
 	for _, node := range list.Nodes {
@@ -55,7 +55,7 @@
 	r.lock.Unlock()
 	select {
 	case r.pendingChanged <- struct{}{}:
-	default: // a signal is waiting already
+	default: // a signal is already pending
 	}
 }
 
@@ -65,7 +65,7 @@
 	proposed.ServiceLevels[serviceLevel] = level
 }
 
-// runOperator proposes what is pending, until it is in the log.
+// runOperator proposes each pending configuration, and retries with the newest one until it is in the log.
 func (r *replicaSet) runOperator(ctx context.Context) {
 	for {
 		select {
@@ -85,7 +85,8 @@
 	}
 }
 
-// proposeOnLatest proposes a configuration on the latest version and says whether it is in the log.
+// proposeOnLatest proposes a configuration with the latest version as its parent. It reports whether the proposal is
+// in the log.
 func (r *replicaSet) proposeOnLatest(ctx context.Context, proposed *configversion.Config) bool {
 	status, err := r.operatorClient(operatorTimeout).Status()
 	if err != nil {
@@ -94,7 +95,8 @@
 	return r.propose(ctx, proposed, operatorName, status.Announced)
 }
 
-// propose proposes a configuration on a version, until it is in the log (true) or rejected.
+// propose proposes a configuration with the given version as its parent, and retries until the proposal is in the log
+// or rejected. It reports whether it is in the log.
 func (r *replicaSet) propose(ctx context.Context, proposed *configversion.Config, author string, parent uint64) bool {
 	client := r.operatorClient(operatorTimeout)
 	proposal := &lease.Proposal{
@@ -109,13 +111,13 @@
 		version, err := client.Propose(proposal)
 		if err == nil {
 			r.increment(&r.announcedCount)
-			r.testbed.options.Logf("version %s is announced", version.Name())
+			r.testbed.options.Logf("version %s was announced", version.Name())
 			return true
 		}
 		var rejected *replica.RejectedError
 		if errors.As(err, &rejected) {
 			r.increment(&r.rejectedCount)
-			r.testbed.options.Logf("a proposal is refused: %v", err)
+			r.testbed.options.Logf("a proposal was rejected: %v", err)
 			return false
 		}
 	}
@@ -135,13 +137,14 @@
 	*counter++
 }
 
-// applyChange makes a change of the script, for the first time or as a repetition.
+// applyChange applies a change of the script; each repetition raises the limit by 1. With two or more proposers, it
+// starts that many concurrent proposals, each with another limit.
 func (r *replicaSet) applyChange(change ChangePlan, repetition int) {
 	r.lock.Lock()
 	r.rateLimits[change.ServiceLevel] = change.RateLimit + float64(repetition)
 	r.lock.Unlock()
 	if change.Proposers < 2 {
-		_ = r.testbed.publishList() // it fails where it writes a file, which a scenario with replicas does not
+		_ = r.testbed.publishList() // fails only when it writes a file, which it does not with replicas
 		return
 	}
 	status, err := r.operatorClient(operatorTimeout).Status()
--- a/internal/day/parse.go
+++ b/internal/day/parse.go
@@ -13,10 +13,10 @@
 	"irispost/internal/fleet/rig"
 )
 
-// Limits and defaults of scripts.
+// Limits and default values of scripts.
 const (
 	maxGateways          = 64
-	maxGatewaysWithPeers = 16 // gateways with a link for each pair
+	maxGatewaysWithPeers = 16 // each pair of gateways has a link
 	maxLength            = time.Hour
 	maxRate              = 1e5
 	maxRequestBytes      = 256 << 10
@@ -32,18 +32,19 @@
 	OperationRead, OperationWrite, OperationCreate, OperationStat, OperationDiskRead, OperationDiskWrite,
 }
 
-// nodeActions are the first words of what can happen to a node: commands of test nodes, and the two of this package.
+// nodeActions are the first words of the actions on nodes: commands of test nodes, and two actions of this package.
 var nodeActions = []string{
 	"fail", "slow", "drop", "hang", "stall", "refuse", "cut", "reset", actionCrash, actionReplace,
 }
 
-// ScriptError lists what is wrong with a script, each with its place.
+// ScriptError lists the problems of a script, each with its position in the file.
 type ScriptError struct{ Problems []string }
 
-// Error returns the problems, a line each.
+// Error returns the problems, one per line.
 func (e *ScriptError) Error() string { return strings.Join(e.Problems, "\n") }
 
-// Parse reads a script; file names it in errors. A script that is readable and wrong gives a *ScriptError.
+// Parse parses a script. The file name is used in errors. For a script that can be decoded but has invalid values, it
+// returns a *ScriptError.
 func Parse(file string, source []byte) (*Script, error) {
 	parsed, diagnostics := hclparse.NewParser().ParseHCL(source, file)
 	if diagnostics.HasErrors() {
@@ -65,11 +66,11 @@
 	return script, nil
 }
 
-// parser turns a script's form into a Script and collects what is wrong with it.
+// parser converts a decoded script file to a Script and collects its problems.
 type parser struct {
 	file      *scriptFile
-	fileRange hcl.Range       // place of problems that concern no single block
-	nodes     map[string]bool // names so far
+	fileRange hcl.Range       // position of problems that concern no single block
+	nodes     map[string]bool // names of the nodes so far
 	problems  []string
 }
 
@@ -77,14 +78,14 @@
 	p.problems = append(p.problems, fmt.Sprintf("%s: %s", at, fmt.Sprintf(format, args...)))
 }
 
-// duration parses a duration that is not negative; an empty text is the default.
+// duration parses a duration, which must not be negative. An empty text stands for the default value.
 func (p *parser) duration(at hcl.Range, key, text string, defaultValue time.Duration) time.Duration {
 	if text == "" {
 		return defaultValue
 	}
 	duration, err := time.ParseDuration(text)
 	if err != nil || duration < 0 {
-		p.addProblem(at, "%s = %q is not a span such as \"2.5s\"", key, text)
+		p.addProblem(at, "%s = %q is not a duration such as \"2.5s\"", key, text)
 	}
 	return duration
 }
@@ -102,14 +103,14 @@
 		Slack:      p.duration(p.fileRange, "slack", file.Slack, defaultSlack),
 	}
 	if script.Gateways < 1 || script.Gateways > maxGateways || script.Length <= 0 || script.Length > maxLength {
-		p.addProblem(p.fileRange, "a day has 1 to 64 gateways and lasts up to an hour")
+		p.addProblem(p.fileRange, "a scenario has 1 to 64 gateways and a length of up to an hour")
 	}
 	script.Fleet = p.fleet()
 	for _, node := range file.Nodes {
 		script.Nodes = append(script.Nodes, p.node(node))
 	}
 	if len(p.nodes) == 0 || len(file.Clients) == 0 {
-		p.addProblem(p.fileRange, "a day needs a node and a client")
+		p.addProblem(p.fileRange, "a scenario needs at least one node and one client")
 	}
 	for _, client := range file.Clients {
 		script.Clients = append(script.Clients, p.client(client))
@@ -130,14 +131,14 @@
 		Peers:         file.Peers,
 	}
 	if file.Peers && (file.Replicas == 0 || file.Gateways > maxGatewaysWithPeers) {
-		p.addProblem(p.fileRange, "peers = true: a day with keepers and up to 16 gateways, as each pair has a link")
+		p.addProblem(p.fileRange, "peers = true needs keepers and at most 16 gateways, as each pair of gateways has a link")
 	}
 	if !slices.Contains([]int{0, 1, 3, 5}, file.Replicas) {
-		p.addProblem(p.fileRange, "keepers = %d: one, three or five", file.Replicas)
+		p.addProblem(p.fileRange, "keepers = %d is not 0, 1, 3 or 5", file.Replicas)
 	}
 	for _, change := range file.Changes {
 		if file.Replicas == 0 {
-			p.addProblem(change.Range, "the day has no keepers")
+			p.addProblem(change.Range, "a change block needs keepers, and the scenario has none")
 		}
 		fleet.Changes = append(fleet.Changes, ChangePlan{
 			At:           p.duration(change.Range, "at", change.At, 0),
@@ -152,7 +153,7 @@
 
 func (p *parser) node(block nodeBlock) NodePlan {
 	if p.nodes[block.Name] {
-		p.addProblem(block.Range, "there is a node %q already", block.Name)
+		p.addProblem(block.Range, "node %q is defined more than once", block.Name)
 	}
 	p.nodes[block.Name] = true
 	return NodePlan{
@@ -169,10 +170,10 @@
 func (p *parser) client(block clientBlock) ClientPlan {
 	if !slices.Contains(operations, Operation(block.Operation)) {
 		p.addProblem(block.Range,
-			"do = %q: clients \"read\", \"write\", \"create\", \"look\", \"disk-read\" or \"disk-write\"", block.Operation)
+			"do = %q is not \"read\", \"write\", \"create\", \"look\", \"disk-read\" or \"disk-write\"", block.Operation)
 	}
 	if block.Rate <= 0 || block.Rate > maxRate {
-		p.addProblem(block.Range, "rate = %v is not over 0 and up to 100000", block.Rate)
+		p.addProblem(block.Range, "rate = %v is not above 0 and at most 100000", block.Rate)
 	}
 	if block.Gateway != "" && !isGateway(block.Gateway, p.file.Gateways) {
 		p.addUnknownGateway(block.Range, block.Gateway)
@@ -181,7 +182,8 @@
 		block.Bytes = defaultBytes
 	}
 	if block.Bytes%blockSize != 0 || block.Bytes < 0 || block.Bytes > maxRequestBytes {
-		p.addProblem(block.Range, "bytes = %d is not a multiple of %d up to %d", block.Bytes, blockSize, maxRequestBytes)
+		p.addProblem(block.Range, "bytes = %d is not a multiple of %d and at most %d",
+			block.Bytes, blockSize, maxRequestBytes)
 	}
 	return ClientPlan{
 		Name:        block.Name,
@@ -202,7 +204,7 @@
 }
 
 func (p *parser) addUnknownGateway(at hcl.Range, name string) {
-	p.addProblem(at, "there is no gateway %q, they are called g1 to g%d", name, p.file.Gateways)
+	p.addProblem(at, "gateway %q does not exist, the gateways are g1 to g%d", name, p.file.Gateways)
 }
 
 func (p *parser) fault(block faultBlock) FaultPlan {
@@ -211,10 +213,10 @@
 	switch {
 	case block.ManagementServer != "":
 		if block.Gateway != "" || block.Node != "" || block.Action != "" {
-			p.addProblem(block.Range, "plane = %q stands alone", block.ManagementServer)
+			p.addProblem(block.Range, "plane = %q cannot be combined with gateway, node or do", block.ManagementServer)
 		}
 	case needsReplicas && p.file.Replicas == 0:
-		p.addProblem(block.Range, "the day has no keepers")
+		p.addProblem(block.Range, "this trouble block needs keepers, and the scenario has none")
 	case len(block.Between) > 0:
 		p.checkNetworkFault(block)
 	case block.Replica != "":
@@ -222,9 +224,9 @@
 	case block.Gateway != "":
 		p.checkGatewayFault(block, action)
 	case !p.nodes[block.Node]:
-		p.addProblem(block.Range, "there is no node %q", block.Node)
+		p.addProblem(block.Range, "node %q does not exist", block.Node)
 	case !slices.Contains(nodeActions, action):
-		p.addProblem(block.Range, "do = %q: no such trouble", block.Action)
+		p.addProblem(block.Range, "do = %q is not an action on nodes", block.Action)
 	}
 	return FaultPlan{
 		At:               p.duration(block.Range, "at", block.At, 0),
@@ -240,11 +242,11 @@
 
 func (p *parser) checkNetworkFault(block faultBlock) {
 	if _, err := rig.ParseFault(block.Action); err != nil || len(block.Between) != 2 {
-		p.addProblem(block.Range, "between = [\"k1\", \"g1,g2\"] names two sides; %v", err)
+		p.addProblem(block.Range, "between must name two sides, as in [\"k1\", \"g1,g2\"], and do a link fault: %v", err)
 	}
 	for _, name := range strings.Split(strings.Join(block.Between, ","), ",") {
 		if !isGateway(name, p.file.Gateways) && !isReplica(name, p.file.Replicas) {
-			p.addProblem(block.Range, "there is no process %q", name)
+			p.addProblem(block.Range, "process %q does not exist", name)
 		}
 	}
 }
@@ -253,7 +255,7 @@
 	known := block.Replica == allReplicas || isReplica(block.Replica, p.file.Replicas)
 	possible := action == actionKill || action == actionPause && block.Replica != allReplicas
 	if !known || !possible {
-		p.addProblem(block.Range, "keeper = %q, do = %q: k1 to k%d can be killed or stopped, all can be killed",
+		p.addProblem(block.Range, "keeper = %q, do = %q: k1 to k%d can be killed or stopped, \"all\" can only be killed",
 			block.Replica, block.Action, p.file.Replicas)
 	}
 }
@@ -263,7 +265,7 @@
 	switch {
 	case action == actionPause && known:
 	case action != actionKill:
-		p.addProblem(block.Range, "do = %q: gateways can be killed only", block.Action)
+		p.addProblem(block.Range, "do = %q: an existing gateway can only be killed or stopped", block.Action)
 	case !known:
 		p.addUnknownGateway(block.Range, block.Gateway)
 	}
--- a/internal/day/payload.go
+++ b/internal/day/payload.go
@@ -6,12 +6,13 @@
 	"math/rand/v2"
 )
 
-// blockSize is the size of a block, which repeats one word, so that a read of bytes that no client wrote is noticed.
+// blockSize is the size of a block in bytes. A client fills each block with repetitions of one random word. A block
+// with different words is torn: no client wrote it.
 const blockSize = 4096
 
 const wordSize = 8
 
-// randomBlocks makes data whose blocks each repeat one random word.
+// randomBlocks returns data in which each block repeats one random word.
 func randomBlocks(size int, random *rand.Rand) []byte {
 	data := make([]byte, size)
 	for start := 0; start < size; start += blockSize {
@@ -23,7 +24,7 @@
 	return data
 }
 
-// untorn says whether each block repeats one word.
+// untorn reports whether each block of the data repeats one word.
 func untorn(data []byte) bool {
 	for start := 0; start+wordSize <= len(data); start += blockSize {
 		word := data[start : start+wordSize]
--- a/internal/day/replica_faults.go
+++ b/internal/day/replica_faults.go
@@ -10,13 +10,13 @@
 	"irispost/internal/fleet/rig"
 )
 
-// faultSteps returns the steps of a fault between processes, or of one of them.
+// faultSteps returns the steps of a network fault between processes, or of a fault that kills or pauses a process.
 func (r *replicaSet) faultSteps(fault FaultPlan) []step {
 	switch {
 	case len(fault.Between) > 0:
 		return r.networkFaultSteps(fault)
 	case fault.Action == actionPause:
-		name := fault.Replica + fault.Gateway // one of them is empty
+		name := fault.Replica + fault.Gateway // one of the two is empty
 		return []step{
 			{fault.At, func() { r.signalProcess(name, syscall.SIGSTOP) }},
 			{fault.At + fault.For, func() { r.signalProcess(name, syscall.SIGCONT) }},
@@ -26,16 +26,16 @@
 	}
 }
 
-// networkFaultSteps: the links between two sides have a fault for a time.
+// networkFaultSteps returns the steps of a fault on the links between two sides, which ends after a time.
 func (r *replicaSet) networkFaultSteps(fault FaultPlan) []step {
-	linkFault, _ := rig.ParseFault(fault.Action) // it was checked when the script was parsed
+	linkFault, _ := rig.ParseFault(fault.Action) // valid, as it was checked when the script was parsed
 	return []step{
 		{fault.At, func() { r.setLinkFault(fault.Between, linkFault, fault.Action) }},
 		{fault.At + fault.For, func() { r.setLinkFault(fault.Between, rig.Fault{}, actionRecover) }},
 	}
 }
 
-// setLinkFault sets the fault of all links between two sides.
+// setLinkFault sets the fault of all links between two sides. The description is for the log.
 func (r *replicaSet) setLinkFault(sides []string, fault rig.Fault, description string) {
 	r.testbed.options.Logf("%s: %s", strings.Join(sides, " - "), description)
 	for key, link := range r.links {
@@ -45,13 +45,14 @@
 	}
 }
 
-// crosses says whether a link lies between two sides. A side is names with commas between.
+// crosses reports whether a link connects the two sides, in either direction. A side is a comma-separated list of
+// names.
 func (k linkKey) crosses(sides []string) bool {
 	on := func(name, side string) bool { return slices.Contains(strings.Split(side, ","), name) }
 	return on(k.from, sides[0]) && on(k.to, sides[1]) || on(k.from, sides[1]) && on(k.to, sides[0])
 }
 
-// killReplicaSteps: a replica or all are killed, and started again at the end of the fault.
+// killReplicaSteps returns the steps that kill one or all replicas, and start them again at the end of the fault.
 func (r *replicaSet) killReplicaSteps(fault FaultPlan) []step {
 	var names []string
 	for name := range r.addresses {
@@ -62,13 +63,13 @@
 	return []step{
 		{fault.At, func() {
 			for _, name := range names {
-				r.testbed.options.Logf("%s is killed", name)
+				r.testbed.options.Logf("%s: killed", name)
 				kill(r.removeProcess(name))
 			}
 		}},
 		{fault.At + fault.For, func() {
 			for _, name := range names {
-				r.testbed.options.Logf("%s starts again", name)
+				r.testbed.options.Logf("%s: restarting", name)
 				if err := r.startReplica(name); err != nil {
 					r.testbed.options.Logf("%v", err)
 				}
@@ -77,7 +78,7 @@
 	}
 }
 
-// removeProcess removes a replica's process from those that run, and returns it.
+// removeProcess removes a replica's process from the running ones and returns it.
 func (r *replicaSet) removeProcess(name string) *exec.Cmd {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -86,8 +87,8 @@
 	return process
 }
 
-// signalProcess sends SIGSTOP or SIGCONT to a replica or a gateway. Signals to a process that has ended fail, and that
-// changes nothing.
+// signalProcess sends SIGSTOP or SIGCONT to a replica or a gateway. A process that has already ended is not signalled,
+// and that is no error.
 func (r *replicaSet) signalProcess(name string, signal syscall.Signal) {
 	r.testbed.options.Logf("%s: %v", name, signal)
 	r.lock.Lock()
@@ -103,7 +104,8 @@
 	}
 }
 
-// signal sends SIGSTOP or SIGCONT to a gateway's process. The record has the pause a little longer than it lasts.
+// signal sends SIGSTOP or SIGCONT to a gateway's process and records it. The events are added before SIGSTOP and after
+// SIGCONT, so that the recorded pause covers the actual one.
 func (g *gatewayInstance) signal(signal syscall.Signal, recorder *audit.Recorder) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
@@ -113,7 +115,7 @@
 	if signal == syscall.SIGSTOP {
 		recorder.Add(audit.Event{Type: audit.GatewayPaused, Gateway: g.name})
 	}
-	_ = g.process.Process.Signal(signal) // it fails for a process that has ended
+	_ = g.process.Process.Signal(signal) // fails if the process has already ended
 	if signal == syscall.SIGCONT {
 		recorder.Add(audit.Event{Type: audit.GatewayResumed, Gateway: g.name})
 	}
--- a/internal/day/replicas.go
+++ b/internal/day/replicas.go
@@ -23,40 +23,41 @@
 const (
 	replicaTick         = "30ms"
 	replicaCompactAfter = "100" // log entries
-	pollsPerLease       = 5     // of a gateway
+	pollsPerLease       = 5     // requests of a gateway to the replicas in the duration of a lease
 )
 
-var errNeedsProgram = errors.New("a day with keepers needs gateways as processes of their own")
+var errNeedsProgram = errors.New("a scenario with keepers cannot run its gateways in this process")
 
-// linkKey names the link that one process reaches another by.
+// linkKey identifies the link through which one process connects to another, by the names of both.
 type linkKey struct{ from, to string }
 
-// replicaSet is the replicas of a scenario, with the links between all processes and the operator who proposes.
+// replicaSet holds the replicas of a scenario, the links between all processes, and the operator that proposes
+// configurations to the replicas.
 type replicaSet struct {
 	testbed        *testbed
 	plan           FleetPlan
 	links          map[linkKey]*rig.Link
 	addresses      map[string]string // of replicas and, with peers, of gateways, by name
 	baseConfig     *configversion.Config
-	pendingChanged chan struct{} // holds one signal for the operator
+	pendingChanged chan struct{} // buffers one signal for the operator
 	cancel         context.CancelFunc
 	goroutines     sync.WaitGroup // the operator and the proposers
 
 	lock           sync.Mutex // guards what follows
 	processes      map[string]*exec.Cmd
 	rateLimits     map[string]float64    // by service level
-	pending        *configversion.Config // to be proposed next; nil: nothing
-	pendingList    endpoint.List         // of it
+	pending        *configversion.Config // to be proposed next; nil: nothing yet
+	pendingList    endpoint.List         // the endpoint list of pending
 	activations    map[string][]rig.Activation
 	proposalCount  int
 	announcedCount int
 	rejectedCount  int
 }
 
-// monotonic reads the machine's clock that all processes read alike, in nanoseconds.
+// monotonic returns the time of the monotonic clock, which is the same for all processes of a machine, in nanoseconds.
 func monotonic() int64 {
 	var now unix.Timespec
-	_ = unix.ClockGettime(unix.CLOCK_MONOTONIC, &now) // it fails for clocks that do not exist
+	_ = unix.ClockGettime(unix.CLOCK_MONOTONIC, &now) // fails only for a clock that does not exist
 	return now.Nano()
 }
 
@@ -93,7 +94,7 @@
 	return nil
 }
 
-// baseConfig is the replicated configuration that the scenario begins with, without nodes.
+// baseConfig returns the replicated configuration at the start of the scenario, without nodes.
 func (t *testbed) baseConfig() *configversion.Config {
 	base := &configversion.Config{
 		RequiredFormat: configversion.Format,
@@ -111,13 +112,13 @@
 	return base
 }
 
-// startProcesses makes the links between all processes and starts the replicas. Addresses are held by listeners until
-// all are chosen, and each until its process starts.
+// startProcesses creates the links between all processes and starts the replicas. A listener reserves each address
+// until all addresses are chosen. The listener of a replica is closed right before the replica starts.
 func (r *replicaSet) startProcesses(replicas, gateways []string) error {
 	listeners := map[string]net.Listener{}
 	defer func() {
 		for _, listener := range listeners {
-			_ = listener.Close() // most are closed already
+			_ = listener.Close() // fails for those that are already closed
 		}
 	}()
 	if err := r.reserveAddresses(replicas, listeners); err != nil {
@@ -137,11 +138,11 @@
 			return err
 		}
 		for _, name := range gateways {
-			_ = listeners[name].Close() // it only held the address
+			_ = listeners[name].Close() // it only reserved the address
 		}
 	}
 	for _, name := range replicas {
-		_ = listeners[name].Close() // it only held the address
+		_ = listeners[name].Close() // it only reserved the address
 		if err := r.startReplica(name); err != nil {
 			return err
 		}
@@ -149,7 +150,7 @@
 	return nil
 }
 
-// reserveAddresses chooses an address for each process and adds the listener that holds it.
+// reserveAddresses chooses an address for each process, and adds a listener that reserves it to listeners.
 func (r *replicaSet) reserveAddresses(names []string, listeners map[string]net.Listener) error {
 	for _, name := range names {
 		listener, err := net.Listen("tcp", loopback.ProcessAddr()+":0")
@@ -162,7 +163,7 @@
 	return nil
 }
 
-// link makes a link from each process to each other.
+// link creates a link from each process in from to each other process in to.
 func (r *replicaSet) link(from, to []string) error {
 	for _, source := range from {
 		for _, destination := range to {
@@ -179,7 +180,7 @@
 	return nil
 }
 
-// startReplica starts a replica as a process; one that ran before finds its folder again.
+// startReplica starts the process of a replica. A restarted replica gets the same data folder as before.
 func (r *replicaSet) startReplica(name string) error {
 	args := r.replicaArguments(name)
 	for range startAttempts {
@@ -192,16 +193,16 @@
 		if err := command.Start(); err != nil {
 			return err
 		}
-		if _, err := bufio.NewReader(output).ReadString('\n'); err == nil { // it prints a line when it serves
+		if _, err := bufio.NewReader(output).ReadString('\n'); err == nil { // the replica prints a line once it serves
 			r.lock.Lock()
 			r.processes[name] = command
 			r.lock.Unlock()
 			return nil
 		}
-		_ = command.Wait() // it has ended; its log says why
+		_ = command.Wait() // the process has ended; its log has the reason
 		time.Sleep(startDelay)
 	}
-	return fmt.Errorf("keeper %s does not start", name)
+	return fmt.Errorf("keeper %s did not start", name)
 }
 
 func (r *replicaSet) replicaArguments(name string) []string {
@@ -220,7 +221,7 @@
 		if !found {
 			continue
 		}
-		if link := r.links[linkKey{name, other}]; link != nil { // none to itself
+		if link := r.links[linkKey{name, other}]; link != nil { // a replica has no link to itself
 			address = link.Addr()
 		}
 		args = append(args, "--peer", number+"="+address)
@@ -243,8 +244,8 @@
 	}
 }
 
-// followBlock returns the block of a gateway's configuration that lets it follow the replicas, each at the address of
-// their link.
+// followBlock returns the configuration block that makes a gateway follow the replicas. It has the addresses of the
+// gateway's links to the replicas and, with peers, to the other gateways.
 func (r *replicaSet) followBlock(instance *gatewayInstance) string {
 	var addresses []string
 	for i := range r.plan.Replicas {
--- a/internal/day/script.go
+++ b/internal/day/script.go
@@ -8,42 +8,42 @@
 	"time"
 )
 
-// Script is a scenario: what is started, what the clients do, and which faults happen when.
+// Script describes a scenario: its processes, the requests of its clients, and the times of faults and changes.
 type Script struct {
 	Seed       uint64
 	Length     time.Duration
 	Config     string // path of the gateways' configuration
 	Gateways   int
-	Shards     int           // in place of the configuration's; 0: as it has them
-	DrainGrace time.Duration // of the rule on draining nodes
-	Slack      time.Duration // an answer counts for so long after the client's deadline
-	Transit    time.Duration // longest way of an attempt from a gateway to a node
+	Shards     int           // overrides the number in Config; 0: not overridden
+	DrainGrace time.Duration // see audit.Parameters
+	Slack      time.Duration // how long after the client's deadline a response still counts
+	Transit    time.Duration // longest time for an attempt to get from a gateway to a node
 	Fleet      FleetPlan
 	Nodes      []NodePlan
 	Clients    []ClientPlan
 	Faults     []FaultPlan
 }
 
-// FleetPlan is the replicas of a scenario; it has none where Replicas is 0.
+// FleetPlan describes the replicas of a scenario and the changes proposed to them. If Replicas is 0, there are none.
 type FleetPlan struct {
 	Replicas      int
 	LeaseDuration time.Duration
 	MaxClockDrift float64
-	Fallback      time.Duration // how long a gateway whose lease has expired serves on
-	Peers         bool          // gateways reach each other, and allocate the budget of nodes that warm up
+	Fallback      time.Duration // how long a gateway keeps serving after its lease has expired
+	Peers         bool          // gateways connect to each other and allocate the slow-start budgets of nodes
 	Changes       []ChangePlan
 }
 
-// ChangePlan is a change of a service level's rate limit, which is repeated where Every is over 0.
+// ChangePlan is a change of a service level's rate limit. It is repeated if Every is above 0.
 type ChangePlan struct {
 	At           time.Duration
 	Every        time.Duration
 	ServiceLevel string
-	RateLimit    float64 // units a second; each repetition raises it by 1
-	Proposers    int     // operators who propose at the same time, each another limit
+	RateLimit    float64 // units per second; each repetition raises it by 1
+	Proposers    int     // operators that propose concurrently, each a different limit
 }
 
-// repetitions is how often a change is repeated within a scenario.
+// repetitions returns how often the change is repeated in a scenario of the given length.
 func (c ChangePlan) repetitions(length time.Duration) int {
 	if c.Every <= 0 || c.At > length {
 		return 0
@@ -51,80 +51,80 @@
 	return int((length - c.At) / c.Every)
 }
 
-// NodePlan is a test node of a script.
+// NodePlan describes a test node of a script.
 type NodePlan struct {
 	Name               string
 	Shard              int
 	Zone               string
 	Cores              int
-	UnitTime           time.Duration // of a core for a unit
-	Queue              int           // attempts that may wait
-	DeferredWriteShare float64       // share of a write's time that is done later, in one go
+	UnitTime           time.Duration // time that a core needs for one unit
+	Queue              int           // capacity of the queue, in attempts
+	DeferredWriteShare float64       // share of the time of writes that is deferred and then spent in one go
 }
 
-// Operation is what a scripted client does.
+// Operation is the kind of request that a scripted client sends.
 type Operation string
 
 // The operations of scripted clients.
 const (
 	OperationRead      Operation = "read"
-	OperationWrite     Operation = "write" // in place
+	OperationWrite     Operation = "write" // overwrites a part of an existing file
 	OperationCreate    Operation = "create"
 	OperationStat      Operation = "look"
 	OperationDiskRead  Operation = "disk-read"
 	OperationDiskWrite Operation = "disk-write"
 )
 
-// onDisk says whether the operation is one on a volume's disk.
+// onDisk reports whether the operation is one on a disk, which is accessed through iSCSI.
 func (o Operation) onDisk() bool { return strings.HasPrefix(string(o), "disk-") }
 
-// sendsData says whether a request of the operation carries data.
+// sendsData reports whether requests of this operation carry data.
 func (o Operation) sendsData() bool {
 	return o == OperationWrite || o == OperationCreate || o == OperationDiskWrite
 }
 
-// ClientPlan is a group of clients that do the same.
+// ClientPlan describes a group of clients that behave alike.
 type ClientPlan struct {
 	Name        string
 	Count       int
 	Volume      string
 	Operation   Operation
-	Rate        float64       // requests a second of each
-	Bytes       int           // of a request
-	Files       int           // of each client
-	Blocks      int           // requests that fill a file
-	Retries     int           // after an answer that is not what was requested
-	RetryDelay  time.Duration // before a retry
-	CancelAfter time.Duration // closes the connection when a request takes longer; 0: never
-	Gateway     string        // that they use; empty: spread over all
-	From        time.Duration // after the start, when they begin
-	Until       time.Duration // and when they end; 0: at the end of the scenario
+	Rate        float64       // mean requests per second of each client
+	Bytes       int           // data of a request
+	Files       int           // number for each client
+	Blocks      int           // size of a file, or of the client's part of the disk, in multiples of Bytes
+	Retries     int           // largest number, after failed attempts
+	RetryDelay  time.Duration // pause before a retry
+	CancelAfter time.Duration // the client closes its connection when a request takes longer; 0: never
+	Gateway     string        // name of the one that they use; empty: spread over all gateways
+	From        time.Duration // time from the start of the scenario to the first requests
+	Until       time.Duration // and to the last ones; 0: the end of the scenario
 }
 
-// Actions of faults beside the commands of test nodes and the link faults of package rig.
+// Actions of faults, in addition to the commands of test nodes and the link faults of package rig.
 const (
-	actionKill    = "kill"    // of a gateway or replica: it is started again at the end of the fault
+	actionKill    = "kill"    // of a gateway or replica: killed, and started again at the end of the fault
 	actionPause   = "stop"    // of a gateway or replica: SIGSTOP, and SIGCONT at the end of the fault
-	actionCrash   = "die"     // of a node: it stops at once; a new one takes its place at the end of the fault
-	actionReplace = "replace" // of a node: a new one takes its place, and the old one drains
-	actionRecover = "well"    // ends the faults of a node
+	actionCrash   = "die"     // of a node: stops at once, and is replaced at the end of the fault
+	actionReplace = "replace" // of a node: drains while a new node replaces it
+	actionRecover = "well"    // of a node: ends its faults
 )
 
-// allReplicas names all replicas in a fault.
+// allReplicas in FaultPlan.Replica stands for all replicas.
 const allReplicas = "all"
 
-// FaultPlan is something that happens at a time.
+// FaultPlan is a fault, or a command to the management server, at a time of the scenario.
 type FaultPlan struct {
 	At, For          time.Duration
-	Replica          string   // its name, or all
-	Between          []string // two sides of a network fault, each names of replicas and gateways with commas between
+	Replica          string   // name, or allReplicas
+	Between          []string // two sides of a network fault, each a comma-separated list of replicas and gateways
 	Node             string
 	Gateway          string
-	ManagementServer string // a command to it, where gateways have their endpoint list from one
+	ManagementServer string // a command to it; ignored if there is no such server
 	Action           string
 }
 
-// Load reads a script from a file. The path of its configuration is relative to the file's folder.
+// Load reads a script from a file. A relative path of the configuration is relative to the folder of that file.
 func Load(file string) (*Script, error) {
 	source, err := os.ReadFile(file)
 	if err != nil {
@@ -140,7 +140,7 @@
 	return script, nil
 }
 
-// Processes have a letter and a number as their name: g1 is a gateway, k1 a replica.
+// The name of a process is a prefix and a number, which starts at 1: g1 is a gateway, k1 a replica.
 const (
 	gatewayPrefix = "g"
 	replicaPrefix = "k"
@@ -150,7 +150,7 @@
 
 func replicaName(number int) string { return fmt.Sprintf("%s%d", replicaPrefix, number) }
 
-// isGateway says whether a scenario with so many gateways has one of the name.
+// isGateway reports whether a scenario with the given number of gateways has one with this name.
 func isGateway(name string, gateways int) bool {
 	for number := range gateways {
 		if name == gatewayName(number+1) {
@@ -160,7 +160,7 @@
 	return false
 }
 
-// isReplica says whether a scenario with so many replicas has one of the name.
+// isReplica reports whether a scenario with the given number of replicas has one with this name.
 func isReplica(name string, replicas int) bool {
 	for number := range replicas {
 		if name == replicaName(number+1) {
--- a/internal/day/script_form.go
+++ b/internal/day/script_form.go
@@ -2,7 +2,7 @@
 
 import "github.com/hashicorp/hcl/v2"
 
-// scriptFile is a script as its HCL file has it. The keys are fixed: scripts are kept outside of this repository too.
+// scriptFile is the HCL schema of a script. The keys must not change, as there are scripts outside of this repository.
 type scriptFile struct {
 	Seed          uint64        `hcl:"seed,optional"`
 	Length        string        `hcl:"length"`
--- a/internal/day/testbed.go
+++ b/internal/day/testbed.go
@@ -19,10 +19,10 @@
 
 const (
 	anyLoopbackPort = "127.0.0.1:0"
-	detectionDelay  = 500 * time.Millisecond // until the endpoint list shows that a node has failed
-	listDelay       = time.Second            // until gateways have a list, at most
-	drainTime       = 3 * time.Second        // a node that is replaced drains for so long
-	clusterCount    = 2                      // clusters that a management server spreads the nodes over
+	detectionDelay  = 500 * time.Millisecond // from the crash of a node until it is listed as removed
+	listDelay       = time.Second            // longest time until a published endpoint list reaches the gateways
+	drainTime       = 3 * time.Second        // how long a replaced node is listed as draining
+	clusterCount    = 2                      // xDS clusters over which the management server spreads the nodes
 )
 
 // Values of Options.EndpointSource.
@@ -32,32 +32,32 @@
 	sourceStateOfTheWorld = "whole" // state-of-the-world xDS
 )
 
-// testbed is what a scenario runs on.
+// testbed holds the state of a running scenario.
 type testbed struct {
 	script           *Script
 	options          Options
 	config           *config.Config
-	configText       string // as the file has it
-	dir              string // of files for this scenario
+	configText       string // source of config
+	dir              string // temporary files of this scenario
 	recorder         *audit.Recorder
 	clock            gateway.Clock
 	nodes            map[string]*nodeSlot
 	gateways         []*gatewayInstance
-	managementServer *xdsstandin.Server // nil: the list is a file
-	replicas         *replicaSet        // nil: none
+	managementServer *xdsstandin.Server // nil if the endpoint list does not come from one
+	replicas         *replicaSet        // nil if there are none
 
-	lock sync.Mutex // guards the node and listed of each nodeSlot, and the order in which lists are published
+	lock sync.Mutex // guards node and listed of each nodeSlot, and serializes the publication of endpoint lists
 }
 
-// nodeSlot is a node of the script: its data, and the test node that serves it now.
+// nodeSlot is a node of the script: its stored data, and the test node that serves the data at present.
 type nodeSlot struct {
 	plan   NodePlan
 	store  *standin.Store
 	node   *standin.Node
-	listed []endpoint.Node // as the endpoint list has it: the present one and those that leave
+	listed []endpoint.Node // entries of the endpoint list: the present test node and its predecessors
 }
 
-// start starts nodes, replicas and gateways, and publishes the first endpoint list.
+// start starts nodes and replicas, publishes the first endpoint list, and starts the gateways.
 func (t *testbed) start() error {
 	stores := map[int]*standin.Store{} // by shard
 	for _, plan := range t.script.Nodes {
@@ -96,7 +96,7 @@
 	return nil
 }
 
-// startManagementServer starts a management server where the options ask for one.
+// startManagementServer starts a management server if the options select one as the endpoint source.
 func (t *testbed) startManagementServer() error {
 	switch t.options.EndpointSource {
 	case "", sourceFile:
@@ -109,7 +109,7 @@
 		t.managementServer = server
 		return nil
 	default:
-		return fmt.Errorf("a list comes from own, delta or whole, not %q", t.options.EndpointSource)
+		return fmt.Errorf("unknown endpoint source %q, it is not own, delta or whole", t.options.EndpointSource)
 	}
 }
 
@@ -132,7 +132,7 @@
 	}
 }
 
-// startNode starts the test node of a slot; one with slow start warms up as the rules say.
+// startNode starts a test node for a slot. With slowStart, the node warms up according to the parameters of the rules.
 func (t *testbed) startNode(slot *nodeSlot, slowStart bool) error {
 	parameters := t.ruleParameters()
 	node, err := standin.Start(standin.Options{
@@ -168,7 +168,7 @@
 	return nil
 }
 
-// publishList publishes the endpoint list as it is now: through the replicas, the management server or the file.
+// publishList publishes the current endpoint list: through the replicas, the management server or a file.
 func (t *testbed) publishList() error {
 	t.lock.Lock()
 	defer t.lock.Unlock()
@@ -189,10 +189,10 @@
 	return nil
 }
 
-// listFile is the file that gateways read the endpoint list from.
+// listFile returns the path of the file from which gateways read the endpoint list.
 func (t *testbed) listFile() string { return filepath.Join(t.dir, "nodes.hcl") }
 
-// recordListed records that a list was published.
+// recordListed records for the audit that a list was published.
 func (t *testbed) recordListed(list endpoint.List) {
 	states := map[endpoint.Health]string{
 		endpoint.Ready:    audit.StateReady,
@@ -204,7 +204,7 @@
 	}
 }
 
-// setHealth changes what the endpoint list says of a node, and publishes it.
+// setHealth changes the health of a node in the endpoint list, and publishes the list.
 func (t *testbed) setHealth(slot *nodeSlot, address string, health endpoint.Health) {
 	t.lock.Lock()
 	for i := range slot.listed {
@@ -216,21 +216,22 @@
 	t.publishListOrLog()
 }
 
-// publishListOrLog is publishList for steps of the timeline, which go on after a failure.
+// publishListOrLog publishes the endpoint list and logs an error. Steps of the timeline use it, as the scenario goes
+// on after such an error.
 func (t *testbed) publishListOrLog() {
 	if err := t.publishList(); err != nil {
-		t.options.Logf("the list cannot be written: %v", err)
+		t.options.Logf("cannot publish the endpoint list: %v", err)
 	}
 }
 
-// ruleParameters are the parameters of the rules for this scenario.
+// ruleParameters returns the parameters of the audit's rules for this scenario.
 func (t *testbed) ruleParameters() audit.Parameters {
 	parameters := audit.ParametersFromSettings(t.config.Settings)
 	parameters.Slack = int64(t.script.Slack)
 	parameters.Transit = int64(t.script.Transit)
 	parameters.DrainGrace = int64(t.script.DrainGrace)
 	parameters.ListDelay = int64(listDelay)
-	if r := t.replicas; r != nil { // a gateway that is cut off learns of a drain by the end of its lease or fallback
+	if r := t.replicas; r != nil { // a cut-off gateway uses an old list at most until its lease and its fallback end
 		parameters.ListDelay = r.convergenceBound() + int64(r.plan.Fallback) + int64(listDelay)
 	}
 	levels := map[int64]string{} // by volume
@@ -239,7 +240,8 @@
 	}
 	for id, configured := range t.config.VolumeLimits {
 		limit := audit.VolumeLimit(configured)
-		// Gateways take limits from versions of the configuration: the highest that there ever was is what is sure.
+		// Gateways take the limit from the versions that they act on, so only the highest limit of all versions is
+		// certain to hold.
 		for _, change := range t.script.Fleet.Changes {
 			if change.ServiceLevel == levels[id] {
 				highest := max(change.Proposers-1, 0) + change.repetitions(t.script.Length)
--- a/internal/day/timeline.go
+++ b/internal/day/timeline.go
@@ -11,13 +11,14 @@
 	"irispost/internal/standin"
 )
 
-// step is something that happens at a time of the scenario.
+// step is an action at a time after the start of the scenario.
 type step struct {
 	at  time.Duration
 	run func()
 }
 
-// playTimeline runs the scripted faults and changes at their times, until the end of the scenario.
+// playTimeline runs the scripted faults and changes at their times. It returns at the end of the scenario or when the
+// context is done.
 func (t *testbed) playTimeline(ctx context.Context) {
 	began := time.Now()
 	for _, step := range t.timeline() {
@@ -33,7 +34,8 @@
 	}
 }
 
-// timeline returns all steps of the scenario in their order; one at its end is among them.
+// timeline returns all steps of the scenario in order of time. An empty step at the end of the scenario makes
+// playTimeline wait for it.
 func (t *testbed) timeline() []step {
 	steps := []step{{t.script.Length, func() {}}}
 	for _, fault := range t.script.Faults {
@@ -71,7 +73,8 @@
 	return steps
 }
 
-// commandManagementServer gives the management server a command. A file has none of its faults.
+// commandManagementServer sends a command to the management server. Without one it does nothing, as a list file has
+// none of these faults.
 func (t *testbed) commandManagementServer(command string) {
 	if t.managementServer == nil {
 		return
@@ -82,7 +85,7 @@
 	}
 }
 
-// commandNode gives the test node that serves a slot now a command.
+// commandNode sends a command to the present test node of a slot.
 func (t *testbed) commandNode(name, command string) {
 	t.options.Logf("%s: %s", name, command)
 	if err := t.currentNode(name).Command(command); err != nil {
@@ -96,14 +99,15 @@
 	return t.nodes[name].node
 }
 
-// crashNodeSteps: a node stops, the list shows it, and at the end of the fault a new one takes its place.
+// crashNodeSteps returns the steps of a node crash: the node stops, it is listed as removed after detectionDelay, and
+// a new node replaces it at the end of the fault.
 func (t *testbed) crashNodeSteps(fault FaultPlan) []step {
 	slot := t.nodes[fault.Node]
 	var old *standin.Node
 	return []step{
 		{fault.At, func() {
 			old = t.currentNode(fault.Node)
-			t.options.Logf("%s dies", fault.Node)
+			t.options.Logf("%s: crashed", fault.Node)
 			old.Close()
 		}},
 		{fault.At + detectionDelay, func() { t.setHealth(slot, old.Addr(), endpoint.Removed) }},
@@ -115,7 +119,8 @@
 	}
 }
 
-// replaceNodeSteps: a new node takes the place of one, which drains and then stops.
+// replaceNodeSteps returns the steps of a replacement: a new node starts, and the old one is listed as draining,
+// then as removed, and stops.
 func (t *testbed) replaceNodeSteps(fault FaultPlan) []step {
 	slot := t.nodes[fault.Node]
 	var old *standin.Node
@@ -123,7 +128,7 @@
 		{fault.At, func() {
 			old = t.currentNode(fault.Node)
 			if t.startReplacement(fault.Node, slot) {
-				t.setHealth(slot, old.Addr(), endpoint.Draining) // the list has both at once
+				t.setHealth(slot, old.Addr(), endpoint.Draining) // publishes both changes as one list
 			}
 		}},
 		{fault.At + drainTime, func() { t.setHealth(slot, old.Addr(), endpoint.Removed) }},
@@ -131,24 +136,24 @@
 	}
 }
 
-// startReplacement starts a node that warms up in a slot, and says whether it runs. The published list does not have
-// it yet.
+// startReplacement starts a new node with slow start in a slot, and reports whether it has started. The caller has to
+// publish the endpoint list with the new node.
 func (t *testbed) startReplacement(name string, slot *nodeSlot) bool {
-	t.options.Logf("%s starts anew, cold", name)
+	t.options.Logf("%s: starting a replacement with slow start", name)
 	if err := t.startNode(slot, true); err != nil {
-		t.options.Logf("%s does not start: %v", name, err)
+		t.options.Logf("%s: the replacement did not start: %v", name, err)
 		return false
 	}
 	return true
 }
 
-// killGatewaySteps: a gateway is killed, and started again at the end of the fault.
+// killGatewaySteps returns the steps that kill a gateway and start it again at the end of the fault.
 func (t *testbed) killGatewaySteps(fault FaultPlan) []step {
 	index := slices.IndexFunc(t.gateways, func(g *gatewayInstance) bool { return g.name == fault.Gateway })
 	g := t.gateways[index]
 	return []step{
 		{fault.At, func() {
-			t.options.Logf("%s is killed", g.name)
+			t.options.Logf("%s: killed", g.name)
 			t.recorder.Add(audit.Event{Type: audit.GatewayKilled, Gateway: g.name})
 			g.kill()
 			if t.replicas != nil {
@@ -156,9 +161,9 @@
 			}
 		}},
 		{fault.At + fault.For, func() {
-			t.options.Logf("%s starts again", g.name)
+			t.options.Logf("%s: restarting", g.name)
 			if err := t.startGateway(g); err != nil {
-				t.options.Logf("%s does not start: %v", g.name, err)
+				t.options.Logf("%s did not restart: %v", g.name, err)
 			}
 		}},
 	}
