--- a/internal/endpoint/discovery/client_test.go
+++ b/internal/endpoint/discovery/client_test.go
@@ -129,7 +129,7 @@
 	l := <-w.lists
 	has := slices.ContainsFunc(l.Nodes, func(n endpoint.Node) bool { return n.Health == health })
 	if l.Version != version || l.Partial != partial || l.Stale || !has {
-		t.Fatalf("got list %+v, want another version, kind or health", l)
+		t.Fatalf("got list %+v, which is stale or does not have the wanted version, kind or health", l)
 	}
 }
 
--- a/internal/endpoint/discovery/reach_test.go
+++ b/internal/endpoint/discovery/reach_test.go
@@ -203,7 +203,7 @@
 			for seed := range seeds {
 				took := recoveryTime(t, seed, fault, timing)
 				if took > limit {
-					t.Errorf("%+v, fault %q, seed %d: list received after %v", timing, fault, seed, took)
+					t.Errorf("%+v, fault %q, seed %d: list received after %v, want at most 6s", timing, fault, seed, took)
 				}
 				worst[fault] = max(worst[fault], took)
 			}
--- a/internal/endpoint/form.go
+++ b/internal/endpoint/form.go
@@ -118,7 +118,7 @@
 	return &EntryError{f.Range, f.Addr, fmt.Sprintf(format, args...)}
 }
 
-// parseHealth returns the health status with a name. The empty name, of a node without one, stands for Ready.
+// parseHealth returns the health status with a name. The empty name, of a node without one, means Ready.
 func parseHealth(word string) (health Health, known bool) {
 	if word == "" {
 		return Ready, true
--- a/internal/endpoint/form_test.go
+++ b/internal/endpoint/form_test.go
@@ -17,7 +17,7 @@
 	}}
 	got, err := ParseList("nodes.hcl", FormatList(l))
 	if err != nil || !reflect.DeepEqual(got.Nodes, l.Nodes) || got.Version == "" {
-		t.Errorf("formatted and parsed: %+v gives %+v, error %v", l, got, err)
+		t.Errorf("formatted and parsed: %+v gives %+v, error %v; want the same nodes, and a version", l, got, err)
 	}
 	for text, want := range map[string]string{
 		"node \"a\" {\n  shard = -1\n}":                           "nodes.hcl:1",
@@ -28,7 +28,7 @@
 		"node \"a\" {": "nodes.hcl:1",
 	} {
 		if _, err := ParseList("nodes.hcl", []byte(text)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("parsing %q: got error %v", text, err)
+			t.Errorf("parsing %q: got error %v, want one with the line or the invalid value", text, err)
 		}
 	}
 }
--- a/internal/endpoint/xds/assignment_test.go
+++ b/internal/endpoint/xds/assignment_test.go
@@ -28,7 +28,7 @@
 func TestAssignmentIsReadAsNodes(t *testing.T) {
 	a, err := xds.ReadAssignment(xdsstandin.Assignment("storage", twoNodes))
 	if err != nil || !reflect.DeepEqual(a.Nodes, twoNodes) || len(a.Notes) > 0 {
-		t.Errorf("got assignment %+v, error %v", a, err)
+		t.Errorf("got assignment %+v, error %v; want the nodes of twoNodes and no notes", a, err)
 	}
 	m := xdsstandin.Assignment("storage", twoNodes)
 	m.Policy = dropPolicy(0)
@@ -38,7 +38,7 @@
 	m.Endpoints[0].Locality = &corev3.Locality{Region: "r", SubZone: "rack"}
 	a, err = xds.ReadAssignment(m)
 	if err != nil || a.StaleAfter != time.Minute || a.Nodes[0].Zone != "r/rack" || len(a.Notes) != 1 {
-		t.Errorf("got assignment %+v, error %v", a, err)
+		t.Errorf("got assignment %+v, error %v; want StaleAfter 1m, zone r/rack and one note", a, err)
 	}
 }
 
@@ -54,7 +54,7 @@
 		m := xdsstandin.Assignment("storage", twoNodes)
 		m.Endpoints[0].LbEndpoints[0].HealthStatus = status
 		if a, err := xds.ReadAssignment(m); err != nil || a.Nodes[0].Health != want {
-			t.Errorf("status %v: got assignment %+v, error %v", status, a, err)
+			t.Errorf("status %v: got assignment %+v, error %v; want the health of that status", status, a, err)
 		}
 	}
 }
--- a/internal/endpoint/xds/bench_test.go
+++ b/internal/endpoint/xds/bench_test.go
@@ -96,7 +96,7 @@
 		source.Receive(now, *out.List)
 		update := tracker.Reconcile(now)
 		if !update.Changed || len(update.List.Nodes) != size {
-			b.Fatalf("changed: %v; the list has %d nodes", update.Changed, len(update.List.Nodes))
+			b.Fatalf("got changed %v, %d nodes; want true, all nodes", update.Changed, len(update.List.Nodes))
 		}
 	}
 	b.ReportMetric(float64(wireBytes(responses[0])), "wire-B/op")
--- a/internal/endpoint/xds/client_test.go
+++ b/internal/endpoint/xds/client_test.go
@@ -68,7 +68,7 @@
 				r.awaitRejection(t, i, "")
 				awaitNACK(t, s, reasons[kind])
 				if got := ports(r.list); got != "1000 1001 2000 3000" {
-					t.Errorf("the list in force is %q", got)
+					t.Errorf("the list in force is %q, want \"1000 1001 2000 3000\"", got)
 				}
 				if cut {
 					runCommands(t, s, "cut")
@@ -111,7 +111,7 @@
 		r.lock.Lock()
 		defer r.lock.Unlock()
 		if len(r.rejected) > 0 {
-			t.Errorf("rejected: %q", r.rejected)
+			t.Errorf("rejected: %q, want none", r.rejected)
 		}
 		for i := 1; i < len(r.links); i++ { // a failed attempt is reported as down even if the link is down already
 			if r.links[i] && r.links[i-1] {
@@ -167,7 +167,7 @@
 	})
 	r.awaitRejection(t, 0, "message exceeds the limit")
 	if got := ports(r.list); got != "2000" {
-		t.Errorf("the list in force is %q", got)
+		t.Errorf("the list in force is %q, want \"2000\"", got)
 	}
 }
 
--- a/internal/endpoint/xds/cluster_test.go
+++ b/internal/endpoint/xds/cluster_test.go
@@ -13,7 +13,7 @@
 	"irispost/internal/xdsstandin"
 )
 
-// apiVersionV2 is version 2 of the API, which is not supported. It stands for the library's constant, which is
+// apiVersionV2 is version 2 of the API, which is not supported. It replaces the library's constant, which is
 // deprecated.
 const apiVersionV2 = corev3.ApiVersion(1)
 
@@ -21,7 +21,7 @@
 func TestClusterIsRead(t *testing.T) {
 	c, err := xds.ReadCluster(xdsstandin.Cluster("storage"))
 	if err != nil || c.ServiceName != "storage" || c.Inline != nil {
-		t.Errorf("got cluster %+v, error %v", c, err)
+		t.Errorf("got cluster %+v, error %v; want ServiceName storage and no inline assignment", c, err)
 	}
 	static := &clusterv3.Cluster{
 		Name:           "s",
@@ -30,7 +30,7 @@
 	}
 	c, err = xds.ReadCluster(static)
 	if err != nil || len(c.Inline.Nodes) != 2 || len(c.Notes) != 1 || !strings.Contains(c.Notes[0], "connect_timeout") {
-		t.Errorf("got cluster %+v, error %v", c, err)
+		t.Errorf("got cluster %+v, error %v; want two inline nodes, and one note, on connect_timeout", c, err)
 	}
 }
 
--- a/internal/endpoint/xds/file_test.go
+++ b/internal/endpoint/xds/file_test.go
@@ -50,12 +50,13 @@
 	n, notes, err := xds.CheckFiles(f.clusters, f.endpoints)
 	if text == "" {
 		if n != nodes || len(notes) > 0 || err != nil {
-			t.Errorf("CheckFiles returns %d nodes, notes %q, error %v", n, notes, err)
+			t.Errorf("CheckFiles returns %d nodes, notes %q, error %v; want the given number, no notes and no error",
+				n, notes, err)
 		}
 		return
 	}
 	if n != nodes || err == nil || !strings.Contains(err.Error(), text) {
-		t.Errorf("CheckFiles returns %d nodes, error %v; want an error with %q", n, err, text)
+		t.Errorf("CheckFiles returns %d nodes, error %v; want the given number and an error with %q", n, err, text)
 	}
 }
 
@@ -102,7 +103,7 @@
 			writeResponse(t, files.endpoints, "2", xdsstandin.Assignment("a", nodes("1000", "1001")))
 			r.awaitList(t, "1000 1001")
 			if r.list.Version != "c:1 e:2" {
-				t.Errorf("the list has version %q", r.list.Version)
+				t.Errorf("the list has version %q, want c:1 e:2", r.list.Version)
 			}
 			before := len(r.rejected)
 			replaceFile(t, files.endpoints, []byte("{"))
@@ -110,7 +111,7 @@
 			writeResponse(t, files.endpoints, "3", xdsstandin.Assignment("a", nodes("0")))
 			r.awaitRejection(t, before+1, "port_value 0")
 			if got := ports(r.list); got != "1000 1001" {
-				t.Errorf("the list in force is %q", got)
+				t.Errorf("the list in force is %q, want \"1000 1001\"", got)
 			}
 			files.check(t, 0, "port_value 0")
 			writeResponse(t, files.endpoints, "4", xdsstandin.Assignment("a", nodes("1002")))
--- a/internal/endpoint/xds/protocol.go
+++ b/internal/endpoint/xds/protocol.go
@@ -52,12 +52,12 @@
 // sends.
 type Request struct {
 	Type          string
-	Version       string   // state-of-the-world: the one in force; empty at first on a stream, to have all sent again
+	Version       string   // state-of-the-world: the one in force; empty in a stream's first request, to get everything
 	Nonce         string   // of the response that is acknowledged or rejected; empty if none
 	ResourceNames []string // state-of-the-world: all names subscribed to; empty: all clusters
 	Subscribe     []string // incremental: names to subscribe to
 	Unsubscribe   []string // incremental: names to unsubscribe from
-	KnownNames    []string // incremental, first on a stream: names of the resources in force, all to be sent again
+	KnownNames    []string // incremental, in a stream's first request: names in force, to have all of them sent again
 	RejectReason  string   // why the response with Nonce is rejected (NACK); empty if it is accepted or there is none
 }
 
--- a/internal/endpoint/xds/session_test.go
+++ b/internal/endpoint/xds/session_test.go
@@ -176,12 +176,12 @@
 	s := xds.NewSession(false, nil, fetchTimeout)
 	s.OpenStream(sec)
 	if s.NextDeadline() != sec+int64(fetchTimeout) {
-		t.Errorf("the next deadline is %d", s.NextDeadline())
+		t.Errorf("the next deadline is %d, want fetchTimeout after the start of the stream", s.NextDeadline())
 	}
 	overdue := s.Tick(sec + int64(fetchTimeout))
 	wantRejected(t, overdue, "no response")
 	if overdue.List != nil {
-		t.Errorf("a list without any response: %+v", overdue)
+		t.Errorf("without any response: got %+v, want no list", overdue)
 	}
 	if o := s.Tick(sec + 2*int64(fetchTimeout)); o.Rejected != nil || s.NextDeadline() != 0 {
 		t.Errorf("the overdue response was reported again, or a deadline is pending: %+v", o)
@@ -189,11 +189,12 @@
 	now := 100 * sec
 	s.HandleResponse(now, clusters(t, false, "1", "n1", "a", "b"))
 	if o := s.HandleResponse(now, endpoints(t, false, "1", "n2", "a", "1000")); o.List != nil {
-		t.Errorf("a list while endpoints are missing: %+v", o)
+		t.Errorf("while endpoints are missing: got %+v, want no list", o)
 	}
 	o := s.Tick(now + int64(fetchTimeout))
 	if formatList(o) != "1000" || o.Rejected == nil || !strings.Contains(o.Rejected.Error(), "no endpoints of cluster \"b\"") {
-		t.Errorf("after the fetch timeout: list %q, rejected: %v", formatList(o), o.Rejected)
+		t.Errorf("after the fetch timeout: list %q, rejected: %v; want \"1000\" and an error for cluster b",
+			formatList(o), o.Rejected)
 	}
 	// If no endpoints were ever received, no list is reported.
 	s = xds.NewSession(false, nil, fetchTimeout)
@@ -225,22 +226,23 @@
 				return s.HandleResponse(now, r)
 			}
 			if out := sendWithTTL(sec, pack(t, xdsstandin.Assignment("b", nodes("2000")))); formatList(out) != "1000 2000" {
-				t.Errorf("resource with a time to live: list %q, rejected: %v", formatList(out), out.Rejected)
+				t.Errorf("resource with a time to live: list %q, rejected: %v; want \"1000 2000\"", formatList(out), out.Rejected)
 			}
 			if out := sendWithTTL(5*sec, nil); out.Rejected != nil || formatList(out) != "1000 2000" {
-				t.Errorf("after a heartbeat: list %q, rejected: %v", formatList(out), out.Rejected)
+				t.Errorf("after a heartbeat: list %q, rejected: %v; want \"1000 2000\"", formatList(out), out.Rejected)
 			}
 			if s.NextDeadline() != 10*sec {
-				t.Errorf("the next deadline is %d", s.NextDeadline())
+				t.Errorf("the next deadline is %d, want 10 s", s.NextDeadline())
 			}
 			if out := s.Tick(9 * sec); out.List != nil {
-				t.Errorf("a list before the resource expires: %+v", out)
+				t.Errorf("before the resource expires: got %+v, want no list", out)
 			}
 			if out := s.Tick(10 * sec); formatList(out) != "1000" || len(out.Notes) != 1 {
-				t.Errorf("when the resource expires: list %q, notes %v", formatList(out), out.Notes)
+				t.Errorf("when the resource expires: list %q, notes %v; want \"1000\", one note", formatList(out), out.Notes)
 			}
 			if out := sendWithTTL(11*sec, nil); len(out.Notes) != 1 || formatList(out) != "1000" {
-				t.Errorf("after a heartbeat for an expired resource: list %q, notes %v", formatList(out), out.Notes)
+				t.Errorf("after a heartbeat for an expired resource: list %q, notes %v; want \"1000\", one note",
+					formatList(out), out.Notes)
 			}
 		})
 	}
@@ -256,12 +258,12 @@
 	a.Policy.EndpointStaleAfter = durationpb.New(10 * time.Second)
 	r := xds.Response{Type: xds.EndpointType, Version: "1", Nonce: "n2", Resources: []*anypb.Any{pack(t, a)}}
 	if out := s.HandleResponse(sec, r); out.List.Stale || s.NextDeadline() != 11*sec {
-		t.Errorf("new assignment: stale, or wrong deadline: %+v", out.List)
+		t.Errorf("new assignment: got list %+v, want it not stale, and the next deadline at 11 s", out.List)
 	}
 	if out := s.Tick(11 * sec); !out.List.Stale || s.NextDeadline() != 0 {
-		t.Errorf("after endpoint_stale_after: not stale, or a deadline is pending: %+v", out.List)
+		t.Errorf("after endpoint_stale_after: got list %+v, want it stale, and no deadline", out.List)
 	}
 	if out := s.HandleResponse(12*sec, r); out.List.Stale {
-		t.Errorf("after an update: still stale: %+v", out.List)
+		t.Errorf("after an update: got list %+v, want it not stale", out.List)
 	}
 }
--- a/internal/fleet/client/cachefile_test.go
+++ b/internal/fleet/client/cachefile_test.go
@@ -31,7 +31,8 @@
 }
 
 // TestCacheFileIsBaseAfterStart checks that after a start the newest intact content on disk, if any, is the base of
-// the first delta, and that a file which is damaged or of no use costs one log line and a fetch of the full content.
+// the first delta, and that a file which is damaged or of no use results in one log line and a fetch of the full
+// content.
 func TestCacheFileIsBaseAfterStart(t *testing.T) {
 	replica := startReplica(t, time.Second)
 	first, second, foreign := largeContent(200, 1), largeContent(200, 2), largeContent(200, 9)
--- a/internal/fleet/client/fetch.go
+++ b/internal/fleet/client/fetch.go
@@ -16,9 +16,9 @@
 	rejectedDigest string     // digest of the content whose response was rejected last, to log it only once
 }
 
-// addContents fills in the contents of the versions that a response names, as far as they can be fetched within a
-// renewal interval. Missing contents are requested again after the next renewal. The lease runs from the time at
-// which it was requested, so a slow fetch does not extend it.
+// addContents fills in the contents of the versions that a response names, if they can be fetched within a renewal
+// interval. Missing contents are requested again after the next renewal. The lease runs from the time at which it was
+// requested, so a slow fetch does not extend it.
 func (f *fetcher) addContents(ctx context.Context, response *lease.RenewResponse) {
 	if response.LeaseDuration == 0 {
 		return
--- a/internal/fleet/client/renew.go
+++ b/internal/fleet/client/renew.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	renewRandomStream = 7  // random stream of the seed for retries of renewals
-	watchRandomStream = 11 // random stream of the seed for retries of the watch
+	renewRandomStream = 7  // second PCG seed of the renewal goroutine
+	watchRandomStream = 11 // second PCG seed of the watch goroutine
 
 	minBackoffFraction = 16 // the first backoff is the renewal interval divided by this
 )
--- a/internal/fleet/configversion/exceeds.go
+++ b/internal/fleet/configversion/exceeds.go
@@ -106,7 +106,7 @@
 	f.addIf(a.KeyCooldown < b.KeyCooldown, "rest between requests of a key: %d under %d", a.KeyCooldown, b.KeyCooldown)
 }
 
-// addNode compares a node that is ready in a. A node that is not gets no requests, so it cannot exceed b.
+// addNode compares a node that is ready in a. A node that is not ready gets no requests, so it cannot exceed b.
 func (f *findings) addNode(addr string, a, b *Config) {
 	inA := a.Nodes[addr]
 	if inA.Health != endpoint.Ready {
--- a/internal/fleet/content/deltacache.go
+++ b/internal/fleet/content/deltacache.go
@@ -20,7 +20,7 @@
 	Hash   [32]byte // its SHA-256, by which gateways identify it as a base
 }
 
-// DeltaKey identifies an encoded content by the digests of its base and of the content. An empty Base stands for the
+// DeltaKey identifies an encoded content by the digests of its base and of the content. An empty Base means the
 // full content.
 type DeltaKey struct{ Base, Digest string }
 
--- a/internal/fleet/delta/delta_test.go
+++ b/internal/fleet/delta/delta_test.go
@@ -17,7 +17,8 @@
 
 const maxTestBytes = 1 << 22
 
-// nodeList returns a content of so many lines. The line with index changed differs from the default; -1: none does.
+// nodeList returns a content with the given number of lines. The line with index changed differs from the default; -1:
+// none does.
 func nodeList(lines, changed int) []byte {
 	random := rand.New(rand.NewPCG(7, 1))
 	var b strings.Builder
@@ -122,21 +123,21 @@
 		base, encoded []byte
 		want          error
 	}{
-		"nothing":                    {nil, nil, ErrTruncated},
-		"nothing of a delta":         {base, nil, ErrTruncated},
-		"a delta's header alone":     {base, delta[:headerBytes], ErrTruncated},
-		"half a header":              {base, delta[:20], ErrTruncated},
-		"half a delta":               {base, delta[:len(delta)-1], ErrTruncated},
-		"half a frame":               {nil, complete[:len(complete)/2], ErrTruncated},
-		"text":                       {nil, []byte("no keeper leads, ask again later"), ErrFormat},
-		"text for a delta":           {base, []byte("no keeper leads, ask again later, and again, and again"), ErrFormat},
-		"a frame for a delta":        {base, complete, ErrFormat},
-		"a delta for a frame":        {nil, delta, ErrWrongBase},
-		"a delta from another base":  {content, delta, ErrWrongBase},
-		"a delta twice":              {base, slices.Concat(delta, delta), ErrTrailingData},
-		"a frame twice":              {nil, slices.Concat(complete, complete), ErrTrailingData},
-		"more than allowed, unsaid":  {nil, frameOver2GiB(), ErrTooLarge},
-		"more than allowed, as said": {nil, withSize.EncodeAll(make([]byte, 2*maxTestBytes), nil), ErrTooLarge},
+		"nothing":                      {nil, nil, ErrTruncated},
+		"nothing of a delta":           {base, nil, ErrTruncated},
+		"a delta's header alone":       {base, delta[:headerBytes], ErrTruncated},
+		"half a header":                {base, delta[:20], ErrTruncated},
+		"half a delta":                 {base, delta[:len(delta)-1], ErrTruncated},
+		"half a frame":                 {nil, complete[:len(complete)/2], ErrTruncated},
+		"text":                         {nil, []byte("no keeper leads, ask again later"), ErrFormat},
+		"text for a delta":             {base, []byte("no keeper leads, ask again later, and again, and again"), ErrFormat},
+		"a frame for a delta":          {base, complete, ErrFormat},
+		"a delta for a frame":          {nil, delta, ErrWrongBase},
+		"a delta from another base":    {content, delta, ErrWrongBase},
+		"a delta twice":                {base, slices.Concat(delta, delta), ErrTrailingData},
+		"a frame twice":                {nil, slices.Concat(complete, complete), ErrTrailingData},
+		"too large, size not declared": {nil, frameOver2GiB(), ErrTooLarge},
+		"too large, size declared":     {nil, withSize.EncodeAll(make([]byte, 2*maxTestBytes), nil), ErrTooLarge},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var before, after runtime.MemStats
--- a/internal/fleet/replica/apply.go
+++ b/internal/fleet/replica/apply.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// appendCommand proposes a command to Raft. Only when its entry is applied is it known to be in the log.
+// appendCommand proposes a command to Raft. It is known to be in the log only once its entry is applied.
 func (r *Replica) appendCommand(command *lease.Command) {
 	entry, err := command.EncodeEntry(r.entryFormat(), r.machine)
 	if err != nil {
--- a/internal/fleet/replica/compaction_test.go
+++ b/internal/fleet/replica/compaction_test.go
@@ -19,7 +19,7 @@
 	"irispost/internal/testkit/testaddr"
 )
 
-// sizes returns the process's heap size and the bytes in use of a replica's file.
+// measureSizes returns the process's heap size and the bytes in use of a replica's file.
 func (c *testCluster) measureSizes(id uint64) (heap, file int64) {
 	c.t.Helper()
 	runtime.GC()
@@ -123,7 +123,7 @@
 	}
 	for id, r := range c.running {
 		if n := len(r.machine.Versions); n > lease.RetainedBaseVersions+2*32 {
-			t.Errorf("replica %d retains %d versions", id, n)
+			t.Errorf("replica %d retains %d versions, want at most RetainedBaseVersions and 64 more", id, n)
 		}
 	}
 	c.expectRestart(client, size.many)
@@ -202,7 +202,8 @@
 		}
 	}
 	if err != nil || len(all) < min(int(size.many), 4096) || withContent < 256 || withContent > 512 {
-		t.Errorf("%d versions are listed, %d of them with content; error %v", len(all), withContent, err)
+		t.Errorf("%d versions are listed, %d of them with content; want all that are kept, 256 to 512 with content; error %v",
+			len(all), withContent, err)
 	}
 }
 
@@ -226,7 +227,8 @@
 		machine := c.machine(id, 160)
 		last := machine.Versions[len(machine.Versions)-1]
 		if !bytes.Equal(last.Content, namedNodesConfig(20, 159)) || machine.Format != formatWithDeltas {
-			t.Errorf("replica %d: wrong state, %d versions, format %d", id, len(machine.Versions), machine.Format)
+			t.Errorf("replica %d: got %d versions, format %d; want the latest content last, and the format with deltas",
+				id, len(machine.Versions), machine.Format)
 		}
 	}
 }
@@ -263,18 +265,19 @@
 	proposeNext(40)
 	for id := range c.running {
 		if machine := c.machine(id, proposed); len(machine.Versions) > lease.RetainedBaseVersions+64 {
-			t.Errorf("replica %d retains %d of %d versions", id, len(machine.Versions), proposed)
+			t.Errorf("replica %d retains %d of %d versions, want at most RetainedBaseVersions and 64 more",
+				id, len(machine.Versions), proposed)
 		}
 	}
 	if all, err := client.Versions(1); err != nil || uint64(len(all)) != proposed {
-		t.Errorf("%d of %d versions are listed, error %v", len(all), proposed, err)
+		t.Errorf("%d of %d versions are listed, want all; error %v", len(all), proposed, err)
 	}
 	c.stop(3)
 	c.entryFormats = map[uint64]int{3: formatFullContents}
 	c.start(3)
 	<-c.running[3].Done()
 	if err := c.running[3].Err(); err == nil || !strings.Contains(err.Error(), "a newer program may have written it") {
-		t.Errorf("the replica that reads only the first format stopped with error %v", err)
+		t.Errorf("the replica that reads only the first format stopped with error %v, want one on a newer program", err)
 	}
 	delete(c.running, 3)
 }
--- a/internal/fleet/replica/contentserver_test.go
+++ b/internal/fleet/replica/contentserver_test.go
@@ -75,7 +75,8 @@
 			request, coding, encoded := fetchEventually(t, address, cache, last.Digest)
 			err := cache.Fetch(last.Digest, 1).HandleResponse(request, coding, encoded)
 			if err != nil || coding != test.want || !bytes.Equal(cache.Content(last.Digest), three) {
-				t.Errorf("replica %d, base %s: coding %q of %d bytes, error %v", id, name, coding, len(encoded), err)
+				t.Errorf("replica %d, base %s: got coding %q of %d bytes, error %v; want the coding of the case and the content",
+					id, name, coding, len(encoded), err)
 			}
 		}
 		expectPlainContents(t, "http://"+address+"/content/", first, last)
@@ -88,7 +89,7 @@
 	t.Helper()
 	response := getContent(t, url+first.Digest, nil)
 	if response.status != http.StatusOK || response.coding != "" || !bytes.Equal(response.body, first.Content) {
-		t.Errorf("without a coding: got status %d, coding %q, %d bytes",
+		t.Errorf("without a coding: got status %d, coding %q, %d bytes; want 200, no coding, the content",
 			response.status, response.coding, len(response.body))
 	}
 	wrongHashes := []string{"", "x", ":eA==:", ":" + strings.Repeat("A", 43) + "=:"}
@@ -99,7 +100,7 @@
 			headerBaseDigest:  `"` + first.Digest + `"`,
 		})
 		if response.status != http.StatusOK || response.coding != content.EncodingZstd {
-			t.Errorf("base hash %q: got status %d, coding %q", hash, response.status, response.coding)
+			t.Errorf("base hash %q: got status %d, coding %q; want 200, zstd", hash, response.status, response.coding)
 		}
 	}
 	for _, digest := range []string{strings.Repeat("0", 64), "x", last.Digest[:63]} {
--- a/internal/fleet/replica/golden_folder_test.go
+++ b/internal/fleet/replica/golden_folder_test.go
@@ -129,7 +129,8 @@
 	}
 	for _, version := range list {
 		if version.Content != nil && configversion.DigestOf(version.Content) != version.Digest {
-			t.Errorf("version %d: the content has digest %s", version.Number, configversion.DigestOf(version.Content))
+			t.Errorf("version %d: the content has digest %s, want that of the version",
+				version.Number, configversion.DigestOf(version.Content))
 		}
 		fmt.Fprintf(out, "%d of %d, %s, %s: %s, %s, %d bytes\n", version.Number, version.Parent, version.Digest,
 			version.Author, version.Reason, version.CreatedAt, len(version.Content))
@@ -137,7 +138,7 @@
 	golden.Check(t, "folder.golden", []byte(out.String()))
 	next := &lease.Proposal{ID: "next", Parent: status.Announced, ReplacePending: true, Content: rateLimitConfig(1)}
 	if version, err := client.Propose(next); err != nil || version.Number != status.Announced+1 {
-		t.Errorf("the next version: got %+v, error %v", version, err)
+		t.Errorf("the next version: got %+v, error %v; want the number after the announced one", version, err)
 	}
 }
 
--- a/internal/fleet/replica/membership_test.go
+++ b/internal/fleet/replica/membership_test.go
@@ -90,7 +90,7 @@
 	} {
 		err := test.change.validate(voters, used)
 		if (err == nil) != test.valid || err != nil && !errors.Is(err, ErrMembershipChange) {
-			t.Errorf("%s: unexpected result of validation: %v", name, err)
+			t.Errorf("%s: validate gives %v, want nil for a valid change and ErrMembershipChange for another", name, err)
 		}
 		if applied := test.change.applied(voters, used); applied != test.applied {
 			t.Errorf("%s: applied is %t, want the opposite", name, applied)
--- a/internal/fleet/replica/peer_test.go
+++ b/internal/fleet/replica/peer_test.go
@@ -36,7 +36,8 @@
 			continue // the end of a message
 		}
 		if list, err := decodeMessages(body[:length]); !errors.Is(err, errTruncatedMessages) || list != nil {
-			t.Errorf("with %d of %d bytes: got %d messages, error %v", length, len(body), len(list), err)
+			t.Errorf("with %d of %d bytes: got %d messages, error %v; want none, errTruncatedMessages",
+				length, len(body), len(list), err)
 		}
 	}
 }
--- a/internal/fleet/replica/save.go
+++ b/internal/fleet/replica/save.go
@@ -49,7 +49,7 @@
 			return err
 		}
 	}
-	// Too high if the entries replace others, until the next compaction recounts.
+	// The sum is too high if the entries replace others, until the next compaction counts again.
 	s.logBytes += entryBytes(ready.Entries)
 	return s.memory.Append(ready.Entries)
 }
--- a/internal/fleet/replica/server.go
+++ b/internal/fleet/replica/server.go
@@ -35,7 +35,7 @@
 }
 
 // ConvergenceBound returns the longest time, in nanoseconds, from a version's announcement until no gateway acts on
-// the version before it alone: the duration of a lease by the replicas' clocks, which may drift from the gateways'.
+// the previous version alone: the duration of a lease by the replicas' clocks, which may drift from the gateways'.
 // It is T of docs/fleet.md.
 func ConvergenceBound(settings lease.Settings) int64 {
 	return int64(float64(settings.LeaseDuration) * (1 + settings.MaxClockDrift) / (1 - settings.MaxClockDrift))
--- a/internal/fleet/replica/server_test.go
+++ b/internal/fleet/replica/server_test.go
@@ -28,7 +28,8 @@
 	size := canonicalSize(short)
 	configuration, err := configversion.Parse(short)
 	if err != nil || size != len(configuration.Canonical()) || size <= len(short) {
-		t.Errorf("canonical size of %d bytes for %d bytes, error %v", size, len(short), err)
+		t.Errorf("canonical size of %d bytes for %d bytes, error %v; want the size of the canonical form, which is larger",
+			size, len(short), err)
 	}
 	propose(t, client, 1, rateLimitConfig(1))
 }
--- a/internal/fleet/replica/store_test.go
+++ b/internal/fleet/replica/store_test.go
@@ -52,7 +52,7 @@
 	ofTwo := readFile(t, c.file(2))
 	writeFile(t, c.file(2), newest)
 	if err := c.tryStart(2); err == nil || !strings.Contains(err.Error(), "belongs to replica 3") {
-		t.Errorf("with the folder of replica 3: got error %v", err)
+		t.Errorf("with the folder of replica 3: got error %v, want one that names replica 3", err)
 	}
 
 	for sixteenths := 1; sixteenths < 16; sixteenths++ {
@@ -75,7 +75,7 @@
 	s, err := openStore(dir, 3, []uint64{1, 2, 3})
 	if err != nil {
 		if !strings.Contains(err.Error(), "cannot be read") {
-			t.Errorf("a truncated file: got error %v", err)
+			t.Errorf("a truncated file: got error %v, want one that it cannot be read", err)
 		}
 		return
 	}
@@ -84,7 +84,7 @@
 		t.Error(err)
 	}
 	if size > int64(len(file)) { // the part that was cut off was in use
-		t.Errorf("a file of %d bytes that was truncated to %d bytes was opened", size, len(file))
+		t.Errorf("a file of %d bytes that was truncated to %d bytes was opened, want an error", size, len(file))
 	}
 	if err := s.db.Close(); err != nil {
 		t.Error(err)
@@ -159,7 +159,8 @@
 			s = open()
 		}
 		if accepted, err := s.recordStart(2, test.count, test.incarnation); accepted != test.accepted || err != nil {
-			t.Errorf("case %d, start %d of incarnation %d: got %t, %v", i, test.count, test.incarnation, accepted, err)
+			t.Errorf("case %d, start %d of incarnation %d: got accepted %t, error %v; want accepted as in the case, no error",
+				i, test.count, test.incarnation, accepted, err)
 		}
 	}
 	closeStore(s)
--- a/internal/fleet/replica/watch_test.go
+++ b/internal/fleet/replica/watch_test.go
@@ -33,14 +33,14 @@
 		return changed, err
 	}
 	if changed, err := watch(status.Leader, time.Millisecond, status.Term, 1); changed || err != nil {
-		t.Errorf("without a change: got %t, error %v", changed, err)
+		t.Errorf("without a change: got %t, error %v; want false", changed, err)
 	}
 	if changed, err := watch(status.Leader, time.Hour, status.Term, 0); !changed || err != nil {
-		t.Errorf("with an older version known: got %t, error %v", changed, err)
+		t.Errorf("with an older version known: got %t, error %v; want true", changed, err)
 	}
 	_, err := watch(status.Leader%3+1, time.Hour, status.Term, 1)
 	if err == nil || !strings.Contains(err.Error(), "does not lead") {
-		t.Errorf("at a replica that does not lead: got error %v", err)
+		t.Errorf("at a replica that does not lead: got error %v, want one that it does not lead", err)
 	}
 	metrics := readMetrics(t, c.peers[status.Leader])
 	for _, line := range []string{"irispost_keeper_leads 1", `irispost_keeper_version{which="in_force"} 1`} {
--- a/internal/fleet/rig/audit.go
+++ b/internal/fleet/rig/audit.go
@@ -11,7 +11,7 @@
 
 const nanosPerMilli = 1e6
 
-// noConflict stands for the start time of a conflict while there is none.
+// noConflict is the start time of a conflict while there is none.
 const noConflict = -1
 
 // Agreement is the result of an audit.
