--- a/internal/admin/report.go
+++ b/internal/admin/report.go
@@ -14,7 +14,7 @@
 	Capture          Capture                  `json:"capture"`
 	Nodes            map[string]int           `json:"nodes"` // number of nodes by Endpoint.State
 	HeldLoss         *HeldLoss                `json:"lost,omitempty"`
-	Version          string                   `json:"rules,omitempty"` // with its state; empty if it follows no replicas
+	Version          string                   `json:"rules,omitempty"` // state and version; empty without replicas
 }
 
 // RequestCounts counts the requests of a request class by their results since the gateway started.
--- a/internal/backend/node/abort_test.go
+++ b/internal/backend/node/abort_test.go
@@ -66,6 +66,6 @@
 		t.Fatal(err)
 	}
 	if bytes.Contains(readUntil(t, conn, "the second"), []byte("the first")) {
-		t.Error("an aborted call was sent")
+		t.Error("an aborted call was sent, want only the second call")
 	}
 }
--- a/internal/backend/node/call_test.go
+++ b/internal/backend/node/call_test.go
@@ -22,7 +22,7 @@
 	}
 	got.Data = nil
 	if !reflect.DeepEqual(*got, call) {
-		t.Errorf("call %+v is decoded as %+v", call, got)
+		t.Errorf("call %+v is decoded as %+v, want an equal call", call, got)
 	}
 }
 
--- a/internal/backend/node/client_test.go
+++ b/internal/backend/node/client_test.go
@@ -105,7 +105,7 @@
 		"offset too far out":         {node.Call{Op: node.PutObject, Name: "far", Offset: 1 << 63}, node.Failed, node.OK},
 	} {
 		if reply := run(c, n.Addr(), test.call); reply.Outcome != test.outcome || reply.Status != test.status {
-			t.Errorf("%s: reply %+v, want another outcome or status", name, reply)
+			t.Errorf("%s: reply %+v, want the outcome and status of the case", name, reply)
 		}
 	}
 	setFault(t, n, "fail 1")
--- a/internal/backend/node/loadreport_test.go
+++ b/internal/backend/node/loadreport_test.go
@@ -61,7 +61,7 @@
 		got := decodeReply(t, encodeBody(t, reply.Packet(9)))
 		got.ORCA = orca
 		if !reflect.DeepEqual(got, reply) {
-			t.Errorf("reply %+v is decoded as %+v", reply, got)
+			t.Errorf("reply %+v is decoded as %+v, want an equal reply", reply, got)
 		}
 	}
 }
--- a/internal/backend/node/protocol.go
+++ b/internal/backend/node/protocol.go
@@ -2,8 +2,8 @@
 // the connections and reports the outcome of each attempt. The gateway's loop calls the client; stand-in nodes use
 // the message types. docs/node-protocol.md describes the protocol.
 //
-// Nodes speak SFTP version 3. SFTP has no stateless attempt of a request with an idempotency key; the protocol sends
-// these as SSH_FXP_EXTENDED requests, an extension that a node offers in its VERSION packet.
+// Nodes speak SFTP version 3, which has no request for a stateless attempt with an idempotency key. The protocol
+// therefore sends attempts as SSH_FXP_EXTENDED requests, an extension that a node offers in its VERSION packet.
 //
 // A Client owns its connections. Each has a goroutine that connects, and those of package packetconn. No state is
 // stored. Encoding and decoding messages has no side effects.
@@ -51,8 +51,8 @@
 	VersionConflict        // the record has another version, which the reply contains
 )
 
-// Outcome is how an attempt ended, as far as the node's reply or the connection shows. The values up to WrongShard
-// are those of the protocol.
+// Outcome is how an attempt ended, according to the node's reply or the state of the connection. The values up to
+// WrongShard are those of the protocol.
 type Outcome uint8
 
 // Outcomes of an attempt.
--- a/internal/backend/node/reply.go
+++ b/internal/backend/node/reply.go
@@ -14,7 +14,7 @@
 	Shard          int           // the shard that the node holds
 	InFlight       int           // load report: requests that the node holds
 	Latency        time.Duration // load report: recent service time, without time in the node's queue
-	UnitsElsewhere float64       // units the volume was served through other gateways since the last reply to this one
+	UnitsElsewhere float64       // units served to the volume through other gateways since the last reply to this one
 	Message        string        // why the attempt failed
 	Data           []byte        // content of an object or record, or an encoded list
 	ORCA           bool          // the load report is encoded as an ORCA report
--- a/internal/backend/webnode/client.go
+++ b/internal/backend/webnode/client.go
@@ -28,8 +28,8 @@
 	ReuseDelay     time.Duration // minimum time between the response and the reuse of a connection
 	MaxConnections int           // maximum number of open connections to all nodes
 	ResponseLimits http1.Limits  // for one response
-	MaxLongBody    int64         // most bytes of a body over ResponseLimits, a long body; some nodes send such bodies
-	LongBodyBudget int64         // most bytes of all long bodies in memory
+	MaxLongBody    int64         // maximum bytes of a long body, which is one over ResponseLimits; some nodes send them
+	LongBodyBudget int64         // maximum bytes of all long bodies in memory
 }
 
 // Client holds a gateway's connections to its storage nodes.
--- a/internal/backend/webnode/client_test.go
+++ b/internal/backend/webnode/client_test.go
@@ -140,7 +140,7 @@
 	_, first := startPut(c, s, "held-1")
 	<-s.WaitingIDs
 	if _, done := startPut(c, s, "served-2"); (<-done).Outcome != node.ConnectFailed {
-		t.Error("no connection became available: the outcome is not ConnectFailed")
+		t.Error("no connection became available: got another outcome, want ConnectFailed")
 	}
 	close(s.Release)
 	<-first
@@ -152,7 +152,7 @@
 		t.Error(err)
 	}
 	if _, done := startPut(idle, s, "served-4"); (<-done).Outcome != node.ConnectFailed {
-		t.Error("the node refused the connection: the outcome is not ConnectFailed")
+		t.Error("the node refused the connection: got another outcome, want ConnectFailed")
 	}
 }
 
--- a/internal/backend/webnode/order_test.go
+++ b/internal/backend/webnode/order_test.go
@@ -94,7 +94,7 @@
 	second.readRequest()
 	first.respond("a's again")
 	if first.readRequest() != nil {
-		t.Error("the connection that received a second response was reused")
+		t.Error("the connection that received a second response was reused, want it closed")
 	}
 	second.respond("b's")
 	expectData(t, secondDone, "b's")
@@ -181,7 +181,7 @@
 	_, waiting := startGet(c, n, node.Call{IdempotencyKey: "c", Timeout: time.Minute})
 	c.AbortQueued(func(addr string) bool { return addr != n.Addr().String() })
 	if len(dialing)+len(waiting) > 0 {
-		t.Error("an attempt at a node that is not excluded has ended")
+		t.Error("an attempt at a node that is not excluded has ended, want it to continue")
 	}
 	c.AbortQueued(func(addr string) bool { return addr == n.Addr().String() })
 	expectConnectFailed(t, waiting, "waiting for a free connection")
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -92,7 +92,7 @@
 	VersionLog   string            // file that records which versions the gateway has applied; empty: none
 	CacheDir     string            // holds the last content; empty: it is not cached
 	PeerAddress  string            // where other gateways ask this one for slow-start budgets; empty: they cannot
-	PeerRoutes   map[string]string // by the address that a gateway announces: the address that reaches it
+	PeerRoutes   map[string]string // maps the address that a gateway announces to the one that reaches it
 }
 
 // Disks configures a gateway's iSCSI targets.
--- a/internal/config/scheduling.go
+++ b/internal/config/scheduling.go
@@ -27,7 +27,7 @@
 }
 
 // scheduling reads the settings of slow start, retries, attempts, rejections and key queues. Missing blocks have
-// defaults, except those of slow start and of the retry budget: without its block, neither is in use.
+// defaults, except that slow start and the retry budget are not in use without their blocks.
 func (d *decoder) scheduling(blocks *schedulingBlocks, settings scheduler.Settings) {
 	if block := blocks.SlowStart; block != nil {
 		settings["cold.from"] = formatNumber(d.number(block.StartShare, 0.001, 1, 1))
@@ -158,7 +158,7 @@
 	set("in_turn", strconv.FormatBool(class.Ordered))
 }
 
-// dedupScope is the dedup scope of a request class; empty where there is no such class.
+// dedupScope returns the dedup scope of a request class, or the empty string if there is no such class.
 func (c *Config) dedupScope(class string) string {
 	for i := range len(c.RequestClasses) {
 		if c.Settings[requestClassKey(i, "name")] == class {
--- a/internal/config/sources.go
+++ b/internal/config/sources.go
@@ -174,7 +174,7 @@
 	return names
 }
 
-// membership reads the settings that damp and hold down changes of the endpoint list, and those of the start.
+// membership reads the settings that damp and hold down changes of the endpoint list, and those that apply at startup.
 func (d *decoder) membership(block *membershipBlock, config *Config) {
 	block = orEmpty(block)
 	defaults := membership.DefaultSettings
--- a/internal/frontend/web/conn.go
+++ b/internal/frontend/web/conn.go
@@ -121,7 +121,8 @@
 	deadline := time.Now().Add(s.opt.Limits.RequestTimeout)
 	if !c.firstDeadline.IsZero() {
 		deadline, c.firstDeadline = c.firstDeadline, time.Time{}
-		if earliest := time.Now().Add(lingerTimeout); deadline.Before(earliest) { // it started just before the deadline
+		// A request that begins just before the deadline gets a little longer.
+		if earliest := time.Now().Add(lingerTimeout); deadline.Before(earliest) {
 			deadline = earliest
 		}
 	}
--- a/internal/frontend/web/linger.go
+++ b/internal/frontend/web/linger.go
@@ -10,7 +10,8 @@
 // lingerTimeout limits how long a connection lingers after its last response.
 const lingerTimeout = 200 * time.Millisecond
 
-// maxLingerBodies limits the bytes that are discarded while a connection lingers, in bodies of the maximum size.
+// maxLingerBodies limits the bytes that are discarded while a connection lingers, as a multiple of the maximum body
+// size.
 const maxLingerBodies = 4
 
 // linger closes a connection whose client is still connected (lingering close, RFC 9112, 9.6). It closes the sending
--- a/internal/frontend/web/script_test.go
+++ b/internal/frontend/web/script_test.go
@@ -146,7 +146,7 @@
 	id := s.ids[name][0]
 	s.ids[name] = s.ids[name][1:]
 	if body != id+servedBody && (id != "" || body != "ok\n") {
-		s.t.Fatalf("%s: response to %q has the unexpected body %q", name, id, body)
+		s.t.Fatalf("%s: response to %q has body %q, want the body for that request", name, id, body)
 	}
 }
 
--- a/internal/frontend/web/server.go
+++ b/internal/frontend/web/server.go
@@ -68,7 +68,7 @@
 	connCount      int64           // connections accepted since the start, rejected ones included
 	rejected       int             // connections rejected since the start
 	evicted        int             // connections evicted since the start
-	loggedShortage bool            // whether a shortage of connections was logged last
+	loggedShortage bool            // whether the last logged change was the start of a shortage
 }
 
 // Start starts a server that listens at the address.
--- a/internal/layout/layout_test.go
+++ b/internal/layout/layout_test.go
@@ -131,7 +131,7 @@
 	f.Add((&Record{ChangeID: "m", Extents: []Extent{{1, "o"}}}).Encode())
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if r, err := Decode(b, 1); err == nil && string(r.Encode()) != string(b) {
-			t.Errorf("%x was accepted, but encodes to other bytes again", b)
+			t.Errorf("%x was decoded, but encodes to other bytes, want the same", b)
 		}
 	})
 }
--- a/internal/packetconn/dial.go
+++ b/internal/packetconn/dial.go
@@ -21,7 +21,7 @@
 		return nil
 	})
 	if err != nil {
-		c.Close(err) // the handler is told by Closed
+		c.Close(err) // calls the handler's Closed
 	}
 	return c, nil
 }
--- a/internal/platform/grace.go
+++ b/internal/platform/grace.go
@@ -18,7 +18,8 @@
 const maxLongPoll = 3 * time.Second
 
 // pollsPerInterval is the number of polls in the time after which a gateway counts as up to date even if it has not
-// polled. With several polls in that time, a service that does not respond is noticed before it has passed.
+// polled. With several polls in that time, a service that does not respond is noticed before that time has
+// passed.
 const pollsPerInterval = 4
 
 // ShutdownGrace returns the time from the platform's request to shut down until it kills the gateway.
--- a/internal/serve/admin_test.go
+++ b/internal/serve/admin_test.go
@@ -33,7 +33,7 @@
 	defer func() { _ = r.Body.Close() }()
 	b, err := io.ReadAll(r.Body)
 	if err != nil || r.StatusCode != http.StatusOK {
-		t.Fatalf("%d, %v: %s", r.StatusCode, err, b)
+		t.Fatalf("GET /metrics: status %d, error %v, want 200: %s", r.StatusCode, err, b)
 	}
 	return string(b)
 }
@@ -114,7 +114,7 @@
 	}
 	report, err := replay.Run(reader.Next, replay.Options{})
 	if err != nil || !report.Matches() || report.State != replay.Ended || report.Decisions < 100 {
-		t.Errorf("replay: state %v after %d decisions, error %v, difference %+v",
+		t.Errorf("replay: state %v after %d decisions, error %v, difference %+v; want Ended, at least 100, none",
 			report.State, report.Decisions, err, report.Difference)
 	}
 }
--- a/internal/serve/concurrent_test.go
+++ b/internal/serve/concurrent_test.go
@@ -44,13 +44,14 @@
 		first, err1 := get(testbed.Client(0), path)
 		second, err2 := get(testbed.Client(1), path)
 		if err1 != nil || err2 != nil || len(first) != 3*extentBytes || !bytes.Equal(first, second) {
-			t.Fatalf("gateways read %d and %d bytes (equal: %v), errors: %v, %v",
+			t.Fatalf("gateways read %d and %d bytes (equal: %v), errors: %v, %v; want three equal extents",
 				len(first), len(second), bytes.Equal(first, second), err1, err2)
 		}
 		for offset := 0; offset < len(first); offset += extentBytes {
 			if n := bytes.Count(first[offset:offset+extentBytes], first[offset:offset+1]); n != extentBytes ||
 				first[offset] != 'a' && first[offset] != 'b' {
-				t.Errorf("extent at offset %d mixes writers: %d of %d bytes equal its first byte", offset, n, extentBytes)
+				t.Errorf("extent at offset %d: %d of %d bytes equal its first byte, want all, from one writer",
+					offset, n, extentBytes)
 			}
 		}
 		if err := testbed.Client(0).Remove(path); err != nil {
@@ -152,7 +153,7 @@
 				answers[id]++
 			}
 			if len(answers) != 400 {
-				t.Errorf("%d of 400 requests were answered", len(answers))
+				t.Errorf("%d of 400 requests were answered, want all", len(answers))
 			}
 		}()
 	}
@@ -161,7 +162,7 @@
 	sum := int64(0)
 	for _, c := range f.Classes {
 		if c.Accepted != c.Succeeded+c.Rejected+c.Failed+c.Cancelled {
-			t.Errorf("accepted requests are not the sum of all outcomes: %+v", c)
+			t.Errorf("got counts %+v, want accepted requests to be the sum of all outcomes", c)
 		}
 		sum += c.Accepted
 	}
--- a/internal/serve/disk_test.go
+++ b/internal/serve/disk_test.go
@@ -93,7 +93,7 @@
 			change(o)
 		}), 0)
 		if d.BlockSize != 4096 || d.Size() != 16<<20 || !strings.Contains(d.Model, "IRISPOST") {
-			t.Fatalf("want blocks of 4096 bytes, 16 MiB and model IRISPOST: %+v", d)
+			t.Fatalf("got disk %+v, want blocks of 4096 bytes, 16 MiB and model IRISPOST", d)
 		}
 		for _, n := range []int{4096, 64 << 10, 300 << 10 &^ 4095, 5 << 20} {
 			expectReadsBack(t, d, randomBytes(uint64(n+i), n), int64(n/3&^4095))
@@ -108,7 +108,7 @@
 		t.Fatal(err)
 	}
 	if got, err := get(b.Client(0), "/meals/disk0"); err != nil || !bytes.Equal(got, content) {
-		t.Errorf("the file read over SFTP has %d bytes, equal to the disk: %v, error %v",
+		t.Errorf("the file read over SFTP has %d bytes, equal to the disk: %v, error %v; want the disk's content",
 			len(got), bytes.Equal(got, content), err)
 	}
 }
@@ -120,7 +120,8 @@
 	}
 	got := make([]byte, len(data))
 	if _, err := d.ReadAt(got, offset); err != nil || !bytes.Equal(got, data) {
-		t.Fatalf("%d bytes at %d: read back equal %v, error %v", len(data), offset, bytes.Equal(got, data), err)
+		t.Fatalf("%d bytes at %d: read back equal %v, error %v, want true and none",
+			len(data), offset, bytes.Equal(got, data), err)
 	}
 }
 
@@ -129,7 +130,7 @@
 	b := diskTestbed(t, 3, 1, nil)
 	small := openDisk(t, diskOptions(b, 0, nil), 3)
 	if small.BlockSize != 512 || small.BlockCount != 2048 {
-		t.Errorf("want 2048 blocks of 512 bytes: %+v", small)
+		t.Errorf("got disk %+v, want 2048 blocks of 512 bytes", small)
 	}
 	if _, err := small.WriteAt(randomBytes(1, 1536), 512); err != nil {
 		t.Error(err)
@@ -139,7 +140,7 @@
 		offset int64
 	}{{100, 0}, {512, 100}, {512, 1 << 20}, {1024, 1<<20 - 512}} {
 		if _, err := small.ReadAt(make([]byte, c.bytes), c.offset); err == nil {
-			t.Errorf("read of %d bytes at %d succeeded", c.bytes, c.offset)
+			t.Errorf("read of %d bytes at %d succeeded, want an error", c.bytes, c.offset)
 		}
 	}
 }
@@ -159,7 +160,7 @@
 	clear(data[8192 : 8192+100<<10])
 	got := make([]byte, len(data))
 	if _, err := d.ReadAt(got, 0); err != nil || !bytes.Equal(got, data) {
-		t.Errorf("after UNMAP the disk does not read back as expected, error %v", err)
+		t.Errorf("after UNMAP: error %v or wrong content, want zeros where unmapped and the old data elsewhere", err)
 	}
 	err := d.CompareAndWrite(t.Context(), make([]byte, 4096), randomBytes(6, 4096), 0)
 	if !errors.Is(err, initiator.ErrMiscompare) {
@@ -286,7 +287,7 @@
 			o.Account, o.Target = c.account, c.target
 		}))
 		if (err == nil) != (c.want == "") || err != nil && !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: login error %v", name, err)
+			t.Errorf("%s: login error %v, want one with the text of the case, or none if that is empty", name, err)
 		}
 		if err == nil {
 			if err := s.Close(); err != nil {
@@ -375,7 +376,8 @@
 				if b := blocks[at]; b != nil && r.IntN(2) == 0 {
 					got := make([]byte, 4096)
 					if _, err := d.ReadAt(got, at); err != nil || !bytes.Equal(got, b) {
-						t.Errorf("disk client %d, read at %d: error %v, equal %v", k, at, err, bytes.Equal(got, b))
+						t.Errorf("disk client %d, read at %d: error %v, equal %v, want none and true",
+							k, at, err, bytes.Equal(got, b))
 						return
 					}
 					continue
--- a/internal/serve/files_test.go
+++ b/internal/serve/files_test.go
@@ -80,7 +80,7 @@
 	}
 	must(t, "second", put(a, "/meals/other", []byte("x")))
 	if err := a.Rename("/meals/other", "/meals/menu"); err == nil {
-		t.Error("RENAME replaced an existing file")
+		t.Error("RENAME replaced an existing file, want an error")
 	}
 	must(t, "posix-rename", a.PosixRename("/meals/other", "/meals/menu"))
 	got, err = get(b, "/meals/menu")
@@ -121,11 +121,11 @@
 		t.Errorf("create in a removed folder: error %v, want fs.ErrNotExist", err)
 	}
 	if _, err := a.OpenFile("/meals/menu", os.O_WRONLY|os.O_CREATE|os.O_EXCL); err == nil {
-		t.Error("exclusive create of an existing file succeeded")
+		t.Error("exclusive create of an existing file succeeded, want an error")
 	}
 	for _, path := range []string{"/meals/../../etc/passwd", "/meals/..", "/nothing/here"} {
 		if _, err := a.Stat(path); err == nil {
-			t.Errorf("stat of %s succeeded", path)
+			t.Errorf("stat of %s succeeded, want an error", path)
 		}
 	}
 }
@@ -150,7 +150,8 @@
 		got := make([]byte, len(model)+1)
 		n, err := f.ReadAt(got, 0)
 		if !errors.Is(err, io.EOF) || !bytes.Equal(got[:n], model) {
-			t.Fatalf("%s: read %d bytes, want %d, equal %v, error %v", when, n, len(model), bytes.Equal(got[:n], model), err)
+			t.Fatalf("%s: read %d bytes, want %d; equal %v, error %v, want true and EOF",
+				when, n, len(model), bytes.Equal(got[:n], model), err)
 		}
 	}
 	check("with a hole")
--- a/internal/serve/fleet_test.go
+++ b/internal/serve/fleet_test.go
@@ -146,7 +146,7 @@
 	}
 	b.awaitVersion("acting on 1.")
 	if b.hasLogged("local configuration conflicts with a version") {
-		t.Error("a conflict is logged although the settings are equal")
+		t.Error("a conflict is logged although the settings are equal, want none")
 	}
 	level := b.content.ServiceLevels["basic"]
 	level.RateLimit, level.Burst = 7, 7
@@ -157,7 +157,7 @@
 	b.replica.Close()
 	b.awaitVersion("ended on none")
 	if err := client.Mkdir("/meals/month"); err == nil {
-		t.Error("a request succeeded with a version that may no longer be in force")
+		t.Error("a request succeeded with a version that may no longer be in force, want an error")
 	}
 	b.startReplica()
 	b.awaitVersion("acting on 2.")
--- a/internal/serve/iscsi_test.go
+++ b/internal/serve/iscsi_test.go
@@ -56,7 +56,7 @@
 	p.Header[13] = isid
 	w.send(p)
 	if a := w.receive(); a.Opcode() != iscsi.LoginResponse || a.Header[36] != 0 || a.Header[1] != 0x87 {
-		t.Fatalf("login failed, response %x", a.Header)
+		t.Fatalf("login: got response %x, want one that completes the login", a.Header)
 	}
 	for i := 0; i < len(keys); i += 2 {
 		w.digests.Header = w.digests.Header || keys[i] == "HeaderDigest"
@@ -215,7 +215,7 @@
 	head[20] ^= 1 // wrong header digest: the length is unreliable, so the connection has to end
 	write(w.t, w.conn, head)
 	if _, err := iscsi.Read(w, w.digests, 1<<20); err == nil {
-		t.Error("the connection stays open after a wrong header digest")
+		t.Error("the connection stays open after a wrong header digest, want it closed")
 	}
 }
 
@@ -301,14 +301,14 @@
 	old.expectPDU(iscsi.ReadyToTransfer, 150)
 	next := login(t, testbed, 5)
 	if _, err := iscsi.Read(old, old.digests, 1<<20); err == nil {
-		t.Error("the old connection stays open")
+		t.Error("the old connection stays open, want it closed")
 	}
 	for _, n := range testbed.Nodes {
 		command(t, n, "well")
 	}
 	next.expectServed(100) // the same tag as an old command, with its own response
 	if s := testbed.Gateways[0].ISCSI.Status(); s.Sessions != 2 {
-		t.Errorf("want 2 sessions: %+v", s)
+		t.Errorf("got status %+v, want 2 sessions", s)
 	}
 	_ = next.conn.Close()
 	_ = d.Close()
@@ -318,7 +318,7 @@
 		t.Error(err)
 	}
 	if s := testbed.Gateways[0].ISCSI.Status(); s.Running != 0 || s.Waiting != 0 {
-		t.Errorf("want no running and no waiting commands: %+v", s)
+		t.Errorf("got status %+v, want no running and no waiting commands", s)
 	}
 }
 
@@ -349,7 +349,7 @@
 	}
 	got := make([]byte, 1<<20)
 	if _, err := d.ReadAt(got, 0); err != nil || string(got) != string(next) {
-		t.Errorf("read after recovery: error %v, equal %v", err, string(got) == string(next))
+		t.Errorf("read after recovery: error %v, equal %v, want none and true", err, string(got) == string(next))
 	}
 }
 
@@ -423,7 +423,7 @@
 		p := w.receive()
 		if p.Opcode() == iscsi.Response || p.Opcode() == iscsi.DataIn && p.Flags()&iscsi.HasStatus != 0 {
 			if tag != iscsi.NoTag && p.Tag() != tag {
-				w.t.Fatalf("received a response for tag %d", p.Tag())
+				w.t.Fatalf("received a response for tag %d, want the tag of the command", p.Tag())
 			}
 			return p
 		}
--- a/internal/serve/limits_test.go
+++ b/internal/serve/limits_test.go
@@ -95,7 +95,7 @@
 	command(t, testbed.Nodes[0], "hang")
 	packet := sftp.New(sftp.Write, 9).Text(handle).Uint64(0).Tail(make([]byte, 60_000))
 	if !ahead.sendUntilClosed(packet, 2000) {
-		t.Fatal("the gateway accepted 120 MB ahead of its responses")
+		t.Fatal("the gateway accepted 120 MB ahead of its responses, want it to close the connection")
 	}
 	command(t, testbed.Nodes[0], "well")
 	unread := dialRaw(t, testbed, 0)
@@ -105,7 +105,7 @@
 	// 300 MB of responses, of which the kernel's buffers hold only a few. The client must not read before the connection
 	// is closed: one that reads as fast as the gateway answers is not behind.
 	if !unread.sendUntilClosed(read, 3000) {
-		t.Error("the gateway accepted 3000 requests of a client that does not read")
+		t.Error("the gateway accepted 3000 requests of a client that does not read, want it to close the connection")
 	}
 	if n, err := io.Copy(io.Discard, unread.conn); n > 200<<20 || errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("%d bytes were buffered for a client that does not read (%v), want at most 200 MiB and a closed connection",
--- a/internal/serve/linear_test.go
+++ b/internal/serve/linear_test.go
@@ -192,7 +192,7 @@
 	close(stop)
 	faultInjectors.Wait()
 	if known := history.known(); known < blockClients*blockSteps/4 {
-		t.Errorf("only %d of %d operations have a known outcome", known, len(history.operations))
+		t.Errorf("%d of %d operations have a known outcome, want at least a quarter", known, len(history.operations))
 	}
 	model := registerModel.ToModel()
 	model.Partition = byBlock
--- a/internal/serve/members_test.go
+++ b/internal/serve/members_test.go
@@ -235,7 +235,7 @@
 			return
 		}
 	}
-	t.Error("a node that is listed again receives no requests")
+	t.Error("a node that is listed again receives no requests, want at least one")
 }
 
 // report returns the gateway's report of its endpoints.
@@ -279,7 +279,7 @@
 		report := m.report()
 		source := report.Sources[0]
 		if source.Version != version || serving(report) != 3 || !strings.Contains(source.LastRejection, kind) {
-			t.Errorf("invalid update: want an unchanged version, 3 serving endpoints and a reason: %+v", report)
+			t.Errorf("invalid update: got %+v, want an unchanged version, 3 serving endpoints and a reason", report)
 		}
 		m.awaitServed(30)
 	}
@@ -307,7 +307,7 @@
 		m.command(list)
 		m.awaitReport("a held list", isHeld)
 		if report := m.report(); serving(report) != 3 {
-			t.Errorf("%s: want 3 serving endpoints: %+v", list, report)
+			t.Errorf("%s: got %+v, want 3 serving endpoints", list, report)
 		}
 		m.awaitServed(30)
 		m.server.UpdateNodes(func([]endpoint.Node) []endpoint.Node { return before })
@@ -360,7 +360,7 @@
 	}
 	source := v.Sources[0]
 	if source.State != "starting" || source.LastError == "" || source.Nodes != 2 || len(v.Nodes) != 2 {
-		t.Errorf("want source \"starting\" with an error and 2 cached endpoints: %+v", v)
+		t.Errorf("got %+v, want source \"starting\" with an error and 2 cached endpoints", v)
 	}
 	if err := s.Restart(); err != nil {
 		t.Fatal(err)
@@ -369,7 +369,7 @@
 	isCurrent := func() bool { return v.Sources[0].State == "current" && v.Sources[0].Version == "c:1 e:1" }
 	for end := time.Now().Add(failureTimeout); !isCurrent(); time.Sleep(time.Millisecond) {
 		if v, _ = g.Members(); time.Now().After(end) {
-			t.Fatalf("timeout: want source \"current\" at version \"c:1 e:1\": %+v", v)
+			t.Fatalf("timeout: got %+v, want source \"current\" at version \"c:1 e:1\"", v)
 		}
 	}
 	testkit.RetryUntilDone(t, "get", func() error { _, err := get(testbed.Client(0), "/meals/f"); return err })
--- a/internal/serve/nodefaults_test.go
+++ b/internal/serve/nodefaults_test.go
@@ -123,7 +123,7 @@
 		t.Errorf("stat at another node: %v", err)
 	}
 	if _, err := c.ReadDir("/meals"); err == nil {
-		t.Error("a listing succeeded although a shard did not answer")
+		t.Error("a listing succeeded although a shard did not answer, want an error")
 	}
 	l := testbed.List()
 	l.Nodes[0].Health = endpoint.Draining
@@ -132,7 +132,7 @@
 	_, _ = c.Stat(files[1]) // this request follows the list
 	before := testbed.Nodes[0].AttemptsReceived()
 	if _, err := c.Stat(files[0]); err == nil {
-		t.Error("a draining node serves a request")
+		t.Error("a draining node serves a request, want an error")
 	}
 	if n := testbed.Nodes[0].AttemptsReceived() - before; n != 0 {
 		t.Errorf("a draining node received %d attempts, want 0", n)
--- a/internal/serve/rawsftp_test.go
+++ b/internal/serve/rawsftp_test.go
@@ -76,7 +76,7 @@
 	f := c.receive()
 	_, r := f.ID()
 	if f.Type != sftp.Handle {
-		c.t.Fatalf("open of %s: status %d %q", path, r.Uint32(), r.Text())
+		c.t.Fatalf("open of %s: status %d %q, want a handle", path, r.Uint32(), r.Text())
 	}
 	return r.Text()
 }
--- a/internal/serve/shutdown_test.go
+++ b/internal/serve/shutdown_test.go
@@ -38,10 +38,10 @@
 		go func() { stopped <- g.Shutdown(ctx) }()
 		code, text := conn.receiveStatus()
 		if !hang && code != sftp.OK || hang && !strings.HasPrefix(text, "written off") {
-			t.Errorf("hang %v: response %v %q", hang, code, text)
+			t.Errorf("hang %v: response %v %q, want OK, or \"written off\" from a node that hangs", hang, code, text)
 		}
 		if err := <-stopped; (err != nil) != hang || hang && !errors.Is(err, serve.ErrRequestsInFlight) {
-			t.Errorf("hang %v: Shutdown returned %v", hang, err)
+			t.Errorf("hang %v: Shutdown returned %v, want nil, or ErrRequestsInFlight if the node hangs", hang, err)
 		}
 		cancel()
 	}
--- a/internal/serve/web.go
+++ b/internal/serve/web.go
@@ -18,7 +18,7 @@
 // are being closed.
 const (
 	clientSocketShare   = 0.42 // lingering connections get one eighth of this share in addition
-	crowdedSocketShare  = 0.2
+	evictionSocketShare = 0.2
 	nodeSocketShare     = 0.45
 	bodyMemoryShare     = 1.0 / 8
 	longBodyMemoryShare = 1.0 / 8 // for all responses over the normal size limit together
@@ -33,7 +33,7 @@
 	discoveryTimeout    = time.Second
 	requestTimeout      = 2500 * time.Millisecond
 	clientIdleTimeout   = 20 * time.Second
-	crowdedIdleTimeout  = 500 * time.Millisecond
+	evictionIdleTimeout = 500 * time.Millisecond
 	clientWriteTimeout  = 5 * time.Second
 	nodeIdleNumerator   = 4 // idle connections are closed after 4/5 of the nodes' own idle timeout
 	nodeIdleDenominator = 5
@@ -119,12 +119,12 @@
 func clientLimits(conf *platform.Config) web.Limits {
 	return web.Limits{
 		MaxConnections:      int(clientSocketShare * float64(conf.MaxSockets)),
-		EvictionThreshold:   int(crowdedSocketShare * float64(conf.MaxSockets)),
+		EvictionThreshold:   int(evictionSocketShare * float64(conf.MaxSockets)),
 		MaxBodyBytes:        int64(bodyMemoryShare * float64(conf.MemoryBytes)),
 		FirstRequestTimeout: requestTimeout,
 		RequestTimeout:      requestTimeout,
 		IdleTimeout:         clientIdleTimeout,
-		EvictionIdleTimeout: crowdedIdleTimeout,
+		EvictionIdleTimeout: evictionIdleTimeout,
 		WriteTimeout:        clientWriteTimeout,
 		Message:             http1.DefaultLimits,
 	}
--- a/internal/serve/web_test.go
+++ b/internal/serve/web_test.go
@@ -208,7 +208,7 @@
 	b.discovery[1].awaitCalls(2)
 	waitFor(func() bool { _, conns := b.nodes[2].Counts(); return conns == 0 }) // its idle connections are closed
 	if _, done := b.sendRequest("served", 1); (<-done)[:3] != "200" {
-		b.t.Error("a request to a node that is still listed failed")
+		b.t.Error("a request to a node that is still listed failed, want status 200")
 	}
 }
 
--- a/internal/wire/numbers_test.go
+++ b/internal/wire/numbers_test.go
@@ -11,7 +11,7 @@
 func TestTimesKeepTheMicrosecond(t *testing.T) {
 	for text, ns := range map[string]scheduler.Time{"8412.251": 8412251000, "0.000001": 1, "7": 7000000, "-2.5": -2500000} {
 		if got, ok := wire.ParseTime([]byte(text)); !ok || got != ns {
-			t.Errorf("ParseTime of %s: got %d or a failure, want the time in nanoseconds", text, got)
+			t.Errorf("ParseTime of %s: got %d, or no time; want the nanoseconds of the case", text, got)
 		}
 	}
 	var out bytes.Buffer
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -6,7 +6,7 @@
 	"irispost/scheduler"
 )
 
-// settingNames maps each setting's path on the wire to the scheduler's name. "#" stands for the index of a list item.
+// settingNames maps each setting's path on the wire to the scheduler's name. "#" replaces the index of a list item.
 // Settings that are not in the map are ignored.
 var settingNames = map[string]string{
 	"balancers":                      "gateways",
