--- a/examples/examples.go
+++ b/examples/examples.go
@@ -1,9 +1,9 @@
-// Package examples holds configurations and scripted days for each kind of use, and lets the program carry them.
+// Package examples embeds example configurations and scripted days for each kind of use into the program.
 package examples
 
 import "embed"
 
-// Files are the example files.
+// Files contains the example files.
 //
 //go:embed *.hcl
 var Files embed.FS
--- a/internal/architecture/architecture_test.go
+++ b/internal/architecture/architecture_test.go
@@ -1,5 +1,6 @@
-// Package architecture checks that the tree is built as docs/ARCHITECTURE.md describes it: imports point one way, pure
-// packages reach no clock, input, output or chance, and each path and identifier that the page names exists.
+// Package architecture checks that the source tree conforms to docs/ARCHITECTURE.md: packages import only their own
+// layer and lower ones, pure packages use no clock, I/O or random numbers, and each path and identifier that the page
+// names exists.
 package architecture
 
 import (
@@ -18,13 +19,13 @@
 )
 
 const (
-	root   = "../.."
-	page   = "docs/ARCHITECTURE.md"
-	module = "irispost/"
+	moduleRoot   = "../.."
+	pagePath     = "docs/ARCHITECTURE.md"
+	modulePrefix = "irispost/"
 )
 
-// layers lists package paths from the bottom up; a path stands for the packages below it too, unless those are listed
-// themselves. A package imports only packages of its own layer or of layers below it.
+// layers lists the layers from the lowest up, with the paths of their packages. A path includes the packages below it
+// that are not listed themselves. A package imports only packages of its own layer or of lower layers.
 var layers = []struct {
 	name     string
 	packages []string
@@ -49,30 +50,34 @@
 	{"commands", []string{"cmd"}},
 }
 
-// purePackages decide without input, output, clock or chance.
+// purePackages are the packages that use no clock, I/O or random numbers.
 var purePackages = []string{
 	"scheduler", "internal/endpoint/membership", "internal/fleet/configversion", "internal/fleet/lease", "internal/fleet/delta",
 	"internal/fleet/content", "internal/fleet/slowstart/budget", "internal/fleet/slowstart/epoch",
 }
 
-// impureImports are the standard packages that a pure package must not import; a path stands for those below it too.
+// impureImports are the standard packages that a pure package must not import. A path includes the packages below it.
 var impureImports = []string{"os", "net", "time", "math/rand", "crypto/rand", "syscall", "log", "sync", "context"}
 
-// sourceFile is a file of the module that is no test.
+// sourceFile is a Go file of the module that is not a test file.
 type sourceFile struct {
-	folder  string // slash-separated, relative to the module's root
+	folder  string // relative to the module's root, with slashes
 	imports []string
 	syntax  *ast.File
 }
 
-func below(name, prefix string) bool { return name == prefix || strings.HasPrefix(name, prefix+"/") }
+// isAtOrBelow reports whether name is the path prefix or a path below it.
+func isAtOrBelow(name, prefix string) bool {
+	return name == prefix || strings.HasPrefix(name, prefix+"/")
+}
 
-// layerOf is the index of a package's layer, by the longest path listed; -1 where none is.
+// layerOf returns the index of a package's layer, which is that of the longest matching path. It returns -1 if no path
+// matches.
 func layerOf(folder string) int {
 	layer, longest := -1, 0
 	for i, candidate := range layers {
 		for _, prefix := range candidate.packages {
-			if below(folder, prefix) && len(prefix) > longest {
+			if isAtOrBelow(folder, prefix) && len(prefix) > longest {
 				layer, longest = i, len(prefix)
 			}
 		}
@@ -80,6 +85,7 @@
 	return layer
 }
 
+// readSources parses the module's Go files, except tests and files in the folders that visit skips.
 func readSources(t *testing.T) []sourceFile {
 	t.Helper()
 	var sources []sourceFile
@@ -87,7 +93,7 @@
 		if err != nil {
 			return err
 		}
-		hidden := strings.HasPrefix(entry.Name(), ".") && name != root
+		hidden := strings.HasPrefix(entry.Name(), ".") && name != moduleRoot
 		if entry.IsDir() && (hidden || slices.Contains([]string{"testdata", "journal", "tools", "bin"}, entry.Name())) {
 			return filepath.SkipDir
 		}
@@ -98,7 +104,7 @@
 		if err != nil {
 			return err
 		}
-		folder, err := filepath.Rel(root, filepath.Dir(name))
+		folder, err := filepath.Rel(moduleRoot, filepath.Dir(name))
 		if err != nil {
 			return err
 		}
@@ -113,11 +119,11 @@
 		sources = append(sources, source)
 		return nil
 	}
-	if err := filepath.WalkDir(root, visit); err != nil {
+	if err := filepath.WalkDir(moduleRoot, visit); err != nil {
 		t.Fatal(err)
 	}
 	if len(sources) < 100 {
-		t.Fatalf("only %d source files were found below %s", len(sources), root)
+		t.Fatalf("found only %d source files below %s, want at least 100", len(sources), moduleRoot)
 	}
 	return sources
 }
@@ -126,16 +132,16 @@
 	for _, source := range readSources(t) {
 		layer := layerOf(source.folder)
 		if layer < 0 {
-			t.Errorf("package %s is in no layer", source.folder)
+			t.Errorf("package %s is not listed in any layer", source.folder)
 			continue
 		}
 		for _, imported := range source.imports {
-			folder, inside := strings.CutPrefix(imported, module)
+			folder, inside := strings.CutPrefix(imported, modulePrefix)
 			if inside && layerOf(folder) > layer {
 				t.Errorf("%s (%s) imports %s (%s)", source.folder, layers[layer].name, folder, layers[layerOf(folder)].name)
 			}
 			if inside && source.folder == "scheduler" {
-				t.Errorf("the scheduler imports %s; it imports no other package of the module", folder)
+				t.Errorf("the scheduler imports %s, but must not import other packages of the module", folder)
 			}
 		}
 	}
@@ -149,10 +155,10 @@
 		}
 		seen[source.folder] = true
 		for _, imported := range source.imports {
-			if slices.ContainsFunc(impureImports, func(prefix string) bool { return below(imported, prefix) }) {
+			if slices.ContainsFunc(impureImports, func(prefix string) bool { return isAtOrBelow(imported, prefix) }) {
 				t.Errorf("the pure package %s imports %s", source.folder, imported)
 			}
-			folder, inside := strings.CutPrefix(imported, module)
+			folder, inside := strings.CutPrefix(imported, modulePrefix)
 			if inside && !slices.Contains(purePackages, folder) && folder != "internal/endpoint" {
 				t.Errorf("the pure package %s imports %s, which is not pure", source.folder, folder)
 			}
@@ -160,12 +166,12 @@
 	}
 	for _, name := range purePackages {
 		if !seen[name] {
-			t.Errorf("there is no package %s", name)
+			t.Errorf("found no source files of the pure package %s", name)
 		}
 	}
 }
 
-// declaredNames are the module's identifiers as `package.Name` and `package.Type.Member`.
+// declaredNames returns the module's identifiers as `package.Name` and `package.Type.Member`.
 func declaredNames(sources []sourceFile) map[string]bool {
 	names := map[string]bool{}
 	for _, source := range sources {
@@ -173,7 +179,7 @@
 		for _, declaration := range source.syntax.Decls {
 			switch declaration := declaration.(type) {
 			case *ast.FuncDecl:
-				names[prefix+receiver(declaration)+declaration.Name.Name] = true
+				names[prefix+receiverPrefix(declaration)+declaration.Name.Name] = true
 			case *ast.GenDecl:
 				for _, spec := range declaration.Specs {
 					addSpec(names, prefix, spec)
@@ -184,8 +190,8 @@
 	return names
 }
 
-// receiver is `Type.` for a method and empty for a function.
-func receiver(function *ast.FuncDecl) string {
+// receiverPrefix returns `Type.` for a method and the empty string for a function.
+func receiverPrefix(function *ast.FuncDecl) string {
 	if function.Recv == nil {
 		return ""
 	}
@@ -202,6 +208,7 @@
 	return ""
 }
 
+// addSpec adds the names that a declaration declares, with the fields of structs and the methods of interfaces.
 func addSpec(names map[string]bool, prefix string, spec ast.Spec) {
 	switch spec := spec.(type) {
 	case *ast.ValueSpec:
@@ -228,35 +235,36 @@
 }
 
 var (
-	quoted     = regexp.MustCompile("`([^`\n]+)`")
-	identifier = regexp.MustCompile(`^[a-z][a-z0-9]*(\.[A-Za-z]\w*){1,2}$`)
-	treePath   = regexp.MustCompile(`^(cmd|internal|scheduler|deploy|docs|examples|journal|tools)(/[\w.-]+)*/?$`)
-	fileName   = regexp.MustCompile(`\.(go|md|toml|json|hcl|yml|txt|db)$`)
+	codeSpanPattern       = regexp.MustCompile("`([^`\n]+)`")
+	identifierPattern     = regexp.MustCompile(`^[a-z][a-z0-9]*(\.[A-Za-z]\w*){1,2}$`)
+	repositoryPathPattern = regexp.MustCompile(`^(cmd|internal|scheduler|deploy|docs|examples|journal|tools)(/[\w.-]+)*/?$`)
+	fileNamePattern       = regexp.MustCompile(`\.(go|md|toml|json|hcl|yml|txt|db)$`)
 )
 
 func TestArchitecturePageNamesWhatExists(t *testing.T) {
-	text, err := os.ReadFile(filepath.Join(root, page))
+	text, err := os.ReadFile(filepath.Join(moduleRoot, pagePath))
 	if err != nil {
 		t.Fatal(err)
 	}
 	names := declaredNames(readSources(t))
 	checked := 0
-	for _, match := range quoted.FindAllStringSubmatch(string(text), -1) {
+	for _, match := range codeSpanPattern.FindAllStringSubmatch(string(text), -1) {
 		quote := match[1]
 		switch {
-		case treePath.MatchString(quote):
+		case repositoryPathPattern.MatchString(quote):
 			checked++
-			if _, err := os.Stat(filepath.Join(root, quote)); err != nil {
-				t.Errorf("%s names the path %s, which does not exist", page, quote)
+			if _, err := os.Stat(filepath.Join(moduleRoot, quote)); err != nil {
+				t.Errorf("%s names the path %s, which does not exist", pagePath, quote)
 			}
-		case identifier.MatchString(quote) && !fileName.MatchString(quote):
+		case identifierPattern.MatchString(quote) && !fileNamePattern.MatchString(quote):
 			checked++
 			if !names[quote] {
-				t.Errorf("%s names %s, which is not declared", page, quote)
+				t.Errorf("%s names %s, which is not declared", pagePath, quote)
 			}
 		}
 	}
 	if checked < 50 {
-		t.Errorf("%s names only %d paths and identifiers: the page or the patterns of this test are not right", page, checked)
+		t.Errorf("%s names only %d paths and identifiers, want at least 50: the page or the patterns are wrong",
+			pagePath, checked)
 	}
 }
--- a/internal/capacity/failures.go
+++ b/internal/capacity/failures.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// failureFigures are what each failure that the operators name costs the machines that are left.
+// failureFigures cover the failures that the operators list: what each costs the remaining machines.
 var failureFigures = slices.Concat(
 	singleFailureFigures,
 	lossFigures("machine", func(Size) (gateways, nodes float64) { return 1, 0 }),
@@ -16,7 +16,7 @@
 	regionFailureFigures,
 )
 
-// singleFailureFigures are of a single replica or gateway that fails or restarts.
+// singleFailureFigures cover the failure or restart of a single replica or gateway.
 var singleFailureFigures = []Figure{
 	{
 		Name:    "fail_t",
@@ -26,13 +26,13 @@
 	{
 		Name:    "fail_election",
 		Unit:    "ms",
-		Compute: func(*Computation) float64 { return longestElection * 1000 },
+		Compute: func(*Computation) float64 { return longestElectionSeconds * 1000 },
 	},
 	{
 		Name:    "fail_keeper_in_force",
 		Unit:    "ms",
 		Bound:   boundInForceMS,
-		Compute: func(*Computation) float64 { return longestElection*1000 + convergenceBoundMS },
+		Compute: func(*Computation) float64 { return longestElectionSeconds*1000 + convergenceBoundMS },
 	},
 	{
 		Name:    "fail_keeper_worst",
@@ -66,7 +66,7 @@
 	},
 }
 
-// regionFailureFigures are of failures of racks, zones, all gateways and the link between the regions.
+// regionFailureFigures cover failures of a rack, a zone, all gateways and the link between the regions.
 var regionFailureFigures = []Figure{
 	{
 		Name:    "rack_worst",
@@ -135,9 +135,9 @@
 	},
 }
 
-// lossFigures are of a failure that takes a number of gateways and nodes at once. The load of the lost gateways goes
-// to those that are left, in equal parts; that of the lost nodes goes to their successors, so that the load of a node
-// stays.
+// lossFigures returns the figures of a failure that removes several gateways and nodes at once. The remaining gateways
+// share the load of the lost ones equally. Each lost node is replaced by a successor that takes over its load, so the
+// load per node does not change.
 func lossFigures(name string, lost func(Size) (gateways, nodes float64)) []Figure {
 	loadFactor := func(c *Computation) float64 {
 		gateways, _ := lost(c.Size)
--- a/internal/capacity/figure.go
+++ b/internal/capacity/figure.go
@@ -6,26 +6,26 @@
 	"strings"
 )
 
-// Figure is one figure of the page, and the formula that computes it from records at a size.
+// Figure is one figure of the page, with the formula that computes it from the records for a fleet of a given size.
 type Figure struct {
 	Name    string
 	Unit    string
-	Bound   float64 // of the operators, not to be exceeded; 0: none
-	Target  float64 // of this project, not to be exceeded either; 0: none
+	Bound   float64 // the operators' upper limit; 0: none
+	Target  float64 // this project's own upper limit; 0: none
 	Compute func(c *Computation) float64
 }
 
-// Computation is the computation of one figure. It notes which records the formula reads.
+// Computation evaluates the formula of one figure and notes which records the formula reads.
 type Computation struct {
 	Size
 	records    Records
 	used       []string
-	problems   map[string]string // of records that do not have what the formula reads, by name
-	lastValue  float64           // the last that At returned
-	lastOrigin Origin            // of that value if its size was measured; else empty
+	problems   map[string]string // why records could not be used, by record name
+	lastValue  float64           // the last result of At
+	lastOrigin Origin            // origin of lastValue if its size was measured; else empty
 }
 
-// record returns a record and notes that it is used; nil: it is missing.
+// record returns the record with a name and notes its use. It returns nil and notes the problem if there is none.
 func (c *Computation) record(name string) *Record {
 	if !slices.Contains(c.used, name) {
 		c.used = append(c.used, name)
@@ -37,7 +37,7 @@
 	return record
 }
 
-// At returns what a record amounts to at a size, or 0 and notes the problem.
+// At returns the value of a record at a size. If the record has none, it returns 0 and notes the problem.
 func (c *Computation) At(name string, size float64) float64 {
 	record := c.record(name)
 	if record == nil {
@@ -55,7 +55,8 @@
 	return value
 }
 
-// Slope returns what one more of what a record is over costs, or notes the problem.
+// Slope returns the increase of a record's value for each additional unit of its size, which is 0 for a flat record. It
+// notes a problem if the record is neither a line nor flat.
 func (c *Computation) Slope(name string) float64 {
 	record := c.record(name)
 	if record == nil {
@@ -71,20 +72,20 @@
 	return record.Value
 }
 
-// Result is a figure that was computed.
+// Result is a figure with its computed value.
 type Result struct {
 	Figure
 	Value    float64
 	Origin   Origin            // empty: not measured
-	Used     []string          // names of records, in the order of the formula
-	Problems map[string]string // of the records that do not have what the formula reads, by name
+	Used     []string          // names of the records, in the order in which the formula reads them
+	Problems map[string]string // why records could not be used, by record name
 }
 
-// Result computes a figure. It is not measured if a record is missing or does not reach to the size.
+// Result computes the figure. The result has no origin if a record is missing or has no value at the size.
 func (f Figure) Result(records Records, size Size) Result {
 	computation := &Computation{Size: size, records: records, problems: map[string]string{}}
 	value := f.Compute(computation)
-	result := Result{Figure: f, Value: sixDigits(value), Used: computation.used, Problems: computation.problems}
+	result := Result{Figure: f, Value: roundToSixDigits(value), Used: computation.used, Problems: computation.problems}
 	switch {
 	case len(computation.problems) > 0:
 		result.Value = 0
@@ -96,7 +97,7 @@
 	return result
 }
 
-// Results computes all figures, by name.
+// Results computes all figures and returns them by name.
 func Results(records Records, size Size) map[string]Result {
 	results := map[string]Result{}
 	for _, figure := range Figures {
@@ -105,18 +106,18 @@
 	return results
 }
 
-// Known tells whether the figure could be computed.
+// Known reports whether the figure could be computed.
 func (r Result) Known() bool { return r.Origin != "" }
 
-// HasLimit tells whether the figure has a bound or a target.
+// HasLimit reports whether the figure has a bound or a target.
 func (r Result) HasLimit() bool { return r.Bound+r.Target > 0 }
 
-// Exceeded tells whether a known figure exceeds its bound or target.
+// Exceeded reports whether the figure is known and exceeds its bound or target.
 func (r Result) Exceeded() bool {
 	return r.Known() && (r.Bound > 0 && r.Value > r.Bound || r.Target > 0 && r.Value > r.Target)
 }
 
-// ValueText returns the page's cell with the value and its origin.
+// ValueText returns the table cell with the value and its origin.
 func (r Result) ValueText() string {
 	if !r.Known() {
 		return "not measured"
@@ -128,7 +129,7 @@
 	return formatNumber(r.Value) + space + r.Unit + ", " + string(r.Origin)
 }
 
-// LimitText returns the page's cell with bound and target, and whether they are exceeded.
+// LimitText returns the table cell with the bound and the target, and whether the value exceeds one of them.
 func (r Result) LimitText() string {
 	var parts []string
 	if r.Bound > 0 {
@@ -150,7 +151,7 @@
 	return text + ": kept"
 }
 
-// SourcesText returns the page's cell with the records that the figure was computed from, and their problems.
+// SourcesText returns the table cell with the records that the figure was computed from, and their problems.
 func (r Result) SourcesText() string {
 	if len(r.Used) == 0 {
 		return "the letter's sizes and the program's settings"
--- a/internal/capacity/figures_control.go
+++ b/internal/capacity/figures_control.go
@@ -1,12 +1,13 @@
 package capacity
 
-// controlFigures are what a gateway spends on versions of the configuration, endpoint lists and slow-start budgets.
+// controlFigures are the costs of the control plane at a gateway: configuration versions, endpoint lists and slow-start
+// budgets.
 var controlFigures = []Figure{
 	{
 		Name:    "control_rest_bytes_s",
 		Unit:    "bytes a second",
-		Bound:   boundControlBytes,
-		Target:  targetIdleBytes,
+		Bound:   boundControlBytesPerSecond,
+		Target:  targetIdleBytesPerSecond,
 		Compute: readAt("control_rest_bytes_s_by_followers", gateways),
 	},
 	{
@@ -18,8 +19,8 @@
 	{
 		Name:   "control_day_bytes_s",
 		Unit:   "bytes a second",
-		Bound:  boundControlBytes,
-		Target: targetDayBytes,
+		Bound:  boundControlBytesPerSecond,
+		Target: targetDayBytesPerSecond,
 		Compute: func(c *Computation) float64 {
 			idle := c.At("control_rest_bytes_s_by_followers", c.Gateways)
 			return idle + c.At("control_change_bytes_mean_by_followers", c.Gateways)*c.Changes/secondsPerDay
@@ -28,8 +29,8 @@
 	{
 		Name:   "control_rest_core",
 		Unit:   "% of a core",
-		Bound:  boundControlCore,
-		Target: targetControlCore,
+		Bound:  boundControlCorePercent,
+		Target: targetControlCorePercent,
 		Compute: func(c *Computation) float64 {
 			return 100 * c.At("control_follower_core_by_followers", c.Gateways)
 		},
@@ -37,7 +38,7 @@
 	{
 		Name:  "control_day_core",
 		Unit:  "% of a core",
-		Bound: boundControlCore,
+		Bound: boundControlCorePercent,
 		Compute: func(c *Computation) float64 {
 			return 100 * c.At("control_follower_core_day_by_followers", c.Gateways)
 		},
@@ -94,7 +95,7 @@
 	{
 		Name:  "control_list_bytes_s",
 		Unit:  "bytes a second",
-		Bound: boundControlBytes,
+		Bound: boundControlBytesPerSecond,
 		Compute: func(c *Computation) float64 {
 			polls := c.At("list_call_bytes_by_nodes", c.Nodes) / listPollSeconds
 			return polls + c.At("list_change_bytes_by_nodes", c.Nodes)*c.Changes/secondsPerDay
@@ -108,7 +109,7 @@
 	{
 		Name:  "control_list_core",
 		Unit:  "% of a core",
-		Bound: boundControlCore,
+		Bound: boundControlCorePercent,
 		Compute: func(c *Computation) float64 {
 			change := c.At("list_take_us_by_nodes", c.Nodes) + c.At("module_list_us_by_nodes", c.Nodes)
 			return change * c.Changes / secondsPerDay / 1e4
--- a/internal/capacity/figures_lists.go
+++ b/internal/capacity/figures_lists.go
@@ -1,6 +1,6 @@
 package capacity
 
-// listServiceFigures are of the service that gateways without replicas poll.
+// listServiceFigures are the costs of the discovery service that gateways without replicas poll for endpoint lists.
 var listServiceFigures = []Figure{
 	{
 		Name:    "lists_held",
--- a/internal/capacity/figures_operator.go
+++ b/internal/capacity/figures_operator.go
@@ -1,6 +1,6 @@
 package capacity
 
-// operatorFigures are of the tool that proposes, shows and compares versions.
+// operatorFigures are the costs of the operator's tool, which proposes, shows and compares configuration versions.
 var operatorFigures = []Figure{
 	{
 		Name:    "operator_version_bytes",
--- a/internal/capacity/figures_replicas.go
+++ b/internal/capacity/figures_replicas.go
@@ -1,6 +1,6 @@
 package capacity
 
-// leaderFigures are of the replica that leads.
+// leaderFigures are the costs of the replica that is the leader.
 var leaderFigures = []Figure{
 	{
 		Name:    "leading_messages",
@@ -69,8 +69,8 @@
 	},
 }
 
-// followingReplicaFigures are of a replica that does not lead.
-var followingReplicaFigures = []Figure{
+// followerReplicaFigures are the costs of a replica that is not the leader.
+var followerReplicaFigures = []Figure{
 	{
 		Name: "other_core",
 		Unit: "% of a core",
@@ -83,11 +83,11 @@
 		Unit:    "MB",
 		Compute: readAt("control_keeper_mb_others_by_followers", gateways),
 	},
-	// Renewals are gathered for half a tick.
+	// The leader collects renewals for half a tick and then sends them as one batch.
 	{
 		Name:    "other_messages",
 		Unit:    "a second",
-		Compute: func(*Computation) float64 { return 1 / gatherSeconds },
+		Compute: func(*Computation) float64 { return 1 / renewalBatchSeconds },
 	},
 	{
 		Name:    "other_change_bytes",
--- a/internal/capacity/figures_serving.go
+++ b/internal/capacity/figures_serving.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// servingFigures are what a gateway spends on its clients.
+// servingFigures are the costs at a gateway of serving its clients.
 var servingFigures = []Figure{
 	{
 		Name:    "serving_requests",
@@ -12,7 +12,7 @@
 	{
 		Name:    "serving_rounds",
 		Unit:    "rounds a second",
-		Compute: func(*Computation) float64 { return roundsPerObjective / latencyObjective },
+		Compute: func(*Computation) float64 { return roundsPerObjective / latencyObjectiveSeconds },
 	},
 	{
 		Name:    "serving_module_us",
@@ -40,10 +40,10 @@
 			request := growthSinceSmallest(c, "module_request_us_by_nodes")
 			decision := growthSinceSmallest(c, "module_decision_us_by_nodes")
 			round := growthSinceSmallest(c, "module_round_us_by_nodes")
-			return (c.Requests*(request-2*decision) - roundsPerObjective/latencyObjective*round) / 1e4
+			return (c.Requests*(request-2*decision) - roundsPerObjective/latencyObjectiveSeconds*round) / 1e4
 		},
 	},
-	// Of the two decisions for a request, where requests come one at a time.
+	// The cost of the two decisions for a request, if requests arrive one at a time.
 	{
 		Name: "serving_decision_core",
 		Unit: "% of a core",
@@ -55,7 +55,7 @@
 		Name: "serving_round_core",
 		Unit: "% of a core",
 		Compute: func(c *Computation) float64 {
-			return roundsPerObjective / latencyObjective * c.At("module_round_us_by_nodes", c.Nodes) / 1e4
+			return roundsPerObjective / latencyObjectiveSeconds * c.At("module_round_us_by_nodes", c.Nodes) / 1e4
 		},
 	},
 	{
@@ -73,7 +73,7 @@
 		Unit:    "us a request",
 		Compute: readAt("module_request_us_by_flows", func(Size) float64 { return 1024 }),
 	},
-	// Once each volume has had a request at each node: what one more flow at a node costs, for as many as there are
+	// The cost once each volume has had a request at each node: that of one more flow at a node, times the number of
 	// volumes.
 	{
 		Name: "serving_core_flows",
@@ -109,14 +109,14 @@
 		Unit:    "MB",
 		Compute: func(c *Computation) float64 { return c.Slope("module_kb_by_flows") * c.Volumes * c.Nodes / 1e3 },
 	},
-	// Of pairs of volume and node that have their first request on a day, if requests are spread evenly.
+	// The memory of the pairs of volume and node that get their first request in a day, if requests are spread evenly.
 	{
 		Name: "serving_flows_day_mb",
 		Unit: "MB a day",
 		Compute: func(c *Computation) float64 {
 			pairs := c.Volumes * c.Nodes
-			met := pairs * (1 - math.Exp(-c.Requests*secondsPerDay/pairs))
-			return c.Slope("module_kb_by_flows") * met / 1e3
+			requestedPairs := pairs * (1 - math.Exp(-c.Requests*secondsPerDay/pairs))
+			return c.Slope("module_kb_by_flows") * requestedPairs / 1e3
 		},
 	},
 	{
@@ -134,12 +134,12 @@
 		Unit:    "KB",
 		Compute: func(c *Computation) float64 { return 1e3 * c.Slope("web_mb_by_node_connections") },
 	},
-	// With all clients idle.
+	// The memory while all clients are idle.
 	{
 		Name: "serving_mb",
 		Unit: "MB",
 		Compute: func(c *Computation) float64 {
-			return gatewayMemory(c, "web_mb_by_connections")
+			return gatewayMemoryMB(c, "web_mb_by_connections")
 		},
 	},
 	{
@@ -147,12 +147,12 @@
 		Unit:    "MB",
 		Compute: readAt("web_mb_by_requests", requests),
 	},
-	// With all clients in the middle of a request.
+	// The memory while all clients are in the middle of a request.
 	{
 		Name: "serving_half_mb",
 		Unit: "MB",
 		Compute: func(c *Computation) float64 {
-			return gatewayMemory(c, "web_mb_by_half_requests")
+			return gatewayMemoryMB(c, "web_mb_by_half_requests")
 		},
 	},
 	{
--- a/internal/capacity/figures_storage.go
+++ b/internal/capacity/figures_storage.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// storageFigures are of a storage node, as gateways load it.
+// storageFigures are the load that the gateways put on a storage node.
 var storageFigures = []Figure{
 	{
 		Name:    "storage_requests",
@@ -45,7 +45,8 @@
 		Unit:    "handshakes a day",
 		Compute: func(c *Computation) float64 { return connectionsPerNode(c) * (c.Restarts + c.Failures) },
 	},
-	// Until 99 of 100 pairs of gateway and node have had a request, each of which opens its connection.
+	// The time until 99 of 100 pairs of gateway and node have had a request; the first request of a pair opens its
+	// connection.
 	{
 		Name: "storage_anew_s",
 		Unit: "s",
--- a/internal/capacity/fit.go
+++ b/internal/capacity/fit.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	flatWithin   = 0.1 // values that differ by at most this part of the mean are flat
-	formWithin   = 0.1 // the largest residual of a form
-	minimumSizes = 3
+	maxFlatSpread  = 0.1 // largest difference of flat values, as a fraction of the mean
+	maxFitResidual = 0.1 // largest residual of a line or of n log n, likewise
+	minimumSizes   = 3
 
-	// nLogNAdvantage is how many times smaller than a line's the residual of n log n has to be: over a narrow range
-	// the two differ little by chance.
+	// nLogNAdvantage is the factor by which the residual of n log n has to be smaller than that of a line. Over a
+	// narrow range the two are so close that noise would decide between them.
 	nLogNAdvantage = 4
 )
 
-// Fit finds a record's form, value, base and residual from its points, and sorts these by size. It returns
-// ErrTooFewSizes, or ErrBadPoint for a size that comes twice or is not above 0, and for a value that is not finite.
+// Fit sorts the points by size and computes the record's form, value, base and residual from them. Its errors wrap
+// ErrTooFewSizes, or ErrBadPoint for a repeated size, a size that is not positive or a value that is not finite.
 func (r *Record) Fit() error {
 	slices.SortFunc(r.Points, func(a, b Point) int { return cmp.Compare(a.Size, b.Size) })
 	if err := r.checkPoints(); err != nil {
@@ -33,11 +33,11 @@
 	line := leastSquares(r.Points, identity)
 	logarithmic := leastSquares(r.Points, nLogN)
 	switch {
-	case spread/scale <= flatWithin:
-		r.setFit(Flat, fit{slope: mean, residual: r.deviation(mean)}, scale)
-	case logarithmic.residual/scale <= formWithin && logarithmic.residual < line.residual/nLogNAdvantage:
+	case spread/scale <= maxFlatSpread:
+		r.setFit(Flat, fit{slope: mean, residual: r.standardDeviation(mean)}, scale)
+	case logarithmic.residual/scale <= maxFitResidual && logarithmic.residual < line.residual/nLogNAdvantage:
 		r.setFit(NLogN, logarithmic, scale)
-	case line.residual/scale <= formWithin:
+	case line.residual/scale <= maxFitResidual:
 		r.setFit(Line, line, scale)
 	default:
 		residual := strconv.FormatFloat(line.residual/scale, 'f', 2, 64)
@@ -48,23 +48,23 @@
 	return nil
 }
 
-// checkPoints checks the points, which are sorted by size.
+// checkPoints checks the points, which must be sorted by size.
 func (r *Record) checkPoints() error {
 	if len(r.Points) < minimumSizes {
-		return fmt.Errorf("%s: %d sizes, and a slope takes %d at least: %w",
+		return fmt.Errorf("%s: %d sizes, a fit needs at least %d: %w",
 			r.Name, len(r.Points), minimumSizes, ErrTooFewSizes)
 	}
 	for i, point := range r.Points {
 		finite := !math.IsNaN(point.Measured) && !math.IsInf(point.Measured, 0)
 		repeated := i > 0 && point.Size == r.Points[i-1].Size
 		if !finite || !(point.Size > 0) || repeated {
-			return fmt.Errorf("%s: size %v with %v: %w", r.Name, point.Size, point.Measured, ErrBadPoint)
+			return fmt.Errorf("%s: size %v with value %v: %w", r.Name, point.Size, point.Measured, ErrBadPoint)
 		}
 	}
 	return nil
 }
 
-// meanAndSpread returns the mean of the values and the difference of the largest and the smallest.
+// meanAndSpread returns the mean of the values, and the difference between the largest and the smallest.
 func (r *Record) meanAndSpread() (mean, spread float64) {
 	smallest, largest := math.Inf(1), math.Inf(-1)
 	for _, point := range r.Points {
@@ -75,8 +75,8 @@
 	return mean, largest - smallest
 }
 
-// deviation returns the root of the mean squared difference of the values from their mean.
-func (r *Record) deviation(mean float64) float64 {
+// standardDeviation returns the root mean square difference of the values from the mean.
+func (r *Record) standardDeviation(mean float64) float64 {
 	sum := 0.0
 	for _, point := range r.Points {
 		sum += (point.Measured - mean) * (point.Measured - mean)
@@ -84,25 +84,26 @@
 	return math.Sqrt(sum / float64(len(r.Points)))
 }
 
-// setFit sets form, value, base and residual, rounded so that a record reads the same wherever it is fitted again.
+// setFit sets form, value, base and residual. They are rounded so that fitting the record again gives the same numbers
+// on any machine.
 func (r *Record) setFit(form Form, f fit, scale float64) {
 	r.Form = form
-	r.Value = sixDigits(f.slope)
-	r.Base = sixDigits(f.base)
-	r.Residual = sixDigits(f.residual / scale)
+	r.Value = roundToSixDigits(f.slope)
+	r.Base = roundToSixDigits(f.base)
+	r.Residual = roundToSixDigits(f.residual / scale)
 }
 
-// fit is measured = base + slope * f(size).
+// fit is a fitted function: measured = base + slope * transform(size).
 type fit struct {
 	slope, base float64
-	residual    float64 // root of the mean squared difference
+	residual    float64 // root mean square difference
 }
 
 func identity(n float64) float64 { return n }
 
 func nLogN(n float64) float64 { return n * math.Log2(n) }
 
-// leastSquares fits points to a linear function of f(size).
+// leastSquares fits a linear function of transform(size) to the points by the method of least squares.
 func leastSquares(points []Point, transform func(float64) float64) fit {
 	count := float64(len(points))
 	var meanX, meanY, sumXX, sumXY float64
@@ -129,9 +130,9 @@
 	return result
 }
 
-// sixDigits rounds to six significant digits.
-func sixDigits(value float64) float64 {
+// roundToSixDigits rounds to six significant digits.
+func roundToSixDigits(value float64) float64 {
 	text := strconv.FormatFloat(value, 'g', 6, 64)
-	rounded, _ := strconv.ParseFloat(text, 64) // what FormatFloat writes can be parsed
+	rounded, _ := strconv.ParseFloat(text, 64) // the output of FormatFloat can always be parsed
 	return rounded
 }
--- a/internal/capacity/fromruns.go
+++ b/internal/capacity/fromruns.go
@@ -7,12 +7,13 @@
 	"strings"
 )
 
-// FromRuns makes records of what `irispost fleet bench --json` and `irispost fleet scale --json` wrote, by file name.
-// Each file is one run, or a list of them.
+// FromRuns converts the output of `irispost fleet bench --json` and `irispost fleet scale --json` to records. The files
+// are given by name; each holds one run or a list of runs.
 //
-// Runs of one kind that differ in one size alone are the points of a slope: by followers and nodes of the bench, by
-// gateways of the scale tests, and by changes of one run's marks. leftOut describes what has fewer than three sizes;
-// figures without a unit are ignored. A run with violations is an error that wraps ErrBadRun.
+// Runs of the same kind that differ only in one size are the points of one record: by followers and by nodes for the
+// bench, by gateways for the scale tests, and by changes for the marks within a run. leftOut describes the figures that
+// have fewer than three sizes; figures without a unit are ignored. A run with violations is an error that wraps
+// ErrBadRun.
 func FromRuns(files map[string][]byte, command, commit string) (records []*Record, leftOut []string, err error) {
 	var runs []run
 	for _, name := range slices.Sorted(maps.Keys(files)) {
@@ -39,7 +40,7 @@
 	commit  string
 }
 
-// addRun adds a run's figures along each axis on which it is a point, and those of its marks.
+// addRun adds a run's figures to the records of each axis on which the run is a point, and the figures of its marks.
 func (c *runCollector) addRun(added run) error {
 	for _, axis := range []axis{followersAxis, nodesAxis, gatewaysAxis} {
 		size, ok := added.sizes[axis]
@@ -61,7 +62,8 @@
 	return nil
 }
 
-// isPoint tells whether a run is a point of the slope along an axis: its other size is the largest of all runs.
+// isPoint reports whether a run is a point of the records along an axis: its size on the other axis has to be the
+// largest among the runs of its kind.
 func (c *runCollector) isPoint(r run, along axis) bool {
 	var other axis
 	switch along {
@@ -75,7 +77,7 @@
 	return r.sizes[other] == c.largest(r.kind, other)
 }
 
-// largest returns the largest size among the runs of one kind.
+// largest returns the largest size along an axis among the runs of one kind.
 func (c *runCollector) largest(kind string, along axis) (largest float64) {
 	for _, r := range c.runs {
 		if r.kind == kind {
@@ -94,7 +96,7 @@
 	return nil
 }
 
-// addPoint adds a figure at a size to its record. Of runs of one size the largest value counts.
+// addPoint adds a figure at a size to its record. If several runs have the same size, the largest value is kept.
 func (c *runCollector) addPoint(name string, along axis, size, value float64) error {
 	unit := unitOf(name)
 	if unit == "" {
@@ -120,18 +122,18 @@
 		}
 	}
 	if !(size > 0) {
-		return fmt.Errorf("%s: a size of %v: %w", name, size, ErrBadRun)
+		return fmt.Errorf("%s: size %v is not positive: %w", name, size, ErrBadRun)
 	}
 	record.Points = append(record.Points, Point{size, value})
 	return nil
 }
 
-// fitted returns the records with enough sizes, sorted by name, and a description of the others.
+// fitted returns the fitted records that have enough sizes, sorted by name, and descriptions of the others.
 func (c *runCollector) fitted() (records []*Record, leftOut []string, err error) {
 	for _, name := range slices.Sorted(maps.Keys(c.byName)) {
 		record := c.byName[name]
 		if count := len(record.Points); count < minimumSizes {
-			text := fmt.Sprintf("%s: %d sizes, and a slope takes %d at least", name, count, minimumSizes)
+			text := fmt.Sprintf("%s: %d sizes, a fit needs at least %d", name, count, minimumSizes)
 			leftOut = append(leftOut, text)
 			continue
 		}
@@ -143,7 +145,7 @@
 	return records, leftOut, nil
 }
 
-// units are the units of figures by a part of their names; the first that matches counts.
+// units maps parts of figure names to units; the first match applies.
 var units = []struct{ part, unit string }{
 	{"bytes_s", "bytes a second"},
 	{"bytes", "bytes"},
@@ -152,7 +154,7 @@
 	{"_ms", "ms"},
 }
 
-// unitOf returns the unit of a figure; "": it is a count of the run itself and no cost.
+// unitOf returns the unit of a figure, or "" if the figure only counts events of the run and is not a cost.
 func unitOf(name string) string {
 	for _, candidate := range units {
 		if strings.Contains(name, candidate.part) {
--- a/internal/capacity/fromruns_test.go
+++ b/internal/capacity/fromruns_test.go
@@ -10,15 +10,15 @@
 	"irispost/internal/capacity"
 )
 
-// TestMeasureTake takes in what `irispost fleet bench --json` and `irispost fleet scale --json` wrote:
-// IRISPOST_TAKE=FILE,FILE,... IRISPOST_TAKE_COMMAND and IRISPOST_TAKE_COMMIT name the command and commit that wrote
-// them, if it is not this one.
+// TestMeasureTake adds the output of `irispost fleet bench --json` and `irispost fleet scale --json` to the records.
+// IRISPOST_TAKE=FILE,FILE,... lists the files. IRISPOST_TAKE_COMMAND and IRISPOST_TAKE_COMMIT replace the command and
+// the commit that the records name, for files that another command or commit wrote.
 func TestMeasureTake(t *testing.T) {
 	names := os.Getenv("IRISPOST_TAKE")
 	if names == "" {
-		t.Skip("IRISPOST_TAKE names no files")
+		t.Skip("IRISPOST_TAKE lists no files")
 	}
-	m := begin(t)
+	m := beginMeasurement(t)
 	files := map[string][]byte{}
 	for _, name := range strings.Split(names, ",") {
 		content, err := os.ReadFile(name)
@@ -42,26 +42,26 @@
 		t.Log("left out: ", line)
 	}
 	if len(records) == 0 {
-		t.Fatal("nothing has three sizes")
+		t.Fatal("no figure was measured at three sizes")
 	}
 	m.records = records
 	m.save()
 }
 
-// benchRun returns a run of the fleet bench as it is written.
+// benchRun returns a run of the fleet bench in its JSON form.
 func benchRun(followers, nodes int, changeBytes float64) []byte {
 	return fmt.Appendf(nil, `{"followers":%d,"nodes":%d,"changes":40,"change_bytes":%g,`+
 		`"in_force_ms":{"p50":1,"worst":%d},"keeper_mb":[1,9,4],"text":"no","elections":2}`,
 		followers, nodes, changeBytes, followers)
 }
 
-// scaleRun returns a run of a scale test as it is written.
+// scaleRun returns a run of a scale test in its JSON form.
 func scaleRun(gateways int, violations string) []byte {
 	return fmt.Appendf(nil, `[{"case":"in-force","size":{"gateways":%d},"figures":{"rest_bytes_s":5},`+
 		`"spread":{"last_ms.no fault":{"worst":%d}},"broken":[%s]}]`, gateways, 2*gateways, violations)
 }
 
-// Slopes come from runs that differ in one size alone, at three sizes or more.
+// A record is made of runs that differ only in one size, and only if there are three sizes or more.
 func TestFromRunsMakesASlopeOfRunsThatDifferInOneSize(t *testing.T) {
 	files := map[string][]byte{
 		"a": benchRun(100, 1800, 4000),
@@ -92,11 +92,12 @@
 		"scale_in_force_last_ms_no_fault_worst_by_gateways": "[{60 120} {300 600} {780 1560}]ms",
 	} {
 		if got[name] != want {
-			t.Errorf("%s: %s", name, got[name])
+			t.Errorf("%s: got points and unit %q, want those in the test's table", name, got[name])
 		}
 	}
-	if len(records) != 12 { // five of the bench by followers and by nodes, two of the scale tests, and no elections
-		t.Errorf("%d records: %v", len(records), got)
+	// Five figures of the bench by followers and by nodes, and two of the scale tests. Elections are not a cost.
+	if len(records) != 12 {
+		t.Errorf("got %d records, want 12: %v", len(records), got)
 	}
 }
 
@@ -105,11 +106,11 @@
 		`{"changes":10,"keeper_mb":[3,4]},{"changes":500,"keeper_mb":[5,6]},{"changes":900,"keeper_mb":[8,7]}]}`)
 	records, leftOut, err := capacity.FromRuns(map[string][]byte{"h": history}, "c", "1")
 	if err != nil || len(leftOut) != 1 || len(records) != 2 {
-		t.Fatalf("%v, %v, %v", records, leftOut, err)
+		t.Fatalf("got records %v, left out %q, error %v, want 2 records and 1 left out", records, leftOut, err)
 	}
 	points := fmt.Sprint(records[0].Points)
 	if records[0].Name != "history_keeper_mb_by_changes" || points != "[{10 4} {500 6} {900 8}]" {
-		t.Errorf("%v", records[0])
+		t.Errorf("got %v, want history_keeper_mb_by_changes with points {10 4} {500 6} {900 8}", records[0])
 	}
 }
 
@@ -117,7 +118,7 @@
 	files := map[string][]byte{"a": benchRun(1, 1, 1), "b": benchRun(2, 1, 1)}
 	records, leftOut, err := capacity.FromRuns(files, "c", "1")
 	if err != nil || len(records) != 0 || len(leftOut) == 0 {
-		t.Errorf("%v, %v, %v", records, leftOut, err)
+		t.Errorf("got records %v, left out %q, error %v, want no records and something left out", records, leftOut, err)
 	}
 }
 
@@ -130,7 +131,7 @@
 		files := map[string][]byte{name: file, "x": benchRun(2, 1, 1)}
 		_, _, err := capacity.FromRuns(files, "c", "1")
 		if err == nil || name != "not JSON" && !errors.Is(err, capacity.ErrBadRun) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: got error %v, want one (ErrBadRun if the file is JSON)", name, err)
 		}
 	}
 }
--- a/internal/capacity/golden_test.go
+++ b/internal/capacity/golden_test.go
@@ -8,7 +8,7 @@
 	"irispost/internal/testkit/golden"
 )
 
-// A record's JSON form, and docs/capacity.json, which is read and written the same.
+// The JSON form of a record must not change, and docs/capacity.json must be written back byte for byte after reading.
 func TestGoldenJSON(t *testing.T) {
 	t.Run("record", func(t *testing.T) { golden.CheckJSON(t, "record.json", &Record{}) })
 	t.Run("file", func(t *testing.T) {
@@ -22,7 +22,7 @@
 			t.Fatal(err)
 		}
 		if got, err := all.Bytes(); err != nil || !bytes.Equal(got, want) {
-			t.Errorf("%s has %d bytes, and is written with %d, %v", path, len(want), len(got), err)
+			t.Errorf("%s has %d bytes and is written back differently, with %d bytes, error %v", path, len(want), len(got), err)
 		}
 	})
 }
--- a/internal/capacity/listservice_test.go
+++ b/internal/capacity/listservice_test.go
@@ -15,31 +15,32 @@
 	"irispost/internal/testkit/testaddr"
 )
 
-// listService is a discovery service. It holds a poll until the list has another revision than the caller knows.
+// listService is a test discovery service. It holds a long poll until the list's revision differs from the caller's or
+// the poll times out.
 type listService struct {
 	net.Listener
 	server *http.Server
 	bytes  meter.Bytes
 
-	lock    sync.Mutex // guards all below
+	lock    sync.Mutex // guards the fields below
 	changed chan struct{}
 	list    discovery.Response
 	polls   []time.Time
 }
 
-// startListService starts a service with a list of as many nodes, until the end of the test.
+// startListService starts a service with a list of the given number of nodes. It runs until the end of the test.
 func startListService(t *testing.T, nodes int) *listService {
 	t.Helper()
 	s := &listService{list: discovery.Response{Revision: 1, Full: true}, changed: make(chan struct{})}
 	for i := range nodes {
 		s.list.Targets = append(s.list.Targets, target(i, fmt.Sprintf("10.0.%d.%d:7000", i/250, i%250)))
 	}
-	s.listen(t, testaddr.Reserve(t)) // a test may stop the service and have it listen there again
+	s.listen(t, testaddr.Reserve(t)) // so that a test can stop the service and listen on the same address again
 	t.Cleanup(s.stop)
 	return s
 }
 
-// target returns the entry of a node.
+// target returns the list entry of a node.
 func target(i int, addr string) discovery.Target {
 	return discovery.Target{
 		UID:           fmt.Sprintf("store-%06d", i),
@@ -53,7 +54,7 @@
 	}
 }
 
-// listen begins to serve at an address.
+// listen starts serving at an address.
 func (s *listService) listen(t *testing.T, addr string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", addr)
@@ -62,15 +63,15 @@
 	}
 	s.Listener = listener
 	s.server = &http.Server{Handler: s}
-	go func() { _ = s.server.Serve(s) }() // it ends with the error that the server is closed
+	go func() { _ = s.server.Serve(s) }() // returns an error once the server is closed
 }
 
-// stop closes listener and connections. The list stays.
+// stop closes the listener and all connections. The list is kept.
 func (s *listService) stop() {
 	_ = s.server.Close() // a second Close returns an error
 }
 
-// Accept counts the bytes of connections.
+// Accept accepts a connection whose bytes are counted.
 func (s *listService) Accept() (net.Conn, error) {
 	conn, err := s.Listener.Accept()
 	if err != nil {
@@ -79,10 +80,10 @@
 	return meter.Count(conn, &s.bytes), nil
 }
 
-// ServeHTTP answers a poll: with the full list, or with one change if the caller knows a revision.
+// ServeHTTP answers a poll with the full list or, if the caller names a revision, with at most one changed entry.
 func (s *listService) ServeHTTP(w http.ResponseWriter, request *http.Request) {
-	from, _ := strconv.ParseInt(request.FormValue("from"), 10, 64) // 0: it knows none
-	holdMillis, _ := strconv.Atoi(request.FormValue("hold_ms"))    // 0: it does not wait
+	from, _ := strconv.ParseInt(request.FormValue("from"), 10, 64) // 0: the caller has no list
+	holdMillis, _ := strconv.Atoi(request.FormValue("hold_ms"))    // 0: the caller does not wait
 	s.lock.Lock()
 	s.polls = append(s.polls, time.Now())
 	revision, changed := s.list.Revision, s.changed
@@ -107,10 +108,10 @@
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
-	_, _ = w.Write(encoded) // a client that has gone polls again
+	_, _ = w.Write(encoded) // a client that has disconnected polls again
 }
 
-// change gives the list another revision.
+// change increments the list's revision and wakes the held polls.
 func (s *listService) change() {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -119,7 +120,7 @@
 	s.changed = make(chan struct{})
 }
 
-// reset sets the revision and forgets all polls.
+// reset sets the revision and discards the record of polls.
 func (s *listService) reset(revision int64) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -127,7 +128,7 @@
 	s.polls = nil
 }
 
-// pollsWithin returns the number of polls until a span after a time.
+// pollsWithin returns the number of polls that arrived before span had passed since a time.
 func (s *listService) pollsWithin(span time.Duration, after time.Time) (count int) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
--- a/internal/capacity/measure_connections_test.go
+++ b/internal/capacity/measure_connections_test.go
@@ -15,10 +15,10 @@
 	"irispost/internal/scale/meter"
 )
 
-// TestMeasureNodeConnections measures an attempt over a new connection and over one that is open: processor time of
-// gateway and node together.
+// TestMeasureNodeConnections measures the processor time of an attempt over a new connection and over an open one.
+// Client and node run in this process, so that the time includes both.
 func TestMeasureNodeConnections(t *testing.T) {
-	m := begin(t)
+	m := beginMeasurement(t)
 	for _, nodes := range []int{200, 900, 1800} {
 		client := webnode.NewClient(webnode.Options{
 			Host:           "origin.svc",
@@ -41,8 +41,8 @@
 	m.save()
 }
 
-// startOKNode starts a node that answers each request with two bytes, until the end of the test, and returns its
-// address.
+// startOKNode starts a node that answers each request with a body of two bytes, and returns its address. It runs until
+// the end of the test.
 func startOKNode(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -58,7 +58,7 @@
 	return listener.Addr().String()
 }
 
-// answerOK answers requests until the connection ends.
+// answerOK answers requests until the connection is closed.
 func answerOK(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	for reader := bufio.NewReader(conn); ; {
@@ -71,7 +71,7 @@
 	}
 }
 
-// attemptMicros starts an attempt at each node, one after another, and returns the mean processor time in
+// attemptMicros makes one attempt at each node, one after another, and returns the mean processor time of an attempt in
 // microseconds.
 func attemptMicros(t *testing.T, client *webnode.Client, addrs []string) float64 {
 	t.Helper()
@@ -81,13 +81,13 @@
 		call := &node.Call{Op: node.GetObject, Name: "/api", IdempotencyKey: strconv.Itoa(i), Timeout: time.Minute}
 		client.Start(addr, call, func(reply node.Reply) { replies <- reply })
 		if reply := <-replies; reply.Outcome != node.Executed {
-			t.Fatalf("%+v", reply)
+			t.Fatalf("got reply %+v, want outcome Executed", reply)
 		}
 	}
 	return float64((selfCPU(t) - before).Nanoseconds()) / 1e3 / float64(len(addrs))
 }
 
-// selfCPU returns this process's processor time so far.
+// selfCPU returns the processor time that this process has used.
 func selfCPU(t *testing.T) time.Duration {
 	t.Helper()
 	used, err := meter.SelfCPU()
--- a/internal/capacity/measure_list_test.go
+++ b/internal/capacity/measure_list_test.go
@@ -15,9 +15,9 @@
 	"irispost/scheduler"
 )
 
-// TestMeasureList measures endpoint lists by nodes: their bytes, encoding and decoding.
+// TestMeasureList measures endpoint lists by nodes: the bytes transferred, and the time to encode and decode them.
 func TestMeasureList(t *testing.T) {
-	m := begin(t)
+	m := beginMeasurement(t)
 	for _, nodes := range []int{200, 900, 1800} {
 		service := startListService(t, nodes)
 		measureListCoding(t, m, service, float64(nodes))
@@ -27,12 +27,13 @@
 	m.save()
 }
 
-// measureListCoding measures the full list's bytes, and the time to encode it, to decode it and to decode a change.
+// measureListCoding measures the size of the full list, the time to encode it, and the time to decode and apply it and
+// to decode and apply a change.
 func measureListCoding(t *testing.T, m *measurement, service *listService, nodes float64) {
 	t.Helper()
 	full := encode(t, service.list)
 	m.addMeasured("list_whole_bytes_by_nodes", "bytes", "nodes", nodes, float64(len(full)))
-	encodeMicros := meanMicros(50, func(int) { _, _ = json.Marshal(service.list) }) // it was encoded before
+	encodeMicros := meanMicros(50, func(int) { _, _ = json.Marshal(service.list) }) // encode has succeeded above
 	m.addMeasured("list_make_ms_by_nodes", "ms", "nodes", nodes, encodeMicros/1e3)
 	var table discovery.Table
 	apply := func(encoded []byte) {
@@ -59,7 +60,7 @@
 	return encoded
 }
 
-// measureListBytes measures the bytes of a poll that ends without a change, and of a change.
+// measureListBytes measures the bytes of a poll that returns no change, and of a change.
 func measureListBytes(t *testing.T, m *measurement, service *listService, nodes float64) {
 	t.Helper()
 	const count = 200
@@ -86,7 +87,8 @@
 	m.addMeasured("list_change_bytes_by_nodes", "bytes", "nodes", nodes, changes/count)
 }
 
-// watchLists runs a client of the service, with polls of 2 ms, and returns the channel of all lists that it gets.
+// watchLists runs a client of the service with long polls of 2 ms. All lists that it receives are sent to the returned
+// channel.
 func watchLists(ctx context.Context, t *testing.T, service *listService) <-chan endpoint.List {
 	t.Helper()
 	client, _, err := discovery.New(discovery.Options{
@@ -110,18 +112,19 @@
 	return lists
 }
 
-// noNodes is a client of storage nodes that is never used.
-type noNodes struct{}
+// unusedNodeClient is a client of storage nodes for gateways that make no attempts.
+type unusedNodeClient struct{}
 
-func (noNodes) Start(string, *node.Call, func(node.Reply)) node.Attempt { return nil }
-func (noNodes) Retain(map[string]bool)                                  {}
-func (noNodes) AbortQueued(func(string) bool)                           {}
-func (noNodes) LateReplies() int64                                      { return 0 }
+func (unusedNodeClient) Start(string, *node.Call, func(node.Reply)) node.Attempt { return nil }
+func (unusedNodeClient) Retain(map[string]bool)                                  {}
+func (unusedNodeClient) AbortQueued(func(string) bool)                           {}
+func (unusedNodeClient) LateReplies() int64                                      { return 0 }
 
-// TestMeasureListReturns stops the list service for 4 s. It measures when the last gateway has its list again, and
-// the polls of the first second. The list has 16 nodes: the cost of a large one is in TestMeasureList.
+// TestMeasureListReturns stops the list service for 4 s. It measures how long after the restart the last gateway has
+// the new list, and the number of polls in the first second. The list has only 16 nodes, since TestMeasureList measures
+// the cost of large ones.
 func TestMeasureListReturns(t *testing.T) {
-	m := begin(t)
+	m := beginMeasurement(t)
 	for _, gateways := range []int{100, 300, 780} {
 		measureListReturn(t, m, gateways)
 	}
@@ -135,14 +138,14 @@
 	addr := service.Addr().String()
 	group := startListGateways(t, addr, gateways)
 	defer group.stop()
-	<-group.allHave
+	<-group.allUpdated
 	service.stop()
 	time.Sleep(outage)
 	group.expect("2")
 	service.reset(2)
 	startedAt := time.Now()
 	service.listen(t, addr)
-	<-group.allHave
+	<-group.allUpdated
 	took := time.Since(startedAt)
 	time.Sleep(max(0, time.Second-took))
 	polls := service.pollsWithin(time.Second, startedAt)
@@ -153,22 +156,22 @@
 	service.stop()
 }
 
-// listGateways is a number of gateways that poll a list service, each with a client and an event loop.
+// listGateways is a group of gateways that poll a list service. Each has a discovery client and an event loop.
 type listGateways struct {
-	count    int64
-	cancel   context.CancelFunc
-	running  sync.WaitGroup
-	loops    []*gateway.Loop
-	expected atomic.Pointer[string] // version of the list that is awaited
-	have     atomic.Int64           // number of gateways that have it
-	allHave  chan struct{}          // receives once all have it
+	count        int64
+	cancel       context.CancelFunc
+	running      sync.WaitGroup
+	loops        []*gateway.Loop
+	expected     atomic.Pointer[string] // the list version that is awaited
+	updatedCount atomic.Int64           // number of gateways that have this version
+	allUpdated   chan struct{}          // receives a value once all gateways have it
 }
 
-// startListGateways starts gateways that expect version 1.
+// startListGateways starts gateways and expects version 1 of the list at all of them.
 func startListGateways(t *testing.T, addr string, count int) *listGateways {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
-	group := &listGateways{count: int64(count), cancel: cancel, allHave: make(chan struct{}, 1)}
+	group := &listGateways{count: int64(count), cancel: cancel, allUpdated: make(chan struct{}, 1)}
 	group.expect("1")
 	for i := range count {
 		group.start(ctx, t, addr, uint64(i))
@@ -176,9 +179,9 @@
 	return group
 }
 
-// expect sets the version that allHave is about.
+// expect sets the list version that allUpdated reports.
 func (g *listGateways) expect(version string) {
-	g.have.Store(0)
+	g.updatedCount.Store(0)
 	g.expected.Store(&version)
 }
 
@@ -199,7 +202,7 @@
 		Seed:      seed,
 		QueueSize: 64,
 		Clock:     gateway.NewClock(),
-		Nodes:     noNodes{},
+		Nodes:     unusedNodeClient{},
 		Watch:     client.Watch,
 		Log:       discardLogger(),
 		Settings: scheduler.Settings{
@@ -220,14 +223,14 @@
 				return
 			}
 			last = expected
-			if g.have.Add(1) == g.count {
-				g.allHave <- struct{}{}
+			if g.updatedCount.Add(1) == g.count {
+				g.allUpdated <- struct{}{}
 			}
 		}, loop.EndpointListFailed)
 	})
 }
 
-// stop ends all clients and loops.
+// stop stops all clients and event loops.
 func (g *listGateways) stop() {
 	g.cancel()
 	g.running.Wait()
--- a/internal/capacity/measure_module_test.go
+++ b/internal/capacity/measure_module_test.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// requestInterval is that of 1,269 requests a second.
+	// requestInterval is the interval between requests at 1,269 requests per second.
 	requestInterval = 788 * scheduler.Microsecond
 
 	requestTimeout = 2500 * scheduler.Millisecond
@@ -21,8 +21,8 @@
 // placement chooses the volume and the shard of a request.
 type placement func() (volume, shard int)
 
-// simulatedScheduler is a scheduler with an endpoint list, driven in virtual time as the event loop drives it: it
-// decides after each batch of requests, and after their attempts have ended.
+// simulatedScheduler is a scheduler with an endpoint list. It is driven in virtual time in the same way as by the event
+// loop: it decides after each batch of requests, and again after their attempts have ended.
 type simulatedScheduler struct {
 	scheduler    *scheduler.Scheduler
 	now          scheduler.Time
@@ -49,7 +49,7 @@
 	return s
 }
 
-// updateList passes a full list in which one node has restarted; -1: none has.
+// updateList passes a full list in which the node with the given number has restarted, or none if it is -1.
 func (s *simulatedScheduler) updateList(restarted int) {
 	s.scheduler.BeginEndpointList(s.now, true, false)
 	for i := range s.nodes {
@@ -64,7 +64,7 @@
 	s.scheduler.Decide(s.now)
 }
 
-// serve takes a number of requests through to their answers, in batches with one decision each.
+// serve submits requests in batches, with one decision for each batch, and has all their attempts succeed.
 func (s *simulatedScheduler) serve(t *testing.T, count, batch int, place placement) {
 	t.Helper()
 	for done := 0; done < count; done += batch {
@@ -78,11 +78,12 @@
 		}
 		decision := s.scheduler.Decide(s.now)
 		if len(decision.Dispatch) != batch || len(decision.Finished) != 0 {
-			t.Fatalf("%d of %d requests were sent, %d given up", len(decision.Dispatch), batch, len(decision.Finished))
+			t.Fatalf("%d of %d requests were dispatched and %d abandoned, want all dispatched",
+				len(decision.Dispatch), batch, len(decision.Finished))
 		}
 		const served = requestInterval / 2
 		endedAt := s.now + served
-		for _, attempt := range slices.Clone(decision.Dispatch) { // the scheduler uses the slice again
+		for _, attempt := range slices.Clone(decision.Dispatch) { // the scheduler reuses the slice
 			id := attempt.Request.ID
 			s.scheduler.AttemptFinished(endedAt, id, attempt.Number, scheduler.OutcomeServed, served, true, 0)
 		}
@@ -90,7 +91,7 @@
 	}
 }
 
-// requestMicros returns the time of a request in microseconds, the median of three runs.
+// requestMicros returns the mean time of a request in microseconds, as the median of three runs.
 func (s *simulatedScheduler) requestMicros(t *testing.T, batch int, place placement) float64 {
 	t.Helper()
 	const warmUp, requests, runs = 8000, 16000, 3
@@ -106,7 +107,7 @@
 	return times[runs/2]
 }
 
-// randomNode returns a placement on any node, by the volume of the same number.
+// randomNode returns a placement on random nodes. Each node has one volume, of the same number.
 func (s *simulatedScheduler) randomNode() placement {
 	return func() (int, int) {
 		node := s.random.IntN(s.nodes)
@@ -114,9 +115,10 @@
 	}
 }
 
-// TestMeasureModule measures the scheduler alone: a request, a list, and its memory, by nodes, volumes and flows.
+// TestMeasureModule measures the scheduler alone, by nodes, volumes and flows: the time of a request and of a list, and
+// the memory.
 func TestMeasureModule(t *testing.T) {
-	m := begin(t)
+	m := beginMeasurement(t)
 	for _, nodes := range []int{16, 200, 900, 1800} {
 		measureSchedulerByNodes(t, m, nodes)
 	}
@@ -184,14 +186,14 @@
 	m.addMeasured("module_request_us_by_flows", "us", "flows at a node", float64(volumes), micros)
 }
 
-// TestMeasureWalks measures the walks over all nodes that a decision makes where no request waits: a decision between
-// rounds, and one with a round.
+// TestMeasureWalks measures how long a decision takes to iterate over all nodes while no request is waiting: a decision
+// between rounds, and one that includes a round.
 func TestMeasureWalks(t *testing.T) {
-	m := begin(t)
+	m := beginMeasurement(t)
 	for _, nodes := range []int{16, 200, 900, 1800} {
 		size := float64(nodes)
 		s := newSimulatedScheduler(nodes)
-		s.serve(t, 4*nodes, 1, func() (int, int) { // after which all nodes are known
+		s.serve(t, 4*nodes, 1, func() (int, int) { // makes requests at all nodes, so that the scheduler knows each of them
 			node := s.requestCount % nodes
 			return node, node
 		})
@@ -209,11 +211,11 @@
 	m.save()
 }
 
-// TestMeasureWalk serves requests at 1,800 nodes for a processor profile: go test -run MeasureWalk -cpuprofile FILE,
-// then go tool pprof -list.
+// TestMeasureWalk serves requests at 1,800 nodes for a CPU profile: go test -run MeasureWalk -cpuprofile FILE, then
+// go tool pprof -list.
 func TestMeasureWalk(t *testing.T) {
 	skipUnlessMeasuring(t)
 	s := newSimulatedScheduler(1800)
-	t.Logf("%.1f us a request", s.requestMicros(t, 1, s.randomNode()))
+	t.Logf("%.1f us per request", s.requestMicros(t, 1, s.randomNode()))
 	s.serve(t, 100_000, 1, s.randomNode())
 }
--- a/internal/capacity/measure_slowstart_test.go
+++ b/internal/capacity/measure_slowstart_test.go
@@ -10,24 +10,24 @@
 	"irispost/internal/capacity"
 )
 
-// budgetTest is the scheduler's test whose log lines are read.
+// budgetTest is the test of the scheduler whose log lines are parsed.
 const budgetTest = "TestFleetStaysWithinTheBudgetOfAWarmingNode"
 
-// budgetLine is a log line of that test: gateways, name of the case, calls, and the part of the way from them to the
-// bound.
+// budgetLine matches a log line of that test. It captures the number of gateways, the name of the case, the calls in
+// 4 s, and the worst excess over N calls as a fraction of the distance from N to the bound.
 var budgetLine = regexp.MustCompile(`(\d+) gateways, ([^:]+): (\d+) calls in 4 s, at worst (-?[0-9.]+)`)
 
-// budgetUse is the worst of the cases of one fleet.
+// budgetUse has the extremes among the cases of one fleet.
 type budgetUse struct {
 	gateways    float64
 	worstExcess float64
 	fewestCalls float64
 }
 
-// TestMeasureCold takes over what a test of the scheduler logs of each fleet, with 780 gateways too: the worst of its
-// cases, and the fewest calls.
+// TestMeasureCold runs a test of the scheduler and records what it logs for each fleet, up to 780 gateways: the worst
+// excess and the fewest calls among its cases.
 func TestMeasureCold(t *testing.T) {
-	m := begin(t)
+	m := beginMeasurement(t)
 	command := exec.Command("go", "test", "-count=1", "-v", "-run", budgetTest+"$", "irispost/scheduler")
 	command.Env = append(os.Environ(), "IRISPOST_MEASURE=1")
 	output, err := command.CombinedOutput()
@@ -42,7 +42,7 @@
 	m.save()
 }
 
-// parseBudgetUse returns the use of each fleet, in the order of the log.
+// parseBudgetUse returns the budget use of each fleet, in the order of the log.
 func parseBudgetUse(t *testing.T, log string) (uses []*budgetUse) {
 	t.Helper()
 	byGateways := map[float64]*budgetUse{}
--- a/internal/capacity/measure_test.go
+++ b/internal/capacity/measure_test.go
@@ -20,7 +20,7 @@
 	pageFile   = "../../docs/CAPACITY.md"
 )
 
-// readPage returns the page as it is committed.
+// readPage returns the content of the page in the working tree.
 func readPage(t *testing.T) string {
 	t.Helper()
 	text, err := os.ReadFile(pageFile)
@@ -30,7 +30,7 @@
 	return string(text)
 }
 
-// readRecords returns the records as they are committed.
+// readRecords returns the records in the working tree.
 func readRecords(t *testing.T) capacity.Records {
 	t.Helper()
 	records, err := capacity.Read(recordFile)
@@ -40,15 +40,15 @@
 	return records
 }
 
-// skipUnlessMeasuring skips a measurement unless one is asked for.
+// skipUnlessMeasuring skips a measurement unless IRISPOST_MEASURE is set.
 func skipUnlessMeasuring(t *testing.T) {
 	t.Helper()
 	if os.Getenv("IRISPOST_MEASURE") == "" {
-		t.Skip("a measurement: IRISPOST_MEASURE=1")
+		t.Skip("runs only as a measurement, with IRISPOST_MEASURE=1")
 	}
 }
 
-// isTrial tells whether the figures are not to be saved.
+// isTrial reports whether this is a trial, whose measurements are not saved.
 func isTrial() bool { return os.Getenv("IRISPOST_TRIAL") != "" }
 
 // measurement collects the records of one measurement.
@@ -59,13 +59,13 @@
 	records []*capacity.Record
 }
 
-// begin begins the measurement of a test, or skips the test.
-func begin(t *testing.T) *measurement {
+// beginMeasurement begins the measurement of a test, or skips the test if none is requested.
+func beginMeasurement(t *testing.T) *measurement {
 	t.Helper()
 	skipUnlessMeasuring(t)
 	commit, err := exec.Command("git", "rev-parse", "--short", "HEAD").Output()
 	if err != nil {
-		t.Fatalf("no commit to name: %v", err)
+		t.Fatalf("cannot determine the commit: %v", err)
 	}
 	changed, err := exec.Command("git", "status", "--porcelain", "--untracked-files=no", ":/", ":!/docs").Output()
 	if err != nil {
@@ -79,7 +79,7 @@
 	return &measurement{t: t, commit: name, command: command}
 }
 
-// add adds the value at one size to the record of a name.
+// add adds the value at one size to the record with the given name, which it creates first if necessary.
 func (m *measurement) add(origin capacity.Origin, name, unit, over string, size, value float64) {
 	m.t.Helper()
 	m.t.Logf("%s: %g %s at %g %s", name, value, unit, size, over)
@@ -101,13 +101,13 @@
 	})
 }
 
-// addMeasured adds a value that was measured on sockets, processes or the processor's clock.
+// addMeasured adds a value that was measured on real sockets or processes, or as processor time.
 func (m *measurement) addMeasured(name, unit, over string, size, value float64) {
 	m.t.Helper()
 	m.add(capacity.Measured, name, unit, over, size, value)
 }
 
-// save merges the records into the file.
+// save merges the records into the file of records.
 func (m *measurement) save() {
 	m.t.Helper()
 	if err := capacity.Merge(recordFile, m.records...); err != nil {
@@ -118,9 +118,9 @@
 	}
 }
 
-// heapKB returns the live heap in KB.
+// heapKB returns the size of the live heap in KB.
 func heapKB() float64 {
-	for range 3 { // a pool drops its content at the second collection after its last use
+	for range 3 { // a sync.Pool releases its content only at the second collection after its last use
 		runtime.GC()
 	}
 	var stats runtime.MemStats
@@ -137,11 +137,11 @@
 	return float64(time.Since(startedAt).Nanoseconds()) / float64(count) / 1e3
 }
 
-// discardLogger returns a logger that writes nothing.
+// discardLogger returns a logger that discards all messages.
 func discardLogger() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
-// TestMeasurePage writes the page's figures from the records. The list of what is missing stays; TestPage tells what
-// has to change there.
+// TestMeasurePage generates the page's figures from the records. It leaves the list of what is missing unchanged;
+// TestPage reports what has to change there.
 func TestMeasurePage(t *testing.T) {
 	skipUnlessMeasuring(t)
 	page, err := capacity.Fill(readPage(t), readRecords(t), capacity.PlannedSize)
--- a/internal/capacity/measure_version_test.go
+++ b/internal/capacity/measure_version_test.go
@@ -7,9 +7,10 @@
 	"irispost/internal/fleet/configversion"
 )
 
-// TestMeasureVersion measures the content of versions, with names, zones and start times, by nodes.
+// TestMeasureVersion measures, by nodes, the size of a configuration version's content and the time to compute its
+// digest, to parse it and to compare it with another one. The nodes have names, zones and start times.
 func TestMeasureVersion(t *testing.T) {
-	m := begin(t)
+	m := beginMeasurement(t)
 	const count = 30
 	for _, nodes := range []int{200, 900, 1800} {
 		size := float64(nodes)
@@ -30,9 +31,9 @@
 	m.save()
 }
 
-// TestMeasureVersionMemory measures the memory of a version that was parsed, as the mean of fifty.
+// TestMeasureVersionMemory measures the memory of a parsed version, as the mean of fifty.
 func TestMeasureVersionMemory(t *testing.T) {
-	m := begin(t)
+	m := beginMeasurement(t)
 	for _, nodes := range []int{200, 900, 1800} {
 		content := versionConfig(nodes, 10).Canonical()
 		configs := make([]*configversion.Config, 50)
@@ -44,16 +45,16 @@
 			}
 		}
 		m.addMeasured("version_kb_by_nodes", "KB", "nodes", float64(nodes), (heapKB()-before)/float64(len(configs)))
-		for _, config := range configs { // which keeps them alive until here
+		for _, config := range configs { // keeps them reachable until after the measurement
 			if len(config.Nodes) != nodes || len(content) == 0 {
-				t.Fatal("another version")
+				t.Fatal("a parsed version lost nodes, or its content is empty")
 			}
 		}
 	}
 	m.save()
 }
 
-// versionConfig returns the configuration of a version, with names, zones and start times.
+// versionConfig returns a configuration whose nodes have names, zones and start times.
 func versionConfig(nodes int, limit float64) *configversion.Config {
 	config := &configversion.Config{
 		RequiredFormat:   configversion.Format,
--- a/internal/capacity/measure_web_test.go
+++ b/internal/capacity/measure_web_test.go
@@ -12,13 +12,13 @@
 	"irispost/internal/scale/meter"
 )
 
-// clientSettling is the time after which what new connections have allocated is stable.
+// clientSettling is how long the memory use takes to settle after new connections were opened.
 const clientSettling = 500 * time.Millisecond
 
-// TestMeasureWeb measures `irispost web` as a process: processor time and memory by nodes, requests and connections,
-// and bytes by bodies.
+// TestMeasureWeb measures `irispost web` as a separate process: processor time and memory by nodes, request rate and
+// connections, and transferred bytes by body length.
 func TestMeasureWeb(t *testing.T) {
-	m := begin(t)
+	m := beginMeasurement(t)
 	m.command = "IRISPOST_BIN=FILE " + m.command
 	for _, nodes := range []int{200, 900, 1800} {
 		t.Run(fmt.Sprint(nodes), func(t *testing.T) {
@@ -37,7 +37,7 @@
 		measureRequestRates(t, m, g, clients, &failed)
 		measureBodies(t, m, g)
 		if count := failed.Load(); count > 0 {
-			t.Errorf("%d requests were not served", count)
+			t.Errorf("%d requests failed", count)
 		}
 	})
 	if !t.Failed() && !isTrial() {
@@ -45,10 +45,10 @@
 	}
 }
 
-// TestMeasureHalfRequests measures the memory of connections that each stop in the middle of a request, a process for
-// each number.
+// TestMeasureHalfRequests measures the memory of connections that have each sent only a part of a request. It starts a
+// new process for each number of connections.
 func TestMeasureHalfRequests(t *testing.T) {
-	m := begin(t)
+	m := beginMeasurement(t)
 	m.command = "IRISPOST_BIN=FILE " + m.command
 	for _, count := range []int{1000, 2500, 5256} {
 		t.Run(fmt.Sprint(count), func(t *testing.T) { measureHalfRequests(t, m, count) })
@@ -69,12 +69,12 @@
 			t.Error(err)
 		}
 	})
-	time.Sleep(900 * time.Millisecond) // all are read by then; a first request has 2.5 s
+	time.Sleep(900 * time.Millisecond) // enough to read them all; first requests time out after 2.5 s
 	m.addMeasured("web_mb_by_half_requests", "MB", "connections", float64(count), g.memoryMB())
-	for i, client := range clients[:50] { // and none was closed before
-		_ = client.SetReadDeadline(time.Now().Add(time.Millisecond)) // without it the read would hang, and the test fail
+	for i, client := range clients[:50] { // none was closed before the measurement
+		_ = client.SetReadDeadline(time.Now().Add(time.Millisecond)) // otherwise the read would block and the test fail
 		if _, err := client.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Fatalf("connection %d: %v", i, err)
+			t.Fatalf("connection %d: got error %v, want a timeout", i, err)
 		}
 	}
 	for _, client := range clients {
@@ -82,7 +82,7 @@
 	}
 }
 
-// measureNodeMemory measures memory by connections to nodes, which requests open one after another.
+// measureNodeMemory measures memory by connections to nodes. The connections are opened by requests, one after another.
 func measureNodeMemory(t *testing.T, m *measurement, g *webGateway) {
 	t.Helper()
 	client := g.dial(nil)
@@ -98,7 +98,7 @@
 	}
 }
 
-// measureClientMemory measures memory by clients' connections, and returns these.
+// measureClientMemory measures memory by client connections, and returns the connections.
 func measureClientMemory(m *measurement, g *webGateway, failed *atomic.Int64) (clients []*clientConn) {
 	for _, count := range []int{1000, 2500, 5256} {
 		opened := make([]*clientConn, count-len(clients))
@@ -115,13 +115,13 @@
 	return clients
 }
 
-// measureRequestRates measures processor time and memory at three rates of requests with 4 KB.
+// measureRequestRates measures processor time and memory at three rates of requests with bodies of 4 KB.
 func measureRequestRates(t *testing.T, m *measurement, g *webGateway, clients []*clientConn, failed *atomic.Int64) {
 	t.Helper()
 	const (
 		workers        = 32
 		span           = 8 * time.Second
-		shardStride    = 7919 // spreads requests over the shards
+		shardStride    = 7919 // distributes requests over the shards
 		loggedFailures = 3
 	)
 	for _, rate := range []int{400, 800, 1269} {
@@ -130,7 +130,7 @@
 			startedAt := time.Now()
 			forEachNumber(count, workers, func(i int) {
 				time.Sleep(time.Until(startedAt.Add(time.Duration(i) * time.Second / time.Duration(rate))))
-				// A connection belongs to one worker, so that its requests come one after another.
+				// Each connection is used by only one worker, so that its requests are sent one after another.
 				client := clients[i%workers+workers*(i/workers%(len(clients)/workers))]
 				err := g.request(client, i*shardStride%g.nodes, 4096)
 				if err != nil && failed.Add(1) <= loggedFailures {
@@ -143,7 +143,7 @@
 	}
 }
 
-// measureBodies measures bytes at the client's and at the nodes' sockets by the length of bodies.
+// measureBodies measures the bytes at the client's and at the nodes' sockets by body length.
 func measureBodies(t *testing.T, m *measurement, g *webGateway) {
 	t.Helper()
 	const requests = 100
--- a/internal/capacity/number.go
+++ b/internal/capacity/number.go
@@ -6,7 +6,8 @@
 	"strings"
 )
 
-// formatNumber writes a number with three significant digits, or from 1,000 on as an integer with commas.
+// formatNumber formats a number with three significant digits. Whole numbers and those from 100 on are written as
+// integers, from 1,000 on with commas.
 func formatNumber(value float64) string {
 	magnitude := math.Abs(value)
 	if magnitude >= 1000 {
@@ -20,13 +21,13 @@
 		return strconv.FormatFloat(value, 'f', 0, 64)
 	}
 	text := strconv.FormatFloat(value, 'g', 3, 64)
-	if strings.Contains(text, "e") { // too small for this format
+	if strings.Contains(text, "e") { // a small number in exponent form
 		return strings.TrimRight(strconv.FormatFloat(value, 'f', 8, 64), "0")
 	}
 	return text
 }
 
-// withCommas groups an integer's digits by three.
+// withCommas separates the digits of an integer into groups of three.
 func withCommas(digits string) string {
 	for i := len(digits) - 3; i > 0; i -= 3 {
 		digits = digits[:i] + "," + digits[i:]
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -9,36 +9,36 @@
 	"strings"
 )
 
-// The page is Markdown, written by hand but for the text between marks:
+// The page is Markdown. It is written by hand, except for the generated text between marks:
 //
 //	<!-- NAME -->text<!-- / -->        the value of the figure of this name
 //	<!-- NAME.limit -->text<!-- / -->  its bound and target
-//	<!-- NAME.from -->text<!-- / -->   the records that it was computed from
+//	<!-- NAME.from -->text<!-- / -->   the records from which it was computed
 //	<!-- slopes --> ... <!-- /slopes -->          a table of all records
-//	<!-- unmeasured --> ... <!-- /unmeasured -->  figures with a limit that could not be computed
-//	1. <!-- missing NAME NAME --> text            an entry of the list of what is missing
+//	<!-- unmeasured --> ... <!-- /unmeasured -->  the figures that have a limit and could not be computed
+//	1. <!-- missing NAME NAME --> text            an entry in the list of what is missing
 var (
 	markPattern  = regexp.MustCompile(`<!-- ([a-z0-9_]+)(?:\.(from|limit))? -->([^|\n]*?)<!-- / -->`)
 	entryPattern = regexp.MustCompile(`^\d+\. <!-- missing ([a-z0-9_ ]+?) -->(.*)$`)
 )
 
-// ErrUnknownFigure is wrapped by the error for a mark that names no figure.
+// ErrUnknownFigure is wrapped by the error for a mark whose name is not that of a figure.
 var ErrUnknownFigure = errors.New("no such figure")
 
-// mark is a mark of a figure on the page, with the text that it has.
+// mark is a mark of a figure on the page, with its current text.
 type mark struct {
 	figure string
 	part   string // "", "limit" or "from"
 	text   string
 }
 
-// label returns the name of the mark as the page has it.
+// label returns the mark's name as written on the page: NAME, NAME.limit or NAME.from.
 func (m mark) label() string { return strings.Trim(m.figure+"."+m.part, ".") }
 
-// parseMark returns the mark of a match of markPattern.
+// parseMark returns the mark that a match of markPattern describes.
 func parseMark(match []string) mark { return mark{figure: match[1], part: match[2], text: match[3]} }
 
-// text returns the text of a figure's part.
+// text returns the generated text of a part of a figure, as named in mark.
 func (r Result) text(part string) string {
 	switch part {
 	case "from":
@@ -49,7 +49,7 @@
 	return r.ValueText()
 }
 
-// block is a part of the page that is written from all records.
+// block is a section of the page that is generated from all records.
 type block struct {
 	name    string
 	content func(Records, map[string]Result) string
@@ -61,8 +61,8 @@
 	return regexp.MustCompile(`(?s)<!-- ` + b.name + ` -->\n(.*?)<!-- /` + b.name + ` -->`)
 }
 
-// Fill returns the page with the texts between marks written anew. A mark that names no figure is an error that wraps
-// ErrUnknownFigure.
+// Fill returns the page with all texts between marks generated again. If a mark's name is not that of a figure, the
+// error wraps ErrUnknownFigure.
 func Fill(page string, records Records, size Size) (string, error) {
 	results := Results(records, size)
 	var failure error
@@ -93,7 +93,7 @@
 	return b.String()
 }
 
-// unmeasuredList returns the list of figures with a limit that could not be computed.
+// unmeasuredList returns the list of the figures that have a limit and could not be computed.
 func unmeasuredList(_ Records, results map[string]Result) string {
 	var b strings.Builder
 	for _, name := range slices.Sorted(maps.Keys(results)) {
@@ -101,8 +101,8 @@
 		if result.Known() || !result.HasLimit() {
 			continue
 		}
-		lacks := strings.Join(slices.Sorted(maps.Keys(result.Problems)), ", ")
-		fmt.Fprintf(&b, "- %s: held against %s; lacks %s\n", name, result.LimitText(), lacks)
+		missingRecords := strings.Join(slices.Sorted(maps.Keys(result.Problems)), ", ")
+		fmt.Fprintf(&b, "- %s: held against %s; lacks %s\n", name, result.LimitText(), missingRecords)
 	}
 	if b.Len() == 0 {
 		return "None.\n"
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -12,15 +12,15 @@
 	"irispost/internal/capacity"
 )
 
-// TestPage computes the page's figures again from the records. `IRISPOST_MEASURE=1 go test -run MeasurePage
-// ./internal/capacity` writes them.
+// TestPage checks the page's figures against the records. `IRISPOST_MEASURE=1 go test -run MeasurePage
+// ./internal/capacity` generates them again.
 func TestPage(t *testing.T) {
 	for _, problem := range capacity.Check(readPage(t), readRecords(t), capacity.PlannedSize) {
 		t.Error(problem)
 	}
 }
 
-// pageDefect is a defect put into a copy of the page or of the records, and the problem that has to be reported.
+// pageDefect is a defect in a copy of the page or of the records, with the problem that Check has to report.
 type pageDefect struct {
 	name    string
 	page    string
@@ -28,7 +28,7 @@
 	want    string
 }
 
-// TestCheckReportsEachDefectOfAPage puts one defect at a time into a copy of the page or of the records.
+// TestCheckReportsEachDefectOfAPage checks copies of the page and of the records that each have one defect.
 func TestCheckReportsEachDefectOfAPage(t *testing.T) {
 	page, records := readPage(t), readRecords(t)
 	defects := textDefects(page, records)
@@ -37,17 +37,17 @@
 	for _, c := range defects {
 		t.Run(c.name, func(t *testing.T) {
 			if c.page == page && fmt.Sprint(c.records) == fmt.Sprint(records) {
-				t.Fatal("neither page nor records differ")
+				t.Fatal("the defect changes neither the page nor the records")
 			}
 			problems := capacity.Check(c.page, c.records, capacity.PlannedSize)
 			if !slices.ContainsFunc(problems, func(s string) bool { return strings.Contains(s, c.want) }) {
-				t.Errorf("%q is not among %q", c.want, problems)
+				t.Errorf("want a problem that contains %q, got %q", c.want, problems)
 			}
 		})
 	}
 }
 
-// textDefects are defects of the page's texts.
+// textDefects returns defects of the page's texts.
 func textDefects(page string, records capacity.Records) []pageDefect {
 	edit := func(pattern, replacement string) string { return replaceFirst(page, pattern, replacement) }
 	return []pageDefect{
@@ -70,7 +70,7 @@
 	}
 }
 
-// recordDefects are records that differ from those of the page.
+// recordDefects returns defects in which the records differ from those of the page.
 func recordDefects(t *testing.T, page string, records capacity.Records) []pageDefect {
 	t.Helper()
 	const name = "module_request_us_by_nodes"
@@ -84,7 +84,7 @@
 	}
 }
 
-// entryDefects are defects of the list of what is missing.
+// entryDefects returns defects of the list of what is missing.
 func entryDefects(t *testing.T, page string, records capacity.Records) []pageDefect {
 	t.Helper()
 	const name = "control_follower_mb_by_followers"
@@ -114,7 +114,7 @@
 	return text[:match[0]] + string(expanded) + text[match[1]:]
 }
 
-// tenTimes returns the record of the same slope, measured at ten times the cost.
+// tenTimes returns a copy of a record with all its measured values multiplied by ten.
 func tenTimes(t *testing.T, record *capacity.Record) *capacity.Record {
 	t.Helper()
 	slower := *record
@@ -128,7 +128,7 @@
 	return &slower
 }
 
-// fill fills a page from records.
+// fill generates the page's figures from records.
 func fill(t *testing.T, page string, records capacity.Records) string {
 	t.Helper()
 	filled, err := capacity.Fill(page, records, capacity.PlannedSize)
--- a/internal/capacity/pagecheck.go
+++ b/internal/capacity/pagecheck.go
@@ -7,22 +7,25 @@
 	"strings"
 )
 
-// pageCheck is the check of a page.
+// pageCheck is the state of a check of the page.
 type pageCheck struct {
 	results         map[string]Result
-	failureFigures  map[string]bool // names
-	completeRows    map[string]bool // names of figures that have a row with limit and records
-	entries         map[string]bool // names of figures in the list of what is missing
-	firstFailure    string          // the first entry of that list that is of a failure
+	failureFigures  map[string]bool // names of the figures of failures
+	completeRows    map[string]bool // names of the figures that have a row with limit and records
+	entries         map[string]bool // names of the figures in the list of what is missing
+	firstFailure    string          // the first figure of a failure in that list
 	problems        []string
 	lineNumber      int
-	nextIsSeparator bool // the line after this one separates a table's head from its rows
+	nextIsSeparator bool // the next line separates a table's header from its rows
 }
 
-// Check checks a page against the records and returns all problems, a line each: a figure whose text differs, or that
-// is not in a row with its limit and its records; a row without a figure or with an empty cell; a limit that is
-// exceeded without an entry in the list of what is missing; an entry for a limit that is not exceeded, or for an
-// ordinary day after one for a failure.
+// Check checks a page against the records and returns all problems, one line for each:
+//   - a figure whose text differs from the generated one
+//   - a figure without a row that also has its limit and its records
+//   - a row without a figure or with an empty cell
+//   - a limit that is exceeded without an entry in the list of what is missing
+//   - an entry without a text, or for an unknown figure or a limit that is not exceeded
+//   - an entry for normal operation after one for a failure
 func Check(page string, records Records, size Size) (problems []string) {
 	check := &pageCheck{
 		results:        Results(records, size),
@@ -49,24 +52,24 @@
 	c.problems = append(c.problems, fmt.Sprintf(format, args...))
 }
 
-// reportLine adds a problem of the current line.
+// reportLine adds a problem, prefixed with the number of the current line.
 func (c *pageCheck) reportLine(format string, args ...any) {
 	c.report("line %d: %s", c.lineNumber, fmt.Sprintf(format, args...))
 }
 
-// checkBlocks checks the blocks and returns the page without them.
+// checkBlocks checks the generated blocks and returns the page without them.
 func (c *pageCheck) checkBlocks(page string, records Records) string {
 	for _, b := range blocks {
 		match := b.pattern().FindStringSubmatch(page)
 		if match == nil || match[1] != b.content(records, c.results) {
-			c.report("the block %s is not what the records come to", b.name)
+			c.report("the block %s differs from the one generated from the records", b.name)
 		}
 		page = b.pattern().ReplaceAllLiteralString(page, "")
 	}
 	return page
 }
 
-// isSeparator tells whether a line separates a table's head from its rows.
+// isSeparator reports whether a line separates a table's header from its rows.
 func isSeparator(line string) bool { return strings.HasPrefix(line, "| ---") }
 
 func (c *pageCheck) checkLine(line string) {
@@ -80,7 +83,7 @@
 	}
 }
 
-// checkMarks checks the texts of a line's marks and returns their labels.
+// checkMarks checks the texts of the marks in a line and returns the labels of the marks.
 func (c *pageCheck) checkMarks(line string) map[string]bool {
 	labels := map[string]bool{}
 	for _, match := range markPattern.FindAllStringSubmatch(line, -1) {
@@ -90,35 +93,35 @@
 		case !ok:
 			c.reportLine("there is no figure %s", found.figure)
 		case found.text != result.text(found.part):
-			c.reportLine("%s says %q, and the records come to %q", found.label(), found.text, result.text(found.part))
+			c.reportLine("%s says %q, but the records give %q", found.label(), found.text, result.text(found.part))
 		}
 		labels[found.label()] = true
 	}
 	return labels
 }
 
-// checkEntry checks an entry of the list of what is missing.
+// checkEntry checks an entry in the list of what is missing.
 func (c *pageCheck) checkEntry(names, text string) {
 	if strings.TrimSpace(text) == "" {
-		c.reportLine("an entry of what is missing says nothing")
+		c.reportLine("an entry in the list of what is missing has no text")
 	}
 	for name := range strings.FieldsSeq(names) {
 		result, ok := c.results[name]
 		switch {
 		case !ok:
-			c.reportLine("what is missing names %s, and there is no such figure", name)
+			c.reportLine("the list of what is missing names %s, but there is no such figure", name)
 		case result.Known() && result.HasLimit() && !result.Exceeded():
-			c.reportLine("what is missing names %s, whose bound is kept", name)
+			c.reportLine("the list of what is missing names %s, whose bound is kept", name)
 		case c.failureFigures[name] && c.firstFailure == "":
 			c.firstFailure = name
 		case !c.failureFigures[name] && c.firstFailure != "":
-			c.reportLine("%s is of an ordinary day, and comes after %s, a failure", name, c.firstFailure)
+			c.reportLine("%s is a figure of normal operation, but comes after %s, a figure of a failure", name, c.firstFailure)
 		}
 		c.entries[name] = true
 	}
 }
 
-// checkRow checks a row of a table: it has no empty cell, and a figure with its limit and its records.
+// checkRow checks that a table row has no empty cell, and that it has a figure with its limit and its records.
 func (c *pageCheck) checkRow(line string, labels map[string]bool) {
 	for _, cell := range strings.Split(strings.Trim(line, "|"), "|") {
 		if strings.TrimSpace(markPattern.ReplaceAllString(cell, "$3")) == "" {
@@ -135,7 +138,7 @@
 			c.completeRows[name] = true
 		}
 		if !c.completeRows[name] {
-			c.reportLine("the row of %s has not both its limit and its records", name)
+			c.reportLine("the row of %s lacks its limit or its records", name)
 		}
 	}
 	if !hasFigure {
@@ -151,7 +154,7 @@
 		}
 		result := c.results[name]
 		if result.Exceeded() && !c.entries[name] {
-			c.report("%s is %s (%s), and the list of what is missing does not name it",
+			c.report("%s is %s (%s), but the list of what is missing does not name it",
 				name, result.ValueText(), result.LimitText())
 		}
 	}
--- a/internal/capacity/record.go
+++ b/internal/capacity/record.go
@@ -1,8 +1,9 @@
-// Package capacity computes what each role of a fleet costs at a stated size, from slopes that were measured at
-// smaller and equal sizes. Its tests are the measurements and hold the page to the records; no program uses it.
+// Package capacity computes what each role of a fleet costs at a given size. It extrapolates from measurements at
+// several sizes up to the given one. The tests of the package run the measurements and check the page against the
+// records; no program uses the package.
 //
-// Records, fits and formulas are pure. The package reads and writes two files, the records (docs/capacity.json) and
-// the page (docs/CAPACITY.md), as a whole or not at all.
+// Records, fits and formulas are pure. Two files are read and written: the records (docs/capacity.json) and the page
+// (docs/CAPACITY.md). Each is replaced as a whole or left unchanged.
 package capacity
 
 import (
@@ -12,64 +13,64 @@
 	"strings"
 )
 
-// Origin tells where a value comes from.
+// Origin states how a value was obtained.
 type Origin string
 
 // The origins of values.
 const (
-	Measured  Origin = "measured"  // on sockets, processes or the processor's clock
-	Simulated Origin = "simulated" // in virtual time
+	Measured  Origin = "measured"  // on real sockets or processes, or as processor time
+	Simulated Origin = "simulated" // in a simulation in virtual time
 	Computed  Origin = "worked out"
 )
 
-// Form is the kind of function that a record's points follow: Flat, Line, NLogN, or a text that begins with "not a
-// line: " and gives the reason. A record of the last kind has values between its points only.
+// Form is the kind of function that fits a record's points: Flat, Line, NLogN, or a text that begins with
+// "not a line: " and gives the reason. A record of the last kind can only be interpolated between its points.
 type Form string
 
-// The forms.
+// The forms of records.
 const (
 	Flat          Form = "flat"
 	Line          Form = "line"
-	NLogN         Form = "n log n" // with the logarithm to base 2
+	NLogN         Form = "n log n" // with the base-2 logarithm
 	notLinePrefix      = "not a line: "
 )
 
-// Point is what was measured at one size.
+// Point is the value that was measured at one size.
 type Point struct {
 	Size     float64 `json:"size"`
 	Measured float64 `json:"measured"`
 }
 
-// Record is one slope: what was measured at three sizes or more, and the function that fits it.
+// Record is a quantity that was measured at three or more sizes, with the function that fits it.
 type Record struct {
 	Name string `json:"name"`
-	// Value is the slope of a line, per unit of size; the mean, if flat; the factor of n log n; else the value at the
-	// largest size.
+	// Value is the slope of a line, per unit of size; the mean of a flat record; the factor of n log n; without a form
+	// the value at the largest size.
 	Value  float64 `json:"value"`
-	Base   float64 `json:"base"` // of a line and of n log n: the value at size 0
-	Unit   string  `json:"unit"` // of what was measured
-	Over   string  `json:"over"` // what the size counts
+	Base   float64 `json:"base"` // constant term of a line or of n log n
+	Unit   string  `json:"unit"` // of the measured values
+	Over   string  `json:"over"` // the quantity that the size counts
 	Points []Point `json:"points"`
 	Form   Form    `json:"form"`
-	// Residual is the root of the mean squared difference from the form, as a part of the mean; for no form: from the
-	// line.
+	// Residual is the root mean square difference of the points from the fitted function, as a fraction of the mean.
+	// Without a form it is that of the best line.
 	Residual float64 `json:"residual"`
 	Origin   Origin  `json:"how"`
-	Command  string  `json:"command"` // that measures it again
-	Commit   string  `json:"commit"`  // of the program that was measured
+	Command  string  `json:"command"` // repeats the measurement
+	Commit   string  `json:"commit"`  // that was measured
 }
 
-// Errors of records, wrapped with the record's name.
+// Errors of records. They are wrapped by errors that name the record.
 var (
 	ErrTooFewSizes  = errors.New("too few sizes")
-	ErrBadPoint     = errors.New("a point that cannot be")
-	ErrOutOfRange   = errors.New("beyond what was measured")
-	ErrIncomplete   = errors.New("a part is missing")
-	ErrInconsistent = errors.New("form and points differ")
+	ErrBadPoint     = errors.New("invalid point")
+	ErrOutOfRange   = errors.New("outside the measured range")
+	ErrIncomplete   = errors.New("missing or invalid field")
+	ErrInconsistent = errors.New("fit does not match the points")
 )
 
-// At returns the value at a size, and whether that size was measured; then the value is the measurement. A record
-// without a form has values between its points; beyond them the error is ErrOutOfRange.
+// At returns the value at a size. If that size was measured, it returns the measured value and measured is true. A
+// record without a form is interpolated between its points; outside them the error wraps ErrOutOfRange.
 func (r *Record) At(size float64) (value float64, measured bool, err error) {
 	for _, point := range r.Points {
 		if point.Size == size {
@@ -90,10 +91,11 @@
 			return a.Measured + (b.Measured-a.Measured)*(size-a.Size)/(b.Size-a.Size), false, nil
 		}
 	}
-	return 0, false, fmt.Errorf("%s is %s, and %v %s: %w", r.Name, r.Form, size, r.Over, ErrOutOfRange)
+	return 0, false, fmt.Errorf("%s is %s, so it has no value at %v %s: %w", r.Name, r.Form, size, r.Over, ErrOutOfRange)
 }
 
-// Check checks that all parts of a record are there, and that its form, value and residual are those of its points.
+// Check checks that no field of a record is missing, and that fitting its points gives the same form, value, base and
+// residual.
 func (r *Record) Check() error {
 	parts := map[string]string{"name": r.Name, "unit": r.Unit, "over": r.Over, "command": r.Command, "commit": r.Commit}
 	for part, text := range parts {
@@ -102,7 +104,7 @@
 		}
 	}
 	if r.Origin != Measured && r.Origin != Simulated && r.Origin != Computed {
-		return fmt.Errorf("%s: how is %q: %w", r.Name, r.Origin, ErrIncomplete)
+		return fmt.Errorf("%s: unknown value %q of how: %w", r.Name, r.Origin, ErrIncomplete)
 	}
 	fitted := *r
 	fitted.Points = slices.Clone(r.Points)
@@ -110,18 +112,18 @@
 		return err
 	}
 	if fitted.Form != r.Form || fitted.Value != r.Value || fitted.Base != r.Base || fitted.Residual != r.Residual {
-		return fmt.Errorf("%s: %w: it says %s, and its points come to %s",
+		return fmt.Errorf("%s: %w: it says %s, but fitting the points gives %s",
 			r.Name, ErrInconsistent, r.fitText(), fitted.fitText())
 	}
 	return nil
 }
 
-// fitText describes a record's fit for errors.
+// fitText describes a record's fit for error messages.
 func (r *Record) fitText() string {
 	return fmt.Sprintf("%q, %v, %v, residual %v", r.Form, r.Value, r.Base, r.Residual)
 }
 
-// String returns a record in a line, as the page has it.
+// String returns a record as one line of text, as the page shows it.
 func (r *Record) String() string {
 	sizes := make([]string, len(r.Points))
 	for i, point := range r.Points {
--- a/internal/capacity/record_test.go
+++ b/internal/capacity/record_test.go
@@ -15,7 +15,7 @@
 	"irispost/internal/testkit"
 )
 
-// A file with a record that is not valid is an error.
+// A file with an invalid record has to be rejected.
 func TestParseRejectsInvalidRecords(t *testing.T) {
 	valid := `[{"name":"a","value":2,"base":1,"unit":"us","over":"nodes",` +
 		`"points":[{"size":1,"measured":3},{"size":2,"measured":5},{"size":3,"measured":7}],` +
@@ -40,19 +40,18 @@
 	} {
 		text := strings.Replace(valid, old, replacement, 1)
 		if _, err := capacity.Parse("f", []byte(text)); err == nil || text == valid {
-			t.Errorf("%s for %s is accepted", replacement, old)
+			t.Errorf("with %s in place of %s: got no error or no changed text, want an error", replacement, old)
 		}
 	}
 }
 
-// slope returns a record that is not fitted, with points of size and value.
+// slope returns a record with the given points that is not fitted yet.
 func slope(name string, points ...capacity.Point) *capacity.Record {
 	return &capacity.Record{Name: name, Unit: "us", Over: "nodes", Origin: capacity.Measured, Command: "c", Commit: "1",
 		Points: points}
 }
 
-// Merge with a record that is not valid leaves the file as it was; with valid ones it replaces those of the same
-// names.
+// Merge must leave the file unchanged if a record is invalid, and otherwise replace the records of the same names.
 func TestMergeReplacesRecordsOrLeavesTheFile(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "records.json")
 	one, two := capacity.Point{Size: 1, Measured: 1}, capacity.Point{Size: 2, Measured: 2}
@@ -67,10 +66,10 @@
 	twoSizes := slope("a", one, two)
 	err = capacity.Merge(file, threeSizes, twoSizes)
 	if !errors.Is(err, capacity.ErrTooFewSizes) || !strings.Contains(err.Error(), "a: 2 sizes") {
-		t.Errorf("a slope over two sizes: %v", err)
+		t.Errorf("merging a record with two sizes: got error %v, want ErrTooFewSizes with \"a: 2 sizes\"", err)
 	}
 	if after, err := os.ReadFile(file); err != nil || string(after) != string(before) {
-		t.Errorf("the file was changed: %s, %v", after, err)
+		t.Errorf("the file was changed, or cannot be read: %s, error %v", after, err)
 	}
 	twoSizes.Points = append(twoSizes.Points, capacity.Point{Size: 3, Measured: 30})
 	if err := capacity.Merge(file, twoSizes); err != nil {
@@ -78,18 +77,18 @@
 	}
 	records, err := capacity.Read(file)
 	if err != nil || len(records) != 2 || records["a"].Points[2].Measured != 30 || records["b"].Form != capacity.Line {
-		t.Errorf("%v, %v", records, err)
+		t.Errorf("got records %v, error %v, want a with 30 at its third point and b as a line", records, err)
 	}
 }
 
-// Each form is found from its points, and the value at a size follows from it.
+// Fit has to recognize each form from its points, and At has to use that form.
 func TestFitFindsTheFormAndAtFollowsIt(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		form   string    // prefix
 		points []float64 // size, value, ...
 		size   float64
-		want   float64 // 0: out of range
+		want   float64 // 0: ErrOutOfRange
 	}{
 		{"flat", string(capacity.Flat), []float64{1, 10, 10, 10.4, 100, 9.8}, 1000, 10.0667},
 		{"line", string(capacity.Line), []float64{100, 120, 200, 220, 400, 420}, 800, 820},
@@ -100,20 +99,21 @@
 		t.Run(c.name, func(t *testing.T) {
 			record := fitted(t, "x", "us", "nodes", c.points...)
 			if !strings.HasPrefix(string(record.Form), c.form) {
-				t.Errorf("form %q", record.Form)
+				t.Errorf("got form %q, want that of the test case", record.Form)
 			}
 			value, measured, err := record.At(c.size)
 			if measured || errors.Is(err, capacity.ErrOutOfRange) != (c.want == 0) || math.Abs(value-c.want) > 0.01 {
-				t.Errorf("%v, at %v %v %v %v", record, c.size, value, measured, err)
+				t.Errorf("%v: at size %v got %v, measured %v, error %v, want the test case's value or ErrOutOfRange",
+					record, c.size, value, measured, err)
 			}
 			if value, measured, _ := record.At(c.points[0]); !measured || value != c.points[1] {
-				t.Errorf("at a size that was measured %v", value)
+				t.Errorf("at the first measured size: got %v, want the measured value", value)
 			}
 		})
 	}
 }
 
-// fitted returns a record over points of size and value, fitted.
+// fitted returns a fitted record. points alternate between size and value.
 func fitted(t *testing.T, name, unit, over string, points ...float64) *capacity.Record {
 	t.Helper()
 	record := slope(name)
@@ -128,7 +128,7 @@
 	return record
 }
 
-// Points on any line are found to be on it, whatever their order, and a record reads back as it was written.
+// Fit has to recognize any line, whatever the order of its points, and a record has to be parsed as it was written.
 func TestFitFindsAnyLineAndRecordsReadBack(t *testing.T) {
 	testkit.FixSeeds(t)
 	rapid.Check(t, func(r *rapid.T) {
@@ -143,7 +143,7 @@
 		}
 		want := base + perNode*780
 		if value, _, err := record.At(780); err != nil || record.Form != capacity.Line || math.Abs(value-want) > want/1e4 {
-			r.Fatalf("%v: %v at 780, %v wanted, %v", record, value, want, err)
+			r.Fatalf("%v: got %v at 780, want %v on a line, error %v", record, value, want, err)
 		}
 		encoded, err := capacity.Records{"x": record}.Bytes()
 		if err != nil {
@@ -151,7 +151,7 @@
 		}
 		all, err := capacity.Parse("f", encoded)
 		if err != nil || fmt.Sprint(*all["x"]) != fmt.Sprint(*record) {
-			r.Fatalf("%v, %v", all["x"], err)
+			r.Fatalf("parsed again: got record %v, error %v, want the one that was written", all["x"], err)
 		}
 	})
 }
--- a/internal/capacity/records.go
+++ b/internal/capacity/records.go
@@ -13,14 +13,14 @@
 	"github.com/google/renameio/v2"
 )
 
-// Records are slopes by name.
+// Records maps names to records.
 type Records map[string]*Record
 
-// ErrBadFile is wrapped by the errors of a file whose list of records is not valid.
-var ErrBadFile = errors.New("not a list of records")
+// ErrBadFile is wrapped by the errors of a file whose list has an empty or a duplicate record.
+var ErrBadFile = errors.New("invalid list of records")
 
-// Read reads a file of records. A file that does not exist has none. A file that cannot be parsed, or with a record
-// that is not valid or comes twice, is an error.
+// Read reads a file of records. It returns none if the file does not exist. It fails if the file cannot be parsed, or
+// if a record is invalid or appears twice.
 func Read(path string) (Records, error) {
 	encoded, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -32,7 +32,7 @@
 	return Parse(path, encoded)
 }
 
-// Parse reads records from a file's bytes; the path is for errors.
+// Parse parses the content of a file of records. The path is only used in errors.
 func Parse(path string, encoded []byte) (Records, error) {
 	decoder := json.NewDecoder(bytes.NewReader(encoded))
 	decoder.DisallowUnknownFields()
@@ -49,14 +49,14 @@
 			return nil, fmt.Errorf("%s: %w", path, err)
 		}
 		if records[record.Name] != nil {
-			return nil, fmt.Errorf("%s: %s comes twice: %w", path, record.Name, ErrBadFile)
+			return nil, fmt.Errorf("%s: record %s appears twice: %w", path, record.Name, ErrBadFile)
 		}
 		records[record.Name] = record
 	}
 	return records, nil
 }
 
-// Bytes returns the records as the file has them, sorted by name. A record that is not valid is an error.
+// Bytes returns the content of a file of records, sorted by name. It fails if a record is invalid.
 func (r Records) Bytes() ([]byte, error) {
 	list := make([]*Record, 0, len(r))
 	for _, record := range r {
@@ -72,8 +72,8 @@
 	return append(encoded, '\n'), err
 }
 
-// Merge fits records and puts them into a file, in place of those of the same names. The file is replaced as a whole,
-// or not changed if any record is not valid.
+// Merge fits records and writes them to a file, where they replace those of the same names. The file is replaced as a
+// whole. If any record is invalid, it is left unchanged.
 func Merge(path string, records ...*Record) error {
 	all, err := Read(path)
 	if err != nil {
--- a/internal/capacity/runs.go
+++ b/internal/capacity/runs.go
@@ -10,13 +10,13 @@
 	"strings"
 )
 
-// ErrBadRun is wrapped by the errors of a run that cannot be taken in.
-var ErrBadRun = errors.New("not a run that counts")
+// ErrBadRun is wrapped by the errors of a run that cannot be converted to records.
+var ErrBadRun = errors.New("not a usable run")
 
-// axis is what a run's size counts.
+// axis names the quantity that a size of a run counts.
 type axis string
 
-// The axes: followers, nodes and changes of the fleet bench, gateways of the scale tests.
+// The axes: followers, nodes and changes in the fleet bench, gateways in the scale tests.
 const (
 	followersAxis axis = "followers"
 	nodesAxis     axis = "nodes"
@@ -24,13 +24,13 @@
 	gatewaysAxis  axis = "gateways"
 )
 
-// benchAxes are the sizes that a run of the fleet bench has.
+// benchAxes are the axes on which a run of the fleet bench has a size.
 var benchAxes = []axis{followersAxis, nodesAxis, changesAxis}
 
-// Kinds of runs. That of a scale test is scaleKindPrefix and its case.
+// Kinds of runs. The kind of a scale test is scaleKindPrefix followed by the name of its case.
 const (
 	benchKind       = "control"
-	historyKind     = "history" // of the fleet bench without followers
+	historyKind     = "history" // a run of the fleet bench without followers
 	scaleKindPrefix = "scale_"
 )
 
@@ -39,14 +39,14 @@
 	kind    string
 	sizes   map[axis]float64
 	figures map[string]float64 // by name
-	marks   []run              // of the fleet bench: by changes
+	marks   []run              // intermediate results of a fleet bench, by number of changes
 }
 
 func newRun(kind string) run {
 	return run{kind: kind, sizes: map[axis]float64{}, figures: map[string]float64{}}
 }
 
-// parseRuns parses a file of one run, or of a list of them.
+// parseRuns parses a file that holds one run or a list of runs.
 func parseRuns(file []byte) (runs []run, err error) {
 	var list []map[string]any
 	if json.Unmarshal(file, &list) != nil {
@@ -66,7 +66,7 @@
 	return runs, nil
 }
 
-// parseRun parses a run of the scale tests, which names its case, or of the fleet bench.
+// parseRun parses a run of a scale test, recognized by its field "case", or of the fleet bench.
 func parseRun(fields map[string]any) (run, error) {
 	if name, ok := fields["case"].(string); ok {
 		return parseScaleRun(name, fields)
@@ -74,11 +74,11 @@
 	return parseBenchRun(fields)
 }
 
-// parseScaleRun parses a run of a scale test. One with violations, or that was not run, is an error.
+// parseScaleRun parses a run of a scale test. A case that had violations or was not run is an error.
 func parseScaleRun(name string, fields map[string]any) (run, error) {
 	parsed := newRun(scaleKindPrefix + identifier(name))
 	if violations, ok := fields["broken"].([]any); ok && len(violations) > 0 {
-		return parsed, fmt.Errorf("case %s: %v: %w", name, violations[0], ErrBadRun)
+		return parsed, fmt.Errorf("case %s violated a check: %v: %w", name, violations[0], ErrBadRun)
 	}
 	if reason, _ := fields["not_run"].(string); reason != "" {
 		return parsed, fmt.Errorf("case %s was not run: %s: %w", name, reason, ErrBadRun)
@@ -86,7 +86,7 @@
 	size, _ := fields["size"].(map[string]any)
 	gateways, ok := size["gateways"].(float64)
 	if !ok {
-		return parsed, fmt.Errorf("case %s says no number of gateways: %w", name, ErrBadRun)
+		return parsed, fmt.Errorf("case %s has no number of gateways: %w", name, ErrBadRun)
 	}
 	parsed.sizes[gatewaysAxis] = gateways
 	parsed.addFigures("", fields["figures"])
@@ -102,7 +102,7 @@
 	for _, axis := range benchAxes {
 		size, ok := fields[string(axis)].(float64)
 		if !ok {
-			return parsed, fmt.Errorf("no %s: this is no run of the bench: %w", axis, ErrBadRun)
+			return parsed, fmt.Errorf("no field %s, not a run of the fleet bench: %w", axis, ErrBadRun)
 		}
 		if size != 0 {
 			parsed.sizes[axis] = size
@@ -120,7 +120,7 @@
 	return parsed, nil
 }
 
-// parseMarkRun parses a mark of a run of the fleet bench.
+// parseMarkRun parses a mark, an intermediate result of a run of the fleet bench.
 func parseMarkRun(value any) run {
 	fields, _ := value.(map[string]any)
 	mark := newRun("")
@@ -131,8 +131,8 @@
 	return mark
 }
 
-// addFigures adds all numbers of a JSON value, with names that join those of the fields. Of a list, which has one
-// number for each replica, the largest and the second largest count.
+// addFigures adds all numbers in a JSON value. The name of a nested number is formed from the names of the enclosing
+// fields. A list has one number for each replica, of which the two largest are added.
 func (r *run) addFigures(name string, value any) {
 	switch value := value.(type) {
 	case float64:
@@ -146,6 +146,8 @@
 	}
 }
 
+// addReplicaFigures adds the largest number of a list under the name, and the second largest under the name with
+// "_others" appended.
 func (r *run) addReplicaFigures(name string, list []any) {
 	var numbers []float64
 	for _, value := range list {
@@ -164,7 +166,8 @@
 
 var nonIdentifier = regexp.MustCompile(`[^a-z0-9]+`)
 
-// identifier returns a text in lower case with underscores in place of all else but letters and digits.
+// identifier returns a text in lower case, with each run of characters other than letters and digits replaced by an
+// underscore and none at either end.
 func identifier(text string) string {
 	return strings.Trim(nonIdentifier.ReplaceAllString(strings.ToLower(text), "_"), "_")
 }
--- a/internal/capacity/webgateway_test.go
+++ b/internal/capacity/webgateway_test.go
@@ -22,24 +22,24 @@
 	"irispost/internal/testkit/testaddr"
 )
 
-// webGateway is `irispost web` in a process of its own, before test nodes and a test discovery service.
+// webGateway is `irispost web` in a separate process, with test nodes and a test discovery service.
 type webGateway struct {
 	t          *testing.T
 	command    *exec.Cmd
 	addr       string
 	nodes      int
-	nodeBytes  meter.Bytes  // at all nodes
-	polls      atomic.Int64 // at the discovery service
+	nodeBytes  meter.Bytes  // on the connections of all nodes
+	polls      atomic.Int64 // received by the discovery service
 	requestIDs atomic.Int64
 }
 
-// startWebGateway starts the program that IRISPOST_BIN names, built before: go build -o FILE ./cmd/irispost. It
-// returns once the gateway has its first list.
+// startWebGateway starts the program that IRISPOST_BIN names, which has to be built first: go build -o FILE
+// ./cmd/irispost. It returns once the gateway has its first endpoint list.
 func startWebGateway(t *testing.T, nodes int) *webGateway {
 	t.Helper()
 	program := os.Getenv("IRISPOST_BIN")
 	if program == "" {
-		t.Fatal("IRISPOST_BIN names no program: go build -o FILE ./cmd/irispost")
+		t.Fatal("IRISPOST_BIN is not set; build the program with: go build -o FILE ./cmd/irispost")
 	}
 	g := &webGateway{t: t, nodes: nodes}
 	list := discovery.Response{Revision: 1, Full: true}
@@ -56,15 +56,15 @@
 	}
 	t.Cleanup(func() {
 		_ = g.command.Process.Signal(syscall.SIGKILL)
-		_ = g.command.Wait() // it reports the kill
+		_ = g.command.Wait() // returns an error because of the signal
 	})
-	for g.polls.Load() < 2 { // the second poll comes after the first list
+	for g.polls.Load() < 2 { // the second poll follows the receipt of the first list
 		time.Sleep(10 * time.Millisecond)
 	}
 	return g
 }
 
-// writeConfig writes the gateway's configuration and returns the file's name.
+// writeConfig writes the gateway's configuration file and returns its path.
 func (g *webGateway) writeConfig(discoveryAddr string) string {
 	g.t.Helper()
 	text := fmt.Sprintf(`{"name":"n1","listen":%q,"discovery":%q,"seed":"1",
@@ -94,17 +94,17 @@
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
 		g.polls.Add(1)
 		if request.FormValue("from") != strconv.FormatInt(list.Revision, 10) {
-			_, _ = w.Write(full) // a client that has gone polls again
+			_, _ = w.Write(full) // a client that has disconnected polls again
 			return
 		}
-		holdMillis, _ := strconv.Atoi(request.FormValue("hold_ms")) // 0: it does not wait
+		holdMillis, _ := strconv.Atoi(request.FormValue("hold_ms")) // 0: the caller does not wait
 		select {
 		case <-time.After(time.Duration(holdMillis) * time.Millisecond):
 		case <-request.Context().Done():
 		}
-		_, _ = w.Write(unchanged) // likewise
+		_, _ = w.Write(unchanged) // a client that has disconnected polls again
 	})}
-	go func() { _ = server.Serve(listener) }() // it ends with the error that the server is closed
+	go func() { _ = server.Serve(listener) }() // returns an error once the server is closed
 	g.t.Cleanup(func() { _ = server.Close() })
 	return listener.Addr().String()
 }
@@ -125,7 +125,7 @@
 	return listener.Addr().String()
 }
 
-// echoBodies answers requests until the connection ends.
+// echoBodies answers each request with its body until the connection is closed.
 func echoBodies(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	for reader := bufio.NewReader(conn); ; {
@@ -150,7 +150,7 @@
 	reader *bufio.Reader
 }
 
-// dial opens a client's connection. Its bytes are counted, unless bytes is nil.
+// dial opens a client connection. If bytes is not nil, the connection's bytes are added to it.
 func (g *webGateway) dial(bytes *meter.Bytes) *clientConn {
 	conn, err := net.Dial("tcp", g.addr)
 	if err != nil {
@@ -162,7 +162,7 @@
 	return &clientConn{conn, bufio.NewReaderSize(conn, 1024)}
 }
 
-// requestText returns a request of a shard with a body of a length.
+// requestText returns the text of a request to a shard, with a body of the given length.
 func (g *webGateway) requestText(shard, bodyLength int) string {
 	var b strings.Builder
 	b.WriteString("PUT /api?extent=7f3a9c21e0b4d655 HTTP/1.1\r\nHost: origin.svc\r\n")
@@ -173,7 +173,7 @@
 	return b.String()
 }
 
-// request sends a request and reads its response, which has to be 200.
+// request sends a request and reads its response. It fails unless the status is 200.
 func (g *webGateway) request(client *clientConn, shard, bodyLength int) error {
 	if _, err := io.WriteString(client, g.requestText(shard, bodyLength)); err != nil {
 		return err
@@ -187,12 +187,12 @@
 		return err
 	}
 	if response.StatusCode != http.StatusOK {
-		return fmt.Errorf("status %d", response.StatusCode)
+		return fmt.Errorf("got status %d, want 200", response.StatusCode)
 	}
 	return nil
 }
 
-// usage returns what the gateway's process has used.
+// usage returns the resource usage of the gateway's process.
 func (g *webGateway) usage() meter.Usage {
 	used, err := meter.Process(g.command.Process.Pid)
 	if err != nil {
@@ -204,15 +204,15 @@
 // memoryMB returns the resident memory of the gateway's process.
 func (g *webGateway) memoryMB() float64 { return g.usage().MB }
 
-// corePercent returns the part of a core in percent that the gateway's process uses during a call.
+// corePercent returns the processor time that the gateway's process uses during a call, in percent of one core.
 func (g *webGateway) corePercent(call func()) float64 {
 	startedAt, before := time.Now(), g.usage().CPU
 	call()
 	return 100 * float64(g.usage().CPU-before) / float64(time.Since(startedAt))
 }
 
-// forEachNumber calls do for all numbers below count, in a number of goroutines, and waits for their end. The numbers
-// of one goroutine differ by workers.
+// forEachNumber calls do for all numbers from 0 to count-1 in concurrent goroutines, one for each worker, and waits for
+// them to finish. Worker w handles the numbers w, w+workers, w+2*workers and so on, in this order.
 func forEachNumber(count, workers int, do func(i int)) {
 	var running sync.WaitGroup
 	for worker := range workers {
