--- a/internal/iscsi/negotiate/negotiate_test.go
+++ b/internal/iscsi/negotiate/negotiate_test.go
@@ -158,7 +158,8 @@
 		"another target":         {Account{}, []request{{Current: Security, Text: encodeText("InitiatorName=a", "TargetName=b")}}, 2, 3},
 		"starts in full feature": {Account{}, []request{{Current: FullFeature}}, 2, 0},
 		"earlier stage":          {Account{}, []request{operationalRequest(), {Current: Security}}, 2, 0},
-		"to the same stage":      {Account{}, []request{{Current: Operational, Next: Operational, Transit: true, Text: encodeText(nameKeys...)}}, 2, 0},
+		"to the same stage": {Account{}, []request{
+			{Current: Operational, Next: Operational, Transit: true, Text: encodeText(nameKeys...)}}, 2, 0},
 		"malformed text":         {Account{}, []request{{Current: Security, Text: []byte("what")}}, 2, 0},
 		"continue and transit":   {Account{}, []request{{Current: Security, Continue: true, Transit: true}}, 2, 0},
 		"unknown session type":   {Account{}, []request{{Current: Security, Text: encodeText("InitiatorName=a", "SessionType=Odd")}}, 2, 0},
@@ -192,7 +193,8 @@
 		}
 		entered := login.Stage() == FullFeature && c.requests[0].Current != Operational
 		if rejection == nil || rejection.Class != c.class || rejection.Detail != c.detail || entered {
-			t.Errorf("%s: got %v in stage %d, want a rejection with the class and detail of this case, outside FullFeature", name, rejection, login.Stage())
+			t.Errorf("%s: got %v in stage %d, want a rejection with the class and detail of this case, outside FullFeature",
+				name, rejection, login.Stage())
 		}
 	}
 }
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -183,8 +183,7 @@
 		return r
 	}
 	if r := change(func(*capture.Record) {}); !r.Matches() {
-		t.Fatalf("got state %v, want the same decisions; after an intended change, generate the captures again\n%s",
-			r.State, describeDifference(r))
+		t.Fatalf("got state %v, want the same decisions; after an intended change, regenerate the captures\n%s", r.State, describeDifference(r))
 	}
 	for name, alter := range map[string]func(*capture.Record){
 		"a shorter goal": func(r *capture.Record) {
@@ -219,12 +218,10 @@
 		return rec, err
 	}, Options{ContinueAfterDifference: true})
 	if err != nil || r.State != Ended || r.DifferingDecisions < 2 || r.Difference == nil || r.Matches() {
-		t.Errorf("replay past differences: got state %v, %d differing decisions, error %v, want it ended with at least 2",
-			r.State, r.DifferingDecisions, err)
+		t.Errorf("past differences: got state %v, %d differing, error %v, want Ended, at least 2, nil", r.State, r.DifferingDecisions, err)
 	}
 	if r := change(func(r *capture.Record) { r.Digest++ }); r.SamePolicySource || !r.Matches() {
-		t.Errorf("capture of another source: got same source %v, same decisions %v, want false, true",
-			r.SamePolicySource, r.Matches())
+		t.Errorf("capture of another source: got same source %v, same decisions %v, want false, true", r.SamePolicySource, r.Matches())
 	}
 }
 
--- a/internal/scsi/golden_test.go
+++ b/internal/scsi/golden_test.go
@@ -62,7 +62,8 @@
 		return
 	}
 	dataOut, maxDataIn := command.DataLengths(unit)
-	fmt.Fprintf(out, "%x: kind %d, block %d, %d blocks, brings %d, answers %d", cdb, command.Kind, command.LBA, command.Blocks, dataOut, maxDataIn)
+	fmt.Fprintf(out, "%x: kind %d, block %d, %d blocks, brings %d, answers %d",
+		cdb, command.Kind, command.LBA, command.Blocks, dataOut, maxDataIn)
 	answer, sense := unit.ResponseData(&command, []uint16{0, 300})
 	if sense != nil {
 		fmt.Fprintf(out, ", %s", sense)
