--- a/internal/adapter/adapter_test.go
+++ b/internal/adapter/adapter_test.go
@@ -8,7 +8,7 @@
 	"irispost/internal/wire"
 )
 
-// runLines runs an adapter on input lines, in which "|" stands for the tab character. It returns the replies in the
+// runLines runs an adapter on input lines, in which "|" replaces the tab character. It returns the replies in the
 // same form, and the error of the adapter.
 func runLines(lines ...string) (string, error) {
 	in := strings.ReplaceAll(strings.Join(lines, "\n")+"\n", "|", "\t")
--- a/internal/adapter/golden_test.go
+++ b/internal/adapter/golden_test.go
@@ -16,7 +16,7 @@
 // logText matches the scheduler's log lines. Their texts are for human readers and are not compared.
 var logText = regexp.MustCompile(`(?m)^(TRACE\|[0-9]+\||[0-9]+ log ).+$`)
 
-// TestSessionMatchesGolden runs a session of three instances, in a file in which "|" stands for the tab character, and
+// TestSessionMatchesGolden runs a session of three instances, in a file in which "|" replaces the tab character, and
 // compares the replies and the calls to the taps with golden files.
 func TestSessionMatchesGolden(t *testing.T) {
 	input, err := os.ReadFile(filepath.Join("testdata", "session.in"))
--- a/internal/fleet/lease/client.go
+++ b/internal/fleet/lease/client.go
@@ -129,7 +129,7 @@
 	return request
 }
 
-// HandleResponse processes a response, whose versions have their contents as far as these could be fetched. A
+// HandleResponse processes a response. Its versions have their contents, except those that could not be fetched. A
 // response that is older than an accepted one is ignored.
 func (c *Client) HandleResponse(now Time, response *RenewResponse) {
 	c.Effective(now)
@@ -239,7 +239,8 @@
 	c.state = to
 }
 
-// KnownState returns the state of the log as far as the client knows it. A watch reports when that has changed.
+// KnownState returns the latest term and version numbers that the client knows. A watch reports when the replicas have
+// others.
 func (c *Client) KnownState() (term, inForce, announced uint64) {
 	return c.term, c.inForce, c.announced
 }
--- a/internal/fleet/slowstart/budget/settings.go
+++ b/internal/fleet/slowstart/budget/settings.go
@@ -1,7 +1,7 @@
 // Package budget allocates the units that all gateways together may send to a storage node in slow start. One
 // allocator holds a node's budget and allocates parts of it to the gateways that have requests waiting for the node,
 // highest priority first. An allocation is outstanding until it is returned or has expired. The units that are
-// available or outstanding never exceed the budget, whichever process exits, stalls or is partitioned. Package agent
+// available or outstanding never exceed the budget, even if processes exit, stall or are partitioned. Package agent
 // calls this package.
 //
 // The package has no I/O, clocks, locks or randomness; callers own its values. Times are nanoseconds on one process's
@@ -19,10 +19,10 @@
 
 // Settings describe the capacity of a node during its slow start and how that is allocated.
 type Settings struct {
-	InitialFraction  float64 // part of its full rate that a node starts with, at least
+	InitialFraction  float64 // minimum part of its full rate that a node starts with
 	WarmupTime       Time    // time after its start at which a node has its full rate
-	OverloadMultiple float64 // a node fails if it is sent this multiple of its rate
-	Window           Time    // for this long
+	OverloadMultiple float64 // a node fails if it is sent this multiple of its rate for a Window
+	Window           Time    // duration over which the units sent to a node are counted
 	MinUnits         float64 // units that a node can take in a window, whatever its rate
 
 	AllocatedShare float64 // part of a node's capacity that is allocated
@@ -51,7 +51,7 @@
 
 // MaxOutstanding returns the maximum number of units that can be sent at once to a node of the given age, whether they
 // are available, allocated or in a message. sinceMove is how long a new allocator may have been at work while
-// allocations of its predecessor were still valid; values above the lifetime of an allocation count as that.
+// allocations of its predecessor were still valid; a value above the lifetime of an allocation counts as that lifetime.
 func (s Settings) MaxOutstanding(age Time, rate float64, sinceMove Time) float64 {
 	allocated := s.AllocatedShare * s.Capacity(age, rate)
 	longest := Time(float64(s.outstandingTime()) * s.driftRatio())
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -81,8 +81,8 @@
 	return call
 }
 
-// decisionExpired reports whether an attempt may no longer be sent because too much time has passed, for example while
-// the process was paused, since the loop read the clock for this decision.
+// decisionExpired reports whether an attempt may no longer be sent, because too much time has passed since the loop
+// read the clock for this decision, for example while the process was paused.
 func (l *Loop) decisionExpired(scheduled *scheduler.Attempt) bool {
 	now := l.opt.Clock.Now()
 	return l.configValidUntil > 0 && now >= l.configValidUntil || scheduled.SendBefore > 0 && now >= scheduled.SendBefore
--- a/scheduler/apply_settings_test.go
+++ b/scheduler/apply_settings_test.go
@@ -8,9 +8,9 @@
 		name string
 		test func(t *testing.T)
 	}{
-		{"a rate limit below present use cuts what is saved up", checkLowerRateLimit},
-		{"a rate limit where there was none begins empty", checkNewRateLimit},
-		{"a reserve is cut at once, and the nominal rate stands in for none", checkLowerReserve},
+		{"a rate limit below present use reduces the accumulated level", checkLowerRateLimit},
+		{"a rate limit where there was none starts empty", checkNewRateLimit},
+		{"a reserve is lowered at once, and the nominal rate replaces a missing one", checkLowerReserve},
 		{"requests in flight keep the strictest idempotency", checkChangedIdempotency},
 		{"two dedup scopes that differ are non-idempotent", checkStricterClass},
 		{"a service level that is left out is not served until it is back", checkRemovedServiceLevel},
--- a/scheduler/capacity.go
+++ b/scheduler/capacity.go
@@ -63,8 +63,8 @@
 // reserved ones.
 func (s *Scheduler) heavilyLoaded(node *Node) bool {
 	threshold := Time(heavyLoadThreshold * float64(s.tightestObjective))
-	lately := s.now-node.LastAnswerAt < s.tightestObjective
-	return node.Measured && lately && node.expectedLatency(s.meanUnits) > threshold
+	recent := s.now-node.LastAnswerAt < s.tightestObjective
+	return node.Measured && recent && node.expectedLatency(s.meanUnits) > threshold
 }
 
 // ownStall returns for how long this gateway itself has stalled until now: the delay of its periodic round if that
@@ -107,8 +107,8 @@
 }
 
 // recordFirstLatency initialises the estimates of a node from its first answer. The service rate starts at the
-// average of the other nodes, which stood in for it until now. The base latency is that of the answer or, if lower,
-// the average base latency of the measured nodes.
+// average of the other nodes, which was used in its place until now. The base latency is that of the answer or, if
+// lower, the average base latency of the measured nodes.
 func (s *Scheduler) recordFirstLatency(node *Node, latency, units float64) {
 	rate := s.serviceRate(node)
 	node.Measured = true
@@ -142,9 +142,9 @@
 	n.UnitsLatencyCovariance += weight * (deviation*(latency-n.MeanLatency) - n.UnitsLatencyCovariance)
 }
 
-// adjustInFlightShare increases the share of the objective that limits the units in flight after an answer within its
-// objective. It decreases the share after an answer that was sent in time and came late: the node has fallen behind
-// its measured rate.
+// adjustInFlightShare adjusts the share of the objective that limits the units in flight. An answer within its
+// objective increases the share. A late answer to an attempt that was sent in time decreases it: the node has fallen
+// behind its measured rate.
 func (n *Node) adjustInFlightShare(attempt *Attempt, now Time) {
 	deadline := attempt.Request.ObjectiveDeadline
 	switch {
--- a/scheduler/capacity_test.go
+++ b/scheduler/capacity_test.go
@@ -14,7 +14,8 @@
 		h.advanceInSteps(took * Millisecond)
 		h.finish(h.inFlight[0], OutcomeServed)
 		if lowered := node.InFlightShare < inFlightShareInitial; lowered != (took == 250) {
-			t.Errorf("in-flight share is %g after an answer that took %d ms", node.InFlightShare, took)
+			t.Errorf("in-flight share is %g after an answer that took %d ms, want it lowered only after 250 ms",
+				node.InFlightShare, took)
 		}
 		node.InFlightShare, node.MeanLatency, node.EjectedUntil = inFlightShareInitial, 0, 0
 	}
--- a/scheduler/endpoint_list_test.go
+++ b/scheduler/endpoint_list_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // After a failed call, the list is requested again soon, since nodes may be draining. While calls keep failing, the
-// interval grows so that the gateways do not all return at once. Three calls must still fit into the time after which
+// interval grows so that the gateways do not all call at once. Three calls must still fit into the time after which
 // the list is outdated. Receiving a list resets the backoff.
 func TestListBackoffBeginsShortAndDoubles(t *testing.T) {
 	h := newHarness(1, testSettings("discovery=ask"))
@@ -56,7 +56,7 @@
 		}
 		late := h.submit(1, "read", 1, 1)
 		h.advance(Millisecond)
-		expectEqual(t, h, "sent to a node that has not answered lately", late.State == RequestInFlight, !unresponsive)
+		expectEqual(t, h, "sent to a node that has not answered recently", late.State == RequestInFlight, !unresponsive)
 		expectEqual(t, h, "still sent to a node that answers", sent["a0"] > 100, true)
 		// More than the duration of slow start has passed since the list was last received.
 		expectEqual(t, h, "warming up at the end", h.scheduler.warmingUp(h.node("a0")), false)
@@ -102,7 +102,8 @@
 			worst = max(worst, h.now-failedAt)
 		}
 		if worst > c.longest+50*Millisecond || worst < c.longest/2 {
-			t.Errorf("%+v: longest time to the next call is %d ms", c, worst/Millisecond)
+			t.Errorf("%+v: got a longest time to the next call of %d ms, want half to all of the case's longest, plus 50 ms",
+				c, worst/Millisecond)
 		}
 	}
 }
--- a/scheduler/fair_queuing_test.go
+++ b/scheduler/fair_queuing_test.go
@@ -50,7 +50,7 @@
 	expectEqual(t, h, "flow in service after the gap", node.InService, (*Flow)(nil))
 }
 
-// A volume that was idle for long returns level with the others, not ahead of them.
+// A volume that was idle for a long time is not served ahead of the others when it returns.
 func TestIdleFlowGathersNoVirtualTimeCredit(t *testing.T) {
 	h := newHarness(1, testSettings())
 	h.listNode("a0", 0, 0, EndpointReady)
--- a/scheduler/requests.go
+++ b/scheduler/requests.go
@@ -42,8 +42,8 @@
 }
 
 // setObjectiveDeadline sets the end of the latency objective, which starts with the client's first try. If the
-// request has less time until its deadline than the longest seen in its class, it is taken for a client's retry, and
-// the difference for time that has already elapsed.
+// request has less time until its deadline than the longest seen in its class, it is assumed to be a client's retry,
+// and the difference to be the time since the first try.
 func (r *Request) setObjectiveDeadline(remaining Time) {
 	class := r.Class
 	share := float64(remaining) / float64(max(class.ClientTimeout, 1))
--- a/scheduler/settings_changes_test.go
+++ b/scheduler/settings_changes_test.go
@@ -42,7 +42,8 @@
 		}
 		s := run.scheduler
 		if run.violation != "" || len(s.requests) > 0 || len(s.unplaced) > 0 {
-			t.Fatalf("violation %q, %d requests held, %d unplaced", run.violation, len(s.requests), len(s.unplaced))
+			t.Fatalf("got violation %q, %d requests held, %d unplaced, want none",
+				run.violation, len(s.requests), len(s.unplaced))
 		}
 	})
 }
--- a/scheduler/slow_start.go
+++ b/scheduler/slow_start.go
@@ -18,9 +18,9 @@
 //   - Saved up: the request is within this gateway's even part of a budget. That budget is the larger of what the
 //     node tolerates in any case, and the safe multiple of its present capacity, estimated from the rate of other
 //     nodes. Half of the part is the capacity of a token bucket, and half flows into it during a window.
-//   - At random, if half of that part is smaller than the request. Otherwise most of the budget would go unused,
-//     because only a few of many gateways send to a given node. A share of the requests is admitted that are within
-//     their reserve, or within the same share of the fair rate. A warm node can serve what service levels are sized
+//   - At random, if half of that part is smaller than the request. Without this, most of the budget would go unused,
+//     because only a few of many gateways send to a given node. Of the requests that are within their reserve, or
+//     within a share of the fair rate, the same share is admitted. A warm node can serve what service levels are sized
 //     for, so the total over all gateways is about that share of its capacity. Too much is sent if volumes ask for
 //     many times their service levels while answers are fast.
 func (s *Scheduler) withinSlowStart(node *Node, request *Request) bool {
--- a/scheduler/slow_start_fleet_test.go
+++ b/scheduler/slow_start_fleet_test.go
@@ -145,10 +145,10 @@
 	return maxExcess
 }
 
-// All gateways together stay within the budget of a warming node: N attempts, and 2 x sqrt(N) + 2 for chance, in the
-// worst case over many seeds, and they do use it. The cases cover 5 to 300 gateways, uneven traffic, gateways that
-// restart and lose their state, retries, and attempts that arrive late and all at once. The worst run of each case is
-// logged: 0 means N, 1 means the bound. The capacity record reads these lines.
+// All gateways together stay within the budget of a warming node: N attempts, and 2 x sqrt(N) + 2 for random variation,
+// in the worst case over many seeds, and they do use it. The cases cover 5 to 300 gateways, uneven traffic, gateways
+// that restart and lose their state, retries, and attempts that arrive late and all at once. The worst run of each case
+// is logged with its excess (see simulate): 0 means N, 1 means the bound. The capacity record reads these lines.
 func TestFleetStaysWithinTheBudgetOfAWarmingNode(t *testing.T) {
 	sizes := []int{5, 20, 30, 300}
 	if os.Getenv("IRISPOST_MEASURE") != "" {
@@ -178,7 +178,7 @@
 			mean := float64(sum) / float64(seeds)
 			t.Logf("%d gateways, %s: %.0f calls in 4 s, at worst %.2f", gateways, name, mean, worst)
 			if worst > 1 || mean < 4 {
-				t.Errorf("%d gateways, %s: %.0f calls in 4 s, at worst %.2f", gateways, name, mean, worst)
+				t.Errorf("%d gateways, %s: %.0f calls in 4 s, at worst %.2f, want at least 4 and at most 1", gateways, name, mean, worst)
 			}
 		}
 	}
--- a/scheduler/slow_start_test.go
+++ b/scheduler/slow_start_test.go
@@ -71,7 +71,8 @@
 		units, share := c.simulate()
 		t.Logf("%+v: sent %.0f units, at most %.0f%% of the slow-start budget", c, units, 100*share)
 		if share > c.maxShare || units < c.minUnits {
-			t.Errorf("%+v: sent %g units in four seconds, at most %.0f%% of the slow-start budget", c, units, 100*share)
+			t.Errorf("%+v: sent %g units in four seconds, at most %.0f%% of the slow-start budget, want at least minUnits and at most maxShare",
+				c, units, 100*share)
 		}
 	}
 }
--- a/scheduler/tuning.go
+++ b/scheduler/tuning.go
@@ -54,7 +54,7 @@
 	fairRateGain       = 3.0      // exponent of the adjustment, per objective of deviation
 	fairRateMaxWait    = 2.0      // longer waits are counted as this, in objectives
 	fairRateMin        = 1.0 / 32 // lower bound
-	fairRateMax        = 4.0      // upper bound; from 1 on the node takes everything
+	fairRateMax        = 4.0      // upper bound; from 1 on the fair rate limits nothing
 )
 
 // Outlier detection.
