--- a/internal/bench/bench.go
+++ b/internal/bench/bench.go
@@ -42,7 +42,8 @@
 
 // Run measures all cases and writes a table of the results to out. It starts the executable program as gateways and
 // replicas. profile is the file for a CPU profile of the plain gateway, or empty for none. Each case is measured in the
-// given number of rounds. In a round, the node and every gateway are measured in turn, each for the duration each.
+// given number of rounds. In a round, the node and every gateway are measured one after another. The parameter each is
+// the duration of one such measurement.
 func Run(out io.Writer, program, profile string, each time.Duration, rounds int) error {
 	bed, err := startTestbed(program, profile)
 	if err != nil {
@@ -82,7 +83,8 @@
 	files, _ := filepath.Glob(filepath.Join(dir, "*.iriscap")) // the pattern is valid
 	for _, file := range files {
 		if info, err := os.Stat(file); err == nil {
-			_, _ = fmt.Fprintf(out, "the capture has %.1f bytes a job\n", float64(info.Size())/requests) // as in writeRatios
+			// An error is ignored, as in writeRatios: Flush has succeeded on out.
+			_, _ = fmt.Fprintf(out, "the capture has %.1f bytes a job\n", float64(info.Size())/requests)
 		}
 	}
 }
--- a/internal/capacity/listservice_test.go
+++ b/internal/capacity/listservice_test.go
@@ -128,7 +128,7 @@
 	s.polls = nil
 }
 
-// pollsWithin returns the number of polls that arrived before span had passed since a time.
+// pollsWithin returns the number of polls that arrived less than span after the given time.
 func (s *listService) pollsWithin(span time.Duration, after time.Time) (count int) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -79,7 +79,7 @@
 	slower := maps.Clone(records)
 	slower[name] = tenTimes(t, records[name])
 	return []pageDefect{
-		{"a record measured dearer", page, slower, "serving_module_us says"},
+		{"a record with ten times the measured values", page, slower, "serving_module_us says"},
 		{"a record gone", page, without, "serving_module_us says"},
 	}
 }
@@ -94,12 +94,12 @@
 	kept := maps.Clone(records)
 	kept[name] = fitted(t, name, "MB", "followers", 100, 2, 300, 2, 780, 2)
 	listed := fill(t, page, kept) + "\n1. <!-- missing control_mb --> memory\n"
-	ordinaryLast := page + "\n1. <!-- missing zone_core --> a zone\n2. <!-- missing serving_core --> a day\n"
+	normalOperationLast := page + "\n1. <!-- missing zone_core --> a zone\n2. <!-- missing serving_core --> a day\n"
 	return []pageDefect{
 		{"a bound exceeded without an entry", unlisted, exceeded, "control_mb is 200 MB"},
 		{"an entry for a bound that is kept", listed, kept, "whose bound is kept"},
 		{"an entry that names nothing", page + "\n1. <!-- missing luck --> luck\n", records, "no such figure"},
-		{"an ordinary day after a rare failure", ordinaryLast, records, "comes after"},
+		{"an entry for normal operation after one for a failure", normalOperationLast, records, "comes after"},
 	}
 }
 
--- a/internal/capacity/record.go
+++ b/internal/capacity/record.go
@@ -44,8 +44,8 @@
 // Record is a quantity that was measured at three or more sizes, with the function that fits it.
 type Record struct {
 	Name string `json:"name"`
-	// Value is the slope of a line, per unit of size; the mean of a flat record; the factor of n log n; without a form
-	// the value at the largest size.
+	// Value is the slope of a line, per unit of size; the mean of a flat record; the factor of n log n; or, if none of
+	// these forms fits, the value at the largest size.
 	Value  float64 `json:"value"`
 	Base   float64 `json:"base"` // constant term of a line or of n log n
 	Unit   string  `json:"unit"` // of the measured values
@@ -53,7 +53,7 @@
 	Points []Point `json:"points"`
 	Form   Form    `json:"form"`
 	// Residual is the root mean square difference of the points from the fitted function, as a fraction of the mean.
-	// Without a form it is that of the best line.
+	// If no form fits, it is that of the best line.
 	Residual float64 `json:"residual"`
 	Origin   Origin  `json:"how"`
 	Command  string  `json:"command"` // repeats the measurement
@@ -70,7 +70,7 @@
 )
 
 // At returns the value at a size. If that size was measured, it returns the measured value and measured is true. A
-// record without a form is interpolated between its points; outside them the error wraps ErrOutOfRange.
+// record that no form fits is interpolated between its points; outside them the error wraps ErrOutOfRange.
 func (r *Record) At(size float64) (value float64, measured bool, err error) {
 	for _, point := range r.Points {
 		if point.Size == size {
--- a/internal/capacity/record_test.go
+++ b/internal/capacity/record_test.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// slope returns a record with the given points that is not fitted yet.
-func slope(name string, points ...capacity.Point) *capacity.Record {
+// unfitted returns a record with the given points that is not fitted yet.
+func unfitted(name string, points ...capacity.Point) *capacity.Record {
 	return &capacity.Record{Name: name, Unit: "us", Over: "nodes", Origin: capacity.Measured, Command: "c", Commit: "1",
 		Points: points}
 }
@@ -55,7 +55,7 @@
 func TestMergeReplacesRecordsOrLeavesTheFile(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "records.json")
 	one, two := capacity.Point{Size: 1, Measured: 1}, capacity.Point{Size: 2, Measured: 2}
-	threeSizes := slope("b", one, two, capacity.Point{Size: 3, Measured: 3})
+	threeSizes := unfitted("b", one, two, capacity.Point{Size: 3, Measured: 3})
 	if err := capacity.Merge(file, threeSizes); err != nil {
 		t.Fatal(err)
 	}
@@ -63,7 +63,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	twoSizes := slope("a", one, two)
+	twoSizes := unfitted("a", one, two)
 	err = capacity.Merge(file, threeSizes, twoSizes)
 	if !errors.Is(err, capacity.ErrTooFewSizes) || !strings.Contains(err.Error(), "a: 2 sizes") {
 		t.Errorf("merging a record with two sizes: got error %v, want ErrTooFewSizes with \"a: 2 sizes\"", err)
@@ -116,7 +116,7 @@
 // fitted returns a fitted record. points alternate between size and value.
 func fitted(t *testing.T, name, unit, over string, points ...float64) *capacity.Record {
 	t.Helper()
-	record := slope(name)
+	record := unfitted(name)
 	record.Unit = unit
 	record.Over = over
 	for i := 0; i+1 < len(points); i += 2 {
@@ -133,7 +133,7 @@
 	testkit.FixSeeds(t)
 	rapid.Check(t, func(r *rapid.T) {
 		base, perNode := rapid.Float64Range(0, 1e4).Draw(r, "base"), rapid.Float64Range(1, 1e4).Draw(r, "slope")
-		record := slope("x")
+		record := unfitted("x")
 		record.Origin = capacity.Simulated
 		for _, size := range rapid.Permutation([]float64{16, 200, 900, 1800}).Draw(r, "sizes") {
 			record.Points = append(record.Points, capacity.Point{Size: size, Measured: base + perNode*size})
--- a/internal/day/connection.go
+++ b/internal/day/connection.go
@@ -114,8 +114,8 @@
 	return nil
 }
 
-// outcomeOf returns the outcome that the message of a gateway's status stands for. Other statuses, failures included,
-// are results from the node: the request was executed and counts as succeeded.
+// outcomeOf returns the outcome of a request from the message of the gateway's status. Statuses with any other message,
+// failures included, are results from the node: the request was executed and counts as succeeded.
 func outcomeOf(text string) audit.Outcome {
 	switch {
 	case strings.HasPrefix(text, "dismissed"):
--- a/internal/day/gateway_instance.go
+++ b/internal/day/gateway_instance.go
@@ -86,7 +86,7 @@
 		return t.startGatewayInProcess(instance)
 	}
 	attempts := 1
-	if t.script.Fleet.Peers { // its address was chosen before and may be in use for a moment
+	if t.script.Fleet.Peers { // the port for its peers is fixed, and another process may hold it for a moment
 		attempts = startAttempts
 	}
 	for range attempts {
--- a/internal/day/parse.go
+++ b/internal/day/parse.go
@@ -78,7 +78,7 @@
 	p.problems = append(p.problems, fmt.Sprintf("%s: %s", at, fmt.Sprintf(format, args...)))
 }
 
-// duration parses a duration, which must not be negative. An empty text stands for the default value.
+// duration parses a duration, which must not be negative. If the text is empty, it returns the default value.
 func (p *parser) duration(at hcl.Range, key, text string, defaultValue time.Duration) time.Duration {
 	if text == "" {
 		return defaultValue
--- a/internal/day/script.go
+++ b/internal/day/script.go
@@ -59,7 +59,7 @@
 	Cores              int
 	UnitTime           time.Duration // time that a core needs for one unit
 	Queue              int           // capacity of the queue, in attempts
-	DeferredWriteShare float64       // share of the time of writes that is deferred and then spent in one go
+	DeferredWriteShare float64       // share of a write's execution time that is deferred and spent in batches
 }
 
 // Operation is the kind of request that a scripted client sends.
@@ -91,14 +91,14 @@
 	Operation   Operation
 	Rate        float64       // mean requests per second of each client
 	Bytes       int           // data of a request
-	Files       int           // number for each client
+	Files       int           // number of files of each client
 	Blocks      int           // size of a file, or of the client's part of the disk, in multiples of Bytes
-	Retries     int           // largest number, after failed attempts
+	Retries     int           // largest number of retries of a request
 	RetryDelay  time.Duration // pause before a retry
 	CancelAfter time.Duration // the client closes its connection when a request takes longer; 0: never
-	Gateway     string        // name of the one that they use; empty: spread over all gateways
+	Gateway     string        // gateway that the clients use; empty: they are spread over all gateways
 	From        time.Duration // time from the start of the scenario to the first requests
-	Until       time.Duration // and to the last ones; 0: the end of the scenario
+	Until       time.Duration // time from the start of the scenario to the last requests; 0: until its end
 }
 
 // Actions of faults, in addition to the commands of test nodes and the link faults of package rig.
@@ -110,7 +110,7 @@
 	actionRecover = "well"    // of a node: ends its faults
 )
 
-// allReplicas in FaultPlan.Replica stands for all replicas.
+// allReplicas is the value of FaultPlan.Replica that selects all replicas.
 const allReplicas = "all"
 
 // FaultPlan is a fault, or a command to the management server, at a time of the scenario.
--- a/internal/testkit/conf.go
+++ b/internal/testkit/conf.go
@@ -1,7 +1,7 @@
 package testkit
 
-// Conf is a gateway configuration for tests. %s stands for the gateway's name, %d for the number of shards. Its times
-// are long so that tests have the same results on a slow machine.
+// Conf is a gateway configuration for tests, as a format string: %s is the gateway's name, %d the number of shards. Its
+// times are long so that tests have the same results on a slow machine.
 const Conf = `
 gateway "%s" {
   listen   = "127.0.0.1:0"
--- a/internal/webstandin/node.go
+++ b/internal/webstandin/node.go
@@ -110,7 +110,7 @@
 	case closeConn:
 		return false
 	case resetConn:
-		_ = conn.(*net.TCPConn).SetLinger(0) // it fails where the client has reset the connection
+		_ = conn.(*net.TCPConn).SetLinger(0) // it fails if the client has reset the connection
 		return false
 	}
 	return true
--- a/internal/xdsstandin/ack.go
+++ b/internal/xdsstandin/ack.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Ack is a client's acknowledgement (ACK) or rejection (NACK) of a response. The command xds-standin prints it with its
-// field names.
+// Ack is a client's acknowledgement (ACK) or rejection (NACK) of a response. The command "irispost xds-server" prints it
+// with its field names.
 type Ack struct {
 	Client  string // Node.id of the client
 	Type    string // type URL of the resources
