--- a/cmd/irispost/fleetscale.go
+++ b/cmd/irispost/fleetscale.go
@@ -22,7 +22,7 @@
 func fleetScaleCommand() *cobra.Command {
 	command := &cobra.Command{Use: "scale [CASE]", Args: cobra.MaximumNArgs(1), Long: fleetScaleHelp,
 		Short: "Test a large fleet of gateways without clients on this machine"}
-	size := scale.Full()
+	size := scale.FullSize()
 	addSizeFlags(command, &size)
 	file := command.Flags().String("json", "", "write the result to this file as JSON")
 	command.RunE = func(command *cobra.Command, args []string) error {
@@ -88,10 +88,10 @@
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
 	return scale.Run(scaleCase, size, scale.Options{
-		Program: func(args ...string) *exec.Cmd { return exec.Command(self, args...) },
-		Dir:     dir,
-		Logger:  slog.New(slog.NewTextHandler(io.Discard, nil)),
-		Note:    func(format string, args ...any) { writef(out, format+"\n", args...) },
+		Program:  func(args ...string) *exec.Cmd { return exec.Command(self, args...) },
+		Dir:      dir,
+		Logger:   slog.New(slog.NewTextHandler(io.Discard, nil)),
+		Progress: func(format string, args ...any) { writef(out, format+"\n", args...) },
 	})
 }
 
--- a/internal/scale/cases.go
+++ b/internal/scale/cases.go
@@ -117,6 +117,6 @@
 	used, err := meter.Process(os.Getpid())
 	result.Figures["gateways_process_mb"] = used.MB
 	names := slices.Sorted(maps.Keys(result.Figures))
-	fleet.options.Note("%s: %d broken; %v", testCase.Name, len(result.Violations), names)
+	fleet.options.Progress("%s: %d broken; %v", testCase.Name, len(result.Violations), names)
 	return result, err
 }
--- a/internal/scale/change.go
+++ b/internal/scale/change.go
@@ -12,19 +12,19 @@
 
 // Change is a configuration change that was proposed and is announced.
 type Change struct {
-	Version uint64
-	At      int64 // when it was proposed, in nanoseconds of the machine's monotonic clock
+	Version    uint64
+	ProposedAt int64 // when it was proposed, in nanoseconds of the machine's monotonic clock
 }
 
 // gatewayFilter tells whether a gateway is meant, as one that is excluded from a check.
-type gatewayFilter func(*HollowGateway) bool
+type gatewayFilter func(*Gateway) bool
 
 // noGateway excludes none.
-func noGateway(*HollowGateway) bool { return false }
+func noGateway(*Gateway) bool { return false }
 
 // onlyGateway returns the filter for a single gateway.
-func onlyGateway(gateway *HollowGateway) gatewayFilter {
-	return func(other *HollowGateway) bool { return other == gateway }
+func onlyGateway(gateway *Gateway) gatewayFilter {
+	return func(other *Gateway) bool { return other == gateway }
 }
 
 // propose makes a change to the newest configuration and waits until it is announced.
@@ -37,9 +37,9 @@
 func (f *Fleet) proposeBy(client *replica.Client, reason string, change func(*configversion.Config)) (Change, error) {
 	config := cloneConfig(f.config)
 	change(config)
-	proposed := Change{At: monotonic()}
+	proposed := Change{ProposedAt: monotonic()}
 	proposal := &lease.Proposal{
-		ID:        fmt.Sprintf("scale %d %d", proposed.At, f.newestVersion+1),
+		ID:        fmt.Sprintf("scale %d %d", proposed.ProposedAt, f.newestVersion+1),
 		Parent:    f.newestVersion,
 		Author:    "scale",
 		Reason:    reason,
@@ -51,7 +51,7 @@
 		if isRejected(err) {
 			break
 		}
-		f.options.Note("%s is proposed again: %v", reason, err)
+		f.options.Progress("%s is proposed again: %v", reason, err)
 		version, err = client.Propose(proposal)
 	}
 	if err != nil {
@@ -96,7 +96,7 @@
 	for _, gateway := range f.Gateways {
 		updates, _ := gateway.observed()
 		if at, ok := actingSince(updates, change.Version); ok && !excluded(gateway) {
-			delays = append(delays, milliseconds(at-change.At))
+			delays = append(delays, milliseconds(at-change.ProposedAt))
 		}
 	}
 	return delays
--- a/internal/scale/defects.go
+++ b/internal/scale/defects.go
@@ -25,7 +25,7 @@
 // a gateway without defects it is the client's own.
 type defectiveSource struct {
 	gateway.ConfigSource
-	gateway      *HollowGateway
+	gateway      *Gateway
 	currentList  endpoint.List // all updates merged; with DefectStaleList only
 	lastSoleList endpoint.List // of the version that the gateway last acted on alone; likewise
 }
--- a/internal/scale/endstate.go
+++ b/internal/scale/endstate.go
@@ -33,7 +33,7 @@
 		nodeByShard[node.Shard] = addr
 	}
 	byGateway := make([]string, len(f.Gateways))
-	forEachGateway(f.Gateways, func(i int, gateway *HollowGateway) {
+	forEachGateway(f.Gateways, func(i int, gateway *Gateway) {
 		byGateway[i] = gateway.checkPlacement(nodeByShard, shards)
 	})
 	for _, text := range byGateway {
@@ -55,7 +55,7 @@
 
 // checkPlacement checks that the gateway sends to the expected node of each shard, and that requests of some shards
 // are started there. It returns the first violation, or "".
-func (h *HollowGateway) checkPlacement(wantNodes []string, shards []int) string {
+func (h *Gateway) checkPlacement(wantNodes []string, shards []int) string {
 	_, nodeByShard := h.observed()
 	for shard, addr := range wantNodes {
 		if nodeByShard[shard] != addr {
@@ -126,7 +126,7 @@
 
 // takeActivations returns what the gateway acted on since the last call. The last activation is also the first of the
 // next call's.
-func (h *HollowGateway) takeActivations() (taken []rig.Activation, err error) {
+func (h *Gateway) takeActivations() (taken []rig.Activation, err error) {
 	h.lock.Lock()
 	defer h.lock.Unlock()
 	if h.running {
--- a/internal/scale/faults.go
+++ b/internal/scale/faults.go
@@ -126,14 +126,14 @@
 }
 
 // killGateways kills gateways, which are excluded until they are started again at the end.
-func (f *Fleet) killGateways(gateways []*HollowGateway) activeFault {
+func (f *Fleet) killGateways(gateways []*Gateway) activeFault {
 	f.kill(gateways)
-	killed := map[*HollowGateway]bool{}
+	killed := map[*Gateway]bool{}
 	for _, gateway := range gateways {
 		killed[gateway] = true
 	}
 	return activeFault{
-		excluded: func(gateway *HollowGateway) bool { return killed[gateway] },
+		excluded: func(gateway *Gateway) bool { return killed[gateway] },
 		end:      func() error { return f.start(f.startable(gateways)) },
 	}
 }
@@ -156,7 +156,7 @@
 }
 
 // setLinkFault puts a fault on the gateway's own links; the zero fault ends it.
-func (h *HollowGateway) setLinkFault(fault rig.Fault) {
+func (h *Gateway) setLinkFault(fault rig.Fault) {
 	for _, link := range h.privateLinks {
 		link.SetFault(fault)
 	}
@@ -183,5 +183,5 @@
 
 // inRegion returns the filter for the gateways of a region.
 func (f *Fleet) inRegion(region int) gatewayFilter {
-	return func(gateway *HollowGateway) bool { return f.Size.region(gateway.zone) == region }
+	return func(gateway *Gateway) bool { return f.Size.region(gateway.zone) == region }
 }
--- a/internal/scale/fleet.go
+++ b/internal/scale/fleet.go
@@ -17,17 +17,17 @@
 
 // Options are what a fleet is started with.
 type Options struct {
-	Program func(args ...string) *exec.Cmd // returns the command `irispost args...`
-	Dir     string                         // folder for the files of replicas and gateways
-	Logger  *slog.Logger
-	Note    func(format string, args ...any) // called at each step, with text for people; nil: nobody reads it
-	Defects Defect                           // injected into a gateway by tests
+	Program  func(args ...string) *exec.Cmd // returns the command `irispost args...`
+	Dir      string                         // folder for the files of replicas and gateways
+	Logger   *slog.Logger
+	Progress func(format string, args ...any) // called at each step, with text for people; nil: nobody reads it
+	Defects  Defect                           // injected into a gateway by tests
 }
 
 // Fleet is a set of replicas and gateways that run. Its fields are used by the goroutine of the case alone.
 type Fleet struct {
 	Size              Size
-	Gateways          []*HollowGateway
+	Gateways          []*Gateway
 	options           Options
 	localSettings     scheduler.Settings
 	replicas          []*replicaProcess
@@ -52,15 +52,15 @@
 )
 
 // defectiveGateway returns the gateway that gets a test's defects: one of the second region.
-func (f *Fleet) defectiveGateway() *HollowGateway { return f.Gateways[f.Size.FirstRegionZones] }
+func (f *Fleet) defectiveGateway() *Gateway { return f.Gateways[f.Size.FirstRegionZones] }
 
 // Open starts a fleet and waits until all its gateways act on its first version.
 func Open(size Size, options Options) (*Fleet, error) {
 	if err := size.Check(); err != nil {
 		return nil, err
 	}
-	if options.Note == nil {
-		options.Note = func(string, ...any) {}
+	if options.Progress == nil {
+		options.Progress = func(string, ...any) {}
 	}
 	fleet := &Fleet{Size: size, options: options, localSettings: newLocalSettings(&size), config: initialConfig(&size)}
 	if err := fleet.open(); err != nil {
@@ -92,7 +92,7 @@
 	if laggards := f.awaitVersion(f.newestVersion, noGateway); len(laggards) > 0 {
 		return fmt.Errorf("after a first start: %s", strings.Join(laggards, "; "))
 	}
-	f.options.Note("%d gateways of %d nodes act on the first version after %d ms",
+	f.options.Progress("%d gateways of %d nodes act on the first version after %d ms",
 		f.Size.Gateways, f.Size.Nodes, (monotonic()-startedAt)/1e6)
 	return nil
 }
@@ -107,7 +107,7 @@
 	}
 	for i := range f.Size.Gateways {
 		zone := f.Size.zone(i)
-		gateway := &HollowGateway{
+		gateway := &Gateway{
 			Name:         fmt.Sprint("g", i),
 			fleet:        f,
 			index:        i,
@@ -158,9 +158,9 @@
 }
 
 // start starts gateways concurrently and returns the first error.
-func (f *Fleet) start(gateways []*HollowGateway) error {
+func (f *Fleet) start(gateways []*Gateway) error {
 	errs := make([]error, len(gateways))
-	forEachGateway(gateways, func(i int, gateway *HollowGateway) { errs[i] = gateway.start() })
+	forEachGateway(gateways, func(i int, gateway *Gateway) { errs[i] = gateway.start() })
 	for _, err := range errs {
 		if err != nil {
 			return err
@@ -170,12 +170,12 @@
 }
 
 // kill kills gateways concurrently.
-func (f *Fleet) kill(gateways []*HollowGateway) {
-	forEachGateway(gateways, func(_ int, gateway *HollowGateway) { gateway.kill() })
+func (f *Fleet) kill(gateways []*Gateway) {
+	forEachGateway(gateways, func(_ int, gateway *Gateway) { gateway.kill() })
 }
 
 // forEachGateway calls do for all gateways concurrently and waits until all calls have returned.
-func forEachGateway(gateways []*HollowGateway, do func(int, *HollowGateway)) {
+func forEachGateway(gateways []*Gateway, do func(int, *Gateway)) {
 	var done sync.WaitGroup
 	for i, gateway := range gateways {
 		done.Go(func() { do(i, gateway) })
@@ -184,7 +184,7 @@
 }
 
 // gatewaysInZone returns the gateways of a zone.
-func (f *Fleet) gatewaysInZone(zone int) (gateways []*HollowGateway) {
+func (f *Fleet) gatewaysInZone(zone int) (gateways []*Gateway) {
 	for _, gateway := range f.Gateways {
 		if gateway.zone == zone {
 			gateways = append(gateways, gateway)
--- a/internal/scale/gateway.go
+++ b/internal/scale/gateway.go
@@ -26,8 +26,8 @@
 	probeLevel     = "basic"
 )
 
-// HollowGateway is a gateway without clients and without storage nodes.
-type HollowGateway struct {
+// Gateway is a real gateway without clients and without storage nodes.
+type Gateway struct {
 	Name          string
 	fleet         *Fleet
 	index         int
@@ -55,7 +55,7 @@
 }
 
 // start starts the gateway. It is put together as internal/serve does for a gateway that follows replicas.
-func (h *HollowGateway) start() error {
+func (h *Gateway) start() error {
 	h.lock.Lock()
 	defer h.lock.Unlock()
 	h.startCount++
@@ -100,7 +100,7 @@
 }
 
 // clientOptions returns the options of the client of the replicas, but for its callbacks.
-func (h *HollowGateway) clientOptions(clock gateway.Clock) client.Options {
+func (h *Gateway) clientOptions(clock gateway.Clock) client.Options {
 	options := client.Options{
 		Gateway:       h.Name,
 		Holder:        client.NewHolderID(h.Name),
@@ -123,7 +123,7 @@
 }
 
 // listenAgent opens the slow-start agent, if the fleet has them, and connects the client of the replicas to it.
-func (h *HollowGateway) listenAgent(options *client.Options, clock gateway.Clock) (err error) {
+func (h *Gateway) listenAgent(options *client.Options, clock gateway.Clock) (err error) {
 	h.agent = nil
 	if !h.fleet.Size.SlowStart {
 		return nil
@@ -146,7 +146,7 @@
 
 // dial returns the function that opens the gateway's connections to replicas. Their bytes are counted, and they pause
 // with the gateway.
-func (h *HollowGateway) dial() client.Dial {
+func (h *Gateway) dial() client.Dial {
 	plain := (&net.Dialer{Timeout: h.fleet.Size.RenewInterval}).DialContext
 	counted := meter.Dialer(plain, func(string) []*meter.Bytes { return []*meter.Bytes{&h.traffic, &h.fleet.traffic} })
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -159,7 +159,7 @@
 }
 
 // kill ends the gateway as a crash does, without a word to the replicas. From then on it acts on nothing.
-func (h *HollowGateway) kill() {
+func (h *Gateway) kill() {
 	h.lock.Lock()
 	defer h.lock.Unlock()
 	if !h.running {
@@ -177,7 +177,7 @@
 }
 
 // actingOn returns what the gateway's scheduler acts on, by the last list that it received, or "not there".
-func (h *HollowGateway) actingOn() string {
+func (h *Gateway) actingOn() string {
 	h.lock.Lock()
 	defer h.lock.Unlock()
 	if !h.running {
@@ -187,14 +187,14 @@
 }
 
 // observed returns the updates since the last discard and the node that serves each shard now.
-func (h *HollowGateway) observed() (updates []ListUpdate, nodeByShard []string) {
+func (h *Gateway) observed() (updates []ListUpdate, nodeByShard []string) {
 	h.lock.Lock()
 	defer h.lock.Unlock()
 	return h.recorder.observed()
 }
 
 // readActivations reads what the client has added to its record of activations. The lock is held.
-func (h *HollowGateway) readActivations() error {
+func (h *Gateway) readActivations() error {
 	file, err := os.Open(h.activationFile)
 	if err != nil {
 		return err
@@ -219,7 +219,7 @@
 
 // probe submits a request of a shard and returns the address of the node at which its attempt was started; "": none
 // was.
-func (h *HollowGateway) probe(shard int) string {
+func (h *Gateway) probe(shard int) string {
 	h.lock.Lock()
 	loop, nodes := h.loop, h.nodes
 	h.lock.Unlock()
--- a/internal/scale/inforce.go
+++ b/internal/scale/inforce.go
@@ -37,7 +37,7 @@
 			time.Sleep(fleet.Size.Lease / recoveryFraction)
 		}
 		delays.report(fault.name, result)
-		fleet.options.Note("under %s, ms: %+v", fault.name, result.Distributions["in_force_ms."+fault.name])
+		fleet.options.Progress("under %s, ms: %+v", fault.name, result.Distributions["in_force_ms."+fault.name])
 		if err := result.audit(fleet); err != nil {
 			return err
 		}
@@ -56,7 +56,7 @@
 	if err != nil {
 		return nil, err
 	}
-	delays.announced = append(delays.announced, milliseconds(monotonic()-change.At))
+	delays.announced = append(delays.announced, milliseconds(monotonic()-change.ProposedAt))
 	if round == 0 {
 		fleet.defectiveGateway().defectVersion.Store(change.Version)
 	}
--- a/internal/scale/main_test.go
+++ b/internal/scale/main_test.go
@@ -93,11 +93,11 @@
 		return nil, err
 	}
 	return Run(found, request.Size, Options{
-		Program: func(args ...string) *exec.Cmd { return exec.Command(self, args...) },
-		Dir:     request.Dir,
-		Logger:  slog.New(slog.NewTextHandler(io.Discard, nil)),
-		Note:    note,
-		Defects: request.Defects,
+		Program:  func(args ...string) *exec.Cmd { return exec.Command(self, args...) },
+		Dir:      request.Dir,
+		Logger:   slog.New(slog.NewTextHandler(io.Discard, nil)),
+		Progress: note,
+		Defects:  request.Defects,
 	})
 }
 
--- a/internal/scale/ordinary.go
+++ b/internal/scale/ordinary.go
@@ -16,10 +16,10 @@
 type ordinaryRun struct {
 	fleet          *Fleet
 	result         *Result
-	killedReplica  *replicaProcess  // nil: none; started again after the next change
-	killedGateways []*HollowGateway // one at most, started again after the next change
-	delays         []float64        // of each change, milliseconds until the last gateway acts on it
-	undisturbed    []float64        // those of changes while nothing was down or had just been restarted
+	killedReplica  *replicaProcess // nil: none; started again after the next change
+	killedGateways []*Gateway      // one at most, started again after the next change
+	delays         []float64       // of each change, milliseconds until the last gateway acts on it
+	undisturbed    []float64       // those of changes while nothing was down or had just been restarted
 }
 
 // ordinaryDay is a day in short: changes one after another, each in force everywhere before the next, with restarts
@@ -92,7 +92,7 @@
 	if err != nil {
 		return false, err
 	}
-	down := func(gateway *HollowGateway) bool { return len(r.killedGateways) > 0 && gateway == r.killedGateways[0] }
+	down := func(gateway *Gateway) bool { return len(r.killedGateways) > 0 && gateway == r.killedGateways[0] }
 	if laggards := r.fleet.awaitVersion(change.Version, down); len(laggards) > 0 {
 		r.result.addViolation("change %d: %v", number, laggards)
 		return false, nil
@@ -124,12 +124,12 @@
 		r.killedReplica = follower
 		return true, nil
 	case kill > 0:
-		r.fleet.kill([]*HollowGateway{gateway})
+		r.fleet.kill([]*Gateway{gateway})
 		r.killedGateways = append(r.killedGateways, gateway)
 		return true, nil
 	case scheduledEvent(number, size.Changes, size.Restarts) > 0:
-		r.fleet.kill([]*HollowGateway{gateway})
-		return true, r.fleet.start(r.fleet.startable([]*HollowGateway{gateway}))
+		r.fleet.kill([]*Gateway{gateway})
+		return true, r.fleet.start(r.fleet.startable([]*Gateway{gateway}))
 	}
 	return len(r.killedGateways) > 0 || r.killedReplica != nil, nil
 }
@@ -159,7 +159,7 @@
 	if err := r.fleet.measureMemory(r.result); err != nil {
 		return err
 	}
-	r.fleet.options.Note("%d of %d changes, the slowest %.0f ms; MB: %v",
+	r.fleet.options.Progress("%d of %d changes, the slowest %.0f ms; MB: %v",
 		number, r.fleet.Size.Changes, meter.QuantilesOf(r.delays).Worst, r.result.MemoryByPhase)
 	return nil
 }
--- a/internal/scale/partition.go
+++ b/internal/scale/partition.go
@@ -55,7 +55,7 @@
 // Simulate plays the partition and returns its outcome.
 func (p Partition) Simulate() (PartitionResult, error) {
 	result := PartitionResult{MajorityRegion: p.majorityRegion(), ActivationDelay: -1}
-	size := Short()
+	size := ShortSize()
 	size.Nodes = 3
 	size.FallbackDuration = 0
 	config := initialConfig(&size)
--- a/internal/scale/replacement.go
+++ b/internal/scale/replacement.go
@@ -32,7 +32,7 @@
 				result.addViolation("%s, shard %d: %s", gateway.Name, shard, violation)
 				continue
 			}
-			delay := milliseconds(at - proposed.At)
+			delay := milliseconds(at - proposed.ProposedAt)
 			allDelays = append(allDelays, delay)
 			latest = max(latest, delay)
 		}
--- a/internal/scale/restarts.go
+++ b/internal/scale/restarts.go
@@ -17,14 +17,14 @@
 	return restartTogether(fleet, result, fleet.Gateways)
 }
 
-func restartTogether(fleet *Fleet, result *Result, gateways []*HollowGateway) error {
+func restartTogether(fleet *Fleet, result *Result, gateways []*Gateway) error {
 	result.Figures["killed"] = float64(len(gateways))
 	fleet.kill(gateways)
 	change, err := fleet.propose("a change while gateways are not there", raiseLimit)
 	if err != nil {
 		return err
 	}
-	killed := func(gateway *HollowGateway) bool { return slices.Contains(gateways, gateway) }
+	killed := func(gateway *Gateway) bool { return slices.Contains(gateways, gateway) }
 	if len(gateways) < len(fleet.Gateways) {
 		result.Violations = append(result.Violations, fleet.awaitVersion(change.Version, killed)...)
 		meanwhile := meter.QuantilesOf(fleet.activationDelays(change, killed))
@@ -51,8 +51,8 @@
 }
 
 // startable leaves out the gateways that an injected defect keeps from being started again.
-func (f *Fleet) startable(gateways []*HollowGateway) []*HollowGateway {
-	return slices.DeleteFunc(slices.Clone(gateways), func(gateway *HollowGateway) bool {
+func (f *Fleet) startable(gateways []*Gateway) []*Gateway {
+	return slices.DeleteFunc(slices.Clone(gateways), func(gateway *Gateway) bool {
 		return gateway.defects&DefectNotRestarted != 0
 	})
 }
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -10,7 +10,7 @@
 
 // shortWithFaults returns the short size with some faults of the case "in-force" alone.
 func shortWithFaults(faults ...string) Size {
-	size := Short()
+	size := ShortSize()
 	size.Faults = faults
 	return size
 }
@@ -18,7 +18,7 @@
 // growthSize returns a size with few gateways, with contents so large that a replica that keeps all shows it soon,
 // and with a first phase after which a bounded history is full.
 func growthSize() Size {
-	size := Short()
+	size := ShortSize()
 	size.Gateways = 7
 	size.Nodes = 700
 	size.Changes = 160
@@ -42,7 +42,7 @@
 	for _, c := range Cases {
 		sizes := sizesByCase[c.Name]
 		if sizes == nil {
-			sizes = []Size{Short()}
+			sizes = []Size{ShortSize()}
 		}
 		for _, size := range sizes {
 			for _, name := range size.Faults {
@@ -80,7 +80,7 @@
 
 // Each case reports the defect that is injected, with the gateway that has it or with what it violates.
 func TestCasesReportInjectedDefects(t *testing.T) {
-	small := Short()
+	small := ShortSize()
 	small.Gateways = 14
 	small.Nodes = 30
 	small.Timeout = 8 * time.Second
--- a/internal/scale/size.go
+++ b/internal/scale/size.go
@@ -46,8 +46,8 @@
 	minimumLease    = 100 * time.Millisecond
 )
 
-// Full returns the size that the operators expect in two years.
-func Full() Size {
+// FullSize returns the size that the operators expect in two years.
+func FullSize() Size {
 	return Size{
 		Gateways:          780,
 		Nodes:             1800,
@@ -72,9 +72,9 @@
 	}
 }
 
-// Short returns a size for tests, which checks end states alone.
-func Short() Size {
-	size := Full()
+// ShortSize returns a size for tests, which checks end states alone.
+func ShortSize() Size {
+	size := FullSize()
 	size.Gateways = 60
 	size.Nodes = 140
 	size.Changes = 16
--- a/internal/scale/size_test.go
+++ b/internal/scale/size_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestCheckAcceptsSizesInUse(t *testing.T) {
-	for _, size := range []Size{Full(), Short(), growthSize()} {
+	for _, size := range []Size{FullSize(), ShortSize(), growthSize()} {
 		if err := size.Check(); err != nil {
 			t.Error(err)
 		}
@@ -25,7 +25,7 @@
 		"at most one restart":       func(s *Size) { s.Restarts = s.Changes + 1 },
 		"replacements of":           func(s *Size) { s.Replacements = s.Nodes + 1 },
 	} {
-		size := Full()
+		size := FullSize()
 		change(&size)
 		err := size.Check()
 		var sizeError *SizeError
