--- a/internal/scale/cases.go
+++ b/internal/scale/cases.go
@@ -22,13 +22,13 @@
 // Cases are all cases.
 var Cases = []Case{
 	{"ordinary", "a day squeezed: changes one after another, restarts, kills; what it costs, and what grows", ordinaryDay},
-	{"in-force", "from a change's proposal to the last gateway, without a fault and with each single one", inForce},
+	{"in-force", "from a change's proposal to the last gateway, without a fault and with each single one", changesUnderFaults},
 	{"replaced", "a shard's node is lost and replaced, again and again", nodeReplacement},
 	{"zone", "a zone's gateways killed and back at once, with a change meanwhile", zoneRestart},
 	{"all", "all gateways killed and back at once, with a change meanwhile", fleetRestart},
 	{"rolling", "all gateways started again, wave after wave, with changes meanwhile", rollingRestart},
 	{"regions", "the regions cut, with changes on either side, and together again", regionPartition},
-	{"forms", "gateways that ask in the form of the build before, beside new ones", mixedProtocols},
+	{"forms", "gateways that ask in the form of the build before, beside new ones", mixedRenewalFormats},
 }
 
 // ErrUnknownCase is returned by Find for a name that no case has.
@@ -85,9 +85,9 @@
 
 // checkTimeBound checks a time, in milliseconds, against its bound, if the size enforces bounds.
 func (r *Result) checkTimeBound(what string, took float64, bound time.Duration) {
-	most := float64(bound.Milliseconds())
-	if r.Size.EnforceTimeBounds && took > most {
-		r.addViolation("%s: %.0f ms, over %.0f", what, took, most)
+	limit := float64(bound.Milliseconds())
+	if r.Size.EnforceTimeBounds && took > limit {
+		r.addViolation("%s: %.0f ms, over %.0f", what, took, limit)
 	}
 }
 
--- a/internal/scale/config.go
+++ b/internal/scale/config.go
@@ -71,8 +71,8 @@
 	return &clone
 }
 
-// raiseLimit is an ordinary change: it conflicts with nothing that was allowed before.
-func raiseLimit(config *configversion.Config) {
+// raiseRateLimit is an ordinary change: it conflicts with nothing that was allowed before.
+func raiseRateLimit(config *configversion.Config) {
 	level := config.ServiceLevels["gold"]
 	level.RateLimit++
 	config.ServiceLevels["gold"] = level
--- a/internal/scale/endstate.go
+++ b/internal/scale/endstate.go
@@ -36,9 +36,9 @@
 	forEachGateway(f.Gateways, func(i int, gateway *Gateway) {
 		byGateway[i] = gateway.checkPlacement(nodeByShard, shards)
 	})
-	for _, text := range byGateway {
-		if text != "" {
-			violations = append(violations, text)
+	for _, violation := range byGateway {
+		if violation != "" {
+			violations = append(violations, violation)
 		}
 	}
 	return violations
@@ -55,16 +55,16 @@
 
 // checkPlacement checks that the gateway sends to the expected node of each shard, and that requests of some shards
 // are started there. It returns the first violation, or "".
-func (h *Gateway) checkPlacement(wantNodes []string, shards []int) string {
-	_, nodeByShard := h.observed()
+func (g *Gateway) checkPlacement(wantNodes []string, shards []int) string {
+	_, nodeByShard := g.observed()
 	for shard, addr := range wantNodes {
 		if nodeByShard[shard] != addr {
-			return fmt.Sprintf("%s sends to %q for shard %d, and not to %s", h.Name, nodeByShard[shard], shard, addr)
+			return fmt.Sprintf("%s sends to %q for shard %d, and not to %s", g.Name, nodeByShard[shard], shard, addr)
 		}
 	}
 	for _, shard := range shards {
-		if addr := h.probe(shard); addr != wantNodes[shard] {
-			return fmt.Sprintf("%s began a job of shard %d at %q, and not at %s", h.Name, shard, addr, wantNodes[shard])
+		if addr := g.probe(shard); addr != wantNodes[shard] {
+			return fmt.Sprintf("%s began a job of shard %d at %q, and not at %s", g.Name, shard, addr, wantNodes[shard])
 		}
 	}
 	return ""
@@ -126,15 +126,15 @@
 
 // takeActivations returns what the gateway acted on since the last call. The last activation is also the first of the
 // next call's.
-func (h *Gateway) takeActivations() (taken []rig.Activation, err error) {
-	h.lock.Lock()
-	defer h.lock.Unlock()
-	if h.running {
-		err = h.readActivations()
+func (g *Gateway) takeActivations() (taken []rig.Activation, err error) {
+	g.lock.Lock()
+	defer g.lock.Unlock()
+	if g.running {
+		err = g.readActivations()
 	}
-	if count := len(h.activations); count > 0 {
-		taken = h.activations
-		h.activations = []rig.Activation{taken[count-1]}
+	if count := len(g.activations); count > 0 {
+		taken = g.activations
+		g.activations = []rig.Activation{taken[count-1]}
 	}
 	return taken, err
 }
--- a/internal/scale/faults.go
+++ b/internal/scale/faults.go
@@ -20,18 +20,18 @@
 }
 
 const (
-	// racks is the number of racks of a fleet, each with as many gateways as another.
-	racks = 28
+	// rackCount is the number of racks of a fleet, each with as many gateways as another.
+	rackCount = 28
 
-	// slowFactor is how many times a slow gateway's delay fits into a lease.
-	slowFactor = 20
+	// slowDelayDivisor is how many times a slow gateway's delay fits into a lease.
+	slowDelayDivisor = 20
 )
 
 // faults are the operators' list, and what a single gateway may suffer from.
 var faults = []fault{
 	{"none", func(*Fleet) (activeFault, error) { return activeFault{noGateway, noRecovery}, nil }},
 	{"gateway_killed", func(f *Fleet) (activeFault, error) {
-		return f.killGateways(f.Gateways[faultyGateway:][:1]), nil
+		return f.killGateways(f.Gateways[faultyGatewayIndex:][:1]), nil
 	}},
 	{"rack_killed", beginRackKilled},
 	{"zone_killed", func(f *Fleet) (activeFault, error) {
@@ -62,8 +62,8 @@
 func noRecovery() error { return nil }
 
 func beginRackKilled(fleet *Fleet) (activeFault, error) {
-	rackSize := max((len(fleet.Gateways)+racks-1)/racks, 1)
-	return fleet.killGateways(fleet.Gateways[faultyGateway:][:rackSize]), nil
+	rackSize := max((len(fleet.Gateways)+rackCount-1)/rackCount, 1)
+	return fleet.killGateways(fleet.Gateways[faultyGatewayIndex:][:rackSize]), nil
 }
 
 func beginFollowerKilled(fleet *Fleet) (activeFault, error) {
@@ -103,8 +103,8 @@
 }
 
 func beginGatewaySlow(fleet *Fleet) (activeFault, error) {
-	gateway := fleet.Gateways[faultyGateway]
-	delay := fleet.Size.Lease / slowFactor
+	gateway := fleet.Gateways[faultyGatewayIndex]
+	delay := fleet.Size.Lease / slowDelayDivisor
 	gateway.decisionDelay.Store(int64(delay))
 	gateway.setLinkFault(rig.Fault{Delay: delay})
 	end := func() error {
@@ -116,10 +116,10 @@
 }
 
 func beginGatewayPaused(fleet *Fleet) (activeFault, error) {
-	gateway := fleet.Gateways[faultyGateway]
-	gateway.pauseGate.Lock()
+	gateway := fleet.Gateways[faultyGatewayIndex]
+	gateway.pauseLock.Lock()
 	end := func() error {
-		gateway.pauseGate.Unlock()
+		gateway.pauseLock.Unlock()
 		return nil
 	}
 	return activeFault{onlyGateway(gateway), end}, nil
@@ -146,7 +146,7 @@
 
 // beginLinkFault puts a fault on the links of the faulty gateway.
 func (f *Fleet) beginLinkFault(fault rig.Fault) activeFault {
-	gateway := f.Gateways[faultyGateway]
+	gateway := f.Gateways[faultyGatewayIndex]
 	gateway.setLinkFault(fault)
 	end := func() error {
 		gateway.setLinkFault(rig.Fault{})
@@ -156,8 +156,8 @@
 }
 
 // setLinkFault puts a fault on the gateway's own links; the zero fault ends it.
-func (h *Gateway) setLinkFault(fault rig.Fault) {
-	for _, link := range h.privateLinks {
+func (g *Gateway) setLinkFault(fault rig.Fault) {
+	for _, link := range g.privateLinks {
 		link.SetFault(fault)
 	}
 }
--- a/internal/scale/fleet.go
+++ b/internal/scale/fleet.go
@@ -41,8 +41,8 @@
 }
 
 const (
-	// faultyGateway is the index of the gateway that suffers alone in some cases. It has links of its own.
-	faultyGateway = 0
+	// faultyGatewayIndex is the index of the gateway that suffers alone in some cases. It has links of its own.
+	faultyGatewayIndex = 0
 
 	// operatorTimeout is how long the operator's client waits for an answer, as the program does by default. A
 	// replica gets a part of it.
@@ -114,7 +114,7 @@
 			zone:         zone,
 			replicaAddrs: addrsByZone[zone],
 		}
-		if i == faultyGateway {
+		if i == faultyGatewayIndex {
 			before := len(f.links)
 			if gateway.replicaAddrs, err = f.replicaAddrs(zone, true); err != nil {
 				return err
--- a/internal/scale/inforce.go
+++ b/internal/scale/inforce.go
@@ -7,8 +7,8 @@
 	"irispost/internal/scale/meter"
 )
 
-// recoveryFraction is how many times the rest after a fault fits into a lease: what its end has set off is over then.
-const recoveryFraction = 10
+// recoveryDivisor is how many times the rest after a fault fits into a lease: what its end has set off is over then.
+const recoveryDivisor = 10
 
 // faultDelays are the measurements of all changes under one fault, in milliseconds from each proposal.
 type faultDelays struct {
@@ -17,8 +17,8 @@
 	last      []float64 // of each change, the last gateway
 }
 
-// inForce makes changes under each single fault.
-func inForce(fleet *Fleet, result *Result) error {
+// changesUnderFaults makes changes under each single fault.
+func changesUnderFaults(fleet *Fleet, result *Result) error {
 	for _, fault := range faults {
 		if len(fleet.Size.Faults) > 0 && !slices.Contains(fleet.Size.Faults, fault.name) {
 			continue
@@ -34,7 +34,7 @@
 				return nil
 			}
 			fleet.discardUpdates()
-			time.Sleep(fleet.Size.Lease / recoveryFraction)
+			time.Sleep(fleet.Size.Lease / recoveryDivisor)
 		}
 		delays.report(fault.name, result)
 		fleet.options.Progress("under %s, ms: %+v", fault.name, result.Distributions["in_force_ms."+fault.name])
@@ -52,7 +52,7 @@
 	if err != nil {
 		return nil, err
 	}
-	change, err := fleet.propose("a change under "+fault.name, raiseLimit)
+	change, err := fleet.propose("a change under "+fault.name, raiseRateLimit)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/scale/main_test.go
+++ b/internal/scale/main_test.go
@@ -83,7 +83,7 @@
 }
 
 // runCase runs a case in this process.
-func runCase(request caseRequest, note func(string, ...any)) (*Result, error) {
+func runCase(request caseRequest, progress func(string, ...any)) (*Result, error) {
 	found, err := Find(request.Name)
 	if err != nil {
 		return nil, err
@@ -96,20 +96,20 @@
 		Program:  func(args ...string) *exec.Cmd { return exec.Command(self, args...) },
 		Dir:      request.Dir,
 		Logger:   slog.New(slog.NewTextHandler(io.Discard, nil)),
-		Progress: note,
+		Progress: progress,
 		Defects:  request.Defects,
 	})
 }
 
-// slots bounds how many fleets run at once: the starts of more would stall a machine that others use too.
-var slots = make(chan struct{}, 4)
+// fleetSlots bounds how many fleets run at once: the starts of more would stall a machine that others use too.
+var fleetSlots = make(chan struct{}, 4)
 
 // runInSlot runs a case once there is a slot: the ordinary day in a process of its own, as the memory of the whole
 // process is measured.
 func runInSlot(t *testing.T, name string, size Size, defects Defect) *Result {
 	t.Helper()
-	slots <- struct{}{}
-	defer func() { <-slots }()
+	fleetSlots <- struct{}{}
+	defer func() { <-fleetSlots }()
 	request := caseRequest{name, size, t.TempDir(), defects}
 	if name != "ordinary" {
 		result, err := runCase(request, t.Logf)
--- a/internal/scale/observation.go
+++ b/internal/scale/observation.go
@@ -80,18 +80,18 @@
 // minorityStates names those whose state is not that of the most, with both states.
 func minorityStates(states map[string]string) (list []string) {
 	count := map[string]int{}
-	most := ""
+	mostFrequent := ""
 	for _, state := range states {
 		count[state]++
 	}
 	for state, n := range count {
-		if n > count[most] || n == count[most] && state < most {
-			most = state
+		if n > count[mostFrequent] || n == count[mostFrequent] && state < mostFrequent {
+			mostFrequent = state
 		}
 	}
 	for name, state := range states {
-		if state != most {
-			list = append(list, fmt.Sprintf("%s: %s, and %d others %s", name, state, count[most], most))
+		if state != mostFrequent {
+			list = append(list, fmt.Sprintf("%s: %s, and %d others %s", name, state, count[mostFrequent], mostFrequent))
 		}
 	}
 	slices.Sort(list)
--- a/internal/scale/ordinary.go
+++ b/internal/scale/ordinary.go
@@ -9,7 +9,7 @@
 	secondsPerDay = 86400
 
 	// gatewayStride spreads the gateways that restarts and kills hit over the fleet.
-	gatewayStride = 7
+	disturbedGatewayStride = 7
 )
 
 // ordinaryRun is the case "ordinary" while it runs.
@@ -49,8 +49,8 @@
 	if err := run.reportReplicaCPU(usageBefore, usageAfter); err != nil {
 		return err
 	}
-	for what, parts := range result.MemoryByPhase {
-		if text := growthViolation(what, parts); text != "" {
+	for what, phases := range result.MemoryByPhase {
+		if text := growthViolation(what, phases); text != "" {
 			result.Violations = append(result.Violations, text)
 		}
 	}
@@ -88,7 +88,7 @@
 	if err != nil {
 		return false, err
 	}
-	change, err := r.fleet.propose("an ordinary change", raiseLimit)
+	change, err := r.fleet.propose("an ordinary change", raiseRateLimit)
 	if err != nil {
 		return false, err
 	}
@@ -112,7 +112,7 @@
 // disturb kills or restarts what is scheduled before a change, and tells whether the change meets a disturbance.
 func (r *ordinaryRun) disturb(number int) (disturbed bool, err error) {
 	size := &r.fleet.Size
-	gateway := r.fleet.Gateways[number*gatewayStride%len(r.fleet.Gateways)]
+	gateway := r.fleet.Gateways[number*disturbedGatewayStride%len(r.fleet.Gateways)]
 	kill := scheduledEvent(number, size.Changes, size.Kills)
 	switch {
 	case kill == 1:
--- a/internal/scale/partition.go
+++ b/internal/scale/partition.go
@@ -45,11 +45,11 @@
 
 // partitionSimulation is the state of a Partition that is being simulated.
 type partitionSimulation struct {
-	now     int64
-	state   *lease.StateMachine
-	manager *lease.Manager
-	near    *lease.Client // in the region with a majority, if there is one
-	far     *lease.Client // in the other region
+	now            int64
+	state          *lease.StateMachine
+	manager        *lease.Manager
+	majorityClient *lease.Client // in the region with a majority, if there is one
+	minorityClient *lease.Client // in the other region
 }
 
 // Simulate plays the partition and returns its outcome.
@@ -71,7 +71,7 @@
 	for simulation.now < cut+p.Duration {
 		simulation.now += simulationStep
 		if result.MajorityRegion >= 0 {
-			simulation.renew(simulation.near)
+			simulation.renew(simulation.majorityClient)
 			if err := simulation.applyDecisions(); err != nil {
 				return result, err
 			}
@@ -111,15 +111,15 @@
 		_, _, change := replaceNode(size, 1, 1)
 		change(next)
 	} else {
-		raiseLimit(next)
+		raiseRateLimit(next)
 	}
 	return next
 }
 
 // observe notes until when the gateway without a majority held its lease, and until when it served.
 func (r *PartitionResult) observe(simulation *partitionSimulation, cut int64) {
-	simulation.far.Effective(simulation.now)
-	state := simulation.far.State()
+	simulation.minorityClient.Effective(simulation.now)
+	state := simulation.minorityClient.State()
 	if state != lease.StateActing {
 		r.LeaseHeldFor = cmp.Or(r.LeaseHeldFor, simulation.now-cut)
 	}
@@ -142,14 +142,14 @@
 		}
 	}
 	simulation := &partitionSimulation{
-		now:     simulationStart,
-		state:   state,
-		manager: lease.NewManager(simulationStart, 1, state, 0),
-		near:    lease.NewClient("here", leaseDuration/requestsPerLease, 0),
-		far:     lease.NewClient("there", leaseDuration/requestsPerLease, 0),
+		now:            simulationStart,
+		state:          state,
+		manager:        lease.NewManager(simulationStart, 1, state, 0),
+		majorityClient: lease.NewClient("here", leaseDuration/requestsPerLease, 0),
+		minorityClient: lease.NewClient("there", leaseDuration/requestsPerLease, 0),
 	}
-	simulation.near.RequestFullVersions() // the transfer of contents takes no virtual time
-	simulation.far.RequestFullVersions()
+	simulation.majorityClient.RequestFullVersions() // the transfer of contents takes no virtual time
+	simulation.minorityClient.RequestFullVersions()
 	return simulation, nil
 }
 
@@ -157,14 +157,14 @@
 func (s *partitionSimulation) settle(leaseDuration int64) error {
 	for range 2 * leaseDuration / simulationStep {
 		s.now += simulationStep
-		s.renew(s.near)
-		s.renew(s.far)
+		s.renew(s.majorityClient)
+		s.renew(s.minorityClient)
 		if err := s.applyDecisions(); err != nil {
 			return err
 		}
 	}
-	if s.near.State() != lease.StateActing || s.far.State() != lease.StateActing {
-		return fmt.Errorf("before the cut they are %v and %v", s.near.State(), s.far.State())
+	if s.majorityClient.State() != lease.StateActing || s.minorityClient.State() != lease.StateActing {
+		return fmt.Errorf("before the cut they are %v and %v", s.majorityClient.State(), s.minorityClient.State())
 	}
 	return nil
 }
--- a/internal/scale/partition_test.go
+++ b/internal/scale/partition_test.go
@@ -52,10 +52,10 @@
 		}
 		return
 	}
-	most := max(partition.Fallback, partition.Lease) + 2*simulationStep
-	if result.ServedFor < result.LeaseHeldFor || result.ServedFor > most {
+	limit := max(partition.Fallback, partition.Lease) + 2*simulationStep
+	if result.ServedFor < result.LeaseHeldFor || result.ServedFor > limit {
 		t.Errorf("a fallback for %v ended after %v, want at most %v",
-			time.Duration(partition.Fallback), time.Duration(result.ServedFor), time.Duration(most))
+			time.Duration(partition.Fallback), time.Duration(result.ServedFor), time.Duration(limit))
 	}
 }
 
@@ -63,16 +63,16 @@
 func checkActivation(t *testing.T, partition Partition, result PartitionResult) {
 	t.Helper()
 	// as replicas count it with the drift of clocks, and the renewals
-	most := func(span int64) int64 { return int64(float64(span)*1.01/0.99) + 3*int64(time.Second) }
+	upperBound := func(span int64) int64 { return int64(float64(span)*1.01/0.99) + 3*int64(time.Second) }
 	waits := max(partition.Lease, partition.Fallback)
 	delay, ok := result.ActivationDelay, false
 	switch {
 	case result.MajorityRegion < 0 || partition.DrainNode && partition.Fallback > partition.Duration:
 		ok = delay < 0
 	case partition.DrainNode:
-		ok = delay >= 0 && delay <= most(waits) && delay >= waits-2e9
+		ok = delay >= 0 && delay <= upperBound(waits) && delay >= waits-2e9
 	default:
-		ok = delay >= 0 && delay <= most(partition.Lease)
+		ok = delay >= 0 && delay <= upperBound(partition.Lease)
 	}
 	if !ok {
 		t.Errorf("in force after %v", time.Duration(delay))
--- a/internal/scale/protocolform.go
+++ b/internal/scale/protocolform.go
@@ -2,29 +2,29 @@
 
 import "irispost/internal/fleet/client"
 
-// protocolForms is how many forms of renewals this build's clients know. With one there is no earlier form, and the
+// renewalFormats is how many forms of renewals this build's clients know. With one there is no earlier form, and the
 // case of both side by side is reported as not run.
-const protocolForms = 2
+const renewalFormats = 2
 
-// usePreviousForm makes a client send renewals in the form of the build before. It is the one place that knows how.
-func usePreviousForm(options *client.Options) { options.FullVersions = true }
+// usePreviousFormat makes a client send renewals in the form of the build before. It is the one place that knows how.
+func usePreviousFormat(options *client.Options) { options.FullVersions = true }
 
-// mixedProtocols lets every second gateway use the form of the build before, and makes changes.
-func mixedProtocols(fleet *Fleet, result *Result) error {
-	result.Figures["forms"] = protocolForms
-	if protocolForms < 2 {
+// mixedRenewalFormats lets every second gateway use the form of the build before, and makes changes.
+func mixedRenewalFormats(fleet *Fleet, result *Result) error {
+	result.Figures["forms"] = renewalFormats
+	if renewalFormats < 2 {
 		result.NotRun = "this build's followers know one form of asks: there is none before it"
 		return nil
 	}
 	for i, gateway := range fleet.Gateways {
-		gateway.previousForm = i%2 == 1
+		gateway.previousFormat = i%2 == 1
 	}
 	fleet.kill(fleet.Gateways)
 	if err := fleet.start(fleet.Gateways); err != nil {
 		return err
 	}
 	for i := range fleet.Size.ChangesPerFault + 1 {
-		change, err := fleet.propose("a change for both forms", raiseLimit)
+		change, err := fleet.propose("a change for both forms", raiseRateLimit)
 		if err != nil {
 			return err
 		}
--- a/internal/scale/regions.go
+++ b/internal/scale/regions.go
@@ -44,12 +44,12 @@
 	run.checkMinority(minorityAddrs)
 	run.heal(replacement)
 	fleet.operator = operator
-	change, err := fleet.propose("a change together again", raiseLimit)
+	change, err := fleet.propose("a change together again", raiseRateLimit)
 	if err != nil {
 		return err
 	}
 	run.awaitVersion(change, noGateway)
-	time.Sleep(fleet.Size.Lease / recoveryFraction)
+	time.Sleep(fleet.Size.Lease / recoveryDivisor)
 	result.checkEndState(fleet, run.shard)
 	return nil
 }
@@ -61,7 +61,7 @@
 
 // changeInMajority makes both kinds of changes during the partition and returns the second, which replaces a node.
 func (r *partitionRun) changeInMajority() (Change, error) {
-	change, err := r.fleet.propose("a change while the regions are cut", raiseLimit)
+	change, err := r.fleet.propose("a change while the regions are cut", raiseRateLimit)
 	if err != nil {
 		return change, err
 	}
@@ -83,7 +83,7 @@
 func (r *partitionRun) checkMinority(replicaAddrs []string) {
 	config := r.fleet.config
 	client := &replica.Client{Replicas: replicaAddrs, Timeout: 2 * r.fleet.Size.Lease}
-	if _, err := r.fleet.proposeBy(client, "a change without a majority", raiseLimit); err == nil {
+	if _, err := r.fleet.proposeBy(client, "a change without a majority", raiseRateLimit); err == nil {
 		r.result.addViolation("a change was announced where no majority of the keepers is")
 	}
 	r.fleet.config = config
--- a/internal/scale/replicas.go
+++ b/internal/scale/replicas.go
@@ -17,9 +17,9 @@
 )
 
 const (
-	replicaStarts     = 40 // attempts: a connection may take a replica's address for a moment
-	replicaStartPause = 50 * time.Millisecond
-	replicaReadyWord  = "serves" // in the first line that a replica prints
+	replicaStartAttempts = 40 // attempts: a connection may take a replica's address for a moment
+	replicaStartPause    = 50 * time.Millisecond
+	replicaReadyWord     = "serves" // in the first line that a replica prints
 )
 
 // replicaProcess is one of the replicas, as a process.
@@ -104,7 +104,7 @@
 
 // startReplica starts a replica; one that ran before continues with its folder.
 func (f *Fleet) startReplica(replica *replicaProcess) error {
-	for range replicaStarts {
+	for range replicaStartAttempts {
 		command := f.options.Program(replica.args...)
 		output, err := command.StdoutPipe()
 		if err != nil {
--- a/internal/scale/restarts.go
+++ b/internal/scale/restarts.go
@@ -20,7 +20,7 @@
 func restartTogether(fleet *Fleet, result *Result, gateways []*Gateway) error {
 	result.Figures["killed"] = float64(len(gateways))
 	fleet.kill(gateways)
-	change, err := fleet.propose("a change while gateways are not there", raiseLimit)
+	change, err := fleet.propose("a change while gateways are not there", raiseRateLimit)
 	if err != nil {
 		return err
 	}
@@ -62,7 +62,7 @@
 	startedAt, batches := monotonic(), 0.0
 	for batch := range slices.Chunk(fleet.Gateways, fleet.Size.RestartBatch) {
 		fleet.kill(batch)
-		change, err := fleet.propose("a change in the middle of a rolling restart", raiseLimit)
+		change, err := fleet.propose("a change in the middle of a rolling restart", raiseRateLimit)
 		if err != nil {
 			return err
 		}
--- a/internal/scale/usage.go
+++ b/internal/scale/usage.go
@@ -12,9 +12,9 @@
 const (
 	bytesPerMB = 1e6
 
-	// idleSettling is how many times the wait before the measurement at rest fits into it: what the start has left to
+	// idleSettlingDivisor is how many times the wait before the measurement at rest fits into it: what the start has left to
 	// do is over then.
-	idleSettling = 4
+	idleSettlingDivisor = 4
 )
 
 // idleSample is what was used by a moment of the measurement at rest.
@@ -33,7 +33,7 @@
 
 // measureIdle adds to the result what the fleet uses while nothing happens.
 func (f *Fleet) measureIdle(result *Result) error {
-	time.Sleep(f.Size.IdleTime / idleSettling)
+	time.Sleep(f.Size.IdleTime / idleSettlingDivisor)
 	before, err := f.sampleUsage()
 	if err != nil {
 		return err
