--- a/internal/scale/cases.go
+++ b/internal/scale/cases.go
@@ -12,29 +12,29 @@
 	"irispost/internal/scale/meter"
 )
 
-// Case is a course of events in a fleet, with checks of its outcome.
+// Case is a test scenario for a fleet. It causes events such as restarts and faults, and checks the outcome.
 type Case struct {
 	Name        string
 	Description string
 	run         func(*Fleet, *Result) error
 }
 
-// Cases are all cases.
+// Cases lists all cases in the order in which `irispost fleet scale` prints them.
 var Cases = []Case{
-	{"ordinary", "a day squeezed: changes one after another, restarts, kills; what it costs, and what grows", ordinaryDay},
-	{"in-force", "from a change's proposal to the last gateway, without a fault and with each single one", changesUnderFaults},
-	{"replaced", "a shard's node is lost and replaced, again and again", nodeReplacement},
-	{"zone", "a zone's gateways killed and back at once, with a change meanwhile", zoneRestart},
-	{"all", "all gateways killed and back at once, with a change meanwhile", fleetRestart},
-	{"rolling", "all gateways started again, wave after wave, with changes meanwhile", rollingRestart},
-	{"regions", "the regions cut, with changes on either side, and together again", regionPartition},
-	{"forms", "gateways that ask in the form of the build before, beside new ones", mixedRenewalFormats},
+	{"ordinary", "changes one after another, with restarts and kills; measures cost and memory growth", ordinaryDay},
+	{"in-force", "time from a proposal to the last gateway, without a fault and under each one", changesUnderFaults},
+	{"replaced", "the nodes of several shards are lost and replaced, one after another", nodeReplacement},
+	{"zone", "all gateways of a zone killed and restarted at once, with a change while they are down", zoneRestart},
+	{"all", "all gateways killed and restarted at once, with a change while they are down", fleetRestart},
+	{"rolling", "all gateways restarted in batches, with a change during each batch", rollingRestart},
+	{"regions", "a partition between the regions, with changes proposed on both sides, and its end", regionPartition},
+	{"forms", "gateways that send renewals in the previous build's format, next to current ones", mixedRenewalFormats},
 }
 
-// ErrUnknownCase is returned by Find for a name that no case has.
-var ErrUnknownCase = errors.New("there is no case")
+// ErrUnknownCase is returned by Find if no case has the name.
+var ErrUnknownCase = errors.New("unknown case")
 
-// Find returns the case of a name, or an error that wraps ErrUnknownCase.
+// Find returns the case with a name, or an error that wraps ErrUnknownCase.
 func Find(name string) (Case, error) {
 	for _, c := range Cases {
 		if c.Name == name {
@@ -48,21 +48,22 @@
 type Result struct {
 	Case          string                     `json:"case"`
 	Size          Size                       `json:"size"`
-	Figures       map[string]float64         `json:"figures,omitempty"` // their names end with the unit
-	Distributions map[string]meter.Quantiles `json:"spread,omitempty"`  // likewise
-	MemoryByPhase map[string][]float64       `json:"parts,omitempty"`   // MB after each phase of the run
+	Figures       map[string]float64         `json:"figures,omitempty"` // each name ends with its unit
+	Distributions map[string]meter.Quantiles `json:"spread,omitempty"`  // each name ends with its unit
+	MemoryByPhase map[string][]float64       `json:"parts,omitempty"`   // MB after each phase of the case "ordinary"
 	Audits        []rig.Agreement            `json:"audits,omitempty"`
-	Violations    []string                   `json:"broken"` // what does not hold; none: all does
+	Violations    []string                   `json:"broken"` // failed checks; empty: all passed
 	NotRun        string                     `json:"not_run,omitempty"`
 }
 
-// addViolation notes what does not hold.
+// addViolation adds a failed check.
 func (r *Result) addViolation(format string, args ...any) {
 	r.Violations = append(r.Violations, fmt.Sprintf(format, args...))
 }
 
-// audit audits what gateways acted on since the last audit. No contradiction at all is tolerated: the bound that the
-// audit states allows for errors of clocks, and all gateways here share one clock.
+// audit checks that the versions that gateways acted on since the last audit do not contradict each other. Unlike the
+// bound that the audit states, it tolerates no contradiction: that bound allows for clock errors, and all gateways
+// here share one clock.
 func (r *Result) audit(fleet *Fleet) error {
 	agreement, err := fleet.audit()
 	if err != nil {
@@ -70,28 +71,28 @@
 	}
 	r.Audits = append(r.Audits, agreement)
 	if agreement.WorstMillis > 0 {
-		r.addViolation("gateways contradicted each other for %.1f ms (%.0f stated): %s",
+		r.addViolation("gateways contradicted each other for %.1f ms (stated bound: %.0f ms): %s",
 			agreement.WorstMillis, agreement.BoundMillis, agreement.FirstViolation)
 	}
 	return nil
 }
 
-// checkEndState checks the end state, unless there are violations already, after which the fleet would not reach it.
+// checkEndState checks the end state, unless there are violations already: the fleet might then never reach it.
 func (r *Result) checkEndState(fleet *Fleet, shards ...int) {
 	if len(r.Violations) == 0 {
 		r.Violations = append(r.Violations, fleet.checkEndState(shards...)...)
 	}
 }
 
-// checkTimeBound checks a time, in milliseconds, against its bound, if the size enforces bounds.
+// checkTimeBound compares a measured time, in milliseconds, with its bound, if the size enforces time bounds.
 func (r *Result) checkTimeBound(what string, took float64, bound time.Duration) {
 	limit := float64(bound.Milliseconds())
 	if r.Size.EnforceTimeBounds && took > limit {
-		r.addViolation("%s: %.0f ms, over %.0f", what, took, limit)
+		r.addViolation("%s: %.0f ms, want at most %.0f ms", what, took, limit)
 	}
 }
 
-// Run opens a fleet and runs a case on it. With an error the result holds what was measured before.
+// Run starts a fleet and runs a case on it. If it fails, the result holds what was measured until then.
 func Run(testCase Case, size Size, options Options) (*Result, error) {
 	result := &Result{
 		Case:          testCase.Name,
@@ -117,6 +118,6 @@
 	used, err := meter.Process(os.Getpid())
 	result.Figures["gateways_process_mb"] = used.MB
 	names := slices.Sorted(maps.Keys(result.Figures))
-	fleet.options.Progress("%s: %d broken; %v", testCase.Name, len(result.Violations), names)
+	fleet.options.Progress("%s: %d violations; figures: %v", testCase.Name, len(result.Violations), names)
 	return result, err
 }
--- a/internal/scale/change.go
+++ b/internal/scale/change.go
@@ -10,30 +10,30 @@
 	"irispost/internal/fleet/replica"
 )
 
-// Change is a configuration change that was proposed and is announced.
+// Change is a configuration change that was proposed and that the replicas have announced.
 type Change struct {
 	Version    uint64
-	ProposedAt int64 // when it was proposed, in nanoseconds of the machine's monotonic clock
+	ProposedAt int64 // nanoseconds of the machine's monotonic clock
 }
 
-// gatewayFilter tells whether a gateway is meant, as one that is excluded from a check.
+// gatewayFilter selects gateways, such as those that a check excludes.
 type gatewayFilter func(*Gateway) bool
 
-// noGateway excludes none.
+// noGateway selects no gateway.
 func noGateway(*Gateway) bool { return false }
 
-// onlyGateway returns the filter for a single gateway.
+// onlyGateway returns a filter that selects a single gateway.
 func onlyGateway(gateway *Gateway) gatewayFilter {
 	return func(other *Gateway) bool { return other == gateway }
 }
 
-// propose makes a change to the newest configuration and waits until it is announced.
+// propose proposes a change to the newest configuration as the operator and waits until it is announced.
 func (f *Fleet) propose(reason string, change func(*configversion.Config)) (Change, error) {
 	return f.proposeBy(f.operator, reason, change)
 }
 
-// proposeBy proposes by a given client. The operator's own is retried until the timeout, unless the proposal is
-// rejected.
+// proposeBy proposes a change with the given client. With the operator's client, failed proposals are retried until
+// the timeout, unless a replica rejects them.
 func (f *Fleet) proposeBy(client *replica.Client, reason string, change func(*configversion.Config)) (Change, error) {
 	config := cloneConfig(f.config)
 	change(config)
@@ -51,7 +51,7 @@
 		if isRejected(err) {
 			break
 		}
-		f.options.Progress("%s is proposed again: %v", reason, err)
+		f.options.Progress("retrying the proposal of %s: %v", reason, err)
 		version, err = client.Propose(proposal)
 	}
 	if err != nil {
@@ -66,8 +66,8 @@
 	return proposed, nil
 }
 
-// awaitVersion waits until all gateways but the excluded act on a version alone, and names those that do not at the
-// timeout.
+// awaitVersion waits until all gateways but the excluded ones act on a version alone, and describes those that still
+// do not at the timeout.
 func (f *Fleet) awaitVersion(version uint64, excluded gatewayFilter) []string {
 	return f.awaitNone(func() []string {
 		actingOn := map[string]string{}
@@ -80,7 +80,7 @@
 	})
 }
 
-// awaitNone waits until a check finds no violations, and returns those that it still finds at the timeout.
+// awaitNone repeats a check until it finds no violations, and returns those that it still finds at the timeout.
 func (f *Fleet) awaitNone(check func() []string) []string {
 	for end := time.Now().Add(f.Size.Timeout); ; time.Sleep(pollInterval) {
 		violations := check()
@@ -90,8 +90,8 @@
 	}
 }
 
-// activationDelays returns how long each gateway but the excluded took to act on a change alone, in milliseconds from
-// its proposal.
+// activationDelays returns how long each gateway but the excluded ones took to act on a change alone, in milliseconds
+// from the proposal. Gateways that do not act on it alone yet are left out.
 func (f *Fleet) activationDelays(change Change, excluded gatewayFilter) (delays []float64) {
 	for _, gateway := range f.Gateways {
 		updates, _ := gateway.observed()
@@ -102,10 +102,10 @@
 	return delays
 }
 
-// milliseconds converts nanoseconds.
+// milliseconds converts nanoseconds to milliseconds.
 func milliseconds(nanoseconds int64) float64 { return float64(nanoseconds) / 1e6 }
 
-// discardUpdates discards the updates that all gateways' recorders hold, but the last of each.
+// discardUpdates discards the recorded updates of all gateways, except for the last one of each.
 func (f *Fleet) discardUpdates() {
 	for _, gateway := range f.Gateways {
 		gateway.lock.Lock()
@@ -116,7 +116,7 @@
 	}
 }
 
-// isRejected tells whether replicas answered a proposal with a rejection, after which a retry is in vain.
+// isRejected reports whether the replicas rejected a proposal, so that a retry would fail too.
 func isRejected(err error) bool {
 	var rejected *replica.RejectedError
 	return errors.As(err, &rejected)
--- a/internal/scale/config.go
+++ b/internal/scale/config.go
@@ -8,14 +8,14 @@
 	"irispost/scheduler"
 )
 
-// nodeStart is when the node of shard 0 started, in nanoseconds since 1970; each further shard's is nodeStartStep
-// later. Both are long ago, so that a replacement is not delayed by slow start.
+// nodeStart is when the node of shard 0 started, in nanoseconds since 1970. The node of each further shard started
+// nodeStartStep later. All of them, replacements included, started long ago, so that slow start delays no replacement.
 const (
 	nodeStart     = 1_700_000_000_000_000_000
 	nodeStartStep = 1_000_003
 )
 
-// initialConfig returns the configuration that a fleet begins with: nodes with names, zones and start times.
+// initialConfig returns the first configuration of a fleet, with one node for each shard.
 func initialConfig(size *Size) *configversion.Config {
 	config := &configversion.Config{
 		RequiredFormat:   configversion.Format,
@@ -50,7 +50,7 @@
 	return fmt.Sprintf("10.%d.%d.%d:7000", 10+replacements, shard>>8, shard&255)
 }
 
-// nodeEntry returns the configuration of a shard's node after a number of replacements.
+// nodeEntry returns the configuration entry of a shard's node after a number of replacements.
 func nodeEntry(size *Size, shard, replacements int) configversion.Node {
 	zone := size.zone(shard)
 	return configversion.Node{
@@ -62,7 +62,7 @@
 	}
 }
 
-// cloneConfig returns a copy whose levels, classes and nodes can be changed.
+// cloneConfig returns a copy whose service levels, request classes and nodes can be changed independently.
 func cloneConfig(config *configversion.Config) *configversion.Config {
 	clone := *config
 	clone.ServiceLevels = maps.Clone(config.ServiceLevels)
@@ -71,15 +71,16 @@
 	return &clone
 }
 
-// raiseRateLimit is an ordinary change: it conflicts with nothing that was allowed before.
+// raiseRateLimit raises the rate limit of a service level. This change conflicts with no earlier version, so that it
+// need not wait for fallbacks to end.
 func raiseRateLimit(config *configversion.Config) {
 	level := config.ServiceLevels["gold"]
 	level.RateLimit++
 	config.ServiceLevels["gold"] = level
 }
 
-// replaceNode returns the change by which a shard's node is replaced for the given time, counted from 1, and both
-// nodes' addresses.
+// replaceNode returns the change that replaces a shard's node, and the addresses of the old node and its successor.
+// times counts the replacements of the shard's nodes, this one included.
 func replaceNode(size *Size, shard, times int) (old, successor string, change func(*configversion.Config)) {
 	old = nodeAddress(shard, times-1)
 	successor = nodeAddress(shard, times)
@@ -89,7 +90,7 @@
 	}
 }
 
-// newLocalSettings returns the settings that each gateway has of its own, beside the agreed configuration.
+// newLocalSettings returns the settings that each gateway has in addition to the configuration from the replicas.
 func newLocalSettings(size *Size) scheduler.Settings {
 	return scheduler.Settings{"units.mean": "1", "units.largest": "16", "gateways": fmt.Sprint(size.Gateways)}
 }
--- a/internal/scale/defects.go
+++ b/internal/scale/defects.go
@@ -9,28 +9,28 @@
 	"irispost/scheduler"
 )
 
-// Defect is a set of defects that a test injects into a gateway, to show that a case reports them.
+// Defect is a set of defects that a test injects into gateways, to show that a case reports them.
 type Defect uint
 
-// The defects.
+// Defects that can be injected. All but DefectLeak concern a single gateway.
 const (
-	DefectLostVersion   Defect = 1 << iota // the gateway's scheduler does not receive one version
-	DefectNotRestarted                     // the gateway is not started again
-	DefectLeak                             // each gateway keeps every list
+	DefectLostVersion   Defect = 1 << iota // the gateway's scheduler does not receive a certain version
+	DefectNotRestarted                     // the gateway is not restarted
+	DefectLeak                             // each gateway keeps every endpoint list in memory
 	DefectNoLeaseExpiry                    // leases never expire at the gateway
-	DefectStaleList                        // the gateway's scheduler receives the list of the version before once more
+	DefectStaleList                        // the gateway's scheduler receives the previous version's list once more
 )
 
-// defectiveSource is the source of the active configuration that a gateway's loop looks at before each decision. For
-// a gateway without defects it is the client's own.
+// defectiveSource is the source of the active configuration that a gateway's loop reads before each decision. It
+// injects defects and delays. Without them it returns what the client returns.
 type defectiveSource struct {
 	gateway.ConfigSource
 	gateway      *Gateway
-	currentList  endpoint.List // all updates merged; with DefectStaleList only
-	lastSoleList endpoint.List // of the version that the gateway last acted on alone; likewise
+	currentList  endpoint.List // all updates merged; only with DefectStaleList
+	lastSoleList endpoint.List // of the version that the gateway last acted on alone; only with DefectStaleList
 }
 
-// At returns the client's active configuration: late for a slow gateway, and without what a defective one loses.
+// At returns the client's active configuration. It sleeps first if the gateway is slow, and applies injected defects.
 func (s *defectiveSource) At(now scheduler.Time) (*gateway.ActiveConfig, scheduler.Time) {
 	if delay := s.gateway.decisionDelay.Load(); delay > 0 {
 		time.Sleep(time.Duration(delay))
@@ -58,7 +58,7 @@
 	return active, until
 }
 
-// resendLastList sends the loop a list and then the one before it, once.
+// resendLastList sends the loop a list and then the one of the previous version. It does so only once.
 func (s *defectiveSource) resendLastList(list endpoint.List) {
 	s.gateway.defectVersion.Store(0)
 	go func() {
@@ -67,7 +67,7 @@
 	}()
 }
 
-// mergeList replaces the current list, or merges a partial one into it.
+// mergeList replaces the current list by a complete list, or merges a partial list into it.
 func (s *defectiveSource) mergeList(list endpoint.List) {
 	if !list.Partial {
 		s.currentList = list
--- a/internal/scale/doc.go
+++ b/internal/scale/doc.go
@@ -1,10 +1,10 @@
-// Package scale runs a whole fleet on one machine and checks what a case, such as a rolling restart or a network
-// partition, does to it.
+// Package scale tests large fleets on a single machine. It runs cases, such as a rolling restart or a network
+// partition, and checks that the fleet ends in the expected state.
 //
-// The gateways are hollow: each has a real client of the replicas, slow-start agent, event loop and scheduler, but no
-// clients, and its storage nodes are a fake that answers every attempt at once. Many of them run in this process. The
-// replicas are processes of their own. Links between two regions have latency and can be cut.
+// All gateways run in this process. Each has a real replica client, slow-start agent, event loop and scheduler, but it
+// serves no clients, and a fake answers every attempt at once in place of the storage nodes. The replicas are separate
+// processes. The fleet spans two regions. The links between the regions have latency and can be cut.
 //
-// The package is used by its tests and by `irispost fleet scale`. It owns the processes, links and files of the
-// fleets it starts, until Fleet.Close.
+// The package is used by its tests and by `irispost fleet scale`. It owns the processes, links and files of the fleets
+// that it starts, until Fleet.Close.
 package scale
--- a/internal/scale/endstate.go
+++ b/internal/scale/endstate.go
@@ -16,16 +16,16 @@
 const (
 	metricsTimeout = 5 * time.Second
 
-	maxClockDrift = 0.01 // as the replicas are started with
+	maxClockDrift = 0.01 // the replicas are started with the same value
 )
 
-// checkEndState checks the fleet against the newest version: it is in force at all replicas, each gateway runs and
-// acts on it alone, its scheduler sends each shard's requests to the node that the version names, and it starts a
-// request of each of the given shards there. It returns what does not hold.
+// checkEndState checks the fleet against the newest version and returns the violations. The version must be in force
+// at all replicas. Each gateway must run, act on this version alone, and send each shard's requests to the node that
+// the version names. For the given shards, this is also checked with a request.
 func (f *Fleet) checkEndState(shards ...int) (violations []string) {
 	violations = append(violations, f.awaitVersion(f.newestVersion, noGateway)...)
 	violations = append(violations, f.awaitNone(f.replicaDifferences)...)
-	if len(violations) > 0 { // the checks below would wait for gateways that do not serve
+	if len(violations) > 0 { // requests to gateways that do not serve would wait for the timeout
 		return violations
 	}
 	nodeByShard := make([]string, f.Size.Nodes)
@@ -44,34 +44,34 @@
 	return violations
 }
 
-// replicaDifferences names the replicas at which the newest version is not in force.
+// replicaDifferences describes the replicas at which the newest version is not in force.
 func (f *Fleet) replicaDifferences() []string {
-	states := map[string]string{"as wanted": fmt.Sprintf("%d in force, %d announced", f.newestVersion, f.newestVersion)}
+	states := map[string]string{"expected": fmt.Sprintf("%d in force, %d announced", f.newestVersion, f.newestVersion)}
 	for _, replica := range f.replicas {
-		states[fmt.Sprint("keeper ", replica.number)] = replica.versionState()
+		states[fmt.Sprint("replica ", replica.number)] = replica.versionState()
 	}
 	return minorityStates(states)
 }
 
-// checkPlacement checks that the gateway sends to the expected node of each shard, and that requests of some shards
-// are started there. It returns the first violation, or "".
+// checkPlacement checks that the gateway sends each shard's requests to the expected node, and starts a request of
+// each of the given shards to confirm it. It returns the first violation, or "".
 func (g *Gateway) checkPlacement(wantNodes []string, shards []int) string {
 	_, nodeByShard := g.observed()
 	for shard, addr := range wantNodes {
 		if nodeByShard[shard] != addr {
-			return fmt.Sprintf("%s sends to %q for shard %d, and not to %s", g.Name, nodeByShard[shard], shard, addr)
+			return fmt.Sprintf("%s sends to %q for shard %d, want %s", g.Name, nodeByShard[shard], shard, addr)
 		}
 	}
 	for _, shard := range shards {
 		if addr := g.probe(shard); addr != wantNodes[shard] {
-			return fmt.Sprintf("%s began a job of shard %d at %q, and not at %s", g.Name, shard, addr, wantNodes[shard])
+			return fmt.Sprintf("%s started a request of shard %d at %q, want %s", g.Name, shard, addr, wantNodes[shard])
 		}
 	}
 	return ""
 }
 
-// versionState returns the versions in force and announced at a replica, by its metrics, or the error that kept them
-// from being read.
+// versionState returns the versions in force and announced at a replica according to its metrics, or the text of the
+// error if the metrics cannot be fetched.
 func (r *replicaProcess) versionState() string {
 	text, err := r.metrics()
 	if err != nil {
@@ -88,7 +88,7 @@
 	return fmt.Sprintf("%s in force, %s announced", inForce, announced)
 }
 
-// metrics fetches the text of a replica's metrics.
+// metrics fetches a replica's metrics in the text format.
 func (r *replicaProcess) metrics() (string, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), metricsTimeout)
 	defer cancel()
@@ -105,8 +105,8 @@
 	return string(body), err
 }
 
-// audit checks, by the gateways' own records, that what they acted on since the last audit never contradicted each
-// other for longer than the stated bound.
+// audit checks with the gateways' own records that the versions that they acted on since the last audit never
+// contradicted each other for longer than the stated bound.
 func (f *Fleet) audit() (rig.Agreement, error) {
 	records := map[string][]rig.Activation{}
 	for _, gateway := range f.Gateways {
@@ -124,8 +124,8 @@
 	return rig.AuditSweep(records, versions, replica.ConvergenceBound(settings), monotonic())
 }
 
-// takeActivations returns what the gateway acted on since the last call. The last activation is also the first of the
-// next call's.
+// takeActivations returns what the gateway acted on since the last call. The last activation is returned again as the
+// first of the next call, as it still lasts.
 func (g *Gateway) takeActivations() (taken []rig.Activation, err error) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
--- a/internal/scale/faults.go
+++ b/internal/scale/faults.go
@@ -6,8 +6,8 @@
 	"irispost/internal/fleet/rig"
 )
 
-// fault is a single fault: it begins just before a change is proposed and ends once that is in force at all gateways
-// that it does not exclude.
+// fault is a kind of fault. It begins just before a change is proposed and ends once the change is in force at all
+// gateways that the fault does not exclude.
 type fault struct {
 	name  string
 	begin func(*Fleet) (activeFault, error)
@@ -15,19 +15,19 @@
 
 // activeFault is a fault that has begun.
 type activeFault struct {
-	excluded gatewayFilter // gateways that cannot be expected to receive a change before the fault has ended
+	excluded gatewayFilter // gateways that might receive no change before the fault has ended
 	end      func() error
 }
 
 const (
-	// rackCount is the number of racks of a fleet, each with as many gateways as another.
+	// rackCount is the number of racks of a fleet. The gateways are spread evenly over the racks.
 	rackCount = 28
 
-	// slowDelayDivisor is how many times a slow gateway's delay fits into a lease.
+	// slowDelayDivisor is the duration of a lease divided by the delay of a slow gateway.
 	slowDelayDivisor = 20
 )
 
-// faults are the operators' list, and what a single gateway may suffer from.
+// faults lists the faults that the operators named, and those of a single gateway.
 var faults = []fault{
 	{"none", func(*Fleet) (activeFault, error) { return activeFault{noGateway, noRecovery}, nil }},
 	{"gateway_killed", func(f *Fleet) (activeFault, error) {
@@ -51,7 +51,7 @@
 	}},
 }
 
-// FaultNames returns the names of all faults of the case "in-force".
+// FaultNames returns the names of all faults that the case "in-force" can inject.
 func FaultNames() (names []string) {
 	for _, fault := range faults {
 		names = append(names, fault.name)
@@ -125,7 +125,7 @@
 	return activeFault{onlyGateway(gateway), end}, nil
 }
 
-// killGateways kills gateways, which are excluded until they are started again at the end.
+// killGateways kills gateways. They are excluded, and restarted at the end of the fault.
 func (f *Fleet) killGateways(gateways []*Gateway) activeFault {
 	f.kill(gateways)
 	killed := map[*Gateway]bool{}
@@ -138,13 +138,13 @@
 	}
 }
 
-// killReplica kills a replica, which excludes no gateway, and starts it again at the end.
+// killReplica kills a replica and restarts it at the end of the fault. No gateway is excluded.
 func (f *Fleet) killReplica(replica *replicaProcess) activeFault {
 	replica.kill()
 	return activeFault{noGateway, func() error { return f.startReplica(replica) }}
 }
 
-// beginLinkFault puts a fault on the links of the faulty gateway.
+// beginLinkFault injects a fault into the links of the faulty gateway.
 func (f *Fleet) beginLinkFault(fault rig.Fault) activeFault {
 	gateway := f.Gateways[faultyGatewayIndex]
 	gateway.setLinkFault(fault)
@@ -155,21 +155,21 @@
 	return activeFault{onlyGateway(gateway), end}
 }
 
-// setLinkFault puts a fault on the gateway's own links; the zero fault ends it.
+// setLinkFault injects a fault into the gateway's private links. The zero Fault ends it.
 func (g *Gateway) setLinkFault(fault rig.Fault) {
 	for _, link := range g.privateLinks {
 		link.SetFault(fault)
 	}
 }
 
-// setInterRegionFault puts a fault on all links between regions; the zero fault ends it.
+// setInterRegionFault injects a fault into all links between regions. The zero Fault ends it.
 func (f *Fleet) setInterRegionFault(fault rig.Fault) {
 	for _, link := range f.interRegionLinks {
 		link.SetFault(fault)
 	}
 }
 
-// minorityRegion returns the region that has fewer replicas.
+// minorityRegion returns the region with fewer replicas.
 func (f *Fleet) minorityRegion() int {
 	count := [2]int{}
 	for _, region := range f.Size.ReplicaRegions {
@@ -181,7 +181,7 @@
 	return 1
 }
 
-// inRegion returns the filter for the gateways of a region.
+// inRegion returns a filter that selects the gateways of a region.
 func (f *Fleet) inRegion(region int) gatewayFilter {
 	return func(gateway *Gateway) bool { return f.Size.region(gateway.zone) == region }
 }
--- a/internal/scale/fleet.go
+++ b/internal/scale/fleet.go
@@ -15,43 +15,44 @@
 	"irispost/scheduler"
 )
 
-// Options are what a fleet is started with.
+// Options configures a fleet.
 type Options struct {
 	Program  func(args ...string) *exec.Cmd // returns the command `irispost args...`
-	Dir      string                         // folder for the files of replicas and gateways
+	Dir      string                         // directory for the files of replicas and gateways
 	Logger   *slog.Logger
-	Progress func(format string, args ...any) // called at each step, with text for people; nil: nobody reads it
-	Defects  Defect                           // injected into a gateway by tests
+	Progress func(format string, args ...any) // reports progress as text; nil: no reports
+	Defects  Defect                           // defects that tests inject
 }
 
-// Fleet is a set of replicas and gateways that run. Its fields are used by the goroutine of the case alone.
+// Fleet is a running set of replicas and gateways. Only the goroutine of the case uses its fields.
 type Fleet struct {
 	Size              Size
 	Gateways          []*Gateway
 	options           Options
 	localSettings     scheduler.Settings
 	replicas          []*replicaProcess
-	links             []*rig.Link // all
-	interRegionLinks  []*rig.Link // those of them between regions
+	links             []*rig.Link // all links
+	interRegionLinks  []*rig.Link // those between regions
 	operator          *replica.Client
 	traffic           meter.Bytes // between all gateways and the replicas
 	config            *configversion.Config
 	newestVersion     uint64
-	unauditedVersions []*configversion.Version // since the last audit, with the newest before it
+	unauditedVersions []*configversion.Version // since the last audit, preceded by the newest version before it
 }
 
 const (
-	// faultyGatewayIndex is the index of the gateway that suffers alone in some cases. It has links of its own.
+	// faultyGatewayIndex is the index of the gateway into which faults of a single gateway are injected. It has
+	// private links, so that other gateways are not affected.
 	faultyGatewayIndex = 0
 
-	// operatorTimeout is how long the operator's client waits for an answer, as the program does by default. A
-	// replica gets a part of it.
+	// operatorTimeout is how long the operator's client waits for an answer, the default of the irispost command. Each
+	// replica gets a part of this time.
 	operatorTimeout = 10 * time.Second
 
 	pollInterval = 5 * time.Millisecond
 )
 
-// defectiveGateway returns the gateway that gets a test's defects: one of the second region.
+// defectiveGateway returns the gateway into which a test's defects are injected. It is in the second region.
 func (f *Fleet) defectiveGateway() *Gateway { return f.Gateways[f.Size.FirstRegionZones] }
 
 // Open starts a fleet and waits until all its gateways act on its first version.
@@ -90,14 +91,14 @@
 		return err
 	}
 	if laggards := f.awaitVersion(f.newestVersion, noGateway); len(laggards) > 0 {
-		return fmt.Errorf("after a first start: %s", strings.Join(laggards, "; "))
+		return fmt.Errorf("the first version is not in force after the start: %s", strings.Join(laggards, "; "))
 	}
-	f.options.Progress("%d gateways of %d nodes act on the first version after %d ms",
+	f.options.Progress("%d gateways with %d nodes acted on the first version after %d ms",
 		f.Size.Gateways, f.Size.Nodes, (monotonic()-startedAt)/1e6)
 	return nil
 }
 
-// createGateways makes the gateways and their links to the replicas, without starting them.
+// createGateways creates the gateways and their links to the replicas, without starting the gateways.
 func (f *Fleet) createGateways() (err error) {
 	addrsByZone := make([][]string, f.Size.Zones)
 	for zone := range addrsByZone {
@@ -129,8 +130,8 @@
 	return nil
 }
 
-// replicaAddrs returns the addresses at which gateways of a zone reach the replicas: those of its own region
-// directly, unless the links are one gateway's own.
+// replicaAddrs returns the addresses at which gateways of a zone reach the replicas. They reach replicas of their own
+// region directly, and others over links. Private links, for a single gateway, lead to all replicas.
 func (f *Fleet) replicaAddrs(zone int, private bool) (addrs []string, err error) {
 	for _, replica := range f.replicas {
 		addr := replica.addr
@@ -146,7 +147,7 @@
 	return addrs, nil
 }
 
-// Close ends all gateways, replicas and links.
+// Close kills all gateways and replicas and closes all links.
 func (f *Fleet) Close() {
 	f.kill(f.Gateways)
 	for _, replica := range f.replicas {
@@ -157,7 +158,7 @@
 	}
 }
 
-// start starts gateways concurrently and returns the first error.
+// start starts gateways concurrently. It returns the error of the first gateway in the list that failed.
 func (f *Fleet) start(gateways []*Gateway) error {
 	errs := make([]error, len(gateways))
 	forEachGateway(gateways, func(i int, gateway *Gateway) { errs[i] = gateway.start() })
@@ -174,7 +175,7 @@
 	forEachGateway(gateways, func(_ int, gateway *Gateway) { gateway.kill() })
 }
 
-// forEachGateway calls do for all gateways concurrently and waits until all calls have returned.
+// forEachGateway calls do concurrently for each gateway and waits until all calls have returned.
 func forEachGateway(gateways []*Gateway, do func(int, *Gateway)) {
 	var done sync.WaitGroup
 	for i, gateway := range gateways {
--- a/internal/scale/gateway.go
+++ b/internal/scale/gateway.go
@@ -26,22 +26,22 @@
 	probeLevel     = "basic"
 )
 
-// Gateway is a real gateway without clients and without storage nodes.
+// Gateway is a gateway that serves no clients and whose storage nodes are faked. The rest is as in production.
 type Gateway struct {
 	Name           string
 	fleet          *Fleet
 	index          int
 	zone           int
-	replicaAddrs   []string      // as this gateway reaches them
-	privateLinks   []*rig.Link   // its own links to them; none: it shares those of its zone
-	pauseLock      sync.RWMutex  // locked for writing while the gateway is paused
-	decisionDelay  atomic.Int64  // nanoseconds that each look at the active configuration takes
-	traffic        meter.Bytes   // to and from replicas
-	previousFormat bool          // it sends renewals in the form of the build before
-	defects        Defect        // injected by a test
-	defectVersion  atomic.Uint64 // the version that DefectLostVersion and DefectStaleList apply to; 0: none yet
+	replicaAddrs   []string      // at which this gateway reaches the replicas
+	privateLinks   []*rig.Link   // to the replicas; none: it shares the links of its zone
+	pauseLock      sync.RWMutex  // write-locked while the gateway is paused
+	decisionDelay  atomic.Int64  // nanoseconds added to each read of the active configuration
+	traffic        meter.Bytes   // between this gateway and the replicas
+	previousFormat bool          // sends renewals in the previous build's format
+	defects        Defect        // defects that a test injects
+	defectVersion  atomic.Uint64 // to which DefectLostVersion and DefectStaleList apply; 0: none
 
-	lock             sync.Mutex // guards all below
+	lock             sync.Mutex // guards the fields below
 	running          bool
 	startCount       int
 	recorder         *listRecorder
@@ -49,12 +49,12 @@
 	loop             *gateway.Loop
 	client           *client.Client
 	agent            *agent.Agent     // nil: no slow start
-	activationFile   string           // written by the client of this start
-	activationOffset int64            // bytes of it that were read
-	activations      []rig.Activation // read from it and not taken by an audit yet
+	activationFile   string           // written by the replica client since the last start
+	activationOffset int64            // number of bytes of activationFile that were read
+	activations      []rig.Activation // read from activationFile and not audited yet
 }
 
-// start starts the gateway. It is put together as internal/serve does for a gateway that follows replicas.
+// start starts the gateway. It assembles it in the way of internal/serve for a gateway that follows replicas.
 func (g *Gateway) start() error {
 	g.lock.Lock()
 	defer g.lock.Unlock()
@@ -99,7 +99,7 @@
 	return nil
 }
 
-// clientOptions returns the options of the client of the replicas, but for its callbacks.
+// clientOptions returns the options of the replica client, except for its callbacks.
 func (g *Gateway) clientOptions(clock gateway.Clock) client.Options {
 	options := client.Options{
 		Gateway:       g.Name,
@@ -122,7 +122,7 @@
 	return options
 }
 
-// listenAgent opens the slow-start agent, if the fleet has them, and connects the client of the replicas to it.
+// listenAgent opens the slow-start agent, if the fleet uses slow start, and connects the replica client to it.
 func (g *Gateway) listenAgent(options *client.Options, clock gateway.Clock) (err error) {
 	g.agent = nil
 	if !g.fleet.Size.SlowStart {
@@ -144,8 +144,8 @@
 	return nil
 }
 
-// dial returns the function that opens the gateway's connections to replicas. Their bytes are counted, and they pause
-// with the gateway.
+// dial returns the function that opens connections to replicas. They count their bytes and pause together with the
+// gateway.
 func (g *Gateway) dial() client.Dial {
 	plain := (&net.Dialer{Timeout: g.fleet.Size.RenewInterval}).DialContext
 	counted := meter.Dialer(plain, func(string) []*meter.Bytes { return []*meter.Bytes{&g.traffic, &g.fleet.traffic} })
@@ -158,7 +158,7 @@
 	}
 }
 
-// kill ends the gateway as a crash does, without a word to the replicas. From then on it acts on nothing.
+// kill stops the gateway without notifying the replicas, as a crash would, and records that it acts on nothing.
 func (g *Gateway) kill() {
 	g.lock.Lock()
 	defer g.lock.Unlock()
@@ -171,29 +171,29 @@
 	if g.agent != nil {
 		g.agent.Close()
 	}
-	_ = g.readActivations() // what cannot be read is missing from the audit
+	_ = g.readActivations() // activations that cannot be read are missing from the audit
 	g.activations = append(g.activations, rig.Activation{At: monotonic()})
-	_ = os.Remove(g.activationFile) // a new start writes another file
+	_ = os.Remove(g.activationFile) // the next start writes another file
 }
 
-// actingOn returns what the gateway's scheduler acts on, by the last list that it received, or "not there".
+// actingOn describes what the gateway's scheduler acts on, according to the last endpoint list that it received.
 func (g *Gateway) actingOn() string {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	if !g.running {
-		return "not there"
+		return "nothing (not running)"
 	}
 	return g.recorder.actingOn()
 }
 
-// observed returns the updates since the last discard and the node that serves each shard now.
+// observed returns the recorded updates since the last discard and the address of each shard's current node.
 func (g *Gateway) observed() (updates []ListUpdate, nodeByShard []string) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	return g.recorder.observed()
 }
 
-// readActivations reads what the client has added to its record of activations. The lock is held.
+// readActivations reads what the client has added to its record of activations. The caller holds the lock.
 func (g *Gateway) readActivations() error {
 	file, err := os.Open(g.activationFile)
 	if err != nil {
@@ -207,18 +207,18 @@
 	if err != nil {
 		return err
 	}
-	text = text[:bytes.LastIndexByte(text, '\n')+1] // a line that is being written is read the next time
+	text = text[:bytes.LastIndexByte(text, '\n')+1] // an incomplete last line is read by the next call
 	activations, err := rig.ReadActivations(bytes.NewReader(text))
 	g.activationOffset += int64(len(text))
 	g.activations = append(g.activations, activations...)
 	return err
 }
 
-// probeCount makes the idempotency keys of probes unique in this process.
+// probeCount numbers probes, so that their idempotency keys are unique in this process.
 var probeCount atomic.Int64
 
-// probe submits a request of a shard and returns the address of the node at which its attempt was started; "": none
-// was.
+// probe submits a request for a shard, waits for its end, and returns the address of the node at which its first
+// attempt was started, or "" if none was.
 func (g *Gateway) probe(shard int) string {
 	g.lock.Lock()
 	loop, nodes := g.loop, g.nodes
--- a/internal/scale/inforce.go
+++ b/internal/scale/inforce.go
@@ -7,17 +7,18 @@
 	"irispost/internal/scale/meter"
 )
 
-// recoveryDivisor is how many times the rest after a fault fits into a lease: what its end has set off is over then.
+// recoveryDivisor is the duration of a lease divided by the pause after a change. In the pause, the fleet settles
+// after the end of a fault.
 const recoveryDivisor = 10
 
-// faultDelays are the measurements of all changes under one fault, in milliseconds from each proposal.
+// faultDelays holds the delays of all changes under one fault, in milliseconds from the proposal of each.
 type faultDelays struct {
-	announced []float64
-	each      []float64 // of each change and gateway
-	last      []float64 // of each change, the last gateway
+	announced []float64 // until the replicas announced each change
+	each      []float64 // until each gateway acted on each change
+	last      []float64 // until the last gateway acted on each change
 }
 
-// changesUnderFaults makes changes under each single fault.
+// changesUnderFaults makes changes under each fault in turn, or under those that the size names.
 func changesUnderFaults(fleet *Fleet, result *Result) error {
 	for _, fault := range faults {
 		if len(fleet.Size.Faults) > 0 && !slices.Contains(fleet.Size.Faults, fault.name) {
@@ -30,14 +31,14 @@
 				return err
 			}
 			if len(violations) > 0 {
-				result.addViolation("under %s: %v", fault.name, violations)
+				result.addViolation("fault %s: %v", fault.name, violations)
 				return nil
 			}
 			fleet.discardUpdates()
 			time.Sleep(fleet.Size.Lease / recoveryDivisor)
 		}
 		delays.report(fault.name, result)
-		fleet.options.Progress("under %s, ms: %+v", fault.name, result.Distributions["in_force_ms."+fault.name])
+		fleet.options.Progress("delays under fault %s, ms: %+v", fault.name, result.Distributions["in_force_ms."+fault.name])
 		if err := result.audit(fleet); err != nil {
 			return err
 		}
@@ -46,7 +47,7 @@
 	return nil
 }
 
-// changeUnderFault makes a change while a fault lasts, and waits until all gateways act on it after the fault's end.
+// changeUnderFault makes a change during a fault, ends the fault, and waits until all gateways act on the change.
 func changeUnderFault(fleet *Fleet, fault fault, round int, delays *faultDelays) (violations []string, err error) {
 	active, err := fault.begin(fleet)
 	if err != nil {
@@ -70,11 +71,11 @@
 	return append(violations, fleet.awaitVersion(change.Version, noGateway)...), nil
 }
 
-// report adds the distributions to a result and checks the bound of time.
+// report adds the distributions to a result and checks the time bound.
 func (d *faultDelays) report(faultName string, result *Result) {
 	last := meter.QuantilesOf(d.last)
 	result.Distributions["in_force_ms."+faultName] = meter.QuantilesOf(d.each)
 	result.Distributions["last_ms."+faultName] = last
 	result.Distributions["announced_ms."+faultName] = meter.QuantilesOf(d.announced)
-	result.checkTimeBound("in force under "+faultName, last.Worst, inForceBound)
+	result.checkTimeBound("time until a change was in force under fault "+faultName, last.Worst, inForceBound)
 }
--- a/internal/scale/main_test.go
+++ b/internal/scale/main_test.go
@@ -16,8 +16,8 @@
 	"irispost/internal/fleet/replica"
 )
 
-// TestMain runs the test's own binary as a replica, with the program's arguments, or as a single case, where it is
-// started as one.
+// TestMain runs the tests. If the test binary is started with the arguments of a replica or of a single case, it runs
+// that instead.
 func TestMain(m *testing.M) {
 	modes := map[string]func([]string) error{"keeper": runReplica, "case": runCaseRequest}
 	if len(os.Args) <= 2 || modes[os.Args[1]] == nil {
@@ -29,7 +29,7 @@
 	}
 }
 
-// runReplica runs a replica until it ends.
+// runReplica runs a replica with the arguments of `irispost keeper` until it ends.
 func runReplica(args []string) error {
 	options := replica.Options{
 		Peers:         map[uint64]string{},
@@ -61,7 +61,7 @@
 	return started.Err()
 }
 
-// caseRequest is a case that a process of its own is to run.
+// caseRequest describes a case to run, possibly in a separate process.
 type caseRequest struct {
 	Name    string
 	Size    Size
@@ -69,7 +69,7 @@
 	Defects Defect
 }
 
-// runCaseRequest runs a case and prints its result.
+// runCaseRequest runs a case that is given as JSON and prints its result as JSON.
 func runCaseRequest(args []string) error {
 	var request caseRequest
 	if err := json.Unmarshal([]byte(args[0]), &request); err != nil {
@@ -101,11 +101,11 @@
 	})
 }
 
-// fleetSlots bounds how many fleets run at once: the starts of more would stall a machine that others use too.
+// fleetSlots limits how many fleets run at once. Starting more would overload a machine that is shared with others.
 var fleetSlots = make(chan struct{}, 4)
 
-// runInSlot runs a case once there is a slot: the ordinary day in a process of its own, as the memory of the whole
-// process is measured.
+// runInSlot waits for a free slot and runs a case. The case "ordinary" runs in a separate process, because it measures
+// the memory of its whole process.
 func runInSlot(t *testing.T, name string, size Size, defects Defect) *Result {
 	t.Helper()
 	fleetSlots <- struct{}{}
@@ -121,7 +121,7 @@
 	return runInProcess(t, request)
 }
 
-// runInProcess runs a case in a process of its own.
+// runInProcess runs a case in a separate process.
 func runInProcess(t *testing.T, request caseRequest) *Result {
 	t.Helper()
 	encoded, err := json.Marshal(request)
--- a/internal/scale/nodeclient.go
+++ b/internal/scale/nodeclient.go
@@ -6,13 +6,13 @@
 	"irispost/internal/backend/node"
 )
 
-// fakeNodeClient stands in for the connections to storage nodes: each attempt is answered at once as served. Where
-// the first attempt of each idempotency key was started is noted.
+// fakeNodeClient is a fake of the client of storage nodes. It answers each attempt at once as executed, and records
+// the address at which the first attempt of each idempotency key was started.
 type fakeNodeClient struct {
 	placements sync.Map // addresses by idempotency key
 }
 
-// takePlacement returns the address at which the first attempt of a key was started, and removes it; "": there was
+// takePlacement returns and removes the address at which the first attempt of a key was started, or "" if there was
 // none.
 func (c *fakeNodeClient) takePlacement(key string) string {
 	value, _ := c.placements.LoadAndDelete(key)
@@ -20,24 +20,24 @@
 	return addr
 }
 
-// completedAttempt is an attempt that has nothing left to cancel.
+// completedAttempt is an attempt that needs no cancellation.
 type completedAttempt struct{}
 
-// Cancel does nothing.
+// Cancel does nothing, as the attempt has ended.
 func (completedAttempt) Cancel() {}
 
-// Start answers an attempt.
+// Start records the address of a key's first attempt and answers the attempt on another goroutine.
 func (c *fakeNodeClient) Start(addr string, call *node.Call, done func(node.Reply)) node.Attempt {
 	c.placements.LoadOrStore(call.IdempotencyKey, addr)
 	go done(node.Reply{Outcome: node.Executed, Shard: call.Shard})
 	return completedAttempt{}
 }
 
-// AbortQueued does nothing: no attempt waits.
+// AbortQueued does nothing, as no attempts are queued.
 func (c *fakeNodeClient) AbortQueued(func(string) bool) {}
 
-// Retain does nothing: there are no connections.
+// Retain does nothing, as there are no connections.
 func (c *fakeNodeClient) Retain(map[string]bool) {}
 
-// LateReplies returns 0: all answers come at once.
+// LateReplies returns 0, as all answers come at once.
 func (c *fakeNodeClient) LateReplies() int64 { return 0 }
--- a/internal/scale/observation_test.go
+++ b/internal/scale/observation_test.go
@@ -7,10 +7,11 @@
 
 func TestSoleVersionIsThatOfASingleVersionInForce(t *testing.T) {
 	for actingOn, want := range map[string]uint64{
-		"3.1b464b6d": 3, "2.aa&3.bb": 0, "floor of 3.bb": 0, "none": 0, "none yet": 0, "not there": 0, "3": 0, "": 0,
+		"3.1b464b6d": 3, "2.aa&3.bb": 0, "floor of 3.bb": 0, "none": 0, "nothing (no list yet)": 0,
+		"nothing (not running)": 0, "3": 0, "": 0,
 	} {
 		if got := soleVersion(actingOn); got != want {
-			t.Errorf("%q acts on %d alone, not on %d", actingOn, got, want)
+			t.Errorf("soleVersion(%q) = %d, want %d", actingOn, got, want)
 		}
 	}
 }
@@ -25,10 +26,10 @@
 		want    string
 	}{
 		"switches":       {[]ListUpdate{{At: 1}, move(7e6, ""), move(9e6, "new")}, 9e6, ""},
-		"never switches": {[]ListUpdate{{At: 1}, move(7e6, "")}, 0, "never turned"},
-		"no update":      {nil, 0, "never turned"},
+		"never switches": {[]ListUpdate{{At: 1}, move(7e6, "")}, 0, "never switched"},
+		"no update":      {nil, 0, "never switched"},
 		"goes back": {[]ListUpdate{move(9e6, "new"), move(12e6, "old"), move(13e6, "new")}, 9e6,
-			"turned back to old, 3 ms after"},
+			"switched back to old, 3 ms after"},
 		"sends to no node at last": {[]ListUpdate{move(9e6, "new"), move(12e6, "")}, 9e6, `sends to "" at the end`},
 		"no node for a moment":     {[]ListUpdate{move(9e6, "new"), move(12e6, ""), move(13e6, "new")}, 9e6, ""},
 		"another shard is the old's": {[]ListUpdate{move(9e6, "new"), {At: 11e6, MovedShards: map[int]string{6: "old"}}},
@@ -36,25 +37,25 @@
 	} {
 		at, violation := switchedAt(c.updates, 5, "old", "new")
 		if at != c.at || (violation == "") != (c.want == "") || !strings.Contains(violation, c.want) {
-			t.Errorf("%s: %d, %q", name, at, violation)
+			t.Errorf("%s: got a switch at %d and violation %q", name, at, violation)
 		}
 	}
 }
 
 func TestLaggardsAreAllThatDoNotActOnTheVersionAlone(t *testing.T) {
-	list := laggards(map[string]string{"a": "3.x", "b": "2.x&3.y", "c": "not there", "d": "4.x"}, 3)
+	list := laggards(map[string]string{"a": "3.x", "b": "2.x&3.y", "c": "nothing (not running)", "d": "4.x"}, 3)
 	if len(list) != 3 || !strings.HasPrefix(list[0], "b acts on 2.x&3.y") {
-		t.Errorf("laggards: %v", list)
+		t.Errorf("got laggards %v, want b, c and d in this order", list)
 	}
 }
 
 func TestMinorityStatesAreThoseThatDifferFromTheMost(t *testing.T) {
 	list := minorityStates(map[string]string{"a": "x", "b": "x", "c": "y"})
 	if len(list) != 1 || !strings.HasPrefix(list[0], "c: y") {
-		t.Errorf("differing: %v", list)
+		t.Errorf("got %v, want only the state of c", list)
 	}
 	if list := minorityStates(map[string]string{"a": "x", "b": "x"}); len(list) != 0 {
-		t.Errorf("the same is differing: %v", list)
+		t.Errorf("equal states: got %v, want none", list)
 	}
 }
 
@@ -69,7 +70,7 @@
 		"too few phases":                           {[]float64{30, 30}, true},
 	} {
 		if text := growthViolation("it", c.phases); (text != "") != c.grows {
-			t.Errorf("%s: %q", name, text)
+			t.Errorf("%s: got violation %q", name, text)
 		}
 	}
 }
@@ -83,10 +84,10 @@
 		{At: 5, ActingOn: "2.b"},
 	}
 	if at, ok := actingSince(updates, 2); at != 3 || !ok {
-		t.Errorf("on 2 alone since %d, %v", at, ok)
+		t.Errorf("version 2: got %d, %v, want 3, true", at, ok)
 	}
 	if _, ok := actingSince(updates, 3); ok {
-		t.Error("on a version that no update has")
+		t.Error("version 3, which no update has: got ok, want not ok")
 	}
 }
 
@@ -100,11 +101,11 @@
 			}
 			count++
 			if event != count {
-				t.Errorf("event %d of %+v is scheduled as %d", count, c, event)
+				t.Errorf("event %d of %+v: got number %d", count, c, event)
 			}
 		}
 		if count != c.events {
-			t.Errorf("%d events of %+v", count, c)
+			t.Errorf("got %d events for %+v", count, c)
 		}
 	}
 }
--- a/internal/scale/ordinary.go
+++ b/internal/scale/ordinary.go
@@ -5,25 +5,25 @@
 )
 
 const (
-	changesPerDay = 950 // of the operators' fleet
+	changesPerDay = 950 // in the operators' fleet
 	secondsPerDay = 86400
 
-	// gatewayStride spreads the gateways that restarts and kills hit over the fleet.
+	// disturbedGatewayStride spreads restarts and kills over the gateways of the fleet.
 	disturbedGatewayStride = 7
 )
 
-// ordinaryRun is the case "ordinary" while it runs.
+// ordinaryRun is the state of a run of the case "ordinary".
 type ordinaryRun struct {
 	fleet          *Fleet
 	result         *Result
-	killedReplica  *replicaProcess // nil: none; started again after the next change
-	killedGateways []*Gateway      // one at most, started again after the next change
-	delays         []float64       // of each change, milliseconds until the last gateway acts on it
-	undisturbed    []float64       // those of changes while nothing was down or had just been restarted
+	killedReplica  *replicaProcess // nil: none; restarted after the current change
+	killedGateways []*Gateway      // at most one; restarted after the current change
+	delays         []float64       // of each change, in milliseconds until the last running gateway acted on it
+	undisturbed    []float64       // the delays of changes for which nothing was killed or restarted
 }
 
-// ordinaryDay is a day in short: changes one after another, each in force everywhere before the next, with restarts
-// and kills spread over them. Memory and folders are measured after each phase.
+// ordinaryDay condenses a day of operation. It makes changes one after another, each in force everywhere before the
+// next, with restarts and kills spread over them. It measures memory and the replicas' directories after each phase.
 func ordinaryDay(fleet *Fleet, result *Result) error {
 	if err := fleet.measureIdle(result); err != nil {
 		return err
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// makeChanges makes all changes, or those until one does not get into force.
+// makeChanges makes all changes. It stops early if one does not come into force.
 func (r *ordinaryRun) makeChanges() error {
 	size := &r.fleet.Size
 	phase := 1
@@ -81,8 +81,8 @@
 	return nil
 }
 
-// makeChange disturbs the fleet where that is scheduled, makes one change, and repairs what was killed once the
-// change is in force.
+// makeChange kills or restarts what is scheduled, makes one change, and restarts what was killed once the change is in
+// force.
 func (r *ordinaryRun) makeChange(number int) (inForce bool, err error) {
 	disturbed, err := r.disturb(number)
 	if err != nil {
@@ -109,7 +109,7 @@
 	return true, nil
 }
 
-// disturb kills or restarts what is scheduled before a change, and tells whether the change meets a disturbance.
+// disturb kills or restarts what is scheduled before a change, and reports whether the change is disturbed.
 func (r *ordinaryRun) disturb(number int) (disturbed bool, err error) {
 	size := &r.fleet.Size
 	gateway := r.fleet.Gateways[number*disturbedGatewayStride%len(r.fleet.Gateways)]
@@ -134,7 +134,7 @@
 	return len(r.killedGateways) > 0 || r.killedReplica != nil, nil
 }
 
-// repair starts what was killed.
+// repair restarts what was killed.
 func (r *ordinaryRun) repair() error {
 	if len(r.killedGateways) > 0 {
 		if err := r.fleet.start(r.fleet.startable(r.killedGateways)); err != nil {
@@ -151,7 +151,7 @@
 	return nil
 }
 
-// endPhase audits and measures after a phase.
+// endPhase audits the fleet and measures memory after a phase.
 func (r *ordinaryRun) endPhase(number int) error {
 	if err := r.result.audit(r.fleet); err != nil {
 		return err
@@ -159,23 +159,24 @@
 	if err := r.fleet.measureMemory(r.result); err != nil {
 		return err
 	}
-	r.fleet.options.Progress("%d of %d changes, the slowest %.0f ms; MB: %v",
+	r.fleet.options.Progress("%d of %d changes in force, the slowest after %.0f ms; memory in MB: %v",
 		number, r.fleet.Size.Changes, meter.QuantilesOf(r.delays).Worst, r.result.MemoryByPhase)
 	return nil
 }
 
-// changeCount returns the number of changes that were in force, for means over them.
+// changeCount returns the number of changes that came into force, or 1 if there are none, as a divisor for means.
 func (r *ordinaryRun) changeCount() float64 { return max(float64(len(r.delays)), 1) }
 
-// reportDelays adds the delays of changes to the result.
+// reportDelays adds the delays of changes to the result and checks the time bound.
 func (r *ordinaryRun) reportDelays() {
 	delays := meter.QuantilesOf(r.delays)
 	r.result.Distributions["in_force_ms"] = delays
 	r.result.Distributions["in_force_undisturbed_ms"] = meter.QuantilesOf(r.undisturbed)
-	r.result.checkTimeBound("in force on an ordinary day", delays.Worst, inForceBound)
+	r.result.checkTimeBound("time until a change was in force", delays.Worst, inForceBound)
 }
 
-// reportTraffic adds the bytes of a change and of a day to the result, of the mean gateway.
+// reportTraffic adds the mean traffic of a gateway to the result: the bytes for each change, beyond those of the idle
+// fleet, and the bytes per second on a day with changesPerDay changes.
 func (r *ordinaryRun) reportTraffic(before, startedAt int64) {
 	figures := r.result.Figures
 	seconds := float64(monotonic()-startedAt) / 1e9
@@ -185,14 +186,14 @@
 	figures["day_bytes_s"] = figures["rest_bytes_s"] + figures["change_bytes"]*changesPerDay/secondsPerDay
 }
 
-// reportReplicaCPU adds the processor time that a change takes at replicas to the result.
+// reportReplicaCPU adds the processor time that replicas spend on each change to the result.
 func (r *ordinaryRun) reportReplicaCPU(before, after []meter.Usage) error {
 	leader, _, err := r.fleet.leader()
 	if err != nil {
 		return err
 	}
 	for i, replica := range r.fleet.replicas {
-		if after[i].CPU <= before[i].CPU { // it was killed: the new process counts from 0
+		if after[i].CPU <= before[i].CPU { // it was restarted, and the new process counts from 0
 			continue
 		}
 		name := "other_keeper_cpu_ms_change"
@@ -204,8 +205,8 @@
 	return nil
 }
 
-// scheduledEvent returns which event, from 1, comes with a change, where a number of events is spread over all
-// changes; 0: none.
+// scheduledEvent spreads events evenly over changes. It returns the number of the event that belongs to a change, or 0
+// if there is none. Changes and events are numbered from 1.
 func scheduledEvent(change, changes, events int) int {
 	if events == 0 || change*events/changes == (change-1)*events/changes {
 		return 0
--- a/internal/scale/partition.go
+++ b/internal/scale/partition.go
@@ -8,28 +8,29 @@
 	"irispost/internal/fleet/lease"
 )
 
-// Partition describes two regions that cannot reach each other for a while. It is simulated in virtual time with the
-// lease protocol's own state machine, manager and clients: one gateway in the region that has a majority of the
-// replicas, one in the region without.
+// Partition describes a network partition between two regions. It is simulated in virtual time with the state machine,
+// manager and clients of the lease protocol. There is one gateway in the region with a majority of the replicas and
+// one in the other region.
 type Partition struct {
 	Lease          int64 // nanoseconds
-	Fallback       int64 // nanoseconds for which a gateway may serve on the fallback of its version
-	Duration       int64 // nanoseconds for which the regions are apart
-	ReplicaRegions []int // the region of each replica; a region without a majority has no leader
-	DrainNode      bool  // the change, proposed a second after the cut, drains a node; otherwise it raises a limit
+	Fallback       int64 // nanoseconds for which a gateway may serve on its version's fallback
+	Duration       int64 // nanoseconds
+	ReplicaRegions []int // region of each replica; only a region with a majority has a leader
+	DrainNode      bool  // the change, proposed a second after the start, replaces a node; otherwise it raises a limit
 }
 
-// PartitionResult is the outcome of a Partition. Times are nanoseconds.
+// PartitionResult is the outcome of a Partition. Times are in nanoseconds.
 type PartitionResult struct {
-	// MajorityRegion is the region in which changes are still committed; -1: none.
+	// MajorityRegion is the region in which changes are still committed, or -1 if there is none.
 	MajorityRegion int
-	// LeaseHeldFor is the time from the cut until the lease of the gateway without a majority expired.
+	// LeaseHeldFor is the time from the start of the partition until the lease of the gateway in the minority region
+	// expired.
 	LeaseHeldFor int64
-	// ServedFor is the time from the cut until that gateway, on its fallback by then, stopped serving; 0: it still
-	// served at the end.
+	// ServedFor is the time from the start of the partition until that gateway, by then on its fallback, stopped
+	// serving, or 0 if it still served at the end.
 	ServedFor int64
-	// ActivationDelay is the time from the proposal of the change until it was in force in the majority's region; -1:
-	// it was not during the partition.
+	// ActivationDelay is the time from the proposal of the change until it was in force in the majority region, or -1
+	// if it was not in force before the end of the partition.
 	ActivationDelay int64
 }
 
@@ -38,21 +39,21 @@
 	simulationStart = int64(1e9)
 	simulationDrift = 0.01
 
-	proposalDelay    = int64(1e9) // from the cut to the proposal of the change
+	proposalDelay    = int64(1e9) // from the start of the partition to the proposal of the change
 	requestsPerLease = 5
-	requestsPerStep  = 3 // a renewal that asks for another one at once gets it within the step
+	requestsPerStep  = 3 // a renewal may have to be followed by another at once, within the same step
 )
 
-// partitionSimulation is the state of a Partition that is being simulated.
+// partitionSimulation is the state of the simulation of a Partition.
 type partitionSimulation struct {
 	now            int64
 	state          *lease.StateMachine
 	manager        *lease.Manager
-	majorityClient *lease.Client // in the region with a majority, if there is one
-	minorityClient *lease.Client // in the other region
+	majorityClient *lease.Client // of the gateway in the majority region, if there is one
+	minorityClient *lease.Client // of the gateway in the other region
 }
 
-// Simulate plays the partition and returns its outcome.
+// Simulate runs the simulation and returns its outcome.
 func (p Partition) Simulate() (PartitionResult, error) {
 	result := PartitionResult{MajorityRegion: p.majorityRegion(), ActivationDelay: -1}
 	size := ShortSize()
@@ -104,7 +105,7 @@
 	return -1
 }
 
-// change returns the configuration that is proposed during the partition.
+// change returns the configuration that is proposed during the partition, a changed copy of config.
 func (p Partition) change(size *Size, config *configversion.Config) *configversion.Config {
 	next := cloneConfig(config)
 	if p.DrainNode {
@@ -116,7 +117,7 @@
 	return next
 }
 
-// observe notes until when the gateway without a majority held its lease, and until when it served.
+// observe records when the gateway in the minority region lost its lease and when it stopped serving.
 func (r *PartitionResult) observe(simulation *partitionSimulation, cut int64) {
 	simulation.minorityClient.Effective(simulation.now)
 	state := simulation.minorityClient.State()
@@ -128,7 +129,7 @@
 	}
 }
 
-// newPartitionSimulation makes version 1 of the configuration and both gateways' clients.
+// newPartitionSimulation returns a simulation with version 1 of the configuration and the clients of both gateways.
 func newPartitionSimulation(leaseDuration int64, config *configversion.Config) (*partitionSimulation, error) {
 	state := lease.NewStateMachine()
 	for _, command := range []*lease.Command{
@@ -148,12 +149,12 @@
 		majorityClient: lease.NewClient("here", leaseDuration/requestsPerLease, 0),
 		minorityClient: lease.NewClient("there", leaseDuration/requestsPerLease, 0),
 	}
-	simulation.majorityClient.RequestFullVersions() // the transfer of contents takes no virtual time
+	simulation.majorityClient.RequestFullVersions() // transfers take no virtual time
 	simulation.minorityClient.RequestFullVersions()
 	return simulation, nil
 }
 
-// settle lets both gateways renew for two leases, after which both have to act on the version in force.
+// settle lets both gateways renew for the time of two leases. Both must then act on the version in force.
 func (s *partitionSimulation) settle(leaseDuration int64) error {
 	for range 2 * leaseDuration / simulationStep {
 		s.now += simulationStep
@@ -164,12 +165,12 @@
 		}
 	}
 	if s.majorityClient.State() != lease.StateActing || s.minorityClient.State() != lease.StateActing {
-		return fmt.Errorf("before the cut they are %v and %v", s.majorityClient.State(), s.minorityClient.State())
+		return fmt.Errorf("states before the cut: %v, %v, want acting", s.majorityClient.State(), s.minorityClient.State())
 	}
 	return nil
 }
 
-// renew lets a gateway send the renewals that are due.
+// renew sends a gateway's renewals that are due.
 func (s *partitionSimulation) renew(client *lease.Client) {
 	for range requestsPerStep {
 		if client.NextRequestAt(s.now) <= s.now {
@@ -178,7 +179,7 @@
 	}
 }
 
-// applyDecisions applies the commands that the lease manager wants committed.
+// applyDecisions commits the commands that the lease manager proposes.
 func (s *partitionSimulation) applyDecisions() error {
 	for command := s.manager.NextCommand(s.now); command != nil; command = s.manager.NextCommand(s.now) {
 		if _, err := s.state.Apply(command); err != nil {
@@ -189,7 +190,7 @@
 	return nil
 }
 
-// propose commits the second version.
+// propose commits a proposal of version 2.
 func (s *partitionSimulation) propose(config *configversion.Config) error {
 	proposal := &lease.Proposal{ID: "second", Parent: 1, Content: config.Canonical()}
 	_, err := s.state.Apply(&lease.Command{Propose: proposal})
--- a/internal/scale/partition_test.go
+++ b/internal/scale/partition_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// An hour's partition in virtual time: how long the region without a majority serves by its fallback, and how long a
-// change waits in the other.
+// In a partition of an hour, simulated in virtual time, the minority region serves no longer than its fallback allows,
+// and a change in the majority region waits no longer than leases and fallbacks require.
 func TestPartitionOfAnHour(t *testing.T) {
 	const lease, hour = int64(2 * time.Second), int64(time.Hour)
 	twoAndOne := []int{0, 0, 1}
@@ -35,7 +35,7 @@
 			}
 			t.Logf("%+v", result)
 			if result.LeaseHeldFor <= 0 || result.LeaseHeldFor > lease+2*simulationStep {
-				t.Errorf("a lease was held for %v", time.Duration(result.LeaseHeldFor))
+				t.Errorf("lease held for %v, want up to its duration plus two steps", time.Duration(result.LeaseHeldFor))
 			}
 			checkFallback(t, partition, result)
 			checkActivation(t, partition, result)
@@ -43,26 +43,28 @@
 	}
 }
 
-// checkFallback checks how long the gateway without a majority served.
+// checkFallback checks how long the gateway in the minority region served.
 func checkFallback(t *testing.T, partition Partition, result PartitionResult) {
 	t.Helper()
 	if partition.Fallback > partition.Duration {
 		if result.ServedFor != 0 {
-			t.Errorf("a fallback for %v ended after %v", time.Duration(partition.Fallback), time.Duration(result.ServedFor))
+			t.Errorf("fallback of %v ended after %v, want no end",
+				time.Duration(partition.Fallback), time.Duration(result.ServedFor))
 		}
 		return
 	}
 	limit := max(partition.Fallback, partition.Lease) + 2*simulationStep
 	if result.ServedFor < result.LeaseHeldFor || result.ServedFor > limit {
-		t.Errorf("a fallback for %v ended after %v, want at most %v",
+		t.Errorf("fallback of %v: ended after %v, want at least as long as the lease was held and at most %v",
 			time.Duration(partition.Fallback), time.Duration(result.ServedFor), time.Duration(limit))
 	}
 }
 
-// checkActivation checks how long the change waited: never without a majority or while a fallback conflicts with it.
+// checkActivation checks how long the change waited. It must not come into force without a majority or while a
+// fallback conflicts with it.
 func checkActivation(t *testing.T, partition Partition, result PartitionResult) {
 	t.Helper()
-	// as replicas count it with the drift of clocks, and the renewals
+	// Replicas allow for the drift of clocks. The 3 s allow for renewals.
 	upperBound := func(span int64) int64 { return int64(float64(span)*1.01/0.99) + 3*int64(time.Second) }
 	waits := max(partition.Lease, partition.Fallback)
 	delay, ok := result.ActivationDelay, false
@@ -75,6 +77,6 @@
 		ok = delay >= 0 && delay <= upperBound(partition.Lease)
 	}
 	if !ok {
-		t.Errorf("in force after %v", time.Duration(delay))
+		t.Errorf("change in force after %v (negative: never), which is not as expected", time.Duration(delay))
 	}
 }
--- a/internal/scale/pause.go
+++ b/internal/scale/pause.go
@@ -8,39 +8,39 @@
 	"irispost/scheduler"
 )
 
-// waitWhilePaused returns once nobody holds the gate for writing.
+// waitWhilePaused returns once the lock is not write-locked.
 func waitWhilePaused(pauseLock *sync.RWMutex) {
 	pauseLock.RLock()
 	defer pauseLock.RUnlock()
 }
 
-// pausableClock is the clock of a gateway that can be paused.
+// pausableClock is a gateway's clock that blocks while the gateway is paused.
 type pausableClock struct {
 	gateway.Clock
 	pauseLock *sync.RWMutex
 }
 
-// Now returns the time, after the end of a pause.
+// Now waits for the end of a pause and returns the time.
 func (c pausableClock) Now() scheduler.Time {
 	c.pauseLock.RLock()
 	defer c.pauseLock.RUnlock()
 	return c.Clock.Now()
 }
 
-// pausableConn is a connection of a gateway that can be paused.
+// pausableConn is a gateway's connection that blocks while the gateway is paused.
 type pausableConn struct {
 	net.Conn
 	pauseLock *sync.RWMutex
 }
 
-// Read reads, and returns after the end of a pause.
+// Read reads and then waits for the end of a pause, so that data that arrives during a pause is held back.
 func (c pausableConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	waitWhilePaused(c.pauseLock)
 	return n, err
 }
 
-// Write writes after the end of a pause.
+// Write waits for the end of a pause and writes.
 func (c pausableConn) Write(b []byte) (int, error) {
 	waitWhilePaused(c.pauseLock)
 	return c.Conn.Write(b)
--- a/internal/scale/protocolform.go
+++ b/internal/scale/protocolform.go
@@ -2,18 +2,19 @@
 
 import "irispost/internal/fleet/client"
 
-// renewalFormats is how many forms of renewals this build's clients know. With one there is no earlier form, and the
-// case of both side by side is reported as not run.
+// renewalFormats is the number of renewal formats that this build's clients support. If it is 1, there is no previous
+// format to test, and the case "forms" is reported as not run.
 const renewalFormats = 2
 
-// usePreviousFormat makes a client send renewals in the form of the build before. It is the one place that knows how.
+// usePreviousFormat makes a client send renewals in the previous build's format. No other place depends on what that
+// format is.
 func usePreviousFormat(options *client.Options) { options.FullVersions = true }
 
-// mixedRenewalFormats lets every second gateway use the form of the build before, and makes changes.
+// mixedRenewalFormats makes changes while every second gateway sends renewals in the previous build's format.
 func mixedRenewalFormats(fleet *Fleet, result *Result) error {
 	result.Figures["forms"] = renewalFormats
 	if renewalFormats < 2 {
-		result.NotRun = "this build's followers know one form of asks: there is none before it"
+		result.NotRun = "this build's clients support a single renewal format, so there is no previous one to test"
 		return nil
 	}
 	for i, gateway := range fleet.Gateways {
--- a/internal/scale/recorder.go
+++ b/internal/scale/recorder.go
@@ -10,23 +10,24 @@
 	"irispost/scheduler"
 )
 
-// monotonic returns the machine's monotonic clock in nanoseconds. The records of activations have the same clock.
+// monotonic returns the time of the machine's monotonic clock in nanoseconds. The records of activations use the same
+// clock.
 func monotonic() int64 {
 	var now unix.Timespec
-	_ = unix.ClockGettime(unix.CLOCK_MONOTONIC, &now) // it fails for clocks that do not exist only
+	_ = unix.ClockGettime(unix.CLOCK_MONOTONIC, &now) // it fails only for clocks that do not exist
 	return now.Nano()
 }
 
-// listRecorder is a gateway.Tap that records each endpoint list that the gateway's scheduler receives. It is called
-// by the event loop and read by the case.
+// listRecorder is a gateway.Tap that records the endpoint lists that the gateway's scheduler receives. The event loop
+// writes to it, and the case reads from it.
 type listRecorder struct {
 	shards int
-	leak   bool // DefectLeak
+	leak   bool // keep every list; set with DefectLeak
 
-	lock        sync.Mutex // guards all below
-	nodeByShard []string   // address of the node that serves each shard, by the last list; "": none
+	lock        sync.Mutex // guards the fields below
+	nodeByShard []string   // address of each shard's node according to the last list; "": none
 	updates     []ListUpdate
-	leaked      [][]endpoint.Node // with leak: each list, complete even if it was a partial one
+	leaked      [][]endpoint.Node // every list, completed if it was partial; only with leak
 }
 
 // EndpointList records a complete list.
@@ -37,7 +38,7 @@
 	r.record(update, nodeByShard)
 }
 
-// EndpointUpdate records a list that is complete, or partial.
+// EndpointUpdate records a complete or partial list.
 func (r *listRecorder) EndpointUpdate(now scheduler.Time, list endpoint.List, full bool) {
 	if full {
 		r.EndpointList(now, list)
@@ -48,7 +49,7 @@
 	r.lock.Lock()
 	copy(nodeByShard, r.nodeByShard)
 	r.lock.Unlock()
-	// Before those that are ready: a shard's successor may precede its old node in the list.
+	// Removed before the ready nodes are added, because a shard's new node may precede its old one in the list.
 	for _, node := range list.Nodes {
 		if node.Health != endpoint.Ready && node.Shard < r.shards && nodeByShard[node.Shard] == node.Addr {
 			nodeByShard[node.Shard] = ""
@@ -58,7 +59,7 @@
 	r.record(update, nodeByShard)
 }
 
-// addReady sets the nodes of a list that are ready.
+// addReady sets the address of each shard that has a ready node in a list.
 func (r *listRecorder) addReady(nodeByShard []string, list endpoint.List) {
 	for _, node := range list.Nodes {
 		if node.Health == endpoint.Ready && node.Shard < r.shards {
@@ -67,7 +68,7 @@
 	}
 }
 
-// record adds an update with the shards that moved by it.
+// record adds an update with the shards whose node it changes.
 func (r *listRecorder) record(update ListUpdate, nodeByShard []string) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -85,7 +86,7 @@
 	r.updates = append(r.updates, update)
 }
 
-// movedShards returns the shards whose node differs, with the address of the new one; nil: none.
+// movedShards returns the new address of each shard whose node changed, or nil if none did.
 func movedShards(before, after []string) (moved map[int]string) {
 	for shard, addr := range after {
 		if addr == before[shard] {
@@ -99,24 +100,24 @@
 	return moved
 }
 
-// actingOn returns what the scheduler acts on by the last list.
+// actingOn describes what the scheduler acts on according to the last list.
 func (r *listRecorder) actingOn() string {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	if len(r.updates) == 0 {
-		return "none yet"
+		return "nothing (no list yet)"
 	}
 	return r.updates[len(r.updates)-1].ActingOn
 }
 
-// observed returns the updates since the last discard, and the node that serves each shard now.
+// observed returns the updates since the last discard and the address of each shard's current node.
 func (r *listRecorder) observed() (updates []ListUpdate, nodeByShard []string) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	return r.updates, r.nodeByShard
 }
 
-// discard discards all updates but the last, and its moved shards.
+// discard discards all updates but the last, of which it discards the moved shards.
 func (r *listRecorder) discard() {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -126,9 +127,7 @@
 	}
 }
 
-// The other events of a gateway.Tap are not recorded.
-
-// Start is not recorded.
+// Start is not recorded, nor are the other events below.
 func (r *listRecorder) Start(scheduler.Time, uint64, scheduler.Settings) {}
 
 // EndpointListFailed is not recorded.
@@ -158,5 +157,5 @@
 // Snapshot is not recorded.
 func (r *listRecorder) Snapshot(scheduler.Time, *scheduler.Scheduler) {}
 
-// NeedsSnapshot returns false.
+// NeedsSnapshot returns false, as snapshots are not recorded.
 func (r *listRecorder) NeedsSnapshot() bool { return false }
--- a/internal/scale/regions.go
+++ b/internal/scale/regions.go
@@ -9,19 +9,19 @@
 	"irispost/internal/scale/meter"
 )
 
-// partitionRun is the case "regions" while it runs.
+// partitionRun is the state of a run of the case "regions".
 type partitionRun struct {
 	fleet          *Fleet
 	result         *Result
 	inMinority     gatewayFilter
-	shard          int // whose node is replaced during the partition
+	shard          int // the shard whose node is replaced during the partition
 	old, successor string
 }
 
-// regionPartition cuts the regions from each other. In the region with the majority of the replicas, changes go on:
-// one that conflicts with no fallback takes a lease, one that replaces a node takes the fallback's duration. In the
-// other none is announced, and gateways serve by their fallback and then not at all. After the partition all act on
-// the newest version.
+// regionPartition cuts the links between the regions. In the region with a majority of the replicas, changes still
+// come into force: after the duration of a lease if they conflict with no fallback, and after the duration of the
+// fallback if they replace a node. In the other region no change is announced, and gateways serve on their fallback
+// until it ends. After the partition, all gateways act on the newest version.
 func regionPartition(fleet *Fleet, result *Result) error {
 	run := &partitionRun{fleet: fleet, result: result, shard: fleet.Size.Nodes / 2}
 	minority := fleet.minorityRegion()
@@ -54,12 +54,13 @@
 	return nil
 }
 
-// awaitVersion adds the gateways that do not act on a change at the timeout to the violations.
+// awaitVersion waits until all gateways but the excluded ones act on a change, and adds the others to the violations
+// at the timeout.
 func (r *partitionRun) awaitVersion(change Change, excluded gatewayFilter) {
 	r.result.Violations = append(r.result.Violations, r.fleet.awaitVersion(change.Version, excluded)...)
 }
 
-// changeInMajority makes both kinds of changes during the partition and returns the second, which replaces a node.
+// changeInMajority makes both kinds of changes in the majority region and returns the one that replaces a node.
 func (r *partitionRun) changeInMajority() (Change, error) {
 	change, err := r.fleet.propose("a change while the regions are cut", raiseRateLimit)
 	if err != nil {
@@ -78,13 +79,13 @@
 	return change, nil
 }
 
-// checkMinority checks that the region without a majority announces no change, and that its gateways stop serving.
-// The replacement is in force at this point, so that their fallbacks, which conflict with it, are over.
+// checkMinority checks that the minority region announces no change and that its gateways stop serving. The
+// replacement of a node is in force at this point, so the fallbacks, which conflict with it, must have ended.
 func (r *partitionRun) checkMinority(replicaAddrs []string) {
 	config := r.fleet.config
 	client := &replica.Client{Replicas: replicaAddrs, Timeout: 2 * r.fleet.Size.Lease}
 	if _, err := r.fleet.proposeBy(client, "a change without a majority", raiseRateLimit); err == nil {
-		r.result.addViolation("a change was announced where no majority of the keepers is")
+		r.result.addViolation("a change was announced in the region without a majority of the replicas")
 	}
 	r.fleet.config = config
 	serving := len(r.servingInMinority())
@@ -92,18 +93,19 @@
 	r.result.Figures["told_late_that_nothing_is_left"] = float64(serving)
 }
 
-// servingInMinority names the gateways that still act on something in the region without a majority.
+// servingInMinority describes the gateways in the minority region that still serve.
 func (r *partitionRun) servingInMinority() (violations []string) {
 	for _, gateway := range r.fleet.Gateways {
 		if actingOn := gateway.actingOn(); r.inMinority(gateway) && actingOn != nothingActive {
-			violation := fmt.Sprintf("%s acts on %s though its floor is over", gateway.Name, actingOn)
+			violation := fmt.Sprintf("%s acts on %s, want none after the end of its fallback", gateway.Name, actingOn)
 			violations = append(violations, violation)
 		}
 	}
 	return violations
 }
 
-// heal ends the partition and waits until all gateways act on the replacement.
+// heal ends the partition, waits until all gateways act on the replacement, and checks that they switched to the
+// successor.
 func (r *partitionRun) heal(replacement Change) {
 	healedAt := monotonic()
 	r.fleet.setInterRegionFault(rig.Fault{})
--- a/internal/scale/replacement.go
+++ b/internal/scale/replacement.go
@@ -4,8 +4,9 @@
 	"irispost/internal/scale/meter"
 )
 
-// nodeReplacement replaces the nodes of some shards, one after another. It measures when the last gateway sends to
-// each successor, by the lists that its scheduler received, and checks that none sends to the old node after that.
+// nodeReplacement replaces the nodes of some shards, one after another. It measures when gateways switch to each
+// successor, according to the lists that their schedulers received, and checks that none switches back to the old
+// node.
 func nodeReplacement(fleet *Fleet, result *Result) error {
 	var lastDelays, allDelays []float64
 	var shards []int
@@ -41,20 +42,20 @@
 	last := meter.QuantilesOf(lastDelays)
 	result.Distributions["last_turned_ms"] = last
 	result.Distributions["each_turned_ms"] = meter.QuantilesOf(allDelays)
-	result.checkTimeBound("the last gateway that turned to a successor", last.Worst, replacedBound)
+	result.checkTimeBound("time until the last gateway switched to a successor", last.Worst, replacedBound)
 	result.checkEndState(fleet, shards...)
 	checkNoSwitchBack(fleet, result, shards[:len(lastDelays)])
 	return nil
 }
 
-// checkNoSwitchBack checks at the end that no gateway went back to a node that was replaced.
+// checkNoSwitchBack checks, at the end of the case, that no gateway has switched back to a replaced node.
 func checkNoSwitchBack(fleet *Fleet, result *Result, shards []int) {
 	for _, shard := range shards {
 		old, successor, _ := replaceNode(&fleet.Size, shard, 1)
 		for _, gateway := range fleet.Gateways {
 			updates, _ := gateway.observed()
 			if _, violation := switchedAt(updates, shard, old, successor); violation != "" {
-				result.addViolation("%s, shard %d, looked at again at the end: %s", gateway.Name, shard, violation)
+				result.addViolation("%s, shard %d, at the end of the case: %s", gateway.Name, shard, violation)
 			}
 		}
 	}
--- a/internal/scale/replicas.go
+++ b/internal/scale/replicas.go
@@ -17,37 +17,37 @@
 )
 
 const (
-	replicaStartAttempts = 40 // attempts: a connection may take a replica's address for a moment
+	replicaStartAttempts = 40 // a connection may occupy a replica's address for a moment
 	replicaStartPause    = 50 * time.Millisecond
-	replicaReadyWord     = "serves" // in the first line that a replica prints
+	replicaReadyWord     = "serves" // in the first line that a replica prints once it serves
 )
 
-// replicaProcess is one of the replicas, as a process.
+// replicaProcess is a replica that runs as a separate process.
 type replicaProcess struct {
 	number  int
 	region  int
 	addr    string
 	dir     string
 	args    []string
-	command *exec.Cmd // nil: it does not run
+	command *exec.Cmd // nil: not running
 }
 
 // fleetCount is the number of fleets that this process has started.
 var fleetCount atomic.Int64
 
-// newLoopbackHost returns a loopback address that only this fleet uses, so that no other fleet, of this process or
-// another, takes a port that is free on it while a replica starts.
+// newLoopbackHost returns a loopback address that only this fleet uses. While a replica starts, no other fleet, of
+// this or another process, can then take the port that is meant for it.
 func newLoopbackHost() string {
-	octets := strings.Split(loopback.ProcessAddr(), ".") // the second is 64 to 127
+	octets := strings.Split(loopback.ProcessAddr(), ".") // the second octet is 64 to 127, so 128 and above are free
 	return fmt.Sprintf("127.%d.%s.%s", 128+fleetCount.Add(1)%120, octets[2], octets[3])
 }
 
-// startReplicas starts the replicas. Those of different regions reach each other over links with latency.
+// startReplicas starts the replicas. Replicas of different regions reach each other over links with latency.
 func (f *Fleet) startReplicas() error {
 	var reserved []net.Listener
 	defer func() {
 		for _, listener := range reserved {
-			_ = listener.Close() // those that are closed already return an error
+			_ = listener.Close() // returns an error for those that are closed already
 		}
 	}()
 	host := newLoopbackHost()
@@ -70,7 +70,7 @@
 		}
 	}
 	for i, replica := range f.replicas {
-		_ = reserved[i].Close() // the replica listens there next
+		_ = reserved[i].Close() // the replica listens on this port next
 		if err := f.startReplica(replica); err != nil {
 			return err
 		}
@@ -78,7 +78,7 @@
 	return nil
 }
 
-// setReplicaArgs sets a replica's arguments, with links to its peers in the other region.
+// setReplicaArgs sets the command-line arguments of a replica and opens links to its peers in the other region.
 func (f *Fleet) setReplicaArgs(replica *replicaProcess) error {
 	replica.args = []string{
 		"keeper",
@@ -102,7 +102,7 @@
 	return nil
 }
 
-// startReplica starts a replica; one that ran before continues with its folder.
+// startReplica starts a replica. A replica that ran before continues with the data in its directory.
 func (f *Fleet) startReplica(replica *replicaProcess) error {
 	for range replicaStartAttempts {
 		command := f.options.Program(replica.args...)
@@ -121,10 +121,10 @@
 		endProcess(command)
 		time.Sleep(replicaStartPause)
 	}
-	return fmt.Errorf("keeper %d does not start", replica.number)
+	return fmt.Errorf("replica %d did not start", replica.number)
 }
 
-// kill ends a replica as a crash does.
+// kill kills the replica's process, as a crash would.
 func (r *replicaProcess) kill() {
 	if r.command != nil {
 		endProcess(r.command)
@@ -132,14 +132,14 @@
 	}
 }
 
-// endProcess kills a process and waits for its end.
+// endProcess kills a process and waits until it has ended.
 func endProcess(command *exec.Cmd) {
 	_ = command.Process.Kill() // it may have ended already
-	_ = command.Wait()         // that it was killed is an error to Wait
+	_ = command.Wait()         // returns an error for a process that was killed
 }
 
-// replicaUsage returns what each replica's process has used, in the order of f.replicas; zeros for one that does not
-// run.
+// replicaUsage returns the resource usage of each replica's process, in the order of f.replicas. It is zero for a
+// replica that is not running.
 func (f *Fleet) replicaUsage() (usage []meter.Usage, err error) {
 	for _, replica := range f.replicas {
 		used := meter.Usage{}
@@ -153,7 +153,7 @@
 	return usage, nil
 }
 
-// leader returns the replica that leads and another that runs and does not.
+// leader returns the leader and, if there is one, another running replica.
 func (f *Fleet) leader() (leader, follower *replicaProcess, err error) {
 	status, err := f.operator.Status()
 	if err != nil {
@@ -167,12 +167,12 @@
 		}
 	}
 	if leader == nil {
-		return nil, nil, fmt.Errorf("keeper %d leads, and is none of ours", status.Leader)
+		return nil, nil, fmt.Errorf("replica %d leads, but is not part of this fleet", status.Leader)
 	}
 	return leader, follower, nil
 }
 
-// linkBetween opens a link to an address, with latency if the regions differ.
+// linkBetween opens a link to an address. It has latency if the regions differ.
 func (f *Fleet) linkBetween(addr string, fromRegion, toRegion int) (*rig.Link, error) {
 	latency := time.Duration(0)
 	if fromRegion != toRegion {
--- a/internal/scale/restarts.go
+++ b/internal/scale/restarts.go
@@ -6,13 +6,12 @@
 	"irispost/internal/scale/meter"
 )
 
-// zoneRestart kills the gateways of the first region's last zone at once, makes a change, and starts them again at
-// once.
+// zoneRestart kills all gateways of the first region's last zone, makes a change, and restarts them at once.
 func zoneRestart(fleet *Fleet, result *Result) error {
 	return restartTogether(fleet, result, fleet.gatewaysInZone(fleet.Size.FirstRegionZones-1))
 }
 
-// fleetRestart does it with all gateways.
+// fleetRestart kills all gateways of the fleet, makes a change, and restarts them at once.
 func fleetRestart(fleet *Fleet, result *Result) error {
 	return restartTogether(fleet, result, fleet.Gateways)
 }
@@ -29,7 +28,7 @@
 		result.Violations = append(result.Violations, fleet.awaitVersion(change.Version, killed)...)
 		meanwhile := meter.QuantilesOf(fleet.activationDelays(change, killed))
 		result.Distributions["in_force_meanwhile_ms"] = meanwhile
-		result.checkTimeBound("a change while they are not there", meanwhile.Worst, inForceBound)
+		result.checkTimeBound("time until a change was in force at the running gateways", meanwhile.Worst, inForceBound)
 	}
 	startedAt := monotonic()
 	if err := fleet.start(fleet.startable(gateways)); err != nil {
@@ -45,19 +44,20 @@
 	}
 	afterStart := meter.QuantilesOf(delays)
 	result.Distributions["acts_after_start_ms"] = afterStart
-	result.checkTimeBound("the last gateway that is back", afterStart.Worst, inForceBound)
+	result.checkTimeBound("time until the last restarted gateway acted on the change", afterStart.Worst, inForceBound)
 	result.checkEndState(fleet, 0, fleet.Size.Nodes-1)
 	return nil
 }
 
-// startable leaves out the gateways that an injected defect keeps from being started again.
+// startable returns the gateways without those that DefectNotRestarted keeps from being restarted.
 func (f *Fleet) startable(gateways []*Gateway) []*Gateway {
 	return slices.DeleteFunc(slices.Clone(gateways), func(gateway *Gateway) bool {
 		return gateway.defects&DefectNotRestarted != 0
 	})
 }
 
-// rollingRestart restarts all gateways in batches, each once the one before acts on the newest version.
+// rollingRestart restarts all gateways in batches, with a change during each. A batch is restarted once all gateways
+// act on the change of the previous one.
 func rollingRestart(fleet *Fleet, result *Result) error {
 	startedAt, batches := monotonic(), 0.0
 	for batch := range slices.Chunk(fleet.Gateways, fleet.Size.RestartBatch) {
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// shortWithFaults returns the short size with some faults of the case "in-force" alone.
+// shortWithFaults returns the short size with only some faults of the case "in-force".
 func shortWithFaults(faults ...string) Size {
 	size := ShortSize()
 	size.Faults = faults
 	return size
 }
 
-// growthSize returns a size with few gateways, with contents so large that a replica that keeps all shows it soon,
-// and with a first phase after which a bounded history is full.
+// growthSize returns a size that shows memory growth early. Its configurations are so large that a replica that keeps
+// all of them is noticed soon, and a bounded history is full after the first phase.
 func growthSize() Size {
 	size := ShortSize()
 	size.Gateways = 7
@@ -30,7 +30,7 @@
 	return size
 }
 
-// Each case in its short form. The full size is run by `irispost fleet scale`.
+// Every case passes on a short fleet, and every fault is covered. `irispost fleet scale` runs the full size.
 func TestCasesHoldOnAShortFleet(t *testing.T) {
 	sizesByCase := map[string][]Size{"in-force": {
 		shortWithFaults("none", "leader_killed", "gateway_slow", "gateway_killed"),
@@ -56,12 +56,12 @@
 	}
 	for _, name := range FaultNames() {
 		if !covered[name] {
-			t.Errorf("no test has the fault %s", name)
+			t.Errorf("no size of the case in-force covers the fault %s", name)
 		}
 	}
 }
 
-// checkCaseHolds runs a case and checks that there are no violations and that something was audited.
+// checkCaseHolds runs a case and checks that it has no violations and that its first audit was not empty.
 func checkCaseHolds(t *testing.T, name string, size Size) {
 	t.Helper()
 	result := runInSlot(t, name, size, 0)
@@ -73,12 +73,12 @@
 		return
 	}
 	if len(result.Audits) == 0 || result.Audits[0].Intervals == 0 || result.Audits[0].Versions == 0 {
-		t.Errorf("nothing was audited: %+v", result.Audits)
+		t.Errorf("got audits %+v, want a first one with intervals and versions", result.Audits)
 	}
 	t.Logf("%+v %+v %+v", result.Figures, result.Distributions, result.MemoryByPhase)
 }
 
-// Each case reports the defect that is injected, with the gateway that has it or with what it violates.
+// Cases report injected defects. The violation names the defective gateway or the check that failed.
 func TestCasesReportInjectedDefects(t *testing.T) {
 	small := ShortSize()
 	small.Gateways = 14
@@ -97,10 +97,10 @@
 		{"a lost version", "in-force", DefectLostVersion, noFault, "g4 acts on"},
 		{"a lost version", "replaced", DefectLostVersion, small, "g4 acts on"},
 		{"an old version again", "replaced", DefectStaleList, small, "g4"},
-		{"a gateway left out", "all", DefectNotRestarted, small, "g4 acts on not there"},
-		{"a gateway left out", "rolling", DefectNotRestarted, small, "g4 acts on not there"},
+		{"a gateway left out", "all", DefectNotRestarted, small, "g4 acts on nothing (not running)"},
+		{"a gateway left out", "rolling", DefectNotRestarted, small, "g4 acts on nothing (not running)"},
 		{"leases that never run out", "regions", DefectNoLeaseExpiry, small, "contradicted each other"},
-		{"a leak", "ordinary", DefectLeak, growthSize(), "gateways grows with the changes made"},
+		{"a leak", "ordinary", DefectLeak, growthSize(), "gateways grows with the number of changes"},
 	} {
 		t.Run(c.name+" on "+c.on, func(t *testing.T) {
 			t.Parallel()
@@ -112,7 +112,7 @@
 	}
 }
 
-// Nothing that replicas and gateways hold grows with the number of changes.
+// The memory of replicas and gateways and the directories of replicas do not grow with the number of changes.
 func TestMemoryDoesNotGrowWithChanges(t *testing.T) {
 	t.Parallel()
 	result := runInSlot(t, "ordinary", growthSize(), 0)
@@ -123,7 +123,7 @@
 }
 
 func TestFindRejectsAnUnknownCase(t *testing.T) {
-	if _, err := Find("flood"); !errors.Is(err, ErrUnknownCase) || err.Error() != `there is no case "flood"` {
+	if _, err := Find("flood"); !errors.Is(err, ErrUnknownCase) || err.Error() != `unknown case "flood"` {
 		t.Error(err)
 	}
 }
--- a/internal/scale/size.go
+++ b/internal/scale/size.go
@@ -7,35 +7,35 @@
 	"time"
 )
 
-// Size is how large a fleet is, and what happens to it.
+// Size is the size of a fleet and of the cases that run on it.
 type Size struct {
 	Gateways          int           `json:"gateways"`
 	Nodes             int           `json:"nodes"`      // one for each shard
 	Zones             int           `json:"zones"`      // gateways and nodes are assigned to zones round-robin
-	FirstRegionZones  int           `json:"home"`       // as many zones are the first region, the others the second
+	FirstRegionZones  int           `json:"home"`       // zones in the first region; the others are in the second
 	ReplicaRegions    []int         `json:"keepers"`    // the region, 0 or 1, of each replica
 	Latency           time.Duration `json:"latency_ns"` // one way, between regions
 	Lease             time.Duration `json:"lease_ns"`
 	RenewInterval     time.Duration `json:"pause_ns"`
-	FallbackDuration  time.Duration `json:"floor_ns"` // for which a gateway without a lease serves on
-	SlowStart         bool          `json:"cold"`     // gateways reach each other and allocate the budgets of warming nodes
+	FallbackDuration  time.Duration `json:"floor_ns"` // for which a gateway serves after the end of its lease
+	SlowStart         bool          `json:"cold"`     // gateways connect to each other and allocate slow-start budgets
 	Changes           int           `json:"changes"`
 	Restarts          int           `json:"restarts"`
-	Kills             int           `json:"kills"` // the first is a replica's, the others gateways'
+	Kills             int           `json:"kills"` // the first kills a replica, the others gateways
 	Replacements      int           `json:"replacements"`
 	ChangesPerFault   int           `json:"rounds"`
-	Faults            []string      `json:"faults,omitempty"` // names of faults for the case "in-force"; none: all
+	Faults            []string      `json:"faults,omitempty"` // for the case "in-force"; none: all
 	RestartBatch      int           `json:"wave"`             // gateways that a rolling restart restarts at once
-	Phases            int           `json:"parts"`            // of the ordinary day; memory is measured after each
-	IdleTime          time.Duration `json:"rest_ns"`          // for which the fleet is measured at rest
-	Timeout           time.Duration `json:"patience_ns"`      // of each state that is awaited
-	EnforceTimeBounds bool          `json:"timed"`            // measured times are checked too, not only the end state
+	Phases            int           `json:"parts"`            // of the case "ordinary"; memory is measured after each
+	IdleTime          time.Duration `json:"rest_ns"`          // for which the idle fleet is measured
+	Timeout           time.Duration `json:"patience_ns"`      // for each state that a case waits for
+	EnforceTimeBounds bool          `json:"timed"`            // measured times are checked too, not only end states
 }
 
-// Bounds that are checked with EnforceTimeBounds.
+// Time bounds, which are checked with EnforceTimeBounds.
 const (
-	inForceBound  = 12 * time.Second // a change, from its proposal to the last gateway that runs
-	replacedBound = 6 * time.Second  // a shard's node, from its loss to the last gateway that sends to its successor
+	inForceBound  = 12 * time.Second // from a change's proposal to the last running gateway
+	replacedBound = 6 * time.Second  // from a node's loss to the last gateway that sends to its successor
 )
 
 // Limits of sizes.
@@ -46,7 +46,7 @@
 	minimumLease    = 100 * time.Millisecond
 )
 
-// FullSize returns the size that the operators expect in two years.
+// FullSize returns the size of the fleet that the operators expect in two years, and enforces time bounds.
 func FullSize() Size {
 	return Size{
 		Gateways:          780,
@@ -72,7 +72,7 @@
 	}
 }
 
-// ShortSize returns a size for tests, which checks end states alone.
+// ShortSize returns a smaller size for tests, which does not enforce time bounds.
 func ShortSize() Size {
 	size := FullSize()
 	size.Gateways = 60
@@ -89,9 +89,9 @@
 	return size
 }
 
-// SizeError is returned by Check for a size that no fleet can have.
+// SizeError is the error of an invalid Size.
 type SizeError struct {
-	Problem string // with the values at fault
+	Problem string // includes the invalid values
 }
 
 // Error returns the problem.
@@ -101,7 +101,7 @@
 	return &SizeError{fmt.Sprintf(format, args...)}
 }
 
-// Check returns a SizeError for a size that no fleet can have.
+// Check returns a SizeError if the size is invalid.
 func (s *Size) Check() error {
 	checks := []func() error{s.checkShape, s.checkEvents, s.checkTimes, s.checkFaults, s.checkReplicaRegions}
 	for _, check := range checks {
@@ -116,12 +116,12 @@
 func (s *Size) checkShape() error {
 	switch {
 	case s.Gateways < minimumGateways || s.Nodes < 1 || s.Gateways > maximumGateways || s.Nodes > maximumNodes:
-		return sizeErrorf("%d gateways and %d nodes: 2 to 5,000 and 1 to 65,536", s.Gateways, s.Nodes)
+		return sizeErrorf("%d gateways and %d nodes: want 2 to 5,000 gateways and 1 to 65,536 nodes", s.Gateways, s.Nodes)
 	case s.FirstRegionZones < 1 || s.FirstRegionZones >= s.Zones || s.Gateways < s.Zones:
-		return sizeErrorf("%d zones, %d of them in the first region, %d gateways: two regions, and a gateway in each zone",
+		return sizeErrorf("%d zones, %d of them in the first region, %d gateways: want two regions, a gateway in each zone",
 			s.Zones, s.FirstRegionZones, s.Gateways)
 	case len(s.ReplicaRegions)%2 == 0:
-		return sizeErrorf("%d keepers: one, three or five", len(s.ReplicaRegions))
+		return sizeErrorf("%d replicas: want an odd number", len(s.ReplicaRegions))
 	}
 	return nil
 }
@@ -131,10 +131,10 @@
 	switch {
 	case s.Phases < minimumPhases || s.Changes < s.Phases || s.ChangesPerFault < 1 || s.RestartBatch < 1 ||
 		s.Replacements < 1 || s.Replacements > s.Nodes:
-		return sizeErrorf("%d changes in %d parts (3 at least), %d rounds, waves of %d, %d replacements of %d nodes",
+		return sizeErrorf("%d changes in %d parts (3 or more), %d rounds, waves of %d, %d replacements of %d nodes",
 			s.Changes, s.Phases, s.ChangesPerFault, s.RestartBatch, s.Replacements, s.Nodes)
 	case s.Restarts < 0 || s.Kills < 0 || s.Restarts > s.Changes || s.Kills > s.Changes:
-		return sizeErrorf("at most one restart and one kill come with a change")
+		return sizeErrorf("want at most one restart and one kill per change, and neither number negative")
 	}
 	return nil
 }
@@ -143,7 +143,7 @@
 func (s *Size) checkTimes() error {
 	if s.Lease < minimumLease || s.RenewInterval <= 0 || s.RenewInterval > s.Lease/2 || s.FallbackDuration < 0 ||
 		s.Latency < 0 || s.IdleTime <= 0 || s.Timeout <= 0 {
-		return sizeErrorf("lease %v, pause %v, floor %v, latency %v, rest %v, patience %v",
+		return sizeErrorf("invalid durations: lease %v, renewal interval %v, floor %v, latency %v, rest %v, patience %v",
 			s.Lease, s.RenewInterval, s.FallbackDuration, s.Latency, s.IdleTime, s.Timeout)
 	}
 	return nil
@@ -152,7 +152,7 @@
 func (s *Size) checkFaults() error {
 	for _, name := range s.Faults {
 		if !slices.ContainsFunc(faults, func(f fault) bool { return f.name == name }) {
-			return sizeErrorf("there is no fault %q: %s", name, strings.Join(FaultNames(), ", "))
+			return sizeErrorf("unknown fault %q, want one of %s", name, strings.Join(FaultNames(), ", "))
 		}
 	}
 	return nil
@@ -161,13 +161,13 @@
 func (s *Size) checkReplicaRegions() error {
 	for _, region := range s.ReplicaRegions {
 		if region != 0 && region != 1 {
-			return sizeErrorf("a keeper in region %d: there are 0 and 1", region)
+			return sizeErrorf("a replica in region %d: want 0 or 1", region)
 		}
 	}
 	return nil
 }
 
-// zone returns the zone of a gateway or node by its index.
+// zone returns the zone of the gateway or node with an index.
 func (s *Size) zone(index int) int { return index % s.Zones }
 
 // region returns the region of a zone.
--- a/internal/scale/usage.go
+++ b/internal/scale/usage.go
@@ -12,12 +12,12 @@
 const (
 	bytesPerMB = 1e6
 
-	// idleSettlingDivisor is how many times the wait before the measurement at rest fits into it: what the start has left to
-	// do is over then.
+	// idleSettlingDivisor is the duration of the idle measurement divided by that of the wait before it. In the wait,
+	// work that the start has left finishes.
 	idleSettlingDivisor = 4
 )
 
-// idleSample is what was used by a moment of the measurement at rest.
+// idleSample is the resource usage at one moment of the idle measurement.
 type idleSample struct {
 	process  meter.Usage // of this process, with all gateways
 	replicas []meter.Usage
@@ -31,7 +31,7 @@
 	return sample, err
 }
 
-// measureIdle adds to the result what the fleet uses while nothing happens.
+// measureIdle adds the traffic and resource usage of the idle fleet to the result.
 func (f *Fleet) measureIdle(result *Result) error {
 	time.Sleep(f.Size.IdleTime / idleSettlingDivisor)
 	before, err := f.sampleUsage()
@@ -64,8 +64,8 @@
 	return nil
 }
 
-// measureMemory adds to the result, in MB, what each replica's process and folder holds, and the live heap of all
-// gateways together.
+// measureMemory adds to the result, in MB, the memory and the directory size of each replica, and the live heap of
+// this process, which holds all gateways.
 func (f *Fleet) measureMemory(result *Result) error {
 	usage, err := f.replicaUsage()
 	if err != nil {
@@ -76,7 +76,7 @@
 		if err != nil {
 			return err
 		}
-		name := "keeper " + string(rune('0'+replica.number)) // a digit
+		name := "keeper " + string(rune('0'+replica.number)) // numbers have a single digit
 		result.addMemory(name, usage[i].MB)
 		result.addMemory(name+", folder", float64(folder)/bytesPerMB)
 	}
@@ -91,24 +91,24 @@
 	r.MemoryByPhase[what] = append(r.MemoryByPhase[what], mb)
 }
 
-// What may grow over a run in which nothing should: a factor over the first phase, and what a garbage collector
-// leaves.
+// Growth that is tolerated from the first phase to the last: a factor, and an amount for garbage that is not collected
+// yet.
 const (
 	growthFactor  = 1.3
 	growthSlackMB = 8.0
 	minimumPhases = 3
 )
 
-// growthViolation tells whether something grows with the number of changes, by what it was after each phase of a run,
-// in MB; "": it does not.
+// growthViolation returns a violation if a quantity, given in MB after each phase of a run, grows with the number of
+// changes, or "" if it does not.
 func growthViolation(what string, phases []float64) string {
 	if len(phases) < minimumPhases {
-		return fmt.Sprintf("%s: weighed %d times, too few to tell", what, len(phases))
+		return fmt.Sprintf("%s: measured %d times, too few to detect growth", what, len(phases))
 	}
 	early, late := phases[0], phases[len(phases)-1]
 	if late <= early*growthFactor+growthSlackMB {
 		return ""
 	}
-	return fmt.Sprintf("%s grows with the changes made: %.1f MB after the first of %d parts of the run, %.1f MB at its end",
+	return fmt.Sprintf("%s grows with the number of changes: %.1f MB after the first of %d phases, %.1f MB at the end",
 		what, early, len(phases), late)
 }
