--- a/internal/scale/partition.go
+++ b/internal/scale/partition.go
@@ -16,7 +16,7 @@
 	Fallback       int64 // nanoseconds for which a gateway may serve on its version's fallback
 	Duration       int64 // nanoseconds
 	ReplicaRegions []int // region of each replica; only a region with a majority has a leader
-	DrainNode      bool  // the change, proposed a second after the start, replaces a node; otherwise it raises a limit
+	ReplaceNode    bool  // the change, proposed a second after the start, replaces a node; otherwise it raises a limit
 }
 
 // PartitionResult is the outcome of a Partition. Times are in nanoseconds.
@@ -108,7 +108,7 @@
 // change returns the configuration that is proposed during the partition, a changed copy of config.
 func (p Partition) change(size *Size, config *configversion.Config) *configversion.Config {
 	next := cloneConfig(config)
-	if p.DrainNode {
+	if p.ReplaceNode {
 		_, _, change := replaceNode(size, 1, 1)
 		change(next)
 	} else {
--- a/internal/scale/partition_test.go
+++ b/internal/scale/partition_test.go
@@ -11,10 +11,10 @@
 	const lease, hour = int64(2 * time.Second), int64(time.Hour)
 	twoAndOne := []int{0, 0, 1}
 	for _, c := range []struct {
-		name      string
-		fallback  int64
-		regions   []int
-		drainNode bool
+		name        string
+		fallback    int64
+		regions     []int
+		replaceNode bool
 	}{
 		{"a limit raised, fallback 4 s", 4e9, twoAndOne, false},
 		{"a node replaced, no fallback", 0, twoAndOne, true},
@@ -27,7 +27,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			partition := Partition{
-				Lease: lease, Fallback: c.fallback, Duration: hour, ReplicaRegions: c.regions, DrainNode: c.drainNode,
+				Lease: lease, Fallback: c.fallback, Duration: hour, ReplicaRegions: c.regions, ReplaceNode: c.replaceNode,
 			}
 			result, err := partition.Simulate()
 			if err != nil {
@@ -69,9 +69,9 @@
 	waits := max(partition.Lease, partition.Fallback)
 	delay, ok := result.ActivationDelay, false
 	switch {
-	case result.MajorityRegion < 0 || partition.DrainNode && partition.Fallback > partition.Duration:
+	case result.MajorityRegion < 0 || partition.ReplaceNode && partition.Fallback > partition.Duration:
 		ok = delay < 0
-	case partition.DrainNode:
+	case partition.ReplaceNode:
 		ok = delay >= 0 && delay <= upperBound(waits) && delay >= waits-2e9
 	default:
 		ok = delay >= 0 && delay <= upperBound(partition.Lease)
