--- a/internal/iscsi/initiator/golden_test.go
+++ b/internal/iscsi/initiator/golden_test.go
@@ -18,7 +18,7 @@
 	"irispost/internal/testkit/golden"
 )
 
-const disks = `
+const disksConfig = `
 disks {
   listen = "127.0.0.1:0"
   target "iqn.2026-01.example:open" {
@@ -48,12 +48,12 @@
 }
 `
 
-// recorder forwards one connection to a target and writes down the PDUs of both directions.
+// recorder is a proxy for one connection to a target. It records the PDUs of both directions.
 type recorder struct {
 	t        *testing.T
 	listener net.Listener
-	digests  bool          // of PDUs after the login
-	finished chan struct{} // closed when the connection has ended
+	digests  bool          // whether PDUs after the login carry digests
+	finished chan struct{} // closed when the connection is closed
 	sent     bytes.Buffer
 	answered bytes.Buffer
 }
@@ -88,10 +88,10 @@
 	directions.Wait()
 }
 
-// forward passes on all bytes, and writes down the PDUs that they are.
+// forward copies all bytes from one connection to the other and records them as PDUs.
 func (r *recorder) forward(record *bytes.Buffer, from, to net.Conn) {
 	defer func() { _ = to.Close() }()
-	source := &source{reader: io.TeeReader(from, to)}
+	source := &pduSource{reader: io.TeeReader(from, to)}
 	login := true
 	for {
 		digests := iscsi.Digests{Header: r.digests && !login, Data: r.digests && !login}
@@ -99,42 +99,42 @@
 		if err != nil {
 			return
 		}
-		fmt.Fprintf(record, "%s\n", describe(p))
+		fmt.Fprintf(record, "%s\n", formatPDU(p))
 		if p.BadDataDigest {
-			r.t.Error("a data digest does not fit")
+			r.t.Error("got a PDU with a wrong data digest, want a matching one")
 		}
 		kind := p.Opcode()
 		login = login && (kind == 0x03 || kind == 0x23) && p.Flags()&0x83 != 0x83
 	}
 }
 
-// source reads PDUs from a reader.
-type source struct{ reader io.Reader }
+// pduSource is an iscsi.Source that reads from an io.Reader.
+type pduSource struct{ reader io.Reader }
 
-func (s *source) ReadBinary(n int) ([]byte, error) {
+func (s *pduSource) ReadBinary(n int) ([]byte, error) {
 	b := make([]byte, n)
 	_, err := io.ReadFull(s.reader, b)
 	return b, err
 }
 
-func (s *source) Release() error { return nil }
+func (s *pduSource) Release() error { return nil }
 
-// Parts of texts that differ from run to run.
+// Patterns of those parts of texts that differ between runs.
 var (
-	chap    = regexp.MustCompile(`CHAP_([ICR])=[0-9a-fx]+`)
-	session = regexp.MustCompile(`session=[^\x00]+`)
-	address = regexp.MustCompile(`127\.0\.0\.1:\d+`)
+	chapPattern    = regexp.MustCompile(`CHAP_([ICR])=[0-9a-fx]+`)
+	sessionPattern = regexp.MustCompile(`session=[^\x00]+`)
+	addressPattern = regexp.MustCompile(`127\.0\.0\.1:\d+`)
 )
 
-// describe writes down a PDU: its header, further headers and data. The length of a login's or a text's data is left
-// out with what differs in it.
-func describe(p *iscsi.PDU) string {
+// formatPDU formats the header, the additional headers and the data of a PDU. In logins and texts it replaces values
+// that differ between runs, and the length of the data.
+func formatPDU(p *iscsi.PDU) string {
 	head, data := p.Header, p.Data
 	switch p.Opcode() {
 	case 0x03, 0x04, 0x23, 0x24:
-		data = chap.ReplaceAll(data, []byte("CHAP_$1=value"))
-		data = session.ReplaceAll(data, []byte("session=name"))
-		data = address.ReplaceAll(data, []byte("address"))
+		data = chapPattern.ReplaceAll(data, []byte("CHAP_$1=value"))
+		data = sessionPattern.ReplaceAll(data, []byte("session=name"))
+		data = addressPattern.ReplaceAll(data, []byte("address"))
 		head[5], head[6], head[7] = 0, 0, 0
 		return fmt.Sprintf("  %x %x %q", head, p.AdditionalHeaders, data)
 	}
@@ -145,17 +145,17 @@
 	return fmt.Sprintf("  %x %x %s", head, p.AdditionalHeaders, text)
 }
 
-// take waits for the end of the connection and returns what was recorded.
-func (r *recorder) take() string {
+// recording waits until the connection is closed and returns the recorded PDUs.
+func (r *recorder) recording() string {
 	<-r.finished
 	return "sent:\n" + r.sent.String() + "answered:\n" + r.answered.String()
 }
 
-// What an initiator and a target of this project send each other stays as it is byte for byte.
+// The PDUs between this initiator and the project's target stay the same byte for byte.
 func TestGoldenPDUsOfSessions(t *testing.T) {
-	b := testkit.Start(t, testkit.Conf+disks, 2, 1, nil)
+	b := testkit.Start(t, testkit.Conf+disksConfig, 2, 1, nil)
 	portal := b.Gateways[0].ISCSI.Addr()
-	ready(t, portal)
+	waitUntilReady(t, portal)
 	var out bytes.Buffer
 	for _, c := range []struct {
 		name   string
@@ -165,8 +165,8 @@
 		{"discovery", nil, runDiscovery},
 		{"plain disk", nil, runDisk},
 		{"disk with digests", func(o *initiator.Options) { o.Digests = true }, runDisk},
-		{"disk that solicits", func(o *initiator.Options) { o.Solicit = true }, runDisk},
-		{"disk in small segments", func(o *initiator.Options) { o.Segment = 1024 }, runDisk},
+		{"disk that solicits", func(o *initiator.Options) { o.SolicitedOnly = true }, runDisk},
+		{"disk in small segments", func(o *initiator.Options) { o.MaxRecvSegment = 1024 }, runDisk},
 		{"read-only disk", nil, runReadOnlyDisk},
 		{"session", nil, runSession},
 		{"CHAP", func(o *initiator.Options) {
@@ -188,19 +188,19 @@
 		recorder := newRecorder(t, portal, o.Digests)
 		o.Address = recorder.listener.Addr().String()
 		result := c.run(t, o)
-		fmt.Fprintf(&out, "%s: %s\n%s", c.name, result, recorder.take())
+		fmt.Fprintf(&out, "%s: %s\n%s", c.name, result, recorder.recording())
 	}
 	golden.Check(t, "pdus.txt", out.Bytes())
 }
 
-// ready waits until the units have their files.
-func ready(t *testing.T, portal string) {
+// waitUntilReady waits until the files of all logical units are open.
+func waitUntilReady(t *testing.T, portal string) {
 	t.Helper()
 	account := negotiate.Account{Name: "host", Secret: "a secret of a host"}
 	for target, luns := range map[string][]uint16{"iqn.2026-01.example:open": {0, 3}, "iqn.2026-01.example:secret": {0}} {
 		for _, lun := range luns {
 			o := initiator.Options{Address: portal, Name: "iqn.2026-01.example:other", Target: target, Account: account}
-			disk, err := initiator.Open(t.Context(), o, lun, initiator.Retry{Timeout: time.Minute})
+			disk, err := initiator.Open(t.Context(), o, lun, initiator.RetryPolicy{Timeout: time.Minute})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -212,7 +212,7 @@
 func runDiscovery(t *testing.T, o initiator.Options) string {
 	t.Helper()
 	found, err := initiator.Discover(t.Context(), o)
-	return address.ReplaceAllString(fmt.Sprint(found, err), "address")
+	return addressPattern.ReplaceAllString(fmt.Sprint(found, err), "address")
 }
 
 func runDisk(t *testing.T, o initiator.Options) string {
@@ -225,27 +225,27 @@
 	return runUnit(t, o, 3)
 }
 
-// runUnit opens a unit and has it do one of each request of a disk.
+// runUnit opens a logical unit and sends each kind of request that a Disk can send.
 func runUnit(t *testing.T, o initiator.Options, lun uint16) string {
 	t.Helper()
 	ctx := t.Context()
-	disk, err := initiator.Open(ctx, o, lun, initiator.Retry{Timeout: time.Minute})
+	disk, err := initiator.Open(ctx, o, lun, initiator.RetryPolicy{Timeout: time.Minute})
 	if err != nil {
 		return err.Error()
 	}
-	block := int(disk.Block)
+	block := int(disk.BlockSize)
 	data := bytes.Repeat([]byte{7}, 3*block)
-	result := fmt.Sprintf("%s, %d blocks of %d", disk.Model, disk.Count, disk.Block)
+	result := fmt.Sprintf("%s, %d blocks of %d", disk.Model, disk.BlockCount, disk.BlockSize)
 	_, err = disk.Write(ctx, data, int64(block))
 	result += fmt.Sprintf(", write %v", err)
 	read := make([]byte, len(data))
 	_, err = disk.Read(ctx, read, int64(block))
 	result += fmt.Sprintf(", read %x %v", read[0], err)
-	err = disk.Compare(ctx, read[:block], make([]byte, block), int64(block))
+	err = disk.CompareAndWrite(ctx, read[:block], make([]byte, block), int64(block))
 	result += fmt.Sprintf(", compare %v", err)
-	err = disk.Compare(ctx, data[:block], make([]byte, block), 2*int64(block))
+	err = disk.CompareAndWrite(ctx, data[:block], make([]byte, block), 2*int64(block))
 	result += fmt.Sprintf(", compare %v", err)
-	err = disk.Compare(ctx, data[:block], make([]byte, block), 2*int64(block))
+	err = disk.CompareAndWrite(ctx, data[:block], make([]byte, block), 2*int64(block))
 	result += fmt.Sprintf(", compare %v", err)
 	result += fmt.Sprintf(", unmap %v", disk.Unmap(ctx, 0, block))
 	result += fmt.Sprintf(", sync %v", disk.Sync(ctx))
@@ -255,7 +255,7 @@
 	return result
 }
 
-// runSession sends the requests that no disk sends.
+// runSession sends requests that a Disk never sends.
 func runSession(t *testing.T, o initiator.Options) string {
 	t.Helper()
 	s, err := initiator.Dial(t.Context(), o)
@@ -273,11 +273,11 @@
 		result += fmt.Sprintf(", %x: status %x, %v, %d bytes, residual %d, %v",
 			op, reply.Status, reply.Sense, len(reply.Data), reply.Residual, err)
 	}
-	code, err := s.Abort(0, 99)
+	code, err := s.AbortTask(0, 99)
 	result += fmt.Sprintf(", abort %d %v", code, err)
-	code, err = s.Reset(0)
+	code, err = s.ResetLUN(0)
 	result += fmt.Sprintf(", reset %d %v", code, err)
-	code, err = s.Reset(9)
+	code, err = s.ResetLUN(9)
 	result += fmt.Sprintf(", reset of no unit %d %v", code, err)
 	return result + fmt.Sprintf(", close %v, %v", s.Close(), s.Err())
 }
--- a/internal/iscsi/initiator/retry.go
+++ b/internal/iscsi/initiator/retry.go
@@ -10,31 +10,31 @@
 	"irispost/internal/scsi"
 )
 
-// verdict says whether a command is retried after an answer.
-type verdict uint8
+// retryDecision says whether a command is retried after a reply.
+type retryDecision uint8
 
 const (
-	verdictFinal             verdict = iota
-	verdictRetry                     // it never ran
-	verdictRetryIfRepeatable         // it may have run
+	neverRetry        retryDecision = iota
+	alwaysRetry                     // the command was not executed
+	retryIfRepeatable               // the command may have been executed
 )
 
-// command has a command executed until its answer is final or its time is up. repeatable: to repeat it is harmless,
-// whatever became of it.
+// command executes a command, with retries, until its reply is final or the timeout has passed. repeatable says that
+// the command may be executed again even if it was executed before.
 func (d *Disk) command(ctx context.Context, cdb, out []byte, in int, repeatable bool) (Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, d.retry.Timeout)
 	defer cancel()
 	for backoff := d.retry.MinBackoff; ; backoff = min(2*backoff, d.retry.MaxBackoff) {
 		reply, sent, err := d.execute(ctx, cdb, out, in)
 		switch {
-		case isOwnFault(err):
+		case isInitiatorError(err):
 			return reply, err
 		case err != nil && sent && !repeatable:
-			return reply, fmt.Errorf("%w: %w", ErrUnknown, err)
+			return reply, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 		case err == nil:
-			var verdict verdict
-			verdict, err = judge(reply)
-			if verdict == verdictFinal || verdict == verdictRetryIfRepeatable && !repeatable {
+			var decision retryDecision
+			decision, err = classifyReply(reply)
+			if decision == neverRetry || decision == retryIfRepeatable && !repeatable {
 				return reply, err
 			}
 		}
@@ -46,7 +46,8 @@
 	}
 }
 
-// execute sends a command on the current session, or a new one. sent tells whether it may have reached the target.
+// execute executes a command once, on the current session or a new one. sent reports whether the command may have
+// reached the target.
 func (d *Disk) execute(ctx context.Context, cdb, out []byte, in int) (reply Reply, sent bool, err error) {
 	session, err := d.session(ctx)
 	if err != nil {
@@ -56,32 +57,33 @@
 	return reply, true, err
 }
 
-// isOwnFault tells whether a login was rejected for a fault of the initiator's: it would be rejected again.
-func isOwnFault(err error) bool {
+// isInitiatorError reports whether a login was rejected because of an error of the initiator. A retry would be
+// rejected too.
+func isInitiatorError(err error) bool {
 	var rejection *negotiate.Rejection
 	return errors.As(err, &rejection) && rejection.Class == negotiate.ClassInitiatorError
 }
 
-// judge returns what an answer means: no error where the command succeeded.
-func judge(reply Reply) (verdict, error) {
+// classifyReply returns whether to retry a command after a reply, and its error, or nil if it succeeded.
+func classifyReply(reply Reply) (retryDecision, error) {
 	switch reply.Status {
 	case scsi.Good:
-		return verdictFinal, nil
+		return neverRetry, nil
 	case scsi.Busy, scsi.TaskSetFull:
-		return verdictRetry, ErrBusy
+		return alwaysRetry, ErrBusy
 	}
 	sense := reply.Sense
 	switch {
 	case sense == nil:
-		return verdictRetryIfRepeatable, fmt.Errorf("%w: status %#02x", ErrUnknown, byte(reply.Status))
+		return retryIfRepeatable, fmt.Errorf("%w: status %#02x", ErrOutcomeUnknown, byte(reply.Status))
 	case sense.Key == scsi.Miscompare.Key:
-		return verdictFinal, ErrMiscompare
+		return neverRetry, ErrMiscompare
 	case sense.Key == scsi.LBAOutOfRange.Key && sense.Code == scsi.LBAOutOfRange.Code:
-		return verdictFinal, ErrOutOfRange
+		return neverRetry, ErrOutOfRange
 	case sense.Key == scsi.BecomingReady.Key && sense.Qualifier == scsi.BecomingReady.Qualifier:
-		return verdictRetry, sense
+		return alwaysRetry, sense
 	case sense.Key == scsi.CommandTimeout.Key:
-		return verdictRetryIfRepeatable, fmt.Errorf("%w: %w", ErrUnknown, sense)
+		return retryIfRepeatable, fmt.Errorf("%w: %w", ErrOutcomeUnknown, sense)
 	}
-	return verdictFinal, sense
+	return neverRetry, sense
 }
