--- a/internal/scale/faults.go
+++ b/internal/scale/faults.go
@@ -6,8 +6,8 @@
 	"irispost/internal/fleet/rig"
 )
 
-// fault is a single fault: it begins just before a change is proposed and ends once that is in force at all gateways
-// that it does not exclude.
+// fault is a kind of fault. It begins just before a change is proposed and ends once the change is in force at all
+// gateways that the fault does not exclude.
 type fault struct {
 	name  string
 	begin func(*Fleet) (activeFault, error)
@@ -15,23 +15,23 @@
 
 // activeFault is a fault that has begun.
 type activeFault struct {
-	excluded gatewayFilter // gateways that cannot be expected to receive a change before the fault has ended
+	excluded gatewayFilter // gateways that might receive no change before the fault has ended
 	end      func() error
 }
 
 const (
-	// racks is the number of racks of a fleet, each with as many gateways as another.
-	racks = 28
+	// rackCount is the number of racks of a fleet. The gateways are spread evenly over the racks.
+	rackCount = 28
 
-	// slowFactor is how many times a slow gateway's delay fits into a lease.
-	slowFactor = 20
+	// slowDelayDivisor is the duration of a lease divided by the delay of a slow gateway.
+	slowDelayDivisor = 20
 )
 
-// faults are the operators' list, and what a single gateway may suffer from.
+// faults lists the faults that the operators named, and those of a single gateway.
 var faults = []fault{
 	{"none", func(*Fleet) (activeFault, error) { return activeFault{noGateway, noRecovery}, nil }},
 	{"gateway_killed", func(f *Fleet) (activeFault, error) {
-		return f.killGateways(f.Gateways[faultyGateway:][:1]), nil
+		return f.killGateways(f.Gateways[faultyGatewayIndex:][:1]), nil
 	}},
 	{"rack_killed", beginRackKilled},
 	{"zone_killed", func(f *Fleet) (activeFault, error) {
@@ -51,7 +51,7 @@
 	}},
 }
 
-// FaultNames returns the names of all faults of the case "in-force".
+// FaultNames returns the names of all faults that the case "in-force" can inject.
 func FaultNames() (names []string) {
 	for _, fault := range faults {
 		names = append(names, fault.name)
@@ -62,8 +62,8 @@
 func noRecovery() error { return nil }
 
 func beginRackKilled(fleet *Fleet) (activeFault, error) {
-	rackSize := max((len(fleet.Gateways)+racks-1)/racks, 1)
-	return fleet.killGateways(fleet.Gateways[faultyGateway:][:rackSize]), nil
+	rackSize := max((len(fleet.Gateways)+rackCount-1)/rackCount, 1)
+	return fleet.killGateways(fleet.Gateways[faultyGatewayIndex:][:rackSize]), nil
 }
 
 func beginFollowerKilled(fleet *Fleet) (activeFault, error) {
@@ -103,8 +103,8 @@
 }
 
 func beginGatewaySlow(fleet *Fleet) (activeFault, error) {
-	gateway := fleet.Gateways[faultyGateway]
-	delay := fleet.Size.Lease / slowFactor
+	gateway := fleet.Gateways[faultyGatewayIndex]
+	delay := fleet.Size.Lease / slowDelayDivisor
 	gateway.decisionDelay.Store(int64(delay))
 	gateway.setLinkFault(rig.Fault{Delay: delay})
 	end := func() error {
@@ -116,37 +116,37 @@
 }
 
 func beginGatewayPaused(fleet *Fleet) (activeFault, error) {
-	gateway := fleet.Gateways[faultyGateway]
-	gateway.pauseGate.Lock()
+	gateway := fleet.Gateways[faultyGatewayIndex]
+	gateway.pauseLock.Lock()
 	end := func() error {
-		gateway.pauseGate.Unlock()
+		gateway.pauseLock.Unlock()
 		return nil
 	}
 	return activeFault{onlyGateway(gateway), end}, nil
 }
 
-// killGateways kills gateways, which are excluded until they are started again at the end.
-func (f *Fleet) killGateways(gateways []*HollowGateway) activeFault {
+// killGateways kills gateways. They are excluded, and restarted at the end of the fault.
+func (f *Fleet) killGateways(gateways []*Gateway) activeFault {
 	f.kill(gateways)
-	killed := map[*HollowGateway]bool{}
+	killed := map[*Gateway]bool{}
 	for _, gateway := range gateways {
 		killed[gateway] = true
 	}
 	return activeFault{
-		excluded: func(gateway *HollowGateway) bool { return killed[gateway] },
+		excluded: func(gateway *Gateway) bool { return killed[gateway] },
 		end:      func() error { return f.start(f.startable(gateways)) },
 	}
 }
 
-// killReplica kills a replica, which excludes no gateway, and starts it again at the end.
+// killReplica kills a replica and restarts it at the end of the fault. No gateway is excluded.
 func (f *Fleet) killReplica(replica *replicaProcess) activeFault {
 	replica.kill()
 	return activeFault{noGateway, func() error { return f.startReplica(replica) }}
 }
 
-// beginLinkFault puts a fault on the links of the faulty gateway.
+// beginLinkFault injects a fault into the links of the faulty gateway.
 func (f *Fleet) beginLinkFault(fault rig.Fault) activeFault {
-	gateway := f.Gateways[faultyGateway]
+	gateway := f.Gateways[faultyGatewayIndex]
 	gateway.setLinkFault(fault)
 	end := func() error {
 		gateway.setLinkFault(rig.Fault{})
@@ -155,21 +155,21 @@
 	return activeFault{onlyGateway(gateway), end}
 }
 
-// setLinkFault puts a fault on the gateway's own links; the zero fault ends it.
-func (h *HollowGateway) setLinkFault(fault rig.Fault) {
-	for _, link := range h.privateLinks {
+// setLinkFault injects a fault into the gateway's private links. The zero Fault ends it.
+func (g *Gateway) setLinkFault(fault rig.Fault) {
+	for _, link := range g.privateLinks {
 		link.SetFault(fault)
 	}
 }
 
-// setInterRegionFault puts a fault on all links between regions; the zero fault ends it.
+// setInterRegionFault injects a fault into all links between regions. The zero Fault ends it.
 func (f *Fleet) setInterRegionFault(fault rig.Fault) {
 	for _, link := range f.interRegionLinks {
 		link.SetFault(fault)
 	}
 }
 
-// minorityRegion returns the region that has fewer replicas.
+// minorityRegion returns the region with fewer replicas.
 func (f *Fleet) minorityRegion() int {
 	count := [2]int{}
 	for _, region := range f.Size.ReplicaRegions {
@@ -181,7 +181,7 @@
 	return 1
 }
 
-// inRegion returns the filter for the gateways of a region.
+// inRegion returns a filter that selects the gateways of a region.
 func (f *Fleet) inRegion(region int) gatewayFilter {
-	return func(gateway *HollowGateway) bool { return f.Size.region(gateway.zone) == region }
+	return func(gateway *Gateway) bool { return f.Size.region(gateway.zone) == region }
 }
