--- a/internal/capture/filewriter.go
+++ b/internal/capture/filewriter.go
@@ -64,9 +64,9 @@
 	if !full && !old {
 		return out, nil
 	}
-	reason := "this file is full or too old, the capture continues in the next"
+	reason := "this file is full or old, the capture goes on in the next"
 	if w.openNext == nil {
-		reason = fmt.Sprintf("the file has reached its limit of %d bytes", limits.FileBytes)
+		reason = fmt.Sprintf("it has reached %d bytes, the most that it may have", limits.FileBytes)
 	}
 	end := singleRecordBlock(&Record{Kind: KindEnd, At: b.firstAt, Name: reason}, b.firstAt)
 	_, _ = out.Write(encodeBlock(w.encoder, end, nil)) // if it fails, readers report a truncated file
