--- a/internal/day/file_client.go
+++ b/internal/day/file_client.go
@@ -10,16 +10,18 @@
 
 const syncExtension = "fsync@openssh.com"
 
-// tornReadError is an answer with bytes that no client wrote.
+// tornReadError is a read response with torn blocks, whose bytes no client wrote, or of a wrong length.
 type tornReadError struct{ bytes int }
 
-func (e *tornReadError) Error() string { return fmt.Sprintf("%d bytes that nobody wrote", e.bytes) }
+func (e *tornReadError) Error() string {
+	return fmt.Sprintf("read returned %d bytes, with torn blocks or of a wrong length", e.bytes)
+}
 
-// roundTrip does one request and waits for its answer.
+// roundTrip sends a request and waits for its response.
 func (c *client) roundTrip(
-	connection *connection, packetType sftp.Type, fields func(*sftp.Packet), sorts ...front.OperationKind,
+	connection *connection, packetType sftp.Type, fields func(*sftp.Packet), operations ...front.OperationKind,
 ) response {
-	return <-connection.send(packetType, c.class(sorts...), fields)
+	return <-connection.send(packetType, c.class(operations...), fields)
 }
 
 // openFile opens a file and returns its handle.
@@ -33,7 +35,7 @@
 	return opened.body.Text(), nil
 }
 
-// connectFiles connects and opens the client's files; prepare fills them.
+// connectFiles connects, and opens or creates the client's files. With prepare, it also fills them.
 func (c *client) connectFiles(prepare bool) error {
 	connection, err := dial(c.gatewayAddress(), c.recorder)
 	if err != nil {
@@ -76,22 +78,22 @@
 	return synced.failure()
 }
 
-// fileAttempt does one attempt of a request and checks what it returns.
+// fileAttempt sends a request once, and checks the data of a read.
 func (c *client) fileAttempt(connection *connection, handle string, request scriptedRequest) error {
 	if c.plan.Operation == OperationCreate {
 		return c.createFile(connection, request)
 	}
-	answer, err := c.awaitAnswer(connection, c.sendOperation(connection, handle, request))
+	received, err := c.awaitResponse(connection, c.sendOperation(connection, handle, request))
 	if err != nil {
 		return err
 	}
-	if err := answer.failure(); err != nil {
+	if err := received.failure(); err != nil {
 		return err
 	}
 	if c.plan.Operation != OperationRead {
 		return nil
 	}
-	if data := answer.body.Bytes(); !untorn(data) || len(data) != c.plan.Bytes {
+	if data := received.body.Bytes(); !untorn(data) || len(data) != c.plan.Bytes {
 		c.totals.tornReads.Add(1)
 		return &tornReadError{len(data)}
 	}
@@ -117,13 +119,13 @@
 	}
 }
 
-// awaitAnswer waits for an answer, and closes the connection where the plan says that the client does not wait longer.
-func (c *client) awaitAnswer(connection *connection, answer <-chan response) (response, error) {
+// awaitResponse waits for a response. If the plan has a CancelAfter, it closes the connection after that time.
+func (c *client) awaitResponse(connection *connection, pending <-chan response) (response, error) {
 	if c.plan.CancelAfter == 0 {
-		return <-answer, nil
+		return <-pending, nil
 	}
 	select {
-	case received := <-answer:
+	case received := <-pending:
 		return received, nil
 	case <-time.After(c.plan.CancelAfter):
 		connection.close()
