--- a/cmd/irispost/endpoints.go
+++ b/cmd/irispost/endpoints.go
@@ -61,10 +61,10 @@
 		}
 		return now.Sub(t).Round(time.Millisecond).String()
 	}
-	writef(out, "gateway %s, told its decision module %s ago\n", report.Gateway, age(report.ScheduledAt))
+	writef(out, "gateway %s, told its decision module %s ago\n", report.Gateway, age(report.SchedulerUpdatedAt))
 	if loss := report.HeldLoss; loss != nil {
 		writef(out, "HELD for %s: %d nodes are gone or unwell by the sources and are kept.", age(loss.Since), loss.Nodes)
-		if loss.LeavesNone {
+		if loss.LeavesNoNodes {
 			writef(out, " Nothing would be left, so it waits for the source's next word or for --confirm.")
 		}
 		writeln(out)
--- a/internal/admin/report.go
+++ b/internal/admin/report.go
@@ -37,18 +37,18 @@
 
 // EndpointReport is the gateway's endpoint list with its sources: the answer of GET /members.
 type EndpointReport struct {
-	Gateway     string     `json:"gateway"`
-	ScheduledAt time.Time  `json:"told"` // the last update of the scheduler's list; zero: none yet
-	HeldLoss    *HeldLoss  `json:"held,omitempty"`
-	Sources     []Source   `json:"sources"`
-	Nodes       []Endpoint `json:"nodes"`
+	Gateway            string     `json:"gateway"`
+	SchedulerUpdatedAt time.Time  `json:"told"` // the last update of the scheduler's list; zero: none yet
+	HeldLoss           *HeldLoss  `json:"held,omitempty"`
+	Sources            []Source   `json:"sources"`
+	Nodes              []Endpoint `json:"nodes"`
 }
 
 // HeldLoss is a loss of nodes, reported by the sources, that is held and not in force yet.
 type HeldLoss struct {
-	Since      time.Time `json:"since"`
-	Nodes      int       `json:"nodes"`
-	LeavesNone bool      `json:"all"` // it waits for a confirmation or for the source's next update, however long
+	Since         time.Time `json:"since"`
+	Nodes         int       `json:"nodes"`
+	LeavesNoNodes bool      `json:"all"` // it waits for a confirmation or for the source's next update, however long
 }
 
 // Source is a source of the endpoint list.
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -50,8 +50,8 @@
 	Disks              *Disks // nil: none
 	RequestClasses     map[string]*RequestClass
 	Volumes            map[string]*front.Volume
-	VolumeLimits       map[int64]Limit    // by volume ID, for volumes whose service level has a rate limit
-	Settings           scheduler.Settings // the same values as the scheduler's start values
+	VolumeLimits       map[int64]RateLimit // by volume ID, for volumes whose service level has a rate limit
+	Settings           scheduler.Settings  // the same values as the scheduler's start values
 }
 
 // RequestClass is a class of requests, as front ends and clients know it.
@@ -61,8 +61,9 @@
 	DedupWindow      time.Duration // for which nodes recognise a repeat; 0: they do not
 }
 
-// Limit is a volume's token bucket: units a second, units, and units that a check tolerates on top.
-type Limit struct{ Rate, Burst, Slack float64 }
+// RateLimit is a volume's token bucket: its rate in units per second, its burst in units, and the slack in units by
+// which a check lets a volume exceed it.
+type RateLimit struct{ Rate, Burst, Slack float64 }
 
 // SourceKind is where an endpoint source has its list from, as the configuration names it.
 type SourceKind string
--- a/internal/config/gateway.go
+++ b/internal/config/gateway.go
@@ -70,7 +70,7 @@
 		EventQueueLength:   d.count(block.Limits.EventQueue, 16, 1<<20, 4096),
 		RequestClasses:     map[string]*RequestClass{},
 		Volumes:            map[string]*front.Volume{},
-		VolumeLimits:       map[int64]Limit{},
+		VolumeLimits:       map[int64]RateLimit{},
 	}
 	if c.Name == "" || strings.ContainsAny(c.Name, "/:# ") {
 		d.reject(block.Range, "Bad name", "A gateway's name is not empty and has no space, slash, colon or number sign.")
--- a/internal/config/version.go
+++ b/internal/config/version.go
@@ -82,8 +82,8 @@
 	return version, nil
 }
 
-// Contradictions lists where a gateway's own settings contradict a configuration version, a line each.
-func (c *Config) Contradictions(version *configversion.Config) []string {
+// Conflicts lists where a gateway's own settings conflict with a configuration version, one line for each conflict.
+func (c *Config) Conflicts(version *configversion.Config) []string {
 	own := &configversion.Config{RequiredFormat: version.RequiredFormat, Shards: c.Shards, Nodes: version.Nodes,
 		FallbackPolicy: version.FallbackPolicy}
 	own.MeanRequestUnits, _ = strconv.ParseFloat(c.Settings["units.mean"], 64) // written by formatNumber
--- a/internal/config/volumes.go
+++ b/internal/config/volumes.go
@@ -56,12 +56,12 @@
 }
 
 // rateLimit is the token bucket of the service level at an index. A setting that is no number was rejected before.
-func rateLimit(settings scheduler.Settings, index int) (limit Limit, limited bool) {
+func rateLimit(settings scheduler.Settings, index int) (limit RateLimit, limited bool) {
 	number := func(value string) float64 {
 		n, _ := strconv.ParseFloat(settings[serviceLevelKey(index, value)], 64)
 		return n
 	}
-	limit = Limit{Rate: number("limit"), Burst: number("burst"), Slack: number("slack")}
+	limit = RateLimit{Rate: number("limit"), Burst: number("burst"), Slack: number("slack")}
 	return limit, limit.Rate > 0
 }
 
--- a/internal/day/replicas.go
+++ b/internal/day/replicas.go
@@ -152,7 +152,7 @@
 // reserveAddresses chooses an address for each process and adds the listener that holds it.
 func (r *replicaSet) reserveAddresses(names []string, listeners map[string]net.Listener) error {
 	for _, name := range names {
-		listener, err := net.Listen("tcp", loopback.Own()+":0")
+		listener, err := net.Listen("tcp", loopback.ProcessAddr()+":0")
 		if err != nil {
 			return err
 		}
--- a/internal/scale/fleetbench/replicas.go
+++ b/internal/scale/fleetbench/replicas.go
@@ -78,7 +78,7 @@
 // reserve adds the next replica: a number, a free address, and a log file. The address stays taken until the replica
 // starts, lest a relay that is opened meanwhile gets its port.
 func (g *replicaGroup) reserve() error {
-	listener, err := net.Listen("tcp", loopback.Own()+":0")
+	listener, err := net.Listen("tcp", loopback.ProcessAddr()+":0")
 	if err != nil {
 		return err
 	}
@@ -107,7 +107,7 @@
 		}
 		addr := peer.addr
 		if !g.direct {
-			relay, err := meter.NewRelay(loopback.Own(), peer.addr)
+			relay, err := meter.NewRelay(loopback.ProcessAddr(), peer.addr)
 			if err != nil {
 				return err
 			}
@@ -129,7 +129,7 @@
 	if err := g.connect(replica); err != nil {
 		return nil, "", err
 	}
-	relay, err := meter.NewRelay(loopback.Own(), replica.addr)
+	relay, err := meter.NewRelay(loopback.ProcessAddr(), replica.addr)
 	if err != nil {
 		return nil, "", err
 	}
--- a/internal/scale/replicas.go
+++ b/internal/scale/replicas.go
@@ -38,7 +38,7 @@
 // newLoopbackHost returns a loopback address that only this fleet uses, so that no other fleet, of this process or
 // another, takes a port that is free on it while a replica starts.
 func newLoopbackHost() string {
-	octets := strings.Split(loopback.Own(), ".") // the second is 64 to 127
+	octets := strings.Split(loopback.ProcessAddr(), ".") // the second is 64 to 127
 	return fmt.Sprintf("127.%d.%s.%s", 128+fleetCount.Add(1)%120, octets[2], octets[3])
 }
 
--- a/internal/serve/fleet.go
+++ b/internal/serve/fleet.go
@@ -54,7 +54,7 @@
 		OnChange:       wake,
 		Seed:           g.Config.Seed,
 		LocalSettings:  g.Config.Settings,
-		LocalConflicts: g.Config.Contradictions,
+		LocalConflicts: g.Config.Conflicts,
 		RecordFile:     conf.VersionLog,
 		CacheDir:       conf.CacheDir,
 		Logger:         g.logger,
--- a/internal/serve/report.go
+++ b/internal/serve/report.go
@@ -53,9 +53,9 @@
 	figures, running := g.Loop.Stats()
 	report := admin.EndpointReport{Gateway: g.Config.Name, Sources: []admin.Source{}, Nodes: []admin.Endpoint{}}
 	running = running && g.endpoints.View(func(_, scheduledAt int64, tracker *membership.Tracker) {
-		report.ScheduledAt = wallTime(scheduledAt)
+		report.SchedulerUpdatedAt = wallTime(scheduledAt)
 		if since, count, leavesNone, held := tracker.HoldDown(); held {
-			report.HeldLoss = &admin.HeldLoss{Since: wallTime(since), Nodes: count, LeavesNone: leavesNone}
+			report.HeldLoss = &admin.HeldLoss{Since: wallTime(since), Nodes: count, LeavesNoNodes: leavesNone}
 		}
 		for _, source := range tracker.Sources() {
 			report.Sources = append(report.Sources, sourceReport(source))
--- a/internal/snapshot/decode.go
+++ b/internal/snapshot/decode.go
@@ -10,8 +10,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ErrDamaged says that a snapshot is not as it was written, or is of other types.
-var ErrDamaged = errors.New("the snapshot is damaged, or of another build")
+// ErrCorrupt is returned for a snapshot that was changed after it was written, or that holds other types.
+var ErrCorrupt = errors.New("the snapshot is damaged, or of another build")
 
 // headerBytes and checksumBytes frame the objects of a snapshot.
 const (
@@ -19,30 +19,30 @@
 	checksumBytes = 8
 )
 
-// Restore decodes the graph of a snapshot, whose root points to a T. A snapshot of another type, by the names that are
-// stored, or one that has been changed is ErrDamaged.
+// Restore decodes a snapshot whose root object is a T. It returns ErrCorrupt if the bytes have changed since they were
+// written, or if the stored type, by its stored names, is not that of T.
 func Restore[T any](b []byte, names Names) (*T, error) {
 	root := reflect.TypeFor[*T]()
 	if len(b) < headerBytes+checksumBytes {
-		return nil, ErrDamaged
+		return nil, ErrCorrupt
 	}
 	content, checksum := b[:len(b)-checksumBytes], b[len(b)-checksumBytes:]
 	if xxhash.Sum64(content) != binary.BigEndian.Uint64(checksum) {
-		return nil, ErrDamaged
+		return nil, ErrCorrupt
 	}
 	if binary.BigEndian.Uint64(content) != Shape(root, names) {
-		return nil, ErrDamaged
+		return nil, ErrCorrupt
 	}
 	d := &decoder{rest: content[headerBytes:]}
 	first := d.object(1, root)
 	for at := 0; at < len(d.objects) && d.err == nil; at++ {
 		if !d.objects[at].IsValid() {
-			return nil, ErrDamaged
+			return nil, ErrCorrupt
 		}
 		d.value(d.objects[at].Elem())
 	}
 	if d.err == nil && len(d.rest) > 0 {
-		d.err = ErrDamaged
+		d.err = ErrCorrupt
 	}
 	if d.err != nil {
 		return nil, d.err
@@ -62,7 +62,7 @@
 		return reflect.Zero(t)
 	}
 	if n > uint64(len(d.objects))+uint64(len(d.rest))+1 {
-		d.err = ErrDamaged
+		d.err = ErrCorrupt
 		return reflect.Zero(t)
 	}
 	for uint64(len(d.objects)) < n {
@@ -72,7 +72,7 @@
 		d.objects[n-1] = reflect.New(t.Elem())
 	}
 	if d.objects[n-1].Type() != t {
-		d.err = ErrDamaged
+		d.err = ErrCorrupt
 		return reflect.Zero(t)
 	}
 	return d.objects[n-1]
@@ -81,7 +81,7 @@
 func (d *decoder) uint() uint64 {
 	n, used := binary.Uvarint(d.rest)
 	if used <= 0 {
-		d.err = ErrDamaged
+		d.err = ErrCorrupt
 		return 0
 	}
 	d.rest = d.rest[used:]
@@ -91,7 +91,7 @@
 func (d *decoder) int() int64 {
 	n, used := binary.Varint(d.rest)
 	if used <= 0 {
-		d.err = ErrDamaged
+		d.err = ErrCorrupt
 		return 0
 	}
 	d.rest = d.rest[used:]
@@ -101,7 +101,7 @@
 func (d *decoder) text() string {
 	n := d.uint()
 	if n > uint64(len(d.rest)) {
-		d.err = ErrDamaged
+		d.err = ErrCorrupt
 		return ""
 	}
 	text := string(d.rest[:n])
@@ -114,7 +114,7 @@
 func (d *decoder) length() (n int, present bool) {
 	written := d.uint()
 	if written > uint64(len(d.rest))+1 {
-		d.err = ErrDamaged
+		d.err = ErrCorrupt
 		return 0, false
 	}
 	return int(written) - 1, written > 0
