--- a/cmd/irispost/demo.go
+++ b/cmd/irispost/demo.go
@@ -52,7 +52,7 @@
 			return err
 		}
 		conf.Listen = *listen
-		ctx, cancel := untilSignal()
+		ctx, cancel := signalContext()
 		defer cancel()
 		hint := ""
 		if *replicas > 0 {
--- a/cmd/irispost/files.go
+++ b/cmd/irispost/files.go
@@ -31,7 +31,7 @@
 	}
 }
 
-func fileCommand(use, short string, args cobra.PositionalArgs, do fileAction) *cobra.Command {
+func fileCommand(use, short string, args cobra.PositionalArgs, action fileAction) *cobra.Command {
 	command := &cobra.Command{Use: use, Short: short, Args: args}
 	defaultAddress := cmp.Or(os.Getenv("IRISPOST_AT"), "127.0.0.1:2022")
 	address := command.Flags().String("at", defaultAddress, "address of a gateway, or IRISPOST_AT")
@@ -46,7 +46,7 @@
 			return fmt.Errorf("%s does not speak as a gateway: %w", *address, err)
 		}
 		defer func() { _ = client.Close() }()
-		return do(command, client, args)
+		return action(command, client, args)
 	}
 	return command
 }
--- a/cmd/irispost/fleetbench.go
+++ b/cmd/irispost/fleetbench.go
@@ -74,7 +74,7 @@
 		defer reserved.discard()
 		save = reserved.save
 	}
-	ctx, cancel := untilSignal()
+	ctx, cancel := signalContext()
 	defer cancel()
 	figures, err := runFleetBench(ctx, options)
 	if err != nil {
--- a/cmd/irispost/main.go
+++ b/cmd/irispost/main.go
@@ -18,14 +18,14 @@
 var version = "development"
 
 func main() {
-	if err := program().Execute(); err != nil {
+	if err := rootCommand().Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "irispost:", err)
 		os.Exit(1)
 	}
 }
 
 // program is the command with all its sub-commands.
-func program() *cobra.Command {
+func rootCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use:   "irispost",
 		Short: "A gateway that schedules a host's reads and writes over storage nodes",
@@ -72,6 +72,6 @@
 }
 
 // untilSignal ends with SIGINT or SIGTERM.
-func untilSignal() (context.Context, context.CancelFunc) {
+func signalContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 }
--- a/cmd/irispost/node.go
+++ b/cmd/irispost/node.go
@@ -29,7 +29,7 @@
 			return err
 		}
 		writef(command.OutOrStdout(), "node of shard %d serves at %s\n", options.Shard, node.Addr())
-		ctx, cancel := untilSignal()
+		ctx, cancel := signalContext()
 		defer cancel()
 		<-ctx.Done()
 		node.Close()
--- a/cmd/irispost/replaylive.go
+++ b/cmd/irispost/replaylive.go
@@ -21,7 +21,7 @@
 		if err != nil {
 			return err
 		}
-		ctx, cancel := untilSignal()
+		ctx, cancel := signalContext()
 		defer cancel()
 		report, err = relive.Play(ctx, script, relive.Options{Speed: speed, Slack: liveSlack})
 		return err
@@ -35,7 +35,7 @@
 		return err
 	}
 	if !report.Passed() {
-		return errRuleBroken
+		return errRuleViolated
 	}
 	return nil
 }
@@ -44,19 +44,19 @@
 	table := newTable(out)
 	writef(table, "product\tjobs\tin goal\tlate\tdismissed\twritten off\tleft\n")
 	for _, name := range slices.Sorted(maps.Keys(report.Captured)) {
-		writeShape(table, name+" captured", report.Captured[name])
-		writeShape(table, name+" now", report.Replayed[name])
+		writeClassOutcome(table, name+" captured", report.Captured[name])
+		writeClassOutcome(table, name+" now", report.Replayed[name])
 	}
 	writeRules(table, report.Rules)
 	_ = table.Flush()
 }
 
 // writeShape writes a class's results as percentages of its requests; nil: it had none.
-func writeShape(out io.Writer, name string, shape *relive.ClassOutcome) {
-	if shape == nil {
+func writeClassOutcome(out io.Writer, name string, outcome *relive.ClassOutcome) {
+	if outcome == nil {
 		return
 	}
-	percent := func(count int) float64 { return float64(count) / (float64(max(shape.Requests, 1)) / 100) }
-	writef(out, "%s\t%d\t%.1f%%\t%.1f%%\t%.1f%%\t%.1f%%\t%.1f%%\n", name, shape.Requests, percent(shape.WithinObjective),
-		percent(shape.Late), percent(shape.Rejected), percent(shape.Failed), percent(shape.ClientCancelled))
+	percent := func(count int) float64 { return float64(count) / (float64(max(outcome.Requests, 1)) / 100) }
+	writef(out, "%s\t%d\t%.1f%%\t%.1f%%\t%.1f%%\t%.1f%%\t%.1f%%\n", name, outcome.Requests, percent(outcome.WithinObjective),
+		percent(outcome.Late), percent(outcome.Rejected), percent(outcome.Failed), percent(outcome.ClientCancelled))
 }
--- a/cmd/irispost/replica.go
+++ b/cmd/irispost/replica.go
@@ -66,7 +66,7 @@
 
 // runReplica serves until a signal, or until the replica ends by itself.
 func runReplica(command *cobra.Command, options replica.Options) error {
-	ctx, cancel := untilSignal()
+	ctx, cancel := signalContext()
 	defer cancel()
 	running, err := replica.Start(options)
 	if err != nil {
--- a/cmd/irispost/serve.go
+++ b/cmd/irispost/serve.go
@@ -34,7 +34,7 @@
 		if os.Getenv("GOGC") == "" {
 			debug.SetGCPercent(gatewayGCPercent)
 		}
-		ctx, cancel := untilSignal()
+		ctx, cancel := signalContext()
 		defer cancel()
 		gateway, err := serve.Start(conf, filepath.Dir(*file), newLog())
 		if err != nil {
--- a/cmd/irispost/transfer.go
+++ b/cmd/irispost/transfer.go
@@ -34,19 +34,19 @@
 		_, err := file.WriteTo(command.OutOrStdout())
 		return err
 	}
-	part, err := os.CreateTemp(path.Dir(to), ".irispost-*")
+	temporary, err := os.CreateTemp(path.Dir(to), ".irispost-*")
 	if err != nil {
 		return err
 	}
-	defer func() { _ = os.Remove(part.Name()) }() // it is gone where it was renamed
-	counter := &transferCounter{Writer: part}
+	defer func() { _ = os.Remove(temporary.Name()) }() // it is gone where it was renamed
+	counter := &transferCounter{Writer: temporary}
 	stopProgress := counter.startProgress(command, from, info.Size())
 	_, err = file.WriteTo(counter)
 	stopProgress()
-	if err := errors.Join(err, part.Chmod(0o644), part.Close()); err != nil {
+	if err := errors.Join(err, temporary.Chmod(0o644), temporary.Close()); err != nil {
 		return err
 	}
-	return os.Rename(part.Name(), to)
+	return os.Rename(temporary.Name(), to)
 }
 
 // putFile writes a file. It is there, complete, when its close is answered.
@@ -79,18 +79,18 @@
 type transferCounter struct {
 	io.Reader
 	io.Writer
-	done atomic.Int64
+	transferred atomic.Int64
 }
 
 func (c *transferCounter) Read(b []byte) (int, error) {
 	n, err := c.Reader.Read(b)
-	c.done.Add(int64(n))
+	c.transferred.Add(int64(n))
 	return n, err
 }
 
 func (c *transferCounter) Write(b []byte) (int, error) {
 	n, err := c.Writer.Write(b)
-	c.done.Add(int64(n))
+	c.transferred.Add(int64(n))
 	return n, err
 }
 
@@ -98,14 +98,14 @@
 func (c *transferCounter) startProgress(command *cobra.Command, name string, size int64) (stop func()) {
 	stopped := make(chan struct{})
 	go func() {
-		tick := time.NewTicker(time.Second)
-		defer tick.Stop()
+		ticker := time.NewTicker(time.Second)
+		defer ticker.Stop()
 		for {
 			select {
 			case <-stopped:
 				return
-			case <-tick.C:
-				writef(command.ErrOrStderr(), "%s: %d of %d bytes\n", name, c.done.Load(), size)
+			case <-ticker.C:
+				writef(command.ErrOrStderr(), "%s: %d of %d bytes\n", name, c.transferred.Load(), size)
 			}
 		}
 	}()
--- a/cmd/irispost/versions.go
+++ b/cmd/irispost/versions.go
@@ -190,13 +190,13 @@
 		writef(out, "versions before %d are not known any more to the keeper that leads, or were made before it joined\n",
 			versions[0].Number)
 	}
-	var before *configversion.Config
+	var previous *configversion.Config
 	for _, version := range versions {
 		writef(out, "%s  of %d  %s  %s: %s\n", version.Name(), version.Parent, version.CreatedAt, version.Author,
 			version.Reason)
 		if version.Content == nil {
 			writeln(out, "    its content is not kept any more")
-			before = nil
+			previous = nil
 			continue
 		}
 		content, err := version.Config()
@@ -204,11 +204,11 @@
 			writeln(out, "   ", err)
 			continue
 		}
-		if before != nil {
-			for _, line := range configversion.Diff(before, content) {
+		if previous != nil {
+			for _, line := range configversion.Diff(previous, content) {
 				writeln(out, "   ", line)
 			}
 		}
-		before = content
+		previous = content
 	}
 }
--- a/cmd/irispost/xdsserver.go
+++ b/cmd/irispost/xdsserver.go
@@ -40,7 +40,7 @@
 		}
 		defer server.Close()
 		writef(command.OutOrStdout(), "the management server serves %d nodes at %s\n", len(list.Nodes), server.Addr())
-		ctx, cancel := untilSignal()
+		ctx, cancel := signalContext()
 		defer cancel()
 		lines := readLines(command.InOrStdin())
 		for {
