--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,5 +1,6 @@
-// Command adapter lets the scheduler drive the operators' bench on standard input and output. It exits with status 1
-// when a line of the input cannot be read.
+// Command adapter connects the scheduler to the operators' simulator: it reads the simulator's events from standard
+// input and writes the scheduler's actions to standard output. It exits with status 1 if a line of the input is
+// invalid.
 package main
 
 import (
--- a/cmd/irispost/capture.go
+++ b/cmd/irispost/capture.go
@@ -15,20 +15,20 @@
 	"irispost/internal/capture"
 )
 
-// captureTimeout bounds a call that starts or stops a capture: a stop waits until all is written.
+// captureTimeout limits a call that starts or stops a capture. A stop returns only after all records are written.
 const captureTimeout = 30 * time.Second
 
 func captureCommand() *cobra.Command {
-	command := &cobra.Command{Use: "capture", Short: "Work on captures"}
+	command := &cobra.Command{Use: "capture", Short: "Start, stop, redact and import captures"}
 	command.AddCommand(redactCommand(), importCommand())
-	command.AddCommand(startCaptureCommand(), stopCaptureCommand(), captureStatusCommand()) // of a running gateway
+	command.AddCommand(startCaptureCommand(), stopCaptureCommand(), captureStatusCommand()) // on a running gateway
 	return command
 }
 
 func redactCommand() *cobra.Command {
 	command := &cobra.Command{Use: "redact FILE NEW", Args: cobra.ExactArgs(2),
-		Short: "Copy a capture with its names replaced by keyed hashes; it replays the same"}
-	keyFile := command.Flags().String("key-file", "", "a file with the key, 16 bytes or more")
+		Short: "Copy a capture with names replaced by keyed hashes; the copy replays identically"}
+	keyFile := command.Flags().String("key-file", "", "file that contains the key, at least 16 bytes")
 	_ = command.MarkFlagRequired("key-file")
 	command.RunE = func(_ *cobra.Command, args []string) error {
 		key, err := os.ReadFile(*keyFile)
@@ -55,8 +55,8 @@
 
 func importCommand() *cobra.Command {
 	command := &cobra.Command{Use: "import TAP NEW", Args: cobra.ExactArgs(2),
-		Short: "Make a capture of one instance of a tap of the operators' bench"}
-	instance := command.Flags().Int64("instance", 0, "the instance's number")
+		Short: "Convert one instance of a tap file of the operators' simulator to a capture"}
+	instance := command.Flags().Int64("instance", 0, "number of the instance")
 	command.RunE = func(command *cobra.Command, args []string) error {
 		in, err := os.Open(args[0])
 		if err != nil {
@@ -71,7 +71,7 @@
 			return err
 		}
 		limits := capture.DefaultLimits
-		limits.QueuedBlocks = 1 << 16 // nothing is served meanwhile: the disk may be waited for
+		limits.QueuedBlocks = 1 << 16 // no gateway is running here, so blocking on the disk delays nothing
 		limits.FileBytes = 1 << 40
 		recorder, err := capture.Create(args[1], fmt.Sprintf("bench-%d", *instance), "tap", limits)
 		if err != nil {
@@ -88,12 +88,12 @@
 }
 
 func startCaptureCommand() *cobra.Command {
-	command := &cobra.Command{Use: "start", Short: "Start a capture of a gateway that serves", Args: cobra.NoArgs}
+	command := &cobra.Command{Use: "start", Short: "Start a capture on a running gateway", Args: cobra.NoArgs}
 	socket := addSocketFlag(command)
-	folder := command.Flags().String("folder", "", "where the capture goes; empty: as configured")
+	folder := command.Flags().String("folder", "", "directory for the capture; empty: the configured one")
 	command.RunE = func(command *cobra.Command, _ []string) (err error) {
 		dir := *folder
-		if dir != "" { // the gateway runs in another folder
+		if dir != "" { // the gateway's working directory may be another one
 			if dir, err = filepath.Abs(dir); err != nil {
 				return err
 			}
@@ -105,7 +105,7 @@
 }
 
 func stopCaptureCommand() *cobra.Command {
-	command := &cobra.Command{Use: "stop", Short: "Stop the capture of a gateway", Args: cobra.NoArgs}
+	command := &cobra.Command{Use: "stop", Short: "Stop the capture on a running gateway", Args: cobra.NoArgs}
 	socket := addSocketFlag(command)
 	command.RunE = func(command *cobra.Command, _ []string) error {
 		state, err := admin.Dial(*socket, captureTimeout).StopCapture()
@@ -115,7 +115,7 @@
 }
 
 func captureStatusCommand() *cobra.Command {
-	command := &cobra.Command{Use: "status", Short: "Show how the capture of a gateway stands", Args: cobra.NoArgs}
+	command := &cobra.Command{Use: "status", Short: "Show the status of a gateway's capture", Args: cobra.NoArgs}
 	socket := addSocketFlag(command)
 	command.RunE = func(command *cobra.Command, _ []string) error {
 		status, err := admin.Dial(*socket, captureTimeout).Status()
@@ -124,12 +124,12 @@
 	return command
 }
 
-// addSocketFlag adds the flag of commands that call one gateway.
+// addSocketFlag adds the flag for the admin socket of one gateway.
 func addSocketFlag(command *cobra.Command) *string {
-	return command.Flags().String("socket", "irispost.sock", "the gateway's admin socket")
+	return command.Flags().String("socket", "irispost.sock", "path of the gateway's admin socket")
 }
 
-// writeCapture writes the state of a capture, unless the call for it failed.
+// writeCapture prints the state of a capture. If err is not nil, it prints nothing and returns err.
 func writeCapture(out io.Writer, state admin.Capture, err error) error {
 	if err != nil {
 		return err
--- a/cmd/irispost/fleet.go
+++ b/cmd/irispost/fleet.go
@@ -10,7 +10,7 @@
 )
 
 func fleetCommand() *cobra.Command {
-	command := &cobra.Command{Use: "fleet", Short: "The gateways that follow versions, and the replicas"}
+	command := &cobra.Command{Use: "fleet", Short: "Inspect and benchmark replicas and the gateways that follow them"}
 	connect := addReplicaFlags(command)
 	command.AddCommand(fleetStatusCommand(connect), fleetReplicasCommand(connect))
 	command.AddCommand(fleetBenchCommand(), fleetScaleCommand())
@@ -19,7 +19,7 @@
 
 func fleetStatusCommand(connect replicaClient) *cobra.Command {
 	command := &cobra.Command{Use: "status", Args: cobra.NoArgs,
-		Short: "Show each gateway: its state, versions, lease and last renewal"}
+		Short: "Show the state, versions, lease and last renewal of each gateway"}
 	command.RunE = func(command *cobra.Command, _ []string) error {
 		client, err := connect()
 		if err != nil {
@@ -55,10 +55,11 @@
 
 func fleetReplicasCommand(connect replicaClient) *cobra.Command {
 	command := &cobra.Command{Use: "replicas", Aliases: []string{"keepers"}, Args: cobra.NoArgs,
-		Short: "Show the replicas that vote, or change them: --add 4=10.0.0.4:7100 --remove 2"}
+		Short: "Show or change the voting replicas, for example: --add 4=10.0.0.4:7100 --remove 2"}
 	add := command.Flags().StringToString("add", nil,
-		"NUMBER=ADDRESS of a replica that was started with --join; the number was never used")
-	remove := command.Flags().UintSlice("remove", nil, "number of a replica that is to vote no more; it can be ended then")
+		"NUMBER=ADDRESS of a replica that was started with --join; its number must never have been used before")
+	remove := command.Flags().UintSlice("remove", nil,
+		"number of a replica to remove from the voters; it can be stopped afterwards")
 	command.RunE = func(command *cobra.Command, _ []string) error {
 		client, err := connect()
 		if err != nil {
--- a/cmd/irispost/formatversion.go
+++ b/cmd/irispost/formatversion.go
@@ -11,7 +11,7 @@
 	"irispost/internal/fleet/configversion"
 )
 
-// formatVersion writes a configuration version as a file that can be edited and proposed.
+// formatVersion returns a configuration version in the file format that "versions propose" reads.
 func formatVersion(version *configversion.Config) []byte {
 	out := fmt.Appendf(nil, "shards = %d\n\nfloor {\n  for    = %q\n  writes = true\n}\n", version.Shards,
 		time.Duration(version.FallbackPolicy.Duration))
--- a/cmd/irispost/main.go
+++ b/cmd/irispost/main.go
@@ -1,5 +1,5 @@
-// Command irispost is a storage gateway and its tools. Each file has one command; it reads the flags, calls the package
-// that does the work, and writes what comes of it for people or as JSON.
+// Command irispost runs a storage gateway and the tools around it. Each file implements one command or a group of
+// related ones: it parses the flags, calls the package that does the work, and prints the result as text or JSON.
 package main
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/spf13/cobra"
 )
 
-// version is set by the build of a release.
+// version is set by release builds.
 var version = "development"
 
 func main() {
@@ -24,28 +24,28 @@
 	}
 }
 
-// program is the command with all its sub-commands.
+// rootCommand returns the irispost command with all its subcommands.
 func rootCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use:   "irispost",
-		Short: "A gateway that schedules a host's reads and writes over storage nodes",
-		Long: `irispost takes file commands (SFTP version 3, without the cryptography) and schedules them over storage nodes.
-Begin with "irispost demo".`,
+		Short: "A storage gateway that schedules a host's reads and writes over storage nodes",
+		Long: `irispost accepts file requests (SFTP version 3 over plain TCP, without SSH) and schedules them over storage
+nodes. To get started, run "irispost demo".`,
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
-	root.AddCommand(serveCommand(), webCommand(), demoCommand(), checkCommand(), versionCommand()) // gateways
-	root.AddCommand(statusCommand(), endpointsCommand(), captureCommand())                         // of a running gateway
-	root.AddCommand(replicaCommand(), versionsCommand(), fleetCommand())                           // the fleet
-	root.AddCommand(replayCommand(), explainCommand())                                             // captures
-	root.AddCommand(nodeCommand(), xdsServerCommand(), scenarioCommand(), benchCommand())          // trials
+	root.AddCommand(serveCommand(), webCommand(), demoCommand(), checkCommand(), versionCommand()) // run a gateway
+	root.AddCommand(statusCommand(), endpointsCommand(), captureCommand())                         // inspect a running gateway
+	root.AddCommand(replicaCommand(), versionsCommand(), fleetCommand())                           // replicas and the fleet
+	root.AddCommand(replayCommand(), explainCommand())                                             // replay captures
+	root.AddCommand(nodeCommand(), xdsServerCommand(), scenarioCommand(), benchCommand())          // tests and benchmarks
 	root.AddCommand(diskCommand())
 	root.AddCommand(fileCommands()...)
 	return root
 }
 
 func versionCommand() *cobra.Command {
-	return &cobra.Command{Use: "version", Short: "Show which build this is", Args: cobra.NoArgs,
+	return &cobra.Command{Use: "version", Short: "Show the version of this build", Args: cobra.NoArgs,
 		Run: func(command *cobra.Command, _ []string) {
 			writeln(command.OutOrStdout(), "irispost", version)
 			if info, ok := debug.ReadBuildInfo(); ok {
@@ -54,10 +54,11 @@
 		}}
 }
 
-// addLogFlags adds the flags for logs, and returns what makes the log once they are parsed.
+// addLogFlags adds the logging flags. The returned function creates the logger and is called after the flags are
+// parsed.
 func addLogFlags(command *cobra.Command) (newLog func() *slog.Logger) {
-	format := command.Flags().String("log", "text", "form of the log: text or json")
-	levelName := command.Flags().String("level", "info", "least level: debug, info, warn or error")
+	format := command.Flags().String("log", "text", "log format: text or json")
+	levelName := command.Flags().String("level", "info", "minimum log level: debug, info, warn or error")
 	return func() *slog.Logger {
 		var level slog.Level
 		if err := level.UnmarshalText([]byte(*levelName)); err != nil {
@@ -71,7 +72,7 @@
 	}
 }
 
-// untilSignal ends with SIGINT or SIGTERM.
+// signalContext returns a context that is cancelled on SIGINT or SIGTERM.
 func signalContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 }
--- a/cmd/irispost/node.go
+++ b/cmd/irispost/node.go
@@ -9,17 +9,17 @@
 )
 
 func nodeCommand() *cobra.Command {
-	command := &cobra.Command{Use: "node", Short: "Run a storage node for trials", Args: cobra.NoArgs}
+	command := &cobra.Command{Use: "node", Short: "Run a storage node for tests", Args: cobra.NoArgs}
 	options := standin.Options{DedupWindow: time.Minute}
 	flags := command.Flags()
-	flags.StringVar(&options.Addr, "listen", "127.0.0.1:7000", "address to serve at")
-	flags.IntVar(&options.Shard, "shard", 0, "shard that it holds")
-	flags.StringVar(&options.Zone, "zone", "", "zone that it stands in")
-	flags.IntVar(&options.Cores, "cores", 2, "attempts that are carried out at a time")
-	flags.DurationVar(&options.UnitTime, "unit", 0, "time of a core for a unit")
-	flags.IntVar(&options.Queue, "queue", 256, "attempts that may wait")
-	flags.BoolVar(&options.ORCA, "orca", false, "send load reports in ORCA form")
-	dir := flags.String("dir", "", "folder for the data; empty: in memory")
+	flags.StringVar(&options.Addr, "listen", "127.0.0.1:7000", "address to listen on")
+	flags.IntVar(&options.Shard, "shard", 0, "shard that the node stores")
+	flags.StringVar(&options.Zone, "zone", "", "zone of the node")
+	flags.IntVar(&options.Cores, "cores", 2, "number of attempts that are executed concurrently")
+	flags.DurationVar(&options.UnitTime, "unit", 0, "time that a core takes for one unit")
+	flags.IntVar(&options.Queue, "queue", 256, "maximum number of queued attempts")
+	flags.BoolVar(&options.ORCA, "orca", false, "send load reports in the ORCA format")
+	dir := flags.String("dir", "", "directory for the data; empty: keep it in memory")
 	command.RunE = func(command *cobra.Command, _ []string) (err error) {
 		if options.Store, err = standin.NewStore(*dir); err != nil {
 			return err
--- a/cmd/irispost/replaylive.go
+++ b/cmd/irispost/replaylive.go
@@ -10,10 +10,10 @@
 	"irispost/internal/relive"
 )
 
-// liveSlack is how long after a client's deadline an answer still counts.
+// liveSlack is how long after a client's deadline a response is still accepted.
 const liveSlack = 250 * time.Millisecond
 
-// replayLive plays a capture through a real gateway, and fails where a rule is broken.
+// replayLive replays a capture through a real gateway and returns an error if a rule is violated.
 func replayLive(out io.Writer, file string, speed float64, asJSON bool) error {
 	var report *relive.Report
 	err := readCapture(file, func(reader *capture.Reader) error {
@@ -51,7 +51,7 @@
 	_ = table.Flush()
 }
 
-// writeShape writes a class's results as percentages of its requests; nil: it had none.
+// writeClassOutcome prints how a class's requests ended, as percentages. A nil outcome means that there were none.
 func writeClassOutcome(out io.Writer, name string, outcome *relive.ClassOutcome) {
 	if outcome == nil {
 		return
--- a/cmd/irispost/serve.go
+++ b/cmd/irispost/serve.go
@@ -12,14 +12,14 @@
 	"irispost/internal/serve"
 )
 
-// gatewayGCPercent lets the heap grow to five times what lives: a gateway's live heap is small, and much passes
-// through. The variables GOGC and GOMEMLIMIT still count.
+// gatewayGCPercent lets the heap grow to five times the live heap before a collection: a gateway allocates a lot for
+// the requests that pass through it and keeps little. GOGC overrides it, and GOMEMLIMIT still applies.
 const gatewayGCPercent = 400
 
 func serveCommand() *cobra.Command {
-	command := &cobra.Command{Use: "serve", Short: "Run a gateway until SIGTERM", Args: cobra.NoArgs}
-	file := command.Flags().String("config", "irispost.hcl", "the configuration")
-	profile := command.Flags().String("cpu-profile", "", "write a profile of the processor's time there, until the end")
+	command := &cobra.Command{Use: "serve", Short: "Run a gateway until SIGINT or SIGTERM", Args: cobra.NoArgs}
+	file := command.Flags().String("config", "irispost.hcl", "configuration file")
+	profile := command.Flags().String("cpu-profile", "", "write a CPU profile of the whole run to this file")
 	newLog := addLogFlags(command)
 	command.RunE = func(command *cobra.Command, _ []string) error {
 		conf, err := config.Load(*file)
@@ -45,16 +45,16 @@
 			writef(command.OutOrStdout(), "disks of %s at %s\n", conf.Name, gateway.ISCSI.Addr())
 		}
 		<-ctx.Done()
-		cancel() // a second signal ends the program at once
+		cancel() // from here on, a second signal kills the process immediately
 		if err := shutdown(gateway, conf.ShutdownTimeout); err != nil {
-			newLog().Warn("stopped", "gateway", conf.Name, "err", err)
+			newLog().Warn("gateway did not shut down cleanly", "gateway", conf.Name, "err", err)
 		}
 		return nil
 	}
 	return command
 }
 
-// startProfile writes a profile of the processor's time to a file until stop; without a file it does nothing.
+// startProfile writes a CPU profile to a file until stop is called. It does nothing if file is empty.
 func startProfile(file string) (stop func(), err error) {
 	if file == "" {
 		return func() {}, nil
@@ -63,7 +63,7 @@
 	if err != nil {
 		return nil, err
 	}
-	closeFile := func() { _ = out.Close() } // a profile that is incomplete cannot be read
+	closeFile := func() { _ = out.Close() } // a failed close leaves a truncated profile, which pprof rejects
 	if err := pprof.StartCPUProfile(out); err != nil {
 		closeFile()
 		return nil, err
--- a/cmd/irispost/status.go
+++ b/cmd/irispost/status.go
@@ -14,9 +14,9 @@
 const statusTimeout = 5 * time.Second
 
 func statusCommand() *cobra.Command {
-	command := &cobra.Command{Use: "status", Short: "Show how a gateway stands", Args: cobra.NoArgs}
+	command := &cobra.Command{Use: "status", Short: "Show a gateway's status", Args: cobra.NoArgs}
 	socket := addSocketFlag(command)
-	asJSON := command.Flags().Bool("json", false, "print it as JSON")
+	asJSON := command.Flags().Bool("json", false, "print the status as JSON")
 	command.RunE = func(command *cobra.Command, _ []string) error {
 		status, err := admin.Dial(*socket, statusTimeout).Status()
 		if err != nil {
--- a/cmd/irispost/transfer.go
+++ b/cmd/irispost/transfer.go
@@ -12,10 +12,11 @@
 	"github.com/spf13/cobra"
 )
 
-// concurrentWrites is how many writes of a file are in flight.
+// concurrentWrites is the maximum number of writes in flight during an upload.
 const concurrentWrites = 64
 
-// getFile reads a file into a new one beside its place, so that a transfer that breaks leaves no half of it.
+// getFile downloads a file to a temporary file in the destination directory and renames it when it is complete, so
+// that an interrupted transfer leaves no partial file.
 func getFile(command *cobra.Command, client *sftp.Client, args []string) error {
 	from, to := args[0], path.Base(args[0])
 	if len(args) > 1 {
@@ -38,7 +39,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = os.Remove(temporary.Name()) }() // it is gone where it was renamed
+	defer func() { _ = os.Remove(temporary.Name()) }() // fails if the file has been renamed
 	counter := &transferCounter{Writer: temporary}
 	stopProgress := counter.startProgress(command, from, info.Size())
 	_, err = file.WriteTo(counter)
@@ -49,7 +50,7 @@
 	return os.Rename(temporary.Name(), to)
 }
 
-// putFile writes a file. It is there, complete, when its close is answered.
+// putFile uploads a file. The file is complete when the gateway has answered its close request.
 func putFile(command *cobra.Command, client *sftp.Client, args []string) error {
 	from, to := args[0], args[1]
 	in, size := os.Stdin, int64(0)
@@ -75,7 +76,7 @@
 	return errors.Join(err, out.Close())
 }
 
-// transferCounter counts the bytes that pass its reader or writer.
+// transferCounter counts the bytes that pass through its reader or writer.
 type transferCounter struct {
 	io.Reader
 	io.Writer
@@ -94,7 +95,7 @@
 	return n, err
 }
 
-// startProgress reports a transfer once a second on the command's error output, until stop.
+// startProgress prints the progress of a transfer to the command's error output every second until stop is called.
 func (c *transferCounter) startProgress(command *cobra.Command, name string, size int64) (stop func()) {
 	stopped := make(chan struct{})
 	go func() {
--- a/cmd/irispost/web.go
+++ b/cmd/irispost/web.go
@@ -16,7 +16,7 @@
 
 func webCommand() *cobra.Command {
 	command := &cobra.Command{Use: "web", Args: cobra.NoArgs,
-		Short: "Run a gateway behind HTTP, as the platform's environment configures it"}
+		Short: "Run a gateway with an HTTP front end, configured by the platform's environment"}
 	newLog := addLogFlags(command)
 	command.RunE = func(*cobra.Command, []string) error {
 		signals := make(chan os.Signal, 8)
@@ -26,13 +26,14 @@
 			return err
 		}
 		runtime.GOMAXPROCS(max(1, int(math.Ceil(conf.Cores))))
-		debug.SetMemoryLimit(conf.MemoryBytes / 2) // of the heap and the runtime; the program's text counts as well
+		// The limit covers the Go heap and runtime. The program text, which it does not cover, takes memory as well.
+		debug.SetMemoryLimit(conf.MemoryBytes / 2)
 		log := newLog()
 		gateway, err := serve.StartWebGateway(conf, log)
 		if err != nil {
 			return err
 		}
-		log.Info("the gateway serves", "gateway", conf.Name, "address", gateway.Frontend.Addr(),
+		log.Info("gateway is serving", "gateway", conf.Name, "address", gateway.Frontend.Addr(),
 			"cores", conf.Cores, "mb", conf.MemoryBytes>>20, "sockets", conf.MaxSockets)
 		for s := range signals {
 			if s != syscall.SIGHUP {
@@ -40,14 +41,14 @@
 			}
 			reloaded, err := platform.Load(os.Getenv)
 			if err != nil {
-				log.Error("the new configuration is not taken, the old one stays", "gateway", conf.Name, "err", err)
+				log.Error("configuration reload failed, keeping the current configuration", "gateway", conf.Name, "err", err)
 				continue
 			}
 			gateway.Reload(reloaded)
 		}
-		log.Info("the gateway ends", "gateway", conf.Name)
+		log.Info("gateway is shutting down", "gateway", conf.Name)
 		gateway.Shutdown()
-		log.Info("the gateway has ended", "gateway", conf.Name)
+		log.Info("gateway has shut down", "gateway", conf.Name)
 		return nil
 	}
 	return command
--- a/cmd/irispost/xdsserver.go
+++ b/cmd/irispost/xdsserver.go
@@ -16,13 +16,13 @@
 
 func xdsServerCommand() *cobra.Command {
 	command := &cobra.Command{Use: "xds-server", Aliases: []string{"xds-standin"}, Args: cobra.NoArgs,
-		Short: "Run an xDS management server for tests; commands come on standard input",
-		Long: "Serves the nodes of a list as Envoy clusters and endpoints, and does what it is told, a line each:\n\n" +
+		Short: "Run an xDS management server for tests, controlled by commands on standard input",
+		Long: "Serves the nodes of a list as Envoy clusters and endpoints. Reads one command per line from standard input:\n\n" +
 			xdsstandin.Commands +
-			"\nwait SPAN                 nothing, for so long\nanswers                   what clients have answered so far"}
-	listen := command.Flags().String("listen", "127.0.0.1:18000", "address to serve at")
-	file := command.Flags().String("nodes", "", "the nodes to begin with, in our own form")
-	clusters := command.Flags().Int("clusters", 1, "clusters that the nodes are spread over, by their shards")
+			"\nwait SPAN                 pause for this duration\nanswers                   print the ACKs and NACKs of clients so far"}
+	listen := command.Flags().String("listen", "127.0.0.1:18000", "address to listen on")
+	file := command.Flags().String("nodes", "", "file with the initial nodes, in the irispost endpoint list format")
+	clusters := command.Flags().Int("clusters", 1, "number of clusters; nodes are assigned to them by shard")
 	command.RunE = func(command *cobra.Command, _ []string) error {
 		var list endpoint.List
 		if *file != "" {
@@ -55,7 +55,8 @@
 	return command
 }
 
-// readLines sends the lines of a reader until its end. The channel stays open, so that the server goes on after it.
+// readLines sends the lines of a reader to a channel. The channel stays open at the end of the input, so that the
+// server keeps running.
 func readLines(in io.Reader) <-chan string {
 	lines := make(chan string)
 	go func() {
@@ -66,7 +67,7 @@
 	return lines
 }
 
-// runServerCommand runs one line. What is wrong with it goes to the command's error output.
+// runServerCommand executes one command line. It prints errors to the command's error output.
 func runServerCommand(ctx context.Context, command *cobra.Command, server *xdsstandin.Server, line string) {
 	word, rest, _ := strings.Cut(strings.TrimSpace(line), " ")
 	switch word {
