--- a/cmd/irispost/endpoints.go
+++ b/cmd/irispost/endpoints.go
@@ -48,7 +48,7 @@
 		if err != nil {
 			return admin.EndpointReport{}, err
 		}
-		writef(out, "%s: the loss of %d nodes and %d old lists are confirmed\n", socket, confirmed.Nodes, confirmed.Lists)
+		writef(out, "%s: confirmed the loss of %d nodes and %d old lists\n", socket, confirmed.Nodes, confirmed.Lists)
 	}
 	return client.Members()
 }
@@ -61,7 +61,7 @@
 		}
 		return now.Sub(t).Round(time.Millisecond).String()
 	}
-	writef(out, "gateway %s, told its decision module %s ago\n", report.Gateway, age(report.SchedulerUpdatedAt))
+	writef(out, "gateway %s, scheduler updated %s ago\n", report.Gateway, age(report.SchedulerUpdatedAt))
 	if loss := report.HeldLoss; loss != nil {
 		writef(out, "HELD for %s: %d nodes are missing or unhealthy according to the sources and are kept.",
 			age(loss.Since), loss.Nodes)
@@ -71,7 +71,7 @@
 		writeln(out)
 	}
 	table := newTable(out)
-	writeln(table, "\nsource\tstate\tfor\tversion\tsaid\tnodes\trefused\tlast refusal or trouble")
+	writeln(table, "\nsource\tstate\tfor\tversion\tsaid\tnodes\trefused\tlast rejection or error")
 	for _, source := range report.Sources {
 		last := source.LastError
 		if source.LastRejection != "" {
--- a/cmd/irispost/fleet_test.go
+++ b/cmd/irispost/fleet_test.go
@@ -128,7 +128,7 @@
 	quit := make(chan struct{})
 	list := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
 		if request.FormValue("from") == "1" {
-			first.Do(func() { close(watched) }) // further watches, after quit is closed, are not counted
+			first.Do(func() { close(watched) }) // once quit is closed, the gateway watches again
 			<-quit
 		}
 		_, _ = fmt.Fprint(w, `{"rev":1,"all":true,"targets":[]}`)
--- a/cmd/irispost/fleetbench_test.go
+++ b/cmd/irispost/fleetbench_test.go
@@ -69,7 +69,7 @@
 		in_force_ms announced_ms keeper_mb keeper_mb_start leader_out_bytes_change first_start_ms again_ms changes_by_kind
 		version_bytes`)
 	for _, name := range strings.Fields("follower_core_day follower_mb keeper_core keeper_core_others keeper_ends") {
-		if _, is := figures[name].(float64); !is {
+		if _, ok := figures[name].(float64); !ok {
 			t.Errorf("%s: got %v, want a number", name, figures[name])
 		}
 	}
--- a/cmd/irispost/mixed_test.go
+++ b/cmd/irispost/mixed_test.go
@@ -12,8 +12,8 @@
 // otherBuildEnv is the environment variable with the path of another irispost build. Without it the test is skipped.
 const otherBuildEnv = "IRISPOST_OTHER_BUILD"
 
-// wrapperScript stands in for the irispost program: it runs replicas and gateways with odd numbers with the other
-// build and the rest with this one, and records each start. Its third argument is a replica's number or a gateway's
+// wrapperScript is started in place of irispost. It executes the other build for replicas and gateways with odd numbers
+// and this build for the rest, and records each start. Its third argument is a replica's number or a gateway's
 // configuration file.
 const wrapperScript = `#!/bin/sh
 number=$(basename "$3" | tr -dc 0-9)
--- a/cmd/irispost/replay.go
+++ b/cmd/irispost/replay.go
@@ -98,8 +98,8 @@
 	table := newTable(out)
 	writef(table, "\tthis build\t%s\n", program)
 	writef(table, "decisions\t%d\t%d\n", ours.Decisions, theirs.Decisions)
-	writef(table, "other than captured\t%d\t%d\n", ours.DifferingDecisions, theirs.DifferingDecisions)
-	writef(table, "first of them\t%s\t%s\n", firstDifference(ours), firstDifference(&theirs))
+	writef(table, "different from the capture\t%d\t%d\n", ours.DifferingDecisions, theirs.DifferingDecisions)
+	writef(table, "first difference\t%s\t%s\n", firstDifference(ours), firstDifference(&theirs))
 	for _, own := range ours.Classes {
 		for _, other := range theirs.Classes {
 			if other.Name == own.Name {
@@ -122,11 +122,11 @@
 // writeReplay prints a report as text.
 func writeReplay(out io.Writer, report *replay.Report) {
 	table := newTable(out)
-	sameText := "of ANOTHER text than this build's"
+	sameText := "DIFFERENT from this build's"
 	if report.SamePolicySource {
-		sameText = "of the same text as this build's"
+		sameText = "same as this build's"
 	}
-	writef(table, "gateway %s, build %s, module %s\n", report.Gateway, report.Build, sameText)
+	writef(table, "gateway %s, build %s, scheduler source %s\n", report.Gateway, report.Build, sameText)
 	writef(table, "%d records over %.3f s, %d decisions compared; the replay has %s", report.Records,
 		float64(report.Span)/1e9, report.Decisions, report.StateName)
 	if report.Reason != "" {
--- a/cmd/irispost/scenario.go
+++ b/cmd/irispost/scenario.go
@@ -89,7 +89,7 @@
 	writef(table, "jobs\t%d\tcompleted %d, dismissed %d, written off %d, left %d, ", report.Sent, report.Succeeded,
 		report.Rejected, report.Failed, report.ClientCancelled)
 	writef(table, "lost %d, answered twice %d, torn reads %d\n", report.Lost, report.AnsweredTwice, report.TornReads)
-	writef(table, "service\t%.3f\tof %d requests, with their further tries folded into the first\n", report.ServedShare,
+	writef(table, "service\t%.3f\tof %d requests, each counted once with its retries\n", report.ServedShare,
 		report.Requests)
 	if a := report.Agreement; a != nil {
 		writef(table, "agreement\t%d\tpairs of gateways over %d versions, ", a.Pairs, a.Versions)
--- a/internal/audit/rule_draining.go
+++ b/internal/audit/rule_draining.go
@@ -1,7 +1,7 @@
 package audit
 
-// checkDraining checks that a node gets no attempt later than the list delay and the drain grace after an endpoint
-// list had it as draining or removed.
+// checkDraining checks that a node gets no attempt later than the list delay plus the drain grace after an endpoint
+// list named it as draining or removed.
 func (t *trace) checkDraining() RuleResult {
 	result := RuleResult{Name: RuleDraining}
 	leavingSince := map[string]int64{} // by node
--- a/internal/audit/slowstart.go
+++ b/internal/audit/slowstart.go
@@ -68,7 +68,7 @@
 
 // slowStartVisitor has the functions that are called for events of nodes that warm up.
 type slowStartVisitor struct {
-	started    func(start Event, until int64) // until is when the node is warm or the last attempt was received
+	started    func(start Event, until int64) // until: when it is warm, or the last attempt if that is earlier
 	received   func(windowLoad)
 	overloaded func(Event)
 }
--- a/internal/iscsi/initiator/options.go
+++ b/internal/iscsi/initiator/options.go
@@ -1,6 +1,6 @@
 // Package initiator is an iSCSI initiator (RFC 7143). A Session sends SCSI commands to a target, many at a time. A
 // Disk reads and writes blocks of a logical unit; it reconnects, and retries a command if the target's reply allows
-// it. The command line (irispost disk), scripted days and tests use the package.
+// it. The command irispost disk, scenarios (package day) and tests use the package.
 //
 // A Session owns a connection and its outstanding requests, which are guarded by a lock, and one goroutine that reads
 // from the connection. A Disk owns the session that it uses.
--- a/internal/iscsi/negotiate/negotiate_test.go
+++ b/internal/iscsi/negotiate/negotiate_test.go
@@ -222,12 +222,12 @@
 		}
 	}
 	if _, rejection := login.Step(Request{Current: Security, Continue: true}); rejection == nil {
-		t.Error("login not rejected after maxRequests requests")
+		t.Error("got no rejection of a request after maxRequests others, want one")
 	}
 	login = NewLogin(testOptions(Account{}))
 	long := bytes.Repeat([]byte{'x'}, maxTextLength+1)
 	if _, rejection := login.Step(Request{Current: Security, Continue: true, Text: long}); rejection == nil {
-		t.Error("login text longer than maxTextLength accepted")
+		t.Error("got no rejection of a login text longer than maxTextLength, want one")
 	}
 }
 
--- a/internal/iscsi/pace/pace.go
+++ b/internal/iscsi/pace/pace.go
@@ -3,9 +3,9 @@
 // session's command window.
 //
 // The target (package iscsi/target) calls it under one lock. The package owns the queues of waiting commands and
-// knows nothing of nodes or request classes. The scheduler behind it decides when a request goes to which node; this
-// package only keeps excess commands at the initiator, which can be made to wait, because the scheduler would reject
-// them. It does no I/O and reads no clock.
+// knows nothing of nodes or request classes. The scheduler behind it decides when a request goes to which node. The
+// scheduler would reject excess commands; this package keeps them at the initiator, which can be made to wait. It does
+// no I/O and reads no clock.
 package pace
 
 import "slices"
@@ -40,7 +40,7 @@
 // String returns the name of the state as it appears in logs.
 func (s State) String() string { return [...]string{"open", "slow", "closed"}[s] }
 
-// Outcome is the result of a command as far as it indicates load.
+// Outcome is what the result of a command indicates about the load.
 type Outcome uint8
 
 // The outcomes of commands.
--- a/internal/iscsi/pace/pace_test.go
+++ b/internal/iscsi/pace/pace_test.go
@@ -125,7 +125,7 @@
 		m.t.Fatalf("%d commands run with %d bytes in total, want no more than the limits", len(m.running), bytes)
 	}
 	if waiting > 0 && len(m.running) == 0 {
-		m.t.Fatal("commands wait, but none runs")
+		m.t.Fatal("commands wait and none runs, want at least one running")
 	}
 	if p.bound < 1 || p.bound > float64(m.limits.MaxBound) {
 		m.t.Fatalf("got a bound of %v, want one from 1 to MaxBound", p.bound)
@@ -143,8 +143,8 @@
 }
 
 // simulate simulates a gateway that completes at most slots commands in each round, in random order, for sessions
-// that keep a constant queue depth as far as their windows allow. It returns the number of completed commands by
-// session.
+// that each keep as many commands outstanding as their depth and their window allow. It returns the number of completed
+// commands by session.
 func simulate(pacer *Pacer, depths []int, cost []int, slots, rounds int, seed uint64) (served []int) {
 	random := rand.New(rand.NewPCG(seed, 1))
 	sessions := make([]*Session, len(depths))
--- a/internal/iscsi/pdu_test.go
+++ b/internal/iscsi/pdu_test.go
@@ -84,7 +84,7 @@
 	b := encode(p, Digests{})
 	for n := range b {
 		if _, err := Read(bufferSource{bytes.NewReader(b[:n])}, Digests{}, 1000); err == nil {
-			t.Errorf("a PDU truncated to %d of %d bytes is read without an error", n, len(b))
+			t.Errorf("PDU truncated to %d of %d bytes: got no error, want one", n, len(b))
 		}
 	}
 }
--- a/internal/iscsi/target/requests.go
+++ b/internal/iscsi/target/requests.go
@@ -181,7 +181,7 @@
 // Values in logout requests and responses (RFC 7143, 11.14 and 11.15).
 const (
 	logoutReasonMask         = 0x7f
-	logoutCloseConnection    = 1 // close the connection; like reason 0, close the session, it ends the session
+	logoutCloseConnection    = 1 // close the connection, which ends the session as reason 0 does
 	logoutRecoveryNotAllowed = 2 // response to the other reasons
 )
 
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -65,7 +65,8 @@
 	return driveFrom(seed, events, 0, recorder)
 }
 
-// driveFrom is drive with a capture that starts only before event from, as when it is started while a gateway serves.
+// driveFrom is like drive, but the capture starts with a snapshot before event number from, as if it had been started
+// on a serving gateway. If from is 0, the capture starts with the scheduler.
 func driveFrom(seed uint64, events, from int, captureRecorder *capture.Recorder) scheduler.Time {
 	recorder := captureRecorder
 	if from > 0 {
@@ -379,7 +380,7 @@
 	now := drive(3, 2000, rec)
 	s := rec.Status()
 	if s.Dropped == 0 {
-		t.Error("got no dropped records while the disk was blocked")
+		t.Error("got no dropped records while the disk was blocked, want some")
 	}
 	close(disk.unblock)
 	for rec.Status().Written < 1000 {
@@ -453,13 +454,13 @@
 			break
 		}
 		text := fmt.Sprintf("%+v", *rec)
-		for name, is := range names {
-			if is && len(name) > 2 && strings.Contains(text, name) {
-				t.Fatalf("name %q found in redacted record %s", name, text)
+		for name, isName := range names {
+			if isName && len(name) > 2 && strings.Contains(text, name) {
+				t.Fatalf("got name %q in a redacted record, want only its hash: %s", name, text)
 			}
 		}
 		if strings.Contains(rec.Job, "g1/") {
-			t.Fatalf("gateway name found in request ID %s", rec.Job)
+			t.Fatalf("got request ID %s, want it without the gateway's name", rec.Job)
 		}
 	}
 	if _, err := capture.NewRedactor([]byte("short")); err == nil {
--- a/internal/replay/story.go
+++ b/internal/replay/story.go
@@ -52,10 +52,10 @@
 	outcome := outcomeName(record.Outcome)
 	latency, failures := millis(node.meanLatency), 100*node.failureShare
 	r.addToStory(record.Job, record.At, "execution %d at %s: %s after %.1f ms; "+
-		"the node lately: %.1f ms, %.0f%% not served, %d out from here, %d held",
+		"the node on average: %.1f ms, %.0f%% not served, %d out from here, %d held",
 		record.Number, addr, outcome, millis(record.Took), latency, failures, node.inFlight, node.reportedInFlight)
 	r.addToNodeStory(addr, record.At, "%s, execution %d: %s after %.1f ms; "+
-		"lately %.1f ms, %.0f%% not served, %d out, %d held",
+		"on average %.1f ms, %.0f%% not served, %d out, %d held",
 		record.Job, record.Number, outcome, millis(record.Took), latency, failures, node.inFlight, node.reportedInFlight)
 }
 
--- a/internal/scsi/parse.go
+++ b/internal/scsi/parse.go
@@ -41,14 +41,14 @@
 const (
 	cdbLength                   = 16   // bytes of the longest supported command descriptor block
 	serviceActionReadCapacity16 = 0x10 // the only supported service action of SERVICE ACTION IN (16)
-	read6DefaultBlocks          = 256  // number of blocks that a length of 0 stands for
+	read6DefaultBlocks          = 256  // number of blocks if the length field is 0
 	read6LBAMask                = 1<<21 - 1
 	minReportLunsLength         = 16
 	readCapacity10Length        = 8
 	protectionFieldShift        = 5    // of byte 1; protection information is not supported
 	flagForceUnitAccess         = 0x08 // of byte 1
 	verifyUnsupportedFlags      = 0xe6 // of byte 1: protection information, and the comparison with Data-Out
-	writeSameUnsupported        = 0xf6 // of byte 1: protection information, ANCHOR, PBDATA, LBDATA (addresses in blocks)
+	writeSameUnsupported        = 0xf6 // of byte 1: protection information, ANCHOR, PBDATA, LBDATA (addresses as data)
 )
 
 // reservationNames holds the names of the reservation commands, which are rejected: a reservation at this gateway would
--- a/internal/scsi/scsi_test.go
+++ b/internal/scsi/scsi_test.go
@@ -114,7 +114,7 @@
 		t.Errorf("INQUIRY: got %x, want 96 bytes with a matching length field and the vendor IRISPOST", answer)
 	}
 	if answer := mustRespond(t, unit, buildCDB(opInquiry, 3, 2, 36)); len(answer) != 36 {
-		t.Errorf("INQUIRY with allocation length 36: got %d bytes", len(answer))
+		t.Errorf("INQUIRY with allocation length 36: got %d bytes, want 36", len(answer))
 	}
 	pages := mustRespond(t, unit, buildCDB(opInquiry, 1, 1, 1, 3, 2, 255))
 	for _, page := range pages[4:] {
@@ -157,7 +157,7 @@
 		}
 	}
 	if _, ok := DecodeLUN([]byte{0xc0, 1, 0, 0, 0, 0, 0, 0}); ok {
-		t.Error("LUN with an unsupported addressing method decoded")
+		t.Error("LUN with an unsupported addressing method: got it decoded, want it rejected")
 	}
 }
 
@@ -235,7 +235,7 @@
 			t.Errorf("%+v has %d bytes of Data-Out and %d of Data-In, want at most 1<<31 each", command, dataOut, dataIn)
 		}
 		if command.Kind >= Read && command.Kind != Unmap && command.LBA+command.Blocks > unit.Blocks {
-			t.Errorf("got %+v, which ends after the last block", command)
+			t.Errorf("got %+v, which ends after the last block; want it rejected", command)
 		}
 		_, _ = unit.ResponseData(&command, []uint16{0}) // must not panic
 		_, _ = unit.ParseUnmap(data)
