--- a/cmd/irispost/fleetbench.go
+++ b/cmd/irispost/fleetbench.go
@@ -34,7 +34,7 @@
 	flags.DurationVar(&options.Idle, "idle", 10*time.Second, "how long to measure the idle fleet")
 	flags.BoolVar(&options.Kill, "kill", false,
 		"kill the leader after half of the changes, and restart it after three quarters of them")
-	flags.BoolVar(&options.Straight, "straight", false,
+	flags.BoolVar(&options.DirectConnections, "straight", false,
 		"connect replicas directly, without relays in this process: for times; bytes between replicas are not counted")
 	flags.IntSliceVar(&options.Marks, "marks", nil,
 		"numbers of changes after which to measure the replicas' memory and directories, for example 500,10000")
@@ -54,7 +54,7 @@
 		if options.Program, err = os.Executable(); err != nil {
 			return err
 		}
-		options.Note = func(line string) { writeln(command.ErrOrStderr(), line) }
+		options.ReportProgress = func(line string) { writeln(command.ErrOrStderr(), line) }
 		return measureFleet(command.OutOrStdout(), options, *file)
 	}
 	return command
@@ -91,7 +91,7 @@
 
 func runFleetBench(ctx context.Context, options fleetbench.Options) (fleetFigures, error) {
 	if len(options.Marks) > 0 {
-		return fleetbench.Grow(ctx, options)
+		return fleetbench.MeasureGrowth(ctx, options)
 	}
 	return fleetbench.Run(ctx, options)
 }
--- a/internal/bench/load.go
+++ b/internal/bench/load.go
@@ -140,7 +140,7 @@
 
 // processorTime returns the processor time that a process has used; 0 if the system does not know it.
 func processorTime(pid int) time.Duration {
-	used, err := meter.Process(pid)
+	used, err := meter.ProcessUsage(pid)
 	if err != nil {
 		return 0
 	}
--- a/internal/scale/cases.go
+++ b/internal/scale/cases.go
@@ -114,7 +114,7 @@
 			return result, err
 		}
 	}
-	used, err := meter.Process(os.Getpid())
+	used, err := meter.ProcessUsage(os.Getpid())
 	result.Figures["gateways_process_mb"] = used.MB
 	names := slices.Sorted(maps.Keys(result.Figures))
 	fleet.options.Note("%s: %d broken; %v", testCase.Name, len(result.Violations), names)
--- a/internal/scale/fleet.go
+++ b/internal/scale/fleet.go
@@ -34,7 +34,7 @@
 	links             []*rig.Link // all
 	interRegionLinks  []*rig.Link // those of them between regions
 	operator          *replica.Client
-	traffic           meter.Bytes // between all gateways and the replicas
+	traffic           meter.Counter // between all gateways and the replicas
 	config            *configversion.Config
 	newestVersion     uint64
 	unauditedVersions []*configversion.Version // since the last audit, with the newest before it
--- a/internal/scale/fleetbench/changes.go
+++ b/internal/scale/fleetbench/changes.go
@@ -33,7 +33,7 @@
 		change.whileKilled = kill.killed != nil
 		changes = append(changes, change)
 		if number >= kill.restartAt && kill.killed != nil && m.hasNewest(ctx, kill.killed) {
-			m.Note(fmt.Sprintf("change %d: keeper %d is back", number, kill.killed.number))
+			m.ReportProgress(fmt.Sprintf("change %d: keeper %d is back", number, kill.killed.number))
 			kill.killed = nil
 		}
 	}
@@ -49,13 +49,13 @@
 		}
 		kill.killed = m.replicas.replicas[leader-1]
 		kill.killed.kill()
-		m.Note(fmt.Sprintf("change %d: keeper %d, which led, is killed", number, leader))
+		m.ReportProgress(fmt.Sprintf("change %d: keeper %d, which led, is killed", number, leader))
 	case kill.restartAt:
 		kill.killed.restart = true
 		if err := kill.killed.start(m.replicas.program); err != nil {
 			return err
 		}
-		m.Note(fmt.Sprintf("change %d: keeper %d is started again", number, kill.killed.number))
+		m.ReportProgress(fmt.Sprintf("change %d: keeper %d is started again", number, kill.killed.number))
 	}
 	return nil
 }
--- a/internal/scale/fleetbench/clients.go
+++ b/internal/scale/fleetbench/clients.go
@@ -25,9 +25,9 @@
 
 // clientGroup is the gateways' clients of the replicas, in this process, with the bytes at their sockets.
 type clientGroup struct {
-	clients          []*client.Client        // nil: not started
-	traffic          []meter.Bytes           // of each
-	trafficByReplica map[string]*meter.Bytes // of all together, by the replica's address
+	clients          []*client.Client          // nil: not started
+	traffic          []meter.Counter           // of each
+	trafficByReplica map[string]*meter.Counter // of all together, by the replica's address
 	logger           *slog.Logger
 
 	expected  atomic.Pointer[string] // prefix of the name of the version that is awaited
@@ -38,13 +38,13 @@
 func newClientGroup(count int, replicaAddrs []string) *clientGroup {
 	group := &clientGroup{
 		clients:          make([]*client.Client, count),
-		traffic:          make([]meter.Bytes, count),
-		trafficByReplica: map[string]*meter.Bytes{},
+		traffic:          make([]meter.Counter, count),
+		trafficByReplica: map[string]*meter.Counter{},
 		allActing:        make(chan struct{}, 1),
 		logger:           slog.New(slog.NewTextHandler(io.Discard, nil)),
 	}
 	for _, addr := range replicaAddrs {
-		group.trafficByReplica[addr] = &meter.Bytes{}
+		group.trafficByReplica[addr] = &meter.Counter{}
 	}
 	return group
 }
@@ -122,8 +122,8 @@
 // dialer returns the function that opens the connections of the client of an index, with its bytes counted.
 func (g *clientGroup) dialer(index int) meter.Dial {
 	plain := (&net.Dialer{Timeout: renewInterval}).DialContext
-	return meter.Dialer(plain, func(addr string) []*meter.Bytes {
-		return []*meter.Bytes{&g.traffic[index], g.trafficByReplica[addr]}
+	return meter.Dialer(plain, func(addr string) []*meter.Counter {
+		return []*meter.Counter{&g.traffic[index], g.trafficByReplica[addr]}
 	})
 }
 
@@ -143,7 +143,7 @@
 func (g *clientGroup) totals() []int64 {
 	totals := make([]int64, len(g.traffic))
 	for i := range g.traffic {
-		totals[i] = g.traffic[i].Both()
+		totals[i] = g.traffic[i].Total()
 	}
 	return totals
 }
--- a/internal/scale/fleetbench/growth.go
+++ b/internal/scale/fleetbench/growth.go
@@ -12,17 +12,17 @@
 
 // Growth is what was measured of what changes leave behind. Times are milliseconds, MB are millions of bytes.
 type Growth struct {
-	Followers       int             `json:"followers"`
-	Nodes           int             `json:"nodes"`
-	Changes         int             `json:"changes"`
-	Kinds           map[Kind]int    `json:"changes_by_kind"`
-	VersionBytes    int             `json:"version_bytes"` // the first version's content
-	Marks           []Mark          `json:"marks"`
-	InForce         meter.Quantiles `json:"in_force_ms"` // from proposal until in force at all gateways, or by the log
-	StartMillis     float64         `json:"start_ms"`    // of a killed replica with its folder, until it caught up
-	JoinMillis      float64         `json:"join_ms"`     // of a replica with an empty folder, until it caught up
-	JoinBytes       int64           `json:"join_bytes"`  // between it and the others meanwhile, in both directions
-	UnexpectedExits int             `json:"keeper_ends"` // of these two replicas
+	Followers       int                `json:"followers"`
+	Nodes           int                `json:"nodes"`
+	Changes         int                `json:"changes"`
+	Kinds           map[ChangeKind]int `json:"changes_by_kind"`
+	VersionBytes    int                `json:"version_bytes"` // the first version's content
+	Marks           []Mark             `json:"marks"`
+	InForce         meter.Quantiles    `json:"in_force_ms"` // from proposal until in force at all gateways, or by the log
+	StartMillis     float64            `json:"start_ms"`    // of a killed replica with its folder, until it caught up
+	JoinMillis      float64            `json:"join_ms"`     // of a replica with an empty folder, until it caught up
+	JoinBytes       int64              `json:"join_bytes"`  // between it and the others meanwhile, in both directions
+	UnexpectedExits int                `json:"keeper_ends"` // of these two replicas
 }
 
 // Mark is the state of the replicas after a number of changes. Lists are by replica number.
@@ -41,8 +41,8 @@
 	catchUpPollInterval = 2 * time.Millisecond
 )
 
-// Grow starts a fleet and measures what grows with the number of changes. Options have to pass Check.
-func Grow(ctx context.Context, options Options) (*Growth, error) {
+// MeasureGrowth starts a fleet and measures what grows with the number of changes. Options have to pass Check.
+func MeasureGrowth(ctx context.Context, options Options) (*Growth, error) {
 	m, err := open(options)
 	if err != nil {
 		return nil, err
@@ -52,7 +52,7 @@
 		Followers:    options.Followers,
 		Nodes:        options.Nodes,
 		Changes:      options.Changes,
-		Kinds:        map[Kind]int{},
+		Kinds:        map[ChangeKind]int{},
 		VersionBytes: len(m.sequence.Config().Canonical()),
 	}
 	if err := m.proposeFirst(ctx); err != nil {
@@ -69,7 +69,7 @@
 	if growth.StartMillis, err = m.restartReplica(ctx); err != nil {
 		return nil, err
 	}
-	m.Note(fmt.Sprintf("a keeper has started from its folder after %.0f ms", growth.StartMillis))
+	m.ReportProgress(fmt.Sprintf("a keeper has started from its folder after %.0f ms", growth.StartMillis))
 	if growth.JoinMillis, growth.JoinBytes, err = m.joinReplica(ctx); err != nil {
 		return nil, err
 	}
@@ -101,7 +101,7 @@
 			}
 			growth.Marks = append(growth.Marks, mark)
 		} else if time.Since(notedAt) > progressInterval {
-			m.Note(fmt.Sprintf("%d of %d changes", number, m.Changes))
+			m.ReportProgress(fmt.Sprintf("%d of %d changes", number, m.Changes))
 			notedAt = time.Now()
 		}
 	}
@@ -119,13 +119,13 @@
 		return mark, err
 	}
 	for _, replica := range m.replicas.replicas {
-		size, err := meter.Folder(m.replicas.folder(replica.number))
+		size, err := meter.DirSize(m.replicas.folder(replica.number))
 		if err != nil {
 			return mark, err
 		}
 		mark.FolderBytes = append(mark.FolderBytes, size)
 	}
-	m.Note(fmt.Sprintf("after %d changes: keepers' memory %s MB, folders %v bytes",
+	m.ReportProgress(fmt.Sprintf("after %d changes: keepers' memory %s MB, folders %v bytes",
 		changes, formatMB(mark.ReplicaMB), mark.FolderBytes))
 	return mark, nil
 }
@@ -194,6 +194,6 @@
 	}
 	millis = milliseconds(time.Since(startedAt))
 	bytes = m.replicas.bytesTotal(joining.number)
-	m.Note(fmt.Sprintf("a keeper that joins has caught up after %.0f ms and %d bytes", millis, bytes))
+	m.ReportProgress(fmt.Sprintf("a keeper that joins has caught up after %.0f ms and %d bytes", millis, bytes))
 	return millis, bytes, nil
 }
--- a/internal/scale/fleetbench/measurement.go
+++ b/internal/scale/fleetbench/measurement.go
@@ -42,8 +42,8 @@
 	}
 	addrs := m.replicas.addrs(0)
 	m.clients = newClientGroup(options.Followers, addrs)
-	dial := meter.Dialer(nil, func(addr string) []*meter.Bytes {
-		return []*meter.Bytes{m.clients.trafficByReplica[addr]}
+	dial := meter.Dialer(nil, func(addr string) []*meter.Counter {
+		return []*meter.Counter{m.clients.trafficByReplica[addr]}
 	})
 	m.operator = &replica.Client{
 		Replicas:   addrs,
--- a/internal/scale/fleetbench/run.go
+++ b/internal/scale/fleetbench/run.go
@@ -16,11 +16,11 @@
 	}
 	defer m.close()
 	figures := &Figures{
-		Followers:    options.Followers,
-		Nodes:        options.Nodes,
-		Changes:      options.Changes,
-		Straight:     options.Straight,
-		VersionBytes: len(m.sequence.Config().Canonical()),
+		Followers:         options.Followers,
+		Nodes:             options.Nodes,
+		Changes:           options.Changes,
+		DirectConnections: options.DirectConnections,
+		VersionBytes:      len(m.sequence.Config().Canonical()),
 	}
 	if err := m.proposeFirst(ctx); err != nil {
 		return nil, err
@@ -33,7 +33,7 @@
 		if *target, err = m.startClients(ctx); err != nil {
 			return nil, err
 		}
-		m.Note(fmt.Sprintf("all of %d act on the version after %.0f ms", options.Followers, *target))
+		m.ReportProgress(fmt.Sprintf("all of %d act on the version after %.0f ms", options.Followers, *target))
 	}
 	if err := m.measureUsage(ctx, figures); err != nil {
 		return nil, err
@@ -66,12 +66,12 @@
 
 // fillFollowerMemory computes the memory of a gateway from what this process had without them, in MB.
 func (f *Figures) fillFollowerMemory(without float64) error {
-	uncollected, err := meter.Process(os.Getpid())
+	uncollected, err := meter.ProcessUsage(os.Getpid())
 	if err != nil {
 		return err
 	}
 	collected, err := collectedMemory()
-	f.FollowerMBUncollected = (uncollected.MB - without) / float64(f.Followers)
+	f.FollowerMBBeforeGC = (uncollected.MB - without) / float64(f.Followers)
 	f.FollowerMB = (collected - without) / float64(f.Followers)
 	return err
 }
--- a/internal/scale/fleetbench/sample.go
+++ b/internal/scale/fleetbench/sample.go
@@ -53,7 +53,7 @@
 // collectedMemory returns this process's resident memory in MB after a forced collection.
 func collectedMemory() (float64, error) {
 	debug.FreeOSMemory() // it collects first
-	used, err := meter.Process(os.Getpid())
+	used, err := meter.ProcessUsage(os.Getpid())
 	return used.MB, err
 }
 
--- a/internal/scale/gateway.go
+++ b/internal/scale/gateway.go
@@ -36,7 +36,7 @@
 	privateLinks  []*rig.Link   // its own links to them; none: it shares those of its zone
 	pauseGate     sync.RWMutex  // locked for writing while the gateway is paused
 	decisionDelay atomic.Int64  // nanoseconds that each look at the active configuration takes
-	traffic       meter.Bytes   // to and from replicas
+	traffic       meter.Counter // to and from replicas
 	previousForm  bool          // it sends renewals in the form of the build before
 	defects       Defect        // injected by a test
 	defectVersion atomic.Uint64 // the version that DefectLostVersion and DefectStaleList apply to; 0: none yet
@@ -148,7 +148,7 @@
 // with the gateway.
 func (h *HollowGateway) dial() client.Dial {
 	plain := (&net.Dialer{Timeout: h.fleet.Size.RenewInterval}).DialContext
-	counted := meter.Dialer(plain, func(string) []*meter.Bytes { return []*meter.Bytes{&h.traffic, &h.fleet.traffic} })
+	counted := meter.Dialer(plain, func(string) []*meter.Counter { return []*meter.Counter{&h.traffic, &h.fleet.traffic} })
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		conn, err := counted(ctx, network, addr)
 		if err != nil {
--- a/internal/scale/meter/bytes.go
+++ b/internal/scale/meter/bytes.go
@@ -9,29 +9,29 @@
 	"sync/atomic"
 )
 
-// Bytes counts payload at sockets, both ways, as read and written by the side that is counted, without the headers of
+// Counter counts payload at sockets, both ways, as read and written by the side that is counted, without the headers of
 // TCP and IP. The zero value counts from 0; any number of connections may share one.
-type Bytes struct {
+type Counter struct {
 	in, out atomic.Int64
 }
 
 // In is the bytes read so far.
-func (b *Bytes) In() int64 { return b.in.Load() }
+func (b *Counter) In() int64 { return b.in.Load() }
 
 // Out is the bytes written so far.
-func (b *Bytes) Out() int64 { return b.out.Load() }
+func (b *Counter) Out() int64 { return b.out.Load() }
 
-// Both is the bytes read and written so far.
-func (b *Bytes) Both() int64 { return b.in.Load() + b.out.Load() }
+// Total is the bytes read and written so far.
+func (b *Counter) Total() int64 { return b.in.Load() + b.out.Load() }
 
 // Conn is a connection whose bytes are added to each of its counters.
 type Conn struct {
 	net.Conn
-	counters []*Bytes
+	counters []*Counter
 }
 
-// Count has a connection's bytes be added to all the counters.
-func Count(conn net.Conn, counters ...*Bytes) *Conn { return &Conn{conn, counters} }
+// CountBytes has a connection's bytes be added to all the counters.
+func CountBytes(conn net.Conn, counters ...*Counter) *Conn { return &Conn{conn, counters} }
 
 // Read reads, and counts what was received.
 func (c *Conn) Read(b []byte) (int, error) {
@@ -56,7 +56,7 @@
 
 // Dialer returns a Dial whose connections are counted. They are opened by dial, or by a net.Dialer if that is nil;
 // counters returns the counters for an address.
-func Dialer(dial Dial, counters func(addr string) []*Bytes) Dial {
+func Dialer(dial Dial, counters func(addr string) []*Counter) Dial {
 	if dial == nil {
 		dial = (&net.Dialer{}).DialContext
 	}
@@ -65,6 +65,6 @@
 		if err != nil {
 			return nil, err
 		}
-		return Count(conn, counters(addr)...), nil
+		return CountBytes(conn, counters(addr)...), nil
 	}
 }
--- a/internal/scale/meter/process.go
+++ b/internal/scale/meter/process.go
@@ -33,8 +33,8 @@
 // errFewFields is of a file under /proc that has fewer fields than the kernel documents.
 var errFewFields = errors.New("too few fields")
 
-// Process is what a process has used, by its ID.
-func Process(pid int) (Usage, error) {
+// ProcessUsage is what a process has used, by its ID.
+func ProcessUsage(pid int) (Usage, error) {
 	cpu, err := readProc(pid, "stat", parseStat)
 	if err != nil {
 		return Usage{}, err
@@ -93,8 +93,8 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano()), nil
 }
 
-// Folder is the number of bytes of all files in a folder and below. A file that is removed meanwhile counts as none.
-func Folder(dir string) (total int64, err error) {
+// DirSize is the number of bytes of all files in a folder and below. A file that is removed meanwhile counts as none.
+func DirSize(dir string) (total int64, err error) {
 	err = filepath.WalkDir(dir, func(path string, entry fs.DirEntry, err error) error {
 		if err == nil && entry.Type().IsRegular() {
 			var info fs.FileInfo
--- a/internal/scale/meter/relay.go
+++ b/internal/scale/meter/relay.go
@@ -8,7 +8,7 @@
 
 // Relay forwards the bytes of connections to an address and counts them: In is what went there, Out what came back.
 type Relay struct {
-	Bytes
+	Counter
 	listener   net.Listener
 	target     string
 	goroutines sync.WaitGroup
@@ -84,7 +84,7 @@
 		return
 	}
 	defer r.closeTracked(out)
-	counted := Count(in, &r.Bytes)
+	counted := CountBytes(in, &r.Counter)
 	var directions sync.WaitGroup
 	directions.Go(func() { forward(out, counted) })
 	directions.Go(func() { forward(counted, out) })
--- a/internal/scale/ordinary.go
+++ b/internal/scale/ordinary.go
@@ -32,7 +32,7 @@
 		gateway.defectVersion.Store(fleet.newestVersion + uint64(fleet.Size.Changes)/2)
 	}
 	run := &ordinaryRun{fleet: fleet, result: result}
-	before, startedAt := fleet.traffic.Both(), monotonic()
+	before, startedAt := fleet.traffic.Total(), monotonic()
 	usageBefore, err := fleet.replicaUsage()
 	if err != nil {
 		return err
@@ -179,7 +179,7 @@
 func (r *ordinaryRun) reportTraffic(before, startedAt int64) {
 	figures := r.result.Figures
 	seconds := float64(monotonic()-startedAt) / 1e9
-	total := float64(r.fleet.traffic.Both()-before) / float64(len(r.fleet.Gateways))
+	total := float64(r.fleet.traffic.Total()-before) / float64(len(r.fleet.Gateways))
 	total -= figures["rest_bytes_s"] * seconds
 	figures["change_bytes"] = total / r.changeCount()
 	figures["day_bytes_s"] = figures["rest_bytes_s"] + figures["change_bytes"]*changesPerDay/secondsPerDay
--- a/internal/scale/replicas.go
+++ b/internal/scale/replicas.go
@@ -144,7 +144,7 @@
 	for _, replica := range f.replicas {
 		used := meter.Usage{}
 		if replica.command != nil {
-			if used, err = meter.Process(replica.command.Process.Pid); err != nil {
+			if used, err = meter.ProcessUsage(replica.command.Process.Pid); err != nil {
 				return nil, err
 			}
 		}
--- a/internal/scale/usage.go
+++ b/internal/scale/usage.go
@@ -24,7 +24,7 @@
 }
 
 func (f *Fleet) sampleUsage() (sample idleSample, err error) {
-	if sample.process, err = meter.Process(os.Getpid()); err != nil {
+	if sample.process, err = meter.ProcessUsage(os.Getpid()); err != nil {
 		return sample, err
 	}
 	sample.replicas, err = f.replicaUsage()
@@ -38,7 +38,7 @@
 	if err != nil {
 		return err
 	}
-	bytes, startedAt := f.traffic.Both(), time.Now()
+	bytes, startedAt := f.traffic.Total(), time.Now()
 	time.Sleep(f.Size.IdleTime)
 	seconds := time.Since(startedAt).Seconds()
 	after, err := f.sampleUsage()
@@ -50,7 +50,7 @@
 		return err
 	}
 	gateways := float64(len(f.Gateways))
-	result.Figures["rest_bytes_s"] = float64(f.traffic.Both()-bytes) / seconds / gateways
+	result.Figures["rest_bytes_s"] = float64(f.traffic.Total()-bytes) / seconds / gateways
 	result.Figures["rest_gateway_core"] = (after.process.CPU - before.process.CPU).Seconds() / seconds / gateways
 	result.Figures["rest_gateway_mb"] = after.process.MB / gateways
 	for i, replica := range f.replicas {
@@ -72,7 +72,7 @@
 		return err
 	}
 	for i, replica := range f.replicas {
-		folder, err := meter.Folder(replica.dir)
+		folder, err := meter.DirSize(replica.dir)
 		if err != nil {
 			return err
 		}
