--- a/internal/scale/fleetbench/doc.go
+++ b/internal/scale/fleetbench/doc.go
@@ -1,7 +1,7 @@
-// Package fleetbench measures on one machine what replicas and the gateways that follow them cost at a size: bytes at
-// the sockets, processor time, memory, and how long a change takes until it is in force.
+// Package fleetbench measures, on one machine, the resources that replicas and the gateways that follow them use for a
+// given number of gateways and nodes: bytes at the sockets, CPU time, memory, and the time until a change is in force.
 //
-// Replicas are processes. The gateways are their clients alone (internal/fleet/client), with real sockets, all in
-// this process. It is used by `irispost fleet bench`; docs/fleet.md has the figures. A measurement owns its
-// processes, relays and folder and removes them at its end.
+// Each replica is a process. Of each gateway only the client of the replicas (internal/fleet/client) runs, with real
+// sockets; all clients share this process. `irispost fleet bench` runs the measurements; docs/fleet.md has results.
+// A measurement owns its processes, relays and directory, and removes them when it ends.
 package fleetbench
--- a/internal/scale/fleetbench/golden_test.go
+++ b/internal/scale/fleetbench/golden_test.go
@@ -17,7 +17,7 @@
 	}
 }
 
-// The texts for people, as an earlier build wrote them.
+// The human-readable texts are identical to those written by an earlier build.
 func TestGoldenText(t *testing.T) {
 	figures := &Figures{}
 	readJSON(t, "figures.json", figures)
--- a/internal/scale/fleetbench/run.go
+++ b/internal/scale/fleetbench/run.go
@@ -8,9 +8,9 @@
 	"irispost/internal/scale/meter"
 )
 
-// Run starts a fleet, makes the changes and returns what it used. Options have to pass Check.
+// Run starts a fleet, makes the changes and returns the resource usage and times. The options must have passed Check.
 func Run(ctx context.Context, options Options) (*Figures, error) {
-	m, err := open(options)
+	m, err := newMeasurement(options)
 	if err != nil {
 		return nil, err
 	}
@@ -33,7 +33,7 @@
 		if *target, err = m.startClients(ctx); err != nil {
 			return nil, err
 		}
-		m.ReportProgress(fmt.Sprintf("all of %d act on the version after %.0f ms", options.Followers, *target))
+		m.ReportProgress(fmt.Sprintf("all %d followers act on the version after %.0f ms", options.Followers, *target))
 	}
 	if err := m.measureUsage(ctx, figures); err != nil {
 		return nil, err
@@ -41,7 +41,7 @@
 	return figures, figures.fillFollowerMemory(memoryWithout)
 }
 
-// measureUsage measures the fleet at idle and then over all changes.
+// measureUsage measures the idle fleet, and then the fleet during all changes.
 func (m *measurement) measureUsage(ctx context.Context, figures *Figures) error {
 	term, idle, err := m.measureIdle(ctx)
 	if err != nil {
@@ -64,7 +64,8 @@
 	return nil
 }
 
-// fillFollowerMemory computes the memory of a gateway from what this process had without them, in MB.
+// fillFollowerMemory computes the memory per gateway. without is the memory of this process before the gateways
+// started, in MB.
 func (f *Figures) fillFollowerMemory(without float64) error {
 	uncollected, err := meter.ProcessUsage(os.Getpid())
 	if err != nil {
--- a/internal/scale/fleetbench/text.go
+++ b/internal/scale/fleetbench/text.go
@@ -8,7 +8,7 @@
 	"irispost/internal/scale/meter"
 )
 
-// Text writes the figures for people. Errors of the writer are ignored.
+// Text writes the figures as human-readable text. Errors of the writer are ignored.
 func (f *Figures) Text(out io.Writer) {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%d followers, %d nodes in a version of %d bytes; ", f.Followers, f.Nodes, f.VersionBytes)
@@ -39,7 +39,7 @@
 	_, _ = io.WriteString(out, b.String())
 }
 
-// Text writes the figures for people. Errors of the writer are ignored.
+// Text writes the figures as human-readable text. Errors of the writer are ignored.
 func (g *Growth) Text(out io.Writer) {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%d changes in turn (%d by a node that is replaced, %d by a plan's limit) ",
--- a/internal/scale/meter/bytes.go
+++ b/internal/scale/meter/bytes.go
@@ -1,6 +1,6 @@
-// Package meter measures what a part of a fleet costs: bytes at sockets, processor time and memory of processes, bytes
-// in folders, and quantiles of any of them. Measurements and tests call it; what is measured does not know of it. A
-// Relay has goroutines of its own, which Close ends; nothing else has state beyond its counters.
+// Package meter measures resource usage: bytes at sockets, CPU time and memory of processes, sizes of directories, and
+// quantiles of measured values. Measurements and tests use it; the measured code does not depend on it. A Relay runs
+// goroutines until Close; nothing else has state other than its counters.
 package meter
 
 import (
@@ -9,31 +9,31 @@
 	"sync/atomic"
 )
 
-// Counter counts payload at sockets, both ways, as read and written by the side that is counted, without the headers of
-// TCP and IP. The zero value counts from 0; any number of connections may share one.
+// Counter counts the payload bytes that one side of connections reads and writes, without the headers of TCP and IP.
+// The zero value is ready to use. Any number of connections may share a counter.
 type Counter struct {
 	in, out atomic.Int64
 }
 
-// In is the bytes read so far.
+// In returns the number of bytes read so far.
 func (b *Counter) In() int64 { return b.in.Load() }
 
-// Out is the bytes written so far.
+// Out returns the number of bytes written so far.
 func (b *Counter) Out() int64 { return b.out.Load() }
 
-// Total is the bytes read and written so far.
+// Total returns the number of bytes read and written so far.
 func (b *Counter) Total() int64 { return b.in.Load() + b.out.Load() }
 
-// Conn is a connection whose bytes are added to each of its counters.
+// Conn is a connection that adds the bytes read and written to each of its counters.
 type Conn struct {
 	net.Conn
 	counters []*Counter
 }
 
-// CountBytes has a connection's bytes be added to all the counters.
+// CountBytes wraps a connection so that its bytes are added to all the counters.
 func CountBytes(conn net.Conn, counters ...*Counter) *Conn { return &Conn{conn, counters} }
 
-// Read reads, and counts what was received.
+// Read reads from the connection and counts the bytes read.
 func (c *Conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	for _, counter := range c.counters {
@@ -42,7 +42,7 @@
 	return n, err
 }
 
-// Write writes, and counts what was sent, also where the rest of it was not.
+// Write writes to the connection and counts the bytes written, also those of a partial write.
 func (c *Conn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	for _, counter := range c.counters {
@@ -51,11 +51,11 @@
 	return n, err
 }
 
-// Dial opens a connection, as net.Dialer.DialContext does.
+// Dial opens a connection, like net.Dialer.DialContext.
 type Dial = func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// Dialer returns a Dial whose connections are counted. They are opened by dial, or by a net.Dialer if that is nil;
-// counters returns the counters for an address.
+// Dialer returns a Dial whose connections count their bytes. It opens them with dial, or with a net.Dialer if dial is
+// nil. counters returns the counters for an address.
 func Dialer(dial Dial, counters func(addr string) []*Counter) Dial {
 	if dial == nil {
 		dial = (&net.Dialer{}).DialContext
--- a/internal/scale/meter/quantiles.go
+++ b/internal/scale/meter/quantiles.go
@@ -5,21 +5,23 @@
 	"slices"
 )
 
-// Quantiles of a list of values. Each is the least value of the list that is not exceeded by that part of it.
+// Quantiles are the median, the 99th percentile and the maximum of a list of values. A quantile is the smallest value
+// in the list that is not exceeded by at least the given fraction of the values.
 type Quantiles struct {
 	P50   float64 `json:"p50"`
 	P99   float64 `json:"p99"`
 	Worst float64 `json:"worst"`
 }
 
-// QuantilesOf computes the quantiles of values in any order, which it does not change. Those of an empty list are 0.
+// QuantilesOf returns the quantiles of values, which can be in any order and are not modified. Without values, all are
+// 0.
 func QuantilesOf(values []float64) Quantiles {
 	if len(values) == 0 {
 		return Quantiles{}
 	}
 	sorted := slices.Sorted(slices.Values(values))
-	quantile := func(part float64) float64 {
-		rank := int(math.Ceil(part * float64(len(sorted))))
+	quantile := func(fraction float64) float64 {
+		rank := int(math.Ceil(fraction * float64(len(sorted))))
 		return sorted[max(rank, 1)-1]
 	}
 	return Quantiles{P50: quantile(0.5), P99: quantile(0.99), Worst: sorted[len(sorted)-1]}
--- a/internal/scale/meter/relay.go
+++ b/internal/scale/meter/relay.go
@@ -6,19 +6,19 @@
 	"sync"
 )
 
-// Relay forwards the bytes of connections to an address and counts them: In is what went there, Out what came back.
+// Relay forwards connections to a target address. It counts the bytes sent to the target as In, and those back as Out.
 type Relay struct {
 	Counter
 	listener   net.Listener
 	target     string
 	goroutines sync.WaitGroup
 
-	mutex  sync.Mutex // guards what follows
+	mutex  sync.Mutex // guards the fields below
 	open   map[net.Conn]bool
 	closed bool
 }
 
-// NewRelay starts a relay to an address; host is where it listens, at a free port.
+// NewRelay starts a relay to a target address. It listens on a free port of host.
 func NewRelay(host, target string) (*Relay, error) {
 	listener, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
 	if err != nil {
@@ -29,10 +29,10 @@
 	return r, nil
 }
 
-// Addr is the address at which the relay listens.
+// Addr returns the address at which the relay listens.
 func (r *Relay) Addr() string { return r.listener.Addr().String() }
 
-// Close ends the relay and its connections, and returns once its goroutines have ended.
+// Close closes the listener and all connections, and returns once the relay's goroutines have ended.
 func (r *Relay) Close() {
 	r.mutex.Lock()
 	r.closed = true
@@ -54,7 +54,7 @@
 	}
 }
 
-// track has Close close a connection too. If the relay is closed already, the connection is, and it returns false.
+// track registers a connection to be closed by Close. If the relay is already closed, it closes it and returns false.
 func (r *Relay) track(conn net.Conn) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -66,7 +66,7 @@
 	return true
 }
 
-// closeTracked closes a connection that was tracked.
+// closeTracked closes a connection and stops tracking it.
 func (r *Relay) closeTracked(conn net.Conn) {
 	_ = conn.Close()
 	r.mutex.Lock()
@@ -91,7 +91,8 @@
 	directions.Wait()
 }
 
-// forward forwards one direction: its end as an end, an error as one of both directions.
+// forward copies one direction. At the end of input it closes the other connection for writing; an error closes both
+// connections.
 func forward(to, from net.Conn) {
 	if _, err := io.Copy(onlyWriter{to}, onlyReader{from}); err != nil {
 		_ = to.Close()
@@ -104,7 +105,8 @@
 	_ = to.(*net.TCPConn).CloseWrite()
 }
 
-// onlyReader and onlyWriter hide that the kernel could copy by itself, past the counters.
+// onlyReader and onlyWriter hide the other methods of a connection. Otherwise io.Copy would let the kernel copy the
+// bytes past the counters.
 type (
 	onlyReader struct{ io.Reader }
 	onlyWriter struct{ io.Writer }
