--- a/internal/bench/load.go
+++ b/internal/bench/load.go
@@ -141,7 +141,7 @@
 
 // processorTime returns the CPU time that a process has used, or 0 if it cannot be read.
 func processorTime(pid int) time.Duration {
-	used, err := meter.Process(pid)
+	used, err := meter.ProcessUsage(pid)
 	if err != nil {
 		return 0
 	}
--- a/internal/scale/cases.go
+++ b/internal/scale/cases.go
@@ -115,7 +115,7 @@
 			return result, err
 		}
 	}
-	used, err := meter.Process(os.Getpid())
+	used, err := meter.ProcessUsage(os.Getpid())
 	result.Figures["gateways_process_mb"] = used.MB
 	names := slices.Sorted(maps.Keys(result.Figures))
 	fleet.options.Progress("%s: %d violations; figures: %v", testCase.Name, len(result.Violations), names)
--- a/internal/scale/fleet.go
+++ b/internal/scale/fleet.go
@@ -34,7 +34,7 @@
 	links             []*rig.Link // all links
 	interRegionLinks  []*rig.Link // those between regions
 	operator          *replica.Client
-	traffic           meter.Bytes // between all gateways and the replicas
+	traffic           meter.Counter // between all gateways and the replicas
 	config            *configversion.Config
 	newestVersion     uint64
 	unauditedVersions []*configversion.Version // since the last audit, preceded by the newest version before it
--- a/internal/scale/fleetbench/run.go
+++ b/internal/scale/fleetbench/run.go
@@ -8,19 +8,19 @@
 	"irispost/internal/scale/meter"
 )
 
-// Run starts a fleet, makes the changes and returns what it used. Options have to pass Check.
+// Run starts a fleet, makes the changes and returns the resource usage and times. The options must have passed Check.
 func Run(ctx context.Context, options Options) (*Figures, error) {
-	m, err := open(options)
+	m, err := newMeasurement(options)
 	if err != nil {
 		return nil, err
 	}
 	defer m.close()
 	figures := &Figures{
-		Followers:    options.Followers,
-		Nodes:        options.Nodes,
-		Changes:      options.Changes,
-		Straight:     options.Straight,
-		VersionBytes: len(m.sequence.Config().Canonical()),
+		Followers:         options.Followers,
+		Nodes:             options.Nodes,
+		Changes:           options.Changes,
+		DirectConnections: options.DirectConnections,
+		VersionBytes:      len(m.sequence.Config().Canonical()),
 	}
 	if err := m.proposeFirst(ctx); err != nil {
 		return nil, err
@@ -33,7 +33,7 @@
 		if *target, err = m.startClients(ctx); err != nil {
 			return nil, err
 		}
-		m.Note(fmt.Sprintf("all of %d act on the version after %.0f ms", options.Followers, *target))
+		m.ReportProgress(fmt.Sprintf("all %d followers act on the version after %.0f ms", options.Followers, *target))
 	}
 	if err := m.measureUsage(ctx, figures); err != nil {
 		return nil, err
@@ -41,7 +41,7 @@
 	return figures, figures.fillFollowerMemory(memoryWithout)
 }
 
-// measureUsage measures the fleet at idle and then over all changes.
+// measureUsage measures the idle fleet, and then the fleet during all changes.
 func (m *measurement) measureUsage(ctx context.Context, figures *Figures) error {
 	term, idle, err := m.measureIdle(ctx)
 	if err != nil {
@@ -64,14 +64,15 @@
 	return nil
 }
 
-// fillFollowerMemory computes the memory of a gateway from what this process had without them, in MB.
+// fillFollowerMemory computes the memory per gateway. without is the memory of this process before the gateways
+// started, in MB.
 func (f *Figures) fillFollowerMemory(without float64) error {
-	uncollected, err := meter.Process(os.Getpid())
+	uncollected, err := meter.ProcessUsage(os.Getpid())
 	if err != nil {
 		return err
 	}
 	collected, err := collectedMemory()
-	f.FollowerMBUncollected = (uncollected.MB - without) / float64(f.Followers)
+	f.FollowerMBBeforeGC = (uncollected.MB - without) / float64(f.Followers)
 	f.FollowerMB = (collected - without) / float64(f.Followers)
 	return err
 }
--- a/internal/scale/gateway.go
+++ b/internal/scale/gateway.go
@@ -36,7 +36,7 @@
 	privateLinks   []*rig.Link   // to the replicas; none: it shares the links of its zone
 	pauseLock      sync.RWMutex  // write-locked while the gateway is paused
 	decisionDelay  atomic.Int64  // nanoseconds added to each read of the active configuration
-	traffic        meter.Bytes   // between this gateway and the replicas
+	traffic        meter.Counter // between this gateway and the replicas
 	previousFormat bool          // sends renewals in the previous build's format
 	defects        Defect        // defects that a test injects
 	defectVersion  atomic.Uint64 // to which DefectLostVersion and DefectStaleList apply; 0: none
@@ -148,7 +148,7 @@
 // gateway.
 func (g *Gateway) dial() client.Dial {
 	plain := (&net.Dialer{Timeout: g.fleet.Size.RenewInterval}).DialContext
-	counted := meter.Dialer(plain, func(string) []*meter.Bytes { return []*meter.Bytes{&g.traffic, &g.fleet.traffic} })
+	counted := meter.Dialer(plain, func(string) []*meter.Counter { return []*meter.Counter{&g.traffic, &g.fleet.traffic} })
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		conn, err := counted(ctx, network, addr)
 		if err != nil {
